--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 # gRPC starts threads: its tests have processes of their own, as others fork with work to do in between.
 test: $(VENV)/dev
 	PATH="$(CURDIR)/$(BIN):$$PATH" && ruff check . && ruff format --check . && mypy && \
-		pytest -n 4 --ignore tests/control && pytest -n 4 tests/control
+		pytest -n 4 --ignore tests/node/control && pytest -n 4 tests/node/control
 
 venv: $(VENV)/dev
 
--- a/nickelbridge/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""nickelbridge: a load balancer's decisions for services that call services."""
--- a/nickelbridge/admission.py
+++ b/orchidferry/balancing/admission.py
@@ -7,13 +7,13 @@
 from collections import deque
 from collections.abc import Iterable
 
-from nickelbridge import interface as api
-from nickelbridge.averages import ClassRecord
-from nickelbridge.bucket import Bucket
-from nickelbridge.calls import Call, Outstanding
-from nickelbridge.delay import DelayController
-from nickelbridge.judgement import PEER_SAMPLES, Judgement
-from nickelbridge.listing import Fleet
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.averages import ClassRecord
+from orchidferry.balancing.bucket import Bucket
+from orchidferry.balancing.calls import Call, Outstanding
+from orchidferry.balancing.delay import DelayController
+from orchidferry.balancing.judgement import PEER_SAMPLES, Judgement
+from orchidferry.balancing.listing import Fleet
 
 HOLD_SHARES = (0.08, 0.5)  # of its aim: how long a call may wait for room; deeper, giving up wastes more
 QUOTA_MS = 1_000.0  # of its quota is what a tenant may send at once
@@ -27,9 +27,15 @@
     """
 
     def __init__(
-        self, settings: api.Settings, spares: bool, rng: random.Random, fleet: Fleet,
-        controller: DelayController, judgement: Judgement, out: Outstanding,
-    ) -> None:  # fmt: skip
+        self,
+        settings: api.Settings,
+        spares: bool,
+        rng: random.Random,
+        fleet: Fleet,
+        controller: DelayController,
+        judgement: Judgement,
+        out: Outstanding,
+    ) -> None:
         self._settings, self._spares, self._rng, self._fleet = settings, spares, rng, fleet
         self._controller, self._judgement, self._out = controller, judgement, out
         self.record = ClassRecord(settings.classes, PEER_SAMPLES)
@@ -55,7 +61,8 @@
 
     def over_share(self, tenant: str | None, now: float) -> bool:
         """Whether a call, counted here, is beyond its tenant's quota."""
-        if tenant not in self.quotas: return False
+        if tenant not in self.quotas:
+            return False
         per_ms, bucket = self.quotas[tenant]
         return not bucket.take(per_ms, max(1.0, QUOTA_MS * per_ms), now)
 
@@ -66,7 +73,8 @@
     def shed(self, call: Call, now: float) -> bool:
         """Whether the loop has this call shed: it takes its share from those of least value first."""
         shed = 0.0 if self._spares else self._controller.shed(now)
-        if not shed: return False  # deeper, a refusal wastes work done above
+        if not shed:
+            return False  # deeper, a refusal wastes work done above
         values = {name: self._value(name, False) for name in self._names}
         own = self._value(call.cls.name, call.over_share, call.weight)
         less = sum(self.record.mix[name] for name, value in values.items() if value < own)
--- a/nickelbridge/averages.py
+++ b/orchidferry/balancing/averages.py
@@ -1,4 +1,6 @@
-"""Averages of what was observed; what follows from them is decided by `nickelbridge.logic` and its parts."""
+"""Averages of what was observed; what follows from them is decided by `orchidferry.balancing.logic` and its
+parts.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +8,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from nickelbridge import interface as api
+from orchidferry.balancing import interface as api
 
 
 class Rate:
--- a/nickelbridge/calls.py
+++ b/orchidferry/balancing/calls.py
@@ -6,8 +6,8 @@
 from collections import deque
 from collections.abc import Iterable
 
-from nickelbridge import interface as api
-from nickelbridge.judgement import NOISE_MS, OVERDUE, SLOW_FROM, Judgement, Server
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.judgement import NOISE_MS, OVERDUE, SLOW_FROM, Judgement, Server
 
 LOST = 4.0  # times its usual delay: a call out for so long that later ones overtook takes no room any more
 
@@ -90,7 +90,8 @@
                     slower.append(sent[2])
             while stale and now - stale[0][0] > lost:
                 sent = stale.popleft()
-                if not self._over(sent): self._late(*sent)
+                if not self._over(sent):
+                    self._late(*sent)
             # Whatever is sent from now on is due no sooner than that after now.
             due = (fresh[0][0] if fresh else now) + slow
             self.look_ms = min(self.look_ms, due, stale[0][0] + lost if stale else due)
--- a/nickelbridge/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -10,7 +10,8 @@
   and not where the tier below has said that it is overloaded: all that it would do is add to it;
 - what goes on with each attempt.
 
-This comes before the gate of the delay loop in `nickelbridge.logic`, never in its place: what is refused here
+This comes before the gate of the delay loop in `orchidferry.balancing.logic`, never in its place: what is
+refused here
 is refused, what is let through still has that gate to pass. Servers between two nodes that drop the headers
 cut the chain in two; each half then keeps its own bounds.
 
@@ -26,8 +27,8 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from nickelbridge.bucket import Bucket
-from nickelbridge.interface import Carried, Result
+from orchidferry.balancing.bucket import Bucket
+from orchidferry.balancing.interface import Carried, Result
 
 HOPS_MOST = 16  # of a path: no chain of tiers is as long; a path that is, is a loop that nobody named
 EXTRA_MOST = 8  # attempts beyond the first that anybody may bring
--- a/nickelbridge/cold.py
+++ b/orchidferry/balancing/cold.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from nickelbridge import interface as api
-from nickelbridge.delay import DelayController
-from nickelbridge.judgement import Server
-from nickelbridge.listing import Fleet
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.delay import DelayController
+from orchidferry.balancing.judgement import Server
+from orchidferry.balancing.listing import Fleet
 
 COLD_CHECK_MS = 10.0  # how soon a cold server without budget is looked at again
 COLD_SHARE = 0.5  # of the stated cold budget that all copies together use
--- a/nickelbridge/delay.py
+++ b/orchidferry/balancing/delay.py
@@ -6,7 +6,7 @@
 
 import math
 
-from nickelbridge.averages import Rate
+from orchidferry.balancing.averages import Rate
 
 TARGET_SHARE = 0.4  # tau0, the target round trip delay, as a share of the aim of what was answered
 WINDOW_SHARE = 0.3  # of the aim: the delay that first sends may reach, by Little's law,
--- a/nickelbridge/fleet/members.py
+++ b/orchidferry/balancing/fleet/members.py
@@ -72,18 +72,27 @@
     even a liar's words end in one view.
     """
     return (
-        entry.incarnation, entry.status, entry.life,
-        entry.host, entry.port, entry.phase.value, entry.zone, entry.version, entry.more,
-    )  # fmt: skip
+        entry.incarnation,
+        entry.status,
+        entry.life,
+        entry.host,
+        entry.port,
+        entry.phase.value,
+        entry.zone,
+        entry.version,
+        entry.more,
+    )
 
 
 def problem_of(entry: Entry) -> str:
     """Why an entry can't be meant, or "". Types are the reader's to check."""
     for field, text, most in (
-        ("name", entry.name, NAME_MOST), ("zone", entry.zone, ZONE_MOST),
+        ("name", entry.name, NAME_MOST),
+        ("zone", entry.zone, ZONE_MOST),
         ("version", entry.version, VERSION_MOST),
-        ("host", entry.host, HOST_MOST), ("by", entry.by, NAME_MOST),
-    ):  # fmt: skip
+        ("host", entry.host, HOST_MOST),
+        ("by", entry.by, NAME_MOST),
+    ):
         if len(text) > most or not text.isprintable():
             return f"{field}: {text!r:.40} is over {most} characters or not printable"
     if not entry.name or not entry.host:
--- a/nickelbridge/fleet/messages.py
+++ b/orchidferry/balancing/fleet/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from nickelbridge.fleet.members import Entry, Phase
+from orchidferry.balancing.fleet.members import Entry, Phase
 
 Address = tuple[str, int]
 
--- a/nickelbridge/fleet/rumours.py
+++ b/orchidferry/balancing/fleet/rumours.py
@@ -5,7 +5,7 @@
 import heapq
 import math
 
-from nickelbridge.fleet.members import Entry, size_of
+from orchidferry.balancing.fleet.members import Entry, size_of
 
 MOST = 512  # kept at once: beyond that the whole views that are exchanged carry it
 SPREAD = 4  # a rumour is told this many times the logarithm of the fleet's size, as memberlist does
--- a/nickelbridge/fleet/swim.py
+++ b/orchidferry/balancing/fleet/swim.py
@@ -23,12 +23,12 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from nickelbridge.fleet import messages as api
-from nickelbridge.fleet.fresh import Credit, Window
-from nickelbridge.fleet.members import JUMP_MOST, Entry, Phase, Status, order, size_of
-from nickelbridge.fleet.messages import Address, Kind, Message
-from nickelbridge.fleet.rumours import Rumours
-from nickelbridge.fleet.suspicion import Suspicion, Timing, bounds_ms
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet.fresh import Credit, Window
+from orchidferry.balancing.fleet.members import JUMP_MOST, Entry, Phase, Status, order, size_of
+from orchidferry.balancing.fleet.messages import Address, Kind, Message
+from orchidferry.balancing.fleet.rumours import Rumours
+from orchidferry.balancing.fleet.suspicion import Suspicion, Timing, bounds_ms
 
 SCORE_MOST = 8  # Lifeguard's S: a node that runs badly probes up to nine times as slowly
 ROOM = 1_100  # bytes of news in a datagram: with all else under the 1,400 that any network carries whole
@@ -72,9 +72,13 @@
     """A node among its peers."""
 
     def __init__(
-        self, me: Entry, seeds: Iterable[Address], rng: random.Random, timing: Timing | None = None,
+        self,
+        me: Entry,
+        seeds: Iterable[Address],
+        rng: random.Random,
+        timing: Timing | None = None,
         most: int = 1_024,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`seeds`: addresses to begin with; `most`: members, this one included."""
         self.me, self.timing, self._rng, self._most = me, timing or Timing(), rng, most
         own = (me.host, me.port)
--- a/nickelbridge/floods.py
+++ b/orchidferry/balancing/floods.py
@@ -7,7 +7,7 @@
 
 from enum import Enum
 
-from nickelbridge.bucket import Bucket
+from orchidferry.balancing.bucket import Bucket
 
 HALF_OPEN_FREE = 32  # handshakes under way up to which an address is believed without proof
 HALF_OPEN_MOST = 512  # and past which first packets are dropped, proof or not
--- a/nickelbridge/interface.py
+++ b/orchidferry/balancing/interface.py
@@ -1,7 +1,8 @@
 """What a node and the decision module say to each other: settings, events and actions.
 
 Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and
-come back unchanged. Nothing here decides anything; every decision is in `nickelbridge.logic` and its parts.
+come back unchanged. Nothing here decides anything; every decision is in `orchidferry.balancing.logic` and
+its parts.
 """
 
 from __future__ import annotations
@@ -272,9 +273,16 @@
 
 
 Event = (
-    Started | ServerList | Request | AttemptEnded | Uploaded | StreamStarted | ClientGone | NewSettings
+    Started
+    | ServerList
+    | Request
+    | AttemptEnded
+    | Uploaded
+    | StreamStarted
+    | ClientGone
+    | NewSettings
     | TimerFired
-)  # fmt: skip
+)
 
 # Actions: what the node is asked to do.
 
--- a/nickelbridge/judgement.py
+++ b/orchidferry/balancing/judgement.py
@@ -6,10 +6,10 @@
 import random
 from collections.abc import Iterable
 
-from nickelbridge import interface as api
-from nickelbridge.bucket import Bucket
-from nickelbridge.interface import Group, Health, Result
-from nickelbridge.schedule import Member
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.bucket import Bucket
+from orchidferry.balancing.interface import Group, Health, Result
+from orchidferry.balancing.schedule import Member
 
 LIMIT_CUT = 0.9  # what a server may hold from here after it has turned an attempt away
 SLOW_FROM, SLOW_POWER = 1.5, 4.0  # times its peers' delay: a weight falls, so steeply that it gets rest
@@ -30,11 +30,35 @@
     """What this copy knows of one server."""
 
     __slots__ = (
-        "alive_ms", "budget", "cell", "counted", "ejected", "enlisted", "id", "in_service", "late",
-        "limit", "lost", "member", "out", "parked", "part", "queue", "report_ms", "share", "shut_ms",
-        "shuts", "slow_ms", "slowness", "started_ms", "suspicion", "used_ms", "varies", "wake_ms",
+        "alive_ms",
+        "budget",
+        "cell",
+        "counted",
+        "ejected",
+        "enlisted",
+        "id",
+        "in_service",
+        "late",
+        "limit",
+        "lost",
+        "member",
+        "out",
+        "parked",
+        "part",
+        "queue",
+        "report_ms",
+        "share",
+        "shut_ms",
+        "shuts",
+        "slow_ms",
+        "slowness",
+        "started_ms",
+        "suspicion",
+        "used_ms",
+        "varies",
+        "wake_ms",
         "zone",
-    )  # fmt: skip
+    )
 
     def __init__(self, entry: api.ServerEntry, now: float, rng: random.Random, order: int) -> None:
         self.id = entry.server
@@ -87,7 +111,8 @@
                     slowness = max(slowness, (now - sent_ms) / (usual_share * aim_ms + NOISE_MS) / OVERDUE)
                     break
         pace = math.pow(SLOW_FROM / slowness, SLOW_POWER) if slowness > SLOW_FROM else 1.0
-        if not self.queue: return pace
+        if not self.queue:
+            return pace
         return pace / (1.0 + self.queue * math.exp((self.report_ms - now) / REPORT_MS)) ** 3
 
     def eject(self, now: float, rng: random.Random) -> None:
@@ -145,7 +170,8 @@
             server.limit = max(1.0, min(server.limit, float(server.inflight)) * LIMIT_CUT)
             if result is Result.UNREACHABLE and not server.inflight:  # down, or out of connections
                 server.eject(now, self._rng)
-        elif result is Result.SERVED: server.limit += 1.0 / server.limit
+        elif result is Result.SERVED:
+            server.limit += 1.0 / server.limit
         if result not in (Result.SERVED, Result.ERROR, Result.RESET):
             return
         bad = result is not Result.SERVED
@@ -158,4 +184,5 @@
             if self.ejected < EJECT_SHARE * ready:
                 server.eject(now, self._rng)
             server.suspicion = EJECT_ODDS / 2.0  # on its return it is on probation
-        elif not server.suspicion: server.shuts = 0
+        elif not server.suspicion:
+            server.shuts = 0
--- a/nickelbridge/listing.py
+++ b/orchidferry/balancing/listing.py
@@ -6,12 +6,12 @@
 import random
 from collections.abc import Callable
 
-from nickelbridge import interface as api
-from nickelbridge.bag import Bag
-from nickelbridge.calls import Call
-from nickelbridge.interface import Group, Health, ListKind, Repeat
-from nickelbridge.judgement import Server
-from nickelbridge.subset import Slices
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.bag import Bag
+from orchidferry.balancing.calls import Call
+from orchidferry.balancing.interface import Group, Health, ListKind, Repeat
+from orchidferry.balancing.judgement import Server
+from orchidferry.balancing.subset import Slices
 
 SLICES = 4  # of the fleet, each cut evenly among all copies: few servers, so that a copy sees each often
 AGAIN_AMONG = 16  # servers of a group, drawn where it has more, among which one is picked for another attempt
@@ -67,21 +67,28 @@
     def _take(self, id: int, entry: api.ServerEntry | None) -> None:
         """One server is listed so from now on, or no more."""
         old = self.entries.get(id)
-        if entry == old: return
+        if entry == old:
+            return
         now = entry is not None and entry.health is Health.IN_SERVICE
-        if old is not None and old.health is Health.IN_SERVICE: self._group(old, False)
+        if old is not None and old.health is Health.IN_SERVICE:
+            self._group(old, False)
         if entry is None:
             del self.entries[id]
             server = self.servers.pop(id, None)
-            if server is not None: server.in_service = False
+            if server is not None:
+                server.in_service = False
         else:
             self.entries[id] = entry
             server = self.servers.get(id)
-            if server is not None: server.update(entry)
-            if now: self._group(entry, True)
+            if server is not None:
+                server.update(entry)
+            if now:
+                self._group(entry, True)
         if id in self.ready:
-            if not now: self.ready.pop(id).part = 0.0
-            if server is not None: self._moved(server)
+            if not now:
+                self.ready.pop(id).part = 0.0
+            if server is not None:
+                self._moved(server)
         self._changed[id] = None
 
     def regroup(self, settings: api.Settings) -> None:
@@ -124,7 +131,8 @@
                 del self._changed[id]
                 self._parts.update(self.slices.change(id, self._share(id)))
                 # It left and came back before the slices were told of either: its part is as it was.
-                if id not in self.ready and id in self.slices.parts: self._parts[id] = self.slices.parts[id]
+                if id not in self.ready and id in self.slices.parts:
+                    self._parts[id] = self.slices.parts[id]
         for id in list(itertools.islice(self._parts, PARTS_STEP)):
             self._own(id, self._parts.pop(id), now)
         return bool(self._changed or self._parts or self.slices.slices < min(self._target, self._nodes))
@@ -162,7 +170,8 @@
         if server is None:
             if len(self.servers) > len(self.ready) + GUESTS:
                 idle = (s for s in self.servers.values() if s.id not in self.ready and not s.out)
-                if (oldest := next(idle, None)) is not None: del self.servers[oldest.id]
+                if (oldest := next(idle, None)) is not None:
+                    del self.servers[oldest.id]
             self._order += 1
             server = self.servers[id] = Server(self.entries[id], now, self._rng, self._order)
         return server
@@ -170,5 +179,6 @@
     def again(self, call: Call) -> list[int]:
         """Where a call that may have run can still go to; of a large group some, drawn by chance."""
         bag = self._groups.get(call.cls.group, {}).get(call.pin) if call.pin is not None else self.usable
-        if bag is None: return []
+        if bag is None:
+            return []
         return bag.items if len(bag) <= AGAIN_AMONG else self._rng.sample(bag.items, AGAIN_AMONG)
--- a/nickelbridge/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -1,4 +1,4 @@
-"""Every decision of nickelbridge. Its settings, events and actions are in nickelbridge/interface.py.
+"""Every decision of the load balancer; settings, events and actions: orchidferry/balancing/interface.py.
 
 Here stands what becomes of a request: the gate that every send passes, retries, and how it ends. Its parts
 decide one thing each: `delay` how much may be out, `listing` which servers are this copy's, `judgement` what
@@ -9,22 +9,31 @@
 
 import random
 
-from nickelbridge import interface as api
-from nickelbridge.admission import Admission
-from nickelbridge.averages import SlidingCount
-from nickelbridge.calls import Call, Outstanding
-from nickelbridge.chain import Chain, Why
-from nickelbridge.cold import ColdStart
-from nickelbridge.delay import ADDED, PHASE_MARGIN, SAMPLES, START, WINDOW_SHARE, DelayController
-from nickelbridge.interface import Group, ListKind, Repeat, Result
-from nickelbridge.judgement import Judgement, Server
-from nickelbridge.listing import GUESTS, SLICES, Fleet
-from nickelbridge.pick import Picker
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.admission import Admission
+from orchidferry.balancing.averages import SlidingCount
+from orchidferry.balancing.calls import Call, Outstanding
+from orchidferry.balancing.chain import Chain, Why
+from orchidferry.balancing.cold import ColdStart
+from orchidferry.balancing.delay import ADDED, PHASE_MARGIN, SAMPLES, START, WINDOW_SHARE, DelayController
+from orchidferry.balancing.interface import Group, ListKind, Repeat, Result
+from orchidferry.balancing.judgement import Judgement, Server
+from orchidferry.balancing.listing import GUESTS, SLICES, Fleet
+from orchidferry.balancing.pick import Picker
 
 __all__ = [
-    "ADDED", "GUESTS", "NEVER_RAN", "PHASE_MARGIN", "SLICES", "START", "WINDOW_SHARE", "WORK_TOKEN",
-    "Balancer", "DelayController", "Server",
-]  # fmt: skip
+    "ADDED",
+    "GUESTS",
+    "NEVER_RAN",
+    "PHASE_MARGIN",
+    "SLICES",
+    "START",
+    "WINDOW_SHARE",
+    "WORK_TOKEN",
+    "Balancer",
+    "DelayController",
+    "Server",
+]
 
 RETRY_WAIT_MS, RETRY_WAIT_SHARE = 500.0, 0.2  # T1, or less by aim, doubling with each attempt, with jitter
 TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
@@ -84,16 +93,24 @@
         self._actions = []
         self.picker.refresh(now_ms, isinstance(event, api.Request))
         match event:
-            case api.Request(): self._on_request(event, now_ms)
-            case api.AttemptEnded(): self._on_ended(event, now_ms)
-            case api.Uploaded(): self._on_uploaded(event, now_ms)
-            case api.TimerFired(): self._on_timer(event, now_ms)
-            case api.ServerList(): self._on_list(event, now_ms)
+            case api.Request():
+                self._on_request(event, now_ms)
+            case api.AttemptEnded():
+                self._on_ended(event, now_ms)
+            case api.Uploaded():
+                self._on_uploaded(event, now_ms)
+            case api.TimerFired():
+                self._on_timer(event, now_ms)
+            case api.ServerList():
+                self._on_list(event, now_ms)
             case api.ClientGone():
                 gone = self._calls.pop(event.id, None)
-                if self.chain is not None: self._abandon(event.id, gone)
-            case api.NewSettings(): self._on_settings(event.settings, now_ms)
-            case api.Started() if self.settings.follow_list: self._actions.append(api.Subscribe())
+                if self.chain is not None:
+                    self._abandon(event.id, gone)
+            case api.NewSettings():
+                self._on_settings(event.settings, now_ms)
+            case api.Started() if self.settings.follow_list:
+                self._actions.append(api.Subscribe())
         return self._actions
 
     def _on_settings(self, new: api.Settings, now: float) -> None:
@@ -103,7 +120,8 @@
         """
         old, self.settings = self.settings, new
         named = {cls.name: cls for cls in new.classes}
-        for name in [name for name in self.classes if name not in named]: del self.classes[name]
+        for name in [name for name in self.classes if name not in named]:
+            del self.classes[name]
         self.classes |= named
         self.judgement.change(new.classes)
         self.outstanding.change(named)
@@ -119,8 +137,10 @@
 
         But an unsafe call is let run, as it may have begun: half of it would be worse than all.
         """
-        if self.chain is not None: self.chain.done(id)
-        if call is None or not call.out or not self.settings.can_cancel: return
+        if self.chain is not None:
+            self.chain.done(id)
+        if call is None or not call.out or not self.settings.can_cancel:
+            return
         if call.cls.repeat is not Repeat.UNSAFE:
             self._actions.append(api.Cancel(id, call.attempts - 1))
 
@@ -131,14 +151,17 @@
         call.over_share = self.admission.over_share(event.tenant, now)
         if self.chain is not None:
             why = self.chain.take(call.id, event.carried, event.cls, call.cls.worth, event.ttl_ms, now)
-            if why is not None: return self._end(call, why)
+            if why is not None:
+                return self._end(call, why)
             call.weight = self.chain.weight(call.id, call.cls.worth)
             self.admission.weighed(call.weight)
-        if self.admission.shed(call, now): return self._end(call)
+        if self.admission.shed(call, now):
+            return self._end(call)
         self._attempt(call, now)
 
     def _attempt(self, call: Call, now: float) -> None:
-        if self.chain is not None and not self.chain.may_send(call.id, now): return self._end(call)
+        if self.chain is not None and not self.chain.may_send(call.id, now):
+            return self._end(call)
         crowded = self.admission.crowded(call, now)
         server = None if crowded else self.picker.pick(call)
         if crowded or (server is None and call.ran_ms is None and self.fleet.ready):
@@ -165,12 +188,18 @@
     def _send(self, call: Call, server: Server, now: float) -> bool:
         """The one gate that every send passes: rules 1 to 6."""
         cls, left, usual = call.cls, call.ends_ms - now, self.judgement
-        if call.id not in self._calls or call.out or left <= self.settings.tick_ms: return False  # rule 1
-        if call.attempts >= self.settings.max_attempts or not self._repeatable(call, now): return False
-        if call.ran_ms is not None and server.group(cls.group) != call.pin: return False  # rule 2
-        if not server.in_service or self.fleet.servers.get(server.id) is not server: return False  # rule 3
-        if call.attempts and not self._in_budget(now): return False  # rule 5
-        if self.chain is not None and not self.chain.may_send(call.id, now): return False
+        if call.id not in self._calls or call.out or left <= self.settings.tick_ms:
+            return False  # rule 1
+        if call.attempts >= self.settings.max_attempts or not self._repeatable(call, now):
+            return False
+        if call.ran_ms is not None and server.group(cls.group) != call.pin:
+            return False  # rule 2
+        if not server.in_service or self.fleet.servers.get(server.id) is not server:
+            return False  # rule 3
+        if call.attempts and not self._in_budget(now):
+            return False  # rule 5
+        if self.chain is not None and not self.chain.may_send(call.id, now):
+            return False
         warmth = self.cold.warmth(server, now)
         if warmth < 1.0:
             if self.cold.tokens(server, warmth, now) < 1.0:
@@ -179,12 +208,15 @@
         carried = None
         if self.chain is not None:
             carried, left = self.chain.send(call.id, now), self.chain.left_ms(left)
-        if call.attempts: self._further.add(now)
+        if call.attempts:
+            self._further.add(now)
         call.attempts += 1
         call.out, call.last, call.sent_ms = True, server, now
         call.idle_ms = 0.0 if server.out else now - server.used_ms
-        if call.upload: self._uploads.add(call.id)  # takes no room yet, and is not waited for
-        else: self.outstanding.begin(call, server, now)
+        if call.upload:
+            self._uploads.add(call.id)  # takes no room yet, and is not waited for
+        else:
+            self.outstanding.begin(call, server, now)
         if self.outstanding.inflight > HOT * len(self.fleet.ready) and self.fleet.may_widen():
             self.fleet.widen()
             self._work(now)
@@ -204,7 +236,8 @@
 
     def _on_uploaded(self, event: api.Uploaded, now: float) -> None:
         call = self._calls.get(event.id)
-        if event.id not in self._uploads: return
+        if event.id not in self._uploads:
+            return
         self._uploads.discard(event.id)
         if call is None or call.last is None:  # nobody waits any more, but a server works
             self.outstanding.inflight += 1
@@ -267,20 +300,25 @@
         if self.chain is not None:
             self.chain.ended(event.id, event.result, event.below, event.used, event.duration_ms, now)
         call, server = self._calls.get(event.id), self.fleet.servers.get(event.server)
-        if event.id in self._uploads: self._uploads.discard(event.id)
-        else: self.outstanding.inflight -= 1
+        if event.id in self._uploads:
+            self._uploads.discard(event.id)
+        else:
+            self.outstanding.inflight -= 1
         if server is not None:
             if event.report:
                 server.queue, server.report_ms = event.report.get("queue", 0.0), now
             sent = self.outstanding.ended(event.id, server)
             server.used_ms = now
-            if call is not None and call.idle_ms: self.judgement.idled(call.idle_ms, event.result)
+            if call is not None and call.idle_ms:
+                self.judgement.idled(call.idle_ms, event.result)
             self.judgement.learn(server, event.result, len(self.fleet.ready), now)
-            if sent is not None: self._timed(server, sent, event, now)
+            if sent is not None:
+                self._timed(server, sent, event, now)
             self.picker.judged(server)
         if call is not None and event.settled:
             del self._calls[event.id]
-            if self.chain is not None: self.chain.done(event.id)
+            if self.chain is not None:
+                self.chain.done(event.id)
             self._record.ended(call.cls.name, now - call.arrived_ms <= call.cls.aim_ms)
             self._record.answered(call.cls.name, event.duration_ms)
         elif call is not None:
@@ -304,13 +342,15 @@
         if event.result in (Result.SERVED, Result.TIMEOUT):
             served = event.result is Result.SERVED
             self.judgement.timed(server, sent, event.duration_ms, served, now)
-            if served: self.outstanding.served(server, sent_ms)
+            if served:
+                self.outstanding.served(server, sent_ms)
             self.controller.answered(event.duration_ms, aim_ms, now, served)
         elif event.result is Result.REFUSED:  # full is as slow as a server gets
             self.controller.answered(aim_ms, aim_ms, now, False)
 
     def _on_timer(self, event: api.TimerFired, now: float) -> None:
-        if event.token == 0: self._actions.append(api.Subscribe())
+        if event.token == 0:
+            self._actions.append(api.Subscribe())
         if event.token == WORK_TOKEN and self._working:
             self._working = False
             self._work(now)
--- a/nickelbridge/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -6,8 +6,8 @@
 
 - A request stays in its pool, with all of its attempts. A key stays in the pool that it went to first for
   `KEY_MS` behind its last use, also over an undo: pools that drop repeats apart never share one.
-- A move (`nickelbridge.moves`) gives the share of a class that goes to another pool. What has a key is dealt
-  by it, so that the same client does not flap between versions; the rest in turn.
+- A move (`orchidferry.balancing.moves`) gives the share of a class that goes to another pool. What has a key
+  is dealt by it, so that the same client does not flap between versions; the rest in turn.
 - Panic: a pool of which less than `LIVE_LEAST` of what it had is in service gets nothing beyond its
   part: the rest of its share stays in the other pool. With no pool in service the first one says so.
 """
@@ -19,11 +19,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from nickelbridge import interface as api
-from nickelbridge.chain import Chain
-from nickelbridge.interface import Health, ListKind
-from nickelbridge.logic import Balancer
-from nickelbridge.moves import Move, Plan, State
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.chain import Chain
+from orchidferry.balancing.interface import Health, ListKind
+from orchidferry.balancing.logic import Balancer
+from orchidferry.balancing.moves import Move, Plan, State
 
 KEY_MS, KEYS_MOST = 6_000.0, 100_000  # how long a key is kept to its pool; and how many are
 LIVE_LEAST = 0.5  # of a pool's servers that must be in service for its whole share
--- a/nickelbridge/register.py
+++ b/orchidferry/balancing/register.py
@@ -222,9 +222,13 @@
     """One node's half that asks for changes, one at a time."""
 
     def __init__(
-        self, name: str, first: Value, rng: random.Random, resend_ms: float = RESEND_MS,
+        self,
+        name: str,
+        first: Value,
+        rng: random.Random,
+        resend_ms: float = RESEND_MS,
         back_off_ms: float = BACK_OFF_MS,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`first`: the state that the register begins with, the same at all; its voters are asked first."""
         self._resend_ms, self._back_off_ms = resend_ms, back_off_ms
         self._answer_ms = 0.0  # how long the voters take to answer, of late
--- a/nickelbridge/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -242,11 +242,15 @@
         """For operators."""
         offered = [name for name, node in self._nodes.items() if node.offered]
         return {
-            "version": self.plan.version, "state": self.state.value, "reason": self.reason,
-            "wave": self._number, "waves": len(self._sizes), "offered": sorted(offered),
+            "version": self.plan.version,
+            "state": self.state.value,
+            "reason": self.reason,
+            "wave": self._number,
+            "waves": len(self._sizes),
+            "offered": sorted(offered),
             "acknowledged": sorted(name for name in offered if self._nodes[name].acknowledged),
             "waiting": len(self._left),
-        }  # fmt: skip
+        }
 
     def _report(self, text: str) -> None:
         self._actions.append(Report(self.state, text))
--- a/nickelbridge/schedule.py
+++ b/orchidferry/balancing/schedule.py
@@ -1,6 +1,7 @@
 """Smooth weighted rotation as a schedule kept in order: a pick costs O(log n), and so does any change.
 
-Here stand data structures only; who may be picked, and what a weight is, `nickelbridge.pick` decides.
+Here stand data structures only; who may be picked, and what a weight is, `orchidferry.balancing.pick`
+decides.
 
 The rotation is worst-case fair weighted queueing (WF2Q+, Bennett and Zhang 1997; the same rule is EEVDF's,
 Stoica and Abdel-Wahab 1995). Virtual time runs by 1 / total weight a pick. A member of weight w owns turns of
--- a/nickelbridge/settings.py
+++ b/orchidferry/balancing/settings.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any, TypeVar
 
-from nickelbridge import interface as api
+from orchidferry.balancing import interface as api
 
 Json = dict[str, Any]
 
--- a/nickelbridge/slots.py
+++ b/orchidferry/balancing/slots.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from nickelbridge.register import Value
+from orchidferry.balancing.register import Value
 
 IDS_MOST = 256  # of changes done, that are known again if they are asked for again
 
@@ -57,9 +57,11 @@
         return place.kind is self.kind and all(
             wanted in ("", has)
             for wanted, has in (
-                (self.tier, place.tier), (self.zone, place.zone), (self.pool, place.pool),
+                (self.tier, place.tier),
+                (self.zone, place.zone),
+                (self.pool, place.pool),
             )
-        )  # fmt: skip
+        )
 
     def limit(self, places: Iterable[Place]) -> int:
         """How many that comes to; the stricter of count and share."""
--- a/nickelbridge/subset.py
+++ b/orchidferry/balancing/subset.py
@@ -125,8 +125,11 @@
             self._ends = self._key(first), self._key(last)
         else:
             self._ends = None
-        return {m: self.taken.get(m, 0.0) for m in (*before, *(m for m in self.taken if m not in before))
-                if before.get(m) != self.taken.get(m)}  # fmt: skip
+        return {
+            m: self.taken.get(m, 0.0)
+            for m in (*before, *(m for m in self.taken if m not in before))
+            if before.get(m) != self.taken.get(m)
+        }
 
     def _move(self, member: int) -> dict[int, float]:
         """Move the slice's ends to where they belong now; what changed for whom."""
@@ -266,5 +269,8 @@
                 for member, part in order.taken.items():
                     sums[member] = sums.get(member, 0.0) + part
             self.parts = sums
-        return {m: self.parts.get(m, 0.0) for m in (*before, *(m for m in self.parts if m not in before))
-                if before.get(m) != self.parts.get(m)}  # fmt: skip
+        return {
+            m: self.parts.get(m, 0.0)
+            for m in (*before, *(m for m in self.parts if m not in before))
+            if before.get(m) != self.parts.get(m)
+        }
--- a/nickelbridge/versions.py
+++ b/orchidferry/balancing/versions.py
@@ -17,8 +17,8 @@
 from enum import Enum
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.bucket import Bucket
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.bucket import Bucket
 
 APPLY_PER_S, APPLY_BURST = (
     5.0,
@@ -193,14 +193,28 @@
 
 # What can't change while a node runs: its place among the copies, and what its books are counted by.
 FIXED = (
-    "nodes", "number", "tier", "tiers", "zone", "follow_list", "tick_ms", "resend_span_ms",
-    "full_may_have_run", "passes_deadline",
-)  # fmt: skip
+    "nodes",
+    "number",
+    "tier",
+    "tiers",
+    "zone",
+    "follow_list",
+    "tick_ms",
+    "resend_span_ms",
+    "full_may_have_run",
+    "passes_deadline",
+)
 # Rules that the service may make stricter than the node's file, and not looser: whether more is stricter.
 RULES = {
-    "drain_grace_ms": False, "start_capacity": False, "ramp_time_ms": True, "overload_factor": False,
-    "overload_for_ms": False, "max_attempts": False, "answer_slack_ms": False, "extra_floor": False,
-}  # fmt: skip
+    "drain_grace_ms": False,
+    "start_capacity": False,
+    "ramp_time_ms": True,
+    "overload_factor": False,
+    "overload_for_ms": False,
+    "max_attempts": False,
+    "answer_slack_ms": False,
+    "extra_floor": False,
+}
 STRICTNESS = {api.Repeat.SAFE: 0, api.Repeat.KEYED: 1, api.Repeat.UNSAFE: 2}
 NARROW = {api.Group.ALL: 0, api.Group.ZONE: 1, api.Group.CELL: 2}  # where repeats are dropped: fewer servers
 
--- a/nickelbridge/wirehost.py
+++ b/orchidferry/balancing/wirehost.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.logic import Balancer
+from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
 
 HEALTH = {
     "in_service": api.Health.IN_SERVICE,
@@ -101,15 +101,24 @@
 def _write(node: str, action: api.Action) -> Json:
     match action:
         case api.Send():
-            return {"kind": "SubmitTo", "node": node, "request_id": action.id, "server": action.server,
-                    "within_ms": action.timeout_ms}  # fmt: skip
+            return {
+                "kind": "SubmitTo",
+                "node": node,
+                "request_id": action.id,
+                "server": action.server,
+                "within_ms": action.timeout_ms,
+            }
         case api.SetTimer():
             return {"kind": "WakeAt", "node": node, "nonce": action.token, "span_ms": action.delay_ms}
         case api.Fail():
             return {"kind": "RespondError", "node": node, "request_id": action.id}
         case api.Refuse():
-            return {"kind": "Deny", "node": node, "request_id": action.id,
-                    "stay_away_ms": action.retry_after_ms}  # fmt: skip
+            return {
+                "kind": "Deny",
+                "node": node,
+                "request_id": action.id,
+                "stay_away_ms": action.retry_after_ms,
+            }
         case api.Cancel():
             return {"kind": "StopAttempt", "node": node, "request_id": action.id, "send_no": action.attempt}
         case api.CloseIdle():
@@ -196,7 +205,7 @@
                 raise Malformed(f"a batch must be an object, not {message!r:.60}")
             reply = host.batch(message)
         except Malformed as problem:
-            print(f"nickelbridge: input line {number}: {problem}", file=errors)
+            print(f"orchidferry: input line {number}: {problem}", file=errors)
             return 2
         number += 1
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
--- a/mesh/__main__.py
+++ b/orchidferry/mesh/__main__.py
@@ -1,4 +1,4 @@
-"""The roles of the mesh: `python -m mesh proxy|controller`."""
+"""The roles of the mesh: `python -m orchidferry.mesh proxy|controller`."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 import uvloop
 from loguru import logger
 
-from mesh.errors import BadStore
-from mesh.process_end import end_now, stop_on_sigterm
-from mesh.role_settings import ROLES, VARIABLE, settings_for
-from mesh.settings import BadSettings, Settings
-from orchidferry.collector import settle
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.process_end import end_now, stop_on_sigterm
+from orchidferry.mesh.role_settings import ROLES, VARIABLE, settings_for
+from orchidferry.mesh.settings import BadSettings, Settings
+from orchidferry.node.collector import settle
 
 if TYPE_CHECKING:
-    from mesh.control.controller import Controller
-    from mesh.dataplane.proxy import Proxy
+    from orchidferry.mesh.control.controller import Controller
+    from orchidferry.mesh.dataplane.proxy import Proxy
 
 OVERVIEW = """usage: orchidferry proxy [--check]
        orchidferry controller [--check]
@@ -62,7 +62,7 @@
     stop_on_sigterm(loop, stopping, settings.bounds.grace_s)
     server: Proxy | Controller | None
     if role == "proxy":
-        from mesh.dataplane.proxy import Proxy
+        from orchidferry.mesh.dataplane.proxy import Proxy
 
         server = Proxy(settings, loop)
     else:
@@ -82,8 +82,8 @@
     settings: Settings, loop: asyncio.AbstractEventLoop, stopping: asyncio.Event
 ) -> Controller | None:
     """A controller, once its store can be used; None if told to stop before."""
-    from mesh.control.controller import Controller
-    from mesh.storage import storage_check
+    from orchidferry.mesh.control.controller import Controller
+    from orchidferry.mesh.storage import storage_check
 
     assert settings.data_dir is not None
     last_problem = ""
@@ -102,8 +102,8 @@
 
 def check_store(folder: str) -> int:
     """Print what a controller's store holds, with nothing written; the exit status."""
-    from mesh.storage import storage_check
-    from mesh.storage.environment import InUse
+    from orchidferry.mesh.storage import storage_check
+    from orchidferry.mesh.storage.environment import InUse
 
     try:
         contents = storage_check.look(folder)
@@ -172,7 +172,7 @@
     """The program; its exit status."""
     words = sys.argv[1:] if arguments is None else arguments
     if words[:2] == ["controller", "snapshot"]:
-        from mesh.storage.snapshot_command import main as snapshot
+        from orchidferry.mesh.storage.snapshot_command import main as snapshot
 
         return snapshot(words[2:])
     if words in HELP_WORDS:
--- a/mesh/control/actions.py
+++ b/orchidferry/mesh/control/actions.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mesh.storage.store import Put
-from mesh.wire.messages import KeyGrant, KeyReleaseAck, ShardMessage
-from nickelbridge.register import Value
+from orchidferry.balancing.register import Value
+from orchidferry.mesh.storage.store import Put
+from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck, ShardMessage
 
 
 @dataclass(frozen=True, slots=True)
--- a/mesh/control/configuration.py
+++ b/orchidferry/mesh/control/configuration.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Kind, Refusal
 
 REPEATABLE = frozenset(("idempotent", "download"))
 KINDS = ("idempotent", "non_idempotent", "keyed", "download")
@@ -102,11 +102,13 @@
             routes.append(_route(point["host_name"], rule))
     services = {
         s["identifier"]: Service(
-            s["identifier"], s.get("health_path", "/health"), int(s.get("max_connections", 100)),
+            s["identifier"],
+            s.get("health_path", "/health"),
+            int(s.get("max_connections", 100)),
             bool(s.get("deduplicates", False)),
         )
         for s in data["trunk_groups"]
-    }  # fmt: skip
+    }
     limits = {name: float(value) for name, value in data.get("limit_set", {}).items()}
     return Configuration(int(data["revision_number"]), tuple(routes), services, limits)
 
@@ -120,10 +122,16 @@
         else ((treatment["service_name"], 1.0),)
     )
     return Route(
-        rule["identifier"], host, rule["criteria"]["path_prefix"], rule["route_type"],
-        float(rule["target_ms"]), int(rule.get("precedence", 0)), float(treatment["guard_timer_ms"]),
-        int(treatment["max_attempts"]), pairs,
-    )  # fmt: skip
+        rule["identifier"],
+        host,
+        rule["criteria"]["path_prefix"],
+        rule["route_type"],
+        float(rule["target_ms"]),
+        int(rule.get("precedence", 0)),
+        float(treatment["guard_timer_ms"]),
+        int(treatment["max_attempts"]),
+        pairs,
+    )
 
 
 def _flat(errors: Any, path: str = "") -> Iterator[str]:
--- a/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -12,15 +12,15 @@
 
 from loguru import logger
 
-from mesh.control import shard_state
-from mesh.control.actions import Ended
-from mesh.control.configuration import check, digest
-from mesh.control.configuration_text import compress, expand
-from mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
-from mesh.control.control_api import JSON, Call, told
-from mesh.control.order_history import NUMBER_MOST
-from mesh.errors import Kind, Refusal
-from orchidferry.frontend import Reply
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Ended
+from orchidferry.mesh.control.configuration import check, digest
+from orchidferry.mesh.control.configuration_text import compress, expand
+from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
+from orchidferry.mesh.control.control_api import JSON, Call, told
+from orchidferry.mesh.control.order_history import NUMBER_MOST
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.node.frontend import Reply
 
 PUT_S = 4.0  # for a change to be decided
 RETRY_AFTER_S = 0.2
--- a/mesh/control/configuration_text.py
+++ b/orchidferry/mesh/control/configuration_text.py
@@ -9,7 +9,7 @@
 
 import zlib
 
-from mesh.control.control_api import CONTROL_BODY
+from orchidferry.mesh.control.control_api import CONTROL_BODY
 
 LEVEL = 6
 TEXT_MOST = CONTROL_BODY  # bytes of an expanded text; no operator could have sent more
--- a/mesh/control/contact.py
+++ b/orchidferry/mesh/control/contact.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from nickelbridge.register import Voter
+from orchidferry.balancing.register import Voter
 
 # The newest acknowledged beat is at most as old as the pause between two beats (0.4 s), a round trip (0.4 s
 # where a link takes 200 ms one way) and a turn of both loops (0.1 s) together: 0.9 s, and 0.3 s to spare.
--- a/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -1,6 +1,6 @@
 """HTTP of the mesh's own doors: the control calls of servers and operators, and readiness.
 
-The listener and its callers are those of the node (`orchidferry.frontend`); here is one handler object a
+The listener and its callers are those of the node (`orchidferry.node.frontend`); here is one handler object a
 resource, and the table from path to handler.
 """
 
@@ -12,16 +12,22 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from mesh.errors import Kind, Refusal
-from orchidferry.flow import Flow, Pool
-from orchidferry.frontend import LIMITS_S, Frontend, Owed, Reply, Stage
-from orchidferry.request import Message
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.node.flow import Flow, Pool
+from orchidferry.node.frontend import LIMITS_S, Frontend, Owed, Reply, Stage
+from orchidferry.node.request import Message
 
 JSON = b"application/json"
 CONTROL_BODY = 8 * 1024 * 1024  # bytes of a control call's body, read whole
-SINGLE = frozenset((
-    b"host", b"content-length", b"transfer-encoding", b"content-type", b"if-match",
-))  # fmt: skip
+SINGLE = frozenset(
+    (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"content-type",
+        b"if-match",
+    )
+)
 DETAIL_MOST = 500  # characters of a fault: callers read 4 KiB at most, and it may quote them
 OWED_MOST_S = 20.0  # a control call that is not answered by then is answered as broken
 
--- a/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -14,14 +14,14 @@
 
 from loguru import logger
 
-from mesh.control.configuration_text import expand
-from mesh.control.contact import CONTACT_S
-from mesh.control.endpoints import Record, everyone
-from mesh.control.operation_key_client import OperationKeyClient
-from mesh.control.subscriber import Subscriber
-from mesh.settings import Settings
-from mesh.wire.framing import Link, dial
-from mesh.wire.messages import (
+from orchidferry.mesh.control.configuration_text import expand
+from orchidferry.mesh.control.contact import CONTACT_S
+from orchidferry.mesh.control.endpoints import Record, everyone
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.subscriber import Subscriber
+from orchidferry.mesh.settings import Settings
+from orchidferry.mesh.wire.framing import Link, dial
+from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
     Group,
@@ -263,8 +263,12 @@
             return
         logger.info(
             "control_client: shard {}: epoch {}, controllers {}, owner {} under fence {}",
-            shard, epoch, " ".join(names), owner, fence,
-        )  # fmt: skip
+            shard,
+            epoch,
+            " ".join(names),
+            owner,
+            fence,
+        )
         for name in names[:CONTROLLERS_MOST]:
             self._controllers.setdefault(name, Controller(name))
 
@@ -281,8 +285,9 @@
             lambda: Link(
                 self._below, self._subscriber.lost_follower, self._subscriber.stranger, accepted=True
             ),
-            self._settings.local_ip, self._settings.internal_port,
-        )  # fmt: skip
+            self._settings.local_ip,
+            self._settings.internal_port,
+        )
 
     def _below(self, link: Link, message: Message) -> None:
         try:
@@ -328,9 +333,10 @@
         away.
         """
         heard = {
-            k.name for k in self._controllers.values()
+            k.name
+            for k in self._controllers.values()
             if k.link is not None and k.link.open and k.warm and self._subscriber.streams[k.name].number >= 0
-        }  # fmt: skip
+        }
         told = {name: stream.records for name, stream in self._subscriber.streams.items()}
         members = everyone(told, {k.name for k in self._controllers.values() if k.link is not None})
         if not heard:
--- a/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -1,6 +1,7 @@
 """The controller of the mesh's state, on core machines: `orchidferry controller`.
 
-It runs one `Shard` (mesh/control/shard.py) of each shard of the state: it votes on the configuration and
+It runs one `Shard` (orchidferry/mesh/control/shard.py) of each shard of the state: it votes on the
+configuration and
 on who keeps what, grants operation keys, does the duties of the shards that it owns, holds the leases of
 nodes, and tells all nodes what changes. What it says was kept is on its disk before it says so. It never
 waits for its disk.
@@ -15,22 +16,23 @@
 
 from loguru import logger
 
-from mesh.control import shard_state
-from mesh.control.actions import Action, Answer, Changed, Ended, Note, Tell, Write
-from mesh.control.configuration_resource import ConfigurationResource
-from mesh.control.control_api import ControlDoor
-from mesh.control.operation_keys import MOST
-from mesh.control.order_records import orders_of
-from mesh.control.peers import DEAD_S, Peers
-from mesh.control.publisher import Publisher
-from mesh.control.retry_budget import RetryBudgets
-from mesh.control.shard import Shard, remembered
-from mesh.settings import Settings
-from mesh.storage.environment import KEYS
-from mesh.storage.store import Put, Store, pack
-from mesh.storage.store import unpack as unpack_stored
-from mesh.wire.framing import Link, dial
-from mesh.wire.messages import (
+from orchidferry.balancing.register import Kept, Value
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Action, Answer, Changed, Ended, Note, Tell, Write
+from orchidferry.mesh.control.configuration_resource import ConfigurationResource
+from orchidferry.mesh.control.control_api import ControlDoor
+from orchidferry.mesh.control.operation_keys import MOST
+from orchidferry.mesh.control.order_records import orders_of
+from orchidferry.mesh.control.peers import DEAD_S, Peers
+from orchidferry.mesh.control.publisher import Publisher
+from orchidferry.mesh.control.retry_budget import RetryBudgets
+from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.settings import Settings
+from orchidferry.mesh.storage.environment import KEYS
+from orchidferry.mesh.storage.store import Put, Store, pack
+from orchidferry.mesh.storage.store import unpack as unpack_stored
+from orchidferry.mesh.wire.framing import Link, dial
+from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
     ControllerHello,
@@ -52,7 +54,6 @@
     ShardMessage,
     kind_of,
 )
-from nickelbridge.register import Kept, Value
 
 BEAT_S = 0.4  # how often a controller tells the others that it lives
 BEATS_MOST = 16  # that may be acknowledged yet
@@ -126,10 +127,17 @@
                 kept = Kept(shard_state.GENESIS if new and founder else self._rng.randrange(2, 2**53))
                 puts += remembered(number, kept, caught)
             self._shards[number] = Shard(
-                number, self._name, shard_state.genesis(names), kept, caught, self._known_peers,
-                settings.bounds.key_window_s, self._rng, MOST // len(shard_state.KEY_SHARDS),
+                number,
+                self._name,
+                shard_state.genesis(names),
+                kept,
+                caught,
+                self._known_peers,
+                settings.bounds.key_window_s,
+                self._rng,
+                MOST // len(shard_state.KEY_SHARDS),
                 settings.group_size,
-            )  # fmt: skip
+            )
         if puts:
             self._store.write(puts)
             logger.info(
@@ -335,8 +343,13 @@
         was, now = shard_state.body(old), shard_state.body(new)
         logger.info(
             "controller: shard {} is at version {}, epoch {}, revision {}, owner {} under fence {}",
-            shard.number, new.version, now.epoch, now.revision, now.owner, now.fence,
-        )  # fmt: skip
+            shard.number,
+            new.version,
+            now.epoch,
+            now.revision,
+            now.owner,
+            now.fence,
+        )
         if (now.epoch, now.fence) != (was.epoch, was.fence):
             self._tell_group(shard)
         if now.revision != was.revision:
@@ -494,5 +507,7 @@
         if shard.voter in shard.known.voters and len(shard.known.voters) < shard.size:
             logger.warning(
                 "controller: the group has {} replicas, term_settings.tolerance.machines = {} needs {}",
-                len(shard.known.voters), self._settings.machines, shard.size,
-            )  # fmt: skip
+                len(shard.known.voters),
+                self._settings.machines,
+                shard.size,
+            )
--- a/mesh/control/duties.py
+++ b/orchidferry/mesh/control/duties.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from mesh.control import shard_state
-from mesh.control.group_changes import GroupView
-from mesh.control.shard_state import Body
-from nickelbridge.register import Voter
+from orchidferry.balancing.register import Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.group_changes import GroupView
+from orchidferry.mesh.control.shard_state import Body
 
 TENURE_S = 1.0  # an owner's lease, from when it sent the beat that a majority acknowledged; under ALIVE_S
 
--- a/mesh/control/fanout_tree.py
+++ b/orchidferry/mesh/control/fanout_tree.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from mesh.control.endpoints import Record
+from orchidferry.mesh.control.endpoints import Record
 
 HEADS = 2  # nodes of a zone that follow the controllers themselves
 FANOUT = 8
--- a/mesh/control/give_backs.py
+++ b/orchidferry/mesh/control/give_backs.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from mesh.wire.messages import KeyRelease, Message
+from orchidferry.mesh.wire.messages import KeyRelease, Message
 
 MOST = 4_000  # that are kept; beyond these the oldest is sent no more
 AGAIN_S = 1.0  # after an attempt that was not acknowledged
--- a/mesh/control/group_changes.py
+++ b/orchidferry/mesh/control/group_changes.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from mesh.control import shard_state
-from mesh.control.membership import epoch
-from mesh.control.peers import Peers
-from nickelbridge.register import Value, Voter
+from orchidferry.balancing.register import Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.membership import epoch
+from orchidferry.mesh.control.peers import Peers
 
 STAGGER_S = 0.5  # a voter acts on a newcomer's asking so much later for each that comes before it
 ROUNDING_S = 1e-6
@@ -68,10 +68,13 @@
         """
         forgot = {voter.name for voter in joiners}
         able = [
-            name for name in self.names
-            if name not in forgot and name != self.name and self.peers.alive(name, self.now)
+            name
+            for name in self.names
+            if name not in forgot
+            and name != self.name
+            and self.peers.alive(name, self.now)
             and self.number not in self.peers.learning.get(name, ())
-        ]  # fmt: skip
+        ]
         return shard_state.ranked(self.number, able + [self.name] * self.caught_up)
 
     def is_turn(self, joiners: Iterable[Voter], since_s: float) -> bool:
--- a/mesh/control/key_transfer.py
+++ b/orchidferry/mesh/control/key_transfer.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mesh.control.operation_keys import OperationKeys
-from mesh.wire.shard_messages import KeyRow
+from orchidferry.mesh.control.operation_keys import OperationKeys
+from orchidferry.mesh.wire.shard_messages import KeyRow
 
 PAGE_BYTES = 128 * 1024  # of the rows of one page
 ROW_BYTES = 24  # of a row beside its strings
--- a/mesh/control/membership.py
+++ b/orchidferry/mesh/control/membership.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass, field
 
-from mesh.control import shard_state
-from nickelbridge.register import Value, Voter
+from orchidferry.balancing.register import Value, Voter
+from orchidferry.mesh.control import shard_state
 
 
 def epoch(value: Value | None) -> int:
--- a/mesh/control/operation_key_client.py
+++ b/orchidferry/mesh/control/operation_key_client.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mesh.control import shard_state
-from mesh.control.give_backs import GiveBacks
-from mesh.control.operation_keys import longest_kept_s
-from mesh.wire.messages import KeyAnswer, KeyClaim, Message
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.give_backs import GiveBacks
+from orchidferry.mesh.control.operation_keys import longest_kept_s
+from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, Message
 
 AGAIN_S = 0.12  # a controller that could not say is asked again
 OPEN_MOST = 20_000  # claims at once
--- a/mesh/control/order_book.py
+++ b/orchidferry/mesh/control/order_book.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from mesh.control.order_history import OrderHistory, Verdict
-from mesh.control.order_records import record
-from mesh.control.shard_state import WHY_NOT, Body, Put, lists_all
-from mesh.storage.store import Put as Stored
-from mesh.wire.shard_messages import Orders, OrdersRequest
+from orchidferry.mesh.control.order_history import OrderHistory, Verdict
+from orchidferry.mesh.control.order_records import record
+from orchidferry.mesh.control.shard_state import WHY_NOT, Body, Put, lists_all
+from orchidferry.mesh.storage.store import Put as Stored
+from orchidferry.mesh.wire.shard_messages import Orders, OrdersRequest
 
 PAGE = 256  # orders in one message, or one write
 AGAIN_S = 5.0  # a replica that had no older orders to tell is asked again after so long
--- a/mesh/control/order_records.py
+++ b/orchidferry/mesh/control/order_records.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
-from mesh.control.order_history import Entry
-from mesh.storage.store import Put
+from orchidferry.mesh.control.order_history import Entry
+from orchidferry.mesh.storage.store import Put
 
 PREFIX = b"order/"
 BASE_BYTES = 8  # at the end of a record, behind the digest
--- a/mesh/control/peers.py
+++ b/orchidferry/mesh/control/peers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from mesh.control.contact import Contact
+from orchidferry.mesh.control.contact import Contact
 
 ALIVE_S = 1.5  # a controller that was heard within this is alive
 DEAD_S = 2.5  # one that was not is dead, as far as this one knows
--- a/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -12,11 +12,11 @@
 
 from loguru import logger
 
-from mesh.control.endpoints import LEASE_S, NODES_MOST, Register
-from mesh.control.fanout_tree import Change, Followers, Stream, Tally
-from mesh.wire.codec import encode
-from mesh.wire.framing import Link
-from mesh.wire.messages import (
+from orchidferry.mesh.control.endpoints import LEASE_S, NODES_MOST, Register
+from orchidferry.mesh.control.fanout_tree import Change, Followers, Stream, Tally
+from orchidferry.mesh.wire.codec import encode
+from orchidferry.mesh.wire.framing import Link
+from orchidferry.mesh.wire.messages import (
     ConfigurationText,
     Group,
     Lease,
@@ -35,9 +35,13 @@
     """What one controller tells nodes; `life` is this life's own number."""
 
     def __init__(
-        self, name: str, zone: str, life: int, loop: asyncio.AbstractEventLoop,
+        self,
+        name: str,
+        zone: str,
+        life: int,
+        loop: asyncio.AbstractEventLoop,
         contact_age_ms: Callable[[], int | None] = lambda: 0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`contact_age_ms`: how long ago a majority of controllers was surely in contact with this one; None
         for never.
         """
--- a/mesh/control/reading.py
+++ b/orchidferry/mesh/control/reading.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass, field
 
-from mesh.control import shard_state
-from mesh.control.shard_state import Seen
-from nickelbridge.register import Kept, Value, Voter
+from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.shard_state import Seen
 
 ASK_AGAIN_S = 0.1  # for voters to answer, before they are asked again or a round is run
 SELF = ""  # the reader of a reading that the replica runs for itself
--- a/mesh/control/register_messages.py
+++ b/orchidferry/mesh/control/register_messages.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from mesh.control.shard_state import pack_value, unpack_value
-from mesh.wire.shard_messages import (
+from orchidferry.balancing.register import Accept, Accepted, Message, Prepare, Promise, Voter
+from orchidferry.mesh.control.shard_state import pack_value, unpack_value
+from orchidferry.mesh.wire.shard_messages import (
     PackedVoter,
     RegisterAccept,
     RegisterAccepted,
@@ -11,7 +12,6 @@
     RegisterPrepare,
     RegisterPromise,
 )
-from nickelbridge.register import Accept, Accepted, Message, Prepare, Promise, Voter
 
 
 def pack_voter(voter: Voter) -> PackedVoter:
@@ -26,9 +26,13 @@
             return RegisterPrepare(message.ballot, message.intent, message.has)
         case Promise():
             return RegisterPromise(
-                message.ballot, pack_voter(message.voter), message.promised, message.accepted,
-                pack_value(message.value), message.objection,
-            )  # fmt: skip
+                message.ballot,
+                pack_voter(message.voter),
+                message.promised,
+                message.accepted,
+                pack_value(message.value),
+                message.objection,
+            )
         case Accept():
             return RegisterAccept(message.ballot, pack_value(message.value), None)
         case Accepted():
@@ -42,9 +46,13 @@
             return Prepare(body.ballot, body.intent, body.has)
         case RegisterPromise():
             return Promise(
-                body.ballot, Voter(*body.voter), body.promised, body.accepted, unpack_value(body.state),
+                body.ballot,
+                Voter(*body.voter),
+                body.promised,
+                body.accepted,
+                unpack_value(body.state),
                 body.objection,
-            )  # fmt: skip
+            )
         case RegisterAccepted():
             return Accepted(body.ballot, Voter(*body.voter), body.promised)
         case RegisterAccept():
--- a/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -10,17 +10,18 @@
 from enum import Enum
 from typing import Any
 
-from mesh.control import shard_state, value_references
-from mesh.control.actions import Action, Answer, Ended, Tell, Write
-from mesh.control.contact import LOST_CONTACT
-from mesh.control.order_book import OrderBook
-from mesh.control.peers import Peers
-from mesh.control.reading import ASK_AGAIN_S, SELF, Reading, Readings
-from mesh.control.register_messages import pack_message, pack_voter
-from mesh.control.value_references import ValueReferences
-from mesh.storage.store import Put, pack
-from mesh.wire.messages import ShardMessage
-from mesh.wire.shard_messages import (
+from orchidferry.balancing.register import Acceptor, Done, Kept, Promise, Proposer, Save, Send, Value, Voter
+from orchidferry.mesh.control import shard_state, value_references
+from orchidferry.mesh.control.actions import Action, Answer, Ended, Tell, Write
+from orchidferry.mesh.control.contact import LOST_CONTACT
+from orchidferry.mesh.control.order_book import OrderBook
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.reading import ASK_AGAIN_S, SELF, Reading, Readings
+from orchidferry.mesh.control.register_messages import pack_message, pack_voter
+from orchidferry.mesh.control.value_references import ValueReferences
+from orchidferry.mesh.storage.store import Put, pack
+from orchidferry.mesh.wire.messages import ShardMessage
+from orchidferry.mesh.wire.shard_messages import (
     AcceptedState,
     AcceptedStateRequest,
     DecidedBallot,
@@ -29,7 +30,6 @@
     RegisterMessage,
     ShardBody,
 )
-from nickelbridge.register import Acceptor, Done, Kept, Promise, Proposer, Save, Send, Value, Voter
 
 LEARN_S = 0.15  # what was accepted and isn't known to be decided is looked at after so long
 RESEND_MS, BACK_OFF_MS = 300.0, 20.0  # of the register: a voter answers in a round trip and a sync
@@ -60,7 +60,7 @@
 
     def __init__(
         self, number: int, name: str, first: Value, kept: Kept, peers: Peers, rng: random.Random
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`first`: the state that all founders begin with."""
         self.number, self.name, self.peers, self.rng = number, name, peers, rng
         self.acceptor = Acceptor(name, kept, self._object_to)
@@ -248,9 +248,14 @@
     # Changes
 
     def _propose(
-        self, id: str, change: shard_state.Change, for_s: float, purpose: Purpose, waiting: list[str],
+        self,
+        id: str,
+        change: shard_state.Change,
+        for_s: float,
+        purpose: Purpose,
+        waiting: list[str],
         intent: Any = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         if not self.founder and not self.known.version:  # it knows of no group yet
             return self._over(Proposal(purpose, waiting, self.now), None, "")
         if id not in self._proposals:
--- a/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -13,17 +13,18 @@
 import random
 from typing import Any
 
-from mesh.control import key_transfer, shard_state
-from mesh.control.actions import Note
-from mesh.control.hinted_handoff import Hints
-from mesh.control.key_transfer import GIVEN_BACK, KeyLearner, KeySource, Page, Request
-from mesh.control.membership import epoch
-from mesh.control.operation_keys import KeyRecord, OperationKeys
-from mesh.control.peers import Peers
-from mesh.control.replica import Replica
-from mesh.storage.environment import KEYS
-from mesh.storage.store import Put, pack
-from mesh.wire.shard_messages import (
+from orchidferry.balancing.register import Kept, Value
+from orchidferry.mesh.control import key_transfer, shard_state
+from orchidferry.mesh.control.actions import Note
+from orchidferry.mesh.control.hinted_handoff import Hints
+from orchidferry.mesh.control.key_transfer import GIVEN_BACK, KeyLearner, KeySource, Page, Request
+from orchidferry.mesh.control.membership import epoch
+from orchidferry.mesh.control.operation_keys import KeyRecord, OperationKeys
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.replica import Replica
+from orchidferry.mesh.storage.environment import KEYS
+from orchidferry.mesh.storage.store import Put, pack
+from orchidferry.mesh.wire.shard_messages import (
     Handoff,
     HandoffAck,
     KeyPage,
@@ -33,7 +34,6 @@
     KeyRecordsRequest,
     KeyRow,
 )
-from nickelbridge.register import Kept, Value
 
 HINTS_MOST = 4_000  # keys in one page of hints, whatever its bytes
 
@@ -42,9 +42,18 @@
     """One shard's repair at one controller."""
 
     def __init__(
-        self, number: int, name: str, first: Value, kept: Kept, caught_up: bool, peers: Peers,
-        window_s: float, rng: random.Random, most: int, size: int,
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        name: str,
+        first: Value,
+        kept: Kept,
+        caught_up: bool,
+        peers: Peers,
+        window_s: float,
+        rng: random.Random,
+        most: int,
+        size: int,
+    ) -> None:
         """`first`: the state that all founders begin with; `most`: keys that it may hold; `size`: voters that
         the group should have.
         """
@@ -88,10 +97,13 @@
         """Controllers that have just lost their place and live on until this one has what they heard last."""
         sources, names = self.standing.sources, {v.name for v in self.known.voters}
         return [
-            name for name in self.learner.cursors
-            if name not in names and name in self.peers.leaving and not sources.get(name)
+            name
+            for name in self.learner.cursors
+            if name not in names
+            and name in self.peers.leaving
+            and not sources.get(name)
             and self.peers.alive(name, now)
-        ]  # fmt: skip
+        ]
 
     def must_stay(self, now: float) -> bool:
         """Whether this controller, told to end, is still needed here: as a voter in whose place another could
--- a/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -8,18 +8,19 @@
 import random
 from typing import Any
 
-from mesh.control import shard_state
-from mesh.control.actions import Action, Changed, Ended, Note
-from mesh.control.contact import OUT_OF_CONTACT
-from mesh.control.duties import OwnerLease, takes_over
-from mesh.control.group_changes import GroupView
-from mesh.control.membership import Standing, epoch
-from mesh.control.order_history import Entry, Verdict
-from mesh.control.peers import Peers
-from mesh.control.reading import READING_S
-from mesh.control.register_replica import Purpose, RegisterReplica
-from mesh.control.state_teller import StateTeller
-from mesh.wire.shard_messages import (
+from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Action, Changed, Ended, Note
+from orchidferry.mesh.control.contact import OUT_OF_CONTACT
+from orchidferry.mesh.control.duties import OwnerLease, takes_over
+from orchidferry.mesh.control.group_changes import GroupView
+from orchidferry.mesh.control.membership import Standing, epoch
+from orchidferry.mesh.control.order_history import Entry, Verdict
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.reading import READING_S
+from orchidferry.mesh.control.register_replica import Purpose, RegisterReplica
+from orchidferry.mesh.control.state_teller import StateTeller
+from orchidferry.mesh.wire.shard_messages import (
     AcceptedState,
     AcceptedStateRequest,
     DecidedBallot,
@@ -31,7 +32,6 @@
     RegisterMessage,
     ShardBody,
 )
-from nickelbridge.register import Kept, Value, Voter
 
 SETTLE_S = 0.8  # after its start a controller does not ask for duties
 ADMIT_S, OWN_S = 1.9, 1.5
@@ -42,9 +42,16 @@
     """One controller in the group of one shard."""
 
     def __init__(
-        self, number: int, name: str, first: Value, kept: Kept, caught_up: bool, peers: Peers,
-        rng: random.Random, size: int,
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        name: str,
+        first: Value,
+        kept: Kept,
+        caught_up: bool,
+        peers: Peers,
+        rng: random.Random,
+        size: int,
+    ) -> None:
         """`first`: the state that all founders begin with; `size`: voters that the group should have."""
         super().__init__(number, name, first, kept, peers, rng)
         self.size = size
@@ -314,6 +321,4 @@
         owner, fence = self.body.owner, self.body.fence
         if takes_over(self._group(), owner):
             intent = ["own", owner] if owner and owner != self.name else None
-            self._propose(
-                f"own {fence}", shard_state.Own(self.name, fence), OWN_S, Purpose.OWN, [], intent
-            )  # fmt: skip
+            self._propose(f"own {fence}", shard_state.Own(self.name, fence), OWN_S, Purpose.OWN, [], intent)
--- a/mesh/control/retry_budget.py
+++ b/orchidferry/mesh/control/retry_budget.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from mesh.wire.messages import RetryShare, RetryShareRequest
+from orchidferry.mesh.wire.messages import RetryShare, RetryShareRequest
 
 LEASE_S = 3.0  # of a share, for the node counted from when it asked
 LATE_S = 1.0  # a try may arrive so long after it was sent: gates hold, and links are slow
@@ -64,9 +64,13 @@
     """
 
     def __init__(
-        self, whole: float, window_s: float, now_s: float, lease_s: float = LEASE_S,
+        self,
+        whole: float,
+        window_s: float,
+        now_s: float,
+        lease_s: float = LEASE_S,
         learn_s: float | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._whole, self._lease_s = int(whole * MIL), lease_s
         self._counts_s = window_s + LATE_S  # how long spending counts after its sending
         learn_s = lease_s + self._counts_s if learn_s is None else learn_s
--- a/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -11,13 +11,14 @@
 import random
 from typing import Any
 
-from mesh.control.actions import Action, Answer
-from mesh.control.operation_keys import Granted, Held, KeyRecord
-from mesh.control.peers import Peers
-from mesh.control.repair import Repair, remembered
-from mesh.storage.environment import KEYS
-from mesh.wire.messages import KeyGrant, KeyReleaseAck
-from mesh.wire.shard_messages import (
+from orchidferry.balancing.register import Kept, Value
+from orchidferry.mesh.control.actions import Action, Answer
+from orchidferry.mesh.control.operation_keys import Granted, Held, KeyRecord
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.repair import Repair, remembered
+from orchidferry.mesh.storage.environment import KEYS
+from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
+from orchidferry.mesh.wire.shard_messages import (
     Handoff,
     HandoffAck,
     KeyPage,
@@ -27,7 +28,6 @@
     KeyRecordsRequest,
     ShardBody,
 )
-from nickelbridge.register import Kept, Value
 
 __all__ = ["Shard", "remembered"]
 
@@ -38,9 +38,18 @@
     """One shard at one controller."""
 
     def __init__(
-        self, number: int, name: str, first: Value, kept: Kept, caught_up: bool, peers: Peers,
-        window_s: float, rng: random.Random, most: int, size: int,
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        name: str,
+        first: Value,
+        kept: Kept,
+        caught_up: bool,
+        peers: Peers,
+        window_s: float,
+        rng: random.Random,
+        most: int,
+        size: int,
+    ) -> None:
         """`first`: the state that all founders begin with; `most`: keys that it may hold; `size`: voters that
         the group should have.
         """
--- a/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from mesh.control.order_history import OrderHistory, Taken, Verdict
-from nickelbridge.register import NONE, Kept, Value, Voter, majority
+from orchidferry.balancing.register import NONE, Kept, Value, Voter, majority
+from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
 
 # Orders that each state lists. A list as long as this may be cut: a build with a larger number has to tell
 # by other means which lists are whole.
@@ -232,9 +232,16 @@
         taken = [dropped, taken[len(body(base).taken) - dropped :]]
         raw = b.raw if b.raw != body(base).raw else None
     return [
-        value.version, [[v.name, v.memory] for v in value.voters], b.epoch, b.revision, raw,
-        taken, [[v.name, v.memory] for v in value.former], b.owner, b.fence,
-    ]  # fmt: skip
+        value.version,
+        [[v.name, v.memory] for v in value.voters],
+        b.epoch,
+        b.revision,
+        raw,
+        taken,
+        [[v.name, v.memory] for v in value.former],
+        b.owner,
+        b.fence,
+    ]
 
 
 def unpack_value(packed: Any, base: Value | None = None) -> Value | None:
@@ -248,10 +255,11 @@
         before = body(base).taken[dropped:]
         raw = raw if raw is not None else body(base).raw
     return Value(
-        version, tuple(Voter(name, memory) for name, memory in voters),
+        version,
+        tuple(Voter(name, memory) for name, memory in voters),
         Body(epoch, revision, raw, (*before, *((number, digest) for number, digest in taken)), owner, fence),
         tuple(Voter(name, memory) for name, memory in former),
-    )  # fmt: skip
+    )
 
 
 def _dropped(taken: Taken, base: Taken) -> int:
--- a/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -16,8 +16,8 @@
 import msgspec
 from loguru import logger
 
-from mesh.control.endpoints import Record
-from mesh.control.fanout_tree import (
+from orchidferry.mesh.control.endpoints import Record
+from orchidferry.mesh.control.fanout_tree import (
     FOLLOWERS_MOST,
     HEADS,
     Change,
@@ -27,9 +27,9 @@
     parents,
     rank,
 )
-from mesh.wire.codec import encode
-from mesh.wire.framing import Link
-from mesh.wire.messages import (
+from orchidferry.mesh.wire.codec import encode
+from orchidferry.mesh.wire.framing import Link
+from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
     Message,
@@ -77,10 +77,17 @@
     """
 
     def __init__(
-        self, name: str, boot: int, zone: str, loop: asyncio.AbstractEventLoop, rng: random.Random,
-        dial: Callable[[str, str], None], changed: Callable[[], None], told: Callable[[int, Link], None],
+        self,
+        name: str,
+        boot: int,
+        zone: str,
+        loop: asyncio.AbstractEventLoop,
+        rng: random.Random,
+        dial: Callable[[str, str], None],
+        changed: Callable[[], None],
+        told: Callable[[int, Link], None],
         heads: int = HEADS,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._name, self._boot_id, self._zone = name, boot, zone
         self._loop, self._rng, self._dial = loop, rng, dial
         self._changed, self._told, self._heads = changed, told, heads
--- a/mesh/control/value_references.py
+++ b/orchidferry/mesh/control/value_references.py
@@ -10,10 +10,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from mesh.control.register_messages import pack_message, unpack_message
-from mesh.control.shard_state import pack_value, unpack_value
-from mesh.wire.shard_messages import RegisterAccept, RegisterBody
-from nickelbridge.register import (
+from orchidferry.balancing.register import (
     NONE,
     Accept,
     Accepted,
@@ -24,7 +21,10 @@
     Promise,
     Value,
     Voter,
-)  # fmt: skip
+)
+from orchidferry.mesh.control.register_messages import pack_message, unpack_message
+from orchidferry.mesh.control.shard_state import pack_value, unpack_value
+from orchidferry.mesh.wire.shard_messages import RegisterAccept, RegisterBody
 
 
 @dataclass(slots=True)
--- a/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -12,10 +12,11 @@
 
 from loguru import logger
 
-from mesh.control.endpoints import GONE, Server
-from mesh.dataplane.attempt import TrackedAttempt
-from mesh.dataplane.http_connection import HttpConnections
-from mesh.dataplane.messages import (
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.control.endpoints import GONE, Server
+from orchidferry.mesh.dataplane.attempt import TrackedAttempt
+from orchidferry.mesh.dataplane.http_connection import HttpConnections
+from orchidferry.mesh.dataplane.messages import (
     BELOW,
     KEYED,
     LATE,
@@ -32,18 +33,17 @@
     own_answer,
     passed_on,
 )
-from mesh.dataplane.messages import (
+from orchidferry.mesh.dataplane.messages import (
     GONE as GATE_GONE,
 )
-from mesh.dataplane.server_registration import Heard, ServerRegistration
-from mesh.errors import Kind, Refusal
-from mesh.settings import Address, Bounds
-from nickelbridge.interface import Result
-from orchidferry.alarms import Alarms
-from orchidferry.config import now_ms
-from orchidferry.frontend import Reply
-from orchidferry.request import Message
-from orchidferry.upstream import Answer
+from orchidferry.mesh.dataplane.server_registration import Heard, ServerRegistration
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.settings import Address, Bounds
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import now_ms
+from orchidferry.node.frontend import Reply
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import Answer
 
 OVER = 1  # requests beyond its slots that a server is given, so that none of these is idle
 GUESS = 4  # slots of a server that has said nothing yet
@@ -123,10 +123,17 @@
     """What is known of the server, and what waits for it."""
 
     def __init__(
-        self, application: Address, bounds: Bounds, beat_ms: float, loop: asyncio.AbstractEventLoop,
-        alarms: Alarms, lines: HttpConnections, changed: Callable[[], None], below: Callable[[], bool],
+        self,
+        application: Address,
+        bounds: Bounds,
+        beat_ms: float,
+        loop: asyncio.AbstractEventLoop,
+        alarms: Alarms,
+        lines: HttpConnections,
+        changed: Callable[[], None],
+        below: Callable[[], bool],
         orphan: Callable[[ProxiedRequest, ServerResponse], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`below`: whether calls from this machine were turned away lately. `orphan` takes the server's
         answer to a request whose key is claimed, and whose sender is gone.
         """
--- a/mesh/dataplane/attempt.py
+++ b/orchidferry/mesh/dataplane/attempt.py
@@ -1,6 +1,6 @@
 """An attempt that knows whether the first byte of its request may have left this machine.
 
-`orchidferry.upstream.Attempt` draws the line between "never ran" and "may have run" at the last byte
+`orchidferry.node.upstream.Attempt` draws the line between "never ran" and "may have run" at the last byte
 written. The mesh draws it at the first: a server may begin as soon as it has read a head, and a silence or a
 reset after that proves nothing.
 """
@@ -9,10 +9,10 @@
 
 from collections.abc import Callable
 
-from nickelbridge.interface import Result
-from orchidferry.config import Address
-from orchidferry.request import Message
-from orchidferry.upstream import Answer, Attempt
+from orchidferry.balancing.interface import Result
+from orchidferry.node.config import Address
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import Answer, Attempt
 
 
 class TrackedAttempt(Attempt):
--- a/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -1,7 +1,7 @@
 """Connections to servers and to their gates: whose an answer is, and which connection may carry a request.
 
-It rests on the node's own (`orchidferry.upstream`). What requests and answers say is in `messages`, callers'
-connections are in `listener`.
+It rests on the node's own (`orchidferry.node.upstream`). What requests and answers say is in `messages`,
+callers' connections are in `listener`.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 import httptools
 
-from mesh.dataplane.attempt import TrackedAttempt
-from mesh.dataplane.idle_limit import IdleLimit
-from mesh.dataplane.messages import BELOW, GATE, LOAD, MILLISECONDS, ServerResponse, judged
-from nickelbridge.interface import Result
-from orchidferry.alarms import Alarms
-from orchidferry.config import Address, now_ms
-from orchidferry.flow import Flow
-from orchidferry.upstream import UPLOAD_STALL_S, Answer, Attempt, Connection, Upstream
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.dataplane.attempt import TrackedAttempt
+from orchidferry.mesh.dataplane.idle_limit import IdleLimit
+from orchidferry.mesh.dataplane.messages import BELOW, GATE, LOAD, MILLISECONDS, ServerResponse, judged
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import Address, now_ms
+from orchidferry.node.flow import Flow
+from orchidferry.node.upstream import UPLOAD_STALL_S, Answer, Attempt, Connection, Upstream
 
 HELD_ANSWER = 1024 * 1024  # bytes of an answer that are read whole before any of it is passed on
 SWITCHING, NO_BODY = 101, (204, 304)  # statuses
@@ -69,9 +69,19 @@
     """
 
     __slots__ = (
-        "_begun", "_below", "_encoded", "_gate", "_headers", "_id", "_not_run", "_rested_ms", "_seal",
-        "_skip", "_tainted", "_tried",
-    )  # fmt: skip
+        "_begun",
+        "_below",
+        "_encoded",
+        "_gate",
+        "_headers",
+        "_id",
+        "_not_run",
+        "_rested_ms",
+        "_seal",
+        "_skip",
+        "_tainted",
+        "_tried",
+    )
 
     held_most = HELD_ANSWER
     _pool: HttpConnections
@@ -221,9 +231,20 @@
 
     def _made(self, body: bytes, flow: Flow | None = None) -> Answer:
         return ServerResponse(
-            self._status, body, None, self._report, flow, None, self._headers, self._seal, self._encoded,
-            self._id, self._not_run, self._gate, self._below,
-        )  # fmt: skip
+            self._status,
+            body,
+            None,
+            self._report,
+            flow,
+            None,
+            self._headers,
+            self._seal,
+            self._encoded,
+            self._id,
+            self._not_run,
+            self._gate,
+            self._below,
+        )
 
     def _judged(self, answer: Answer) -> Result:
         assert isinstance(answer, ServerResponse)
@@ -237,9 +258,14 @@
     kind = HttpConnection
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, connect_timeout_ms: float, keepalive_ms: float,
-        room: Callable[[], int], alarms: Alarms, once_idle_ms: float,
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        connect_timeout_ms: float,
+        keepalive_ms: float,
+        room: Callable[[], int],
+        alarms: Alarms,
+        once_idle_ms: float,
+    ) -> None:
         """`once_idle_ms`: what may run once goes on no connection that has rested for longer."""
         super().__init__(loop, connect_timeout_ms, keepalive_ms, room, alarms)
         self._once_idle_ms = once_idle_ms
--- a/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -1,6 +1,6 @@
 """Callers of the data plane: requests as they come to a node, and one answer to each, in their order.
 
-It rests on the node's own (`orchidferry.frontend`). Here is what the mesh adds: headers that go along
+It rests on the node's own (`orchidferry.node.frontend`). Here is what the mesh adds: headers that go along
 unchanged, and care that a word of the system's own about one request is never read as the answer to another,
 nor as a part of one.
 """
@@ -11,27 +11,47 @@
 import re
 from collections.abc import Callable
 
-from mesh.dataplane.messages import (
+from orchidferry.mesh.dataplane.messages import (
     MILLISECONDS,
     PRIVATE,
     ProxiedRequest,
 )
-from mesh.errors import Kind, Refusal
-from orchidferry.flow import Flow, Pool
-from orchidferry.frontend import LIMITS_S, Accept, Caller, Frontend, Reply, Stage
-from orchidferry.request import Message, Unacceptable
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.node.flow import Flow, Pool
+from orchidferry.node.frontend import LIMITS_S, Accept, Caller, Frontend, Reply, Stage
+from orchidferry.node.request import Message, Unacceptable
 
 # Headers that concern one connection, or that the system writes itself.
-HOP = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te",
-    b"trailer", b"transfer-encoding", b"upgrade", b"expect", b"content-length", b"host",
-))  # fmt: skip
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+        b"host",
+    )
+)
 OWN = frozenset((b"time-remaining", b"target-instance", b"calling-service", b"attempt-id"))
 ONCE = HOP | OWN
-SINGLE = frozenset((
-    b"host", b"content-length", b"transfer-encoding", b"attempt-id", b"operation-key", b"time-remaining",
-    b"target-instance", b"calling-service",
-))  # fmt: skip
+SINGLE = frozenset(
+    (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"attempt-id",
+        b"operation-key",
+        b"time-remaining",
+        b"target-instance",
+        b"calling-service",
+    )
+)
 TOKEN = re.compile(rb"[\x21-\x7e]{1,256}")
 IDLE_GRACE_S = 1.0  # a caller may send at the end of its idle time, and what it sends takes a while
 
@@ -156,8 +176,10 @@
         self._idle_s = idle_s
         idle_s += IDLE_GRACE_S
         self.limits_s = LIMITS_S | {
-            Stage.IDLE: idle_s, Stage.NEW: idle_s, Stage.READING: max(header_s, 1.0),
-        }  # fmt: skip
+            Stage.IDLE: idle_s,
+            Stage.NEW: idle_s,
+            Stage.READING: max(header_s, 1.0),
+        }
 
     def read(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
@@ -169,7 +191,18 @@
         if left is not None and not MILLISECONDS.fullmatch(left):
             raise Unacceptable("Time-Remaining must be milliseconds")
         return ProxiedRequest(
-            method, target, id.decode("latin-1"), "", float(left) if left is not None else 0.0, None, False,
-            headers.get(b"operation-key"), None, body, flow,
-            host=headers.get(b"host", b""), headers=headers, untimed=left is None,
-        )  # fmt: skip
+            method,
+            target,
+            id.decode("latin-1"),
+            "",
+            float(left) if left is not None else 0.0,
+            None,
+            False,
+            headers.get(b"operation-key"),
+            None,
+            body,
+            flow,
+            host=headers.get(b"host", b""),
+            headers=headers,
+            untimed=left is None,
+        )
--- a/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -9,28 +9,36 @@
 import re
 from dataclasses import dataclass, field
 
-from mesh.control.configuration import Route
-from mesh.errors import Refusal
-from nickelbridge.interface import Result
-from orchidferry.frontend import Reply
-from orchidferry.request import Message
-from orchidferry.upstream import Answer, framing
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.control.configuration import Route
+from orchidferry.mesh.errors import Refusal
+from orchidferry.node.frontend import Reply
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import Answer, framing
 
 MARGIN_MS = 4.0  # of the time that a sender has, for the way there and back
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 ANSWER_MOST = 256 * 1024  # bytes of an answer that is kept for repeats of its key
 # The gate's own headers, which no client or server sees.
 GATE, RANK, PATIENCE, TIMES, LOAD, BELOW, KEYED = (
-    b"orchid-gate", b"orchid-rank", b"orchid-patience", b"orchid-once", b"orchid-load", b"orchid-below",
+    b"orchid-gate",
+    b"orchid-rank",
+    b"orchid-patience",
+    b"orchid-once",
+    b"orchid-load",
+    b"orchid-below",
     b"orchid-keyed",
-)  # fmt: skip
+)
 PRIVATE = b"orchid-"
 
 PROMISES = frozenset((408, 421, 429, 503))  # statuses that promise a caller that its request has not run
 UNRUN, GONE, LOST, LATE = b"unrun", b"gone", b"lost", b"late"  # what a gate says of a request
 GATE_RESULTS = {
-    UNRUN: Result.REFUSED, GONE: Result.MOOT, LOST: Result.RESET, LATE: Result.TIMEOUT,
-}  # fmt: skip
+    UNRUN: Result.REFUSED,
+    GONE: Result.MOOT,
+    LOST: Result.RESET,
+    LATE: Result.TIMEOUT,
+}
 
 
 @dataclass(slots=True)
@@ -66,11 +74,15 @@
 def head(message: ProxiedRequest, own: list[tuple[bytes, bytes]]) -> bytes:
     """A request as it goes on, with its body unless that flows; `own`: what the system adds."""
     return b"%b %b HTTP/1.1\r\nHost: %b\r\nAttempt-Id: %b\r\n%b%b%b\r\n%b" % (
-        message.method, message.target, message.host, message.id.encode("latin-1"),
+        message.method,
+        message.target,
+        message.host,
+        message.id.encode("latin-1"),
         b"".join([b"%b: %b\r\n" % header for header in own]),
         b"".join([b"%b: %b\r\n" % header for header in message.along]),
-        framing(message), message.body,
-    )  # fmt: skip
+        framing(message),
+        message.body,
+    )
 
 
 def judged(said: ServerResponse) -> Result:
@@ -106,9 +118,12 @@
 
 
 def own_answer(
-    message: Message, refusal: Refusal, retry_after_s: float | None = None, gate: bytes | None = None,
+    message: Message,
+    refusal: Refusal,
+    retry_after_s: float | None = None,
+    gate: bytes | None = None,
     load: int | None = None,
-) -> Reply:  # fmt: skip
+) -> Reply:
     """An answer of the system's own."""
     more = [(b"Attempt-Id", message.id.encode("latin-1"))]
     if gate is not None:
--- a/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -16,29 +16,29 @@
 
 from loguru import logger
 
-from mesh.control.configuration import Configuration, Route, Table, parse
-from mesh.control.control_api import JSON, Call, ControlDoor, told
-from mesh.control.control_client import ControlClient
-from mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server, by_service
-from mesh.dataplane.admission import AdmissionGate
-from mesh.dataplane.http_connection import HttpConnections
-from mesh.dataplane.listener import Listener
-from mesh.dataplane.messages import (
+from orchidferry.mesh.control.configuration import Configuration, Route, Table, parse
+from orchidferry.mesh.control.control_api import JSON, Call, ControlDoor, told
+from orchidferry.mesh.control.control_client import ControlClient
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server, by_service
+from orchidferry.mesh.dataplane.admission import AdmissionGate
+from orchidferry.mesh.dataplane.http_connection import HttpConnections
+from orchidferry.mesh.dataplane.listener import Listener
+from orchidferry.mesh.dataplane.messages import (
     MARGIN_MS,
     ProxiedRequest,
     ServerResponse,
     kept_answer,
     own_answer,
 )
-from mesh.dataplane.service_client import PendingRequest, ServiceClient
-from mesh.errors import Kind, Refusal
-from mesh.settings import Settings
-from orchidferry.alarms import Alarms
-from orchidferry.config import now_ms
-from orchidferry.flow import LONG_BODY, Pool
-from orchidferry.frontend import Reply
-from orchidferry.request import Message
-from orchidferry.upstream import MAX_HEAD
+from orchidferry.mesh.dataplane.service_client import PendingRequest, ServiceClient
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.settings import Settings
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import now_ms
+from orchidferry.node.flow import LONG_BODY, Pool
+from orchidferry.node.frontend import Reply
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import MAX_HEAD
 
 CONNECT_MS = 400.0
 KEEP_HOP_MS, KEEP_SERVER_MS = 60_000.0, 14_000.0  # half of this a connection may idle
@@ -132,9 +132,11 @@
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until told to stop, and finish what is held."""
         doors = {
-            "ready": self._ready, "control": self._control, "inbound": self._inbound,
+            "ready": self._ready,
+            "control": self._control,
+            "inbound": self._inbound,
             "outbound": self._outbound,
-        }  # fmt: skip
+        }
         for name, door in doors.items():
             await door.listen(self._loop, self._settings.door(name))
         await self._news.listen()
@@ -196,10 +198,15 @@
         settings = self._settings
         self._news.publish(
             Record(
-                settings.name, self._news.boot_id, self._record_number, settings.zone, settings.ip,
-                settings.listen["inbound"][1], server,
+                settings.name,
+                self._news.boot_id,
+                self._record_number,
+                settings.zone,
+                settings.ip,
+                settings.listen["inbound"][1],
+                server,
             )
-        )  # fmt: skip
+        )
 
     def _on_members(self, members: dict[str, Record]) -> None:
         before, self._members, self._by_service = self._by_service, members, by_service(members)
@@ -231,9 +238,15 @@
             client = self._services.get(name)
             if client is None:
                 client = self._services[name] = ServiceClient(
-                    name, own.service, own.zone, own.bounds, self._loop, self._alarms, self._hops,
+                    name,
+                    own.service,
+                    own.zone,
+                    own.bounds,
+                    self._loop,
+                    self._alarms,
+                    self._hops,
                     self._number,
-                )  # fmt: skip
+                )
                 client.servers(self._by_service.get(name, {}))
                 client.members(len(self._members))
                 if self._leaving:
@@ -362,10 +375,14 @@
         if state not in (IN_SERVICE, DRAINING):
             return Refusal(Kind.INVALID, f"beat: condition.state: {state!r} is no state")
         server = Server(
-            id, str(information["service_name"]), str(information.get("zone", "")), state,
-            int(information["capacity"]), float(condition.get("cold_left_ms", 0.0)),
+            id,
+            str(information["service_name"]),
+            str(information.get("zone", "")),
+            state,
+            int(information["capacity"]),
+            float(condition.get("cold_left_ms", 0.0)),
             str(information.get("revision_number", "")),
-        )  # fmt: skip
+        )
         return server, int(condition["call_sequence"])
     except KeyError as problem:
         return Refusal(Kind.INVALID, f"beat: {problem.args[0]} is missing")
--- a/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -3,7 +3,7 @@
 Pure: no I/O, the clock is handed in. Calls of a server may come late and out of order; `call_sequence` is
 their order within one life, and nothing orders two lives but when they were heard.
 
->>> from mesh.control.endpoints import DRAINING, IN_SERVICE, Server
+>>> from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
 >>> registration = ServerRegistration(1_500.0, 0.0)
 >>> a, b = (Server(id, "s", "z", IN_SERVICE, 4, 0.0) for id in "ab")
 >>> registration.beat(a, 3, 0.0).name, registration.beat(a, 2, 9.0).name, registration.beat(b, 1, 20.0).name
@@ -20,7 +20,7 @@
 
 from msgspec import structs
 
-from mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Server
+from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Server
 
 SILENT_BEATS = 3.5  # a server that sent no beat for so long is gone
 FORMER_MOST = 64
--- a/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -1,6 +1,7 @@
 """One service as a node sees it: its servers, the decision module for it, and the attempts on their way.
 
-The module decides server, retry and refusal (`nickelbridge`); this turns what happens on lines into its
+The module decides server, retry and refusal (`orchidferry.balancing`); this turns what happens on lines into
+its
 events and does what it answers, one event at a time. Every request taken is ended exactly once, at the latest
 by a backstop at its deadline.
 """
@@ -15,11 +16,15 @@
 
 from loguru import logger
 
-from mesh.control.configuration import Route
-from mesh.control.endpoints import DRAINING, IN_SERVICE, Record
-from mesh.dataplane.attempt import TrackedAttempt
-from mesh.dataplane.http_connection import HttpConnections
-from mesh.dataplane.messages import (
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.interface import Repeat, Result
+from orchidferry.balancing.logic import NEVER_RAN, Balancer
+from orchidferry.balancing.nested import Nested
+from orchidferry.mesh.control.configuration import Route
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record
+from orchidferry.mesh.dataplane.attempt import TrackedAttempt
+from orchidferry.mesh.dataplane.http_connection import HttpConnections
+from orchidferry.mesh.dataplane.messages import (
     KEYED,
     MARGIN_MS,
     PATIENCE,
@@ -32,17 +37,13 @@
     own_answer,
     passed_on,
 )
-from mesh.errors import Kind, Refusal
-from mesh.settings import Address, Bounds
-from nickelbridge import interface as api
-from nickelbridge.interface import Repeat, Result
-from nickelbridge.logic import NEVER_RAN, Balancer
-from nickelbridge.nested import Nested
-from orchidferry.alarms import Alarms
-from orchidferry.config import now_ms
-from orchidferry.frontend import Reply
-from orchidferry.turns import Turns
-from orchidferry.upstream import Answer
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.settings import Address, Bounds
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import now_ms
+from orchidferry.node.frontend import Reply
+from orchidferry.node.turns import Turns
+from orchidferry.node.upstream import Answer
 
 RATIO_SHARE = 0.4  # of the ratio of further tries: a repeated run's own calls are repeats elsewhere
 SLACK_SHARE = 0.4  # of the slack, over all nodes
@@ -73,23 +74,44 @@
     """A route as the decision module knows it."""
     repeat = Repeat.SAFE if route.repeatable else Repeat.UNSAFE
     return api.RequestClass(
-        class_name(route), max(1.0, route.aim_ms), max(1.0, route.guard_ms), 4.0 / 2.0 ** min(route.rank, 8),
-        LATE_WORTH, repeat,
-    )  # fmt: skip
+        class_name(route),
+        max(1.0, route.aim_ms),
+        max(1.0, route.guard_ms),
+        4.0 / 2.0 ** min(route.rank, 8),
+        LATE_WORTH,
+        repeat,
+    )
 
 
 class PendingRequest:
     """A request that is owed its answer."""
 
     __slots__ = (
-        "answer", "attempts", "backstop", "began_ms", "ends_ms", "id", "message", "on_end", "owed", "ran",
-        "route", "said", "service",
-    )  # fmt: skip
+        "answer",
+        "attempts",
+        "backstop",
+        "began_ms",
+        "ends_ms",
+        "id",
+        "message",
+        "on_end",
+        "owed",
+        "ran",
+        "route",
+        "said",
+        "service",
+    )
 
     def __init__(
-        self, service: ServiceClient, id: str, message: ProxiedRequest, route: Route, ends_ms: float,
-        answer: Callable[[Reply], None], on_end: Callable[[ServerResponse | None, bool], None] | None,
-    ) -> None:  # fmt: skip
+        self,
+        service: ServiceClient,
+        id: str,
+        message: ProxiedRequest,
+        route: Route,
+        ends_ms: float,
+        answer: Callable[[Reply], None],
+        on_end: Callable[[ServerResponse | None, bool], None] | None,
+    ) -> None:
         self.service, self.id, self.message, self.route = service, id, message, route
         self.began_ms, self.ends_ms, self.answer = now_ms(), ends_ms, answer
         self.on_end = on_end  # hears the answer of a run, if there is one, and whether it may have run
@@ -170,10 +192,16 @@
             service.crowd(self.server, report["queue"])
         service.handle(
             api.AttemptEnded(
-                live.id, self._number, self.server, result, now_ms() - self._sent_ms, not live.owed, report,
+                live.id,
+                self._number,
+                self.server,
+                result,
+                now_ms() - self._sent_ms,
+                not live.owed,
+                report,
                 spent,
             )
-        )  # fmt: skip
+        )
         if not live.owed:
             service.over(live)
 
@@ -182,9 +210,16 @@
     """One service."""
 
     def __init__(
-        self, name: str, caller: str, zone: str, bounds: Bounds, loop: asyncio.AbstractEventLoop,
-        alarms: Alarms, lines: HttpConnections, numbers: Callable[[str], int],
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        caller: str,
+        zone: str,
+        bounds: Bounds,
+        loop: asyncio.AbstractEventLoop,
+        alarms: Alarms,
+        lines: HttpConnections,
+        numbers: Callable[[str], int],
+    ) -> None:
         self.name, self.caller, self._zone = name, caller.encode("latin-1"), zone
         self._bounds, self._loop, self._alarms = bounds, loop, alarms
         self._lines, self._numbers = lines, numbers
@@ -230,13 +265,18 @@
             return
         bounds = self._bounds
         settings = api.Settings(
-            list(self._classes.values()), tier=1, tiers=2, target_share=TARGET_SHARE,
-            max_attempts=self._attempts, can_cancel=True,
-            connect_timeout_ms=400.0, keepalive_ms=10_000.0,
+            list(self._classes.values()),
+            tier=1,
+            tiers=2,
+            target_share=TARGET_SHARE,
+            max_attempts=self._attempts,
+            can_cancel=True,
+            connect_timeout_ms=400.0,
+            keepalive_ms=10_000.0,
             repeat_ratio=min(1.0, RATIO_SHARE * bounds.retry_ratio),
             extra_floor=self._slack(),
             resend_span_ms=bounds.retry_window_s * 1000.0,
-        )  # fmt: skip
+        )
         if self._balancer is None:
             self._balancer = Balancer(settings, self._rng.randrange(2**31))
             self._turns = Turns(self._balancer.handle, self._do, _not_handled)
@@ -338,9 +378,13 @@
     # Requests
 
     def take(
-        self, message: ProxiedRequest, route: Route, ends_ms: float, answer: Callable[[Reply], None],
+        self,
+        message: ProxiedRequest,
+        route: Route,
+        ends_ms: float,
+        answer: Callable[[Reply], None],
         on_end: Callable[[ServerResponse | None, bool], None] | None = None,
-    ) -> PendingRequest:  # fmt: skip
+    ) -> PendingRequest:
         """Take a request; it is answered once, now or later."""
         self._serial += 1
         ends_ms = min(ends_ms, self._stop_ms)
--- a/mesh/role_settings.py
+++ b/orchidferry/mesh/role_settings.py
@@ -4,7 +4,7 @@
 
 import os
 
-from mesh.settings import BadSettings, Settings, read_settings
+from orchidferry.mesh.settings import BadSettings, Settings, read_settings
 
 VARIABLE = "ORCHIDFERRY_BOOT"  # of the environment; it names the settings file
 LISTEN_POINTS = {"proxy": ("outbound", "inbound", "ready", "control"), "controller": ("control",)}
--- a/mesh/storage/environment.py
+++ b/orchidferry/mesh/storage/environment.py
@@ -9,7 +9,7 @@
 
 import lmdb
 
-from mesh.errors import BadStore
+from orchidferry.mesh.errors import BadStore
 
 ABOUT = "about"  # the database of votes and other records about the controller itself
 KEYS = "slips"  # the database of operation keys; the name on disk is that of the first format
@@ -31,9 +31,16 @@
 ) -> lmdb.Environment:
     """Open an environment without its databases. `OSError`, `lmdb.Error`."""
     return lmdb.open(
-        path, map_size=map_bytes, max_dbs=MAX_DATABASES, lock=False, max_readers=4, readahead=False,
-        subdir=not file, readonly=readonly, create=not readonly,
-    )  # fmt: skip
+        path,
+        map_size=map_bytes,
+        max_dbs=MAX_DATABASES,
+        lock=False,
+        max_readers=4,
+        readahead=False,
+        subdir=not file,
+        readonly=readonly,
+        create=not readonly,
+    )
 
 
 def used_pages(txn: Any, dbs: Databases) -> int:
--- a/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -10,21 +10,29 @@
 import lmdb
 from cbor2 import CBORDecodeError
 
-from mesh.control import shard_state
-from mesh.errors import BadStore
-from mesh.storage.environment import ABOUT, KEYS, Databases, used_pages
-from mesh.storage.record_format import FORMAT, FORMAT_KEY, SEAL_KEY, Damaged, unpack, unwrap
-from nickelbridge.register import Kept, Value
+from orchidferry.balancing.register import Kept, Value
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage.environment import ABOUT, KEYS, Databases, used_pages
+from orchidferry.mesh.storage.record_format import FORMAT, FORMAT_KEY, SEAL_KEY, Damaged, unpack, unwrap
 
 T = TypeVar("T")
 
 VERIFY_EVERY = 64  # one operation key in so many is unpacked, not only its checksum verified
 FIELDS_BEFORE_OWNERS = 7  # of a packed value
 BROKEN = (
-    lmdb.CorruptedError, lmdb.InvalidError, lmdb.VersionMismatchError, lmdb.PageNotFoundError,
-    lmdb.PageFullError, lmdb.IncompatibleError, lmdb.CursorFullError, lmdb.BadTxnError, lmdb.BadValsizeError,
-    lmdb.PanicError, lmdb.NotFoundError,
-)  # fmt: skip
+    lmdb.CorruptedError,
+    lmdb.InvalidError,
+    lmdb.VersionMismatchError,
+    lmdb.PageNotFoundError,
+    lmdb.PageFullError,
+    lmdb.IncompatibleError,
+    lmdb.CursorFullError,
+    lmdb.BadTxnError,
+    lmdb.BadValsizeError,
+    lmdb.PanicError,
+    lmdb.NotFoundError,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/mesh/storage/record_format.py
+++ b/orchidferry/mesh/storage/record_format.py
@@ -11,8 +11,8 @@
 
 import cbor2
 
-from mesh.errors import BadStore
-from mesh.storage.environment import ABOUT, Databases
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage.environment import ABOUT, Databases
 
 # Format 1 had neither checksums nor a seal, and no record of its number. In format 2 the configuration's
 # text was never compressed: a build that does not know format 3 would hand out the compressed bytes.
--- a/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -17,10 +17,11 @@
 import lmdb
 from more_itertools import chunked
 
-from mesh.control import shard_state
-from mesh.control.shard import remembered
-from mesh.errors import BadStore
-from mesh.storage.environment import (
+from orchidferry.balancing.register import Ballot, Kept, Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage.environment import (
     ABOUT,
     KEYS,
     NAMES,
@@ -32,9 +33,9 @@
     sync_names,
     take_lock,
 )
-from mesh.storage.inspection import Inspection, inspect
-from mesh.storage.record_format import Put, pack, put_sealed, unwrap, wrap
-from mesh.storage.snapshot_file import (
+from orchidferry.mesh.storage.inspection import Inspection, inspect
+from orchidferry.mesh.storage.record_format import Put, pack, put_sealed, unwrap, wrap
+from orchidferry.mesh.storage.snapshot_file import (
     BadSnapshot,
     HashedFile,
     Snapshot,
@@ -42,11 +43,17 @@
     read_snapshot,
     write_header,
 )
-from nickelbridge.register import Ballot, Kept, Value, Voter
 
 __all__ = [
-    "BadSnapshot", "Restored", "Snapshot", "memory_of", "put_into", "read_snapshot", "restored", "take_from",
-]  # fmt: skip
+    "BadSnapshot",
+    "Restored",
+    "Snapshot",
+    "memory_of",
+    "put_into",
+    "read_snapshot",
+    "restored",
+    "take_from",
+]
 
 # Added to versions, epochs and fences: a group that changes some times a minute never gets so far.
 AHEAD_VERSION, AHEAD_EPOCH, AHEAD_FENCE = 2**32, 2**20, 2**20
--- a/mesh/storage/snapshot_command.py
+++ b/orchidferry/mesh/storage/snapshot_command.py
@@ -6,13 +6,13 @@
 import ipaddress
 import sys
 
-from mesh.control import shard_state
-from mesh.errors import BadStore
-from mesh.role_settings import DATA_DIR_MISSING, settings_path
-from mesh.settings import BadSettings, Settings, read_settings
-from mesh.storage.environment import InUse
-from mesh.storage.snapshot import put_into, take_from
-from mesh.storage.snapshot_file import BadSnapshot
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.role_settings import DATA_DIR_MISSING, settings_path
+from orchidferry.mesh.settings import BadSettings, Settings, read_settings
+from orchidferry.mesh.storage.environment import InUse
+from orchidferry.mesh.storage.snapshot import put_into, take_from
+from orchidferry.mesh.storage.snapshot_file import BadSnapshot
 
 PROGRAM = "orchidferry controller snapshot"
 
--- a/mesh/storage/snapshot_file.py
+++ b/orchidferry/mesh/storage/snapshot_file.py
@@ -14,9 +14,9 @@
 
 import cbor2
 
-from mesh.control import shard_state
-from mesh.storage.record_format import pack
-from nickelbridge.register import Value
+from orchidferry.balancing.register import Value
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.storage.record_format import pack
 
 MAGIC = "orchidferry snapshot"
 FORMAT = 2  # that is written
--- a/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -17,8 +17,8 @@
 import lmdb
 from loguru import logger
 
-from mesh.errors import BadStore
-from mesh.storage.environment import (
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage.environment import (
     LOCK,
     NAMES,
     PART,
@@ -30,8 +30,8 @@
     sync_folder,
     take_lock,
 )
-from mesh.storage.inspection import BROKEN, StoreContents, inspect
-from mesh.storage.record_format import FORMAT, Damaged, put_sealed, wrap
+from orchidferry.mesh.storage.inspection import BROKEN, StoreContents, inspect
+from orchidferry.mesh.storage.record_format import FORMAT, Damaged, put_sealed, wrap
 
 TRIES, RENAMED = "opening", "renamed"  # files of data_dir
 BAD = "bad"  # a directory there
--- a/mesh/storage/store.py
+++ b/orchidferry/mesh/storage/store.py
@@ -15,9 +15,9 @@
 
 import lmdb
 
-from mesh.errors import BadStore
-from mesh.storage.disk_health import STUCK_S, DiskHealth
-from mesh.storage.environment import (
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage.disk_health import STUCK_S, DiskHealth
+from orchidferry.mesh.storage.environment import (
     ABOUT,
     KEYS,
     MAP_BYTES,
@@ -30,8 +30,17 @@
     take_lock,
     used_pages,
 )
-from mesh.storage.record_format import FORMAT_KEY, Damaged, Put, pack, put_sealed, unpack, unwrap, wrap
-from mesh.storage.write_batch import PiecewiseCommit, WriteJob
+from orchidferry.mesh.storage.record_format import (
+    FORMAT_KEY,
+    Damaged,
+    Put,
+    pack,
+    put_sealed,
+    unpack,
+    unwrap,
+    wrap,
+)
+from orchidferry.mesh.storage.write_batch import PiecewiseCommit, WriteJob
 
 __all__ = ["Put", "Store", "pack", "unpack"]
 
--- a/mesh/storage/write_batch.py
+++ b/orchidferry/mesh/storage/write_batch.py
@@ -7,7 +7,7 @@
 
 import lmdb
 
-from mesh.storage.record_format import Put
+from orchidferry.mesh.storage.record_format import Put
 
 MAX_FAILED_PIECES = 64  # transactions of one batch that may fail for want of room
 
--- a/mesh/wire/codec.py
+++ b/orchidferry/mesh/wire/codec.py
@@ -8,8 +8,8 @@
 import cbor2
 import msgspec
 
-from mesh.wire.messages import KINDS, Greeting, Message, ShardMessage, kind_of
-from mesh.wire.shard_messages import Body, ShardBody, tag_of
+from orchidferry.mesh.wire.messages import KINDS, Greeting, Message, ShardMessage, kind_of
+from orchidferry.mesh.wire.shard_messages import Body, ShardBody, tag_of
 
 LENGTH_BYTES = 4
 NATIVE = (bytes,)  # cbor2 carries them as they are
--- a/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -14,8 +14,8 @@
 
 from loguru import logger
 
-from mesh.wire.codec import LENGTH_BYTES, UnreadableMessage, decode, encode, spoken_protocol
-from mesh.wire.messages import Greeting, Message
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, UnreadableMessage, decode, encode, spoken_protocol
+from orchidferry.mesh.wire.messages import Greeting, Message
 
 MOST = 16 * 1024 * 1024  # bytes of one message
 CHOKED = 8 * 1024 * 1024  # bytes that may wait for a peer that does not read
@@ -27,9 +27,12 @@
     """One connection between two processes of the system."""
 
     def __init__(
-        self, heard: Callable[[Link, Message], None], lost: Callable[[Link], None],
-        made: Callable[[Link], None] | None = None, accepted: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        heard: Callable[[Link, Message], None],
+        lost: Callable[[Link], None],
+        made: Callable[[Link], None] | None = None,
+        accepted: bool = False,
+    ) -> None:
         """`accepted`: the other side dialled, so that its first message is to name the protocol."""
         self._heard, self._lost, self._made = heard, lost, made
         self._awaits_greeting = accepted
@@ -90,8 +93,10 @@
         if spoken != PROTOCOL:
             logger.warning(
                 "link: {} speaks protocol {!s:.20}, {} is needed: it is of another build",
-                self._peer_address(), "none" if spoken is None else spoken, PROTOCOL,
-            )  # fmt: skip
+                self._peer_address(),
+                "none" if spoken is None else spoken,
+                PROTOCOL,
+            )
             self.close()
 
     def _peer_address(self) -> str:
@@ -121,9 +126,13 @@
 
 
 async def dial(
-    heard: Callable[[Link, Message], None], lost: Callable[[Link], None], host: str, port: int,
-    own_ip: str, wait_s: float = 1.0,
-) -> Link | None:  # fmt: skip
+    heard: Callable[[Link, Message], None],
+    lost: Callable[[Link], None],
+    host: str,
+    port: int,
+    own_ip: str,
+    wait_s: float = 1.0,
+) -> Link | None:
     """A new link; None if there is none within the time."""
     loop = asyncio.get_running_loop()
     link = Link(heard, lost)
--- a/mesh/wire/messages.py
+++ b/orchidferry/mesh/wire/messages.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from mesh.control.endpoints import Record
-from mesh.control.fanout_tree import Change
-from mesh.wire.shard_messages import ShardBody
+from orchidferry.mesh.control.endpoints import Record
+from orchidferry.mesh.control.fanout_tree import Change
+from orchidferry.mesh.wire.shard_messages import ShardBody
 
 Position = tuple[str, int, int]  # in a stream of news: its controller, the life of that, a number
 
@@ -250,12 +250,36 @@
 
 
 MESSAGES: tuple[type[Message], ...] = (
-    Greeting, NodeHello, LeaseRenewal, Lease, NewsSubscription, NewsUnsubscription, NewsRequest, News, Group,
-    RevisionRead, Revision, ConfigurationFetch, ConfigurationText, KeyClaim, KeyGrant, KeyAnswer, KeyRelease,
+    Greeting,
+    NodeHello,
+    LeaseRenewal,
+    Lease,
+    NewsSubscription,
+    NewsUnsubscription,
+    NewsRequest,
+    News,
+    Group,
+    RevisionRead,
+    Revision,
+    ConfigurationFetch,
+    ConfigurationText,
+    KeyClaim,
+    KeyGrant,
+    KeyAnswer,
+    KeyRelease,
     KeyReleaseAck,
-    RetryShareRequest, RetryShare, ControllerHello, Heartbeat, HeartbeatAck, ShardMessage, RelaySubscription,
-    RelayAccepted, RelayFull, RelayPositions, RelayAlive,
-)  # fmt: skip
+    RetryShareRequest,
+    RetryShare,
+    ControllerHello,
+    Heartbeat,
+    HeartbeatAck,
+    ShardMessage,
+    RelaySubscription,
+    RelayAccepted,
+    RelayFull,
+    RelayPositions,
+    RelayAlive,
+)
 
 
 def kind_of(message: Message | type[Message]) -> str:
--- a/mesh/wire/shard_messages.py
+++ b/orchidferry/mesh/wire/shard_messages.py
@@ -199,10 +199,23 @@
 
 
 ShardBody = (
-    RegisterMessage | DecidedState | DecidedBallot | DecidedStateRequest | AcceptedStateRequest
-    | AcceptedState | OrdersRequest | Orders | JoinRequest | KeyPageRequest | KeyPage | KeyPageRefusal
-    | KeyRecordsRequest | KeyRecords | Handoff | HandoffAck
-)  # fmt: skip
+    RegisterMessage
+    | DecidedState
+    | DecidedBallot
+    | DecidedStateRequest
+    | AcceptedStateRequest
+    | AcceptedState
+    | OrdersRequest
+    | Orders
+    | JoinRequest
+    | KeyPageRequest
+    | KeyPage
+    | KeyPageRefusal
+    | KeyRecordsRequest
+    | KeyRecords
+    | Handoff
+    | HandoffAck
+)
 
 
 def tag_of(body: Body | type[Body]) -> str:
--- a/orchidferry/chain/links.py
+++ b/orchidferry/node/chain/links.py
@@ -6,14 +6,14 @@
 import time
 from typing import TYPE_CHECKING
 
-from nickelbridge import interface as api
-from nickelbridge.chain import Chain, told
-from orchidferry.chain.settings import Setup
-from orchidferry.chain.wire import Headers, Wire, read_answer, write_answer
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.chain import Chain, told
+from orchidferry.node.chain.settings import Setup
+from orchidferry.node.chain.wire import Headers, Wire, read_answer, write_answer
 
 if TYPE_CHECKING:
-    from orchidferry.request import Message
-    from orchidferry.upstream import Answer
+    from orchidferry.node.request import Message
+    from orchidferry.node.upstream import Answer
 
 TELL_S = 10.0  # a loop is told of so often at most: a misrouted list makes one of each request
 log = logging.getLogger("orchidferry")
--- a/orchidferry/chain/settings.py
+++ b/orchidferry/node/chain/settings.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from nickelbridge import chain
-from nickelbridge.settings import NUMBER, Json, Malformed, get, opt
-from orchidferry.config import operators_file
-from orchidferry.keys import read_keys
+from orchidferry.balancing import chain
+from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, opt
+from orchidferry.node.config import operators_file
+from orchidferry.node.keys import read_keys
 
 KEYS_MOST = 8  # that are valid at once
 NAMES = ("tier", "node")
--- a/orchidferry/chain/wire.py
+++ b/orchidferry/node/chain/wire.py
@@ -20,8 +20,8 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable, Mapping
 
-from nickelbridge.chain import HOPS_MOST
-from nickelbridge.interface import Carried
+from orchidferry.balancing.chain import HOPS_MOST
+from orchidferry.balancing.interface import Carried
 
 Headers = list[tuple[bytes, bytes]]
 TAG_BYTES = 16
@@ -56,9 +56,11 @@
         found: Headers = [(b"cdn-loop", hops)]
         if self._signs:
             text = b"of-root=%b, of-extra=%d, of-worth=%b, of-until=%d" % (
-                carried.root.encode(), carried.extra, b"%.3f" % carried.worth,
+                carried.root.encode(),
+                carried.extra,
+                b"%.3f" % carried.worth,
                 int(self._wall_s() + left_s + SLACK_S),
-            )  # fmt: skip
+            )
             tag = self._tag(self._signs, text + hops)
             found.append((b"baggage", b"%b, of-tag=%b.%b" % (text, self._signs.encode(), tag)))
         return found
--- a/orchidferry/config.py
+++ b/orchidferry/node/config.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from nickelbridge import interface as api
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
-from orchidferry.steps import at_once
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from orchidferry.node.steps import at_once
 
 Address = tuple[str, int]
 
--- a/orchidferry/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -2,7 +2,7 @@
 
 Two calls are given to it: `apply` makes a configuration the one that counts ('' or a problem, or None where
 `node_applied` will say so), `drain` sends nothing new to some servers. Everything is decided in
-`nickelbridge.versions`; here its actions are done.
+`orchidferry.balancing.versions`; here its actions are done.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge import versions as v
-from nickelbridge.versions import Configuration, Part, Versions
-from orchidferry.config import now_ms
-from orchidferry.control.channel import Channel
-from orchidferry.control.settings import Control
-from orchidferry.control.store import Store
+from orchidferry.balancing import interface as api
+from orchidferry.balancing import versions as v
+from orchidferry.balancing.versions import Configuration, Part, Versions
+from orchidferry.node.config import now_ms
+from orchidferry.node.control.channel import Channel
+from orchidferry.node.control.settings import Control
+from orchidferry.node.control.store import Store
 
 log = logging.getLogger("orchidferry")
 
@@ -36,10 +36,16 @@
     """Keeps a node's configuration up to date."""
 
     def __init__(
-        self, control: Control, file: Configuration, apply: ApplyCall, drain: DrainCall,
-        rng: random.Random | None = None, store: Store | None = None,
-        held: Configuration | None = None, said: Callable[[], None] = lambda: None,
-    ) -> None:  # fmt: skip
+        self,
+        control: Control,
+        file: Configuration,
+        apply: ApplyCall,
+        drain: DrainCall,
+        rng: random.Random | None = None,
+        store: Store | None = None,
+        held: Configuration | None = None,
+        said: Callable[[], None] = lambda: None,
+    ) -> None:
         """`BadConfig` if a certificate can't be read. `held`: what the node holds already, before any that is
         saved; `said` is called after each event."""
         self._control, self._file, self._do_apply, self._do_drain = control, file, apply, drain
--- a/orchidferry/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -1,7 +1,8 @@
 """The stream to the control service: xDS v3, aggregated and incremental (delta ADS), over gRPC.
 
 It knows streams, nonces and resources, and nothing of what a version means: each response becomes an
-`Offered` for `nickelbridge.versions`, each `Answer` an ACK or NACK. A stream that breaks is opened again
+`Offered` for `orchidferry.balancing.versions`, each `Answer` an ACK or NACK. A stream that breaks is opened
+again
 after a back-off with full jitter, with the versions held (`initial_resource_versions`), so that the service
 sends only what has changed.
 """
@@ -18,9 +19,9 @@
 import grpc
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
-from nickelbridge.versions import Answer, Content, Offered, Part, Pools
-from orchidferry.control.messages import PARTS, TYPES, Unreadable, read_node, read_pool
-from orchidferry.control.settings import Control, read_tls
+from orchidferry.balancing.versions import Answer, Content, Offered, Part, Pools
+from orchidferry.node.control.messages import PARTS, TYPES, Unreadable, read_node, read_pool
+from orchidferry.node.control.settings import Control, read_tls
 
 MESSAGE_MOST = 16 * 1024 * 1024  # bytes: some 40,000 members
 RESOURCES_MOST = 128  # of one response
@@ -223,9 +224,10 @@
             self.resources.restart()
             for part, names in ((Part.MEMBERS, control.pools), (Part.SETTINGS, (control.settings,))):
                 request = discovery_pb2.DeltaDiscoveryRequest(
-                    type_url=TYPES[part], resource_names_subscribe=names,
+                    type_url=TYPES[part],
+                    resource_names_subscribe=names,
                     initial_resource_versions=self.resources.versions(part),
-                )  # fmt: skip
+                )
                 request.node.id, request.node.cluster = control.node, control.cluster
                 request.node.user_agent_name = "orchidferry"
                 out.put_nowait(request)
--- a/orchidferry/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -1,4 +1,5 @@
-"""The helper of a node with a control service: `python -m orchidferry.control.helper`, started by `link.py`.
+"""The helper of a node with a control service: `python -m orchidferry.node.control.helper`, started by
+`link.py`.
 
 It holds the stream, checks versions, and keeps the last good one; what is to be applied it tells the node,
 a line of JSON at a time (`pipe.py`). Standard input and output are the node's; its end is the end of input.
@@ -16,12 +17,12 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge.versions import Configuration
-from orchidferry.control.agent import Agent, own_file
-from orchidferry.control.pipe import LINE_MOST, Garbled, Held, Row, Teller, line, read_line
-from orchidferry.control.plain import BAD_PLAIN, settings_from
-from orchidferry.control.settings import Control
-from orchidferry.control.store import Store, Taken
+from orchidferry.balancing.versions import Configuration
+from orchidferry.node.control.agent import Agent, own_file
+from orchidferry.node.control.pipe import LINE_MOST, Garbled, Held, Row, Teller, line, read_line
+from orchidferry.node.control.plain import BAD_PLAIN, settings_from
+from orchidferry.node.control.settings import Control
+from orchidferry.node.control.store import Store, Taken
 
 NICE = 5  # beside the node on one core, requests come first
 APPLY_S = 30.0  # for the node's word of a change; past that nothing is known of the node any more
@@ -37,9 +38,13 @@
     """An agent, and the node at the other end of the pipe."""
 
     def __init__(
-        self, control: Control, own: Any, held: Configuration | None, store: Store | None,
+        self,
+        control: Control,
+        own: Any,
+        held: Configuration | None,
+        store: Store | None,
         out: asyncio.StreamWriter,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._out, self._teller = out, Teller()
         self.agent = Agent(
             control, own_file(control, own), self._apply, self._drain, store=store, held=held, said=self._note
--- a/orchidferry/control/link.py
+++ b/orchidferry/node/control/link.py
@@ -19,18 +19,18 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge import interface as api
-from orchidferry.config import BadConfig, now_ms
-from orchidferry.control.members import Home, Members
-from orchidferry.control.pipe import LINE_MOST, Change, Garbled, Taker, line, read_line
-from orchidferry.control.plain import plain
-from orchidferry.control.settings import Control, read_tls
+from orchidferry.balancing import interface as api
+from orchidferry.node.config import BadConfig, now_ms
+from orchidferry.node.control.members import Home, Members
+from orchidferry.node.control.pipe import LINE_MOST, Change, Garbled, Taker, line, read_line
+from orchidferry.node.control.plain import plain
+from orchidferry.node.control.settings import Control, read_tls
 
 NEEDS = ("grpc", "envoy", "xds", "google.protobuf")  # what the helper imports, of the extra `control`
 BACK_OFF_S, BACK_OFF_MOST_S = 0.2, 10.0  # full jitter; of starts, each of which takes half a second of CPU
 STEADY_S = 30.0  # a helper that stood for so long begins the back-off anew
 END_S = 0.4  # what it gets to finish a write at a planned end; a kill then leaves the old or the new one
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 
 log = logging.getLogger("orchidferry")
 
@@ -39,9 +39,13 @@
     """Keeps a helper, and the node's configuration as it says."""
 
     def __init__(
-        self, control: Control, settings: api.Settings, home: Home, loop: asyncio.AbstractEventLoop,
+        self,
+        control: Control,
+        settings: api.Settings,
+        home: Home,
+        loop: asyncio.AbstractEventLoop,
         rng: random.Random | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`BadConfig` if a library is missing or a certificate can't be read."""
         for name in NEEDS:
             if importlib.util.find_spec(name.partition(".")[0]) is None:
@@ -121,15 +125,21 @@
         await self.members.idle.wait()  # what its predecessor began is what this one is told of
         self.starts += 1
         process = self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "orchidferry.control.helper", cwd=ROOT, limit=LINE_MOST,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "orchidferry.node.control.helper",
+            cwd=ROOT,
+            limit=LINE_MOST,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert process.stdin is not None and process.stdout is not None
         held = {"pool": self._pool, "versions": self._versions, "settings": plain(self._settings)}
         begin = {
-            "control": plain_control(self._control), "own": plain(self._own),
+            "control": plain_control(self._control),
+            "own": plain(self._own),
             "held": held if self._versions else None,
-        }  # fmt: skip
+        }
         process.stdin.write(line("begin", **begin))
         for rows in self.members.rows() if self._versions else ():
             process.stdin.write(line("rows", rows=rows))
--- a/orchidferry/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -16,11 +16,11 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Protocol
 
-from nickelbridge import interface as api
-from nickelbridge.versions import Member, merged
-from orchidferry.config import Listing
-from orchidferry.control.pipe import STEP, Change, Row, steps
-from orchidferry.control.plain import member_from, member_row
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import Member, merged
+from orchidferry.node.config import Listing
+from orchidferry.node.control.pipe import STEP, Change, Row, steps
+from orchidferry.node.control.plain import member_from, member_row
 
 IN_SERVICE = api.Health.IN_SERVICE
 LONG = 1_000  # rows of a change: a collection of what fewer make takes under 1 ms
--- a/orchidferry/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -22,10 +22,10 @@
 from google.protobuf.message import DecodeError
 from xds.type.v3 import typed_struct_pb2
 
-from nickelbridge import interface as api
-from nickelbridge.settings import Malformed, get, read_settings
-from nickelbridge.versions import Member, NodeSettings, Part
-from orchidferry.config import server_id, unix_offset_ms
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.settings import Malformed, get, read_settings
+from orchidferry.balancing.versions import Member, NodeSettings, Part
+from orchidferry.node.config import server_id, unix_offset_ms
 
 PREFIX = "type.googleapis.com/"
 EDS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
@@ -100,9 +100,13 @@
             )
             entry = api.ServerEntry(
                 server_id(one.endpoint.hostname or f"{address.address}:{address.port_value}"),
-                zone, sys.intern(kind), cell, HEALTH[one.health_status], weight / WHOLE_WEIGHT,
+                zone,
+                sys.intern(kind),
+                cell,
+                HEALTH[one.health_status],
+                weight / WHOLE_WEIGHT,
                 since_ms + offset_ms if since_ms > 0 else None,
-            )  # fmt: skip
+            )
             member = Member(entry, (address.address, address.port_value))
             same = before.get(entry.server)
             members.append(same if same == member else member)
--- a/orchidferry/control/pipe.py
+++ b/orchidferry/node/control/pipe.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.versions import MOST_MEMBERS, Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.control.plain import BAD_PLAIN, member_from, member_row, plain, settings_from
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import MOST_MEMBERS, Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.node.control.plain import BAD_PLAIN, member_from, member_row, plain, settings_from
 
 STEP = 32  # members of a line, and that the node takes in one go: some 1 ms
 LINE_MOST = 4 * 1024 * 1024  # bytes: the settings are one line, 10,000 tenants take some 600 KB
@@ -100,10 +100,15 @@
         rows.sort(key=lambda member: member.entry.health is in_service)
         same = settings == self._settings
         yield line(
-            "apply", n=self._number, pool=whole.node.pool, members=pooled, whole=before is None, away=away,
+            "apply",
+            n=self._number,
+            pool=whole.node.pool,
+            members=pooled,
+            whole=before is None,
+            away=away,
             versions={part.value: text for part, text in whole.versions.items()},
             settings=None if same else plain(settings),
-        )  # fmt: skip
+        )
         for some in steps(map(member_row, rows)):
             yield line("rows", rows=some)
         for servers in steps(gone):
@@ -146,10 +151,14 @@
         if do == "apply":
             settings = found["settings"]
             self._change = Change(
-                int(found["n"]), str(found["pool"]), dict(found["versions"]),
+                int(found["n"]),
+                str(found["pool"]),
+                dict(found["versions"]),
                 settings_from(settings) if settings is not None else None,
-                bool(found["members"]), bool(found["whole"]), list(found["away"]),
-            )  # fmt: skip
+                bool(found["members"]),
+                bool(found["whole"]),
+                list(found["away"]),
+            )
             self._count = 0
             return None
         if self._change is None:
--- a/orchidferry/control/plain.py
+++ b/orchidferry/node/control/plain.py
@@ -7,9 +7,9 @@
 from enum import Enum
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.versions import Member
-from orchidferry.store import BAD_PLAIN as BAD_PLAIN
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import Member
+from orchidferry.node.store import BAD_PLAIN as BAD_PLAIN
 
 HEALTHS = {health.value: health for health in api.Health}
 
--- a/orchidferry/control/settings.py
+++ b/orchidferry/node/control/settings.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from nickelbridge.settings import NUMBER, Json, Malformed, get, opt
-from orchidferry.config import Address, BadConfig, address, operators_file
+from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, opt
+from orchidferry.node.config import Address, BadConfig, address, operators_file
 
 KNOWN = {
     "service",
@@ -59,9 +59,17 @@
     if not 0.0 < wait_s <= WAIT_MOST_S:
         raise Malformed(f"'first_wait_s' must be above 0 and at most {WAIT_MOST_S:g}, not {wait_s:g}")
     made = Control(
-        address(get(obj, "service", str)), get(obj, "node", str), opt(obj, "cluster", str, ""), tuple(pools),
-        get(obj, "settings", str), file("state"), wait_s, file("ca"), file("certificate"), file("key"),
-    )  # fmt: skip
+        address(get(obj, "service", str)),
+        get(obj, "node", str),
+        opt(obj, "cluster", str, ""),
+        tuple(pools),
+        get(obj, "settings", str),
+        file("state"),
+        wait_s,
+        file("ca"),
+        file("certificate"),
+        file("key"),
+    )
     if (made.certificate is None) != (made.key is None):
         raise Malformed("'certificate' and 'key' go together")
     if made.certificate is not None and made.ca is None:
--- a/orchidferry/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry import store
-from orchidferry.control.plain import made, plain, settings_from
-from orchidferry.store import Files, Form, Taken, Unusable
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.node import store
+from orchidferry.node.control.plain import made, plain, settings_from
+from orchidferry.node.store import Files, Form, Taken, Unusable
 
 __all__ = ["FORM", "Files", "Path", "Store", "Taken", "Unusable", "decode", "encode", "to_json"]
 
@@ -26,8 +26,10 @@
     }
     return {
         "versions": {part.value: version for part, version in whole.versions.items()},
-        "pool": whole.node.pool, "settings": plain(whole.node.settings), "pools": pools,
-    }  # fmt: skip
+        "pool": whole.node.pool,
+        "settings": plain(whole.node.settings),
+        "pools": pools,
+    }
 
 
 def from_json(obj: Any) -> Configuration:
@@ -48,10 +50,14 @@
 
 
 FORM = Form(
-    "last-good", "last good configuration", b"orchidferry last-good", 1,
+    "last-good",
+    "last good configuration",
+    b"orchidferry last-good",
+    1,
     64 * 1024 * 1024,  # 40,000 members take some 12 MB
-    to_json, from_json,
-)  # fmt: skip
+    to_json,
+    from_json,
+)
 
 
 def encode(whole: Configuration) -> bytes:
--- a/orchidferry/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -12,9 +12,9 @@
 
 import httptools
 
-from nickelbridge.settings import Malformed
-from orchidferry.config import Address, Listing, parse_in_steps, read_in_steps, read_listing
-from orchidferry.steps import between_others
+from orchidferry.balancing.settings import Malformed
+from orchidferry.node.config import Address, Listing, parse_in_steps, read_in_steps, read_listing
+from orchidferry.node.steps import between_others
 
 # How long discovery may keep a watch open. Its silence shows only after that: in incident r32b5e5 first
 # calls were lost, and with 20 s all nodes sent through a whole release by the list they had started with.
--- a/orchidferry/door.py
+++ b/orchidferry/node/door.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from orchidferry.config import Address
+from orchidferry.node.config import Address
 
 MOST = 16  # callers at once: a few watchers, and some that say nothing
 MAX_CALL = 4 * 1024  # of a call, head and body
@@ -21,9 +21,14 @@
 BACKLOG = 64
 
 PHRASES = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    413: b"Content Too Large", 503: b"Service Unavailable",
-}  # fmt: skip
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    503: b"Service Unavailable",
+}
 
 Page = Callable[[], tuple[int, bytes]]  # status and text of one path, made when it is asked for
 
--- a/orchidferry/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -6,16 +6,26 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from nickelbridge.fleet.members import NAME_MOST, VERSION_MOST, ZONE_MOST
-from nickelbridge.fleet.suspicion import Timing
-from nickelbridge.fleet.swim import SEEDS_MOST
-from nickelbridge.settings import NUMBER, Json, Malformed, get, opt
-from orchidferry.config import Address, BadConfig, address, operators_file
-from orchidferry.keys import Keys, read_keys
+from orchidferry.balancing.fleet.members import NAME_MOST, VERSION_MOST, ZONE_MOST
+from orchidferry.balancing.fleet.suspicion import Timing
+from orchidferry.balancing.fleet.swim import SEEDS_MOST
+from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, opt
+from orchidferry.node.config import Address, BadConfig, address, operators_file
+from orchidferry.node.keys import Keys, read_keys
 
 KNOWN = {
-    "name", "listen", "advertise", "zone", "version", "seeds", "keys", "state", "journal", "probe_ms", "most",
-}  # fmt: skip
+    "name",
+    "listen",
+    "advertise",
+    "zone",
+    "version",
+    "seeds",
+    "keys",
+    "state",
+    "journal",
+    "probe_ms",
+    "most",
+}
 KEYS_MOST = 2  # at a time: the one that goes out and the one that comes in
 PROBE_MS = (50.0, 60_000.0)
 MOST = (2, 10_000)
@@ -88,19 +98,31 @@
     if not own:
         raise Malformed("'name' must not be empty")
     return Setup(
-        own, listen, advertise, text("zone", "", ZONE_MOST), text("version", "", VERSION_MOST),
-        tuple(_where(f"seeds[{n}]", one) for n, one in enumerate(seeds)), keys, file("state"),
-        file("journal"), scaled(probe_ms), most,
-    )  # fmt: skip
+        own,
+        listen,
+        advertise,
+        text("zone", "", ZONE_MOST),
+        text("version", "", VERSION_MOST),
+        tuple(_where(f"seeds[{n}]", one) for n, one in enumerate(seeds)),
+        keys,
+        file("state"),
+        file("journal"),
+        scaled(probe_ms),
+        most,
+    )
 
 
 def scaled(probe_ms: float) -> Timing:
     """All times in proportion to that between two probes, but what is kept of those that are gone."""
     timing, by = Timing(), probe_ms / Timing().interval_ms
     return replace(
-        timing, interval_ms=probe_ms, timeout_ms=timing.timeout_ms * by, gossip_ms=timing.gossip_ms * by,
-        sync_ms=timing.sync_ms * by, reach_ms=timing.reach_ms * by,
-    )  # fmt: skip
+        timing,
+        interval_ms=probe_ms,
+        timeout_ms=timing.timeout_ms * by,
+        gossip_ms=timing.gossip_ms * by,
+        sync_ms=timing.sync_ms * by,
+        reach_ms=timing.reach_ms * by,
+    )
 
 
 def read_key_file(path: Path) -> Keys:
--- a/orchidferry/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -1,4 +1,4 @@
-"""Sockets, timers, disk and journal round `nickelbridge.fleet`: all within the node's one process.
+"""Sockets, timers, disk and journal round `orchidferry.balancing.fleet`: all within the node's one process.
 
 What it costs is bounded here: so many datagrams are read in one turn of the loop and so many a second, so
 many sent, so many views exchanged at once, each within a time. Whatever can't be used is counted by kind,
@@ -23,17 +23,17 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge.fleet import messages as api
-from nickelbridge.fleet.fresh import Credit
-from nickelbridge.fleet.members import Entry, Phase
-from nickelbridge.fleet.swim import Fleet, Lasting
-from orchidferry.config import Address, BadConfig, now_ms
-from orchidferry.door import Page
-from orchidferry.fleet import wire
-from orchidferry.fleet.settings import Setup, read_key_file
-from orchidferry.fleet.wire import DATAGRAM_MOST, Refused, Sealer
-from orchidferry.steps import between_others
-from orchidferry.store import Form, Store, Taken
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet.fresh import Credit
+from orchidferry.balancing.fleet.members import Entry, Phase
+from orchidferry.balancing.fleet.swim import Fleet, Lasting
+from orchidferry.node.config import Address, BadConfig, now_ms
+from orchidferry.node.door import Page
+from orchidferry.node.fleet import wire
+from orchidferry.node.fleet.settings import Setup, read_key_file
+from orchidferry.node.fleet.wire import DATAGRAM_MOST, Refused, Sealer
+from orchidferry.node.steps import between_others
+from orchidferry.node.store import Form, Store, Taken
 
 # A datagram takes some 40 microseconds to read, so a flood takes a tenth of a core and no turn of over 1 ms;
 # a node of a fleet of 1,000 gets some 30 a second.
@@ -77,7 +77,7 @@
             path, maxBytes=JOURNAL_MOST, backupCount=1, encoding="utf-8"
         )
         handler.setFormatter(logging.Formatter("%(message)s"))
-        self._log = logging.Logger("orchidferry.fleet.journal")
+        self._log = logging.Logger("orchidferry.node.fleet.journal")
         self._log.addHandler(handler)
         self._handler = handler
 
@@ -93,10 +93,16 @@
 def told(entry: Entry) -> dict[str, Any]:
     """An entry for people and programs."""
     return {
-        "name": entry.name, "address": f"{entry.host}:{entry.port}", "zone": entry.zone,
-        "version": entry.version, "phase": entry.phase.value, "status": entry.status.name.lower(),
-        "incarnation": entry.incarnation, "life": f"{entry.life:016x}", "by": entry.by,
-    }  # fmt: skip
+        "name": entry.name,
+        "address": f"{entry.host}:{entry.port}",
+        "zone": entry.zone,
+        "version": entry.version,
+        "phase": entry.phase.value,
+        "status": entry.status.name.lower(),
+        "incarnation": entry.incarnation,
+        "life": f"{entry.life:016x}",
+        "by": entry.by,
+    }
 
 
 class Peers:
@@ -119,9 +125,13 @@
             except OSError as problem:
                 raise BadConfig(f"can't write the fleet's journal: {problem}") from None
         me = Entry(
-            setup.name, *setup.advertise, secrets.randbits(64) | 1, lasting.incarnation + 1 if lasting else 0,
-            zone=setup.zone, version=setup.version,
-        )  # fmt: skip
+            setup.name,
+            *setup.advertise,
+            secrets.randbits(64) | 1,
+            lasting.incarnation + 1 if lasting else 0,
+            zone=setup.zone,
+            version=setup.version,
+        )
         seeds = (*setup.seeds, *(lasting.peers if lasting else ()))
         self.fleet = Fleet(me, seeds, rng or random.Random(secrets.randbits(64)), setup.timing, setup.most)
         self._ready: Callable[[], bool] = lambda: False
@@ -219,15 +229,24 @@
             since_ms, by = fleet.since.get(name, (now, ""))
             members.append(told(entry) | {"for_s": round((now - since_ms) / 1000.0, 3), "word_of": by})
         state = (
-            "left" if fleet.left else "contested" if fleet.contested else "joined" if fleet.joined else
-            "alone"
-        )  # fmt: skip
+            "left"
+            if fleet.left
+            else "contested"
+            if fleet.contested
+            else "joined"
+            if fleet.joined
+            else "alone"
+        )
         found = {
-            "format": 1, "self": told(fleet.me), "state": state, "score": fleet.score,
+            "format": 1,
+            "self": told(fleet.me),
+            "state": state,
+            "score": fleet.score,
             "keys": self._sealer.names,
-            "saved": self._saved or ("off" if self._store is None else "yes"), "counts": dict(self.counts),
+            "saved": self._saved or ("off" if self._store is None else "yes"),
+            "counts": dict(self.counts),
             "members": members,
-        }  # fmt: skip
+        }
         return 200, json.dumps(found).encode() + b"\n"
 
     # Events and actions
--- a/orchidferry/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -16,10 +16,10 @@
 
 import msgpack
 
-from nickelbridge.fleet.members import Entry, Phase, Status, problem_of
-from nickelbridge.fleet.messages import Kind, Message
-from orchidferry.keys import Keys
-from orchidferry.steps import at_once
+from orchidferry.balancing.fleet.members import Entry, Phase, Status, problem_of
+from orchidferry.balancing.fleet.messages import Kind, Message
+from orchidferry.node.keys import Keys
+from orchidferry.node.steps import at_once
 
 FORMAT, LEAST = 1, 1  # that this program writes; of one that can read it
 MAGIC = b"\xf5\x0f"
@@ -30,9 +30,17 @@
 PERSON = b"fleet"  # what the tag is for: the keys may serve elsewhere too
 
 FIELDS: dict[str, tuple[str, type]] = {
-    "n": ("name", str), "h": ("host", str), "p": ("port", int), "l": ("life", int), "i": ("incarnation", int),
-    "s": ("status", int), "f": ("phase", str), "z": ("zone", str), "v": ("version", str), "b": ("by", str),
-}  # fmt: skip
+    "n": ("name", str),
+    "h": ("host", str),
+    "p": ("port", int),
+    "l": ("life", int),
+    "i": ("incarnation", int),
+    "s": ("status", int),
+    "f": ("phase", str),
+    "z": ("zone", str),
+    "v": ("version", str),
+    "b": ("by", str),
+}
 NEEDED = ("n", "h", "p", "l")
 PHASES = {phase.value: phase for phase in Phase}
 KINDS = {kind.value: kind for kind in Kind}
@@ -99,10 +107,20 @@
     """A message's body."""
     pack = msgpack.packb
     parts = [
-        b"", pack("v"), pack(FORMAT), pack("l"), pack(LEAST), pack("k"), pack(message.kind.value),
-        pack("s"), entry_bytes(message.sender), pack("t"), pack(message.to_life), pack("n"),
+        b"",
+        pack("v"),
+        pack(FORMAT),
+        pack("l"),
+        pack(LEAST),
+        pack("k"),
+        pack(message.kind.value),
+        pack("s"),
+        entry_bytes(message.sender),
+        pack("t"),
+        pack(message.to_life),
+        pack("n"),
         pack(message.serial),
-    ]  # fmt: skip
+    ]
     count = 6
     if message.number:
         parts += [pack("p"), pack(message.number)]
@@ -147,9 +165,14 @@
         if n % STEP == 0:
             yield
     return Message(
-        KINDS[kind], read_entry(obj.get("s")), _whole(obj, "t"), _whole(obj, "n"), _whole(obj, "p"),
-        read_entry(target) if target is not None else None, tuple(found),
-    )  # fmt: skip
+        KINDS[kind],
+        read_entry(obj.get("s")),
+        _whole(obj, "t"),
+        _whole(obj, "n"),
+        _whole(obj, "p"),
+        read_entry(target) if target is not None else None,
+        tuple(found),
+    )
 
 
 def _whole(obj: dict[str, Any], key: str, default: int = 0) -> int:
--- a/orchidferry/flow.py
+++ b/orchidferry/node/flow.py
@@ -74,15 +74,35 @@
     """One body on its way. `length` in bytes, None where the sender doesn't say."""
 
     __slots__ = (
-        "_borrowed", "_choked", "_held", "_kept", "_most", "_pool", "_sink", "_waiting", "began_s",
-        "complete", "length", "moved_s", "on_complete", "on_over", "over", "passed", "size", "source",
+        "_borrowed",
+        "_choked",
+        "_held",
+        "_kept",
+        "_most",
+        "_pool",
+        "_sink",
+        "_waiting",
+        "began_s",
+        "complete",
+        "length",
+        "moved_s",
+        "on_complete",
+        "on_over",
+        "over",
+        "passed",
+        "size",
+        "source",
         "spent",
-    )  # fmt: skip
+    )
 
     def __init__(
-        self, source: Source, length: int | None, now_s: float, pool: Pool | None = None,
+        self,
+        source: Source,
+        length: int | None,
+        now_s: float,
+        pool: Pool | None = None,
         most: int | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`pool`: where memory comes from for what is kept; None: nothing is kept, as there is one sink.
         `most`: bytes that a body may have whose length is not known; None: `LONG_BODY`.
         """
--- a/orchidferry/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -20,11 +20,11 @@
 
 import httptools
 
-from nickelbridge import interface as api
-from orchidferry.config import Address
-from orchidferry.flow import LONG_BODY, Flow, Pool, TooLong
-from orchidferry.request import SINGLE, Message, Unacceptable, check_framing, read_message
-from orchidferry.upstream import MAX_BODY, MAX_HEAD, chunk
+from orchidferry.balancing import interface as api
+from orchidferry.node.config import Address
+from orchidferry.node.flow import LONG_BODY, Flow, Pool, TooLong
+from orchidferry.node.request import SINGLE, Message, Unacceptable, check_framing, read_message
+from orchidferry.node.upstream import MAX_BODY, MAX_HEAD, chunk
 
 BACKLOG = 1024
 MOST_PIPELINED = 8  # requests sent ahead on one connection; the protocol says none
@@ -98,7 +98,7 @@
         b"Connection: close\r\n" if close else b"",
         b"Content-Length: %d\r\n" % length if length is not None else b"Transfer-Encoding: chunked\r\n",
         reply.body,
-    )  # fmt: skip
+    )
 
 
 class Caller(asyncio.Protocol):
@@ -344,9 +344,12 @@
         """The body is too long to hold: the request is taken now, and the rest goes through as it comes."""
         length = self._headers.get(b"content-length")
         flow = Flow(
-            self, int(length) if length is not None else None, self._frontend.now_s(), self._frontend.pool,
+            self,
+            int(length) if length is not None else None,
+            self._frontend.now_s(),
+            self._frontend.pool,
             self._frontend.longest_body,
-        )  # fmt: skip
+        )
         pieces, self._body = self._body, []
         if len(self._queue) >= MOST_PIPELINED:
             return self._reject(400, "too many requests sent ahead")
--- a/orchidferry/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -44,12 +44,12 @@
 from aioquic.quic.retry import QuicRetryTokenHandler
 from aioquic.tls import SessionTicket
 
-from nickelbridge import interface as api
-from nickelbridge.floods import First, FirstPackets, Patience, Strays
-from orchidferry.config import Address, BadConfig, now_ms
-from orchidferry.frontend import LIMITS_S, OWN_PATHS, Accept, Owed, Reply, Stage
-from orchidferry.h3 import settings
-from orchidferry.h3.session import (
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.floods import First, FirstPackets, Patience, Strays
+from orchidferry.node.config import Address, BadConfig, now_ms
+from orchidferry.node.frontend import LIMITS_S, OWN_PATHS, Accept, Owed, Reply, Stage
+from orchidferry.node.h3 import settings
+from orchidferry.node.h3.session import (
     LAST_STREAM,
     DataReceived,
     ErrorCode,
@@ -57,7 +57,7 @@
     Malformed,
     Session,
 )
-from orchidferry.h3.shell import (
+from orchidferry.node.h3.shell import (
     ALPN,
     CID_LENGTH,
     Endpoint,
@@ -68,8 +68,8 @@
     is_over,
     reset_token,
 )
-from orchidferry.request import SINGLE, Unacceptable, read_message
-from orchidferry.upstream import MAX_BODY, MAX_HEAD
+from orchidferry.node.request import SINGLE, Unacceptable, read_message
+from orchidferry.node.upstream import MAX_BODY, MAX_HEAD
 
 HANDSHAKE_S = LIMITS_S[Stage.NEW]  # the same limits as over HTTP/1.1
 READ_S, WRITE_S, IDLE_S = LIMITS_S[Stage.READING], LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]
@@ -366,9 +366,12 @@
     """The UDP socket and all callers' connections: a front beside the HTTP/1.1 one."""
 
     def __init__(
-        self, front: settings.Front, classes: dict[str, api.RequestClass], accept: Accept,
+        self,
+        front: settings.Front,
+        classes: dict[str, api.RequestClass],
+        accept: Accept,
         own_path: Callable[[bytes], Reply],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.classes, self.accept, self.own_path, self._front = classes, accept, own_path, front
         self.loop: asyncio.AbstractEventLoop
         self._transport: asyncio.DatagramTransport | None = None
@@ -397,9 +400,13 @@
     def _configured(self) -> QuicConfiguration:
         """The library's settings, with the certificate as it is now; `BadConfig` if it can't be used."""
         made = QuicConfiguration(
-            is_client=False, alpn_protocols=[ALPN], idle_timeout=IDLE_S + 2.0, max_data=WINDOW,
-            max_stream_data=STREAM_WINDOW, connection_id_length=CID_LENGTH,
-        )  # fmt: skip
+            is_client=False,
+            alpn_protocols=[ALPN],
+            idle_timeout=IDLE_S + 2.0,
+            max_data=WINDOW,
+            max_stream_data=STREAM_WINDOW,
+            connection_id_length=CID_LENGTH,
+        )
         try:
             made.load_cert_chain(str(self._front.certificate), str(self._front.key))
         except Exception as problem:  # the library lets through whatever its parsers raise
@@ -456,11 +463,12 @@
             if self._strays.answered(now):
                 self.sendto(
                     encode_quic_version_negotiation(
-                        source_cid=header.destination_cid, destination_cid=header.source_cid,
+                        source_cid=header.destination_cid,
+                        destination_cid=header.source_cid,
                         supported_versions=self._configuration.supported_versions,
                     ),
                     peer,
-                )  # fmt: skip
+                )
             return
         if header.packet_type is QuicPacketType.INITIAL and not self._taking_none:
             self._first_packet(header, data, peer, now)
@@ -470,9 +478,11 @@
         if header.token:
             try:
                 original = self._retry.validate_token(
-                    address=peer, destination_cid=header.destination_cid, token=header.token,
+                    address=peer,
+                    destination_cid=header.destination_cid,
+                    token=header.token,
                     now=time.monotonic(),
-                )  # fmt: skip
+                )
                 retried = header.destination_cid
             except ValueError:
                 pass  # an old one, or from elsewhere: no proof
@@ -480,26 +490,34 @@
             case First.VALIDATE:
                 cid = os.urandom(CID_LENGTH)
                 token = self._retry.create_token(
-                    address=peer, original_destination_connection_id=header.destination_cid,
-                    retry_source_connection_id=cid, now=time.monotonic(),
-                )  # fmt: skip
+                    address=peer,
+                    original_destination_connection_id=header.destination_cid,
+                    retry_source_connection_id=cid,
+                    now=time.monotonic(),
+                )
                 return self.sendto(
                     encode_quic_retry(
-                        version=header.version, source_cid=cid, destination_cid=header.source_cid,
-                        original_destination_cid=header.destination_cid, retry_token=token,
+                        version=header.version,
+                        source_cid=cid,
+                        destination_cid=header.source_cid,
+                        original_destination_cid=header.destination_cid,
+                        retry_token=token,
                     ),
                     peer,
-                )  # fmt: skip
+                )
             case First.DROP:
                 return
         if len(self._connections) >= self._front.connections and not self._make_room():
             return
         quic = OwnTokens(
-            self._reset_key, MOST_STREAMS, configuration=self._configuration,
+            self._reset_key,
+            MOST_STREAMS,
+            configuration=self._configuration,
             original_destination_connection_id=original,
-            retry_source_connection_id=retried, session_ticket_fetcher=self._fetch_ticket,
+            retry_source_connection_id=retried,
+            session_ticket_fetcher=self._fetch_ticket,
             session_ticket_handler=self._keep_ticket,
-        )  # fmt: skip
+        )
         connection = Connection(self, quic)
         self._connections[connection] = None
         self._half_open[connection] = None
--- a/orchidferry/h3/settings.py
+++ b/orchidferry/node/h3/settings.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.config import Address, BadConfig
+from orchidferry.node.config import Address, BadConfig
 
 MOST_CONNECTIONS = 512  # callers' connections, by default: some 90 KB each
 
@@ -98,10 +98,12 @@
         if not host or not port.isdigit() or int(port) > 65_535:
             raise table.bad("listen", "must be HOST:PORT")
         front = Front(
-            (host.strip("[]"), int(port)), table.file("certificate"), table.file("key"),
+            (host.strip("[]"), int(port)),
+            table.file("certificate"),
+            table.file("key"),
             table.whole("connections", MOST_CONNECTIONS, 1, 100_000),
             table.whole("alt_svc_s", 60, 0, 86_400 * 30),
-        )  # fmt: skip
+        )
         table.done()
     if "servers" in found:
         table = Table(file, "servers", found["servers"])
--- a/orchidferry/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -1,6 +1,6 @@
 """Servers' side over QUIC: one connection a server, many streams, and TCP wherever QUIC is not known to work.
 
-`nickelbridge.transports` decides which. Outcomes are drawn from the protocol:
+`orchidferry.balancing.transports` decides which. Outcomes are drawn from the protocol:
 
 - never ran: the connection never came up, the last byte of the request never went out, H3_REQUEST_REJECTED, a
   GOAWAY that leaves its stream out;
@@ -36,12 +36,12 @@
 )
 from aioquic.quic.packet import pull_quic_header
 
-from nickelbridge.interface import Result
-from nickelbridge.transports import By, Transports
-from orchidferry.config import Address, now_ms
-from orchidferry.h3 import settings
-from orchidferry.h3.session import DataReceived, ErrorCode, GoAway, HeadersReceived, Malformed, Session
-from orchidferry.h3.shell import (
+from orchidferry.balancing.interface import Result
+from orchidferry.balancing.transports import By, Transports
+from orchidferry.node.config import Address, now_ms
+from orchidferry.node.h3 import settings
+from orchidferry.node.h3.session import DataReceived, ErrorCode, GoAway, HeadersReceived, Malformed, Session
+from orchidferry.node.h3.shell import (
     ALPN,
     CID_LENGTH,
     Endpoint,
@@ -54,8 +54,8 @@
     sent_whole,
     streams_left,
 )
-from orchidferry.request import Message
-from orchidferry.upstream import (
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import (
     IDLE_SHARE,
     MAX_BODY,
     Answer,
@@ -78,10 +78,13 @@
 def request_headers(message: Message, authority: bytes, timeout_ms: float) -> list[tuple[bytes, bytes]]:
     """A request's head as it goes to a server; its budget is what is left for this attempt."""
     headers = [
-        (b":method", message.method), (b":scheme", b"https"), (b":authority", authority),
-        (b":path", message.target), (b"x-call-id", message.id.encode()),
+        (b":method", message.method),
+        (b":scheme", b"https"),
+        (b":authority", authority),
+        (b":path", message.target),
+        (b"x-call-id", message.id.encode()),
         (b"x-budget", b"%.3f" % (timeout_ms / 1000.0)),
-    ]  # fmt: skip
+    ]
     if message.key is not None:
         headers.append((b"idempotency-key", message.key))
     if message.content_type is not None:
@@ -150,9 +153,10 @@
         message = attempt.message
         self.used = time.monotonic()
         self._session.send_headers(
-            stream, request_headers(message, self._authority, attempt.timeout_ms) + attempt.more,
+            stream,
+            request_headers(message, self._authority, attempt.timeout_ms) + attempt.more,
             end_stream=not message.body,
-        )  # fmt: skip
+        )
         if message.body:
             self._session.send_data(stream, message.body, end_stream=True)
         self.shell.flush()
@@ -319,9 +323,14 @@
     """What the node sends attempts by: QUIC to servers where it works, else TCP."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, tcp: Upstream, servers: settings.Servers, keepalive_ms: float,
-        listed: Callable[[int], Address | None], seed: int,
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        tcp: Upstream,
+        servers: settings.Servers,
+        keepalive_ms: float,
+        listed: Callable[[int], Address | None],
+        seed: int,
+    ) -> None:
         self.loop, self._tcp, self._servers, self._listed = loop, tcp, servers, listed
         self.transports = Transports(random.Random(seed), servers.connections)
         self._idle_s = keepalive_ms * IDLE_SHARE / 1000.0
@@ -336,9 +345,14 @@
         """The library's settings for a connection to a server."""
         name = self._servers.name or address[0]
         made = QuicConfiguration(
-            is_client=True, alpn_protocols=[ALPN], server_name=name, max_data=WINDOW,
-            max_stream_data=STREAM_WINDOW, idle_timeout=self._idle_s * 2.0, connection_id_length=CID_LENGTH,
-        )  # fmt: skip
+            is_client=True,
+            alpn_protocols=[ALPN],
+            server_name=name,
+            max_data=WINDOW,
+            max_stream_data=STREAM_WINDOW,
+            idle_timeout=self._idle_s * 2.0,
+            connection_id_length=CID_LENGTH,
+        )
         if self._servers.ca is not None:
             made.load_verify_locations(str(self._servers.ca))
         return made
--- a/orchidferry/keys.py
+++ b/orchidferry/node/keys.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from nickelbridge.settings import Malformed
+from orchidferry.balancing.settings import Malformed
 
 KEY_LEAST = 32  # characters of a secret
 
--- a/orchidferry/node.py
+++ b/orchidferry/node/node.py
@@ -15,18 +15,18 @@
 from collections.abc import Callable, Collection, Iterable, Sequence
 from typing import TYPE_CHECKING, Protocol, cast
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
-from nickelbridge.logic import Balancer
-from orchidferry.alarms import Alarms
-from orchidferry.config import Address, BadConfig, Config, Listing, now_ms
-from orchidferry.discovery import Discovery
-from orchidferry.figures import Figures
-from orchidferry.flow import GRACE_S, LONG_BODY, POOL_SHARE, SLOWEST_B_S, Flow, Pool
-from orchidferry.frontend import Frontend, Reply
-from orchidferry.request import Message, Unacceptable
-from orchidferry.turns import Turns
-from orchidferry.upstream import Answer, Attempt, Upstream
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.interface import Result
+from orchidferry.balancing.logic import Balancer
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import Address, BadConfig, Config, Listing, now_ms
+from orchidferry.node.discovery import Discovery
+from orchidferry.node.figures import Figures
+from orchidferry.node.flow import GRACE_S, LONG_BODY, POOL_SHARE, SLOWEST_B_S, Flow, Pool
+from orchidferry.node.frontend import Frontend, Reply
+from orchidferry.node.request import Message, Unacceptable
+from orchidferry.node.turns import Turns
+from orchidferry.node.upstream import Answer, Attempt, Upstream
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
 # A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
@@ -42,14 +42,14 @@
 PUSHED_RETRY_S = 0.5  # after a failure of the node's own agent, where lists come unasked
 
 if TYPE_CHECKING:  # a transport is imported only where it is switched on
-    from nickelbridge.pools import Rules
-    from orchidferry.chain.links import Links
-    from orchidferry.chain.settings import Setup
-    from orchidferry.control.link import Link
-    from orchidferry.control.settings import Control
-    from orchidferry.door import Door, Page
-    from orchidferry.h3.front import Listener
-    from orchidferry.h3.settings import Http3
+    from orchidferry.balancing.pools import Rules
+    from orchidferry.node.chain.links import Links
+    from orchidferry.node.chain.settings import Setup
+    from orchidferry.node.control.link import Link
+    from orchidferry.node.control.settings import Control
+    from orchidferry.node.door import Door, Page
+    from orchidferry.node.h3.front import Listener
+    from orchidferry.node.h3.settings import Http3
 
 log = logging.getLogger("orchidferry")
 
@@ -178,21 +178,26 @@
     """One balancing node."""
 
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, http3: Http3 | None = None,
-        control: Control | None = None, chain: Setup | None = None, pools: Rules | None = None,
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        http3: Http3 | None = None,
+        control: Control | None = None,
+        chain: Setup | None = None,
+        pools: Rules | None = None,
         parts: Sequence[Part] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._config, self._loop = config, loop
         settings = config.settings
         self.links: Links | None = None
         if chain is not None:
-            from orchidferry.chain.links import Links
+            from orchidferry.node.chain.links import Links
 
             self.links = Links(chain, config.seed)
         budgets = self.links.chain if self.links is not None else None
         self._balancer = Balancer(settings, config.seed, budgets)
         if pools is not None:
-            from nickelbridge.pools import Router
+            from orchidferry.balancing.pools import Router
 
             # The same face; each pool has a balancer behind it.
             self._balancer = cast(Balancer, Router(settings, config.seed, pools, budgets))
@@ -216,35 +221,40 @@
         self._h3: dict[int, Address] = {}  # where servers that list it speak HTTP/3
         self.h3_front: Listener | None = None
         if http3 is not None and http3.servers is not None:
-            from orchidferry.h3.upstream import Routes
+            from orchidferry.node.h3.upstream import Routes
 
             self._upstream = Routes(
                 loop, tcp, http3.servers, settings.keepalive_ms, self._h3.get, config.seed
             )
         self.control: Link | None = None
         if control is not None:
-            from orchidferry.control.link import Link
+            from orchidferry.node.control.link import Link
 
             self.control = Link(control, settings, self, loop)
         self._discovery = Discovery(loop, config.discovery, config.known.index, self._on_news)
         self.frontend = Frontend(
-            self._balancer.classes, self.accept, lambda: bool(self._in_service),
-            int(CALLERS_SHARE * config.sockets), Pool(int(POOL_SHARE * config.memory_mb * 1e6)),
-        )  # fmt: skip
+            self._balancer.classes,
+            self.accept,
+            lambda: bool(self._in_service),
+            int(CALLERS_SHARE * config.sockets),
+            Pool(int(POOL_SHARE * config.memory_mb * 1e6)),
+        )
         if http3 is not None and http3.front is not None:
-            from orchidferry.h3.front import Listener
+            from orchidferry.node.h3.front import Listener
 
             self.h3_front = Listener(http3.front, self._balancer.classes, self.accept, self.frontend.own_path)
         self.door: Door | None = None
         if config.admin is not None:
-            from orchidferry.door import Door
-
-            self.door = Door({
-                b"/-/ready": lambda: (200, b"ready\n") if self.ready() else (503, b"not ready\n"),
-                b"/-/metrics": lambda: (200, self.report()),
-                b"/-/control": self._control_page,
-                **{path: page for part in parts for path, page in part.pages().items()},
-            })  # fmt: skip
+            from orchidferry.node.door import Door
+
+            self.door = Door(
+                {
+                    b"/-/ready": lambda: (200, b"ready\n") if self.ready() else (503, b"not ready\n"),
+                    b"/-/metrics": lambda: (200, self.report()),
+                    b"/-/control": self._control_page,
+                    **{path: page for part in parts for path, page in part.pages().items()},
+                }
+            )
         self._parts = parts
         for part in parts:
             part.attach(self.ready)
@@ -296,8 +306,12 @@
 
     def reconfigure(self, config: Config) -> None:
         """Go on under a new configuration: discovery may be elsewhere; all that is held stays."""
-        if dataclasses.replace(config, discovery=self._config.discovery, known=self._config.known,
-                               seed=self._config.seed) != self._config:  # fmt: skip
+        if (
+            dataclasses.replace(
+                config, discovery=self._config.discovery, known=self._config.known, seed=self._config.seed
+            )
+            != self._config
+        ):
             log.warning("only a new address of discovery is taken without a restart")
         self._config = dataclasses.replace(self._config, discovery=config.discovery)
         self._discovery.move(config.discovery)
@@ -379,11 +393,16 @@
         ttl_ms = max(0.0, live.ends_ms - now - MARGIN_MS)
         self._handle(
             api.Request(
-                id, message.cls, ttl_ms, message.tenant, message.again, flow is not None,
+                id,
+                message.cls,
+                ttl_ms,
+                message.tenant,
+                message.again,
+                flow is not None,
                 self.links.read(message) if self.links is not None else None,
                 message.key.decode("latin-1") if message.key is not None else None,
             )
-        )  # fmt: skip
+        )
         return live
 
     def _watch(self, live: Live) -> None:
@@ -493,9 +512,7 @@
             return self._handle(api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, live is None))
         flow = live.message.flow
         if flow is not None and not flow.can_begin():
-            event = api.AttemptEnded(
-                live.id, live.attempts, server, Result.MOOT, 0.0, False, spent=True
-            )  # fmt: skip
+            event = api.AttemptEnded(live.id, live.attempts, server, Result.MOOT, 0.0, False, spent=True)
             return self._handle(event)
         # Cut to what is left: an outcome must come before the answer is due.
         timeout_ms = max(0.0, min(action.timeout_ms, live.ends_ms - MARGIN_MS - sent_ms))
--- a/orchidferry/pools.py
+++ b/orchidferry/node/pools.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from nickelbridge import moves, pools
-from nickelbridge.settings import NUMBER, Json, Malformed, get, objects, opt, word
-from orchidferry.config import operators_file
+from orchidferry.balancing import moves, pools
+from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, objects, opt, word
+from orchidferry.node.config import operators_file
 
 POOL_KEYS = {"name", "kinds", "groups"}
 NUMBERS = ("alpha", "beta", "margin", "step_ms", "rare_ms", "settle_ms")
--- a/orchidferry/request.py
+++ b/orchidferry/node/request.py
@@ -10,14 +10,23 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from nickelbridge import interface as api
-from orchidferry.flow import Flow
+from orchidferry.balancing import interface as api
+from orchidferry.node.flow import Flow
 
 # Each may come once: of two, a server might believe the other one.
-SINGLE = frozenset((
-    b"host", b"content-length", b"transfer-encoding", b"content-type", b"idempotency-key",
-    b"x-call-id", b"x-budget", b"x-caller", b"x-again",
-))  # fmt: skip
+SINGLE = frozenset(
+    (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"content-type",
+        b"idempotency-key",
+        b"x-call-id",
+        b"x-budget",
+        b"x-caller",
+        b"x-again",
+    )
+)
 TOKEN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # ids and keys: they become parts of a header again
 SECONDS = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # decimals as the protocol writes them; no signs, no 1_0
 
@@ -90,7 +99,16 @@
         raise Unacceptable("X-Budget must be seconds above 0")
     return Message(
         # Nobody waits longer than the class's deadline: a longer budget would hold the books open.
-        method, target, id.decode(), cls.name, min(budget_s * 1000.0, cls.deadline_ms), tenant,
-        headers.get(b"x-again") == b"1", key, headers.get(b"content-type"), body, flow,
+        method,
+        target,
+        id.decode(),
+        cls.name,
+        min(budget_s * 1000.0, cls.deadline_ms),
+        tenant,
+        headers.get(b"x-again") == b"1",
+        key,
+        headers.get(b"content-type"),
+        body,
+        flow,
         chain=headers if b"baggage" in headers else None,
-    )  # fmt: skip
+    )
--- a/orchidferry/turns.py
+++ b/orchidferry/node/turns.py
@@ -5,8 +5,8 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from nickelbridge import interface as api
-from orchidferry.config import now_ms
+from orchidferry.balancing import interface as api
+from orchidferry.node.config import now_ms
 
 Decide = Callable[[api.Event, float], Iterable[api.Action]]
 
--- a/orchidferry/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -17,11 +17,11 @@
 
 import httptools
 
-from nickelbridge.interface import Result
-from orchidferry.alarms import Alarms
-from orchidferry.config import Address, now_ms
-from orchidferry.flow import LONG_BODY, SHORT_BODY, Flow, TooLong
-from orchidferry.request import Message
+from orchidferry.balancing.interface import Result
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import Address, now_ms
+from orchidferry.node.flow import LONG_BODY, SHORT_BODY, Flow, TooLong
+from orchidferry.node.request import Message
 
 MAX_BODY = SHORT_BODY
 MAX_HEAD = 16 * 1024
@@ -54,9 +54,17 @@
     """
 
     __slots__ = (
-        "_alarm", "_alarms", "_cancel_io", "address", "message", "more", "over", "server", "timeout_ms",
+        "_alarm",
+        "_alarms",
+        "_cancel_io",
+        "address",
+        "message",
+        "more",
+        "over",
+        "server",
+        "timeout_ms",
         "written",
-    )  # fmt: skip
+    )
 
     def __init__(self, message: Message, server: int, address: Address, timeout_ms: float) -> None:
         self.message, self.server, self.address, self.timeout_ms = message, server, address, timeout_ms
@@ -141,14 +149,18 @@
 ) -> bytes:
     """A request as it goes to a server, in one piece; its budget is what is left for this attempt."""
     return b"%b %b HTTP/1.1\r\nHost: %b:%d\r\nX-Call-Id: %b\r\nX-Budget: %.3f\r\n%b%b%b%b\r\n%b" % (
-        message.method, message.target, address[0].encode(), address[1], message.id.encode(),
+        message.method,
+        message.target,
+        address[0].encode(),
+        address[1],
+        message.id.encode(),
         timeout_ms / 1000.0,
         b"Idempotency-Key: %b\r\n" % message.key if message.key is not None else b"",
         b"Content-Type: %b\r\n" % message.content_type if message.content_type is not None else b"",
         framing(message),
         b"".join([b"%b: %b\r\n" % header for header in more]) if more else b"",
         message.body,
-    )  # fmt: skip
+    )
 
 
 def result_of(status: int, rejected: bool) -> Result:
@@ -177,11 +189,35 @@
     """A connection to a server, which carries one attempt at a time."""
 
     __slots__ = (
-        "_attempt", "_body", "_complete", "_framings", "_head", "_in_body", "_keep", "_lost", "_parser",
-        "_paused", "_poll", "_pool", "_rejected", "_report", "_size", "_spoilt", "_status", "_transport",
-        "_answer_flow", "_chain", "_length", "_to_close", "_type", "_upload", "_uploaded_s", "address",
-        "idle_since", "server",
-    )  # fmt: skip
+        "_attempt",
+        "_body",
+        "_complete",
+        "_framings",
+        "_head",
+        "_in_body",
+        "_keep",
+        "_lost",
+        "_parser",
+        "_paused",
+        "_poll",
+        "_pool",
+        "_rejected",
+        "_report",
+        "_size",
+        "_spoilt",
+        "_status",
+        "_transport",
+        "_answer_flow",
+        "_chain",
+        "_length",
+        "_to_close",
+        "_type",
+        "_upload",
+        "_uploaded_s",
+        "address",
+        "idle_since",
+        "server",
+    )
 
     held_most = MAX_BODY  # bytes of an answer that are read whole; a longer one flows
 
--- a/rehearsal/bench/__init__.py
+++ b/orchidferry/testkit/bench/__init__.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from rehearsal.scenario import BadScenario, load_scenario
+from orchidferry.testkit.scenario import BadScenario, load_scenario
 
 GIB = 1024**3
 MODULES = (
@@ -60,9 +60,11 @@
         raise ValueError(f"--runs {args.runs}: not within 1 to 100")
     print(f"{args.what}: {machine()}", flush=True)
     if args.what in MODULES:  # each brings what it needs only where it is asked for
-        rows: list[dict[str, Any]] = importlib.import_module(f"rehearsal.bench.{args.what}").main(args)
+        rows: list[dict[str, Any]] = importlib.import_module(f"orchidferry.testkit.bench.{args.what}").main(
+            args
+        )
         return rows
-    from rehearsal.bench import kit
+    from orchidferry.testkit.bench import kit
 
     if scenario is None:
         return kit.capacity()
--- a/rehearsal/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -15,20 +15,20 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.settings import read_settings
-from nickelbridge.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.collector import settle
-from orchidferry.config import Config, Listing
-from orchidferry.control.link import Link
-from orchidferry.control.messages import node_message, pool_message
-from orchidferry.control.pipe import Teller
-from orchidferry.control.settings import Control
-from orchidferry.node import Node
-from rehearsal.bench.forward import Bench, ask_all, cpu_s, rss_kb, scenario
-from rehearsal.control.service import Service
-from rehearsal.world.addresses import claim
-from rehearsal.world.nodes import settings
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.settings import read_settings
+from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.node.collector import settle
+from orchidferry.node.config import Config, Listing
+from orchidferry.node.control.link import Link
+from orchidferry.node.control.messages import node_message, pool_message
+from orchidferry.node.control.pipe import Teller
+from orchidferry.node.control.settings import Control
+from orchidferry.node.node import Node
+from orchidferry.testkit.bench.forward import Bench, ask_all, cpu_s, rss_kb, scenario
+from orchidferry.testkit.control.service import Service
+from orchidferry.testkit.world.addresses import claim
+from orchidferry.testkit.world.nodes import settings
 
 SIZES = (10, 1_000, 10_000)
 TURNS = 12  # of one size: the first is a whole pool, each further one changes a tenth
@@ -105,9 +105,13 @@
                 cpu = cpu_s(process.pid) - before
                 row = await asking
                 row |= {
-                    "what": what, "members": count, "saved": keep, "latency_ms": took * 1e3,
-                    "cpu_ms": cpu * 1e3, "rss_kb": rss_kb(process.pid),
-                }  # fmt: skip
+                    "what": what,
+                    "members": count,
+                    "saved": keep,
+                    "latency_ms": took * 1e3,
+                    "cpu_ms": cpu * 1e3,
+                    "rss_kb": rss_kb(process.pid),
+                }
                 rows.append(row)
                 print(
                     f"{count:6} members, {'saved' if keep else 'unsaved'}, {what:16} acknowledged after "
@@ -153,8 +157,16 @@
         longest[0], longest[1] = max(longest[0], took), longest[1] + took
 
     settle()
-    config = Config("bench", ("127.0.0.1", 0), ("127.0.0.1", 1), 1, 1000, 64.0, Listing(0, True, [], {}),
-                    versions(1, 0).node.settings)  # fmt: skip
+    config = Config(
+        "bench",
+        ("127.0.0.1", 0),
+        ("127.0.0.1", 1),
+        1,
+        1000,
+        64.0,
+        Listing(0, True, [], {}),
+        versions(1, 0).node.settings,
+    )
     node = Node(config, loop)
     control = Control(("127.0.0.1", 1), "n0", "", (POOL,), "n0", None, 1.0)
     link, teller, rows = Link(control, config.settings, node, loop), Teller(), []
--- a/rehearsal/bench/bare.py
+++ b/orchidferry/testkit/bench/bare.py
@@ -1,7 +1,7 @@
 """A bare forwarder on the node's own libraries: uvloop, httptools, kept connections, the next server in turn.
 
 What `bench forward` measures the node against: it decides nothing, holds no deadline and retries nothing.
-`python -m rehearsal.bench.bare HOST:PORT SERVER...`
+`python -m orchidferry.testkit.bench.bare HOST:PORT SERVER...`
 """
 
 from __future__ import annotations
--- a/rehearsal/bench/chain.py
+++ b/orchidferry/testkit/bench/chain.py
@@ -7,10 +7,10 @@
 from dataclasses import replace
 from typing import Any
 
-from nickelbridge.chain import Chain, Limits
-from nickelbridge.interface import Result
-from orchidferry.chain.wire import Wire
-from rehearsal.model.chains import Model, World
+from orchidferry.balancing.chain import Chain, Limits
+from orchidferry.balancing.interface import Result
+from orchidferry.node.chain.wire import Wire
+from orchidferry.testkit.model.chains import Model, World
 
 ROUNDS = 20_000
 
@@ -50,11 +50,16 @@
     per = [a / firsts for a in out.attempts_stalled]
     last = [sum(out.served[-5:]), max(1, sum(out.wanted[-5:]))]
     row = {
-        "what": "stall", "on": world.on, "seed": world.seed, "servers": sum(map(len, model._tiers)),
-        "per_second": model.rate, "per_first_try": per,
+        "what": "stall",
+        "on": world.on,
+        "seed": world.seed,
+        "servers": sum(map(len, model._tiers)),
+        "per_second": model.rate,
+        "per_first_try": per,
         "amplified": [p / world.fan**n for n, p in enumerate(per)],
-        "back_after_s": out.back_after_s(world.stall[1]), "served_at_end": last[0] / last[1],
-    }  # fmt: skip
+        "back_after_s": out.back_after_s(world.stall[1]),
+        "served_at_end": last[0] / last[1],
+    }
     tiers = ", ".join(f"{a:.2f}" for a in row["amplified"])
     back = row["back_after_s"]
     print(
--- a/rehearsal/bench/decisions.py
+++ b/orchidferry/testkit/bench/decisions.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.logic import Balancer
 
 SIZES = (10, 100, 1_000, 10_000)
 COPIES = (1, 50)
@@ -43,9 +43,15 @@
         )
         pay = api.RequestClass("repasse-socio", 2500.0, 6000.0, 8.0)
         settings = api.Settings(
-            [read, save, pay], nodes=copies, max_attempts=3, tick_ms=5.0, drain_grace_ms=1000.0,
-            start_capacity=0.34, ramp_time_ms=8500.0, overload_factor=3.0,
-        )  # fmt: skip
+            [read, save, pay],
+            nodes=copies,
+            max_attempts=3,
+            tick_ms=5.0,
+            drain_grace_ms=1000.0,
+            start_capacity=0.34,
+            ramp_time_ms=8500.0,
+            overload_factor=3.0,
+        )
         self.rng = random.Random(1)
         self.ids = [self.rng.getrandbits(64) for _ in range(servers)]
         self.cells = max(1, servers // 8)
@@ -135,10 +141,15 @@
         bench.change(n)
         times.append(bench.spent_s - before)
     return {
-        "servers": servers, "copies": copies, "state": trouble, "requests": done,
-        "request_us": request_us, "change_ms": statistics.median(times) * 1e3,
-        "change_most_ms": max(times) * 1e3, "list_event_most_ms": list_ms,
-    }  # fmt: skip
+        "servers": servers,
+        "copies": copies,
+        "state": trouble,
+        "requests": done,
+        "request_us": request_us,
+        "change_ms": statistics.median(times) * 1e3,
+        "change_most_ms": max(times) * 1e3,
+        "list_event_most_ms": list_ms,
+    }
 
 
 def rows(requests: int, against: str | None) -> list[dict[str, Any]]:
@@ -173,8 +184,11 @@
 
 def main(args: argparse.Namespace) -> list[dict[str, Any]]:
     """The command; its figures."""
-    if args.against is not None and not (Path(args.against) / "nickelbridge" / "logic.py").is_file():
-        raise ValueError(f"--against {args.against}: holds no nickelbridge/logic.py")
+    if (
+        args.against is not None
+        and not (Path(args.against) / "orchidferry" / "balancing" / "logic.py").is_file()
+    ):
+        raise ValueError(f"--against {args.against}: holds no orchidferry/balancing/logic.py")
     return rows(args.requests, args.against)
 
 
