--- a/rehearsal/bench/drawn_days.py
+++ b/orchidferry/testkit/bench/drawn_days.py
@@ -1,4 +1,5 @@
-"""Days of trouble for the operators' bench, drawn by a seed: `python -m rehearsal.bench.drawn_days SITE DIR`.
+"""Days of trouble for the operators' bench, drawn by a seed: `python -m orchidferry.testkit.bench.drawn_days
+SITE DIR`.
 
 Each file holds one day, written as a `[[day]]` of the site file SITE is. A day has a theme, one for each of
 the ways in which control has failed elsewhere, and other troubles beside it, so that several come together
@@ -18,10 +19,21 @@
 
 Entry = dict[str, Any]  # one trouble of a day, in the fields of the bench
 
-PLANNED_KINDS = frozenset({
-    "bad_config", "big_config", "config_change", "config_race", "config_storm", "hup", "release", "roll_term",
-    "scale_in", "scale_out", "seed_turnover",
-})  # fmt: skip
+PLANNED_KINDS = frozenset(
+    {
+        "bad_config",
+        "big_config",
+        "config_change",
+        "config_race",
+        "config_storm",
+        "hup",
+        "release",
+        "roll_term",
+        "scale_in",
+        "scale_out",
+        "seed_turnover",
+    }
+)
 CONTRACTS = {"idle_race": "pool", "srv_flap": "health"}  # kinds that a site has only under a contract
 FIRST_S = 1.5  # from the start of traffic to the first trouble
 TARGET = ("leader", "reader", "turn", "seed", "")  # which machine a trouble of the core strikes
@@ -91,13 +103,19 @@
     "after_ack_kill": _acknowledged_loss,
     "after_ack_wipe": _wipe,
     "answer_lost": lambda rng: {
-        "share": 0.5, "x": between(rng, 0.01, 0.05), "for_s": 5.0, "how": rng.choice(("", "reset")),
+        "share": 0.5,
+        "x": between(rng, 0.01, 0.05),
+        "for_s": 5.0,
+        "how": rng.choice(("", "reset")),
     },
     "bad_config": lambda rng: {"count": rng.randint(1, 5), "gap_s": 0.5, "how": rng.choice(INVALID)},
     "big_config": lambda rng: {"count": rng.choice((100, 350))},
     "burst": lambda rng: {"x": between(rng, 1.3, 2), "for_s": 3.0},
     "clock_step": lambda rng: {
-        "share": 0.4, "x": between(rng, 1000, 6000), "for_s": 5.0, "how": rng.choice(("", "back", "ahead")),
+        "share": 0.4,
+        "x": between(rng, 1000, 6000),
+        "for_s": 5.0,
+        "how": rng.choice(("", "back", "ahead")),
     },
     "config_change": lambda rng: {"how": rng.choice(CHANGE)},
     "config_race": lambda rng: {"count": rng.randint(2, 8), "gap_s": between(rng, 0.2, 1.2)},
@@ -107,28 +125,39 @@
     "disk_slow": lambda rng: {"count": rng.randint(1, 2), "x": 30.0, "for_s": between(rng, 2, 8)},
     "disk_stall": lambda rng: {"count": rng.randint(1, 2), "for_s": between(rng, 1, 6)},
     "garble": lambda rng: {
-        "share": 0.5, "x": 0.03, "for_s": 5.0, "how": rng.choice(SPOILT),
+        "share": 0.5,
+        "x": 0.03,
+        "for_s": 5.0,
+        "how": rng.choice(SPOILT),
     },
     "give_up": lambda rng: {"share": 0.2, "for_s": 5.0},
-    "herd_kill": lambda rng: rng.choice((
-        {"share": between(rng, 0.3, 0.8), "for_s": 2.0, "how": rng.choice(("", "power"))},
-        {"on": "core", "share": 1.0, "for_s": 1.0, "how": "taken"},
-        {"on": "core", "share": 1.0, "for_s": 1.0},
-    )),
+    "herd_kill": lambda rng: rng.choice(
+        (
+            {"share": between(rng, 0.3, 0.8), "for_s": 2.0, "how": rng.choice(("", "power"))},
+            {"on": "core", "share": 1.0, "for_s": 1.0, "how": "taken"},
+            {"on": "core", "share": 1.0, "for_s": 1.0},
+        )
+    ),
     "hup": lambda rng: {"share": 0.4, "gap_s": 1.0},
     "idle_race": lambda rng: {"share": 0.5, "x": 300.0, "for_s": 6.0},
     "node_cut": lambda rng: {
-        "share": 0.15, "for_s": between(rng, 2, 8), "how": rng.choice(("", "all", "servers", "reset")),
+        "share": 0.15,
+        "for_s": between(rng, 2, 8),
+        "how": rng.choice(("", "all", "servers", "reset")),
     },
-    "node_freeze": lambda rng: rng.choice((
-        {"share": 0.15, "for_s": between(rng, 0.5, 6)},
-        {"on": "core", "count": 1, "for_s": between(rng, 0.5, 6), "how": words(rng, TARGET, MEANWHILE)},
-    )),
+    "node_freeze": lambda rng: rng.choice(
+        (
+            {"share": 0.15, "for_s": between(rng, 0.5, 6)},
+            {"on": "core", "count": 1, "for_s": between(rng, 0.5, 6), "how": words(rng, TARGET, MEANWHILE)},
+        )
+    ),
     "node_kill": lambda rng: rng.choice((_core_kill(rng), {"share": 0.2, "for_s": 3.0})),
-    "node_slow": lambda rng: rng.choice((
-        {"share": 0.15, "x": 5.0, "for_s": 5.0},
-        {"on": "core", "count": 1, "x": 5.0, "for_s": 5.0, "how": words(rng, TARGET)},
-    )),
+    "node_slow": lambda rng: rng.choice(
+        (
+            {"share": 0.15, "x": 5.0, "for_s": 5.0},
+            {"on": "core", "count": 1, "x": 5.0, "for_s": 5.0, "how": words(rng, TARGET)},
+        )
+    ),
     "release": lambda rng: {"share": 0.5, "x": float(rng.randint(1, 4)), "gap_s": 1.0},
     "replace_core": _replacement,
     "replace_with_reuse": lambda rng: {"share": 0.15, "how": rng.choice(("drain", "dark", ""))},
@@ -139,7 +168,7 @@
     "seed_turnover": lambda rng: {},
     "srv_crash": lambda rng: {"share": 0.12, "for_s": 4.0, "how": rng.choice(("dark", "gone", ""))},
     "srv_flap": lambda rng: {"share": 0.1, "gap_s": 1.4, "for_s": 6.0},
-}  # fmt: skip
+}
 
 # The troubles of each theme, at least; `core_cut 20` is one of 20 seconds from early on.
 THEMES: dict[str, tuple[str, ...]] = {
@@ -151,10 +180,14 @@
     "any": (),
 }
 CLOSINGS = (
-    {"kind": "power_off_all"}, {"kind": "kill_all"}, {"kind": "wipe_after_ack"},
-    {"kind": "wipe_after_ack", "how": "timed"}, {"kind": "wipe_after_ack", "how": "taken"},
-    {"kind": "wipe_after_ack", "how": "oldest"}, {"kind": "power_off_all", "how": "timed"},
-)  # fmt: skip
+    {"kind": "power_off_all"},
+    {"kind": "kill_all"},
+    {"kind": "wipe_after_ack"},
+    {"kind": "wipe_after_ack", "how": "timed"},
+    {"kind": "wipe_after_ack", "how": "taken"},
+    {"kind": "wipe_after_ack", "how": "oldest"},
+    {"kind": "power_off_all", "how": "timed"},
+)
 
 
 def troubles(theme: str, length_s: float, contracts: Collection[str], rng: random.Random) -> Iterator[Entry]:
--- a/rehearsal/bench/fleet.py
+++ b/orchidferry/testkit/bench/fleet.py
@@ -14,7 +14,7 @@
 
 from rich.console import Console
 
-from rehearsal.scenario import load_scenario
+from orchidferry.testkit.scenario import load_scenario
 
 RUN_S = 180.0  # that one may take
 
@@ -24,9 +24,19 @@
     out = folder / f"{scenario}-{seed}-{off}.json"
     more = ["--no-fleet"] if off else []
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rehearsal.cli", "rehearse", scenario, "--seed", str(seed), "--json", str(out),
-        *more, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "orchidferry.testkit.cli",
+        "rehearse",
+        scenario,
+        "--seed",
+        str(seed),
+        "--json",
+        str(out),
+        *more,
+        stdout=asyncio.subprocess.DEVNULL,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
     try:
         await asyncio.wait_for(process.wait(), RUN_S)
     except TimeoutError:
@@ -57,15 +67,20 @@
         return {"mean": round(statistics.mean(values), 4), "stdev": round(spread, 4), "runs": len(values)}
 
     return {
-        "scenario": scenario, "runs": len(found), "void_or_cut": len(found) - len(whole),
+        "scenario": scenario,
+        "runs": len(found),
+        "void_or_cut": len(found) - len(whole),
         "rules_broken": sum(not rule["held"] for one in whole for rule in one["rules"].values()),
         "problems": [f"seed {one['seed']}: {text}" for one in on for text in one["fleet"]["problems"]],
         "views_agree_after_s": worst("views_agree_after_s"),
         "false_deaths": sum(fleet["false_deaths"] for fleet in fleets),
-        "false_longest_s": worst("false_longest_s"), "known_dead_p50_s": worst("known_dead_p50_s"),
-        "known_dead_p99_s": worst("known_dead_p99_s"), "bytes_a_node_s": worst("bytes_a_node_s"),
-        "service_on": service(on), "service_off": service(off),
-    }  # fmt: skip
+        "false_longest_s": worst("false_longest_s"),
+        "known_dead_p50_s": worst("known_dead_p50_s"),
+        "known_dead_p99_s": worst("known_dead_p99_s"),
+        "bytes_a_node_s": worst("bytes_a_node_s"),
+        "service_on": service(on),
+        "service_off": service(off),
+    }
 
 
 async def _all(args: argparse.Namespace, console: Console) -> list[dict[str, Any]]:
--- a/rehearsal/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -22,15 +22,15 @@
 
 import uvloop
 
-from rehearsal.exchange import body_of, message
-from rehearsal.process import monotonic_at
-from rehearsal.scenario import Scenario, read_scenario
-from rehearsal.wire import Address, Outcome, Pool, Request, ServerSide, get
-from rehearsal.world.addresses import Block, claim
-from rehearsal.world.nodes import http3_text, settings
+from orchidferry.testkit.exchange import body_of, message
+from orchidferry.testkit.process import monotonic_at
+from orchidferry.testkit.scenario import Scenario, read_scenario
+from orchidferry.testkit.wire import Address, Outcome, Pool, Request, ServerSide, get
+from orchidferry.testkit.world.addresses import Block, claim
+from orchidferry.testkit.world.nodes import http3_text, settings
 
 if TYPE_CHECKING:
-    from rehearsal.quic.certs import Files
+    from orchidferry.testkit.quic.certs import Files
 
 SIZES = (10, 1_000)
 WARM_S = 2.0  # of load before what counts: connections come up, the node learns
@@ -60,7 +60,7 @@
             lambda: ServerSide(requested, lambda _: None, lambda _: None), host, port, backlog=256
         )
         if files is not None:
-            from rehearsal.quic.server import H3Server
+            from orchidferry.testkit.quic.server import H3Server
 
             await H3Server(files, requested, lambda _: None, lambda _: None).start((host, port))
     print("ready", flush=True)
@@ -93,9 +93,14 @@
 
 
 async def ask_all(
-    address: Address, rate: float, seconds: float, mix: bool, tag: str, pool: Any = None,
+    address: Address,
+    rate: float,
+    seconds: float,
+    mix: bool,
+    tag: str,
+    pool: Any = None,
     write: Callable[[int, str], bytes] | None = None,
-) -> dict[str, Any]:  # fmt: skip
+) -> dict[str, Any]:
     """An open loop at one rate; what came back, and how late the asking was. `write`: instead of the mix."""
     one = scenario()
     pool = Pool(lambda _: None) if pool is None else pool
@@ -138,12 +143,14 @@
     late.sort()
     took.sort()
     return {
-        "asked": total, "failed": failed.total(), "why": dict(failed),
+        "asked": total,
+        "failed": failed.total(),
+        "why": dict(failed),
         "late_p99_ms": late[int(0.99 * len(late))] * 1e3,
         "p50_ms": took[len(took) // 2] * 1e3 if took else None,
         "p99_ms": took[int(0.99 * len(took))] * 1e3 if took else None,
         "most_ms": took[-1] * 1e3 if took else None,
-    }  # fmt: skip
+    }
 
 
 class Bench:
@@ -156,10 +163,16 @@
 
     async def start_servers(self, files: Files | None = None) -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rehearsal.bench.forward", "serve", str(self.block.number),
-            str(len(self.servers)), *([str(files.ca.parent)] if files is not None else []),
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "orchidferry.testkit.bench.forward",
+            "serve",
+            str(self.block.number),
+            str(len(self.servers)),
+            *([str(files.ca.parent)] if files is not None else []),
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         self._running.append(process)
         assert process.stdout is not None
         await asyncio.wait_for(process.stdout.readline(), READY_S)
@@ -179,9 +192,12 @@
         env = dict(os.environ)
         if what == "bare":
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "rehearsal.bench.bare", f"{address[0]}:{address[1]}",
+                sys.executable,
+                "-m",
+                "orchidferry.testkit.bench.bare",
+                f"{address[0]}:{address[1]}",
                 stdin=asyncio.subprocess.PIPE,
-            )  # fmt: skip
+            )
             assert process.stdin is not None
             process.stdin.write(" ".join(f"{host}:{port}" for host, port in self.servers).encode())
             process.stdin.close()
@@ -198,9 +214,14 @@
             if python_path is not None:
                 env["PYTHONPATH"] = python_path
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-B", "-m", "orchidferry", env=env, cwd=python_path,
+                sys.executable,
+                "-B",
+                "-m",
+                "orchidferry",
+                env=env,
+                cwd=python_path,
                 stderr=(self.folder / f"node{number}.log").open("wb"),
-            )  # fmt: skip
+            )
         self._running.append(process)
         deadline = time.monotonic() + READY_S
         while time.monotonic() < deadline:
@@ -213,24 +234,43 @@
     def _config(self, address: Address, discovery: Address | None, h3: bool = False) -> dict[str, Any]:
         host, port = discovery or (address[0], 1)  # nobody answers there
         entries = [
-            {"name": f"s{n}", "address": f"{host}:{port}", "zone": "sala-poa", "type": "standin-1c",
-             "group": n // 8, "status": "active", "weight": 1.0, "since_ms": 0,
-             **({"h3": f"{host}:{port}"} if h3 else {})}
+            {
+                "name": f"s{n}",
+                "address": f"{host}:{port}",
+                "zone": "sala-poa",
+                "type": "standin-1c",
+                "group": n // 8,
+                "status": "active",
+                "weight": 1.0,
+                "since_ms": 0,
+                **({"h3": f"{host}:{port}"} if h3 else {}),
+            }
             for n, (host, port) in enumerate(self.servers)
-        ]  # fmt: skip
+        ]
         return {
-            "name": "n0", "listen": f"{address[0]}:{address[1]}", "discovery": f"{host}:{port}", "seed": "7",
+            "name": "n0",
+            "listen": f"{address[0]}:{address[1]}",
+            "discovery": f"{host}:{port}",
+            "seed": "7",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
             "known": {"index": 1, "snapshot": True, "endpoints": entries},
             "settings": settings(scenario(), 0, 1, 0),
-        }  # fmt: skip
+        }
 
     async def ask_elsewhere(self, address: Address, rate: float, seconds: float, tag: str) -> dict[str, Any]:
         """The same as `ask_all`, for reads, in a process of its own."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rehearsal.bench.forward", "ask", address[0], str(address[1]), str(rate),
-            str(seconds), tag, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "orchidferry.testkit.bench.forward",
+            "ask",
+            address[0],
+            str(address[1]),
+            str(rate),
+            str(seconds),
+            tag,
+            stdout=asyncio.subprocess.PIPE,
+        )
         self._running.append(process)
         out, _ = await process.communicate()
         self._running.remove(process)
@@ -258,9 +298,12 @@
     result = await ask_all(address, rate, seconds, mix, "m")
     spent = cpu_s(process.pid) - before
     result |= {
-        "what": what, "rate": rate, "cpu_us": spent / result["asked"] * 1e6,
-        "cpu_share": spent / (time.monotonic() - began), "rss_kb": rss_kb(process.pid),
-    }  # fmt: skip
+        "what": what,
+        "rate": rate,
+        "cpu_us": spent / result["asked"] * 1e6,
+        "cpu_share": spent / (time.monotonic() - began),
+        "rss_kb": rss_kb(process.pid),
+    }
     await bench.stop(process)
     return result
 
@@ -289,13 +332,20 @@
         cpu = statistics.median(row["cpu_us"] for row in some)
         late = max(row["late_p99_ms"] for row in some)
         row = {
-            "what": what, "servers": servers, "rate": rate, "mix": mix, "turns": turns, "cpu_us": cpu,
-            "ratio": cpu / bare, "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in some),
+            "what": what,
+            "servers": servers,
+            "rate": rate,
+            "mix": mix,
+            "turns": turns,
+            "cpu_us": cpu,
+            "ratio": cpu / bare,
+            "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in some),
             "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in some),
-            "failed": sum(row["failed"] for row in some), "late_p99_ms": late,
+            "failed": sum(row["failed"] for row in some),
+            "late_p99_ms": late,
             "rss_kb": max(row["rss_kb"] for row in some),
             "most_per_s": 1e6 / cpu,
-        }  # fmt: skip
+        }
         rows.append(row)
         print(
             f"{servers:6} servers, {rate:g}/s, {'mix' if mix else 'reads'}: {what:6} {cpu:7.1f} us of CPU a "
@@ -312,10 +362,10 @@
     """The command; its figures."""
     if not 1.0 <= args.rate <= 20_000.0 or not 0.5 <= args.seconds <= 600.0 or not 1 <= args.turns <= 50:
         raise ValueError("--rate must be within 1 to 20000, --seconds 0.5 to 600, --turns 1 to 50")
-    if args.against is not None and not (Path(args.against) / "orchidferry" / "node.py").is_file():
-        raise ValueError(f"--against {args.against}: holds no orchidferry/node.py")
+    if args.against is not None and not (Path(args.against) / "orchidferry" / "node" / "node.py").is_file():
+        raise ValueError(f"--against {args.against}: holds no orchidferry/node/node.py")
     if args.protocol == "h3":
-        from rehearsal.bench import quic
+        from orchidferry.testkit.bench import quic
 
         return quic.main(args)
     rows: list[dict[str, Any]] = []
@@ -329,7 +379,7 @@
         claimed = Block(int(sys.argv[2]))
         known = None
         if len(sys.argv) > 4:
-            from rehearsal.quic.certs import Files
+            from orchidferry.testkit.quic.certs import Files
 
             where = Path(sys.argv[4])
             known = Files(where / "ca.pem", where / "server.pem", where / "server.key")
--- a/rehearsal/bench/ingest.py
+++ b/orchidferry/testkit/bench/ingest.py
@@ -20,9 +20,9 @@
 
 from backports import zstd
 
-from rehearsal.traffic import generate
-from rehearsal.traffic.classes import read_classes
-from rehearsal.traffic.importing import Plan, import_files
+from orchidferry.testkit.traffic import generate
+from orchidferry.testkit.traffic.classes import read_classes
+from orchidferry.testkit.traffic.importing import Plan, import_files
 
 SOURCE_S, SOURCE_RATE = 600.0, 100.0  # of the log that is repeated
 SAMPLE_S = 0.05
@@ -72,10 +72,15 @@
         report = import_files(plan, folder / "a.rec", folder / "rejects")
     took_s = time.monotonic() - began
     row = {
-        "what": name, "mb": report.read / 1e6, "requests": report.rows, "took_s": took_s,
-        "mb_s": report.read / 1e6 / took_s, "peak_mb": peak.kb / 1024.0, "workers": workers,
+        "what": name,
+        "mb": report.read / 1e6,
+        "requests": report.rows,
+        "took_s": took_s,
+        "mb_s": report.read / 1e6 / took_s,
+        "peak_mb": peak.kb / 1024.0,
+        "workers": workers,
         "recording_mb": (folder / "a.rec").stat().st_size / 1e6,
-    }  # fmt: skip
+    }
     print(
         f"{name:6} {row['mb']:7.0f} MB, {report.rows:9} requests in {took_s:6.1f} s: "
         f"{row['mb_s']:5.1f} MB/s, {row['peak_mb']:4.0f} MB at most over {workers + 1} processes; "
--- a/rehearsal/bench/kit.py
+++ b/orchidferry/testkit/bench/kit.py
@@ -13,9 +13,9 @@
 
 import uvloop
 
-from rehearsal.judge.verdict import Verdict, judge
-from rehearsal.scenario import Class, Scenario, Tier
-from rehearsal.world.director import Progress, Run, rehearse
+from orchidferry.testkit.judge.verdict import Verdict, judge
+from orchidferry.testkit.scenario import Class, Scenario, Tier
+from orchidferry.testkit.world.director import Progress, Run, rehearse
 
 RUN_S = 8.0  # of load for each size that is tried
 # What a kit can drive is told by short work: long work measures the servers that it plays.
@@ -85,14 +85,18 @@
                 break
             void = verdict.lateness.void or ([run.why] if not run.complete else [])
             row = {
-                "what": what, "rate": scenario.load.rate,
+                "what": what,
+                "rate": scenario.load.rate,
                 "servers": sum(t.servers for t in scenario.tiers),
                 "nodes": scenario.front.nodes + sum(t.servers for t in scenario.tiers[:-1]),
-                "processes": run.processes, "service": verdict.service.whole,
-                "late_p99_ms": verdict.lateness.p99_s * 1000, "stall_ms": verdict.lateness.stall_s * 1000,
-                "starved": verdict.lateness.starved, "void": void,
+                "processes": run.processes,
+                "service": verdict.service.whole,
+                "late_p99_ms": verdict.lateness.p99_s * 1000,
+                "stall_ms": verdict.lateness.stall_s * 1000,
+                "starved": verdict.lateness.starved,
+                "void": void,
                 "broken": verdict.broken,
-            }  # fmt: skip
+            }
             rows.append(row)
             print(
                 f"  {row['rate']:6g}/s, {row['servers']:5} servers, {row['nodes']:4} nodes: "
@@ -112,10 +116,14 @@
     for n in range(runs):
         run, verdict = played(scenario)
         row: dict[str, Any] = {
-            "run": n + 1, "complete": run.complete, "service": verdict.service.whole,
-            "worst_10s": verdict.service.worst_window, "broken": verdict.broken,
-            "attempts": verdict.per_client_request, "void": verdict.lateness.void,
-        }  # fmt: skip
+            "run": n + 1,
+            "complete": run.complete,
+            "service": verdict.service.whole,
+            "worst_10s": verdict.service.worst_window,
+            "broken": verdict.broken,
+            "attempts": verdict.per_client_request,
+            "void": verdict.lateness.void,
+        }
         rows.append(row)
         print(
             f"  run {n + 1}: service {row['service']:.4f}, worst 10 s {row['worst_10s']:.4f}, "
@@ -143,17 +151,22 @@
         )
         verdicts = [played(one)[1] for _ in range(runs)]
         row: dict[str, Any] = {
-            "node_attempts": attempts, "client_retries": asked_again,
+            "node_attempts": attempts,
+            "client_retries": asked_again,
             "service": statistics.mean(v.service.whole or 0.0 for v in verdicts),
             "worst_10s": statistics.mean(v.service.worst_window or 0.0 for v in verdicts),
             "attempts": statistics.mean(v.per_client_request for v in verdicts),
-            "p99_ms": {name: statistics.mean(v.service.classes[name].quantile_ms(99.0) for v in verdicts)
-                       for name in verdicts[0].service.classes},
+            "p99_ms": {
+                name: statistics.mean(v.service.classes[name].quantile_ms(99.0) for v in verdicts)
+                for name in verdicts[0].service.classes
+            },
             "broken": sorted({name for v in verdicts for name in v.broken}),
-        }  # fmt: skip
+        }
         rows.append(row)
-        print(f"  attempts of a node {attempts}, retries of a client {asked_again}: service "
-              f"{row['service']:.4f}, worst 10 s {row['worst_10s']:.4f}, {row['attempts']:.2f} attempts a "
-              f"request, p99 {', '.join(f'{n} {v:.0f} ms' for n, v in row['p99_ms'].items())}",
-              flush=True)  # fmt: skip
+        print(
+            f"  attempts of a node {attempts}, retries of a client {asked_again}: service "
+            f"{row['service']:.4f}, worst 10 s {row['worst_10s']:.4f}, {row['attempts']:.2f} attempts a "
+            f"request, p99 {', '.join(f'{n} {v:.0f} ms' for n, v in row['p99_ms'].items())}",
+            flush=True,
+        )
     return rows
--- a/rehearsal/bench/libraries.py
+++ b/orchidferry/testkit/bench/libraries.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from rehearsal.bench.forward import rss_kb
-from rehearsal.quic import certs
+from orchidferry.testkit.bench.forward import rss_kb
+from orchidferry.testkit.quic import certs
 
 LIBRARIES = ("aioquic", "qh3")
 BODY = b"x" * 1_000
@@ -89,9 +89,13 @@
             stream = self.client.get_next_available_stream_id()
             got[stream] = 0
             headers = [
-                (b":method", b"GET"), (b":scheme", b"https"), (b":authority", b"a"), (b":path", b"/ler-feed"),
-                (b"x-call-id", b"%d" % stream), (b"x-budget", b"2.000"),
-            ]  # fmt: skip
+                (b":method", b"GET"),
+                (b":scheme", b"https"),
+                (b":authority", b"a"),
+                (b":path", b"/ler-feed"),
+                (b"x-call-id", b"%d" % stream),
+                (b"x-budget", b"2.000"),
+            ]
             self._http[0].send_headers(stream, headers, end_stream=True)
         while True:
             for event in self._move():
@@ -151,5 +155,5 @@
                 f"{row['us_100']:.0f} us by a hundred, both sides; a handshake {row['handshake_us']:.0f} us; "
                 f"{row['kb_a_pair']:.0f} KB a pair of connections; {row['unanswered']} unanswered",
                 flush=True,
-            )  # fmt: skip
+            )
     return rows
--- a/rehearsal/bench/lists.py
+++ b/orchidferry/testkit/bench/lists.py
@@ -16,10 +16,10 @@
 
 import uvloop
 
-from rehearsal.bench.forward import Bench, ask_all, rss_kb
-from rehearsal.record import Recorder
-from rehearsal.world.addresses import Block, claim
-from rehearsal.world.discovery import DiscoveryService, Listed
+from orchidferry.testkit.bench.forward import Bench, ask_all, rss_kb
+from orchidferry.testkit.record import Recorder
+from orchidferry.testkit.world.addresses import Block, claim
+from orchidferry.testkit.world.discovery import DiscoveryService, Listed
 
 SIZES = (10, 1_000, 10_000)
 REAL, RATE, LOOK_S = 10, 200.0, 4.0
--- a/rehearsal/bench/members.py
+++ b/orchidferry/testkit/bench/members.py
@@ -8,12 +8,12 @@
 import time
 from typing import Any
 
-from nickelbridge.fleet import messages as api
-from nickelbridge.fleet.members import Status
-from nickelbridge.fleet.suspicion import Timing, bounds_ms
-from rehearsal.judge.fleet import quantile
-from rehearsal.model.fleet import Net
-from rehearsal.world.links import LinkFault
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet.members import Status
+from orchidferry.balancing.fleet.suspicion import Timing, bounds_ms
+from orchidferry.testkit.judge.fleet import quantile
+from orchidferry.testkit.model.fleet import Net
+from orchidferry.testkit.world.links import LinkFault
 
 DEATH_S = 3.0  # of the run, when the node dies
 FIRST = math.e / (math.e - 1.0)  # SWIM's expected intervals until some node's probe finds a death
@@ -58,15 +58,21 @@
         return None if value is None else round(value, 2)
 
     return {
-        "nodes": nodes, "loss": loss, "seed": seed, "known_by": len(known), "of": nodes - 1,
+        "nodes": nodes,
+        "loss": loss,
+        "seed": seed,
+        "known_by": len(known),
+        "of": nodes - 1,
         "first_suspected_s": round(first, 2) if first < math.inf else None,
-        "known_p50_s": at(0.5), "known_p99_s": at(0.99), "known_last_s": at(1.0),
+        "known_p50_s": at(0.5),
+        "known_p99_s": at(0.99),
+        "known_last_s": at(1.0),
         "false_deaths_a_node_hour": round(len(false) / node_s * 3600.0, 3),
         "suspicions_seen_a_node_hour": round(suspected / node_s * 3600.0, 1),
         "messages_a_node_s": round(sum(node.sent for node in net.nodes.values()) / node_s, 2),
         "bytes_a_node_s": round(sum(node.bytes for node in net.nodes.values()) / node_s, 1),
         "wall_s": round(time.monotonic() - began, 1),
-    }  # fmt: skip
+    }
 
 
 def plot(results: list[dict[str, Any]], path: str) -> None:
--- a/rehearsal/bench/mesh.py
+++ b/orchidferry/testkit/bench/mesh.py
@@ -20,14 +20,14 @@
 
 import uvloop
 
-from rehearsal.bench import forward
-from rehearsal.bench.forward import ask_all
-from rehearsal.bench.mesh_fleet import FEED, HOST, SAVE, Fleet, Meter, disk_sync_ms, written_bytes
-from rehearsal.exchange import message
-from rehearsal.mesh.day import Machine
-from rehearsal.mesh.processes import missing
-from rehearsal.stop_signals import until_stopped
-from rehearsal.wire import Address, Outcome
+from orchidferry.testkit.bench import forward
+from orchidferry.testkit.bench.forward import ask_all
+from orchidferry.testkit.bench.mesh_fleet import FEED, HOST, SAVE, Fleet, Meter, disk_sync_ms, written_bytes
+from orchidferry.testkit.exchange import message
+from orchidferry.testkit.mesh.day import Machine
+from orchidferry.testkit.mesh.processes import missing
+from orchidferry.testkit.stop_signals import until_stopped
+from orchidferry.testkit.wire import Address, Outcome
 
 Row = dict[str, Any]
 RATES = (150.0, 500.0)  # claims a second that are offered
@@ -52,7 +52,7 @@
 ZONES, SEED = 3, 1  # of the model
 VIRTUAL_CHANGES = 20  # of each
 WIDE = 50.0  # times the least median of a panel
-MODEL = "rehearsal.bench.mesh_news"
+MODEL = "orchidferry.testkit.bench.mesh_news"
 
 
 def quantile(values: Sequence[float], q: float) -> float:
@@ -70,10 +70,15 @@
     if not values:
         raise ValueError(f"{what}: {name}: nothing was measured")
     made = {
-        "what": what, "name": name, "unit": unit, "min": round(min(values), 4),
-        "median": round(statistics.median(values), 4), "max": round(max(values), 4),
-        "of": len(values), **more,
-    }  # fmt: skip
+        "what": what,
+        "name": name,
+        "unit": unit,
+        "min": round(min(values), 4),
+        "median": round(statistics.median(values), 4),
+        "max": round(max(values), 4),
+        "of": len(values),
+        **more,
+    }
     notes = "".join(f"; {key} {value}" for key, value in more.items() if key != "broken")
     print(
         f"  {name:58} {made['median']:>10.5g} {unit} ({made['min']:.5g} to {made['max']:.5g}, "
@@ -99,22 +104,37 @@
     wrote = [b for load in loads for b in load["written"]]  # nothing where the disk is of memory
     most = SHARE / statistics.median(cpu) * 1e6
     return [
-        row("claims", f"{name}: granted", "a second", busy,
+        row(
+            "claims",
+            f"{name}: granted",
+            "a second",
+            busy,
             controller_busy=f"{max(s for load in loads for s in load['controller_share']):.0%}",
             claimer_busy=f"{max(load['cpu_s'] / load['seconds'] for load in loads):.0%}",
-            waited_for_a_core=f"{max(load['waited'] for load in loads):.0%}", **lost),
+            waited_for_a_core=f"{max(load['waited'] for load in loads):.0%}",
+            **lost,
+        ),
         row("claims", f"{name}: CPU of a controller", "us a claim", cpu, core_machine=f"{most:.0f}/s"),
         row("claims", f"{name}: p50", "ms", [quantile(t, 0.5) for t in took if t]),
-        row("claims", f"{name}: p99", "ms", [quantile(t, 0.99) for t in took if t],
-            asked_late_p99_ms=round(late, 2)),
+        row(
+            "claims",
+            f"{name}: p99",
+            "ms",
+            [quantile(t, 0.99) for t in took if t],
+            asked_late_p99_ms=round(late, 2),
+        ),
         *([row("claims", f"{name}: written to disk", "bytes a claim", wrote)] if any(wrote) else []),
-    ]  # fmt: skip
+    ]
 
 
 async def claims(
-    seconds: float, turns: int, groups: Sequence[int] = (1, 3), rates: Sequence[float] = RATES,
-    disks: Sequence[str] = (MEMORY, OWN), most: bool = True,
-) -> list[Row]:  # fmt: skip
+    seconds: float,
+    turns: int,
+    groups: Sequence[int] = (1, 3),
+    rates: Sequence[float] = RATES,
+    disks: Sequence[str] = (MEMORY, OWN),
+    most: bool = True,
+) -> list[Row]:
     """Keys claimed of one controller and of three, at rates and as fast as they go; each turn with new disks.
 
     The disk is of memory, with a commit 1 ms longer, as a core machine's is; the largest group's also the
@@ -139,9 +159,14 @@
                         pids = fleet.pids(fleet.cores)
                         meter, wrote = Meter(pids), [written_bytes(pid) for pid in pids]
                         load = await fleet.load(
-                            claimer, tag=name, rate=rate, seconds=seconds, at_once=AT_ONCE,
-                            count=MOST_CLAIMS, answer=answer,
-                        )  # fmt: skip
+                            claimer,
+                            tag=name,
+                            rate=rate,
+                            seconds=seconds,
+                            at_once=AT_ONCE,
+                            count=MOST_CLAIMS,
+                            answer=answer,
+                        )
                         spent, load["waited"] = meter.read()
                         count = max(1, load["granted"])
                         load["controller_us"] = [s / count * 1e6 for s in spent]
@@ -257,8 +282,16 @@
             more["each_controller_us"] = round(
                 statistics.median(k for one in some for k in one["controller_us"]), 1
             )
-        rows.append(row("requests", f"{name}: CPU", "us a request", total,
-                        ratio=round(statistics.median(total) / bare, 2), **more))  # fmt: skip
+        rows.append(
+            row(
+                "requests",
+                f"{name}: CPU",
+                "us a request",
+                total,
+                ratio=round(statistics.median(total) / bare, 2),
+                **more,
+            )
+        )
         rows.append(row("requests", f"{name}: p50", "ms", [one["p50_ms"] or 0.0 for one in some]))
         rows.append(row("requests", f"{name}: p99", "ms", [one["p99_ms"] or 0.0 for one in some]))
     return rows
@@ -285,11 +318,18 @@
             tag = f"{machine.name}-"
             await ask_all(door, 2.0 * REQUESTS, seconds, False, f"r{tag}", write=READS)
             await ask_all(door, REQUESTS, seconds, False, f"k{tag}", write=SAVES)
-        rows.append(row("memory", f"proxy, after {2 * REQUESTS:g}/s reads, {REQUESTS:g}/s keyed: most", "MB",
-                        fleet.peaks(fleet.sidecars)))  # fmt: skip
+        rows.append(
+            row(
+                "memory",
+                f"proxy, after {2 * REQUESTS:g}/s reads, {REQUESTS:g}/s keyed: most",
+                "MB",
+                fleet.peaks(fleet.sidecars),
+            )
+        )
         stored = fleet.stored()
-        load = await fleet.load(claimer, tag="memory", rate=0.0, seconds=28.0, at_once=AT_ONCE, count=KEYS,
-                                answer=0)  # fmt: skip
+        load = await fleet.load(
+            claimer, tag="memory", rate=0.0, seconds=28.0, at_once=AT_ONCE, count=KEYS, answer=0
+        )
         count = load["granted"]
         more = {"broken": True} if count < KEYS else {}
         name = f"controller, after {count:,} keys"
@@ -435,17 +475,24 @@
     from loguru import logger
 
     measure, rows = importlib.import_module(MODEL).measure, []
-    logger.disable("mesh")
+    logger.disable("orchidferry.mesh")
     try:
         for nodes in sizes:
             one = measure(nodes, ZONES, SEED, changes=VIRTUAL_CHANGES)
             name = f"{nodes:,} nodes, virtual time"
             more: Row = {"broken": True, "missed": one.missed} if one.missed else {}
             rows.append(row("news", f"{name}: p50 of the last node", "ms", [one.p50_ms], **more))
-            rows.append(row("news", f"{name}: p99 of the last node", "ms", [one.p99_ms],
-                            controller_bytes=one.controller_bytes))  # fmt: skip
+            rows.append(
+                row(
+                    "news",
+                    f"{name}: p99 of the last node",
+                    "ms",
+                    [one.p99_ms],
+                    controller_bytes=one.controller_bytes,
+                )
+            )
     finally:
-        logger.enable("mesh")
+        logger.enable("orchidferry.mesh")
     return rows
 
 
@@ -453,8 +500,12 @@
 
 
 MEASURES: dict[str, Callable[[float, int], Coroutine[Any, Any, list[Row]]]] = {
-    "claims": claims, "requests": requests, "memory": memory, "bytes": idle, "news": news,
-}  # fmt: skip
+    "claims": claims,
+    "requests": requests,
+    "memory": memory,
+    "bytes": idle,
+    "news": news,
+}
 
 
 def plot(rows: list[Row], path: str) -> None:
@@ -473,8 +524,10 @@
         some = [row for row in rows if row["unit"] == unit]
         at = range(len(some))
         middle = [row["median"] for row in some]
-        spread = [[m - row["min"] for m, row in zip(middle, some, strict=True)],
-                  [row["max"] - m for m, row in zip(middle, some, strict=True)]]  # fmt: skip
+        spread = [
+            [m - row["min"] for m, row in zip(middle, some, strict=True)],
+            [row["max"] - m for m, row in zip(middle, some, strict=True)],
+        ]
         axis.barh(at, middle, xerr=spread, color=[colours[row["what"]] for row in some], alpha=0.7)
         axis.set_yticks(at, [row["name"] for row in some], fontsize=7)
         axis.invert_yaxis()
--- a/rehearsal/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -24,13 +24,13 @@
 
 import cbor2
 
-from rehearsal.mesh.ask import Scene, call
-from rehearsal.mesh.day import Day, Machine, Ports, machines
-from rehearsal.mesh.processes import ROOT, Node
-from rehearsal.mesh.run import free_ports
-from rehearsal.wire import Outcome, get
-from rehearsal.world.addresses import Block, claim
-from rehearsal.world.nodes import in_child
+from orchidferry.testkit.mesh.ask import Scene, call
+from orchidferry.testkit.mesh.day import Day, Machine, Ports, machines
+from orchidferry.testkit.mesh.processes import ROOT, Node
+from orchidferry.testkit.mesh.run import free_ports
+from orchidferry.testkit.wire import Outcome, get
+from orchidferry.testkit.world.addresses import Block, claim
+from orchidferry.testkit.world.nodes import in_child
 
 SEED = 1
 HOST = "api.internal"
@@ -89,18 +89,21 @@
     """A configuration with these routes of one host."""
     rules = [
         {
-            "identifier": f"r{n}", "route_type": kind, "target_ms": 1_000, "precedence": 1,
+            "identifier": f"r{n}",
+            "route_type": kind,
+            "target_ms": 1_000,
+            "precedence": 1,
             "criteria": {"path_prefix": prefix},
             "treatment": {"service_name": service, "guard_timer_ms": 3_000, "max_attempts": 2},
         }
         for n, (prefix, service, kind) in enumerate(routes)
-    ]  # fmt: skip
+    ]
     return {
         "revision_number": revision,
         "limit_set": {"max_header_bytes": 16_384, "header_timer_ms": 3_000, "idle_timer_ms": 15_000},
         "access_points": [{"host_name": HOST, "rule_set": rules}],
         "trunk_groups": [{"identifier": name, "max_connections": 500} for name in services],
-    }  # fmt: skip
+    }
 
 
 class Counting:
@@ -149,9 +152,14 @@
     """An asynchronous context: the processes are there within it, and gone after it, come what may."""
 
     def __init__(
-        self, cores: int, servers: tuple[int, int] = (0, 0), sync_ms: float = 0.0, disk: str | None = None,
-        relay: bool = False, proxy_command: Callable[[Path, str], tuple[str, ...]] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        cores: int,
+        servers: tuple[int, int] = (0, 0),
+        sync_ms: float = 0.0,
+        disk: str | None = None,
+        relay: bool = False,
+        proxy_command: Callable[[Path, str], tuple[str, ...]] | None = None,
+    ) -> None:
         """`sync_ms`: how much longer a controller's commit takes; `disk`: where its files are, if not where
         `ORCHIDFERRY_BENCH_DISK` says; `proxy_command`: a proxy's, by the fleet's folder and its machine.
         """
@@ -202,8 +210,14 @@
             scene = self.scene if machine.role == "core" else through
             node = Node(scene, self._day, machine, self.cores[:3], self.folder, self._ended, lambda _: None)
             if machine.role == "core" and self._sync_ms:
-                node.command = (sys.executable, "-B", "-m", "rehearsal.bench.mesh_load", "slow",
-                                str(self._sync_ms))  # fmt: skip
+                node.command = (
+                    sys.executable,
+                    "-B",
+                    "-m",
+                    "orchidferry.testkit.bench.mesh_load",
+                    "slow",
+                    str(self._sync_ms),
+                )
             if machine.role == "sidecar" and self._proxy_command is not None:
                 node.command = self._proxy_command(self.folder, machine.name)
             self.nodes[machine.name] = node
@@ -225,11 +239,18 @@
     async def _other(self, *words: str, first: str = "") -> asyncio.subprocess.Process:
         """Start a process of the bench's own; it has said that it is ready."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rehearsal.bench.mesh_load", *words, cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=2**24,
-            stderr=(self.folder / "others.log").open("ab"), start_new_session=True,
+            sys.executable,
+            "-m",
+            "orchidferry.testkit.bench.mesh_load",
+            *words,
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            limit=2**24,
+            stderr=(self.folder / "others.log").open("ab"),
+            start_new_session=True,
             preexec_fn=partial(in_child, DESCRIPTORS),
-        )  # fmt: skip
+        )
         self._others.append(process)
         assert process.stdin is not None and process.stdout is not None
         process.stdin.write(first.encode())
--- a/rehearsal/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -1,7 +1,7 @@
 """The bench's own processes: stand-in servers, a claimer of operation keys, a controller whose syncs take
 longer.
 
-`python -m rehearsal.bench.mesh_load servers HOST:PORT...|claims|slow MS`
+`python -m orchidferry.testkit.bench.mesh_load servers HOST:PORT...|claims|slow MS`
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 import uvloop
 
-from mesh.control.control_client import ControlClient
-from mesh.control.endpoints import Record
-from mesh.settings import Bounds, Settings
-from mesh.storage.store import Store
-from orchidferry.collector import settle
+from orchidferry.mesh.control.control_client import ControlClient
+from orchidferry.mesh.control.endpoints import Record
+from orchidferry.mesh.settings import Bounds, Settings
+from orchidferry.mesh.storage.store import Store
+from orchidferry.node.collector import settle
 
 CLAIM_S = 1.0  # for one key
 MOST_S = 30.0  # of one load
@@ -92,18 +92,31 @@
         while self._out:
             await asyncio.sleep(TICK_S)
         return {
-            "asked": number, "granted": self.said["yours"], "seconds": spent, "took": self.took,
-            "late": self.late, "cpu_s": time.process_time() - cpu,
-        }  # fmt: skip
+            "asked": number,
+            "granted": self.said["yours"],
+            "seconds": spent,
+            "took": self.took,
+            "late": self.late,
+            "cpu_s": time.process_time() - cpu,
+        }
 
 
 def claimer_boot(seeds: list[str], port: int, ip: str) -> Settings:
     """As much of a node's settings as its links to controllers ask for."""
     return Settings(
-        name=f"claimer-{ip}", role="proxy", ip=ip, zone="sala-a", first_start=False, listen={},
-        internal_port=port, seeds=tuple(seeds), bounds=Bounds(), beat_ms=1_500.0, descriptors=256,
+        name=f"claimer-{ip}",
+        role="proxy",
+        ip=ip,
+        zone="sala-a",
+        first_start=False,
+        listen={},
+        internal_port=port,
+        seeds=tuple(seeds),
+        bounds=Bounds(),
+        beat_ms=1_500.0,
+        descriptors=256,
         memory_mb=256.0,
-    )  # fmt: skip
+    )
 
 
 async def claims() -> None:
@@ -128,14 +141,14 @@
 
 async def servers(addresses: list[tuple[str, int]]) -> None:
     """Answer at once, until the standard input ends."""
-    from rehearsal.bench.forward import serve
+    from orchidferry.testkit.bench.forward import serve
 
     await serve(addresses)
 
 
 def slow(more_s: float) -> int:
     """A controller each of whose commits takes so much longer, in the thread of its disk as a sync does."""
-    from mesh.__main__ import main
+    from orchidferry.mesh.__main__ import main
 
     commit = Store._commit
 
--- a/rehearsal/bench/mesh_news.py
+++ b/orchidferry/testkit/bench/mesh_news.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from mesh.control.fanout_tree import HEADS, Tally
-from rehearsal.judge.fleet import quantile
-from rehearsal.model.relays import BETWEEN_S, EVERYBODY, Node, World
+from orchidferry.mesh.control.fanout_tree import HEADS, Tally
+from orchidferry.testkit.judge.fleet import quantile
+from orchidferry.testkit.model.relays import BETWEEN_S, EVERYBODY, Node, World
 
 SETTLE_S = 30.0
 GAP_S = 0.2  # between nodes' changes; each is a change at all three controllers
@@ -104,11 +104,25 @@
     steps = len(took)
     messages, controller_bytes, lease, relay, between = (b - a for a, b in zip(before, after, strict=True))
     return News(
-        nodes, zones, seed, tree, frozen, steps,
-        _at(took, 0.5), _at(took, 0.99), _at(took, 1.0), sum(ms > LATE_MS for ms in took), missed,
-        round(messages / steps, 1), round(controller_bytes / steps), round(lease / 3 / (passed_s + END_S)),
-        round(relay / steps), round(between / steps), text_controller, text[1],
-    )  # fmt: skip
+        nodes,
+        zones,
+        seed,
+        tree,
+        frozen,
+        steps,
+        _at(took, 0.5),
+        _at(took, 0.99),
+        _at(took, 1.0),
+        sum(ms > LATE_MS for ms in took),
+        missed,
+        round(messages / steps, 1),
+        round(controller_bytes / steps),
+        round(lease / 3 / (passed_s + END_S)),
+        round(relay / steps),
+        round(between / steps),
+        text_controller,
+        text[1],
+    )
 
 
 def _at(took: list[float], share: float) -> float:
--- a/rehearsal/bench/moves.py
+++ b/orchidferry/testkit/bench/moves.py
@@ -9,11 +9,11 @@
 from collections import Counter
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
-from nickelbridge.moves import State
-from nickelbridge.pools import PoolRule, Router, Rules
-from rehearsal.model.moves import Outcome, Pool, World, run
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.logic import Balancer
+from orchidferry.balancing.moves import State
+from orchidferry.balancing.pools import PoolRule, Router, Rules
+from orchidferry.testkit.model.moves import Outcome, Pool, World, run
 
 UNDONE = (State.UNDOING, State.FAILED)
 SHAPES: dict[str, dict[str, Any]] = {
--- a/rehearsal/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -1,6 +1,6 @@
 """Orders that meet: several operators change the configuration on one version at once, through different
 controllers, with a slow disk or slow links. The shipping `Shard` in virtual time; how long each operator
-waits for a clear answer. `python -m rehearsal.bench.order_duels --seeds 200`.
+waits for a clear answer. `python -m orchidferry.testkit.bench.order_duels --seeds 200`.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mesh.control import shard_state
-from mesh.control.actions import Answer, Changed, Ended
-from mesh.control.configuration_resource import PUT_S
-from mesh.wire.messages import ShardMessage
-from mesh.wire.shard_messages import RegisterMessage, RegisterPrepare
-from rehearsal.explore.controller import Controller
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.configuration_resource import PUT_S
+from orchidferry.mesh.wire.messages import ShardMessage
+from orchidferry.mesh.wire.shard_messages import RegisterMessage, RegisterPrepare
+from orchidferry.testkit.explore.controller import Controller
 
 ACK_MS = 5_000.0  # the bound that deployments give
 TICK_S = 0.05  # as at the controller's process
--- a/rehearsal/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -16,16 +16,16 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge.fleet import messages as api
-from nickelbridge.fleet.members import Entry, Phase
-from nickelbridge.fleet.swim import Fleet
-from orchidferry.config import now_ms
-from orchidferry.fleet import wire
-from orchidferry.fleet.settings import scaled
-from orchidferry.fleet.shell import LENGTH
-from orchidferry.fleet.wire import Refused, Sealer
-from rehearsal.scenario import Scenario
-from rehearsal.world.nodes import settings
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet.members import Entry, Phase
+from orchidferry.balancing.fleet.swim import Fleet
+from orchidferry.node.config import now_ms
+from orchidferry.node.fleet import wire
+from orchidferry.node.fleet.settings import scaled
+from orchidferry.node.fleet.shell import LENGTH
+from orchidferry.node.fleet.wire import Refused, Sealer
+from orchidferry.testkit.scenario import Scenario
+from orchidferry.testkit.world.nodes import settings
 
 NET, PORT = "127.60", 9100  # a block of its own, beneath those of rehearsals
 KEY = "k1=" + "0123456789abcdef" * 2
@@ -106,10 +106,13 @@
 def _lay(folder: Path, peers: int, probe_ms: float) -> dict[str, str]:
     """A node's files, and what its environment says."""
     config = {
-        "name": "measured", "listen": f"{NET}.250.1:9000", "discovery": f"{NET}.250.1:8500", "seed": "1",
+        "name": "measured",
+        "listen": f"{NET}.250.1:9000",
+        "discovery": f"{NET}.250.1:8500",
+        "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": settings(Scenario("x"), 0, 1, 0),
-    }  # fmt: skip
+    }
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "keys").touch(0o600)
     (folder / "keys").write_text(KEY)
@@ -138,18 +141,24 @@
         try:
             await crowd.start()
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-B", "-m", "orchidferry", env=os.environ | env,
+                sys.executable,
+                "-B",
+                "-m",
+                "orchidferry",
+                env=os.environ | env,
                 stderr=asyncio.subprocess.DEVNULL,
-            )  # fmt: skip
+            )
             await asyncio.sleep(SETTLE_S)
             before, _ = _used(process.pid)
             await asyncio.sleep(seconds)
             after, mib = _used(process.pid)
             known = {fleet.members["measured"].here for fleet in crowd._fleets if "measured" in fleet.members}
             return {
-                "peers": peers if on else None, "resident_mib": round(mib, 1),
-                "cpu_share": round((after - before) / seconds, 5), "known": known == {True} if on else None,
-            }  # fmt: skip
+                "peers": peers if on else None,
+                "resident_mib": round(mib, 1),
+                "cpu_share": round((after - before) / seconds, 5),
+                "known": known == {True} if on else None,
+            }
         finally:
             crowd.close()
             if process is not None:
--- a/rehearsal/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -21,13 +21,22 @@
 
 import uvloop
 
-from rehearsal.bench.forward import BUDGET_S, LATE_MS, WARM_S, Bench, ask_all, cpu_s, rss_kb, scenario
-from rehearsal.exchange import body_of, message
-from rehearsal.quic import certs
-from rehearsal.quic.client import AskerConnection, AskerStream, connect
-from rehearsal.quic.pool import H3Pool
-from rehearsal.wire import Address, Outcome, Pool
-from rehearsal.world.addresses import claim
+from orchidferry.testkit.bench.forward import (
+    BUDGET_S,
+    LATE_MS,
+    WARM_S,
+    Bench,
+    ask_all,
+    cpu_s,
+    rss_kb,
+    scenario,
+)
+from orchidferry.testkit.exchange import body_of, message
+from orchidferry.testkit.quic import certs
+from orchidferry.testkit.quic.client import AskerConnection, AskerStream, connect
+from orchidferry.testkit.quic.pool import H3Pool
+from orchidferry.testkit.wire import Address, Outcome, Pool
+from orchidferry.testkit.world.addresses import claim
 
 SERVERS = 10
 CONNECTIONS = 200  # for the memory of one
@@ -86,11 +95,17 @@
         late = max(row["late_p99_ms"] for row in some)
         failed = sum(row["failed"] for row in some)
         row = {
-            "what": name, "rate": args.rate, "turns": args.turns, "cpu_us": cpu, "ratio": cpu / base,
+            "what": name,
+            "rate": args.rate,
+            "turns": args.turns,
+            "cpu_us": cpu,
+            "ratio": cpu / base,
             "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in some),
             "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in some),
-            "failed": failed, "late_p99_ms": late, "rss_kb": max(row["rss_kb"] for row in some),
-        }  # fmt: skip
+            "failed": failed,
+            "late_p99_ms": late,
+            "rss_kb": max(row["rss_kb"] for row in some),
+        }
         rows.append(row)
         print(
             f"{name:16} {cpu:7.0f} us of CPU a request ({row['ratio']:.2f} times h1), "
@@ -186,8 +201,10 @@
 
 
 FLOODS: tuple[tuple[str, Callable[[Address, str, float], Awaitable[int]]], ...] = (
-    ("calm", _calm), ("first packets", _first_packets), ("resets", _resets),
-)  # fmt: skip
+    ("calm", _calm),
+    ("first packets", _first_packets),
+    ("resets", _resets),
+)
 
 
 async def _others(address: Address, ca: str, until: float) -> tuple[int, int]:
@@ -231,8 +248,9 @@
         )
         print(
             f"flood, {name}: {sent / FLOOD_S:.0f} a second; other callers {good} of {asked} in {GOOD_S:g} s "
-            f"({100.0 * good / asked:.2f} %), node at {100.0 * share:.0f} % of a core", flush=True,
-        )  # fmt: skip
+            f"({100.0 * good / asked:.2f} %), node at {100.0 * share:.0f} % of a core",
+            flush=True,
+        )
         await bench.stop(process)
     return rows
 
--- a/rehearsal/bench/replay.py
+++ b/orchidferry/testkit/bench/replay.py
@@ -18,22 +18,24 @@
 
 import numpy as np
 
-from rehearsal.traffic import generate
-from rehearsal.traffic.classes import mix, read_classes
-from rehearsal.traffic.importing import Plan, import_files
-from rehearsal.traffic.recording import Reader
-from rehearsal.traffic.replay import gaps_ms
+from orchidferry.testkit.traffic import generate
+from orchidferry.testkit.traffic.classes import mix, read_classes
+from orchidferry.testkit.traffic.importing import Plan, import_files
+from orchidferry.testkit.traffic.recording import Reader
+from orchidferry.testkit.traffic.replay import gaps_ms
 
 MIX_OFF, GAPS_OFF, LAG_MS, TIED = 0.02, 0.05, 10.0, 0.99  # how far a replay may be off
-RUN = "import sys; from rehearsal.cli import main; sys.exit(main())"
+RUN = "import sys; from orchidferry.testkit.cli import main; sys.exit(main())"
 
 
 def ties_right(recording: Path, truth: list[generate.Truth]) -> tuple[float, float]:
     """Which share of the truth's retries are tied to their own first try, and which share of the ties is
     not of the truth. A first try is known by the millisecond in which it began, as the log has it."""
     rows = np.concatenate(list(Reader(recording).blocks()))
-    ms = [round(round(generate.FIRST * 1e3 + (one.t + one.took_s) * 1e3) - round(one.took_s * 1e3, 0))
-          for one in truth]  # fmt: skip
+    ms = [
+        round(round(generate.FIRST * 1e3 + (one.t + one.took_s) * 1e3) - round(one.took_s * 1e3, 0))
+        for one in truth
+    ]
     first = min(ms)
     roots = {one.root: at - first for one, at in zip(truth, ms, strict=True) if one.number == 0}
     theirs = Counter((roots[one.root], one.number) for one in truth if one.number)
@@ -48,8 +50,18 @@
     name: str, recording: Path, truth: list[generate.Truth], speed: float, cut: tuple[float, float] | None
 ) -> dict[str, Any]:
     out = recording.with_suffix(f".{name}.json")
-    command = [sys.executable, "-c", RUN, "traffic", "replay", str(recording), "--speed", f"{speed:g}",
-               "--json", str(out)]  # fmt: skip
+    command = [
+        sys.executable,
+        "-c",
+        RUN,
+        "traffic",
+        "replay",
+        str(recording),
+        "--speed",
+        f"{speed:g}",
+        "--json",
+        str(out),
+    ]
     if cut is not None:
         command += ["--from", f"{cut[0]:g}s", "--to", f"{cut[1]:g}s"]
     status = subprocess.run(command, check=False).returncode
@@ -61,15 +73,26 @@
     shares = mix(Counter(one.cls for one in wanted))
     gaps = gaps_ms(np.array([one.t for one in wanted]) / speed)
     row = {
-        "what": name, "speed": speed, "requests": found["sent"], "true_requests": len(wanted),
+        "what": name,
+        "speed": speed,
+        "requests": found["sent"],
+        "true_requests": len(wanted),
         "mix_off": max(abs(found["mix"].get(name, 0.0) / share - 1.0) for name, share in shares.items()),
         "gaps_off": {q: found["gaps_ms"][q] / value - 1.0 for q, value in gaps.items()},
-        "lag_ms": found["lag_ms"], "service": verdict["service"], "void": verdict["run"]["void"],
-        "mix": found["mix"], "true_mix": shares, "gaps_ms": found["gaps_ms"], "true_gaps_ms": gaps,
-    }  # fmt: skip
-    row["broken"] = status != 0 or row["mix_off"] > MIX_OFF or row["lag_ms"]["p99"] > LAG_MS or any(
-        abs(off) > GAPS_OFF for off in row["gaps_off"].values()
-    )  # fmt: skip
+        "lag_ms": found["lag_ms"],
+        "service": verdict["service"],
+        "void": verdict["run"]["void"],
+        "mix": found["mix"],
+        "true_mix": shares,
+        "gaps_ms": found["gaps_ms"],
+        "true_gaps_ms": gaps,
+    }
+    row["broken"] = (
+        status != 0
+        or row["mix_off"] > MIX_OFF
+        or row["lag_ms"]["p99"] > LAG_MS
+        or any(abs(off) > GAPS_OFF for off in row["gaps_off"].values())
+    )
     return row
 
 
--- a/rehearsal/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -1,5 +1,5 @@
-"""`python -m rehearsal.bench.second_loss`: how long a replica that lost its disk, or a newcomer in the place
-of one that leaves, takes to hold all keys and to grant again.
+"""`python -m orchidferry.testkit.bench.second_loss`: how long a replica that lost its disk, or a newcomer in
+the place of one that leaves, takes to hold all keys and to grant again.
 
 The shipping shards in virtual time. Each step's processor time is measured here (messages packed and read,
 lmdb transactions) and charged to its machine at `SHARE` of a core; a commit takes `SYNC_S` and a page for
@@ -23,16 +23,16 @@
 
 import cbor2
 
-from mesh.control import shard_state
-from mesh.control.actions import Action, Answer, Tell, Write
-from mesh.control.peers import Peers
-from mesh.control.shard import Shard, remembered
-from mesh.storage.environment import NAMES, open_env
-from mesh.storage.record_format import put_sealed, wrap
-from mesh.wire.codec import LENGTH_BYTES, decode, encode
-from mesh.wire.messages import Heartbeat, HeartbeatAck, Message, ShardMessage
-from mesh.wire.shard_messages import Handoff, KeyPage, KeyRecords
-from nickelbridge.register import Kept
+from orchidferry.balancing.register import Kept
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Action, Answer, Tell, Write
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.storage.environment import NAMES, open_env
+from orchidferry.mesh.storage.record_format import put_sealed, wrap
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
+from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck, Message, ShardMessage
+from orchidferry.mesh.wire.shard_messages import Handoff, KeyPage, KeyRecords
 
 DISK = "ORCHIDFERRY_BENCH_DISK"  # names a folder in memory, as for `orchidferry bench mesh`
 SHARE = 0.245  # of a core: what a controller has
@@ -126,9 +126,17 @@
         for number in shard_state.KEY_SHARDS:
             kept = Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50))
             self.shards[number] = Shard(
-                number, self.name, first, kept, founder, self.peers, WINDOW_S, rng, KEYS_MOST,
+                number,
+                self.name,
+                first,
+                kept,
+                founder,
+                self.peers,
+                WINDOW_S,
+                rng,
+                KEYS_MOST,
                 len(self.world.seeds),
-            )  # fmt: skip
+            )
             self.jobs.append((self.shards[number], Write(remembered(number, kept, founder))))
         self.beats, self.number = dict[int, float](), 0
         self._each(BEAT_S, self.beat, self.life)
@@ -291,13 +299,17 @@
     held = min(m.keys for m in back) / max(1, max(m.keys for m in others))
     sender = max(others, key=lambda m: m.cost.cpu_s)
     return {
-        "how": how, "replicas": replicas, "rate": rate,
-        "keys": max(m.keys for m in others), "share held": held,
+        "how": how,
+        "replicas": replicas,
+        "rate": rate,
+        "keys": max(m.keys for m in others),
+        "share held": held,
         "granting after s": at[-1] if len(at) == len(back) else None,
-        "newcomer cpu s": max(m.cost.cpu_s for m in back), "most of a source cpu s": sender.cost.cpu_s,
+        "newcomer cpu s": max(m.cost.cpu_s for m in back),
+        "most of a source cpu s": sender.cost.cpu_s,
         "MB sent by all": sum(m.cost.sent for m in world.machines.values()) / 1e6,
         "newcomer MB written": max(m.cost.written for m in back) / 1e6,
-    }  # fmt: skip
+    }
 
 
 def main() -> int:
--- a/rehearsal/bench/worth.py
+++ b/orchidferry/testkit/bench/worth.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 from typing import Any
 
-from rehearsal.bench.kit import played
-from rehearsal.judge.verdict import as_json
-from rehearsal.scenario import ChainSide, Scenario, load_scenario
+from orchidferry.testkit.bench.kit import played
+from orchidferry.testkit.judge.verdict import as_json
+from orchidferry.testkit.scenario import ChainSide, Scenario, load_scenario
 
 VARIANTS = {
     "off, worth known below": ChainSide(on=False),
@@ -56,10 +56,17 @@
             _, verdict = played(scenario)
             found = as_json(verdict)
             classes = {cls: row["service"] for cls, row in found["classes"].items()}
-            rows.append({
-                "what": name, "seed": seed, "service": found["service"], "classes": classes,
-                "attempts": found["attempts"], "broken": verdict.broken, "void": verdict.lateness.void,
-            })  # fmt: skip
+            rows.append(
+                {
+                    "what": name,
+                    "seed": seed,
+                    "service": found["service"],
+                    "classes": classes,
+                    "attempts": found["attempts"],
+                    "broken": verdict.broken,
+                    "void": verdict.lateness.void,
+                }
+            )
             told = ", ".join(f"{cls} {value:.2f}" for cls, value in classes.items())
             bad = "".join(f"; {what}" for what in [*verdict.broken, *verdict.lateness.void])
             print(
--- a/rehearsal/capacity/__init__.py
+++ b/orchidferry/testkit/capacity/__init__.py
@@ -33,11 +33,11 @@
 
 def main(args: argparse.Namespace) -> int:
     """Run the command; its exit status."""
-    from rehearsal.capacity.plan import BadPlan, read_plan
-    from rehearsal.mesh.processes import missing
+    from orchidferry.testkit.capacity.plan import BadPlan, read_plan
+    from orchidferry.testkit.mesh.processes import missing
 
     if args.compare:
-        from rehearsal.capacity import compare
+        from orchidferry.testkit.capacity import compare
 
         return compare.main(*args.compare)
     try:
@@ -50,6 +50,6 @@
     except BadPlan as problem:
         print(f"orchidferry capacity: {problem}", file=sys.stderr)
         return 2
-    from rehearsal.capacity import run
+    from orchidferry.testkit.capacity import run
 
     return run.main(plan, args.json, args.plot)
--- a/rehearsal/capacity/calls.py
+++ b/orchidferry/testkit/capacity/calls.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rehearsal.bench import forward
-from rehearsal.bench.forward import ask_all
-from rehearsal.bench.mesh import READS, SAVES
-from rehearsal.bench.mesh_fleet import Fleet, Meter
-from rehearsal.capacity.figures import BY_CALLS, Figure
-from rehearsal.capacity.hops import ACCEPT, ANSWER, GATE, KEY, PICK, WRITE, shares
-from rehearsal.capacity.reference import Speed
-from rehearsal.capacity.rounds import Rounds
-from rehearsal.wire import Address
+from orchidferry.testkit.bench import forward
+from orchidferry.testkit.bench.forward import ask_all
+from orchidferry.testkit.bench.mesh import READS, SAVES
+from orchidferry.testkit.bench.mesh_fleet import Fleet, Meter
+from orchidferry.testkit.capacity.figures import BY_CALLS, Figure
+from orchidferry.testkit.capacity.hops import ACCEPT, ANSWER, GATE, KEY, PICK, WRITE, shares
+from orchidferry.testkit.capacity.reference import Speed
+from orchidferry.testkit.capacity.rounds import Rounds
+from orchidferry.testkit.wire import Address
 
 SYNC_MS = 1.0
 WARM_S = 0.2
@@ -36,8 +36,12 @@
     "keyed, inbound": (ACCEPT, WRITE, GATE, ANSWER),
 }
 DIRECT, BARE, ONE, TWO, KEYED = (
-    "server asked directly", "bare forwarder", "one machine", "two machines", "two machines, keyed"
-)  # fmt: skip
+    "server asked directly",
+    "bare forwarder",
+    "one machine",
+    "two machines",
+    "two machines, keyed",
+)
 PROFILED_RATE = 200.0
 DUMPED_S = 3.0
 Write = Callable[[int, str], bytes]
@@ -130,9 +134,13 @@
         if found["p50_ms"] is None:
             raise ValueError(f"no call to {way.address} was answered: {found['why']}")
         return Asked(
-            found["p50_ms"], found["p99_ms"], spent_s / slowness,
-            statistics.fmean(controllers_s) / slowness, found["asked"], found["failed"],
-        )  # fmt: skip
+            found["p50_ms"],
+            found["p99_ms"],
+            spent_s / slowness,
+            statistics.fmean(controllers_s) / slowness,
+            found["asked"],
+            found["failed"],
+        )
 
 
 async def measure(rates: tuple[int, ...], seconds: float) -> list[Figure]:
@@ -194,7 +202,13 @@
 
 
 def _profiled(folder: Path, name: str) -> tuple[str, ...]:
-    return (sys.executable, "-B", "-m", "rehearsal.capacity.profiled", str(folder / f"{name}.profile"))
+    return (
+        sys.executable,
+        "-B",
+        "-m",
+        "orchidferry.testkit.capacity.profiled",
+        str(folder / f"{name}.profile"),
+    )
 
 
 async def _there(file: Path) -> None:
--- a/rehearsal/capacity/claims.py
+++ b/orchidferry/testkit/capacity/claims.py
@@ -6,10 +6,10 @@
 import statistics
 from dataclasses import dataclass
 
-from rehearsal.bench.mesh_fleet import Fleet
-from rehearsal.capacity.figures import BY_CLAIMS, Figure
-from rehearsal.capacity.reference import Speed
-from rehearsal.capacity.rounds import Rounds
+from orchidferry.testkit.bench.mesh_fleet import Fleet
+from orchidferry.testkit.capacity.figures import BY_CLAIMS, Figure
+from orchidferry.testkit.capacity.reference import Speed
+from orchidferry.testkit.capacity.rounds import Rounds
 
 CONTROLLERS = 3
 SYNC_MS = 1.0  # that a controller's commit takes longer
@@ -54,15 +54,25 @@
 
 
 async def _round(
-    fleet: Fleet, claimer: asyncio.subprocess.Process, load: Load, idle: float, speed: Speed, rounds: Rounds,
-) -> None:  # fmt: skip
+    fleet: Fleet,
+    claimer: asyncio.subprocess.Process,
+    load: Load,
+    idle: float,
+    speed: Speed,
+    rounds: Rounds,
+) -> None:
     """One load; what it cost over a controller's own beats."""
     speed.slowness()
     meter = fleet.meter(fleet.cores)
     found = await fleet.load(
-        claimer, tag=load.tag, rate=load.rate, seconds=load.seconds, at_once=AT_ONCE_MOST,
-        count=round(load.rate * load.seconds), answer=0,
-    )  # fmt: skip
+        claimer,
+        tag=load.tag,
+        rate=load.rate,
+        seconds=load.seconds,
+        at_once=AT_ONCE_MOST,
+        count=round(load.rate * load.seconds),
+        answer=0,
+    )
     spent_s = statistics.fmean(meter.read()[0]) / speed.slowness()
     claims_s = spent_s - idle * found["seconds"]
     share = 100.0 * claims_s / found["asked"] * load.rate
--- a/rehearsal/capacity/compare.py
+++ b/orchidferry/testkit/capacity/compare.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from rehearsal.capacity.figures import ONCE, Figure
+from orchidferry.testkit.capacity.figures import ONCE, Figure
 
 APART = 0.2  # two claimed values differ by no more than this share of the larger one
 Key = tuple[str, str, str, str, float, str]
--- a/rehearsal/capacity/figures.py
+++ b/orchidferry/testkit/capacity/figures.py
@@ -7,13 +7,16 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from rehearsal.capacity.fit import Fit, line
-from rehearsal.capacity.plan import TARGET_CALLS, TARGET_CLAIMS, TARGET_NODES, TARGET_SERVICES
+from orchidferry.testkit.capacity.fit import Fit, line
+from orchidferry.testkit.capacity.plan import TARGET_CALLS, TARGET_CLAIMS, TARGET_NODES, TARGET_SERVICES
 
 AXES = BY_NODES, BY_SERVICES, BY_CALLS, BY_CLAIMS = "nodes", "services", "calls", "claims"
 TARGETS = {
-    BY_NODES: TARGET_NODES, BY_SERVICES: TARGET_SERVICES, BY_CALLS: TARGET_CALLS, BY_CLAIMS: TARGET_CLAIMS,
-}  # fmt: skip
+    BY_NODES: TARGET_NODES,
+    BY_SERVICES: TARGET_SERVICES,
+    BY_CALLS: TARGET_CALLS,
+    BY_CLAIMS: TARGET_CLAIMS,
+}
 REAL, VIRTUAL = "real", "virtual"
 ONCE = "once"  # the note of a time that was taken once: it claims nothing
 CLAIMED = 0.12  # half of an interval, as a share of the median: up to that a figure claims a value
--- a/rehearsal/capacity/fleets.py
+++ b/orchidferry/testkit/capacity/fleets.py
@@ -1,6 +1,6 @@
 """What fleets of several sizes say and how long news takes, in virtual time; a process of its own.
 
-`python -m rehearsal.capacity.fleets NODES SERVICES` prints figures as JSON, one a line.
+`python -m orchidferry.testkit.capacity.fleets NODES SERVICES` prints figures as JSON, one a line.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 from loguru import logger
 
-from rehearsal.bench.mesh import quantile
-from rehearsal.capacity.figures import BY_NODES, VIRTUAL, Figure
-from rehearsal.capacity.reference import Speed
-from rehearsal.capacity.regions import FAR, REGION, ZONE, Fleet, MeteredNode, Use
-from rehearsal.capacity.texts import kept, one_route, text
+from orchidferry.testkit.bench.mesh import quantile
+from orchidferry.testkit.capacity.figures import BY_NODES, VIRTUAL, Figure
+from orchidferry.testkit.capacity.reference import Speed
+from orchidferry.testkit.capacity.regions import FAR, REGION, ZONE, Fleet, MeteredNode, Use
+from orchidferry.testkit.capacity.texts import kept, one_route, text
 
 Add = Callable[..., None]
 IDLE_S, END_S = 4.0, 1.5
@@ -166,7 +166,7 @@
 
 def main() -> None:
     """Measure one size; print it."""
-    logger.disable("mesh")
+    logger.disable("orchidferry.mesh")
     gc.disable()  # a collection walks the whole fleet, and would count for the process that it falls on
     nodes, services = map(int, sys.argv[1:3])
     for figure in measure(nodes, services):
--- a/rehearsal/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -13,12 +13,12 @@
 
 from msgspec import structs
 
-from mesh.control.control_client import RENEW_S
-from mesh.control.endpoints import IN_SERVICE, Record, Server
-from mesh.control.fanout_tree import HEADS
-from mesh.wire.codec import encode
-from mesh.wire.framing import Link, dial
-from mesh.wire.messages import (
+from orchidferry.mesh.control.control_client import RENEW_S
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.fanout_tree import HEADS
+from orchidferry.mesh.wire.codec import encode
+from orchidferry.mesh.wire.framing import Link, dial
+from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
     Lease,
--- a/rehearsal/capacity/hops.py
+++ b/orchidferry/testkit/capacity/hops.py
@@ -16,14 +16,14 @@
 Function = tuple[str, int, str]  # file, line, name
 
 FUNCTIONS = {  # where one module does the work of two hops
-    ("orchidferry/frontend.py", "_write"): ANSWER,
-    ("orchidferry/frontend.py", "_answer"): ANSWER,
-    ("orchidferry/frontend.py", "_give"): ANSWER,
-    ("orchidferry/frontend.py", "render"): ANSWER,
-    ("orchidferry/frontend.py", "_settle"): ANSWER,
-    ("orchidferry/upstream.py", "data_received"): ANSWER,
-    ("orchidferry/upstream.py", "on_header"): ANSWER,
-    ("orchidferry/upstream.py", "on_message_complete"): ANSWER,
+    ("orchidferry/node/frontend.py", "_write"): ANSWER,
+    ("orchidferry/node/frontend.py", "_answer"): ANSWER,
+    ("orchidferry/node/frontend.py", "_give"): ANSWER,
+    ("orchidferry/node/frontend.py", "render"): ANSWER,
+    ("orchidferry/node/frontend.py", "_settle"): ANSWER,
+    ("orchidferry/node/upstream.py", "data_received"): ANSWER,
+    ("orchidferry/node/upstream.py", "on_header"): ANSWER,
+    ("orchidferry/node/upstream.py", "on_message_complete"): ANSWER,
     ("dataplane/http_connection.py", "feed_data"): ANSWER,
     ("dataplane/http_connection.py", "before_parsing"): ANSWER,
     ("dataplane/http_connection.py", "on_header"): ANSWER,
@@ -41,21 +41,32 @@
     ("control/control_client.py", "claim"): KEY,
 }
 MODULES = (
-    ("orchidferry/frontend.py", ACCEPT), ("orchidferry/request.py", ACCEPT),
-    ("dataplane/listener.py", ACCEPT), ("dataplane/proxy.py", ROUTE), ("control/configuration.py", ROUTE),
-    ("dataplane/service_client.py", PICK), ("nickelbridge/", PICK), ("orchidferry/turns.py", PICK),
-    ("orchidferry/alarms.py", PICK), ("dataplane/admission.py", GATE),
-    ("dataplane/", WRITE), ("orchidferry/upstream.py", WRITE),
-    ("control/operation_key_client.py", KEY), ("control/shard_state.py", KEY), ("wire/framing.py", KEY),
+    ("orchidferry/node/frontend.py", ACCEPT),
+    ("orchidferry/node/request.py", ACCEPT),
+    ("dataplane/listener.py", ACCEPT),
+    ("dataplane/proxy.py", ROUTE),
+    ("control/configuration.py", ROUTE),
+    ("dataplane/service_client.py", PICK),
+    ("orchidferry/balancing/", PICK),
+    ("orchidferry/node/turns.py", PICK),
+    ("orchidferry/node/alarms.py", PICK),
+    ("dataplane/admission.py", GATE),
+    ("dataplane/", WRITE),
+    ("orchidferry/node/upstream.py", WRITE),
+    ("control/operation_key_client.py", KEY),
+    ("control/shard_state.py", KEY),
+    ("wire/framing.py", KEY),
     ("control/", LEASES),
-)  # fmt: skip
+)
 
 
 def hop_of(function: Function) -> str:
     """The hop that a function of the program works for.
 
-    >>> hop_of(("orchidferry/frontend.py", 1, "_write")), hop_of(("mesh/dataplane/proxy.py", 1, "_take"))
-    ('answer', 'route')
+    >>> hop_of(("orchidferry/node/frontend.py", 1, "_write"))
+    'answer'
+    >>> hop_of(("orchidferry/mesh/dataplane/proxy.py", 1, "_take"))
+    'route'
     """
     file, _, name = function
     for (end, one), hop in FUNCTIONS.items():
--- a/rehearsal/capacity/hours.py
+++ b/orchidferry/testkit/capacity/hours.py
@@ -1,7 +1,7 @@
 """Special hours of a large fleet in virtual time: a zone gone, everybody restarted, regions apart.
 
-`python -m rehearsal.capacity.hours NODES [HOUR...]` prints figures as JSON, one a line. The fleet settles
-once; each hour is then played by a process of its own, forked from there.
+`python -m orchidferry.testkit.capacity.hours NODES [HOUR...]` prints figures as JSON, one a line. The fleet
+settles once; each hour is then played by a process of its own, forked from there.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from loguru import logger
 
-from rehearsal.capacity.figures import BY_NODES, VIRTUAL, Figure
-from rehearsal.capacity.plan import services_of
-from rehearsal.capacity.reference import Speed
-from rehearsal.capacity.regions import ZONES, Fleet, Metered, MeteredNode, Use, region_of
-from rehearsal.capacity.rounds import Rounds
-from rehearsal.capacity.texts import kept
+from orchidferry.testkit.capacity.figures import BY_NODES, VIRTUAL, Figure
+from orchidferry.testkit.capacity.plan import services_of
+from orchidferry.testkit.capacity.reference import Speed
+from orchidferry.testkit.capacity.regions import ZONES, Fleet, Metered, MeteredNode, Use, region_of
+from orchidferry.testkit.capacity.rounds import Rounds
+from orchidferry.testkit.capacity.texts import kept
 
 RESTARTS, ZONE, APART = HOURS = ("restarts", "zone", "apart")  # the longest first
 SLICE_S = 0.05  # of virtual time between two looks at the machine's speed
@@ -272,7 +272,7 @@
 
 def main() -> int:
     """Play the hours that are named, or all, beside each other; the exit status."""
-    logger.disable("mesh")
+    logger.disable("orchidferry.mesh")
     gc.disable()  # a collection walks the whole fleet, and would count for the process that it falls on
     fleet = settled(int(sys.argv[1]))
     gc.freeze()
--- a/rehearsal/capacity/processes.py
+++ b/orchidferry/testkit/capacity/processes.py
@@ -11,14 +11,14 @@
 import statistics
 import time
 
-from rehearsal.bench.mesh_fleet import HOST, READY_S, Fleet, Meter
-from rehearsal.capacity.figures import BY_NODES, BY_SERVICES, Figure
-from rehearsal.capacity.hollow import Hollow, Traffic
-from rehearsal.capacity.plan import services_of
-from rehearsal.capacity.reference import Speed
-from rehearsal.capacity.rounds import Rounds
-from rehearsal.capacity.texts import names, whole
-from rehearsal.mesh.ask import call
+from orchidferry.testkit.bench.mesh_fleet import HOST, READY_S, Fleet, Meter
+from orchidferry.testkit.capacity.figures import BY_NODES, BY_SERVICES, Figure
+from orchidferry.testkit.capacity.hollow import Hollow, Traffic
+from orchidferry.testkit.capacity.plan import services_of
+from orchidferry.testkit.capacity.reference import Speed
+from orchidferry.testkit.capacity.rounds import Rounds
+from orchidferry.testkit.capacity.texts import names, whole
+from orchidferry.testkit.mesh.ask import call
 
 CONTROLLERS, PROXIES = 3, (1, 1)
 SYNC_MS = 1.0  # that a controller's commit takes longer
@@ -40,9 +40,13 @@
         first = fleet.cores[0].ip.split(".")
         own_ip = f"127.{first[1]}.31.1"
         self._hollow = Hollow(
-            nodes - len(fleet.sidecars), self._services, [core.ip for core in fleet.cores],
-            fleet.ports.internal, own_ip, fleet.ports.inbound,
-        )  # fmt: skip
+            nodes - len(fleet.sidecars),
+            self._services,
+            [core.ip for core in fleet.cores],
+            fleet.ports.internal,
+            own_ip,
+            fleet.ports.inbound,
+        )
         self._at = float(nodes if axis == BY_NODES else services)
         self._roles = (("controller", fleet.cores), ("proxy", fleet.sidecars))
         self._speed, self._rounds = Speed(), Rounds()
--- a/rehearsal/capacity/profiled.py
+++ b/orchidferry/testkit/capacity/profiled.py
@@ -1,4 +1,4 @@
-"""A proxy under the interpreter's profiler: `python -m rehearsal.capacity.profiled FILE`.
+"""A proxy under the interpreter's profiler: `python -m orchidferry.testkit.capacity.profiled FILE`.
 
 It profiles from one SIGUSR1 to the next, and then writes what it found to FILE and begins anew.
 """
@@ -11,7 +11,7 @@
 import time
 from typing import Any
 
-from mesh.__main__ import main
+from orchidferry.mesh.__main__ import main
 
 
 def run(path: str) -> int:
--- a/rehearsal/capacity/reference.py
+++ b/orchidferry/testkit/capacity/reference.py
@@ -15,9 +15,15 @@
 BURST_S = 600e-6  # of processor time for one `work`: what it takes where nothing else runs beside it
 TURNS, PAUSE_S = 30, 0.03
 MESSAGE = [
-    "news", "controller", 1, 17, 18,
-    [[f"node-{n}", 900_719_925_474 + n, 3, "zone", "127.0.0.1", 8_080, None] for n in range(4)], [], 7,
-]  # fmt: skip
+    "news",
+    "controller",
+    1,
+    17,
+    18,
+    [[f"node-{n}", 900_719_925_474 + n, 3, "zone", "127.0.0.1", 8_080, None] for n in range(4)],
+    [],
+    7,
+]
 
 
 def work() -> int:
--- a/rehearsal/capacity/regions.py
+++ b/orchidferry/testkit/capacity/regions.py
@@ -1,6 +1,7 @@
 """A fleet over two regions of four zones in virtual time, with what each process says and what it costs.
 
-The processes are those of `rehearsal.model.relays`: the shipping publisher, subscriber, fan-out tree and
+The processes are those of `orchidferry.testkit.model.relays`: the shipping publisher, subscriber, fan-out
+tree and
 lists of members. Delays are assumed (one way), CPU is that of the pure code alone: no sockets, no HTTP.
 Reading a message counts for each process that it comes to, also where the model reads it once for all.
 """
@@ -16,11 +17,11 @@
 
 from msgspec.structs import replace
 
-from mesh.control.endpoints import IN_SERVICE, Server
-from mesh.wire.messages import ConfigurationText, kind_of
-from rehearsal.capacity.plan import CONTROLLERS, services_of
-from rehearsal.capacity.texts import names
-from rehearsal.model.relays import LOST_S, Controller, End, Node, Process, World
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
+from orchidferry.mesh.wire.messages import ConfigurationText, kind_of
+from orchidferry.testkit.capacity.plan import CONTROLLERS, services_of
+from orchidferry.testkit.capacity.texts import names
+from orchidferry.testkit.model.relays import LOST_S, Controller, End, Node, Process, World
 
 REGIONS, ZONES = 2, 8  # zones of all regions
 IN_ZONE_S, BETWEEN_ZONES_S, BETWEEN_REGIONS_S = 0.0002, 0.0009, 0.035
--- a/rehearsal/capacity/rounds.py
+++ b/orchidferry/testkit/capacity/rounds.py
@@ -5,7 +5,7 @@
 import statistics
 from collections.abc import Iterable
 
-from rehearsal.capacity.figures import ONCE, REAL, Figure
+from orchidferry.testkit.capacity.figures import ONCE, REAL, Figure
 
 Key = tuple[str, str, str]  # role, name, unit
 
@@ -35,9 +35,15 @@
 
 
 def summary(
-    role: str, name: str, unit: str, axis: str, at: float, values: Iterable[float], time: str = REAL,
+    role: str,
+    name: str,
+    unit: str,
+    axis: str,
+    at: float,
+    values: Iterable[float],
+    time: str = REAL,
     note: str = "",
-) -> Figure:  # fmt: skip
+) -> Figure:
     """The median of some values, between the least and the most of them.
 
     >>> summary("proxy", "x", "ms", "nodes", 12, [1.0, 3.0, 2.0]).low
--- a/rehearsal/capacity/run.py
+++ b/orchidferry/testkit/capacity/run.py
@@ -15,12 +15,12 @@
 
 import uvloop
 
-from rehearsal.capacity import calls, claims, processes
-from rehearsal.capacity.figures import BY_SERVICES, Figure, packed, plot, slopes, table
-from rehearsal.capacity.plan import Plan, services_of
-from rehearsal.mesh.processes import ROOT
-from rehearsal.stop_signals import Stopped, until_stopped
-from rehearsal.world.nodes import in_child
+from orchidferry.testkit.capacity import calls, claims, processes
+from orchidferry.testkit.capacity.figures import BY_SERVICES, Figure, packed, plot, slopes, table
+from orchidferry.testkit.capacity.plan import Plan, services_of
+from orchidferry.testkit.mesh.processes import ROOT
+from orchidferry.testkit.stop_signals import Stopped, until_stopped
+from orchidferry.testkit.world.nodes import in_child
 
 LINE_MOST = 2**20
 SHARE_OF_ROUND = 0.6  # of the seconds of a round, for calls and for claims: many loads are asked by turns
@@ -30,11 +30,18 @@
 async def virtual(module: str, *words: str) -> list[Figure]:
     """Figures that a module prints, one a line; its process is gone when this ends."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", f"rehearsal.capacity.{module}", *words, cwd=ROOT,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE, limit=LINE_MOST,
-        env=os.environ | {"PYTHONHASHSEED": "0"}, start_new_session=True,
+        sys.executable,
+        "-m",
+        f"orchidferry.testkit.capacity.{module}",
+        *words,
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+        limit=LINE_MOST,
+        env=os.environ | {"PYTHONHASHSEED": "0"},
+        start_new_session=True,
         preexec_fn=partial(in_child, DESCRIPTORS),
-    )  # fmt: skip
+    )
     try:
         out, problem = await process.communicate()
         if process.returncode:
--- a/rehearsal/capacity/texts.py
+++ b/orchidferry/testkit/capacity/texts.py
@@ -8,8 +8,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from mesh.control.configuration_text import compress
-from rehearsal.bench.mesh_fleet import KEYED, Route, configuration
+from orchidferry.mesh.control.configuration_text import compress
+from orchidferry.testkit.bench.mesh_fleet import KEYED, Route, configuration
 
 ROUTES_EACH = 4  # routes of one service; two of them keyed
 SEED = 1
--- a/rehearsal/cli.py
+++ b/orchidferry/testkit/cli.py
@@ -11,7 +11,7 @@
 import os
 import sys
 
-from rehearsal import capacity, control, explore, fleet, traffic
+from orchidferry.testkit import capacity, control, explore, fleet, traffic
 
 EXAMPLES = {
     "rehearse": "orchidferry rehearse slow-server --seed 7 --report slow.html",
@@ -173,8 +173,13 @@
         help="rehearsals of a fleet over many seeds, and some with nodes that know nothing of each other",
         epilog="example: orchidferry bench fleet --seeds 20 --off 5 --at-once 2",
     )
-    kind.add_argument("--scenarios", nargs="+", default=["fleet-split", "fleet-loss", "fleet-pauses"],
-                      metavar="NAME", help="(fleet-split fleet-loss fleet-pauses)")  # fmt: skip
+    kind.add_argument(
+        "--scenarios",
+        nargs="+",
+        default=["fleet-split", "fleet-loss", "fleet-pauses"],
+        metavar="NAME",
+        help="(fleet-split fleet-loss fleet-pauses)",
+    )
     kind.add_argument("--seeds", type=int, default=20, metavar="N", help="of each (20)")
     kind.add_argument("--off", type=int, default=5, metavar="N", help="of each, with the fleet off (5)")
     kind.add_argument("--at-once", type=int, default=1, metavar="N", help="rehearsals side by side (1)")
@@ -212,11 +217,11 @@
 def main() -> int:
     """The program."""
     if len(sys.argv) < 2:
-        from orchidferry.__main__ import main as node
+        from orchidferry.node.main import main as node
 
         return node()
     if sys.argv[1] in MESH_ROLES:
-        from mesh.__main__ import main as role
+        from orchidferry.mesh.__main__ import main as role
 
         return role(sys.argv[1:])
     try:
@@ -225,9 +230,9 @@
             print("orchidferry: a command is missing; see orchidferry --help", file=sys.stderr)
             return 2
         try:
-            command = importlib.import_module(f"rehearsal.{args.command}")
+            command = importlib.import_module(f"orchidferry.testkit.{args.command}")
         except ModuleNotFoundError as problem:
-            if problem.name is None or problem.name.partition(".")[0] in ("rehearsal", "orchidferry"):
+            if problem.name is None or problem.name.partition(".")[0] in ("orchidferry",):
                 raise
             needs = f"{args.command} needs {problem.name}"
             print(f"orchidferry: {needs}: pip install 'orchidferry[kit]'", file=sys.stderr)
--- a/rehearsal/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -12,15 +12,15 @@
 import sys
 from collections.abc import Iterator
 
-from rehearsal import draws
-from rehearsal.clients.pacer import Pacer
-from rehearsal.clients.schedule import Arrival, arrivals, leaves_after
-from rehearsal.exchange import HOST, Ask, Exchanges, message
-from rehearsal.process import Order, Say, Script, work
-from rehearsal.record import Lag, Recorder, Wanted
-from rehearsal.traffic.guard import May
-from rehearsal.wire import Address, Outcome
-from rehearsal.world.addresses import Block
+from orchidferry.testkit import draws
+from orchidferry.testkit.clients.pacer import Pacer
+from orchidferry.testkit.clients.schedule import Arrival, arrivals, leaves_after
+from orchidferry.testkit.exchange import HOST, Ask, Exchanges, message
+from orchidferry.testkit.process import Order, Say, Script, work
+from orchidferry.testkit.record import Lag, Recorder, Wanted
+from orchidferry.testkit.traffic.guard import May
+from orchidferry.testkit.wire import Address, Outcome
+from orchidferry.testkit.world.addresses import Block
 
 LATE_S = 0.002  # what of being late is kept
 MOST_ADVICE_S = 10.0  # of Retry-After that a client keeps to
@@ -50,7 +50,7 @@
         return iter(arrivals(script.plan)[index :: self._scenario.clients.processes])
 
     def _from_recordings(self, index: int) -> Iterator[Arrival]:
-        from rehearsal.traffic.replay import replayed
+        from orchidferry.testkit.traffic.replay import replayed
 
         found = replayed(self._scenario, index, self._scenario.clients.processes)
         first = list(itertools.islice(found, 1))  # so that the first block is read before the load begins
@@ -138,7 +138,7 @@
         def make(left: float) -> bytes:
             return message(
                 ask.cls, ask.id, key, arrival.object, left, ask.number > 0, body, host, target, method, mark
-            )  # fmt: skip
+            )
 
         return await self._exchanges.ask(ask, node, self._address(node), make)
 
--- a/rehearsal/clients/schedule.py
+++ b/orchidferry/testkit/clients/schedule.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from rehearsal import draws
-from rehearsal.scenario import Class, Clients
-from rehearsal.world.plan import Plan
+from orchidferry.testkit import draws
+from orchidferry.testkit.scenario import Class, Clients
+from orchidferry.testkit.world.plan import Plan
 
 BURST_SHARE = 0.3  # of a period that a bursty load spends above its mean
 ZIPF = 0.9  # exponent of the objects' popularity
--- a/rehearsal/control/__init__.py
+++ b/orchidferry/testkit/control/__init__.py
@@ -67,10 +67,12 @@
 def main(args: argparse.Namespace) -> int:
     """Run the command; its exit status."""
     if args.what == "status":
-        from rehearsal.control import status  # the rest of this package needs gRPC, which asking does not
+        from orchidferry.testkit.control import (
+            status,  # the rest of this package needs gRPC, which asking does not
+        )
 
         return status.main(args)
     os.environ.setdefault("GRPC_VERBOSITY", "NONE")  # what went wrong is said here, in one line
-    from rehearsal.control import operate
+    from orchidferry.testkit.control import operate
 
     return operate.main(args)
--- a/rehearsal/control/files.py
+++ b/orchidferry/testkit/control/files.py
@@ -23,12 +23,12 @@
 
 from google.protobuf.any_pb2 import Any as AnyMessage
 
-from nickelbridge import versions as v
-from nickelbridge.settings import Json, Malformed, get
-from orchidferry.config import address
-from orchidferry.control.messages import Unreadable, node_message, pool_message, read_node, read_pool
-from orchidferry.control.store import Unusable, decode
-from orchidferry.control.store import to_json as stored
+from orchidferry.balancing import versions as v
+from orchidferry.balancing.settings import Json, Malformed, get
+from orchidferry.node.config import address
+from orchidferry.node.control.messages import Unreadable, node_message, pool_message, read_node, read_pool
+from orchidferry.node.control.store import Unusable, decode
+from orchidferry.node.control.store import to_json as stored
 
 Key = tuple[v.Part, str]  # a resource: its part and name
 MOST = 64 * 1024 * 1024  # bytes of a file
@@ -171,8 +171,11 @@
         kept = stored(decode(data))
     except Unusable as problem:
         raise BadVersion(f"{path}: {problem}") from None
-    return {"version": " ".join(kept["versions"].values()), "pools": kept["pools"],
-            "settings": {"": {"pool": kept["pool"], "settings": kept["settings"]}}}  # fmt: skip
+    return {
+        "version": " ".join(kept["versions"].values()),
+        "pools": kept["pools"],
+        "settings": {"": {"pool": kept["pool"], "settings": kept["settings"]}},
+    }
 
 
 def differences(before: Json, after: Json, names: tuple[str, str]) -> list[str]:
--- a/rehearsal/control/operate.py
+++ b/orchidferry/testkit/control/operate.py
@@ -12,11 +12,11 @@
 import grpc
 from rich.console import Console
 
-from nickelbridge.settings import Malformed
-from orchidferry.config import Address, address
-from rehearsal.control.files import BadVersion, comparable, differences, read_version
-from rehearsal.control.rollout_service import RolloutService, call
-from rehearsal.control.service import Service
+from orchidferry.balancing.settings import Malformed
+from orchidferry.node.config import Address, address
+from orchidferry.testkit.control.files import BadVersion, comparable, differences, read_version
+from orchidferry.testkit.control.rollout_service import RolloutService, call
+from orchidferry.testkit.control.service import Service
 
 ASK_S = 5.0  # for what the service holds
 PUSH_S = 7 * 86_400.0  # for a whole rollout: its waves are watched for a day each at most
@@ -51,9 +51,13 @@
 async def _push(args: argparse.Namespace) -> int:
     pushed = read_version(args.file)  # what is bad in it is said here, with the file's name
     request = {
-        "file": pushed.form(), "canary": args.canary, "widen": args.widen, "watch_s": args.watch,
-        "least": args.least, "doors": args.doors,
-    }  # fmt: skip
+        "file": pushed.form(),
+        "canary": args.canary,
+        "widen": args.widen,
+        "watch_s": args.watch,
+        "least": args.least,
+        "doors": args.doors,
+    }
     console, state = Console(highlight=False), "offering"
     async for found in call(_loopback(address(args.to)), "Push", request, PUSH_S):
         state = found["state"]
--- a/rehearsal/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -1,8 +1,8 @@
 """The operators' side of the stand-in service: push a version to some nodes first, and ask what it holds.
 
 Two calls over gRPC at the service's own address, JSON each way: `Push` (answers with a line for each step,
-until the rollout is over) and `Held`. What is decided stands in `nickelbridge.rollout`. A rollout belongs
-to the call that began it: once that has gone, the version is taken back.
+until the rollout is over) and `Held`. What is decided stands in `orchidferry.balancing.rollout`. A rollout
+belongs to the call that began it: once that has gone, the version is taken back.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 import grpc
 
-from nickelbridge.rollout import (
+from orchidferry.balancing.rollout import (
     LOOK_MS,
     Accept,
     Begin,
@@ -32,13 +32,13 @@
     State,
     Streams,
     Withdraw,
-)  # fmt: skip
-from nickelbridge.settings import Malformed, get, opt
-from orchidferry.config import Address, address
-from orchidferry.control.messages import TYPES
-from rehearsal.control.files import BadVersion, Version, from_form
-from rehearsal.control.service import Held, Service, Word
-from rehearsal.wire import get as ask
+)
+from orchidferry.balancing.settings import Malformed, get, opt
+from orchidferry.node.config import Address, address
+from orchidferry.node.control.messages import TYPES
+from orchidferry.testkit.control.files import BadVersion, Version, from_form
+from orchidferry.testkit.control.service import Held, Service, Word
+from orchidferry.testkit.wire import get as ask
 
 NAME = "orchidferry.standin.v1.Rollout"
 DOOR_S = 1.0  # for a door's answer
@@ -118,9 +118,10 @@
     async def held(self, _: Any, context: Any) -> dict[str, Any]:
         """What the service holds, the nodes with a stream, and the rollout that is on."""
         return {
-            "content": self.base.form(), "nodes": sorted({line.node for line in self._service.lines}),
+            "content": self.base.form(),
+            "nodes": sorted({line.node for line in self._service.lines}),
             "rollout": self.rollout.status() if self.rollout is not None else None,
-        }  # fmt: skip
+        }
 
     async def push(self, request: Any, context: Any) -> AsyncIterator[dict[str, Any]]:
         """Take a version to the nodes, a wave at a time; a line for each step."""
@@ -153,9 +154,13 @@
         if len(doors) > DOORS_MOST:
             raise BadVersion(f"{len(doors)} doors, {DOORS_MOST} at most")
         plan = Plan(
-            new.version, get(request, "canary", int), float(request.get("widen", 4.0)),
-            float(request.get("watch_s", 10.0)) * 1000.0, int(request.get("least", 20)), bool(doors),
-        )  # fmt: skip
+            new.version,
+            get(request, "canary", int),
+            float(request.get("widen", 4.0)),
+            float(request.get("watch_s", 10.0)) * 1000.0,
+            int(request.get("least", 20)),
+            bool(doors),
+        )
         return new, plan, doors
 
     def _affected(self) -> tuple[str, ...]:
--- a/rehearsal/control/script.py
+++ b/orchidferry/testkit/control/script.py
@@ -13,19 +13,27 @@
 
 from google.protobuf.any_pb2 import Any as AnyMessage
 
-from nickelbridge.versions import Part
-from orchidferry.control.messages import EDS, TYPES, node_message, pool_message
-from rehearsal import draws
-from rehearsal.control.service import Service, Word
-from rehearsal.scenario import Scenario
+from orchidferry.balancing.versions import Part
+from orchidferry.node.control.messages import EDS, TYPES, node_message, pool_message
+from orchidferry.testkit import draws
+from orchidferry.testkit.control.service import Service, Word
+from orchidferry.testkit.scenario import Scenario
 
 FROM, TO = 0.04, 0.88  # of a run's length: between them versions come, and after it nodes come to rest
 JITTER = 0.3  # of the time between two versions
 DRAIN_EVERY = 12  # versions: a good one that drains a server, which the next one of members brings back
 BAD = (
-    "no live server", "no such pool", "looser drain", "looser class", "needs a restart", "shares over 1",
-    "no address", "another type", "cut off", "no classes",
-)  # fmt: skip
+    "no live server",
+    "no such pool",
+    "looser drain",
+    "looser class",
+    "needs a restart",
+    "shares over 1",
+    "no address",
+    "another type",
+    "cut off",
+    "no classes",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,9 +214,11 @@
     def outcome(self) -> Outcome:
         """What became of it, as the service saw it."""
         return outcome(
-            self.pushes, self._nodes, self.service.words,
+            self.pushes,
+            self._nodes,
+            self.service.words,
             lambda node, label: node in self._connected.get(label, ()) and self._stayed(node, label),
-        )  # fmt: skip
+        )
 
     def _stayed(self, node: str, label: str) -> bool:
         """Whether it still had a stream when the next version came: one cut just then may have missed it."""
--- a/rehearsal/control/status.py
+++ b/orchidferry/testkit/control/status.py
@@ -12,9 +12,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from nickelbridge.settings import Malformed
-from orchidferry.config import address
-from rehearsal import door
+from orchidferry.balancing.settings import Malformed
+from orchidferry.node.config import address
+from orchidferry.testkit import door
 
 AT_ONCE = 64
 HEAD = ("node", "members", "settings", "from", "since", "stream", "last refusal, or what is wrong")
@@ -45,9 +45,13 @@
     last = f"{refused[-1]['part']} {refused[-1]['version']}: {refused[-1]['reason']}" if refused else ""
     versions = found["versions"]
     return [
-        versions["members"] or "-", versions["settings"] or "-", found["source"], f"{since_s:.0f} s",
-        f"{found['stream']}, saved: {found['saved']}", last,
-    ]  # fmt: skip
+        versions["members"] or "-",
+        versions["settings"] or "-",
+        found["source"],
+        f"{since_s:.0f} s",
+        f"{found['stream']}, saved: {found['saved']}",
+        last,
+    ]
 
 
 def main(args: argparse.Namespace) -> int:
--- a/rehearsal/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge.versions import Part
-from rehearsal.control.script import Control
-from rehearsal.process import TICK_S, Order, Say, Script, monotonic_at, work
-from rehearsal.record import Recorder, Told
-from rehearsal.world.addresses import Block
-from rehearsal.world.director import RESULT
-from rehearsal.world.nodes import settings
+from orchidferry.balancing.versions import Part
+from orchidferry.testkit.control.script import Control
+from orchidferry.testkit.process import TICK_S, Order, Say, Script, monotonic_at, work
+from orchidferry.testkit.record import Recorder, Told
+from orchidferry.testkit.world.addresses import Block
+from orchidferry.testkit.world.director import RESULT
+from orchidferry.testkit.world.nodes import settings
 
 
 class ControlProcess:
--- a/rehearsal/door.py
+++ b/orchidferry/testkit/door.py
@@ -6,8 +6,8 @@
 import json
 from typing import Any
 
-from orchidferry.config import Address
-from rehearsal.wire import get
+from orchidferry.node.config import Address
+from orchidferry.testkit.wire import get
 
 WAIT_S = 2.0  # for one node
 
--- a/rehearsal/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -8,17 +8,17 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from rehearsal import draws
-from rehearsal.record import Answered, Asked, Cut, Extra, Recorder, Unanswered
-from rehearsal.scenario import Class, Scenario
-from rehearsal.traffic.guard import MARK, PROOF_CLASS, new_nonce, proven
-from rehearsal.wire import Address, AskerSide, Outcome, Pool
+from orchidferry.testkit import draws
+from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Recorder, Unanswered
+from orchidferry.testkit.scenario import Class, Scenario
+from orchidferry.testkit.traffic.guard import MARK, PROOF_CLASS, new_nonce, proven
+from orchidferry.testkit.wire import Address, AskerSide, Outcome, Pool
 
 if TYPE_CHECKING:
-    from rehearsal.quic.certs import Files
-    from rehearsal.quic.client import AskerStream
-    from rehearsal.quic.faults import Trouble
-    from rehearsal.quic.pool import H3Pool
+    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.client import AskerStream
+    from orchidferry.testkit.quic.faults import Trouble
+    from orchidferry.testkit.quic.pool import H3Pool
 
 
 def body_of(seed: int, id: str) -> bytes:
@@ -45,9 +45,19 @@
 
 
 def message(
-    cls: Class, id: str, key: str, object: int, budget_s: float, again: bool, body: bytes,
-    host: str = HOST, target: str = "", method: str = "", mark: str = "", more: Sequence[str] = (),
-) -> bytes:  # fmt: skip
+    cls: Class,
+    id: str,
+    key: str,
+    object: int,
+    budget_s: float,
+    again: bool,
+    body: bytes,
+    host: str = HOST,
+    target: str = "",
+    method: str = "",
+    mark: str = "",
+    more: Sequence[str] = (),
+) -> bytes:
     """A request as callers write it; `target` and `method` where they are not the class's own."""
     method = method or ("GET" if cls.repeat == "safe" else "POST")
     lines = [
@@ -85,7 +95,7 @@
 
 def trouble_of(scenario: Scenario) -> Trouble:
     """What datagrams meet on every path of a scenario."""
-    from rehearsal.quic.faults import Trouble
+    from orchidferry.testkit.quic.faults import Trouble
 
     network = scenario.network
     return Trouble(network.loss, network.reorder, network.duplicate, network.delay_s)
@@ -114,7 +124,7 @@
         return self._pools[node]
 
     def _h3_pool(self, extra: Callable[[str], None], node: str) -> H3Pool:
-        from rehearsal.quic.pool import H3Pool
+        from orchidferry.testkit.quic.pool import H3Pool
 
         assert self._files is not None
         seed = draws.number(self.scenario.seed, "path", node, self.recorder.path.stem)
@@ -136,10 +146,17 @@
         waiting = connection.ask(ask.id, make(ask.ends - now()))
         put(
             Asked(
-                now(), ask.tier, ask.id, ask.cls.name, node, client_root(root_of(ask.id)), ask.number,
-                ask.intended, ask.ends,
+                now(),
+                ask.tier,
+                ask.id,
+                ask.cls.name,
+                node,
+                client_root(root_of(ask.id)),
+                ask.number,
+                ask.intended,
+                ask.ends,
             )
-        )  # fmt: skip
+        )
         until = ask.ends if ask.leaves is None else min(ask.ends, ask.leaves)
         await asyncio.wait({waiting}, timeout=max(0.0, until - now()))
         if not waiting.done():
--- a/rehearsal/explore/__init__.py
+++ b/orchidferry/testkit/explore/__init__.py
@@ -12,10 +12,12 @@
 def arguments(parser: Any) -> None:
     """Give the command's parser its options."""
     parser.add_argument(
-        "--of", choices=("node", "fleet", "slots", "mesh-shards", "mesh-keys", "worst-days"), default="node",
+        "--of",
+        choices=("node", "fleet", "slots", "mesh-shards", "mesh-keys", "worst-days"),
+        default="node",
         help="a node among its peers, the membership of a few nodes, slots among three voters, or keepers of "
         "the mesh: configurations and duties, operation keys, or the worst days of both (node)",
-    )  # fmt: skip
+    )
     parser.add_argument("--nodes", type=int, default=3, metavar="N", help="of a fleet (3)")
     parser.add_argument("--askers", type=int, default=2, metavar="N", help="that want a slot (2)")
     parser.add_argument("--bound", type=int, default=1, metavar="N", help="slots at once (1)")
@@ -27,9 +29,10 @@
     parser.add_argument("--events", type=int, default=3, metavar="N", help="disturbances in one run (3)")
     parser.add_argument("--attempts", type=int, default=2, metavar="N", help="at one request at most (2)")
     parser.add_argument(
-        "--kinds", metavar="LIST",
+        "--kinds",
+        metavar="LIST",
         help="of the clients in turn (pay,save,read); of the mesh: of faults (all that a scene has)",
-    )  # fmt: skip
+    )
     parser.add_argument("--scene", metavar="LIST", help="of the mesh (all); --list-scenes tells them")
     parser.add_argument("--list-scenes", action="store_true", help="tell them, a line each")
     parser.add_argument("--cold", type=int, default=0, metavar="N", help="servers that have just started (0)")
@@ -52,6 +55,6 @@
 
 def main(args: argparse.Namespace) -> int:
     """Run the command; its exit status: 0 no counterexample, 1 one, 2 bad usage, 130 interrupted."""
-    from rehearsal.explore import command
+    from orchidferry.testkit.explore import command
 
     return command.main(args)
--- a/rehearsal/explore/breaks.py
+++ b/orchidferry/testkit/explore/breaks.py
@@ -9,10 +9,10 @@
 from contextlib import contextmanager
 from typing import Any
 
-from nickelbridge import cold, logic
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
-from orchidferry import alarms, frontend, node, upstream
+from orchidferry.balancing import cold, logic
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.interface import Result
+from orchidferry.node import alarms, frontend, node, upstream
 
 Patch = tuple[Any, str, Any]  # where, what, and what stands there instead
 
@@ -62,8 +62,10 @@
 
 def _never_ran_early() -> list[Patch]:
     """What broke after the last byte counts as if it had not run."""
-    return [(logic, "NEVER_RAN", frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT, Result.RESET))),
-            (upstream.Connection, "connection_lost", _lost_as_unreachable())]  # fmt: skip
+    return [
+        (logic, "NEVER_RAN", frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT, Result.RESET))),
+        (upstream.Connection, "connection_lost", _lost_as_unreachable()),
+    ]
 
 
 def _lost_as_unreachable() -> Callable[..., None]:
--- a/rehearsal/explore/command.py
+++ b/orchidferry/testkit/explore/command.py
@@ -13,11 +13,11 @@
 from rich.console import Console
 from rich.progress import Progress, TextColumn
 
-from rehearsal.explore import search
-from rehearsal.explore.breaks import BREAKS
-from rehearsal.explore.pure import Found
-from rehearsal.explore.search import Totals
-from rehearsal.explore.world import PROPERTIES, Small
+from orchidferry.testkit.explore import search
+from orchidferry.testkit.explore.breaks import BREAKS
+from orchidferry.testkit.explore.pure import Found
+from orchidferry.testkit.explore.search import Totals
+from orchidferry.testkit.explore.world import PROPERTIES, Small
 
 
 class _Usage(Exception):
@@ -57,11 +57,11 @@
 
 def _pure(args: argparse.Namespace) -> int:
     """Every interleaving of a small world of pure modules."""
-    from rehearsal.explore import fleet, slots
+    from orchidferry.testkit.explore import fleet, slots
 
     breaks = {
         name: about for name, (about, *_) in (fleet.BREAKS if args.of == "fleet" else slots.BREAKS).items()
-    }  # fmt: skip
+    }
     if args.list_breaks:
         for name, about in breaks.items():
             print(f"{name:26} {about}")
@@ -106,10 +106,16 @@
     """Say what was found; the exit status."""
     if args.json is not None:
         obj = {
-            "format": 1, "of": args.of, "faults": args.faults, "states": found.states, "runs": found.runs,
-            "exhausted": found.exhausted, "violations": dict(found.violations), "story": found.story,
+            "format": 1,
+            "of": args.of,
+            "faults": args.faults,
+            "states": found.states,
+            "runs": found.runs,
+            "exhausted": found.exhausted,
+            "violations": dict(found.violations),
+            "story": found.story,
             "seconds": round(found.seconds, 1),
-        }  # fmt: skip
+        }
         Path(args.json).write_text(json.dumps(obj, indent=1) + "\n", encoding="utf-8")
     told = f"{found.states} states, {found.runs} runs to their end{about}"
     console.print(f"{told}, in {found.seconds:.1f} s")
@@ -124,7 +130,7 @@
 
 def _mesh(args: argparse.Namespace) -> int:
     """Every interleaving of the controllers of one shard, scene by scene."""
-    from rehearsal.explore import mesh, worst_days
+    from orchidferry.testkit.explore import mesh, worst_days
 
     source: Any = worst_days if args.of == "worst-days" else mesh
     scenes = {name: scene for name, scene in source.SCENES.items() if scene.of == args.of}
@@ -202,15 +208,24 @@
 def as_json(small: Small, found: Totals) -> dict[str, Any]:
     """The agreed object."""
     return {
-        "format": 1, "clients": small.clients, "servers": small.servers, "events": small.events,
-        "states": found.states, "transitions": found.transitions, "depth": found.depth, "runs": found.runs,
-        "exhausted": found.exhausted, "why": found.why, "seconds": round(found.seconds, 1),
+        "format": 1,
+        "clients": small.clients,
+        "servers": small.servers,
+        "events": small.events,
+        "states": found.states,
+        "transitions": found.transitions,
+        "depth": found.depth,
+        "runs": found.runs,
+        "exhausted": found.exhausted,
+        "why": found.why,
+        "seconds": round(found.seconds, 1),
         "properties": {
             name: {"text": text, "held": not found.violations[name], "violations": found.violations[name]}
             for name, text in PROPERTIES.items()
         },
-        "counterexample": found.counterexample, "outcomes": len(found.outcomes),
-    }  # fmt: skip
+        "counterexample": found.counterexample,
+        "outcomes": len(found.outcomes),
+    }
 
 
 def _tell(console: Console, small: Small, found: Totals, args: argparse.Namespace) -> int:
--- a/rehearsal/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from mesh.control import shard_state
-from mesh.control.actions import Action, Answer, Changed, Ended, Tell, Write
-from mesh.control.order_records import orders_of
-from mesh.control.peers import Peers
-from mesh.control.shard import Shard, remembered
-from mesh.storage.store import Put, unpack
-from mesh.wire.shard_messages import ShardBody
-from nickelbridge.register import Kept
+from orchidferry.balancing.register import Kept
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Action, Answer, Changed, Ended, Tell, Write
+from orchidferry.mesh.control.order_records import orders_of
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.storage.store import Put, unpack
+from orchidferry.mesh.wire.shard_messages import ShardBody
 
 WINDOW_S = 60.0
 SEEDS = ("a", "b", "c")
@@ -45,9 +45,14 @@
     """A process with its disk, which writes when it is told to (`disk_turn`)."""
 
     def __init__(
-        self, name: str, world: Around, founder: bool, number: int, rng: random.Random,
+        self,
+        name: str,
+        world: Around,
+        founder: bool,
+        number: int,
+        rng: random.Random,
         seeds: tuple[str, ...] = SEEDS,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`number`: of the shard; `seeds`: the founders, as many as the group should have."""
         self.name, self.world, self.number, self.rng, self.seeds = name, world, number, rng, seeds
         self.disk: dict[tuple[str, bytes], bytes] = {}
@@ -72,9 +77,17 @@
         caught = ("about", f"caught/{self.number}".encode()) in self.disk
         first = shard_state.genesis(self.seeds)
         self.shard = Shard(
-            self.number, self.name, first, kept, caught, self.peers, WINDOW_S, self.rng, 1_000,
+            self.number,
+            self.name,
+            first,
+            kept,
+            caught,
+            self.peers,
+            WINDOW_S,
+            self.rng,
+            1_000,
             len(self.seeds),
-        )  # fmt: skip
+        )
         for (name, key), value in self.disk.items():
             if name == "slips":
                 self.shard.load(key.decode(), unpack(value))
--- a/rehearsal/explore/dead_messages.py
+++ b/orchidferry/testkit/explore/dead_messages.py
@@ -8,8 +8,9 @@
 
 from __future__ import annotations
 
-from mesh.control.shard import Shard
-from mesh.wire.shard_messages import (
+from orchidferry.balancing.register import Ballot
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.wire.shard_messages import (
     AcceptedState,
     DecidedBallot,
     DecidedState,
@@ -18,7 +19,6 @@
     RegisterPromise,
     ShardBody,
 )
-from nickelbridge.register import Ballot
 
 VERSION_AT = 0  # of a packed state
 
--- a/rehearsal/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -20,14 +20,14 @@
 from typing import Any
 from unittest import mock
 
-from nickelbridge.fleet import messages as api
-from nickelbridge.fleet import swim
-from nickelbridge.fleet.members import Entry, Phase, Status, order
-from nickelbridge.fleet.messages import Address, Message
-from nickelbridge.fleet.suspicion import Timing
-from nickelbridge.fleet.swim import Fleet, here
-from rehearsal.explore import pure
-from rehearsal.explore.pure import Found
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet import swim
+from orchidferry.balancing.fleet.members import Entry, Phase, Status, order
+from orchidferry.balancing.fleet.messages import Address, Message
+from orchidferry.balancing.fleet.suspicion import Timing
+from orchidferry.balancing.fleet.swim import Fleet, here
+from orchidferry.testkit.explore import pure
+from orchidferry.testkit.explore.pure import Found
 
 TIMING = Timing(interval_ms=500.0, timeout_ms=200.0, gossip_ms=100.0, sync_ms=7_500.0, reach_ms=500.0)
 FAULTS_UNTIL_MS = 700.0  # a round of probes and the beginning of the next
@@ -93,8 +93,11 @@
             if not self.over:
                 for n, mail in due:
                     if mail.to == to:
-                        found += [f"{kind} {n}" for kind in ("lose", "twice", "late")
-                                  if kind in self.kinds and not (mail.stream or mail.copy)]  # fmt: skip
+                        found += [
+                            f"{kind} {n}"
+                            for kind in ("lose", "twice", "late")
+                            if kind in self.kinds and not (mail.stream or mail.copy)
+                        ]
         else:
             found = ["wait"]
         if not self.over:
@@ -252,20 +255,42 @@
                 return about
 
             out += [
-                fleet.me, sorted(fleet.members.items()), fleet._at, fleet._reached, fleet.score,
-                fleet.joined, fleet._rival,
-                fleet.contested, fleet._rival_tries, sorted(fleet._suspicions.items(), key=lambda s: s[0]),
+                fleet.me,
+                sorted(fleet.members.items()),
+                fleet._at,
+                fleet._reached,
+                fleet.score,
+                fleet.joined,
+                fleet._rival,
+                fleet.contested,
+                fleet._rival_tries,
+                sorted(fleet._suspicions.items(), key=lambda s: s[0]),
                 sorted((at, what, repr(meant(what, about))) for at, _, what, about in fleet._alarms),
                 sorted((name, told[0], told[2]) for name, told in fleet._rumours._told.items()),
                 sorted((probe.name, probe.expected, probe.nacks) for probe in fleet._probes.values()),
-                sorted(relays.values()), sorted(fleet._unproven.items()),
-            ]  # fmt: skip
+                sorted(relays.values()),
+                sorted(fleet._unproven.items()),
+            ]
         for step in (self.mail, self.next):
-            out.append(sorted(
-                repr((m.to, m.at, m.stream, m.copy, m.message.kind, m.message.sender, m.message.to_life,
-                      m.message.target, m.message.news, m.message.number > 0))
-                for m in step
-            ))  # fmt: skip
+            out.append(
+                sorted(
+                    repr(
+                        (
+                            m.to,
+                            m.at,
+                            m.stream,
+                            m.copy,
+                            m.message.kind,
+                            m.message.sender,
+                            m.message.to_life,
+                            m.message.target,
+                            m.message.news,
+                            m.message.number > 0,
+                        )
+                    )
+                    for m in step
+                )
+            )
         return hashlib.blake2b(repr(out).encode(), digest_size=16).digest()
 
     def ended(self) -> bool:
@@ -295,9 +320,14 @@
 
 
 def search(
-    nodes: int = 3, faults: int = 2, break_: str = "", limit_s: float = 600.0, kinds: tuple[str, ...] = KINDS,
-    watch: Callable[[Found], None] = lambda _: None, workers: int = 0,
-) -> Found:  # fmt: skip
+    nodes: int = 3,
+    faults: int = 2,
+    break_: str = "",
+    limit_s: float = 600.0,
+    kinds: tuple[str, ...] = KINDS,
+    watch: Callable[[Found], None] = lambda _: None,
+    workers: int = 0,
+) -> Found:
     """Walk all that a small fleet can do."""
     return pure.search(lambda: begin(nodes, faults, kinds), broken, break_, limit_s, watch, workers)
 
@@ -321,7 +351,7 @@
     "dead-at-once": ("a failed probe is a death", Fleet, "_suspect", _dead_at_once),
     "no-reach": ("nobody asks those that are lost", Fleet, "_reach", lambda self, now: None),
     "no-end": ("a suspicion never ends", Fleet, "_time_up", lambda self, name, now: None),
-}  # fmt: skip
+}
 
 
 @contextlib.contextmanager
--- a/rehearsal/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -24,22 +24,29 @@
 
 import msgspec
 
-from mesh.control import actions, operation_key_client, operation_keys, peers, replica, shard_state
-from mesh.control import shard as shard_module
-from mesh.control.actions import Answer, Changed, Ended
-from mesh.control.membership import epoch
-from mesh.control.operation_key_client import OperationKeyClient
-from mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
-from mesh.wire.shard_messages import KeyPage, tag_of
-from nickelbridge import register
-from nickelbridge.register import Proposer, Value
-from rehearsal.explore import pure
-from rehearsal.explore.controller import WINDOW_S, Controller
-from rehearsal.explore.dead_messages import ballot_of_round, is_dead
-from rehearsal.explore.fleet import Middle
-from rehearsal.explore.mesh_breaks import BREAKS, Break, broken
-from rehearsal.explore.mesh_scenes import KINDS, SCENES, Scene
-from rehearsal.explore.pure import Found
+from orchidferry.balancing import register
+from orchidferry.balancing.register import Proposer, Value
+from orchidferry.mesh.control import (
+    actions,
+    operation_key_client,
+    operation_keys,
+    peers,
+    replica,
+    shard_state,
+)
+from orchidferry.mesh.control import shard as shard_module
+from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.membership import epoch
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
+from orchidferry.mesh.wire.shard_messages import KeyPage, tag_of
+from orchidferry.testkit.explore import pure
+from orchidferry.testkit.explore.controller import WINDOW_S, Controller
+from orchidferry.testkit.explore.dead_messages import ballot_of_round, is_dead
+from orchidferry.testkit.explore.fleet import Middle
+from orchidferry.testkit.explore.mesh_breaks import BREAKS, Break, broken
+from orchidferry.testkit.explore.mesh_scenes import KINDS, SCENES, Scene
+from orchidferry.testkit.explore.pure import Found
 
 __all__ = ["BREAKS", "KINDS", "SCENES", "Break", "Scene", "World", "begin", "broken", "search"]
 
@@ -60,8 +67,15 @@
 
 
 for _module in (
-    register, shard_state, actions, peers, replica, shard_module, operation_keys, operation_key_client,
-):  # fmt: skip
+    register,
+    shard_state,
+    actions,
+    peers,
+    replica,
+    shard_module,
+    operation_keys,
+    operation_key_client,
+):
     for _kind in vars(_module).values():
         if isinstance(_kind, type) and is_dataclass(_kind) and "__slots__" in vars(_kind):
             _fast(_kind)
@@ -648,13 +662,26 @@
         half, _ = self._items()
         touched = bool(self.faults and half and half == self.touched)
         held: list[Any] = [
-            self.now, self.grid, self.faults, touched, by_link(self.mail), by_link(self.next), self.ready,
-            sorted(self.slow), sorted(self.cuts.items()),
-            sorted(self.frozen.items()), sorted(self.down.items()),
-            self.versions, self.fences, self.taken, self.newest, self.ran, self.askers,
+            self.now,
+            self.grid,
+            self.faults,
+            touched,
+            by_link(self.mail),
+            by_link(self.next),
+            self.ready,
+            sorted(self.slow),
+            sorted(self.cuts.items()),
+            sorted(self.frozen.items()),
+            sorted(self.down.items()),
+            self.versions,
+            self.fences,
+            self.taken,
+            self.newest,
+            self.ran,
+            self.askers,
             [(name, sorted(told)) for name, told in sorted(self.learns.items())],
             [(t.began, t.said) for t in self.tries],
-        ]  # fmt: skip
+        ]
         for controller in self.controllers.values():
             shard, kept = controller.shard, controller.shard.acceptor.kept
             references = shard._references if shard._references.ballot == ballot_of_round(shard) else None
@@ -669,9 +696,16 @@
                     case (("claim" | "answer"), *_, record):
                         same.append(any(record is one for one in records.values()))
             held += [
-                controller.alive, sorted(controller.disk.items()), controller.writes, controller.beats,
-                controller.peers, controller.rng, kept, inside, same,
-            ]  # fmt: skip
+                controller.alive,
+                sorted(controller.disk.items()),
+                controller.writes,
+                controller.beats,
+                controller.peers,
+                controller.rng,
+                kept,
+                inside,
+                same,
+            ]
         for node in self.nodes.values():
             open_ = node.claims._open.values()
             backs = node.claims.give_backs
@@ -734,8 +768,13 @@
 
 
 def search(
-    scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS, break_: str = "", limit_s: float = 600.0,
-    watch: Callable[[Found], None] = lambda _: None, workers: int = 0,
-) -> Found:  # fmt: skip
+    scene: str,
+    faults: int = 2,
+    kinds: tuple[str, ...] = KINDS,
+    break_: str = "",
+    limit_s: float = 600.0,
+    watch: Callable[[Found], None] = lambda _: None,
+    workers: int = 0,
+) -> Found:
     """Walk all of a scene."""
     return pure.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
--- a/rehearsal/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -9,16 +9,16 @@
 from typing import Any
 from unittest import mock
 
-from mesh.control import duties, shard_state
-from mesh.control.actions import Action, Write
-from mesh.control.membership import Standing
-from mesh.control.operation_key_client import Count
-from mesh.control.operation_keys import OperationKeys
-from mesh.control.order_history import OrderHistory, Verdict
-from mesh.control.shard import Shard, remembered
-from nickelbridge import register
-from nickelbridge.register import Acceptor, Kept, Proposer, Value, Voter
-from rehearsal.explore.controller import Controller
+from orchidferry.balancing import register
+from orchidferry.balancing.register import Acceptor, Kept, Proposer, Value, Voter
+from orchidferry.mesh.control import duties, shard_state
+from orchidferry.mesh.control.actions import Action, Write
+from orchidferry.mesh.control.membership import Standing
+from orchidferry.mesh.control.operation_key_client import Count
+from orchidferry.mesh.control.operation_keys import OperationKeys
+from orchidferry.mesh.control.order_history import OrderHistory, Verdict
+from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.testkit.explore.controller import Controller
 
 
 def _same_memory(self: Controller) -> None:
@@ -133,11 +133,19 @@
 
 _admit, _owns = shard_state.Admit.__call__, Shard.owns
 _do, _handle, _promised, _verdict, _own = (
-    Controller.do, Acceptor.handle, Proposer._promised, OrderHistory.verdict, shard_state.Own.__call__,
-)  # fmt: skip
+    Controller.do,
+    Acceptor.handle,
+    Proposer._promised,
+    OrderHistory.verdict,
+    shard_state.Own.__call__,
+)
 _pulse, _hear, _join, _drop, _claim = (
-    Shard.pulse, Count.hear, Shard._join, OperationKeys.drop, Shard.claim,
-)  # fmt: skip
+    Shard.pulse,
+    Count.hear,
+    Shard._join,
+    OperationKeys.drop,
+    Shard.claim,
+)
 
 
 @dataclass(frozen=True)
@@ -196,7 +204,10 @@
     ),
     "at-once": break_under_faults("a new owner does not wait", "unwell", 1, "cut", (Shard, "owns", _at_once)),
     "voters-unfenced": break_under_faults(
-        "a change of voters leaves the fence", "apart", 1, "lose",
+        "a change of voters leaves the fence",
+        "apart",
+        1,
+        "lose",
         (shard_state.Admit, "__call__", _same_voters_fence),
     ),
     "same-fence": break_under_faults(
@@ -206,19 +217,33 @@
         "any one controller grants a key", "answered", 1, "lose", (Count, "hear", _any_one)
     ),
     "mixed": break_under_faults(
-        "words of two epochs count together", "epochs", 0, "",
-        (Count, "hear", _mixed), (Count, "anew", _counts_on),
+        "words of two epochs count together",
+        "epochs",
+        0,
+        "",
+        (Count, "hear", _mixed),
+        (Count, "anew", _counts_on),
     ),
     "remembers": break_under_faults(
-        "an empty disk counts as caught up", "answered", 1, "wipe",
-        (Controller, "wipe", _full_memory), (Standing, "put_out", _not_put_out), (Shard, "_join", _joins),
+        "an empty disk counts as caught up",
+        "answered",
+        1,
+        "wipe",
+        (Controller, "wipe", _full_memory),
+        (Standing, "put_out", _not_put_out),
+        (Shard, "_join", _joins),
     ),
     "one-source": break_under_faults(
         "one other is enough to learn from", "learning", 0, "", (shard_state, "sources_needed", _one_source)
     ),
     "back-as-before": break_under_faults(
-        "one that was put out comes back as caught up", "moved", 0, "",
-        (Standing, "put_out", _not_put_out), (Shard, "_join", _joins), (Shard, "ready", True),
+        "one that was put out comes back as caught up",
+        "moved",
+        0,
+        "",
+        (Standing, "put_out", _not_put_out),
+        (Shard, "_join", _joins),
+        (Shard, "ready", True),
     ),
     "drops-any": break_under_faults(
         "any try may give a key back", "broken-off", 0, "", (OperationKeys, "drop", _drops_any)
@@ -229,7 +254,7 @@
     "unsynced-keys": break_under_faults(
         "a grant leaves before it is on disk", "missed", 1, "kill", (Controller, "do", _unsynced)
     ),
-}  # fmt: skip
+}
 
 
 @contextlib.contextmanager
--- a/rehearsal/explore/pure.py
+++ b/orchidferry/testkit/explore/pure.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from rehearsal.explore.seen import SLOTS, Seen, fingerprint
+from orchidferry.testkit.explore.seen import SLOTS, Seen, fingerprint
 
 SHARED = 256  # worlds from which on the processes of a search go on by themselves
 
@@ -115,9 +115,13 @@
 
 
 def search(
-    begin: Callable[[], World], broken: Broken, break_: str = "", limit_s: float = 600.0,
-    watch: Callable[[Found], None] = lambda _: None, workers: int = 0,
-) -> Found:  # fmt: skip
+    begin: Callable[[], World],
+    broken: Broken,
+    break_: str = "",
+    limit_s: float = 600.0,
+    watch: Callable[[Found], None] = lambda _: None,
+    workers: int = 0,
+) -> Found:
     """Walk all that a world can do; ends with the first violation. Processes share the table of states, so
     what two of them reach is walked by the first one."""
     global _seen
--- a/rehearsal/explore/search.py
+++ b/orchidferry/testkit/explore/search.py
@@ -22,11 +22,11 @@
 
 import numpy as np
 
-from rehearsal.explore.breaks import broken
-from rehearsal.explore.loop import Spin
-from rehearsal.explore.seen import SLOTS, Seen
-from rehearsal.explore.state import fingerprint
-from rehearsal.explore.world import Small, Violation, World
+from orchidferry.testkit.explore.breaks import broken
+from orchidferry.testkit.explore.loop import Spin
+from orchidferry.testkit.explore.seen import SLOTS, Seen
+from orchidferry.testkit.explore.state import fingerprint
+from orchidferry.testkit.explore.world import Small, Violation, World
 
 DEPTH_MOST = 60
 GIVE = 24  # paths that a process keeps for itself; what is beyond goes to others that have none
@@ -78,10 +78,13 @@
 def story(small: Small, path: list[str], world: World, violation: Violation, break_: str) -> dict[str, Any]:
     """A counterexample, for people and for `--replay`."""
     return {
-        "format": 1, "small": asdict(small), "break": break_, "path": path,
+        "format": 1,
+        "small": asdict(small),
+        "break": break_,
+        "path": path,
         "violation": asdict(violation),
         "story": [{"at_s": round(t - 1_000.0, 6), "what": what} for t, what in world.story],
-    }  # fmt: skip
+    }
 
 
 def walk(
@@ -129,9 +132,16 @@
 
 
 def _work(
-    small: Small, seen: Seen | None, break_: str, first_only: bool, until_s: float, jobs: Any, results: Any,
-    waiting: Any, ends: Any,
-) -> None:  # fmt: skip
+    small: Small,
+    seen: Seen | None,
+    break_: str,
+    first_only: bool,
+    until_s: float,
+    jobs: Any,
+    results: Any,
+    waiting: Any,
+    ends: Any,
+) -> None:
     """One process: its own paths, depth first; some for others where they have none."""
     stack: list[list[str]] = []
     totals = Totals()
@@ -169,10 +179,16 @@
 
 
 def search(
-    small: Small, workers: int = 0, merge: bool = True, break_: str = "", first_only: bool = True,
-    limit_s: float = 3_600.0, slots: int = SLOTS, watch: Callable[[Totals], None] = lambda _: None,
+    small: Small,
+    workers: int = 0,
+    merge: bool = True,
+    break_: str = "",
+    first_only: bool = True,
+    limit_s: float = 3_600.0,
+    slots: int = SLOTS,
+    watch: Callable[[Totals], None] = lambda _: None,
     keep: Path | None = None,
-) -> Totals:  # fmt: skip
+) -> Totals:
     """Walk all that a small world can do. `exhausted` only if nothing was cut.
 
     `keep`: a file that a search which is cut leaves what it has in, and the next one goes on from.
@@ -226,8 +242,13 @@
     if not total.rest or total.counterexample is not None:
         path.unlink(missing_ok=True)
         return
-    head = {"format": 1, "small": asdict(small), "rest": total.rest, "outcomes": sorted(total.outcomes),
-            **{name: getattr(total, name) for name in COUNTED}}  # fmt: skip
+    head = {
+        "format": 1,
+        "small": asdict(small),
+        "rest": total.rest,
+        "outcomes": sorted(total.outcomes),
+        **{name: getattr(total, name) for name in COUNTED},
+    }
     states = np.array(list(seen.held()) if seen is not None else [], np.uint64)
     part = path.with_name(path.name + ".part")
     with part.open("wb") as out:
@@ -251,9 +272,12 @@
 
 
 def wander(
-    small: Small, seconds: float, seed: int, break_: str = "",
+    small: Small,
+    seconds: float,
+    seed: int,
+    break_: str = "",
     watch: Callable[[Totals], None] = lambda _: None,
-) -> Totals:  # fmt: skip
+) -> Totals:
     """Random runs for a while, by PCT's priorities (Burckhardt et al., 2010): each kind of action has one,
     and a few times in a run the first of them falls to the last."""
     totals, began, number = Totals(), time.monotonic(), 0
--- a/rehearsal/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -17,12 +17,12 @@
 from typing import Any
 from unittest import mock
 
-from nickelbridge import register, slots
-from nickelbridge.register import Acceptor, Done, Kept, Proposer, Save, Send, Value, Voter
-from nickelbridge.slots import Bound, Gate, Place, SaysBack, Table, WantsOut
-from rehearsal.explore import pure
-from rehearsal.explore.fleet import Middle
-from rehearsal.explore.pure import Found
+from orchidferry.balancing import register, slots
+from orchidferry.balancing.register import Acceptor, Done, Kept, Proposer, Save, Send, Value, Voter
+from orchidferry.balancing.slots import Bound, Gate, Place, SaysBack, Table, WantsOut
+from orchidferry.testkit.explore import pure
+from orchidferry.testkit.explore.fleet import Middle
+from orchidferry.testkit.explore.pure import Found
 
 TRIES = 5  # of an asker, for each of its steps and each other one that it may have to wait for
 FOR_MS = 3_000.0
@@ -246,16 +246,33 @@
     def print(self) -> bytes:
         """All that it holds but its story; times stand in it."""
         askers = [
-            (a.step, a.token, a.tries, a.due, a.waits, a.proposer.known, a.proposer._counter,
-             a.proposer._again_ms, a.proposer._tries, a.proposer._round, [w.id for w in a.proposer._waiting])
+            (
+                a.step,
+                a.token,
+                a.tries,
+                a.due,
+                a.waits,
+                a.proposer.known,
+                a.proposer._counter,
+                a.proposer._again_ms,
+                a.proposer._tries,
+                a.proposer._round,
+                [w.id for w in a.proposer._waiting],
+            )
             for a in self.askers.values()
-        ]  # fmt: skip
+        ]
         held = [
-            self.now, self.faults, sorted(self.out.items()), sorted(self.cut.items()), askers,
-            [(name, acceptor.kept) for name, acceptor in self.acceptors.items()], sorted(self.disks.items()),
-            sorted(repr(mail) for mail in self.mail), sorted(repr(mail) for mail in self.next),
+            self.now,
+            self.faults,
+            sorted(self.out.items()),
+            sorted(self.cut.items()),
+            askers,
+            [(name, acceptor.kept) for name, acceptor in self.acceptors.items()],
+            sorted(self.disks.items()),
+            sorted(repr(mail) for mail in self.mail),
+            sorted(repr(mail) for mail in self.next),
             sorted(self.lives.items()),
-        ]  # fmt: skip
+        ]
         return hashlib.blake2b(repr(held).encode(), digest_size=16).digest()
 
     def finish(self) -> None:
@@ -297,9 +314,7 @@
 NAMES = ("a", "b", "c")
 PLACES = tuple(Place(slots.Kind.NODE, f"p{name}") for name in NAMES)
 VOTERS = tuple(Voter(name, n + 1) for n, name in enumerate(NAMES))
-FIRST = {
-    bound: Value(0, VOTERS, Table(PLACES, (Bound(slots.Kind.NODE, most=bound),))) for bound in (1, 2)
-}  # fmt: skip
+FIRST = {bound: Value(0, VOTERS, Table(PLACES, (Bound(slots.Kind.NODE, most=bound),))) for bound in (1, 2)}
 
 
 def begin(askers: int = 2, faults: int = 2, bound: int = 1, kinds: tuple[str, ...] = KINDS) -> World:
@@ -314,9 +329,15 @@
 
 
 def search(
-    askers: int = 2, faults: int = 2, bound: int = 1, break_: str = "", limit_s: float = 600.0,
-    kinds: tuple[str, ...] = KINDS, watch: Callable[[Found], None] = lambda _: None, workers: int = 0,
-) -> Found:  # fmt: skip
+    askers: int = 2,
+    faults: int = 2,
+    bound: int = 1,
+    break_: str = "",
+    limit_s: float = 600.0,
+    kinds: tuple[str, ...] = KINDS,
+    watch: Callable[[Found], None] = lambda _: None,
+    workers: int = 0,
+) -> Found:
     """Walk all of it."""
     return pure.search(lambda: begin(askers, faults, bound, kinds), broken, break_, limit_s, watch, workers)
 
--- a/rehearsal/explore/state.py
+++ b/orchidferry/testkit/explore/state.py
@@ -1,7 +1,8 @@
 """A state of the small world as a fingerprint: equal ones have the same futures.
 
 All that node, module and peers hold is walked, in the order in which it is held: fields of the classes of
-`nickelbridge`, `orchidferry` and this package, containers, coroutines with their place and locals, futures,
+`orchidferry.balancing`, `orchidferry.node` and this package, containers, coroutines with their place and
+locals, futures,
 callbacks that wait and timers with their times. Objects are named by the order in which they are met, so that
 two worlds that hold the same in the same way are one.
 
@@ -28,10 +29,10 @@
 from collections import deque
 from typing import Any
 
-from rehearsal.explore.loop import Loop
-from rehearsal.explore.world import World
+from orchidferry.testkit.explore.loop import Loop
+from orchidferry.testkit.explore.world import World
 
-OURS = ("nickelbridge", "orchidferry", "rehearsal.explore")
+OURS = ("orchidferry.balancing", "orchidferry.node", "orchidferry.testkit.explore")
 SKIPPED = frozenset(("Figures", "Logger", "HttpRequestParser", "HttpResponseParser", "_Errors", "Context"))
 SKIPPED_FIELDS = frozenset(("handle",))  # of the module: the wrapper round it
 
@@ -151,10 +152,12 @@
     loop = world.loop
     walk.add((world.left_events, world.left_late, repr(loop.now), world.index))
     walk.add((world.closed_loop, world.hung_up, world.whole, tuple(client.rest for client in world.clients)))
-    walk.add([
-        (c.number, c.left, c.asked_s, tuple(status for _, status in c.answers), c.closed_s, c.wire)
-        for c in world.clients
-    ])  # fmt: skip
+    walk.add(
+        [
+            (c.number, c.left, c.asked_s, tuple(status for _, status in c.answers), c.closed_s, c.wire)
+            for c in world.clients
+        ]
+    )
     carried = [(one.client, one.got_s, one.server, one.wire.number, one.ended) for one in world.carried]
     walk.add(sorted(carried))
     walk.add(world.told)
--- a/rehearsal/explore/world.py
+++ b/orchidferry/testkit/explore/world.py
@@ -1,6 +1,7 @@
 """A small world round one real node: what may happen next, and what must never have happened.
 
-The node is `orchidferry.node.Node` with all that stands under it, on a loop of virtual time. Callers, servers
+The node is `orchidferry.node.node.Node` with all that stands under it, on a loop of virtual time. Callers,
+servers
 and discovery are played here. At rest, `actions` lists all that may come next: what a sound world does costs
 nothing, a disturbance costs one of the `events` that a run may have. `do` plays one, up to rest again.
 """
@@ -17,12 +18,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-import orchidferry.config
-import orchidferry.upstream
-from nickelbridge import interface as api
-from orchidferry.config import Config, address, read_listing
-from orchidferry.node import MARGIN_MS, Node
-from rehearsal.explore.loop import Dial, Loop, Poll, Wire
+import orchidferry.node.config
+import orchidferry.node.upstream
+from orchidferry.balancing import interface as api
+from orchidferry.node.config import Config, address, read_listing
+from orchidferry.node.node import MARGIN_MS, Node
+from orchidferry.testkit.explore.loop import Dial, Loop, Poll, Wire
 
 DISCOVERY = ("10.9.9.9", 1)
 LISTEN = ("10.0.0.1", 80)
@@ -33,7 +34,7 @@
 END_S = 8.0  # after the last choice: all that is under way must have come to its end
 # Timers that come round by themselves: time does not stop for them.
 BACKGROUND = ("Frontend._sweep", "Upstream._sweep", "Discovery._silent")
-PATCHED = ((orchidferry.config, "time"), (orchidferry.upstream, "select"))
+PATCHED = ((orchidferry.node.config, "time"), (orchidferry.node.upstream, "select"))
 KINDS = {"read": api.Repeat.SAFE, "pay": api.Repeat.UNSAFE, "save": api.Repeat.KEYED}
 
 
@@ -351,17 +352,21 @@
     def _idle(self) -> list[tuple[int, Wire]]:
         busy = {id(one.wire) for one in self.carried if not one.ended}
         return [
-            (wire.number, wire) for wire in self.loop.wires
-            if wire.address not in (None, DISCOVERY) and id(wire) not in busy and not wire.closing
+            (wire.number, wire)
+            for wire in self.loop.wires
+            if wire.address not in (None, DISCOVERY)
+            and id(wire) not in busy
+            and not wire.closing
             and not wire.unread
-        ]  # fmt: skip
+        ]
 
     def next_due(self) -> float | None:
         """When the next timer is due that means anything."""
         due = [
-            when for when, _, handle in self.loop.timers
+            when
+            for when, _, handle in self.loop.timers
             if not handle.cancelled() and getattr(handle._callback, "__qualname__", "") not in BACKGROUND  # type: ignore[attr-defined]
-        ]  # fmt: skip
+        ]
         return min(due, default=None)
 
     def do(self, label: str) -> None:
@@ -521,8 +526,9 @@
         if self.whole:  # it asks for all of them
             entries = [
                 _entry(n) | {"status": how, "since_ms": int(1_000.0 * self.cold_s.get(n, 0.0))}
-                for n, (_, how) in self.told.items() if how != "left"
-            ]  # fmt: skip
+                for n, (_, how) in self.told.items()
+                if how != "left"
+            ]
         body = json.dumps({"index": self.index, "snapshot": self.whole, "endpoints": entries}).encode()
         wire.feed(b"HTTP/1.1 200 -\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         self._tell(f"discovery tells s{place} {status}")
@@ -590,14 +596,18 @@
     def _left(self) -> None:
         node, balancer = self.node, self.node._balancer
         counts = {
-            "requests of the node": len(node._live), "attempts of the node": len(node.attempts),
-            "ids": len(node._open_ids), "calls of the module": len(balancer._calls),
-            "attempts in flight": balancer.inflight, "uploads": len(balancer._uploads),
-            "lost calls": balancer.outstanding.lost, "alarms": len(node._alarms),
+            "requests of the node": len(node._live),
+            "attempts of the node": len(node.attempts),
+            "ids": len(node._open_ids),
+            "calls of the module": len(balancer._calls),
+            "attempts in flight": balancer.inflight,
+            "uploads": len(balancer._uploads),
+            "lost calls": balancer.outstanding.lost,
+            "alarms": len(node._alarms),
             "dials": len(node._tcp._dials),
             "calls out at servers": sum(len(server.out) for server in balancer.fleet.servers.values()),
             "sends without an end": sum(self.sends.values()),
-        }  # fmt: skip
+        }
         for what, count in counts.items():
             if count:
                 self._broken("nothing-left", f"{what}: {count}")
@@ -622,7 +632,7 @@
 
 
 class _Clock:
-    """What `orchidferry.config` takes for the module `time`."""
+    """What `orchidferry.node.config` takes for the module `time`."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -648,8 +658,16 @@
 
 
 def _entry(place: int) -> dict[str, Any]:
-    return {"name": f"s{place}", "address": f"10.1.0.{place}:80", "zone": f"z{place % 2}", "type": "k",
-            "group": place % 2, "status": "active", "weight": 1.0, "since_ms": 0}  # fmt: skip
+    return {
+        "name": f"s{place}",
+        "address": f"10.1.0.{place}:80",
+        "zone": f"z{place % 2}",
+        "type": "k",
+        "group": place % 2,
+        "status": "active",
+        "weight": 1.0,
+        "since_ms": 0,
+    }
 
 
 def _config(small: Small) -> Config:
@@ -667,10 +685,18 @@
         for name, repeat in KINDS.items()
     ]
     settings = api.Settings(
-        classes, max_attempts=small.attempts, connect_timeout_ms=CONNECT_MS, keepalive_ms=30_000.0,
-        can_cancel=True, drain_grace_ms=0.0, start_capacity=0.3, ramp_time_ms=8_000.0, overload_factor=3.0,
-        overload_for_ms=1_000.0, answer_slack_ms=MARGIN_MS,
-    )  # fmt: skip
+        classes,
+        max_attempts=small.attempts,
+        connect_timeout_ms=CONNECT_MS,
+        keepalive_ms=30_000.0,
+        can_cancel=True,
+        drain_grace_ms=0.0,
+        start_capacity=0.3,
+        ramp_time_ms=8_000.0,
+        overload_factor=3.0,
+        overload_for_ms=1_000.0,
+        answer_slack_ms=MARGIN_MS,
+    )
     entries = [_entry(n) for n in range(small.servers)]
     for entry in entries[small.servers - small.cold :]:
         entry["since_ms"] = 1_000_000
--- a/rehearsal/explore/worst_days/__init__.py
+++ b/orchidferry/testkit/explore/worst_days/__init__.py
@@ -1,7 +1,8 @@
 """Scenes of the days that break control planes, walked on the shipping code: `explore --of worst-days`.
 
 Each module here has the scenes of one concern, with the worlds that play them and the deliberate breaks that
-they catch: `SCENES` and `BREAKS`. This package joins them and offers what `rehearsal.explore.mesh` does.
+they catch: `SCENES` and `BREAKS`. This package joins them and offers what `orchidferry.testkit.explore.mesh`
+does.
 """
 
 from __future__ import annotations
@@ -9,12 +10,12 @@
 from collections.abc import Callable
 from contextlib import AbstractContextManager
 
-from rehearsal.explore import pure
-from rehearsal.explore.mesh import KINDS, Break, World
-from rehearsal.explore.mesh_breaks import in_force
-from rehearsal.explore.pure import Found
-from rehearsal.explore.worst_days import hundreds, isolated, one_number, second_loss
-from rehearsal.explore.worst_days.play import Play
+from orchidferry.testkit.explore import pure
+from orchidferry.testkit.explore.mesh import KINDS, Break, World
+from orchidferry.testkit.explore.mesh_breaks import in_force
+from orchidferry.testkit.explore.pure import Found
+from orchidferry.testkit.explore.worst_days import hundreds, isolated, one_number, second_loss
+from orchidferry.testkit.explore.worst_days.play import Play
 
 MODULES = (isolated, one_number, second_loss, hundreds)
 PLAYS: dict[str, Play] = {name: play for module in MODULES for name, play in module.SCENES.items()}
@@ -29,9 +30,14 @@
 
 
 def search(
-    scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS, break_: str = "", limit_s: float = 600.0,
-    watch: Callable[[Found], None] = lambda _: None, workers: int = 0,
-) -> Found:  # fmt: skip
+    scene: str,
+    faults: int = 2,
+    kinds: tuple[str, ...] = KINDS,
+    break_: str = "",
+    limit_s: float = 600.0,
+    watch: Callable[[Found], None] = lambda _: None,
+    workers: int = 0,
+) -> Found:
     """Walk all of a scene."""
     return pure.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
 
--- a/rehearsal/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -11,16 +11,16 @@
 from typing import Any
 from unittest import mock
 
-from mesh.control import shard_state
-from mesh.control.replica import Replica
-from mesh.control.shard import Shard
-from mesh.control.value_references import ValueReferences
-from nickelbridge.register import Accept, Acceptor, Prepare, Promise
-from nickelbridge.register import Send as SendMessage
-from rehearsal.explore.mesh import Break, Scene
-from rehearsal.explore.mesh_breaks import deliberate_break
-from rehearsal.explore.worst_days.one_number import Operator, Order, Orders, Send
-from rehearsal.explore.worst_days.play import Play
+from orchidferry.balancing.register import Accept, Acceptor, Prepare, Promise
+from orchidferry.balancing.register import Send as SendMessage
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.replica import Replica
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.control.value_references import ValueReferences
+from orchidferry.testkit.explore.mesh import Break, Scene
+from orchidferry.testkit.explore.mesh_breaks import deliberate_break
+from orchidferry.testkit.explore.worst_days.one_number import Operator, Order, Orders, Send
+from orchidferry.testkit.explore.worst_days.play import Play
 
 LISTED = 2  # orders that a state lists
 
@@ -52,9 +52,13 @@
         newest, voters = self._newest.version, self._newest.voters
         if self.refused:
             return f"{self.refused} could be taken and were refused"
-        holders = [name for name, one in self.controllers.items() if one.shard.voter in voters
-                   and (value := one.shard.acceptor.kept.value) is not None
-                   and value.version >= newest]  # fmt: skip
+        holders = [
+            name
+            for name, one in self.controllers.items()
+            if one.shard.voter in voters
+            and (value := one.shard.acceptor.kept.value) is not None
+            and value.version >= newest
+        ]
         if 2 * len(holders) <= len(voters):
             return f"the newest state is on the disks of {holders} alone"
         alive = {name: one.shard for name, one in self.controllers.items() if one.alive}
@@ -112,24 +116,27 @@
 
 SCENES: dict[str, Play] = {
     "hundreds-dark": Play(
-        _scene("a dark replica is asked to take a change and to read", 2.8,
-               ((0.1, "cut c"), (1.7, "kill b"))),
+        _scene(
+            "a dark replica is asked to take a change and to read", 2.8, ((0.1, "cut c"), (1.7, "kill b"))
+        ),
         Dark,
     ),
-    "hundreds-unasked": Play(
-        _scene("a dark replica catches up by itself", 2.4, ((0.1, "cut c"),)), Unasked
-    ),
+    "hundreds-unasked": Play(_scene("a dark replica catches up by itself", 2.4, ((0.1, "cut c"),)), Unasked),
     "hundreds-wiped": Play(
-        _scene("a replica is wiped, and the owner killed soon after", 3.4,
-               ((0.3, "wipe c"), (1.8, "kill b"))),
+        _scene(
+            "a replica is wiped, and the owner killed soon after", 3.4, ((0.3, "wipe c"), (1.8, "kill b"))
+        ),
         Wiped,
     ),
     "hundreds-owner": Play(
-        _scene("an owner comes back with an old disk after another took its duties", 5.6,
-               ((0.1, "down b"), (4.1, "up b"))),
+        _scene(
+            "an owner comes back with an old disk after another took its duties",
+            5.6,
+            ((0.1, "down b"), (4.1, "up b")),
+        ),
         KilledOwner,
     ),
-}  # fmt: skip
+}
 
 
 # Deliberate breaks
@@ -154,9 +161,12 @@
     found = _handle(self, message, sender)
     if sender == self.name:
         return found
-    return [replace(one, message=replace(one.message, value=None))
-            if isinstance(one, SendMessage) and isinstance(one.message, Promise) else one
-            for one in found]  # fmt: skip
+    return [
+        replace(one, message=replace(one.message, value=None))
+        if isinstance(one, SendMessage) and isinstance(one.message, Promise)
+        else one
+        for one in found
+    ]
 
 
 def _nothing_for_unknown(self: ValueReferences, sender: str, promise: Promise) -> Promise:
@@ -174,11 +184,14 @@
         "a replica answers readings from what it knows", "hundreds-dark", (Replica, "_read", _reads_own)
     ),
     "never-catches-up": deliberate_break(
-        "a replica that is behind asks for nothing", "hundreds-unasked",
+        "a replica that is behind asks for nothing",
+        "hundreds-unasked",
         (Replica, "catch", _tells_nothing),
     ),
     "named-is-nothing": deliberate_break(
-        "a state that a promise names by its ballot counts as none", "hundreds-dark",
-        (Acceptor, "handle", _names_all), (ValueReferences, "resolve", _nothing_for_unknown),
+        "a state that a promise names by its ballot counts as none",
+        "hundreds-dark",
+        (Acceptor, "handle", _names_all),
+        (ValueReferences, "resolve", _nothing_for_unknown),
     ),
-}  # fmt: skip
+}
--- a/rehearsal/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mesh.control import shard_state
-from mesh.control.actions import Action, Ended
-from mesh.control.contact import CONTACT_S, Contact
-from mesh.control.register_replica import Purpose
-from mesh.control.replica import Replica
-from mesh.control.shard import Shard
-from mesh.storage.store import unpack
-from rehearsal.explore.controller import Controller
-from rehearsal.explore.mesh import Break, Mail, Scene, World
-from rehearsal.explore.mesh_breaks import break_under_faults
-from rehearsal.explore.worst_days.play import Play
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Action, Ended
+from orchidferry.mesh.control.contact import CONTACT_S, Contact
+from orchidferry.mesh.control.register_replica import Purpose
+from orchidferry.mesh.control.replica import Replica
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.storage.store import unpack
+from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.mesh import Break, Mail, Scene, World
+from orchidferry.testkit.explore.mesh_breaks import break_under_faults
+from orchidferry.testkit.explore.worst_days.play import Play
 
 SILENCE_S = 1.0  # after which a caller goes on to another controller
 PROMPT_S = 0.05  # for an answer to a call once there is no contact
@@ -100,10 +100,13 @@
 
     def print(self) -> bytes:
         held = (
-            sorted(map(repr, self.operators.values())), sorted(map(repr, self.attempts.values())),
-            sorted(self.record.sent.items()), sorted(self.record.never), sorted(self.record.thawed.items()),
+            sorted(map(repr, self.operators.values())),
+            sorted(map(repr, self.attempts.values())),
+            sorted(self.record.sent.items()),
+            sorted(self.record.never),
+            sorted(self.record.thawed.items()),
             [(name, sorted(times.items())) for name, times in sorted(self.record.acknowledged.items())],
-        )  # fmt: skip
+        )
         return hashlib.blake2b(super().print() + repr(held).encode(), digest_size=16).digest()
 
     # Operators
@@ -261,10 +264,13 @@
     calls = [one.split() for one in operators.split(",")]
     steps = [one.split(maxsplit=1) for one in script.split(",")]
     scene = IsolatedScene(
-        "worst-days", about, hold_s,
+        "worst-days",
+        about,
+        hold_s,
         operators=tuple((name, what, int(revision), route) for name, what, revision, route in calls),
-        script=tuple((float(at), what) for at, what in steps), **more,
-    )  # fmt: skip
+        script=tuple((float(at), what) for at, what in steps),
+        **more,
+    )
     return Play(scene, IsolatedWorld)
 
 
@@ -387,11 +393,17 @@
         "contact is not asked for", "isolated", 0, "", (Contact, "holds", _always)
     ),
     "contact-from-arrival": break_under_faults(
-        "contact runs from when an acknowledgement came", "frozen", 0, "",
+        "contact runs from when an acknowledgement came",
+        "frozen",
+        0,
+        "",
         (Controller, "pulse", _from_arrival),
     ),
     "silent-wait": break_under_faults(
-        "who waits is not told that contact is lost", "isolated", 0, "",
+        "who waits is not told that contact is lost",
+        "isolated",
+        0,
+        "",
         (Replica, "_end_calls", _keeps_waiting),
     ),
     "contact-with-one": break_under_faults(
@@ -404,7 +416,10 @@
         "an order is confirmed by contact alone", "isolated-briefly", 0, "", (Shard, "ask", _confirms_early)
     ),
     "unclear-as-refused": break_under_faults(
-        "what is unclear is told as refused", "isolated-at-once", 1, "cut oneway",
+        "what is unclear is told as refused",
+        "isolated-at-once",
+        1,
+        "cut oneway",
         (Replica, "_end_calls", _says_refused),
     ),
-}  # fmt: skip
+}
--- a/rehearsal/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -11,15 +11,15 @@
 from typing import Any
 from unittest import mock
 
-from mesh.control import shard_state
-from mesh.control.actions import Changed, Ended
-from mesh.control.contact import OUT_OF_CONTACT
-from mesh.control.order_book import OrderBook
-from mesh.control.order_history import OrderHistory, Taken, Verdict
-from mesh.control.replica import Replica
-from rehearsal.explore.mesh import Break, Scene, World
-from rehearsal.explore.mesh_breaks import deliberate_break
-from rehearsal.explore.worst_days.play import Play
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Changed, Ended
+from orchidferry.mesh.control.contact import OUT_OF_CONTACT
+from orchidferry.mesh.control.order_book import OrderBook
+from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
+from orchidferry.mesh.control.replica import Replica
+from orchidferry.testkit.explore.mesh import Break, Scene, World
+from orchidferry.testkit.explore.mesh_breaks import deliberate_break
+from orchidferry.testkit.explore.worst_days.play import Play
 
 LISTED = 3  # orders that a state lists in these scenes, so that lists are cut early
 SILENCE_S = 1.0  # after which an order is sent again
@@ -355,8 +355,10 @@
         "what is older than remembered is refused", "dark-replica", (OrderHistory, "verdict", _short_memory)
     ),
     "gap-unseen": deliberate_break(
-        "a list that does not reach what is known is joined to it", "dark-replica",
-        (OrderHistory, "merge", _gap_unseen), (OrderHistory, "_forget", _never),
+        "a list that does not reach what is known is joined to it",
+        "dark-replica",
+        (OrderHistory, "merge", _gap_unseen),
+        (OrderHistory, "_forget", _never),
     ),
     "not-asked": deliberate_break(
         "a replica that forgot asks nobody", "wiped-replica", (Replica, "_mind_orders", _never)
@@ -365,7 +367,10 @@
         "orders are not put on disk", "all-killed", (OrderBook, "puts", _nothing_saved)
     ),
     "told-early": deliberate_break(
-        "an order counts as taken once its replica has accepted it", "minority",
-        (Replica, "_order", _told_before_decided), faults=1, kinds="cut",
+        "an order counts as taken once its replica has accepted it",
+        "minority",
+        (Replica, "_order", _told_before_decided),
+        faults=1,
+        kinds="cut",
     ),
-}  # fmt: skip
+}
--- a/rehearsal/explore/worst_days/play.py
+++ b/orchidferry/testkit/explore/worst_days/play.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from rehearsal.explore.mesh import Scene, World
+from orchidferry.testkit.explore.mesh import Scene, World
 
 
 @dataclass(frozen=True)
--- a/rehearsal/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -5,17 +5,17 @@
 import math
 from typing import Any
 
-from mesh.control import shard_state
-from mesh.control.group_changes import GroupView
-from mesh.control.hinted_handoff import Hints
-from mesh.control.membership import Standing
-from mesh.control.operation_keys import NOBODY
-from mesh.control.repair import Repair
-from mesh.control.shard import Shard
-from nickelbridge.register import Value, Voter
-from rehearsal.explore.mesh import KEY, KINDS, Break, Scene, Try, World, by_link
-from rehearsal.explore.mesh_breaks import deliberate_break
-from rehearsal.explore.worst_days.play import Play
+from orchidferry.balancing.register import Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.group_changes import GroupView
+from orchidferry.mesh.control.hinted_handoff import Hints
+from orchidferry.mesh.control.membership import Standing
+from orchidferry.mesh.control.operation_keys import NOBODY
+from orchidferry.mesh.control.repair import Repair
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.testkit.explore.mesh import KEY, KINDS, Break, Scene, Try, World, by_link
+from orchidferry.testkit.explore.mesh_breaks import deliberate_break
+from orchidferry.testkit.explore.worst_days.play import Play
 
 STOP_S, GRACE_S = 1.0, 5.0  # a controller that was told to end stays so long at least, and at most
 TOLD_ONE = "told-one"  # of a run's answer: the controller that leaves is the only one to hear it
@@ -70,9 +70,12 @@
                 return f"{voter.name} is a voter and gone"
             if not controller.shard.standing.caught_up:
                 return f"{voter.name} grants nothing"
-        holders = [voter.name for voter, shard in zip(self._newest.voters, self._voters(), strict=True)
-                   if (record := shard.operation_keys.records.get(KEY)) is not None
-                   and record.holder in (self.ran[0], NOBODY)]  # fmt: skip
+        holders = [
+            voter.name
+            for voter, shard in zip(self._newest.voters, self._voters(), strict=True)
+            if (record := shard.operation_keys.records.get(KEY)) is not None
+            and record.holder in (self.ran[0], NOBODY)
+        ]
         if len(holders) < (len(self._newest.voters) if self.everybody else len(self._newest.voters) // 2 + 1):
             return f"{' and '.join(holders) or 'nobody'} alone hold the key"
         if any(one.how == TOLD_ONE for one in self.tries):
@@ -123,49 +126,89 @@
 
 
 def _scene(
-    about: str, again_s: float, *script: tuple[float, str], how: tuple[str, str] = ("broke", "broke"),
-    hold_s: float = 0.3, spare: int = 1, replicas: int = 3, world: type[World] = LossWorld,
-) -> Play:  # fmt: skip
+    about: str,
+    again_s: float,
+    *script: tuple[float, str],
+    how: tuple[str, str] = ("broke", "broke"),
+    hold_s: float = 0.3,
+    spare: int = 1,
+    replicas: int = 3,
+    world: type[World] = LossWorld,
+) -> Play:
     """A key is tried at the start, and again after a while."""
     tries = (("m", 0.0, how[0]), ("n", again_s, how[1]))
     scene = Scene(
         "worst-days", about, hold_s, tries=tries, script=script, kinds=KINDS, spare=spare, replicas=replicas
-    )  # fmt: skip
+    )
     return Play(scene, world)
 
 
 SCENES: dict[str, Play] = {
     "replaced-wiped": _scene(
         "one of two that hold a key dies and is replaced; the other one is wiped right after",
-        7.0, (0.0, "cut m c"), (0.3, "down b"), (4.0, "wipe a"),
+        7.0,
+        (0.0, "cut m c"),
+        (0.3, "down b"),
+        (4.0, "wipe a"),
     ),
     "replaced-twice": _scene(
         "two replacements in a row, each followed by a wipe",
-        14.0, (0.0, "cut m c"), (0.3, "down b"), (4.0, "wipe a"), (8.0, "down c"), (11.6, "wipe d"), spare=2,
+        14.0,
+        (0.0, "cut m c"),
+        (0.3, "down b"),
+        (4.0, "wipe a"),
+        (8.0, "down c"),
+        (11.6, "wipe d"),
+        spare=2,
     ),
     "only-copy": _scene(
         "one of two that hold a key leaves as planned; the other is wiped catch_up_s after the newcomer came",
-        7.0, (0.0, "cut m c"), (0.1, "down d"), (0.3, "leave a"), (0.3, "up d"), (4.3, "wipe b"),
+        7.0,
+        (0.0, "cut m c"),
+        (0.1, "down d"),
+        (0.3, "leave a"),
+        (0.3, "up d"),
+        (4.3, "wipe b"),
     ),
     "only-answer": _scene(
         "the one that leaves is the only one that heard the answer of a run",
-        7.0, (0.3, "leave a"), (4.3, "wipe b"), how=(TOLD_ONE, "broke"),
+        7.0,
+        (0.3, "leave a"),
+        (4.3, "wipe b"),
+        how=(TOLD_ONE, "broke"),
     ),
     "returned": _scene(
         "one is cut off while a key is claimed and comes back; another one is wiped catch_up_s later",
-        8.0, (0.0, "cut c"), (5.8, "wipe a"), hold_s=1.8, spare=0, world=ReturnWorld,
+        8.0,
+        (0.0, "cut c"),
+        (5.8, "wipe a"),
+        hold_s=1.8,
+        spare=0,
+        world=ReturnWorld,
     ),
     "two-wiped": _scene(
         "five: one of three that hold a key is replaced, the two others are wiped at once right after",
-        7.0, (0.0, "cut m d"), (0.0, "cut m e"), (0.3, "down c"), (4.0, "wipe a"), (4.0, "wipe b"),
-        replicas=5, world=NarrowWorld,
+        7.0,
+        (0.0, "cut m d"),
+        (0.0, "cut m e"),
+        (0.3, "down c"),
+        (4.0, "wipe a"),
+        (4.0, "wipe b"),
+        replicas=5,
+        world=NarrowWorld,
     ),
     "two-wiped-straight": _scene(
         "the same in one order of all that comes, which bears a walk with faults",
-        7.0, (0.0, "cut m d"), (0.0, "cut m e"), (0.3, "down c"), (4.0, "wipe a"), (4.0, "wipe b"),
-        replicas=5, world=StraightWorld,
+        7.0,
+        (0.0, "cut m d"),
+        (0.0, "cut m e"),
+        (0.3, "down c"),
+        (4.0, "wipe a"),
+        (4.0, "wipe b"),
+        replicas=5,
+        world=StraightWorld,
     ),
-}  # fmt: skip
+}
 
 
 # Deliberate breaks
@@ -206,8 +249,10 @@
 
 BREAKS: dict[str, Break] = {
     "votes-before-learning": deliberate_break(
-        "a newcomer counts as caught up when it is admitted", "replaced-wiped",
-        (Repair, "_regrouped", _counts_at_once), (Repair, "ready", True),
+        "a newcomer counts as caught up when it is admitted",
+        "replaced-wiped",
+        (Repair, "_regrouped", _counts_at_once),
+        (Repair, "ready", True),
     ),
     "one-source-replaced": deliberate_break(
         "one other is enough to learn from", "replaced-wiped", (shard_state, "sources_needed", _one_source)
@@ -216,12 +261,16 @@
         "one other of five is enough to learn from", "two-wiped", (shard_state, "sources_needed", _one_source)
     ),
     "leaves-at-once": deliberate_break(
-        "who is told to end does not wait, and nobody takes its place while it lives", "only-copy",
-        (Repair, "must_stay", _never_stays), (GroupView, "leaves", _dead_only),
+        "who is told to end does not wait, and nobody takes its place while it lives",
+        "only-copy",
+        (Repair, "must_stay", _never_stays),
+        (GroupView, "leaves", _dead_only),
     ),
     "hints-dropped": deliberate_break("nothing is handed over", "returned", (Hints, "page", _no_page)),
     "leaver-not-asked": deliberate_break(
-        "newcomers learn from those that stay alone", "only-answer",
-        (Standing, "to_ask", _without_leavers), (Repair, "_farewells", _not_the_leaver),
+        "newcomers learn from those that stay alone",
+        "only-answer",
+        (Standing, "to_ask", _without_leavers),
+        (Repair, "_farewells", _not_the_leaver),
     ),
-}  # fmt: skip
+}
--- a/rehearsal/fleet/__init__.py
+++ b/orchidferry/testkit/fleet/__init__.py
@@ -26,6 +26,6 @@
 
 def main(args: argparse.Namespace) -> int:
     """Run the command; its exit status."""
-    from rehearsal.fleet import status
+    from orchidferry.testkit.fleet import status
 
     return status.main(args)
--- a/rehearsal/fleet/status.py
+++ b/orchidferry/testkit/fleet/status.py
@@ -11,9 +11,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from nickelbridge.settings import Malformed
-from orchidferry.config import Address, address
-from rehearsal import door
+from orchidferry.balancing.settings import Malformed
+from orchidferry.node.config import Address, address
+from orchidferry.testkit import door
 
 HEAD = ("node", "status", "phase", "zone", "version", "address", "incarnation", "for", "by the word of")
 
@@ -27,9 +27,16 @@
     """A member's cells, under `HEAD`."""
     for_s = f"{member['for_s']:.0f} s" if "for_s" in member else "-"
     return [
-        member["name"], member["status"], member["phase"], member["zone"] or "-", member["version"] or "-",
-        member["address"], str(member["incarnation"]), for_s, member.get("word_of", "itself") or "-",
-    ]  # fmt: skip
+        member["name"],
+        member["status"],
+        member["phase"],
+        member["zone"] or "-",
+        member["version"] or "-",
+        member["address"],
+        str(member["incarnation"]),
+        for_s,
+        member.get("word_of", "itself") or "-",
+    ]
 
 
 def main(args: argparse.Namespace) -> int:
--- a/rehearsal/judge/books.py
+++ b/orchidferry/testkit/judge/books.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from rehearsal.judge.touch import ALL, out_of_touch
-from rehearsal.mesh.configuration import RouteTable, Rule
-from rehearsal.mesh.facts import (
+from orchidferry.testkit.judge.touch import ALL, out_of_touch
+from orchidferry.testkit.mesh.configuration import RouteTable, Rule
+from orchidferry.testkit.mesh.facts import (
     Answered,
     Arrived,
     Began,
@@ -29,7 +29,7 @@
     ServerEnd,
     Turned,
 )
-from rehearsal.mesh.table import UNPLANNED
+from orchidferry.testkit.mesh.table import UNPLANNED
 
 MOST_TOLD = 20  # breaks of one rule that are told; all are counted
 
@@ -176,9 +176,10 @@
         old = [put for put in self.acked if put.acked is not None and put.acked + apply < start]
         oldest = old[-1].revision if old else 0
         return [
-            put for put in self.puts
+            put
+            for put in self.puts
             if put.valid and put.status != 412 and put.revision >= oldest and put.t <= end
-        ]  # fmt: skip
+        ]
 
     def runs_that_began(self) -> Iterator[Run]:
         return (run for run in self.runs.values() if run.began is not None)
--- a/rehearsal/judge/control_calls.py
+++ b/orchidferry/testkit/judge/control_calls.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from typing import Any
 
-from rehearsal.judge.books import Books, Finding
-from rehearsal.judge.touch import without_majority
-from rehearsal.mesh.configuration import content
-from rehearsal.mesh.facts import ControlCall
+from orchidferry.testkit.judge.books import Books, Finding
+from orchidferry.testkit.judge.touch import without_majority
+from orchidferry.testkit.mesh.configuration import content
+from orchidferry.testkit.mesh.facts import ControlCall
 
 CONTACT_S = 2.0  # without a majority: a controller that lost it so long ago knows that it has
 STARTED_S = 2.0  # from a process's start until it is held to answer
@@ -97,8 +97,9 @@
     found = []
     spans = without_majority(books.processes, books.harms, books.record.services)
     for call in books.control_calls:
-        alone = any(low + CONTACT_S <= call.t and call.until <= high
-                    for low, high in spans.get(call.machine, ()))  # fmt: skip
+        alone = any(
+            low + CONTACT_S <= call.t and call.until <= high for low, high in spans.get(call.machine, ())
+        )
         started = any(
             fact.machine == call.machine and fact.what != "ended" and call.t - STARTED_S < fact.t < call.until
             for fact in books.processes
--- a/rehearsal/judge/evidence.py
+++ b/orchidferry/testkit/judge/evidence.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field, replace
 
-from rehearsal.record import (
+from orchidferry.testkit.record import (
     Answered,
     Asked,
     Began,
@@ -25,7 +25,7 @@
     Up,
     Wanted,
 )
-from rehearsal.scenario import Class, Scenario
+from orchidferry.testkit.scenario import Class, Scenario
 
 Request = tuple[int, str]  # tier and id
 Seen = Asked | Answered | Cut | Unanswered | Extra
@@ -119,9 +119,11 @@
     def story(self, request: Request) -> list[str]:
         """All that the record has of a request, in order, as lines for people."""
         facts: list[Fact] = [
-            *self.seen.get(request, ()), *self.got.get(request, ()), *self.began.get(request, ()),
+            *self.seen.get(request, ()),
+            *self.got.get(request, ()),
+            *self.began.get(request, ()),
             *self.ended.get(request, ()),
-        ]  # fmt: skip
+        ]
         facts.sort(key=lambda fact: fact.t)
         lines = [f"{self.at(fact.t):9.3f} s  {_told(fact, self)}" for fact in facts]
         if len(lines) > MOST_STORY:
--- a/rehearsal/judge/fleet.py
+++ b/orchidferry/testkit/judge/fleet.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rehearsal.judge.evidence import Evidence
-from rehearsal.record import Fact, LinkBytes
-from rehearsal.world.links import LinkFault, passes, reachable
+from orchidferry.testkit.judge.evidence import Evidence
+from orchidferry.testkit.record import Fact, LinkBytes
+from orchidferry.testkit.world.links import LinkFault, passes, reachable
 
 STEP_S = 0.1
 GONE = ("lost", "left", "forgotten")
@@ -195,8 +195,10 @@
         if any(other != observer and other not in mine for other in up):
             return False
         for theirs in held:
-            if any(mine.get(name, life) != life or (name not in mine and name != observer)
-                   for name, life in theirs.items()):  # fmt: skip
+            if any(
+                mine.get(name, life) != life or (name not in mine and name != observer)
+                for name, life in theirs.items()
+            ):
                 return False
     return True
 
@@ -229,9 +231,12 @@
 
 
 def judge_fleet(
-    books: Evidence, facts: list[Fact], journals: dict[str, list[str]], zero: float,
+    books: Evidence,
+    facts: list[Fact],
+    journals: dict[str, list[str]],
+    zero: float,
     links: tuple[LinkFault, ...],
-) -> tuple[dict[str, Any], Views]:  # fmt: skip
+) -> tuple[dict[str, Any], Views]:
     """The agreed object's key `fleet`, and what it was drawn from."""
     side = books.scenario.fleet
     words = read_journals(journals, zero)
@@ -250,8 +255,9 @@
     ]
     problems += [
         f"views did not agree within {side.agree_s:g} s of {heal:.1f} s"
-        for heal, one in zip(ends, after, strict=True) if one is None
-    ]  # fmt: skip
+        for heal, one in zip(ends, after, strict=True)
+        if one is None
+    ]
     if never:
         problems.append(f"{never} nodes never knew of a death")
     if not agreed(views, len(views.times) - 1) and not ends:
@@ -262,12 +268,17 @@
 
     worst = None if None in after else max((one for one in after if one is not None), default=None)
     return {
-        "nodes": len(words), "views_agree_after_s": number(worst), "heals": len(ends),
-        "false_deaths": len(false), "false_longest_s": number(max((one[3] for one in false), default=0.0)),
-        "deaths_known": len(took), "known_dead_p50_s": number(quantile(took, 0.5)),
+        "nodes": len(words),
+        "views_agree_after_s": number(worst),
+        "heals": len(ends),
+        "false_deaths": len(false),
+        "false_longest_s": number(max((one[3] for one in false), default=0.0)),
+        "deaths_known": len(took),
+        "known_dead_p50_s": number(quantile(took, 0.5)),
         "known_dead_p99_s": number(quantile(took, 0.99)),
-        "bytes_a_node_s": round(sent / node_s, 1) if node_s else None, "problems": problems,
-    }, views  # fmt: skip
+        "bytes_a_node_s": round(sent / node_s, 1) if node_s else None,
+        "problems": problems,
+    }, views
 
 
 Series = tuple[list[float], list[int], dict[str, list[int | None]]]
--- a/rehearsal/judge/fresh.py
+++ b/orchidferry/testkit/judge/fresh.py
@@ -5,8 +5,8 @@
 import bisect
 from collections import defaultdict
 
-from rehearsal.judge.books import Books, Finding
-from rehearsal.judge.orders import handled
+from orchidferry.testkit.judge.books import Books, Finding
+from orchidferry.testkit.judge.orders import handled
 
 
 def fresh(books: Books) -> Finding:
@@ -31,9 +31,10 @@
         finding.checked += 1
         t, allows, words = how
         versions = [
-            put for put in books.puts
+            put
+            for put in books.puts
             if put.valid and put.status != 412 and put.revision >= floor and put.t <= books.ended(id)
-        ]  # fmt: skip
+        ]
         if not any(allows(put, sent) for put in versions):
             since = sent.t - lives[life - 1]
             at = f"at {sent.machine}, {since:.1f} s after its start"
--- a/rehearsal/judge/mesh.py
+++ b/orchidferry/testkit/judge/mesh.py
@@ -14,19 +14,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rehearsal.judge.books import Books, Finding
-from rehearsal.judge.control_calls import figures as call_figures
-from rehearsal.judge.control_calls import isolated, one_answer, resent
-from rehearsal.judge.fresh import fresh
-from rehearsal.judge.orders import acks, config, drain, lost
-from rehearsal.judge.requests import REFUSALS, denied, mixed, refused, route, twice, unasked
-from rehearsal.mesh.day import PROBE
-from rehearsal.mesh.facts import (
+from orchidferry.testkit.judge.books import Books, Finding
+from orchidferry.testkit.judge.control_calls import figures as call_figures
+from orchidferry.testkit.judge.control_calls import isolated, one_answer, resent
+from orchidferry.testkit.judge.fresh import fresh
+from orchidferry.testkit.judge.orders import acks, config, drain, lost
+from orchidferry.testkit.judge.requests import REFUSALS, denied, mixed, refused, route, twice, unasked
+from orchidferry.testkit.mesh.day import PROBE
+from orchidferry.testkit.mesh.facts import (
     Answered,
     Cut,
     Record,
 )
-from rehearsal.mesh.table import CLOSING
+from orchidferry.testkit.mesh.table import CLOSING
 
 FORMAT = 1
 MOST_STALL_S = 0.25  # that the kit may stand still before its run says nothing
@@ -41,8 +41,10 @@
     """A service's arrivals past the first of each request stay within what all nodes share."""
     finding = Finding()
     ratio, slack, window = (
-        books.bounds.retry_ratio, books.bounds.retry_slack, books.bounds.retry_window_s,
-    )  # fmt: skip
+        books.bounds.retry_ratio,
+        books.bounds.retry_slack,
+        books.bounds.retry_window_s,
+    )
     asked: dict[str, list[float]] = defaultdict(list)
     for sent in books.sent.values():
         services: set[str] = set()
@@ -72,8 +74,12 @@
                 for back in (0.0, window / 2.0, window)
             )
             if count > ratio * most + slack:
-                books.broke(finding, t, id, f"{count} further arrivals at {service} in {window:g} s, "
-                            f"for {most} requests")  # fmt: skip
+                books.broke(
+                    finding,
+                    t,
+                    id,
+                    f"{count} further arrivals at {service} in {window:g} s, for {most} requests",
+                )
                 break
     return finding
 
@@ -114,11 +120,24 @@
 
 
 RULES: dict[str, Callable[[Books], Finding]] = {
-    "mixed": mixed, "unasked": unasked, "twice": twice, "refused": refused, "denied": denied,
-    "route": route, "drain": drain, "lost": lost, "config": config, "fresh": fresh, "acks": acks,
-    "resent": resent, "one_answer": one_answer, "isolated": isolated, "budget": budget,
-    "recover": recover, "stays_up": stays_up,
-}  # fmt: skip
+    "mixed": mixed,
+    "unasked": unasked,
+    "twice": twice,
+    "refused": refused,
+    "denied": denied,
+    "route": route,
+    "drain": drain,
+    "lost": lost,
+    "config": config,
+    "fresh": fresh,
+    "acks": acks,
+    "resent": resent,
+    "one_answer": one_answer,
+    "isolated": isolated,
+    "budget": budget,
+    "recover": recover,
+    "stays_up": stays_up,
+}
 
 
 # The measure of service
@@ -225,15 +244,19 @@
     return {
         "processes": sum(fact.what == "start" for fact in books.processes),
         "versions": [
-            {"revision": put.revision, "valid": put.valid, "status": put.status,
-             "acked_ms": None if put.acked is None else round((put.acked - put.t) * 1000.0, 1)}
+            {
+                "revision": put.revision,
+                "valid": put.valid,
+                "status": put.status,
+                "acked_ms": None if put.acked is None else round((put.acked - put.t) * 1000.0, 1),
+            }
             for put in books.puts
         ],
         "control_calls": call_figures(books),
         "leaves_acked_ms": [round(((n.acked or n.t) - n.t) * 1000.0, 1) for n in leaves],
         "answers": dict(sorted(statuses.items())),
         "turned_away": sum(run.turned is not None for run in books.runs.values()),
-    }  # fmt: skip
+    }
 
 
 def as_json(verdict: Verdict) -> dict[str, Any]:
@@ -244,12 +267,19 @@
     by_service = [sum(run.arrived.service == name for run in books.runs.values()) for name in names]
     whole = verdict.service
     return {
-        "format": FORMAT, "scenario": record.scenario, "seed": record.seed, "complete": record.complete,
+        "format": FORMAT,
+        "scenario": record.scenario,
+        "seed": record.seed,
+        "complete": record.complete,
         "service": None if whole is None else round(whole, 4),
         "classes": {
             name: {
-                "asked": row.asked, "served": row.served, "refused": row.refused, "failed": row.failed,
-                "unanswered": row.unanswered, "p50_ms": round(row.quantile_ms(0.5), 3),
+                "asked": row.asked,
+                "served": row.served,
+                "refused": row.refused,
+                "failed": row.failed,
+                "unanswered": row.unanswered,
+                "p50_ms": round(row.quantile_ms(0.5), 3),
                 "p99_ms": round(row.quantile_ms(0.99), 3),
                 "service": None if row.service is None else round(row.service, 4),
             }
@@ -257,7 +287,9 @@
         },
         "rules": {
             name: {
-                "held": finding.held, "checked": finding.checked, "breaks": finding.count,
+                "held": finding.held,
+                "checked": finding.checked,
+                "breaks": finding.count,
                 "broken": [
                     {"at_s": round(one.t, 3), "request": one.request, "what": one.what, "story": one.story}
                     for one in finding.broken
@@ -266,15 +298,24 @@
             for name, finding in verdict.rules.items()
         },
         "requests": {"asked": firsts, "tries": sum(s.kind != PROBE for s in books.sent.values())},
-        "attempts": {"by_tier": by_service,
-                     "per_client_request": round(sum(by_service) / firsts, 4) if firsts else 0.0},
+        "attempts": {
+            "by_tier": by_service,
+            "per_client_request": round(sum(by_service) / firsts, 4) if firsts else 0.0,
+        },
         "timeline": [
-            {"at_s": round(books.at(event.t), 3), "until_s": round(books.at(event.until), 3),
-             "do": event.do, "whom": event.whom}
+            {
+                "at_s": round(books.at(event.t), 3),
+                "until_s": round(books.at(event.until), 3),
+                "do": event.do,
+                "whom": event.whom,
+            }
             for event in books.events
         ],
         "mesh": figures(verdict),
-        "run": {"why": record.why, "void": [verdict.void] if verdict.void else [],
-                "lag_ms": {"stall": round(record.stall_s * 1000.0, 2)},
-                "starved": round(record.starved, 4)},
-    }  # fmt: skip
+        "run": {
+            "why": record.why,
+            "void": [verdict.void] if verdict.void else [],
+            "lag_ms": {"stall": round(record.stall_s * 1000.0, 2)},
+            "starved": round(record.starved, 4),
+        },
+    }
--- a/rehearsal/judge/orders.py
+++ b/orchidferry/testkit/judge/orders.py
@@ -6,10 +6,10 @@
 from collections import defaultdict
 from collections.abc import Callable
 
-from rehearsal.judge.books import Books, Finding
-from rehearsal.judge.touch import ALL
-from rehearsal.mesh.configuration import routes
-from rehearsal.mesh.facts import (
+from orchidferry.testkit.judge.books import Books, Finding
+from orchidferry.testkit.judge.touch import ALL
+from orchidferry.testkit.mesh.configuration import routes
+from orchidferry.testkit.mesh.facts import (
     Answered,
     Cut,
     Put,
@@ -100,8 +100,11 @@
         for put in books.puts
         if put.valid
     ]
-    terms = [(fact.t, fact.t + books.bounds.grace_s + 1.0, fact.machine)
-             for fact in books.processes if fact.what == "term"]  # fmt: skip
+    terms = [
+        (fact.t, fact.t + books.bounds.grace_s + 1.0, fact.machine)
+        for fact in books.processes
+        if fact.what == "term"
+    ]
     inside: dict[str, list[tuple[Sent, bool]]] = defaultdict(list)
     outside: dict[str, list[tuple[Sent, bool]]] = defaultdict(list)
     for id, sent in books.sent.items():
--- a/rehearsal/judge/requests.py
+++ b/orchidferry/testkit/judge/requests.py
@@ -5,8 +5,8 @@
 import itertools
 from collections import defaultdict
 
-from rehearsal.judge.books import Books, Finding, Run
-from rehearsal.mesh.facts import (
+from orchidferry.testkit.judge.books import Books, Finding, Run
+from orchidferry.testkit.mesh.facts import (
     Answered,
     Sent,
 )
@@ -66,8 +66,13 @@
                 finding, got.t, got.id, f"server {got.server} ran it changed: {got.method} {got.path}"
             )
         elif got.calling != books.record.services[sent.machine]:
-            books.broke(finding, got.t, got.id, f"Calling-Service {got.calling or 'missing'} from "
-                        f"{sent.machine}, where {books.record.services[sent.machine]} is")  # fmt: skip
+            books.broke(
+                finding,
+                got.t,
+                got.id,
+                f"Calling-Service {got.calling or 'missing'} from "
+                f"{sent.machine}, where {books.record.services[sent.machine]} is",
+            )
     return finding
 
 
--- a/rehearsal/judge/rules.py
+++ b/orchidferry/testkit/judge/rules.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from rehearsal.judge.evidence import KILLED, Evidence, Request, Seen, between
-from rehearsal.record import Answered, Asked, Cut, Extra, Got, Unanswered, Up
-from rehearsal.scenario import Class
+from orchidferry.testkit.judge.evidence import KILLED, Evidence, Request, Seen, between
+from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Got, Unanswered, Up
+from orchidferry.testkit.scenario import Class
 
 REFUSALS = (429, 503)
 NEAR_S = 1.0  # a process's end is in the record so much later at most than what its end did to connections
@@ -179,8 +179,13 @@
             if cls.repeat == "unsafe":
                 yield later.t, f"sent to {later.server} after {earlier.server} had it, where it may have run"
             elif cls.group == "cell" and later.cell != earlier.cell:
-                yield later.t, (f"sent to {later.server} of cell {later.cell} after {earlier.server} of cell "
-                                f"{earlier.cell} had it: its key is not known there")  # fmt: skip
+                yield (
+                    later.t,
+                    (
+                        f"sent to {later.server} of cell {later.cell} after {earlier.server} of cell "
+                        f"{earlier.cell} had it: its key is not known there"
+                    ),
+                )
             elif later.first - earlier.first > cls.window_s + slack:
                 after = later.first - earlier.first
                 yield (
@@ -244,8 +249,10 @@
             node = books.node_of(got)
             since = None if node is None else books.out_of_service(node, got.server, got.first)
             if since is not None and got.first - since > grace:
-                what = (f"node {node} sent it to {got.server} {got.first - since:.3f} s after it was told "
-                        f"that this one drains or is gone ({rules.drain_grace_s:g} s allowed)")  # fmt: skip
+                what = (
+                    f"node {node} sent it to {got.server} {got.first - since:.3f} s after it was told "
+                    f"that this one drains or is gone ({rules.drain_grace_s:g} s allowed)"
+                )
                 finding.add(books, got.t, (got.tier, got.id), what)
     return finding
 
@@ -275,9 +282,11 @@
             if informed < INFORMED_SHARE * sent:
                 continue  # pushed over by nodes that could not know: nobody's break
             nodes = len({books.node_of(g) for g in window})
-            what = (f"{up.server}, {got.t - up.t:.2f} s after its start, was sent {sent:.2f} core-seconds "
-                    f"of work within {rules.overload_for_s:g} s by {nodes} nodes; "
-                    f"{budget:.2f} is what it may get")  # fmt: skip
+            what = (
+                f"{up.server}, {got.t - up.t:.2f} s after its start, was sent {sent:.2f} core-seconds "
+                f"of work within {rules.overload_for_s:g} s by {nodes} nodes; "
+                f"{budget:.2f} is what it may get"
+            )
             finding.add(books, got.t, (got.tier, got.id), what)
             break  # one break a start: from here it may have fallen
     return finding
--- a/rehearsal/judge/service.py
+++ b/orchidferry/testkit/judge/service.py
@@ -12,10 +12,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from rehearsal.judge.evidence import Evidence
-from rehearsal.judge.rules import REFUSALS
-from rehearsal.record import Answered, Asked, Unanswered
-from rehearsal.scenario import Class
+from orchidferry.testkit.judge.evidence import Evidence
+from orchidferry.testkit.judge.rules import REFUSALS
+from orchidferry.testkit.record import Answered, Asked, Unanswered
+from orchidferry.testkit.scenario import Class
 
 WINDOW_S, STEP_S = 10.0, 1.0
 LOWEST_US, HIGHEST_US, DIGITS = 1, 120_000_000, 3
--- a/rehearsal/judge/touch.py
+++ b/orchidferry/testkit/judge/touch.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from rehearsal.mesh.facts import Harm, Process
+from orchidferry.testkit.mesh.facts import Harm, Process
 
 Spans = dict[str, list[tuple[float, float]]]
 ALL = "*"  # all machines: the core was unsettled
