--- a/tests/mesh/test_codec.py
+++ b/tests/mesh/test_codec.py
@@ -11,15 +11,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mesh.control.fanout_tree import Change
-from mesh.wire.codec import LENGTH_BYTES, SHARD_KINDS, UnreadableMessage, decode, encode
-from mesh.wire.messages import KINDS, MESSAGES, Message
+from orchidferry.mesh.control.fanout_tree import Change
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, SHARD_KINDS, UnreadableMessage, decode, encode
+from orchidferry.mesh.wire.messages import KINDS, MESSAGES, Message
 
 PLAIN: dict[Any, st.SearchStrategy[Any]] = {
-    int: st.integers(-(2**63), 2**64 - 1), str: st.text(max_size=9), bytes: st.binary(max_size=9),
-    bool: st.booleans(), float: st.floats(allow_nan=False), type(None): st.none(),
+    int: st.integers(-(2**63), 2**64 - 1),
+    str: st.text(max_size=9),
+    bytes: st.binary(max_size=9),
+    bool: st.booleans(),
+    float: st.floats(allow_nan=False),
+    type(None): st.none(),
     Any: st.none() | st.text(max_size=9) | st.lists(st.integers(0, 9) | st.binary(max_size=9), max_size=3),
-}  # fmt: skip
+}
 
 
 def of_type(hint: Any) -> st.SearchStrategy[Any]:
@@ -63,10 +67,16 @@
     assert decode(encoded[LENGTH_BYTES:]) == message
 
 
-@given(st.recursive(
-    st.none() | st.integers() | st.text(max_size=9) | st.binary(max_size=9) | st.sampled_from(list(KINDS)),
-    lambda inner: st.lists(inner, max_size=5) | st.tuples(st.sampled_from(list(KINDS)), inner).map(list),
-))  # fmt: skip
+@given(
+    st.recursive(
+        st.none()
+        | st.integers()
+        | st.text(max_size=9)
+        | st.binary(max_size=9)
+        | st.sampled_from(list(KINDS)),
+        lambda inner: st.lists(inner, max_size=5) | st.tuples(st.sampled_from(list(KINDS)), inner).map(list),
+    )
+)
 def test_whatever_comes_is_a_message_or_is_refused_in_one_line(parts: Any) -> None:
     try:
         message = decode(cbor2.dumps(parts))
--- a/tests/mesh/test_command_line.py
+++ b/tests/mesh/test_command_line.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mesh import __main__ as program
+from orchidferry.mesh import __main__ as program
 
 OWN_NODE = 'node_name = "n", ip = "10.0.0.1", zone = "z"'
 SETTINGS = """own_node = {{ {own_node} }}
@@ -28,16 +28,22 @@
         (["controller"], {"own": ", data_dir = 5"}, "own_node.data_dir: a text is needed"),
         (["controller"], {"own": DATA_DIR, "ports": "[70000]"}, "network.internal_ports"),
         (["controller"], {"own": DATA_DIR, "ports": "[true]"}, "network.internal_ports"),
-        (["controller"], {"own": DATA_DIR, "terms": "tolerance = { machines = inf }"},
-         "term_settings.tolerance.machines"),
-        (["controller"], {"own": DATA_DIR + ", limit_set = { file_descriptors = inf }"},
-         "own_node.limit_set.file_descriptors"),
+        (
+            ["controller"],
+            {"own": DATA_DIR, "terms": "tolerance = { machines = inf }"},
+            "term_settings.tolerance.machines",
+        ),
+        (
+            ["controller"],
+            {"own": DATA_DIR + ", limit_set = { file_descriptors = inf }"},
+            "own_node.limit_set.file_descriptors",
+        ),
         (["controller"], {"terms": "]"}, "line 3"),
         (["proxy"], {"points": PROXY_POINTS}, "own_node.application: a node needs one"),
         (["proxy"], {"own": APPLICATION}, "network.listen_points.outbound"),
         (["controller", "snapshot", "take", "file"], {}, "own_node.data_dir: a controller needs one"),
     ],
-)  # fmt: skip
+)
 def test_bad_settings_are_one_line_with_file_and_field(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -48,9 +54,11 @@
 ) -> None:
     file = tmp_path / "local.toml"
     text = SETTINGS.format(
-        own_node=OWN_NODE + fields.get("own", ""), ports=fields.get("ports", "[1, 2]"),
-        points=fields.get("points", CONTROL), terms=fields.get("terms", ""),
-    )  # fmt: skip
+        own_node=OWN_NODE + fields.get("own", ""),
+        ports=fields.get("ports", "[1, 2]"),
+        points=fields.get("points", CONTROL),
+        terms=fields.get("terms", ""),
+    )
     file.write_text(text)
     monkeypatch.setenv("ORCHIDFERRY_BOOT", str(file))
     assert program.main([*words, "--check"] if len(words) == 1 else words) == 2
--- a/tests/mesh/test_configuration_rollout.py
+++ b/tests/mesh/test_configuration_rollout.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from rehearsal.model import configuration_rollout
-from rehearsal.model.configuration_rollout import START_S, Day, Outcome, Rollout
+from orchidferry.testkit.model import configuration_rollout
+from orchidferry.testkit.model.configuration_rollout import START_S, Day, Outcome, Rollout
 
 APPLY_BOUND_S = 2.5  # the site's `config_apply_ms`
 # As 20 s of it, but shorter: whatever piles up does so within some changes.
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -7,18 +7,18 @@
 
 import pytest
 
-from mesh.control import shard_state
-from mesh.control.actions import Answer, Ended
-from mesh.control.configuration_resource import ConfigurationResource
-from mesh.control.contact import CONTACT_S, LOST_CONTACT, OUT_OF_CONTACT, Contact
-from mesh.control.control_api import call
-from mesh.control.reading import READING_S
-from mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
-from nickelbridge.register import Voter
-from orchidferry.frontend import Reply
-from rehearsal.explore import worst_days
-from rehearsal.explore.controller import Controller
-from rehearsal.explore.mesh import Dice
+from orchidferry.balancing.register import Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Answer, Ended
+from orchidferry.mesh.control.configuration_resource import ConfigurationResource
+from orchidferry.mesh.control.contact import CONTACT_S, LOST_CONTACT, OUT_OF_CONTACT, Contact
+from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.reading import READING_S
+from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
+from orchidferry.node.frontend import Reply
+from orchidferry.testkit.explore import worst_days
+from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.mesh import Dice
 
 FIVE = tuple(Voter(name, 1) for name in "abcde")
 
@@ -110,8 +110,9 @@
     assert not world.ended
     world.tick(0.02)
     assert {(end.id, end.value, end.why) for end in world.ended} == {
-        ("r", None, LOST_CONTACT), ("p", None, LOST_CONTACT),
-    }  # fmt: skip
+        ("r", None, LOST_CONTACT),
+        ("p", None, LOST_CONTACT),
+    }
     assert shard.proposer.due_ms == float("inf")  # and the order is not gone on with
 
 
@@ -163,11 +164,14 @@
         (b"PUT", True, Ended("", None, LOST_CONTACT), 504, "unclear"),
         (b"PUT", True, Ended("", None, ""), 504, "unclear"),
         (
-            b"PUT", True, Ended("", shard_state.genesis(("a",)), shard_state.OTHER_VERSION), 412,
+            b"PUT",
+            True,
+            Ended("", shard_state.genesis(("a",)), shard_state.OTHER_VERSION),
+            412,
             "other_version",
         ),
     ],
-)  # fmt: skip
+)
 def test_what_an_operator_is_told(
     method: bytes, contact: bool, end: Ended | None, status: int, error: str
 ) -> None:
--- a/tests/mesh/test_control_client.py
+++ b/tests/mesh/test_control_client.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from mesh.control.contact import CONTACT_S
-from mesh.control.control_client import ASK_MOST_S, ASK_S, TICK_S, ControlClient
-from mesh.control.endpoints import LEASE_S, Record
-from mesh.control.publisher import Publisher
-from mesh.settings import check_settings
-from mesh.wire.messages import (
+from orchidferry.mesh.control.contact import CONTACT_S
+from orchidferry.mesh.control.control_client import ASK_MOST_S, ASK_S, TICK_S, ControlClient
+from orchidferry.mesh.control.endpoints import LEASE_S, Record
+from orchidferry.mesh.control.publisher import Publisher
+from orchidferry.mesh.settings import check_settings
+from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
     Lease,
@@ -106,8 +106,10 @@
     rig.tell(NAMES[1], Revision(rids[1], 5))
     rig.tell(NAMES[0], Revision(rids[0], 5))
     assert [[type(asked) for asked in rig.wires[name].asked()] for name in NAMES] == [
-        [RevisionRead], [RevisionRead, ConfigurationFetch], [RevisionRead]
-    ]  # fmt: skip
+        [RevisionRead],
+        [RevisionRead, ConfigurationFetch],
+        [RevisionRead],
+    ]
     assert not rig.node.settled
     rig.tell(NAMES[1], ConfigurationText(rig.wires[NAMES[1]].asked()[1].request, 5, b"text"))
     assert rig.node.settled and rig.texts == [(5, b"text")]
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -1,7 +1,7 @@
 """News down the tree of relays, beside a plain model: what each node last said of itself, known to all.
 
 The controllers' desks and the nodes' branches are the shipping ones, in virtual time
-(`rehearsal.model.relays`).
+(`orchidferry.testkit.model.relays`).
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.control import shard_state
-from mesh.control import subscriber as subscriber_module
-from mesh.control.control_client import ControlClient
-from mesh.control.endpoints import Record
-from mesh.control.fanout_tree import (
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import subscriber as subscriber_module
+from orchidferry.mesh.control.control_client import ControlClient
+from orchidferry.mesh.control.endpoints import Record
+from orchidferry.mesh.control.fanout_tree import (
     FANOUT,
     FOLLOWERS_MOST,
     HEADS,
@@ -33,9 +33,9 @@
     parents,
     rank,
 )
-from mesh.control.subscriber import CATCH_S, STRIKES, Subscriber
-from mesh.wire.codec import LENGTH_BYTES, decode, encode
-from mesh.wire.messages import (
+from orchidferry.mesh.control.subscriber import CATCH_S, STRIKES, Subscriber
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
+from orchidferry.mesh.wire.messages import (
     Message,
     News,
     NewsRequest,
@@ -46,7 +46,7 @@
     RelayFull,
     RelaySubscription,
 )
-from rehearsal.model.relays import BETWEEN_S, Node, World
+from orchidferry.testkit.model.relays import BETWEEN_S, Node, World
 from tests.mesh.test_store import a_controller as real_keeper
 
 RENEWED_S = 0.5 + CATCH_S + 0.02  # a renewal, the wait, and the ways
@@ -154,8 +154,11 @@
         for key in changes:
             for name in world.nodes.keys() - hit:
                 assert world.came[key][name] - world.began[key] < RENEWED_S
-        left = {n.subscriber.parent.record.name for n in world.nodes.values()
-                if n.name not in hit and n.subscriber.parent is not None}  # fmt: skip
+        left = {
+            n.subscriber.parent.record.name
+            for n in world.nodes.values()
+            if n.name not in hit and n.subscriber.parent is not None
+        }
         assert trouble != "freeze" or not hit & left  # after one gap, as it does not answer
 
 
@@ -244,9 +247,15 @@
     loop: Any = World(1, 1).start("loop", 0)
     dialled: list[str] = []
     subscriber: Any = Subscriber(
-        name, boot, "z", loop, random.Random(1), lambda name, ip: dialled.append(name), lambda: None,
+        name,
+        boot,
+        "z",
+        loop,
+        random.Random(1),
+        lambda name, ip: dialled.append(name),
+        lambda: None,
         lambda revision, link: None,
-    )  # fmt: skip
+    )
     subscriber.up("k", Wire())
     return subscriber, dialled
 
--- a/tests/mesh/test_framing.py
+++ b/tests/mesh/test_framing.py
@@ -9,9 +9,9 @@
 import pytest
 from loguru import logger
 
-from mesh.wire.codec import as_list
-from mesh.wire.framing import PROTOCOL, Link, dial
-from mesh.wire.messages import Greeting, KeyRelease, Message, kind_of
+from orchidferry.mesh.wire.codec import as_list
+from orchidferry.mesh.wire.framing import PROTOCOL, Link, dial
+from orchidferry.mesh.wire.messages import Greeting, KeyRelease, Message, kind_of
 
 RELEASE = KeyRelease(1, "key", "holder")
 GREETING = [kind_of(Greeting), PROTOCOL]
@@ -60,34 +60,46 @@
     assert accepted(GREETING, as_list(RELEASE)) == ([RELEASE], False, [])
 
 
-@pytest.mark.parametrize(("first", "told"), [
-    ([GREETING[0], PROTOCOL + 1], str(PROTOCOL + 1)),
-    ([GREETING[0], PROTOCOL - 1], str(PROTOCOL - 1)),
-    ([GREETING[0], "x" * 1000], "x" * 20 + ","),
-    (GREETING[:1], "none"),
-    (as_list(RELEASE), "none"),  # the first builds had no such message
-    (b"\xff", "none"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("first", "told"),
+    [
+        ([GREETING[0], PROTOCOL + 1], str(PROTOCOL + 1)),
+        ([GREETING[0], PROTOCOL - 1], str(PROTOCOL - 1)),
+        ([GREETING[0], "x" * 1000], "x" * 20 + ","),
+        (GREETING[:1], "none"),
+        (as_list(RELEASE), "none"),  # the first builds had no such message
+        (b"\xff", "none"),
+    ],
+)
 def test_another_build_is_told_of_in_one_line_and_hears_nothing(first: Any, told: str) -> None:
     heard, closed, lines = accepted(first, as_list(RELEASE))
     assert heard == [] and closed
     assert len(lines) == 1 and "10.0.0.9" in lines[0] and f"protocol {told}" in lines[0]
 
 
-@pytest.mark.parametrize(("bad", "told"), [
-    (["key_release", 1, "key", 7], "key_release: holder: Expected `str`, got `int`"),
-    (["key_release", 1, "key"], "key_release: Expected `array` of at least length 4, got 3"),
-    (["key_release", 1, "key", "a", "b"], "key_release: Expected `array` of at most length "),
-    (["configuration_text", 1, 2, "YQ=="], "configuration_text: text: Expected `bytes`, got `str`"),
-    (["shard", 1, ["handoff_ack", "a", "x"]], "shard: body: handoff_ack: number: Expected `int`, got `str`"),
-    (["shard", 1, ["peek", 3, 4]], "shard: body: kind: Invalid value 'peek'"),
-    (["shard", 1, 7], "shard: body: Expected `array`, got `int`"),
-    (["news", ["c", 1, 5, 5, [], [], 0]], "news: change: a change ends after its beginning"),
-    (["heartbeat", "a", 1, True, [1, "x"], False, []], "heartbeat: versions[1]: Expected `int`, got `str`"),
-    (["peek", 1], "no message of kind 'peek'"),
-    ({"kind": "lease"}, "a message is a list that begins with its kind"),
-    (b"\xff", "no CBOR: "),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("bad", "told"),
+    [
+        (["key_release", 1, "key", 7], "key_release: holder: Expected `str`, got `int`"),
+        (["key_release", 1, "key"], "key_release: Expected `array` of at least length 4, got 3"),
+        (["key_release", 1, "key", "a", "b"], "key_release: Expected `array` of at most length "),
+        (["configuration_text", 1, 2, "YQ=="], "configuration_text: text: Expected `bytes`, got `str`"),
+        (
+            ["shard", 1, ["handoff_ack", "a", "x"]],
+            "shard: body: handoff_ack: number: Expected `int`, got `str`",
+        ),
+        (["shard", 1, ["peek", 3, 4]], "shard: body: kind: Invalid value 'peek'"),
+        (["shard", 1, 7], "shard: body: Expected `array`, got `int`"),
+        (["news", ["c", 1, 5, 5, [], [], 0]], "news: change: a change ends after its beginning"),
+        (
+            ["heartbeat", "a", 1, True, [1, "x"], False, []],
+            "heartbeat: versions[1]: Expected `int`, got `str`",
+        ),
+        (["peek", 1], "no message of kind 'peek'"),
+        ({"kind": "lease"}, "a message is a list that begins with its kind"),
+        (b"\xff", "no CBOR: "),
+    ],
+)
 def test_a_message_that_cant_be_read_ends_its_link_with_one_line_that_names_the_field(
     bad: Any, told: str
 ) -> None:
--- a/tests/mesh/test_give_backs.py
+++ b/tests/mesh/test_give_backs.py
@@ -7,15 +7,15 @@
 import pytest
 from msgspec.structs import astuple
 
-from mesh.control import give_backs
-from mesh.control.actions import Answer
-from mesh.control.give_backs import AGAIN_S, GiveBacks
-from mesh.control.operation_key_client import OperationKeyClient
-from mesh.control.operation_keys import longest_kept_s
-from mesh.control.shard_state import shard_of
-from mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
-from rehearsal.explore.controller import SEEDS, WINDOW_S, Controller
-from rehearsal.explore.mesh import Dice
+from orchidferry.mesh.control import give_backs
+from orchidferry.mesh.control.actions import Answer
+from orchidferry.mesh.control.give_backs import AGAIN_S, GiveBacks
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.operation_keys import longest_kept_s
+from orchidferry.mesh.control.shard_state import shard_of
+from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
+from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller
+from orchidferry.testkit.explore.mesh import Dice
 
 KEY = "k"
 
--- a/tests/mesh/test_http_connection.py
+++ b/tests/mesh/test_http_connection.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from mesh.dataplane.http_connection import HttpConnection
-from mesh.dataplane.messages import (
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.dataplane.http_connection import HttpConnection
+from orchidferry.mesh.dataplane.messages import (
     ServerResponse,
     judged,
     passed_on,
 )
-from nickelbridge.interface import Result
 from tests.mesh.fakes import asked, said
 from tests.mesh.wire_fakes import Sent, Transport, pool
 
@@ -73,8 +73,11 @@
 
 def wire(body: bytes, id: bytes = b"t1", more: bytes = b"") -> bytes:
     return b"HTTP/1.1 200 OK\r\nAttempt-Id: %b\r\nServer-Seal: x\r\n%bContent-Length: %d\r\n\r\n%b" % (
-        id, more, len(body), body,
-    )  # fmt: skip
+        id,
+        more,
+        len(body),
+        body,
+    )
 
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -12,26 +12,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mesh.control import configuration_text, shard_state
-from mesh.control.actions import Ended
-from mesh.control.configuration import digest
-from mesh.control.configuration_resource import ConfigurationResource
-from mesh.control.configuration_text import TEXT_MOST, compress, expand
-from mesh.control.contact import OUT_OF_CONTACT
-from mesh.control.control_api import call
-from mesh.control.fanout_tree import LOG
-from mesh.control.shard import remembered
-from mesh.control.value_references import ValueReferences, refusal, unpack
-from mesh.storage import record_format, snapshot_file, storage_check
-from mesh.storage import snapshot as snapshots
-from mesh.storage.record_format import FORMAT, pack
-from mesh.storage.store import Store
-from mesh.wire.messages import ConfigurationText
-from nickelbridge.register import Accept, Accepted, Kept, Prepare, Promise, Value, Voter
-from rehearsal.explore.controller import Controller
-from rehearsal.model.relays import World
-from rehearsal.model.replica_group import ReplicaGroup, example
-from rehearsal.model.stored_controller import StoredController
+from orchidferry.balancing.register import Accept, Accepted, Kept, Prepare, Promise, Value, Voter
+from orchidferry.mesh.control import configuration_text, shard_state
+from orchidferry.mesh.control.actions import Ended
+from orchidferry.mesh.control.configuration import digest
+from orchidferry.mesh.control.configuration_resource import ConfigurationResource
+from orchidferry.mesh.control.configuration_text import TEXT_MOST, compress, expand
+from orchidferry.mesh.control.contact import OUT_OF_CONTACT
+from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.fanout_tree import LOG
+from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.control.value_references import ValueReferences, refusal, unpack
+from orchidferry.mesh.storage import record_format, snapshot_file, storage_check
+from orchidferry.mesh.storage import snapshot as snapshots
+from orchidferry.mesh.storage.record_format import FORMAT, pack
+from orchidferry.mesh.storage.store import Store
+from orchidferry.mesh.wire.messages import ConfigurationText
+from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.model.relays import World
+from orchidferry.testkit.model.replica_group import ReplicaGroup, example
+from orchidferry.testkit.model.stored_controller import StoredController
 from tests.mesh.test_store import Loop, close
 
 
@@ -114,9 +114,14 @@
 
 TAKEN = st.lists(st.tuples(st.integers(0, 9), st.binary(max_size=2)), max_size=6).map(tuple)
 BODIES = st.builds(
-    shard_state.Body, st.integers(0, 3), st.integers(0, 9), st.sampled_from([b"", b"a", b"b"]), TAKEN,
-    st.sampled_from(["", "a"]), st.integers(0, 3),
-)  # fmt: skip
+    shard_state.Body,
+    st.integers(0, 3),
+    st.integers(0, 9),
+    st.sampled_from([b"", b"a", b"b"]),
+    TAKEN,
+    st.sampled_from(["", "a"]),
+    st.integers(0, 3),
+)
 VOTERS = tuple(Voter(name, shard_state.GENESIS) for name in "abc")
 VALUE = Value(0, VOTERS, shard_state.Body())
 
--- a/tests/mesh/test_judge_mesh.py
+++ b/tests/mesh/test_judge_mesh.py
@@ -9,11 +9,11 @@
 import pytest
 from rich.console import Console
 
-from rehearsal.judge.mesh import RULES, Verdict, as_json, judge
-from rehearsal.mesh import seeds
-from rehearsal.mesh.configuration import Config, build, content, host, prefix, spoil
-from rehearsal.mesh.day import DAYS, KINDS, names
-from rehearsal.mesh.facts import (
+from orchidferry.testkit.judge.mesh import RULES, Verdict, as_json, judge
+from orchidferry.testkit.mesh import seeds
+from orchidferry.testkit.mesh.configuration import Config, build, content, host, prefix, spoil
+from orchidferry.testkit.mesh.day import DAYS, KINDS, names
+from orchidferry.testkit.mesh.facts import (
     Answered,
     Arrived,
     Began,
@@ -33,7 +33,7 @@
     ServerEnd,
     Turned,
 )
-from rehearsal.mesh.session import Played
+from orchidferry.testkit.mesh.session import Played
 
 DAY, SEED = DAYS["mesh-calm"], 7
 A, B = names(DAY, SEED)
@@ -68,10 +68,22 @@
         machine, service = SERVERS[server]
         calling = SERVERS[{"m1": "i-1", "m2": "i-2", "m3": "i-3"}[sent.machine]][1]
         self.facts += [
-            Arrived(t, self.n, id, server, service, machine, sent.method, sent.path, "b", calling,
-                    sent.key, server),
+            Arrived(
+                t,
+                self.n,
+                id,
+                server,
+                service,
+                machine,
+                sent.method,
+                sent.path,
+                "b",
+                calling,
+                sent.key,
+                server,
+            ),
             Began(t, self.n),
-        ]  # fmt: skip
+        ]
         if work is not None:
             self.facts.append(Done(t + work, self.n, 200, seal or f"s{self.n}", "d"))
         return self.n
@@ -125,9 +137,15 @@
 
 
 def control_call(
-    t: float, until: float, machine: str, status: int, config: Config | None = None, how: str = "answer",
-    lost: bool = False, retry_after: str = "1",
-) -> ControlCall:  # fmt: skip
+    t: float,
+    until: float,
+    machine: str,
+    status: int,
+    config: Config | None = None,
+    how: str = "answer",
+    lost: bool = False,
+    retry_after: str = "1",
+) -> ControlCall:
     """An operator's call; with no configuration a reading."""
     revision = 0 if config is None else config["revision_number"]
     sent = "" if config is None else content(config)
@@ -257,57 +275,131 @@
     ("config", "back to the old one", old_route("z", 25.5)),
     ("config", "404 of a route that is there", not_found),
     ("config", "an invalid one was taken", change_last(Put, "", acked=21.1, status=200)),
-    ("config", "two on top of one", lambda run: run.facts.append(
-        Put(22.0, "q", 9, 3, True, OLD | {"revision_number": 9}, 22.1, 22.1, 200))),
+    (
+        "config",
+        "two on top of one",
+        lambda run: run.facts.append(
+            Put(22.0, "q", 9, 3, True, OLD | {"revision_number": 9}, 22.1, 22.1, 200)
+        ),
+    ),
     ("config", "read back too old", change_last(Read, "", config=OLD)),
     ("config", "read back nothing", change_last(Read, "", config=None)),
     ("config", "read back changed", change_last(Read, "", config=NEW | {"trunk_groups": []})),
-    ("config", "two contents under one number", lambda run: run.facts.append(
-        Put(22.0, "q", 7, 5, True, OLD | {"revision_number": 7}, 22.1, 22.1, 200))),
-    ("config", "two contents under one number on top of one", lambda run: run.facts.append(
-        Put(22.0, "q", 7, 3, True, OLD | {"revision_number": 7}, 22.1, 22.1, 200))),
-    ("config", "read the loser of two under one number", lambda run: run.facts.extend((
-        Put(20.0, "q", 7, 3, True, OLD | {"revision_number": 7}, 20.1, None, 412),
-        Read(22.0, OLD | {"revision_number": 7}, 21.0)))),
-    ("config", "read what nobody sent", lambda run: run.facts.append(
-        Read(22.0, NEW | {"trunk_groups": []}, 21.0))),
+    (
+        "config",
+        "two contents under one number",
+        lambda run: run.facts.append(
+            Put(22.0, "q", 7, 5, True, OLD | {"revision_number": 7}, 22.1, 22.1, 200)
+        ),
+    ),
+    (
+        "config",
+        "two contents under one number on top of one",
+        lambda run: run.facts.append(
+            Put(22.0, "q", 7, 3, True, OLD | {"revision_number": 7}, 22.1, 22.1, 200)
+        ),
+    ),
+    (
+        "config",
+        "read the loser of two under one number",
+        lambda run: run.facts.extend(
+            (
+                Put(20.0, "q", 7, 3, True, OLD | {"revision_number": 7}, 20.1, None, 412),
+                Read(22.0, OLD | {"revision_number": 7}, 21.0),
+            )
+        ),
+    ),
+    (
+        "config",
+        "read what nobody sent",
+        lambda run: run.facts.append(Read(22.0, NEW | {"trunk_groups": []}, 21.0)),
+    ),
     ("resent", "what was acknowledged is refused", called(control_call(36.0, 36.1, "core2", 412, NEW))),
-    ("resent", "what was acknowledged, unheard, is refused", called(
-        control_call(26.0, 26.1, "core", 200, LATER, lost=True),
-        control_call(27.1, 27.2, "core2", 412, LATER))),
-    ("resent", "what was read is refused", lambda run: run.facts.extend((
-        Put(26.0, "q", 12, 7, True, LATER, 32.0, None, 0), Read(28.0, LATER, 27.9),
-        control_call(29.0, 29.1, "core", 422, LATER), Read(41.0, LATER)))),
+    (
+        "resent",
+        "what was acknowledged, unheard, is refused",
+        called(
+            control_call(26.0, 26.1, "core", 200, LATER, lost=True),
+            control_call(27.1, 27.2, "core2", 412, LATER),
+        ),
+    ),
+    (
+        "resent",
+        "what was read is refused",
+        lambda run: run.facts.extend(
+            (
+                Put(26.0, "q", 12, 7, True, LATER, 32.0, None, 0),
+                Read(28.0, LATER, 27.9),
+                control_call(29.0, 29.1, "core", 422, LATER),
+                Read(41.0, LATER),
+            )
+        ),
+    ),
     ("isolated", "silence", called(control_call(37.0, 38.0, "core3", 0, how="timeout"))),
     ("isolated", "no connection", called(control_call(37.0, 38.0, "core3", 0, NEW, how="silent"))),
     ("isolated", "it acknowledged", called(control_call(37.0, 37.1, "core3", 200, LATER))),
-    ("isolated", "it does not say when to come back", called(
-        control_call(37.0, 37.1, "core3", 503, retry_after=""))),
-    ("one_answer", "two contents under one number, one unheard", called(
-        control_call(26.0, 26.1, "core", 200, OLD | {"revision_number": 7}, lost=True))),
-    ("one_answer", "two on top of one, one unheard", lambda run: run.facts.extend((
-        Put(20.0, "q", 12, 3, True, LATER, 26.2, None, 0),
-        control_call(26.0, 26.1, "core", 200, LATER, lost=True)))),
-    ("one_answer", "refused, then acknowledged", called(
-        control_call(26.0, 26.1, "core", 412, LATER), control_call(27.0, 27.1, "core2", 200, LATER))),
-    ("one_answer", "refused, and read", lambda run: run.facts.extend((
-        Put(26.0, "q", 12, 7, True, LATER, 27.0, None, 412), control_call(26.0, 26.1, "core", 412, LATER),
-        Read(28.0, LATER, 27.9)))),
+    (
+        "isolated",
+        "it does not say when to come back",
+        called(control_call(37.0, 37.1, "core3", 503, retry_after="")),
+    ),
+    (
+        "one_answer",
+        "two contents under one number, one unheard",
+        called(control_call(26.0, 26.1, "core", 200, OLD | {"revision_number": 7}, lost=True)),
+    ),
+    (
+        "one_answer",
+        "two on top of one, one unheard",
+        lambda run: run.facts.extend(
+            (
+                Put(20.0, "q", 12, 3, True, LATER, 26.2, None, 0),
+                control_call(26.0, 26.1, "core", 200, LATER, lost=True),
+            )
+        ),
+    ),
+    (
+        "one_answer",
+        "refused, then acknowledged",
+        called(control_call(26.0, 26.1, "core", 412, LATER), control_call(27.0, 27.1, "core2", 200, LATER)),
+    ),
+    (
+        "one_answer",
+        "refused, and read",
+        lambda run: run.facts.extend(
+            (
+                Put(26.0, "q", 12, 7, True, LATER, 27.0, None, 412),
+                control_call(26.0, 26.1, "core", 412, LATER),
+                Read(28.0, LATER, 27.9),
+            )
+        ),
+    ),
     ("fresh", "an old version after a start", old_after_start),
-    ("acks", "a version too late", lambda run: run.facts.append(
-        Put(24.0, "q", 12, 7, True, NEW | {"revision_number": 12}, 29.9, 29.9, 200))),
+    (
+        "acks",
+        "a version too late",
+        lambda run: run.facts.append(
+            Put(24.0, "q", 12, 7, True, NEW | {"revision_number": 12}, 29.9, 29.9, 200)
+        ),
+    ),
     ("acks", "a first version too late", change_first),
     ("acks", "a leave with none", change_last(Notice, "", acked=None)),
-    ("config", "read back older than was read before", lambda run: run.facts.extend(
-        (Read(18.0, OLD | {"revision_number": 6}, 17.9), Read(19.0, OLD, 18.5)))),
+    (
+        "config",
+        "read back older than was read before",
+        lambda run: run.facts.extend((Read(18.0, OLD | {"revision_number": 6}, 17.9), Read(19.0, OLD, 18.5))),
+    ),
     ("config", "read older than was acknowledged", lambda run: run.facts.append(Read(22.0, OLD, 20.3))),
-    ("config", "read what lost its race", lambda run: run.facts.append(
-        Read(22.0, OLD | {"revision_number": 8}, 21.0))),
+    (
+        "config",
+        "read what lost its race",
+        lambda run: run.facts.append(Read(22.0, OLD | {"revision_number": 8}, 21.0)),
+    ),
     ("recover", "nothing served after the closing loss", nothing_served),
     ("budget", "more tries than are shared", over_budget),
     ("budget", "calls of a repeated run", repeated_calls),
     ("stays_up", "an end of its own", lambda run: run.facts.append(Process(15.0, "m1", "exit"))),
-]  # fmt: skip
+]
 
 
 def test_a_clean_run_holds_and_each_rule_was_seen() -> None:
@@ -332,27 +424,47 @@
 
 
 UNDISTURBED: list[tuple[str, list[Fact]]] = [
-    ("the winner of two under one number is read", [
-        Put(20.0, "q", 7, 3, True, OLD | {"revision_number": 7}, 20.1, None, 412), Read(22.0, NEW, 21.0)]),
-    ("an order under way twice, one call of it is refused before the other is answered", [
-        control_call(26.0, 26.3, "core", 200, LATER), control_call(26.1, 26.2, "core2", 412, LATER)]),
-    ("sent again with no clear answer", [
-        control_call(36.0, 37.0, "core2", 0, NEW, how="timeout"), control_call(36.1, 36.2, "core", 503, NEW),
-        control_call(36.3, 36.4, "core", 429, NEW)]),
-    ("what was acknowledged is acknowledged again by one that is alone", [
-        control_call(37.0, 37.1, "core3", 200, NEW)]),
+    (
+        "the winner of two under one number is read",
+        [Put(20.0, "q", 7, 3, True, OLD | {"revision_number": 7}, 20.1, None, 412), Read(22.0, NEW, 21.0)],
+    ),
+    (
+        "an order under way twice, one call of it is refused before the other is answered",
+        [control_call(26.0, 26.3, "core", 200, LATER), control_call(26.1, 26.2, "core2", 412, LATER)],
+    ),
+    (
+        "sent again with no clear answer",
+        [
+            control_call(36.0, 37.0, "core2", 0, NEW, how="timeout"),
+            control_call(36.1, 36.2, "core", 503, NEW),
+            control_call(36.3, 36.4, "core", 429, NEW),
+        ],
+    ),
+    (
+        "what was acknowledged is acknowledged again by one that is alone",
+        [control_call(37.0, 37.1, "core3", 200, NEW)],
+    ),
     ("silent, alone for less than two seconds", [control_call(36.0, 37.0, "core3", 0, how="timeout")]),
     ("silent until the cut's end", [control_call(39.0, 40.0, "core3", 0, how="timeout")]),
     ("silent, the kit lost its answer", [control_call(37.0, 38.0, "core3", 503, lost=True)]),
-    ("silent, its process had just been stopped", [
-        Process(36.9, "core3", "paused"), control_call(37.0, 38.0, "core3", 0, how="timeout")]),
-    ("silent, its process had just begun", [
-        Process(35.0, "core3", "killed"), Process(36.5, "core3", "start"),
-        control_call(37.0, 38.0, "core3", 0, how="timeout")]),
+    (
+        "silent, its process had just been stopped",
+        [Process(36.9, "core3", "paused"), control_call(37.0, 38.0, "core3", 0, how="timeout")],
+    ),
+    (
+        "silent, its process had just begun",
+        [
+            Process(35.0, "core3", "killed"),
+            Process(36.5, "core3", "start"),
+            control_call(37.0, 38.0, "core3", 0, how="timeout"),
+        ],
+    ),
     ("silent, in touch with a majority", [control_call(37.0, 38.0, "core2", 0, how="timeout")]),
-    ("silent, cut from a node only", [
-        Harm(25.0, 32.0, "cut", [("core2", "m1")]), control_call(30.0, 31.0, "core2", 0, how="timeout")]),
-]  # fmt: skip
+    (
+        "silent, cut from a node only",
+        [Harm(25.0, 32.0, "cut", [("core2", "m1")]), control_call(30.0, 31.0, "core2", 0, how="timeout")],
+    ),
+]
 
 
 @pytest.mark.parametrize(("what", "facts"), UNDISTURBED, ids=[what for what, _ in UNDISTURBED])
@@ -388,21 +500,44 @@
     ("too long ago", False, cores(Harm(18.0, 19.0, "cut", [("m2", "core")]))),
     ("another's links", False, cores(Harm(21.0, 22.4, "cut", [("m1", "core")]))),
     ("cut from a machine that keeps nothing", False, cores(Harm(21.0, 22.4, "cut", [("m2", "m1")]))),
-    ("a controller that reaches no other binds nobody", False, cores(
-        Harm(15.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")]))),
-    ("it was cut from the others just now", True, cores(
-        Harm(21.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")]))),
+    (
+        "a controller that reaches no other binds nobody",
+        False,
+        cores(Harm(15.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")])),
+    ),
+    (
+        "it was cut from the others just now",
+        True,
+        cores(Harm(21.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")])),
+    ),
     ("a slow link of the core", True, cores(Harm(15.0, 24.0, "slow", [("core", "core2")]))),
     ("a controller is down, and has been for long", False, cores(Process(15.0, "core", "killed"))),
     ("two are", True, cores(Process(15.0, "core", "killed"), Process(15.0, "core2", "killed"))),
-    ("two are, one of them by itself", False, cores(
-        Process(15.0, "core", "killed"), Process(15.0, "core2", "exit"))),
-    ("one was replaced long ago, one is down", False, cores(
-        Process(10.0, "core", "killed"), Process(10.1, "core", "removed"), Process(10.5, "core4", "start"),
-        Process(15.0, "core2", "killed"))),
-    ("one was taken away, and one is down", True, cores(
-        Process(10.0, "core", "killed"), Process(10.1, "core", "removed"), Process(15.0, "core2", "killed"))),
-]  # fmt: skip
+    (
+        "two are, one of them by itself",
+        False,
+        cores(Process(15.0, "core", "killed"), Process(15.0, "core2", "exit")),
+    ),
+    (
+        "one was replaced long ago, one is down",
+        False,
+        cores(
+            Process(10.0, "core", "killed"),
+            Process(10.1, "core", "removed"),
+            Process(10.5, "core4", "start"),
+            Process(15.0, "core2", "killed"),
+        ),
+    ),
+    (
+        "one was taken away, and one is down",
+        True,
+        cores(
+            Process(10.0, "core", "killed"),
+            Process(10.1, "core", "removed"),
+            Process(15.0, "core2", "killed"),
+        ),
+    ),
+]
 
 
 @pytest.mark.parametrize(("what", "excused", "facts"), HARMS, ids=[what for what, _, _ in HARMS])
@@ -445,8 +580,10 @@
     assert told == [2, 2] and isinstance(console.file, io.StringIO)
     lines = console.file.getvalue().splitlines()
     assert [line.split(";")[0] for line in lines if line.startswith("seed ")][-3:] == [
-        "seed 1: held", "seed 2: BROKEN twice", "seed 3: void",
-    ]  # fmt: skip
+        "seed 1: held",
+        "seed 2: BROKEN twice",
+        "seed 3: void",
+    ]
     assert "; isolated: 1 503, 100 ms at most; 1 orders sent again, after up to 0 others; " in lines[0]
     assert "3 seeds: 1 BROKEN, 1 held, 1 void" in lines
     assert lines[-1] == "rules broken: twice in 1"
--- a/tests/mesh/test_key_transfer.py
+++ b/tests/mesh/test_key_transfer.py
@@ -7,9 +7,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.control import key_transfer
-from mesh.control.key_transfer import GIVEN_BACK, PAGE_BYTES, KeyLearner, KeySource, Page, bounded, lacking
-from mesh.control.operation_keys import SHELF_S, OperationKeys
+from orchidferry.mesh.control import key_transfer
+from orchidferry.mesh.control.key_transfer import (
+    GIVEN_BACK,
+    PAGE_BYTES,
+    KeyLearner,
+    KeySource,
+    Page,
+    bounded,
+    lacking,
+)
+from orchidferry.mesh.control.operation_keys import SHELF_S, OperationKeys
 
 KEYS = [f"k{n}" for n in range(12)]
 
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -7,21 +7,21 @@
 
 import pytest
 
-from mesh.control.endpoints import IN_SERVICE, Record, Server
-from mesh.control.operation_key_client import OperationKeyClient
-from mesh.control.operation_keys import Granted, OperationKeys
-from mesh.control.shard_state import shard_of
-from mesh.dataplane import proxy as module
-from mesh.dataplane import service_client
-from mesh.dataplane.messages import (
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.operation_keys import Granted, OperationKeys
+from orchidferry.mesh.control.shard_state import shard_of
+from orchidferry.mesh.dataplane import proxy as module
+from orchidferry.mesh.dataplane import service_client
+from orchidferry.mesh.dataplane.messages import (
     kept_answer,
 )
-from mesh.dataplane.proxy import Proxy
-from mesh.dataplane.service_client import ServiceClient
-from mesh.settings import Bounds
-from mesh.wire.messages import KeyClaim, KeyRelease, Message
-from nickelbridge.interface import Result
-from orchidferry.frontend import Reply
+from orchidferry.mesh.dataplane.proxy import Proxy
+from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.mesh.settings import Bounds
+from orchidferry.mesh.wire.messages import KeyClaim, KeyRelease, Message
+from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import asked, header, rig, route, said
 
 
--- a/tests/mesh/test_links.py
+++ b/tests/mesh/test_links.py
@@ -11,12 +11,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rehearsal.mesh.day import DAYS, Machine, Ports, machines
-from rehearsal.mesh.links import Links
-from rehearsal.mesh.relay import BROKEN_S, HELD_MOST, SOUND, Fault, Half
-from rehearsal.mesh.run import free_ports
-from rehearsal.mesh.table import CLOSING, LOSSES, PLANNED, UNPLANNED, table
-from rehearsal.world.addresses import claim
+from orchidferry.testkit.mesh.day import DAYS, Machine, Ports, machines
+from orchidferry.testkit.mesh.links import Links
+from orchidferry.testkit.mesh.relay import BROKEN_S, HELD_MOST, SOUND, Fault, Half
+from orchidferry.testkit.mesh.run import free_ports
+from orchidferry.testkit.mesh.table import CLOSING, LOSSES, PLANNED, UNPLANNED, table
+from orchidferry.testkit.world.addresses import claim
 
 
 class Transport:
--- a/tests/mesh/test_lives.py
+++ b/tests/mesh/test_lives.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from mesh.control.endpoints import IN_SERVICE, Record, Server
-from mesh.dataplane import admission, http_connection, service_client
-from mesh.dataplane.admission import AdmissionGate
-from mesh.dataplane.service_client import ServiceClient
-from mesh.settings import Bounds
-from orchidferry import upstream
-from orchidferry.frontend import Reply
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.dataplane import admission, http_connection, service_client
+from orchidferry.mesh.dataplane.admission import AdmissionGate
+from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.mesh.settings import Bounds
+from orchidferry.node import upstream
+from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import asked, route
 from tests.mesh.test_answers import answer
 from tests.mesh.wire_fakes import Pool, close_all, pool
@@ -34,9 +34,16 @@
     """A server is replaced at its address while a request is at work; connections that the gate made."""
     loop, made = played_pool(monkeypatch)
     gate = AdmissionGate(
-        ("127.0.0.1", 1), Bounds(), 1_000.0, loop, made.alarms, made, lambda: None, lambda: False,
+        ("127.0.0.1", 1),
+        Bounds(),
+        1_000.0,
+        loop,
+        made.alarms,
+        made,
+        lambda: None,
+        lambda: False,
         lambda message, said: None,
-    )  # fmt: skip
+    )
     replies: list[Reply] = []
     beat(gate, "i")
     gate.accept(asked("a"), replies.append)
@@ -69,9 +76,7 @@
     """Its end may have been lost in a cut; what is sent on it is reset, and may have run."""
     loop, made = played_pool(monkeypatch)
     numbers = {"i": 1, "j": 2}
-    service = ServiceClient(
-        "s", "me", "z", Bounds(), loop, made.alarms, made, lambda server: numbers[server]
-    )  # fmt: skip
+    service = ServiceClient("s", "me", "z", Bounds(), loop, made.alarms, made, lambda server: numbers[server])
     kind = route("non_idempotent", 2)
     for number, (server, life) in enumerate((("i", 1), (id, boot))):
         listed = Server(server, "s", "z", IN_SERVICE, 4, 0.0)
--- a/tests/mesh/test_members_by_service.py
+++ b/tests/mesh/test_members_by_service.py
@@ -9,13 +9,13 @@
 import msgspec
 import pytest
 
-from mesh.control.configuration import Route
-from mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Record, Server, everyone
-from mesh.dataplane import service_client as module
-from mesh.dataplane.proxy import Proxy
-from mesh.dataplane.service_client import ServiceClient
-from mesh.settings import Bounds, check_settings
-from rehearsal.model.relays import World
+from orchidferry.mesh.control.configuration import Route
+from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Record, Server, everyone
+from orchidferry.mesh.dataplane import service_client as module
+from orchidferry.mesh.dataplane.proxy import Proxy
+from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.mesh.settings import Bounds, check_settings
+from orchidferry.testkit.model.relays import World
 from tests.mesh.fakes import rig, route
 from tests.mesh.test_records import BOOT
 
@@ -121,8 +121,12 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_everyone_is_what_the_plain_walk_finds(seed: int) -> None:
     rng = random.Random(seed)
-    records = [Record(f"n{n}", boot, number, "z", "", 1, None) for n in range(4) for boot in (1, 2)
-               for number in (1, 2)]  # fmt: skip
+    records = [
+        Record(f"n{n}", boot, number, "z", "", 1, None)
+        for n in range(4)
+        for boot in (1, 2)
+        for number in (1, 2)
+    ]
     for _ in range(50):
         told = {f"k{k}": {r.name: r for r in rng.sample(records, rng.randrange(6))} for k in range(3)}
         if rng.random() < 0.5:  # other objects, the same records
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -15,19 +15,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.control import shard_state
-from mesh.control.actions import Answer, Changed, Ended
-from mesh.control.duties import TENURE_S
-from mesh.control.hinted_handoff import RECENT_S, Hints
-from mesh.control.membership import Standing, epoch
-from mesh.control.operation_key_client import Count
-from mesh.control.operation_keys import Held, OperationKeys
-from mesh.control.peers import Peers
-from mesh.control.shard import Shard
-from mesh.wire.messages import KeyGrant, KeyReleaseAck
-from mesh.wire.shard_messages import DecidedState
-from nickelbridge.register import Kept, Value, Voter
-from rehearsal.explore.controller import SEEDS, WINDOW_S, Controller
+from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.duties import TENURE_S
+from orchidferry.mesh.control.hinted_handoff import RECENT_S, Hints
+from orchidferry.mesh.control.membership import Standing, epoch
+from orchidferry.mesh.control.operation_key_client import Count
+from orchidferry.mesh.control.operation_keys import Held, OperationKeys
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
+from orchidferry.mesh.wire.shard_messages import DecidedState
+from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller
 
 
 class Try:
@@ -198,7 +198,7 @@
         controller = self.some()
         up = [
             k for k in self.controllers.values() if k.alive and k.shard.standing.caught_up and k.shard.clean
-        ]  # fmt: skip
+        ]
         if controller is None or sum(k is not controller for k in up) < 2:
             return
         controller.alive = False
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -18,12 +18,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.control import shard_state
-from mesh.control.actions import Ended
-from mesh.control.order_history import OrderHistory, Verdict
-from mesh.control.repair import Repair
-from nickelbridge.register import Value, Voter
-from rehearsal.explore.controller import Controller
+from orchidferry.balancing.register import Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Ended
+from orchidferry.mesh.control.order_history import OrderHistory, Verdict
+from orchidferry.mesh.control.repair import Repair
+from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.test_membership import World
 
 STOP_S, GRACE_S = 1.0, 5.0  # a controller that was told to end stays so long at least, and at most
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -18,19 +18,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.control import configuration, configuration_resource, order_book, order_history, shard_state
-from mesh.control.actions import Changed, Ended
-from mesh.control.configuration_resource import ConfigurationResource
-from mesh.control.configuration_text import expand
-from mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
-from mesh.control.control_api import call
-from mesh.control.order_history import Entry, OrderHistory, Verdict
-from mesh.control.order_records import orders_of, record
-from mesh.storage import storage_check
-from mesh.storage.store import Store
-from nickelbridge.register import Value
-from orchidferry.frontend import Reply
-from rehearsal.explore.controller import Controller
+from orchidferry.balancing.register import Value
+from orchidferry.mesh.control import (
+    configuration,
+    configuration_resource,
+    order_book,
+    order_history,
+    shard_state,
+)
+from orchidferry.mesh.control.actions import Changed, Ended
+from orchidferry.mesh.control.configuration_resource import ConfigurationResource
+from orchidferry.mesh.control.configuration_text import expand
+from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
+from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.order_history import Entry, OrderHistory, Verdict
+from orchidferry.mesh.control.order_records import orders_of, record
+from orchidferry.mesh.storage import storage_check
+from orchidferry.mesh.storage.store import Store
+from orchidferry.node.frontend import Reply
+from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.test_membership import World
 from tests.mesh.test_records import example
 from tests.mesh.test_store import Loop, a_controller, close
@@ -374,10 +380,25 @@
 @pytest.mark.parametrize(
     "if_match",
     [
-        None, b"", b"*", b"five", b"-1", b"+1", b"1.0", b"0x1", b"5, 6", b'"5", "6"', b'W/"0"', b'"0',
-        b'""0""', b"9" * 17, b"9" * 5_000, b"\xb2", b"0;q=1",
+        None,
+        b"",
+        b"*",
+        b"five",
+        b"-1",
+        b"+1",
+        b"1.0",
+        b"0x1",
+        b"5, 6",
+        b'"5", "6"',
+        b'W/"0"',
+        b'"0',
+        b'""0""',
+        b"9" * 17,
+        b"9" * 5_000,
+        b"\xb2",
+        b"0;q=1",
     ],
-)  # fmt: skip
+)
 def test_an_order_without_a_version_is_told_so_in_one_line(if_match: bytes | None) -> None:
     resource = Resource()
     reply = resource.put(_content(7), if_match)
--- a/tests/mesh/test_passed_on.py
+++ b/tests/mesh/test_passed_on.py
@@ -7,11 +7,11 @@
 import httptools
 import pytest
 
-from mesh.control.endpoints import IN_SERVICE, Server
-from mesh.dataplane import admission
-from mesh.dataplane.admission import AdmissionGate
-from mesh.settings import Bounds
-from nickelbridge.interface import Result
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
+from orchidferry.mesh.dataplane import admission
+from orchidferry.mesh.dataplane.admission import AdmissionGate
+from orchidferry.mesh.settings import Bounds
 from tests.mesh.fakes import rig, route, said
 from tests.mesh.test_callers import Line
 from tests.mesh.test_service_client import Scene
@@ -53,9 +53,16 @@
         loop, alarms, self.lines = rig()
         patch.setattr(admission, "now_ms", loop.now_ms)
         gate = AdmissionGate(
-            ("127.0.0.1", 1), Bounds(), 1_000.0, loop, alarms, self.lines,
-            lambda: None, lambda: False, lambda message, answer: None,
-        )  # fmt: skip
+            ("127.0.0.1", 1),
+            Bounds(),
+            1_000.0,
+            loop,
+            alarms,
+            self.lines,
+            lambda: None,
+            lambda: False,
+            lambda message, answer: None,
+        )
         gate.beat(Server(self.scene_server(), "s", "z", IN_SERVICE, 4, 0.0), 1)
         self.gate, self.inbound = gate, Line(gate.accept)
 
@@ -98,10 +105,17 @@
     method, target, _ = head.split(b" ", 2)
     assert (got.method, got.target, got.body, got.whole) == (method, target, body, 1)
     for header, values in {
-        b"host": [b"Shop.example:80"], b"attempt-id": [b"9c41"], b"operation-key": [b"k-5512"],
-        b"accept": [b"a", b"b"], b"kind": [b"\xff x"],
-        b"calling-service": [b"me"], b"target-instance": [b"1"], b"hop": [], b"keep-alive": [], b"te": [],
-    }.items():  # fmt: skip
+        b"host": [b"Shop.example:80"],
+        b"attempt-id": [b"9c41"],
+        b"operation-key": [b"k-5512"],
+        b"accept": [b"a", b"b"],
+        b"kind": [b"\xff x"],
+        b"calling-service": [b"me"],
+        b"target-instance": [b"1"],
+        b"hop": [],
+        b"keep-alive": [],
+        b"te": [],
+    }.items():
         assert got.of(header) == values, header
     assert len(got.of(b"time-remaining")) == 1 and not [n for n, _ in got.headers if n.startswith(b"orchid")]
 
--- a/tests/mesh/test_power_loss.py
+++ b/tests/mesh/test_power_loss.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from mesh.control import shard_state
-from mesh.control.shard import remembered
-from mesh.errors import BadStore
-from mesh.storage import environment, storage_check
-from mesh.storage import snapshot as snapshots
-from mesh.storage import store as store_module
-from mesh.storage.store import Store, pack
-from nickelbridge.register import Kept
-from rehearsal.model.lost_names import Names, NamesDisk, make
+from orchidferry.balancing.register import Kept
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage import environment, storage_check
+from orchidferry.mesh.storage import snapshot as snapshots
+from orchidferry.mesh.storage import store as store_module
+from orchidferry.mesh.storage.store import Store, pack
+from orchidferry.testkit.model.lost_names import Names, NamesDisk, make
 from tests.mesh.test_store import Loop, close
 
 FOUNDERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
--- a/tests/mesh/test_process_end.py
+++ b/tests/mesh/test_process_end.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from mesh.control.controller import STOP_S
-from mesh.process_end import WATCH_MARGIN_S
-from mesh.storage.store import CLOSE_S
-from rehearsal.mesh.day import DAYS, Machine, Ports, machines
-from rehearsal.mesh.processes import COMMANDS, ROOT, settings
-from rehearsal.mesh.run import free_ports
-from rehearsal.world.addresses import claim
+from orchidferry.mesh.control.controller import STOP_S
+from orchidferry.mesh.process_end import WATCH_MARGIN_S
+from orchidferry.mesh.storage.store import CLOSE_S
+from orchidferry.testkit.mesh.day import DAYS, Machine, Ports, machines
+from orchidferry.testkit.mesh.processes import COMMANDS, ROOT, settings
+from orchidferry.testkit.mesh.run import free_ports
+from orchidferry.testkit.world.addresses import claim
 
 DAY = DAYS["mesh-calm"]
 GRACE_S = DAY.bounds.grace_s
@@ -47,8 +47,11 @@
         with self._log.open("wb") as log:
             self._child = subprocess.Popen(
                 command or COMMANDS[self.machine.role],
-                env=self._environment, stdout=log, stderr=log, cwd=ROOT,
-            )  # fmt: skip
+                env=self._environment,
+                stdout=log,
+                stderr=log,
+                cwd=ROOT,
+            )
 
     def log(self) -> bytes:
         return self._log.read_bytes()
@@ -122,12 +125,16 @@
     assert STOPPED in process.log()
 
 
-@pytest.mark.parametrize("numbers", [
-    (signal.SIGTERM,),
-    (signal.SIGTERM, signal.SIGTERM, signal.SIGTERM),
-    (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP),
-    (signal.SIGSTOP, signal.SIGTERM, signal.SIGCONT),
-], ids=["once", "three times", "between SIGHUPs", "while frozen"])  # fmt: skip
+@pytest.mark.parametrize(
+    "numbers",
+    [
+        (signal.SIGTERM,),
+        (signal.SIGTERM, signal.SIGTERM, signal.SIGTERM),
+        (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP),
+        (signal.SIGSTOP, signal.SIGTERM, signal.SIGCONT),
+    ],
+    ids=["once", "three times", "between SIGHUPs", "while frozen"],
+)
 def test_told_while_it_serves(process: Process, numbers: tuple[int, ...]) -> None:
     process.until(process.serves)
     process.signal(*numbers)
@@ -196,7 +203,7 @@
 
 def test_told_while_its_disk_hangs(controller: Process) -> None:
     """What waits for the disk is not waited for beyond the grace; nothing of it was acknowledged."""
-    controller.start((sys.executable, "-B", "-m", "rehearsal.bench.mesh_load", "slow", "60000"))
+    controller.start((sys.executable, "-B", "-m", "orchidferry.testkit.bench.mesh_load", "slow", "60000"))
     controller.until(controller.serves)
     controller.signal(signal.SIGTERM)
     status, took_s = controller.ended()
@@ -216,14 +223,17 @@
         self.sleep(60)
 sys.modules["kept to the end"] = Last()""",
     "a handler at the exit": "import atexit, time; atexit.register(time.sleep, 60)",
-    "a thread that is waited for":
-        "import threading, time; threading.Thread(target=time.sleep, args=(60,)).start()",
-}  # fmt: skip
+    "a thread that is waited for": (
+        "import threading, time; threading.Thread(target=time.sleep, args=(60,)).start()"
+    ),
+}
 
 
 @pytest.mark.parametrize("what", HELD_UP)
 def test_whatever_holds_it_up_it_ends_and_tells_where_it_stood(what: str) -> None:
-    program = f"import sys\nfrom mesh.process_end import end_within\nend_within(0.3)\n{HELD_UP[what]}"
+    program = (
+        f"import sys\nfrom orchidferry.mesh.process_end import end_within\nend_within(0.3)\n{HELD_UP[what]}"
+    )
     done = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, timeout=20.0, check=False
     )
@@ -234,7 +244,7 @@
 @pytest.mark.parametrize("what", [what for what in HELD_UP if what != LOCK])  # that one holds up the role
 def test_a_role_that_has_ended_takes_nothing_down(what: str) -> None:
     """What would hold up the interpreter's end is not waited for."""
-    program = f"import sys\nfrom mesh.process_end import end_now\n{HELD_UP[what]}\nend_now()"
+    program = f"import sys\nfrom orchidferry.mesh.process_end import end_now\n{HELD_UP[what]}\nend_now()"
     done = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, timeout=20.0, check=False
     )
@@ -245,7 +255,7 @@
     """A role that does not end is ended within the grace that began with the first."""
     program = """
 import asyncio, os, signal, time
-from mesh.process_end import stop_on_sigterm
+from orchidferry.mesh.process_end import stop_on_sigterm
 async def main():
     stopping = asyncio.Event()
     stop_on_sigterm(asyncio.get_running_loop(), stopping, 1.0)
--- a/tests/mesh/test_proxy.py
+++ b/tests/mesh/test_proxy.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from mesh import __main__ as program
-from mesh import role_settings
-from mesh.control.configuration import Configuration, Table
-from mesh.control.control_api import Call, call
-from mesh.dataplane import proxy as module
-from mesh.dataplane.proxy import Proxy
-from mesh.settings import check_settings
-from orchidferry.frontend import Reply
+from orchidferry.mesh import __main__ as program
+from orchidferry.mesh import role_settings
+from orchidferry.mesh.control.configuration import Configuration, Table
+from orchidferry.mesh.control.control_api import Call, call
+from orchidferry.mesh.dataplane import proxy as module
+from orchidferry.mesh.dataplane.proxy import Proxy
+from orchidferry.mesh.settings import check_settings
+from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import Loop, asked, route
 from tests.mesh.test_records import BOOT as BOOT_TABLES
 from tests.mesh.test_service_client import Scene as ServiceScene
@@ -95,10 +95,16 @@
     assert reply.status == 503 and not scene.scene.lines.sent
 
 
-@pytest.mark.parametrize(("configured", "settled", "served", "leaving", "status"), [
-    (True, True, True, False, 200), (False, True, True, False, 503), (True, False, True, False, 503),
-    (True, True, False, False, 503), (True, True, True, True, 503),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("configured", "settled", "served", "leaving", "status"),
+    [
+        (True, True, True, False, 200),
+        (False, True, True, False, 503),
+        (True, False, True, False, 503),
+        (True, True, False, False, 503),
+        (True, True, True, True, 503),
+    ],
+)
 def test_when_a_node_is_ready(
     monkeypatch: pytest.MonkeyPatch, configured: bool, settled: bool, served: bool, leaving: bool, status: int
 ) -> None:
@@ -135,10 +141,17 @@
 )
 
 
-@pytest.mark.parametrize(("method", "rest", "body", "status"), [
-    (b"PUT", "i", BEAT, 200), (b"DELETE", "i", b"", 200), (b"PUT", "i", b"{", 400), (b"GET", "i", b"", 400),
-    (b"PUT", "", BEAT, 404), (b"PUT", "i", BEAT.replace(b"in_service", b"x" * 9_000), 400),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("method", "rest", "body", "status"),
+    [
+        (b"PUT", "i", BEAT, 200),
+        (b"DELETE", "i", b"", 200),
+        (b"PUT", "i", b"{", 400),
+        (b"GET", "i", b"", 400),
+        (b"PUT", "", BEAT, 404),
+        (b"PUT", "i", BEAT.replace(b"in_service", b"x" * 9_000), 400),
+    ],
+)
 def test_a_servers_calls_are_answered_at_once_and_shortly(
     method: bytes, rest: str, body: bytes, status: int
 ) -> None:
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -14,23 +14,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import mesh
-from mesh.control import configuration, shard_state
-from mesh.control.endpoints import LEASE_S, Record, Register, everyone
-from mesh.control.operation_keys import SHELF_S, GivenBack, Granted, Held, OperationKeys
-from mesh.dataplane.proxy import read_beat
-from mesh.errors import Kind, Refusal
-from mesh.settings import BadSettings, check_settings
-from nickelbridge.nested import TARGET, Nested
+import orchidferry.mesh
+from orchidferry.balancing.nested import TARGET, Nested
+from orchidferry.mesh.control import configuration, shard_state
+from orchidferry.mesh.control.endpoints import LEASE_S, Record, Register, everyone
+from orchidferry.mesh.control.operation_keys import SHELF_S, GivenBack, Granted, Held, OperationKeys
+from orchidferry.mesh.dataplane.proxy import read_beat
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.settings import BadSettings, check_settings
 
 MODULES = [
     found.name
-    for found in pkgutil.walk_packages(mesh.__path__, "mesh.")
-    if not found.ispkg and found.name != "mesh.__main__"
+    for found in pkgutil.walk_packages(orchidferry.mesh.__path__, "orchidferry.mesh.")
+    if not found.ispkg and found.name != "orchidferry.mesh.__main__"
 ]
 
 
-@pytest.mark.parametrize("name", [*MODULES, "nickelbridge.nested"])
+@pytest.mark.parametrize("name", [*MODULES, "orchidferry.balancing.nested"])
 def test_examples_in_docstrings(name: str) -> None:
     assert doctest.testmod(importlib.import_module(name)).failed == 0
 
@@ -40,8 +40,10 @@
 WINDOW_S = 60.0
 STEPS = st.tuples(
     st.sampled_from(("claim", "claim", "done", "drop", "turn", "turn", "turn", "restart")),
-    st.sampled_from("xy"), st.sampled_from(("t1", "t2", "t3")), st.sampled_from((1.0, 10.0, 19.0)),
-)  # fmt: skip
+    st.sampled_from("xy"),
+    st.sampled_from(("t1", "t2", "t3")),
+    st.sampled_from((1.0, 10.0, 19.0)),
+)
 
 
 @settings(max_examples=200, deadline=None)
@@ -110,7 +112,7 @@
 
 NEWS = st.tuples(
     st.booleans(), st.sampled_from("ab"), st.integers(1, 2), st.integers(0, 3), st.floats(0.0, 1.5)
-)  # fmt: skip
+)
 
 
 @settings(max_examples=200, deadline=None)
@@ -149,8 +151,10 @@
     for controller, name, number in news:
         told[controller][name] = record(name, 1, number)
     counted = [r for k, mine in told.items() for r in mine.values() if not heard or k in heard]
-    wanted = {name: record(name, 1, max(r.number for r in counted if r.name == name)) for name in
-              {r.name for r in counted}}  # fmt: skip
+    wanted = {
+        name: record(name, 1, max(r.number for r in counted if r.name == name))
+        for name in {r.name for r in counted}
+    }
     assert everyone(told, heard) == wanted
 
 
@@ -159,23 +163,34 @@
 
 def rule(n: int = 0, **treatment: Any) -> dict[str, Any]:
     return {
-        "identifier": f"r{n}", "route_type": "keyed", "target_ms": 300, "precedence": 1,
+        "identifier": f"r{n}",
+        "route_type": "keyed",
+        "target_ms": 300,
+        "precedence": 1,
         "criteria": {"path_prefix": f"/p{n}/"},
         "treatment": {"service_name": "s", "guard_timer_ms": 2_000, "max_attempts": 2, **treatment},
-    }  # fmt: skip
+    }
 
 
 def example() -> dict[str, Any]:
     split = [{"service_name": "s", "share": 90}, {"service_name": "t", "share": 10}]
     return {
-        "revision_number": 7, "limit_set": {"idle_timer_ms": 15_000}, "service_table": [],
+        "revision_number": 7,
+        "limit_set": {"idle_timer_ms": 15_000},
+        "service_table": [],
         "access_points": [{"host_name": "H.example", "rule_set": [rule(0), rule(1, weighted_split=split)]}],
         "trunk_groups": [
-            {"identifier": "s", "health_path": "/up", "max_connections": 110, "protocol": "h1", "tls": False,
-             "deduplicates": True},
+            {
+                "identifier": "s",
+                "health_path": "/up",
+                "max_connections": 110,
+                "protocol": "h1",
+                "tls": False,
+                "deduplicates": True,
+            },
             {"identifier": "t"},
         ],
-    }  # fmt: skip
+    }
 
 
 def test_a_valid_configuration_is_taken_whole() -> None:
@@ -185,11 +200,12 @@
     first, second = found.routes
     assert first == configuration.Route(
         "r0", "H.example", "/p0/", "keyed", 300.0, 1, 2_000.0, 2, (("s", 1.0),)
-    )  # fmt: skip
+    )
     assert second.split == (("s", 90.0), ("t", 10.0)) and not second.repeatable
     assert found.services == {
-        "s": configuration.Service("s", "/up", 110, True), "t": configuration.Service("t"),
-    }  # fmt: skip
+        "s": configuration.Service("s", "/up", 110, True),
+        "t": configuration.Service("t"),
+    }
     assert (found.revision, found.limits) == (7, {"idle_timer_ms": 15_000.0})
 
 
@@ -282,12 +298,14 @@
 BOOT: dict[str, Any] = {
     "own_node": {"node_name": "n", "ip": "10.0.0.1", "zone": "z", "data_dir": "d", "limit_set": {"odd": 1}},
     "network": {
-        "internal_ports": [7_000], "seed_nodes": ["10.0.0.2:7000", "10.0.0.2:7001"],
+        "internal_ports": [7_000],
+        "seed_nodes": ["10.0.0.2:7000", "10.0.0.2:7001"],
         "listen_points": {"control": "10.0.0.1:80"},
     },
     "term_settings": {"bound_set": {"drain_ms": 1_500, "odd": "x"}, "tolerance": {"machines": 1}},
-    "platform_settings": {"beat_interval_ms": 1_500, "entry": "odd"}, "odd": 3,
-}  # fmt: skip
+    "platform_settings": {"beat_interval_ms": 1_500, "entry": "odd"},
+    "odd": 3,
+}
 
 
 def test_settings_are_read_and_unknown_fields_skipped() -> None:
@@ -296,10 +314,14 @@
     assert (boot.bounds.drain_ms, boot.bounds.key_window_s, boot.descriptors) == (1_500.0, 60.0, 1_024)
 
 
-@pytest.mark.parametrize(("bind", "point", "bound"), [
-    (None, "10.0.0.1", "10.0.0.1"), ("127.0.0.9", "10.0.0.1", "127.0.0.9"),
-    ("127.0.0.9", "10.0.0.7", "10.0.0.7"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("bind", "point", "bound"),
+    [
+        (None, "10.0.0.1", "10.0.0.1"),
+        ("127.0.0.9", "10.0.0.1", "127.0.0.9"),
+        ("127.0.0.9", "10.0.0.7", "10.0.0.7"),
+    ],
+)
 def test_an_address_may_be_bound_that_is_not_the_one_it_is_known_by(
     bind: str | None, point: str, bound: str
 ) -> None:
@@ -311,17 +333,34 @@
     assert (boot.ip, boot.local_ip, boot.door("control")) == ("10.0.0.1", bind or "10.0.0.1", (bound, 80))
 
 
-@pytest.mark.parametrize(("path", "value"), [
-    ("own_node", 3), ("own_node/bind_ip", ""), ("own_node/bind_ip", 4),
-    ("network", None), ("own_node/node_name", ""), ("own_node/ip", 4),
-    ("own_node/application", "10.0.0.1"), ("own_node/limit_set", []), ("own_node/limit_set/memory_mb", "x"),
-    ("network/internal_ports", []), ("network/internal_ports", [0]), ("network/internal_ports", [True]),
-    ("platform_settings/beat_interval_ms", 0), ("network/seed_nodes", "a"), ("network/seed_nodes", ["a"]),
-    ("network/listen_points", []), ("network/listen_points/control", "10.0.0.1:²"),
-    ("network/listen_points/control", "10.0.0.1:70000"), ("term_settings/bound_set", [1]),
-    ("term_settings/bound_set/drain_ms", True), ("term_settings/bound_set/drain_ms", float("nan")),
-    ("term_settings/tolerance", "x"), ("platform_settings", 4),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("path", "value"),
+    [
+        ("own_node", 3),
+        ("own_node/bind_ip", ""),
+        ("own_node/bind_ip", 4),
+        ("network", None),
+        ("own_node/node_name", ""),
+        ("own_node/ip", 4),
+        ("own_node/application", "10.0.0.1"),
+        ("own_node/limit_set", []),
+        ("own_node/limit_set/memory_mb", "x"),
+        ("network/internal_ports", []),
+        ("network/internal_ports", [0]),
+        ("network/internal_ports", [True]),
+        ("platform_settings/beat_interval_ms", 0),
+        ("network/seed_nodes", "a"),
+        ("network/seed_nodes", ["a"]),
+        ("network/listen_points", []),
+        ("network/listen_points/control", "10.0.0.1:²"),
+        ("network/listen_points/control", "10.0.0.1:70000"),
+        ("term_settings/bound_set", [1]),
+        ("term_settings/bound_set/drain_ms", True),
+        ("term_settings/bound_set/drain_ms", float("nan")),
+        ("term_settings/tolerance", "x"),
+        ("platform_settings", 4),
+    ],
+)
 def test_bad_settings_are_named_in_one_line(path: str, value: Any) -> None:
     data = copy.deepcopy(BOOT)
     spoil(path, value)(data)
@@ -332,15 +371,23 @@
 
 BEAT = {
     "information": {"service_name": "s", "capacity": 4, "odd": 1},
-    "condition": {"state": "draining", "call_sequence": 9, "odd": {}}, "odd": [],
-}  # fmt: skip
-
-
-@pytest.mark.parametrize(("path", "value", "named"), [
-    ("condition/state", "gone", "condition.state"), ("condition/call_sequence", None, ""),
-    ("condition/call_sequence", 1e400, ""), ("information/capacity", "x", "'x'"), ("information", [], ""),
-    ("information", {"capacity": 1}, "service_name"), ("condition", {"state": "draining"}, "call_sequence"),
-])  # fmt: skip
+    "condition": {"state": "draining", "call_sequence": 9, "odd": {}},
+    "odd": [],
+}
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "named"),
+    [
+        ("condition/state", "gone", "condition.state"),
+        ("condition/call_sequence", None, ""),
+        ("condition/call_sequence", 1e400, ""),
+        ("information/capacity", "x", "'x'"),
+        ("information", [], ""),
+        ("information", {"capacity": 1}, "service_name"),
+        ("condition", {"state": "draining"}, "call_sequence"),
+    ],
+)
 def test_bad_beats(path: str, value: Any, named: str) -> None:
     server = read_beat("i", json.dumps(BEAT).encode())
     assert not isinstance(server, Refusal) and (server[0].capacity, server[1]) == (4, 9)
@@ -383,7 +430,7 @@
 def test_the_roles_are_subcommands_of_the_one_program(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    from rehearsal import cli
+    from orchidferry.testkit import cli
 
     monkeypatch.delenv("ORCHIDFERRY_BOOT", raising=False)
     for words, status, said in (
--- a/tests/mesh/test_retry_budget.py
+++ b/tests/mesh/test_retry_budget.py
@@ -9,9 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mesh.control import retry_budget as module
-from mesh.control.retry_budget import DEALT_SHARE, LATE_S, LEASE_S, STATIC_SHARE, Dealer, Holder, RetryBudgets
-from mesh.wire.messages import RetryShare, RetryShareRequest
+from orchidferry.mesh.control import retry_budget as module
+from orchidferry.mesh.control.retry_budget import (
+    DEALT_SHARE,
+    LATE_S,
+    LEASE_S,
+    STATIC_SHARE,
+    Dealer,
+    Holder,
+    RetryBudgets,
+)
+from orchidferry.mesh.wire.messages import RetryShare, RetryShareRequest
 
 WINDOW_S, SLACK, STEP_S, NODES, ENDS_S = 10.0, 40.0, 0.25, 4, 90.0
 WHOLE = DEALT_SHARE * SLACK
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from mesh.control import controller as module
-from mesh.control import shard_state
-from mesh.control.actions import Tell
-from mesh.control.controller import Controller
-from mesh.control.membership import Standing
-from mesh.control.peers import Peers
-from mesh.control.shard import Shard
-from mesh.settings import Bounds
-from mesh.wire.shard_messages import DecidedState, JoinRequest, RegisterMessage
-from nickelbridge.register import Kept, Value, Voter
-from rehearsal.explore.controller import SEEDS, WINDOW_S
+from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.mesh.control import controller as module
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import Tell
+from orchidferry.mesh.control.controller import Controller
+from orchidferry.mesh.control.membership import Standing
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.settings import Bounds
+from orchidferry.mesh.wire.shard_messages import DecidedState, JoinRequest, RegisterMessage
+from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S
 from tests.mesh.test_stop import Clock, played
 
 A, B, C, D = (Voter(name, shard_state.GENESIS) for name in "abcd")
@@ -30,7 +30,7 @@
     kept = Kept(shard_state.GENESIS)
     made = Shard(
         1, name, shard_state.genesis(SEEDS), kept, caught_up, Peers(0.0), WINDOW_S, random.Random(1), 10, size
-    )  # fmt: skip
+    )
     know(made, Value(1, (A, B, C), shard_state.Body(3)))
     return made
 
--- a/tests/mesh/test_sent.py
+++ b/tests/mesh/test_sent.py
@@ -15,20 +15,20 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from mesh.control.endpoints import IN_SERVICE, Record, Server
-from mesh.dataplane import http_connection
-from mesh.dataplane import service_client as module
-from mesh.dataplane.attempt import TrackedAttempt
-from mesh.dataplane.http_connection import HttpConnection, HttpConnections
-from mesh.dataplane.idle_limit import IdleLimit
-from mesh.dataplane.service_client import ServiceClient
-from mesh.settings import Bounds
-from nickelbridge import logic
-from nickelbridge.interface import Result
-from orchidferry import upstream
-from orchidferry.alarms import Alarms
-from orchidferry.flow import SHORT_BODY, Flow
-from orchidferry.frontend import Reply
+from orchidferry.balancing import logic
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.dataplane import http_connection
+from orchidferry.mesh.dataplane import service_client as module
+from orchidferry.mesh.dataplane.attempt import TrackedAttempt
+from orchidferry.mesh.dataplane.http_connection import HttpConnection, HttpConnections
+from orchidferry.mesh.dataplane.idle_limit import IdleLimit
+from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.mesh.settings import Bounds
+from orchidferry.node import upstream
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.flow import SHORT_BODY, Flow
+from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import asked, route
 from tests.mesh.wire_fakes import Peer, Pool, Sent, close_all, pool
 
@@ -38,8 +38,10 @@
 
 def answer(id: str, status: bytes = b"200 OK", more: bytes = b"") -> bytes:
     return b"HTTP/1.1 %b\r\nAttempt-Id: %b\r\nServer-Seal: x\r\n%bContent-Length: 2\r\n\r\nok" % (
-        status, id.encode(), more,
-    )  # fmt: skip
+        status,
+        id.encode(),
+        more,
+    )
 
 
 PROOFS: tuple[Callable[[str], bytes], ...] = (
@@ -102,9 +104,7 @@
         self.pool.peers = made.peers
         for place in (module, http_connection, upstream):
             patch.setattr(place, "now_ms", self.loop.now_ms)
-        self.service = ServiceClient(
-            "s", "me", "z", Bounds(), self.loop, self.pool.alarms, self.pool, int
-        )  # fmt: skip
+        self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, self.pool.alarms, self.pool, int)
         self.kinds = [route("idempotent", 3), route("non_idempotent", 3)]
         servers = [Server(id, "s", "z", IN_SERVICE, 4, 0.0) for id in "123"]
         self.service.servers({s.id: Record(s.id, 1, 1, "z", "127.0.0.1", 1, s) for s in servers})
@@ -229,18 +229,29 @@
 # One sending
 
 
-@pytest.mark.parametrize(("taken", "result"), [
-    (None, Result.RESET), (1, Result.RESET), (0, Result.RESET),  # lost: what was in the buffer can't be told
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("taken", "result"),
+    [
+        (None, Result.RESET),
+        (1, Result.RESET),
+        (0, Result.RESET),  # lost: what was in the buffer can't be told
+    ],
+)
 def test_a_reset(taken: int | None, result: Result) -> None:
     sent, peer = sending(taken)
     peer.lose(ConnectionResetError())
     assert [r for r, _ in sent.ends] == [result]
 
 
-@pytest.mark.parametrize(("taken", "later", "result"), [
-    (None, 0, Result.TIMEOUT), (1, 0, Result.TIMEOUT), (0, 0, Result.UNREACHABLE), (0, 1, Result.TIMEOUT),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("taken", "later", "result"),
+    [
+        (None, 0, Result.TIMEOUT),
+        (1, 0, Result.TIMEOUT),
+        (0, 0, Result.UNREACHABLE),
+        (0, 1, Result.TIMEOUT),
+    ],
+)
 def test_a_silence(taken: int | None, later: int, result: Result) -> None:
     """Only if the kernel took no byte of it, it is known never to run: its connection is closed with it."""
     sent, peer = sending(taken)
@@ -297,10 +308,14 @@
     return sent, kernel.peers[0]
 
 
-@pytest.mark.parametrize("problem", [
-    ConnectionRefusedError(errno.ECONNREFUSED, "refused"), TimeoutError(),
-    OSError(errno.EHOSTUNREACH, "no way"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "problem",
+    [
+        ConnectionRefusedError(errno.ECONNREFUSED, "refused"),
+        TimeoutError(),
+        OSError(errno.EHOSTUNREACH, "no way"),
+    ],
+)
 def test_a_connection_that_was_never_made_proves_that_nothing_ran(problem: OSError) -> None:
     async def main() -> list[Result]:
         loop = asyncio.get_running_loop()
@@ -317,15 +332,18 @@
 # Kept connections
 
 
-@pytest.mark.parametrize(("once", "rested_ms", "keep_alive", "kept"), [
-    (False, 6_900.0, b"", True),
-    (False, 7_100.0, b"", False),
-    (True, 400.0, b"", True),
-    (True, 600.0, b"", False),  # one that the server may have forgotten: a loss could not be made good
-    (False, 2_700.0, b"Keep-Alive: timeout=4\r\n", True),
-    (False, 2_900.0, b"Keep-Alive: timeout=4\r\n", False),  # the server may close it as we write
-    (True, 600.0, b"Keep-Alive: timeout=1\r\n", False),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("once", "rested_ms", "keep_alive", "kept"),
+    [
+        (False, 6_900.0, b"", True),
+        (False, 7_100.0, b"", False),
+        (True, 400.0, b"", True),
+        (True, 600.0, b"", False),  # one that the server may have forgotten: a loss could not be made good
+        (False, 2_700.0, b"Keep-Alive: timeout=4\r\n", True),
+        (False, 2_900.0, b"Keep-Alive: timeout=4\r\n", False),  # the server may close it as we write
+        (True, 600.0, b"Keep-Alive: timeout=1\r\n", False),
+    ],
+)
 def test_which_kept_connections_are_used(
     monkeypatch: pytest.MonkeyPatch, once: bool, rested_ms: float, keep_alive: bytes, kept: bool
 ) -> None:
--- a/tests/mesh/test_service_client.py
+++ b/tests/mesh/test_service_client.py
@@ -9,17 +9,17 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from mesh.control.configuration import Route
-from mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server
-from mesh.dataplane import service_client as module
-from mesh.dataplane.messages import (
+from orchidferry.balancing.interface import Result
+from orchidferry.balancing.logic import NEVER_RAN
+from orchidferry.mesh.control.configuration import Route
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server
+from orchidferry.mesh.dataplane import service_client as module
+from orchidferry.mesh.dataplane.messages import (
     ServerResponse,
 )
-from mesh.dataplane.service_client import PendingRequest, ServiceClient
-from mesh.settings import Bounds
-from nickelbridge.interface import Result
-from nickelbridge.logic import NEVER_RAN
-from orchidferry.frontend import Reply
+from orchidferry.mesh.dataplane.service_client import PendingRequest, ServiceClient
+from orchidferry.mesh.settings import Bounds
+from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import asked, rig, route, said
 
 
@@ -34,9 +34,12 @@
         scene.taken[self.id] = self
         loop = scene.loop
         self.live: PendingRequest = scene.service.take(
-            asked(self.id), route, loop.now_ms() + 1_000.0, self.replies.append,
+            asked(self.id),
+            route,
+            loop.now_ms() + 1_000.0,
+            self.replies.append,
             (lambda said, ran: self.ends.append((said, ran))) if keyed else None,
-        )  # fmt: skip
+        )
 
 
 class Scene:
@@ -51,9 +54,9 @@
         self.service.configure(list(routes))
 
     def servers(self, *ids: str, state: str = IN_SERVICE, cold_ms: float = 0.0) -> None:
-        self.service.servers({
-            id: Record(id, 1, 1, "z", "127.0.0.1", 1, Server(id, "s", "z", state, 4, cold_ms)) for id in ids
-        })  # fmt: skip
+        self.service.servers(
+            {id: Record(id, 1, 1, "z", "127.0.0.1", 1, Server(id, "s", "z", state, 4, cold_ms)) for id in ids}
+        )
 
     def out(self) -> list[Any]:
         return [attempt for attempt in self.lines.sent if not attempt.over]
@@ -192,11 +195,17 @@
     assert len(scene.of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
 
 
-@pytest.mark.parametrize(("kind", "keyed", "written", "over"), [
-    ("idempotent", False, False, True), ("idempotent", False, True, True),
-    ("download", False, True, True), ("non_idempotent", False, True, True),  # the gate lets that run
-    ("keyed", True, False, True), ("keyed", True, True, False),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("kind", "keyed", "written", "over"),
+    [
+        ("idempotent", False, False, True),
+        ("idempotent", False, True, True),
+        ("download", False, True, True),
+        ("non_idempotent", False, True, True),  # the gate lets that run
+        ("keyed", True, False, True),
+        ("keyed", True, True, False),
+    ],
+)
 def test_what_was_sent_for_a_caller_that_has_left_is_withdrawn(
     monkeypatch: pytest.MonkeyPatch, kind: str, keyed: bool, written: bool, over: bool
 ) -> None:
@@ -253,11 +262,19 @@
         assert len(within) <= 0.4 * (bounds.retry_ratio * asked_for + slack) + 1
 
 
-@pytest.mark.parametrize(("kind", "taken_before", "written", "status"), [
-    ("idempotent", True, True, 504), ("non_idempotent", True, True, 504), ("keyed", True, True, 504),
-    ("idempotent", False, True, 502), ("non_idempotent", False, True, 502), ("keyed", False, True, 502),
-    ("idempotent", True, False, 503), ("idempotent", False, False, 503),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("kind", "taken_before", "written", "status"),
+    [
+        ("idempotent", True, True, 504),
+        ("non_idempotent", True, True, 504),
+        ("keyed", True, True, 504),
+        ("idempotent", False, True, 502),
+        ("non_idempotent", False, True, 502),
+        ("keyed", False, True, 502),
+        ("idempotent", True, False, 503),
+        ("idempotent", False, False, 503),
+    ],
+)
 def test_what_a_silent_server_owes_is_answered_before_the_node_ends(
     monkeypatch: pytest.MonkeyPatch, kind: str, taken_before: bool, written: bool, status: int
 ) -> None:
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/test_state_teller.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from mesh.control import shard_state
-from mesh.control.configuration import digest
-from mesh.control.configuration_text import compress
-from mesh.control.state_teller import TELL_S
-from mesh.wire.codec import encode
-from mesh.wire.messages import ShardMessage
-from mesh.wire.shard_messages import DecidedState, tag_of
-from rehearsal.model.replica_group import BEAT_S, ReplicaGroup, example
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.configuration import digest
+from orchidferry.mesh.control.configuration_text import compress
+from orchidferry.mesh.control.state_teller import TELL_S
+from orchidferry.mesh.wire.codec import encode
+from orchidferry.mesh.wire.messages import ShardMessage
+from orchidferry.mesh.wire.shard_messages import DecidedState, tag_of
+from orchidferry.testkit.model.replica_group import BEAT_S, ReplicaGroup, example
 
 RETURNS = "e"
 
--- a/tests/mesh/test_stop.py
+++ b/tests/mesh/test_stop.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from mesh.dataplane import proxy as module
-from mesh.dataplane.proxy import Proxy
-from mesh.settings import Bounds, check_settings
+from orchidferry.mesh.dataplane import proxy as module
+from orchidferry.mesh.dataplane.proxy import Proxy
+from orchidferry.mesh.settings import Bounds, check_settings
 from tests.mesh.test_records import BOOT
 
 
--- a/tests/mesh/test_storage_check.py
+++ b/tests/mesh/test_storage_check.py
@@ -14,19 +14,7 @@
 import lmdb
 import pytest
 
-from mesh import __main__ as program
-from mesh.control import shard_state
-from mesh.control.membership import Standing
-from mesh.control.shard import remembered
-from mesh.errors import BadStore
-from mesh.storage import inspection, storage_check
-from mesh.storage import snapshot as snapshots
-from mesh.storage import store as store_module
-from mesh.storage.environment import NAMES, open_env
-from mesh.storage.record_format import FORMAT, FORMAT_KEY, pack, put_sealed, wrap
-from mesh.storage.snapshot import BadSnapshot
-from mesh.storage.store import Store
-from nickelbridge.register import (
+from orchidferry.balancing.register import (
     Accept,
     Accepted,
     Acceptor,
@@ -38,7 +26,19 @@
     Send,
     Value,
     Voter,
-)  # fmt: skip
+)
+from orchidferry.mesh import __main__ as program
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.membership import Standing
+from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.storage import inspection, storage_check
+from orchidferry.mesh.storage import snapshot as snapshots
+from orchidferry.mesh.storage import store as store_module
+from orchidferry.mesh.storage.environment import NAMES, open_env
+from orchidferry.mesh.storage.record_format import FORMAT, FORMAT_KEY, pack, put_sealed, wrap
+from orchidferry.mesh.storage.snapshot import BadSnapshot
+from orchidferry.mesh.storage.store import Store
 from tests.mesh.test_store import Loop, boot_of, close
 
 FOUNDERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -53,8 +53,9 @@
     rows = {b"k%d" % n: pack([f"t{n}", n, b"x" * (n % 7) * 40]) for n in range(keys)}
     for name, key, value in (
         *(put for n, kept in KEPT.items() for put in remembered(n, kept, True)),
-        ("about", b"founders", pack(list(FOUNDERS))), *(("slips", key, raw) for key, raw in rows.items()),
-    ):  # fmt: skip
+        ("about", b"founders", pack(list(FOUNDERS))),
+        *(("slips", key, raw) for key, raw in rows.items()),
+    ):
         store.write([(name, key, value)])
     close(store)
     return rows
@@ -103,13 +104,14 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        (unsealed, "the root is that of transaction"), (elsewhere, "record b'k2' of slips"),
+        (unsealed, "the root is that of transaction"),
+        (elsewhere, "record b'k2' of slips"),
         (memory(b"\xff"), "record 'kept/0' of about can't be read"),
         (memory(pack([1, 2])), "'kept/0' of about"),
         (memory(pack(["5", [1, "a"], [1, "a"], None])), "no voter's memory"),
         (no_memory, "'kept' of about are missing"),
     ],
-)  # fmt: skip
+)
 def test_what_can_not_be_believed_is_forgotten(tmp_path: Path, change: Any, why: str) -> None:
     rows = fill(tmp_path)
     storage_check.prepare(str(tmp_path))
@@ -141,7 +143,7 @@
     words = [
         sys.executable,
         "-c",
-        f"from mesh.storage import storage_check; storage_check.prepare({str(tmp_path)!r})",
+        f"from orchidferry.mesh.storage import storage_check; storage_check.prepare({str(tmp_path)!r})",
     ]
     ends = [subprocess.run(words, timeout=20.0, capture_output=True).returncode]
     while ends[-1] and len(ends) <= storage_check.DEATHS:  # lmdb may end it
@@ -405,13 +407,15 @@
     assert run("snapshot", "take", path)[0] == 0
     raw = bytearray(Path(path).read_bytes())
     for words, why in (
-        ((path, *GOOD), "not empty"), ((path, *GOOD[:2]), "--majority-is-gone"),
+        ((path, *GOOD), "not empty"),
+        ((path, *GOOD[:2]), "--majority-is-gone"),
         ((path, "--founders", "10.0.0.1,10.0.0.2", GOOD[2]), "3 are needed"),
         ((path, "--founders", "10.0.0.4,10.0.0.2,10.0.0.3", GOOD[2]), "not among"),
         ((path, "--founders", "10.0.0.1,10.0.0.2,10.0.0.2", GOOD[2]), "twice"),
         ((path, "--founders", "10.0.0.1,10.0.0.2,h", GOOD[2]), "no IP number"),
-        ((path + "x", *GOOD), "No such file"), ((str(boot), *GOOD), "no snapshot"),
-    ):  # fmt: skip
+        ((path + "x", *GOOD), "No such file"),
+        ((str(boot), *GOOD), "no snapshot"),
+    ):
         status, _, line = run("snapshot", "put", *words)
         assert status == 2 and why in line and line.count("\n") == 1
     for spoilt in (raw[:-40], raw + b"x", raw[:200] + b"\0" + raw[201:]):
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -16,14 +16,14 @@
 import pytest
 from loguru import logger
 
-from mesh.control import shard_state
-from mesh.control.control_client import ControlClient
-from mesh.control.controller import Controller
-from mesh.settings import Settings, check_settings
-from mesh.storage import store as store_module
-from mesh.storage.store import Put, Store
-from mesh.wire.shard_messages import DecidedState
-from nickelbridge.register import Value, Voter
+from orchidferry.balancing.register import Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.control_client import ControlClient
+from orchidferry.mesh.control.controller import Controller
+from orchidferry.mesh.settings import Settings, check_settings
+from orchidferry.mesh.storage import store as store_module
+from orchidferry.mesh.storage.store import Put, Store
+from orchidferry.mesh.wire.shard_messages import DecidedState
 from tests.mesh.test_records import BOOT
 
 
@@ -313,9 +313,14 @@
 
 def boot_of(folder: Path, port: int = 1) -> Settings:
     return dataclasses.replace(
-        check_settings(BOOT), ip="127.0.0.1", seeds=("127.0.0.1",), first_start=True, internal_port=port,
-        listen={"control": ("127.0.0.1", 0)}, data_dir=str(folder),
-    )  # fmt: skip
+        check_settings(BOOT),
+        ip="127.0.0.1",
+        seeds=("127.0.0.1",),
+        first_start=True,
+        internal_port=port,
+        listen={"control": ("127.0.0.1", 0)},
+        data_dir=str(folder),
+    )
 
 
 def test_a_keepers_lives_have_one_memory_and_ballots_of_their_own(tmp_path: Path) -> None:
--- a/tests/mesh/test_time_remaining.py
+++ b/tests/mesh/test_time_remaining.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from mesh.control.configuration import Configuration, Table
-from mesh.control.endpoints import IN_SERVICE, Record, Server
-from mesh.dataplane import admission, service_client
-from mesh.dataplane import proxy as module
-from mesh.dataplane.admission import AdmissionGate
-from mesh.dataplane.listener import Listener
-from mesh.dataplane.messages import MARGIN_MS, ProxiedRequest
-from mesh.dataplane.proxy import Proxy
-from mesh.dataplane.service_client import ServiceClient
-from mesh.settings import Bounds
-from nickelbridge.interface import Result
-from orchidferry.flow import Pool
-from orchidferry.frontend import Reply
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.control.configuration import Configuration, Table
+from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.dataplane import admission, service_client
+from orchidferry.mesh.dataplane import proxy as module
+from orchidferry.mesh.dataplane.admission import AdmissionGate
+from orchidferry.mesh.dataplane.listener import Listener
+from orchidferry.mesh.dataplane.messages import MARGIN_MS, ProxiedRequest
+from orchidferry.mesh.dataplane.proxy import Proxy
+from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.mesh.settings import Bounds
+from orchidferry.node.flow import Pool
+from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import rig, route
 
 ADDRESS = ("127.0.0.1", 1)
@@ -42,9 +42,16 @@
         proxy._services, proxy._stop_ms = {"s": service}, math.inf
         self.proxy = proxy
         self.gate = AdmissionGate(
-            ADDRESS, Bounds(), 1_000.0, self.loop, alarms, self.lines,
-            lambda: None, lambda: False, lambda message, answer: None,
-        )  # fmt: skip
+            ADDRESS,
+            Bounds(),
+            1_000.0,
+            self.loop,
+            alarms,
+            self.lines,
+            lambda: None,
+            lambda: False,
+            lambda message, answer: None,
+        )
         self.replies: list[Reply] = []
 
     def ask(self, left: bytes | None) -> None:
@@ -70,9 +77,15 @@
     return float(line.partition(b": ")[2])
 
 
-@pytest.mark.parametrize(("left", "most"), [
-    (b"300", 300.0), (b"99999", 1_000.0), (None, 1_000.0), (b"30.5", 30.5),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("left", "most"),
+    [
+        (b"300", 300.0),
+        (b"99999", 1_000.0),
+        (None, 1_000.0),
+        (b"30.5", 30.5),
+    ],
+)
 def test_a_server_is_handed_what_is_left(
     monkeypatch: pytest.MonkeyPatch, left: bytes | None, most: float
 ) -> None:
--- a/tests/mesh/test_worst_days.py
+++ b/tests/mesh/test_worst_days.py
@@ -13,24 +13,24 @@
 
 import pytest
 
-from mesh.control.configuration import check
-from mesh.settings import check_settings
-from rehearsal.mesh import call_faults, servers
-from rehearsal.mesh.ask import CALL_S, Scene, message
-from rehearsal.mesh.call_faults import CallFault
-from rehearsal.mesh.changes import LONG_AGO, MANY_AGAIN, Changes
-from rehearsal.mesh.configuration import MARKERS, build, content, following, lookup, markers, prefix
-from rehearsal.mesh.day import DAYS, KINDS, Day, Trouble, machines, ports
-from rehearsal.mesh.deeds import FIRST
-from rehearsal.mesh.facts import Arrived, Began, ControlCall, Dropped, Fact, Put, Sent
-from rehearsal.mesh.operator import Operator
-from rehearsal.mesh.processes import SEEDS, settings
-from rehearsal.mesh.run import free_ports
-from rehearsal.mesh.servers import Server
-from rehearsal.mesh.table import CLOSING, ISOLATED_S, WORST_BLOCKS, table
-from rehearsal.mesh.worst_days import _isolated, _pairs
-from rehearsal.wire import AskerSide, Outcome, Request, ServerSide
-from rehearsal.world.addresses import claim
+from orchidferry.mesh.control.configuration import check
+from orchidferry.mesh.settings import check_settings
+from orchidferry.testkit.mesh import call_faults, servers
+from orchidferry.testkit.mesh.ask import CALL_S, Scene, message
+from orchidferry.testkit.mesh.call_faults import CallFault
+from orchidferry.testkit.mesh.changes import LONG_AGO, MANY_AGAIN, Changes
+from orchidferry.testkit.mesh.configuration import MARKERS, build, content, following, lookup, markers, prefix
+from orchidferry.testkit.mesh.day import DAYS, KINDS, Day, Trouble, machines, ports
+from orchidferry.testkit.mesh.deeds import FIRST
+from orchidferry.testkit.mesh.facts import Arrived, Began, ControlCall, Dropped, Fact, Put, Sent
+from orchidferry.testkit.mesh.operator import Operator
+from orchidferry.testkit.mesh.processes import SEEDS, settings
+from orchidferry.testkit.mesh.run import free_ports
+from orchidferry.testkit.mesh.servers import Server
+from orchidferry.testkit.mesh.table import CLOSING, ISOLATED_S, WORST_BLOCKS, table
+from orchidferry.testkit.mesh.worst_days import _isolated, _pairs
+from orchidferry.testkit.wire import AskerSide, Outcome, Request, ServerSide
+from orchidferry.testkit.world.addresses import claim
 
 WORST = [day for day in DAYS.values() if day.drawn == "worst"]
 
@@ -201,10 +201,20 @@
             outcomes = []
             for route in (charge, KINDS[0]):
                 sent = Sent(
-                    scene.now(), id if route is charge else "read", route.name, machine.name, "h",
-                    "POST" if route is charge else "GET", f"{prefix(7, route.name)}x", "", "",
-                    route.repeatable, scene.now() + (0.05 if route is charge else 1.0), id, 0.0,
-                )  # fmt: skip
+                    scene.now(),
+                    id if route is charge else "read",
+                    route.name,
+                    machine.name,
+                    "h",
+                    "POST" if route is charge else "GET",
+                    f"{prefix(7, route.name)}x",
+                    "",
+                    "",
+                    route.repeatable,
+                    scene.now() + (0.05 if route is charge else 1.0),
+                    id,
+                    0.0,
+                )
                 connection = await scene.pool(machine).connection(server.address)
                 assert isinstance(connection, AskerSide)
                 asked = connection.ask(sent.id, message(sent, scene.now(), b"", False))
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -6,13 +6,13 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from mesh.dataplane.attempt import TrackedAttempt
-from mesh.dataplane.http_connection import HttpConnection, HttpConnections
-from mesh.dataplane.messages import (
+from orchidferry.balancing.interface import Result
+from orchidferry.mesh.dataplane.attempt import TrackedAttempt
+from orchidferry.mesh.dataplane.http_connection import HttpConnection, HttpConnections
+from orchidferry.mesh.dataplane.messages import (
     ProxiedRequest,
 )
-from nickelbridge.interface import Result
-from orchidferry.upstream import Answer, Attempt
+from orchidferry.node.upstream import Answer, Attempt
 from tests.mesh.fakes import rig
 
 
@@ -73,8 +73,9 @@
 
     def head_bytes(self) -> bytes:
         return b"%b /x/ HTTP/1.1\r\nAttempt-Id: %b\r\n\r\n" % (
-            self.message.method, self.message.id.encode(),
-        )  # fmt: skip
+            self.message.method,
+            self.message.id.encode(),
+        )
 
     def may_send(self) -> bool:
         return True
--- a/tests/control/scene.py
+++ b/tests/node/control/scene.py
@@ -9,15 +9,15 @@
 from pathlib import Path
 from typing import Any
 
-from nickelbridge.settings import read_settings
-from nickelbridge.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.control.agent import Agent
-from orchidferry.control.messages import node_message, pool_message
-from orchidferry.control.settings import Control
-from orchidferry.control.store import Store
-from rehearsal.control.service import Service
-from tests import peers
-from tests.peers import LIMIT_S, until
+from orchidferry.balancing.settings import read_settings
+from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.node.control.agent import Agent
+from orchidferry.node.control.messages import node_message, pool_message
+from orchidferry.node.control.settings import Control
+from orchidferry.node.control.store import Store
+from orchidferry.testkit.control.service import Service
+from tests.node import peers
+from tests.node.peers import LIMIT_S, until
 
 POOL = "catalogo"
 
@@ -58,9 +58,15 @@
         self.drained: list[int] = []
         self.problem = ""
         control = Control(
-            service.address, name, "c", (POOL, "other"), "entrada", state,
-            options.pop("first_wait_s", 30.0), **options,
-        )  # fmt: skip
+            service.address,
+            name,
+            "c",
+            (POOL, "other"),
+            "entrada",
+            state,
+            options.pop("first_wait_s", 30.0),
+            **options,
+        )
         store = Store(state) if state is not None else None
         super().__init__(control, file(), self._note, self.drained.extend, random.Random(1), store)
 
--- a/tests/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -12,18 +12,25 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.any_pb2 import Any as AnyMessage
 
-from nickelbridge import interface as api
-from nickelbridge.versions import Answer, Part
-from orchidferry.config import BadConfig, server_id
-from orchidferry.control import channel as channel_module
-from orchidferry.control.channel import BACK_OFF_MOST_S, Channel, Resources, back_off_s
-from orchidferry.control.helper import open_store
-from orchidferry.control.messages import EDS, Unreadable, node_message, pool_message, read_node, read_pool
-from orchidferry.control.settings import read_control
-from rehearsal.control.service import Service
-from rehearsal.quic import certs
-from tests.control.scene import POOL, Told, endpoint, members, node, reasons, run, scene
-from tests.peers import LIMIT_S, until
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import Answer, Part
+from orchidferry.node.config import BadConfig, server_id
+from orchidferry.node.control import channel as channel_module
+from orchidferry.node.control.channel import BACK_OFF_MOST_S, Channel, Resources, back_off_s
+from orchidferry.node.control.helper import open_store
+from orchidferry.node.control.messages import (
+    EDS,
+    Unreadable,
+    node_message,
+    pool_message,
+    read_node,
+    read_pool,
+)
+from orchidferry.node.control.settings import read_control
+from orchidferry.testkit.control.service import Service
+from orchidferry.testkit.quic import certs
+from tests.node.control.scene import POOL, Told, endpoint, members, node, reasons, run, scene
+from tests.node.peers import LIMIT_S, until
 
 
 @pytest.fixture(autouse=True)
@@ -65,7 +72,7 @@
     "no settings": ((Part.SETTINGS, "entrada", None), "no settings"),
     "another type": (raw(type_url="x", value=b""), "is a 'x', not a"),
     "noise": (raw(type_url=EDS, value=b"\xff\xff\xff"), "can't be parsed"),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(("bad", "words"), BAD.values(), ids=BAD.keys())
@@ -398,7 +405,7 @@
 
 
 def test_the_file_that_ships_can_be_read() -> None:
-    made = read_control(str(Path(__file__).parent.parent.parent / "deploy" / "control.toml"))
+    made = read_control(str(Path(__file__).parents[3] / "deploy" / "control.toml"))
     assert made.pools == ("catalogo",) and made.state is not None and made.key is not None
 
 
--- a/tests/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -13,22 +13,22 @@
 import pytest
 from hypothesis import Phase, given, settings, strategies
 
-from nickelbridge import interface as api
-from nickelbridge.settings import read_settings
-from nickelbridge.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.config import BadConfig, Listing
-from orchidferry.control import helper as helper_module
-from orchidferry.control import link as link_module
-from orchidferry.control.helper import Helper, control_from
-from orchidferry.control.link import Link, plain_control
-from orchidferry.control.members import LONG, Members
-from orchidferry.control.pipe import LINE_MOST, Change, Garbled, Held, Taker, Teller, read_line, steps
-from orchidferry.control.plain import member_row
-from orchidferry.control.settings import Control
-from tests import peers
-from tests.control.scene import POOL, run
-from tests.control.test_live import becomes, pool, scene
-from tests.peers import LIMIT_S, Server, until
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.settings import read_settings
+from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.node.config import BadConfig, Listing
+from orchidferry.node.control import helper as helper_module
+from orchidferry.node.control import link as link_module
+from orchidferry.node.control.helper import Helper, control_from
+from orchidferry.node.control.link import Link, plain_control
+from orchidferry.node.control.members import LONG, Members
+from orchidferry.node.control.pipe import LINE_MOST, Change, Garbled, Held, Taker, Teller, read_line, steps
+from orchidferry.node.control.plain import member_row
+from orchidferry.node.control.settings import Control
+from tests.node import peers
+from tests.node.control.scene import POOL, run
+from tests.node.control.test_live import becomes, pool, scene
+from tests.node.peers import LIMIT_S, Server, until
 
 CONTROL = Control(("127.0.0.1", 1), "n0", "", (POOL,), "entrada", None, 0.1, Path("a"), Path("b"), Path("c"))
 
@@ -125,8 +125,12 @@
                 members.drain(list(told))
                 assert members.members is None or not any(home.known.get(s) for s in told)
             made = [held.get(n) or member(n, *how) for n, how in fleet.items()]
-            made = [m if (m.entry.health, m.entry.share) == fleet[m.entry.server] else
-                    member(m.entry.server, *fleet[m.entry.server]) for m in made]  # fmt: skip
+            made = [
+                m
+                if (m.entry.health, m.entry.share) == fleet[m.entry.server]
+                else member(m.entry.server, *fleet[m.entry.server])
+                for m in made
+            ]
             change = changes(teller, whole(*made))
             home.broken = {made[0].entry.server} if at in failing else set()
             problem = await applied(members, change)
@@ -184,12 +188,21 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("lines", [
-    [b"\xff\n"], [b"[]\n"], [b"{}\n"], [b'{"do":"commit","n":1}\n'], [b'{"do":"rows","rows":[]}\n'],
-    [b'{"do":"apply","n":"x"}\n'], ["apply", b'{"do":"commit","n":2}\n'], ["apply", b'{"do":"rows"}\n'],
-    ["apply", b'{"do":"away","n":1}\n'],
-    ["apply", *[b'{"do":"gone","servers":[%s1]}\n' % (b"1," * 40_000)] * 3],
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "lines",
+    [
+        [b"\xff\n"],
+        [b"[]\n"],
+        [b"{}\n"],
+        [b'{"do":"commit","n":1}\n'],
+        [b'{"do":"rows","rows":[]}\n'],
+        [b'{"do":"apply","n":"x"}\n'],
+        ["apply", b'{"do":"commit","n":2}\n'],
+        ["apply", b'{"do":"rows"}\n'],
+        ["apply", b'{"do":"away","n":1}\n'],
+        ["apply", *[b'{"do":"gone","servers":[%s1]}\n' % (b"1," * 40_000)] * 3],
+    ],
+)
 def test_lines_that_cannot_be_meant_are_told_as_such(lines: list[Any]) -> None:
     taker, first = Taker(), next(Teller().change(whole(member(1))))
     with pytest.raises(Garbled):
@@ -283,15 +296,22 @@
     run(test())
 
 
-@pytest.mark.parametrize("says, word", [
-    ("echo hello", "can't be read: not JSON"),
-    ("head -c 5000000 /dev/zero | tr '\\0' a", "a line of more than"),
-    ("exit 3", "exit status 3"), (None, "can't be started"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "says, word",
+    [
+        ("echo hello", "can't be read: not JSON"),
+        ("head -c 5000000 /dev/zero | tr '\\0' a", "a line of more than"),
+        ("exit 3", "exit status 3"),
+        (None, "can't be started"),
+    ],
+)
 def test_a_helper_that_makes_no_sense_is_ended_and_the_node_serves(
-    says: str | None, word: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+    says: str | None,
+    word: str,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-) -> None:  # fmt: skip
+) -> None:
     async def test() -> None:
         script = tmp_path / "python"
         if says is not None:
--- a/tests/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -18,21 +18,22 @@
 from hypothesis import given, strategies
 from hypothesis import settings as hypothesis_settings
 
-from nickelbridge import interface as api
-from nickelbridge.versions import Part
-from orchidferry.config import read_config, server_id
-from orchidferry.control.messages import pool_message
-from orchidferry.control.settings import Control
-from orchidferry.control.store import FORM, decode
-from orchidferry.node import Node
-from rehearsal.control.service import Service
-from tests import helpers, peers
-from tests.control.scene import POOL, node, reasons, run
-from tests.helpers import KEYED, SAFE, UNSAFE, ends, sends
-from tests.peers import LIMIT_S, Server, World, request, until
-from tests.test_node import Program
-
-ROOT = Path(__file__).parents[2]
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import Part
+from orchidferry.node.config import read_config, server_id
+from orchidferry.node.control.messages import pool_message
+from orchidferry.node.control.settings import Control
+from orchidferry.node.control.store import FORM, decode
+from orchidferry.node.node import Node
+from orchidferry.testkit.control.service import Service
+from tests.balancing import helpers
+from tests.balancing.helpers import KEYED, SAFE, UNSAFE, ends, sends
+from tests.node import peers
+from tests.node.control.scene import POOL, node, reasons, run
+from tests.node.peers import LIMIT_S, Server, World, request, until
+from tests.node.test_node import Program
+
+ROOT = Path(__file__).parents[3]
 NEW = api.RequestClass("new", 1000.0, 3000.0, 1.0, repeat=api.Repeat.SAFE)
 
 
@@ -311,7 +312,7 @@
             assert live is not None
             found = live._balancer.fleet.servers[server_id("cold")]
             assert found.started_ms is not None
-            from orchidferry.config import now_ms
+            from orchidferry.node.config import now_ms
 
             assert live._balancer.cold.warmth(found, now_ms()) < 0.5
 
@@ -343,9 +344,9 @@
 
 def test_with_the_channel_off_nothing_of_it_is_imported() -> None:
     code = (
-        "import sys, orchidferry.__main__, orchidferry.node; "
+        "import sys, orchidferry.__main__, orchidferry.node.node; "
         "bad = [m for m in sys.modules if m.split('.')[0] in ('grpc', 'google', 'envoy', 'xds') "
-        "or m.startswith('orchidferry.control') or m == 'nickelbridge.versions']; "
+        "or m.startswith('orchidferry.node.control') or m == 'orchidferry.balancing.versions']; "
         "print(bad); sys.exit(bool(bad))"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
@@ -362,9 +363,13 @@
             file.write_text(text)
         async with peers.world(tmp_path, Server(), start=False) as made:
             done = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "orchidferry", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+                sys.executable,
+                "-m",
+                "orchidferry",
+                cwd=ROOT,
+                stderr=asyncio.subprocess.PIPE,
                 env=os.environ | {"NODE_CONFIG": str(made.path), "ORCHIDFERRY_CONTROL": str(file)},
-            )  # fmt: skip
+            )
             _, errors = await asyncio.wait_for(done.communicate(), LIMIT_S)
             assert done.returncode == 2 and errors.count(b"\n") == 1 and b"control.toml" in errors
 
--- a/tests/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -13,18 +13,18 @@
 
 import pytest
 
-from nickelbridge.settings import Json
-from nickelbridge.versions import Part
-from orchidferry.control.store import Store
-from orchidferry.door import Door
-from rehearsal.control import rollout_service
-from rehearsal.control.files import BadVersion, comparable, differences, from_form, read_version
-from rehearsal.control.rollout_service import RolloutService, read_door
-from rehearsal.control.service import Service
-from tests import peers
-from tests.control.scene import POOL, Told, endpoint, file, run
-from tests.peers import LIMIT_S, until
-from tests.test_wire import ROOT
+from orchidferry.balancing.settings import Json
+from orchidferry.balancing.versions import Part
+from orchidferry.node.control.store import Store
+from orchidferry.node.door import Door
+from orchidferry.testkit.control import rollout_service
+from orchidferry.testkit.control.files import BadVersion, comparable, differences, from_form, read_version
+from orchidferry.testkit.control.rollout_service import RolloutService, read_door
+from orchidferry.testkit.control.service import Service
+from tests.balancing.test_wire import ROOT
+from tests.node import peers
+from tests.node.control.scene import POOL, Told, endpoint, file, run
+from tests.node.peers import LIMIT_S, until
 
 NODES = 4
 
@@ -49,9 +49,15 @@
 async def control(*args: str, ends: bool = True) -> Any:
     """The command, as a process: its status and what it printed; or the process, if it is not to end."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rehearsal.cli", "control", *args, cwd=ROOT,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "orchidferry.testkit.cli",
+        "control",
+        *args,
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     if not ends:
         return process
     out, err = await asyncio.wait_for(process.communicate(), LIMIT_S)
@@ -72,11 +78,13 @@
 
     async def open(self) -> None:
         for at in range(len(self.agents)):
-            door = Door({
-                b"/-/control": functools.partial(self._status, at),
-                b"/-/ready": lambda: (200, b"ready\n"),
-                b"/-/metrics": functools.partial(self._figures, at),
-            })  # fmt: skip
+            door = Door(
+                {
+                    b"/-/control": functools.partial(self._status, at),
+                    b"/-/ready": lambda: (200, b"ready\n"),
+                    b"/-/metrics": functools.partial(self._figures, at),
+                }
+            )
             host, port = await door.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
             self.made.append(door)
             self.doors.append(f"{host}:{port}")
@@ -136,8 +144,14 @@
             code, out, _ = await made.push(write(tmp_path, form("v3", 4)))
             assert code == 1 and "answers failed" in out and "given back" in out
             assert made.held() == ["v2"] * NODES and made.rollouts.base.version == "v2"
-            assert sum(any(m.entry.server == made.agents[0].servers()[-1].entry.server for m in c.members())
-                       for a in made.agents for c in a.applied) >= NODES  # fmt: skip
+            assert (
+                sum(
+                    any(m.entry.server == made.agents[0].servers()[-1].entry.server for m in c.members())
+                    for a in made.agents
+                    for c in a.applied
+                )
+                >= NODES
+            )
 
             code, _, err = await made.push(v2)
             assert code == 2 and "'v2' is what the service holds" in err and err.count("\n") == 1
@@ -169,9 +183,18 @@
         async with fleet() as made:
             path = write(tmp_path, form("v2", 9))
             process = await control(
-                "push", path, "--to", made.where, "--canary", "1", "--watch", "60", "--doors", *made.doors,
+                "push",
+                path,
+                "--to",
+                made.where,
+                "--canary",
+                "1",
+                "--watch",
+                "60",
+                "--doors",
+                *made.doors,
                 ends=False,
-            )  # fmt: skip
+            )
             await until(lambda: sorted(made.held()) == ["v1"] * (NODES - 1) + ["v2"])
             code, _, err = await made.push(path)
             assert code == 2 and "a push of v2 is on" in err
@@ -235,21 +258,29 @@
     return form("v", 1) | changes
 
 
-@pytest.mark.parametrize("made, words", [
-    ([], "must be an object"), ({}, "'version' is missing"), (altered(version=""), "1 to 256 characters"),
-    (altered(colour=1), "'colour' is not known"),
-    (altered(pools={POOL: {}}), f"pools.{POOL}: must be a list"),
-    (altered(pools={POOL: [1]}), f"pools.{POOL}[0]: must be a table"),
-    (altered(pools={POOL: [endpoint(1, address="nowhere")]}), f"pools.{POOL}[0]: 'nowhere' is no address"),
-    (altered(pools={POOL: [endpoint(1, status="odd")]}), "'status' is 'odd'"),
-    (altered(pools={POOL: [endpoint(1), endpoint(1)]}), "is there twice"),
-    (altered(pools={POOL: [endpoint(1, weight="x")]}), "can't be made a message"),
-    (altered(pools={POOL: [endpoint(1, status="leaving")]}), "names no live server"),
-    (altered(pools={"b": [endpoint(1)]}), f"pool: '{POOL}' is none of b"),
-    (altered(settings={"e": 1}), "settings.e: must be a table"),
-    (altered(settings={"e": {"pool": POOL}}), "settings.e: 'settings' is missing"),
-    (altered(settings={"e": {"pool": POOL, "settings": {}}}), "is missing"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "made, words",
+    [
+        ([], "must be an object"),
+        ({}, "'version' is missing"),
+        (altered(version=""), "1 to 256 characters"),
+        (altered(colour=1), "'colour' is not known"),
+        (altered(pools={POOL: {}}), f"pools.{POOL}: must be a list"),
+        (altered(pools={POOL: [1]}), f"pools.{POOL}[0]: must be a table"),
+        (
+            altered(pools={POOL: [endpoint(1, address="nowhere")]}),
+            f"pools.{POOL}[0]: 'nowhere' is no address",
+        ),
+        (altered(pools={POOL: [endpoint(1, status="odd")]}), "'status' is 'odd'"),
+        (altered(pools={POOL: [endpoint(1), endpoint(1)]}), "is there twice"),
+        (altered(pools={POOL: [endpoint(1, weight="x")]}), "can't be made a message"),
+        (altered(pools={POOL: [endpoint(1, status="leaving")]}), "names no live server"),
+        (altered(pools={"b": [endpoint(1)]}), f"pool: '{POOL}' is none of b"),
+        (altered(settings={"e": 1}), "settings.e: must be a table"),
+        (altered(settings={"e": {"pool": POOL}}), "settings.e: 'settings' is missing"),
+        (altered(settings={"e": {"pool": POOL, "settings": {}}}), "is missing"),
+    ],
+)
 def test_a_file_that_cannot_be_meant_is_one_line_that_names_it(made: Any, words: str, tmp_path: Path) -> None:
     path = tmp_path / "v.json"
     path.write_text(json.dumps(made))
--- a/tests/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from nickelbridge.versions import Part
-from orchidferry.control.messages import EDS, TYPES
-from rehearsal.control.script import BAD, draw_cuts, draw_pushes, outcome
-from rehearsal.control.service import Word
-from rehearsal.scenario import BadScenario, Scenario, load_scenario, read_scenario
-from tests.test_wire import ROOT
+from orchidferry.balancing.versions import Part
+from orchidferry.node.control.messages import EDS, TYPES
+from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
+from orchidferry.testkit.control.service import Word
+from orchidferry.testkit.scenario import BadScenario, Scenario, load_scenario, read_scenario
+from tests.balancing.test_wire import ROOT
 
 HUNDRED = load_scenario("hundred-versions")
 
@@ -82,9 +82,21 @@
         '[[timeline]]\nat = "2s"\ndo = "node-killed"\ncount = 1\nback = "500ms"\n'
     )
     done = subprocess.run(
-        [sys.executable, "-m", "rehearsal.cli", "rehearse", str(file), "--json", str(tmp_path / "out.json")],
-        cwd=ROOT, capture_output=True, text=True, timeout=120, check=False,
-    )  # fmt: skip
+        [
+            sys.executable,
+            "-m",
+            "orchidferry.testkit.cli",
+            "rehearse",
+            str(file),
+            "--json",
+            str(tmp_path / "out.json"),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=False,
+    )
     found = json.loads((tmp_path / "out.json").read_text())
     assert done.returncode == 0, done.stdout + done.stderr
     control = found["control"]
--- a/tests/control/test_status.py
+++ b/tests/node/control/test_status.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.door import Door
-from tests.control.scene import members, node, run, scene
-from tests.peers import LIMIT_S, until
-from tests.test_wire import ROOT
+from orchidferry.node.door import Door
+from tests.balancing.test_wire import ROOT
+from tests.node.control.scene import members, node, run, scene
+from tests.node.peers import LIMIT_S, until
 
 
 async def door(page: Any) -> tuple[Door, str]:
@@ -22,9 +22,16 @@
 
 async def status(*args: str) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rehearsal.cli", "control", "status", *args, cwd=ROOT,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "orchidferry.testkit.cli",
+        "control",
+        "status",
+        *args,
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, err = await asyncio.wait_for(process.communicate(), LIMIT_S)
     return process.returncode or 0, out.decode(), err.decode()
 
--- a/tests/control/test_store.py
+++ b/tests/node/control/test_store.py
@@ -12,12 +12,12 @@
 import pytest
 from hypothesis import HealthCheck, given, settings, strategies
 
-from nickelbridge import interface as api
-from nickelbridge.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.control import store as module
-from orchidferry.control.store import FORM, Files, Store, Taken, Unusable, decode, encode
-from orchidferry.store import ASIDE_MOST, LOCK, checksum
-from tests import helpers
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.node.control import store as module
+from orchidferry.node.control.store import FORM, Files, Store, Taken, Unusable, decode, encode
+from orchidferry.node.store import ASIDE_MOST, LOCK, checksum
+from tests.balancing import helpers
 
 
 def made(version: str, servers: int = 3) -> Configuration:
@@ -27,7 +27,7 @@
             ("127.0.0.1", 9000 + n),
         )
         for n in range(servers)
-    )  # fmt: skip
+    )
     node = NodeSettings("catalogo", helpers.settings(tenants=[api.Tenant("a", 0.5, 10.0)], repeat_ratio=0.1))
     return Configuration(
         Pools({"catalogo": members, "empty": ()}), node, {Part.MEMBERS: version, Part.SETTINGS: "s"}
@@ -133,7 +133,7 @@
     first = Store(tmp_path)
     with pytest.raises(Taken, match="is another node's"):
         Store(tmp_path)
-    code = f"from orchidferry.control.store import *\nStore(Path({str(tmp_path)!r}))"
+    code = f"from orchidferry.node.control.store import *\nStore(Path({str(tmp_path)!r}))"
     other = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False
     )
--- a/tests/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -21,16 +21,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nickelbridge.fleet.members import INCARNATION_MOST, Entry, Phase, Status
-from nickelbridge.fleet.messages import Kind, Message
-from orchidferry.config import BadConfig
-from orchidferry.fleet import shell, wire
-from orchidferry.fleet.settings import read_fleet, read_key_file
-from orchidferry.fleet.shell import Peers
-from rehearsal.fleet import status
-from tests.peers import LIMIT_S, Server, run, until, world
-from tests.test_node import Program
-from tests.test_wire import ROOT
+from orchidferry.balancing.fleet.members import INCARNATION_MOST, Entry, Phase, Status
+from orchidferry.balancing.fleet.messages import Kind, Message
+from orchidferry.node.config import BadConfig
+from orchidferry.node.fleet import shell, wire
+from orchidferry.node.fleet.settings import read_fleet, read_key_file
+from orchidferry.node.fleet.shell import Peers
+from orchidferry.testkit.fleet import status
+from tests.balancing.test_wire import ROOT
+from tests.node.peers import LIMIT_S, Server, run, until, world
+from tests.node.test_node import Program
 
 K1, K2, K3 = (f"k{n}={str(n) * 32}" for n in (1, 2, 3))
 ME = Entry("me", "127.0.0.1", 9, 2**63 + 5, 7, Status.SUSPECT, Phase.DRAINING, "z", "v1", "by")
@@ -48,9 +48,13 @@
     (home / "keys").touch(0o600)
     (home / "keys").write_text("\n".join(keys or (K1,)))
     told: dict[str, Any] = {
-        "name": name, "listen": f"127.0.0.1:{port}", "seeds": [f"127.0.0.1:{seed}" for seed in seeds],
-        "keys": "keys", "probe_ms": 100, "state": "state",
-    }  # fmt: skip
+        "name": name,
+        "listen": f"127.0.0.1:{port}",
+        "seeds": [f"127.0.0.1:{seed}" for seed in seeds],
+        "keys": "keys",
+        "probe_ms": 100,
+        "state": "state",
+    }
     (home / "fleet.toml").write_text(
         "".join(f"{key} = {json.dumps(value)}\n" for key, value in (told | more).items())
     )
@@ -236,8 +240,9 @@
 
 def test_a_plain_node_imports_nothing_of_it() -> None:
     code = (
-        "import sys, orchidferry.__main__, orchidferry.node; bad = [m for m in sys.modules if m.startswith(("
-        "'msgpack', 'orchidferry.fleet', 'nickelbridge.fleet', 'orchidferry.store'))]; "
+        "import sys, orchidferry.__main__, orchidferry.node.node; "
+        "bad = [m for m in sys.modules if m.startswith(("
+        "'msgpack', 'orchidferry.node.fleet', 'orchidferry.balancing.fleet', 'orchidferry.node.store'))]; "
         "sys.exit(str(bad) if bad else 0)"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/h3/scene.py
+++ b/tests/node/h3/scene.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.config import read_config
-from orchidferry.h3.settings import Front, Http3, Servers
-from orchidferry.node import Node
-from rehearsal.quic import certs, client, server
-from rehearsal.quic.faults import Trouble
-from rehearsal.wire import Outcome, Request
-from tests import peers as h1
-from tests.peers import LIMIT_S, World
+from orchidferry.node.config import read_config
+from orchidferry.node.h3.settings import Front, Http3, Servers
+from orchidferry.node.node import Node
+from orchidferry.testkit.quic import certs, client, server
+from orchidferry.testkit.quic.faults import Trouble
+from orchidferry.testkit.wire import Outcome, Request
+from tests.node import peers as h1
+from tests.node.peers import LIMIT_S, World
 
 
 @functools.cache
@@ -90,14 +90,17 @@
         """Nothing is left in any book."""
         module = self.node._balancer
         return (
-            not self.node._live and not self.node._open_ids and not self.node.attempts
-            and not module._calls and module.inflight == 0
+            not self.node._live
+            and not self.node._open_ids
+            and not self.node.attempts
+            and not module._calls
+            and module.inflight == 0
             and not any(server.out for server in module.fleet.servers.values())
-        )  # fmt: skip
+        )
 
 
 async def ask(connection: client.AskerConnection, *args: Any, **kwargs: Any) -> Outcome:
-    """One request as over HTTP/1.1 (`tests.peers.request`), on a stream of its own."""
+    """One request as over HTTP/1.1 (`tests.node.peers.request`), on a stream of its own."""
     stream = client.AskerStream(connection)
     return await asyncio.wait_for(stream.ask("", h1.request(*args, **kwargs)), LIMIT_S)
 
@@ -111,9 +114,14 @@
 
 @contextlib.asynccontextmanager
 async def scene(
-    path: Path, *servers: h1.Server, quic: dict[str, str] | None = None, front: bool = True,
-    connections: int = 64, trouble: Trouble | None = None, **changes: Any,
-) -> AsyncIterator[Scene]:  # fmt: skip
+    path: Path,
+    *servers: h1.Server,
+    quic: dict[str, str] | None = None,
+    front: bool = True,
+    connections: int = 64,
+    trouble: Trouble | None = None,
+    **changes: Any,
+) -> AsyncIterator[Scene]:
     """A node with HTTP/3 on both sides; `quic` names where servers (by name) speak it."""
     known = files()
     async with h1.world(path, *servers, start=False, **changes) as made:
--- a/tests/h3/test_decisions.py
+++ b/tests/node/h3/test_decisions.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from nickelbridge.floods import (
+from orchidferry.balancing.floods import (
     HALF_OPEN_FREE,
     HALF_OPEN_MOST,
     MALFORMED_BURST,
@@ -20,11 +20,11 @@
     Patience,
     Strays,
 )
-from nickelbridge.transports import DOUBT_MS, REST_DOUBLINGS, REST_MS, By, State, Transports
-from orchidferry.config import BadConfig
-from orchidferry.h3.settings import read_http3
-from rehearsal.quic import certs
-from rehearsal.quic.faults import CLEAN, PathFaults, Trouble
+from orchidferry.balancing.transports import DOUBT_MS, REST_DOUBLINGS, REST_MS, By, State, Transports
+from orchidferry.node.config import BadConfig
+from orchidferry.node.h3.settings import read_http3
+from orchidferry.testkit.quic import certs
+from orchidferry.testkit.quic.faults import CLEAN, PathFaults, Trouble
 
 
 def made(most: int = 10) -> Transports:
@@ -161,18 +161,20 @@
 @pytest.mark.parametrize(
     ("text", "names"),
     [
-        ("", "neither front nor servers"), ("x = 1", "x is not known"),
+        ("", "neither front nor servers"),
+        ("x = 1", "x is not known"),
         ("front = 1", "front must be a table"),
         ("[front]\n", "front.listen is missing"),
         ('[front]\nlisten = "here"', "front.listen must be HOST:PORT"),
         ('[front]\nlisten = "a:70000"', "front.listen"),
         ('[front]\nlisten = "a:1"\ncertificate = "none.pem"', "front.certificate names no file"),
-        ('[servers]\nconnections = 0', "servers.connections must be"),
-        ('[servers]\nconnections = true', "servers.connections must be"),
-        ('[servers]\nca = ""', "servers.ca is missing"), ('[servers]\nodd = 1', "servers.odd is not known"),
+        ("[servers]\nconnections = 0", "servers.connections must be"),
+        ("[servers]\nconnections = true", "servers.connections must be"),
+        ('[servers]\nca = ""', "servers.ca is missing"),
+        ("[servers]\nodd = 1", "servers.odd is not known"),
         ("[servers", "http3.toml: "),
     ],
-)  # fmt: skip
+)
 def test_a_bad_file_gives_one_line_with_file_and_key(tmp_path: Path, text: str, names: str) -> None:
     file = tmp_path / "http3.toml"
     file.write_text(text)
--- a/tests/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -14,15 +14,15 @@
 from aioquic.quic.packet import QuicErrorCode, pull_quic_header
 from aioquic.tls import Epoch, SessionTicket
 
-from nickelbridge import floods
-from orchidferry.frontend import Stage
-from orchidferry.h3 import front
-from orchidferry.h3.front import Listener
-from orchidferry.h3.shell import reset_token
-from rehearsal.quic import client
-from rehearsal.quic.faults import Trouble
-from tests.h3.scene import Scene, ask, begin, files, scene
-from tests.peers import EFFECTS, LIMIT_S, RESET, Server, answer, effects, patient, run, until
+from orchidferry.balancing import floods
+from orchidferry.node.frontend import Stage
+from orchidferry.node.h3 import front
+from orchidferry.node.h3.front import Listener
+from orchidferry.node.h3.shell import reset_token
+from orchidferry.testkit.quic import client
+from orchidferry.testkit.quic.faults import Trouble
+from tests.node.h3.scene import Scene, ask, begin, files, scene
+from tests.node.peers import EFFECTS, LIMIT_S, RESET, Server, answer, effects, patient, run, until
 
 STREAM_LIMIT_ERROR = QuicErrorCode.STREAM_LIMIT_ERROR
 
@@ -65,9 +65,13 @@
 
 
 GOOD = [
-    (b":method", b"GET"), (b":scheme", b"https"), (b":authority", b"x"), (b":path", b"/read"),
-    (b"x-call-id", b"m"), (b"x-budget", b"5"),
-]  # fmt: skip
+    (b":method", b"GET"),
+    (b":scheme", b"https"),
+    (b":authority", b"x"),
+    (b":path", b"/read"),
+    (b"x-call-id", b"m"),
+    (b"x-budget", b"5"),
+]
 
 
 def test_requests_of_all_classes_are_answered_and_books_are_clean(tmp_path: Path) -> None:
@@ -114,14 +118,22 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        ({b":method": None}, "missing"), ({b":path": b""}, "path"), ({b":authority": None}, "missing"),
-        ({b"connection": b"close"}, "connection"), ({b"transfer-encoding": b"chunked"}, "connection"),
-        ({b"te": b"gzip"}, "trailers"), ({b"X-Odd": b"1"}, "X-Odd"), ({b":late": b"1"}, "late"),
-        ({b"content-length": b"five"}, "content-length"), ({b"content-length": b"5"}, "content-length"),
-        ({b"x-call-id": None}, "X-Call-Id"), ({b"x-budget": b"-1"}, "X-Budget"),
-        ({b":path": b"/none"}, "class"), ({b"x-odd": b"a\r\nb"}, ""),
+        ({b":method": None}, "missing"),
+        ({b":path": b""}, "path"),
+        ({b":authority": None}, "missing"),
+        ({b"connection": b"close"}, "connection"),
+        ({b"transfer-encoding": b"chunked"}, "connection"),
+        ({b"te": b"gzip"}, "trailers"),
+        ({b"X-Odd": b"1"}, "X-Odd"),
+        ({b":late": b"1"}, "late"),
+        ({b"content-length": b"five"}, "content-length"),
+        ({b"content-length": b"5"}, "content-length"),
+        ({b"x-call-id": None}, "X-Call-Id"),
+        ({b"x-budget": b"-1"}, "X-Budget"),
+        ({b":path": b"/none"}, "class"),
+        ({b"x-odd": b"a\r\nb"}, ""),
     ],
-)  # fmt: skip
+)
 def test_what_is_malformed_gets_400_on_its_stream_and_nothing_else_suffers(
     tmp_path: Path, change: dict[bytes, bytes | None], why: str
 ) -> None:
@@ -705,7 +717,7 @@
 
 def test_the_certificate_is_read_again_and_a_bad_one_leaves_the_old(tmp_path: Path) -> None:
     async def test() -> None:
-        from rehearsal.quic import certs
+        from orchidferry.testkit.quic import certs
 
         async with scene(tmp_path, Server(name="s0")) as made:
             ready = listener(made)
@@ -726,7 +738,7 @@
 
 def test_whoever_does_not_trust_the_certificate_gets_no_connection_and_leaves_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        from rehearsal.quic import certs
+        from orchidferry.testkit.quic import certs
 
         stranger = certs.make(tmp_path / "stranger")
         async with scene(tmp_path, Server(name="s0")) as made:
@@ -755,10 +767,16 @@
     run(test())
 
 
-@pytest.mark.parametrize("trouble", [
-    Trouble(loss=0.05), Trouble(reorder=0.3), Trouble(duplicate=0.3), Trouble(delay_s=0.01, jitter_s=0.02),
-    Trouble(0.05, 0.1, 0.1, 0.002, 0.005),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "trouble",
+    [
+        Trouble(loss=0.05),
+        Trouble(reorder=0.3),
+        Trouble(duplicate=0.3),
+        Trouble(delay_s=0.01, jitter_s=0.02),
+        Trouble(0.05, 0.1, 0.1, 0.002, 0.005),
+    ],
+)
 def test_on_a_bad_path_every_request_is_answered_exactly_once(tmp_path: Path, trouble: Trouble) -> None:
     async def test() -> None:
         servers = roomy()
@@ -798,7 +816,7 @@
 
 
 def test_http1_limits_and_these_are_the_same() -> None:
-    from orchidferry.frontend import LIMITS_S
+    from orchidferry.node.frontend import LIMITS_S
 
     assert (LIMITS_S[Stage.NEW], LIMITS_S[Stage.READING]) == (front.HANDSHAKE_S, front.READ_S)
     assert (LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]) == (front.WRITE_S, front.IDLE_S)
--- a/tests/h3/test_independent.py
+++ b/tests/node/h3/test_independent.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from rehearsal.quic.certs import NAME
-from tests.h3.scene import files, scene
-from tests.peers import Server, run
+from orchidferry.testkit.quic.certs import NAME
+from tests.node.h3.scene import files, scene
+from tests.node.peers import Server, run
 
 curl = pytest.importorskip("curl_cffi")
 
@@ -25,9 +25,11 @@
 
 def session(address: tuple[str, int]) -> Any:
     return curl.Session(
-        http_version=curl.CurlHttpVersion.V3ONLY, verify=str(files().ca), timeout=10,
+        http_version=curl.CurlHttpVersion.V3ONLY,
+        verify=str(files().ca),
+        timeout=10,
         curl_options={curl.CurlOpt.RESOLVE: [f"{NAME}:{address[1]}:{address[0]}"]},
-    )  # fmt: skip
+    )
 
 
 def test_an_independent_implementation_is_served(tmp_path: Path) -> None:
--- a/tests/h3/test_process.py
+++ b/tests/node/h3/test_process.py
@@ -12,35 +12,47 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, settings
+from tests.node.peers import LIMIT_S, settings
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 
 
 def config(folder: Path) -> Path:
     path = folder / "node.json"
     known: dict[str, Any] = {"index": 1, "snapshot": True, "endpoints": []}
-    path.write_text(json.dumps({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "known": known, "settings": settings(),
-    }))  # fmt: skip
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:1",
+                "seed": "1",
+                "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+                "known": known,
+                "settings": settings(),
+            }
+        )
+    )
     return path
 
 
 def start(folder: Path, **env: str) -> subprocess.Popen[str]:
     return subprocess.Popen(
-        [sys.executable, "-B", "-m", "orchidferry"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
+        [sys.executable, "-B", "-m", "orchidferry"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        text=True,
         env=os.environ | {"NODE_CONFIG": str(config(folder))} | env,
-    )  # fmt: skip
+    )
 
 
 def test_with_http3_off_nothing_of_it_is_imported() -> None:
     """Nor of the library and what it needs: small machines hold the node in 32 MB."""
     code = (
-        "import sys, orchidferry.__main__, orchidferry.node; "
+        "import sys, orchidferry.__main__, orchidferry.node.node; "
         "bad = [m for m in sys.modules if m.split('.')[0] in "
-        "('aioquic', 'cryptography', 'pylsqpack', 'OpenSSL', 'rehearsal', 'curl_cffi') "
-        "or m.startswith('orchidferry.h3')]; print(bad); sys.exit(bool(bad))"
+        "('aioquic', 'cryptography', 'pylsqpack', 'OpenSSL', 'curl_cffi') "
+        "or m.startswith(('orchidferry.node.h3', 'orchidferry.testkit'))]; print(bad); sys.exit(bool(bad))"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done.stdout + done.stderr
@@ -57,7 +69,7 @@
 
 
 def test_it_starts_listens_and_ends_with_http3_on(tmp_path: Path) -> None:
-    from rehearsal.quic import certs
+    from orchidferry.testkit.quic import certs
 
     known = certs.make(tmp_path / "keys")
     file = tmp_path / "http3.toml"
--- a/tests/h3/test_rules.py
+++ b/tests/node/h3/test_rules.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from rehearsal.record import Answered, Asked, Got
-from tests.rehearsal.test_run import ADD, DRAIN, ERRORS, QUICK, play, scenario
+from orchidferry.testkit.record import Answered, Asked, Got
+from tests.testkit.test_run import ADD, DRAIN, ERRORS, QUICK, play, scenario
 
 NETWORKS: dict[str, dict[str, Any]] = {
     "h1": {"protocol": "h1"},
--- a/tests/h3/test_upstream.py
+++ b/tests/node/h3/test_upstream.py
@@ -9,14 +9,14 @@
 import pytest
 from aioquic.h3.connection import ErrorCode, FrameType, encode_frame
 
-from nickelbridge import logic, transports
-from nickelbridge.interface import Result
-from nickelbridge.transports import State
-from orchidferry.h3 import upstream
-from orchidferry.h3.upstream import Link, Routes
-from rehearsal.quic.faults import Trouble
-from tests.h3.scene import Scene, Script, files, scene
-from tests.peers import EFFECTS, Server, effects, patient, run, until
+from orchidferry.balancing import logic, transports
+from orchidferry.balancing.interface import Result
+from orchidferry.balancing.transports import State
+from orchidferry.node.h3 import upstream
+from orchidferry.node.h3.upstream import Link, Routes
+from orchidferry.testkit.quic.faults import Trouble
+from tests.node.h3.scene import Scene, Script, files, scene
+from tests.node.peers import EFFECTS, Server, effects, patient, run, until
 
 
 def routes(made: Scene) -> Routes:
@@ -435,7 +435,7 @@
 
 def test_a_server_whose_certificate_is_not_trusted_is_spoken_to_by_tcp(tmp_path: Path) -> None:
     async def test() -> None:
-        from rehearsal.quic import certs
+        from orchidferry.testkit.quic import certs
 
         server, script = Server(name="s0"), Script()
         script.quic._files = certs.make(tmp_path / "stranger")
@@ -469,9 +469,15 @@
     run(test())
 
 
-@pytest.mark.parametrize("trouble", [
-    Trouble(loss=0.05), Trouble(reorder=0.3), Trouble(duplicate=0.3), Trouble(0.05, 0.1, 0.1, 0.002, 0.005),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "trouble",
+    [
+        Trouble(loss=0.05),
+        Trouble(reorder=0.3),
+        Trouble(duplicate=0.3),
+        Trouble(0.05, 0.1, 0.1, 0.002, 0.005),
+    ],
+)
 def test_on_a_bad_path_to_servers_no_effect_happens_twice(tmp_path: Path, trouble: Trouble) -> None:
     async def test() -> None:
         server, script = Server(name="s0"), Script(trouble=trouble, seed=3)
--- a/tests/peers.py
+++ b/tests/node/peers.py
@@ -14,11 +14,11 @@
 
 import uvloop
 
-from nickelbridge.pools import Rules
-from orchidferry.chain.settings import Setup
-from orchidferry.config import read_config
-from orchidferry.node import Node
-from tests.test_wire import ENV
+from orchidferry.balancing.pools import Rules
+from orchidferry.node.chain.settings import Setup
+from orchidferry.node.config import read_config
+from orchidferry.node.node import Node
+from tests.balancing.test_wire import ENV
 
 LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
 
@@ -148,8 +148,16 @@
         return data
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        return {"name": self.name, "address": self.address, "zone": "z1", "type": "k1", "group": self.group,
-                "status": "active", "weight": 1.0, "since_ms": 0} | changes  # fmt: skip
+        return {
+            "name": self.name,
+            "address": self.address,
+            "zone": "z1",
+            "type": "k1",
+            "group": self.group,
+            "status": "active",
+            "weight": 1.0,
+            "since_ms": 0,
+        } | changes
 
 
 class Registry(Peer):
@@ -272,20 +280,29 @@
 
 @contextlib.asynccontextmanager
 async def world(
-    path: Path, *servers: Server, start: bool = True, sockets: int = 1024, known: bool = True,
-    chain: Setup | None = None, pools: Rules | None = None, **changes: Any,
-) -> AsyncIterator[World]:  # fmt: skip
+    path: Path,
+    *servers: Server,
+    start: bool = True,
+    sockets: int = 1024,
+    known: bool = True,
+    chain: Setup | None = None,
+    pools: Rules | None = None,
+    **changes: Any,
+) -> AsyncIterator[World]:
     """A node with these servers, its discovery, and a configuration file."""
     registry = Registry()
     for peer in (registry, *servers):
         await peer.start()
     registry.whole = [server.entry() for server in servers]
     config = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": registry.address, "seed": "8c1f30d27a5be964",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": registry.address,
+        "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
         "known": {"index": 1, "snapshot": True, "endpoints": registry.whole if known else []},
         "settings": settings(**changes),
-    }  # fmt: skip
+    }
     file = path / "config.json"
     file.write_text(json.dumps(config))
     scene = World(config, file, registry, list(servers))
--- a/tests/test_alarms.py
+++ b/tests/node/test_alarms.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from orchidferry import alarms as module
-from orchidferry.alarms import Alarms
-from tests.peers import run, until
+from orchidferry.node import alarms as module
+from orchidferry.node.alarms import Alarms
+from tests.node.peers import run, until
 
 
 def test_all_that_is_not_called_off_rings_once_in_order_and_never_early() -> None:
--- a/tests/test_callers.py
+++ b/tests/node/test_callers.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from orchidferry import frontend, node
-from orchidferry.frontend import Stage
-from orchidferry.upstream import Upstream
-from tests.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
+from orchidferry.node import frontend, node
+from orchidferry.node.frontend import Stage
+from orchidferry.node.upstream import Upstream
+from tests.node.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
 
 
 @pytest.fixture
--- a/tests/test_chain.py
+++ b/tests/node/test_chain.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nickelbridge import interface as api
-from nickelbridge.chain import HOPS_MOST, Chain, Gate, Limits, RetryBudget, Why
-from nickelbridge.interface import Carried, Result
-from nickelbridge.logic import Balancer
-from orchidferry.chain.settings import Setup, read_chain
-from orchidferry.chain.wire import CALLS_MOST, Wire, read_answer, write_answer
-from orchidferry.config import BadConfig
-from tests.peers import Seen, Server, answer, run, world
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.chain import HOPS_MOST, Chain, Gate, Limits, RetryBudget, Why
+from orchidferry.balancing.interface import Carried, Result
+from orchidferry.balancing.logic import Balancer
+from orchidferry.node.chain.settings import Setup, read_chain
+from orchidferry.node.chain.wire import CALLS_MOST, Wire, read_answer, write_answer
+from orchidferry.node.config import BadConfig
+from tests.node.peers import Seen, Server, answer, run, world
 
 KEYS = (("k2", b"b" * 32), ("k1", b"a" * 32))
 CARRIED = Carried("entrada-n0-1-7", 1, 8.0, ("entrada/n0", "catalogo/n3"))
@@ -30,8 +30,17 @@
 # Attempts, over a whole chain
 
 
-def ask(tiers: list[Chain], at: int, carried: Carried | None, counts: list[int], calls: int, passes: bool,
-        serial: list[int], fails: random.Random, share: float) -> tuple[bool, bool, int]:  # fmt: skip
+def ask(
+    tiers: list[Chain],
+    at: int,
+    carried: Carried | None,
+    counts: list[int],
+    calls: int,
+    passes: bool,
+    serial: list[int],
+    fails: random.Random,
+    share: float,
+) -> tuple[bool, bool, int]:
     """One request to a tier whose last tier fails a share: served, below, used; tried as often as may be."""
     chain, id = tiers[at], str(serial[0])
     serial[0] += 1
@@ -45,11 +54,13 @@
         else:
             below, used, served = False, 0, True
             for _ in range(calls):
-                one, its_below, its_used = ask(tiers, at + 1, goes if passes else None, counts, calls, passes,
-                                               serial, fails, share)  # fmt: skip
+                one, its_below, its_used = ask(
+                    tiers, at + 1, goes if passes else None, counts, calls, passes, serial, fails, share
+                )
                 below, used, served = below or its_below, used + its_used, served and one
-        chain.ended(id, Result.SERVED if served else Result.ERROR, below and passes, used if passes else 0,
-                    1.0, 0.0)  # fmt: skip
+        chain.ended(
+            id, Result.SERVED if served else Result.ERROR, below and passes, used if passes else 0, 1.0, 0.0
+        )
     verdict = chain.verdict(id)
     chain.done(id)
     return served, *verdict
@@ -202,9 +213,13 @@
 
 @pytest.mark.parametrize(
     ("repeat", "may", "told"),
-    [(api.Repeat.SAFE, True, 1), (api.Repeat.KEYED, True, 1), (api.Repeat.UNSAFE, True, 0),
-     (api.Repeat.SAFE, False, 0)],
-)  # fmt: skip
+    [
+        (api.Repeat.SAFE, True, 1),
+        (api.Repeat.KEYED, True, 1),
+        (api.Repeat.UNSAFE, True, 0),
+        (api.Repeat.SAFE, False, 0),
+    ],
+)
 def test_a_call_that_nobody_waits_for_is_called_off_unless_it_may_not(
     repeat: api.Repeat, may: bool, told: int
 ) -> None:
@@ -224,11 +239,13 @@
 
 @given(
     st.builds(
-        Carried, st.from_regex(r"[A-Za-z0-9._-]{1,64}", fullmatch=True), st.integers(0, 8),
+        Carried,
+        st.from_regex(r"[A-Za-z0-9._-]{1,64}", fullmatch=True),
+        st.integers(0, 8),
         st.integers(0, 10**9).map(lambda n: n / 1000.0),
         st.lists(HOPS, min_size=1, max_size=16).map(tuple),
     )
-)  # fmt: skip
+)
 def test_what_goes_on_comes_back_the_same(carried: Carried) -> None:
     assert Wire(KEYS, lambda: 1e9).read(dict(Wire(KEYS, lambda: 1e9).write(carried, 3.0))) == carried
 
@@ -319,9 +336,12 @@
 
 @pytest.mark.parametrize(
     ("up", "attempts", "told"),
-    [("X-Chain: below; used=0\r\n", 1, "below; used=0"), ("X-Chain: kept; used=1\r\n", 1, "kept; used=1"),
-     ("", 2, "kept; used=1")],
-)  # fmt: skip
+    [
+        ("X-Chain: below; used=0\r\n", 1, "below; used=0"),
+        ("X-Chain: kept; used=1\r\n", 1, "kept; used=1"),
+        ("", 2, "kept; used=1"),
+    ],
+)
 def test_what_was_met_below_goes_up_and_ends_what_would_add_to_it(
     up: str, attempts: int, told: str, tmp_path: Path
 ) -> None:
@@ -354,7 +374,7 @@
     ("text", "words"),
     [
         ("tier = 1", "tier"),
-        (GOOD + 'x = 1', "'x' is not known"),
+        (GOOD + "x = 1", "'x' is not known"),
         (GOOD.replace('"a"', '"a b"'), "tier: 'a b' is no name"),
         (GOOD + "extra = 9", "extra: 9 is not within 0 to 8"),
         (GOOD + "share = 1.5", "share: 1.5"),
@@ -364,7 +384,7 @@
         (GOOD + 'keys = ["k=' + "a" * 32 + '", "k=' + "b" * 32 + '"]', "each with a name of its own"),
         ("tier = ", "not TOML"),
     ],
-)  # fmt: skip
+)
 def test_a_file_that_can_not_be_meant_is_told_in_a_line(text: str, words: str, tmp_path: Path) -> None:
     path = tmp_path / "chain.toml"
     path.write_text(text)
--- a/tests/test_door.py
+++ b/tests/node/test_door.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from orchidferry import door as door_module
-from orchidferry.config import BadConfig, read_config
-from orchidferry.door import Door
-from tests.peers import LIMIT_S, Server, World, answer, read_message, request, run, until, world
-from tests.test_node import Program, spawn
+from orchidferry.node import door as door_module
+from orchidferry.node.config import BadConfig, read_config
+from orchidferry.node.door import Door
+from tests.node.peers import LIMIT_S, Server, World, answer, read_message, request, run, until, world
+from tests.node.test_node import Program, spawn
 
 Test = Callable[[World, tuple[str, int]], Awaitable[None]]
 
@@ -45,7 +45,7 @@
         async with world(tmp_path, *servers, start=False) as scene:
             scene.config["admin_addr"] = "127.0.0.1:0"
             scene.path.write_text(json.dumps(scene.config))
-            from orchidferry.node import Node
+            from orchidferry.node.node import Node
 
             loop = asyncio.get_running_loop()
             node = scene.node = Node(read_config(str(scene.path)), loop)
--- a/tests/test_flow.py
+++ b/tests/node/test_flow.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from orchidferry import flow as flow_module
-from orchidferry.flow import GRACE_S, KEEP_MOST, SHORT_BODY, SLOWEST_B_S, STALL_S, Flow, Pool, TooLong
+from orchidferry.node import flow as flow_module
+from orchidferry.node.flow import GRACE_S, KEEP_MOST, SHORT_BODY, SLOWEST_B_S, STALL_S, Flow, Pool, TooLong
 
 PIECE = b"x" * (SHORT_BODY // 2)
 
--- a/tests/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from nickelbridge.interface import Result
-from orchidferry import flow as flow_module
-from orchidferry import frontend, node, upstream
-from orchidferry.upstream import Attempt
-from tests.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
+from orchidferry.balancing.interface import Result
+from orchidferry.node import flow as flow_module
+from orchidferry.node import frontend, node, upstream
+from orchidferry.node.upstream import Attempt
+from tests.node.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
 
 MB = 1024 * 1024
 LONG = bytes(range(256)) * (3 * MB // 256)
@@ -415,7 +415,7 @@
 
         class Closing(Server):
             async def script(self, message: object) -> bytes:
-                from tests.peers import CLOSE
+                from tests.node.peers import CLOSE
 
                 return head + LONG + CLOSE
 
--- a/tests/test_long_lists.py
+++ b/tests/node/test_long_lists.py
@@ -14,19 +14,28 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
-from orchidferry import config, discovery, node
-from orchidferry.config import read_in_steps, read_listing, server_id, unix_offset_ms
-from tests.peers import Server, run, until, world
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.logic import Balancer
+from orchidferry.node import config, discovery, node
+from orchidferry.node.config import read_in_steps, read_listing, server_id, unix_offset_ms
+from tests.node.peers import Server, run, until, world
 
 
 def listed(count: int, **changes: Any) -> list[dict[str, Any]]:
     return [
-        {"name": f"far-{n}", "address": "127.0.0.1:9", "zone": "z", "type": "k", "group": n % 7,
-         "status": "active", "weight": 1.0, "since_ms": 0} | changes
+        {
+            "name": f"far-{n}",
+            "address": "127.0.0.1:9",
+            "zone": "z",
+            "type": "k",
+            "group": n % 7,
+            "status": "active",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        | changes
         for n in range(count)
-    ]  # fmt: skip
+    ]
 
 
 def finished(steps: Generator[None, None, Any]) -> tuple[Any, int]:
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -15,10 +15,11 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
-from orchidferry.config import address, server_id
-from tests.peers import (
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.logic import Balancer
+from orchidferry.node.config import address, server_id
+from tests.balancing.test_wire import ROOT
+from tests.node.peers import (
     CLOSE,
     HANG,
     LIMIT_S,
@@ -31,7 +32,6 @@
     until,
     world,
 )
-from tests.test_wire import ROOT
 
 
 def test_a_keyed_request_that_may_have_run_stays_within_its_group(tmp_path: Path) -> None:
@@ -141,11 +141,20 @@
 
 @pytest.mark.parametrize(
     "spoilt",
-    [CLOSE, answer(503), answer(200, b"{"), answer(200, b"[]"), answer(200, b'{"index":2}'), b"\x00\r\n\r\n",
-     answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'),
-     answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
-     answer(200, b"[" * 100_000)],
-)  # fmt: skip
+    [
+        CLOSE,
+        answer(503),
+        answer(200, b"{"),
+        answer(200, b"[]"),
+        answer(200, b'{"index":2}'),
+        b"\x00\r\n\r\n",
+        answer(
+            200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","address":"x","status":"active"}]}'
+        ),
+        answer(200, b'{"index":2,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}'),
+        answer(200, b"[" * 100_000),
+    ],
+)
 def test_a_failed_watch_is_asked_again_and_the_old_list_stays(spoilt: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server, other = Server(name="old"), Server(name="new")
@@ -171,8 +180,10 @@
             scene.registry.tell(index=0)
             await until(lambda: len(scene.registry.seen) == 3)
             assert [seen.target.partition("&")[0] for seen in scene.registry.seen] == [
-                "/api/targets?index=1", "/api/targets", "/api/targets?index=0",
-            ]  # fmt: skip
+                "/api/targets?index=1",
+                "/api/targets",
+                "/api/targets?index=0",
+            ]
 
     run(test())
 
@@ -364,7 +375,8 @@
     "odd coding": (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
     "chunks in HTTP/1.0": (b"POST /pay HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
     "chunks and length": (
-        b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400
+        b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
+        400,
     ),
     "unknown class": (request("q", "nonsense"), 400),
     "no class": (request("q", ""), 400),
@@ -379,12 +391,13 @@
     "negative length": (b"POST /pay HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
     "two lengths": (b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", 400),
     "length and chunks": (
-        b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400
+        b"POST /pay HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        400,
     ),
     "one huge header": (b"GET /read HTTP/1.1\r\nX-Pad: " + b"x" * 100_000, 431),
     "many headers": (b"GET /read HTTP/1.1\r\n" + b"X-Pad: 1\r\n" * 10_000, 431),
     "huge target": (b"GET /" + b"x" * 100_000 + b" HTTP/1.1\r\n\r\n", 431),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(("data", "status"), BAD.values(), ids=BAD.keys())
@@ -519,9 +532,13 @@
 async def spawn(path: Path | None) -> asyncio.subprocess.Process:
     env = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "orchidferry", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "orchidferry",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
         env=env | ({"NODE_CONFIG": str(path)} if path else {}),
-    )  # fmt: skip
+    )
 
 
 def test_sigterm_finishes_what_is_held_and_exits_0(tmp_path: Path) -> None:
@@ -548,11 +565,16 @@
 
 @pytest.mark.parametrize(
     ("text", "words"),
-    [(None, "NODE_CONFIG"), ("", "No such file"), ("{", "not JSON"), ("[]", "object"),
-     ("{}", "'name' is missing"),
-     ('{"name":"n","listen":"nowhere"}', "nowhere"),
-     ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed")],
-)  # fmt: skip
+    [
+        (None, "NODE_CONFIG"),
+        ("", "No such file"),
+        ("{", "not JSON"),
+        ("[]", "object"),
+        ("{}", "'name' is missing"),
+        ('{"name":"n","listen":"nowhere"}', "nowhere"),
+        ('{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"zz"}', "seed"),
+    ],
+)
 def test_a_bad_configuration_is_one_line_and_status_2(text: str | None, words: str, tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
--- a/tests/test_outcomes.py
+++ b/tests/node/test_outcomes.py
@@ -14,14 +14,14 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Result
-from nickelbridge.logic import Balancer
-from orchidferry.alarms import Alarms
-from orchidferry.config import Address
-from orchidferry.request import Message
-from orchidferry.upstream import Answer, Attempt, Connection, Upstream, read_report
-from tests.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, run, until, world
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.interface import Result
+from orchidferry.balancing.logic import Balancer
+from orchidferry.node.alarms import Alarms
+from orchidferry.node.config import Address
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import Answer, Attempt, Connection, Upstream, read_report
+from tests.node.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, run, until, world
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
 MAY_HAVE_RUN = {
@@ -48,7 +48,7 @@
     "long error": answer(500, b"x" * (64 * 1024 + 1)),
     "long head": b"HTTP/1.1 200 OK\r\nX-Pad: " + b"x" * 100_000,
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-}  # fmt: skip
+}
 NEVER_RAN = {
     "503 turned away": answer(503, headers="X-Rejected: 1\r\n"),
     "504 turned away": answer(504, headers="X-Rejected: 1\r\n"),
@@ -310,10 +310,12 @@
 
 @pytest.mark.parametrize(
     ("problem", "result"),
-    [(OSError(errno.EMFILE, "too many open files"), Result.MOOT),
-     (OSError(errno.ECONNREFUSED, "refused"), Result.UNREACHABLE),
-     (RuntimeError("a fault"), Result.UNREACHABLE)],
-)  # fmt: skip
+    [
+        (OSError(errno.EMFILE, "too many open files"), Result.MOOT),
+        (OSError(errno.ECONNREFUSED, "refused"), Result.UNREACHABLE),
+        (RuntimeError("a fault"), Result.UNREACHABLE),
+    ],
+)
 def test_a_dial_that_fails_ends_its_attempt_and_our_own_shortage_is_not_the_servers(
     problem: Exception, result: Result, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/test_platform.py
+++ b/tests/node/test_platform.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from tests.peers import LIMIT_S, Caller, Server, World, request, run, world
+from tests.node.peers import LIMIT_S, Caller, Server, World, request, run, world
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 
 # What the platform refuses, by numbers of x86-64 and of AArch64, as a filter on the process's own system
 # calls (seccomp's, which needs no rights once no new ones can be had): below Python, where libuv makes its
@@ -55,8 +55,7 @@
 
 def lay_out(folder: Path) -> None:
     """A root as `build` leaves it, with the refusals in the interpreter's path."""
-    for name in ("nickelbridge", "orchidferry"):
-        (folder / name).symlink_to(ROOT / name)
+    (folder / "orchidferry").symlink_to(ROOT / "orchidferry")
     (folder / ".venv").symlink_to(sys.prefix)
     (folder / "sitecustomize.py").write_text(REFUSALS)
 
@@ -134,9 +133,13 @@
     async def test() -> None:
         lay_out(tmp_path)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", f"import os, threading; threading.Thread(target=print).start(); {code}",
-            cwd=tmp_path, env=os.environ | {"PYTHONPATH": str(tmp_path)}, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-c",
+            f"import os, threading; threading.Thread(target=print).start(); {code}",
+            cwd=tmp_path,
+            env=os.environ | {"PYTHONPATH": str(tmp_path)},
+            stderr=asyncio.subprocess.PIPE,
+        )
         _, err = await asyncio.wait_for(process.communicate(), LIMIT_S)
         assert process.returncode == 1 and (b"Errno 38" in err or b"Errno 22" in err), err
 
--- a/tests/test_pools.py
+++ b/tests/node/test_pools.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from nickelbridge import interface as api
-from nickelbridge.interface import Health, ListKind, Repeat, Result
-from nickelbridge.moves import Plan, State
-from nickelbridge.pools import KEY_MS, PoolRule, Router, Rules
-from orchidferry.config import BadConfig
-from orchidferry.pools import read_pools
-from tests.peers import Server, answer, run, until, world
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.interface import Health, ListKind, Repeat, Result
+from orchidferry.balancing.moves import Plan, State
+from orchidferry.balancing.pools import KEY_MS, PoolRule, Router, Rules
+from orchidferry.node.config import BadConfig
+from orchidferry.node.pools import read_pools
+from tests.node.peers import Server, answer, run, until, world
 
 POOLS = (PoolRule("old"), PoolRule("new", frozenset({"v2"})))
 CLASSES = [
@@ -34,8 +34,10 @@
         self.sent: list[tuple[str, int]] = []  # request and server
         self.ends: dict[str, str] = {}
         self.say(api.Started())
-        self.news(*[api.ServerEntry(n) for n in range(old)],
-                  *[api.ServerEntry(100 + n, kind="v2") for n in range(new)])  # fmt: skip
+        self.news(
+            *[api.ServerEntry(n) for n in range(old)],
+            *[api.ServerEntry(100 + n, kind="v2") for n in range(new)],
+        )
 
     def news(self, *entries: api.ServerEntry, kind: ListKind = ListKind.FULL) -> None:
         self.say(api.ServerList(kind, 1, list(entries)))
@@ -180,14 +182,19 @@
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        ("pool = []", "at least one"), ("", "'pool' is missing"), (GOOD + "y = 1", "move: 'y'"),
-        ("pool = []\nx = 1", "'x' is not known"), ("[[pool", "not TOML"),
+        ("pool = []", "at least one"),
+        ("", "'pool' is missing"),
+        (GOOD + "y = 1", "move: 'y'"),
+        ("pool = []\nx = 1", "'x' is not known"),
+        ("[[pool", "not TOML"),
         (GOOD.replace('"new"\nkinds', '"old"\nkinds'), "of its own"),
         (GOOD.replace('to = "new"', 'to = "old"'), "none of the pools behind the first"),
-        (GOOD + "alpha = 2", "alpha: 2.0"), (GOOD + "steps = [0.5]", "end with 1"),
-        (GOOD + 'rare = "x"', "rare"), (GOOD.replace('["v2"]', "[1]"), "'kinds' must be texts"),
+        (GOOD + "alpha = 2", "alpha: 2.0"),
+        (GOOD + "steps = [0.5]", "end with 1"),
+        (GOOD + 'rare = "x"', "rare"),
+        (GOOD.replace('["v2"]', "[1]"), "'kinds' must be texts"),
     ],
-)  # fmt: skip
+)
 def test_a_file_that_can_not_be_meant_is_told_in_a_line(text: str, words: str, tmp_path: Path) -> None:
     path = tmp_path / "pools.toml"
     path.write_text(text)
--- a/tests/test_reload.py
+++ b/tests/node/test_reload.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from orchidferry import discovery
-from orchidferry.config import Listing
-from tests.peers import LIMIT_S, Registry, Server, World, request, run, until, world
-from tests.test_node import Program
+from orchidferry.node import discovery
+from orchidferry.node.config import Listing
+from tests.node.peers import LIMIT_S, Registry, Server, World, request, run, until, world
+from tests.node.test_node import Program
 
 
 def write(scene: World, registry: Registry) -> None:
--- a/tests/test_uploads.py
+++ b/tests/node/test_uploads.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from nickelbridge import interface as api
-from tests.helpers import Node, ends, sends
+from orchidferry.balancing import interface as api
+from tests.balancing.helpers import Node, ends, sends
 
 
 def upload(node: Node, id: str, cls: str = "keyed", ttl_ms: float = 3000.0) -> list[api.Action]:
--- a/tests/rehearsal/broken_node.py
+++ b/tests/testkit/broken_node.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from nickelbridge import interface as api
-from nickelbridge.logic import Balancer
-from orchidferry import __main__ as program
-from orchidferry import frontend, node
-from orchidferry.config import Listing
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.logic import Balancer
+from orchidferry.node import frontend, node
+from orchidferry.node import main as program
+from orchidferry.node.config import Listing
 
 EVERY = 20  # of what can be spoilt, so often: most must go well for the run to go on
 
@@ -116,9 +116,15 @@
 FAULTS: dict[str, Callable[[], None]] = {
     fault.__name__.replace("_", "-"): fault
     for fault in (
-        answers_twice, loses_answers, makes_up_answers, resends_unsafe, ignores_drains, floods_cold, dies,
+        answers_twice,
+        loses_answers,
+        makes_up_answers,
+        resends_unsafe,
+        ignores_drains,
+        floods_cold,
+        dies,
     )
-}  # fmt: skip
+}
 
 if __name__ == "__main__":
     FAULTS[sys.argv.pop(1)]()
--- a/tests/explore/test_explore.py
+++ b/tests/testkit/explore/test_explore.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from rehearsal.cli import main
-from rehearsal.explore.breaks import BREAKS, broken
-from rehearsal.explore.search import play, search, shrink, wander
-from rehearsal.explore.seen import Seen
-from rehearsal.explore.state import fingerprint
-from rehearsal.explore.world import Small, World
+from orchidferry.testkit.cli import main
+from orchidferry.testkit.explore.breaks import BREAKS, broken
+from orchidferry.testkit.explore.search import play, search, shrink, wander
+from orchidferry.testkit.explore.seen import Seen
+from orchidferry.testkit.explore.state import fingerprint
+from orchidferry.testkit.explore.world import Small, World
 
 SMALL = Small(events=1)
 SLOTS = 1 << 16
@@ -111,9 +111,13 @@
     ],
 )
 def test_the_command(
-    arguments: list[str], code: int, words: str, tmp_path_factory: pytest.TempPathFactory, capsys: Any,
+    arguments: list[str],
+    code: int,
+    words: str,
+    tmp_path_factory: pytest.TempPathFactory,
+    capsys: Any,
     monkeypatch: pytest.MonkeyPatch,
-) -> None:  # fmt: skip
+) -> None:
     folder = tmp_path_factory.getbasetemp() / "explore-command"
     folder.mkdir(exist_ok=True)
     monkeypatch.chdir(folder)
--- a/tests/explore/test_hundreds_scenes.py
+++ b/tests/testkit/explore/test_hundreds_scenes.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from rehearsal.explore import worst_days
-from rehearsal.explore.worst_days import hundreds
+from orchidferry.testkit.explore import worst_days
+from orchidferry.testkit.explore.worst_days import hundreds
 
 
 @pytest.mark.parametrize("scene", hundreds.SCENES)
--- a/tests/explore/test_mesh.py
+++ b/tests/testkit/explore/test_mesh.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from rehearsal.cli import main
-from rehearsal.explore import mesh
+from orchidferry.testkit.cli import main
+from orchidferry.testkit.explore import mesh
 
 
 @pytest.mark.parametrize("scene", mesh.SCENES)
@@ -26,10 +26,13 @@
 @pytest.mark.parametrize(
     ("scene", "faults", "kinds"),
     [
-        ("unwell", 1, ("cut", "unfit")), ("missed", 1, ("kill", "power")), ("learning", 1, ("lose",)),
-        ("puts", 1, ("power",)), ("duties", 1, ("cut",)),
+        ("unwell", 1, ("cut", "unfit")),
+        ("missed", 1, ("kill", "power")),
+        ("learning", 1, ("lose",)),
+        ("puts", 1, ("power",)),
+        ("duties", 1, ("cut",)),
     ],
-)  # fmt: skip
+)
 def test_every_interleaving_of_some_faults_is_safe(scene: str, faults: int, kinds: tuple[str, ...]) -> None:
     found = mesh.search(scene, faults, kinds, limit_s=120.0, workers=2)
     assert found.exhausted and not found.violations, found.story
--- a/tests/explore/test_one_number.py
+++ b/tests/testkit/explore/test_one_number.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from nickelbridge.register import Proposer
-from rehearsal.bench import order_duels
-from rehearsal.explore import worst_days
-from rehearsal.explore.worst_days import one_number
+from orchidferry.balancing.register import Proposer
+from orchidferry.testkit.bench import order_duels
+from orchidferry.testkit.explore import worst_days
+from orchidferry.testkit.explore.worst_days import one_number
 
 
 @pytest.mark.parametrize("scene", one_number.SCENES)
--- a/tests/explore/test_reductions.py
+++ b/tests/testkit/explore/test_reductions.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from rehearsal.explore import mesh, worst_days
-from rehearsal.explore.mesh import World
-from rehearsal.explore.seen import Seen, fingerprint
+from orchidferry.testkit.explore import mesh, worst_days
+from orchidferry.testkit.explore.mesh import World
+from orchidferry.testkit.explore.seen import Seen, fingerprint
 
 STEPS = 400
 
@@ -36,10 +36,13 @@
 @pytest.mark.parametrize(
     ("scene", "kinds"),
     [
-        ("two-contents", ("kill", "lose", "freeze")), ("wiped-replica", ("kill", "late")),
-        ("frozen-briefly", ("lose", "cut")), ("replaced-twice", ("kill",)), ("hundreds-owner", ("power",)),
+        ("two-contents", ("kill", "lose", "freeze")),
+        ("wiped-replica", ("kill", "late")),
+        ("frozen-briefly", ("lose", "cut")),
+        ("replaced-twice", ("kill",)),
+        ("hundreds-owner", ("power",)),
     ],
-)  # fmt: skip
+)
 def test_a_dead_message_changes_nothing_and_stays_dead(
     scene: str, kinds: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/explore/test_second_loss.py
+++ b/tests/testkit/explore/test_second_loss.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from rehearsal.explore import worst_days
-from rehearsal.explore.worst_days.second_loss import BREAKS, SCENES
+from orchidferry.testkit.explore import worst_days
+from orchidferry.testkit.explore.worst_days.second_loss import BREAKS, SCENES
 
 
 @pytest.mark.parametrize("scene", [name for name, play in SCENES.items() if play.scene.replicas == 3])
--- a/tests/rehearsal/test_capacity.py
+++ b/tests/testkit/test_capacity.py
@@ -15,13 +15,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rehearsal.capacity import fleets, hours, processes
-from rehearsal.capacity.compare import compared
-from rehearsal.capacity.figures import Figure, slopes, table
-from rehearsal.capacity.fit import line
-from rehearsal.capacity.plan import BadPlan, read_plan
+from orchidferry.testkit.capacity import fleets, hours, processes
+from orchidferry.testkit.capacity.compare import compared
+from orchidferry.testkit.capacity.figures import Figure, slopes, table
+from orchidferry.testkit.capacity.fit import line
+from orchidferry.testkit.capacity.plan import BadPlan, read_plan
 
-COMMAND = (sys.executable, "-m", "rehearsal.cli", "capacity")
+COMMAND = (sys.executable, "-m", "orchidferry.testkit.cli", "capacity")
 
 
 @given(
@@ -85,7 +85,7 @@
     """The hash of words is drawn anew in each process, as on two days."""
     found = []
     for seed in ("1", "2"):
-        command = [sys.executable, "-m", "rehearsal.capacity.hours", "16", "zone"]
+        command = [sys.executable, "-m", "orchidferry.testkit.capacity.hours", "16", "zone"]
         environment = os.environ | {"PYTHONHASHSEED": seed}
         ended = subprocess.run(command, env=environment, capture_output=True, check=True, timeout=60)
         figures = [Figure(**json.loads(words)) for words in ended.stdout.splitlines()]
--- a/tests/rehearsal/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -11,18 +11,18 @@
 import pytest
 from rich.console import Console
 
-from rehearsal import bench, cli
-from rehearsal.bench import decisions, kit
-from rehearsal.judge.verdict import Verdict
-from rehearsal.mesh.day import DAYS
-from rehearsal.record import Cut, Incident
-from rehearsal.report import terminal
-from rehearsal.report.page import page
-from rehearsal.report.series import series
-from rehearsal.scenario import load_scenario, shipped
-from rehearsal.world.director import Progress
-from tests.rehearsal.test_judge import clean, resent_unsafe
-from tests.test_wire import ROOT
+from orchidferry.testkit import bench, cli
+from orchidferry.testkit.bench import decisions, kit
+from orchidferry.testkit.judge.verdict import Verdict
+from orchidferry.testkit.mesh.day import DAYS
+from orchidferry.testkit.record import Cut, Incident
+from orchidferry.testkit.report import terminal
+from orchidferry.testkit.report.page import page
+from orchidferry.testkit.report.series import series
+from orchidferry.testkit.scenario import load_scenario, shipped
+from orchidferry.testkit.world.director import Progress
+from tests.balancing.test_wire import ROOT
+from tests.testkit.test_judge import clean, resent_unsafe
 
 
 def call(
@@ -109,15 +109,16 @@
 def test_the_node_imports_nothing_of_the_kit_nor_of_its_libraries() -> None:
     code = (
         "import sys, orchidferry.__main__\n"
+        "print(*[m for m in sys.modules if m.startswith('orchidferry.testkit')])\n"
         "print(*sorted({m.partition('.')[0] for m in sys.modules} & "
-        "{'rehearsal', 'rich', 'hdrh', 'matplotlib', 'numpy', 'argparse'}))"
+        "{'rich', 'hdrh', 'matplotlib', 'numpy', 'argparse'}))"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == ""
 
 
 def test_without_arguments_both_ways_in_are_the_node() -> None:
-    for module in ("orchidferry", "rehearsal.cli"):
+    for module in ("orchidferry", "orchidferry.testkit.cli"):
         done = subprocess.run(
             [sys.executable, "-m", module], cwd=ROOT, capture_output=True, text=True, check=False, env={}
         )
@@ -127,9 +128,12 @@
 
 def test_the_program_hands_its_commands_on() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "orchidferry", "rehearse", "--list"], cwd=ROOT, capture_output=True, text=True,
+        [sys.executable, "-m", "orchidferry", "rehearse", "--list"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
         check=False,
-    )  # fmt: skip
+    )
     assert done.returncode == 0 and "slow-server" in done.stdout
 
 
@@ -147,9 +151,13 @@
 
 def test_a_reader_that_goes_away_gets_no_traceback() -> None:
     done = subprocess.run(
-        f"{sys.executable} -m rehearsal.cli rehearse --list | true", shell=True, cwd=ROOT,
-        capture_output=True, text=True, check=False,
-    )  # fmt: skip
+        f"{sys.executable} -m orchidferry.testkit.cli rehearse --list | true",
+        shell=True,
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert done.stderr == ""
 
 
@@ -246,4 +254,4 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     status, _, err = call(monkeypatch, capsys, "bench", "decisions", "--against", str(tmp_path))
-    assert status == 2 and "holds no nickelbridge/logic.py" in err
+    assert status == 2 and "holds no orchidferry/balancing/logic.py" in err
--- a/tests/rehearsal/test_drawn_days.py
+++ b/tests/testkit/test_drawn_days.py
@@ -8,7 +8,7 @@
 import pytest
 import tomli_w
 
-from rehearsal.bench import drawn_days
+from orchidferry.testkit.bench import drawn_days
 
 LENGTH_S = 32.0
 SITE = {
@@ -17,12 +17,17 @@
     "contracts": ["base", "keys", "pool"],
     "day": [
         {
-            "name": "trouble-1", "slot": "trouble", "seed": 1, "plan": [], "faults": [{"kind": "release"}],
-            "closing": {"kind": "kill_all"}, "traffic": [{"zone": "a", "per_s": 5.0}],
+            "name": "trouble-1",
+            "slot": "trouble",
+            "seed": 1,
+            "plan": [],
+            "faults": [{"kind": "release"}],
+            "closing": {"kind": "kill_all"},
+            "traffic": [{"zone": "a", "per_s": 5.0}],
         },
         {"name": "scale-1", "slot": "scale", "seed": 2, "faults": [], "traffic": []},
     ],
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("theme", drawn_days.THEMES)
--- a/tests/rehearsal/test_exchange.py
+++ b/tests/testkit/test_exchange.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from typing import Any
 
-from rehearsal.exchange import Ask, Exchanges, body_of, message
-from rehearsal.record import Answered, Asked, Cut, Extra, Fact, Recorder, Unanswered, read_folder
-from rehearsal.scenario import read_scenario
-from rehearsal.wire import Address, Outcome
-from tests.peers import CLOSE, HANG, RESET, Peer, Seen, answer, run, until
+from orchidferry.testkit.exchange import Ask, Exchanges, body_of, message
+from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Fact, Recorder, Unanswered, read_folder
+from orchidferry.testkit.scenario import read_scenario
+from orchidferry.testkit.wire import Address, Outcome
+from tests.node.peers import CLOSE, HANG, RESET, Peer, Seen, answer, run, until
 
 SCENARIO = read_scenario({"name": "x"}, "x")
 SAFE = SCENARIO.classes[0]
--- a/tests/rehearsal/test_fleet.py
+++ b/tests/testkit/test_fleet.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from rehearsal.judge.evidence import index
-from rehearsal.judge.fleet import judge_fleet
-from rehearsal.record import Fact, LinkBytes, NodeDown, NodePaused, NodeUp
-from rehearsal.scenario import BadScenario, FleetSide, Scenario, read_scenario
-from rehearsal.world.links import LinkFault, Links
-from rehearsal.world.plan import draw
+from orchidferry.testkit.judge.evidence import index
+from orchidferry.testkit.judge.fleet import judge_fleet
+from orchidferry.testkit.record import Fact, LinkBytes, NodeDown, NodePaused, NodeUp
+from orchidferry.testkit.scenario import BadScenario, FleetSide, Scenario, read_scenario
+from orchidferry.testkit.world.links import LinkFault, Links
+from orchidferry.testkit.world.plan import draw
 
 NODES = ("n0", "n1", "n2")
 
@@ -79,11 +79,12 @@
 def test_links_lose_cut_slow_and_flap_as_told_and_the_same_for_a_seed() -> None:
     one, other = frozenset({"a"}), frozenset({"b"})
     faults = (
-        LinkFault(0.0, 10.0, one, other, loss=0.3), LinkFault(10.0, 20.0, one, other, one_way=True, cut=True),
+        LinkFault(0.0, 10.0, one, other, loss=0.3),
+        LinkFault(10.0, 20.0, one, other, one_way=True, cut=True),
         LinkFault(20.0, 30.0, one, other, cut=True, flap_s=1.0),
         LinkFault(30.0, 40.0, one, other, rate=1_000.0),
         LinkFault(40.0, 50.0, one, other, late=0.5, late_s=20.0, duplicate=0.5),
-    )  # fmt: skip
+    )
 
     def fates(sender: str, to: str, t: float, count: int, size: int = 100) -> list[list[float]]:
         return [links.datagram(sender, to, size, t) for _ in range(count)]
--- a/tests/rehearsal/test_judge.py
+++ b/tests/testkit/test_judge.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from rehearsal.judge.rules import RULES
-from rehearsal.judge.verdict import Verdict, as_json, judge, lateness
-from rehearsal.record import (
+from orchidferry.testkit.judge.rules import RULES
+from orchidferry.testkit.judge.verdict import Verdict, as_json, judge, lateness
+from orchidferry.testkit.record import (
     Answered,
     Asked,
     Began,
@@ -27,7 +27,7 @@
     Up,
     Wanted,
 )
-from rehearsal.scenario import Scenario, read_scenario
+from orchidferry.testkit.scenario import Scenario, read_scenario
 
 SCENARIO: Scenario = read_scenario({"name": "recorded", "length": "20s"}, "test")
 END = 60.0
@@ -50,9 +50,16 @@
         self.put(Asked(t, tier, id, cls, "n0", root, int(id[-1]), t, ends))
 
     def attempt(
-        self, id: str, cls: str, t: float, how: str | None = "served", server: str = "a", cell: int = 0,
-        tier: int = 0, work: float = 0.05,
-    ) -> None:  # fmt: skip
+        self,
+        id: str,
+        cls: str,
+        t: float,
+        how: str | None = "served",
+        server: str = "a",
+        cell: int = 0,
+        tier: int = 0,
+        work: float = 0.05,
+    ) -> None:
         self.put(Got(t, t - 0.0002, tier, server, cell, id, cls, f"k-{id}", work))
         if how in ("served", "error", "lost"):
             self.put(Began(t + 0.001, tier, server, id))
@@ -221,14 +228,21 @@
 @pytest.mark.parametrize(
     ("breaker", "words"),
     [
-        (late, "after its time"), (never, "no answer came"), (no_end, "no end of it"),
-        (closed, "closed with no whole answer"), (half, "within an answer"),
-        (died_of_itself, "reset with no whole answer"), (dropped_at_a_planned_end, "closed with no whole"),
-        (closed_on_what_it_had_sent_on, "sent it on and closed"), (twice, "answered 2 times"),
-        (extra, "a second one"), (made_up, "no server made"), (lost_below, "no answer came"),
+        (late, "after its time"),
+        (never, "no answer came"),
+        (no_end, "no end of it"),
+        (closed, "closed with no whole answer"),
+        (half, "within an answer"),
+        (died_of_itself, "reset with no whole answer"),
+        (dropped_at_a_planned_end, "closed with no whole"),
+        (closed_on_what_it_had_sent_on, "sent it on and closed"),
+        (twice, "answered 2 times"),
+        (extra, "a second one"),
+        (made_up, "no server made"),
+        (lost_below, "no answer came"),
         (sent_to_one_that_is_back, "no answer came"),
     ],
-)  # fmt: skip
+)
 def test_one_event_loses_a_request(breaker: Breaker, words: str) -> None:
     run = clean()
     breaker(run)
@@ -311,12 +325,16 @@
 @pytest.mark.parametrize(
     ("breaker", "words"),
     [
-        (resent_unsafe, "may have run"), (resent_before_the_proof, "may have run"),
-        (resent_after_an_unheard_refusal, "may have run"), (other_cell, "not known there"),
-        (after_the_window, "its key is kept"), (refused_though_it_ran, "refused (503)"),
-        (refused_while_it_was_out, "refused (429)"), (resent_below, "may have run"),
+        (resent_unsafe, "may have run"),
+        (resent_before_the_proof, "may have run"),
+        (resent_after_an_unheard_refusal, "may have run"),
+        (other_cell, "not known there"),
+        (after_the_window, "its key is kept"),
+        (refused_though_it_ran, "refused (503)"),
+        (refused_while_it_was_out, "refused (429)"),
+        (resent_below, "may have run"),
     ],
-)  # fmt: skip
+)
 def test_one_event_has_an_effect_twice(breaker: Breaker, words: str) -> None:
     run = clean()
     breaker(run)
@@ -419,8 +437,11 @@
     run.answer("r0.0", 1.1)
     rules = as_json(run.judge())["rules"]
     assert {name: rule["checked"] for name, rule in rules.items()} == {
-        "no_request_lost": 1, "no_effect_twice": 0, "drains_kept": 0, "cold_servers_spared": 0,
-    }  # fmt: skip
+        "no_request_lost": 1,
+        "no_effect_twice": 0,
+        "drains_kept": 0,
+        "cold_servers_spared": 0,
+    }
 
 
 def test_service_counts_late_worth_and_ties_retries_to_their_first_try() -> None:
@@ -486,12 +507,28 @@
     run.put(Incident(3.0, 5.0, "slow", "a"))
     obj = as_json(run.judge())
     assert set(obj) == {
-        "format", "scenario", "seed", "complete", "service", "classes", "rules", "requests", "attempts",
-        "timeline", "run",
-    }  # fmt: skip
+        "format",
+        "scenario",
+        "seed",
+        "complete",
+        "service",
+        "classes",
+        "rules",
+        "requests",
+        "attempts",
+        "timeline",
+        "run",
+    }
     assert set(obj["classes"]["ler-feed"]) == {
-        "asked", "served", "refused", "failed", "unanswered", "p50_ms", "p99_ms", "service",
-    }  # fmt: skip
+        "asked",
+        "served",
+        "refused",
+        "failed",
+        "unanswered",
+        "p50_ms",
+        "p99_ms",
+        "service",
+    }
     assert set(obj["rules"]) == set(RULES)
     assert obj["attempts"]["by_tier"] == [20, 0, 0]
     assert obj["attempts"]["per_client_request"] == pytest.approx(20 / 17, rel=1e-3)
--- a/tests/rehearsal/test_machine.py
+++ b/tests/testkit/test_machine.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from rehearsal.scenario import Class, Tier, read_scenario
-from rehearsal.world import machine as inside
-from rehearsal.world.machine import (
+from orchidferry.testkit.scenario import Class, Tier, read_scenario
+from orchidferry.testkit.world import machine as inside
+from orchidferry.testkit.world.machine import (
     Action,
     Arrived,
     AskerGone,
--- a/tests/rehearsal/test_plan.py
+++ b/tests/testkit/test_plan.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from rehearsal import draws
-from rehearsal.clients.schedule import arrivals, leaves_after, rate_at
-from rehearsal.scenario import Scenario, load_scenario, read_scenario, shipped
-from rehearsal.world.machine import calls_of, work_of
-from rehearsal.world.plan import draw
+from orchidferry.testkit import draws
+from orchidferry.testkit.clients.schedule import arrivals, leaves_after, rate_at
+from orchidferry.testkit.scenario import Scenario, load_scenario, read_scenario, shipped
+from orchidferry.testkit.world.machine import calls_of, work_of
+from orchidferry.testkit.world.plan import draw
 
 
 def scenario(**changes: Any) -> Scenario:
--- a/tests/rehearsal/test_run.py
+++ b/tests/testkit/test_run.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from rehearsal.judge.verdict import Verdict, judge
-from rehearsal.record import Asked, Began, Fact, Got, Incident, Up, Wanted
-from rehearsal.scenario import Scenario, load_scenario, read_scenario
-from rehearsal.world.director import Progress, Run, rehearse
-from tests.peers import LIMIT_S
-from tests.test_wire import ROOT
+from orchidferry.testkit.judge.verdict import Verdict, judge
+from orchidferry.testkit.record import Asked, Began, Fact, Got, Incident, Up, Wanted
+from orchidferry.testkit.scenario import Scenario, load_scenario, read_scenario
+from orchidferry.testkit.world.director import Progress, Run, rehearse
+from tests.balancing.test_wire import ROOT
+from tests.node.peers import LIMIT_S
 
 TIERS = [
     {"name": "front", "servers": 4, "work": 0.4, "calls": 1, "cell": 2, "cold_from": 0.15},
@@ -34,9 +34,15 @@
 
 def scenario(*timeline: dict[str, Any], **changes: Any) -> Scenario:
     table = {
-        "name": "small", "length": "5s", "tier": TIERS, "limits": LIMITS, "load": {"rate": 30},
-        "front": {"nodes": 2}, "timeline": list(timeline), "workers": 1,
-    }  # fmt: skip
+        "name": "small",
+        "length": "5s",
+        "tier": TIERS,
+        "limits": LIMITS,
+        "load": {"rate": 30},
+        "front": {"nodes": 2},
+        "timeline": list(timeline),
+        "workers": 1,
+    }
     return read_scenario(table | changes, "test")
 
 
@@ -55,7 +61,7 @@
 
 
 def broken(fault: str) -> dict[str, Any]:
-    return {"command": [sys.executable, "-B", "-m", "tests.rehearsal.broken_node", fault]}
+    return {"command": [sys.executable, "-B", "-m", "tests.testkit.broken_node", fault]}
 
 
 DRAIN = {"at": "1s", "do": "drain", "tier": "front", "count": 1, "after": "5s"}
@@ -68,8 +74,9 @@
     one = scenario(
         DRAIN | {"after": "3s", "back": "200ms", "renamed": True},
         {"at": "500ms", "do": "crash", "tier": "back", "count": 1, "back": "500ms"},
-        length="6s", discovery=QUICK,
-    )  # fmt: skip
+        length="6s",
+        discovery=QUICK,
+    )
     run, verdict = play(one)
     assert run.complete, run.why
     assert verdict.broken == [], [f.broken for f in verdict.rules.values()]
@@ -131,18 +138,44 @@
 
 def start(tmp_path: Path, *args: str, **changes: Any) -> subprocess.Popen[str]:
     """The command as a process; the scenario is long, and comes from a file."""
-    lines = ['name = "long"', 'length = "60s"', "workers = 1", "[load]", "rate = 20", "[[tier]]",
-             'name = "front"', "servers = 2", "work = 0.5", "calls = 1", "[[tier]]", 'name = "back"',
-             "servers = 2", "work = 0.5"]  # fmt: skip
+    lines = [
+        'name = "long"',
+        'length = "60s"',
+        "workers = 1",
+        "[load]",
+        "rate = 20",
+        "[[tier]]",
+        'name = "front"',
+        "servers = 2",
+        "work = 0.5",
+        "calls = 1",
+        "[[tier]]",
+        'name = "back"',
+        "servers = 2",
+        "work = 0.5",
+    ]
     for table, values in changes.items():
         lines += [f"[{table}]", *(f"{key} = {json.dumps(value)}" for key, value in values.items())]
     path = tmp_path / "long.toml"
     path.write_text("\n".join(lines) + "\n")
     return subprocess.Popen(
-        [sys.executable, "-m", "rehearsal.cli", "rehearse", str(path), "--json", str(tmp_path / "out.json"),
-         "--keep", str(tmp_path / "kept"), *args],
-        cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-    )  # fmt: skip
+        [
+            sys.executable,
+            "-m",
+            "orchidferry.testkit.cli",
+            "rehearse",
+            str(path),
+            "--json",
+            str(tmp_path / "out.json"),
+            "--keep",
+            str(tmp_path / "kept"),
+            *args,
+        ],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
 
 
 def under(folder: Path) -> list[int]:
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/testkit/test_scenario.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rehearsal.scenario import FAULTS, MAX_FILE, BadScenario, load_scenario, read_scenario, shipped
-from rehearsal.world.plan import draw
+from orchidferry.testkit.scenario import FAULTS, MAX_FILE, BadScenario, load_scenario, read_scenario, shipped
+from orchidferry.testkit.world.plan import draw
 
 SLOW = 'name = "x"\n[[timeline]]\nat = "3s"\ndo = "slow"\nfactor = 2\nfor = "1s"\n'
 
--- a/tests/rehearsal/test_stop_signals.py
+++ b/tests/testkit/test_stop_signals.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rehearsal.stop_signals import STOP_SIGNALS, Stopped, until_stopped
+from orchidferry.testkit.stop_signals import STOP_SIGNALS, Stopped, until_stopped
 
 
 @pytest.mark.parametrize("number", STOP_SIGNALS)
--- a/tests/rehearsal/test_world.py
+++ b/tests/testkit/test_world.py
@@ -11,16 +11,16 @@
 
 import pytest
 
-from rehearsal.exchange import Exchanges, body_of, message
-from rehearsal.record import Began, Down, Ended, Fact, Got, Recorder, Told, Up, read_folder
-from rehearsal.scenario import Scenario, read_scenario
-from rehearsal.wire import Address, AskerSide, Outcome, Pool, get
-from rehearsal.world.addresses import Block, claim
-from rehearsal.world.discovery import DiscoveryService, Listed, Registry
-from rehearsal.world.machine import Keys
-from rehearsal.world.plan import Server
-from rehearsal.world.standin import StandIn
-from tests.peers import LIMIT_S, Peer, Seen, answer, run, until
+from orchidferry.testkit.exchange import Exchanges, body_of, message
+from orchidferry.testkit.record import Began, Down, Ended, Fact, Got, Recorder, Told, Up, read_folder
+from orchidferry.testkit.scenario import Scenario, read_scenario
+from orchidferry.testkit.wire import Address, AskerSide, Outcome, Pool, get
+from orchidferry.testkit.world.addresses import Block, claim
+from orchidferry.testkit.world.discovery import DiscoveryService, Listed, Registry
+from orchidferry.testkit.world.machine import Keys
+from orchidferry.testkit.world.plan import Server
+from orchidferry.testkit.world.standin import StandIn
+from tests.node.peers import LIMIT_S, Peer, Seen, answer, run, until
 
 SCENARIO = read_scenario({"name": "x"}, "x")
 SAFE, KEYED, UNSAFE = (replace(cls, work_s=0.01, spread=0.0) for cls in SCENARIO.classes)
@@ -62,9 +62,12 @@
 
 
 def play(
-    tmp_path: Path, work: Callable[[Stage], Coroutine[Any, Any, None]], scenario: Scenario = ALONE,
-    below: Address | None = None, cold: bool = False,
-) -> list[Fact]:  # fmt: skip
+    tmp_path: Path,
+    work: Callable[[Stage], Coroutine[Any, Any, None]],
+    scenario: Scenario = ALONE,
+    below: Address | None = None,
+    cold: bool = False,
+) -> list[Fact]:
     async def test() -> None:
         stage = Stage(tmp_path, scenario, below)
         await stage.up(cold)
@@ -234,7 +237,7 @@
 def test_a_registry_that_has_forgotten_a_version_gives_the_whole_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("rehearsal.world.discovery.MOST_CHANGES", 3)
+    monkeypatch.setattr("orchidferry.testkit.world.discovery.MOST_CHANGES", 3)
     registry = Registry()
     for n in range(6):
         registry.change(entry(f"s{n}"))
@@ -274,7 +277,7 @@
 def test_a_change_counts_as_told_after_a_while_whether_or_not_it_was_asked_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("rehearsal.world.discovery.DEEMED_S", 0.05)
+    monkeypatch.setattr("orchidferry.testkit.world.discovery.DEEMED_S", 0.05)
 
     async def test() -> None:
         recorder = Recorder(tmp_path / "d.facts", 0.0)
@@ -291,8 +294,9 @@
 
     run(test())
     assert [(f.status, f.deemed) for f in read_folder(tmp_path) if isinstance(f, Told)] == [
-        ("active", False), ("leaving", True),
-    ]  # fmt: skip
+        ("active", False),
+        ("leaving", True),
+    ]
 
 
 def test_runs_side_by_side_have_addresses_of_their_own() -> None:
