--- a/tests/traffic/test_classes.py
+++ b/tests/testkit/traffic/test_classes.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import example, given, settings, strategies
 
-from rehearsal.traffic.classes import (
+from orchidferry.testkit.traffic.classes import (
     MOST_SHAPES,
     BadClasses,
     Classes,
@@ -16,7 +16,7 @@
     read_classes,
     shape_of,
 )
-from rehearsal.traffic.entry import Entry
+from orchidferry.testkit.traffic.entry import Entry
 
 FILE = b"""
 [[class]]
@@ -44,11 +44,20 @@
 CLASSES = read_classes(FILE)
 
 
-@pytest.mark.parametrize("method, path, name", [
-    ("GET", "/feeds/7", "ler-feed"), ("HEAD", "/feeds/", "ler-feed"), ("POST", "/feeds/7", "rest"),
-    ("GET", "/feeds/7/x", "rest"), ("PUT", "/episodios/12", "salvar"), ("PUT", "/episodios/12/", "rest"),
-    ("PUT", "/v1/episodios/12", "rest"), ("GET", "/feeds/a\nb", "ler-feed"), ("OPTIONS", "*", None),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "method, path, name",
+    [
+        ("GET", "/feeds/7", "ler-feed"),
+        ("HEAD", "/feeds/", "ler-feed"),
+        ("POST", "/feeds/7", "rest"),
+        ("GET", "/feeds/7/x", "rest"),
+        ("PUT", "/episodios/12", "salvar"),
+        ("PUT", "/episodios/12/", "rest"),
+        ("PUT", "/v1/episodios/12", "rest"),
+        ("GET", "/feeds/a\nb", "ler-feed"),
+        ("OPTIONS", "*", None),
+    ],
+)
 def test_the_first_class_that_fits_is_a_requests(method: str, path: str, name: str | None) -> None:
     for _ in range(2):  # and it is remembered
         found = CLASSES.kind_of(method, path)
@@ -69,7 +78,10 @@
     assert CLASSES.wanted_fields() == {"sid", "x-client"}
     one, two, three = entry(sid="s", **{"x-client": "c"}), entry(sid="-", **{"x-client": "c"}), entry()
     assert [CLASSES.client_of(e) for e in (one, two, three)] == [
-        "cookie:sid=s", "header:x-client=c", "10.0.0.7\0curl"]  # fmt: skip
+        "cookie:sid=s",
+        "header:x-client=c",
+        "10.0.0.7\0curl",
+    ]
     nobody = Entry(1e9, None, "GET", "/", 200, 0, 0, agent="curl")
     assert Classes(CLASSES.kinds).client_of(nobody) == ""
 
@@ -77,36 +89,47 @@
 BASE = 'name = "a"\npath = "/a"\nrepeat = "safe"\n'
 
 
-@pytest.mark.parametrize("text, words", [
-    ("[[class]", "not TOML"), ("x = 1", "'x' is not known"), ("", r"\[\[class\]\]"),
-    ("class = 3", r"\[\[class\]\]"),
-    ("class = [3]", r"class\[0\]: must be a table"),
-    (f"[[class]]\n{BASE}colour = 1", r"class\[0\]: 'colour' is not known"),
-    (f"[[class]]\n{BASE}[[class]]\n{BASE}", "there twice"),
-    ("[[class]]\n" + BASE.replace('"a"', '"A b"'), "is no name"),
-    ("[[class]]\n" + BASE.replace("safe", "maybe"), "class 'a': repeat 'maybe' is none of"),
-    ("[[class]]\n" + BASE.replace('"/a"', '"re:["'), "class 'a': path 're:\\['.* is no regex"),
-    ("[[class]]\n" + BASE.replace('"/a"', "7"), "class 'a': path must have"),
-    (f"[[class]]\n{BASE}method = 7", "class 'a': method must be"),
-    (f'[[class]]\n{BASE}method = ["G T"]', "class 'a': method must be"),
-    (f"[[class]]\n{BASE}worth = -1", "class 'a': worth -1 is not within"),
-    (f"[[class]]\n{BASE}wanted_s = true", "class 'a': wanted_s True is not within"),
-    (f"[[class]]\n{BASE}wanted_s = 9.0\ngives_up_s = 3.0", "wanted_s is over gives_up_s"),
-    (f"[[class]]\n{BASE}[identity]\nby = 1", "identity: only 'from'"),
-    (f'[[class]]\n{BASE}[identity]\nfrom = ["cookie:"]', "identity.from: 'cookie:' is none of"),
-    (f"[[class]]\n{BASE}[identity]\nfrom = []", "identity.from: None"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ("[[class]", "not TOML"),
+        ("x = 1", "'x' is not known"),
+        ("", r"\[\[class\]\]"),
+        ("class = 3", r"\[\[class\]\]"),
+        ("class = [3]", r"class\[0\]: must be a table"),
+        (f"[[class]]\n{BASE}colour = 1", r"class\[0\]: 'colour' is not known"),
+        (f"[[class]]\n{BASE}[[class]]\n{BASE}", "there twice"),
+        ("[[class]]\n" + BASE.replace('"a"', '"A b"'), "is no name"),
+        ("[[class]]\n" + BASE.replace("safe", "maybe"), "class 'a': repeat 'maybe' is none of"),
+        ("[[class]]\n" + BASE.replace('"/a"', '"re:["'), "class 'a': path 're:\\['.* is no regex"),
+        ("[[class]]\n" + BASE.replace('"/a"', "7"), "class 'a': path must have"),
+        (f"[[class]]\n{BASE}method = 7", "class 'a': method must be"),
+        (f'[[class]]\n{BASE}method = ["G T"]', "class 'a': method must be"),
+        (f"[[class]]\n{BASE}worth = -1", "class 'a': worth -1 is not within"),
+        (f"[[class]]\n{BASE}wanted_s = true", "class 'a': wanted_s True is not within"),
+        (f"[[class]]\n{BASE}wanted_s = 9.0\ngives_up_s = 3.0", "wanted_s is over gives_up_s"),
+        (f"[[class]]\n{BASE}[identity]\nby = 1", "identity: only 'from'"),
+        (f'[[class]]\n{BASE}[identity]\nfrom = ["cookie:"]', "identity.from: 'cookie:' is none of"),
+        (f"[[class]]\n{BASE}[identity]\nfrom = []", "identity.from: None"),
+    ],
+)
 def test_a_file_that_cannot_be_names_class_and_field(text: str, words: str) -> None:
     with pytest.raises(BadClasses, match=words):
         read_classes(text.encode())
 
 
-@pytest.mark.parametrize("path, shape", [
-    ("/feeds/17", "/feeds/*"), ("/e/0b9e4c1a-77aa-4f0e-9d12-aaaaaaaaaaaa", "/e/*"),
-    ("/v1/feeds", "/v1/feeds"),
-    ("/a/deadbeefcafe/b", "/a/*/b"), ("/x/episodio-2026-10-11-final.mp3", "/x/*"), ("/", "/"),
-    ("/a" * 20, "/a" * 11 + "/**"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "path, shape",
+    [
+        ("/feeds/17", "/feeds/*"),
+        ("/e/0b9e4c1a-77aa-4f0e-9d12-aaaaaaaaaaaa", "/e/*"),
+        ("/v1/feeds", "/v1/feeds"),
+        ("/a/deadbeefcafe/b", "/a/*/b"),
+        ("/x/episodio-2026-10-11-final.mp3", "/x/*"),
+        ("/", "/"),
+        ("/a" * 20, "/a" * 11 + "/**"),
+    ],
+)
 def test_shapes_leave_out_what_is_of_one_object(path: str, shape: str) -> None:
     assert shape_of("GET", path) == f"GET {shape}"
 
--- a/tests/traffic/test_guard.py
+++ b/tests/testkit/traffic/test_guard.py
@@ -13,10 +13,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rehearsal.exchange import Ask, Exchanges, Stranger, message
-from rehearsal.record import Recorder
-from rehearsal.scenario import Scenario
-from rehearsal.traffic.guard import (
+from orchidferry.testkit.exchange import Ask, Exchanges, Stranger, message
+from orchidferry.testkit.record import Recorder
+from orchidferry.testkit.scenario import Scenario
+from orchidferry.testkit.traffic.guard import (
     PROOF_CLASS,
     BadTarget,
     Guard,
@@ -28,7 +28,7 @@
     read_guard,
     read_target,
 )
-from rehearsal.wire import Outcome, Request, ServerSide
+from orchidferry.testkit.wire import Outcome, Request, ServerSide
 
 KEY = new_key()
 HERE, THERE = read_target("http://127.0.0.1:9000"), read_target("http://10.1.2.3:9000")
@@ -210,7 +210,7 @@
         (lambda r: (503, proof(KEY, r.target.partition("nonce=")[2]), ""), "silent"),
         (lambda _: None, "silent"),
     ],
-)  # fmt: skip
+)
 def test_a_stranger_at_a_nodes_address_sees_no_unsafe_request(
     answer: Any, outcome: Any, tmp_path: Path
 ) -> None:
--- a/tests/traffic/test_importing.py
+++ b/tests/testkit/traffic/test_importing.py
@@ -13,12 +13,12 @@
 from backports import zstd
 from hypothesis import Phase, given, settings, strategies
 
-from rehearsal import cli
-from rehearsal.traffic import block_reader, export, generate, importing, row_columns, sorted_runs
-from rehearsal.traffic.classes import read_classes
-from rehearsal.traffic.command import summary
-from rehearsal.traffic.importing import Plan, Report, TooMany, import_files
-from rehearsal.traffic.recording import (
+from orchidferry.testkit import cli
+from orchidferry.testkit.traffic import block_reader, export, generate, importing, row_columns, sorted_runs
+from orchidferry.testkit.traffic.classes import read_classes
+from orchidferry.testkit.traffic.command import summary
+from orchidferry.testkit.traffic.importing import Plan, Report, TooMany, import_files
+from orchidferry.testkit.traffic.recording import (
     ABORTED,
     END,
     MOST,
@@ -31,8 +31,8 @@
     Rows,
     Writer,
 )
-from rehearsal.traffic.retries import Ties
-from rehearsal.traffic.sources import Block
+from orchidferry.testkit.traffic.retries import Ties
+from orchidferry.testkit.traffic.sources import Block
 
 CLASSES = read_classes(generate.CLASSES.encode())
 RATE, SECONDS = 15.0, 90.0
@@ -67,11 +67,15 @@
 @pytest.mark.parametrize("form", ["log", "har"])
 def test_a_recording_has_the_truths_mix_times_and_retries(form: str, tmp_path: Path) -> None:
     data = log() if form == "log" else b"".join(generate.har(iter(TRUTH)))
-    classes = CLASSES if form == "log" else read_classes(
-        generate.CLASSES.encode() + b'[identity]\nfrom = ["cookie:sid"]\n')  # fmt: skip
+    classes = (
+        CLASSES
+        if form == "log"
+        else read_classes(generate.CLASSES.encode() + b'[identity]\nfrom = ["cookie:sid"]\n')
+    )
     (tmp_path / "x").write_bytes(zstd.compress(data))
-    report = import_files(Plan((tmp_path / "x",), generate.FORM, classes, workers=2), tmp_path / "a.rec",
-                          tmp_path / "rejects")  # fmt: skip
+    report = import_files(
+        Plan((tmp_path / "x",), generate.FORM, classes, workers=2), tmp_path / "a.rec", tmp_path / "rejects"
+    )
     rows = np.concatenate(list(Reader(tmp_path / "a.rec").blocks()))
     assert len(rows) == len(TRUTH) == report.rows and not report.rejects
     assert report.mix == Counter(one.cls for one in TRUTH)
@@ -86,8 +90,9 @@
     chains, numbers = rows["chain"].tolist(), rows["number"].tolist()
     ours = Counter(
         (round(int(rows["t"][chain]) / 1e3), number)
-        for chain, number in zip(chains, numbers, strict=True) if number
-    )  # fmt: skip
+        for chain, number in zip(chains, numbers, strict=True)
+        if number
+    )
     assert sum(theirs.values()) > 50
     right = sum((ours & theirs).values())
     assert right >= 0.99 * sum(theirs.values()) and sum(ours.values()) <= 1.01 * sum(theirs.values()) + 1
@@ -154,15 +159,22 @@
     return found
 
 
-@pytest.mark.parametrize("made, numbers", [
-    ([(0, 1, 1, 1, 503), (2, 1, 1, 1, 503), (5, 1, 1, 1, 200), (7, 1, 1, 1, 200)], [0, 1, 2, 0]),
-    ([(0, 1, 1, 1, 200), (2, 1, 1, 1, 200)], [0, 0]),  # it went well: asked again by itself
-    ([(0, 1, 1, 1, 503), (2, 1, 2, 1, 200), (2, 1, 1, 2, 200)], [0, 0, 0]),  # another client, another object
-    ([(0, 1, 0, 1, 503), (2, 1, 0, 1, 200)], [0, 0]),  # clients that nothing tells apart
-    ([(0, 1, 1, 1, 503), (40, 1, 1, 1, 200)], [0, 0]),  # past the window
-    ([(0, 9, 1, 1, 0), (2, 1, 1, 1, 200), (9.5, 1, 1, 1, 200)], [0, 0, 0]),  # before the first had ended
-    ([(0, -1, 1, 1, 499), (2, 1, 1, 1, 200)], [0, 1]), ([(0, 1, 1, 1, 429), (2, 1, 1, 1, 404)], [0, 1]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "made, numbers",
+    [
+        ([(0, 1, 1, 1, 503), (2, 1, 1, 1, 503), (5, 1, 1, 1, 200), (7, 1, 1, 1, 200)], [0, 1, 2, 0]),
+        ([(0, 1, 1, 1, 200), (2, 1, 1, 1, 200)], [0, 0]),  # it went well: asked again by itself
+        (
+            [(0, 1, 1, 1, 503), (2, 1, 2, 1, 200), (2, 1, 1, 2, 200)],
+            [0, 0, 0],
+        ),  # another client, another object
+        ([(0, 1, 0, 1, 503), (2, 1, 0, 1, 200)], [0, 0]),  # clients that nothing tells apart
+        ([(0, 1, 1, 1, 503), (40, 1, 1, 1, 200)], [0, 0]),  # past the window
+        ([(0, 9, 1, 1, 0), (2, 1, 1, 1, 200), (9.5, 1, 1, 1, 200)], [0, 0, 0]),  # before the first had ended
+        ([(0, -1, 1, 1, 499), (2, 1, 1, 1, 200)], [0, 1]),
+        ([(0, 1, 1, 1, 429), (2, 1, 1, 1, 404)], [0, 1]),
+    ],
+)
 def test_ties_follow_the_rule_also_over_the_edges_of_blocks(made: Any, numbers: list[int]) -> None:
     rows = rows_of(*made)
     for cut in range(len(rows) + 1):
@@ -199,16 +211,25 @@
     path = tmp_path_factory.mktemp("rec") / "a.rec"
     rows = np.zeros(len(made), ROW)
     rows["t"], rows["client"], rows["status"] = (
-        np.array(sorted(one[0] for one in made), np.uint64), np.array([one[1] for one in made], np.uint64),
-        [one[2] for one in made])  # fmt: skip
+        np.array(sorted(one[0] for one in made), np.uint64),
+        np.array([one[1] for one in made], np.uint64),
+        [one[2] for one in made],
+    )
     data = write(path, rows)
     back = list(Reader(path).blocks())
     assert (np.concatenate(back) if back else np.zeros(0, ROW)).tobytes() == rows.tobytes()
     plain = zstd.decompress(data)
     at = plain.index(b"\n", plain.index(b"\n") + 1) + 1
-    spoilt = [data[:-9], data[: len(data) // 2], zstd.compress(plain[:-40]), b"", b"x" * 99, plain,
-              zstd.compress(plain.replace(b"recording 1", b"recording 2")),
-              zstd.compress(plain[:at] + bytes([plain[at] ^ 1]) + plain[at + 1 :])]  # fmt: skip
+    spoilt = [
+        data[:-9],
+        data[: len(data) // 2],
+        zstd.compress(plain[:-40]),
+        b"",
+        b"x" * 99,
+        plain,
+        zstd.compress(plain.replace(b"recording 1", b"recording 2")),
+        zstd.compress(plain[:at] + bytes([plain[at] ^ 1]) + plain[at + 1 :]),
+    ]
     for bad in spoilt:
         path.write_bytes(bad)
         with pytest.raises(BadRecording, match=r"a\.rec"):
@@ -264,11 +285,13 @@
         ((*usual, "--zone", "Nowhere"), "is no time zone"),
         ((*usual, "--shift", "x=1"), "is none of the files"),
         ((*usual, "--shift", "x"), "is not FILE=SECONDS"),
-        ((*usual, "--rejects-share", "2"), "not within"), ((*usual, "--window", "0"), "not within"),
+        ((*usual, "--rejects-share", "2"), "not within"),
+        ((*usual, "--window", "0"), "not within"),
         ((*usual[:2], "--to", rec, "--format", "%t"), "lacks request"),
-        (("import", folder + "/none", "--to", rec), "No such file"), (("show", bad), "is no recording"),
+        (("import", folder + "/none", "--to", rec), "No such file"),
+        (("show", bad), "is no recording"),
         (("generate", folder, "--rate", "0"), "--rate must be"),
-    ):  # fmt: skip
+    ):
         code, _, err = call(monkeypatch, capsys, *args)
         assert code == 2 and words in err and err.count("\n") == 1, (args, err)
     code, _, err = call(monkeypatch, capsys, *usual[:2], "--to", rec, "--classes", folder + "/classes.toml")
@@ -294,13 +317,18 @@
 
 EXPORTED = strategies.lists(
     strategies.tuples(
-        strategies.integers(0, 10**10), strategies.sampled_from([0, 1, 2, 2**64 - 1]),
-        strategies.sampled_from([1, 2, 2**63]), strategies.sampled_from([0, 1, 200_000, NO_TIME]),
-        strategies.sampled_from([0, 200, 429, 499, 503]), strategies.integers(0, 1),
-        strategies.sampled_from([0, ABORTED, SPREAD, ABORTED | SPREAD]), strategies.integers(0, MOST),
+        strategies.integers(0, 10**10),
+        strategies.sampled_from([0, 1, 2, 2**64 - 1]),
+        strategies.sampled_from([1, 2, 2**63]),
+        strategies.sampled_from([0, 1, 200_000, NO_TIME]),
+        strategies.sampled_from([0, 200, 429, 499, 503]),
+        strategies.integers(0, 1),
+        strategies.sampled_from([0, ABORTED, SPREAD, ABORTED | SPREAD]),
+        strategies.integers(0, MOST),
     ),
-    min_size=1, max_size=30,
-)  # fmt: skip
+    min_size=1,
+    max_size=30,
+)
 
 
 @settings(max_examples=25, deadline=None, phases=[Phase.explicit, Phase.generate])  # each starts a process
--- a/tests/traffic/test_readers.py
+++ b/tests/testkit/traffic/test_readers.py
@@ -13,14 +13,16 @@
 from backports import zstd
 from hypothesis import given, settings, strategies
 
-from rehearsal.traffic.entry import Entry, Reject
-from rehearsal.traffic.formats import BadFormat, compile_format
-from rehearsal.traffic.har import entry_of, read_har
-from rehearsal.traffic.sources import LINE_MOST, BadSource, Source
+from orchidferry.testkit.traffic.entry import Entry, Reject
+from orchidferry.testkit.traffic.formats import BadFormat, compile_format
+from orchidferry.testkit.traffic.har import entry_of, read_har
+from orchidferry.testkit.traffic.sources import LINE_MOST, BadSource, Source
 
 T0 = 1_791_633_336.0  # 2026-10-10 11:55:36 UTC
-NGINX = ('$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" '
-         '"$http_user_agent" $request_time $http_x_client')  # fmt: skip
+NGINX = (
+    '$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" '
+    '"$http_user_agent" $request_time $http_x_client'
+)
 JSON = "json:start=ts,method=req.method,target=req.uri,status=st,took=ms:ms,address=ip,x-client=who"
 CLF = '10.0.0.7 - ana [10/Oct/2026:08:55:36 -0300] "GET /feeds/7?x=1 HTTP/1.1" 200 512'
 COMBINED = CLF + ' "-" "curl/8 \\"beta\\""'
@@ -35,23 +37,52 @@
     ("combined", COMBINED, {"agent": 'curl/8 "beta"'}),
     ("combined", COMBINED.replace('\\"', '"'), {"agent": 'curl/8 "beta"'}),  # a server that escapes nothing
     ("combined", COMBINED.replace("10.0.0.7", "2001:db8::7"), {"address": "2001:db8::7"}),
-    ('%h %t "%r" %>s %b %D %{X-Client}i', CLF.replace(" - ana", "") + " 1500000 c9",
-     {"took_s": 1.5, "fields": {"x-client": "c9"}}),
-    ('%{usec}t %m %U%q %s %B %{ms}T %v', "1791633336000000 GET /feeds/7?x=1 200 512 1500 front",
-     {"took_s": 1.5, "host": "front", "step_s": 0.0}),
-    (NGINX, CLF.replace(":36 ", ":37 ") + ' "-" "curl" 1.000 c9',
-     {"took_s": 1.0, "fields": {"x-client": "c9"}}),
-    ("$msec|$request_method|$request_uri|$status|$body_bytes_sent|$request_time",
-     "1791633337.500|GET|/feeds/7?x=1|200|512|1.500", {"took_s": 1.5, "step_s": 0.0}),
-    (JSON, json.dumps({"ts": "2026-10-10T08:55:36-03:00", "req": {"method": "get", "uri": "/feeds/7?x=1"},
-                       "st": 200, "ms": 1500, "ip": "10.0.0.7:99", "who": "c9"}),
-     {"took_s": 1.5, "address": "10.0.0.7", "fields": {"x-client": "c9"}}),
-    (JSON, json.dumps({"ts": T0 * 1e3, "req.method": "GET", "req.uri": "http://a.b/feeds/7?x=1#f",
-                       "st": "200"}), {"took_s": None, "step_s": 0.0}),
-    ("tab:end=1,took=2:ms,method=3,target=4,status=5", f"{T0 + 1.5}\t1500\tGET\t/feeds/7?x=1\t200",
-     {"took_s": 1.5}),
+    (
+        '%h %t "%r" %>s %b %D %{X-Client}i',
+        CLF.replace(" - ana", "") + " 1500000 c9",
+        {"took_s": 1.5, "fields": {"x-client": "c9"}},
+    ),
+    (
+        "%{usec}t %m %U%q %s %B %{ms}T %v",
+        "1791633336000000 GET /feeds/7?x=1 200 512 1500 front",
+        {"took_s": 1.5, "host": "front", "step_s": 0.0},
+    ),
+    (
+        NGINX,
+        CLF.replace(":36 ", ":37 ") + ' "-" "curl" 1.000 c9',
+        {"took_s": 1.0, "fields": {"x-client": "c9"}},
+    ),
+    (
+        "$msec|$request_method|$request_uri|$status|$body_bytes_sent|$request_time",
+        "1791633337.500|GET|/feeds/7?x=1|200|512|1.500",
+        {"took_s": 1.5, "step_s": 0.0},
+    ),
+    (
+        JSON,
+        json.dumps(
+            {
+                "ts": "2026-10-10T08:55:36-03:00",
+                "req": {"method": "get", "uri": "/feeds/7?x=1"},
+                "st": 200,
+                "ms": 1500,
+                "ip": "10.0.0.7:99",
+                "who": "c9",
+            }
+        ),
+        {"took_s": 1.5, "address": "10.0.0.7", "fields": {"x-client": "c9"}},
+    ),
+    (
+        JSON,
+        json.dumps({"ts": T0 * 1e3, "req.method": "GET", "req.uri": "http://a.b/feeds/7?x=1#f", "st": "200"}),
+        {"took_s": None, "step_s": 0.0},
+    ),
+    (
+        "tab:end=1,took=2:ms,method=3,target=4,status=5",
+        f"{T0 + 1.5}\t1500\tGET\t/feeds/7?x=1\t200",
+        {"took_s": 1.5},
+    ),
     ("alb", ALB_LINE, {"took_s": 1.5, "address": "2001:db8::1", "agent": 'curl/8 "beta"', "received": 34}),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("form, line, fields", READ)
@@ -63,7 +94,8 @@
 
 
 REJECTED: list[tuple[str, str, str]] = [
-    ("common", "", "not in this format"), ("common", CLF[:50], "not in this format"),
+    ("common", "", "not in this format"),
+    ("common", CLF[:50], "not in this format"),
     ("common", CLF.replace("/Oct/", "/Okt/"), "a time that can't be read"),
     ("common", CLF.replace("08:55", "28:55"), "a time that can't be read"),
     ("common", CLF.replace("/2026:", "/1926:"), "a time out of range"),
@@ -74,19 +106,26 @@
     ("common", CLF.replace(" 200 ", " 99 "), "a status out of range"),
     ("common", CLF.replace(" 200 ", " 2x0 "), "a number that can't be read"),
     # A path that tries to be two fields: with an answer of its own, and with a whole line of its own.
-    ("combined", COMBINED.replace("/feeds/7", '/a HTTP/1.1" 200 9 "-" "x'),
-     "quotes that can be read in two ways"),
+    (
+        "combined",
+        COMBINED.replace("/feeds/7", '/a HTTP/1.1" 200 9 "-" "x'),
+        "quotes that can be read in two ways",
+    ),
     ("common", CLF + " extra", "a number that can't be read"),
     ("combined", CLF + ' "-" ' + '" "' * 20_000, "quotes that can be read in two ways"),
-    (JSON, "{", "not JSON"), (JSON, "[1]", "JSON that is no object"), (JSON, '{"ts": true}', "no time"),
-    (JSON, '{"ts": 1e999}', "a time out of range"), (JSON, '{"ts": "x"}', "a time that can't be read"),
-    (JSON, '{"ts": 1791633336, "req": 7}', "a target that is no path"), (JSON, "[" * 100_000, "not JSON"),
+    (JSON, "{", "not JSON"),
+    (JSON, "[1]", "JSON that is no object"),
+    (JSON, '{"ts": true}', "no time"),
+    (JSON, '{"ts": 1e999}', "a time out of range"),
+    (JSON, '{"ts": "x"}', "a time that can't be read"),
+    (JSON, '{"ts": 1791633336, "req": 7}', "a target that is no path"),
+    (JSON, "[" * 100_000, "not JSON"),
     ("tab:start=1,target=3", "1791633336\tx", "too few columns"),
     ("json:start=a,request=b", '{"a": 1791633336, "b": 7}', "a request line that can't be read"),
     ("tab:start=1,target=2,took=3", "1791633336\t/a\t1e9", "a duration out of range"),
     ("tab:start=1,target=2,sent=3", "1791633336\t/a\t1e30", "a size out of range"),
     ("tab:start=1,target=2,sent=3", "1791633336\t/a\tnan", "a number that can't be read"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("form, line, reason", REJECTED)
@@ -96,15 +135,23 @@
     assert str(problem.value) == reason
 
 
-@pytest.mark.parametrize("form, words", [
-    ("", "names no field"), ("plain words", "names no field"),
-    ("%h %b", "lacks end or start"), ("%t", "lacks request"),
-    ("%{%Y}t %r", "only sec, msec and usec"), ("%t %r" + "%h " * 70, "fields, 64 at most"),
-    ("x" * 5000, "characters"),
-    ("json:", "is not KEY=FIELD"), ("json:start=a", "lacks request"),
-    ("json:start=a:ms,target=b", "only took"),
-    ("tab:start=a,target=2", "columns are numbers"), ("tab:start=0,target=2", "columns are numbers"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "form, words",
+    [
+        ("", "names no field"),
+        ("plain words", "names no field"),
+        ("%h %b", "lacks end or start"),
+        ("%t", "lacks request"),
+        ("%{%Y}t %r", "only sec, msec and usec"),
+        ("%t %r" + "%h " * 70, "fields, 64 at most"),
+        ("x" * 5000, "characters"),
+        ("json:", "is not KEY=FIELD"),
+        ("json:start=a", "lacks request"),
+        ("json:start=a:ms,target=b", "only took"),
+        ("tab:start=a,target=2", "columns are numbers"),
+        ("tab:start=0,target=2", "columns are numbers"),
+    ],
+)
 def test_a_form_that_cannot_be_names_its_part(form: str, words: str) -> None:
     with pytest.raises(BadFormat, match=words):
         compile_format(form)
@@ -128,10 +175,13 @@
 PARSERS = [compile_format(form) for form in FORMS]
 LINES = strategies.one_of(
     strategies.binary(max_size=300),
-    strategies.tuples(strategies.sampled_from([line for _, line, _ in READ]), strategies.integers(0, 200),
-                      strategies.integers(0, 30), strategies.binary(max_size=20)).map(
-        lambda t: t[0].encode()[: t[1]] + t[3] + t[0].encode()[t[1] + t[2] :]),
-)  # fmt: skip
+    strategies.tuples(
+        strategies.sampled_from([line for _, line, _ in READ]),
+        strategies.integers(0, 200),
+        strategies.integers(0, 30),
+        strategies.binary(max_size=20),
+    ).map(lambda t: t[0].encode()[: t[1]] + t[3] + t[0].encode()[t[1] + t[2] :]),
+)
 
 
 @settings(max_examples=300, deadline=None)
@@ -151,12 +201,18 @@
 
 def har_entry(**changes: Any) -> dict[str, Any]:
     made: dict[str, Any] = {
-        "startedDateTime": "2026-10-10T08:55:36.000-03:00", "time": 1500.0, "_resourceType": "fetch",
-        "request": {"method": "GET", "url": "https://u:p@front.example:8443/feeds/7?x=1#top", "bodySize": 0,
-                    "headers": [{"name": "User-Agent", "value": "Firefox"}, {"name": "X", "value": "9"}, 7],
-                    "cookies": [{"name": "sid", "value": "s1"}]},
+        "startedDateTime": "2026-10-10T08:55:36.000-03:00",
+        "time": 1500.0,
+        "_resourceType": "fetch",
+        "request": {
+            "method": "GET",
+            "url": "https://u:p@front.example:8443/feeds/7?x=1#top",
+            "bodySize": 0,
+            "headers": [{"name": "User-Agent", "value": "Firefox"}, {"name": "X", "value": "9"}, 7],
+            "cookies": [{"name": "sid", "value": "s1"}],
+        },
         "response": {"status": 200, "bodySize": -1, "content": {"size": 512}},
-    }  # fmt: skip
+    }
     for name, value in changes.items():
         part, _, key = name.partition("__")
         (made if not key else made[part])[key or part] = value
@@ -172,15 +228,20 @@
     assert aborted.aborted and aborted.took_s is None and aborted.status == 0
 
 
-@pytest.mark.parametrize("changes, reason", [
-    ({"request": 3}, "an entry without a request"), ({"request__url": None}, "an entry without a URL"),
-    ({"request__url": "data:text/plain,x"}, "a URL that is not of HTTP"),
-    ({"_webSocketMessages": []}, "a WebSocket, which is no request and answer"),
-    ({"response__status": 101}, "a WebSocket, which is no request and answer"),
-    ({"startedDateTime": "2026-10-10T08:55:36"}, "a time that can't be read"),
-    ({"startedDateTime": 7}, "a time that can't be read"), ({"request__method": ""}, "no method"),
-    ({"time": 1e12}, "a duration out of range"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "changes, reason",
+    [
+        ({"request": 3}, "an entry without a request"),
+        ({"request__url": None}, "an entry without a URL"),
+        ({"request__url": "data:text/plain,x"}, "a URL that is not of HTTP"),
+        ({"_webSocketMessages": []}, "a WebSocket, which is no request and answer"),
+        ({"response__status": 101}, "a WebSocket, which is no request and answer"),
+        ({"startedDateTime": "2026-10-10T08:55:36"}, "a time that can't be read"),
+        ({"startedDateTime": 7}, "a time that can't be read"),
+        ({"request__method": ""}, "no method"),
+        ({"time": 1e12}, "a duration out of range"),
+    ],
+)
 def test_a_har_entry_that_is_no_request_is_told(changes: dict[str, Any], reason: str) -> None:
     with pytest.raises(Reject) as problem:
         entry_of(har_entry(**changes))
--- a/tests/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -14,19 +14,19 @@
 import numpy as np
 import pytest
 
-from rehearsal.bench.replay import RUN
-from rehearsal.cli import main
-from rehearsal.judge.verdict import judge
-from rehearsal.record import Wanted
-from rehearsal.report.page import page as replay_page
-from rehearsal.scenario import BadScenario, Scenario, read_scenario, read_traffic
-from rehearsal.traffic.classes import read_classes
-from rehearsal.traffic.generate import CLASSES
-from rehearsal.traffic.guard import MARK, read_guard
-from rehearsal.traffic.recording import ROW, Header, Rows, Writer
-from rehearsal.traffic.replay import in_sample, measure, paths_of, replayed, resolve
-from tests.rehearsal.test_run import LIMITS, PLAYS_MOST, TIERS, play
-from tests.traffic.test_guard import Peer
+from orchidferry.testkit.bench.replay import RUN
+from orchidferry.testkit.cli import main
+from orchidferry.testkit.judge.verdict import judge
+from orchidferry.testkit.record import Wanted
+from orchidferry.testkit.report.page import page as replay_page
+from orchidferry.testkit.scenario import BadScenario, Scenario, read_scenario, read_traffic
+from orchidferry.testkit.traffic.classes import read_classes
+from orchidferry.testkit.traffic.generate import CLASSES
+from orchidferry.testkit.traffic.guard import MARK, read_guard
+from orchidferry.testkit.traffic.recording import ROW, Header, Rows, Writer
+from orchidferry.testkit.traffic.replay import in_sample, measure, paths_of, replayed, resolve
+from tests.testkit.test_run import LIMITS, PLAYS_MOST, TIERS, play
+from tests.testkit.traffic.test_guard import Peer
 
 KINDS: list[dict[str, Any]] = [
     {"name": "ler-feed", "repeat": "safe", "worth": 1.0, "wanted_s": 1.0, "gives_up_s": 2.0},
