--- a/orchidferry/balancing/admission.py
+++ b/orchidferry/balancing/admission.py
@@ -36,8 +36,13 @@
         judgement: Judgement,
         out: Outstanding,
     ) -> None:
-        self._settings, self._spares, self._rng, self._fleet = settings, spares, rng, fleet
-        self._controller, self._judgement, self._out = controller, judgement, out
+        self._settings = settings
+        self._spares = spares
+        self._rng = rng
+        self._fleet = fleet
+        self._controller = controller
+        self._judgement = judgement
+        self._out = out
         self.record = ClassRecord(settings.classes, PEER_SAMPLES)
         self._names = [cls.name for cls in settings.classes]
         self._held: dict[tuple[str, bool, float], deque[Call]] = {}  # first sends that wait for the window
@@ -53,7 +58,8 @@
 
     def _set_quotas(self) -> None:
         settings = self._settings
-        had, self.quotas = self.quotas, {}
+        had = self.quotas
+        self.quotas = {}
         for t in settings.tenants:
             if t.quota_per_s:
                 bucket = had[t.name][1] if t.name in had else Bucket(math.inf, 0.0)
@@ -82,7 +88,8 @@
 
     def crowded(self, call: Call, now: float) -> bool:
         """Whether the clients' tier has as many calls outstanding as the delay target bears."""
-        out, room = self._out, self._controller.window(self._fleet.slice, now)
+        out = self._out
+        room = self._controller.window(self._fleet.slice, now)
         if self._spares or out.inflight < (1.0 - RESERVE) * room:
             return False  # deeper, a refusal wastes work done above
         # sulcast-porto-alegre silent+leave+brisk 12: of a window of 8 two stood on connections that had died.
--- a/orchidferry/balancing/averages.py
+++ b/orchidferry/balancing/averages.py
@@ -17,7 +17,8 @@
     __slots__ = ("_seen_ms", "_window_ms", "events", "span_s")
 
     def __init__(self, window_ms: float) -> None:
-        self._window_ms, self._seen_ms = window_ms, -math.inf
+        self._window_ms = window_ms
+        self._seen_ms = -math.inf
         self.events = self.span_s = 0.0
 
     def count(self, events: float, now: float) -> None:
@@ -69,12 +70,14 @@
         worth = {cls.name: cls.worth for cls in classes}
         for name in worth.keys() - self.worth.keys():
             self.mix[name] = 1.0 / len(worth)
-            self.in_time[name], self.delay_ms[name] = 1.0, 0.0
+            self.in_time[name] = 1.0
+            self.delay_ms[name] = 0.0
         self.worth |= worth
         self._asked_for = list(worth)
 
     def asked(self, name: str) -> None:
-        kept, mix = 1.0 - 1.0 / self._samples, self.mix
+        kept = 1.0 - 1.0 / self._samples
+        mix = self.mix
         for other in mix:
             mix[other] *= kept
         mix[name] += 1.0 / self._samples
--- a/orchidferry/balancing/bucket.py
+++ b/orchidferry/balancing/bucket.py
@@ -9,7 +9,8 @@
     __slots__ = ("_since_ms", "tokens")
 
     def __init__(self, tokens: float, now: float) -> None:
-        self.tokens, self._since_ms = tokens, now
+        self.tokens = tokens
+        self._since_ms = now
 
     def refill(self, per_ms: float, most: float, now: float) -> float:
         """Add what has come in since last time; the tokens there are."""
--- a/orchidferry/balancing/calls.py
+++ b/orchidferry/balancing/calls.py
@@ -16,11 +16,19 @@
     """A request that is owed an answer."""
 
     def __init__(self, event: api.Request, cls: api.RequestClass, now: float) -> None:
-        self.id, self.cls, self.over_share = event.id, cls, False
-        self.arrived_ms, self.ends_ms = now, now + event.ttl_ms
-        self.attempts, self.out, self.sent_ms = 0, False, now  # whether one is out, and since when,
+        self.id = event.id
+        self.cls = cls
+        self.over_share = False
+        self.arrived_ms = now
+        self.ends_ms = now + event.ttl_ms
+        # whether one is out, and since when,
+        self.attempts = 0
+        self.out = False
+        self.sent_ms = now
         self.idle_ms = 0.0  # on a connection that had idled for so long
-        self.held, self.token = False, 0  # waits for room; the timer it waits for
+        # waits for room; the timer it waits for
+        self.held = False
+        self.token = 0
         self.last: Server | None = None
         self.ran_ms: float | None = None  # when the first attempt that may have run was sent
         self.pin: str | int | None = None  # and the group that it went to
@@ -81,8 +89,10 @@
                     fresh.popleft()
                 self.look_ms = now
                 continue
-            usual, stale = self._judgement.usual_ms(name) + NOISE_MS, self._stale[name]
-            slow, lost = SLOW_FROM * OVERDUE * usual, LOST * usual
+            usual = self._judgement.usual_ms(name) + NOISE_MS
+            stale = self._stale[name]
+            slow = SLOW_FROM * OVERDUE * usual
+            lost = LOST * usual
             while fresh and now - fresh[0][0] > slow:
                 sent = fresh.popleft()
                 if not self._over(sent):
--- a/orchidferry/balancing/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -88,7 +88,8 @@
     """
 
     def __init__(self, share: float, floor_per_s: float, nodes: int) -> None:
-        self._share, self._per_ms = share, floor_per_s / nodes / 1000.0
+        self._share = share
+        self._per_ms = floor_per_s / nodes / 1000.0
         self._earned = 0.0  # by first tries lately, which bounds what may be saved up
         self._seen_ms = 0.0
         self._bucket = Bucket(1.0, 0.0)
@@ -127,7 +128,9 @@
 
     def __init__(self) -> None:
         self._net = 0  # bad outcomes beyond good ones
-        self._went_ms, self._next_ms, self._pace_ms = 0.0, 0.0, PROBE_MS[0]
+        self._went_ms = 0.0
+        self._next_ms = 0.0
+        self._pace_ms = PROBE_MS[0]
         self._good_ms = self._open_ms = self._took_ms = 0.0  # last served, opened; how long served ones took
         self._usual = 0.0  # calls out when one was served, while it was open, averaged
         self.out = 0  # calls out now
@@ -152,11 +155,14 @@
             self._shut(now)
 
     def _shut(self, now: float) -> None:
-        self.limit, self._net, self._next_ms = PROBES, 0, now + self._pace_ms
+        self.limit = PROBES
+        self._net = 0
+        self._next_ms = now + self._pace_ms
 
     def back(self, bad: bool, counts: bool, took_ms: float, now: float) -> None:
         """One is over; `counts`: it says whether the tier below keeps up."""
-        out, self.out = self.out, max(0, self.out - 1)
+        out = self.out
+        self.out = max(0, self.out - 1)
         if not counts:
             return
         if not bad:
@@ -170,12 +176,16 @@
                 self._shut(now)
         elif bad:
             # Where calls are turned away at once, one after the other would be many.
-            self.limit, self._next_ms = PROBES, now + self._pace_ms
+            self.limit = PROBES
+            self._next_ms = now + self._pace_ms
             self._pace_ms = min(2.0 * self._pace_ms, PROBE_MS[1])
         else:
-            self.limit, self._next_ms, self._pace_ms = 2.0 * self.limit, now, PROBE_MS[0]
+            self.limit = 2.0 * self.limit
+            self._next_ms = now
+            self._pace_ms = PROBE_MS[0]
             if self.limit > max(self._usual, PROBES + 1.0):
-                self.limit, self._open_ms = math.inf, now
+                self.limit = math.inf
+                self._open_ms = now
 
 
 @dataclass(slots=True)
--- a/orchidferry/balancing/cold.py
+++ b/orchidferry/balancing/cold.py
@@ -15,7 +15,9 @@
     """The settings on cold servers, applied to what is measured."""
 
     def __init__(self, settings: api.Settings, fleet: Fleet, controller: DelayController) -> None:
-        self.settings, self._fleet, self._controller = settings, fleet, controller
+        self.settings = settings
+        self._fleet = fleet
+        self._controller = controller
 
     def warmth(self, server: Server, now: float) -> float:
         """The share of its capacity that a server surely has by now."""
@@ -27,7 +29,8 @@
 
     def tokens(self, server: Server, warmth: float, now: float) -> float:
         """This copy's part of a cold server's budget, in attempts; its capacity is guessed from its peers."""
-        part, all_s = server.part, self._controller.answers.per_s()
+        part = server.part
+        all_s = self._controller.answers.per_s()
         bearable = all_s * part / max(self._fleet.weight, part) / 1000.0
         per_ms = COLD_SHARE * self.settings.overload_factor * warmth * bearable
         return server.budget.refill(per_ms, max(1.0, per_ms * self.settings.overload_for_ms), now)
--- a/orchidferry/balancing/delay.py
+++ b/orchidferry/balancing/delay.py
@@ -16,7 +16,9 @@
 PHASE_MARGIN = math.radians(45.0)  # phi_m
 RETUNE_BAND = (0.5, 1.5)  # gains are retuned when the answer rate leaves this band around its tuned value
 WINDOW_MS = 5_000.0  # time constant of the measured rates and delay
-SAMPLES, FEW_SAMPLES = 20.0, 4.0  # answers measured; fewer show their error in part, as one may be chance
+# answers measured; fewer show their error in part, as one may be chance
+SAMPLES = 20.0
+FEW_SAMPLES = 4.0
 START = 4.0  # calls a server, at first
 
 
@@ -37,7 +39,8 @@
         """Take a delay sample and set r = KP e + KI * integral of e, clamped with its integral."""
         # Its own clock: the window reads the rate too, and the integral once ran on what time was left.
         faded = math.exp(min(0.0, self._last_ms - now) / WINDOW_MS)
-        passed_s, self._last_ms = max(0.0, min(now - self._last_ms, WINDOW_MS)) / 1000.0, now
+        passed_s = max(0.0, min(now - self._last_ms, WINDOW_MS)) / 1000.0
+        self._last_ms = now
         self.answers.count(served, now)
         self.failures.count(0.0, now)  # so that its clock runs too
         # Old samples fade with time too: a copy that sheds gets few new ones, and went on shedding for these.
@@ -51,7 +54,8 @@
             self.integral = self.integral * rate / self.tuned_rate if self.tuned_rate else rate
             self.tuned_rate = rate
         error_s = self._excess_s / max(self._samples, FEW_SAMPLES)  # tau0 - tau2
-        kp, ki = self.tuned_rate * self._kp, self.tuned_rate * self._ki
+        kp = self.tuned_rate * self._kp
+        ki = self.tuned_rate * self._ki
         self.integral = min(max(self.integral + ki * error_s * passed_s, 0.0), self.tuned_rate)
         self.allowed_rate = min(max(kp * error_s + self.integral, 0.0), self.tuned_rate)
         # Equation 49: while the delay stays over the target, the same loop takes from first sends too.
--- a/orchidferry/balancing/fleet/fresh.py
+++ b/orchidferry/balancing/fleet/fresh.py
@@ -11,7 +11,8 @@
     __slots__ = ("_mask", "_top")
 
     def __init__(self) -> None:
-        self._top, self._mask = 0, 0
+        self._top = 0
+        self._mask = 0
 
     def take(self, serial: int) -> bool:
         """Whether this one is new; it is not from now on. One from before the window is taken for a copy."""
@@ -33,8 +34,10 @@
     __slots__ = ("_at_ms", "_left", "_most", "_per_ms")
 
     def __init__(self, per_s: float, most: float) -> None:
-        self._per_ms, self._most = per_s / 1000.0, most
-        self._left, self._at_ms = most, 0.0
+        self._per_ms = per_s / 1000.0
+        self._most = most
+        self._left = most
+        self._at_ms = 0.0
 
     def take(self, now_ms: float) -> bool:
         """Whether there is one left; it is used up then."""
--- a/orchidferry/balancing/fleet/members.py
+++ b/orchidferry/balancing/fleet/members.py
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-NAME_MOST, ZONE_MOST, VERSION_MOST, HOST_MOST, MORE_MOST = (
-    64,
-    32,
-    64,
-    45,
-    128,
-)  # characters; bytes of the rest
+# characters; bytes of the rest
+NAME_MOST = 64
+ZONE_MOST = 32
+VERSION_MOST = 64
+HOST_MOST = 45
+MORE_MOST = 128
 # A node raises its incarnation when it refutes, when its phase changes and when it starts: a jump is a lie,
 # and the most leaves room for one each second of a century.
-INCARNATION_MOST, JUMP_MOST = 2**32, 2**16
+INCARNATION_MOST = 2**32
+JUMP_MOST = 2**16
 LIFE_MOST = 2**64 - 1
 
 
--- a/orchidferry/balancing/fleet/rumours.py
+++ b/orchidferry/balancing/fleet/rumours.py
@@ -42,7 +42,8 @@
 
     def take(self, room: int, nodes: int, leave_out: str = "") -> list[Entry]:
         """What to tell in so many bytes; each counts as told once more. Nobody is told of itself."""
-        most, found = times(nodes), []
+        most = times(nodes)
+        found = []
         picked = heapq.nsmallest(
             1 + room // 64,
             (told for told in self._told.values() if told[2].name != leave_out),
--- a/orchidferry/balancing/fleet/swim.py
+++ b/orchidferry/balancing/fleet/swim.py
@@ -34,12 +34,21 @@
 ROOM = 1_100  # bytes of news in a datagram: with all else under the 1,400 that any network carries whole
 HEAD = 90  # of a message beside its entries, at most
 SIZE_FROM = 32  # nodes, from which exchanges of whole views become rarer
-JOIN_MS, JOIN_AT_ONCE = 300.0, 3  # until somebody answers, so many seeds are asked so often
+# until somebody answers, so many seeds are asked so often
+JOIN_MS = 300.0
+JOIN_AT_ONCE = 3
 NACK_SHARE = 0.8  # of the time-out, after which a node that probes for another says it has no answer either
 RELAYS_MOST = 256  # probes for others that are under way
-UNPROVEN_MOST, PROVE_AT_ONCE, PROVE_TRIES, PROVERS = 512, 4, 3, 8
-RIVAL_TRIES, RIVAL_MS = 3, 5_000.0  # looks at another process of this name; between looks at one that lives
-LEAVE_TO, LEAVE_TIMES, LEAVE_MS = 8, 3, 60.0
+UNPROVEN_MOST = 512
+PROVE_AT_ONCE = 4
+PROVE_TRIES = 3
+PROVERS = 8
+# looks at another process of this name; between looks at one that lives
+RIVAL_TRIES = 3
+RIVAL_MS = 5_000.0
+LEAVE_TO = 8
+LEAVE_TIMES = 3
+LEAVE_MS = 60.0
 SAY_EVERY_S = 60.0
 ROUNDING_MS = 0.01  # what a caller's clock loses in other units: a tick that came in time is not too early
 LASTING_MOST = 64  # peers that are kept over a restart
@@ -108,7 +117,8 @@
         self._lines = {kind: Credit(1.0 / SAY_EVERY_S, 1.0) for kind in ("full", "jump", "slept")}
         self.joined = self.left = self.begun = False
         self._rival: Entry | None = None
-        self._rival_heard, self._rival_tries = False, 0
+        self._rival_heard = False
+        self._rival_tries = 0
         self.contested = False  # another living process has this name: this one stays aside
         self._out: list[api.Action] = []
 
@@ -226,7 +236,8 @@
             return
         self.begun = True
         self._spread(self.me, now)
-        rng, timing = self._rng, self.timing
+        rng = self._rng
+        timing = self.timing
         self._after(now, rng.random() * timing.interval_ms, "probe")
         self._after(now, rng.random() * self._sync_ms(), "sync")
         self._after(now, 0.0 if self._seeds else timing.reach_ms, "reach")
@@ -481,7 +492,8 @@
     # Messages in
 
     def _heard(self, message: Message, now: float) -> None:
-        sender, me = message.sender, self.me
+        sender = message.sender
+        me = self.me
         if sender.name == me.name:
             if sender.life != me.life:
                 self._heard_namesake(message, now)
@@ -647,7 +659,8 @@
             self._spread(replace(entry, by=by), now)
 
     def _time_up(self, name: str, now: float) -> None:
-        suspicion, entry = self._suspicions.get(name), self.members.get(name)
+        suspicion = self._suspicions.get(name)
+        entry = self.members.get(name)
         if suspicion is None or entry is None:
             return
         # Nothing rings again for this end: a tick may be early by one rounding, the end that `moved` summed
@@ -676,14 +689,17 @@
             self._refute(by)
         elif order(entry) > order(me):
             if not entry.here or (entry.host, entry.port) == (me.host, me.port):
-                self._rival, self.contested = None, False  # whoever it was is not there any more
+                # whoever it was is not there any more
+                self._rival = None
+                self.contested = False
                 self._rise(entry.incarnation + 1, now)
                 self._refute(by)
             elif self._rival is None or order(entry) > order(self._rival):
                 begin = self._rival is None
                 self._rival = entry
                 if begin:
-                    self._rival_heard, self._rival_tries = False, 0
+                    self._rival_heard = False
+                    self._rival_tries = 0
                     self._after(now, 0.0, "rival")
 
     def _refute(self, by: str) -> None:
@@ -708,7 +724,8 @@
         if rival is None:
             return
         if self._rival_heard:
-            self._rival_heard, self._rival_tries = False, 0
+            self._rival_heard = False
+            self._rival_tries = 0
             if not self.contested:
                 self.contested = True
                 where = f"{rival.host}:{rival.port}"
--- a/orchidferry/balancing/floods.py
+++ b/orchidferry/balancing/floods.py
@@ -11,10 +11,18 @@
 
 HALF_OPEN_FREE = 32  # handshakes under way up to which an address is believed without proof
 HALF_OPEN_MOST = 512  # and past which first packets are dropped, proof or not
-PER_S, BURST = 200.0, 64.0  # handshakes a second that are begun without proof, and so many at once
-RESETS_PER_S, RESETS_BURST = 20.0, 100.0  # requests that a connection may take back unanswered
-MALFORMED_PER_S, MALFORMED_BURST = 5.0, 20.0  # and that may be malformed
-STRAY_PER_S, STRAY_BURST = 100.0, 100.0  # answers to packets that belong to no connection
+# handshakes a second that are begun without proof, and so many at once
+PER_S = 200.0
+BURST = 64.0
+# requests that a connection may take back unanswered
+RESETS_PER_S = 20.0
+RESETS_BURST = 100.0
+# and that may be malformed
+MALFORMED_PER_S = 5.0
+MALFORMED_BURST = 20.0
+# answers to packets that belong to no connection
+STRAY_PER_S = 100.0
+STRAY_BURST = 100.0
 
 
 class First(Enum):
--- a/orchidferry/balancing/listing.py
+++ b/orchidferry/balancing/listing.py
@@ -16,7 +16,9 @@
 SLICES = 4  # of the fleet, each cut evenly among all copies: few servers, so that a copy sees each often
 AGAIN_AMONG = 16  # servers of a group, drawn where it has more, among which one is picked for another attempt
 GUESTS = 256  # servers beyond its own part that a copy remembers, as retries went there
-STEP, PARTS_STEP = 64, 128  # changes of the list, and servers, that one event works off of a long list
+# changes of the list, and servers, that one event works off of a long list
+STEP = 64
+PARTS_STEP = 128
 NARROW_MOST = 1_000  # servers up to which a list change brings a copy back to its first slices
 BULK = 0.125  # of all members: a change of more than this cuts the slices anew, in steps
 CUT_MOST = 20_000  # members that one event may put in order
@@ -30,7 +32,9 @@
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random, moved: Callable[[Server], None]) -> None:
-        self._nodes, self._rng, self._moved = settings.nodes, rng, moved
+        self._nodes = settings.nodes
+        self._rng = rng
+        self._moved = moved
         self.entries: dict[int, api.ServerEntry] = {}  # all that are listed
         self.servers: dict[int, Server] = {}  # those of which something is known
         self.ready: dict[int, Server] = {}  # those in service that are this copy's to use
@@ -38,7 +42,8 @@
         self._groups: dict[Group, dict[str | int | None, Bag]] = {}
         self.regroup(settings)
         self.weight = 0.0  # of all ready servers that may be picked, by difference
-        self.slices, self._target = Slices(settings.number, settings.nodes), SLICES
+        self.slices = Slices(settings.number, settings.nodes)
+        self._target = SLICES
         self.slices.widen(SLICES)
         self._order = 0
         self._bulk = False  # so much has changed that the slices are cut anew
--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -35,7 +35,9 @@
     "Server",
 ]
 
-RETRY_WAIT_MS, RETRY_WAIT_SHARE = 500.0, 0.2  # T1, or less by aim, doubling with each attempt, with jitter
+# T1, or less by aim, doubling with each attempt, with jitter
+RETRY_WAIT_MS = 500.0
+RETRY_WAIT_SHARE = 0.2
 TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
 HOT = 1.0  # calls out a server from which a copy doubles its slices
 PATIENCE = 8.0  # times its usual delay: the longest that an attempt is waited for,
@@ -52,7 +54,8 @@
     """One copy's decisions: feed it events, do what it says."""
 
     def __init__(self, settings: api.Settings, salt: int, chain: Chain | None = None) -> None:
-        self.settings, self.chain = settings, chain
+        self.settings = settings
+        self.chain = chain
         self.classes = {cls.name: cls for cls in settings.classes}
         self._rng = rng = random.Random(salt)
         self.controller = DelayController(settings.target_share)
@@ -118,7 +121,8 @@
 
         Calls keep the class that they came under: a key's window is the one of when it was taken.
         """
-        old, self.settings = self.settings, new
+        old = self.settings
+        self.settings = new
         named = {cls.name: cls for cls in new.classes}
         for name in [name for name in self.classes if name not in named]:
             del self.classes[name]
@@ -180,14 +184,17 @@
                     server = None if crowded else self.picker.pick(call)
                     if server is None:
                         break
-                    call.held, call.token = False, 0
+                    call.held = False
+                    call.token = 0
                     if not self._send(call, server, now):
                         self._wait_or_end(call, now)
                 queue.popleft()
 
     def _send(self, call: Call, server: Server, now: float) -> bool:
         """The one gate that every send passes: rules 1 to 6."""
-        cls, left, usual = call.cls, call.ends_ms - now, self.judgement
+        cls = call.cls
+        left = call.ends_ms - now
+        usual = self.judgement
         if call.id not in self._calls or call.out or left <= self.settings.tick_ms:
             return False  # rule 1
         if call.attempts >= self.settings.max_attempts or not self._repeatable(call, now):
@@ -207,11 +214,14 @@
             server.budget.tokens -= 1.0
         carried = None
         if self.chain is not None:
-            carried, left = self.chain.send(call.id, now), self.chain.left_ms(left)
+            carried = self.chain.send(call.id, now)
+            left = self.chain.left_ms(left)
         if call.attempts:
             self._further.add(now)
         call.attempts += 1
-        call.out, call.last, call.sent_ms = True, server, now
+        call.out = True
+        call.last = server
+        call.sent_ms = now
         call.idle_ms = 0.0 if server.out else now - server.used_ms
         if call.upload:
             self._uploads.add(call.id)  # takes no room yet, and is not waited for
@@ -243,12 +253,15 @@
             self.outstanding.inflight += 1
             return
         call.upload = False
-        call.arrived_ms, call.ends_ms, call.sent_ms = now, now + event.ttl_ms, now
+        call.arrived_ms = now
+        call.ends_ms = now + event.ttl_ms
+        call.sent_ms = now
         self.outstanding.begin(call, call.last, now)
 
     def _in_budget(self, now: float) -> bool:
         """Whether the stated budget of attempts beyond the first bears one more now."""
-        ratio, taken = self.settings.repeat_ratio, self._taken.count(now)
+        ratio = self.settings.repeat_ratio
+        taken = self._taken.count(now)
         return ratio is None or self._further.count(now) + 1 <= self.settings.extra_floor + ratio * taken
 
     def _repeatable(self, call: Call, now: float) -> bool:
@@ -282,7 +295,8 @@
             self._record.ended(call.cls.name, False)
             everywhere = call.cls.repeat is Repeat.KEYED and call.cls.group is Group.ALL
             harmless = not call.out and (call.ran_ms is None or everywhere or call.cls.repeat is Repeat.SAFE)
-            below, used = why is not None and why is not Why.LATE, 0
+            below = why is not None and why is not Why.LATE
+            used = 0
             if self.chain is not None and why is None:
                 below, used = self.chain.verdict(call.id)
                 self.chain.done(call.id)
@@ -299,14 +313,16 @@
     def _on_ended(self, event: api.AttemptEnded, now: float) -> None:
         if self.chain is not None:
             self.chain.ended(event.id, event.result, event.below, event.used, event.duration_ms, now)
-        call, server = self._calls.get(event.id), self.fleet.servers.get(event.server)
+        call = self._calls.get(event.id)
+        server = self.fleet.servers.get(event.server)
         if event.id in self._uploads:
             self._uploads.discard(event.id)
         else:
             self.outstanding.inflight -= 1
         if server is not None:
             if event.report:
-                server.queue, server.report_ms = event.report.get("queue", 0.0), now
+                server.queue = event.report.get("queue", 0.0)
+                server.report_ms = now
             sent = self.outstanding.ended(event.id, server)
             server.used_ms = now
             if call is not None and call.idle_ms:
--- a/orchidferry/balancing/moves.py
+++ b/orchidferry/balancing/moves.py
@@ -30,7 +30,9 @@
 T = TypeVar("T")
 STEPS = (0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0)
 OLD_MOST = 16  # old outcomes in one block: more say little
-PRIOR_BAD, PRIOR_ALL = 0.5, 10.0  # what each rate is taken for before the first block: one in twenty
+# what each rate is taken for before the first block: one in twenty
+PRIOR_BAD = 0.5
+PRIOR_ALL = 10.0
 RARE_FROM = 0.05  # share with which rare classes begin, once all others are moved
 RECENT = 200  # old outcomes that a class's usual rate and times are taken from,
 RECENT_LEAST = 20  # and the least of them
@@ -104,17 +106,21 @@
 
     def new(self, bad: bool) -> None:
         """An outcome of the new pool: a block is whole. Without an old one beside it, it tells nothing."""
-        old, count = sum(self._waiting), len(self._waiting)
+        old = sum(self._waiting)
+        count = len(self._waiting)
         if not count:
             return
-        p, q = self._old_bad / self._old_all, self._new_bad / self._new_all
+        p = self._old_bad / self._old_all
+        q = self._new_bad / self._new_all
         if q > p:  # else the bet would be on its being better, which is not what is asked
             both = (count * p + q) / (count + 1)
             self.value += old * math.log(p / both) + (count - old) * math.log((1 - p) / (1 - both))
             self.value += math.log(q / both) if bad else math.log((1 - q) / (1 - both))
             self.most = max(self.most, self.value)
-        self._old_bad, self._old_all = self._old_bad + old, self._old_all + count
-        self._new_bad, self._new_all = self._new_bad + bad, self._new_all + 1
+        self._old_bad = self._old_bad + old
+        self._old_all = self._old_all + count
+        self._new_bad = self._new_bad + bad
+        self._new_all = self._new_all + 1
         self._waiting.clear()
 
 
@@ -124,7 +130,8 @@
     __slots__ = ("_all", "_bad", "most", "value")
 
     def __init__(self) -> None:
-        self._bad, self._all = PRIOR_BAD, PRIOR_ALL
+        self._bad = PRIOR_BAD
+        self._all = PRIOR_ALL
         self.value = self.most = 0.0
 
     def begin(self, most: float) -> None:
@@ -139,7 +146,8 @@
         bet = min(max((bound - mean) / (bound * (1 - bound)), 0.0), BET_MOST / (1 - bound))
         self.value += math.log1p(bet * (bound - bad))
         self.most = max(self.most, self.value)
-        self._bad, self._all = self._bad + bad, self._all + 1
+        self._bad = self._bad + bad
+        self._all = self._all + 1
 
 
 class _Usual:
@@ -203,7 +211,8 @@
     """One node's part of a move: tell it outcomes, ask it for shares."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.state = plan, State.PLANNED
+        self.plan = plan
+        self.state = State.PLANNED
         self.why = ""
         self._classes = {name: _Class() for name in plan.classes}
         self._step = -1
@@ -217,7 +226,8 @@
         self._next_at = math.log(1.0 / plan.beta)
 
     def _enter(self, state: State, now: float, why: str) -> None:
-        self.state, self.why = state, why
+        self.state = state
+        self.why = why
         self.story.append((now, f"{state.value}: {why}"))
 
     # Operators' words
--- a/orchidferry/balancing/nested.py
+++ b/orchidferry/balancing/nested.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 
 TARGET = 0.35  # share of a class's requests that may fail for what is below
-KP, KI_PER_S = 0.5, 0.6
+KP = 0.5
+KI_PER_S = 0.6
 SAMPLES = 10.0  # requests over which that share is averaged
 MOST = 0.95  # of them is shed at most: the rest keeps the measurement going
 FADE_MS = 4_000.0  # with no outcome the shedding fades
--- a/orchidferry/balancing/pick.py
+++ b/orchidferry/balancing/pick.py
@@ -27,11 +27,16 @@
     def __init__(
         self, rng: random.Random, fleet: Fleet, cold: ColdStart, judgement: Judgement, out: Outstanding
     ) -> None:
-        self._rng, self._fleet, self._cold = rng, fleet, cold
-        self._judgement, self._out = judgement, out
+        self._rng = rng
+        self._fleet = fleet
+        self._cold = cold
+        self._judgement = judgement
+        self._out = out
         self.schedule: Schedule[Server] = Schedule()
         self.varying: dict[int, Server] = {}  # whose weight changes by itself, in turn
-        self._reviews, self._review_ms = 0.0, 0.0  # of them that may be made, and as of when
+        # of them that may be made, and as of when
+        self._reviews = 0.0
+        self._review_ms = 0.0
         self._wakes: list[tuple[float, int, Server]] = []  # who is to be looked at again, and when
         self._parked: list[tuple[float, int, int, Server]] = []  # who is crowded, and until what fair part
         self.now = 0.0  # of the event at hand
@@ -48,7 +53,8 @@
                 server.wake_ms = math.inf
             self.place(server)
         # First all that are due, then each once: placing one changes the fair part, and may park it again.
-        due, fair = [], self.fair()
+        due = []
+        fair = self.fair()
         while self._parked and ((top := self._parked[0])[0] < fair or top[2] != top[3].parked):
             heapq.heappop(self._parked)
             if top[2] == top[3].parked:
@@ -115,8 +121,13 @@
         """Put a server where it belongs now: in the rotation, aside for want of others, or out."""
         if not server.enlisted:
             return Lot.OFF
-        now, member, weight = self.now, server.member, server.member.weight
-        shut, held, counted, lot = now < server.shut_ms, server.inflight, weight, Lot.ON
+        now = self.now
+        member = server.member
+        weight = server.member.weight
+        shut = now < server.shut_ms
+        held = server.inflight
+        counted = weight
+        lot = Lot.ON
         if shut is not server.ejected:
             self._judgement.ejected += 1 if shut else -1
             server.ejected = shut
@@ -125,7 +136,8 @@
         if server.started_ms is not None and (warmth := self._cold.warmth(server, now)) < 1.0:
             tokens = self._cold.tokens(server, warmth, now)
             if tokens < 1.0:  # rule 4
-                lot, counted = Lot.OFF, 0.0
+                lot = Lot.OFF
+                counted = 0.0
                 self._wake(server, now + COLD_CHECK_MS)
         if lot is Lot.OFF or held >= server.limit:
             lot = Lot.OFF
@@ -169,7 +181,8 @@
         """The server for the call's next attempt; None if none may have it now."""
         if call.ran_ms is not None:
             return self._pick_again(call)
-        schedule, passed = self.schedule, None
+        schedule = self.schedule
+        passed = None
         while (member := schedule.first()) is not None:
             server = member.item
             (self.weigh if server.varies else self.place)(server)
@@ -180,7 +193,8 @@
             passed = member  # elsewhere than last time, where there is a choice
             schedule.put(member, Lot.OFF)
         if member is None:
-            member, passed = passed or self._pick_aside(call), None
+            member = passed or self._pick_aside(call)
+            passed = None
         if passed is not None:
             schedule.put(passed, Lot.ON)
         if member is None:
@@ -192,7 +206,8 @@
 
     def _pick_aside(self, call: Call) -> Member[Server] | None:
         """Where nobody is in the rotation: the next of those that are crowded or out for errors."""
-        schedule, passed = self.schedule, None
+        schedule = self.schedule
+        passed = None
         while (member := schedule.first_aside()) is not None:
             if self.place(member.item) is Lot.OFF:
                 continue
@@ -206,7 +221,10 @@
 
     def _pick_again(self, call: Call) -> Server | None:
         """For a call that may have run: the least loaded of its group, or of some of a large one."""
-        now, fair, best, least = self.now, self.fair(), None, (math.inf, 0.0)
+        now = self.now
+        fair = self.fair()
+        best = None
+        least = (math.inf, 0.0)
         for id in self._fleet.again(call):
             server = self._fleet.know(id, now)
             warmth = self._cold.warmth(server, now)
@@ -219,7 +237,8 @@
             room = server.inflight < 1.0 + fair * weight and now >= server.shut_ms
             load = (server is call.last) * 2.0 + (not room), (server.inflight + self._rng.random()) / weight
             if load < least:
-                best, least = server, load
+                best = server
+                least = load
         if best is not None and best.member.lot is Lot.ON:
             self.schedule.charge(best.member)
         return best
--- a/orchidferry/balancing/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -25,7 +25,9 @@
 from orchidferry.balancing.logic import Balancer
 from orchidferry.balancing.moves import Move, Plan, State
 
-KEY_MS, KEYS_MOST = 6_000.0, 100_000  # how long a key is kept to its pool; and how many are
+# how long a key is kept to its pool; and how many are
+KEY_MS = 6_000.0
+KEYS_MOST = 100_000
 LIVE_LEAST = 0.5  # of a pool's servers that must be in service for its whole share
 OWN_TOKENS = 4  # timers of the nodes' own stay what they are
 TICK_MS = 250.0  # how often a move is looked at
@@ -84,7 +86,8 @@
     """Pools behind the face of one `Balancer`."""
 
     def __init__(self, settings: api.Settings, salt: int, rules: Rules, chain: Chain | None = None) -> None:
-        self.rules, self.chain = rules, chain
+        self.rules = rules
+        self.chain = chain
         self._pools = [_Pool(Balancer(settings, salt + n, chain)) for n in range(len(rules.pools))]
         self._requests: dict[str, _Held] = {}
         self._keys: OrderedDict[str, tuple[float, int]] = OrderedDict()  # when last used, and the pool
@@ -209,7 +212,8 @@
     def _goes(self, event: api.Request) -> bool:
         """Whether the move's share has this one."""
         assert self.move is not None
-        there, here = self._pools[self._to], self._pools[0]
+        there = self._pools[self._to]
+        here = self._pools[0]
         live = len(there.live)
         if not live:
             return False
--- a/orchidferry/balancing/register.py
+++ b/orchidferry/balancing/register.py
@@ -153,7 +153,9 @@
         """`object_to`: why this voter, by what it sees itself, does not want a change; "" if it does not
         mind.
         """
-        self.name, self.kept, self._object_to = name, kept, object_to
+        self.name = name
+        self.kept = kept
+        self._object_to = object_to
 
     @property
     def voter(self) -> Voter:
@@ -162,7 +164,8 @@
 
     def handle(self, message: Prepare | Accept, sender: str) -> list[Action]:
         """Promise or accept, saved first; a refusal tells the ballot that is in the way."""
-        kept, ballot = self.kept, message.ballot
+        kept = self.kept
+        ballot = message.ballot
         if isinstance(message, Prepare):
             if ballot < kept.promised:
                 return [Send(sender, Promise(ballot, self.voter, kept.promised))]
@@ -230,9 +233,13 @@
         back_off_ms: float = BACK_OFF_MS,
     ) -> None:
         """`first`: the state that the register begins with, the same at all; its voters are asked first."""
-        self._resend_ms, self._back_off_ms = resend_ms, back_off_ms
+        self._resend_ms = resend_ms
+        self._back_off_ms = back_off_ms
         self._answer_ms = 0.0  # how long the voters take to answer, of late
-        self.name, self.known, self._first, self._rng = name, first, first, rng
+        self.name = name
+        self.known = first
+        self._first = first
+        self._rng = rng
         self._counter = 0  # of the highest ballot seen
         self._waiting: list[_Asked] = []
         self._round: _Round | None = None
@@ -333,7 +340,8 @@
 
     def _enough(self, value: Value, given: Iterable[Voter]) -> bool:
         """Whether a majority of its voters is among these, and of those before them where that counts."""
-        given, former = set(given), self._former(value)
+        given = set(given)
+        former = self._former(value)
         return majority(value.voters, given) and (not former or majority(former, given))
 
     def _promised(self, round_: _Round, now: float) -> list[Action]:
@@ -358,26 +366,34 @@
             after = replace(after, former=() if settled else before.former)
         if isinstance(after, str):
             # Nothing changes; but what was read may be held by few, and must stand before it is told.
-            round_.refused, after = after, before
-        round_.before, round_.next = before, after
+            round_.refused = after
+            after = before
+        round_.before = before
+        round_.next = after
         self._note_answer(now - round_.began_ms)
-        round_.began_ms, round_.due_ms, round_.resends = now, now + self._resend_ms, 0
+        round_.began_ms = now
+        round_.due_ms = now + self._resend_ms
+        round_.resends = 0
         return [*more, *self._accepts(round_)]
 
     def _accepts(self, round_: _Round) -> list[Send]:
-        before, after = round_.before, round_.next
+        before = round_.before
+        after = round_.next
         assert before is not None and after is not None
         names = dict.fromkeys(voter.name for voter in (*before.voters, *before.former, *after.voters))
         return [Send(name, Accept(round_.ballot, after)) for name in names]
 
     def _accepted(self, round_: _Round, now: float) -> list[Action]:
-        after, before = round_.next, round_.before
+        after = round_.next
+        before = round_.before
         if after is None or before is None:
             return []
         if not (self._enough(before, round_.accepted) and majority(after.voters, round_.accepted)):
             return []
         self._waiting.remove(round_.about)
-        self._round, self._tries, self._again_ms = None, 0, now
+        self._round = None
+        self._tries = 0
+        self._again_ms = now
         self.learn(after)
         return [Done(round_.about.id, after, round_.refused), *self.tick(now)]
 
--- a/orchidferry/balancing/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -156,9 +156,12 @@
     """Wilson's interval of a share, in [0, 1]; (0, 1) without any evidence."""
     if total <= 0:
         return 0.0, 1.0
-    p, z2 = failed / total, level * level
-    middle, half = p + z2 / (2.0 * total), level * math.sqrt(p * (1.0 - p) / total + z2 / (4.0 * total**2))
-    low, high = (middle - half) / (1.0 + z2 / total), (middle + half) / (1.0 + z2 / total)
+    p = failed / total
+    z2 = level * level
+    middle = p + z2 / (2.0 * total)
+    half = level * math.sqrt(p * (1.0 - p) / total + z2 / (4.0 * total**2))
+    low = (middle - half) / (1.0 + z2 / total)
+    high = (middle + half) / (1.0 + z2 / total)
     return max(0.0, min(low, p)), min(1.0, max(high, p))  # rounding aside
 
 
@@ -176,7 +179,8 @@
 
 def waves(count: int, plan: Plan) -> list[int]:
     """How many nodes each wave adds, of so many in all."""
-    sizes, done = [], 0
+    sizes = []
+    done = 0
     while done < count:
         size = plan.first if not done else math.ceil(done * plan.widen)
         size = min(size, count - done)
@@ -274,9 +278,11 @@
             self._actions.append(Accept())
             return self._report(f"{self.plan.version} is on all {len(self._nodes)} nodes")
         size = self._sizes[self._number]
-        self._wave, self._left = tuple(self._left[:size]), self._left[size:]
+        self._wave = tuple(self._left[:size])
+        self._left = self._left[size:]
         self._number += 1
-        self.state, self._since_ms = State.OFFERING, now
+        self.state = State.OFFERING
+        self._since_ms = now
         for name in self._wave:
             self._nodes[name].offered = True
         self._actions.append(Offer(self._wave))
@@ -329,7 +335,8 @@
         failed = total = 0
         for name in names:
             node = self._nodes[name]
-            failed, total = failed + node.counted[0], total + node.counted[1]
+            failed = failed + node.counted[0]
+            total = total + node.counted[1]
             if node.newest is not None and node.base is not None:
                 failed += node.newest.failed - node.base.failed
                 total += node.newest.good + node.newest.failed - node.base.good - node.base.failed
@@ -356,9 +363,11 @@
         self._watch(offered, now)
 
     def _begin_watch(self, now: float) -> None:
-        self.state, self._since_ms = State.WATCHING, now
+        self.state = State.WATCHING
+        self._since_ms = now
         for node in self._nodes.values():
-            node.base, node.counted = node.newest, [0, 0]
+            node.base = node.newest
+            node.counted = [0, 0]
         self._report(f"wave {self._number}: acknowledged, watched for {self.plan.watch_ms / 1000.0:g} s")
         self._watch([name for name, node in self._nodes.items() if node.offered], now)
 
@@ -390,7 +399,8 @@
         if self.state is State.UNDOING:
             return
         self.reason = reason
-        self.state, self._since_ms = State.UNDOING, now
+        self.state = State.UNDOING
+        self._since_ms = now
         offered = tuple(name for name, node in self._nodes.items() if node.offered)
         self._report(f"taken back: {reason}")
         if offered:
--- a/orchidferry/balancing/schedule.py
+++ b/orchidferry/balancing/schedule.py
@@ -38,7 +38,9 @@
     __slots__ = ("due", "item", "lot", "order", "stamp", "weight")
 
     def __init__(self, item: T, order: int) -> None:
-        self.item, self.order = item, order  # it breaks ties, so that the same calls give the same picks
+        # it breaks ties, so that the same calls give the same picks
+        self.item = item
+        self.order = order
         self.weight = 0.0
         self.lot = Lot.OFF
         self.due = 0.0  # deadline of its turn: in its heap's virtual time, or in turns from now while OFF
@@ -151,7 +153,8 @@
 
     def first(self) -> Member[T] | None:
         """Whose turn it is; None if nobody is in the rotation."""
-        started, waiting = self._started, self._waiting
+        started = self._started
+        waiting = self._waiting
         while True:
             while waiting and (waiting[0][0] <= self._clock or waiting[0][2] != waiting[0][3].stamp):
                 _, order, stamp, member = heapq.heappop(waiting)
@@ -202,7 +205,9 @@
         """Move virtual time back to 0."""
         back = self._clock
         alive = [e[3] for e in (*self._started, *self._waiting) if e[2] == e[3].stamp]
-        self._clock, self._started, self._waiting = 0.0, [], []
+        self._clock = 0.0
+        self._started = []
+        self._waiting = []
         for member in alive:
             member.due -= back
             self._enter(member)
--- a/orchidferry/balancing/settings.py
+++ b/orchidferry/balancing/settings.py
@@ -80,7 +80,8 @@
         api.Tenant(get(t, "name", str), opt(t, "fraction", NUMBER, 0.0), opt(t, "quota_per_s", NUMBER, 0.0))
         for t in (objects(env, "tenants") if env.get("tenants") else [])
     ]
-    allow, rules = get(env, "permissions", dict), get(env, "rules", dict)
+    allow = get(env, "permissions", dict)
+    rules = get(env, "rules", dict)
     prices = opt(env, "prices", dict, {})
     worst = opt(opt(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
     return api.Settings(
--- a/orchidferry/balancing/subset.py
+++ b/orchidferry/balancing/subset.py
@@ -34,7 +34,9 @@
 
     def __init__(self, number: int, copy: int, copies: int, shares: dict[int, float]) -> None:
         self._factor = _factor(number)
-        self._copy, self._copies, self._shares = copy, copies, shares
+        self._copy = copy
+        self._copies = copies
+        self._shares = shares
         members = sorted(shares, key=self._key)
         self._blocks = [members[at : at + BLOCK] for at in range(0, len(members), BLOCK)]
         self._sums = [sum(shares[m] for m in block) for block in self._blocks]
@@ -48,7 +50,8 @@
 
     def _block_of(self, key: tuple[int, int]) -> int:
         """The block that a key belongs to."""
-        low, high = 0, len(self._blocks) - 1
+        low = 0
+        high = len(self._blocks) - 1
         while low < high:
             middle = (low + high) // 2
             if self._key(self._blocks[middle][-1]) < key:
@@ -64,7 +67,8 @@
         """
         key = self._key(member)
         if not self._blocks:
-            self._blocks, self._sums = [[]], [0.0]
+            self._blocks = [[]]
+            self._sums = [0.0]
         n = self._block_of(key) if self._blocks[-1] else 0
         block = self._blocks[n]
         if was is None:
@@ -110,18 +114,21 @@
                 yield member, _overlap(at, share, start, end)
                 at += share
                 index += 1
-            n, index = n + 1, 0
+            n = n + 1
+            index = 0
 
     def _take_all(self) -> dict[int, float]:
         """Cut the slice anew."""
-        before, self.taken = self.taken, {}
+        before = self.taken
+        self.taken = {}
         if self._total > 0.0:
             start, end = self._slice()
             for member, part in self._walk(*self._find(start), start, end):
                 if part > LEAST:
                     self.taken[member] = part
         if self.taken:
-            first, last = next(iter(self.taken)), next(reversed(self.taken))
+            first = next(iter(self.taken))
+            last = next(reversed(self.taken))
             self._ends = self._key(first), self._key(last)
         else:
             self._ends = None
@@ -137,7 +144,8 @@
             return self._take_all()
         start, end = self._slice()
         changed: dict[int, float] = {}
-        head, tail = self._find(start), self._find(end)
+        head = self._find(start)
+        tail = self._find(end)
         first = self._key(self._blocks[head[0]][head[1]])
         last = self._key(self._blocks[tail[0]][tail[1]])
         # The member itself, and what was taken and lies outside now.
@@ -211,7 +219,8 @@
 
     def __init__(self, number: int, nodes: int) -> None:
         # A copy numbered beyond their count would take nothing.
-        self._number, self._nodes = number % nodes, nodes
+        self._number = number % nodes
+        self._nodes = nodes
         self.shares: dict[int, float] = {}
         self.orders: list[Order] = []
         self.slices = 0
--- a/orchidferry/balancing/transports.py
+++ b/orchidferry/balancing/transports.py
@@ -16,7 +16,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-REST_MS, REST_DOUBLINGS = 1_000.0, 6  # after a failure: 1 s, at most 64 s
+# after a failure: 1 s, at most 64 s
+REST_MS = 1_000.0
+REST_DOUBLINGS = 6
 DOUBT_MS = 3_000.0  # a doubted connection that says nothing for so long is given up
 QUIET_MS = 1_000.0  # what must not be lost goes out only where something was heard within this
 
@@ -60,7 +62,8 @@
     """All servers' states. Times are milliseconds of one monotonic clock."""
 
     def __init__(self, rng: random.Random, most: int) -> None:
-        self._rng, self._most = rng, most
+        self._rng = rng
+        self._most = most
         self._known: dict[int, Known] = {}
         self._open = 0  # that are up, doubted, or coming up
 
@@ -90,7 +93,8 @@
     def came_up(self, server: int, now: float) -> None:
         """It is done."""
         known = self._move(server, State.UP)
-        known.failures, known.heard_ms = 0, now
+        known.failures = 0
+        known.heard_ms = now
 
     def heard(self, server: int, now: float) -> None:
         """Something came on an open connection."""
@@ -105,7 +109,8 @@
         known = self._known.get(server)
         if known is None or known.state is not State.UP or known.heard_ms >= sent_ms:
             return False
-        known.state, known.until_ms = State.DOUBTED, now + DOUBT_MS
+        known.state = State.DOUBTED
+        known.until_ms = now + DOUBT_MS
         return True
 
     def doubt(self, server: int, now: float) -> bool:
--- a/orchidferry/balancing/versions.py
+++ b/orchidferry/balancing/versions.py
@@ -20,13 +20,15 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.bucket import Bucket
 
-APPLY_PER_S, APPLY_BURST = (
-    5.0,
-    10.0,
-)  # versions: each is a pause in serving, and a flood of them is a fault there
+# versions: each is a pause in serving, and a flood of them is a fault there
+APPLY_PER_S = 5.0
+APPLY_BURST = 10.0
 FIRST_MS = 5_000.0  # how long a start waits for the service before it takes what it has
 MOST_NAMES = 1_024  # of classes over the life of a node, as it keeps the strictest rules of each
-MOST_CLASSES, MOST_TENANTS, MOST_MEMBERS, MOST_POOLS = 256, 10_000, 40_000, 64
+MOST_CLASSES = 256
+MOST_TENANTS = 10_000
+MOST_MEMBERS = 40_000
+MOST_POOLS = 64
 SHARES_SLACK = 1e-6  # of a sum of shares: they are written in decimals
 REFUSALS_KEPT = 32  # for operators, the newest
 REASON_MOST = 300  # characters
@@ -249,7 +251,8 @@
         if getattr(new, name) != getattr(file, name):
             raise Unfit(f"{name}: {getattr(file, name)!r} to {getattr(new, name)!r} needs a restart")
     for name, more_is_stricter in RULES.items():
-        mine, theirs = getattr(file, name), getattr(new, name)
+        mine = getattr(file, name)
+        theirs = getattr(new, name)
         if theirs < mine if more_is_stricter else theirs > mine:
             raise Unfit(f"{name}: {theirs:g} is looser than the {mine:g} of the node's file")
     if file.repeat_ratio is not None and (new.repeat_ratio is None or new.repeat_ratio > file.repeat_ratio):
@@ -382,7 +385,8 @@
     # A start
 
     def _on_began(self, event: Began, now: float) -> None:
-        self._file, self._saved = event.file, event.saved
+        self._file = event.file
+        self._saved = event.saved
         self._hold_rules(event.file)
         if event.saved is not None:
             try:
@@ -496,7 +500,8 @@
                 others = tuple(offer for part, offer in self._unpaired.items() if part is not event.part)
                 if not others:
                     raise
-                offers, whole = (*others, event), self._candidate(*others, event)
+                offers = (*others, event)
+                whole = self._candidate(*others, event)
                 self._check(whole)
         except Unfit as problem:
             if isinstance(problem, Unpaired):
@@ -507,7 +512,8 @@
         self._apply(offers, whole, Source.CONTROL)
 
     def _apply(self, offers: tuple[Offered, ...], whole: Configuration, source: Source) -> None:
-        before, told = self.held, {offer.part for offer in offers}
+        before = self.held
+        told = {offer.part for offer in offers}
         changed = frozenset(part for part in Part if before is None or not told or part in told)
         self._applying = offers, whole
         if source is not Source.CONTROL or before is None:
@@ -522,14 +528,16 @@
             for offer in offers:
                 self._refuse(offer, f"it could not be applied: {event.problem}", now)
             if self.held is not None:  # half of it may be in place
-                self._applying, self._undoing = ((), self.held), True
+                self._applying = ((), self.held)
+                self._undoing = True
                 self._actions.append(Apply(self.held, frozenset(Part), self.source))
             return self._next(now)
         if event.problem:
             self._actions.append(Log(f"what was held could not be applied: {event.problem}"))
         if self.held is None:
             self._waking = False  # the wait for a first one is over, though its time is still to come
-        undone, self._undoing = self._undoing, False
+        undone = self._undoing
+        self._undoing = False
         self.held = whole
         if not undone:
             self.since_ms = now
@@ -555,7 +563,8 @@
         self._actions.append(Answer(offer.part, held, offer.nonce, reason))
         last = self.refusals[-1] if self.refusals else None
         if last is not None and (last.part, last.version, last.reason) == (offer.part, offer.version, reason):
-            last.at_ms, last.times = now, last.times + 1
+            last.at_ms = now
+            last.times = last.times + 1
             return
         self.refusals.append(Refusal(offer.part, offer.version, reason, now))
         del self.refusals[:-REFUSALS_KEPT]
--- a/orchidferry/balancing/wirehost.py
+++ b/orchidferry/balancing/wirehost.py
@@ -84,7 +84,8 @@
 
 
 def _streaming(item: Json) -> api.Event:
-    request, attempt = get(item, "request_id", str), get(item, "send_no", int)
+    request = get(item, "request_id", str)
+    attempt = get(item, "send_no", int)
     return api.StreamStarted(request, attempt, get(item, "server", int))
 
 
@@ -191,7 +192,8 @@
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
     """Answer batches until input ends; the exit status."""
-    host, number = Host(), 1
+    host = Host()
+    number = 1
     while True:
         try:
             try:
--- a/orchidferry/mesh/__main__.py
+++ b/orchidferry/mesh/__main__.py
@@ -178,7 +178,8 @@
     if words in HELP_WORDS:
         print(OVERVIEW)
         return 0
-    role, options = words[0] if words else "", words[1:]
+    role = words[0] if words else ""
+    options = words[1:]
     if role in ROLES and options in HELP_WORDS:
         print(HELP[role])
         return 0
--- a/orchidferry/mesh/control/configuration.py
+++ b/orchidferry/mesh/control/configuration.py
@@ -151,7 +151,8 @@
     if _SCHEMA is None:
         from marshmallow import EXCLUDE, Schema, fields, validate
 
-        above, least = validate.Range(min=1), validate.Range(min=0)
+        above = validate.Range(min=1)
+        least = validate.Range(min=0)
 
         class Open(Schema):
             class Meta:
@@ -222,7 +223,8 @@
 
 def _whole(configuration: Configuration) -> Refusal | None:
     """What holds between the parts of a configuration."""
-    identifiers, places = set(), set()
+    identifiers = set()
+    places = set()
     for route in configuration.routes:
         where = f"configuration: route {route.id}"
         if route.id in identifiers:
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -50,7 +50,10 @@
         whether the groups are still smaller than the tolerance needs; `in_contact`: whether a majority of
         the controllers has lately acknowledged this one.
         """
-        self._ask, self._read, self._growing, self._in_contact = ask, read, growing, in_contact
+        self._ask = ask
+        self._read = read
+        self._growing = growing
+        self._in_contact = in_contact
         self._checked: dict[bytes, Checked] = {}  # by digest, the newest last
 
     def __call__(self, call: Call, rest: str, answer: Answer) -> None:
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -69,7 +69,8 @@
         )
 
     def __call__(self, reply: Reply) -> None:
-        answer, self._answer = self._answer, None
+        answer = self._answer
+        self._answer = None
         if answer is not None:
             self._timer.cancel()
             answer(reply)
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -96,8 +96,10 @@
     ) -> None:
         """`dial` and `rng`: handed in by simulations."""
         self._dial_link = dial
-        self._settings, self._loop = settings, loop
-        self._on_members, self._on_configuration = on_members, on_configuration
+        self._settings = settings
+        self._loop = loop
+        self._on_members = on_members
+        self._on_configuration = on_configuration
         self._rng = rng or random.Random()
         self.boot_id = self._rng.randrange(1, 2**53)
         self._controllers: dict[str, Controller] = {name: Controller(name) for name in settings.seeds}
@@ -143,7 +145,8 @@
             self._renew(controller)
 
     def _renew(self, controller: Controller) -> None:
-        record, link = self._record, controller.link
+        record = self._record
+        link = controller.link
         if record is None or link is None or not link.open:
             return
         same = controller.knows == (record.boot, record.number)
@@ -165,7 +168,8 @@
                     del self._controllers[controller.name]
                     self._subscriber.forget(controller.name)
                     continue
-                controller.dialling, controller.next_dial_s = True, now + 0.15
+                controller.dialling = True
+                controller.next_dial_s = now + 0.15
                 task = self._loop.create_task(self._dial(controller))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
@@ -194,7 +198,9 @@
             )
             if link is not None:
                 link.peer = controller.name
-                controller.link, controller.knows, controller.warm = link, (0, -1), False
+                controller.link = link
+                controller.knows = (0, -1)
+                controller.warm = False
                 link.send(NodeHello(self._settings.name))
                 self._renew(controller)
                 self._subscriber.up(controller.name, link)
@@ -245,7 +251,8 @@
 
     def _take_lease(self, controller: Controller, lease: Lease) -> None:
         """A controller has renewed the lease."""
-        now, age_ms = self._loop.time(), lease.contact_age_ms
+        now = self._loop.time()
+        age_ms = lease.contact_age_ms
         controller.told_s = now
         controller.contact_s = now - age_ms / 1e3 if age_ms is not None else float("-inf")
         if self._record is not None:
@@ -258,7 +265,11 @@
             self._look()
 
     def _group(self, group: Group) -> None:
-        shard, epoch, names, owner, fence = group.shard, group.epoch, group.names, group.owner, group.fence
+        shard = group.shard
+        epoch = group.epoch
+        names = group.names
+        owner = group.owner
+        fence = group.fence
         if not self.claims.group(shard, epoch, tuple(names), owner, fence, self._loop.time()):
             return
         logger.info(
@@ -363,7 +374,8 @@
         """Whom to ask: one that is in contact and has told of what is wanted, if there is one; else any that
         is in contact; else any.
         """
-        now, streams = self._loop.time(), self._subscriber.streams
+        now = self._loop.time()
+        streams = self._subscriber.streams
         open_ = [k for k in self._controllers.values() if k.link is not None and k.link.open]
         fresh = [k for k in open_ if k.in_contact(now)] or open_
         knowing = [k for k in fresh if k.name in streams and streams[k.name].revision >= self._wanted]
@@ -402,7 +414,9 @@
 
     def _take_text(self, message: ConfigurationText) -> None:
         """One that was asked for is here, late perhaps: what was decided is taken whenever it comes."""
-        rid, revision, raw = message.request, message.revision, message.text
+        rid = message.request
+        revision = message.revision
+        raw = message.text
         self._fetching.pop(rid, None)
         if revision < 0:
             return
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -112,7 +112,8 @@
 
     def _remember(self) -> None:
         """What each shard had promised and accepted; a new memory where there is none."""
-        settings, read = self._settings, self._store.read
+        settings = self._settings
+        read = self._store.read
         founders = read("about", b"founders")
         names = tuple(unpack_stored(founders)) if founders is not None else settings.seeds
         founder = settings.first_start and self._name in settings.seeds
@@ -340,7 +341,8 @@
         )
 
     def _changed(self, shard: Shard, old: Value, new: Value) -> None:
-        was, now = shard_state.body(old), shard_state.body(new)
+        was = shard_state.body(old)
+        now = shard_state.body(new)
         logger.info(
             "controller: shard {} is at version {}, epoch {}, revision {}, owner {} under fence {}",
             shard.number,
@@ -425,7 +427,8 @@
 
     def _note_peer(self, beat: Heartbeat) -> None:
         """What a heartbeat says of its sender."""
-        known, name = self._known_peers, beat.name
+        known = self._known_peers
+        name = beat.name
         if name not in known.heard_s and len(known.heard_s) >= CONTROLLERS_MOST:
             oldest = min(known.heard_s, key=lambda n: known.heard_s[n])
             del known.heard_s[oldest]
@@ -448,7 +451,8 @@
     # Operation keys and retries
 
     def _take_claim(self, link: Link, claim: KeyClaim) -> None:
-        shard, now = self._shards[shard_state.shard_of(claim.key)], self._loop.time()
+        shard = self._shards[shard_state.shard_of(claim.key)]
+        now = self._loop.time()
         room = self._store.room
         self._do(shard, shard.claim(link, claim.request, claim.epoch, claim.key, claim.holder, room, now))
         if claim.epoch != shard.body.epoch:
@@ -500,7 +504,8 @@
 
     def _warn_if_small(self) -> None:
         """Say so once where fewer controllers run than the tolerance asks for."""
-        shard, now = self._configuration_shard, self._loop.time()
+        shard = self._configuration_shard
+        now = self._loop.time()
         if self._size_told or now - self._began_s < GROW_S:
             return
         self._size_told = True
--- a/orchidferry/mesh/control/duties.py
+++ b/orchidferry/mesh/control/duties.py
@@ -48,7 +48,9 @@
 
 def takes_over(group: GroupView, owner: str) -> bool:
     """Whether a controller takes the duties: their owner is gone or can't do them, and it comes first."""
-    names, peers, now = group.names, group.peers, group.now
+    names = group.names
+    peers = group.peers
+    now = group.now
     alive = {name for name in names if name != group.name and peers.alive(name, now)} | {group.name}
     fit = {name for name in alive if name not in peers.unfit and (name != group.name or peers.fit)}
     if 2 * len(alive) <= len(names) or owner in fit or not fit:
--- a/orchidferry/mesh/control/endpoints.py
+++ b/orchidferry/mesh/control/endpoints.py
@@ -15,7 +15,9 @@
 LEASE_S = 2.0  # a node that has renewed nothing for so long is a member no more
 NODES_MOST = 4_096
 
-IN_SERVICE, DRAINING, GONE = "in_service", "draining", "gone"
+IN_SERVICE = "in_service"
+DRAINING = "draining"
+GONE = "gone"
 
 
 class Server(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
--- a/orchidferry/mesh/control/fanout_tree.py
+++ b/orchidferry/mesh/control/fanout_tree.py
@@ -80,11 +80,10 @@
     """One controller's news, at that controller or at whoever has it from there."""
 
     def __init__(self, controller: str, life: int = 0, number: int = -1) -> None:
-        self.controller, self.life, self.number = (
-            controller,
-            life,
-            number,
-        )  # number -1: nothing of this life yet
+        # number -1: nothing of this life yet
+        self.controller = controller
+        self.life = life
+        self.number = number
         self.records: dict[str, Record] = {}
         self.revision = 0
         self._log: deque[tuple[int, int, tuple[str, ...]]] = deque()  # since, number, names
@@ -92,13 +91,15 @@
 
     def begin(self, life: int) -> None:
         """The controller has a new life; what it said in the old one stands until its list is here."""
-        self.life, self.number = life, -1
+        self.life = life
+        self.number = -1
         self._log.clear()
         self._names = 0
 
     def step(self, entries: Iterable[Record] = (), gone: Iterable[str] = (), revision: int = 0) -> None:
         """Something has changed, at the controller itself."""
-        changed, left = list(entries), list(gone)
+        changed = list(entries)
+        left = list(gone)
         self._apply(Change(self.controller, self.life, self.number, self.number + 1, changed, left, revision))
 
     def take(self, change: Change) -> bool:
--- a/orchidferry/mesh/control/give_backs.py
+++ b/orchidferry/mesh/control/give_backs.py
@@ -48,7 +48,8 @@
         """`kept_s`: the longest that a controller keeps a key; `send`: put a message to a controller by name,
         lost if there is no link to it.
         """
-        self._kept_s, self._send = kept_s, send
+        self._kept_s = kept_s
+        self._send = send
         self._waiting: dict[int, GiveBack] = {}  # by number, the oldest first
         self._number = 0
 
--- a/orchidferry/mesh/control/hinted_handoff.py
+++ b/orchidferry/mesh/control/hinted_handoff.py
@@ -49,7 +49,8 @@
         if one is not None and one.silent:
             return
         one = self.kept.setdefault(name, _Kept())
-        one.silent, one.page = True, []
+        one.silent = True
+        one.page = []
         one.keys |= dict.fromkeys(key for at, key in self.recent if at >= now - RECENT_S)
 
     def page(
--- a/orchidferry/mesh/control/operation_key_client.py
+++ b/orchidferry/mesh/control/operation_key_client.py
@@ -33,7 +33,10 @@
 
     def anew(self, epoch: int, group: tuple[str, ...]) -> None:
         """Another group: what the one before it said does not count."""
-        self.epoch, self.group, self.yours, self.held = epoch, group, set(), set()
+        self.epoch = epoch
+        self.group = group
+        self.yours = set()
+        self.held = set()
 
     def open(self, name: str) -> bool:
         """Whether a controller has yet to say something."""
@@ -112,9 +115,11 @@
         had = self.groups[shard]
         news = epoch > had.epoch or fence > had.fence
         if fence > had.fence:
-            had.owner, had.fence = owner, fence
+            had.owner = owner
+            had.fence = fence
         if epoch > had.epoch:
-            had.epoch, had.names = epoch, names
+            had.epoch = epoch
+            had.names = names
             for claim in self._open.values():
                 if claim.shard == shard:
                     claim.count.anew(epoch, names)
@@ -129,7 +134,8 @@
         """
         if len(self._open) >= OPEN_MOST:
             return told("none", None)
-        self._rid, self._now = self._rid + 1, now
+        self._rid = self._rid + 1
+        self._now = now
         shard = shard_state.shard_of(key)
         group = self.groups[shard]
         claim = Claim(self._rid, shard, key, holder, told, Count(group.epoch, group.names), now + for_s, now)
--- a/orchidferry/mesh/control/operation_keys.py
+++ b/orchidferry/mesh/control/operation_keys.py
@@ -155,7 +155,8 @@
             return record
         if had.holder not in (holder, NOBODY) or had.answer is not None:
             return None
-        had.holder, had.answer = holder, answer
+        had.holder = holder
+        had.answer = answer
         self._changed(key)
         return had
 
--- a/orchidferry/mesh/control/order_book.py
+++ b/orchidferry/mesh/control/order_book.py
@@ -53,7 +53,8 @@
         history = self.history
         numbers = sorted(history.unsaved)[-PAGE:]
         puts = [record(self.shard, number, history.entries[number]) for number in numbers]
-        outdated, history.outdated = history.outdated[:PAGE], history.outdated[PAGE:]
+        outdated = history.outdated[:PAGE]
+        history.outdated = history.outdated[PAGE:]
         puts += [record(self.shard, number, None) for number in outdated if number not in history.entries]
         return numbers, puts
 
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -45,7 +45,9 @@
         """`contact_age_ms`: how long ago a majority of controllers was surely in contact with this one; None
         for never.
         """
-        self._zone, self._loop, self._contact_age_ms = zone, loop, contact_age_ms
+        self._zone = zone
+        self._loop = loop
+        self._contact_age_ms = contact_age_ms
         self._began_s = loop.time()
         self._tell_s = 0.0  # when news may be told again
         self._telling = False  # it is to be told then
@@ -90,7 +92,9 @@
         """A node renews its lease, with its record if that is new; the answer says how far the news is, and
         how old this controller's word is.
         """
-        now, known, number = self._loop.time(), True, renewal.number
+        now = self._loop.time()
+        known = True
+        number = renewal.number
         if renewal.record is None:
             known = self._members.renew(renewal.name, renewal.boot, number, now)
         elif self._members.hear(renewal.record, now):
@@ -146,7 +150,8 @@
                 self._send_encoded("news", link, data)
 
     def _tell_late(self) -> None:
-        self._telling, self._tell_s = False, 0.0
+        self._telling = False
+        self._tell_s = 0.0
         self._tell()
 
     def _send(self, kind: str, link: Link, message: Message) -> None:
--- a/orchidferry/mesh/control/reading.py
+++ b/orchidferry/mesh/control/reading.py
@@ -66,7 +66,8 @@
 
     def begin(self, kept: Kept, now: float) -> Reading | None:
         """Begin the next one; None if nobody waits for it. `kept`: what the replica has accepted."""
-        readers, self.queued = self.queued, []
+        readers = self.queued
+        self.queued = []
         self.current, self.busy = None, bool(readers)
         if readers:
             self.count += 1
@@ -86,6 +87,7 @@
         """No caller waits any more; what the replica itself wants to know is gone on with."""
         callers = self.answered(list(self.until_s))
         if self.current is not None and SELF not in self.current.readers:
-            self.current, self.busy = None, False
+            self.current = None
+            self.busy = False
         self.queued = [reader for reader in self.queued if reader == SELF]
         return callers
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -32,7 +32,9 @@
 )
 
 LEARN_S = 0.15  # what was accepted and isn't known to be decided is looked at after so long
-RESEND_MS, BACK_OFF_MS = 300.0, 20.0  # of the register: a voter answers in a round trip and a sync
+# of the register: a voter answers in a round trip and a sync
+RESEND_MS = 300.0
+BACK_OFF_MS = 20.0
 END_S = 0.05  # a proposal is over so much later than its round is given up
 
 
@@ -62,7 +64,10 @@
         self, number: int, name: str, first: Value, kept: Kept, peers: Peers, rng: random.Random
     ) -> None:
         """`first`: the state that all founders begin with."""
-        self.number, self.name, self.peers, self.rng = number, name, peers, rng
+        self.number = number
+        self.name = name
+        self.peers = peers
+        self.rng = rng
         self.acceptor = Acceptor(name, kept, self._object_to)
         # A life's ballots are its own: what an earlier one began and forgot may still be on its way.
         self.life = f"{name} {rng.randrange(2**53):x}"
@@ -121,7 +126,8 @@
     def _flush(self) -> list[Action]:
         while self._mine:
             self._register(self.name, self._mine.popleft(), None)
-        out, self._out = self._out, []
+        out = self._out
+        self._out = []
         return out
 
     def _say(self, to: str, body: ShardBody) -> None:
@@ -163,7 +169,8 @@
             self._vote(sender, message, who)
 
     def _vote(self, sender: str, message: Any, who: Any) -> None:
-        replies, save = [], not self.clean
+        replies = []
+        save = not self.clean
         for action in self.acceptor.handle(message, sender):
             if isinstance(action, Save):
                 save = True
@@ -204,7 +211,8 @@
     def _learn(self, value: Value) -> None:
         """A state that was decided."""
         self.proposer.learn(value)
-        old, value = self.seen, self.known
+        old = self.seen
+        value = self.known
         if value.version > old.version:
             self.seen = value
             self.orders.learn(self.body)
@@ -212,7 +220,8 @@
 
     def _tell_decided(self, value: Value) -> None:
         """Tell the others of a state: by its ballot, where they were asked to accept it."""
-        kept, whole = self.acceptor.kept, None
+        kept = self.acceptor.kept
+        whole = None
         for name in self._others():
             if kept.value == value and self._references.knows_ballot(name, kept.accepted):
                 self._say(name, DecidedBallot(kept.accepted, value.version))
@@ -236,7 +245,8 @@
 
     def _mind_accepted(self) -> None:
         """Look at what was accepted here and has not been known to be decided for a while."""
-        now, value = self.now, self.acceptor.kept.value
+        now = self.now
+        value = self.acceptor.kept.value
         if value is None or value.version <= self.known.version:
             self._accepted_s = 0.0
         elif not self._accepted_s:
@@ -348,7 +358,8 @@
 
     def _pass_reading_time(self) -> None:
         """Ask voters again, or run a round; give up on what waited too long."""
-        now, reading = self.now, self._readings.current
+        now = self.now
+        reading = self._readings.current
         self._out += [Ended(id, None, "") for id in self._readings.expired(now)]
         if reading is None:
             return
@@ -356,7 +367,8 @@
             self._end_reading(reading.readers, None, "")
         elif reading.again_s <= now and reading.enough(self.known.voters):
             self._readings.current = None
-            id, for_s = f"read {reading.number}", reading.until_s - now
+            id = f"read {reading.number}"
+            for_s = reading.until_s - now
             self._propose(id, shard_state.read, for_s, Purpose.READ, reading.readers)
         elif reading.again_s <= now:
             reading.again_s = now + ASK_AGAIN_S
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -95,7 +95,8 @@
 
     def _farewells(self, now: float) -> list[str]:
         """Controllers that have just lost their place and live on until this one has what they heard last."""
-        sources, names = self.standing.sources, {v.name for v in self.known.voters}
+        sources = self.standing.sources
+        names = {v.name for v in self.known.voters}
         return [
             name
             for name in self.learner.cursors
@@ -134,7 +135,8 @@
             return
         names = self.standing.to_ask(self.voter, self.known)
         # Who leaves comes first, then who is being copied from.
-        cursors, leaving = self.learner.cursors, self.peers.leaving
+        cursors = self.learner.cursors
+        leaving = self.peers.leaving
         for name in sorted(names, key=lambda name: (name not in leaving, name not in cursors)):
             if self.peers.alive(name, now):
                 self._ask_page(name, counted)
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -34,7 +34,8 @@
 )
 
 SETTLE_S = 0.8  # after its start a controller does not ask for duties
-ADMIT_S, OWN_S = 1.9, 1.5
+ADMIT_S = 1.9
+OWN_S = 1.5
 JOIN_S = 0.4
 
 
@@ -180,7 +181,8 @@
             case ("orders", orders) if ok:
                 self.orders.history.saved(orders)
             case ("out",) if ok:
-                self.standing, self.abstains_s = Standing(False), self.now
+                self.standing = Standing(False)
+                self.abstains_s = self.now
                 self._out.append(Note("put out of the group"))
 
     def _learned(self, old: Value, new: Value) -> None:
@@ -318,7 +320,8 @@
             return
         if not self.standing.caught_up or self._proposes(Purpose.OWN):
             return
-        owner, fence = self.body.owner, self.body.fence
+        owner = self.body.owner
+        fence = self.body.fence
         if takes_over(self._group(), owner):
             intent = ["own", owner] if owner and owner != self.name else None
             self._propose(f"own {fence}", shard_state.Own(self.name, fence), OWN_S, Purpose.OWN, [], intent)
--- a/orchidferry/mesh/control/retry_budget.py
+++ b/orchidferry/mesh/control/retry_budget.py
@@ -36,7 +36,9 @@
 HOLDERS_MOST = 4_096  # lives of nodes that one dealer keeps account of
 DEALERS_MOST = 512
 ASKED_MOST = 8  # askings of a node that may still be answered
-CHANGE_S, CHANGE_SHARE = 0.5, 0.1  # changes of what is in force: not sooner, nor smaller, where that is safe
+# changes of what is in force: not sooner, nor smaller, where that is safe
+CHANGE_S = 0.5
+CHANGE_SHARE = 0.1
 
 Life = tuple[str, int]
 
@@ -71,7 +73,8 @@
         lease_s: float = LEASE_S,
         learn_s: float | None = None,
     ) -> None:
-        self._whole, self._lease_s = int(whole * MIL), lease_s
+        self._whole = int(whole * MIL)
+        self._lease_s = lease_s
         self._counts_s = window_s + LATE_S  # how long spending counts after its sending
         learn_s = lease_s + self._counts_s if learn_s is None else learn_s
         self._learnt_s = now_s + learn_s
@@ -79,7 +82,8 @@
         self._ends: list[tuple[float, Life]] = []  # when grants stop to count
         self._total = 0  # the sum over accounts of the most of each
         self._wants: dict[Life, tuple[float, int]] = {}  # when each asked last, and what it could use
-        self._level, self._level_s = 0, -math.inf
+        self._level = 0
+        self._level_s = -math.inf
         self.heard_s = now_s
 
     def deal(self, node: str, life: int, wanted: float, held: float, now_s: float) -> float | None:
@@ -87,7 +91,8 @@
 
         `wanted`: tries that it made or would have made in the last window, beyond its ratio.
         """
-        who, self.heard_s = (node, life), now_s
+        who = (node, life)
+        self.heard_s = now_s
         self._lapse(now_s)
         account = self._accounts.get(who)
         if account is None:
@@ -108,7 +113,9 @@
         return amount / MIL
 
     def _grant(self, who: Life, account: _Account, amount: int, now_s: float) -> None:
-        had, grants, end = account.most, account.grants, now_s + self._lease_s + self._counts_s
+        had = account.most
+        grants = account.grants
+        end = now_s + self._lease_s + self._counts_s
         while grants and grants[-1][1] <= amount:
             grants.pop()
         grants.append((end, amount))
@@ -136,7 +143,8 @@
         """Work out the level up to which what is wanted is met, beyond the floors: max-min fair."""
         for who in [who for who, (asked_s, _) in self._wants.items() if now_s - asked_s > self._lease_s]:
             del self._wants[who]
-        left, self._level_s = self._whole - self._floor() * len(self._wants), now_s
+        left = self._whole - self._floor() * len(self._wants)
+        self._level_s = now_s
         wants = sorted(want for _, want in self._wants.values())
         self._level = self._whole
         for n, want in enumerate(wants):
@@ -156,7 +164,9 @@
         self.fence = -1  # the highest of any owner that was heard
         self._number = first
         self._asked: dict[int, float] = {}  # when, by number
-        self._granted, self._until_s = 0.0, -math.inf  # by the newest answer
+        # by the newest answer
+        self._granted = 0.0
+        self._until_s = -math.inf
         self.in_force = 0.0  # what the node goes by,
         self.due_s = math.inf  # until then: `turn` must be called before anything is spent later
         self._covered_s = -math.inf  # how long leases cover what is in force
@@ -192,7 +202,8 @@
         until_s = asked_s + for_s
         if now_s >= until_s:
             return False
-        self._granted, self._until_s = max(0.0, amount), until_s
+        self._granted = max(0.0, amount)
+        self._until_s = until_s
         return True
 
     def turn(self, now_s: float) -> bool:
@@ -200,14 +211,17 @@
 
         More may wait, and less may while the lease that it came under runs; with no lease there is nothing.
         """
-        granted, covered = self._granted if now_s < self._until_s else 0.0, now_s < self._covered_s
+        granted = self._granted if now_s < self._until_s else 0.0
+        covered = now_s < self._covered_s
         if granted >= self.in_force:
             self._covered_s = max(self._covered_s, self._until_s) if self.in_force else self._until_s
             covered = True
         small = abs(granted - self.in_force) <= CHANGE_SHARE * self.in_force
         changed = granted != self.in_force and not (covered and (small or now_s - self._changed_s < CHANGE_S))
         if changed:
-            self.in_force, self._covered_s, self._changed_s = granted, self._until_s, now_s
+            self.in_force = granted
+            self._covered_s = self._until_s
+            self._changed_s = now_s
         self.due_s = self._covered_s if self.in_force else math.inf
         return changed
 
@@ -223,7 +237,9 @@
     def __init__(
         self, retry_slack: float, window_s: float, owner_fence: Callable[[str, float], int | None]
     ) -> None:
-        self._whole, self._window_s, self._owner_fence = dealt(retry_slack), window_s, owner_fence
+        self._whole = dealt(retry_slack)
+        self._window_s = window_s
+        self._owner_fence = owner_fence
         self._dealers: dict[str, tuple[int, Dealer]] = {}
 
     def handle(self, request: RetryShareRequest, now_s: float) -> RetryShare | None:
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -27,7 +27,10 @@
 KEY_SHARDS = (1, 2, 3)
 SHARDS = (CONFIGURATION, *KEY_SHARDS)
 
-OTHER_VERSION, OLD_VERSION, ALIVE, NO_PLACE = "other version", "old version", "it is alive", "no place"
+OTHER_VERSION = "other version"
+OLD_VERSION = "old version"
+ALIVE = "it is alive"
+NO_PLACE = "no place"
 UNKNOWN_ORDER = "older than is remembered"
 OTHER_FENCE = "another owner came first"
 OTHER_GROUP = "the group has changed"
@@ -91,7 +94,8 @@
     on: int
 
     def __call__(self, before: Value) -> Value | str:
-        old, history = body(before), OrderHistory()
+        old = body(before)
+        history = OrderHistory()
         history.merge(old.taken, lists_all(old))
         verdict = self.verdict(history, old.revision)
         if verdict is Verdict.TAKEN:
--- a/orchidferry/mesh/control/state_teller.py
+++ b/orchidferry/mesh/control/state_teller.py
@@ -29,7 +29,8 @@
         """Whether to ask this one, which knows more; `others`: the rest that could be asked."""
         if now < self.until_s or (name == self.name and any(True for _ in others)):
             return False
-        self.name, self.until_s = name, now + TELL_S
+        self.name = name
+        self.until_s = now + TELL_S
         return True
 
     def answered(self) -> None:
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -51,7 +51,9 @@
 ANSWER_S = 0.4  # for a parent to take this node in, or to show that it lives
 STRIKES = 3  # gaps in a row with nothing new from a parent
 STRIKE_S = 0.4  # gaps within this count as one: each controller tells of the same change
-BACK_OFF_S, BACK_OFF_MOST_S = 4.0, 60.0  # before a parent is tried again, doubling
+# before a parent is tried again, doubling
+BACK_OFF_S = 4.0
+BACK_OFF_MOST_S = 60.0
 STRANGER_S = 3.0  # one that has connected and not said what it wants is cut off
 LINKS_MOST = 4 * FOLLOWERS_MOST
 POSITIONS_MOST = 32
@@ -88,9 +90,15 @@
         told: Callable[[int, Link], None],
         heads: int = HEADS,
     ) -> None:
-        self._name, self._boot_id, self._zone = name, boot, zone
-        self._loop, self._rng, self._dial = loop, rng, dial
-        self._changed, self._told, self._heads = changed, told, heads
+        self._name = name
+        self._boot_id = boot
+        self._zone = zone
+        self._loop = loop
+        self._rng = rng
+        self._dial = dial
+        self._changed = changed
+        self._told = told
+        self._heads = heads
         self.streams: dict[str, Stream] = {}  # by controller
         self._controllers: dict[str, Link] = {}  # open links
         self._following: set[str] = set()  # controllers that tell this node all
@@ -149,10 +157,12 @@
         for name, link in self._controllers.items():
             if name == controller or self.parent is not None:
                 link.send(NewsRequest(self.streams[name].life, self.streams[name].number))
-        parent, now = self.parent, self._loop.time()
+        parent = self.parent
+        now = self._loop.time()
         if parent is None or now < parent.struck_s + STRIKE_S:
             return
-        parent.strikes, parent.struck_s = parent.strikes + 1, now
+        parent.strikes = parent.strikes + 1
+        parent.struck_s = now
         if parent.strikes >= STRIKES:
             return self._fail(parent, "has no news")
         if parent.until_s == math.inf:
@@ -262,7 +272,8 @@
 
     def from_parent(self, link: Link, message: Message) -> None:
         """A parent's message, all but the configuration's text."""
-        parent, trying = self.parent, self._trying
+        parent = self.parent
+        trying = self._trying
         if trying is not None and link is trying.link:
             if isinstance(message, RelayAccepted):
                 self._accepted_by(trying)
@@ -277,7 +288,9 @@
     def _accepted_by(self, parent: Parent) -> None:
         """Follow this parent from now on."""
         before = self.parent
-        parent.until_s, self._trying, self.parent = math.inf, None, parent
+        parent.until_s = math.inf
+        self._trying = None
+        self.parent = parent
         self._back_off.pop(parent.record.name, None)
         if before is not None and before.link is not None:
             before.link.close()
@@ -291,7 +304,8 @@
 
     def _fail(self, one: Parent, why: str) -> None:
         """Try another; controllers tell the news until there is one."""
-        name, now = one.record.name, self._loop.time()
+        name = one.record.name
+        now = self._loop.time()
         logger.info("subscriber: {} {}", name, why)
         wait = min(BACK_OFF_MOST_S, 2.0 * self._back_off.get(name, (0.0, BACK_OFF_S / 2.0))[1])
         self._back_off[name] = (now + wait * (0.75 + 0.5 * self._rng.random()), wait)
@@ -304,7 +318,8 @@
             self._leave()
 
     def _leave(self) -> None:
-        parent, self.parent = self.parent, None
+        parent = self.parent
+        self.parent = None
         self._follow_controllers()
         if parent is not None and parent.link is not None:
             parent.link.close()
@@ -373,7 +388,8 @@
                 continue
             del self._asking[link]
             if raw is None or known < revision:
-                known, raw = -1, b""
+                known = -1
+                raw = b""
             self._send("text", link, ConfigurationText(rid, known, raw))
 
     def _send(self, kind: str, link: Link, message: Message) -> None:
--- a/orchidferry/mesh/control/value_references.py
+++ b/orchidferry/mesh/control/value_references.py
@@ -41,8 +41,11 @@
         """A message of the register as it goes out; `kept`: what this replica has accepted."""
         if isinstance(message, Prepare):
             if message.ballot != self.ballot:
-                self.ballot, self.accepted, self.value = message.ballot, kept.accepted, kept.value
-                self.held, self.asked = {}, set()
+                self.ballot = message.ballot
+                self.accepted = kept.accepted
+                self.value = kept.value
+                self.held = {}
+                self.asked = set()
             message = replace(message, has=self.accepted)
         elif isinstance(message, Accept) and message.ballot == self.ballot:
             self.asked.add(to)
--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -62,13 +62,17 @@
     __slots__ = ("_gate", "answer", "attempt", "ends_ms", "message", "once", "owed", "place", "rank", "timer")
 
     def __init__(self, gate: AdmissionGate, message: ProxiedRequest, answer: Callable[[Reply], None]) -> None:
-        self._gate, self.message, self.answer = gate, message, answer
+        self._gate = gate
+        self.message = message
+        self.answer = answer
         self.ends_ms = now_ms() + message.budget_ms
         rank = message.headers.get(RANK, b"9")
         self.rank = int(rank) if rank.isdigit() else 9
         self.once = TIMES in message.headers
         self.attempt: ServerAttempt | None = None
-        self.owed, self.timer, self.place = True, 0, 0
+        self.owed = True
+        self.timer = 0
+        self.place = 0
 
     def caller_gone(self) -> None:
         """Whoever sent it has gone. What may not run twice is let run."""
@@ -98,7 +102,8 @@
         self, gate: AdmissionGate, passing: GateRequest, address: Address, timeout_ms: float
     ) -> None:
         super().__init__(passing.message, gate.life, address, timeout_ms, passing.once)
-        self._gate, self._pass = gate, passing
+        self._gate = gate
+        self._pass = passing
         passing.attempt = self
 
     def head_bytes(self) -> bytes:
@@ -137,9 +142,14 @@
         """`below`: whether calls from this machine were turned away lately. `orphan` takes the server's
         answer to a request whose key is claimed, and whose sender is gone.
         """
-        self._below, self._orphan = below, orphan
-        self._application, self._bounds = application, bounds
-        self._loop, self._alarms, self._lines, self._changed = loop, alarms, lines, changed
+        self._below = below
+        self._orphan = orphan
+        self._application = application
+        self._bounds = bounds
+        self._loop = loop
+        self._alarms = alarms
+        self._lines = lines
+        self._changed = changed
         self._registration = ServerRegistration(beat_ms, now_ms())
         self.life = 1  # its number for the pool of connections: none is used for another life
         self._refused = 0  # connections in a row
@@ -195,7 +205,8 @@
 
     def open_for(self, message: ProxiedRequest) -> bytes | None:
         """None if a request may go in; else what to say of it."""
-        server, target = self.server, message.headers.get(b"target-instance")
+        server = self.server
+        target = message.headers.get(b"target-instance")
         if server is not None:
             if target is not None and target != server.id.encode("latin-1"):
                 return GATE_GONE
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -23,7 +23,9 @@
 from orchidferry.node.upstream import UPLOAD_STALL_S, Answer, Attempt, Connection, Upstream
 
 HELD_ANSWER = 1024 * 1024  # bytes of an answer that are read whole before any of it is passed on
-SWITCHING, NO_BODY = 101, (204, 304)  # statuses
+# statuses
+SWITCHING = 101
+NO_BODY = (204, 304)
 LINE_END = b"\r\n"
 TRIED_MOST = 8  # ids that a connection remembers
 
@@ -190,14 +192,16 @@
     def on_headers_complete(self) -> None:
         if self._complete:
             return
-        status, bodiless = self._parser.get_status_code(), False
+        status = self._parser.get_status_code()
+        bodiless = False
         if self._attempt is not None:
             # A surplus answer in the place of the one that is due: it is nobody's.
             self._skip = not self._spoilt and self._is_anothers(self._attempt)
             self._tainted = self._tainted or self._skip
             bodiless = status >= 200 and self._attempt.message.method == b"HEAD"
         if bodiless or (status in NO_BODY and not self._framings):
-            self._framings, self._length = 1, None
+            self._framings = 1
+            self._length = None
         if status >= 200 and not self._framings:
             self._to_close = True  # its body ends with the connection (RFC 9112, section 6.3)
         super().on_headers_complete()
@@ -297,7 +301,8 @@
     def _kept_for(self, attempt: TrackedAttempt) -> HttpConnection | None:
         """The connection used last, if it may carry this attempt; those that can carry none are closed."""
         idle = cast(list[HttpConnection], self._idle.get(attempt.server, []))
-        now, limit = now_ms(), self.idle_limit(attempt.server)
+        now = now_ms()
+        limit = self.idle_limit(attempt.server)
         while idle:
             newest = idle[-1]
             rested_ms = now - newest.idle_since
--- a/orchidferry/mesh/dataplane/idle_limit.py
+++ b/orchidferry/mesh/dataplane/idle_limit.py
@@ -34,9 +34,12 @@
 
     def __init__(self, most_ms: float, once_ms: float) -> None:
         """`most_ms`: where nothing is known; `once_ms`: for requests that may run once only."""
-        self._most_ms, self._once_ms = most_ms, once_ms
-        self._stated, self._longest_ms = b"", most_ms
-        self._found_ms, self._found_until_ms = math.inf, -math.inf
+        self._most_ms = most_ms
+        self._once_ms = once_ms
+        self._stated = b""
+        self._longest_ms = most_ms
+        self._found_ms = math.inf
+        self._found_until_ms = -math.inf
 
     def states(self, header: bytes) -> None:
         """The server's own word: the value of its `Keep-Alive`."""
--- a/orchidferry/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -99,7 +99,8 @@
     def _serve_next(self) -> None:
         super()._serve_next()
         if self._last_word is not None and not self._busy and not self._queue and not self._choked:
-            word, self._last_word = self._last_word, None
+            word = self._last_word
+            self._last_word = None
             super()._turn_away(word)
 
     def _turn_away(self, reply: Reply) -> None:
@@ -126,11 +127,13 @@
         return self._busy and self._serving is not None and self._serving.flow is flow
 
     def _turn_away_later(self, reply: Reply) -> None:
-        coming, self._in = self._in, None
+        coming = self._in
+        self._in = None
         if coming is not None:  # its request waits in the queue, and is the one that can't be read
             self._queue.pop()
             coming.fail()
-        self._deaf, self._last_word = True, reply
+        self._deaf = True
+        self._last_word = reply
         self._serve_next()
         self._settle()
 
@@ -157,7 +160,8 @@
 
     def limit_sizes(self, head: int, body: int) -> None:
         """Take the operator's limits on what a caller may send, in bytes."""
-        self.head_most, self.body_most = head, body
+        self.head_most = head
+        self.body_most = body
 
     def limit(self, idle_s: float, header_s: float) -> None:
         """Take the operator's limits. Callers that know a longer idle time may use it once more."""
@@ -185,7 +189,8 @@
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
     ) -> Message | Reply:
         """A whole request; `Unacceptable` says what is wrong with it."""
-        id, left = headers.get(b"attempt-id"), headers.get(b"time-remaining")
+        id = headers.get(b"attempt-id")
+        left = headers.get(b"time-remaining")
         if id is None or not TOKEN.fullmatch(id):
             raise Unacceptable("Attempt-Id is missing or can't be used")
         if left is not None and not MILLISECONDS.fullmatch(left):
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -20,19 +20,21 @@
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 ANSWER_MOST = 256 * 1024  # bytes of an answer that is kept for repeats of its key
 # The gate's own headers, which no client or server sees.
-GATE, RANK, PATIENCE, TIMES, LOAD, BELOW, KEYED = (
-    b"orchid-gate",
-    b"orchid-rank",
-    b"orchid-patience",
-    b"orchid-once",
-    b"orchid-load",
-    b"orchid-below",
-    b"orchid-keyed",
-)
+GATE = b"orchid-gate"
+RANK = b"orchid-rank"
+PATIENCE = b"orchid-patience"
+TIMES = b"orchid-once"
+LOAD = b"orchid-load"
+BELOW = b"orchid-below"
+KEYED = b"orchid-keyed"
 PRIVATE = b"orchid-"
 
 PROMISES = frozenset((408, 421, 429, 503))  # statuses that promise a caller that its request has not run
-UNRUN, GONE, LOST, LATE = b"unrun", b"gone", b"lost", b"late"  # what a gate says of a request
+# what a gate says of a request
+UNRUN = b"unrun"
+GONE = b"gone"
+LOST = b"lost"
+LATE = b"late"
 GATE_RESULTS = {
     UNRUN: Result.REFUSED,
     GONE: Result.MOOT,
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -41,11 +41,15 @@
 from orchidferry.node.upstream import MAX_HEAD
 
 CONNECT_MS = 400.0
-KEEP_HOP_MS, KEEP_SERVER_MS = 60_000.0, 14_000.0  # half of this a connection may idle
+# half of this a connection may idle
+KEEP_HOP_MS = 60_000.0
+KEEP_SERVER_MS = 14_000.0
 # What may run once goes on no connection that has rested for longer, as nobody can make good what is lost on
 # one that is dead without a sign: as long as a node that is cut off may still be listed.
 ONCE_IDLE_MS = 2_000.0
-CLAIM_S, CLAIM_SHARE = 1.0, 0.4  # for claiming a key: so long, or this share of the time left
+# for claiming a key: so long, or this share of the time left
+CLAIM_S = 1.0
+CLAIM_SHARE = 0.4
 LOOK_S = 0.5
 BELOW_MS = 500.0  # so long a call from this machine that was turned away explains its server's errors
 STARTING_S = 0.6  # when to come back to a node that has no configuration yet
@@ -149,7 +153,8 @@
 
     async def _stop(self) -> None:
         """Finish what is held: the platform looks at readiness once a second, and kills after the grace."""
-        began_s, grace_s = self._loop.time(), self._settings.bounds.grace_s
+        began_s = self._loop.time()
+        grace_s = self._settings.bounds.grace_s
         ends_s = began_s + grace_s - STOP_MARGIN_S
         self._stop_ms = now_ms() + (grace_s - 2.0 * STOP_MARGIN_S) * 1000.0
         logger.info("proxy: stopping")
@@ -261,10 +266,8 @@
         """Take the operator's `limit_set`."""
         idle_s = limits.get("idle_timer_ms", 60_000.0) / 1000.0
         self._outbound.limit(idle_s, limits.get("header_timer_ms", 3_000.0) / 1000.0)
-        head, body = (
-            int(limits.get("max_header_bytes", MAX_HEAD)),
-            int(limits.get("max_body_bytes", LONG_BODY)),
-        )
+        head = int(limits.get("max_header_bytes", MAX_HEAD))
+        body = int(limits.get("max_body_bytes", LONG_BODY))
         self._outbound.limit_sizes(head, body)
         # What a node took under limits that this one does not know any more, or not yet, is let in.
         self._inbound.limit_sizes(
@@ -283,7 +286,8 @@
         if route is None:
             answer(own_answer(message, Refusal(Kind.NO_ROUTE)))
             return NothingOwed()
-        message.cls, message.route = route.id, route
+        message.cls = route.id
+        message.route = route
         left_ms = route.guard_ms if message.untimed else message.budget_ms
         ends_ms = min(now_ms() + max(0.0, min(left_ms - MARGIN_MS, route.guard_ms)), self._stop_ms)
         client = self._services[self._pick_service(route)]
@@ -370,7 +374,8 @@
     """A beat as a server and its call's number; the fault names the field."""
     try:
         data = json.loads(raw)
-        information, condition = data["information"], data["condition"]
+        information = data["information"]
+        condition = data["condition"]
         state = condition["state"]
         if state not in (IN_SERVICE, DRAINING):
             return Refusal(Kind.INVALID, f"beat: condition.state: {state!r} is no state")
--- a/orchidferry/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -71,7 +71,8 @@
             return Heard.LATE
         if not same_life and not self._begin_life(server.id, sequence, now_ms):
             return Heard.LATE
-        self._sequence, self.heard_ms = sequence, now_ms
+        self._sequence = sequence
+        self.heard_ms = now_ms
         if server.state == DRAINING:
             self._drained_ms = min(self._drained_ms, now_ms)
         elif self._drained_ms < math.inf:  # a drain that was acknowledged is final
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -57,7 +57,9 @@
 COLD_SHARE = 0.5  # of its part, for a server that says it is slow from its start
 PATIENCE_SHARES = (0.75, 0.75, 0.24)  # of the aim, by rank: how long a gate may hold a request for room
 LATE_WORTH = 0.3
-WAIT_SHARE, LEAST_WAIT_MS = 0.2, 20.0  # of the time left: the longest that a caller is told to wait
+# of the time left: the longest that a caller is told to wait
+WAIT_SHARE = 0.2
+LEAST_WAIT_MS = 20.0
 SHED_AGAIN_SHARE = 0.2  # of the aim: when to come back after being shed for what is below
 
 
@@ -112,10 +114,18 @@
         answer: Callable[[Reply], None],
         on_end: Callable[[ServerResponse | None, bool], None] | None,
     ) -> None:
-        self.service, self.id, self.message, self.route = service, id, message, route
-        self.began_ms, self.ends_ms, self.answer = now_ms(), ends_ms, answer
+        self.service = service
+        self.id = id
+        self.message = message
+        self.route = route
+        self.began_ms = now_ms()
+        self.ends_ms = ends_ms
+        self.answer = answer
         self.on_end = on_end  # hears the answer of a run, if there is one, and whether it may have run
-        self.owed, self.ran, self.attempts, self.backstop = True, False, 0, 0
+        self.owed = True
+        self.ran = False
+        self.attempts = 0
+        self.backstop = 0
         self.said: ServerResponse | None = None  # the last answer of a server that ran it
 
     def caller_gone(self) -> None:
@@ -134,7 +144,9 @@
         self, live: PendingRequest, server: int, target: str, address: Address, timeout_ms: float
     ) -> None:
         super().__init__(live.message, server, address, timeout_ms, once=not live.route.repeatable)
-        self._live, self._target, self._number = live, target, live.attempts
+        self._live = live
+        self._target = target
+        self._number = live.attempts
         self._sent_ms = now_ms()
         live.attempts += 1
         live.service.out[live.id, self._number] = self
@@ -159,7 +171,8 @@
 
     def timed_out(self) -> None:
         # Around a planned end what is broken off at work and answered 502 counts as lost.
-        live, left_ms = self._live, self._live.ends_ms - now_ms() - MARGIN_MS / 2.0
+        live = self._live
+        left_ms = self._live.ends_ms - now_ms() - MARGIN_MS / 2.0
         if live.service.leaving and live.owed and self.begun and left_ms > 1.0:
             return self.go_on_for(left_ms / 1000.0)
         super().timed_out()
@@ -170,7 +183,8 @@
         return beginnable and self._live.owed and self._live.service.serves(self.server)
 
     def ended(self, result: Result, answer: Answer | None) -> None:
-        live, service = self._live, self._live.service
+        live = self._live
+        service = self._live.service
         del service.out[live.id, self._number]
         said = answer if isinstance(answer, ServerResponse) else None
         if result not in NEVER_RAN and self.begun:
@@ -221,11 +235,15 @@
         numbers: Callable[[str], int],
     ) -> None:
         self.name, self.caller, self._zone = name, caller.encode("latin-1"), zone
-        self._bounds, self._loop, self._alarms = bounds, loop, alarms
-        self._lines, self._numbers = lines, numbers
+        self._bounds = bounds
+        self._loop = loop
+        self._alarms = alarms
+        self._lines = lines
+        self._numbers = numbers
         self._rng = random.Random()
         self._classes: dict[str, api.RequestClass] = {}
-        self._attempts, self._members = 1, 1
+        self._attempts = 1
+        self._members = 1
         self._balancer: Balancer | None = None
         self._turns: Turns | None = None
         self._serial = 0
@@ -242,7 +260,9 @@
         self._near: dict[int, bool] = {}
         self._began_s = loop.time()
         self._slack_comes = False  # a timer is set for when there is some
-        self._pull, self._pulled_ms, self._waiting = PULLS[0][1], -math.inf, 0.0
+        self._pull = PULLS[0][1]
+        self._pulled_ms = -math.inf
+        self._waiting = 0.0
         self._cold: dict[int, float] = {}  # until when
 
     # What the service is told
@@ -324,7 +344,9 @@
             boots[number] = record.boot
         changes = [entry for number, entry in entries.items() if self._entries.get(number) != entry]
         gone = [number for number in self._entries if number not in entries]
-        self._entries, self._targets, self._near = entries, targets, near
+        self._entries = entries
+        self._targets = targets
+        self._near = near
         self._ready = {n for n, entry in entries.items() if entry.health is api.Health.IN_SERVICE}
         for number, boot in boots.items():
             if self._boots.get(number, boot) != boot:  # a new process: no connection to the last one lives
@@ -421,7 +443,8 @@
     def over(self, live: PendingRequest) -> None:
         """Nothing more happens to a request once none of its attempts is out: who waits for that hears."""
         if live.on_end is not None and not self._hops_of(live):
-            on_end, live.on_end = live.on_end, None
+            on_end = live.on_end
+            live.on_end = None
             on_end(live.said, live.ran)
 
     def stop_by(self, stop_ms: float) -> None:
@@ -429,7 +452,8 @@
 
         A server may have lost its answer, so the silence of one would else outlast the node.
         """
-        self.leaving, self._stop_ms = True, stop_ms
+        self.leaving = True
+        self._stop_ms = stop_ms
         for live in self.live.values():
             if live.ends_ms > stop_ms:
                 live.ends_ms = stop_ms
@@ -517,7 +541,8 @@
         self.finish(live, own_answer(live.message, Refusal(Kind.SHED), wait_s))
 
     def _send(self, action: api.Send) -> None:
-        live, number = self.live.get(action.id), action.server
+        live = self.live.get(action.id)
+        number = action.server
         if live is None or number not in self._ready:
             count = live.attempts if live is not None else 0
             return self.handle(api.AttemptEnded(action.id, count, number, Result.MOOT, 0.0, live is None))
--- a/orchidferry/mesh/settings.py
+++ b/orchidferry/mesh/settings.py
@@ -130,9 +130,11 @@
 
 def check_settings(data: dict[str, Any]) -> Settings:
     """A settings file's tables as typed values."""
-    node, network = _table(data, "own_node"), _table(data, "network")
+    node = _table(data, "own_node")
+    network = _table(data, "network")
     terms = _table(data, "term_settings")
-    bounds, limits = _part(terms, "bound_set", "term_settings."), _part(node, "limit_set", "own_node.")
+    bounds = _part(terms, "bound_set", "term_settings.")
+    limits = _part(node, "limit_set", "own_node.")
     losses = _part(terms, "tolerance", "term_settings.")
     for name in ("node_name", "ip", "zone"):
         if not isinstance(node.get(name), str) or not node[name]:
@@ -143,7 +145,8 @@
     data_dir = node.get("data_dir")
     if data_dir is not None and (not isinstance(data_dir, str) or not data_dir):
         raise BadSettings("own_node.data_dir: a text is needed")
-    ports, seeds = network.get("internal_ports"), network.get("seed_nodes")
+    ports = network.get("internal_ports")
+    seeds = network.get("seed_nodes")
     if not isinstance(ports, list) or not ports or not all(map(_is_port, ports)):
         raise BadSettings("network.internal_ports: a list of ports is needed")
     if not isinstance(seeds, list):
--- a/orchidferry/mesh/storage/disk_health.py
+++ b/orchidferry/mesh/storage/disk_health.py
@@ -7,7 +7,9 @@
 from loguru import logger
 
 STUCK_S = 0.6  # a write that has waited for so long: the disk is ailing
-PROMPT_S, WELL_S = 0.3, 1.0  # well again once no write has waited longer than this, for so long
+# well again once no write has waited longer than this, for so long
+PROMPT_S = 0.3
+WELL_S = 1.0
 
 
 class DiskHealth:
@@ -43,7 +45,8 @@
             self._prompt_since_s = now_s
         elif now_s - self._prompt_since_s >= WELL_S:
             logger.info("store: the disk keeps up again")
-            self.ailing, self._prompt_since_s = False, None
+            self.ailing = False
+            self._prompt_since_s = None
 
     def _begin_ailing(self, reason: str) -> None:
         self._prompt_since_s = None
--- a/orchidferry/mesh/storage/environment.py
+++ b/orchidferry/mesh/storage/environment.py
@@ -16,7 +16,10 @@
 NAMES = (ABOUT, KEYS)
 MAX_DATABASES = 4  # handles of an environment: `NAMES`, and what a later build adds
 MAP_BYTES = 160 * 1024 * 1024
-STORE, PART, LOCK = "data.mdb", "data.part", "lock"  # files of the directory
+# files of the directory
+STORE = "data.mdb"
+PART = "data.part"
+LOCK = "lock"
 FIXED_PAGES = 3  # the two meta pages and the root of the databases
 
 Databases = dict[str, Any]  # lmdb's handles, by name
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -74,7 +74,8 @@
 def _value_line(value: Value | None) -> str:
     if value is None:
         return "nothing yet"
-    body, voters = shard_state.body(value), " ".join(v.name for v in value.voters)
+    body = shard_state.body(value)
+    voters = " ".join(v.name for v in value.voters)
     duties = f"owner {body.owner or 'none'} under fence {body.fence}"
     return f"version {value.version}, epoch {body.epoch}, revision {body.revision}, {duties}, voters {voters}"
 
@@ -101,7 +102,8 @@
 
 
 def _inspect(env: lmdb.Environment, file: str, dbs: Databases) -> Inspection:
-    page_bytes, newest_transaction = env.stat()["psize"], env.info()["last_txnid"]
+    page_bytes = env.stat()["psize"]
+    newest_transaction = env.info()["last_txnid"]
     with env.begin() as txn:
         raws = {bytes(k): bytes(v) for k, v in txn.cursor(db=dbs[ABOUT])} if ABOUT in dbs else {}
         found_format = _format_of(raws)
--- a/orchidferry/mesh/storage/record_format.py
+++ b/orchidferry/mesh/storage/record_format.py
@@ -17,7 +17,9 @@
 # Format 1 had neither checksums nor a seal, and no record of its number. In format 2 the configuration's
 # text was never compressed: a build that does not know format 3 would hand out the compressed bytes.
 FORMAT = 3
-FORMAT_KEY, SEAL_KEY = b"format", b"seal"  # records of `about`
+# records of `about`
+FORMAT_KEY = b"format"
+SEAL_KEY = b"seal"
 CHECKSUM_BYTES = 4
 
 Put = tuple[str, bytes, bytes | None]  # database, key, value; None deletes
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -56,7 +56,9 @@
 ]
 
 # Added to versions, epochs and fences: a group that changes some times a minute never gets so far.
-AHEAD_VERSION, AHEAD_EPOCH, AHEAD_FENCE = 2**32, 2**20, 2**20
+AHEAD_VERSION = 2**32
+AHEAD_EPOCH = 2**20
+AHEAD_FENCE = 2**20
 COUNTER = 1  # of the ballot in which the state was accepted; its name is nobody else's
 MEMORIES = 2**53 - 2  # that a memory is drawn from; 0 and 1 have meanings of their own
 BATCH = 500  # keys in one transaction
@@ -124,7 +126,8 @@
     sealed = inspection.contents.format > 1
     with env.begin(db=inspection.dbs[KEYS]) as txn:
         for key, raw in txn.cursor():
-            name, row = bytes(key), bytes(raw)
+            name = bytes(key)
+            row = bytes(raw)
             out.write(pack([name, unwrap(KEYS, name, row) if sealed else row]))
 
 
--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -33,7 +33,9 @@
 from orchidferry.mesh.storage.inspection import BROKEN, StoreContents, inspect
 from orchidferry.mesh.storage.record_format import FORMAT, Damaged, put_sealed, wrap
 
-TRIES, RENAMED = "opening", "renamed"  # files of data_dir
+# files of data_dir
+TRIES = "opening"
+RENAMED = "renamed"
 BAD = "bad"  # a directory there
 DISK_BYTES = 250_000_000  # of a disk of 256 MB
 BAD_MOST = 64_000_000  # bytes; a larger store that was moved to `bad` isn't kept
@@ -43,7 +45,10 @@
 DEATHS = 2  # so often in a row the process ended during the check: the store is the cause
 AGAIN_S = 0.5  # after a store could not be opened
 # lmdb 0.9: its two meta pages, and where the size of the map and the last page's number stand in them
-PAGE, META_BYTES, META_FIELDS, FIELD_BYTES = 4096, 152, (32, 136), 8
+PAGE = 4096
+META_BYTES = 152
+META_FIELDS = (32, 136)
+FIELD_BYTES = 8
 MAX_META_BYTES = 2**32  # above any store's size
 
 # Before a controller starts
@@ -226,7 +231,8 @@
 
 async def ready(folder: str, stopping: asyncio.Event) -> bool:
     """Prepare a store in a thread of its own, for as long as that takes; False if told to stop before."""
-    loop, last_problem = asyncio.get_running_loop(), ""
+    loop = asyncio.get_running_loop()
+    last_problem = ""
     while not stopping.is_set():
         done: asyncio.Future[str] = loop.create_future()
         threading.Thread(target=_prepare_in_thread, args=(folder, loop, done), daemon=True).start()
@@ -267,7 +273,8 @@
 
 def look(folder: str) -> StoreContents | None:
     """What the store of a directory holds, with nothing written; None if there is none. `BadStore`."""
-    file, locked = os.path.join(folder, STORE), os.path.exists(os.path.join(folder, LOCK))
+    file = os.path.join(folder, STORE)
+    locked = os.path.exists(os.path.join(folder, LOCK))
     if not os.path.exists(file):
         return None
     try:
--- a/orchidferry/mesh/storage/store.py
+++ b/orchidferry/mesh/storage/store.py
@@ -62,7 +62,8 @@
 
     def __init__(self, folder: str, loop: asyncio.AbstractEventLoop) -> None:
         """Open the store, or make it. `BadStore` if neither can be done."""
-        self._folder, self._loop = folder, loop
+        self._folder = folder
+        self._loop = loop
         self._wake = threading.Condition()  # guards the next four, and wakes the thread
         self._jobs: list[WriteJob] = []  # that wait
         self._flight: list[WriteJob] = []  # that are being written
@@ -220,10 +221,12 @@
         while True:
             with self._wake:
                 self._wait_for_jobs()
-                jobs, self._jobs = self._jobs, []
+                jobs = self._jobs
+                self._jobs = []
                 if not jobs and self._ending:
                     return
-                self._flight, self._unawaited_deletes = jobs, 0
+                self._flight = jobs
+                self._unawaited_deletes = 0
                 began_s = self._loop.time()
             done = self._commit(jobs)
             now = self._loop.time()
@@ -266,7 +269,8 @@
         done: list[bool] = []
         with self._env.begin(write=True) as txn:
             put_sealed(txn, self._dbs)
-            max_pages, pages = KEEP_SHARE * self._pages, self._used
+            max_pages = KEEP_SHARE * self._pages
+            pages = self._used
             for job in jobs:
                 if any(name == KEYS and value is not None for name, _, value in job.puts):
                     pages += 1 + job.size // self._page
--- a/orchidferry/mesh/wire/codec.py
+++ b/orchidferry/mesh/wire/codec.py
@@ -78,7 +78,8 @@
 
 
 def _field_names(kind: type[Message], parts: list[Any], steps: list[str]) -> str:
-    names, rest = [kind_of(kind), _field(kind, steps[0])], steps[1:]
+    names = [kind_of(kind), _field(kind, steps[0])]
+    rest = steps[1:]
     if kind is ShardMessage and names[-1] == "body":
         inside = _shard_kind(parts)
         names += [tag_of(inside)] if inside is not None else []
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -34,7 +34,9 @@
         accepted: bool = False,
     ) -> None:
         """`accepted`: the other side dialled, so that its first message is to name the protocol."""
-        self._heard, self._lost, self._made = heard, lost, made
+        self._heard = heard
+        self._lost = lost
+        self._made = made
         self._awaits_greeting = accepted
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
--- a/orchidferry/node/alarms.py
+++ b/orchidferry/node/alarms.py
@@ -55,7 +55,9 @@
     def _ring(self) -> None:
         """Call what is due, and set the timer for what is next."""
         self._timer = None
-        now, heap, calls = self._loop.time(), self._heap, self._calls
+        now = self._loop.time()
+        heap = self._heap
+        calls = self._calls
         due = []
         while heap and (heap[0][0] <= now or heap[0][1] not in calls):
             _, number = heapq.heappop(heap)
--- a/orchidferry/node/chain/links.py
+++ b/orchidferry/node/chain/links.py
@@ -24,7 +24,8 @@
 
     def __init__(self, setup: Setup, salt: int) -> None:
         # Ids count from 1 at each start; the time tells this life's from the last one's.
-        limits, born = setup.limits, int(time.time())
+        limits = setup.limits
+        born = int(time.time())
         self.chain = Chain(limits, f"{limits.tier}-{limits.node}-{salt & 0xFFFF:x}-{born:x}-"[:44])
         self._wire = Wire(setup.keys)
         self._told_s = -TELL_S
--- a/orchidferry/node/chain/wire.py
+++ b/orchidferry/node/chain/wire.py
@@ -28,7 +28,9 @@
 HEADER_MOST = 2_048  # bytes of a header that is read at all
 SLACK_S = 30.0  # of clocks, and of calls that outlive whoever asked
 FUTURE_S = 3_600.0  # a tag that is good for longer was not made here
-ROOTS_MOST, CALLS_MOST = 20_000, 512  # requests whose calls are counted; calls of one that are believed
+# requests whose calls are counted; calls of one that are believed
+ROOTS_MOST = 20_000
+CALLS_MOST = 512
 BAGGAGE = re.compile(
     rb"of-root=([A-Za-z0-9._-]{1,64}), of-extra=(\d{1,2}), of-worth=(\d{1,7}(?:\.\d{1,3})?), "
     rb"of-until=(\d{1,12}), of-tag=([A-Za-z0-9]{1,16})\.([0-9a-f]{%d})" % (2 * TAG_BYTES)
@@ -41,7 +43,8 @@
     """Writes and reads the headers of one node. `counts` tells what was not believed, by reason."""
 
     def __init__(self, keys: tuple[tuple[str, bytes], ...], wall_s: Callable[[], float] = time.time) -> None:
-        self._keys, self._wall_s = dict(keys), wall_s
+        self._keys = dict(keys)
+        self._wall_s = wall_s
         self._signs = keys[0][0] if keys else ""
         self._roots: OrderedDict[str, int] = OrderedDict()  # calls that came of each, the latest last
         self.counts: Counter[str] = Counter()
@@ -67,12 +70,14 @@
 
     def read(self, headers: Mapping[bytes, bytes]) -> Carried | None:
         """What came along, if it can be believed: whole, in its own form, in time, and not too often."""
-        baggage, hops = headers.get(b"baggage", b""), headers.get(b"cdn-loop", b"")
+        baggage = headers.get(b"baggage", b"")
+        hops = headers.get(b"cdn-loop", b"")
         if b"of-tag=" not in baggage:
             return None  # other people's baggage, or none
         if len(baggage) > HEADER_MOST or len(hops) > HEADER_MOST:
             return self._not("too long")
-        match, path = BAGGAGE.search(baggage), HOP.findall(hops)
+        match = BAGGAGE.search(baggage)
+        path = HOP.findall(hops)
         if match is None or len(path) > HOPS_MOST:
             return self._not("not in its form")
         root, extra, worth, until, key, tag = match.groups()
--- a/orchidferry/node/config.py
+++ b/orchidferry/node/config.py
@@ -170,7 +170,8 @@
             if (match := NO_SPACE.match(text, after)) is not None and match[1] == "]":
                 at = match.end()
             else:
-                mark, at = ",", after
+                mark = ","
+                at = after
                 while mark == ",":
                     item, at = decode(text, skip(at, VALUES)[1] - 1)
                     items.append(item)
--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -48,8 +48,12 @@
     ) -> None:
         """`BadConfig` if a certificate can't be read. `held`: what the node holds already, before any that is
         saved; `said` is called after each event."""
-        self._control, self._file, self._do_apply, self._do_drain = control, file, apply, drain
-        self._held, self._said = held, said
+        self._control = control
+        self._file = file
+        self._do_apply = apply
+        self._do_drain = drain
+        self._held = held
+        self._said = said
         self.versions = Versions(control.first_wait_s * 1000.0)
         self.channel = Channel(control, self._hear, self._stream, rng)
         self._store = store
@@ -126,7 +130,8 @@
             return f"{type(broken).__name__}: {broken}"
 
     def _applied(self, problem: str) -> v.Applied:
-        action, self._applying = self._applying, None
+        action = self._applying
+        self._applying = None
         if not problem and action is not None:
             versions = ", ".join(
                 f"{part.value} {text!r}" for part, text in action.configuration.versions.items()
@@ -147,7 +152,8 @@
 
     async def _write(self, store: Store) -> None:
         while self._unsaved is not None:
-            whole, self._unsaved = self._unsaved, None
+            whole = self._unsaved
+            self._unsaved = None
             line = await asyncio.to_thread(store.save, whole)
             if line and line != self.refused_save:
                 log.error("%s", line)
--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -26,9 +26,13 @@
 MESSAGE_MOST = 16 * 1024 * 1024  # bytes: some 40,000 members
 RESOURCES_MOST = 128  # of one response
 UNANSWERED_MOST = 1_024  # nonces of a part that wait for an answer; a stream with more is ended
-BACK_OFF_S, BACK_OFF_MOST_S = 0.5, 30.0  # full jitter: a random part of a limit that doubles
+# full jitter: a random part of a limit that doubles
+BACK_OFF_S = 0.5
+BACK_OFF_MOST_S = 30.0
 STEADY_S = 5.0  # a stream that stood for so long begins the back-off anew
-KEEPALIVE_MS, KEEPALIVE_WAIT_MS = 10_000, 5_000  # a service that vanished says nothing; a ping shows it
+# a service that vanished says nothing; a ping shows it
+KEEPALIVE_MS = 10_000
+KEEPALIVE_WAIT_MS = 5_000
 INVALID_ARGUMENT = 3  # google.rpc.Code, of a NACK's error_detail
 
 log = logging.getLogger("orchidferry")
@@ -72,7 +76,8 @@
         found: Named = {}
         try:
             for resource in response.resources:
-                name, packed = resource.name, resource.resource
+                name = resource.name
+                packed = resource.resource
                 if part is Part.MEMBERS:
                     _, known = self.held[part].get(name, ("", ()))
                     found[name] = resource.version, read_pool(name, packed, known)
@@ -114,7 +119,8 @@
 
     def answered(self, answer: Answer) -> list[str]:
         """What the node said of an offer; the nonces that this answers, the superseded ones too."""
-        part, nonces = answer.part, self._unanswered[answer.part]
+        part = answer.part
+        nonces = self._unanswered[answer.part]
         if answer.nonce not in nonces:  # of another stream; or of a part that was refused, and fits by now
             nonce, named = self._refused.get(part, ("", {}))
             if nonce != answer.nonce or answer.reason:
@@ -145,7 +151,9 @@
         self, control: Control, hear: Hear, stream: Callable[[bool], None], rng: random.Random | None = None
     ) -> None:
         """`BadConfig` if a certificate can't be read."""
-        self._control, self._hear, self._stream = control, hear, stream
+        self._control = control
+        self._hear = hear
+        self._stream = stream
         self._rng = rng or random.Random()
         self.resources = Resources()
         self.up = False
@@ -185,7 +193,8 @@
                 await self._one_stream()
                 why = "it ended the stream"
             except grpc.RpcError as problem:
-                code, details = getattr(problem, "code", None), getattr(problem, "details", None)
+                code = getattr(problem, "code", None)
+                details = getattr(problem, "details", None)
                 why = f"{code().name if code else problem}: {(details() or '') if details else ''}"
             except Unreadable as problem:
                 why = str(problem)
@@ -228,7 +237,8 @@
                     resource_names_subscribe=names,
                     initial_resource_versions=self.resources.versions(part),
                 )
-                request.node.id, request.node.cluster = control.node, control.cluster
+                request.node.id = control.node
+                request.node.cluster = control.cluster
                 request.node.user_agent_name = "orchidferry"
                 out.put_nowait(request)
             writer = asyncio.get_running_loop().create_task(self._write(call, out))
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -27,7 +27,9 @@
 NICE = 5  # beside the node on one core, requests come first
 APPLY_S = 30.0  # for the node's word of a change; past that nothing is known of the node any more
 STATUS_S = 0.05  # changes of the status within that time are told as one
-TAKEN_S, TAKEN_STEP_S = 3.0, 0.05  # for the helper of a node that was killed to let the folder go
+# for the helper of a node that was killed to let the folder go
+TAKEN_S = 3.0
+TAKEN_STEP_S = 0.05
 BEGIN_S = 10.0  # for the node to say what it holds
 OUT_MOST = 64 * 1024  # bytes that wait to be read before more of a change is made
 
@@ -120,10 +122,12 @@
 
 
 async def _read_begin(reader: asyncio.StreamReader) -> tuple[Control, Any, Configuration | None]:
-    begin, rows = read_line(await reader.readline()), list[Row]()
+    begin = read_line(await reader.readline())
+    rows = list[Row]()
     while (found := read_line(await reader.readline()))["do"] == "rows":
         rows += found["rows"]
-    control, held = control_from(begin["control"]), begin["held"]
+    control = control_from(begin["control"])
+    held = begin["held"]
     whole = None
     if held is not None and rows:  # without members discovery had the say, and nothing is to be kept
         whole = Held(held["pool"], held["versions"], settings_from(held["settings"])).configuration(rows)
--- a/orchidferry/node/control/link.py
+++ b/orchidferry/node/control/link.py
@@ -27,7 +27,9 @@
 from orchidferry.node.control.settings import Control, read_tls
 
 NEEDS = ("grpc", "envoy", "xds", "google.protobuf")  # what the helper imports, of the extra `control`
-BACK_OFF_S, BACK_OFF_MOST_S = 0.2, 10.0  # full jitter; of starts, each of which takes half a second of CPU
+# full jitter; of starts, each of which takes half a second of CPU
+BACK_OFF_S = 0.2
+BACK_OFF_MOST_S = 10.0
 STEADY_S = 30.0  # a helper that stood for so long begins the back-off anew
 END_S = 0.4  # what it gets to finish a write at a planned end; a kill then leaves the old or the new one
 ROOT = Path(__file__).parents[3]
@@ -51,7 +53,9 @@
             if importlib.util.find_spec(name.partition(".")[0]) is None:
                 raise BadConfig(f"ORCHIDFERRY_CONTROL is set, and {name} is not installed")
         read_tls(control)
-        self._control, self._settings, self._loop = control, settings, loop
+        self._control = control
+        self._settings = settings
+        self._loop = loop
         self._own = settings  # the node's file's
         self._rng = rng or random.Random()
         self.members = Members(home, loop)
@@ -106,7 +110,8 @@
 
     async def _end(self) -> None:
         """Let a helper finish what it writes, and see it gone."""
-        process, self.process = self.process, None
+        process = self.process
+        self.process = None
         if process is None:
             return
         with contextlib.suppress(OSError):
@@ -167,7 +172,8 @@
 
     def _applied(self, change: Change, say: Callable[[bytes], None], problem: str) -> None:
         if not problem:
-            self._versions, self._pool = change.versions, change.pool
+            self._versions = change.versions
+            self._pool = change.pool
             self._settings = change.settings or self._settings
         say(line("applied", n=change.number, problem=problem))
 
--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -42,7 +42,8 @@
     """The members of a node's pool, and what is still to be told of them."""
 
     def __init__(self, home: Home, loop: asyncio.AbstractEventLoop) -> None:
-        self._home, self._loop = home, loop
+        self._home = home
+        self._loop = loop
         self.members: dict[int, Member] | None = None  # None: discovery has the say
         self._heard: dict[int, api.Health] = {}  # discovery's word, also of those that may be members later
         self._ahead: set[int] = set()  # get nothing new, by a version that is not (wholly) listed yet
@@ -87,7 +88,8 @@
 
     def _begin(self, change: Change, done: Callable[[str], None]) -> None:
         problems: list[str] = []
-        first, known = self.members is None, self.members or {}
+        first = self.members is None
+        known = self.members or {}
         gone, away = change.gone, set(change.away)
         if change.whole:
             mentioned = {row[0] for step in change.rows for row in step}
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -77,7 +77,8 @@
     found = _unpack(packed, EDS, endpoint_pb2.ClusterLoadAssignment(), where)
     if found.cluster_name != name:
         raise Unreadable(f"{where}: cluster_name is {found.cluster_name[:MOST_TEXT]!r}")
-    offset_ms, members = unix_offset_ms(), []
+    offset_ms = unix_offset_ms()
+    members = []
     for group_at, group in enumerate(found.endpoints):
         zone = sys.intern(group.locality.zone)
         for at, one in enumerate(group.lb_endpoints):
@@ -90,7 +91,9 @@
             if one.health_status not in HEALTH:
                 raise Unreadable(f"{at_field}: health_status {one.health_status} is not known")
             more = one.metadata.filter_metadata.get(METADATA)
-            kind, cell, since_ms = "", 0, 0.0
+            kind = ""
+            cell = 0
+            since_ms = 0.0
             if more is not None:
                 kind = more.fields["type"].string_value if "type" in more.fields else ""
                 cell = int(_number(more, "group", at_field))
--- a/orchidferry/node/control/pipe.py
+++ b/orchidferry/node/control/pipe.py
@@ -91,7 +91,8 @@
         after = {member.entry.server: member for member in whole.members()} if pooled else None
         before = self._has if self._has is not None and pooled else None
         self._telling = self._number, after, settings
-        rows, gone = list((after or {}).values()), []
+        rows = list((after or {}).values())
+        gone = []
         if before is not None and after is not None:
             rows = [m for s, m in after.items() if before.get(s) is not m or s in self._drained]
             gone = [server for server in before if server not in after]
@@ -123,7 +124,8 @@
         if problem:  # half of it may be in place
             self._has = self._settings = None
         else:
-            self._has, self._settings = members, settings
+            self._has = members
+            self._settings = settings
             self._drained.clear()
         return True
 
@@ -172,7 +174,8 @@
             return None
         if do != "commit" or found["n"] != self._change.number:
             raise Garbled(f"{do} is not the end of change {self._change.number}")
-        whole, self._change = self._change, None
+        whole = self._change
+        self._change = None
         return whole
 
 
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -88,7 +88,9 @@
         index: int,
         news: Callable[[Listing | None, str], None],
     ) -> None:
-        self._loop, self._address, self._news = loop, address, news
+        self._loop = loop
+        self._address = address
+        self._news = news
         self._index = index
         self._whole = False  # the next call asks for the whole list
         self._closed = False
@@ -110,7 +112,8 @@
         if not self._closed:
             self._end_call()
             self._drop()
-            self._address, self._whole = address, True
+            self._address = address
+            self._whole = True
             self._ask()
 
     def close(self) -> None:
@@ -161,7 +164,8 @@
             self._timer.cancel()
 
     def _drop(self) -> None:
-        channel, self._channel = self._channel, None
+        channel = self._channel
+        self._channel = None
         if channel is not None and channel.transport is not None:
             channel.transport.abort()
 
@@ -214,7 +218,8 @@
         if not listing.whole and (self._whole or listing.index < self._index):
             self._whole = True  # changes to a list that we don't hold
             return self._ask()
-        self._index, self._whole = listing.index, False
+        self._index = listing.index
+        self._whole = False
         # A watch goes on only if the next call comes within 200 ms.
         self._ask()
         if listing.whole or listing.entries:
--- a/orchidferry/node/door.py
+++ b/orchidferry/node/door.py
@@ -40,7 +40,8 @@
         self._door = door
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._target, self._size = b"", 0
+        self._target = b""
+        self._size = 0
         self._answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/orchidferry/node/figures.py
+++ b/orchidferry/node/figures.py
@@ -7,7 +7,9 @@
 
 from collections.abc import Iterable
 
-SUCCESS, BUSY, FAILURE = 0, 1, 2
+SUCCESS = 0
+BUSY = 1
+FAILURE = 2
 NAMES = ("success", "busy", "failure")
 REFUSALS = frozenset((429, 503))
 
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -114,7 +114,8 @@
 
 def scaled(probe_ms: float) -> Timing:
     """All times in proportion to that between two probes, but what is kept of those that are gone."""
-    timing, by = Timing(), probe_ms / Timing().interval_ms
+    timing = Timing()
+    by = probe_ms / Timing().interval_ms
     return replace(
         timing,
         interval_ms=probe_ms,
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -37,10 +37,15 @@
 
 # A datagram takes some 40 microseconds to read, so a flood takes a tenth of a core and no turn of over 1 ms;
 # a node of a fleet of 1,000 gets some 30 a second.
-READ_AT_ONCE, READ_PER_S, READ_PAUSE_S = 16, 2_500.0, 0.02
-SEND_PER_S, SEND_AT_ONCE = 500.0, 1_000.0
+READ_AT_ONCE = 16
+READ_PER_S = 2_500.0
+READ_PAUSE_S = 0.02
+SEND_PER_S = 500.0
+SEND_AT_ONCE = 1_000.0
 ENTRY_MOST = 400  # bytes of an entry in a view
-CONNECTIONS, EXCHANGES = 8, 4  # that others, and that this node, hold at once
+# that others, and that this node, hold at once
+CONNECTIONS = 8
+EXCHANGES = 4
 EXCHANGE_S = 2.0  # for one, from its first byte to its last
 LOOK_S = 0.25  # how often the node's own phase is looked at,
 KEYS_S = 2.0  # and the file with the keys
@@ -111,7 +116,8 @@
     def __init__(
         self, setup: Setup, loop: asyncio.AbstractEventLoop, rng: random.Random | None = None
     ) -> None:
-        self._setup, self._loop = setup, loop
+        self._setup = setup
+        self._loop = loop
         self.where = setup.listen
         self._sealer = Sealer(read_key_file(setup.keys))
         self._keys_stamp = self._stamp()
@@ -223,7 +229,8 @@
 
     def page(self) -> tuple[int, bytes]:
         """What this node knows of the fleet, for the operators' door."""
-        fleet, now = self.fleet, now_ms()
+        fleet = self.fleet
+        now = now_ms()
         members = []
         for name, entry in sorted(fleet.members.items()):
             since_ms, by = fleet.since.get(name, (now, ""))
--- a/orchidferry/node/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -21,9 +21,13 @@
 from orchidferry.node.keys import Keys
 from orchidferry.node.steps import at_once
 
-FORMAT, LEAST = 1, 1  # that this program writes; of one that can read it
+# that this program writes; of one that can read it
+FORMAT = 1
+LEAST = 1
 MAGIC = b"\xf5\x0f"
-KEY_ID, TAG = 4, 16  # bytes that name the key, and of the tag: forging one takes 2^127 tries
+# bytes that name the key, and of the tag: forging one takes 2^127 tries
+KEY_ID = 4
+TAG = 16
 HEAD = len(MAGIC) + KEY_ID + TAG
 DATAGRAM_MOST = 1_400
 STEP = 64  # entries that are read in one go: under 1 ms
@@ -74,7 +78,8 @@
         """The body, and which key it came with; `Refused` if it is not proven."""
         if len(data) <= HEAD or not data.startswith(MAGIC):
             raise Refused("foreign", "is no message of a fleet")
-        id_, tag = data[len(MAGIC) : len(MAGIC) + KEY_ID], data[len(MAGIC) + KEY_ID : HEAD]
+        id_ = data[len(MAGIC) : len(MAGIC) + KEY_ID]
+        tag = data[len(MAGIC) + KEY_ID : HEAD]
         body = data[HEAD:]
         if id_ not in self._keys:
             raise Refused("forged", "is tagged with a key that is not known here")
@@ -159,7 +164,8 @@
     news = obj.get("w", ())
     if not isinstance(news, list | tuple):
         raise Refused("garbled", "w: is no list")
-    target, found = obj.get("g"), []
+    target = obj.get("g")
+    found = []
     for n, one in enumerate(news, 1):
         found.append(read_entry(one))
         if n % STEP == 0:
--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -106,7 +106,9 @@
         """`pool`: where memory comes from for what is kept; None: nothing is kept, as there is one sink.
         `most`: bytes that a body may have whose length is not known; None: `LONG_BODY`.
         """
-        self.source, self.length, self._pool = source, length, pool
+        self.source = source
+        self.length = length
+        self._pool = pool
         self._most = LONG_BODY if most is None else most
         self.size = self.passed = 0  # bytes that came in, and that the sink was fed
         self.complete = self.over = self._choked = self._held = False
@@ -179,7 +181,9 @@
     def attach(self, sink: Sink) -> None:
         """Feed this sink from the start: what is there now, and what comes later."""
         assert self._sink is None and not (self.spent and self.passed), "its beginning is gone"
-        self._sink, self._choked, self.passed = sink, False, 0
+        self._sink = sink
+        self._choked = False
+        self.passed = 0
         pieces = list(self._waiting) if self._pool is None else list(self._kept)
         self._waiting.clear()
         for piece in pieces:
@@ -210,7 +214,8 @@
 
     def release(self, now_s: float) -> None:
         """The sink can take more again."""
-        self._choked, self.moved_s = False, now_s
+        self._choked = False
+        self.moved_s = now_s
         self._release()
 
     def _hold(self) -> None:
--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -185,13 +185,17 @@
 
     def _let_go(self) -> None:
         """Tell the node that nobody waits for the request it has."""
-        owed, self._owed, self._busy = self._owed, None, False
+        owed = self._owed
+        self._owed = None
+        self._busy = False
         if owed is not None:
             owed.caller_gone()
-        flow, self._in = self._in, None
+        flow = self._in
+        self._in = None
         if flow is not None:
             flow.fail()
-        flow, self._out = self._out, None
+        flow = self._out
+        self._out = None
         if flow is not None:
             flow.call_off()
 
@@ -217,7 +221,9 @@
             self._transport.write(data if self._out.length is not None else chunk(data))
 
     def end(self) -> None:
-        flow, self._out, self._busy = self._out, None, False
+        flow = self._out
+        self._out = None
+        self._busy = False
         if flow is None or self._transport.is_closing():
             return
         if flow.length is None:
@@ -230,7 +236,10 @@
 
     def broken(self) -> None:
         """The rest never comes: a close tells the caller that it is not whole."""
-        self._out, self._deaf, self._closing, self._ended = None, True, True, True
+        self._out = None
+        self._deaf = True
+        self._closing = True
+        self._ended = True
         self._queue.clear()
         self._let_go()
         self._transport.close()
@@ -350,7 +359,8 @@
             self._frontend.pool,
             self._frontend.longest_body,
         )
-        pieces, self._body = self._body, []
+        pieces = self._body
+        self._body = []
         if len(self._queue) >= MOST_PIPELINED:
             return self._reject(400, "too many requests sent ahead")
         try:
@@ -368,9 +378,11 @@
     def on_message_complete(self) -> None:
         if self._deaf:
             return
-        self._reading, self._completed = False, True
+        self._reading = False
+        self._completed = True
         if self._in is not None:
-            flow, self._in = self._in, None
+            flow = self._in
+            self._in = None
             if not self._parser.should_keep_alive():
                 self._closing = self._deaf = True
             flow.finish()
@@ -390,7 +402,8 @@
     # Requests and answers
 
     def _message(self, flow: Flow | None = None) -> Message | Reply:
-        method, body = self._parser.get_method(), b"".join(self._body)
+        method = self._parser.get_method()
+        body = b"".join(self._body)
         message = self._frontend.read(method, self._target, self._headers, body, flow)
         if isinstance(message, Reply):
             return message
@@ -444,7 +457,8 @@
 
     def _answer(self, reply: Reply) -> None:
         """The node's answer to the request it has."""
-        self._owed, self._busy = None, False
+        self._owed = None
+        self._busy = False
         if reply.flow is not None:
             return self._give(reply, reply.flow)
         if self._in is not None:  # it is still coming: what comes is dropped, and the connection ends with it
@@ -460,7 +474,8 @@
         """Begin an answer that flows."""
         if self._transport.is_closing():
             return flow.call_off()
-        self._busy, self._out = True, flow
+        self._busy = True
+        self._out = flow
         close = self._closing and not self._queue and not self._reading
         self._transport.write(render(reply, close, self._frontend.alt_svc))
         flow.attach(self)
@@ -492,8 +507,11 @@
         most: int,
         pool: Pool,
     ) -> None:
-        self.classes, self.accept = classes, accept
-        self._ready, self._most, self.pool = ready, most, pool
+        self.classes = classes
+        self.accept = accept
+        self._ready = ready
+        self._most = most
+        self.pool = pool
         self.alt_svc: bytes | None = None  # where else callers may ask (RFC 7838)
         self._stages: dict[Stage, dict[Caller, float]] = {stage: {} for stage in Stage}
         self._server: asyncio.Server | None = None
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -72,11 +72,15 @@
 from orchidferry.node.upstream import MAX_BODY, MAX_HEAD
 
 HANDSHAKE_S = LIMITS_S[Stage.NEW]  # the same limits as over HTTP/1.1
-READ_S, WRITE_S, IDLE_S = LIMITS_S[Stage.READING], LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]
+READ_S = LIMITS_S[Stage.READING]
+WRITE_S = LIMITS_S[Stage.LEAVING]
+IDLE_S = LIMITS_S[Stage.IDLE]
 SWEEP_S = 0.2
 MOST_STREAMS = 100  # requests of one connection that are open
 MOST_TICKETS = 4_096
-WINDOW, STREAM_WINDOW = 512 * 1024, 128 * 1024  # flow control: a body, its frames and some air
+# flow control: a body, its frames and some air
+WINDOW = 512 * 1024
+STREAM_WINDOW = 128 * 1024
 RESET_LEAST = 43  # bytes of a stray packet that is answered: its reset has to be shorter, and look like one
 TOO_EARLY = 425  # RFC 8470
 
@@ -118,7 +122,8 @@
     """A caller's connection."""
 
     def __init__(self, listener: Listener, quic: OwnTokens) -> None:
-        self.listener, self.quic = listener, quic
+        self.listener = listener
+        self.quic = quic
         self.began = self.heard = time.monotonic()
         self.up = self.over = False
         self.cids: set[bytes] = set()  # that lead to it: some ten
@@ -234,7 +239,8 @@
         listener = self.listener
         if exchange.target.startswith(OWN_PATHS):
             return self.answered(exchange, listener.own_path(exchange.target.partition(b"?")[0]))
-        body, exchange.body = b"".join(exchange.body), []
+        body = b"".join(exchange.body)
+        exchange.body = []
         try:
             message = read_message(listener.classes, exchange.method, exchange.target, exchange.headers, body)
             if exchange.early and listener.classes[message.cls].repeat is not api.Repeat.SAFE:
@@ -296,7 +302,8 @@
             self._session.done_with(exchange.id)
             if not self.over and not is_over(self.quic, exchange.id):
                 self._session.ignore(exchange.id, False)
-        owed, exchange.owed = exchange.owed, None
+        owed = exchange.owed
+        exchange.owed = None
         if owed is not None:
             owed.caller_gone()
 
@@ -372,7 +379,10 @@
         accept: Accept,
         own_path: Callable[[bytes], Reply],
     ) -> None:
-        self.classes, self.accept, self.own_path, self._front = classes, accept, own_path, front
+        self.classes = classes
+        self.accept = accept
+        self.own_path = own_path
+        self._front = front
         self.loop: asyncio.AbstractEventLoop
         self._transport: asyncio.DatagramTransport | None = None
         self.ids: Ids[Connection] = Ids()
@@ -474,7 +484,8 @@
             self._first_packet(header, data, peer, now)
 
     def _first_packet(self, header: Any, data: bytes, peer: Endpoint, now: float) -> None:
-        original, retried = header.destination_cid, None
+        original = header.destination_cid
+        retried = None
         if header.token:
             try:
                 original = self._retry.validate_token(
--- a/orchidferry/node/h3/session.py
+++ b/orchidferry/node/h3/session.py
@@ -53,7 +53,8 @@
     """Reads GOAWAY out of a peer's control stream, and holds some 16 bytes at most."""
 
     def __init__(self) -> None:
-        self._held, self._skip = b"", 0
+        self._held = b""
+        self._skip = 0
         self._typed = False
         self.other = False  # it is another kind of stream
 
@@ -63,19 +64,22 @@
         while data and not self.other:
             if self._skip:
                 cut = min(self._skip, len(data))
-                data, self._skip = data[cut:], self._skip - cut
+                data = data[cut:]
+                self._skip = self._skip - cut
                 continue
             buf = Buffer(data=data)
             try:
                 first = buf.pull_uint_var()
                 if not self._typed:
-                    self._typed, self.other = True, first != StreamType.CONTROL
+                    self._typed = True
+                    self.other = first != StreamType.CONTROL
                 elif first == FrameType.GOAWAY:
                     length = buf.pull_uint_var()
                     begun = buf.tell()
                     if length <= 8:
                         found.append(buf.pull_uint_var())
-                    data, self._skip = data[begun:], length
+                    data = data[begun:]
+                    self._skip = length
                     continue
                 else:
                     self._skip = buf.pull_uint_var()
@@ -153,7 +157,8 @@
         """Read no more of a stream; it can still be answered."""
         stream = self._stream.get(event.stream_id)
         if stream is not None:
-            stream.receiving_ended, stream.buffer = True, b""
+            stream.receiving_ended = True
+            stream.buffer = b""
         self.ignore(event.stream_id, event.end_stream)
         return Malformed(event.stream_id, status, why)
 
--- a/orchidferry/node/h3/settings.py
+++ b/orchidferry/node/h3/settings.py
@@ -47,7 +47,8 @@
     """A TOML table that is read key by key."""
 
     def __init__(self, file: Path, name: str, found: Any) -> None:
-        self._file, self._name = file, name
+        self._file = file
+        self._name = name
         if not isinstance(found, dict):
             raise BadConfig(f"{file}: {name} must be a table")
         self._left = dict(found)
--- a/orchidferry/node/h3/shell.py
+++ b/orchidferry/node/h3/shell.py
@@ -135,8 +135,12 @@
         on_flushed: Callable[[], None],
         on_broken: Callable[[], None],
     ) -> None:
-        self.quic, self._loop, self._sendto = quic, loop, sendto
-        self._on_event, self._on_flushed, self._on_broken = on_event, on_flushed, on_broken
+        self.quic = quic
+        self._loop = loop
+        self._sendto = sendto
+        self._on_event = on_event
+        self._on_flushed = on_flushed
+        self._on_broken = on_broken
         self._timer: asyncio.TimerHandle | None = None
         self._due = 0.0
         self._soon: asyncio.Handle | None = None
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -69,7 +69,8 @@
 SWEEP_S = 0.5
 READS = 64  # datagrams taken in one turn of the loop
 LARGEST = 2_048  # bytes of a datagram; the library sends and takes 1,200 to some 1,500
-WINDOW, STREAM_WINDOW = 1024 * 1024, 128 * 1024
+WINDOW = 1024 * 1024
+STREAM_WINDOW = 128 * 1024
 ORDERLY = (0, ErrorCode.H3_NO_ERROR)  # what an idle time-out and a planned end are closed with
 
 log = logging.getLogger("orchidferry")
@@ -114,7 +115,9 @@
     """A connection to a server."""
 
     def __init__(self, routes: Routes, server: int, address: Address, peer: Endpoint) -> None:
-        self.server, self.address, self.peer = server, address, peer
+        self.server = server
+        self.address = address
+        self.peer = peer
         self.routes = routes
         self.began = self.heard = self.used = time.monotonic()
         self.up = self.over = self.leaving = False
@@ -252,7 +255,9 @@
     def _headers(self, flight: Flight, found: HeadersReceived) -> None:
         if flight.status >= 200:
             return  # trailers
-        flight.rejected, flight.report, flight.content_type = False, None, None
+        flight.rejected = False
+        flight.report = None
+        flight.content_type = None
         flight.chain = None
         for name, value in found.headers:
             match name:
@@ -331,7 +336,10 @@
         listed: Callable[[int], Address | None],
         seed: int,
     ) -> None:
-        self.loop, self._tcp, self._servers, self._listed = loop, tcp, servers, listed
+        self.loop = loop
+        self._tcp = tcp
+        self._servers = servers
+        self._listed = listed
         self.transports = Transports(random.Random(seed), servers.connections)
         self._idle_s = keepalive_ms * IDLE_SHARE / 1000.0
         self._links: dict[int, Link] = {}  # the one that new requests to a server go on
@@ -365,7 +373,8 @@
 
     def send(self, attempt: Attempt, fresh: bool = False) -> None:
         """Start an attempt; it may be over before this returns."""
-        server, address = attempt.server, self._listed(attempt.server)
+        server = attempt.server
+        address = self._listed(attempt.server)
         if address is None or attempt.message.flow is not None:  # bodies flow over TCP only
             return self._tcp.send(attempt, fresh)
         choice = self.transports.choose(server, now_ms(), careful=fresh)
--- a/orchidferry/node/main.py
+++ b/orchidferry/node/main.py
@@ -25,7 +25,9 @@
     from orchidferry.node.fleet.shell import Peers
     from orchidferry.node.h3.settings import Http3
 
-LAG_EVERY_S, LAG_S = 1.0, 0.1  # how often the event loop's lag is looked at, and what is worth a line
+# how often the event loop's lag is looked at, and what is worth a line
+LAG_EVERY_S = 1.0
+LAG_S = 0.1
 
 log = logging.getLogger("orchidferry")
 
@@ -34,7 +36,9 @@
     """Serve until SIGTERM; the exit status."""
     try:
         config = read_config(path)
-        http3, control, chain = read_http3(), read_control(), read_chain()
+        http3 = read_http3()
+        control = read_control()
+        chain = read_chain()
         pools = read_pools(tuple(cls.name for cls in config.settings.classes))
         fleet = read_fleet(config.name, asyncio.get_running_loop())
     except BadConfig as problem:
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -32,7 +32,8 @@
 # A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
 # the longest budget of a request, 3 s at most, and 0.7 s more.
 ACCEPT_S = 0.45
-LONGEST_MS, KILL_MS = 3_000.0, 700.0
+LONGEST_MS = 3_000.0
+KILL_MS = 700.0
 STOP_MARGIN_MS = 200.0  # from the last answer to that kill
 LAST_MS = 800.0  # before the last answer all begins to close: what comes till then has a fair chance
 SPARE_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and sockets half closed
@@ -98,7 +99,10 @@
     def __init__(
         self, node: Node, id: str, message: Message, answer: Callable[[Reply], None], ends_ms: float
     ) -> None:
-        self._node, self.id, self.message, self.answer = node, id, message, answer
+        self._node = node
+        self.id = id
+        self.message = message
+        self.answer = answer
         self.ends_ms = ends_ms
         self.attempts = 0  # begun so far
         self.owed = True  # the one answer
@@ -120,7 +124,10 @@
         self, node: Node, live: Live, server: int, address: Address, timeout_ms: float, sent_ms: float
     ) -> None:
         super().__init__(live.message, server, address, timeout_ms)
-        self._node, self._live, self._sent_ms, self._number = node, live, sent_ms, live.attempts
+        self._node = node
+        self._live = live
+        self._sent_ms = sent_ms
+        self._number = live.attempts
         self._life = node.life(server)
         live.attempts += 1
         node.attempts[live.id, self._number] = self
@@ -146,7 +153,8 @@
         return api.Uploaded(self._live.id, self._number, max(0.0, left_ms))
 
     def ended(self, result: Result, answer: Answer | None) -> None:
-        live, report = self._live, None
+        live = self._live
+        report = None
         del self._node.attempts[live.id, self._number]
         if answer is not None:
             report = answer.report
@@ -187,7 +195,8 @@
         pools: Rules | None = None,
         parts: Sequence[Part] = (),
     ) -> None:
-        self._config, self._loop = config, loop
+        self._config = config
+        self._loop = loop
         settings = config.settings
         self.links: Links | None = None
         if chain is not None:
@@ -328,7 +337,8 @@
         served until just enough time is left to answer before the platform kills the node.
         """
         grace_ms = KILL_MS - STOP_MARGIN_MS + min(LONGEST_MS, self._longest_ms or LONGEST_MS)
-        asked_ms, self._stop_ms = now_ms(), now_ms() + grace_ms
+        asked_ms = now_ms()
+        self._stop_ms = now_ms() + grace_ms
         for live in self._live.values():  # that kill comes first
             if live.ends_ms > self._stop_ms:
                 live.ends_ms = self._stop_ms
@@ -378,8 +388,10 @@
             raise Unacceptable("a request with this X-Call-Id is open")
         self._longest_ms = max(self._longest_ms, message.budget_ms)
         self._serial += 1
-        now, id = now_ms(), str(self._serial)
-        flow, ends_ms = message.flow, now + message.budget_ms
+        now = now_ms()
+        id = str(self._serial)
+        flow = message.flow
+        ends_ms = now + message.budget_ms
         coming = flow is not None and not flow.complete
         if flow is not None and coming:  # until it has come whole it may take as long as a flow may
             ends_ms += 1000.0 * ((flow.length or LONG_BODY) / SLOWEST_B_S + GRACE_S)
@@ -506,7 +518,9 @@
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        live, server, sent_ms = self._live.get(action.id), action.server, now_ms()
+        live = self._live.get(action.id)
+        server = action.server
+        sent_ms = now_ms()
         if live is None or server not in self._in_service:
             number = live.attempts if live is not None else 0
             return self._handle(api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, live is None))
--- a/orchidferry/node/pools.py
+++ b/orchidferry/node/pools.py
@@ -41,7 +41,8 @@
 def _pool(item: Json) -> pools.PoolRule:
     if unknown := sorted(item.keys() - POOL_KEYS):
         raise Malformed(f"pool: {unknown[0]!r} is not known")
-    kinds, groups = opt(item, "kinds", list, []), opt(item, "groups", list, [])
+    kinds = opt(item, "kinds", list, [])
+    groups = opt(item, "groups", list, [])
     if not all(isinstance(kind, str) for kind in kinds) or not all(type(group) is int for group in groups):
         raise Malformed("pool: 'kinds' must be texts, 'groups' whole numbers")
     return pools.PoolRule(get(item, "name", str), frozenset(kinds), frozenset(groups))
--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -88,7 +88,9 @@
         raise Unacceptable("not the method of this class")
     if method == b"GET" and (body or flow is not None):
         raise Unacceptable("GET with a body")
-    id, key, budget = headers.get(b"x-call-id"), headers.get(b"idempotency-key"), headers.get(b"x-budget")
+    id = headers.get(b"x-call-id")
+    key = headers.get(b"idempotency-key")
+    budget = headers.get(b"x-budget")
     if id is None or not TOKEN.fullmatch(id):
         raise Unacceptable("X-Call-Id is missing or can't be used")
     # Without its key servers could not drop a keyed request's repeats.
--- a/orchidferry/node/turns.py
+++ b/orchidferry/node/turns.py
@@ -21,7 +21,9 @@
     def __init__(
         self, decide: Decide, do: Callable[[api.Action], None], failed: Callable[[api.Event], None]
     ) -> None:
-        self._decide, self._do, self._failed = decide, do, failed
+        self._decide = decide
+        self._do = do
+        self._failed = failed
         self._events: deque[api.Event] = deque()
         self._handling = False
 
--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -67,7 +67,10 @@
     )
 
     def __init__(self, message: Message, server: int, address: Address, timeout_ms: float) -> None:
-        self.message, self.server, self.address, self.timeout_ms = message, server, address, timeout_ms
+        self.message = message
+        self.server = server
+        self.address = address
+        self.timeout_ms = timeout_ms
         self.more: list[tuple[bytes, bytes]] = []  # headers besides the message's own
         self.written = self.over = False
         self._alarms: Alarms | None = None
@@ -109,7 +112,8 @@
         """Report the outcome, unless one was reported before."""
         if self.over:
             return
-        self.over, self._cancel_io = True, None
+        self.over = True
+        self._cancel_io = None
         if self._alarms is not None:
             self._alarms.cancel(self._alarm)
         self.ended(result, answer)
@@ -222,11 +226,15 @@
     held_most = MAX_BODY  # bytes of an answer that are read whole; a longer one flows
 
     def __init__(self, pool: Upstream, server: int, address: Address) -> None:
-        self.server, self.address, self.idle_since = server, address, 0.0
+        self.server = server
+        self.address = address
+        self.idle_since = 0.0
         self._pool = pool
         self._transport: asyncio.Transport
         self._attempt: Attempt | None = None
-        self._paused, self._lost = False, True  # no socket yet
+        # no socket yet
+        self._paused = False
+        self._lost = True
         self._upload: Flow | None = None  # the body that it is fed
         self._uploaded_s = 0.0  # when that moved last
         self._answer_flow: Flow | None = None  # the body that it gives
@@ -373,7 +381,8 @@
         self._end(Result.UNREACHABLE, reuse=False)
 
     def _leave_upload(self) -> None:
-        flow, self._upload = self._upload, None
+        flow = self._upload
+        self._upload = None
         if flow is not None:
             flow.detach(self)
 
@@ -400,7 +409,8 @@
         now_s = self._pool.now_s()
         flow = self._answer_flow = Flow(self, self._length, now_s)
         self._attempt = None
-        pieces, self._body = self._body, []
+        pieces = self._body
+        self._body = []
         for piece in pieces:
             flow.push(piece, now_s)
         attempt.end(Result.SERVED, self._made(b"", flow))
@@ -416,7 +426,8 @@
 
     def _flowed(self) -> None:
         """The last of a long answer has come."""
-        flow, self._answer_flow = self._answer_flow, None
+        flow = self._answer_flow
+        self._answer_flow = None
         keep = self._keep and not self._lost and not self._transport.is_closing()
         if keep:
             self._pool.put_back(self)
@@ -432,7 +443,8 @@
         self._end(self._judged(answer), self._keep, answer)
 
     def _end(self, result: Result, reuse: bool, answer: Answer | None = None) -> None:
-        attempt, self._attempt = self._attempt, None
+        attempt = self._attempt
+        self._attempt = None
         self._leave_upload()
         # Whether anything unread has come is asked before the next use, as it may come until then.
         written = attempt is not None and attempt.written
@@ -472,7 +484,8 @@
 
     def on_headers_complete(self) -> None:
         if not self._complete:
-            self._status, self._in_body = self._parser.get_status_code(), True
+            self._status = self._parser.get_status_code()
+            self._in_body = True
             # With none the answer ends with the connection, if it says that it will; of two, one lies.
             self._to_close = not self._framings and self._to_close
             self._spoilt = self._spoilt or (
@@ -500,8 +513,13 @@
         if self._complete:
             return
         if 100 <= self._status < 200:  # an interim answer: the real one follows
-            self._in_body, self._rejected, self._report = False, False, None
-            self._type, self._framings, self._length, self._to_close = None, 0, None, False
+            self._in_body = False
+            self._rejected = False
+            self._report = None
+            self._type = None
+            self._framings = 0
+            self._length = None
+            self._to_close = False
             return
         self._complete, self._keep = True, self._parser.should_keep_alive()
 
@@ -520,7 +538,9 @@
         room: Callable[[], int],
         alarms: Alarms,
     ) -> None:
-        self._loop, self._room, self.alarms = loop, room, alarms
+        self._loop = loop
+        self._room = room
+        self.alarms = alarms
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._idle_limit_ms = keepalive_ms * IDLE_SHARE
         self._idle: dict[int, list[Connection]] = {}  # none is empty for longer than its last one is in use
@@ -565,7 +585,8 @@
 
     async def _dial(self, attempt: Attempt) -> None:
         connection = self.kind(self, attempt.server, attempt.address)
-        result, kept = Result.UNREACHABLE, False
+        result = Result.UNREACHABLE
+        kept = False
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 local = None if self.local_ip is None else (self.local_ip, 0)
--- a/orchidferry/testkit/bench/bare.py
+++ b/orchidferry/testkit/bench/bare.py
@@ -44,7 +44,8 @@
     def data_received(self, data: bytes) -> None:
         self._parser.feed_data(data)
         if self._done and self.caller is not None:
-            caller, self.caller = self.caller, None
+            caller = self.caller
+            self.caller = None
             self._pool.append(self)
             caller.answer(self._parser.get_status_code(), b"".join(self._body))
 
--- a/orchidferry/testkit/bench/fleet.py
+++ b/orchidferry/testkit/bench/fleet.py
@@ -84,7 +84,8 @@
 
 
 async def _all(args: argparse.Namespace, console: Console) -> list[dict[str, Any]]:
-    gate, results = asyncio.Semaphore(args.at_once), []
+    gate = asyncio.Semaphore(args.at_once)
+    results = []
     with tempfile.TemporaryDirectory() as folder:
 
         async def one(scenario: str, seed: int, off: bool) -> dict[str, Any]:
--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -157,7 +157,8 @@
     """The processes of one size: servers, and in turn the node and the bare forwarder."""
 
     def __init__(self, block: Block, folder: Path, servers: int) -> None:
-        self.block, self.folder = block, folder
+        self.block = block
+        self.folder = folder
         self.servers = [block.server(n) for n in range(servers)]
         self._running: list[asyncio.subprocess.Process] = []
 
@@ -294,7 +295,8 @@
     """One turn of one of them."""
     process, address = await bench.start(what, path)
     await ask_all(address, rate, WARM_S, mix, "w")
-    before, began = cpu_s(process.pid), time.monotonic()
+    before = cpu_s(process.pid)
+    began = time.monotonic()
     result = await ask_all(address, rate, seconds, mix, "m")
     spent = cpu_s(process.pid) - before
     result |= {
--- a/orchidferry/testkit/bench/ingest.py
+++ b/orchidferry/testkit/bench/ingest.py
@@ -24,7 +24,9 @@
 from orchidferry.testkit.traffic.classes import read_classes
 from orchidferry.testkit.traffic.importing import Plan, import_files
 
-SOURCE_S, SOURCE_RATE = 600.0, 100.0  # of the log that is repeated
+# of the log that is repeated
+SOURCE_S = 600.0
+SOURCE_RATE = 100.0
 SAMPLE_S = 0.05
 HAR_S = 60.0
 
--- a/orchidferry/testkit/bench/kit.py
+++ b/orchidferry/testkit/bench/kit.py
@@ -20,7 +20,9 @@
 RUN_S = 8.0  # of load for each size that is tried
 # What a kit can drive is told by short work: long work measures the servers that it plays.
 QUICK = Class("ler-feed", 1.0, 0.002, 1.2, 3.0, "safe", spread=0.3, group="all")
-FIRST_RATE, FIRST_SERVERS, FIRST_NODES = 500.0, 100, 8
+FIRST_RATE = 500.0
+FIRST_SERVERS = 100
+FIRST_NODES = 8
 MOST_TRIES = 8  # of one size after another: each is twice the last
 
 
@@ -142,7 +144,8 @@
 def retries(scenario: Scenario, runs: int) -> list[dict[str, Any]]:
     """With and without retries of the nodes and of the clients, by turns."""
     rows: list[dict[str, Any]] = []
-    own, asked = scenario.node.attempts, scenario.clients.retries
+    own = scenario.node.attempts
+    asked = scenario.clients.retries
     for attempts, asked_again in ((own, asked), (own, 0), (1, asked), (1, 0)):
         one = replace(
             scenario,
--- a/orchidferry/testkit/bench/lists.py
+++ b/orchidferry/testkit/bench/lists.py
@@ -22,7 +22,9 @@
 from orchidferry.testkit.world.discovery import DiscoveryService, Listed
 
 SIZES = (10, 1_000, 10_000)
-REAL, RATE, LOOK_S = 10, 200.0, 4.0
+REAL = 10
+RATE = 200.0
+LOOK_S = 4.0
 
 
 def entries(bench: Bench, count: int, cell: int) -> list[Listed]:
--- a/orchidferry/testkit/bench/replay.py
+++ b/orchidferry/testkit/bench/replay.py
@@ -24,7 +24,11 @@
 from orchidferry.testkit.traffic.recording import Reader
 from orchidferry.testkit.traffic.replay import gaps_ms
 
-MIX_OFF, GAPS_OFF, LAG_MS, TIED = 0.02, 0.05, 10.0, 0.99  # how far a replay may be off
+# how far a replay may be off
+MIX_OFF = 0.02
+GAPS_OFF = 0.05
+LAG_MS = 10.0
+TIED = 0.99
 RUN = "import sys; from orchidferry.testkit.cli import main; sys.exit(main())"
 
 
--- a/orchidferry/testkit/bench/worth.py
+++ b/orchidferry/testkit/bench/worth.py
@@ -30,7 +30,10 @@
     for above in scenario.tiers[:tier]:
         visits *= above.calls
     room = figures.servers * figures.cores * sum(figures.speed) / 2.0
-    rate, worth, earned, shares = scenario.load.rate, 0.0, 0.0, {}
+    rate = scenario.load.rate
+    worth = 0.0
+    earned = 0.0
+    shares = {}
     by_value = sorted(scenario.classes, key=lambda cls: cls.worth / cls.work_s, reverse=True)
     for cls in by_value:
         asks = rate * cls.share * cls.work_s * figures.work * visits  # core-seconds a second
