--- a/orchidferry/testkit/capacity/hops.py
+++ b/orchidferry/testkit/capacity/hops.py
@@ -11,8 +11,15 @@
 from pathlib import Path
 from typing import Any
 
-ACCEPT, ROUTE, PICK, KEY = "accept and read", "route", "pick, budgets, outcome", "key"
-WRITE, GATE, ANSWER, LEASES, OTHER = "write to the next hop", "gate", "answer", "leases and news", "other"
+ACCEPT = "accept and read"
+ROUTE = "route"
+PICK = "pick, budgets, outcome"
+KEY = "key"
+WRITE = "write to the next hop"
+GATE = "gate"
+ANSWER = "answer"
+LEASES = "leases and news"
+OTHER = "other"
 Function = tuple[str, int, str]  # file, line, name
 
 FUNCTIONS = {  # where one module does the work of two hops
--- a/orchidferry/testkit/capacity/profiled.py
+++ b/orchidferry/testkit/capacity/profiled.py
@@ -16,7 +16,8 @@
 
 def run(path: str) -> int:
     """Be a proxy, profiled between two signals."""
-    profile, state = cProfile.Profile(time.thread_time), {"on": False}
+    profile = cProfile.Profile(time.thread_time)
+    state = {"on": False}
 
     def signalled(number: int, frame: Any) -> None:
         if state["on"]:
--- a/orchidferry/testkit/capacity/texts.py
+++ b/orchidferry/testkit/capacity/texts.py
@@ -27,7 +27,8 @@
 
 def whole(revision: int, services: list[str], first: Sequence[Route] = ()) -> dict[str, Any]:
     """A configuration with the same number of routes for each service, after those of `first`."""
-    rng, routes = random.Random(SEED), list(first)
+    rng = random.Random(SEED)
+    routes = list(first)
     for service in services:
         for number in range(ROUTES_EACH):
             prefix = f"/{_name(rng, 4)}{rng.randrange(100, 1_000)}/"
--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -32,7 +32,9 @@
 
     def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
         self._scenario = script.plan.scenario
-        self._block, self._recorder, self._say = block, recorder, say
+        self._block = block
+        self._recorder = recorder
+        self._say = say
         self._arrivals = (
             self._from_recordings(index) if self._scenario.traffic else self._drawn(script, index)
         )
@@ -64,7 +66,8 @@
 
     async def _play(self, start: float) -> None:
         """Ask all; `start` is when the load begins, on the record's clock."""
-        now, pacer = self._recorder.now, self._pacer
+        now = self._recorder.now
+        pacer = self._pacer
         keep = -1.0 if self._scenario.traffic else LATE_S  # of a replay all: when each was sent is its result
         for arrival in self._arrivals:
             due = start + arrival.t
@@ -97,7 +100,9 @@
 
     async def _client(self, arrival: Arrival, due: float) -> None:
         """A first try and its retries."""
-        scenario, cls, now = self._scenario, arrival.cls, self._recorder.now
+        scenario = self._scenario
+        cls = arrival.cls
+        now = self._recorder.now
         clients = scenario.clients
         gives_up = due + cls.gives_up_s
         intended = due
@@ -125,13 +130,17 @@
         dealt = draws.uniform(self._scenario.seed, "deal", ask.id, high=len(self._nodes))
         node = self._nodes[int(dealt)]
         key, body = f"k-{arrival.root}", b"x" * self._scenario.clients.body
-        host, mark, target, method = HOST, "", "", ""
+        host = HOST
+        mark = ""
+        target = ""
+        method = ""
         if self._guard.target is not None:
             # Looked at for each try, beside the choice of what is sent at all: no way leads round it.
             if self._guard.may(ask.cls.name, ask.cls.repeat) is not May.MARKED:
                 raise RuntimeError(f"{ask.cls.name} may not be sent to {self._guard.target}")
             key = f"{key}-{self._scenario.run}"
-            host, mark = str(self._guard.target).removeprefix("http://"), f"{ask.cls.name}; {ask.cls.repeat}"
+            host = str(self._guard.target).removeprefix("http://")
+            mark = f"{ask.cls.name}; {ask.cls.repeat}"
             method, target = self._paths.get(ask.cls.name, ("", ""))
             target = target.replace("*", f"{arrival.object:x}")
 
@@ -149,7 +158,8 @@
         the rest only after a refusal or where no node took it. (Some clients ask for an unsafe one again all
         the same: nobody could tell them whether it ran.)
         """
-        clients, cls = self._scenario.clients, arrival.cls
+        clients = self._scenario.clients
+        cls = arrival.cls
         if left and outcome.how == "timeout":
             return None  # it went away
         if outcome.how == "answer" and outcome.status == 200:
--- a/orchidferry/testkit/control/files.py
+++ b/orchidferry/testkit/control/files.py
@@ -180,10 +180,12 @@
 
 def differences(before: Json, after: Json, names: tuple[str, str]) -> list[str]:
     """The lines of a unified diff, resource by resource; none if they mean the same."""
-    old, new = lines_of(before), lines_of(after)
+    old = lines_of(before)
+    new = lines_of(after)
     found: list[str] = []
     for name in sorted(old.keys() | new.keys()):
-        ours, theirs = old.get(name, []), new.get(name, [])
+        ours = old.get(name, [])
+        theirs = new.get(name, [])
         if ours == theirs and (name in old) == (name in new):
             continue
         labels = (f"{names[0]} {name}", f"{names[1]} {name}")
--- a/orchidferry/testkit/control/service.py
+++ b/orchidferry/testkit/control/service.py
@@ -87,7 +87,8 @@
     async def stop(self) -> None:
         """Be gone, streams and all."""
         self.cut()
-        server, self._server = self._server, None
+        server = self._server
+        self._server = None
         if server is not None:
             await server.stop(0)
 
--- a/orchidferry/testkit/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -22,7 +22,10 @@
     """Plays the script of versions, and says what the nodes made of it."""
 
     def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
-        self._zero, self._nodes, self._recorder, self._say = script.zero, script.plan.nodes, recorder, say
+        self._zero = script.zero
+        self._nodes = script.plan.nodes
+        self._recorder = recorder
+        self._say = say
         scenario, count = script.plan.scenario, len(script.plan.nodes)
         self._control = Control(scenario, script.plan.nodes, lambda n: settings(scenario, 0, count, n))
         self._endpoints: list[dict[str, Any]] = []
--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -107,7 +107,9 @@
     def __init__(
         self, scenario: Scenario, recorder: Recorder, files: Files | None = None, proof_key: str = ""
     ) -> None:
-        self.scenario, self.recorder, self._files = scenario, recorder, files
+        self.scenario = scenario
+        self.recorder = recorder
+        self._files = files
         self._proof_key = proof_key  # set: unsafe requests go over proven connections alone
         self._proofs = 0
         self._pools: dict[str, Pool | H3Pool] = {}
@@ -134,7 +136,9 @@
         self, ask: Ask, node: str, address: Address, make: Callable[[float], bytes], fresh: bool = False
     ) -> Outcome:
         """Ask once; its outcome, `timeout` when the time was up. `make` gets the time left, in seconds."""
-        pool, put, now = self._pool(node, ask.tier), self.recorder.put, self.recorder.now
+        pool = self._pool(node, ask.tier)
+        put = self.recorder.put
+        now = self.recorder.now
         connection = await pool.connection(address, fresh)
         if isinstance(connection, Outcome):
             put(Cut(now(), ask.tier, ask.id, node, connection.how, False))
@@ -184,7 +188,8 @@
             return True
         if not isinstance(connection, AskerSide) or connection.proven:
             return True
-        nonce, left = new_nonce(), ask.ends - self.recorder.now()
+        nonce = new_nonce()
+        left = ask.ends - self.recorder.now()
         self._proofs += 1
         id = f"proof{self._proofs}-{nonce[:8]}.0"
         text = (
--- a/orchidferry/testkit/explore/breaks.py
+++ b/orchidferry/testkit/explore/breaks.py
@@ -156,7 +156,8 @@
     inner = logic.Balancer._end
 
     def end(self: Any, call: Any, why: Any = None) -> None:
-        call.ran_ms, call.out = None, False
+        call.ran_ms = None
+        call.out = False
         inner(self, call, why)
 
     return [(logic.Balancer, "_end", end)]
--- a/orchidferry/testkit/explore/search.py
+++ b/orchidferry/testkit/explore/search.py
@@ -59,7 +59,8 @@
         self.violations += other.violations
         self.outcomes |= other.outcomes
         self.rest += other.rest
-        found, mine = other.counterexample, self.counterexample
+        found = other.counterexample
+        mine = self.counterexample
         if found is not None and (mine is None or len(found["path"]) < len(mine["path"])):
             self.counterexample = found
 
@@ -170,7 +171,8 @@
                 del stack[:half]
             if time.monotonic() - told > TELL_S:
                 results.put(("so far", totals))
-                totals, told = Totals(), time.monotonic()
+                totals = Totals()
+                told = time.monotonic()
             if time.monotonic() > until_s:
                 totals.why = "its time was over"
                 ends.set()
@@ -260,7 +262,8 @@
     """`ValueError` if it is another world's, or none."""
     try:
         with np.load(path) as data:
-            head, states = json.loads(str(data["head"])), data["states"]
+            head = json.loads(str(data["head"]))
+            states = data["states"]
     except (OSError, KeyError, ValueError) as problem:
         raise ValueError(f"{path}: no search that can be gone on with: {problem!s:.80}") from None
     if head.get("format") != 1 or head["small"] != json.loads(json.dumps(asdict(small))):
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -49,7 +49,8 @@
             super(Orders, self).do(label)
 
     def _behind(self) -> str:
-        newest, voters = self._newest.version, self._newest.voters
+        newest = self._newest.version
+        voters = self._newest.voters
         if self.refused:
             return f"{self.refused} could be taken and were refused"
         holders = [
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -149,7 +149,8 @@
         self.touched = mail.to
         attempt = self.attempts[mail.message[0]]
         attempt.arrived_s = self.now
-        operator, shard = self.operators[attempt.operator], self.controllers[attempt.at].shard
+        operator = self.operators[attempt.operator]
+        shard = self.controllers[attempt.at].shard
         if operator.what == "read":
             actions = shard.read(attempt.id, self.now)
         else:
@@ -242,7 +243,8 @@
         return f"{(self.now - self._contact_s(name)) * 1e3:.0f} ms"
 
     def _wait(self) -> None:
-        frozen, before = set(self.frozen), self.now
+        frozen = set(self.frozen)
+        before = self.now
         super()._wait()
         self.record.thawed |= dict.fromkeys(frozen - set(self.frozen), self.now)
         if before > self.began_s:
--- a/orchidferry/testkit/judge/requests.py
+++ b/orchidferry/testkit/judge/requests.py
@@ -23,7 +23,8 @@
         if not isinstance(end, Answered):
             continue
         finding.checked += 1
-        sent, run = books.sent[id], books.seals.get(end.seal)
+        sent = books.sent[id]
+        run = books.seals.get(end.seal)
         if end.attempt and end.attempt != id:
             books.broke(finding, end.t, id, f"the answer carries the id {end.attempt}")
         elif not 200 <= end.status < 300:
@@ -58,7 +59,8 @@
     finding = Finding()
     for run in books.runs_that_began():
         finding.checked += 1
-        got, sent = run.arrived, books.sent.get(run.arrived.id)
+        got = run.arrived
+        sent = books.sent.get(run.arrived.id)
         if sent is None:
             books.broke(finding, got.t, got.id, f"server {got.server} ran an id that nobody sent")
         elif (got.method, got.path, got.digest, got.key) != (sent.method, sent.path, sent.digest, sent.key):
@@ -150,7 +152,8 @@
     finding = Finding()
     for run in books.runs_that_began():
         finding.checked += 1
-        got, sent = run.arrived, books.sent.get(run.arrived.id)
+        got = run.arrived
+        sent = books.sent.get(run.arrived.id)
         if got.target and got.target != got.server:
             books.broke(finding, got.t, got.id, f"server {got.server} ran what was meant for {got.target}")
         if sent is None:
--- a/orchidferry/testkit/judge/touch.py
+++ b/orchidferry/testkit/judge/touch.py
@@ -115,7 +115,8 @@
             moments |= {harm.t, harm.until}
     ordered = sorted(moments)
     for t, until in zip(ordered, [*ordered[1:], math.inf], strict=True):
-        core, down = _core(processes, sidecars, t), _down(processes, t)
+        core = _core(processes, sidecars, t)
+        down = _down(processes, t)
         cut = [
             pair for harm in harms if harm.what == "cut" and harm.t <= t < harm.until for pair in harm.links
         ]
--- a/orchidferry/testkit/judge/verdict.py
+++ b/orchidferry/testkit/judge/verdict.py
@@ -126,7 +126,8 @@
     fault = max(books.incidents, key=lambda fact: fact.until - fact.t, default=None)
     if fault is None or fault.until - fault.t <= FAULT_SETTLES_S:
         return None
-    start, end = fault.t + FAULT_SETTLES_S, fault.until
+    start = fault.t + FAULT_SETTLES_S
+    end = fault.until
     by_tier = [0] * len(verdict.scenario.tiers)
     for attempts in books.got.values():
         for got in attempts:
@@ -144,7 +145,8 @@
 
 def move_of(verdict: Verdict) -> dict[str, Any] | None:
     """What a new pool carried: worth of client requests that reached it, over all that was asked."""
-    scenario, books = verdict.scenario, verdict.books
+    scenario = verdict.scenario
+    books = verdict.books
     if not scenario.pools.on:
         return None
     # By its place: a server's name begins with its tier and place.
@@ -173,7 +175,9 @@
 
 def as_json(verdict: Verdict) -> dict[str, Any]:
     """The agreed object; `run` is the kit's own part, and tells what the other keys can't."""
-    service, books, scenario = verdict.service, verdict.books, verdict.scenario
+    service = verdict.service
+    books = verdict.books
+    scenario = verdict.scenario
 
     def more() -> dict[str, Any]:
         found = {
--- a/orchidferry/testkit/mesh/closing_deeds.py
+++ b/orchidferry/testkit/mesh/closing_deeds.py
@@ -37,7 +37,8 @@
 
 async def _after_ack_wipe(play: Play, trouble: Trouble) -> str:
     """Controllers lose their disks; by the seed all others are killed too."""
-    acked, wiped = await _acknowledged(play), controllers_to_lose(play, trouble)
+    acked = await _acknowledged(play)
+    wiped = controllers_to_lose(play, trouble)
     alone = draws.uniform(play.seed, "alone") < ALONE
     nodes = wiped if alone else [play.nodes[m.name] for m in play.cores]
     done = await kill_all(play, nodes, trouble.for_s, wiped)
--- a/orchidferry/testkit/mesh/relay.py
+++ b/orchidferry/testkit/mesh/relay.py
@@ -48,7 +48,10 @@
     def __init__(
         self, links: Links, pair: Pair, lost: Callable[[], None], made: Callable[[str], None] | None = None
     ) -> None:
-        self._links, self.pair, self._lost, self._made = links, pair, lost, made
+        self._links = links
+        self.pair = pair
+        self._lost = lost
+        self._made = made
         self.other: Half
         self._transport: asyncio.Transport | None = None
         self._held: deque[tuple[float, bytes]] = deque()
@@ -91,7 +94,9 @@
         self.other.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._transport, self._over, self._broke = None, True, exc is not None
+        self._transport = None
+        self._over = True
+        self._broke = exc is not None
         if self._links.fault(self.pair).cut:  # what a sender that is gone had on its way is lost
             self._held.clear()
         self.other.drop_held()
@@ -159,10 +164,12 @@
     """One relayed connection."""
 
     def __init__(self, links: Links, door: Door, target: str) -> None:
-        self.links, self.door = links, door
+        self.links = links
+        self.door = door
         self.near = Half(links, ("", target), self._lost, self._accepted)
         self.far = Half(links, (target, ""), self._lost)
-        self.near.other, self.far.other = self.far, self.near
+        self.near.other = self.far
+        self.far.other = self.near
         self._dialled = False
 
     def _accepted(self, ip: str) -> None:
@@ -208,8 +215,10 @@
     """One port of a machine, at the address by which it is known: listens while the process does."""
 
     def __init__(self, links: Links, machine: Machine, port: int) -> None:
-        self.links, self.machine = links, machine
-        self.address, self.target = (machine.ip, port), (machine.bind, port)
+        self.links = links
+        self.machine = machine
+        self.address = (machine.ip, port)
+        self.target = (machine.bind, port)
         self._server: asyncio.Server | None = None
         self._probing: asyncio.Task[None] | None = None
         self._closed = False
--- a/orchidferry/testkit/mesh/seeds.py
+++ b/orchidferry/testkit/mesh/seeds.py
@@ -60,7 +60,8 @@
 
 def line(one: Ended, verdict: Verdict) -> str:
     """A run in one line."""
-    record, puts = verdict.record, verdict.books.puts
+    record = verdict.record
+    puts = verdict.books.puts
     acked = sum(put.acked is not None for put in puts)
     return (
         f"seed {one.seed}: {one.word}; service {percent(one.service)}, {len(verdict.books.sent)} tries, "
@@ -72,7 +73,8 @@
 
 def _control(books: Books) -> str:
     """Calls at isolated controllers by their answers, and orders sent again; empty: there were none."""
-    found, told = figures(books), ""
+    found = figures(books)
+    told = ""
     if found["alone"]:
         answers = ", ".join(f"{count} {name}" for name, count in found["alone_answers"].items())
         told += f"; isolated: {answers}, {found['alone_slowest_ms']:.0f} ms at most"
--- a/orchidferry/testkit/mesh/servers.py
+++ b/orchidferry/testkit/mesh/servers.py
@@ -45,7 +45,10 @@
 
     def __init__(self, scene: Scene, day: Day, machine: Machine, life: int = 0) -> None:
         """`life`: how many servers there were on this machine before."""
-        self.scene, self.day, self.machine, self._life = scene, day, machine, life
+        self.scene = scene
+        self.day = day
+        self.machine = machine
+        self._life = life
         name = machine.name if life == 0 else f"{machine.name}, life {life}"
         self.id = f"i-{draws.number(scene.seed, 'server', name) & 0xFFFFFFFF:08x}"
         self.address: Address = (machine.ip, scene.ports.application)
@@ -108,11 +111,13 @@
     def _on_request(self, connection: ServerSide, request: Request) -> None:
         if connection in self._busy:
             return connection.reset()  # it serves one at a time
-        now, headers = self.scene.now(), request.headers
+        now = self.scene.now()
+        headers = request.headers
         if request.target.partition("?")[0] == "/health":
             return self._take(_Job(0, connection, request, BY_NAME["tally-read"], now + 1.0))
         n = next(self.scene.arrivals)
-        id, target = headers.get("attempt-id", ""), headers.get("target-instance", "")
+        id = headers.get("attempt-id", "")
+        target = headers.get("target-instance", "")
         self.scene.note(
             Arrived(
                 now,
@@ -202,7 +207,8 @@
         return drawn * cold / self.speed
 
     async def _run(self, job: _Job) -> None:
-        scene, id = self.scene, job.request.headers["attempt-id"]
+        scene = self.scene
+        id = job.request.headers["attempt-id"]
         scene.note(Began(scene.now(), job.n))
         status = 200
         work = self._work_s(job)
@@ -226,14 +232,16 @@
 
     def _answer_half(self, job: _Job, status: int) -> None:
         """Write the head of an answer and half of its body."""
-        id, body = job.request.headers["attempt-id"], Random(job.n).randbytes(job.kind.size)
+        id = job.request.headers["attempt-id"]
+        body = Random(job.n).randbytes(job.kind.size)
         head = f"HTTP/1.1 {status} -\r\nAttempt-Id: {id}\r\nContent-Length: {len(body)}\r\n\r\n"
         if not job.connection.transport.is_closing():
             job.connection.transport.write(head.encode() + body[: len(body) // 2])
 
     async def _inner(self, job: _Job, kind: Kind) -> bool:
         """Ask another service, by the own machine's node; whether it answered."""
-        scene, now = self.scene, self.scene.now()
+        scene = self.scene
+        now = self.scene.now()
         ends = min(job.ends, now + kind.deadline_ms / 1000.0)
         if ends - now < LEAST_LEFT_S:
             return False
@@ -258,7 +266,8 @@
         return outcome.how == "answer" and 200 <= outcome.status < 300
 
     def _answer(self, job: _Job, status: int) -> None:
-        scene, id = self.scene, job.request.headers["attempt-id"]
+        scene = self.scene
+        id = job.request.headers["attempt-id"]
         size = round(draws.uniform(scene.seed, "size", id, low=0.8, high=1.2) * job.kind.size)
         body = Random(job.n).randbytes(size if status == 200 else 20)
         seal = f"{job.n:x}.{draws.number(scene.seed, 'seal', job.n):016x}"
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -74,7 +74,8 @@
         self.links = Links(faults, seed)
         self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
-        self._watch, self._most = watch, most
+        self._watch = watch
+        self._most = most
         self._seeds = [address(n) for n in range(min(seeds, count))]
         self.nodes: dict[str, Member] = {}
         self._where: dict[Address, Member] = {}
@@ -127,12 +128,11 @@
         del self._where[node.at]
         node.at = at or node.at
         node.lives += 1
-        node.fleet, node.running, node.paused = (
-            self._fleet(name, node.at, node.lives, incarnation),
-            True,
-            False,
-        )
-        node.due, node.waiting = float("inf"), []
+        node.fleet = self._fleet(name, node.at, node.lives, incarnation)
+        node.running = True
+        node.paused = False
+        node.due = float("inf")
+        node.waiting = []
         self._where[node.at] = node
         self._hand(node, api.Begin())
 
@@ -146,7 +146,8 @@
         if node.lives != life or not node.running:
             return
         node.paused = False
-        waiting, node.waiting = node.waiting, []
+        waiting = node.waiting
+        node.waiting = []
         for event in waiting:
             self._hand(node, event)
         self._hand(node, api.Tick())
--- a/orchidferry/testkit/model/lost_names.py
+++ b/orchidferry/testkit/model/lost_names.py
@@ -32,7 +32,8 @@
 
     def __init__(self, top: Path, crash: Callable[[list[Names]], None]) -> None:
         """`crash`: hears before each call what a loss of power could leave."""
-        self.top, self._crash = top, crash
+        self.top = top
+        self._crash = crash
         self._looking = False
         self._synced = self._now()
         self._patches = [mock.patch.object(os, name, self._watched(name)) for name in CALLS]
--- a/orchidferry/testkit/quic/client.py
+++ b/orchidferry/testkit/quic/client.py
@@ -45,7 +45,8 @@
 
     def ask(self, id: str, message: bytes) -> asyncio.Future[Outcome]:
         """Send a request; its outcome. The caller gives it up by `drop`."""
-        self.last_id, self.used = id, self.used + 1
+        self.last_id = id
+        self.used = self.used + 1
         self.waiting = asyncio.get_running_loop().create_future()
         headers, body = as_h3(message)
         connection = self.connection
@@ -146,7 +147,8 @@
         elif isinstance(event, HandshakeCompleted):
             self.up = True
         elif isinstance(event, ConnectionTerminated):
-            self.http, self.closed_by = None, event
+            self.http = None
+            self.closed_by = event
             orderly = event.error_code in (0, ErrorCode.H3_NO_ERROR)
             self._all_end("closed" if orderly else "reset")
         elif isinstance(event, StreamReset):
@@ -170,7 +172,8 @@
                 status = int(fields.pop(":status", "0"))
                 if one.status >= 200:
                     self._on_extra(one.last_id)
-                one.status, one.headers = status, fields
+                one.status = status
+                one.headers = fields
             if found.stream_ended:
                 one.end("answer" if one.status >= 200 else "broken")
 
--- a/orchidferry/testkit/quic/faults.py
+++ b/orchidferry/testkit/quic/faults.py
@@ -41,9 +41,13 @@
 
     def fate(self) -> list[float]:
         """After how many seconds each copy of the next datagram comes: none where it is lost."""
-        trouble, draw = self.trouble, self._rng.random
+        trouble = self.trouble
+        draw = self._rng.random
         # Always as many draws, so that the fate of later ones does not hang on that of earlier ones.
-        loss, reorder, duplicate, jitter = draw(), draw(), draw(), draw()
+        loss = draw()
+        reorder = draw()
+        duplicate = draw()
+        jitter = draw()
         if self.black_hole or loss < trouble.loss:
             self.lost += 1
             return []
--- a/orchidferry/testkit/quic/server.py
+++ b/orchidferry/testkit/quic/server.py
@@ -32,7 +32,8 @@
     """One request on a stream, with the face of `wire.ServerSide`."""
 
     def __init__(self, connection: ServerConnection, stream_id: int) -> None:
-        self.connection, self.id = connection, stream_id
+        self.connection = connection
+        self.id = stream_id
         self.open = True
         self.transport = self  # what a stand-in asks of one, it asks of this
         self.headers: list[Header] = []
@@ -155,7 +156,8 @@
 
     def __init__(self, to_askers: PathFaults, from_askers: PathFaults, **rest: Any) -> None:
         super().__init__(**rest)
-        self._to, self._from = to_askers, from_askers
+        self._to = to_askers
+        self._from = from_askers
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the loop."""
@@ -190,7 +192,9 @@
         seed: int = 0,
         **changes: Any,
     ) -> None:
-        self.requested, self.lost, self.made = requested, lost, made
+        self.requested = requested
+        self.lost = lost
+        self.made = made
         self.connections: dict[ServerConnection, None] = {}
         self.resets = 0  # requests that their askers took back
         self.to_askers = PathFaults(2 * seed, trouble or Trouble())
@@ -227,6 +231,7 @@
 
     def stop(self, abruptly: bool = False) -> None:
         """End it; `abruptly`: without a word to anybody."""
-        listener, self.listener = self.listener, None
+        listener = self.listener
+        self.listener = None
         if listener is not None:
             listener.forget() if abruptly else listener.close()
--- a/orchidferry/testkit/quic/transport.py
+++ b/orchidferry/testkit/quic/transport.py
@@ -24,7 +24,8 @@
     """A UDP transport whose datagrams go by a scripted path."""
 
     def __init__(self, transport: asyncio.DatagramTransport, path: PathFaults) -> None:
-        self._transport, self._path = transport, path
+        self._transport = transport
+        self._path = path
 
     def sendto(self, data: bytes, addr: Any = None) -> None:
         """Send a datagram along the path."""
--- a/orchidferry/testkit/record.py
+++ b/orchidferry/testkit/record.py
@@ -265,7 +265,8 @@
     """Appends facts to a file; its owner calls `flush` every `FLUSH_S` and `close` at the end."""
 
     def __init__(self, path: Path, zero: float) -> None:
-        self.zero, self.path = zero, path
+        self.zero = zero
+        self.path = path
         self.facts = 0
         self._pending: list[str] = []
         self._file: IO[str] = path.open("a", encoding="utf-8")
--- a/orchidferry/testkit/report/page.py
+++ b/orchidferry/testkit/report/page.py
@@ -69,7 +69,8 @@
 
 
 def _rules(verdict: Verdict) -> str:
-    rows, stories = [], []
+    rows = []
+    stories = []
     for name, finding in verdict.rules.items():
         told = word(finding)
         mark = f"<span class={MARKS[told]}>{told}</span>"
@@ -110,7 +111,8 @@
 
 def _fleet(verdict: Verdict) -> str:
     """How many nodes each node held for here, beside those that ran."""
-    found, views = verdict.fleet, verdict.views
+    found = verdict.fleet
+    views = verdict.views
     if found is None or views is None:
         return ""
     times, running, held = counted(views)
@@ -178,7 +180,8 @@
         ):
             (drawn,) = attempts.step(figures.times, sent, where="post", label=tier.name)
             if any(turned):
-                label, colour = f"{tier.name}, turned away", drawn.get_color()
+                label = f"{tier.name}, turned away"
+                colour = drawn.get_color()
                 attempts.step(figures.times, turned, where="post", linestyle=":", color=colour, label=label)
         attempts.set_ylabel("attempts a second")
         attempts.set_xlabel("seconds since the load began")
@@ -195,7 +198,8 @@
     """Each incident as a bar with its name, and as a tint and a line over the other plots."""
     books = verdict.books
     for n, fact in enumerate(books.incidents):
-        start, end = books.at(fact.t), max(books.at(fact.until), books.at(fact.t) + 0.1)
+        start = books.at(fact.t)
+        end = max(books.at(fact.until), books.at(fact.t) + 0.1)
         colour = FAULT_COLOURS[n % len(FAULT_COLOURS)]
         strip.barh(n, end - start, left=start, height=0.7, color=colour, alpha=0.6)
         strip.text(start, n, f"{fact.do} ", fontsize=8, ha="right", va="center")
@@ -210,7 +214,8 @@
     """Each incident as a tint and a line."""
     books = verdict.books
     for n, fact in enumerate(books.incidents):
-        start, end = books.at(fact.t), max(books.at(fact.until), books.at(fact.t) + 0.1)
+        start = books.at(fact.t)
+        end = max(books.at(fact.until), books.at(fact.t) + 0.1)
         colour = FAULT_COLOURS[n % len(FAULT_COLOURS)]
         for axis in axes:
             axis.axvspan(start, end, color=colour, alpha=0.05, linewidth=0)
--- a/orchidferry/testkit/report/tables.py
+++ b/orchidferry/testkit/report/tables.py
@@ -37,7 +37,8 @@
 
 def summary(verdict: Verdict) -> str:
     """A run in a sentence."""
-    service, scenario = verdict.service, verdict.scenario
+    service = verdict.service
+    scenario = verdict.scenario
     tiers = ", ".join(f"{t.name} {n}" for t, n in zip(scenario.tiers, verdict.attempts, strict=True))
     return (
         f"service {percent(service.whole)}, worst 10 s {percent(service.worst_window)} (from "
--- a/orchidferry/testkit/traffic/har.py
+++ b/orchidferry/testkit/traffic/har.py
@@ -33,14 +33,16 @@
     """Chunks as the file that ijson wants."""
 
     def __init__(self, chunks: Iterable[bytes]) -> None:
-        self._chunks, self._left = iter(chunks), b""
+        self._chunks = iter(chunks)
+        self._left = b""
 
     def read(self, size: int = -1) -> bytes:
         if not self._left:
             self._left = next(self._chunks, b"")
         if size < 0:
             size = len(self._left)
-        data, self._left = self._left[:size], self._left[size:]
+        data = self._left[:size]
+        self._left = self._left[size:]
         return data
 
 
--- a/orchidferry/testkit/traffic/log_fields.py
+++ b/orchidferry/testkit/traffic/log_fields.py
@@ -57,7 +57,8 @@
     if "request" in values:
         method, target = split_request(values["request"])
     else:
-        method, target = method_of(str(values.get("method", "GET"))), target_of(str(values.get("target", "")))
+        method = method_of(str(values.get("method", "GET")))
+        target = target_of(str(values.get("target", "")))
     status = status_of(int(number(values.get("status"))))
     if values.get("spread"):
         step = SPREAD_STEP_S
--- a/orchidferry/testkit/traffic/log_values.py
+++ b/orchidferry/testkit/traffic/log_values.py
@@ -22,8 +22,12 @@
     try:
         if not CLF.fullmatch(text):
             raise ValueError
-        day, month, year = int(text[:2]), MONTHS[text[3:6]], int(text[7:11])
-        hour, minute, second = int(text[12:14]), int(text[15:17]), int(text[18:20])
+        day = int(text[:2])
+        month = MONTHS[text[3:6]]
+        year = int(text[7:11])
+        hour = int(text[12:14])
+        minute = int(text[15:17])
+        second = int(text[18:20])
         zone = int(text[22:24]) * 3600 + int(text[24:26]) * 60
         if second > 60 or minute > 59 or hour > 23:
             raise ValueError
--- a/orchidferry/testkit/world/acts.py
+++ b/orchidferry/testkit/world/acts.py
@@ -77,7 +77,8 @@
     async def _notice(self, node: str, between: tuple[float, float]) -> None:
         """The front deals no more to a node, once it has noticed."""
         seen = self._deployment.nodes[node]
-        lives, paused = seen.lives, seen.paused_at
+        lives = seen.lives
+        paused = seen.paused_at
         await asyncio.sleep(self._deployment.delay(between, node, str(lives)))
         if seen.lives == lives and seen.paused_at == paused:
             self._deployment.dealt.discard(node)
--- a/orchidferry/testkit/world/child.py
+++ b/orchidferry/testkit/world/child.py
@@ -26,7 +26,8 @@
     """A running worker process."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
-        self.name, self.process = name, process
+        self.name = name
+        self.process = process
         self.ready = asyncio.Event()
         self.played = asyncio.Event()
         self.counts = Counts()
--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -46,8 +46,10 @@
     """The parts of one run, and how each is started and ended."""
 
     def __init__(self, plan: Plan, folder: Path, block: Block) -> None:
-        self.plan, self.scenario = plan, plan.scenario
-        self.folder, self.block = folder, block
+        self.plan = plan
+        self.scenario = plan.scenario
+        self.folder = folder
+        self.block = block
         self.zero = time.monotonic()
         self.recorder = Recorder(folder / "director.facts", self.zero)
         self.discovery = DiscoveryService(len(self.scenario.tiers), self.recorder, time.time())
@@ -151,7 +153,8 @@
         """A server as discovery lists it."""
         host, port = self.block.server(server.number)
         zone = self.scenario.tiers[server.tier].zone
-        where, h3 = f"{host}:{port}", self.scenario.network.protocol == "h3"
+        where = f"{host}:{port}"
+        h3 = self.scenario.network.protocol == "h3"
         return Listed(
             server.name,
             server.tier,
--- a/orchidferry/testkit/world/discovery.py
+++ b/orchidferry/testkit/world/discovery.py
@@ -94,7 +94,8 @@
     def __init__(self, tiers: int, recorder: Recorder, unix_at_zero: float) -> None:
         self.registries = [Registry() for _ in range(tiers)]
         self.down = False
-        self._recorder, self._unix_at_zero = recorder, unix_at_zero
+        self._recorder = recorder
+        self._unix_at_zero = unix_at_zero
         self._askers: dict[str, Asker] = {}
         self._loop = asyncio.get_running_loop()
 
--- a/orchidferry/testkit/world/hub.py
+++ b/orchidferry/testkit/world/hub.py
@@ -30,7 +30,8 @@
 
     def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
         plan = script.plan
-        self._recorder, self._start = recorder, math.inf
+        self._recorder = recorder
+        self._start = math.inf
         self._links = Links(plan.links, plan.scenario.seed)
         self._nodes = list(plan.nodes)
         self._name_at = {block.fleet_node(n)[0]: name for n, name in enumerate(self._nodes)}
--- a/orchidferry/testkit/world/machine.py
+++ b/orchidferry/testkit/world/machine.py
@@ -185,7 +185,8 @@
 
     def share(self, now: float) -> float:
         """The share of its capacity that it has: below 1 while it is cold."""
-        since, tier = self.figures.cold_since, self.figures.tier
+        since = self.figures.cold_since
+        tier = self.figures.tier
         if since is None:
             return 1.0
         return min(1.0, tier.cold_from + (1.0 - tier.cold_from) * max(0.0, now - since) / tier.cold_for_s)
@@ -219,7 +220,8 @@
 
     def _work(self, now: float, actions: list[Action]) -> None:
         """Count the work done since, and end the parts that are done."""
-        passed, rate = now - self._at, (self._rate(self._at) + self._rate(now)) / 2.0
+        passed = now - self._at
+        rate = (self._rate(self._at) + self._rate(now)) / 2.0
         self._at = now
         if not rate:
             return
@@ -246,7 +248,8 @@
         actions.append(Finish(job.id, how))
 
     def _arrive(self, event: Arrived, now: float, actions: list[Action]) -> None:
-        figures, cls = self.figures, event.cls
+        figures = self.figures
+        cls = event.cls
         work = work_of(figures.seed, cls, figures.tier, event.root)
         if self._pushed_over(work, now):
             self.fallen = True
@@ -254,7 +257,8 @@
         calls = calls_of(figures.seed, figures.tier, event.root, figures.last)
         job = Job(event.id, cls, event.key, event.ends, work / (calls + 1), calls)
         if draws.uniform(figures.seed, "fails", figures.name, event.id) < figures.troubles.fails:
-            job.fails, job.part_s = True, FAIL_S
+            job.fails = True
+            job.part_s = FAIL_S
         if len(self.jobs) < figures.tier.slots:
             self._admit(job)
         elif len(self.room) < figures.tier.room:
@@ -274,7 +278,9 @@
             return
         cls = job.cls
         if cls.repeat == "keyed" and self.figures.scope(cls).repeat(job.key, cls.window_s, now):
-            job.repeat, job.calls, job.left_s = True, 0, REPEAT_WORK_S
+            job.repeat = True
+            job.calls = 0
+            job.left_s = REPEAT_WORK_S
         else:
             actions.append(Begin(job.id))
 
@@ -325,7 +331,8 @@
 
     def _pushed_over(self, work: float, now: float) -> bool:
         """Count what reaches a cold server, turned away or not, against its budget."""
-        share, rules = self.share(now), self.figures.rules
+        share = self.share(now)
+        rules = self.figures.rules
         if share >= 1.0:
             return False
         self._sent.append((now, work))
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -142,7 +142,8 @@
 
 
 def _on_servers(drawing: _Drawing, number: int, entry: Entry) -> None:
-    scenario, tier = drawing.scenario, drawing.scenario.tier_number(entry.tier)
+    scenario = drawing.scenario
+    tier = drawing.scenario.tier_number(entry.tier)
     present = [s for s in drawing.servers if s.tier == tier and not s.start and s.name not in drawing.gone]
     if entry.new:
         present = [s for s in present if in_new_pool(scenario, s)]
@@ -165,7 +166,9 @@
 
 
 def _strike(drawing: _Drawing, number: int, entry: Entry, server: Server, place: int) -> None:
-    at, end, name = entry.at_s, entry.at_s + entry.for_s, server.name
+    at = entry.at_s
+    end = entry.at_s + entry.for_s
+    name = server.name
     act = drawing.act
 
     def trouble(do: str, value: float) -> None:
--- a/orchidferry/testkit/world/worker.py
+++ b/orchidferry/testkit/world/worker.py
@@ -32,7 +32,10 @@
     """The stand-ins of one process."""
 
     def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
-        self._script, self._block, self._recorder, self._say = script, block, recorder, say
+        self._script = script
+        self._block = block
+        self._recorder = recorder
+        self._say = say
         scenario = script.plan.scenario
         self._exchanges = Exchanges(scenario, recorder, script.files, script.proof_key)
         self._servers = {s.name: s for s in script.plan.servers if home(scenario, s) == index}
