--- /dev/null
+++ b/tests/mesh/storage/test_golden_store.py
@@ -0,0 +1,380 @@
+"""What a controller has on disk keeps its bytes: stores and a snapshot that were written by store format 3.
+
+`golden_store.mdb.gz` is the store of one of three founders, with all kinds of records; `golden.snapshot` was
+taken of it. `golden_lone_store.mdb.gz` was left by a controller alone in its group, which had taken two
+configurations. `golden_records.json` has their records, with those that putting the snapshot back makes.
+All is read and written by the command line where that can be, so that the tests outlive Python's names.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gzip
+import hashlib
+import io
+import json
+import os
+import shutil
+import signal
+import socket
+import subprocess
+import sys
+import time
+import urllib.error
+import urllib.request
+import zlib
+from pathlib import Path
+from typing import Any
+
+import cbor2
+import lmdb
+import pytest
+
+from mesh.control import order_records, shard_state
+from mesh.control.operation_keys import KeyRecord
+from mesh.storage.store import Store, pack, unpack
+
+HERE = Path(__file__).parent
+ROOT = HERE.parents[2]
+COMMAND = (sys.executable, "-m", "orchidferry", "controller")
+GOLDEN: dict[str, Any] = json.loads((HERE / "golden_records.json").read_text("utf-8"))
+CONFIGURATION = GOLDEN["configuration"].encode()
+CHECKSUM_BYTES = 4
+FOUNDERS = ("--founders", "10.0.0.1,10.0.0.2,10.0.0.9", "--majority-is-gone")
+SEAL = b"seal"  # the number of the transaction, which may differ
+BOOT = """own_node = {{ node_name = "n", ip = "{ip}", zone = "z", first_start = true, data_dir = "store" }}
+network = {{ internal_ports = [{port}], seed_nodes = ["{ip}:{port}"], listen_points = {{ control = "{ip}:{control}" }} }}
+term_settings = {{ tolerance = {{ machines = {machines} }} }}
+"""  # noqa: E501
+CHECKED = """n:  in z, settings can be used
+store: format 3, 20480 bytes used of 32768
+part 0: memory 1, caught up, accepted version 12, epoch 3, revision 7, owner 10.0.0.2 under fence 4, \
+voters 10.0.0.1 10.0.0.2 10.0.0.4
+part 1: memory 1, caught up, accepted version 2, epoch 0, revision 0, owner 10.0.0.3 under fence 1, \
+voters 10.0.0.1 10.0.0.2 10.0.0.3
+part 2: memory 9007199254740991, not caught up, accepted nothing yet
+part 3: memory 1, caught up, accepted nothing yet
+founders: 10.0.0.1 10.0.0.2 10.0.0.3
+keys: 4
+"""
+CHECKED_LONE = """n:  in z, settings can be used
+store: format 3, 16384 bytes used of 45056
+part 0: memory 1, caught up, accepted version 2, epoch 0, revision 7, owner none under fence 0, \
+voters 127.0.0.1
+part 1: memory 1, caught up, accepted nothing yet
+part 2: memory 1, caught up, accepted nothing yet
+part 3: memory 1, caught up, accepted nothing yet
+founders: 127.0.0.1
+keys: 0
+"""
+RESTORED_PARTS = """\
+part 0: memory 2544245270616421, caught up, accepted version 4294967308, epoch 1048579, revision 7, \
+owner none under fence 1048580, voters 10.0.0.1 10.0.0.2 10.0.0.9
+part 1: memory 2544245270616421, caught up, accepted version 4294967298, epoch 1048576, revision 0, \
+owner none under fence 1048577, voters 10.0.0.1 10.0.0.2 10.0.0.9
+part 2: memory 2544245270616421, caught up, accepted version 4294967296, epoch 1048576, revision 0, \
+owner none under fence 1048576, voters 10.0.0.1 10.0.0.2 10.0.0.9
+part 3: memory 2544245270616421, caught up, accepted version 4294967296, epoch 1048576, revision 0, \
+owner none under fence 1048576, voters 10.0.0.1 10.0.0.2 10.0.0.9
+founders: 10.0.0.1 10.0.0.2 10.0.0.9
+keys: 4
+"""
+
+Records = dict[str, dict[bytes, bytes]]  # by database
+
+
+def golden(name: str) -> Records:
+    """The records of a golden store as they lie on disk."""
+    return {
+        database: {bytes.fromhex(key): bytes.fromhex(raw) for key, raw in rows.items()}
+        for database, rows in GOLDEN[name].items()
+    }
+
+
+def on_disk(folder: Path) -> Records:
+    """The records of a store, read by lmdb alone."""
+    environment = lmdb.open(str(folder), max_dbs=4, lock=False, readonly=True)
+    found: Records = {}
+    try:
+        with environment.begin() as transaction:
+            names = [bytes(name) for name, _ in transaction.cursor()]
+        for name in names:
+            database = environment.open_db(name, create=False)
+            with environment.begin(db=database) as transaction:
+                found[name.decode()] = {bytes(key): bytes(raw) for key, raw in transaction.cursor()}
+    finally:
+        environment.close()
+    return found
+
+
+def without_seal(records: Records) -> Records:
+    """All records but the number of the last transaction."""
+    return {name: {key: raw for key, raw in rows.items() if key != SEAL} for name, rows in records.items()}
+
+
+def copy_store(name: str, folder: Path) -> Path:
+    """A copy of a golden store in `folder`/store."""
+    store = folder / "store"
+    store.mkdir()
+    (store / "data.mdb").write_bytes(gzip.decompress((HERE / name).read_bytes()))
+    return store
+
+
+def environment_of(
+    folder: Path, ip: str = "10.0.0.1", port: int = 1, control: int = 9, machines: int = 1
+) -> dict[str, str]:
+    """Write the settings of a controller whose store is in `folder`/store; the environment of its process."""
+    settings = folder / "boot.toml"
+    settings.write_text(BOOT.format(ip=ip, port=port, control=control, machines=machines))
+    return {**os.environ, "ORCHIDFERRY_BOOT": str(settings), "PYTHONPATH": str(ROOT)}
+
+
+def run(folder: Path, *words: str) -> tuple[int, str, str]:
+    """Run the command in a folder: exit status, standard output, standard error."""
+    done = subprocess.run(
+        [*COMMAND, *words], cwd=folder, env=environment_of(folder), capture_output=True, text=True, timeout=30
+    )
+    return done.returncode, done.stdout, done.stderr
+
+
+@pytest.mark.parametrize(
+    ("file", "name"), [("golden_store.mdb.gz", "store"), ("golden_lone_store.mdb.gz", "lone")]
+)
+def test_the_golden_files_have_the_golden_records(tmp_path: Path, file: str, name: str) -> None:
+    assert on_disk(copy_store(file, tmp_path)) == golden(name)
+
+
+@pytest.mark.parametrize(
+    ("file", "told"), [("golden_store.mdb.gz", CHECKED), ("golden_lone_store.mdb.gz", CHECKED_LONE)]
+)
+def test_the_check_tells_what_a_golden_store_holds(tmp_path: Path, file: str, told: str) -> None:
+    store = copy_store(file, tmp_path)
+    before = (store / "data.mdb").read_bytes()
+    assert run(tmp_path, "--check") == (0, told, "")
+    assert (store / "data.mdb").read_bytes() == before
+
+
+def test_the_check_tells_a_wrong_checksum(tmp_path: Path) -> None:
+    store = copy_store("golden_store.mdb.gz", tmp_path)
+    file = store / "data.mdb"
+    raw = golden("store")["slips"][b"first"]
+    damaged = file.read_bytes().replace(raw, raw[:-1] + b"\xf5")
+    file.write_bytes(damaged)
+    line = "orchidferry: store: record b'first' of slips has a wrong checksum\n"
+    assert run(tmp_path, "--check") == (2, "n:  in z, settings can be used\n", line)
+
+
+def test_the_store_reads_the_golden_values(tmp_path: Path) -> None:
+    folder = copy_store("golden_store.mdb.gz", tmp_path)
+
+    async def read() -> dict[str, dict[bytes, bytes]]:
+        store = Store(str(folder), asyncio.get_running_loop())
+        try:
+            assert store.read("about", b"nothing of the sort") is None
+            assert store.read("about", b"caught/0") == b"1"
+            return {name: dict(store.all(name)) for name in ("about", "slips")}
+        finally:
+            store.close()
+
+    found = asyncio.run(read())
+    values = {
+        name: {key: raw[CHECKSUM_BYTES:] for key, raw in rows.items()}
+        for name, rows in golden("store").items()
+    }
+    assert found == values
+    assert unpack(found["about"][b"founders"]) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
+    assert unpack(found["slips"]["sécond".encode("latin-1")]) == [
+        "10.0.0.2 9 4", 18, [200, [["content-type", "text/plain"]], b"done"],
+    ]  # fmt: skip
+
+
+def rewritten(database: str, key: bytes, value: bytes) -> tuple[str, bytes, bytes | None]:
+    """A record that was read into today's types, and made of them again."""
+    if database == "slips":
+        return database, key, pack(KeyRecord(*unpack(value)).packed())
+    if key.startswith(b"kept/"):
+        return database, key, pack(shard_state.pack_kept(shard_state.unpack_kept(unpack(value))))
+    if key.startswith(b"order/"):
+        ((number, entry),) = order_records.orders_of(0, [(key, value)])
+        return order_records.record(0, number, entry)
+    return database, key, pack(unpack(value))
+
+
+def test_the_golden_values_are_written_as_the_golden_records(tmp_path: Path) -> None:
+    """Checksums, format and the names of the databases among them."""
+    records = golden("store")
+    puts = [
+        rewritten(name, key, raw[CHECKSUM_BYTES:])
+        for name, rows in records.items()
+        for key, raw in rows.items()
+        if key not in (SEAL, b"format")
+    ]
+
+    async def write() -> None:
+        loop = asyncio.get_running_loop()
+        written = loop.create_future()
+        store = Store(str(tmp_path), loop)
+        store.write(puts, written.set_result)
+        assert await written
+        store.close()
+
+    asyncio.run(write())
+    assert without_seal(on_disk(tmp_path)) == without_seal(records)
+
+
+# Snapshots
+
+
+def items(raw: bytes) -> list[Any]:
+    """The `cbor2` items of a snapshot."""
+    stream, found = io.BytesIO(raw), []
+    while stream.tell() < len(raw):
+        found.append(cbor2.load(stream))
+    return found
+
+
+def as_snapshot(parts: list[Any]) -> bytes:
+    """Items as a snapshot, with the digest that belongs to them."""
+    raw = b"".join(map(cbor2.dumps, parts))
+    return raw + cbor2.dumps(hashlib.sha256(raw).digest())
+
+
+def test_a_snapshot_of_the_golden_store_is_the_golden_one(tmp_path: Path) -> None:
+    """But for a number that is drawn, and the digest, which depends on it."""
+    copy_store("golden_store.mdb.gz", tmp_path)
+    status, out, err = run(tmp_path, "snapshot", "take", "taken")
+    taken = (tmp_path / "taken").read_bytes()
+    parts, expected = items(taken), items((HERE / "golden.snapshot").read_bytes())
+    assert len(parts[0][2]) == len(expected[0][2]) == 16
+    parts[0][2] = expected[0][2]
+    assert parts[:-1] == expected[:-1] and as_snapshot(parts[:-1]) == (HERE / "golden.snapshot").read_bytes()
+    digest = items(taken)[-1].hex()
+    line = f"taken: revision 7, parts at versions [12, 2, 0, 0], 4 keys, digest {digest[:16]}\n"
+    assert (status, out, err) == (0, line, "")
+
+
+def test_the_golden_snapshot_begins_a_group_with_the_golden_records(tmp_path: Path) -> None:
+    shutil.copy(HERE / "golden.snapshot", tmp_path)
+    line = "store: revision 7, parts at versions [12, 2, 0, 0], 4 keys; memory 2544245270616421, "
+    line += "the same at all of 10.0.0.1 10.0.0.2 10.0.0.9?\n"
+    assert run(tmp_path, "snapshot", "put", "golden.snapshot", *FOUNDERS) == (0, line, "")
+    assert without_seal(on_disk(tmp_path / "store")) == without_seal(golden("restored"))
+    status, out, err = run(tmp_path, "--check")
+    assert (status, err) == (0, "") and out.partition("part 0")[2] == RESTORED_PARTS.removeprefix("part 0")
+    refused = "orchidferry: store: it is not empty, there is 'data.mdb'\n"
+    assert run(tmp_path, "snapshot", "put", "golden.snapshot", *FOUNDERS) == (2, "", refused)
+
+
+@pytest.mark.parametrize(
+    ("change", "line"),
+    [
+        pytest.param({1: 1}, "", id="format 1"),
+        pytest.param({1: 3}, "format 3 is not known here", id="format of a later build"),
+        pytest.param({0: "another snapshot"}, "it is no snapshot", id="another kind of file"),
+        pytest.param({3: 3}, "it has more keys than it says", id="a key too many"),
+    ],
+)
+def test_the_header_of_a_snapshot_is_checked(tmp_path: Path, change: dict[int, Any], line: str) -> None:
+    parts = items((HERE / "golden.snapshot").read_bytes())[:-1]
+    for place, value in change.items():
+        parts[0][place] = value
+    (tmp_path / "changed").write_bytes(as_snapshot(parts))
+    status, _, err = run(tmp_path, "snapshot", "put", "changed", *FOUNDERS)
+    assert (status, err) == ((2, f"orchidferry: changed: {line}\n") if line else (0, ""))
+    assert (tmp_path / "store").exists() != bool(line)
+
+
+# A controller on a store of its own
+
+
+def free_port() -> int:
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
+class LoneController:
+    """The process of a controller that is alone in its group."""
+
+    def __init__(self, folder: Path) -> None:
+        self._control = free_port()
+        environment = environment_of(folder, "127.0.0.1", free_port(), self._control, machines=0)
+        self._log = (folder / "log").open("wb")
+        self._process = subprocess.Popen([*COMMAND], cwd=folder, env=environment, stderr=self._log)
+
+    def __enter__(self) -> LoneController:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self._process.send_signal(signal.SIGTERM)
+        try:
+            status = self._process.wait(20)
+        finally:
+            self._process.kill()
+            self._log.close()
+        assert status == 0
+
+    def call(self, method: str, body: bytes | None = None, **headers: str) -> tuple[int, bytes]:
+        """A call for the configuration, again until the controller can answer it."""
+        url = f"http://127.0.0.1:{self._control}/orchidferry/configuration"
+        until = time.monotonic() + 15.0
+        while True:
+            request = urllib.request.Request(url, body, headers, method=method)
+            try:
+                with urllib.request.urlopen(request, timeout=5.0) as answer:
+                    return int(answer.status), answer.read()
+            except urllib.error.HTTPError as refusal:
+                if refusal.code != 503 or time.monotonic() > until:
+                    return refusal.code, refusal.read()
+            except OSError:
+                if time.monotonic() > until:
+                    raise
+            time.sleep(0.05)  # between two tries
+
+
+def test_a_controller_knows_the_configuration_of_the_golden_store(tmp_path: Path) -> None:
+    store = copy_store("golden_lone_store.mdb.gz", tmp_path)
+    with LoneController(tmp_path) as controller:
+        assert controller.call("GET") == (200, CONFIGURATION)
+        again = controller.call("PUT", CONFIGURATION, **{"If-Match": "1"})
+        assert again == (200, b'{"revision_number": 7}')
+        assert controller.call("PUT", CONFIGURATION, **{"If-Match": "2"})[0] == 412
+    assert sorted(os.listdir(store)) == ["data.mdb", "lock"]
+
+
+def order(text: bytes, base: int) -> bytes:
+    """The record of an order that was taken: its digest, and the version that it builds on."""
+    return hashlib.sha256(text).digest()[:16] + base.to_bytes(8, "big")
+
+
+def settled(records: Records) -> dict[bytes, Any]:
+    """What a lone controller has in `about`, without what depends on when it was stopped: the ballots, the
+    owner of each shard with the version and fence that come of it, and which orders have a record yet.
+    """
+    found: dict[bytes, Any] = {}
+    for key, raw in records["about"].items():
+        if key.startswith(b"kept/"):
+            memory, promised, accepted, state = cbor2.loads(raw[CHECKSUM_BYTES:])
+            for number, name in (promised, accepted):
+                assert isinstance(number, int) and (name.startswith("127.0.0.1") if number else not name)
+            found[key] = memory
+            if key == b"kept/0":
+                _, voters, epoch, revision, text, taken, former, _, _ = state
+                found[key] = (memory, voters, epoch, revision, zlib.decompress(text), taken, former)
+        elif not key.startswith(b"order/"):
+            found[key] = raw
+    return found
+
+
+def test_a_new_controller_writes_the_golden_records(tmp_path: Path) -> None:
+    first = CONFIGURATION.replace(b'"revision_number":7', b'"revision_number":1')
+    with LoneController(tmp_path) as controller:
+        assert controller.call("PUT", first, **{"If-Match": "0"}) == (200, b'{"revision_number": 1}')
+        assert controller.call("PUT", CONFIGURATION, **{"If-Match": "1"}) == (200, b'{"revision_number": 7}')
+    found, expected = without_seal(on_disk(tmp_path / "store")), without_seal(golden("lone"))
+    assert settled(found) == settled(expected) and found["slips"] == expected["slips"] == {}
+    orders = {b"order/0/%016d" % 1: order(first, 0), b"order/0/%016d" % 7: order(CONFIGURATION, 1)}
+    for records in (found, expected):
+        written = {key: raw[CHECKSUM_BYTES:] for key, raw in records["about"].items() if key in orders}
+        assert written.items() <= orders.items()
+        assert [key for key in records["about"] if key.startswith(b"order/")] == list(written)
