--- /dev/null
+++ b/tests/testkit/test_golden_formats.py
@@ -0,0 +1,213 @@
+"""Formats of the node and the kit that outlast a process or leave it: each keeps its bytes.
+
+`golden_formats.json`, `golden.recording` and `golden_wire_*.jsonl.gz` were written before modules were
+renamed. The settings and the command line are in `test_golden_settings`, the mesh's own formats in
+`tests/mesh`.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import gzip
+import hashlib
+import json
+import os
+import struct
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any, get_args
+
+import pytest
+from backports import zstd
+
+from orchidferry.control.store import FORM as LAST_GOOD
+from orchidferry.fleet import wire as fleet_wire
+from orchidferry.fleet.shell import FORM as FLEET_STATE
+from orchidferry.store import Unusable
+from rehearsal import record
+from rehearsal.judge import mesh as mesh_judge
+from rehearsal.judge import verdict
+from rehearsal.mesh import facts as mesh_facts
+from rehearsal.traffic import recording
+from tests.mesh import test_judge_mesh as mesh_runs
+from tests.rehearsal import test_judge as runs
+
+HERE = Path(__file__).parent
+ROOT = HERE.parents[1]
+GOLDEN: dict[str, Any] = json.loads((HERE / "golden_formats.json").read_text("utf-8"))
+FORMS: dict[str, Any] = {"last_good": LAST_GOOD, "fleet_state": FLEET_STATE}
+FILES = {"last_good": "last-good", "fleet_state": "fleet"}
+OLD, NEW = ("old", b"o" * 32), ("new", b"n" * 32)  # keys of the fleet
+
+
+# State on disk
+
+
+@pytest.mark.parametrize("name", FORMS)
+def test_state_on_disk_is_read_and_written_the_same(name: str) -> None:
+    form, data = FORMS[name], GOLDEN[name].encode()
+    assert form.name == FILES[name]
+    assert form.encode(form.decode(data)) == data
+
+
+@pytest.mark.parametrize("name", FORMS)
+@pytest.mark.parametrize(
+    ("old", "new", "kind"),
+    [(b"orchidferry", b"orchid", "foreign"), (b" 1\n", b" 2\n", "future"), (b'":', b'";', "corrupt")],
+)
+def test_state_that_is_none_is_refused(name: str, old: bytes, new: bytes, kind: str) -> None:
+    with pytest.raises(Unusable) as refusal:
+        FORMS[name].decode(GOLDEN[name].encode().replace(old, new, 1))
+    assert refusal.value.kind == kind
+
+
+@pytest.mark.parametrize("name", FORMS)
+def test_state_that_is_cut_off_is_refused(name: str) -> None:
+    with pytest.raises(Unusable) as refusal:
+        FORMS[name].decode(GOLDEN[name].encode()[:-1])
+    assert refusal.value.kind == "truncated"
+
+
+# The fleet's datagrams
+
+
+@pytest.mark.parametrize("datagram", GOLDEN["fleet_messages"])
+def test_a_datagram_of_the_fleet_is_read_and_written_the_same(datagram: str) -> None:
+    data, sealer = bytes.fromhex(datagram), fleet_wire.Sealer((NEW, OLD))
+    body, _ = sealer.open(data)
+    assert sealer.seal(fleet_wire.encode(fleet_wire.decode(body))) == data
+
+
+def test_datagrams_under_either_key_are_believed() -> None:
+    data = bytes.fromhex(GOLDEN["fleet_old_key"])
+    body, key = fleet_wire.Sealer((NEW, OLD)).open(data)
+    assert fleet_wire.Sealer((NEW, OLD)).seal(body, key) == data
+    assert fleet_wire.Sealer((OLD, NEW)).seal(body) == data
+
+
+def test_a_datagram_under_another_key_or_changed_is_refused() -> None:
+    data = bytes.fromhex(GOLDEN["fleet_messages"][0])
+    for keys, changed, kind in (
+        ((OLD,), data, "forged"),
+        ((NEW,), data[:-1] + bytes([data[-1] ^ 1]), "forged"),
+        ((NEW,), b"\0" + data[1:], "foreign"),
+        ((NEW,), data[:22], "foreign"),
+    ):
+        with pytest.raises(fleet_wire.Refused) as refusal:
+            fleet_wire.Sealer(keys).open(changed)
+        assert refusal.value.kind == kind
+
+
+# Recordings of traffic
+
+
+def decompressed(path: Path) -> bytes:
+    """What a recording holds; its compression may differ with the library."""
+    return zstd.decompress(path.read_bytes())
+
+
+def test_a_recording_is_read_and_written_the_same(tmp_path: Path) -> None:
+    reader = recording.Reader(HERE / "golden.recording")
+    blocks = list(reader.blocks())
+    assert [list(row) for block in blocks for row in block.tolist()] == GOLDEN["recording_rows"]
+    writer = recording.Writer(tmp_path / "again", reader.header)
+    for block in blocks:
+        writer.put(block)
+    writer.close()
+    assert decompressed(tmp_path / "again") == decompressed(HERE / "golden.recording")
+
+
+def test_the_layout_of_a_recording_stays() -> None:
+    """Read by hand: the magic, the header, rows of 46 bytes, one that ends them, and their checksum."""
+    magic, header, rest = decompressed(HERE / "golden.recording").split(b"\n", 2)
+    assert magic == b"orchidferry recording 1"
+    assert list(json.loads(header)) == ["classes", "rows", "seconds", "began", "window_s", "notes"]
+    rows, end, tail = rest[:230], rest[230:276], rest[276:]
+    assert end == b"\xff" * 8 + bytes(38)
+    assert tail == b"end %b 5\n" % hashlib.blake2b(rows, digest_size=32).hexdigest().encode()
+    assert [list(row) for row in struct.iter_unpack("<3Q4I2H2B", rows)] == GOLDEN["recording_rows"]
+
+
+# The simulator's wire
+
+
+def wire_host(text: str) -> subprocess.CompletedProcess[str]:
+    environment = {**os.environ, "PYTHONPATH": str(ROOT), "PYTHONHASHSEED": "0"}
+    return subprocess.run(
+        [sys.executable, "-m", "nickelbridge.wirehost"], input=text, capture_output=True, text=True,
+        env=environment, timeout=30,
+    )  # fmt: skip
+
+
+def test_the_simulators_host_answers_golden_lines_the_same() -> None:
+    given, expected = (
+        gzip.decompress((HERE / f"golden_wire_{name}.jsonl.gz").read_bytes()).decode()
+        for name in ("input", "output")
+    )
+    ended = wire_host(given)
+    assert (ended.returncode, ended.stderr) == (0, "")
+    for number, pair in enumerate(zip(ended.stdout.splitlines(), expected.splitlines(), strict=True)):
+        assert pair[0] == pair[1], f"line {number}"
+    assert ended.stdout == expected
+
+
+@pytest.mark.parametrize(
+    ("line", "told"),
+    [
+        ("[]", "a batch must be an object, not []"),
+        ("{}", "'ts_ms' is missing"),
+        ('{"ts_ms":1,"round":1,"items":[{"kind":"JobIn","node":"n"}]}',
+         "items[0] ('JobIn'): node 'n' is not running"),
+        ('{"ts_ms":1,"round":1,"items":[{"kind":"Launch","node":"n"}]}',
+         "items[0] ('Launch'): 'env' is missing"),
+    ],
+)  # fmt: skip
+def test_the_simulators_host_ends_at_bad_lines(line: str, told: str) -> None:
+    good = '{"ts_ms":1,"round":7,"items":[]}'
+    ended = wire_host(f"{good}\n{line}\n")
+    assert (ended.returncode, ended.stdout) == (2, '{"round":7,"actions":[]}\n')
+    assert ended.stderr == f"nickelbridge: input line 2: {told}\n"
+
+
+# Records and verdicts of rehearsals
+
+
+def test_facts_of_a_rehearsal_are_read_and_written_the_same() -> None:
+    lines = GOLDEN["facts"]
+    found = record.read_lines([line + "\n" for line in lines], "golden")
+    assert [record.line(fact) for fact in found] == lines
+    assert [json.loads(line)[0] for line in lines] == list(record.KINDS)
+
+
+def test_facts_of_the_mesh_keep_their_names_in_a_record() -> None:
+    """A record's lines name the kind of each fact and all its fields."""
+    written = [json.loads(line) for line in mesh_runs.record(mesh_runs.clean()).lines().splitlines()]
+    assert len({line["fact"] for line in written}) > 10
+    for line in written:
+        assert list(line) == ["fact", *GOLDEN["mesh_facts"][line["fact"]]]
+    kinds = get_args(mesh_facts.Fact)
+    names = {kind.__name__: [field.name for field in dataclasses.fields(kind)] for kind in kinds}
+    assert names == GOLDEN["mesh_facts"]
+
+
+def keys_of(found: Any) -> Any:
+    """The keys of what JSON holds, within each other; the lists' items once where they are alike."""
+    if isinstance(found, dict):
+        return {key: keys_of(value) for key, value in found.items()}
+    if isinstance(found, list):
+        inner = [keys_of(item) for item in found if isinstance(item, dict | list)]
+        return inner[:1] if all(item == inner[0] for item in inner) else inner
+    return None
+
+
+def test_the_verdict_keeps_its_keys() -> None:
+    run = runs.clean()
+    run.put(record.Incident(3.0, 5.0, "slow", "a"))
+    found = keys_of(verdict.as_json(run.judge()))
+    assert found == GOLDEN["verdict_keys"] and list(found) == list(GOLDEN["verdict_keys"])
+
+
+def test_the_verdict_of_the_mesh_keeps_its_keys() -> None:
+    found = keys_of(mesh_judge.as_json(mesh_judge.judge(mesh_runs.record(mesh_runs.clean()))))
+    assert found == GOLDEN["mesh_verdict_keys"] and list(found) == list(GOLDEN["mesh_verdict_keys"])
