--- a/tests/mesh/wire/test_golden_messages.py
+++ b/tests/mesh/wire/test_golden_messages.py
@@ -65,6 +65,18 @@
         decode(cbor2.dumps(parts))
 
 
+def test_a_record_of_a_server_may_leave_out_its_last_field() -> None:
+    """An earlier build writes it so; it is written again with an empty text there."""
+    server = ["i-1", "alpha", "z", "in_service", 4, 0.5]
+    record = ["node", 7, 1, "z", "10.0.0.1", 4, server]
+    read = decode(cbor2.dumps(["lease_renewal", 1, "node", 7, record]))
+    whole = ["lease_renewal", 1, "node", 7, [*record[:-1], [*server, ""]]]
+    assert cbor2.loads(encode(read)[LENGTH_BYTES:]) == whole
+    record[-1] = server[:-1]
+    with pytest.raises(UnreadableMessage):
+        decode(cbor2.dumps(["lease_renewal", 1, "node", 7, record]))
+
+
 @pytest.mark.parametrize("table", TABLES)
 def test_golden_frames_stand_under_their_own_tags(table: str) -> None:
     for tag, frames in GOLDEN[table].items():
