--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -22,6 +22,7 @@
     "itertools",
     "math",
     "operator",
+    "random",
     "typing",
 }  # of the standard library
 SHARED = {"averages", "bag", "bucket", "chain", "interface", "schedule", "subset"}
@@ -31,18 +32,22 @@
     assert max(len(line) for lines in POLICY.values() for line in lines) <= 110
 
 
+def imported_modules(tree: ast.Module) -> set[str]:
+    """The modules that a file imports, or imports from."""
+    found = {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
+    imports = [node for node in ast.walk(tree) if isinstance(node, ast.Import)]
+    return found | {alias.name for node in imports for alias in node.names}
+
+
 def test_what_decides_has_no_input_or_output() -> None:
     """Neither the policy nor what it stands on may reach a clock, a socket, a file or chance of its own."""
     files = set(POLICY) | {f"orchidferry/balancing/{name}.py" for name in SHARED}
     for name in sorted(files):
-        imported = {
-            node.module if isinstance(node, ast.ImportFrom) else alias.name
-            for node in ast.walk(ast.parse((ROOT / name).read_text()))
-            if isinstance(node, ast.Import | ast.ImportFrom)
-            for alias in node.names
-        }
-        outside = {module for module in imported if not (module or "").startswith("orchidferry.balancing")}
+        text = (ROOT / name).read_text()
+        modules = imported_modules(ast.parse(text))
+        outside = {module for module in modules if not module.startswith("orchidferry.balancing")}
         assert outside <= PURE, name
+        assert set(re.findall(r"\brandom\.(\w+)", text)) <= {"Random"}, name  # handed in, with a seed
 
 
 def test_the_policy_names_all_that_decides() -> None:
--- a/tests/mesh/storage/test_golden_store.py
+++ b/tests/mesh/storage/test_golden_store.py
@@ -30,9 +30,9 @@
 import lmdb
 import pytest
 
-from mesh.control import order_records, shard_state
-from mesh.control.operation_keys import KeyRecord
-from mesh.storage.store import Store, pack, unpack
+from orchidferry.mesh.control import order_records, shard_state
+from orchidferry.mesh.control.operation_keys import KeyRecord
+from orchidferry.mesh.storage.store import Store, pack, unpack
 
 HERE = Path(__file__).parent
 ROOT = HERE.parents[2]
@@ -184,8 +184,10 @@
     assert found == values
     assert unpack(found["about"][b"founders"]) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
     assert unpack(found["slips"]["sécond".encode("latin-1")]) == [
-        "10.0.0.2 9 4", 18, [200, [["content-type", "text/plain"]], b"done"],
-    ]  # fmt: skip
+        "10.0.0.2 9 4",
+        18,
+        [200, [["content-type", "text/plain"]], b"done"],
+    ]
 
 
 def rewritten(database: str, key: bytes, value: bytes) -> tuple[str, bytes, bytes | None]:
@@ -227,7 +229,8 @@
 
 def items(raw: bytes) -> list[Any]:
     """The `cbor2` items of a snapshot."""
-    stream, found = io.BytesIO(raw), []
+    stream = io.BytesIO(raw)
+    found = []
     while stream.tell() < len(raw):
         found.append(cbor2.load(stream))
     return found
@@ -244,7 +247,8 @@
     copy_store("golden_store.mdb.gz", tmp_path)
     status, out, err = run(tmp_path, "snapshot", "take", "taken")
     taken = (tmp_path / "taken").read_bytes()
-    parts, expected = items(taken), items((HERE / "golden.snapshot").read_bytes())
+    parts = items(taken)
+    expected = items((HERE / "golden.snapshot").read_bytes())
     assert len(parts[0][2]) == len(expected[0][2]) == 16
     parts[0][2] = expected[0][2]
     assert parts[:-1] == expected[:-1] and as_snapshot(parts[:-1]) == (HERE / "golden.snapshot").read_bytes()
@@ -371,7 +375,8 @@
     with LoneController(tmp_path) as controller:
         assert controller.call("PUT", first, **{"If-Match": "0"}) == (200, b'{"revision_number": 1}')
         assert controller.call("PUT", CONFIGURATION, **{"If-Match": "1"}) == (200, b'{"revision_number": 7}')
-    found, expected = without_seal(on_disk(tmp_path / "store")), without_seal(golden("lone"))
+    found = without_seal(on_disk(tmp_path / "store"))
+    expected = without_seal(golden("lone"))
     assert settled(found) == settled(expected) and found["slips"] == expected["slips"] == {}
     orders = {b"order/0/%016d" % 1: order(first, 0), b"order/0/%016d" % 7: order(CONFIGURATION, 1)}
     for records in (found, expected):
--- a/tests/mesh/wire/test_golden_messages.py
+++ b/tests/mesh/wire/test_golden_messages.py
@@ -14,9 +14,9 @@
 import cbor2
 import pytest
 
-from mesh.wire.codec import SHARD_KINDS, UnreadableMessage, decode, encode
-from mesh.wire.framing import PROTOCOL, Link, dial
-from mesh.wire.messages import KINDS
+from orchidferry.mesh.wire.codec import SHARD_KINDS, UnreadableMessage, decode, encode
+from orchidferry.mesh.wire.framing import PROTOCOL, Link, dial
+from orchidferry.mesh.wire.messages import KINDS
 
 GOLDEN: dict[str, Any] = json.loads(Path(__file__).with_name("golden_messages.json").read_text("utf-8"))
 TABLES = ("messages", "shard_bodies", "register_bodies")
@@ -46,7 +46,8 @@
 
 @pytest.mark.parametrize("frame", list(golden_frames()))
 def test_a_golden_message_is_read_and_written_the_same(frame: bytes) -> None:
-    length, body = frame[:LENGTH_BYTES], frame[LENGTH_BYTES:]
+    length = frame[:LENGTH_BYTES]
+    body = frame[LENGTH_BYTES:]
     assert int.from_bytes(length, "big") == len(body)
     assert encode(decode(body)) == frame
 
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -21,24 +21,26 @@
 import pytest
 from backports import zstd
 
-from orchidferry.control.store import FORM as LAST_GOOD
-from orchidferry.fleet import wire as fleet_wire
-from orchidferry.fleet.shell import FORM as FLEET_STATE
-from orchidferry.store import Unusable
-from rehearsal import record
-from rehearsal.judge import mesh as mesh_judge
-from rehearsal.judge import verdict
-from rehearsal.mesh import facts as mesh_facts
-from rehearsal.traffic import recording
+from orchidferry.node.control.store import FORM as LAST_GOOD
+from orchidferry.node.fleet import wire as fleet_wire
+from orchidferry.node.fleet.shell import FORM as FLEET_STATE
+from orchidferry.node.store import Unusable
+from orchidferry.testkit import record
+from orchidferry.testkit.judge import mesh as mesh_judge
+from orchidferry.testkit.judge import verdict
+from orchidferry.testkit.mesh import facts as mesh_facts
+from orchidferry.testkit.traffic import recording
 from tests.mesh import test_judge_mesh as mesh_runs
-from tests.rehearsal import test_judge as runs
+from tests.testkit import test_judge as runs
 
 HERE = Path(__file__).parent
 ROOT = HERE.parents[1]
 GOLDEN: dict[str, Any] = json.loads((HERE / "golden_formats.json").read_text("utf-8"))
 FORMS: dict[str, Any] = {"last_good": LAST_GOOD, "fleet_state": FLEET_STATE}
 FILES = {"last_good": "last-good", "fleet_state": "fleet"}
-OLD, NEW = ("old", b"o" * 32), ("new", b"n" * 32)  # keys of the fleet
+# keys of the fleet
+OLD = ("old", b"o" * 32)
+NEW = ("new", b"n" * 32)
 
 
 # State on disk
@@ -46,7 +48,8 @@
 
 @pytest.mark.parametrize("name", FORMS)
 def test_state_on_disk_is_read_and_written_the_same(name: str) -> None:
-    form, data = FORMS[name], GOLDEN[name].encode()
+    form = FORMS[name]
+    data = GOLDEN[name].encode()
     assert form.name == FILES[name]
     assert form.encode(form.decode(data)) == data
 
@@ -74,7 +77,8 @@
 
 @pytest.mark.parametrize("datagram", GOLDEN["fleet_messages"])
 def test_a_datagram_of_the_fleet_is_read_and_written_the_same(datagram: str) -> None:
-    data, sealer = bytes.fromhex(datagram), fleet_wire.Sealer((NEW, OLD))
+    data = bytes.fromhex(datagram)
+    sealer = fleet_wire.Sealer((NEW, OLD))
     body, _ = sealer.open(data)
     assert sealer.seal(fleet_wire.encode(fleet_wire.decode(body))) == data
 
@@ -123,7 +127,9 @@
     magic, header, rest = decompressed(HERE / "golden.recording").split(b"\n", 2)
     assert magic == b"orchidferry recording 1"
     assert list(json.loads(header)) == ["classes", "rows", "seconds", "began", "window_s", "notes"]
-    rows, end, tail = rest[:230], rest[230:276], rest[276:]
+    rows = rest[:230]
+    end = rest[230:276]
+    tail = rest[276:]
     assert end == b"\xff" * 8 + bytes(38)
     assert tail == b"end %b 5\n" % hashlib.blake2b(rows, digest_size=32).hexdigest().encode()
     assert [list(row) for row in struct.iter_unpack("<3Q4I2H2B", rows)] == GOLDEN["recording_rows"]
@@ -135,9 +141,13 @@
 def wire_host(text: str) -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "PYTHONPATH": str(ROOT), "PYTHONHASHSEED": "0"}
     return subprocess.run(
-        [sys.executable, "-m", "nickelbridge.wirehost"], input=text, capture_output=True, text=True,
-        env=environment, timeout=30,
-    )  # fmt: skip
+        [sys.executable, "-m", "orchidferry.balancing.wirehost"],
+        input=text,
+        capture_output=True,
+        text=True,
+        env=environment,
+        timeout=30,
+    )
 
 
 def test_the_simulators_host_answers_golden_lines_the_same() -> None:
@@ -157,17 +167,21 @@
     [
         ("[]", "a batch must be an object, not []"),
         ("{}", "'ts_ms' is missing"),
-        ('{"ts_ms":1,"round":1,"items":[{"kind":"JobIn","node":"n"}]}',
-         "items[0] ('JobIn'): node 'n' is not running"),
-        ('{"ts_ms":1,"round":1,"items":[{"kind":"Launch","node":"n"}]}',
-         "items[0] ('Launch'): 'env' is missing"),
+        (
+            '{"ts_ms":1,"round":1,"items":[{"kind":"JobIn","node":"n"}]}',
+            "items[0] ('JobIn'): node 'n' is not running",
+        ),
+        (
+            '{"ts_ms":1,"round":1,"items":[{"kind":"Launch","node":"n"}]}',
+            "items[0] ('Launch'): 'env' is missing",
+        ),
     ],
-)  # fmt: skip
+)
 def test_the_simulators_host_ends_at_bad_lines(line: str, told: str) -> None:
     good = '{"ts_ms":1,"round":7,"items":[]}'
     ended = wire_host(f"{good}\n{line}\n")
     assert (ended.returncode, ended.stdout) == (2, '{"round":7,"actions":[]}\n')
-    assert ended.stderr == f"nickelbridge: input line 2: {told}\n"
+    assert ended.stderr == f"orchidferry: input line 2: {told}\n"
 
 
 # Records and verdicts of rehearsals
--- a/tests/testkit/test_golden_settings.py
+++ b/tests/testkit/test_golden_settings.py
@@ -43,7 +43,8 @@
 
 def run(words: list[str], environment: dict[str, str]) -> tuple[int, str, str]:
     """Run the program in this process: exit status, standard output, standard error."""
-    out, errors = io.StringIO(), io.StringIO()
+    out = io.StringIO()
+    errors = io.StringIO()
     with pytest.MonkeyPatch.context() as patch:
         for name in list(os.environ):
             if name.startswith(("ORCHIDFERRY_", "NODE_")):
@@ -154,12 +155,15 @@
         ([], {}, "orchidferry: NODE_CONFIG must name the configuration file\n"),
         ([], {"NODE_CONFIG": "no.json"}, "orchidferry: can't read the configuration: "),
         (["proxy", "--check"], {}, "orchidferry: ORCHIDFERRY_BOOT must name the settings file\n"),
-        (["controller", "--check"], {"ORCHIDFERRY_BOOT": "no.toml"},
-         "orchidferry: no.toml: No such file or directory\n"),
+        (
+            ["controller", "--check"],
+            {"ORCHIDFERRY_BOOT": "no.toml"},
+            "orchidferry: no.toml: No such file or directory\n",
+        ),
         (["proxy", "--odd"], {}, "orchidferry: usage: proxy|controller [--check|--help]\n"),
         (["odd"], {}, "orchidferry: argument COMMAND: invalid choice: 'odd' (choose from "),
     ],
-)  # fmt: skip
+)
 def test_what_is_missing_is_told(
     folder: Path, words: list[str], environment: dict[str, str], line: str
 ) -> None:
@@ -214,11 +218,14 @@
 
 
 def test_the_kit_is_a_module_too() -> None:
-    """`python -m rehearsal.cli` is what scripts and rehearsals run."""
+    """`python -m orchidferry.testkit.cli` is what scripts and rehearsals run."""
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     ended = subprocess.run(
-        [sys.executable, "-m", "rehearsal.cli", "--help"], env=environment, capture_output=True, text=True,
+        [sys.executable, "-m", "orchidferry.testkit.cli", "--help"],
+        env=environment,
+        capture_output=True,
+        text=True,
         timeout=30,
-    )  # fmt: skip
+    )
     commands = re.findall(r"^    ([a-z]+) ", ended.stdout, re.MULTILINE)
     assert ended.returncode == 0 and commands == GOLDEN["help"][""]["commands"]
