--- a/orchidferry/balancing/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -30,17 +30,17 @@
 from orchidferry.balancing.bucket import Bucket
 from orchidferry.balancing.interface import Carried, Result
 
-HOPS_MOST = 16  # of a path: no chain of tiers is as long; a path that is, is a loop that nobody named
-EXTRA_MOST = 8  # attempts beyond the first that anybody may bring
-WORTH_MOST = 1e6
-WEIGHT_MOST = 10  # powers of two: a thousand times
+MAX_HOPS = 16  # of a path: no chain of tiers is as long; a path that is, is a loop that nobody named
+MAX_EXTRA = 8  # attempts beyond the first that anybody may bring
+MAX_WORTH = 1e6
+MAX_WEIGHT = 10  # powers of two: a thousand times
 SPAN_MS = 10_000.0  # over which first tries earn attempts, as Finagle's budget does
 GATE_NET = 8  # bad outcomes beyond good ones that shut the gate: by chance at one in four bad, 3^-8
 PROBES = 1.0  # calls at once through a shut gate, at first,
 PROBE_MS = (100.0, 300.0)  # and how long after a bad one, doubling
 USUAL_SAMPLES = 64.0  # calls that what is usually out is averaged over
 STUCK = 2.0  # times the usual time without any answer: nothing below does any work
-GATE_MOST_MS = 30_000.0  # a gate that no call has come back through for so long lets a further one through
+MAX_GATE_MS = 30_000.0  # a gate that no call has come back through for so long lets a further one through
 QUICK_SHARE = 0.8  # of the quickest answer lately: with less time left than that nothing can be done
 QUICK_GROWTH = 1.02  # by which that is forgotten, with each answer
 RESERVE_MS = 1.0  # of the time left, kept for the way back; a constant, as nothing measures it yet
@@ -61,7 +61,7 @@
 
     def __post_init__(self) -> None:
         """Refuse what can't be meant."""
-        for name, low, high in (("extra", 0, EXTRA_MOST), ("share", 0.0, 1.0), ("floor_per_s", 0.0, 1e6)):
+        for name, low, high in (("extra", 0, MAX_EXTRA), ("share", 0.0, 1.0), ("floor_per_s", 0.0, 1e6)):
             if not low <= getattr(self, name) <= high:
                 raise ValueError(f"{name}: {getattr(self, name)!r} is not within {low} to {high}")
         if self.nodes < 1:
@@ -144,7 +144,7 @@
         """Whether one more may go."""
         if self.out < self.limit:
             return now >= self._next_ms
-        return now - self._went_ms > GATE_MOST_MS
+        return now - self._went_ms > MAX_GATE_MS
 
     def went(self, now: float) -> None:
         """A call is out."""
@@ -223,7 +223,7 @@
         if carried is None:
             return False
         tiers = [hop.partition("/")[0] for hop in carried.path]
-        return self.limits.tier in tiers or len(carried.path) >= HOPS_MOST
+        return self.limits.tier in tiers or len(carried.path) >= MAX_HOPS
 
     def take(
         self, id: str, carried: Carried | None, cls: str, worth: float, left_ms: float, now: float
@@ -237,7 +237,7 @@
             carried = Carried(f"{self.salt}{id}", self.limits.extra, worth)
         # Nobody brings more than this tier itself would give.
         extra = min(max(carried.extra, 0), self.limits.extra)
-        carried = replace(carried, extra=extra, worth=min(max(carried.worth, 0.0), WORTH_MOST))
+        carried = replace(carried, extra=extra, worth=min(max(carried.worth, 0.0), MAX_WORTH))
         self._open[id] = _Open(carried, cls, extra)
         self.budget.first_try(now)
         return None
@@ -306,7 +306,7 @@
         held = self._open.get(id)
         if held is None or held.carried.worth <= 0.0 or own <= 0.0:
             return 1.0
-        return 2.0 ** min(max(round(math.log2(held.carried.worth / own)), -WEIGHT_MOST), WEIGHT_MOST)
+        return 2.0 ** min(max(round(math.log2(held.carried.worth / own)), -MAX_WEIGHT), MAX_WEIGHT)
 
     def done(self, id: str) -> None:
         """A request has its answer, or nobody waits for it."""
--- a/orchidferry/balancing/delay.py
+++ b/orchidferry/balancing/delay.py
@@ -12,7 +12,7 @@
 WINDOW_SHARE = 0.3  # of the aim: the delay that first sends may reach, by Little's law,
 ADDED = 2.0  # with so many calls a server of this copy's part added, so that copies' windows grow alike
 FEW = 3.0  # while the loop allows retries a window opens to so many calls, as a copy's few calls bunch
-SHED_MOST = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
+MAX_SHED = 0.8  # of first sends may be shed for delay: the rest keeps the measurement going
 PHASE_MARGIN = math.radians(45.0)  # phi_m
 RETUNE_BAND = (0.5, 1.5)  # gains are retuned when the answer rate leaves this band around its tuned value
 WINDOW_MS = 5_000.0  # time constant of the measured rates and delay
@@ -59,8 +59,8 @@
         self.integral = min(max(self.integral + ki * error_s * passed_s, 0.0), self.tuned_rate)
         self.allowed_rate = min(max(kp * error_s + self.integral, 0.0), self.tuned_rate)
         # Equation 49: while the delay stays over the target, the same loop takes from first sends too.
-        self._excess = min(max(self._excess * faded - self._ki * error_s * passed_s, 0.0), SHED_MOST)
-        self._shed = min(max(self._excess - self._kp * error_s, 0.0), SHED_MOST)
+        self._excess = min(max(self._excess * faded - self._ki * error_s * passed_s, 0.0), MAX_SHED)
+        self._shed = min(max(self._excess - self._kp * error_s, 0.0), MAX_SHED)
 
     def shed(self, now: float) -> float:
         """The share of first sends to shed; it fades, as a copy that sheds all sees no answers any more."""
--- a/orchidferry/balancing/fleet/members.py
+++ b/orchidferry/balancing/fleet/members.py
@@ -11,16 +11,16 @@
 from enum import Enum, IntEnum
 
 # characters; bytes of the rest
-NAME_MOST = 64
-ZONE_MOST = 32
-VERSION_MOST = 64
-HOST_MOST = 45
-MORE_MOST = 128
+MAX_NAME = 64
+MAX_ZONE = 32
+MAX_VERSION = 64
+MAX_HOST = 45
+MAX_MORE = 128
 # A node raises its incarnation when it refutes, when its phase changes and when it starts: a jump is a lie,
 # and the most leaves room for one each second of a century.
-INCARNATION_MOST = 2**32
-JUMP_MOST = 2**16
-LIFE_MOST = 2**64 - 1
+MAX_INCARNATION = 2**32
+MAX_JUMP = 2**16
+MAX_LIFE = 2**64 - 1
 
 
 class Status(IntEnum):
@@ -87,11 +87,11 @@
 def problem_of(entry: Entry) -> str:
     """Why an entry can't be meant, or "". Types are the reader's to check."""
     for field, text, most in (
-        ("name", entry.name, NAME_MOST),
-        ("zone", entry.zone, ZONE_MOST),
-        ("version", entry.version, VERSION_MOST),
-        ("host", entry.host, HOST_MOST),
-        ("by", entry.by, NAME_MOST),
+        ("name", entry.name, MAX_NAME),
+        ("zone", entry.zone, MAX_ZONE),
+        ("version", entry.version, MAX_VERSION),
+        ("host", entry.host, MAX_HOST),
+        ("by", entry.by, MAX_NAME),
     ):
         if len(text) > most or not text.isprintable():
             return f"{field}: {text!r:.40} is over {most} characters or not printable"
@@ -99,12 +99,12 @@
         return "name and host must not be empty"
     if not 0 < entry.port < 65536:
         return f"port: {entry.port} is none"
-    if not 0 < entry.life <= LIFE_MOST:
+    if not 0 < entry.life <= MAX_LIFE:
         return f"life: {entry.life} is none"
-    if not 0 <= entry.incarnation <= INCARNATION_MOST:
-        return f"incarnation: {entry.incarnation} is over {INCARNATION_MOST}"
-    if len(entry.more) > MORE_MOST:
-        return f"{len(entry.more)} bytes of unknown fields, {MORE_MOST} at most"
+    if not 0 <= entry.incarnation <= MAX_INCARNATION:
+        return f"incarnation: {entry.incarnation} is over {MAX_INCARNATION}"
+    if len(entry.more) > MAX_MORE:
+        return f"{len(entry.more)} bytes of unknown fields, {MAX_MORE} at most"
     return ""
 
 
--- a/orchidferry/balancing/fleet/swim.py
+++ b/orchidferry/balancing/fleet/swim.py
@@ -25,12 +25,12 @@
 
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.fresh import Credit, Window
-from orchidferry.balancing.fleet.members import JUMP_MOST, Entry, Phase, Status, order, size_of
+from orchidferry.balancing.fleet.members import MAX_JUMP, Entry, Phase, Status, order, size_of
 from orchidferry.balancing.fleet.messages import Address, Kind, Message
 from orchidferry.balancing.fleet.rumours import Rumours
 from orchidferry.balancing.fleet.suspicion import Suspicion, Timing, bounds_ms
 
-SCORE_MOST = 8  # Lifeguard's S: a node that runs badly probes up to nine times as slowly
+MAX_SCORE = 8  # Lifeguard's S: a node that runs badly probes up to nine times as slowly
 ROOM = 1_100  # bytes of news in a datagram: with all else under the 1,400 that any network carries whole
 HEAD = 90  # of a message beside its entries, at most
 SIZE_FROM = 32  # nodes, from which exchanges of whole views become rarer
@@ -38,8 +38,8 @@
 JOIN_MS = 300.0
 JOIN_AT_ONCE = 3
 NACK_SHARE = 0.8  # of the time-out, after which a node that probes for another says it has no answer either
-RELAYS_MOST = 256  # probes for others that are under way
-UNPROVEN_MOST = 512
+MAX_RELAYS = 256  # probes for others that are under way
+MAX_UNPROVEN = 512
 PROVE_AT_ONCE = 4
 PROVE_TRIES = 3
 PROVERS = 8
@@ -51,8 +51,8 @@
 LEAVE_MS = 60.0
 SAY_EVERY_S = 60.0
 ROUNDING_MS = 0.01  # what a caller's clock loses in other units: a tick that came in time is not too early
-LASTING_MOST = 64  # peers that are kept over a restart
-SEEDS_MOST = 64
+MAX_LASTING = 64  # peers that are kept over a restart
+MAX_SEEDS = 64
 
 
 @dataclass(slots=True)
@@ -91,7 +91,7 @@
         """`seeds`: addresses to begin with; `most`: members, this one included."""
         self.me, self.timing, self._rng, self._most = me, timing or Timing(), rng, most
         own = (me.host, me.port)
-        self._seeds = dict.fromkeys([seed for seed in seeds if seed != own][:SEEDS_MOST], "")
+        self._seeds = dict.fromkeys([seed for seed in seeds if seed != own][:MAX_SEEDS], "")
         self.members: dict[str, Entry] = {}  # all others that are known, also lost ones
         self.since: dict[str, tuple[float, str]] = {}  # when and by whose word an entry became what it is
         self._here = 0  # of these, alive or suspected
@@ -137,7 +137,7 @@
     @property
     def lasting(self) -> Lasting:
         """What to keep for a later process."""
-        peers = [(e.host, e.port) for e in self.members.values() if e.here][:LASTING_MOST]
+        peers = [(e.host, e.port) for e in self.members.values() if e.here][:MAX_LASTING]
         return Lasting(self.me.incarnation, tuple(sorted(peers)))
 
     def suspects(self) -> int:
@@ -412,10 +412,10 @@
             self._suspect(entry, self.me.name, now)
 
     def _worse(self, by: int) -> None:
-        self.score = max(0, min(SCORE_MOST, self.score + by))
+        self.score = max(0, min(MAX_SCORE, self.score + by))
 
     def _relay(self, asker: Entry, number: int, target: Entry, now: float) -> None:
-        if len(self._relays) >= RELAYS_MOST:
+        if len(self._relays) >= MAX_RELAYS:
             return
         self._number += 1
         self._relays[self._number] = _Relay(asker, number, target.name)
@@ -564,7 +564,7 @@
             if same and entry.status is held.status is Status.SUSPECT:
                 self._confirm(held, entry.by, now)
             return
-        if entry.incarnation - held.incarnation > JUMP_MOST:
+        if entry.incarnation - held.incarnation > MAX_JUMP:
             text = (
                 f"{by} says that {entry.name} is at incarnation {entry.incarnation}, from {held.incarnation}"
             )
@@ -596,7 +596,7 @@
         if before is None:
             self._insert(name)
             drawn = self._rng.random() * (1 + len(self._windows)) < PROVERS  # some of many, all of few
-            if by != name and drawn and len(self._unproven) < UNPROVEN_MOST:
+            if by != name and drawn and len(self._unproven) < MAX_UNPROVEN:
                 self._unproven[name] = 0
         elif (before.host, before.port) != (entry.host, entry.port) and self._seeds.get(
             (before.host, before.port)
@@ -676,7 +676,7 @@
 
     def _about_me(self, entry: Entry, by: str, now: float) -> None:
         me = self.me
-        if entry.incarnation - me.incarnation > JUMP_MOST:
+        if entry.incarnation - me.incarnation > MAX_JUMP:
             text = f"{by} says that this node is at incarnation {entry.incarnation}, from {me.incarnation}"
             return self._say("jump", f"{text}: not believed", now)
         if entry.life == me.life:
--- a/orchidferry/balancing/floods.py
+++ b/orchidferry/balancing/floods.py
@@ -10,7 +10,7 @@
 from orchidferry.balancing.bucket import Bucket
 
 HALF_OPEN_FREE = 32  # handshakes under way up to which an address is believed without proof
-HALF_OPEN_MOST = 512  # and past which first packets are dropped, proof or not
+MAX_HALF_OPEN = 512  # and past which first packets are dropped, proof or not
 # handshakes a second that are begun without proof, and so many at once
 PER_S = 200.0
 BURST = 64.0
@@ -41,7 +41,7 @@
 
     def decide(self, half_open: int, validated: bool, now: float) -> First:
         """For a first packet, with so many handshakes under way; `validated`: it bears a good token."""
-        if half_open >= HALF_OPEN_MOST:
+        if half_open >= MAX_HALF_OPEN:
             return First.DROP
         if validated:
             return First.TAKE
--- a/orchidferry/balancing/judgement.py
+++ b/orchidferry/balancing/judgement.py
@@ -18,7 +18,7 @@
 REPORT_MS = 5_000.0  # the time in which a reported queue fades, by whose cube its weight is divided
 OVERDUE = 1.5  # a call out for so many times the usual delay makes its server look as slow as one answer
 NOISE_MS = 1.0  # of a delay says nothing of a server: where peers take 0.5 ms, 1 ms is not slow
-SLOW_MOST = 10.0  # times its peers' delay that one answer may count for at most
+MAX_SLOW = 10.0  # times its peers' delay that one answer may count for at most
 # answers a server's delay is averaged over; how soon that fades
 SLOW_SAMPLES = 3.0
 SLOW_MS = 10_000.0
@@ -113,7 +113,7 @@
 
     def judge(self, ratio: float, now: float) -> None:
         slowness = self._slowness_at(now)
-        self.slowness = slowness + (min(ratio, SLOW_MOST) - slowness) / SLOW_SAMPLES
+        self.slowness = slowness + (min(ratio, MAX_SLOW) - slowness) / SLOW_SAMPLES
         self.slow_ms = now
 
     def pace(self, now: float, usual_share: float) -> float:
--- a/orchidferry/balancing/listing.py
+++ b/orchidferry/balancing/listing.py
@@ -19,9 +19,9 @@
 # changes of the list, and servers, that one event works off of a long list
 STEP = 64
 PARTS_STEP = 128
-NARROW_MOST = 1_000  # servers up to which a list change brings a copy back to its first slices
+MAX_NARROW = 1_000  # servers up to which a list change brings a copy back to its first slices
 BULK = 0.125  # of all members: a change of more than this cuts the slices anew, in steps
-CUT_MOST = 20_000  # members that one event may put in order
+MAX_CUT = 20_000  # members that one event may put in order
 
 
 class Fleet:
@@ -65,7 +65,7 @@
         # Where this copy takes all of every member nothing is cut, and one change costs next to nothing.
         if len(self._changed) > max(STEP, BULK * len(self.slices.shares)) and not self.slices.whole:
             self._bulk = True
-        if self._target > SLICES and len(self.usable) <= NARROW_MOST:
+        if self._target > SLICES and len(self.usable) <= MAX_NARROW:
             self._target = SLICES
             self._parts.update(self.slices.widen(SLICES))
 
@@ -143,7 +143,7 @@
         return bool(self._changed or self._parts or self.slices.slices < min(self._target, self._nodes))
 
     def _most_orders(self) -> int:  # that are cut at once: sorting 10,000 takes some milliseconds
-        return max(1, CUT_MOST // max(1, len(self.usable)))
+        return max(1, MAX_CUT // max(1, len(self.usable)))
 
     def widen(self) -> None:
         """Use twice the slices: a hot caller needs more of the fleet.
--- a/orchidferry/balancing/moves.py
+++ b/orchidferry/balancing/moves.py
@@ -29,16 +29,16 @@
 
 T = TypeVar("T")
 STEPS = (0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0)
-OLD_MOST = 16  # old outcomes in one block: more say little
+MAX_OLD = 16  # old outcomes in one block: more say little
 # what each rate is taken for before the first block: one in twenty
 PRIOR_BAD = 0.5
 PRIOR_ALL = 10.0
 RARE_FROM = 0.05  # share with which rare classes begin, once all others are moved
 RECENT = 200  # old outcomes that a class's usual rate and times are taken from,
-RECENT_LEAST = 20  # and the least of them
+MIN_RECENT = 20  # and the least of them
 SLOW_FROM = 0.9  # quantile of the old pool's times from which an answer is slow
 KEPT = 0.5  # of the evidence of one step that still counts in the next: more load is another question
-BET_MOST = 0.9  # share of what may be bet at most
+MAX_BET = 0.9  # share of what may be bet at most
 
 
 class State(Enum):
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self._old_bad = self._new_bad = PRIOR_BAD
         self._old_all = self._new_all = PRIOR_ALL
-        self._waiting: deque[bool] = deque(maxlen=OLD_MOST)  # old outcomes since the last block
+        self._waiting: deque[bool] = deque(maxlen=MAX_OLD)  # old outcomes since the last block
         self.value = self.most = 0.0  # the highest that it was: what Ville's inequality bounds
 
     def old(self, bad: bool) -> None:
@@ -143,7 +143,7 @@
         bound = min(max(bound, 0.01), 0.99)
         mean = self._bad / self._all
         # Kelly's share for a coin that comes up bad with the rate seen so far, cut to what may be lost.
-        bet = min(max((bound - mean) / (bound * (1 - bound)), 0.0), BET_MOST / (1 - bound))
+        bet = min(max((bound - mean) / (bound * (1 - bound)), 0.0), MAX_BET / (1 - bound))
         self.value += math.log1p(bet * (bound - bad))
         self.most = max(self.most, self.value)
         self._bad = self._bad + bad
@@ -175,7 +175,7 @@
 
     @property
     def known(self) -> bool:
-        return len(self._bads) >= RECENT_LEAST and len(self._sorted) >= RECENT_LEAST
+        return len(self._bads) >= MIN_RECENT and len(self._sorted) >= MIN_RECENT
 
     @property
     def rate(self) -> float:
--- a/orchidferry/balancing/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -8,7 +8,7 @@
   `KEY_MS` behind its last use, also over an undo: pools that drop repeats apart never share one.
 - A move (`orchidferry.balancing.moves`) gives the share of a class that goes to another pool. What has a key
   is dealt by it, so that the same client does not flap between versions; the rest in turn.
-- Panic: a pool of which less than `LIVE_LEAST` of what it had is in service gets nothing beyond its
+- Panic: a pool of which less than `MIN_LIVE` of what it had is in service gets nothing beyond its
   part: the rest of its share stays in the other pool. With no pool in service the first one says so.
 """
 
@@ -27,8 +27,8 @@
 
 # how long a key is kept to its pool; and how many are
 KEY_MS = 6_000.0
-KEYS_MOST = 100_000
-LIVE_LEAST = 0.5  # of a pool's servers that must be in service for its whole share
+MAX_KEYS = 100_000
+MIN_LIVE = 0.5  # of a pool's servers that must be in service for its whole share
 OWN_TOKENS = 4  # timers of the nodes' own stay what they are
 TICK_MS = 250.0  # how often a move is looked at
 SAYS_NOTHING = frozenset((api.Result.MOOT, api.Result.CANCELLED))  # of the server
@@ -203,7 +203,7 @@
         pool = self._to if self._to and self._goes(event) else 0
         if event.key is not None:
             while self._keys and (
-                len(self._keys) >= KEYS_MOST or now - next(iter(self._keys.values()))[0] > KEY_MS
+                len(self._keys) >= MAX_KEYS or now - next(iter(self._keys.values()))[0] > KEY_MS
             ):
                 self._keys.popitem(last=False)
             self._keys[event.key] = now, pool
@@ -220,7 +220,7 @@
         share = self.move.share(event.cls)
         if share >= 1.0 or not here.live:
             return share > 0.0 or not here.live
-        if live < LIVE_LEAST * there.most:
+        if live < MIN_LIVE * there.most:
             share *= live / there.most
         if event.key is not None:
             digest = hashlib.blake2b(event.key.encode(), digest_size=8).digest()
--- a/orchidferry/balancing/register.py
+++ b/orchidferry/balancing/register.py
@@ -213,11 +213,11 @@
 
 
 RESEND_MS = 500.0  # for voters to answer, before they are asked again; doubled each time, to
-RESEND_MOST_MS = 4_000.0
+MAX_RESEND_MS = 4_000.0
 BACK_OFF_MS = 400.0  # full jitter, doubled with each round that another one was in the way of, to
-BACK_OFF_MOST_MS = 5_000.0
+MAX_BACK_OFF_MS = 5_000.0
 BACK_OFF_ANSWERS = 2.0  # it begins with so many times what answers take, if that is more
-ASKED_MOST = 64  # changes that wait at one node
+MAX_ASKED = 64  # changes that wait at one node
 UNSETTLED = "the voters are changing"  # why another change of them is refused
 
 
@@ -261,7 +261,7 @@
         given up on after `for_ms` with no word: then it may still come true, so whoever asks again does so
         under the same id.
         """
-        if len(self._waiting) < ASKED_MOST:
+        if len(self._waiting) < MAX_ASKED:
             self._waiting.append(_Asked(id, intent, change, now + for_ms))
         return self.tick(now)
 
@@ -290,7 +290,7 @@
     def _resend(self, round_: _Round, now: float) -> list[Action]:
         """Ask those again that have not answered, under the same ballot: what comes late still counts."""
         round_.resends += 1
-        round_.due_ms = now + min(RESEND_MOST_MS, self._resend_ms * 2.0 ** min(round_.resends, 10))
+        round_.due_ms = now + min(MAX_RESEND_MS, self._resend_ms * 2.0 ** min(round_.resends, 10))
         if round_.next is not None:
             accepted = {voter.name for voter in round_.accepted}
             return [action for action in self._accepts(round_) if action.to not in accepted]
@@ -304,8 +304,8 @@
         self._round = None
         self._tries += 1
         least = max(self._back_off_ms, BACK_OFF_ANSWERS * self._answer_ms)
-        wait = min(BACK_OFF_MOST_MS, least * 2.0 ** min(self._tries, 10))
-        self._again_ms = now + min(self._answer_ms, BACK_OFF_MOST_MS) + wait * self._rng.random()
+        wait = min(MAX_BACK_OFF_MS, least * 2.0 ** min(self._tries, 10))
+        self._again_ms = now + min(self._answer_ms, MAX_BACK_OFF_MS) + wait * self._rng.random()
 
     def _note_answer(self, took_ms: float) -> None:
         self._answer_ms = max(took_ms, 0.5 * (self._answer_ms + took_ms))
--- a/orchidferry/balancing/settings.py
+++ b/orchidferry/balancing/settings.py
@@ -9,6 +9,7 @@
 from typing import Any, TypeVar
 
 from orchidferry.balancing import interface as api
+from orchidferry.errors import OrchidferryError
 
 Json = dict[str, Any]
 
@@ -26,7 +27,7 @@
 NUMBER = (int, float)
 
 
-class Malformed(Exception):
+class SettingsFormatError(OrchidferryError):
     """Input that does not follow the wire."""
 
 
@@ -34,11 +35,11 @@
     try:
         value = obj[key]
     except KeyError:
-        raise Malformed(f"{key!r} is missing") from None
+        raise SettingsFormatError(f"{key!r} is missing") from None
     if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-        raise Malformed(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}")
+        raise SettingsFormatError(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}")
     if isinstance(value, float) and not math.isfinite(value):
-        raise Malformed(f"{key!r} must be a finite number, not {value!r}")
+        raise SettingsFormatError(f"{key!r} must be a finite number, not {value!r}")
     return value
 
 
@@ -49,7 +50,7 @@
 def word(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
     value = get(obj, key, kind)
     if value not in words:
-        raise Malformed(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
+        raise SettingsFormatError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
     return words[value]
 
 
@@ -57,7 +58,7 @@
     values: list[Json] = get(obj, key, list)
     for n, value in enumerate(values):
         if not isinstance(value, dict):
-            raise Malformed(f"{key}[{n}] must be an object, not {value!r:.60}")
+            raise SettingsFormatError(f"{key}[{n}] must be an object, not {value!r:.60}")
     return values
 
 
--- a/orchidferry/balancing/slots.py
+++ b/orchidferry/balancing/slots.py
@@ -21,7 +21,7 @@
 
 from orchidferry.balancing.register import Value
 
-IDS_MOST = 256  # of changes done, that are known again if they are asked for again
+MAX_IDS = 256  # of changes done, that are known again if they are asked for again
 
 
 class Kind(Enum):
@@ -143,7 +143,7 @@
     if slot is None:
         return table if 0 < token <= table.token else f"no token {token} was ever given"
     left = tuple(one for one in table.slots if one.token != token)
-    return replace(table, slots=left, done=(*table.done, slot.id)[-IDS_MOST:])
+    return replace(table, slots=left, done=(*table.done, slot.id)[-MAX_IDS:])
 
 
 def force(table: Table, token: int, who: str, id: str) -> Table | str:
@@ -154,7 +154,7 @@
     if isinstance(after, str) or after is table:
         return after if isinstance(after, str) else f"token {token} is given back already"
     note = f"{who} gave back token {token}"
-    return replace(after, forced=(*after.forced, note)[-IDS_MOST:], done=(*after.done, id)[-IDS_MOST:])
+    return replace(after, forced=(*after.forced, note)[-MAX_IDS:], done=(*after.done, id)[-MAX_IDS:])
 
 
 # Intents, that voters are asked about
--- a/orchidferry/balancing/versions.py
+++ b/orchidferry/balancing/versions.py
@@ -19,19 +19,20 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.bucket import Bucket
+from orchidferry.errors import OrchidferryError
 
 # versions: each is a pause in serving, and a flood of them is a fault there
 APPLY_PER_S = 5.0
 APPLY_BURST = 10.0
 FIRST_MS = 5_000.0  # how long a start waits for the service before it takes what it has
-MOST_NAMES = 1_024  # of classes over the life of a node, as it keeps the strictest rules of each
-MOST_CLASSES = 256
-MOST_TENANTS = 10_000
-MOST_MEMBERS = 40_000
-MOST_POOLS = 64
+MAX_NAMES = 1_024  # of classes over the life of a node, as it keeps the strictest rules of each
+MAX_CLASSES = 256
+MAX_TENANTS = 10_000
+MAX_MEMBERS = 40_000
+MAX_POOLS = 64
 SHARES_SLACK = 1e-6  # of a sum of shares: they are written in decimals
 REFUSALS_KEPT = 32  # for operators, the newest
-REASON_MOST = 300  # characters
+MAX_REASON = 300  # characters
 
 
 class Part(Enum):
@@ -89,11 +90,11 @@
         return self.pools.members.get(self.node.pool, ())
 
 
-class Unfit(Exception):
+class VersionError(OrchidferryError):
     """A configuration that is not to be applied; the text names the field."""
 
 
-class Unpaired(Unfit):
+class VersionMismatchError(VersionError):
     """Parts that don't go together: each may be fine with another version of the other."""
 
 
@@ -223,55 +224,59 @@
 
 def check_members(pools: Pools) -> None:
     """Refuse pools that can't be meant."""
-    if len(pools.members) > MOST_POOLS:
-        raise Unfit(f"{len(pools.members)} pools, {MOST_POOLS} at most")
-    if sum(map(len, pools.members.values())) > MOST_MEMBERS:
-        raise Unfit(f"{sum(map(len, pools.members.values()))} members, {MOST_MEMBERS} at most")
+    if len(pools.members) > MAX_POOLS:
+        raise VersionError(f"{len(pools.members)} pools, {MAX_POOLS} at most")
+    if sum(map(len, pools.members.values())) > MAX_MEMBERS:
+        raise VersionError(f"{sum(map(len, pools.members.values()))} members, {MAX_MEMBERS} at most")
     for name, members in pools.members.items():
         seen: set[int] = set()
         for at, member in enumerate(members):
             if member.entry.server in seen:
-                raise Unfit(f"pool {name!r}: member {at} is there twice")
+                raise VersionError(f"pool {name!r}: member {at} is there twice")
             seen.add(member.entry.server)
             if not 0.0 <= member.entry.share < math.inf:
-                raise Unfit(f"pool {name!r}: member {at}: share {member.entry.share} is out of range")
+                raise VersionError(f"pool {name!r}: member {at}: share {member.entry.share} is out of range")
 
 
 def check_rules(node: NodeSettings, strictest: Mapping[str, api.RequestClass], file: api.Settings) -> None:
     """Refuse what can't change under way, what is out of range, and rules looser than the node's file's."""
     new = node.settings
-    if len(new.classes) > MOST_CLASSES:
-        raise Unfit(f"classes: {len(new.classes)}, {MOST_CLASSES} at most")
-    if len(new.tenants) > MOST_TENANTS:
-        raise Unfit(f"tenants: {len(new.tenants)}, {MOST_TENANTS} at most")
+    if len(new.classes) > MAX_CLASSES:
+        raise VersionError(f"classes: {len(new.classes)}, {MAX_CLASSES} at most")
+    if len(new.tenants) > MAX_TENANTS:
+        raise VersionError(f"tenants: {len(new.tenants)}, {MAX_TENANTS} at most")
     total = sum(tenant.share for tenant in new.tenants)
     if total > 1.0 + SHARES_SLACK:
-        raise Unfit(f"tenants: shares add up to {total:g}, over 1")
+        raise VersionError(f"tenants: shares add up to {total:g}, over 1")
     for name in FIXED:
         if getattr(new, name) != getattr(file, name):
-            raise Unfit(f"{name}: {getattr(file, name)!r} to {getattr(new, name)!r} needs a restart")
+            raise VersionError(f"{name}: {getattr(file, name)!r} to {getattr(new, name)!r} needs a restart")
     for name, more_is_stricter in RULES.items():
         mine = getattr(file, name)
         theirs = getattr(new, name)
         if theirs < mine if more_is_stricter else theirs > mine:
-            raise Unfit(f"{name}: {theirs:g} is looser than the {mine:g} of the node's file")
+            raise VersionError(f"{name}: {theirs:g} is looser than the {mine:g} of the node's file")
     if file.repeat_ratio is not None and (new.repeat_ratio is None or new.repeat_ratio > file.repeat_ratio):
-        raise Unfit(
+        raise VersionError(
             f"repeat_ratio: {new.repeat_ratio} is looser than the {file.repeat_ratio:g} of the node's file"
         )
-    if len(strictest.keys() | {cls.name for cls in new.classes}) > MOST_NAMES:
-        raise Unfit(f"classes: more than {MOST_NAMES} names since the start need a restart")
+    if len(strictest.keys() | {cls.name for cls in new.classes}) > MAX_NAMES:
+        raise VersionError(f"classes: more than {MAX_NAMES} names since the start need a restart")
     for cls in new.classes:
         least = strictest.get(cls.name)
         if least is None:
             continue
         if STRICTNESS[cls.repeat] < STRICTNESS[least.repeat]:
-            raise Unfit(f"classes[{cls.name}].repeat: {cls.repeat.value} is looser than {least.repeat.value}")
+            raise VersionError(
+                f"classes[{cls.name}].repeat: {cls.repeat.value} is looser than {least.repeat.value}"
+            )
         if cls.repeat is least.repeat is api.Repeat.KEYED:
             if NARROW[cls.group] < NARROW[least.group]:
-                raise Unfit(f"classes[{cls.name}].group: {cls.group.value} is wider than {least.group.value}")
+                raise VersionError(
+                    f"classes[{cls.name}].group: {cls.group.value} is wider than {least.group.value}"
+                )
             if cls.window_ms > least.window_ms:
-                raise Unfit(
+                raise VersionError(
                     f"classes[{cls.name}].window_ms: {cls.window_ms:g} is longer than {least.window_ms:g}"
                 )
 
@@ -280,9 +285,11 @@
     """Refuse parts that don't go together."""
     pool = whole.node.pool
     if pool not in whole.pools.members:
-        raise Unpaired(f"pool: {pool!r} is none of {', '.join(sorted(whole.pools.members)) or 'no pools'}")
+        raise VersionMismatchError(
+            f"pool: {pool!r} is none of {', '.join(sorted(whole.pools.members)) or 'no pools'}"
+        )
     if not any(m.entry.health is api.Health.IN_SERVICE for m in whole.members()):
-        raise Unpaired(f"pool {pool!r}: names no live server")
+        raise VersionMismatchError(f"pool {pool!r}: names no live server")
 
 
 def drained(before: Configuration, after: Configuration) -> tuple[int, ...]:
@@ -391,7 +398,7 @@
         if event.saved is not None:
             try:
                 self._check(event.saved)
-            except Unfit as problem:
+            except VersionError as problem:
                 self._saved = None
                 self._actions.append(Log(f"the last good configuration is not taken: {problem}"))
         self._budget = Bucket(APPLY_BURST, now)
@@ -467,16 +474,16 @@
         return whole
 
     def _check(self, whole: Configuration) -> None:
-        """`Unfit` if it is not to be applied; also where the check itself breaks."""
+        """`VersionError` if it is not to be applied; also where the check itself breaks."""
         assert self._file is not None
         try:
             check_members(whole.pools)
             check_rules(whole.node, self._strictest, self._file.node.settings)
             check_whole(whole)
-        except Unfit:
+        except VersionError:
             raise
         except Exception as problem:  # whatever is in it, the node serves on
-            raise Unfit(f"the check broke: {type(problem).__name__}: {problem}") from None
+            raise VersionError(f"the check broke: {type(problem).__name__}: {problem}") from None
 
     def _drain_ahead(self, event: Offered) -> None:
         """What waits its turn still tells of drains, and these count from when they were told."""
@@ -485,7 +492,7 @@
         whole = self._candidate(event)
         try:
             self._check(whole)
-        except Unfit:
+        except VersionError:
             return  # it will be refused, and drains nobody
         if gone := drained(self.held, whole):
             self._actions.append(Drain(gone))
@@ -496,15 +503,15 @@
         try:
             try:
                 self._check(whole)
-            except Unpaired:
+            except VersionMismatchError:
                 others = tuple(offer for part, offer in self._unpaired.items() if part is not event.part)
                 if not others:
                     raise
                 offers = (*others, event)
                 whole = self._candidate(*others, event)
                 self._check(whole)
-        except Unfit as problem:
-            if isinstance(problem, Unpaired):
+        except VersionError as problem:
+            if isinstance(problem, VersionMismatchError):
                 self._unpaired[event.part] = event
             return self._refuse(event, str(problem), now)
         self._unpaired.clear()
@@ -557,7 +564,7 @@
                 self._strictest[cls.name] = cls
 
     def _refuse(self, offer: Offered, reason: str, now: float) -> None:
-        reason = reason[:REASON_MOST]
+        reason = reason[:MAX_REASON]
         self.counts["refused"] += 1
         held = self.held.versions.get(offer.part, "") if self.held is not None else ""
         self._actions.append(Answer(offer.part, held, offer.nonce, reason))
--- a/orchidferry/balancing/wirehost.py
+++ b/orchidferry/balancing/wirehost.py
@@ -13,7 +13,16 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
-from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from orchidferry.balancing.settings import (
+    NUMBER,
+    Json,
+    SettingsFormatError,
+    get,
+    objects,
+    opt,
+    read_settings,
+    word,
+)
 
 HEALTH = {
     "in_service": api.Health.IN_SERVICE,
@@ -145,8 +154,8 @@
         for n, item in enumerate(objects(message, "items")):
             try:
                 self._item(item, now, actions)
-            except Malformed as problem:
-                raise Malformed(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
+            except SettingsFormatError as problem:
+                raise SettingsFormatError(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
         return {"round": number, "actions": actions}
 
     def _item(self, item: Json, now: float, actions: list[Json]) -> None:
@@ -159,11 +168,11 @@
             try:
                 settings = read_settings(get(item, "env", dict))
             except ValueError as problem:
-                raise Malformed(f"'env' has impossible settings: {problem}") from None
+                raise SettingsFormatError(f"'env' has impossible settings: {problem}") from None
             self._nodes[name] = Balancer(settings, get(item, "salt", int))
             event: api.Event = api.Started()
         elif name not in self._nodes:
-            raise Malformed(f"node {name!r:.40} is not running")
+            raise SettingsFormatError(f"node {name!r:.40} is not running")
         elif kind == "PowerOff":
             del self._nodes[name]
             return
@@ -172,11 +181,11 @@
         elif kind in READERS:
             event = READERS[kind](item)
             if isinstance(event, api.Request) and event.cls not in self._nodes[name].classes:
-                raise Malformed(f"'type' is {event.cls!r:.40}, which is no class of the settings")
+                raise SettingsFormatError(f"'type' is {event.cls!r:.40}, which is no class of the settings")
         elif kind in IGNORED:
             return
         else:
-            raise Malformed("unknown kind of event")
+            raise SettingsFormatError("unknown kind of event")
         for action in self._nodes[name].handle(event, now):
             actions.append(_write(name, action))
 
@@ -186,7 +195,7 @@
             return api.ServerList(form)
         bank = get(item, "bank", int)
         if bank not in self._pages:
-            raise Malformed(f"'bank' {bank} has had no Page")
+            raise SettingsFormatError(f"'bank' {bank} has had no Page")
         return api.ServerList(form, get(item, "stamp", int), self._pages[bank])
 
 
@@ -200,13 +209,13 @@
                 line = source.readline()
                 message = json.loads(line) if line else None
             except (ValueError, RecursionError) as problem:
-                raise Malformed(f"not JSON: {problem!s:.200}") from None
+                raise SettingsFormatError(f"not JSON: {problem!s:.200}") from None
             if not line:
                 return 0
             if not isinstance(message, dict):
-                raise Malformed(f"a batch must be an object, not {message!r:.60}")
+                raise SettingsFormatError(f"a batch must be an object, not {message!r:.60}")
             reply = host.batch(message)
-        except Malformed as problem:
+        except SettingsFormatError as problem:
             print(f"orchidferry: input line {number}: {problem}", file=errors)
             return 2
         number += 1
--- a/orchidferry/mesh/__main__.py
+++ b/orchidferry/mesh/__main__.py
@@ -12,10 +12,10 @@
 import uvloop
 from loguru import logger
 
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.process_end import end_now, stop_on_sigterm
 from orchidferry.mesh.role_settings import ROLES, VARIABLE, settings_for
-from orchidferry.mesh.settings import BadSettings, Settings
+from orchidferry.mesh.settings import MeshSettingsError, Settings
 from orchidferry.node.collector import settle
 
 if TYPE_CHECKING:
@@ -92,7 +92,7 @@
             settings = dataclasses.replace(settings, first_start=False)
         try:
             return Controller(settings, loop)
-        except BadStore as problem:
+        except StoreError as problem:
             if str(problem) != last_problem:
                 logger.error("store: {}; looked at again", problem)
             last_problem = str(problem)
@@ -103,14 +103,14 @@
 def check_store(folder: str) -> int:
     """Print what a controller's store holds, with nothing written; the exit status."""
     from orchidferry.mesh.storage import storage_check
-    from orchidferry.mesh.storage.environment import InUse
+    from orchidferry.mesh.storage.environment import StoreInUseError
 
     try:
         contents = storage_check.look(folder)
-    except InUse as problem:
+    except StoreInUseError as problem:
         print(f"store: {problem}; it is not looked at")
         return 1
-    except BadStore as problem:
+    except StoreError as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 2
     for line in contents.lines() if contents is not None else ["store: none yet"]:
@@ -122,7 +122,7 @@
     """Use the settings file as it is now; one that can't be used changes nothing."""
     try:
         settings = settings_for(role)
-    except BadSettings as problem:
+    except MeshSettingsError as problem:
         logger.error("{}: the old settings stay: {}", role, problem)
         return
     server.reread(settings)
@@ -162,7 +162,7 @@
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO")
     try:
         uvloop.run(serve(role, settings))
-    except (OSError, BadStore) as problem:
+    except (OSError, StoreError) as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 1
     return 0
@@ -188,7 +188,7 @@
         return 2
     try:
         settings = settings_for(role)
-    except BadSettings as problem:
+    except MeshSettingsError as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 2
     return check(role, settings) if options else run(role, settings)
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -18,13 +18,13 @@
 from orchidferry.mesh.control.configuration_text import compress, expand
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
 from orchidferry.mesh.control.control_api import JSON, Call, told
-from orchidferry.mesh.control.order_history import NUMBER_MOST
+from orchidferry.mesh.control.order_history import MAX_NUMBER
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.node.frontend import Reply
 
 PUT_S = 4.0  # for a change to be decided
 RETRY_AFTER_S = 0.2
-CHECKED_MOST = 16  # configurations that were checked and may come again
+MAX_CHECKED = 16  # configurations that were checked and may come again
 VERSION = re.compile(rb'\s*(?:([0-9]{1,16})|"([0-9]{1,16})")\s*')  # of `If-Match`
 
 Answer = Callable[[Reply], None]
@@ -100,9 +100,9 @@
         found = check(text)
         if isinstance(found, Refusal):
             return found
-        if found.revision > NUMBER_MOST:
-            return Refusal(Kind.INVALID, f"configuration: revision_number: {NUMBER_MOST} at most")
-        if len(self._checked) >= CHECKED_MOST:
+        if found.revision > MAX_NUMBER:
+            return Refusal(Kind.INVALID, f"configuration: revision_number: {MAX_NUMBER} at most")
+        if len(self._checked) >= MAX_CHECKED:
             del self._checked[next(iter(self._checked))]
         self._checked[mark] = Checked(found.revision, compress(text))
         return self._checked[mark]
@@ -116,8 +116,8 @@
     (5, 12, None, None)
     """
     found = VERSION.fullmatch(if_match)
-    version = int(found[1] or found[2]) if found else NUMBER_MOST + 1
-    return version if version <= NUMBER_MOST else None
+    version = int(found[1] or found[2]) if found else MAX_NUMBER + 1
+    return version if version <= MAX_NUMBER else None
 
 
 def _outcome(end: Ended, revision: int) -> Reply:
--- a/orchidferry/mesh/control/configuration_text.py
+++ b/orchidferry/mesh/control/configuration_text.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.control.control_api import CONTROL_BODY
 
 LEVEL = 6
-TEXT_MOST = CONTROL_BODY  # bytes of an expanded text; no operator could have sent more
+MAX_TEXT = CONTROL_BODY  # bytes of an expanded text; no operator could have sent more
 _ZLIB = b"\x78"
 
 
@@ -26,7 +26,7 @@
 
 
 def expand(kept: bytes) -> bytes:
-    """The operator's bytes; `ValueError` for what is damaged or would grow beyond `TEXT_MOST`.
+    """The operator's bytes; `ValueError` for what is damaged or would grow beyond `MAX_TEXT`.
 
     >>> expand(b'{"of": "an earlier build"}')
     b'{"of": "an earlier build"}'
@@ -35,11 +35,11 @@
         return kept
     stream = zlib.decompressobj()
     try:
-        text = stream.decompress(kept, TEXT_MOST + 1)
+        text = stream.decompress(kept, MAX_TEXT + 1)
     except zlib.error as problem:
         raise ValueError(f"configuration: its text is damaged: {problem}") from None
-    if len(text) > TEXT_MOST:
-        raise ValueError(f"configuration: its text has more than {TEXT_MOST} bytes")
+    if len(text) > MAX_TEXT:
+        raise ValueError(f"configuration: its text has more than {MAX_TEXT} bytes")
     if not stream.eof or stream.unused_data:
         raise ValueError("configuration: its text is not whole")
     return text
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -28,8 +28,8 @@
         b"if-match",
     )
 )
-DETAIL_MOST = 500  # characters of a fault: callers read 4 KiB at most, and it may quote them
-OWED_MOST_S = 20.0  # a control call that is not answered by then is answered as broken
+MAX_DETAIL = 500  # characters of a fault: callers read 4 KiB at most, and it may quote them
+MAX_OWED_S = 20.0  # a control call that is not answered by then is answered as broken
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
 
 def told(refusal: Refusal, retry_after_s: float | None = None) -> Reply:
     """A fault as an answer."""
-    detail = refusal.line[:DETAIL_MOST]
+    detail = refusal.line[:MAX_DETAIL]
     body = json.dumps({"error": refusal.kind.name.lower(), "detail": detail}).encode()
     return Reply(refusal.status, body, JSON, retry_after_s)
 
@@ -65,7 +65,7 @@
     def __init__(self, door: ControlDoor, answer: Callable[[Reply], None]) -> None:
         self._answer: Callable[[Reply], None] | None = answer
         self._timer = asyncio.get_running_loop().call_later(
-            OWED_MOST_S, self, told(Refusal(Kind.LATE, "no answer in time"))
+            MAX_OWED_S, self, told(Refusal(Kind.LATE, "no answer in time"))
         )
 
     def __call__(self, reply: Reply) -> None:
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -41,10 +41,10 @@
 QUIET_S = 1.6  # a controller that answers nothing for so long is not heard
 TICK_S = 0.1
 ASK_S = 0.4  # for one answer to begin, before another controller is asked
-ASK_MOST_S = 1.5  # for all of it, while its bytes come
+MAX_ASK_S = 1.5  # for all of it, while its bytes come
 STALLED_S = 0.15  # nothing has come for so long
 FRESH_S = 1.2  # a controller's word of its contact counts for so long
-CONTROLLERS_MOST = 16
+MAX_CONTROLLERS = 16
 
 Dial = Callable[..., Awaitable[Link | None]]  # called as `framing.dial`
 
@@ -79,7 +79,7 @@
     def over(self, now: float) -> bool:
         """Whether to ask somebody else: nothing comes, or it takes too long."""
         stalled = now - self.link.heard_s > STALLED_S or not self.link.open
-        return now > self.asked_s + (ASK_S if stalled else ASK_MOST_S)
+        return now > self.asked_s + (ASK_S if stalled else MAX_ASK_S)
 
 
 class ControlClient:
@@ -129,7 +129,7 @@
     def reseed(self, seeds: tuple[str, ...]) -> None:
         """These controllers are named from outside now; who is known from the group itself stays."""
         self._seeds = seeds
-        for name in seeds[:CONTROLLERS_MOST]:
+        for name in seeds[:MAX_CONTROLLERS]:
             self._controllers.setdefault(name, Controller(name))
 
     def start(self) -> None:
@@ -280,7 +280,7 @@
             owner,
             fence,
         )
-        for name in names[:CONTROLLERS_MOST]:
+        for name in names[:MAX_CONTROLLERS]:
             self._controllers.setdefault(name, Controller(name))
 
     def _send(self, name: str, message: Message) -> None:
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -56,11 +56,11 @@
 )
 
 BEAT_S = 0.4  # how often a controller tells the others that it lives
-BEATS_MOST = 16  # that may be acknowledged yet
+MAX_BEATS = 16  # that may be acknowledged yet
 TICK_S = 0.05
 DIAL_S = 0.15
 GROW_S = 5.0  # after the first start the first configuration waits so long for the group to grow
-CONTROLLERS_MOST = 64
+MAX_CONTROLLERS = 64
 STOP_S = 1.0  # after SIGTERM, for calls that are under way and for others to take over duties
 LEAVE_MARGIN_S = 1.0  # before the platform kills a controller that still waits for its successor
 LEAVE_LOOK_S = 0.1
@@ -254,7 +254,7 @@
         now = self._loop.time()
         self._number += 1
         self._beats[self._number] = now
-        if len(self._beats) > BEATS_MOST:
+        if len(self._beats) > MAX_BEATS:
             del self._beats[next(iter(self._beats))]
         versions = [self._shards[n].known.version for n in shard_state.SHARDS]
         learning = [n for n in shard_state.SHARDS if not self._shards[n].learned(now)]
@@ -429,7 +429,7 @@
         """What a heartbeat says of its sender."""
         known = self._known_peers
         name = beat.name
-        if name not in known.heard_s and len(known.heard_s) >= CONTROLLERS_MOST:
+        if name not in known.heard_s and len(known.heard_s) >= MAX_CONTROLLERS:
             oldest = min(known.heard_s, key=lambda n: known.heard_s[n])
             del known.heard_s[oldest]
             known.learning.pop(oldest, None)
--- a/orchidferry/mesh/control/endpoints.py
+++ b/orchidferry/mesh/control/endpoints.py
@@ -13,7 +13,7 @@
 import msgspec
 
 LEASE_S = 2.0  # a node that has renewed nothing for so long is a member no more
-NODES_MOST = 4_096
+MAX_NODES = 4_096
 
 IN_SERVICE = "in_service"
 DRAINING = "draining"
@@ -60,7 +60,7 @@
     def hear(self, record: Record, now_s: float) -> bool:
         """Take a node's record; whether it tells anything new."""
         had = self.leases.get(record.name)
-        if had is None and len(self.leases) >= NODES_MOST:
+        if had is None and len(self.leases) >= MAX_NODES:
             return False
         if had is not None and had.record.boot == record.boot and had.record.number > record.number:
             return False
--- a/orchidferry/mesh/control/fanout_tree.py
+++ b/orchidferry/mesh/control/fanout_tree.py
@@ -20,7 +20,7 @@
 
 HEADS = 2  # nodes of a zone that follow the controllers themselves
 FANOUT = 8
-FOLLOWERS_MOST = FANOUT + 2  # of a relay: views of the tree differ for a while
+MAX_FOLLOWERS = FANOUT + 2  # of a relay: views of the tree differ for a while
 LOG = 256  # steps that a difference may reach back
 LOG_NAMES = 2_048  # and names in them
 
@@ -143,7 +143,7 @@
 class Followers(Generic[L]):
     """Who is told as news comes, each by a link, and how far each has been told."""
 
-    def __init__(self, most: int = FOLLOWERS_MOST) -> None:
+    def __init__(self, most: int = MAX_FOLLOWERS) -> None:
         self._most = most
         self.places: dict[L, dict[str, Place]] = {}  # by follower, by controller
 
--- a/orchidferry/mesh/control/hinted_handoff.py
+++ b/orchidferry/mesh/control/hinted_handoff.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 RECENT_S = 4.0  # what was written so long before a controller was found silent may have missed it too
-RECENT_MOST = 8_000
+MAX_RECENT = 8_000
 MOST = 40_000  # keys that are kept for one
 AGAIN_S = 1.0  # a page that is not acknowledged goes out again
 
@@ -37,7 +37,7 @@
     def wrote(self, key: str, now: float) -> None:
         """A key was claimed or answered here."""
         self.recent.append((now, key))
-        while len(self.recent) > RECENT_MOST or self.recent[0][0] < now - RECENT_S:
+        while len(self.recent) > MAX_RECENT or self.recent[0][0] < now - RECENT_S:
             self.recent.popleft()
         for one in self.kept.values():
             if one.silent and len(one.keys) < MOST:
--- a/orchidferry/mesh/control/key_transfer.py
+++ b/orchidferry/mesh/control/key_transfer.py
@@ -17,7 +17,7 @@
 PAGE_BYTES = 128 * 1024  # of the rows of one page
 ROW_BYTES = 24  # of a row beside its strings
 GIVEN_BACK = -1  # in place of a shelf: the holder gave the key back unrun
-ASKED_MOST = 256  # records asked for at once
+MAX_ASKED = 256  # records asked for at once
 BRIEF_FROM = 500  # keys that a learner holds, from which on it asks for pages without answers
 WAIT_S = 1.0  # for a page, before its source is asked again
 DECLINED_S = 0.15  # after a source had nothing to give, before it is asked again
--- a/orchidferry/mesh/control/operation_key_client.py
+++ b/orchidferry/mesh/control/operation_key_client.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, Message
 
 AGAIN_S = 0.12  # a controller that could not say is asked again
-OPEN_MOST = 20_000  # claims at once
+MAX_OPEN = 20_000  # claims at once
 
 
 @dataclass(slots=True)
@@ -132,7 +132,7 @@
         """Claim a key for one try; `told` hears once: `yours`, `held` and the answer (None: not known), or
         `none`, if no majority said either in time. What was not granted is given back.
         """
-        if len(self._open) >= OPEN_MOST:
+        if len(self._open) >= MAX_OPEN:
             return told("none", None)
         self._rid = self._rid + 1
         self._now = now
--- a/orchidferry/mesh/control/operation_keys.py
+++ b/orchidferry/mesh/control/operation_keys.py
@@ -22,7 +22,7 @@
 SHELF_S = 20.0
 NOBODY = ""  # holds a key that controllers gave to more than one try
 MOST = 200_000  # keys at once; beyond these none is granted
-GIVEN_BACK_MOST = 4_000  # keys given back that are remembered as such
+MAX_GIVEN_BACK = 4_000  # keys given back that are remembered as such
 
 
 @dataclass(slots=True)
@@ -177,7 +177,7 @@
         self._changed(key)
         self.given_back.pop(key, None)
         self.given_back[key] = holder
-        if len(self.given_back) > GIVEN_BACK_MOST:
+        if len(self.given_back) > MAX_GIVEN_BACK:
             oldest = next(iter(self.given_back))
             del self.given_back[oldest], self.changes[oldest]
 
--- a/orchidferry/mesh/control/order_history.py
+++ b/orchidferry/mesh/control/order_history.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-ORDERS_MOST = 16_384  # that a replica remembers, some megabytes
-NUMBER_MOST = 2**53 - 1  # of a configuration; the largest that all readers of JSON agree on
+MAX_ORDERS = 16_384  # that a replica remembers, some megabytes
+MAX_NUMBER = 2**53 - 1  # of a configuration; the largest that all readers of JSON agree on
 
 Taken = tuple[tuple[int, bytes], ...]  # number and digest of each order, the newest last
 
@@ -47,7 +47,7 @@
 class OrderHistory:
     """The newest orders that were taken, without a gap from `floor` on."""
 
-    most: int = ORDERS_MOST
+    most: int = MAX_ORDERS
     floor: int = 0  # of orders up to this number it can't tell; 0: it knows them all
     numbers: deque[int] = field(default_factory=deque)  # rising
     entries: dict[int, Entry] = field(default_factory=dict)
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from orchidferry.mesh.control.endpoints import LEASE_S, NODES_MOST, Register
+from orchidferry.mesh.control.endpoints import LEASE_S, MAX_NODES, Register
 from orchidferry.mesh.control.fanout_tree import Change, Followers, Stream, Tally
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.framing import Link
@@ -53,7 +53,7 @@
         self._telling = False  # it is to be told then
         self._members = Register()
         self._stream = Stream(name, life, 0)
-        self._followers: Followers[Link] = Followers(NODES_MOST)
+        self._followers: Followers[Link] = Followers(MAX_NODES)
         self._nodes: dict[Link, str] = {}  # nodes by link, as they named themselves
         self.tally = Tally()
 
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -35,7 +35,7 @@
     KeyRow,
 )
 
-HINTS_MOST = 4_000  # keys in one page of hints, whatever its bytes
+MAX_HINTS = 4_000  # keys in one page of hints, whatever its bytes
 
 
 class Repair(Replica):
@@ -192,7 +192,7 @@
         assert request.page is not None
         request.until_s = self.now + key_transfer.WAIT_S
         if request.lacking:
-            first = request.lacking[: key_transfer.ASKED_MOST]
+            first = request.lacking[: key_transfer.MAX_ASKED]
             return self._say(name, KeyRecordsRequest(self.name, request.number, first))
         puts = self._loaded(request.page.rows)
         self._write(puts or [self._about("catching", b"1")], ("page", name, request))
@@ -273,7 +273,7 @@
 
     def _hand_over(self, name: str) -> None:
         keys = self.operation_keys
-        page = self.hints.page(name, self.now, HINTS_MOST, lambda names: key_transfer.bounded(keys, names)[1])
+        page = self.hints.page(name, self.now, MAX_HINTS, lambda names: key_transfer.bounded(keys, names)[1])
         if page is not None:
             rows, _ = key_transfer.bounded(keys, page[1], most=math.inf)
             self._say(name, Handoff(self.name, epoch(self.known), page[0], rows))
--- a/orchidferry/mesh/control/retry_budget.py
+++ b/orchidferry/mesh/control/retry_budget.py
@@ -33,9 +33,9 @@
 HEADROOM = 1.5  # times what a node wanted, so that it finds room when it needs more
 LEVEL_S = 0.5  # how often shares are worked out anew
 MIL = 1000  # shares are counted in thousandths: sums are exact
-HOLDERS_MOST = 4_096  # lives of nodes that one dealer keeps account of
-DEALERS_MOST = 512
-ASKED_MOST = 8  # askings of a node that may still be answered
+MAX_HOLDERS = 4_096  # lives of nodes that one dealer keeps account of
+MAX_DEALERS = 512
+MAX_ASKED = 8  # askings of a node that may still be answered
 # changes of what is in force: not sooner, nor smaller, where that is safe
 CHANGE_S = 0.5
 CHANGE_SHARE = 0.1
@@ -96,7 +96,7 @@
         self._lapse(now_s)
         account = self._accounts.get(who)
         if account is None:
-            if len(self._accounts) >= HOLDERS_MOST:
+            if len(self._accounts) >= MAX_HOLDERS:
                 return None
             account = self._accounts[who] = _Account()
         news = who not in self._wants
@@ -181,7 +181,7 @@
         """The number of a new asking, which its lease will count from."""
         self._number += 1
         self._asked[self._number] = now_s
-        while len(self._asked) > ASKED_MOST:
+        while len(self._asked) > MAX_ASKED:
             del self._asked[next(iter(self._asked))]
         return self._number
 
@@ -251,7 +251,7 @@
             return None
         had = self._dealers.get(service)
         if had is None or had[0] != own:
-            if had is None and len(self._dealers) >= DEALERS_MOST:
+            if had is None and len(self._dealers) >= MAX_DEALERS:
                 oldest = min(self._dealers, key=lambda name: self._dealers[name][1].heard_s)
                 del self._dealers[oldest]
             had = self._dealers[service] = (own, Dealer(self._whole, self._window_s, now_s))
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -20,7 +20,7 @@
 
 # Orders that each state lists. A list as long as this may be cut: a build with a larger number has to tell
 # by other means which lists are whole.
-TAKEN_MOST = 64
+MAX_TAKEN = 64
 GENESIS = 1  # memory of a founder at the very first start
 
 CONFIGURATION = 0  # the shard that holds the configuration
@@ -64,7 +64,7 @@
     epoch: int = 0
     revision: int = 0
     raw: bytes = b""  # the text, as `configuration_text` keeps it
-    taken: Taken = ()  # the newest orders, `TAKEN_MOST` at most
+    taken: Taken = ()  # the newest orders, `MAX_TAKEN` at most
     owner: str = ""  # the controller that does the duties of the shard
     fence: int = 0  # of that owner; rises with each, and with each change of voters
 
@@ -102,7 +102,7 @@
             return before
         if verdict is not Verdict.NEW:
             return WHY_NOT[verdict]
-        taken = (*old.taken, (self.revision, self.digest))[-TAKEN_MOST:]
+        taken = (*old.taken, (self.revision, self.digest))[-MAX_TAKEN:]
         return _next(before, replace(old, revision=self.revision, raw=self.raw, taken=taken))
 
     def verdict(self, history: OrderHistory, current: int) -> Verdict:
@@ -120,7 +120,7 @@
 
 def lists_all(state: Body) -> bool:
     """Whether a state lists all orders that were ever taken."""
-    return len(state.taken) < TAKEN_MOST
+    return len(state.taken) < MAX_TAKEN
 
 
 def read(before: Value) -> Value | str:
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -18,8 +18,8 @@
 
 from orchidferry.mesh.control.endpoints import Record
 from orchidferry.mesh.control.fanout_tree import (
-    FOLLOWERS_MOST,
     HEADS,
+    MAX_FOLLOWERS,
     Change,
     Followers,
     Stream,
@@ -53,10 +53,10 @@
 STRIKE_S = 0.4  # gaps within this count as one: each controller tells of the same change
 # before a parent is tried again, doubling
 BACK_OFF_S = 4.0
-BACK_OFF_MOST_S = 60.0
+MAX_BACK_OFF_S = 60.0
 STRANGER_S = 3.0  # one that has connected and not said what it wants is cut off
-LINKS_MOST = 4 * FOLLOWERS_MOST
-POSITIONS_MOST = 32
+MAX_LINKS = 4 * MAX_FOLLOWERS
+MAX_POSITIONS = 32
 CHOKED = 1024 * 1024  # bytes that may wait for a follower that does not read
 
 
@@ -307,7 +307,7 @@
         name = one.record.name
         now = self._loop.time()
         logger.info("subscriber: {} {}", name, why)
-        wait = min(BACK_OFF_MOST_S, 2.0 * self._back_off.get(name, (0.0, BACK_OFF_S / 2.0))[1])
+        wait = min(MAX_BACK_OFF_S, 2.0 * self._back_off.get(name, (0.0, BACK_OFF_S / 2.0))[1])
         self._back_off[name] = (now + wait * (0.75 + 0.5 * self._rng.random()), wait)
         self._review_s = min(self._review_s, now + 0.1 * self._rng.random())
         if one is self._trying:
@@ -328,7 +328,7 @@
 
     def stranger(self, link: Link) -> None:
         """Somebody has connected."""
-        if len(self._strangers) + len(self._followers.places) >= LINKS_MOST:
+        if len(self._strangers) + len(self._followers.places) >= MAX_LINKS:
             return link.close()
         self._strangers[link] = self._loop.time() + STRANGER_S
 
@@ -348,7 +348,7 @@
         elif link not in self._followers.places:
             return
         elif isinstance(message, RelayPositions):
-            self._followers.follow(link, message.positions[:POSITIONS_MOST])
+            self._followers.follow(link, message.positions[:MAX_POSITIONS])
             self._pass_on(self.streams.values())
             self._send("tree", link, RelayAlive())
         elif isinstance(message, ConfigurationFetch):
@@ -359,7 +359,7 @@
         """Those that come after this node in its row may follow: so no two can follow each other."""
         self._near[link] = asked.zone == self._zone
         after = rank(self._name, self._boot_id) < rank(asked.name, asked.boot)
-        positions = asked.positions[:POSITIONS_MOST]
+        positions = asked.positions[:MAX_POSITIONS]
         if not after or not self._controllers or not self._followers.follow(link, positions):
             return self._send("tree", link, RelayFull())
         del self._strangers[link]
--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -49,7 +49,7 @@
 GUESS = 4  # slots of a server that has said nothing yet
 DRAIN_SHARE = 0.75  # of the time in which a drained server may still be reached
 HELD_SLOTS = 4  # times its slots: the most that wait here
-LEAST_LEFT_MS = 8.0
+MIN_LEFT_MS = 8.0
 REFUSED = 2  # connections in a row that a server refused, after which it is gone until its next beat
 # A server may work on for nobody for so long, while nobody waits for its slot: an answer that comes leaves
 # its connection usable, and new ones are priced. The rules allow 0.5 s from when the client has left.
@@ -223,7 +223,7 @@
         why = self.open_for(message)
         if why is None and self.leaving:
             why = GATE_GONE
-        if why is None and message.budget_ms < LEAST_LEFT_MS:
+        if why is None and message.budget_ms < MIN_LEFT_MS:
             why = UNRUN
         if why is not None:
             self._turn_away(passing, why)
@@ -258,7 +258,7 @@
         """Let it wait for a moment; the lowest rank goes where there is no room to wait."""
         patience = passing.message.headers.get(PATIENCE, b"0")
         wait_ms = min(
-            float(patience) if patience.isdigit() else 0.0, passing.ends_ms - now_ms() - LEAST_LEFT_MS
+            float(patience) if patience.isdigit() else 0.0, passing.ends_ms - now_ms() - MIN_LEFT_MS
         )
         if wait_ms <= 0.0:
             return self._turn_away(passing, UNRUN)
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -27,7 +27,7 @@
 SWITCHING = 101
 NO_BODY = (204, 304)
 LINE_END = b"\r\n"
-TRIED_MOST = 8  # ids that a connection remembers
+MAX_TRIED = 8  # ids that a connection remembers
 
 
 class AnswerParser:
@@ -121,7 +121,7 @@
         """Write an attempt's request and wait for its answer; the attempt learns whether it has begun."""
         assert isinstance(attempt, TrackedAttempt)
         self._tainted = False
-        self._tried = (*self._tried[1 - TRIED_MOST :], attempt.message.id)
+        self._tried = (*self._tried[1 - MAX_TRIED :], attempt.message.id)
         self._attempt = attempt
         self._start_answer()
         attempt.carried_by(self.close)
--- a/orchidferry/mesh/dataplane/idle_limit.py
+++ b/orchidferry/mesh/dataplane/idle_limit.py
@@ -22,7 +22,7 @@
 
 STATED_SHARE = 0.7  # of the time that a server states: a request that crosses its close ends as a reset
 FORGOTTEN_SHARE = 0.5  # of the time after which a connection was found dead
-LEAST_MS = 250.0  # a connection that died younger than this did not die of resting
+MIN_MS = 250.0  # a connection that died younger than this did not die of resting
 FORGOTTEN_FOR_MS = 30_000.0  # what was found is believed for so long
 TIMEOUT = re.compile(rb"(?:^|[\s,;])timeout=([0-9]{1,6})(?![0-9])", re.IGNORECASE)
 
@@ -51,7 +51,7 @@
 
     def forgotten_after(self, idle_ms: float, now_ms: float) -> None:
         """A connection that had rested for so long was found dead."""
-        if idle_ms < LEAST_MS:
+        if idle_ms < MIN_MS:
             return
         if now_ms >= self._found_until_ms:
             self._found_ms = math.inf
--- a/orchidferry/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.node.flow import Flow, Pool
 from orchidferry.node.frontend import LIMITS_S, Accept, Caller, Frontend, Reply, Stage
-from orchidferry.node.request import Message, Unacceptable
+from orchidferry.node.request import Message, RequestError
 
 # Headers that concern one connection, or that the system writes itself.
 HOP = frozenset(
@@ -188,13 +188,13 @@
     def read(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
     ) -> Message | Reply:
-        """A whole request; `Unacceptable` says what is wrong with it."""
+        """A whole request; `RequestError` says what is wrong with it."""
         id = headers.get(b"attempt-id")
         left = headers.get(b"time-remaining")
         if id is None or not TOKEN.fullmatch(id):
-            raise Unacceptable("Attempt-Id is missing or can't be used")
+            raise RequestError("Attempt-Id is missing or can't be used")
         if left is not None and not MILLISECONDS.fullmatch(left):
-            raise Unacceptable("Time-Remaining must be milliseconds")
+            raise RequestError("Time-Remaining must be milliseconds")
         return ProxiedRequest(
             method,
             target,
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -18,7 +18,7 @@
 
 MARGIN_MS = 4.0  # of the time that a sender has, for the way there and back
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-ANSWER_MOST = 256 * 1024  # bytes of an answer that is kept for repeats of its key
+MAX_ANSWER = 256 * 1024  # bytes of an answer that is kept for repeats of its key
 # The gate's own headers, which no client or server sees.
 GATE = b"orchid-gate"
 RANK = b"orchid-rank"
@@ -112,7 +112,7 @@
 
 def kept_answer(said: ServerResponse | None) -> list[object] | None:
     """An answer as it is kept for repeats of its key; None for one that isn't."""
-    if said is None or said.flow is not None or len(said.body) > ANSWER_MOST:
+    if said is None or said.flow is not None or len(said.body) > MAX_ANSWER:
         return None
     if said.status in PROMISES:  # it came without a proof: a repeat must not be promised what nobody knows
         return None
--- a/orchidferry/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -23,7 +23,7 @@
 from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Server
 
 SILENT_BEATS = 3.5  # a server that sent no beat for so long is gone
-FORMER_MOST = 64
+MAX_FORMER = 64
 # A life that another one replaced is taken back if the other one has said nothing for so many beats: beats
 # come late, and the first that a process hears may be the last one of a server that is gone.
 REPLACED_BEATS = 1.5
@@ -119,7 +119,7 @@
         sequence, drained_ms = (self._sequence, self._drained_ms) if current else (-1, math.inf)
         self._former.pop(id, None)
         self._former[id] = FormerLife(signed_off, sequence, drained_ms)
-        while len(self._former) > FORMER_MOST:
+        while len(self._former) > MAX_FORMER:
             del self._former[next(iter(self._former))]
 
 
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -59,7 +59,7 @@
 LATE_WORTH = 0.3
 # of the time left: the longest that a caller is told to wait
 WAIT_SHARE = 0.2
-LEAST_WAIT_MS = 20.0
+MIN_WAIT_MS = 20.0
 SHED_AGAIN_SHARE = 0.2  # of the aim: when to come back after being shed for what is below
 
 
@@ -536,7 +536,7 @@
         if live.ran:
             return self.finish(live, own_answer(live.message, Refusal(Kind.BROKEN)))
         self.turned_away_ms = now_ms()
-        longest_ms = max(LEAST_WAIT_MS, WAIT_SHARE * (live.ends_ms - now_ms()))
+        longest_ms = max(MIN_WAIT_MS, WAIT_SHARE * (live.ends_ms - now_ms()))
         wait_s = min(retry_after_ms, longest_ms) / 1000.0
         self.finish(live, own_answer(live.message, Refusal(Kind.SHED), wait_s))
 
--- a/orchidferry/mesh/errors.py
+++ b/orchidferry/mesh/errors.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from orchidferry.errors import OrchidferryError
+
 
 class Kind(Enum):
     """Why a call is turned down. The list is closed."""
@@ -45,7 +47,7 @@
 }
 
 
-class BadStore(Exception):
+class StoreError(OrchidferryError):
     """A controller's store can't be opened; one line that names the folder."""
 
 
--- a/orchidferry/mesh/role_settings.py
+++ b/orchidferry/mesh/role_settings.py
@@ -4,7 +4,7 @@
 
 import os
 
-from orchidferry.mesh.settings import BadSettings, Settings, read_settings
+from orchidferry.mesh.settings import MeshSettingsError, Settings, read_settings
 
 VARIABLE = "ORCHIDFERRY_BOOT"  # of the environment; it names the settings file
 LISTEN_POINTS = {"proxy": ("outbound", "inbound", "ready", "control"), "controller": ("control",)}
@@ -13,30 +13,30 @@
 
 
 def settings_path() -> str:
-    """The path of the settings file. `BadSettings` if the environment names none."""
+    """The path of the settings file. `MeshSettingsError` if the environment names none."""
     path = os.environ.get(VARIABLE)
     if not path:
-        raise BadSettings(f"{VARIABLE} must name the settings file")
+        raise MeshSettingsError(f"{VARIABLE} must name the settings file")
     return path
 
 
 def settings_for(role: str) -> Settings:
-    """The settings of a role. `BadSettings` names file and field in one line."""
+    """The settings of a role. `MeshSettingsError` names file and field in one line."""
     path = settings_path()
     settings = read_settings(path)
     try:
         check_role(role, settings)
-    except BadSettings as problem:
-        raise BadSettings(f"{path}: {problem}") from None
+    except MeshSettingsError as problem:
+        raise MeshSettingsError(f"{path}: {problem}") from None
     return settings
 
 
 def check_role(role: str, settings: Settings) -> None:
-    """Check what a role cannot do without. `BadSettings` names the field."""
+    """Check what a role cannot do without. `MeshSettingsError` names the field."""
     if role == "controller" and settings.data_dir is None:
-        raise BadSettings(DATA_DIR_MISSING)
+        raise MeshSettingsError(DATA_DIR_MISSING)
     if role == "proxy" and settings.application is None:
-        raise BadSettings("own_node.application: a node needs one")
+        raise MeshSettingsError("own_node.application: a node needs one")
     for name in LISTEN_POINTS[role]:
         if name not in settings.listen:
-            raise BadSettings(f"network.listen_points.{name}: this role needs one")
+            raise MeshSettingsError(f"network.listen_points.{name}: this role needs one")
--- a/orchidferry/mesh/settings.py
+++ b/orchidferry/mesh/settings.py
@@ -11,11 +11,13 @@
 from pathlib import Path
 from typing import Any
 
+from orchidferry.errors import OrchidferryError
+
 Address = tuple[str, int]
 PORTS = 65536
 
 
-class BadSettings(Exception):
+class MeshSettingsError(OrchidferryError):
     """The settings file can't be used; one line that names file and field."""
 
 
@@ -77,10 +79,10 @@
 
 
 def address(text: Any, field: str) -> Address:
-    """`10.0.0.1:80` as host and port; `BadSettings` names the field."""
+    """`10.0.0.1:80` as host and port; `MeshSettingsError` names the field."""
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not _is_port(int(port)):
-        raise BadSettings(f"{field}: {text!r} is no address")
+        raise MeshSettingsError(f"{field}: {text!r} is no address")
     return host, int(port)
 
 
@@ -91,41 +93,41 @@
 def _table(data: dict[str, Any], name: str) -> dict[str, Any]:
     value = data.get(name)
     if not isinstance(value, dict):
-        raise BadSettings(f"{name}: the table is missing")
+        raise MeshSettingsError(f"{name}: the table is missing")
     return value
 
 
 def _part(table: dict[str, Any], name: str, where: str) -> dict[str, Any]:
     value = table.get(name, {})
     if not isinstance(value, dict):
-        raise BadSettings(f"{where}{name}: {value!r} is no table")
+        raise MeshSettingsError(f"{where}{name}: {value!r} is no table")
     return value
 
 
 def _number(table: dict[str, Any], name: str, default: float, where: str) -> float:
     value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
-        raise BadSettings(f"{where}.{name}: {value!r} is no number of 0 or more")
+        raise MeshSettingsError(f"{where}.{name}: {value!r} is no number of 0 or more")
     return float(value)
 
 
 def _whole(table: dict[str, Any], name: str, default: int, where: str) -> int:
     value = _number(table, name, default, where)
     if not math.isfinite(value):
-        raise BadSettings(f"{where}.{name}: {value!r} is no whole number")
+        raise MeshSettingsError(f"{where}.{name}: {value!r} is no whole number")
     return int(value)
 
 
 def read_settings(path: str) -> Settings:
-    """Read and check the settings file; `BadSettings` says what is wrong in one line."""
+    """Read and check the settings file; `MeshSettingsError` says what is wrong in one line."""
     try:
         return check_settings(tomllib.loads(Path(path).read_text("utf-8")))
     except OSError as problem:
-        raise BadSettings(f"{path}: {problem.strerror}") from None
+        raise MeshSettingsError(f"{path}: {problem.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise BadSettings(f"{path}: {problem}") from None
-    except BadSettings as problem:
-        raise BadSettings(f"{path}: {problem}") from None
+        raise MeshSettingsError(f"{path}: {problem}") from None
+    except MeshSettingsError as problem:
+        raise MeshSettingsError(f"{path}: {problem}") from None
 
 
 def check_settings(data: dict[str, Any]) -> Settings:
@@ -138,24 +140,24 @@
     losses = _part(terms, "tolerance", "term_settings.")
     for name in ("node_name", "ip", "zone"):
         if not isinstance(node.get(name), str) or not node[name]:
-            raise BadSettings(f"own_node.{name}: a text is needed")
+            raise MeshSettingsError(f"own_node.{name}: a text is needed")
     bind_ip = node.get("bind_ip", node["ip"])
     if not isinstance(bind_ip, str) or not bind_ip:
-        raise BadSettings("own_node.bind_ip: a text is needed")
+        raise MeshSettingsError("own_node.bind_ip: a text is needed")
     data_dir = node.get("data_dir")
     if data_dir is not None and (not isinstance(data_dir, str) or not data_dir):
-        raise BadSettings("own_node.data_dir: a text is needed")
+        raise MeshSettingsError("own_node.data_dir: a text is needed")
     ports = network.get("internal_ports")
     seeds = network.get("seed_nodes")
     if not isinstance(ports, list) or not ports or not all(map(_is_port, ports)):
-        raise BadSettings("network.internal_ports: a list of ports is needed")
+        raise MeshSettingsError("network.internal_ports: a list of ports is needed")
     if not isinstance(seeds, list):
-        raise BadSettings("network.seed_nodes: a list of addresses is needed")
+        raise MeshSettingsError("network.seed_nodes: a list of addresses is needed")
     points = _part(network, "listen_points", "network.")
     platform = _part(data, "platform_settings", "")
     beat_ms = _number(platform, "beat_interval_ms", 1_500, "platform_settings")
     if not beat_ms:
-        raise BadSettings("platform_settings.beat_interval_ms: a number above 0 is needed")
+        raise MeshSettingsError("platform_settings.beat_interval_ms: a number above 0 is needed")
     application = node.get("application")
     return Settings(
         name=node["node_name"],
--- a/orchidferry/mesh/storage/environment.py
+++ b/orchidferry/mesh/storage/environment.py
@@ -9,7 +9,7 @@
 
 import lmdb
 
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 
 ABOUT = "about"  # the database of votes and other records about the controller itself
 KEYS = "slips"  # the database of operation keys; the name on disk is that of the first format
@@ -25,7 +25,7 @@
 Databases = dict[str, Any]  # lmdb's handles, by name
 
 
-class InUse(BadStore):
+class StoreInUseError(StoreError):
     """Another process has the store open."""
 
 
@@ -74,7 +74,7 @@
 
 
 def take_lock(folder: str, mode: str = "ab") -> IO[Any]:
-    """Lock a store against other processes until the file is closed. `InUse`.
+    """Lock a store against other processes until the file is closed. `StoreInUseError`.
 
     Where the file system grants locks that do nothing, or refuses the file, this has no effect.
     """
@@ -86,7 +86,7 @@
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         file.close()
-        raise InUse(f"{folder}: another process has it open") from None
+        raise StoreInUseError(f"{folder}: another process has it open") from None
     except OSError:  # the file system has no locks
         pass
     return file
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -12,9 +12,16 @@
 
 from orchidferry.balancing.register import Kept, Value
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import ABOUT, KEYS, Databases, used_pages
-from orchidferry.mesh.storage.record_format import FORMAT, FORMAT_KEY, SEAL_KEY, Damaged, unpack, unwrap
+from orchidferry.mesh.storage.record_format import (
+    FORMAT,
+    FORMAT_KEY,
+    SEAL_KEY,
+    CorruptStoreError,
+    unpack,
+    unwrap,
+)
 
 T = TypeVar("T")
 
@@ -83,12 +90,12 @@
 def inspect(env: lmdb.Environment, file: str, names: Sequence[str]) -> Inspection:
     """Read the databases of these names, as far as they are there; nothing is written.
 
-    `Damaged` says what is wrong with it.
+    `CorruptStoreError` says what is wrong with it.
     """
     try:
         return _inspect(env, file, _existing_databases(env, names))
     except BROKEN as problem:
-        raise Damaged(str(problem)) from None
+        raise CorruptStoreError(str(problem)) from None
 
 
 def _existing_databases(env: lmdb.Environment, names: Sequence[str]) -> Databases:
@@ -113,13 +120,15 @@
         used = used_pages(txn, dbs)
     seal = _read(records, SEAL_KEY, int) if sealed else newest_transaction
     if raws and seal != newest_transaction:
-        raise Damaged(f"the root is that of transaction {seal}, the number beside it {newest_transaction}")
+        raise CorruptStoreError(
+            f"the root is that of transaction {seal}, the number beside it {newest_transaction}"
+        )
     numbers = [n for n in shard_state.SHARDS if _record_key("kept", n) in records]
     kept = {n: _require(records, _record_key("kept", n), _unpack_kept) for n in numbers}
     early = _read(records, b"kept", _unpack_kept) if not numbers and not sealed else None
     founders = _read(records, b"founders", _unpack_names) or ()
     if keys and not kept and early is None:
-        raise Damaged("there are keys, and the records 'kept' of about are missing")
+        raise CorruptStoreError("there are keys, and the records 'kept' of about are missing")
     caught_up = frozenset(n for n in shard_state.SHARDS if _record_key("caught", n) in records)
     size = os.stat(file).st_size
     contents = StoreContents(found_format, kept, early, founders, caught_up, keys, used * page_bytes, size)
@@ -136,7 +145,7 @@
             _verify_key(bytes(key), value)
     counted = txn.stat(db)["entries"]
     if keys != counted:
-        raise Damaged(f"{keys} keys were found and {counted} are counted")
+        raise CorruptStoreError(f"{keys} keys were found and {counted} are counted")
     return keys
 
 
@@ -144,9 +153,9 @@
     try:
         holder, time_slot, _answer = unpack(value)
     except (CBORDecodeError, ValueError, TypeError) as problem:
-        raise Damaged(f"key {key[:40]!r} can't be read: {problem}") from None
+        raise CorruptStoreError(f"key {key[:40]!r} can't be read: {problem}") from None
     if not isinstance(holder, str) or not isinstance(time_slot, int):
-        raise Damaged(f"key {key[:40]!r} is none")
+        raise CorruptStoreError(f"key {key[:40]!r} is none")
 
 
 def _record_key(name: str, number: int) -> bytes:
@@ -160,7 +169,7 @@
         return 1
     found = _require({FORMAT_KEY: unwrap(ABOUT, FORMAT_KEY, raws[FORMAT_KEY])}, FORMAT_KEY, int)
     if found > FORMAT:
-        raise BadStore(f"format {found} is of a later build, {FORMAT} is the newest known here")
+        raise StoreError(f"format {found} is of a later build, {FORMAT} is the newest known here")
     return found
 
 
@@ -173,7 +182,7 @@
     try:
         return check(unpack(records[key]))
     except (CBORDecodeError, ValueError, TypeError, KeyError, IndexError) as problem:
-        raise Damaged(f"record {key.decode()!r} of about can't be read: {problem}") from None
+        raise CorruptStoreError(f"record {key.decode()!r} of about can't be read: {problem}") from None
 
 
 def _unpack_kept(packed: Any) -> Kept:
--- a/orchidferry/mesh/storage/record_format.py
+++ b/orchidferry/mesh/storage/record_format.py
@@ -11,7 +11,7 @@
 
 import cbor2
 
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import ABOUT, Databases
 
 # Format 1 had neither checksums nor a seal, and no record of its number. In format 2 the configuration's
@@ -25,7 +25,7 @@
 Put = tuple[str, bytes, bytes | None]  # database, key, value; None deletes
 
 
-class Damaged(BadStore):
+class CorruptStoreError(StoreError):
     """The content of a store can't be trusted; one line that names the directory and the damage."""
 
 
@@ -45,14 +45,14 @@
 
 
 def unwrap(name: str, key: bytes, raw: bytes) -> bytes:
-    """The value of a record. `Damaged` names the record if its checksum is wrong.
+    """The value of a record. `CorruptStoreError` names the record if its checksum is wrong.
 
     >>> unwrap("about", b"k", wrap("about", b"k", b"v"))
     b'v'
     """
     value = raw[CHECKSUM_BYTES:]
     if len(raw) < CHECKSUM_BYTES or raw[:CHECKSUM_BYTES] != _checksum(name, key, value):
-        raise Damaged(f"record {key[:40]!r} of {name} has a wrong checksum")
+        raise CorruptStoreError(f"record {key[:40]!r} of {name} has a wrong checksum")
     return value
 
 
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -20,14 +20,14 @@
 from orchidferry.balancing.register import Ballot, Kept, Value, Voter
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.shard import remembered
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import (
     ABOUT,
     KEYS,
     NAMES,
     PART,
     STORE,
-    InUse,
+    StoreInUseError,
     open_env,
     sync_folder,
     sync_names,
@@ -36,18 +36,18 @@
 from orchidferry.mesh.storage.inspection import Inspection, inspect
 from orchidferry.mesh.storage.record_format import Put, pack, put_sealed, unwrap, wrap
 from orchidferry.mesh.storage.snapshot_file import (
-    BadSnapshot,
     HashedFile,
     Snapshot,
+    SnapshotError,
     read_rows,
     read_snapshot,
     write_header,
 )
 
 __all__ = [
-    "BadSnapshot",
     "Restored",
     "Snapshot",
+    "SnapshotError",
     "memory_of",
     "put_into",
     "read_snapshot",
@@ -72,10 +72,10 @@
 
 
 def take_from(folder: str, path: str) -> Snapshot:
-    """Write what the store of a directory knows to a file. `BadStore`, `BadSnapshot`."""
+    """Write what the store of a directory knows to a file. `StoreError`, `SnapshotError`."""
     file = os.path.join(folder, STORE)
     if not os.path.exists(file):
-        raise BadSnapshot(f"{folder}: there is no store")
+        raise SnapshotError(f"{folder}: there is no store")
     try:
         with take_lock(folder):
             env = open_env(file, file=True, readonly=True)
@@ -83,12 +83,12 @@
                 return _take(env, file, path)
             finally:
                 env.close()
-    except InUse as problem:
-        raise InUse(f"{problem}: stop the controller first") from None
-    except BadStore as problem:
-        raise BadStore(f"{folder}: {problem}") from None
+    except StoreInUseError as problem:
+        raise StoreInUseError(f"{problem}: stop the controller first") from None
+    except StoreError as problem:
+        raise StoreError(f"{folder}: {problem}") from None
     except (OSError, lmdb.Error) as problem:
-        raise BadSnapshot(f"{path}: {problem}") from None
+        raise SnapshotError(f"{path}: {problem}") from None
 
 
 def _take(env: lmdb.Environment, file: str, path: str) -> Snapshot:
@@ -115,7 +115,7 @@
     if not kept and contents.early is not None:
         kept = {shard_state.CONFIGURATION: contents.early}
     if not kept:
-        raise BadSnapshot(f"{file}: nothing was written to it yet")
+        raise SnapshotError(f"{file}: nothing was written to it yet")
     first = shard_state.genesis(contents.founders)
     return {n: (kept[n].value if n in kept else None) or first for n in shard_state.SHARDS}
 
@@ -155,14 +155,14 @@
 
 
 def put_into(folder: str, path: str, founders: tuple[str, ...]) -> Restored:
-    """Make a store of a file in an empty directory, whole or not at all. `BadSnapshot`."""
+    """Make a store of a file in an empty directory, whole or not at all. `SnapshotError`."""
     snapshot = read_snapshot(path)
     kept = restored(snapshot, founders)
     try:
         os.makedirs(folder, exist_ok=True)
         there = sorted(os.listdir(folder))
         if there:
-            raise BadSnapshot(f"{folder}: it is not empty, there is {there[0]!r}")
+            raise SnapshotError(f"{folder}: it is not empty, there is {there[0]!r}")
         part = os.path.join(folder, PART)
         env = open_env(part, file=True)
         try:
@@ -172,10 +172,10 @@
             env.close()
         os.rename(part, os.path.join(folder, STORE))
         sync_names(folder)
-    except (OSError, lmdb.Error, BadStore) as problem:
+    except (OSError, lmdb.Error, StoreError) as problem:
         with contextlib.suppress(OSError):
             os.remove(os.path.join(folder, PART))
-        raise BadSnapshot(f"{folder}: {problem}") from None
+        raise SnapshotError(f"{folder}: {problem}") from None
     return Restored(snapshot, kept)
 
 
@@ -200,4 +200,4 @@
 def _verify_store(env: lmdb.Environment, part: str, kept: dict[int, Kept], snapshot: Snapshot) -> None:
     contents = inspect(env, part, NAMES).contents
     if contents.kept != kept or contents.keys != snapshot.keys:
-        raise BadStore("what was written is not what is read")
+        raise StoreError("what was written is not what is read")
--- a/orchidferry/mesh/storage/snapshot_command.py
+++ b/orchidferry/mesh/storage/snapshot_command.py
@@ -7,30 +7,30 @@
 import sys
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.role_settings import DATA_DIR_MISSING, settings_path
-from orchidferry.mesh.settings import BadSettings, Settings, read_settings
-from orchidferry.mesh.storage.environment import InUse
+from orchidferry.mesh.settings import MeshSettingsError, Settings, read_settings
+from orchidferry.mesh.storage.environment import StoreInUseError
 from orchidferry.mesh.storage.snapshot import put_into, take_from
-from orchidferry.mesh.storage.snapshot_file import BadSnapshot
+from orchidferry.mesh.storage.snapshot_file import SnapshotError
 
 PROGRAM = "orchidferry controller snapshot"
 
 
 def read_founders(text: str, own: str, losses: int) -> tuple[str, ...]:
-    """The list as it was given, checked. `BadSnapshot`."""
+    """The list as it was given, checked. `SnapshotError`."""
     names = tuple(text.split(","))
     for name in names:
         try:
             ipaddress.IPv4Address(name)
         except ValueError:
-            raise BadSnapshot(f"--founders: {name!r} is no IP number") from None
+            raise SnapshotError(f"--founders: {name!r} is no IP number") from None
     if len(set(names)) != len(names):
-        raise BadSnapshot("--founders: one is named twice")
+        raise SnapshotError("--founders: one is named twice")
     if own not in names:
-        raise BadSnapshot(f"--founders: this machine, {own}, is not among them")
+        raise SnapshotError(f"--founders: this machine, {own}, is not among them")
     if len(names) < 2 * losses + 1:
-        raise BadSnapshot(f"--founders: {2 * losses + 1} are needed to bear the loss of {losses}")
+        raise SnapshotError(f"--founders: {2 * losses + 1} are needed to bear the loss of {losses}")
     return names
 
 
@@ -39,7 +39,7 @@
     path = settings_path()
     settings = read_settings(path)
     if settings.data_dir is None:
-        raise BadSettings(f"{path}: {DATA_DIR_MISSING}")
+        raise MeshSettingsError(f"{path}: {DATA_DIR_MISSING}")
     return settings, settings.data_dir
 
 
@@ -72,7 +72,7 @@
     """
     settings, folder = _settings()
     if not majority_is_gone:
-        raise BadSnapshot("--majority-is-gone is missing: two groups at once would both grant keys")
+        raise SnapshotError("--majority-is-gone is missing: two groups at once would both grant keys")
     names = read_founders(founders, settings.ip, settings.machines)
     snapshot, kept = put_into(folder, file, names)
     memory = kept[shard_state.CONFIGURATION].memory
@@ -88,10 +88,10 @@
         return int(
             defopt.run([take, put], argv=words, short={}, no_negated_flags=True, argparse_kwargs=parser)
         )
-    except InUse as problem:
+    except StoreInUseError as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 1
-    except (BadSnapshot, BadSettings, BadStore) as problem:
+    except (SnapshotError, MeshSettingsError, StoreError) as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 2
     except SystemExit as end:  # help, or words that can't be read
--- a/orchidferry/mesh/storage/snapshot_file.py
+++ b/orchidferry/mesh/storage/snapshot_file.py
@@ -15,6 +15,7 @@
 import cbor2
 
 from orchidferry.balancing.register import Value
+from orchidferry.errors import OrchidferryError
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.storage.record_format import pack
 
@@ -25,7 +26,7 @@
 READ_BYTES = 65_536
 
 
-class BadSnapshot(Exception):
+class SnapshotError(OrchidferryError):
     """It can't be done; one line that names the file, directory or option."""
 
 
@@ -70,7 +71,7 @@
 
 
 def read_snapshot(path: str) -> Snapshot:
-    """Read and check a file whole. `BadSnapshot`."""
+    """Read and check a file whole. `SnapshotError`."""
     digest = _verified_digest(path)
     with _opened(path) as file:
         reader = _Reader(path, file)
@@ -78,12 +79,12 @@
         for _ in range(header.keys):
             reader.row()
         if reader.item() != digest:
-            raise BadSnapshot(f"{path}: it has more keys than it says")
+            raise SnapshotError(f"{path}: it has more keys than it says")
     return Snapshot(digest, header.states, header.keys)
 
 
 def read_rows(path: str) -> Iterator[tuple[bytes, bytes]]:
-    """The operation keys and their records, one by one. `BadSnapshot`."""
+    """The operation keys and their records, one by one. `SnapshotError`."""
     with _opened(path) as file:
         reader = _Reader(path, file)
         for _ in range(_read_header(path, reader).keys):
@@ -99,7 +100,9 @@
             found.update(raw)
             left -= len(raw)
         if left or file.read() != pack(found.digest()):
-            raise BadSnapshot(f"{path}: it is no snapshot, or not whole: its digest isn't that of its bytes")
+            raise SnapshotError(
+                f"{path}: it is no snapshot, or not whole: its digest isn't that of its bytes"
+            )
     return found.digest()
 
 
@@ -107,7 +110,7 @@
     try:
         return open(path, "rb")
     except OSError as problem:
-        raise BadSnapshot(f"{path}: {problem.strerror}") from None
+        raise SnapshotError(f"{path}: {problem.strerror}") from None
 
 
 class _Reader:
@@ -121,27 +124,29 @@
         try:
             return self._decoder.decode()
         except (cbor2.CBORDecodeError, ValueError, TypeError, OSError) as problem:
-            raise BadSnapshot(f"{self._path}: it can't be read: {problem}") from None
+            raise SnapshotError(f"{self._path}: it can't be read: {problem}") from None
 
     def row(self) -> tuple[bytes, bytes]:
         match self.item():
             case [bytes(key), bytes(raw)]:
                 return key, raw
-        raise BadSnapshot(f"{self._path}: what should be a key is none")
+        raise SnapshotError(f"{self._path}: what should be a key is none")
 
 
 def _read_header(path: str, reader: _Reader) -> _Header:
     match reader.item():
         case [str(magic), int(format_number), bytes(), int(keys)] if magic == MAGIC and keys >= 0:
             if format_number not in FORMATS:
-                raise BadSnapshot(f"{path}: format {format_number} is not known here")
+                raise SnapshotError(f"{path}: format {format_number} is not known here")
         case _:
-            raise BadSnapshot(f"{path}: it is no snapshot")
+            raise SnapshotError(f"{path}: it is no snapshot")
     try:
         states = {number: shard_state.unpack_value(packed) for number, packed in reader.item()}
     except (ValueError, TypeError) as problem:
-        raise BadSnapshot(f"{path}: its state can't be read: {problem}") from None
+        raise SnapshotError(f"{path}: its state can't be read: {problem}") from None
     known = {number: value for number, value in states.items() if value is not None}
     if sorted(known) != list(shard_state.SHARDS):
-        raise BadSnapshot(f"{path}: it has the parts {sorted(known)}, {list(shard_state.SHARDS)} are needed")
+        raise SnapshotError(
+            f"{path}: it has the parts {sorted(known)}, {list(shard_state.SHARDS)} are needed"
+        )
     return _Header(keys, known)
--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -17,28 +17,28 @@
 import lmdb
 from loguru import logger
 
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import (
     LOCK,
     NAMES,
     PART,
     STORE,
     Databases,
-    InUse,
+    StoreInUseError,
     open_env,
     size_by_meta_pages,
     sync_folder,
     take_lock,
 )
 from orchidferry.mesh.storage.inspection import BROKEN, StoreContents, inspect
-from orchidferry.mesh.storage.record_format import FORMAT, Damaged, put_sealed, wrap
+from orchidferry.mesh.storage.record_format import FORMAT, CorruptStoreError, put_sealed, wrap
 
 # files of data_dir
 TRIES = "opening"
 RENAMED = "renamed"
 BAD = "bad"  # a directory there
 DISK_BYTES = 250_000_000  # of a disk of 256 MB
-BAD_MOST = 64_000_000  # bytes; a larger store that was moved to `bad` isn't kept
+MAX_BAD = 64_000_000  # bytes; a larger store that was moved to `bad` isn't kept
 COMPACT_SHARE = 0.5  # of the file that must be free for a compact copy
 COMPACT_BYTES = 16 * 1024 * 1024  # a smaller file isn't worth a copy
 COPY_OVERHEAD = 1.05  # what a compact copy may take beyond the used pages
@@ -64,14 +64,14 @@
 def prepare(folder: str) -> None:
     """Have no store in a directory, or one that can be opened: verified, of this format, not too large.
 
-    `BadStore` if that can't be done at the moment.
+    `StoreError` if that can't be done at the moment.
     """
     try:
         os.makedirs(folder, exist_ok=True)
         with take_lock(folder):
             _prepare(folder)
     except (OSError, lmdb.Error) as problem:
-        raise BadStore(f"{folder}: {problem}") from None
+        raise StoreError(f"{folder}: {problem}") from None
 
 
 def _prepare(folder: str) -> None:
@@ -86,15 +86,15 @@
     deaths = os.stat(tries).st_size if os.path.exists(tries) else 0
     try:
         if deaths >= DEATHS:
-            raise Damaged(f"the process ended {deaths} times while it looked at it")
+            raise CorruptStoreError(f"the process ended {deaths} times while it looked at it")
         # A disk that refuses this is no reason to wait: its contents can still be read.
         with contextlib.suppress(OSError), open(tries, "ab") as count:
             count.write(b"x")
         _check_file(file, part)
-    except Damaged as problem:
+    except CorruptStoreError as problem:
         set_aside(folder, str(problem))
-    except BadStore as problem:
-        raise BadStore(f"{folder}: {problem}") from None
+    except StoreError as problem:
+        raise StoreError(f"{folder}: {problem}") from None
     finally:
         _remove(tries)
 
@@ -104,13 +104,13 @@
     try:
         env = open_env(file, file=True)
     except BROKEN as problem:
-        raise Damaged(str(problem)) from None
+        raise CorruptStoreError(str(problem)) from None
     try:
         _extend_to_full_size(env, file)
         inspection = inspect(env, file, NAMES)
         contents = inspection.contents
         if contents.early is not None:
-            raise BadStore("it is of a build before parts: carry the group over by a snapshot")
+            raise StoreError("it is of a build before parts: carry the group over by a snapshot")
         if contents.format < FORMAT:
             _migrate(env, inspection.dbs, contents.format)
             logger.info("store: the store was of format {}, it is of {} now", contents.format, FORMAT)
@@ -129,7 +129,7 @@
         starts = [page + field for field in META_FIELDS]
         map_bytes, last = (int.from_bytes(pages[at : at + FIELD_BYTES], sys.byteorder) for at in starts)
         if map_bytes > MAX_META_BYTES or last * PAGE > MAX_META_BYTES:
-            raise Damaged("a root names more pages than a store has")
+            raise CorruptStoreError("a root names more pages than a store has")
 
 
 def _extend_to_full_size(env: lmdb.Environment, file: str) -> None:
@@ -170,7 +170,7 @@
         finally:
             copy.close()
         return True
-    except (OSError, lmdb.Error, BadStore) as problem:
+    except (OSError, lmdb.Error, StoreError) as problem:
         logger.warning("store: no compact copy could be made: {}", problem)
         _remove(part)
         return False
@@ -178,7 +178,7 @@
 
 def _require_same(copy: StoreContents, store: StoreContents) -> None:
     if (copy.kept, copy.keys, copy.caught_up) != (store.kept, store.keys, store.caught_up):
-        raise Damaged("the copy is not like the store")
+        raise CorruptStoreError("the copy is not like the store")
 
 
 def _replace(part: str, file: str) -> bool:
@@ -212,7 +212,7 @@
     sync_folder(folder)  # it is durable that this controller has forgotten, before its store goes
     kept = os.path.join(bad, STORE)
     os.replace(os.path.join(folder, STORE), kept)
-    if os.stat(kept).st_size > BAD_MOST:
+    if os.stat(kept).st_size > MAX_BAD:
         os.remove(kept)
     sync_folder(bad)
     sync_folder(folder)
@@ -257,7 +257,7 @@
     try:
         prepare(folder)
         problem = ""
-    except BadStore as found:
+    except StoreError as found:
         problem = str(found)
     with contextlib.suppress(RuntimeError):  # the loop has ended
         loop.call_soon_threadsafe(_set_result, done, problem)
@@ -272,7 +272,7 @@
 
 
 def look(folder: str) -> StoreContents | None:
-    """What the store of a directory holds, with nothing written; None if there is none. `BadStore`."""
+    """What the store of a directory holds, with nothing written; None if there is none. `StoreError`."""
     file = os.path.join(folder, STORE)
     locked = os.path.exists(os.path.join(folder, LOCK))
     if not os.path.exists(file):
@@ -283,13 +283,13 @@
             env = open_env(file, file=True, readonly=True)
             try:
                 if os.stat(file).st_size < size_by_meta_pages(env):
-                    raise Damaged("the file is shorter than its root says")
+                    raise CorruptStoreError("the file is shorter than its root says")
                 return inspect(env, file, NAMES).contents
             finally:
                 env.close()
     except (OSError, lmdb.Error) as problem:
-        raise BadStore(f"{folder}: {problem}") from None
-    except InUse:
+        raise StoreError(f"{folder}: {problem}") from None
+    except StoreInUseError:
         raise
-    except BadStore as problem:
-        raise BadStore(f"{folder}: {problem}") from None
+    except StoreError as problem:
+        raise StoreError(f"{folder}: {problem}") from None
--- a/orchidferry/mesh/storage/store.py
+++ b/orchidferry/mesh/storage/store.py
@@ -15,7 +15,7 @@
 
 import lmdb
 
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.disk_health import STUCK_S, DiskHealth
 from orchidferry.mesh.storage.environment import (
     ABOUT,
@@ -32,7 +32,7 @@
 )
 from orchidferry.mesh.storage.record_format import (
     FORMAT_KEY,
-    Damaged,
+    CorruptStoreError,
     Put,
     pack,
     put_sealed,
@@ -61,7 +61,7 @@
     NAMES = NAMES
 
     def __init__(self, folder: str, loop: asyncio.AbstractEventLoop) -> None:
-        """Open the store, or make it. `BadStore` if neither can be done."""
+        """Open the store, or make it. `StoreError` if neither can be done."""
         self._folder = folder
         self._loop = loop
         self._wake = threading.Condition()  # guards the next four, and wakes the thread
@@ -86,13 +86,13 @@
             os.makedirs(self._folder, exist_ok=True)
             self._lock = take_lock(self._folder)
         except OSError as problem:
-            raise BadStore(f"{self._folder}: {problem}") from None
+            raise StoreError(f"{self._folder}: {problem}") from None
         try:
             self._open()
         except (OSError, lmdb.Error) as problem:
             self._lock.close()
-            raise BadStore(f"{self._folder}: {problem}") from None
-        except BadStore:
+            raise StoreError(f"{self._folder}: {problem}") from None
+        except StoreError:
             self._lock.close()
             raise
 
@@ -120,7 +120,7 @@
         with self._env.begin(db=about) as txn:
             sealed = txn.get(FORMAT_KEY) is not None
             if not sealed and txn.stat(about)["entries"]:
-                raise BadStore(f"{self._folder}: of an earlier build, and not made ready")
+                raise StoreError(f"{self._folder}: of an earlier build, and not made ready")
         return sealed
 
     def _make(self) -> None:
@@ -136,13 +136,13 @@
         os.rename(part, os.path.join(self._folder, STORE))
 
     def read(self, name: str, key: bytes) -> bytes | None:
-        """One value. `Damaged`."""
+        """One value. `CorruptStoreError`."""
         with self._opening, self._env.begin(db=self._dbs[name]) as txn:
             raw = txn.get(key)
         return self._verified(name, [(key, raw)])[0][1] if raw is not None else None
 
     def all(self, name: str) -> list[tuple[bytes, bytes]]:
-        """All keys and values of a database. `Damaged`."""
+        """All keys and values of a database. `CorruptStoreError`."""
         with self._opening, self._env.begin(db=self._dbs[name]) as txn:
             rows = [(bytes(key), bytes(raw)) for key, raw in txn.cursor()]
         return self._verified(name, rows)
@@ -150,10 +150,10 @@
     def _verified(self, name: str, rows: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
         try:
             return [(key, unwrap(name, key, bytes(raw))) for key, raw in rows]
-        except Damaged as problem:  # closed, so that it can be opened again, and is checked then
+        except CorruptStoreError as problem:  # closed, so that it can be opened again, and is checked then
             self.close()
             self._env.close()
-            raise Damaged(f"{self._folder}: {problem}") from None
+            raise CorruptStoreError(f"{self._folder}: {problem}") from None
 
     @property
     def room(self) -> bool:
@@ -293,7 +293,7 @@
             with self._opening:
                 self._env.close()
                 self._open()
-        except (OSError, lmdb.Error, BadStore) as problem:
+        except (OSError, lmdb.Error, StoreError) as problem:
             self._problem = str(problem)
 
     # On the loop
--- a/orchidferry/mesh/wire/codec.py
+++ b/orchidferry/mesh/wire/codec.py
@@ -8,17 +8,18 @@
 import cbor2
 import msgspec
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.mesh.wire.messages import KINDS, Greeting, Message, ShardMessage, kind_of
 from orchidferry.mesh.wire.shard_messages import Body, ShardBody, tag_of
 
 LENGTH_BYTES = 4
 NATIVE = (bytes,)  # cbor2 carries them as they are
-TOLD_MOST = 200  # characters of a problem that go into a log line
+MAX_TOLD = 200  # characters of a problem that go into a log line
 SHARD_KINDS: dict[str, type[Body]] = {tag_of(kind): kind for kind in get_args(ShardBody)}
 _PATH = re.compile(r" - at `\$(?P<steps>(?:\[[^\]]*\])*)`")
 
 
-class UnreadableMessage(ValueError):
+class MessageDecodeError(OrchidferryError, ValueError):
     """Bytes that are no message; the text is one line that names the kind and the field."""
 
 
@@ -35,25 +36,25 @@
 
 
 def decode(body: bytes) -> Message:
-    """The message in these bytes, without their length; `UnreadableMessage` for what is none."""
+    """The message in these bytes, without their length; `MessageDecodeError` for what is none."""
     try:
         parts = cbor2.loads(body)
     except (cbor2.CBORDecodeError, ValueError) as problem:
-        raise UnreadableMessage(f"no CBOR: {problem!s:.{TOLD_MOST}}") from None
+        raise MessageDecodeError(f"no CBOR: {problem!s:.{MAX_TOLD}}") from None
     return from_list(parts)
 
 
 def from_list(parts: Any) -> Message:
-    """The message in a list; `UnreadableMessage` for what is none."""
+    """The message in a list; `MessageDecodeError` for what is none."""
     if not isinstance(parts, list) or not parts or not isinstance(parts[0], str):
-        raise UnreadableMessage("a message is a list that begins with its kind")
+        raise MessageDecodeError("a message is a list that begins with its kind")
     kind = KINDS.get(parts[0])
     if kind is None:
-        raise UnreadableMessage(f"no message of kind {parts[0]!r:.40}")
+        raise MessageDecodeError(f"no message of kind {parts[0]!r:.40}")
     try:
         return msgspec.convert(parts, kind, builtin_types=NATIVE)
     except msgspec.ValidationError as problem:
-        raise UnreadableMessage(_describe(kind, parts, str(problem))) from None
+        raise MessageDecodeError(_describe(kind, parts, str(problem))) from None
 
 
 def spoken_protocol(body: bytes) -> Any:
@@ -71,10 +72,10 @@
     """What msgspec says, with the names of fields in place of their positions."""
     found = _PATH.search(problem)
     if found is None:
-        return f"{kind_of(kind)}: {problem:.{TOLD_MOST}}"
+        return f"{kind_of(kind)}: {problem:.{MAX_TOLD}}"
     steps = re.findall(r"\[([^\]]*)\]", found["steps"])
     where = _field_names(kind, parts, steps)
-    return f"{where}: {problem[: found.start()]:.{TOLD_MOST}}"
+    return f"{where}: {problem[: found.start()]:.{MAX_TOLD}}"
 
 
 def _field_names(kind: type[Message], parts: list[Any], steps: list[str]) -> str:
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from orchidferry.mesh.wire.codec import LENGTH_BYTES, UnreadableMessage, decode, encode, spoken_protocol
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, MessageDecodeError, decode, encode, spoken_protocol
 from orchidferry.mesh.wire.messages import Greeting, Message
 
 MOST = 16 * 1024 * 1024  # bytes of one message
@@ -84,7 +84,7 @@
             return self._greeted(body)
         try:
             message = decode(body)
-        except UnreadableMessage as problem:
+        except MessageDecodeError as problem:
             logger.warning("link: a message of {} can't be read: {}", self._peer_address(), problem)
             return self.close()
         self._heard(self, message)
--- a/orchidferry/node/chain/settings.py
+++ b/orchidferry/node/chain/settings.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from orchidferry.balancing import chain
-from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, opt
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
 from orchidferry.node.config import operators_file
 from orchidferry.node.keys import read_keys
 
-KEYS_MOST = 8  # that are valid at once
+MAX_KEYS = 8  # that are valid at once
 NAMES = ("tier", "node")
 NUMBERS = ("share", "floor_per_s")
 
@@ -24,18 +24,18 @@
 
 
 def read_chain(path: str) -> Setup:
-    """Read the file; `BadConfig` names it and what is wrong."""
+    """Read the file; `ConfigError` names it and what is wrong."""
     return operators_file("ORCHIDFERRY_CHAIN", path, _read)
 
 
 def _read(obj: Json) -> Setup:
     known = {field.name for field in fields(chain.Limits)}
     if unknown := sorted(obj.keys() - known - {"keys"}):
-        raise Malformed(f"{unknown[0]!r} is not known")
+        raise SettingsFormatError(f"{unknown[0]!r} is not known")
     values: dict[str, Any] = {name: get(obj, name, str) for name in NAMES}
     values["first"] = get(obj, "first", bool)
     values |= {name: float(get(obj, name, NUMBER)) for name in NUMBERS if name in obj}
     values |= {name: get(obj, name, int) for name in ("extra", "nodes") if name in obj}
     values |= {name: get(obj, name, bool) for name in ("shed",) if name in obj}
     limits = chain.Limits(**values)
-    return Setup(limits, read_keys(opt(obj, "keys", list, []), KEYS_MOST))
+    return Setup(limits, read_keys(opt(obj, "keys", list, []), MAX_KEYS))
--- a/orchidferry/node/chain/wire.py
+++ b/orchidferry/node/chain/wire.py
@@ -20,17 +20,17 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable, Mapping
 
-from orchidferry.balancing.chain import HOPS_MOST
+from orchidferry.balancing.chain import MAX_HOPS
 from orchidferry.balancing.interface import Carried
 
 Headers = list[tuple[bytes, bytes]]
 TAG_BYTES = 16
-HEADER_MOST = 2_048  # bytes of a header that is read at all
+MAX_HEADER = 2_048  # bytes of a header that is read at all
 SLACK_S = 30.0  # of clocks, and of calls that outlive whoever asked
 FUTURE_S = 3_600.0  # a tag that is good for longer was not made here
 # requests whose calls are counted; calls of one that are believed
-ROOTS_MOST = 20_000
-CALLS_MOST = 512
+MAX_ROOTS = 20_000
+MAX_CALLS = 512
 BAGGAGE = re.compile(
     rb"of-root=([A-Za-z0-9._-]{1,64}), of-extra=(\d{1,2}), of-worth=(\d{1,7}(?:\.\d{1,3})?), "
     rb"of-until=(\d{1,12}), of-tag=([A-Za-z0-9]{1,16})\.([0-9a-f]{%d})" % (2 * TAG_BYTES)
@@ -74,11 +74,11 @@
         hops = headers.get(b"cdn-loop", b"")
         if b"of-tag=" not in baggage:
             return None  # other people's baggage, or none
-        if len(baggage) > HEADER_MOST or len(hops) > HEADER_MOST:
+        if len(baggage) > MAX_HEADER or len(hops) > MAX_HEADER:
             return self._not("too long")
         match = BAGGAGE.search(baggage)
         path = HOP.findall(hops)
-        if match is None or len(path) > HOPS_MOST:
+        if match is None or len(path) > MAX_HOPS:
             return self._not("not in its form")
         root, extra, worth, until, key, tag = match.groups()
         text = baggage[match.start() : match.start(5) - len(b", of-tag=")]
@@ -90,9 +90,9 @@
             return self._not("a tag whose time is over")
         calls = self._roots.pop(root.decode(), 0) + 1
         self._roots[root.decode()] = calls
-        if len(self._roots) > ROOTS_MOST:
+        if len(self._roots) > MAX_ROOTS:
             self._roots.popitem(last=False)
-        if calls > CALLS_MOST:
+        if calls > MAX_CALLS:
             return self._not("a tag that came too often")
         return Carried(root.decode(), int(extra), float(worth), tuple(hop.decode() for hop in path))
 
--- a/orchidferry/node/config.py
+++ b/orchidferry/node/config.py
@@ -17,7 +17,17 @@
 from typing import Any, TypeVar
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, objects, opt, read_settings, word
+from orchidferry.balancing.settings import (
+    NUMBER,
+    Json,
+    SettingsFormatError,
+    get,
+    objects,
+    opt,
+    read_settings,
+    word,
+)
+from orchidferry.errors import OrchidferryError
 from orchidferry.node.steps import at_once
 
 Address = tuple[str, int]
@@ -38,7 +48,7 @@
 NO_SPACE = re.compile(r"[ \t\n\r]*([^ \t\n\r])")  # JSON's white space, and what comes next
 
 
-class BadConfig(Exception):
+class ConfigError(OrchidferryError):
     """A configuration that no node can be started with."""
 
 
@@ -85,14 +95,14 @@
     """Split host:port."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise Malformed(f"{text!r:.60} is no address of the form host:port")
+        raise SettingsFormatError(f"{text!r:.60} is no address of the form host:port")
     return host.strip("[]"), int(port)
 
 
 def hex_digits(text: str) -> int:
     """A number written in hex digits and nothing else."""
     if not re.fullmatch("[0-9a-fA-F]+", text):
-        raise Malformed(f"'seed' must be hex digits, not {text!r:.60}")
+        raise SettingsFormatError(f"'seed' must be hex digits, not {text!r:.60}")
     return int(text, 16)
 
 
@@ -104,13 +114,13 @@
         with open(path, "rb") as file:
             obj = tomllib.load(file)
     except OSError as problem:
-        raise BadConfig(f"can't read {variable}: {problem}") from None
+        raise ConfigError(f"can't read {variable}: {problem}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise BadConfig(f"{path}: not TOML: {problem!s:.100}") from None
+        raise ConfigError(f"{path}: not TOML: {problem!s:.100}") from None
     try:
         return read(obj)
-    except (Malformed, ValueError) as problem:
-        raise BadConfig(f"{path}: {problem}") from None
+    except (SettingsFormatError, ValueError) as problem:
+        raise ConfigError(f"{path}: {problem}") from None
 
 
 def admin_address(obj: Json) -> Address | None:
@@ -121,8 +131,8 @@
     text = os.environ.get("NODE_ADMIN_ADDR", "")
     try:
         return address(text) if text else None
-    except Malformed as problem:
-        raise Malformed(f"NODE_ADMIN_ADDR: {problem}") from None
+    except SettingsFormatError as problem:
+        raise SettingsFormatError(f"NODE_ADMIN_ADDR: {problem}") from None
 
 
 _offset_ms = -math.inf
@@ -222,16 +232,16 @@
 
 
 def read_config(path: str) -> Config:
-    """Read the file; `BadConfig` says in one line what is wrong with it."""
+    """Read the file; `ConfigError` says in one line what is wrong with it."""
     try:
         with open(path, encoding="utf-8") as file:
             obj = json.load(file)
     except OSError as problem:
-        raise BadConfig(f"can't read the configuration: {problem}") from None
+        raise ConfigError(f"can't read the configuration: {problem}") from None
     except (ValueError, RecursionError) as problem:
-        raise BadConfig(f"{path}: not JSON: {problem!s:.100}") from None
+        raise ConfigError(f"{path}: not JSON: {problem!s:.100}") from None
     if not isinstance(obj, dict):
-        raise BadConfig(f"{path}: must be an object")
+        raise ConfigError(f"{path}: must be an object")
     try:
         limits = opt(obj, "limits", dict, {})
         return Config(
@@ -245,5 +255,5 @@
             settings=read_settings(get(obj, "settings", dict)),
             admin=admin_address(obj),
         )
-    except (Malformed, ValueError) as problem:
-        raise BadConfig(f"{path}: {problem}") from None
+    except (SettingsFormatError, ValueError) as problem:
+        raise ConfigError(f"{path}: {problem}") from None
--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -46,8 +46,8 @@
         held: Configuration | None = None,
         said: Callable[[], None] = lambda: None,
     ) -> None:
-        """`BadConfig` if a certificate can't be read. `held`: what the node holds already, before any that is
-        saved; `said` is called after each event."""
+        """`ConfigError` if a certificate can't be read. `held`: what the node holds already, before any that
+        is saved; `said` is called after each event."""
         self._control = control
         self._file = file
         self._do_apply = apply
--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -20,15 +20,15 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
 from orchidferry.balancing.versions import Answer, Content, Offered, Part, Pools
-from orchidferry.node.control.messages import PARTS, TYPES, Unreadable, read_node, read_pool
+from orchidferry.node.control.messages import PARTS, TYPES, ResourceDecodeError, read_node, read_pool
 from orchidferry.node.control.settings import Control, read_tls
 
-MESSAGE_MOST = 16 * 1024 * 1024  # bytes: some 40,000 members
-RESOURCES_MOST = 128  # of one response
-UNANSWERED_MOST = 1_024  # nonces of a part that wait for an answer; a stream with more is ended
+MAX_MESSAGE = 16 * 1024 * 1024  # bytes: some 40,000 members
+MAX_RESOURCES = 128  # of one response
+MAX_UNANSWERED = 1_024  # nonces of a part that wait for an answer; a stream with more is ended
 # full jitter: a random part of a limit that doubles
 BACK_OFF_S = 0.5
-BACK_OFF_MOST_S = 30.0
+MAX_BACK_OFF_S = 30.0
 STEADY_S = 5.0  # a stream that stood for so long begins the back-off anew
 # a service that vanished says nothing; a ping shows it
 KEEPALIVE_MS = 10_000
@@ -43,7 +43,7 @@
 
 def back_off_s(tries: int, chance: float) -> float:
     """How long to wait before the next stream after so many in a row that failed; `chance` from 0 to 1."""
-    return chance * min(BACK_OFF_MOST_S, BACK_OFF_S * 2.0 ** min(tries, 16))
+    return chance * min(MAX_BACK_OFF_S, BACK_OFF_S * 2.0 ** min(tries, 16))
 
 
 class Resources:
@@ -71,8 +71,8 @@
 
     def _read(self, part: Part, response: Any) -> Named | str:
         """What a response holds, or why it can't be read."""
-        if len(response.resources) > RESOURCES_MOST:
-            return f"{len(response.resources)} resources, {RESOURCES_MOST} at most"
+        if len(response.resources) > MAX_RESOURCES:
+            return f"{len(response.resources)} resources, {MAX_RESOURCES} at most"
         found: Named = {}
         try:
             for resource in response.resources:
@@ -83,7 +83,7 @@
                     found[name] = resource.version, read_pool(name, packed, known)
                 else:
                     found[name] = resource.version, read_node(name, packed)
-        except Unreadable as problem:
+        except ResourceDecodeError as problem:
             return str(problem)
         return found
 
@@ -94,8 +94,8 @@
         if response.nonce == self._last.get(part):
             return None
         self._last[part] = response.nonce
-        if len(nonces) >= UNANSWERED_MOST:
-            raise Unreadable(f"{len(nonces)} responses unanswered")
+        if len(nonces) >= MAX_UNANSWERED:
+            raise ResourceDecodeError(f"{len(nonces)} responses unanswered")
         changed = dict(self._offered[part])
         problem = read if isinstance(read, str) else ""
         if not isinstance(read, str):
@@ -150,7 +150,7 @@
     def __init__(
         self, control: Control, hear: Hear, stream: Callable[[bool], None], rng: random.Random | None = None
     ) -> None:
-        """`BadConfig` if a certificate can't be read."""
+        """`ConfigError` if a certificate can't be read."""
         self._control = control
         self._hear = hear
         self._stream = stream
@@ -196,7 +196,7 @@
                 code = getattr(problem, "code", None)
                 details = getattr(problem, "details", None)
                 why = f"{code().name if code else problem}: {(details() or '') if details else ''}"
-            except Unreadable as problem:
+            except ResourceDecodeError as problem:
                 why = str(problem)
             except Exception as problem:  # whatever came, the node serves on
                 log.exception("the control channel")
@@ -215,7 +215,7 @@
         control = self._control
         target = f"{control.service[0]}:{control.service[1]}"
         options = [
-            ("grpc.max_receive_message_length", MESSAGE_MOST),
+            ("grpc.max_receive_message_length", MAX_MESSAGE),
             ("grpc.keepalive_time_ms", KEEPALIVE_MS),
             ("grpc.keepalive_timeout_ms", KEEPALIVE_WAIT_MS),
             ("grpc.keepalive_permit_without_calls", 1),
@@ -255,7 +255,7 @@
                 # Its status: an end without an error is one too.
                 await call.code()
                 if (code := await call.code()) is not grpc.StatusCode.OK:
-                    raise Unreadable(f"{code.name}: {await call.details()}")
+                    raise ResourceDecodeError(f"{code.name}: {await call.details()}")
             finally:
                 writer.cancel()
                 call.cancel()
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -19,10 +19,10 @@
 
 from orchidferry.balancing.versions import Configuration
 from orchidferry.node.control.agent import Agent, own_file
-from orchidferry.node.control.pipe import LINE_MOST, Garbled, Held, Row, Teller, line, read_line
+from orchidferry.node.control.pipe import MAX_LINE, Held, PipeDecodeError, Row, Teller, line, read_line
 from orchidferry.node.control.plain import BAD_PLAIN, settings_from
 from orchidferry.node.control.settings import Control
-from orchidferry.node.control.store import Store, Taken
+from orchidferry.node.control.store import StateLockedError, Store
 
 NICE = 5  # beside the node on one core, requests come first
 APPLY_S = 30.0  # for the node's word of a change; past that nothing is known of the node any more
@@ -31,7 +31,7 @@
 TAKEN_S = 3.0
 TAKEN_STEP_S = 0.05
 BEGIN_S = 10.0  # for the node to say what it holds
-OUT_MOST = 64 * 1024  # bytes that wait to be read before more of a change is made
+MAX_OUT = 64 * 1024  # bytes that wait to be read before more of a change is made
 
 log = logging.getLogger("orchidferry")
 
@@ -64,7 +64,7 @@
     async def _tell(self, whole: Configuration) -> None:
         for data in self._teller.change(whole):
             self._out.write(data)
-            if self._out.transport.get_write_buffer_size() > OUT_MOST:
+            if self._out.transport.get_write_buffer_size() > MAX_OUT:
                 await self._out.drain()
 
     def _late(self) -> None:
@@ -86,7 +86,7 @@
     def hear(self, found: dict[str, Any]) -> None:
         """The node's word."""
         if found["do"] != "applied":
-            raise Garbled(f"{found['do']!r} is none of the node's")
+            raise PipeDecodeError(f"{found['do']!r} is none of the node's")
         if self._teller.applied(found["n"], str(found["problem"])):
             if self._timer is not None:
                 self._timer.cancel()
@@ -102,7 +102,7 @@
     while True:
         try:
             return Store(folder)
-        except Taken as problem:
+        except StateLockedError as problem:
             if loop.time() < until:
                 await asyncio.sleep(TAKEN_STEP_S)
                 continue
@@ -139,14 +139,14 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         loop.add_signal_handler(number, lambda: None)
-    reader = asyncio.StreamReader(limit=LINE_MOST)
+    reader = asyncio.StreamReader(limit=MAX_LINE)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, sys.stdout)
     out = asyncio.StreamWriter(transport, protocol, None, loop)
     try:
         async with asyncio.timeout(BEGIN_S):
             control, own, held = await _read_begin(reader)
-    except (*BAD_PLAIN, Garbled, TimeoutError) as problem:
+    except (*BAD_PLAIN, PipeDecodeError, TimeoutError) as problem:
         if reader.at_eof():
             return 0  # the node has gone again
         print(f"orchidferry: the helper was told nothing that it can use: {problem}", file=sys.stderr)
--- a/orchidferry/node/control/link.py
+++ b/orchidferry/node/control/link.py
@@ -20,16 +20,16 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.node.config import BadConfig, now_ms
+from orchidferry.node.config import ConfigError, now_ms
 from orchidferry.node.control.members import Home, Members
-from orchidferry.node.control.pipe import LINE_MOST, Change, Garbled, Taker, line, read_line
+from orchidferry.node.control.pipe import MAX_LINE, Change, PipeDecodeError, Taker, line, read_line
 from orchidferry.node.control.plain import plain
 from orchidferry.node.control.settings import Control, read_tls
 
 NEEDS = ("grpc", "envoy", "xds", "google.protobuf")  # what the helper imports, of the extra `control`
 # full jitter; of starts, each of which takes half a second of CPU
 BACK_OFF_S = 0.2
-BACK_OFF_MOST_S = 10.0
+MAX_BACK_OFF_S = 10.0
 STEADY_S = 30.0  # a helper that stood for so long begins the back-off anew
 END_S = 0.4  # what it gets to finish a write at a planned end; a kill then leaves the old or the new one
 ROOT = Path(__file__).parents[3]
@@ -48,10 +48,10 @@
         loop: asyncio.AbstractEventLoop,
         rng: random.Random | None = None,
     ) -> None:
-        """`BadConfig` if a library is missing or a certificate can't be read."""
+        """`ConfigError` if a library is missing or a certificate can't be read."""
         for name in NEEDS:
             if importlib.util.find_spec(name.partition(".")[0]) is None:
-                raise BadConfig(f"ORCHIDFERRY_CONTROL is set, and {name} is not installed")
+                raise ConfigError(f"ORCHIDFERRY_CONTROL is set, and {name} is not installed")
         read_tls(control)
         self._control = control
         self._settings = settings
@@ -94,17 +94,17 @@
                 why = await self._one()
             except OSError as problem:
                 why = f"it can't be started: {problem.strerror}"
-            except Garbled as problem:
+            except PipeDecodeError as problem:
                 why = f"what it says can't be read: {problem}"
             except ValueError:
-                why = f"a line of more than {LINE_MOST} bytes"
+                why = f"a line of more than {MAX_LINE} bytes"
             except Exception as problem:  # whatever it did, the node serves on
                 log.exception("the control channel's helper")
                 why = type(problem).__name__
             finally:
                 await self._end()
             tries = 0 if self._loop.time() - began > STEADY_S else tries + 1
-            wait_s = self._rng.random() * min(BACK_OFF_MOST_S, BACK_OFF_S * 2.0 ** min(tries, 16))
+            wait_s = self._rng.random() * min(MAX_BACK_OFF_S, BACK_OFF_S * 2.0 ** min(tries, 16))
             log.error("the control channel's helper has ended: %s; again in %.1f s", why, wait_s)
             await asyncio.sleep(wait_s)
 
@@ -134,7 +134,7 @@
             "-m",
             "orchidferry.node.control.helper",
             cwd=ROOT,
-            limit=LINE_MOST,
+            limit=MAX_LINE,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
@@ -155,7 +155,7 @@
         return f"exit status {await process.wait()}"
 
     async def follow(self, reader: asyncio.StreamReader, say: Callable[[bytes], None]) -> None:
-        """Do what a helper says, until it says no more; `Garbled` if it can't be meant."""
+        """Do what a helper says, until it says no more; `PipeDecodeError` if it can't be meant."""
         taker = Taker()
         while data := await reader.readline():
             found = read_line(data)
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -1,7 +1,7 @@
 """xDS messages as the module's values: EDS pools and the node's settings.
 
-Published messages only (`xds-protos`). What can't be used raises `Unreadable` with the resource and field
-that is at fault. Field meanings are xDS v3's; what it has no field for stands in an endpoint's metadata
+Published messages only (`xds-protos`). What can't be used raises `ResourceDecodeError` with the resource and
+field that is at fault. Field meanings are xDS v3's; what it has no field for stands in an endpoint's metadata
 under `orchidferry`:
 
 - `endpoint.hostname`, or else the address, is the server's name; its locality's zone is its zone;
@@ -23,8 +23,9 @@
 from xds.type.v3 import typed_struct_pb2
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.settings import Malformed, get, read_settings
+from orchidferry.balancing.settings import SettingsFormatError, get, read_settings
 from orchidferry.balancing.versions import Member, NodeSettings, Part
+from orchidferry.errors import OrchidferryError
 from orchidferry.node.config import server_id, unix_offset_ms
 
 PREFIX = "type.googleapis.com/"
@@ -35,7 +36,7 @@
 PARTS = {url: part for part, url in TYPES.items()}
 METADATA = "orchidferry"
 WHOLE_WEIGHT = 100.0  # a `load_balancing_weight` that is a whole share
-MOST_TEXT = 256  # characters of a name, zone or kind
+MAX_TEXT = 256  # characters of a name, zone or kind
 
 HEALTH = {
     health_check_pb2.UNKNOWN: api.Health.IN_SERVICE,
@@ -47,17 +48,17 @@
 }
 
 
-class Unreadable(Exception):
+class ResourceDecodeError(OrchidferryError):
     """A resource that can't be used; the text names it and its field."""
 
 
 def _unpack(packed: AnyMessage, url: str, message: Any, where: str) -> Any:
     if packed.type_url != url:
-        raise Unreadable(f"{where}: is a {packed.type_url[:MOST_TEXT]!r}, not a {url!r}")
+        raise ResourceDecodeError(f"{where}: is a {packed.type_url[:MAX_TEXT]!r}, not a {url!r}")
     try:
         message.ParseFromString(packed.value)
     except DecodeError:
-        raise Unreadable(f"{where}: can't be parsed") from None
+        raise ResourceDecodeError(f"{where}: can't be parsed") from None
     return message
 
 
@@ -66,7 +67,7 @@
     if value is None:
         return 0.0
     if value.WhichOneof("kind") != "number_value":
-        raise Unreadable(f"{where}: metadata.{METADATA}.{name} must be a number")
+        raise ResourceDecodeError(f"{where}: metadata.{METADATA}.{name} must be a number")
     return float(value.number_value)
 
 
@@ -76,7 +77,7 @@
     where = f"pool {name!r}"
     found = _unpack(packed, EDS, endpoint_pb2.ClusterLoadAssignment(), where)
     if found.cluster_name != name:
-        raise Unreadable(f"{where}: cluster_name is {found.cluster_name[:MOST_TEXT]!r}")
+        raise ResourceDecodeError(f"{where}: cluster_name is {found.cluster_name[:MAX_TEXT]!r}")
     offset_ms = unix_offset_ms()
     members = []
     for group_at, group in enumerate(found.endpoints):
@@ -85,11 +86,11 @@
             at_field = f"{where}: endpoints[{group_at}].lb_endpoints[{at}]"
             address = one.endpoint.address.socket_address
             if not address.address or not 0 < address.port_value < 65536:
-                raise Unreadable(f"{at_field}: no address of host and port")
-            if len(one.endpoint.hostname) > MOST_TEXT or len(address.address) > MOST_TEXT:
-                raise Unreadable(f"{at_field}: a name of more than {MOST_TEXT} characters")
+                raise ResourceDecodeError(f"{at_field}: no address of host and port")
+            if len(one.endpoint.hostname) > MAX_TEXT or len(address.address) > MAX_TEXT:
+                raise ResourceDecodeError(f"{at_field}: a name of more than {MAX_TEXT} characters")
             if one.health_status not in HEALTH:
-                raise Unreadable(f"{at_field}: health_status {one.health_status} is not known")
+                raise ResourceDecodeError(f"{at_field}: health_status {one.health_status} is not known")
             more = one.metadata.filter_metadata.get(METADATA)
             kind = ""
             cell = 0
@@ -135,12 +136,16 @@
         outer.typed_config, PREFIX + "xds.type.v3.TypedStruct", typed_struct_pb2.TypedStruct(), where
     )
     if inner.type_url != NODE_SETTINGS:
-        raise Unreadable(f"{where}: holds a {inner.type_url[:MOST_TEXT]!r}, not a {NODE_SETTINGS!r}")
+        raise ResourceDecodeError(f"{where}: holds a {inner.type_url[:MAX_TEXT]!r}, not a {NODE_SETTINGS!r}")
     try:
         value = _whole_numbers(json_format.MessageToDict(inner.value))
         return NodeSettings(get(value, "pool", str), read_settings(get(value, "settings", dict)))
-    except (Malformed, ValueError, RecursionError) as problem:  # what settings can't be is a ValueError
-        raise Unreadable(f"{where}: {problem!s:.200}") from None
+    except (
+        SettingsFormatError,
+        ValueError,
+        RecursionError,
+    ) as problem:  # what settings can't be is a ValueError
+        raise ResourceDecodeError(f"{where}: {problem!s:.200}") from None
 
 
 def pool_message(name: str, endpoints: Iterable[dict[str, Any]]) -> AnyMessage:
--- a/orchidferry/node/control/pipe.py
+++ b/orchidferry/node/control/pipe.py
@@ -18,16 +18,17 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import MOST_MEMBERS, Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.balancing.versions import MAX_MEMBERS, Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.errors import OrchidferryError
 from orchidferry.node.control.plain import BAD_PLAIN, member_from, member_row, plain, settings_from
 
 STEP = 32  # members of a line, and that the node takes in one go: some 1 ms
-LINE_MOST = 4 * 1024 * 1024  # bytes: the settings are one line, 10,000 tenants take some 600 KB
+MAX_LINE = 4 * 1024 * 1024  # bytes: the settings are one line, 10,000 tenants take some 600 KB
 
 Row = list[Any]
 
 
-class Garbled(Exception):
+class PipeDecodeError(OrchidferryError):
     """A line that the other side can't have meant."""
 
 
@@ -37,13 +38,13 @@
 
 
 def read_line(data: bytes) -> dict[str, Any]:
-    """One message; `Garbled` if it is none."""
+    """One message; `PipeDecodeError` if it is none."""
     try:
         found = json.loads(data)
     except ValueError:
-        raise Garbled("not JSON") from None
+        raise PipeDecodeError("not JSON") from None
     if not isinstance(found, dict) or not isinstance(found.get("do"), str):
-        raise Garbled("no message")
+        raise PipeDecodeError("no message")
     return found
 
 
@@ -142,11 +143,11 @@
         self._count = 0
 
     def take(self, found: dict[str, Any]) -> Change | None:
-        """One of the lines of a change; `Garbled` if it does not belong there."""
+        """One of the lines of a change; `PipeDecodeError` if it does not belong there."""
         try:
             return self._take(found)
         except BAD_PLAIN as problem:
-            raise Garbled(f"{found['do']}: {type(problem).__name__}: {problem!s:.100}") from None
+            raise PipeDecodeError(f"{found['do']}: {type(problem).__name__}: {problem!s:.100}") from None
 
     def _take(self, found: dict[str, Any]) -> Change | None:
         do = found["do"]
@@ -164,16 +165,16 @@
             self._count = 0
             return None
         if self._change is None:
-            raise Garbled(f"{do}: no change is out")
+            raise PipeDecodeError(f"{do}: no change is out")
         if do == "rows" or do == "gone":
             step = found["rows" if do == "rows" else "servers"]
             self._count += len(step)
-            if self._count > 2 * MOST_MEMBERS:
-                raise Garbled(f"{self._count} members in one change")
+            if self._count > 2 * MAX_MEMBERS:
+                raise PipeDecodeError(f"{self._count} members in one change")
             (self._change.rows if do == "rows" else self._change.gone).append(list(step))
             return None
         if do != "commit" or found["n"] != self._change.number:
-            raise Garbled(f"{do} is not the end of change {self._change.number}")
+            raise PipeDecodeError(f"{do} is not the end of change {self._change.number}")
         whole = self._change
         self._change = None
         return whole
--- a/orchidferry/node/control/settings.py
+++ b/orchidferry/node/control/settings.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, opt
-from orchidferry.node.config import Address, BadConfig, address, operators_file
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
+from orchidferry.node.config import Address, ConfigError, address, operators_file
 
 KNOWN = {
     "service",
@@ -20,7 +20,7 @@
     "certificate",
     "key",
 }
-WAIT_MOST_S = 60.0
+MAX_WAIT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,24 +40,26 @@
 
 
 def read_control(path: str) -> Control:
-    """Read the file; `BadConfig` names it and what is wrong."""
+    """Read the file; `ConfigError` names it and what is wrong."""
     return operators_file("ORCHIDFERRY_CONTROL", path, lambda obj: _read(obj, Path(path).parent))
 
 
 def _read(obj: Json, folder: Path) -> Control:
     if unknown := sorted(obj.keys() - KNOWN):
-        raise Malformed(f"{unknown[0]!r} is not known")
+        raise SettingsFormatError(f"{unknown[0]!r} is not known")
     pools = get(obj, "pools", list)
     if not pools or not all(isinstance(pool, str) and pool for pool in pools):
-        raise Malformed("'pools' must name at least one pool")
+        raise SettingsFormatError("'pools' must name at least one pool")
 
     def file(name: str) -> Path | None:
         text = opt(obj, name, str, "")
         return folder / text if text else None
 
     wait_s = float(opt(obj, "first_wait_s", NUMBER, 5.0))
-    if not 0.0 < wait_s <= WAIT_MOST_S:
-        raise Malformed(f"'first_wait_s' must be above 0 and at most {WAIT_MOST_S:g}, not {wait_s:g}")
+    if not 0.0 < wait_s <= MAX_WAIT_S:
+        raise SettingsFormatError(
+            f"'first_wait_s' must be above 0 and at most {MAX_WAIT_S:g}, not {wait_s:g}"
+        )
     made = Control(
         address(get(obj, "service", str)),
         get(obj, "node", str),
@@ -71,14 +73,14 @@
         file("key"),
     )
     if (made.certificate is None) != (made.key is None):
-        raise Malformed("'certificate' and 'key' go together")
+        raise SettingsFormatError("'certificate' and 'key' go together")
     if made.certificate is not None and made.ca is None:
-        raise Malformed("'certificate' needs 'ca'")
+        raise SettingsFormatError("'certificate' needs 'ca'")
     return made
 
 
 def read_tls(control: Control) -> tuple[bytes, bytes | None, bytes | None] | None:
-    """Authority, this node's key, certificate; None without TLS, `BadConfig` if one can't be read."""
+    """Authority, this node's key, certificate; None without TLS, `ConfigError` if one can't be read."""
     if control.ca is None:
         return None
     try:
@@ -86,4 +88,4 @@
         certificate = control.certificate.read_bytes() if control.certificate is not None else None
         return control.ca.read_bytes(), key, certificate
     except OSError as problem:
-        raise BadConfig(f"the control channel's {problem.filename}: {problem.strerror}") from None
+        raise ConfigError(f"the control channel's {problem.filename}: {problem.strerror}") from None
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -10,9 +10,19 @@
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node import store
 from orchidferry.node.control.plain import made, plain, settings_from
-from orchidferry.node.store import Files, Form, Taken, Unusable
+from orchidferry.node.store import Files, Form, StateFileError, StateLockedError
 
-__all__ = ["FORM", "Files", "Path", "Store", "Taken", "Unusable", "decode", "encode", "to_json"]
+__all__ = [
+    "FORM",
+    "Files",
+    "Path",
+    "StateFileError",
+    "StateLockedError",
+    "Store",
+    "decode",
+    "encode",
+    "to_json",
+]
 
 
 def to_json(whole: Configuration) -> dict[str, Any]:
@@ -66,12 +76,12 @@
 
 
 def decode(data: bytes) -> Configuration:
-    """The configuration in a file's bytes; `Unusable` if there is none that this program can read."""
+    """The configuration in a file's bytes; `StateFileError` if there is none that this program can read."""
     return FORM.decode(data)
 
 
 class Store(store.Store[Configuration]):
-    """The folder of one node. `Taken` if another holds it, `OSError` if there can't be one."""
+    """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
 
     def __init__(self, folder: Path, files: Files | None = None) -> None:
         super().__init__(folder, FORM, files)
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from orchidferry.balancing.settings import Malformed
+from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.config import Address, Listing, parse_in_steps, read_in_steps, read_listing
 from orchidferry.node.steps import between_others
 
@@ -30,7 +30,7 @@
 def _parsed(body: bytes) -> dict[str, Any]:
     obj = json.loads(body)
     if not isinstance(obj, dict):
-        raise Malformed("not an object")
+        raise SettingsFormatError("not an object")
     return obj
 
 
@@ -190,7 +190,7 @@
         if len(body) <= LONG_BODY:
             try:
                 listing = read_listing(_parsed(body))
-            except (ValueError, RecursionError, Malformed) as problem:
+            except (ValueError, RecursionError, SettingsFormatError) as problem:
                 return self._fail(f"a list that can't be read: {problem!s:.100}")
             return self._take(listing, keep)
         # A long one is read in steps, as requests are waiting; until then this call counts as out.
@@ -202,7 +202,7 @@
         task = self._asking
         try:
             listing = await between_others(read_in_steps(await between_others(parse_in_steps(body))))
-        except (ValueError, RecursionError, Malformed) as problem:
+        except (ValueError, RecursionError, SettingsFormatError) as problem:
             if self._asking is task:
                 self._fail(f"a list that can't be read: {problem!s:.100}")
             return
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from orchidferry.balancing.fleet.members import NAME_MOST, VERSION_MOST, ZONE_MOST
+from orchidferry.balancing.fleet.members import MAX_NAME, MAX_VERSION, MAX_ZONE
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.balancing.fleet.swim import SEEDS_MOST
-from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, opt
-from orchidferry.node.config import Address, BadConfig, address, operators_file
+from orchidferry.balancing.fleet.swim import MAX_SEEDS
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
+from orchidferry.node.config import Address, ConfigError, address, operators_file
 from orchidferry.node.keys import Keys, read_keys
 
 KNOWN = {
@@ -26,7 +26,7 @@
     "probe_ms",
     "most",
 }
-KEYS_MOST = 2  # at a time: the one that goes out and the one that comes in
+MAX_KEYS = 2  # at a time: the one that goes out and the one that comes in
 PROBE_MS = (50.0, 60_000.0)
 MOST = (2, 10_000)
 
@@ -49,24 +49,24 @@
 
 
 def read_fleet(path: str, name: str) -> Setup:
-    """Read the file; `BadConfig` names it and what is wrong. `name`: the node's own, where it says none."""
+    """Read the file; `ConfigError` names it and what is wrong. `name`: the node's own, where it says none."""
     return operators_file("ORCHIDFERRY_FLEET", path, lambda obj: _read(obj, Path(path).parent, name))
 
 
 def _where(field: str, value: object) -> Address:
     """An address with a number for its host: peers are reached without a name service."""
     if not isinstance(value, str):
-        raise Malformed(f"{field}: must be host:port")
+        raise SettingsFormatError(f"{field}: must be host:port")
     host, port = address(value)
     try:
         return str(ipaddress.ip_address(host)), port
     except ValueError:
-        raise Malformed(f"{field}: {host!r:.60} is no IP address") from None
+        raise SettingsFormatError(f"{field}: {host!r:.60} is no IP address") from None
 
 
 def _read(obj: Json, folder: Path, name: str) -> Setup:
     if unknown := sorted(obj.keys() - KNOWN):
-        raise Malformed(f"{unknown[0]!r} is not known")
+        raise SettingsFormatError(f"{unknown[0]!r} is not known")
 
     def file(field: str) -> Path | None:
         text = opt(obj, field, str, "")
@@ -75,34 +75,38 @@
     def text(field: str, default: str, most: int) -> str:
         value: str = opt(obj, field, str, default)
         if len(value) > most or not value.isprintable():
-            raise Malformed(f"{field!r} must be {most} printable characters at most, not {value!r:.40}")
+            raise SettingsFormatError(
+                f"{field!r} must be {most} printable characters at most, not {value!r:.40}"
+            )
         return value
 
     listen = _where("listen", get(obj, "listen", str))
     advertise = _where("advertise", obj["advertise"]) if "advertise" in obj else listen
     if ipaddress.ip_address(advertise[0]).is_unspecified or not advertise[1]:
-        raise Malformed("'advertise' must say where peers reach this node: an address and a port, not 0")
+        raise SettingsFormatError(
+            "'advertise' must say where peers reach this node: an address and a port, not 0"
+        )
     seeds = opt(obj, "seeds", list, [])
-    if len(seeds) > SEEDS_MOST:
-        raise Malformed(f"seeds: {len(seeds)}, {SEEDS_MOST} at most")
+    if len(seeds) > MAX_SEEDS:
+        raise SettingsFormatError(f"seeds: {len(seeds)}, {MAX_SEEDS} at most")
     keys = file("keys")
     if keys is None:
-        raise Malformed("'keys' is missing: the file with the fleet's keys")
+        raise SettingsFormatError("'keys' is missing: the file with the fleet's keys")
     probe_ms = float(opt(obj, "probe_ms", NUMBER, 1_000.0))
     if not PROBE_MS[0] <= probe_ms <= PROBE_MS[1]:
-        raise Malformed(f"'probe_ms' must be {PROBE_MS[0]:g} to {PROBE_MS[1]:g}, not {probe_ms:g}")
+        raise SettingsFormatError(f"'probe_ms' must be {PROBE_MS[0]:g} to {PROBE_MS[1]:g}, not {probe_ms:g}")
     most = opt(obj, "most", int, 1_024)
     if not MOST[0] <= most <= MOST[1]:
-        raise Malformed(f"'most' must be {MOST[0]} to {MOST[1]} nodes, not {most}")
-    own = text("name", name, NAME_MOST)
+        raise SettingsFormatError(f"'most' must be {MOST[0]} to {MOST[1]} nodes, not {most}")
+    own = text("name", name, MAX_NAME)
     if not own:
-        raise Malformed("'name' must not be empty")
+        raise SettingsFormatError("'name' must not be empty")
     return Setup(
         own,
         listen,
         advertise,
-        text("zone", "", ZONE_MOST),
-        text("version", "", VERSION_MOST),
+        text("zone", "", MAX_ZONE),
+        text("version", "", MAX_VERSION),
         tuple(_where(f"seeds[{n}]", one) for n, one in enumerate(seeds)),
         keys,
         file("state"),
@@ -127,21 +131,21 @@
 
 
 def read_key_file(path: Path) -> Keys:
-    """NAME=SECRET a line; the first signs, both are believed. `BadConfig` says what is wrong, never a
+    """NAME=SECRET a line; the first signs, both are believed. `ConfigError` says what is wrong, never a
     secret.
     """
     try:
         if path.stat().st_mode & 0o077:
-            raise BadConfig(f"{path}: others than its owner may read it: chmod 600")
+            raise ConfigError(f"{path}: others than its owner may read it: chmod 600")
         lines = path.read_text(encoding="utf-8").splitlines()
     except OSError as problem:
-        raise BadConfig(f"can't read the fleet's keys: {problem}") from None
+        raise ConfigError(f"can't read the fleet's keys: {problem}") from None
     except UnicodeDecodeError as problem:
-        raise BadConfig(f"{path}: not UTF-8 at byte {problem.start}") from None
+        raise ConfigError(f"{path}: not UTF-8 at byte {problem.start}") from None
     try:
-        keys = read_keys([line for line in lines if line.strip() and not line.startswith("#")], KEYS_MOST)
-    except Malformed as problem:
-        raise BadConfig(f"{path}: {problem}") from None
+        keys = read_keys([line for line in lines if line.strip() and not line.startswith("#")], MAX_KEYS)
+    except SettingsFormatError as problem:
+        raise ConfigError(f"{path}: {problem}") from None
     if not keys:
-        raise BadConfig(f"{path}: holds no key")
+        raise ConfigError(f"{path}: holds no key")
     return keys
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -27,13 +27,13 @@
 from orchidferry.balancing.fleet.fresh import Credit
 from orchidferry.balancing.fleet.members import Entry, Phase
 from orchidferry.balancing.fleet.swim import Fleet, Lasting
-from orchidferry.node.config import Address, BadConfig, now_ms
+from orchidferry.node.config import Address, ConfigError, now_ms
 from orchidferry.node.door import Page
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.settings import Setup, read_key_file
-from orchidferry.node.fleet.wire import DATAGRAM_MOST, Refused, Sealer
+from orchidferry.node.fleet.wire import MAX_DATAGRAM, DatagramError, Sealer
 from orchidferry.node.steps import between_others
-from orchidferry.node.store import Form, Store, Taken
+from orchidferry.node.store import Form, StateLockedError, Store
 
 # A datagram takes some 40 microseconds to read, so a flood takes a tenth of a core and no turn of over 1 ms;
 # a node of a fleet of 1,000 gets some 30 a second.
@@ -42,7 +42,7 @@
 READ_PAUSE_S = 0.02
 SEND_PER_S = 500.0
 SEND_AT_ONCE = 1_000.0
-ENTRY_MOST = 400  # bytes of an entry in a view
+MAX_ENTRY = 400  # bytes of an entry in a view
 # that others, and that this node, hold at once
 CONNECTIONS = 8
 EXCHANGES = 4
@@ -52,9 +52,9 @@
 KEEP_S = 1.0  # changes within so long are written to disk together
 SAY_EVERY_S = 60.0
 LEAVE_S = 0.2  # for word of a planned end to go out, thrice
-JOURNAL_MOST = 8 * 1024 * 1024  # bytes; as much again of the one before it is kept
+MAX_JOURNAL = 8 * 1024 * 1024  # bytes; as much again of the one before it is kept
 LENGTH = struct.Struct(">I")
-PEERS_MOST = 256  # that the disk is believed to hold
+MAX_PEERS = 256  # that the disk is believed to hold
 
 log = logging.getLogger("orchidferry")
 
@@ -67,7 +67,7 @@
     incarnation = obj["incarnation"]
     if type(incarnation) is not int or incarnation < 0:
         raise ValueError(f"incarnation {incarnation!r:.40}")
-    return Lasting(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:PEERS_MOST]))
+    return Lasting(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:MAX_PEERS]))
 
 
 FORM = Form("fleet", "fleet's state", b"orchidferry fleet", 1, 64 * 1024, _to_json, _from_json)
@@ -79,7 +79,7 @@
     def __init__(self, path: Path) -> None:
         """`OSError` if it can't be written."""
         handler = logging.handlers.RotatingFileHandler(
-            path, maxBytes=JOURNAL_MOST, backupCount=1, encoding="utf-8"
+            path, maxBytes=MAX_JOURNAL, backupCount=1, encoding="utf-8"
         )
         handler.setFormatter(logging.Formatter("%(message)s"))
         self._log = logging.Logger("orchidferry.node.fleet.journal")
@@ -111,7 +111,7 @@
 
 
 class Peers:
-    """This node's part in the fleet. `BadConfig` at the start for what can't be."""
+    """This node's part in the fleet. `ConfigError` at the start for what can't be."""
 
     def __init__(
         self, setup: Setup, loop: asyncio.AbstractEventLoop, rng: random.Random | None = None
@@ -129,7 +129,7 @@
             try:
                 self._journal = Journal(setup.journal)
             except OSError as problem:
-                raise BadConfig(f"can't write the fleet's journal: {problem}") from None
+                raise ConfigError(f"can't write the fleet's journal: {problem}") from None
         me = Entry(
             setup.name,
             *setup.advertise,
@@ -348,10 +348,10 @@
                 self._loop.remove_reader(udp)
                 self._reading = False
                 self._loop.call_later(READ_PAUSE_S, self._read_on)
-                self._refused(Refused("flood", f"was one of over {READ_PER_S:g} a second"))
+                self._refused(DatagramError("flood", f"was one of over {READ_PER_S:g} a second"))
                 return
             try:
-                data = udp.recv(DATAGRAM_MOST + 1)
+                data = udp.recv(MAX_DATAGRAM + 1)
             except OSError:  # nothing more, or word that nobody got one of ours
                 return
             self._take(data)
@@ -359,11 +359,11 @@
     def _take(self, data: bytes) -> None:
         self.counts["got"] += 1
         try:
-            if len(data) > DATAGRAM_MOST:
-                raise Refused("foreign", "a datagram is too long")
+            if len(data) > MAX_DATAGRAM:
+                raise DatagramError("foreign", "a datagram is too long")
             body, key = self._sealer.open(data)
             message = wire.decode(body)
-        except Refused as problem:
+        except DatagramError as problem:
             return self._refused(problem)
         self._remember_key(message.sender, key)
         self.handle(api.Heard(message))
@@ -376,7 +376,7 @@
         elif len(self._key_of) < self._setup.most:
             self._key_of[where] = key
 
-    def _refused(self, problem: Refused) -> None:
+    def _refused(self, problem: DatagramError) -> None:
         self.counts[f"refused_{problem.kind}"] += 1
         if self._loop.time() - self._said.get(problem.kind, -SAY_EVERY_S) >= SAY_EVERY_S:
             self._said[problem.kind] = self._loop.time()
@@ -404,7 +404,7 @@
             self.counts["exchanges"] += 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.counts["exchanges_failed"] += 1
-        except Refused as problem:
+        except DatagramError as problem:
             self._refused(problem)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -423,7 +423,7 @@
                 await writer.drain()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
-        except Refused as problem:
+        except DatagramError as problem:
             self._refused(problem)
         finally:
             self._connections -= 1
@@ -435,8 +435,8 @@
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-        if length > 4 * 1024 + ENTRY_MOST * self._setup.most:
-            raise Refused("foreign", f"says that it has {length} bytes")
+        if length > 4 * 1024 + MAX_ENTRY * self._setup.most:
+            raise DatagramError("foreign", f"says that it has {length} bytes")
         return await reader.readexactly(length)
 
     async def _take_frame(self, data: bytes, answers: list[api.Message]) -> Address:
@@ -477,7 +477,7 @@
         self._keys_stamp = stamp
         try:
             self._sealer = Sealer(read_key_file(self._setup.keys))
-        except BadConfig as problem:
+        except ConfigError as problem:
             log.error("fleet: the old keys stay: %s", problem)
             return
         self._key_of.clear()
@@ -490,8 +490,8 @@
             return None
         try:
             self._store = Store(self._setup.state, FORM)
-        except Taken as problem:
-            raise BadConfig(f"the fleet's state: {problem}") from None
+        except StateLockedError as problem:
+            raise ConfigError(f"the fleet's state: {problem}") from None
         except OSError as problem:
             self._saved = f"no: {problem.strerror}"
             log.warning("fleet: nothing is kept: %s: %s", self._setup.state, problem.strerror)
--- a/orchidferry/node/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -2,7 +2,7 @@
 
 Formats only add fields. A message says which format its sender writes (`v`) and the least that can read it
 (`l`); fields of an entry that this program does not know are handed on as they came, those that an older one
-leaves out have their defaults. Whatever is not whole, not known or not proven is `Refused`, and changes
+leaves out have their defaults. Whatever is not whole, not known or not proven is `DatagramError`, and changes
 nothing.
 """
 
@@ -18,6 +18,7 @@
 
 from orchidferry.balancing.fleet.members import Entry, Phase, Status, problem_of
 from orchidferry.balancing.fleet.messages import Kind, Message
+from orchidferry.errors import OrchidferryError
 from orchidferry.node.keys import Keys
 from orchidferry.node.steps import at_once
 
@@ -29,7 +30,7 @@
 KEY_ID = 4
 TAG = 16
 HEAD = len(MAGIC) + KEY_ID + TAG
-DATAGRAM_MOST = 1_400
+MAX_DATAGRAM = 1_400
 STEP = 64  # entries that are read in one go: under 1 ms
 PERSON = b"fleet"  # what the tag is for: the keys may serve elsewhere too
 
@@ -50,7 +51,7 @@
 KINDS = {kind.value: kind for kind in Kind}
 
 
-class Refused(Exception):
+class DatagramError(OrchidferryError):
     """What came can't be used. `kind` counts it: foreign, forged, garbled, later."""
 
     def __init__(self, kind: str, why: str) -> None:
@@ -75,16 +76,16 @@
         return MAGIC + id_ + self._tag(id_, body) + body
 
     def open(self, data: bytes) -> tuple[bytes, bytes]:
-        """The body, and which key it came with; `Refused` if it is not proven."""
+        """The body, and which key it came with; `DatagramError` if it is not proven."""
         if len(data) <= HEAD or not data.startswith(MAGIC):
-            raise Refused("foreign", "is no message of a fleet")
+            raise DatagramError("foreign", "is no message of a fleet")
         id_ = data[len(MAGIC) : len(MAGIC) + KEY_ID]
         tag = data[len(MAGIC) + KEY_ID : HEAD]
         body = data[HEAD:]
         if id_ not in self._keys:
-            raise Refused("forged", "is tagged with a key that is not known here")
+            raise DatagramError("forged", "is tagged with a key that is not known here")
         if not hmac.compare_digest(tag, self._tag(id_, body)):
-            raise Refused("forged", "does not fit its tag")
+            raise DatagramError("forged", "does not fit its tag")
         return body, id_
 
     def _tag(self, id_: bytes, body: bytes) -> bytes:
@@ -142,7 +143,7 @@
 
 
 def decode(body: bytes) -> Message:
-    """A message from its body, at once; `Refused` if it is none that can be meant."""
+    """A message from its body, at once; `DatagramError` if it is none that can be meant."""
     return at_once(decode_in_steps(body))
 
 
@@ -153,17 +154,17 @@
     try:
         obj = msgpack.unpackb(body, strict_map_key=True)
     except Exception as problem:  # the library's own kinds, and what its checks raise
-        raise Refused("garbled", f"can't be read: {type(problem).__name__}") from None
+        raise DatagramError("garbled", f"can't be read: {type(problem).__name__}") from None
     if not isinstance(obj, dict):
-        raise Refused("garbled", "is no map")
+        raise DatagramError("garbled", "is no map")
     if _whole(obj, "l", 1) > FORMAT:
-        raise Refused("later", f"needs format {obj['l']}, and this program reads {FORMAT}")
+        raise DatagramError("later", f"needs format {obj['l']}, and this program reads {FORMAT}")
     kind = obj.get("k")
     if not isinstance(kind, str) or kind not in KINDS:
-        raise Refused("garbled" if "k" not in obj else "later", f"is of a kind not known: {kind!r:.40}")
+        raise DatagramError("garbled" if "k" not in obj else "later", f"is of a kind not known: {kind!r:.40}")
     news = obj.get("w", ())
     if not isinstance(news, list | tuple):
-        raise Refused("garbled", "w: is no list")
+        raise DatagramError("garbled", "w: is no list")
     target = obj.get("g")
     found = []
     for n, one in enumerate(news, 1):
@@ -184,31 +185,31 @@
 def _whole(obj: dict[str, Any], key: str, default: int = 0) -> int:
     value = obj.get(key, default)
     if type(value) is not int or not 0 <= value < 2**64:
-        raise Refused("garbled", f"{key}: {value!r:.40} is no whole number")
+        raise DatagramError("garbled", f"{key}: {value!r:.40} is no whole number")
     return value
 
 
 def read_entry(obj: object) -> Entry:
-    """An entry from its map; `Refused` if it can't be meant."""
+    """An entry from its map; `DatagramError` if it can't be meant."""
     if not isinstance(obj, dict):
-        raise Refused("garbled", "an entry is no map")
+        raise DatagramError("garbled", "an entry is no map")
     values: dict[str, Any] = {}
     for key, (name, kind) in FIELDS.items():
         if key in obj:
             if type(obj[key]) is not kind:
-                raise Refused("garbled", f"{name}: {obj[key]!r:.40} is no {kind.__name__}")
+                raise DatagramError("garbled", f"{name}: {obj[key]!r:.40} is no {kind.__name__}")
             values[name] = obj[key]
         elif key in NEEDED:
-            raise Refused("garbled", f"{name}: is missing")
+            raise DatagramError("garbled", f"{name}: is missing")
     if len(obj) > len(values):
         unknown = {key: value for key, value in obj.items() if key not in FIELDS}
         values["more"] = bytes(msgpack.packb(unknown))
     if not 0 <= (status := values.get("status", 0)) <= Status.LEFT:
-        raise Refused("garbled", f"status: {status} is none")
+        raise DatagramError("garbled", f"status: {status} is none")
     values["status"] = Status(status)
     # A phase that a later program knows is none in which this one would send it work.
     values["phase"] = PHASES.get(values.get("phase", ""), Phase.STARTING)
     entry = Entry(**values)
     if problem := problem_of(entry):
-        raise Refused("garbled", problem)
+        raise DatagramError("garbled", problem)
     return entry
--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -11,16 +11,18 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from orchidferry.errors import OrchidferryError
+
 SHORT_BODY = 64 * 1024  # up to this a body is read whole and never flows; as much waits for a sink
 LONG_BODY = 32 * 1024 * 1024  # the most that flows
-KEEP_MOST = 1024 * 1024  # of one flow is kept to be sent again
+MAX_KEEP = 1024 * 1024  # of one flow is kept to be sent again
 POOL_SHARE = 0.15  # of the node's memory, for what flows keep beyond the first `SHORT_BODY`
 STALL_S = 10.0  # without a byte either way a flow has ended
 SLOWEST_B_S = 16 * 1024  # a flow slower than this over its life has ended, after `GRACE_S`
 GRACE_S = 20.0
 
 
-class TooLong(Exception):
+class BodyTooLongError(OrchidferryError):
     """More came than may flow, or than was said."""
 
 
@@ -124,11 +126,13 @@
     # The source's side
 
     def push(self, data: bytes, now_s: float) -> None:
-        """A piece has come. `TooLong` if that is more than may: whoever pushes then ends the flow."""
+        """A piece has come. `BodyTooLongError` if that is more than may: whoever pushes then ends the
+        flow.
+        """
         if self.over:
             return
         if self.size + len(data) > (self._most if self.length is None else self.length):
-            raise TooLong
+            raise BodyTooLongError
         self.size += len(data)
         self.moved_s = now_s
         self._keep(data)
@@ -146,7 +150,7 @@
             self.spent = True
             return
         beyond = max(0, self.size - SHORT_BODY) - self._borrowed
-        if self.size <= KEEP_MOST and self._pool.take(beyond):
+        if self.size <= MAX_KEEP and self._pool.take(beyond):
             self._borrowed += beyond
             self._kept.append(data)
         elif self._sink is not None or self.passed:
--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -22,12 +22,12 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.node.config import Address
-from orchidferry.node.flow import LONG_BODY, Flow, Pool, TooLong
-from orchidferry.node.request import SINGLE, Message, Unacceptable, check_framing, read_message
+from orchidferry.node.flow import LONG_BODY, BodyTooLongError, Flow, Pool
+from orchidferry.node.request import SINGLE, Message, RequestError, check_framing, read_message
 from orchidferry.node.upstream import MAX_BODY, MAX_HEAD, chunk
 
 BACKLOG = 1024
-MOST_PIPELINED = 8  # requests sent ahead on one connection; the protocol says none
+MAX_PIPELINED = 8  # requests sent ahead on one connection; the protocol says none
 PROGRESS = 32 * 1024  # bytes of a body
 SWEEP_S = 0.2  # how often stages are looked at; limits are late by so much at most
 READY_PATH = b"/-/ready"
@@ -317,7 +317,7 @@
         if b"transfer-encoding" in self._headers:
             try:
                 check_framing(self._headers, self._parser.get_http_version())
-            except Unacceptable as problem:
+            except RequestError as problem:
                 self._reject(400, str(problem))
         length = self._headers.get(b"content-length")
         if length is not None and length.isdigit() and int(length[:12]) > self._frontend.longest_body:
@@ -337,7 +337,7 @@
         if self._in is not None:
             try:
                 self._in.push(body, self._frontend.now_s())
-            except TooLong:
+            except BodyTooLongError:
                 self._reject(413, TOO_LONG)
             return
         self._body.append(body)
@@ -361,15 +361,15 @@
         )
         pieces = self._body
         self._body = []
-        if len(self._queue) >= MOST_PIPELINED:
+        if len(self._queue) >= MAX_PIPELINED:
             return self._reject(400, "too many requests sent ahead")
         try:
             message = self._message(flow)
             for piece in pieces:
                 flow.push(piece, self._frontend.now_s())
-        except Unacceptable as problem:
+        except RequestError as problem:
             return self._reject(400, str(problem))
-        except TooLong:
+        except BodyTooLongError:
             return self._reject(413, TOO_LONG)
         self._in = flow
         self._queue.append(message)
@@ -390,13 +390,13 @@
                 self._deaf = True
                 self._transport.close()  # it was answered before
             return
-        if len(self._queue) >= MOST_PIPELINED:
+        if len(self._queue) >= MAX_PIPELINED:
             return self._reject(400, "too many requests sent ahead")
         if not self._parser.should_keep_alive():
             self._closing = self._deaf = True
         try:
             self._queue.append(self._message())
-        except Unacceptable as problem:
+        except RequestError as problem:
             self._reject(400, str(problem))
 
     # Requests and answers
@@ -448,7 +448,7 @@
         self._busy = True
         try:
             owed = self._frontend.accept(message, self._answer)
-        except Unacceptable as problem:
+        except RequestError as problem:
             self._busy = False
             return self._turn_away(Reply(400, str(problem).encode()))
         self._asked = True
@@ -540,7 +540,7 @@
     def read(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
     ) -> Message | Reply:
-        """A whole request, or what to answer to it at once; `Unacceptable` says what is wrong with it."""
+        """A whole request, or what to answer to it at once; `RequestError` says what is wrong with it."""
         if target.startswith(OWN_PATHS):
             return self.own_path(target.partition(b"?")[0])
         return read_message(self.classes, method, target, headers, body, flow)
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -5,9 +5,9 @@
 
 - a connection: at most `connections` of them; one for which there is no room takes the place of the one
   that has been idle longest. It has `HANDSHAKE_S` to come up and ends after `IDLE_S` without a packet.
-- a request: at most `MOST_STREAMS` a connection, by the transport's limit; the rest wait at their caller.
+- a request: at most `MAX_STREAMS` a connection, by the transport's limit; the rest wait at their caller.
   It has `READ_S` to come, its class's deadline to be answered, and `WRITE_S` to be read by its caller.
-- session tickets: `MOST_TICKETS`, each good for one resumption, so that early data can't be replayed here.
+- session tickets: `MAX_TICKETS`, each good for one resumption, so that early data can't be replayed here.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.floods import First, FirstPackets, Patience, Strays
-from orchidferry.node.config import Address, BadConfig, now_ms
+from orchidferry.node.config import Address, ConfigError, now_ms
 from orchidferry.node.frontend import LIMITS_S, OWN_PATHS, Accept, Owed, Reply, Stage
 from orchidferry.node.h3 import settings
 from orchidferry.node.h3.session import (
@@ -68,7 +68,7 @@
     is_over,
     reset_token,
 )
-from orchidferry.node.request import SINGLE, Unacceptable, read_message
+from orchidferry.node.request import SINGLE, RequestError, read_message
 from orchidferry.node.upstream import MAX_BODY, MAX_HEAD
 
 HANDSHAKE_S = LIMITS_S[Stage.NEW]  # the same limits as over HTTP/1.1
@@ -76,12 +76,12 @@
 WRITE_S = LIMITS_S[Stage.LEAVING]
 IDLE_S = LIMITS_S[Stage.IDLE]
 SWEEP_S = 0.2
-MOST_STREAMS = 100  # requests of one connection that are open
-MOST_TICKETS = 4_096
+MAX_STREAMS = 100  # requests of one connection that are open
+MAX_TICKETS = 4_096
 # flow control: a body, its frames and some air
 WINDOW = 512 * 1024
 STREAM_WINDOW = 128 * 1024
-RESET_LEAST = 43  # bytes of a stray packet that is answered: its reset has to be shorter, and look like one
+MIN_RESET = 43  # bytes of a stray packet that is answered: its reset has to be shorter, and look like one
 TOO_EARLY = 425  # RFC 8470
 
 log = logging.getLogger("orchidferry")
@@ -170,7 +170,7 @@
         id = event.stream_id
         if id % 4 == 0 and id not in self.exchanges and not self._is_dead(id):
             self._next = max(self._next, id + 4)  # streams may come out of their order
-            if self._closing or len(self.exchanges) >= MOST_STREAMS:
+            if self._closing or len(self.exchanges) >= MAX_STREAMS:
                 return self._reject(id, event.end_stream)
             self.exchanges[id] = Exchange(self, id, time.monotonic(), not self.up)
         for found in self._http(event):
@@ -247,7 +247,7 @@
                 return self.answered(exchange, Reply(TOO_EARLY, b"ask again once the handshake is done"))
             self._step(exchange, Step.SERVING)
             owed = listener.accept(message, exchange.answer)
-        except Unacceptable as problem:
+        except RequestError as problem:
             return self._turn_away(exchange, 400, str(problem))
         if exchange.step is Step.SERVING:  # it may have been answered at once
             exchange.owed = owed
@@ -404,11 +404,11 @@
         try:
             secret = self._front.key.read_bytes()
         except OSError as problem:
-            raise BadConfig(f"front.key: can't be read: {problem.strerror}") from None
+            raise ConfigError(f"front.key: can't be read: {problem.strerror}") from None
         return hmac.digest(secret, f"stateless reset {self._front.listen}".encode(), "sha256")
 
     def _configured(self) -> QuicConfiguration:
-        """The library's settings, with the certificate as it is now; `BadConfig` if it can't be used."""
+        """The library's settings, with the certificate as it is now; `ConfigError` if it can't be used."""
         made = QuicConfiguration(
             is_client=False,
             alpn_protocols=[ALPN],
@@ -421,7 +421,7 @@
             made.load_cert_chain(str(self._front.certificate), str(self._front.key))
         except Exception as problem:  # the library lets through whatever its parsers raise
             why = f"{type(problem).__name__}: {problem}".splitlines()[0][:120]
-            raise BadConfig(f"front.certificate, front.key: can't be used: {why}") from None
+            raise ConfigError(f"front.certificate, front.key: can't be used: {why}") from None
         return made
 
     async def listen(self, loop: asyncio.AbstractEventLoop) -> Address:
@@ -433,7 +433,9 @@
         return host, port
 
     def reread(self) -> None:
-        """Take the certificate as it is on disk now, for new connections; `BadConfig` leaves the old one."""
+        """Take the certificate as it is on disk now, for new connections; `ConfigError` leaves the old
+        one.
+        """
         self._configuration = self._configured()
 
     def alt_svc(self, port: int) -> bytes | None:
@@ -462,8 +464,8 @@
             return connection.receive(data, peer)
         now = now_ms()
         if header.version is None:  # short header: a connection that ended, or was another process's
-            if len(data) >= RESET_LEAST and self._strays.answered(now):
-                noise = bytearray(os.urandom(min(len(data) - 1, RESET_LEAST - 1) - 16))
+            if len(data) >= MIN_RESET and self._strays.answered(now):
+                noise = bytearray(os.urandom(min(len(data) - 1, MIN_RESET - 1) - 16))
                 noise[0] = noise[0] & 0x3F | 0x40
                 self.sendto(bytes(noise) + reset_token(self._reset_key, header.destination_cid), peer)
             return
@@ -522,7 +524,7 @@
             return
         quic = OwnTokens(
             self._reset_key,
-            MOST_STREAMS,
+            MAX_STREAMS,
             configuration=self._configuration,
             original_destination_connection_id=original,
             retry_source_connection_id=retried,
@@ -547,7 +549,7 @@
 
     def _keep_ticket(self, ticket: SessionTicket) -> None:
         self._tickets[ticket.ticket] = ticket
-        if len(self._tickets) > MOST_TICKETS:
+        if len(self._tickets) > MAX_TICKETS:
             self._tickets.popitem(last=False)
 
     def _fetch_ticket(self, label: bytes) -> SessionTicket | None:
--- a/orchidferry/node/h3/session.py
+++ b/orchidferry/node/h3/session.py
@@ -28,7 +28,7 @@
 from orchidferry.node.upstream import MAX_HEAD
 
 LAST_STREAM = (1 << 62) - 4  # the greatest id that a request can have: GOAWAY with it turns nothing away yet
-MOST_DEAD = 1_024  # streams that ended badly and whose rest is still to come
+MAX_DEAD = 1_024  # streams that ended badly and whose rest is still to come
 
 __all__ = ["DataReceived", "ErrorCode", "GoAway", "HeadersReceived", "Malformed", "Session"]
 
@@ -165,7 +165,7 @@
     def ignore(self, id: int, ended: bool) -> None:
         """What comes on a stream from now on is dropped."""
         if not ended:
-            if len(self._dead) >= MOST_DEAD:
+            if len(self._dead) >= MAX_DEAD:
                 self._dead.clear()  # what comes of them then is malformed once more
             self._dead.add(id)
 
--- a/orchidferry/node/h3/settings.py
+++ b/orchidferry/node/h3/settings.py
@@ -1,6 +1,7 @@
 """The operator's file that switches HTTP/3 on: TOML, named by ORCHIDFERRY_HTTP3.
 
-Every key is checked; a bad one gives one line with the file and the key (`BadConfig`), and the node exits 2.
+Every key is checked; a bad one gives one line with the file and the key (`ConfigError`), and the node exits
+2.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.node.config import Address, BadConfig
+from orchidferry.node.config import Address, ConfigError
 
-MOST_CONNECTIONS = 512  # callers' connections, by default: some 90 KB each
+MAX_CONNECTIONS = 512  # callers' connections, by default: some 90 KB each
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,11 +51,11 @@
         self._file = file
         self._name = name
         if not isinstance(found, dict):
-            raise BadConfig(f"{file}: {name} must be a table")
+            raise ConfigError(f"{file}: {name} must be a table")
         self._left = dict(found)
 
-    def bad(self, key: str, why: str) -> BadConfig:
-        return BadConfig(f"{self._file}: {self._name}.{key} {why}")
+    def bad(self, key: str, why: str) -> ConfigError:
+        return ConfigError(f"{self._file}: {self._name}.{key} {why}")
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self._left.pop(key, default)
@@ -83,15 +84,15 @@
 
 
 def read_http3(path: str) -> Http3:
-    """The settings in a file; `BadConfig` names the file and the key."""
+    """The settings in a file; `ConfigError` names the file and the key."""
     file = Path(path)
     try:
         found = tomllib.loads(file.read_text("utf-8"))
     except (OSError, ValueError) as problem:  # broken TOML and broken UTF-8 are ValueErrors
-        raise BadConfig(f"{path}: {problem}") from None
+        raise ConfigError(f"{path}: {problem}") from None
     unknown = set(found) - {"front", "servers"}
     if unknown:
-        raise BadConfig(f"{path}: {sorted(unknown)[0]} is not known")
+        raise ConfigError(f"{path}: {sorted(unknown)[0]} is not known")
     front = servers = None
     if "front" in found:
         table = Table(file, "front", found["front"])
@@ -102,7 +103,7 @@
             (host.strip("[]"), int(port)),
             table.file("certificate"),
             table.file("key"),
-            table.whole("connections", MOST_CONNECTIONS, 1, 100_000),
+            table.whole("connections", MAX_CONNECTIONS, 1, 100_000),
             table.whole("alt_svc_s", 60, 0, 86_400 * 30),
         )
         table.done()
@@ -111,9 +112,9 @@
         servers = Servers(
             table.file("ca") if table.optional("ca") else None,
             table.text("name") if table.optional("name") else None,
-            table.whole("connections", MOST_CONNECTIONS, 1, 100_000),
+            table.whole("connections", MAX_CONNECTIONS, 1, 100_000),
         )
         table.done()
     if front is None and servers is None:
-        raise BadConfig(f"{path}: neither front nor servers is there")
+        raise ConfigError(f"{path}: neither front nor servers is there")
     return Http3(front, servers)
--- a/orchidferry/node/main.py
+++ b/orchidferry/node/main.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from orchidferry.node.collector import settle
-from orchidferry.node.config import BadConfig, read_config
+from orchidferry.node.config import ConfigError, read_config
 from orchidferry.node.node import Node
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
         chain = read_chain()
         pools = read_pools(tuple(cls.name for cls in config.settings.classes))
         fleet = read_fleet(config.name, asyncio.get_running_loop())
-    except BadConfig as problem:
+    except ConfigError as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 2
     logging.basicConfig(
@@ -52,7 +52,7 @@
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
     try:
         node = Node(config, loop, http3, control, chain, pools, [fleet] if fleet is not None else [])
-    except BadConfig as problem:
+    except ConfigError as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
         return 2
     loop.add_signal_handler(signal.SIGHUP, reload, node, path)
@@ -93,7 +93,7 @@
     try:
         from orchidferry.node.h3 import settings
     except ImportError as problem:
-        raise BadConfig(f"ORCHIDFERRY_HTTP3 is set, and {problem.name} is not installed") from None
+        raise ConfigError(f"ORCHIDFERRY_HTTP3 is set, and {problem.name} is not installed") from None
     return settings.read_http3(path)
 
 
@@ -105,7 +105,7 @@
     try:
         from orchidferry.node.control import settings
     except ImportError as problem:
-        raise BadConfig(f"ORCHIDFERRY_CONTROL is set, and {problem.name} is not installed") from None
+        raise ConfigError(f"ORCHIDFERRY_CONTROL is set, and {problem.name} is not installed") from None
     return settings.read_control(path)
 
 
@@ -137,7 +137,7 @@
     try:
         from orchidferry.node.fleet import settings, shell
     except ImportError as problem:
-        raise BadConfig(f"ORCHIDFERRY_FLEET is set, and {problem.name} is not installed") from None
+        raise ConfigError(f"ORCHIDFERRY_FLEET is set, and {problem.name} is not installed") from None
     return shell.Peers(settings.read_fleet(path, name), loop)
 
 
@@ -145,7 +145,7 @@
     """Take the file as it is now; one that can't be used changes nothing."""
     try:
         config = read_config(path)
-    except BadConfig as problem:
+    except ConfigError as problem:
         log.error("the old configuration stays: %s", problem)
         return
     log.info("configuration read again, discovery at %s:%d", *config.discovery)
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -19,12 +19,12 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
 from orchidferry.node.alarms import Alarms
-from orchidferry.node.config import Address, BadConfig, Config, Listing, now_ms
+from orchidferry.node.config import Address, Config, ConfigError, Listing, now_ms
 from orchidferry.node.discovery import Discovery
 from orchidferry.node.figures import Figures
 from orchidferry.node.flow import GRACE_S, LONG_BODY, POOL_SHARE, SLOWEST_B_S, Flow, Pool
 from orchidferry.node.frontend import Frontend, Reply
-from orchidferry.node.request import Message, Unacceptable
+from orchidferry.node.request import Message, RequestError
 from orchidferry.node.turns import Turns
 from orchidferry.node.upstream import Answer, Attempt, Upstream
 
@@ -327,7 +327,7 @@
         if self.h3_front is not None:
             try:
                 self.h3_front.reread()
-            except BadConfig as problem:
+            except ConfigError as problem:
                 log.error("the old certificate stays: %s", problem)
 
     async def stop(self, accept_s: float = ACCEPT_S) -> None:
@@ -385,7 +385,7 @@
     def accept(self, message: Message, answer: Callable[[Reply], None]) -> Live:
         """Take a request; from now on it is owed exactly one call of `answer`."""
         if message.id in self._open_ids:
-            raise Unacceptable("a request with this X-Call-Id is open")
+            raise RequestError("a request with this X-Call-Id is open")
         self._longest_ms = max(self._longest_ms, message.budget_ms)
         self._serial += 1
         now = now_ms()
--- a/orchidferry/node/pools.py
+++ b/orchidferry/node/pools.py
@@ -3,34 +3,34 @@
 from __future__ import annotations
 
 from orchidferry.balancing import moves, pools
-from orchidferry.balancing.settings import NUMBER, Json, Malformed, get, objects, opt, word
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, objects, opt, word
 from orchidferry.node.config import operators_file
 
 POOL_KEYS = {"name", "kinds", "groups"}
 NUMBERS = ("alpha", "beta", "margin", "step_ms", "rare_ms", "settle_ms")
-MOST_POOLS = 200
+MAX_POOLS = 200
 
 
 def read_pools(path: str, classes: tuple[str, ...]) -> pools.Rules:
-    """Read the file; `BadConfig` names it and what is wrong."""
+    """Read the file; `ConfigError` names it and what is wrong."""
     return operators_file("ORCHIDFERRY_POOLS", path, lambda obj: _read(obj, classes))
 
 
 def _read(obj: Json, classes: tuple[str, ...]) -> pools.Rules:
     if unknown := sorted(obj.keys() - {"pool", "move"}):
-        raise Malformed(f"{unknown[0]!r} is not known")
+        raise SettingsFormatError(f"{unknown[0]!r} is not known")
     rules = [_pool(item) for item in objects(obj, "pool")]
-    if len(rules) > MOST_POOLS:
-        raise Malformed(f"pool: {len(rules)} of them, {MOST_POOLS} at most")
+    if len(rules) > MAX_POOLS:
+        raise SettingsFormatError(f"pool: {len(rules)} of them, {MAX_POOLS} at most")
     move = opt(obj, "move", dict, None)
     if move is None:
         return pools.Rules(tuple(rules))
     if unknown := sorted(move.keys() - {"to", "steps", "rare", *NUMBERS}):
-        raise Malformed(f"move: {unknown[0]!r} is not known")
+        raise SettingsFormatError(f"move: {unknown[0]!r} is not known")
     values = {name: float(get(move, name, NUMBER)) for name in NUMBERS if name in move}
     steps = opt(move, "steps", list, list(moves.STEPS))
     if not all(isinstance(step, int | float) and not isinstance(step, bool) for step in steps):
-        raise Malformed("move: 'steps' must be numbers")
+        raise SettingsFormatError("move: 'steps' must be numbers")
     rare = moves.Rare.HOLD
     if "rare" in move:
         rare = word(move, "rare", {kind.value: kind for kind in moves.Rare})
@@ -40,9 +40,9 @@
 
 def _pool(item: Json) -> pools.PoolRule:
     if unknown := sorted(item.keys() - POOL_KEYS):
-        raise Malformed(f"pool: {unknown[0]!r} is not known")
+        raise SettingsFormatError(f"pool: {unknown[0]!r} is not known")
     kinds = opt(item, "kinds", list, [])
     groups = opt(item, "groups", list, [])
     if not all(isinstance(kind, str) for kind in kinds) or not all(type(group) is int for group in groups):
-        raise Malformed("pool: 'kinds' must be texts, 'groups' whole numbers")
+        raise SettingsFormatError("pool: 'kinds' must be texts, 'groups' whole numbers")
     return pools.PoolRule(get(item, "name", str), frozenset(kinds), frozenset(groups))
--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -11,6 +11,7 @@
 from urllib.parse import unquote
 
 from orchidferry.balancing import interface as api
+from orchidferry.errors import OrchidferryError
 from orchidferry.node.flow import Flow
 
 # Each may come once: of two, a server might believe the other one.
@@ -50,7 +51,7 @@
     chain: dict[bytes, bytes] | None = None  # headers of a chain of tiers, as they came
 
 
-class Unacceptable(Exception):
+class RequestError(OrchidferryError):
     """A request that can't be taken; the text tells the caller why."""
 
 
@@ -60,9 +61,9 @@
     if coding is None:
         return
     if b"content-length" in headers:
-        raise Unacceptable("Content-Length and Transfer-Encoding together")
+        raise RequestError("Content-Length and Transfer-Encoding together")
     if coding.lower() != b"chunked" or version != "1.1":
-        raise Unacceptable("the only Transfer-Encoding served is chunked, in HTTP/1.1")
+        raise RequestError("the only Transfer-Encoding served is chunked, in HTTP/1.1")
 
 
 def read_message(
@@ -73,7 +74,7 @@
     body: bytes,
     flow: Flow | None = None,
 ) -> Message:
-    """Check a whole request; `Unacceptable` says what is wrong with it."""
+    """Check a whole request; `RequestError` says what is wrong with it."""
     try:
         path = target.partition(b"?")[0].decode("ascii")
         part = path.split("/", 2)[1] if path[:1] == "/" else ""
@@ -81,24 +82,24 @@
         caller = headers.get(b"x-caller")
         tenant = caller.decode("utf-8") if caller else None
     except ValueError:
-        raise Unacceptable("X-Caller or the path can't be read") from None
+        raise RequestError("X-Caller or the path can't be read") from None
     if cls is None:
-        raise Unacceptable("no such class")
+        raise RequestError("no such class")
     if method != (b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"):
-        raise Unacceptable("not the method of this class")
+        raise RequestError("not the method of this class")
     if method == b"GET" and (body or flow is not None):
-        raise Unacceptable("GET with a body")
+        raise RequestError("GET with a body")
     id = headers.get(b"x-call-id")
     key = headers.get(b"idempotency-key")
     budget = headers.get(b"x-budget")
     if id is None or not TOKEN.fullmatch(id):
-        raise Unacceptable("X-Call-Id is missing or can't be used")
+        raise RequestError("X-Call-Id is missing or can't be used")
     # Without its key servers could not drop a keyed request's repeats.
     keyed = cls.repeat is api.Repeat.KEYED
     if (key is not None) != keyed or (key is not None and not TOKEN.fullmatch(key)):
-        raise Unacceptable("Idempotency-Key does not fit this class")
+        raise RequestError("Idempotency-Key does not fit this class")
     if budget is None or not SECONDS.fullmatch(budget) or not (budget_s := float(budget)):
-        raise Unacceptable("X-Budget must be seconds above 0")
+        raise RequestError("X-Budget must be seconds above 0")
     return Message(
         # Nobody waits longer than the class's deadline: a longer budget would hold the books open.
         method,
--- a/orchidferry/node/store.py
+++ b/orchidferry/node/store.py
@@ -20,9 +20,11 @@
 from pathlib import Path
 from typing import Any, Generic, TypeVar
 
+from orchidferry.errors import OrchidferryError
+
 T = TypeVar("T")
 LOCK = "lock"
-ASIDE_MOST = 4  # files set aside that are kept
+MAX_ASIDE = 4  # files set aside that are kept
 BAD_PLAIN = (KeyError, TypeError, ValueError, AttributeError)  # what JSON that doesn't fit raises in a `read`
 
 
@@ -44,23 +46,27 @@
         return b"%b %d\n%b %d\n%b" % (self.magic, self.format, checksum(body), len(body), body)
 
     def decode(self, data: bytes) -> T:
-        """The state in a file's bytes; `Unusable` if there is none that this program can read."""
+        """The state in a file's bytes; `StateFileError` if there is none that this program can read."""
         head, _, rest = data.partition(b"\n")
         magic, _, number = head.rpartition(b" ")
         if magic != self.magic or not number.isdigit():
-            raise Unusable("foreign", f"is no {self.what}")
+            raise StateFileError("foreign", f"is no {self.what}")
         if int(number[:9]) != self.format:
-            raise Unusable("future", f"has format {int(number[:9])}, and this program reads {self.format}")
+            raise StateFileError(
+                "future", f"has format {int(number[:9])}, and this program reads {self.format}"
+            )
         line, _, body = rest.partition(b"\n")
         found, _, length = line.partition(b" ")
         if not length.isdigit() or len(body) < int(length[:12]):
-            raise Unusable("truncated", f"is cut off at {len(data)} bytes")
+            raise StateFileError("truncated", f"is cut off at {len(data)} bytes")
         if len(body) != int(length[:12]) or checksum(body) != found:
-            raise Unusable("corrupt", "does not fit its checksum")
+            raise StateFileError("corrupt", "does not fit its checksum")
         try:
             return self.read(json.loads(body))
         except (*BAD_PLAIN, RecursionError) as problem:
-            raise Unusable("corrupt", f"can't be read: {type(problem).__name__}: {problem!s:.100}") from None
+            raise StateFileError(
+                "corrupt", f"can't be read: {type(problem).__name__}: {problem!s:.100}"
+            ) from None
 
 
 def checksum(body: bytes) -> bytes:
@@ -68,7 +74,7 @@
     return hashlib.blake2b(body, digest_size=32).hexdigest().encode()
 
 
-class Unusable(Exception):
+class StateFileError(OrchidferryError):
     """What is on disk can't be used; the text says why, in one line."""
 
     def __init__(self, kind: str, why: str) -> None:
@@ -76,7 +82,7 @@
         self.kind = kind  # in the name under which it is set aside
 
 
-class Taken(Exception):
+class StateLockedError(OrchidferryError):
     """Another process holds the folder."""
 
 
@@ -108,7 +114,7 @@
 
 
 class Store(Generic[T]):
-    """The folder of one node. `Taken` if another holds it, `OSError` if there can't be one."""
+    """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
 
     def __init__(self, folder: Path, form: Form[T], files: Files | None = None) -> None:
         self._folder, self._form, self._files = folder, form, files or Files()
@@ -120,7 +126,7 @@
         except OSError as problem:
             os.close(self._lock)
             if problem.errno in (errno.EWOULDBLOCK, errno.EACCES):
-                raise Taken(f"{folder} is another node's") from None
+                raise StateLockedError(f"{folder} is another node's") from None
             raise
 
     def load(self) -> tuple[T | None, str]:
@@ -131,24 +137,24 @@
         try:
             found = path.lstat()
             if found.st_uid != os.geteuid() or found.st_mode & 0o077:
-                raise Unusable("foreign", "is not this user's alone")
+                raise StateFileError("foreign", "is not this user's alone")
             if not path.is_file() or path.is_symlink():
-                raise Unusable("foreign", "is no plain file")
+                raise StateFileError("foreign", "is no plain file")
             if found.st_size > self._form.most:
-                raise Unusable("foreign", f"has {found.st_size} bytes, {self._form.most} at most")
+                raise StateFileError("foreign", f"has {found.st_size} bytes, {self._form.most} at most")
             return self._form.decode(path.read_bytes()), ""
         except FileNotFoundError:
             return None, ""
-        except Unusable as problem:
+        except StateFileError as problem:
             return None, f"{path}: {problem}; {self._set_aside(path, problem.kind)}"
         except OSError as problem:
             return None, f"{path}: can't be read: {problem.strerror}"
 
     def _set_aside(self, path: Path, kind: str) -> str:
         try:
-            for at in range(ASIDE_MOST):
+            for at in range(MAX_ASIDE):
                 aside = path.with_name(f"{path.name}.{kind}.{at}")
-                if at == ASIDE_MOST - 1 or not os.path.lexists(aside):
+                if at == MAX_ASIDE - 1 or not os.path.lexists(aside):
                     self._files.rename(path, aside)
                     return f"set aside as {aside.name}"
         except OSError as problem:
