--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -20,12 +20,12 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import Address, now_ms
-from orchidferry.node.flow import LONG_BODY, SHORT_BODY, Flow, TooLong
+from orchidferry.node.flow import LONG_BODY, SHORT_BODY, BodyTooLongError, Flow
 from orchidferry.node.request import Message
 
 MAX_BODY = SHORT_BODY
 MAX_HEAD = 16 * 1024
-MOST_REPORTED = 1e6  # of any figure in a load report
+MAX_REPORTED = 1e6  # of any figure in a load report
 IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
 # What a dial fails with for want of something here, whatever the server does.
 OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
@@ -186,7 +186,7 @@
         return None
     if not all(map(math.isfinite, report.values())):
         return None
-    return {name: min(max(0.0, value), MOST_REPORTED) for name, value in report.items()}
+    return {name: min(max(0.0, value), MAX_REPORTED) for name, value in report.items()}
 
 
 class Connection(asyncio.Protocol):
@@ -500,7 +500,7 @@
         if self._answer_flow is not None:
             try:
                 self._answer_flow.push(body, self._pool.now_s())
-            except TooLong:
+            except BodyTooLongError:
                 self._spoilt = True
             return
         self._size += len(body)
--- a/orchidferry/testkit/bench/__init__.py
+++ b/orchidferry/testkit/bench/__init__.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.testkit.scenario import BadScenario, load_scenario
+from orchidferry.testkit.scenario import ScenarioError, load_scenario
 
 GIB = 1024**3
 MODULES = (
@@ -42,7 +42,7 @@
     """Run the command; its exit status."""
     try:
         rows = _rows(args)
-    except (BadScenario, ValueError) as problem:
+    except (ScenarioError, ValueError) as problem:
         print(f"orchidferry bench: {problem}", file=sys.stderr)
         return 2
     except InterruptedError:
--- a/orchidferry/testkit/bench/kit.py
+++ b/orchidferry/testkit/bench/kit.py
@@ -23,7 +23,7 @@
 FIRST_RATE = 500.0
 FIRST_SERVERS = 100
 FIRST_NODES = 8
-MOST_TRIES = 8  # of one size after another: each is twice the last
+MAX_TRIES = 8  # of one size after another: each is twice the last
 
 
 def play(scenario: Scenario) -> tuple[Run, Verdict]:
@@ -78,7 +78,7 @@
     rows: list[dict[str, Any]] = []
     for what, scenario_of in sizes():
         print(f"\n{what}")
-        for n in range(MOST_TRIES):
+        for n in range(MAX_TRIES):
             try:
                 scenario = scenario_of(n)
                 run, verdict = played(scenario)
--- a/orchidferry/testkit/bench/libraries.py
+++ b/orchidferry/testkit/bench/libraries.py
@@ -22,7 +22,7 @@
 BODY = b"x" * 1_000
 HELD = 200  # connections, for the memory of one
 WAIT_S = 2.0  # for all answers to one asking
-ROUNDS_MOST = 10_000  # datagram exchanges in one request: more means that it hangs
+MAX_ROUNDS = 10_000  # datagram exchanges in one request: more means that it hangs
 MORE = {"max_datagram_frame_size": 65536}  # qh3 offers HTTP datagrams, and closes without it
 ADDRESSES = (("127.0.0.1", 1), ("127.0.0.1", 2))
 
@@ -56,7 +56,7 @@
     def _move(self) -> list[Any]:
         """Hand datagrams over until both are quiet; the HTTP events that the client saw."""
         seen: list[Any] = []
-        for _ in range(ROUNDS_MOST):
+        for _ in range(MAX_ROUNDS):
             moved = False
             for side, (source, sink, sender) in enumerate(
                 ((self.client, self.server, ADDRESSES[0]), (self.server, self.client, ADDRESSES[1]))
--- a/orchidferry/testkit/bench/mesh.py
+++ b/orchidferry/testkit/bench/mesh.py
@@ -33,7 +33,7 @@
 RATES = (150.0, 500.0)  # claims a second that are offered
 AT_ONCE = 512  # claims that are out where the most is asked for
 GRANTED = 0.99  # of what is asked, claims and requests: below that a row is broken
-MOST_CLAIMS = 40_000  # of one such load
+MAX_CLAIMS = 40_000  # of one such load
 ANSWER = 600  # bytes of an answer that is kept
 SYNC_MS = 1.0  # that each commit takes longer on a disk of memory: a core machine's sync
 # where controllers write
@@ -174,7 +174,7 @@
                             rate=rate,
                             seconds=seconds,
                             at_once=AT_ONCE,
-                            count=MOST_CLAIMS,
+                            count=MAX_CLAIMS,
                             answer=answer,
                         )
                         spent, load["waited"] = meter.read()
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -24,7 +24,7 @@
 from orchidferry.node.collector import settle
 
 CLAIM_S = 1.0  # for one key
-MOST_S = 30.0  # of one load
+MAX_S = 30.0  # of one load
 LINKED_S = 10.0  # until all controllers are heard and grant a key
 TICK_S = 0.001
 
@@ -72,7 +72,7 @@
         self.said = Counter()
         self.late = []
         kept, began, cpu = b"a" * answer, time.monotonic(), time.process_time()
-        ends = began + min(seconds, MOST_S)
+        ends = began + min(seconds, MAX_S)
         number = 0
 
         def due() -> None:
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -23,7 +23,7 @@
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.settings import scaled
 from orchidferry.node.fleet.shell import LENGTH
-from orchidferry.node.fleet.wire import Refused, Sealer
+from orchidferry.node.fleet.wire import DatagramError, Sealer
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.world.nodes import settings
 
@@ -83,12 +83,12 @@
         return answers
 
     def _readable(self, n: int) -> None:
-        with contextlib.suppress(OSError, Refused):
+        with contextlib.suppress(OSError, DatagramError):
             while data := self._udp[n].recv(4_096):
                 self._hand(n, api.Heard(wire.decode(self._sealer.open(data)[0])))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, n: int) -> None:
-        with contextlib.suppress(OSError, Refused, asyncio.IncompleteReadError):
+        with contextlib.suppress(OSError, DatagramError, asyncio.IncompleteReadError):
             (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
             data = await reader.readexactly(length)
             for answer in self._hand(n, api.Heard(wire.decode(self._sealer.open(data)[0]))):
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -49,11 +49,11 @@
 class NarrowPool(H3Pool):
     """One request at a time on each connection, as HTTP/1.1 has it."""
 
-    MOST_STREAMS = 1
+    MAX_STREAMS = 1
 
 
 class WidePool(H3Pool):
-    MOST_STREAMS = 100
+    MAX_STREAMS = 100
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -48,8 +48,8 @@
 ANSWER = 1_500  # bytes
 RUN_S = 0.05  # from a grant to the run's answer
 SETTLE_S = 2.5  # before the loss
-MOST_S = 40.0  # after it
-KEYS_MOST = 1_000_000
+MAX_S = 40.0  # after it
+MAX_KEYS = 1_000_000
 
 
 class World:
@@ -149,7 +149,7 @@
                 self.peers,
                 WINDOW_S,
                 rng,
-                KEYS_MOST,
+                MAX_KEYS,
                 len(self.world.seeds),
             )
             self.jobs.append((self.shards[number], Write(remembered(number, kept, founder))))
@@ -313,7 +313,7 @@
         at.extend([world.now - began] * (len([m for m in back if m.grants]) - len(at)))
         return len(at) == len(back)
 
-    world.play(began + MOST_S, done)
+    world.play(began + MAX_S, done)
     held = min(m.keys for m in back) / max(1, max(m.keys for m in others))
     sender = max(others, key=lambda m: m.cost.cpu_s)
     return {
--- a/orchidferry/testkit/capacity/__init__.py
+++ b/orchidferry/testkit/capacity/__init__.py
@@ -33,7 +33,7 @@
 
 def main(args: argparse.Namespace) -> int:
     """Run the command; its exit status."""
-    from orchidferry.testkit.capacity.plan import BadPlan, read_plan
+    from orchidferry.testkit.capacity.plan import PlanError, read_plan
     from orchidferry.testkit.mesh.processes import missing
 
     if args.compare:
@@ -44,10 +44,10 @@
         plan = read_plan(args.nodes, args.services, args.calls, args.only, args.seconds)
         for path in (args.json, args.plot):
             if path and not Path(path).resolve().parent.is_dir():
-                raise BadPlan(f"{path}: no such folder")
+                raise PlanError(f"{path}: no such folder")
         if lacking := missing():
-            raise BadPlan(f"the library {lacking} is missing: pip install 'orchidferry[mesh]'")
-    except BadPlan as problem:
+            raise PlanError(f"the library {lacking} is missing: pip install 'orchidferry[mesh]'")
+    except PlanError as problem:
         print(f"orchidferry capacity: {problem}", file=sys.stderr)
         return 2
     from orchidferry.testkit.capacity import run
--- a/orchidferry/testkit/capacity/claims.py
+++ b/orchidferry/testkit/capacity/claims.py
@@ -15,7 +15,7 @@
 SYNC_MS = 1.0  # that a controller's commit takes longer
 ROUNDS = 5
 RATES = (250, 1_000, 4_000)
-AT_ONCE_MOST = 4_096  # claims that may be out together
+MAX_AT_ONCE = 4_096  # claims that may be out together
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
         tag=load.tag,
         rate=load.rate,
         seconds=load.seconds,
-        at_once=AT_ONCE_MOST,
+        at_once=MAX_AT_ONCE,
         count=round(load.rate * load.seconds),
         answer=0,
     )
--- a/orchidferry/testkit/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -33,7 +33,7 @@
 ZONES = tuple(f"hollow-{number}" for number in range(8))
 SLOTS = 8
 DIALS_AT_ONCE = 64
-DIALS_MOST = 20
+MAX_DIALS = 20
 DIAL_S = 5.0
 DIAL_AGAIN_S = 0.15
 
@@ -168,7 +168,7 @@
 
     async def _dial(self, node: HollowNode, controller: str) -> Link | None:
         """A link; again after a refusal, as a controller may have just started."""
-        for _ in range(DIALS_MOST):
+        for _ in range(MAX_DIALS):
             link = await dial(node.heard, self._lost_link, controller, self._port, self._ip, DIAL_S)
             if link is not None:
                 return link
--- a/orchidferry/testkit/capacity/run.py
+++ b/orchidferry/testkit/capacity/run.py
@@ -22,7 +22,7 @@
 from orchidferry.testkit.stop_signals import Stopped, until_stopped
 from orchidferry.testkit.world.nodes import in_child
 
-LINE_MOST = 2**20
+MAX_LINE = 2**20
 SHARE_OF_ROUND = 0.6  # of the seconds of a round, for calls and for claims: many loads are asked by turns
 DESCRIPTORS = 256  # of a process in virtual time, which opens none
 
@@ -37,7 +37,7 @@
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
-        limit=LINE_MOST,
+        limit=MAX_LINE,
         env=os.environ | {"PYTHONHASHSEED": "0"},
         start_new_session=True,
         preexec_fn=partial(in_child, DESCRIPTORS),
--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -23,8 +23,8 @@
 from orchidferry.testkit.world.addresses import Block
 
 LATE_S = 0.002  # what of being late is kept
-MOST_ADVICE_S = 10.0  # of Retry-After that a client keeps to
-MOST_OPEN = 50_000  # clients that wait at once: past that the generator itself is the bottleneck
+MAX_ADVICE_S = 10.0  # of Retry-After that a client keeps to
+MAX_OPEN = 50_000  # clients that wait at once: past that the generator itself is the bottleneck
 
 
 class Clients:
@@ -77,7 +77,7 @@
                 self._recorder.put(Lag(at, "clients", "late", at - due))
             self._asked += 1
             self._recorder.put(Wanted(due, arrival.root, arrival.cls.name))
-            if len(self._open) >= MOST_OPEN:
+            if len(self._open) >= MAX_OPEN:
                 self._recorder.put(Lag(now(), "clients", "late", self._scenario.limits.lag_most_s * 2.0))
                 continue
             task = self._loop.create_task(self._client(arrival, due))
@@ -172,7 +172,7 @@
         wait = clients.wait_s
         if refused and arrival.honours:
             with contextlib.suppress(ValueError):
-                wait = max(wait, min(float(outcome.headers.get("retry-after", "0")), MOST_ADVICE_S))
+                wait = max(wait, min(float(outcome.headers.get("retry-after", "0")), MAX_ADVICE_S))
         return wait
 
     def second(self) -> None:
--- a/orchidferry/testkit/control/files.py
+++ b/orchidferry/testkit/control/files.py
@@ -24,17 +24,24 @@
 from google.protobuf.any_pb2 import Any as AnyMessage
 
 from orchidferry.balancing import versions as v
-from orchidferry.balancing.settings import Json, Malformed, get
+from orchidferry.balancing.settings import Json, SettingsFormatError, get
+from orchidferry.errors import OrchidferryError
 from orchidferry.node.config import address
-from orchidferry.node.control.messages import Unreadable, node_message, pool_message, read_node, read_pool
-from orchidferry.node.control.store import Unusable, decode
+from orchidferry.node.control.messages import (
+    ResourceDecodeError,
+    node_message,
+    pool_message,
+    read_node,
+    read_pool,
+)
+from orchidferry.node.control.store import StateFileError, decode
 from orchidferry.node.control.store import to_json as stored
 
 Key = tuple[v.Part, str]  # a resource: its part and name
 MOST = 64 * 1024 * 1024  # bytes of a file
 
 
-class BadVersion(Exception):
+class VersionFileError(OrchidferryError):
     """A file that is no version that could be meant; the text names the file and the field."""
 
 
@@ -59,13 +66,13 @@
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
-        raise BadVersion(f"{path}: {problem.strerror}") from None
+        raise VersionFileError(f"{path}: {problem.strerror}") from None
     if len(data) > MOST:
-        raise BadVersion(f"{path}: has {len(data)} bytes, {MOST} at most")
+        raise VersionFileError(f"{path}: has {len(data)} bytes, {MOST} at most")
     try:
         return from_form(_parsed(path, data))
-    except (Malformed, BadVersion) as problem:
-        raise BadVersion(f"{path}: {problem}") from None
+    except (SettingsFormatError, VersionFileError) as problem:
+        raise VersionFileError(f"{path}: {problem}") from None
 
 
 def _parsed(path: str, data: bytes) -> Json:
@@ -73,22 +80,24 @@
         if path.endswith(".toml"):
             return tomllib.loads(data.decode())
         if data.startswith(b"orchidferry "):
-            raise BadVersion(f"is a {path.rpartition('/')[2]}: a node's own; it can be compared, not pushed")
+            raise VersionFileError(
+                f"is a {path.rpartition('/')[2]}: a node's own; it can be compared, not pushed"
+            )
         found = json.loads(data)
     except (ValueError, RecursionError) as problem:
-        raise BadVersion(f"neither TOML (.toml) nor JSON: {problem!s:.100}") from None
+        raise VersionFileError(f"neither TOML (.toml) nor JSON: {problem!s:.100}") from None
     if not isinstance(found, dict):
-        raise BadVersion("must be an object")
+        raise VersionFileError("must be an object")
     return found
 
 
 def from_form(obj: Json) -> Version:
     """Check it as a node would, as far as that can be done without the node's own file."""
     if unknown := sorted(obj.keys() - {"version", "pools", "settings"}):
-        raise BadVersion(f"{unknown[0]!r} is not known")
+        raise VersionFileError(f"{unknown[0]!r} is not known")
     version = get(obj, "version", str)
     if not version or len(version) > 256:
-        raise BadVersion("'version' must have 1 to 256 characters")
+        raise VersionFileError("'version' must have 1 to 256 characters")
     content: dict[Key, Any] = {}
     packed: dict[Key, AnyMessage] = {}
     pools: dict[str, tuple[v.Member, ...]] = {}
@@ -102,38 +111,38 @@
             key = v.Part.SETTINGS, name
             where = f"settings.{name}"
             if not isinstance(spec, dict):
-                raise BadVersion(f"{where}: must be a table")
+                raise VersionFileError(f"{where}: must be a table")
             try:
                 packed[key] = node_message(name, get(spec, "pool", str), get(spec, "settings", dict))
-            except Malformed as problem:
-                raise BadVersion(f"{where}: {problem}") from None
+            except SettingsFormatError as problem:
+                raise VersionFileError(f"{where}: {problem}") from None
             content[key] = spec
             node = read_node(name, packed[key])
             try:
                 v.check_whole(v.Configuration(v.Pools(pools), node))
-            except v.Unfit as problem:
-                raise BadVersion(f"{where}: {problem}") from None
-    except (Unreadable, v.Unfit) as problem:
-        raise BadVersion(str(problem)) from None
+            except v.VersionError as problem:
+                raise VersionFileError(f"{where}: {problem}") from None
+    except (ResourceDecodeError, v.VersionError) as problem:
+        raise VersionFileError(str(problem)) from None
     except (ValueError, TypeError) as problem:  # what a message can't hold
-        raise BadVersion(f"can't be made a message: {problem!s:.200}") from None
+        raise VersionFileError(f"can't be made a message: {problem!s:.200}") from None
     return Version(version, content, packed)
 
 
 def _pool(name: str, endpoints: Any) -> AnyMessage:
     where = f"pools.{name}"
     if not isinstance(endpoints, list):
-        raise BadVersion(f"{where}: must be a list of endpoints")
+        raise VersionFileError(f"{where}: must be a list of endpoints")
     for at, one in enumerate(endpoints):
         if not isinstance(one, dict):
-            raise BadVersion(f"{where}[{at}]: must be a table")
+            raise VersionFileError(f"{where}[{at}]: must be a table")
         try:
             get(one, "name", str)
             address(get(one, "address", str))
-        except Malformed as problem:
-            raise BadVersion(f"{where}[{at}]: {problem}") from None
+        except SettingsFormatError as problem:
+            raise VersionFileError(f"{where}[{at}]: {problem}") from None
         if one.get("status", "active") not in ("active", "leaving"):
-            raise BadVersion(f"{where}[{at}]: 'status' is {one['status']!r:.40}, not active or leaving")
+            raise VersionFileError(f"{where}[{at}]: 'status' is {one['status']!r:.40}, not active or leaving")
     return pool_message(name, endpoints)
 
 
@@ -164,13 +173,13 @@
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
-        raise BadVersion(f"{path}: {problem.strerror}") from None
+        raise VersionFileError(f"{path}: {problem.strerror}") from None
     if not data.startswith(b"orchidferry "):
         return read_version(path).form()
     try:
         kept = stored(decode(data))
-    except Unusable as problem:
-        raise BadVersion(f"{path}: {problem}") from None
+    except StateFileError as problem:
+        raise VersionFileError(f"{path}: {problem}") from None
     return {
         "version": " ".join(kept["versions"].values()),
         "pools": kept["pools"],
--- a/orchidferry/testkit/control/operate.py
+++ b/orchidferry/testkit/control/operate.py
@@ -12,9 +12,9 @@
 import grpc
 from rich.console import Console
 
-from orchidferry.balancing.settings import Malformed
+from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.config import Address, address
-from orchidferry.testkit.control.files import BadVersion, comparable, differences, read_version
+from orchidferry.testkit.control.files import VersionFileError, comparable, differences, read_version
 from orchidferry.testkit.control.rollout_service import RolloutService, call
 from orchidferry.testkit.control.service import Service
 
@@ -24,7 +24,7 @@
 
 def _loopback(where: Address) -> Address:
     if where[0] not in ("localhost", "::1") and not where[0].startswith("127."):
-        raise Malformed(f"{where[0]!r}: the stand-in serves loopback addresses only")
+        raise SettingsFormatError(f"{where[0]!r}: the stand-in serves loopback addresses only")
     return where
 
 
@@ -72,11 +72,11 @@
     """A file's form, or that of what a service at HOST:PORT holds."""
     try:
         where = _loopback(address(what))
-    except Malformed:
+    except SettingsFormatError:
         return comparable(what)
     async for found in call(where, "Held", {}, ASK_S):
         return found["content"]
-    raise BadVersion(f"{what}: says nothing")
+    raise VersionFileError(f"{what}: says nothing")
 
 
 async def _diff(args: argparse.Namespace) -> int:
@@ -95,7 +95,7 @@
     what = {"serve": _serve, "push": _push, "diff": _diff}[args.what]
     try:
         return asyncio.run(what(args))
-    except (BadVersion, Malformed) as problem:
+    except (VersionFileError, SettingsFormatError) as problem:
         print(f"orchidferry control {args.what}: {problem}", file=sys.stderr)
         return 2
     except grpc.RpcError as problem:
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -33,18 +33,18 @@
     Streams,
     Withdraw,
 )
-from orchidferry.balancing.settings import Malformed, get, opt
+from orchidferry.balancing.settings import SettingsFormatError, get, opt
 from orchidferry.node.config import Address, address
 from orchidferry.node.control.messages import TYPES
-from orchidferry.testkit.control.files import BadVersion, Version, from_form
+from orchidferry.testkit.control.files import Version, VersionFileError, from_form
 from orchidferry.testkit.control.service import Held, Service, Word
 from orchidferry.testkit.wire import get as ask
 
 NAME = "orchidferry.standin.v1.Rollout"
 DOOR_S = 1.0  # for a door's answer
-DOORS_MOST = 10_000
+MAX_DOORS = 10_000
 AT_ONCE = 64
-LINES_MOST = 10_000  # of one rollout that wait to be read
+MAX_LINES = 10_000  # of one rollout that wait to be read
 
 
 def now_ms() -> float:
@@ -104,7 +104,7 @@
         self.rollout: Rollout | None = None
         self._new: Held = {}
         self._pushed: Version | None = None
-        self._lines: asyncio.Queue[dict[str, Any]] = asyncio.Queue(LINES_MOST)
+        self._lines: asyncio.Queue[dict[str, Any]] = asyncio.Queue(MAX_LINES)
         service.resources = held_of(base, None, service)
         service.label = base.version
         service.on_word = self._on_word
@@ -129,7 +129,7 @@
         """Take a version to the nodes, a wave at a time; a line for each step."""
         try:
             new, plan, doors = self._read(request)
-        except (BadVersion, Malformed, ValueError, AttributeError, TypeError) as problem:
+        except (VersionFileError, SettingsFormatError, ValueError, AttributeError, TypeError) as problem:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(problem)[:500])
             return
         if self.rollout is not None and not self.rollout.over:
@@ -137,7 +137,7 @@
             await context.abort(grpc.StatusCode.FAILED_PRECONDITION, busy)
         rollout = self.rollout = Rollout(plan)
         self._pushed, self._new = new, held_of(new, self.base, self._service)
-        self._lines = asyncio.Queue(LINES_MOST)
+        self._lines = asyncio.Queue(MAX_LINES)
         looking = asyncio.get_running_loop().create_task(self._look(rollout, doors))
         try:
             while not rollout.over or not self._lines.empty():
@@ -151,10 +151,10 @@
     def _read(self, request: Any) -> tuple[Version, Plan, list[Address]]:
         new = from_form(get(request, "file", dict))
         if new.version == self.base.version:
-            raise BadVersion(f"'version': {new.version!r} is what the service holds")
+            raise VersionFileError(f"'version': {new.version!r} is what the service holds")
         doors = [address(one) for one in opt(request, "doors", list, [])]
-        if len(doors) > DOORS_MOST:
-            raise BadVersion(f"{len(doors)} doors, {DOORS_MOST} at most")
+        if len(doors) > MAX_DOORS:
+            raise VersionFileError(f"{len(doors)} doors, {MAX_DOORS} at most")
         plan = Plan(
             new.version,
             get(request, "canary", int),
--- a/orchidferry/testkit/control/service.py
+++ b/orchidferry/testkit/control/service.py
@@ -22,8 +22,8 @@
 
 Held = dict[str, dict[str, tuple[str, AnyMessage]]]  # by type and name: version and message
 
-MESSAGE_MOST = 64 * 1024 * 1024
-STREAMS_MOST = 1_000
+MAX_MESSAGE = 64 * 1024 * 1024
+MAX_STREAMS = 1_000
 
 
 @dataclass
@@ -69,7 +69,7 @@
 
     async def start(self, credentials: grpc.ServerCredentials | None = None) -> tuple[str, int]:
         """Listen, at the address of last time if there was one."""
-        options = [("grpc.max_send_message_length", MESSAGE_MOST), ("grpc.so_reuseport", 0)]
+        options = [("grpc.max_send_message_length", MAX_MESSAGE), ("grpc.so_reuseport", 0)]
         self._credentials = credentials or self._credentials
         server = self._server = grpc.aio.server(options=options)
         ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, server)
@@ -157,7 +157,7 @@
         self, requests: AsyncIterator[Any], context: Any
     ) -> AsyncIterator[Any]:
         """One node's stream."""
-        if len(self.lines) >= STREAMS_MOST:
+        if len(self.lines) >= MAX_STREAMS:
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many streams")
         line = Line()
         self.lines.append(line)
--- a/orchidferry/testkit/control/status.py
+++ b/orchidferry/testkit/control/status.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from orchidferry.balancing.settings import Malformed
+from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.config import address
 from orchidferry.testkit import door
 
@@ -59,7 +59,7 @@
     try:
         for where in args.nodes:
             address(where)
-    except Malformed as problem:
+    except SettingsFormatError as problem:
         print(f"orchidferry control status: {problem}", file=sys.stderr)
         return 2
     found = asyncio.run(ask_all(args.nodes))
--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit import draws
 from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Recorder, Unanswered
 from orchidferry.testkit.scenario import Class, Scenario
@@ -40,7 +41,7 @@
 PROOF_S = 2.0  # for the answer to a nonce
 
 
-class Stranger(Exception):
+class UnknownPeerError(OrchidferryError):
     """What answers at an address of the kit's is not the kit's own."""
 
 
@@ -180,7 +181,7 @@
         return outcome
 
     async def _prove(self, connection: AskerSide | AskerStream, ask: Ask) -> bool:
-        """Whether this may go over that connection. `Stranger` if something else answers at its end.
+        """Whether this may go over that connection. `UnknownPeerError` if something else answers at its end.
 
         With HTTP/3 the certificate has proven it: it is of an authority that lives as long as the run.
         """
@@ -204,7 +205,7 @@
         outcome = waiting.result()
         connection.proven = outcome.status == 200 and proven(self._proof_key, nonce, outcome.body)
         if not connection.proven and outcome.status not in (429, 500, 503, 504):
-            raise Stranger(f"what answers at a node's address is not the kit's own: {outcome.status}")
+            raise UnknownPeerError(f"what answers at a node's address is not the kit's own: {outcome.status}")
         return connection.proven
 
     def _book(self, outcome: Outcome, ask: Ask, node: str) -> None:
--- a/orchidferry/testkit/explore/command.py
+++ b/orchidferry/testkit/explore/command.py
@@ -13,6 +13,7 @@
 from rich.console import Console
 from rich.progress import Progress, TextColumn
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.explore import search
 from orchidferry.testkit.explore.breaks import BREAKS
 from orchidferry.testkit.explore.pure import Found
@@ -20,7 +21,7 @@
 from orchidferry.testkit.explore.world import PROPERTIES, Small
 
 
-class _Usage(Exception):
+class _UsageError(OrchidferryError):
     """What can't be done as asked, in one line."""
 
 
@@ -37,17 +38,17 @@
     console = Console(highlight=False)
     try:
         if args.break_ and args.break_ not in BREAKS:
-            raise _Usage(f"--break {args.break_}: no such break; --list-breaks tells them")
+            raise _UsageError(f"--break {args.break_}: no such break; --list-breaks tells them")
         if args.replay is not None:
             return _replay(console, Path(args.replay))
         kinds = tuple((args.kinds or "pay,save,read").split(","))
         small = Small(args.clients, args.servers, args.events, kinds, args.attempts, args.cold)
         if unknown := [kind for kind in small.kinds if kind not in ("pay", "read", "save")]:
-            raise _Usage(f"--kinds: {unknown[0]!r} is none of pay, read, save")
+            raise _UsageError(f"--kinds: {unknown[0]!r} is none of pay, read, save")
         if args.seconds <= 0 or (args.walk is not None and args.walk <= 0):
-            raise _Usage("--seconds and --walk must be above 0")
+            raise _UsageError("--seconds and --walk must be above 0")
         found = _explore(console, small, args)
-    except (_Usage, ValueError) as problem:
+    except (_UsageError, ValueError) as problem:
         print(f"orchidferry explore: {problem}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
@@ -272,11 +273,11 @@
         steps = [str(one) for one in found["path"]]
         break_ = str(found["break"])
     except OSError as problem:
-        raise _Usage(f"{path}: {problem.strerror}") from None
+        raise _UsageError(f"{path}: {problem.strerror}") from None
     except (ValueError, KeyError, TypeError) as problem:
-        raise _Usage(f"{path}: is no counterexample: {problem!s:.80}") from None
+        raise _UsageError(f"{path}: is no counterexample: {problem!s:.80}") from None
     if break_ and break_ not in BREAKS:
-        raise _Usage(f"{path}: no such break {break_!r:.40}")
+        raise _UsageError(f"{path}: no such break {break_!r:.40}")
     world = search.play(small, steps, break_, to_end=True)
     for t, what in world.story:
         console.print(f"  {t - 1_000.0:9.3f} s  {what}", markup=False)
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -20,7 +20,7 @@
 
 WINDOW_S = 60.0
 SEEDS = ("a", "b", "c")
-BEATS_MOST = 16  # that may be acknowledged yet, as at `Controller`
+MAX_BEATS = 16  # that may be acknowledged yet, as at `Controller`
 
 
 class Around(Protocol):
@@ -133,7 +133,7 @@
         """Tell others that this one lives."""
         self.count += 1
         self.beats[self.count] = self.world.now
-        if len(self.beats) > BEATS_MOST:
+        if len(self.beats) > MAX_BEATS:
             del self.beats[next(iter(self.beats))]
         for name in names:
             known = self.shard.known.version
--- a/orchidferry/testkit/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -32,7 +32,7 @@
 TIMING = Timing(interval_ms=500.0, timeout_ms=200.0, gossip_ms=100.0, sync_ms=7_500.0, reach_ms=500.0)
 FAULTS_UNTIL_MS = 700.0  # a round of probes and the beginning of the next
 # from the last fault: looked at from then on; all must agree by then
-LEAST_MS = 7_000.0
+MIN_MS = 7_000.0
 QUIET_MS = 20_000.0
 LATE_MS = 700.0
 PAUSE_MS = 3_000.0
@@ -205,7 +205,7 @@
         """Run on with no more faults, and look at what must hold in the end."""
         begin = self.now
         self.faults = 0
-        while not self.violations and (self.now < begin + LEAST_MS or self._apart()):
+        while not self.violations and (self.now < begin + MIN_MS or self._apart()):
             if self.now >= begin + QUIET_MS:
                 self.violations.append(f"agree: {self._apart()}, 20 s after the last fault")
                 break
--- a/orchidferry/testkit/explore/loop.py
+++ b/orchidferry/testkit/explore/loop.py
@@ -16,11 +16,13 @@
 from contextvars import Context
 from typing import Any
 
+from orchidferry.errors import OrchidferryError
+
 Address = tuple[str, int]
-MOST_TURNS = 20_000  # callbacks between two choices: more is a loop that never rests
+MAX_TURNS = 20_000  # callbacks between two choices: more is a loop that never rests
 
 
-class Spin(Exception):
+class LoopNeverRestsError(OrchidferryError):
     """The loop does not come to rest."""
 
 
@@ -265,17 +267,17 @@
         return wire
 
     def settle(self) -> None:
-        """Run all that is ready, up to rest. `Spin` if there is none."""
+        """Run all that is ready, up to rest. `LoopNeverRestsError` if there is none."""
         asyncio._set_running_loop(self)
         try:
-            for _ in range(MOST_TURNS):
+            for _ in range(MAX_TURNS):
                 if not self.ready:
                     break
                 handle = self.ready.popleft()
                 if not handle.cancelled():
                     handle._run()
             else:
-                raise Spin(f"{MOST_TURNS} callbacks without rest")
+                raise LoopNeverRestsError(f"{MAX_TURNS} callbacks without rest")
         finally:
             asyncio._set_running_loop(None)
         self.tasks = [task for task in self.tasks if not task.done()]
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -51,7 +51,7 @@
 __all__ = ["BREAKS", "KINDS", "SCENES", "Break", "Scene", "World", "begin", "broken", "search"]
 
 GRID_S = 0.4  # beats, and what a shard does now and then
-LEAST_S = 0.02  # that time moves
+MIN_S = 0.02  # that time moves
 KEY = "k"
 # Of a shard: told by other fields, set by each event before it is read, or of use in a round alone.
 NOT_IN_PRINT = ("acceptor", "rng", "peers", "now", "_references")
@@ -482,7 +482,7 @@
             dues += [self.began_s + one.due_s for one in self.tries if not one.began]
             dues += [one.until_s for one in self.askers if one.step != "over"]
             dues += [self.began_s + at for at, _ in self.script]
-        self.now = max(self.now + LEAST_S, math.ceil(min(dues) * 1000.0) / 1000.0)
+        self.now = max(self.now + MIN_S, math.ceil(min(dues) * 1000.0) / 1000.0)
         now = self.now
         self.cuts = {pair: until for pair, until in self.cuts.items() if until > now}
         self.frozen = {name: until for name, until in self.frozen.items() if until > now}
--- a/orchidferry/testkit/explore/search.py
+++ b/orchidferry/testkit/explore/search.py
@@ -23,12 +23,12 @@
 import numpy as np
 
 from orchidferry.testkit.explore.breaks import broken
-from orchidferry.testkit.explore.loop import Spin
+from orchidferry.testkit.explore.loop import LoopNeverRestsError
 from orchidferry.testkit.explore.seen import SLOTS, Seen
 from orchidferry.testkit.explore.state import fingerprint
 from orchidferry.testkit.explore.world import Small, Violation, World
 
-DEPTH_MOST = 60
+MAX_DEPTH = 60
 GIVE = 24  # paths that a process keeps for itself; what is beyond goes to others that have none
 IDLE_S = 0.05
 TELL_S = 2.0
@@ -113,13 +113,13 @@
                 world.finish()
                 totals.outcomes.add(json.dumps(world.outcome()))
                 break
-            if len(path) >= DEPTH_MOST:
-                totals.why = f"a run of over {DEPTH_MOST} choices"
+            if len(path) >= MAX_DEPTH:
+                totals.why = f"a run of over {MAX_DEPTH} choices"
                 break
             later += [[*path, label] for label, _ in actions[1:]]
             path.append(actions[0][0])
             world.do(path[-1])
-    except Spin as problem:
+    except LoopNeverRestsError as problem:
         if world is not None:
             world.violations.append(Violation("at-rest", str(problem)))
     if world is not None and world.violations:
@@ -291,7 +291,7 @@
             path: list[str] = []
             world = World(small)
             ranks: dict[str, float] = {}
-            changes = {rng.randrange(DEPTH_MOST // 2) for _ in range(small.events)}
+            changes = {rng.randrange(MAX_DEPTH // 2) for _ in range(small.events)}
             while not world.over and not world.violations and (actions := world.actions()):
                 for label, cost in actions:
                     ranks.setdefault(label, rng.random() - 0.3 * cost)
@@ -302,7 +302,7 @@
                 path.append(label)
                 world.do(label)
                 totals.transitions += 1
-                if len(path) >= DEPTH_MOST:
+                if len(path) >= MAX_DEPTH:
                     break
             else:
                 if not world.violations:
@@ -327,7 +327,7 @@
     def fails(some: list[str]) -> bool:
         try:
             world = play(small, some, break_, to_end=True)
-        except (ValueError, IndexError, StopIteration, Spin):
+        except (ValueError, IndexError, StopIteration, LoopNeverRestsError):
             return False
         return any(v.name == name for v in world.violations)
 
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -45,7 +45,7 @@
             operators.append(Operator("r", [], at, step="read", until_s=self.began_s + since_s))
 
     def do(self, label: str) -> None:
-        with mock.patch.object(shard_state, "TAKEN_MOST", LISTED):
+        with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
             super(Orders, self).do(label)
 
     def _behind(self) -> str:
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -25,7 +25,7 @@
 SILENCE_S = 1.0  # after which a caller goes on to another controller
 PROMPT_S = 0.05  # for an answer to a call once there is no contact
 PAUSE_S = 0.1  # of a caller before its next try
-TRIES_MOST = 12
+MAX_TRIES = 12
 REFUSALS = (shard_state.OTHER_VERSION, shard_state.OLD_VERSION)
 
 
@@ -132,7 +132,7 @@
     def _call(self, operator: Operator) -> None:
         at = operator.route[operator.tries % len(operator.route)]
         operator.tries += 1
-        if operator.tries > TRIES_MOST:
+        if operator.tries > MAX_TRIES:
             operator.outcome = "gave up"
         elif not self.controllers[at].alive:
             operator.next_s = self.now + PAUSE_S
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -91,7 +91,7 @@
         self._turn()
 
     def do(self, label: str) -> None:
-        with mock.patch.object(shard_state, "TAKEN_MOST", LISTED):
+        with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
             super().do(label)
 
     def _ask(self, asker: Any) -> None:
@@ -112,7 +112,7 @@
         id = f"{operator.name}.{len(operator.told)}.{operator.tries}"
         operator.waits = f"{name} {id}"
         operator.until_s = self.now + SILENCE_S
-        with mock.patch.object(shard_state, "TAKEN_MOST", LISTED):
+        with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
             if send is not None:
                 controller.do(controller.shard.ask(id, send.order.change(), 1.2, self.now))
             else:
--- a/orchidferry/testkit/fleet/status.py
+++ b/orchidferry/testkit/fleet/status.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from orchidferry.balancing.settings import Malformed
+from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.config import Address, address
 from orchidferry.testkit import door
 
@@ -43,7 +43,7 @@
     """The command."""
     try:
         where = address(args.node)
-    except Malformed as problem:
+    except SettingsFormatError as problem:
         print(f"orchidferry fleet status: {problem}", file=sys.stderr)
         return 2
     found = asyncio.run(ask(where))
--- a/orchidferry/testkit/judge/books.py
+++ b/orchidferry/testkit/judge/books.py
@@ -31,7 +31,7 @@
 )
 from orchidferry.testkit.mesh.table import UNPLANNED
 
-MOST_TOLD = 20  # breaks of one rule that are told; all are counted
+MAX_TOLD = 20  # breaks of one rule that are told; all are counted
 
 
 @dataclass(slots=True)
@@ -214,5 +214,5 @@
     def broke(self, finding: Finding, t: float, id: str, what: str, story: Sequence[str] = ()) -> None:
         """Note a break; its story is that of the request `id`, if there is one."""
         finding.count += 1
-        if len(finding.broken) < MOST_TOLD:
+        if len(finding.broken) < MAX_TOLD:
             finding.broken.append(Break(self.at(t), id, what, self.story(id) if id else list(story)))
--- a/orchidferry/testkit/judge/evidence.py
+++ b/orchidferry/testkit/judge/evidence.py
@@ -29,7 +29,7 @@
 
 Request = tuple[int, str]  # tier and id
 Seen = Asked | Answered | Cut | Unanswered | Extra
-MOST_STORY = 24  # lines of what happened to one request
+MAX_STORY = 24  # lines of what happened to one request
 
 # Ends of a node's process that are not its own doing: what it held is for its caller to ask again.
 KILLED = ("killed", "end")
@@ -126,8 +126,8 @@
         ]
         facts.sort(key=lambda fact: fact.t)
         lines = [f"{self.at(fact.t):9.3f} s  {_told(fact, self)}" for fact in facts]
-        if len(lines) > MOST_STORY:
-            lines = [*lines[:MOST_STORY], f"and {len(lines) - MOST_STORY} lines more"]
+        if len(lines) > MAX_STORY:
+            lines = [*lines[:MAX_STORY], f"and {len(lines) - MAX_STORY} lines more"]
         return lines
 
 
--- a/orchidferry/testkit/judge/mesh.py
+++ b/orchidferry/testkit/judge/mesh.py
@@ -29,9 +29,9 @@
 from orchidferry.testkit.mesh.table import CLOSING
 
 FORMAT = 1
-MOST_STALL_S = 0.25  # that the kit may stand still before its run says nothing
-MOST_STARVED = 0.25  # of two seconds, that a process may wait for a core before it does so too
-LEAST_SERVED = 0.25  # of what is asked, once what was lost has had its time
+MAX_STALL_S = 0.25  # that the kit may stand still before its run says nothing
+MAX_STARVED = 0.25  # of two seconds, that a process may wait for a core before it does so too
+MIN_SERVED = 0.25  # of what is asked, once what was lost has had its time
 
 
 # Further tries
@@ -115,8 +115,8 @@
                 counts[0] += 1
                 counts[1] += isinstance(end, Answered) and 200 <= end.status < 300
         finding.checked += after[0]
-        served = before[1] >= LEAST_SERVED * before[0]
-        if served and after[1] < LEAST_SERVED * after[0]:
+        served = before[1] >= MIN_SERVED * before[0]
+        if served and after[1] < MIN_SERVED * after[0]:
             books.broke(finding, back, "", f"{after[1]} of {after[0]} served after the closing loss")
     return finding
 
@@ -218,9 +218,9 @@
         """Why the run says nothing; empty: it does."""
         stall = self.record.stall_s
         starved = self.record.starved
-        if stall > MOST_STALL_S:
+        if stall > MAX_STALL_S:
             return f"the kit itself stood still for {stall * 1000:.0f} ms"
-        return f"a process waited for a core for {starved:.0%} of 2 s" if starved > MOST_STARVED else ""
+        return f"a process waited for a core for {starved:.0%} of 2 s" if starved > MAX_STARVED else ""
 
     @property
     def served(self) -> int:
--- a/orchidferry/testkit/judge/requests.py
+++ b/orchidferry/testkit/judge/requests.py
@@ -12,7 +12,7 @@
 )
 
 REFUSALS = (408, 421, 429, 503)
-MOST_OWN = 5  # refusals of the mesh's own that are borne, and one in 500
+MAX_OWN = 5  # refusals of the mesh's own that are borne, and one in 500
 
 
 def mixed(books: Books) -> Finding:
@@ -141,7 +141,7 @@
         allowed = versions and all(books.rule(put, sent) for put in versions)
         if allowed and books.in_touch(sent.t, end.t, sent.machine):
             found.append((end, id))
-    if len(found) > MOST_OWN + finding.checked / 500.0:
+    if len(found) > MAX_OWN + finding.checked / 500.0:
         for end, id in found:
             books.broke(finding, end.t, id, f"ended with {end.status}, one of {len(found)}")
     return finding
--- a/orchidferry/testkit/judge/rules.py
+++ b/orchidferry/testkit/judge/rules.py
@@ -20,7 +20,7 @@
 STARTED_S = 0.25  # discovery's word of when a server started and the server's own differ by less
 INFORMED_SHARE = 2.0 / 3.0  # of the work that pushed a cold server over must be from nodes that knew,
 COLD_SLACK = 1.1  # and the budget is taken so much larger, for chance
-MOST_TOLD = 20  # breaks of one rule that are kept with their story; all are counted
+MAX_TOLD = 20  # breaks of one rule that are kept with their story; all are counted
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
 
     def add(self, books: Evidence, t: float, request: Request, what: str) -> None:
         self.count += 1
-        if len(self.broken) < MOST_TOLD:
+        if len(self.broken) < MAX_TOLD:
             story = books.story(request)
             self.broken.append(Break(books.at(t), request[1], request[0], what, story))
 
--- a/orchidferry/testkit/mesh/ask.py
+++ b/orchidferry/testkit/mesh/ask.py
@@ -14,9 +14,9 @@
 from orchidferry.testkit.mesh.facts import Answered, Cut, Extra, Fact, Sent, digest
 from orchidferry.testkit.wire import Address, Outcome, Pool
 
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 CALL_S = 1.0  # of silence, at `control`
-LEAST_LEFT_S = 0.02  # with less than that nobody begins a try
+MIN_LEFT_S = 0.02  # with less than that nobody begins a try
 
 
 class Scene:
@@ -128,9 +128,9 @@
     limit_s: float = CALL_S,
 ) -> tuple[Outcome, Address]:
     """A call of a server or of the operator, each on a connection of its own; follows 307 twice."""
-    for hop in range(1 + MOST_REDIRECTS):
+    for hop in range(1 + MAX_REDIRECTS):
         outcome = await _call(pool, where, method, path, payload, match, limit_s)
-        if outcome.how != "answer" or outcome.status != 307 or hop == MOST_REDIRECTS:
+        if outcome.how != "answer" or outcome.status != 307 or hop == MAX_REDIRECTS:
             break
         to = urlsplit(outcome.headers.get("location", ""))
         if to.hostname is None or to.port is None:
--- a/orchidferry/testkit/mesh/changes.py
+++ b/orchidferry/testkit/mesh/changes.py
@@ -21,7 +21,7 @@
 READ_EVERY_S = 0.3
 PROBE_EVERY_S = 1.0
 ORDER_S = 6.0  # for which an order is sent until it has a clear answer
-IN_FLIGHT_MOST = 8  # orders under way
+MAX_IN_FLIGHT = 8  # orders under way
 # of changes, those that race with another; of these, under one number
 RACE = 0.3
 SAME_NUMBER = 0.6
@@ -30,7 +30,7 @@
 RESEND = 0.5
 LONG_AGO = 66  # orders since: what remembers some dozens has forgotten such an order
 TO_ISOLATED = 0.3  # of orders, those that go to an isolated controller first
-STEP_MOST = 3
+MAX_STEP = 3
 MANY_AGAIN = 3  # orders from before many changes that are sent again after them, to each controller
 AGAIN = 8  # old orders that are sent again at a day's end
 GONE_FOR = 6  # versions since the route of one was dropped
@@ -65,7 +65,7 @@
 
     def next_number(self) -> int:
         """A number that no version has; they climb in uneven steps."""
-        self._number += 1 + int(self._draw("step", self._number, high=STEP_MOST))
+        self._number += 1 + int(self._draw("step", self._number, high=MAX_STEP))
         return self._number
 
     def start(self) -> None:
@@ -128,7 +128,7 @@
         while True:
             turn += 1
             await asyncio.sleep(low + self._draw("pause", turn, high=high - low))
-            if self._many or len(self._orders) > IN_FLIGHT_MOST - 3:
+            if self._many or len(self._orders) > MAX_IN_FLIGHT - 3:
                 continue
             number = self.next_number()
             first = turn % 2
--- a/orchidferry/testkit/mesh/clients.py
+++ b/orchidferry/testkit/mesh/clients.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from orchidferry.testkit import draws
-from orchidferry.testkit.mesh.ask import LEAST_LEFT_S, Scene
+from orchidferry.testkit.mesh.ask import MIN_LEFT_S, Scene
 from orchidferry.testkit.mesh.configuration import NEVER, NEW, OLD, host, prefix
 from orchidferry.testkit.mesh.day import KINDS, PROBE, Kind, Machine
 from orchidferry.testkit.mesh.facts import Ready, Sent, digest
@@ -153,7 +153,7 @@
         what = root.removesuffix("x")
         for number in range(1 + kind.repeats):
             now = scene.now()
-            if machine is None or ends - now < LEAST_LEFT_S:
+            if machine is None or ends - now < MIN_LEFT_S:
                 break
             if machine.name not in {m.name for m in self._platform.there()}:
                 machine = self._machine(f"{root}.{number}") or machine
--- a/orchidferry/testkit/mesh/command.py
+++ b/orchidferry/testkit/mesh/command.py
@@ -22,15 +22,15 @@
 from orchidferry.testkit.mesh.run import Progress
 from orchidferry.testkit.mesh.session import Played, play
 from orchidferry.testkit.report.tables import CLASS_HEAD, percent
-from orchidferry.testkit.usage import Usage, kept_folder
-from orchidferry.testkit.world.addresses import NoAddresses
+from orchidferry.testkit.usage import UsageError, kept_folder
+from orchidferry.testkit.world.addresses import NoFreeAddressesError
 
 SEED = 7
-LEAST_SECONDS = 5.0
-MOST_SECONDS = 600.0
+MIN_SECONDS = 5.0
+MAX_SECONDS = 600.0
 EVERY_S = 5.0
 PLAIN_WIDTH = 120
-MOST_BREAKS = 3
+MAX_BREAKS = 3
 LEFT_OUT = ("report", "protocol", "loss", "recording", "target", "classes", "no_fleet")
 
 
@@ -42,7 +42,7 @@
         keep = None if args.keep is None else kept_folder(Path(args.keep)).resolve()
         if args.json is not None:
             _writable(Path(args.json))
-    except Usage as problem:
+    except UsageError as problem:
         print(f"orchidferry rehearse: {problem}", file=sys.stderr)
         return 2
     console = Console(width=None if sys.stdout.isatty() else PLAIN_WIDTH)
@@ -66,7 +66,7 @@
             show(console, verdict, played)
             found = as_json(verdict) | {"usage": usage(played)}
             status = 130 if played.interrupted else 0 if verdict.passed else 1
-    except NoAddresses as problem:
+    except NoFreeAddressesError as problem:
         print(f"orchidferry rehearse: {problem}", file=sys.stderr)
         return 2
     if args.json is not None:
@@ -80,17 +80,17 @@
 def _asked(args: argparse.Namespace, day: Day) -> tuple[int, float]:
     for name in LEFT_OUT:
         if getattr(args, name, None):
-            raise Usage(f"--{name.replace('_', '-')}: is not for {day.name}")
+            raise UsageError(f"--{name.replace('_', '-')}: is not for {day.name}")
     if library := missing():
-        raise Usage(f"{day.name}: {library} is not installed; the extra mesh brings it")
+        raise UsageError(f"{day.name}: {library} is not installed; the extra mesh brings it")
     seed = SEED if args.seed is None else args.seed
     seconds = day.seconds if args.seconds is None else args.seconds
     if args.seeds is not None and not 1 <= args.seeds <= seeds.MOST:
-        raise Usage(f"--seeds {args.seeds}: not within 1 to {seeds.MOST}")
+        raise UsageError(f"--seeds {args.seeds}: not within 1 to {seeds.MOST}")
     if not 0 <= seed < 2**63:
-        raise Usage(f"--seed {seed}: not within 0 to 2^63 - 1")
-    if not (math.isfinite(seconds) and LEAST_SECONDS <= seconds <= MOST_SECONDS):
-        raise Usage(f"--seconds {seconds:g}: not within {LEAST_SECONDS:g} to {MOST_SECONDS:g}")
+        raise UsageError(f"--seed {seed}: not within 0 to 2^63 - 1")
+    if not (math.isfinite(seconds) and MIN_SECONDS <= seconds <= MAX_SECONDS):
+        raise UsageError(f"--seconds {seconds:g}: not within {MIN_SECONDS:g} to {MAX_SECONDS:g}")
     return seed, seconds
 
 
@@ -99,7 +99,7 @@
         with path.open("a"):
             pass
     except OSError as problem:
-        raise Usage(f"--json {path}: {problem.strerror}") from None
+        raise UsageError(f"--json {path}: {problem.strerror}") from None
 
 
 async def _run(
@@ -184,15 +184,15 @@
         rules.add_row(name, word(finding.held, finding.checked), str(finding.checked), str(finding.count))
     console.print(rules)
     for name, finding in verdict.rules.items():
-        for broken in finding.broken[:MOST_BREAKS]:
+        for broken in finding.broken[:MAX_BREAKS]:
             console.print(
                 f"[bold red]{name}[/]: {broken.request} at {broken.t:.3f} s: {escape(broken.what)}",
                 highlight=False,
             )
             for line in broken.story:
                 console.print(f"    {line}", markup=False, highlight=False, soft_wrap=True)
-        if finding.count > MOST_BREAKS:
-            console.print(f"    and {finding.count - MOST_BREAKS} more")
+        if finding.count > MAX_BREAKS:
+            console.print(f"    and {finding.count - MAX_BREAKS} more")
     for note in played.notes[:5]:
         console.print(f"logged at {note}", markup=False, highlight=False)
     if verdict.passed:
--- a/orchidferry/testkit/mesh/links.py
+++ b/orchidferry/testkit/mesh/links.py
@@ -13,11 +13,11 @@
 from orchidferry.testkit.mesh.relay import SOUND, Door, Fault, Line, Pair
 from orchidferry.testkit.mesh.tasks import TaskSet
 
-MOST_LINES = 4_096  # relayed connections, over all machines
+MAX_LINES = 4_096  # relayed connections, over all machines
 
 
 class Links:
-    """All relays of a run, and what ails them: `MOST_LINES` connections, `relay.HELD_MOST` bytes each way."""
+    """All relays of a run, and what ails them: `MAX_LINES` connections, `relay.MAX_HELD` bytes each way."""
 
     def __init__(self, ports: Ports) -> None:
         self._ports = ports
@@ -60,7 +60,7 @@
     @property
     def full(self) -> bool:
         """Whether there are more connections than may be relayed."""
-        return len(self.lines) > MOST_LINES
+        return len(self.lines) > MAX_LINES
 
     def fault(self, pair: Pair) -> Fault:
         return self._faults.get(pair, SOUND)
--- a/orchidferry/testkit/mesh/operator.py
+++ b/orchidferry/testkit/mesh/operator.py
@@ -16,7 +16,7 @@
 FINAL = (400, 409, 412, 413, 422)
 PATH = "/orchidferry/configuration"
 PAUSE_S = 0.1
-MOST_PAUSE_S = 1.0
+MAX_PAUSE_S = 1.0
 READ_EVERY_S = 0.5
 
 
@@ -117,7 +117,7 @@
             else:
                 lost -= 1
             await asyncio.sleep(pause)
-            pause = min(MOST_PAUSE_S, pause * 2.0)
+            pause = min(MAX_PAUSE_S, pause * 2.0)
         if fact.acked is None and fact.status not in FINAL:
             fact.status = 0
         fact.until = scene.now()
--- a/orchidferry/testkit/mesh/registration.py
+++ b/orchidferry/testkit/mesh/registration.py
@@ -12,12 +12,12 @@
 
 COLD_S = 2.0  # how long a server is cold from its start
 LEAVE_MORE_S = 0.6  # that a leaving server serves beyond `drain_ms`
-LEAVE_MOST_S = 6.0  # after which it goes without an acknowledgement
-MOST_ACK = 4096  # bytes of an acknowledgement
+MAX_LEAVE_S = 6.0  # after which it goes without an acknowledgement
+MAX_ACK = 4096  # bytes of an acknowledgement
 RETRY_S = 0.3  # after a beat that was not acknowledged
 # between calls that say that it leaves, doubling
 LEAVE_PAUSE_S = 0.1
-MOST_LEAVE_PAUSE_S = 1.0
+MAX_LEAVE_PAUSE_S = 1.0
 
 
 class Registration:
@@ -59,13 +59,13 @@
         """
         self.state = "draining"
         pause = LEAVE_PAUSE_S
-        until = self._scene.now() + LEAVE_MOST_S
+        until = self._scene.now() + MAX_LEAVE_S
         acknowledged = False
         while not acknowledged and self._scene.now() < until:
             acknowledged = await self._say("draining")
             if not acknowledged:
                 await asyncio.sleep(pause)
-                pause = min(MOST_LEAVE_PAUSE_S, pause * 2.0)
+                pause = min(MAX_LEAVE_PAUSE_S, pause * 2.0)
         if acknowledged:
             await asyncio.sleep(self._day.bounds.drain_ms / 1000.0 + LEAVE_MORE_S)
         await self._say("gone")
@@ -84,7 +84,7 @@
             outcome, by = await call(pool, where, "DELETE", path)
         else:
             outcome, by = await call(pool, where, "PUT", path, self._record(state, sequence))
-        good = outcome.how == "answer" and 200 <= outcome.status < 300 and len(outcome.body) <= MOST_ACK
+        good = outcome.how == "answer" and 200 <= outcome.status < 300 and len(outcome.body) <= MAX_ACK
         acked = scene.now() if good else None
         scene.note(Notice(at, self._id, self._machine.name, state, sequence, acked, f"{by[0]}:{by[1]}"))
         # Where to send beats holds until one fails there.
--- a/orchidferry/testkit/mesh/relay.py
+++ b/orchidferry/testkit/mesh/relay.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.mesh.links import Links
 
-HELD_MOST = 256 * 1024  # bytes that one direction of a connection holds; past that its sender is not read
+MAX_HELD = 256 * 1024  # bytes that one direction of a connection holds; past that its sender is not read
 CHOKED = 64 * 1024  # and that wait for whoever does not read
 DIAL_S = 1.0
 BROKEN_S = 0.005  # from the first half of a chunk to the reset, so that the half arrives
@@ -82,7 +82,7 @@
                 self._links.at(self._links.now() + BROKEN_S, self._reset)
         self._held.append((self._links.now() + self._links.fault(self.pair).delay_s, data))
         self._size += len(data)
-        if self._size > HELD_MOST and self._transport is not None:
+        if self._size > MAX_HELD and self._transport is not None:
             self._transport.pause_reading()
         self.flush()
 
@@ -120,7 +120,7 @@
             self._size -= len(data)
             assert self.other._transport is not None
             self.other._transport.write(data)
-            if self._transport is not None and self._size <= HELD_MOST // 2:
+            if self._transport is not None and self._size <= MAX_HELD // 2:
                 self._transport.resume_reading()
         if self._over and not self._held and self.other._transport is not None:
             if self._broke:
--- a/orchidferry/testkit/mesh/run.py
+++ b/orchidferry/testkit/mesh/run.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.mesh.ask import Scene
 from orchidferry.testkit.mesh.changes import Changes
 from orchidferry.testkit.mesh.clients import Clients, Platform
@@ -22,12 +23,12 @@
 from orchidferry.testkit.mesh.operator import Operator
 from orchidferry.testkit.mesh.planned_deeds import PLANNED_DEEDS
 from orchidferry.testkit.mesh.process_deeds import PROCESS_DEEDS
-from orchidferry.testkit.mesh.processes import AGAIN_S, MOST_STARTS, Node
+from orchidferry.testkit.mesh.processes import AGAIN_S, MAX_STARTS, Node
 from orchidferry.testkit.mesh.servers import Server
 from orchidferry.testkit.mesh.table import UNPLANNED, table
 from orchidferry.testkit.mesh.tasks import TaskSet
 from orchidferry.testkit.mesh.worst_days import WORST_DEEDS
-from orchidferry.testkit.world.addresses import Block, NoAddresses
+from orchidferry.testkit.world.addresses import Block, NoFreeAddressesError
 
 START_S = 10.0  # from the machines' start to the traffic, at most; earlier where all is ready
 LEAD_S = 3.0  # after that: servers have said that they are warm
@@ -40,7 +41,7 @@
 DEEDS = PLANNED_DEEDS | PROCESS_DEEDS | LINK_DEEDS | CLOSING_DEEDS | WORST_DEEDS
 
 
-class CutOff(Exception):
+class RunAbortedError(OrchidferryError):
     """The run can't go on; the text says why."""
 
 
@@ -67,7 +68,7 @@
         except OSError:
             continue
         return ports(base)
-    raise NoAddresses(f"no ports are free from {FIRST_PORT} to {LAST_PORT}")
+    raise NoFreeAddressesError(f"no ports are free from {FIRST_PORT} to {LAST_PORT}")
 
 
 class Play:
@@ -144,7 +145,7 @@
         """A process ended by itself: it is started again, as the platform does."""
         if self._closing:
             return
-        if node.lives >= MOST_STARTS or self.progress.phase == "starting":
+        if node.lives >= MAX_STARTS or self.progress.phase == "starting":
             tail = " | ".join(node.tail(2))
             return self.cut_off(f"{node.machine.name} ended by itself (status {status}): {tail[-200:]}")
         self.spawn(self.again(node, True))
@@ -158,7 +159,7 @@
     # Its course
 
     async def whole(self) -> None:
-        """All of it; `CutOff` where it can't go on."""
+        """All of it; `RunAbortedError` where it can't go on."""
         await asyncio.gather(*(node.start() for node in self.nodes.values()))
         started = self.scene.now()
         self.spawn(self._watch())
@@ -173,7 +174,7 @@
             await asyncio.sleep(0.05)
         await put
         if not self.platform.known:
-            raise CutOff(f"no machine was ready within {START_S:g} s of the start")
+            raise RunAbortedError(f"no machine was ready within {START_S:g} s of the start")
         await asyncio.sleep(LEAD_S)
         self.progress.phase = "playing"
         start = self.record.start = self.scene.now()
--- a/orchidferry/testkit/mesh/servers.py
+++ b/orchidferry/testkit/mesh/servers.py
@@ -9,7 +9,7 @@
 
 from orchidferry.testkit import draws
 from orchidferry.testkit.mesh import call_faults
-from orchidferry.testkit.mesh.ask import LEAST_LEFT_S, Scene
+from orchidferry.testkit.mesh.ask import MIN_LEFT_S, Scene
 from orchidferry.testkit.mesh.call_faults import CallFault
 from orchidferry.testkit.mesh.configuration import host, prefix
 from orchidferry.testkit.mesh.day import KINDS, Day, Kind, Machine
@@ -243,7 +243,7 @@
         scene = self.scene
         now = self.scene.now()
         ends = min(job.ends, now + kind.deadline_ms / 1000.0)
-        if ends - now < LEAST_LEFT_S:
+        if ends - now < MIN_LEFT_S:
             return False
         name = f"c{job.n}"
         sent = Sent(
--- a/orchidferry/testkit/mesh/session.py
+++ b/orchidferry/testkit/mesh/session.py
@@ -14,7 +14,7 @@
 
 from orchidferry.testkit.mesh.day import Day
 from orchidferry.testkit.mesh.facts import Record
-from orchidferry.testkit.mesh.run import CutOff, Play, Progress
+from orchidferry.testkit.mesh.run import Play, Progress, RunAbortedError
 from orchidferry.testkit.world.addresses import claim
 
 MORE_S = 45.0  # beyond the traffic: a run that has not ended by then is cut off
@@ -22,7 +22,7 @@
 SIGNALS = (signal.SIGINT, signal.SIGTERM)
 # of a process's log that are looked through; characters of one that is told
 LOG_LINES = 200
-LINE_MOST = 200
+MAX_LINE = 200
 
 
 @dataclass
@@ -102,7 +102,7 @@
     work.cancel()
     try:
         await work
-    except CutOff as reason:
+    except RunAbortedError as reason:
         why = str(reason)
     except asyncio.CancelledError:
         pass
@@ -112,7 +112,7 @@
 def _problems_logged(run: Play) -> list[str]:
     """Lines of processes' logs that tell of an exception."""
     return [
-        f"{name}: {line[:LINE_MOST]}"
+        f"{name}: {line[:MAX_LINE]}"
         for name, node in run.nodes.items()
         for line in node.tail(LOG_LINES)
         if "Traceback" in line or "ERROR" in line
--- a/orchidferry/testkit/quic/pool.py
+++ b/orchidferry/testkit/quic/pool.py
@@ -16,7 +16,7 @@
 class H3Pool:
     """An asker's connections: one for each address, with many requests on it."""
 
-    MOST_STREAMS = 64  # requests at once on one connection; more open another
+    MAX_STREAMS = 64  # requests at once on one connection; more open another
     SILENT_S = 1.0  # nothing heard for so long after a request: it is not trusted with another
 
     def __init__(
@@ -38,7 +38,7 @@
             idle = time.monotonic() - connection.used > IDLE_S and not connection.streams
             since = connection.unheard_since
             silent = since is not None and time.monotonic() - since > self.SILENT_S
-            if len(connection.streams) < self.MOST_STREAMS and not fresh and not idle and not silent:
+            if len(connection.streams) < self.MAX_STREAMS and not fresh and not idle and not silent:
                 return AskerStream(connection)
         coming = self._coming.get(address)
         if coming is None:
--- a/orchidferry/testkit/record.py
+++ b/orchidferry/testkit/record.py
@@ -15,6 +15,8 @@
 from pathlib import Path
 from typing import IO, Any, ClassVar
 
+from orchidferry.errors import OrchidferryError
+
 FLUSH_S = 0.25  # the owner of a recorder writes out so often
 
 
@@ -290,7 +292,7 @@
         self._file.close()
 
 
-class BadRecord(Exception):
+class RecordError(OrchidferryError):
     """A record that can't be read; the text names file and line."""
 
 
@@ -303,7 +305,7 @@
             tag, *values = json.loads(text)
             yield KINDS[tag](*values)
         except (ValueError, KeyError, TypeError) as problem:
-            raise BadRecord(f"{where}:{number}: {problem!r:.100}") from None
+            raise RecordError(f"{where}:{number}: {problem!r:.100}") from None
 
 
 def read_folder(folder: Path) -> list[Fact]:
--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -27,24 +27,24 @@
 from orchidferry.testkit.scenario import (
     FAULTS,
     MAX_SECONDS,
-    BadScenario,
     FleetSide,
     Scenario,
+    ScenarioError,
     Tier,
     Traffic,
     load_scenario,
     read_traffic,
     shipped,
 )
-from orchidferry.testkit.usage import Usage, kept_folder
-from orchidferry.testkit.world.addresses import NoAddresses
+from orchidferry.testkit.usage import UsageError, kept_folder
+from orchidferry.testkit.world.addresses import NoFreeAddressesError
 from orchidferry.testkit.world.director import Progress, Run, rehearse
 from orchidferry.testkit.world.plan import draw
 
 if TYPE_CHECKING:
     from orchidferry.testkit.traffic.replay import Preview
 
-LEAST_SECONDS = 1.0
+MIN_SECONDS = 1.0
 PLAIN_WIDTH = 120  # of what is printed where no terminal tells its width
 
 
@@ -56,19 +56,19 @@
         if args.list:
             return _list()
         if getattr(args, "seeds", None) is not None:
-            raise Usage("--seeds: is for days of the mesh")
+            raise UsageError("--seeds: is for days of the mesh")
         scenario, preview = _scenario(args)
         keep = None if args.keep is None else kept_folder(Path(args.keep))
         for path in (args.json, args.report):
             if path is not None:
                 _writable(Path(path))
-    except (BadScenario, Usage) as problem:
+    except (ScenarioError, UsageError) as problem:
         print(f"orchidferry {command}: {problem}", file=sys.stderr)
         return 2
     console = Console(width=None if sys.stdout.isatty() else PLAIN_WIDTH)
     try:
         run = uvloop.run(_run(console, scenario, keep))
-    except NoAddresses as problem:
+    except NoFreeAddressesError as problem:
         print(f"orchidferry {command}: {problem}", file=sys.stderr)
         return 2
     if run.start:
@@ -118,24 +118,24 @@
         if (value := getattr(args, name.replace("from", "from_"))) is not None and value is not False
     }
     if table and not args.recording:
-        raise Usage(f"--{next(iter(table))}: is for a --recording")
+        raise UsageError(f"--{next(iter(table))}: is for a --recording")
     return tuple(read_traffic(table | {"recording": name}, "--") for name in args.recording)
 
 
 def _scenario(args: argparse.Namespace) -> tuple[Scenario, Preview | None]:
     if args.scenario is None:
-        raise Usage("which scenario? --list tells those that are shipped")
+        raise UsageError("which scenario? --list tells those that are shipped")
     scenario = load_scenario(args.scenario)
     if laid := _laid(args):
         scenario = replace(scenario, traffic=laid)
     if args.seed is not None and not 0 <= args.seed < 2**63:
-        raise Usage(f"--seed {args.seed}: not within 0 to 2^63 - 1")
+        raise UsageError(f"--seed {args.seed}: not within 0 to 2^63 - 1")
     if args.seconds is not None and not (
-        math.isfinite(args.seconds) and LEAST_SECONDS <= args.seconds <= MAX_SECONDS
+        math.isfinite(args.seconds) and MIN_SECONDS <= args.seconds <= MAX_SECONDS
     ):
-        raise Usage(f"--seconds {args.seconds:g}: not within {LEAST_SECONDS:g} to {MAX_SECONDS:g}")
+        raise UsageError(f"--seconds {args.seconds:g}: not within {MIN_SECONDS:g} to {MAX_SECONDS:g}")
     if args.loss is not None and not 0.0 <= args.loss <= 0.5:
-        raise Usage(f"--loss {args.loss:g}: not within 0 to 0.5")
+        raise UsageError(f"--loss {args.loss:g}: not within 0 to 0.5")
     scenario = scenario.altered(args.seed, args.seconds, args.protocol, args.loss)
     if getattr(args, "no_fleet", False):
         steps = tuple(step for step in scenario.timeline if FAULTS[step.do].on != "links")
@@ -144,55 +144,55 @@
     if scenario.traffic or scenario.name == "replay":
         scenario, preview = _resolved(scenario, args)
     if scenario.network.protocol == "h3" and importlib.util.find_spec("aioquic") is None:
-        raise Usage("--protocol h3: aioquic is not installed; the extra h3 brings it")
+        raise UsageError("--protocol h3: aioquic is not installed; the extra h3 brings it")
     if scenario.fleet.on and importlib.util.find_spec("msgpack") is None:
-        raise Usage(f"{args.scenario}: msgpack is not installed; the extra fleet brings it")
+        raise UsageError(f"{args.scenario}: msgpack is not installed; the extra fleet brings it")
     if scenario.control.service and importlib.util.find_spec("grpc") is None:
-        raise Usage(f"{args.scenario}: grpcio is not installed; the extra control brings it")
+        raise UsageError(f"{args.scenario}: grpcio is not installed; the extra control brings it")
     if scenario.network.protocol == "h1" and scenario.network.loss:
-        raise Usage("--loss: only datagrams are lost on purpose, and h1 has none")
+        raise UsageError("--loss: only datagrams are lost on purpose, and h1 has none")
     try:
         draw(scenario)
     except ValueError as problem:
-        raise Usage(f"{args.scenario}: {problem}") from None
+        raise UsageError(f"{args.scenario}: {problem}") from None
     return scenario, preview
 
 
 def _resolved(scenario: Scenario, args: argparse.Namespace) -> tuple[Scenario, Preview]:
     """With all that the recordings say; what goes to another target, if one is named."""
-    from orchidferry.testkit.traffic.classes import BadClasses, read_classes
-    from orchidferry.testkit.traffic.guard import BadTarget, read_guard
-    from orchidferry.testkit.traffic.recording import BadRecording
+    from orchidferry.testkit.traffic.classes import ClassesFileError, read_classes
+    from orchidferry.testkit.traffic.guard import TargetError, read_guard
+    from orchidferry.testkit.traffic.recording import RecordingError
     from orchidferry.testkit.traffic.replay import paths_of, resolve
 
     try:
         guard = read_guard(getattr(args, "target", None), getattr(args, "send", ()))
         if guard.target is not None:
             if scenario.timeline or scenario.control.service:
-                raise Usage(
+                raise UsageError(
                     f"{args.scenario}: has a timeline or a control service, and --target has no world"
                 )
             if scenario.network.protocol != "h1":
-                raise Usage("--target: is asked by HTTP/1.1 alone")
+                raise UsageError("--target: is asked by HTTP/1.1 alone")
             only = Tier("target", 1, 1.0)
             scenario = replace(scenario, guard=guard, tiers=(only,), run=secrets.token_hex(4))
         if getattr(args, "classes", None) is not None:
             try:
                 paths = paths_of(read_classes(Path(args.classes).read_bytes()))
-            except BadClasses as problem:
-                raise Usage(f"{args.classes}: {problem}") from None
+            except ClassesFileError as problem:
+                raise UsageError(f"{args.classes}: {problem}") from None
             scenario = replace(scenario, paths=paths)
         return resolve(scenario)
-    except (BadTarget, BadRecording) as problem:
-        raise Usage(str(problem)) from None
+    except (TargetError, RecordingError) as problem:
+        raise UsageError(str(problem)) from None
     except OSError as problem:
-        raise Usage(f"{problem.filename}: {problem.strerror}") from None
+        raise UsageError(f"{problem.filename}: {problem.strerror}") from None
 
 
 def _writable(path: Path) -> None:
     """Find out before the run, not after it."""
     if path.is_dir() or not os.access(path if path.exists() else path.parent, os.W_OK):
-        raise Usage(f"{path}: can't be written")
+        raise UsageError(f"{path}: can't be written")
 
 
 async def _run(console: Console, scenario: Scenario, keep: Path | None) -> Run:
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -22,7 +22,7 @@
 LIVE_EVERY_S = 0.25
 WIDTH = 60  # characters of the timeline
 COLOURS = {"pass": "green", "FAIL": "bold red", "nothing to check": "yellow"}
-MOST_BREAKS = 3  # of a rule that are told with their story
+MAX_BREAKS = 3  # of a rule that are told with their story
 
 
 def status_line(scenario: Scenario, progress: Progress) -> str:
@@ -127,7 +127,7 @@
         f"{found['bytes_a_node_s']} bytes a node a second",
         highlight=False,
     )
-    for problem in found["problems"][:MOST_BREAKS]:
+    for problem in found["problems"][:MAX_BREAKS]:
         console.print(f"[bold red]fleet[/]: {escape(problem)}", highlight=False)
 
 
@@ -139,14 +139,14 @@
     finals = Counter(tuple(sorted(held.items())) for held in found["final_versions"].values())
     ends = "; ".join(
         f"{count} nodes on {', '.join(f'{part} {version}' for part, version in held) or 'nothing'}"
-        for held, count in finals.most_common(MOST_BREAKS)
+        for held, count in finals.most_common(MAX_BREAKS)
     )
     console.print(
         f"{found['sent']} versions, {found['bad']} bad, {found['refused']} refusals over "
         f"{len(found['final_versions'])} nodes and {found['streams']} streams; at the end {ends}",
         highlight=False,
     )
-    for problem in found["problems"][:MOST_BREAKS]:
+    for problem in found["problems"][:MAX_BREAKS]:
         console.print(f"[bold red]versions[/]: {escape(problem)}", highlight=False)
 
 
@@ -187,7 +187,7 @@
         table.add_row(TITLES[name], f"[{colour}]{told}[/]", str(finding.checked), str(finding.count))
     console.print(table)
     for name, finding in verdict.rules.items():
-        for broken in finding.broken[:MOST_BREAKS]:
+        for broken in finding.broken[:MAX_BREAKS]:
             tier = verdict.scenario.tiers[broken.tier].name
             console.print(
                 f"[bold red]{TITLES[name]}[/]: request {escape(broken.request)} to {tier}, at "
@@ -196,5 +196,5 @@
             )
             for line in broken.story:
                 console.print(f"    {line}", markup=False, highlight=False, soft_wrap=True)
-        if finding.count > MOST_BREAKS:
-            console.print(f"    and {finding.count - MOST_BREAKS} more")
+        if finding.count > MAX_BREAKS:
+            console.print(f"    and {finding.count - MAX_BREAKS} more")
--- a/orchidferry/testkit/scenario/__init__.py
+++ b/orchidferry/testkit/scenario/__init__.py
@@ -1,11 +1,11 @@
 """A scenario: topology, load, seed and timeline as typed values, checked when a file is loaded.
 
 What the values mean for each server and second is drawn in `orchidferry.testkit.world.plan` and
-`orchidferry.testkit.clients.schedule`. `BadScenario` says in one line what is wrong, by file and field.
+`orchidferry.testkit.clients.schedule`. `ScenarioError` says in one line what is wrong, by file and field.
 Times are seconds inside; files write them with a unit: "250ms", "8s", "2m".
 """
 
-from orchidferry.testkit.scenario.checks import MAX_SECONDS, BadScenario
+from orchidferry.testkit.scenario.checks import MAX_SECONDS, ScenarioError
 from orchidferry.testkit.scenario.model import Scenario
 from orchidferry.testkit.scenario.reading import MAX_FILE, load_scenario, read_scenario, read_traffic, shipped
 from orchidferry.testkit.scenario.tables import (
@@ -26,7 +26,6 @@
     "MAX_FILE",
     "MAX_SECONDS",
     "MAX_SERVERS",
-    "BadScenario",
     "ChainSide",
     "Class",
     "Clients",
@@ -34,6 +33,7 @@
     "Limits",
     "Rules",
     "Scenario",
+    "ScenarioError",
     "Step",
     "Tier",
     "Traffic",
--- a/orchidferry/testkit/scenario/checks.py
+++ b/orchidferry/testkit/scenario/checks.py
@@ -4,9 +4,10 @@
 
 from typing import TYPE_CHECKING
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.scenario.tables import MAX_NODES, MAX_SERVERS
 from orchidferry.testkit.scenario.timeline import FAULTS, Step
-from orchidferry.testkit.scenario.values import BadValue, shown
+from orchidferry.testkit.scenario.values import ScenarioValueError, shown
 
 if TYPE_CHECKING:
     from orchidferry.testkit.scenario.model import Scenario
@@ -16,14 +17,14 @@
 SHARES_TOLERANCE = 0.01
 
 
-class BadScenario(Exception):
+class ScenarioError(OrchidferryError):
     """A scenario that can't be played; the text names file and field."""
 
 
 def check_scenario(scenario: Scenario) -> None:
-    """Check a whole scenario. `BadValue` names the field."""
+    """Check a whole scenario. `ScenarioValueError` names the field."""
     if not scenario.tiers:
-        raise BadValue("tier: at least one is needed")
+        raise ScenarioValueError("tier: at least one is needed")
     _check_control(scenario)
     _check_classes(scenario)
     _check_size(scenario)
@@ -37,54 +38,56 @@
 def _check_control(scenario: Scenario) -> None:
     side = scenario.control
     if (side.versions or side.cuts) and not side.service:
-        raise BadValue("[control]: versions and cuts need service = true")
+        raise ScenarioValueError("[control]: versions and cuts need service = true")
     if side.bad >= max(1, side.versions) and side.bad:
-        raise BadValue(f"[control].bad: {side.bad} of {side.versions} versions; the last one is good")
+        raise ScenarioValueError(
+            f"[control].bad: {side.bad} of {side.versions} versions; the last one is good"
+        )
 
 
 def _check_classes(scenario: Scenario) -> None:
     if not scenario.classes:
-        raise BadValue("class: at least one is needed")
+        raise ScenarioValueError("class: at least one is needed")
     _check_distinct("class", [one.name for one in scenario.classes])
     _check_distinct("tier", [one.name for one in scenario.tiers])
     total = sum(one.share for one in scenario.classes)
     if abs(total - 1.0) > SHARES_TOLERANCE:
-        raise BadValue(f"class: the shares sum to {total:g}, not to 1")
+        raise ScenarioValueError(f"class: the shares sum to {total:g}, not to 1")
     for n, one in enumerate(scenario.classes):
         if one.gives_up_s < one.wanted_s:
-            raise BadValue(f"class[{n}].gives_up: is less than wanted")
+            raise ScenarioValueError(f"class[{n}].gives_up: is less than wanted")
 
 
 def _check_distinct(table: str, names: list[str]) -> None:
     for n, name in enumerate(names):
         if name in names[:n]:
-            raise BadValue(f"{table}[{n}].name: {name!r} comes twice")
+            raise ScenarioValueError(f"{table}[{n}].name: {name!r} comes twice")
 
 
 def _check_size(scenario: Scenario) -> None:
     if scenario.length_s > MAX_SECONDS:
-        raise BadValue(f"top level.length: over {MAX_SECONDS:g} s")
+        raise ScenarioValueError(f"top level.length: over {MAX_SECONDS:g} s")
     if sum(tier.servers for tier in scenario.tiers) > MAX_SERVERS:
-        raise BadValue(f"tier: over {MAX_SERVERS} servers in all")
+        raise ScenarioValueError(f"tier: over {MAX_SERVERS} servers in all")
     if scenario.fleet.on and scenario.front.nodes < 2:
-        raise BadValue("[fleet].on: a fleet has two nodes at least, see [front].nodes")
+        raise ScenarioValueError("[fleet].on: a fleet has two nodes at least, see [front].nodes")
     nodes = scenario.front.nodes + sum(tier.servers for tier in scenario.tiers[:-1])
     if nodes > MAX_NODES:
-        raise BadValue(
+        raise ScenarioValueError(
             f"tier: {nodes} nodes in all (each server but the last tier's has one); {MAX_NODES} at most"
         )
 
 
 def _check_traffic(scenario: Scenario) -> None:
     if len(scenario.traffic) > MAX_RECORDINGS:
-        raise BadValue(f"traffic: over {MAX_RECORDINGS} recordings")
+        raise ScenarioValueError(f"traffic: over {MAX_RECORDINGS} recordings")
     for n, laid in enumerate(scenario.traffic):
         if laid.to_s <= laid.from_s:
-            raise BadValue(f"traffic[{n}].to: is not after from")
+            raise ScenarioValueError(f"traffic[{n}].to: is not after from")
         if laid.retries != scenario.traffic[0].retries:
-            raise BadValue(f"traffic[{n}].retries: {laid.retries!r}, and others have another")
+            raise ScenarioValueError(f"traffic[{n}].retries: {laid.retries!r}, and others have another")
     if scenario.traffic and any(step.do == "burst" for step in scenario.timeline):
-        raise BadValue(
+        raise ScenarioValueError(
             "timeline: a burst is of drawn arrivals; recorded ones have theirs (speed, a second recording)"
         )
 
@@ -92,18 +95,18 @@
 def _check_pools(scenario: Scenario) -> None:
     for step in scenario.timeline:
         if step.new and (step.tier != scenario.tiers[0].name or not scenario.pools.on):
-            raise BadValue("timeline: new = true is for the first tier of a scenario with pools")
+            raise ScenarioValueError("timeline: new = true is for the first tier of a scenario with pools")
 
 
 def _check_step(scenario: Scenario, step: Step, where: str, zones: set[str]) -> None:
     target = FAULTS[step.do].on
     if target == "links" and not scenario.fleet.on:
-        raise BadValue(f"{where}.do: {step.do!r} strikes links, and [fleet] is not on")
+        raise ScenarioValueError(f"{where}.do: {step.do!r} strikes links, and [fleet] is not on")
     if step.zone and step.zone not in zones:
-        raise BadValue(f"{where}.zone: no zone {shown(step.zone)} of {scenario.fleet.zones}")
+        raise ScenarioValueError(f"{where}.zone: no zone {shown(step.zone)} of {scenario.fleet.zones}")
     if step.at_s >= scenario.length_s:
-        raise BadValue(f"{where}.at: not before the end at {scenario.length_s:g} s")
+        raise ScenarioValueError(f"{where}.at: not before the end at {scenario.length_s:g} s")
     if step.count and target == "servers" and step.do != "add":
         servers = scenario.tiers[scenario.tier_number(step.tier)].servers
         if step.count > servers:
-            raise BadValue(f"{where}.count: {step.tier} has {servers} servers")
+            raise ScenarioValueError(f"{where}.count: {step.tier} has {servers} servers")
--- a/orchidferry/testkit/scenario/model.py
+++ b/orchidferry/testkit/scenario/model.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from orchidferry.testkit.scenario.checks import BadScenario, check_scenario
+from orchidferry.testkit.scenario.checks import ScenarioError, check_scenario
 from orchidferry.testkit.scenario.tables import (
     ChainSide,
     Class,
@@ -25,7 +25,7 @@
 from orchidferry.testkit.scenario.timeline import Step
 from orchidferry.testkit.scenario.values import (
     POSITIVE_S,
-    BadValue,
+    ScenarioValueError,
     integer,
     line_of_text,
     setting,
@@ -95,7 +95,7 @@
     def altered(
         self, seed: int | None, length_s: float | None, protocol: str | None = None, loss: float | None = None
     ) -> Scenario:
-        """With another seed, length, protocol or loss; `BadScenario` if its timeline does not fit."""
+        """With another seed, length, protocol or loss; `ScenarioError` if its timeline does not fit."""
         changed = self if seed is None else replace(self, seed=seed)
         if protocol is not None:
             changed = replace(changed, network=replace(changed.network, protocol=protocol))
@@ -105,6 +105,6 @@
             changed = replace(changed, length_s=length_s)
         try:
             check_scenario(changed)
-        except BadValue as problem:
-            raise BadScenario(f"{self.name}: {problem}") from None
+        except ScenarioValueError as problem:
+            raise ScenarioError(f"{self.name}: {problem}") from None
         return changed
--- a/orchidferry/testkit/scenario/reading.py
+++ b/orchidferry/testkit/scenario/reading.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-from orchidferry.testkit.scenario.checks import BadScenario, check_scenario
+from orchidferry.testkit.scenario.checks import ScenarioError, check_scenario
 from orchidferry.testkit.scenario.model import Scenario
 from orchidferry.testkit.scenario.tables import (
     ChainSide,
@@ -27,7 +27,7 @@
     Traffic,
 )
 from orchidferry.testkit.scenario.timeline import FAULTS, Step
-from orchidferry.testkit.scenario.values import BadValue, shown
+from orchidferry.testkit.scenario.values import ScenarioValueError, shown
 
 T = TypeVar("T")
 Table = dict[str, Any]
@@ -70,19 +70,19 @@
 def _read_table(kind: type[T], table: object, where: str) -> tuple[T, frozenset[str]]:
     """A table as a dataclass, with the names of the keys that it had."""
     if not isinstance(table, dict):
-        raise BadValue(f"{where}: {shown(table)} is no table")
+        raise ScenarioValueError(f"{where}: {shown(table)} is no table")
     known = {f.metadata["file_key"] or f.name: f for f in fields(kind) if "reader" in f.metadata}  # type: ignore[arg-type]
     values: Table = {}
     for given, value in table.items():
         if given not in known:
-            raise BadValue(f"{where}.{given}: no such field; there are {', '.join(sorted(known))}")
+            raise ScenarioValueError(f"{where}.{given}: no such field; there are {', '.join(sorted(known))}")
         try:
             values[known[given].name] = known[given].metadata["reader"](value)
-        except BadValue as problem:
-            raise BadValue(f"{where}.{given}: {problem}") from None
+        except ScenarioValueError as problem:
+            raise ScenarioValueError(f"{where}.{given}: {problem}") from None
     for wanted, f in known.items():
         if f.default is MISSING and f.name not in values:
-            raise BadValue(f"{where}.{wanted}: is missing")
+            raise ScenarioValueError(f"{where}.{wanted}: is missing")
     return kind(**values), frozenset(table)
 
 
@@ -90,17 +90,19 @@
     step, given = _read_table(Step, table, where)
     fault = FAULTS.get(step.do)
     if fault is None:
-        raise BadValue(f"{where}.do: no such fault {shown(step.do)}; there are {', '.join(sorted(FAULTS))}")
+        raise ScenarioValueError(
+            f"{where}.do: no such fault {shown(step.do)}; there are {', '.join(sorted(FAULTS))}"
+        )
     for missing in sorted(fault.needs - given):
-        raise BadValue(f"{where}.{missing}: is missing; {step.do!r} needs it")
+        raise ScenarioValueError(f"{where}.{missing}: is missing; {step.do!r} needs it")
     for other in sorted(given - fault.needs - fault.may - {"at", "do"}):
-        raise BadValue(f"{where}.{other}: {step.do!r} has no such field")
+        raise ScenarioValueError(f"{where}.{other}: {step.do!r} has no such field")
     if {"share", "count"} <= given:
-        raise BadValue(f"{where}.count: share and count together")
+        raise ScenarioValueError(f"{where}.count: share and count together")
     if step.share == 0.0:
-        raise BadValue(f"{where}.share: must be above 0")
+        raise ScenarioValueError(f"{where}.share: must be above 0")
     if step.tier and step.tier not in {tier.name for tier in tiers}:
-        raise BadValue(f"{where}.tier: no tier {shown(step.tier)}")
+        raise ScenarioValueError(f"{where}.tier: no tier {shown(step.tier)}")
     if fault.on == "servers" and not step.tier:
         step = replace(step, tier=tiers[0].name)
     return step
@@ -112,8 +114,8 @@
         scenario = replace(_read_top_level(obj), **_read_parts(obj))
         scenario = replace(scenario, timeline=_read_timeline(obj, scenario.tiers))
         check_scenario(scenario)
-    except BadValue as problem:
-        raise BadScenario(f"{where}: {problem}") from None
+    except ScenarioValueError as problem:
+        raise ScenarioError(f"{where}: {problem}") from None
     return scenario
 
 
@@ -141,21 +143,21 @@
 def _read_timeline(obj: Table, tiers: tuple[Tier, ...]) -> tuple[Step, ...]:
     steps = _list_of_tables(obj.get(TIMELINE, []), TIMELINE)
     if len(steps) > MAX_STEPS:
-        raise BadValue(f"timeline: {len(steps)} entries; {MAX_STEPS} at most")
+        raise ScenarioValueError(f"timeline: {len(steps)} entries; {MAX_STEPS} at most")
     return tuple(_read_step(item, f"timeline[{n}]", tiers) for n, item in enumerate(steps))
 
 
 def read_traffic(table: Table, where: str) -> Traffic:
-    """One entry of `[[traffic]]`, from wherever; `BadScenario` names the field."""
+    """One entry of `[[traffic]]`, from wherever; `ScenarioError` names the field."""
     try:
         return _read_table(Traffic, table, where)[0]
-    except BadValue as problem:
-        raise BadScenario(str(problem).replace("--.", "--")) from None
+    except ScenarioValueError as problem:
+        raise ScenarioError(str(problem).replace("--.", "--")) from None
 
 
 def _list_of_tables(value: object, where: str) -> list[object]:
     if not isinstance(value, list):
-        raise BadValue(f"{where}: {shown(value)} is no list of tables; write [[{where}]]")
+        raise ScenarioValueError(f"{where}: {shown(value)} is no list of tables; write [[{where}]]")
     return value
 
 
@@ -165,11 +167,11 @@
 
 
 def load_scenario(wanted: str) -> Scenario:
-    """The shipped scenario of that name, or the one in the file; `BadScenario` if it can't be played."""
+    """The shipped scenario of that name, or the one in the file; `ScenarioError` if it can't be played."""
     path = shipped().get(wanted)
     if path is None:
         if not wanted.endswith(".toml"):
-            raise BadScenario(
+            raise ScenarioError(
                 f"{shown(wanted)[1:-1]}: no such scenario; --list tells which there are, a file ends in .toml"
             )
         path = Path(wanted)
@@ -183,12 +185,12 @@
         with path.open("rb") as file:
             data = file.read(MAX_FILE + 1)
     except OSError as problem:
-        raise BadScenario(f"{path}: {problem.strerror}") from None
+        raise ScenarioError(f"{path}: {problem.strerror}") from None
     if len(data) > MAX_FILE:
-        raise BadScenario(f"{path}: over {MAX_FILE // 1024} KiB, which is no scenario")
+        raise ScenarioError(f"{path}: over {MAX_FILE // 1024} KiB, which is no scenario")
     try:
         return tomllib.loads(data.decode())
     except UnicodeDecodeError as problem:
-        raise BadScenario(f"{path}: not UTF-8 at byte {problem.start}") from None
+        raise ScenarioError(f"{path}: not UTF-8 at byte {problem.start}") from None
     except (tomllib.TOMLDecodeError, RecursionError, ValueError) as problem:
-        raise BadScenario(f"{path}: not TOML: {str(problem)[:120].splitlines()[0]}") from None
+        raise ScenarioError(f"{path}: not TOML: {str(problem)[:120].splitlines()[0]}") from None
--- a/orchidferry/testkit/scenario/values.py
+++ b/orchidferry/testkit/scenario/values.py
@@ -1,6 +1,6 @@
 """Readers of single values of a scenario file.
 
-Each reader takes what TOML gave and returns the value that the kit uses, or raises `BadValue`.
+Each reader takes what TOML gave and returns the value that the kit uses, or raises `ScenarioValueError`.
 """
 
 from __future__ import annotations
@@ -11,6 +11,8 @@
 from dataclasses import MISSING, field
 from typing import Any
 
+from orchidferry.errors import OrchidferryError
+
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 DURATION = re.compile(r"([0-9]{1,7}(?:\.[0-9]{1,6})?)(ms|s|m|h)")
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3_600.0}
@@ -20,7 +22,7 @@
 MAX_PATH = 4_096
 
 
-class BadValue(Exception):
+class ScenarioValueError(OrchidferryError):
     """What is wrong with a value; whoever reads the table adds the field."""
 
 
@@ -34,7 +36,7 @@
     """A duration with its unit."""
     match = DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
-        raise BadValue(f'{shown(value)} is no duration such as "250ms", "8s" or "2m"')
+        raise ScenarioValueError(f'{shown(value)} is no duration such as "250ms", "8s" or "2m"')
     return float(match[1]) * UNITS[match[2]]
 
 
@@ -44,7 +46,7 @@
     def read(value: object) -> float:
         result = reader(value)
         if result <= 0:
-            raise BadValue(f"{shown(value)} must be above 0")
+            raise ScenarioValueError(f"{shown(value)} must be above 0")
         return result
 
     return read
@@ -55,9 +57,9 @@
 
     def read(value: object) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            raise BadValue(f"{shown(value)} is no number")
+            raise ScenarioValueError(f"{shown(value)} is no number")
         if not low <= value <= high:
-            raise BadValue(f"{shown(value)} is not within {low:g} to {high:g}")
+            raise ScenarioValueError(f"{shown(value)} is not within {low:g} to {high:g}")
         return float(value)
 
     return read
@@ -68,9 +70,9 @@
 
     def read(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
-            raise BadValue(f"{shown(value)} is no whole number")
+            raise ScenarioValueError(f"{shown(value)} is no whole number")
         if not low <= value <= high:
-            raise BadValue(f"{shown(value)} is not within {low} to {high}")
+            raise ScenarioValueError(f"{shown(value)} is not within {low} to {high}")
         return value
 
     return read
@@ -81,7 +83,7 @@
 
     def read(value: object) -> str:
         if value not in words:
-            raise BadValue(f"{shown(value)} is none of {', '.join(words)}")
+            raise ScenarioValueError(f"{shown(value)} is none of {', '.join(words)}")
         return str(value)
 
     return read
@@ -90,35 +92,35 @@
 def short_name(value: object) -> str:
     """A name of small letters, digits and hyphens."""
     if not isinstance(value, str) or not NAME.fullmatch(value):
-        raise BadValue(f"{shown(value)} is no name of small letters, digits and hyphens")
+        raise ScenarioValueError(f"{shown(value)} is no name of small letters, digits and hyphens")
     return value
 
 
 def line_of_text(value: object) -> str:
     """A line of printable text."""
     if not isinstance(value, str) or not value or len(value) > MAX_TEXT or not value.isprintable():
-        raise BadValue(f"{shown(value)} is no line of text")
+        raise ScenarioValueError(f"{shown(value)} is no line of text")
     return value
 
 
 def file_path(value: object) -> str:
     """The path of a file."""
     if not isinstance(value, str) or not value or len(value) > MAX_PATH or "\0" in value:
-        raise BadValue(f"{shown(value)} is no path of a file")
+        raise ScenarioValueError(f"{shown(value)} is no path of a file")
     return value
 
 
 def boolean(value: object) -> bool:
     """True or false."""
     if not isinstance(value, bool):
-        raise BadValue(f"{shown(value)} is neither true nor false")
+        raise ScenarioValueError(f"{shown(value)} is neither true nor false")
     return value
 
 
 def command_line(value: object) -> tuple[str, ...]:
     """A program and its arguments."""
     if not isinstance(value, list) or not value or not all(isinstance(v, str) and v for v in value):
-        raise BadValue(f"{shown(value)} is no list of a program and its arguments")
+        raise ScenarioValueError(f"{shown(value)} is no list of a program and its arguments")
     return tuple(value)
 
 
@@ -126,11 +128,11 @@
     """Two durations, from and to; one stands for both."""
     if isinstance(value, list):
         if len(value) != 2:
-            raise BadValue(f"{shown(value)} must be two durations, from and to")
+            raise ScenarioValueError(f"{shown(value)} must be two durations, from and to")
         low = duration(value[0])
         high = duration(value[1])
         if low > high:
-            raise BadValue(f"{shown(value)} must rise")
+            raise ScenarioValueError(f"{shown(value)} must rise")
         return low, high
     return duration(value), duration(value)
 
@@ -142,11 +144,11 @@
     def read(value: object) -> tuple[float, float]:
         pair = value if isinstance(value, list) else [value, value]
         if len(pair) != 2:
-            raise BadValue(f"{shown(value)} must be one number, or two from and to")
+            raise ScenarioValueError(f"{shown(value)} must be one number, or two from and to")
         start = reader(pair[0])
         end = reader(pair[1])
         if start > end:
-            raise BadValue(f"{shown(value)} must rise")
+            raise ScenarioValueError(f"{shown(value)} must rise")
         return start, end
 
     return read
--- a/orchidferry/testkit/traffic/block_reader.py
+++ b/orchidferry/testkit/traffic/block_reader.py
@@ -14,13 +14,20 @@
 
 import numpy as np
 
-from orchidferry.testkit.traffic.entry import EARLIEST, LATEST, MOST_SECONDS, MOST_TEXT, Entry, Reject
+from orchidferry.testkit.traffic.entry import (
+    EARLIEST,
+    LATEST,
+    MAX_SECONDS,
+    MAX_TEXT,
+    Entry,
+    EntryError,
+)
 from orchidferry.testkit.traffic.formats import Layout, Parser, compile_format, layout_of
 from orchidferry.testkit.traffic.import_plan import Plan
 from orchidferry.testkit.traffic.log_values import address_of, clf_time, split_request, unescaped
 from orchidferry.testkit.traffic.recording import Rows
 from orchidferry.testkit.traffic.row_columns import ClockJump, Columns, FastRows
-from orchidferry.testkit.traffic.sources import LINE_MOST, Block
+from orchidferry.testkit.traffic.sources import MAX_LINE, Block
 
 MAX_KNOWN = 10_000  # requests, clients and hashes that a process remembers
 NUMBER = re.compile(rb"\d{1,15}(?:\.\d{1,9})?")
@@ -66,7 +73,7 @@
 def _clf(text: bytes) -> float:
     try:
         return clf_time(text.decode())
-    except (ValueError, Reject):
+    except (ValueError, EntryError):
         return 0.0
 
 
@@ -90,7 +97,7 @@
 def _match_lines(layout: Layout, data: bytes) -> list[Any] | None:
     """The groups of each line; None where a line is too long, or lines can't be told apart."""
     ends = np.flatnonzero(np.frombuffer(data, np.uint8) == NEWLINE)
-    if np.diff(ends, prepend=-1, append=len(data)).max() > LINE_MOST:
+    if np.diff(ends, prepend=-1, append=len(data)).max() > MAX_LINE:
         return None
     found = layout.pattern.findall(data)
     return found if len(found) == len(ends) + 1 else None
@@ -157,7 +164,7 @@
         """Class, object and shape of a request line; class -1 for one that needs the long way."""
         try:
             return self.classify(*split_request(unescaped(text.decode())))
-        except (ValueError, Reject):
+        except (ValueError, EntryError):
             return -1, 0, ""
 
     def _client(self, pair: tuple[bytes, bytes]) -> int:
@@ -165,7 +172,7 @@
             address, agent = (part.decode() for part in pair)
         except ValueError:
             return -1
-        agent = "" if agent == "-" else unescaped(agent)[:MOST_TEXT]
+        agent = "" if agent == "-" else unescaped(agent)[:MAX_TEXT]
         entry = Entry(0.0, None, "", "", 0, 0, 0, address_of(unescaped(address)), agent)
         return self.hash(CLIENT, self.plan.classes.client_of(entry))
 
@@ -197,7 +204,7 @@
         took = np.full(len(found), -1.0)
         if layout.took >= 0:
             took = _floats(groups[layout.took]) * layout.unit
-            usable &= (took >= 0.0) & (took <= MOST_SECONDS)
+            usable &= (took >= 0.0) & (took <= MAX_SECONDS)
         usable &= np.fromiter(map(len, groups[-1]), np.int64, len(found)) == 0
         sent = list(map(_size, groups[layout.sent]))
         class_column, status_column, sent_column = (
@@ -272,7 +279,7 @@
             continue  # empty, or a comment such as W3C's
         try:
             _reader.add(columns, shapes, number, _reader.parse(line))
-        except Reject as reason:
+        except EntryError as reason:
             rejects.append((number, str(reason)))
     return _reader.finish(columns, shapes, rejects, (file, block.first), shift_s)
 
--- a/orchidferry/testkit/traffic/classes.py
+++ b/orchidferry/testkit/traffic/classes.py
@@ -23,11 +23,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.traffic.entry import METHOD, Entry
 
-MOST_CLASSES = 256
-MOST_PATTERN = 1_024
-MOST_SHAPES = 10_000  # counted at once; rarer ones make room for new ones
+MAX_CLASSES = 256
+MAX_PATTERN = 1_024
+MAX_SHAPES = 10_000  # counted at once; rarer ones make room for new ones
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 REPEATS = ("safe", "keyed", "unsafe")
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS", "TRACE")  # RFC 9110, section 9.2.1
@@ -38,7 +39,7 @@
 OBJECT = re.compile(r"\d+|[0-9a-fA-F]{8,}|[0-9a-fA-F-]{32,36}|(?=[^/]*\d)[\w.~%-]{16,}")
 
 
-class BadClasses(Exception):
+class ClassesFileError(OrchidferryError):
     """A file that can't be used; the text names the class and field."""
 
 
@@ -72,7 +73,7 @@
         found = next(
             (k for k in self.kinds if (not k.methods or method in k.methods) and k.pattern.search(path)), None
         )
-        if len(self._cache) >= MOST_SHAPES:
+        if len(self._cache) >= MAX_SHAPES:
             self._cache.clear()
         self._cache[key] = found
         return found
@@ -104,64 +105,64 @@
 
 
 def _pattern(text: Any, where: str) -> re.Pattern[str]:
-    if not isinstance(text, str) or not text or len(text) > MOST_PATTERN:
-        raise BadClasses(f"{where}: path must have 1 to {MOST_PATTERN} characters")
+    if not isinstance(text, str) or not text or len(text) > MAX_PATTERN:
+        raise ClassesFileError(f"{where}: path must have 1 to {MAX_PATTERN} characters")
     try:
         if text.startswith("re:"):
             return re.compile(text[3:])
         return re.compile(rf"\A{glob(text)}\Z", re.DOTALL)
     except re.error as problem:
-        raise BadClasses(f"{where}: path {text!r:.60} is no regex: {problem}") from None
+        raise ClassesFileError(f"{where}: path {text!r:.60} is no regex: {problem}") from None
 
 
 def _methods(value: Any, where: str) -> frozenset[str]:
     names = [value] if isinstance(value, str) else value
     if not isinstance(names, list) or not all(isinstance(n, str) and METHOD.fullmatch(n) for n in names):
-        raise BadClasses(f"{where}: method must be a name or a list of names")
+        raise ClassesFileError(f"{where}: method must be a name or a list of names")
     return frozenset(name.upper() for name in names)
 
 
 def read_classes(data: bytes) -> Classes:
-    """A file's classes; `BadClasses` if it can't be used."""
+    """A file's classes; `ClassesFileError` if it can't be used."""
     try:
         obj = tomllib.loads(data.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise BadClasses(f"not TOML: {problem!s:.100}") from None
+        raise ClassesFileError(f"not TOML: {problem!s:.100}") from None
     if unknown := sorted(obj.keys() - {"class", "identity"}):
-        raise BadClasses(f"{unknown[0]!r} is not known")
+        raise ClassesFileError(f"{unknown[0]!r} is not known")
     rows = obj.get("class")
-    if not isinstance(rows, list) or not rows or len(rows) > MOST_CLASSES:
-        raise BadClasses(f"[[class]]: 1 to {MOST_CLASSES} of them are needed")
+    if not isinstance(rows, list) or not rows or len(rows) > MAX_CLASSES:
+        raise ClassesFileError(f"[[class]]: 1 to {MAX_CLASSES} of them are needed")
     kinds: list[Kind] = []
     for at, row in enumerate(rows):
         kinds.append(_kind(row, f"class[{at}]"))
         if kinds[-1].name in {kind.name for kind in kinds[:-1]}:
-            raise BadClasses(f"class[{at}]: name {kinds[-1].name!r} is there twice")
+            raise ClassesFileError(f"class[{at}]: name {kinds[-1].name!r} is there twice")
     return Classes(tuple(kinds), _identity(obj.get("identity", {})))
 
 
 def _kind(row: Any, where: str) -> Kind:
     if not isinstance(row, dict):
-        raise BadClasses(f"{where}: must be a table")
+        raise ClassesFileError(f"{where}: must be a table")
     if unknown := sorted(row.keys() - {"name", "path", "method", "repeat", *NUMBERS}):
-        raise BadClasses(f"{where}: {unknown[0]!r} is not known")
+        raise ClassesFileError(f"{where}: {unknown[0]!r} is not known")
     name = row.get("name")
     repeat = row.get("repeat")
     if not isinstance(name, str) or not NAME.fullmatch(name):
-        raise BadClasses(f"{where}: name {name!r:.60} is no name of small letters, digits and hyphens")
+        raise ClassesFileError(f"{where}: name {name!r:.60} is no name of small letters, digits and hyphens")
     where = f"class {name!r}"
     if repeat not in REPEATS:
-        raise BadClasses(f"{where}: repeat {repeat!r:.60} is none of {', '.join(REPEATS)}")
+        raise ClassesFileError(f"{where}: repeat {repeat!r:.60} is none of {', '.join(REPEATS)}")
     numbers: dict[str, float] = {}
     for key, (low, high) in NUMBERS.items():
         value = row.get(key)
         if value is None:
             continue
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-            raise BadClasses(f"{where}: {key} {value!r:.60} is not within {low:g} to {high:g}")
+            raise ClassesFileError(f"{where}: {key} {value!r:.60} is not within {low:g} to {high:g}")
         numbers[key] = float(value)
     if numbers.get("wanted_s", 1.0) > numbers.get("gives_up_s", max(5.0, numbers.get("wanted_s", 1.0))):
-        raise BadClasses(f"{where}: wanted_s is over gives_up_s")
+        raise ClassesFileError(f"{where}: wanted_s is over gives_up_s")
     if "wanted_s" in numbers and "gives_up_s" not in numbers:
         numbers["gives_up_s"] = max(5.0, numbers["wanted_s"])
     methods = _methods(row.get("method", []), where)
@@ -170,12 +171,12 @@
 
 def _identity(obj: Any) -> tuple[str, ...]:
     if not isinstance(obj, dict) or obj.keys() - {"from"}:
-        raise BadClasses("identity: only 'from' is known")
+        raise ClassesFileError("identity: only 'from' is known")
     found = obj.get("from", list(DEFAULT_IDENTITY))
     for one in found if isinstance(found, list) and found else [None]:
         kind, _, name = one.partition(":") if isinstance(one, str) else ("", "", "")
         if one not in ("address", "agent", "address+agent") and not (kind in ("cookie", "header") and name):
-            raise BadClasses(
+            raise ClassesFileError(
                 f"identity.from: {one!r:.60} is none of address, agent, address+agent, cookie:X, header:X"
             )
     return tuple(one.lower() if ":" in one else one for one in found)
@@ -192,7 +193,7 @@
 class Shapes:
     """The most frequent shapes in bounded memory, after Space-Saving (Metwally, Agrawal, El Abbadi, 2005)."""
 
-    def __init__(self, most: int = MOST_SHAPES) -> None:
+    def __init__(self, most: int = MAX_SHAPES) -> None:
         self._most = most
         self.counts: Counter[str] = Counter()
         self.total = 0
@@ -227,7 +228,7 @@
     rest: dict[str, int] = {}
     for shape, count in sorted(shapes, key=lambda one: (-one[1], one[0])):
         method, _, path = shape.partition(" ")
-        if count < least * total or len(names) >= MOST_CLASSES - 8:
+        if count < least * total or len(names) >= MAX_CLASSES - 8:
             rest[method] = rest.get(method, 0) + count
             continue
         lines += _proposal(method, path, count / max(1, total), names)
--- a/orchidferry/testkit/traffic/command.py
+++ b/orchidferry/testkit/traffic/command.py
@@ -16,15 +16,16 @@
 from rich.progress import Progress, TextColumn
 from rich.table import Table
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.traffic import export, generate
-from orchidferry.testkit.traffic.classes import BadClasses, Classes, Shapes, mix, propose, read_classes
-from orchidferry.testkit.traffic.entry import Reject
-from orchidferry.testkit.traffic.formats import BadFormat, compile_format
+from orchidferry.testkit.traffic.classes import Classes, ClassesFileError, Shapes, mix, propose, read_classes
+from orchidferry.testkit.traffic.entry import EntryError
+from orchidferry.testkit.traffic.formats import LogFormatError, compile_format
 from orchidferry.testkit.traffic.har import read_har
-from orchidferry.testkit.traffic.importing import Plan, Report, TooMany, import_files, is_har
-from orchidferry.testkit.traffic.recording import BadRecording, Header, Reader
+from orchidferry.testkit.traffic.importing import Plan, Report, TooManyRejectedError, import_files, is_har
+from orchidferry.testkit.traffic.recording import Header, Reader, RecordingError
 from orchidferry.testkit.traffic.retries import failed
-from orchidferry.testkit.traffic.sources import BadSource, Source
+from orchidferry.testkit.traffic.sources import Source, SourceError
 
 SHOWN = 10
 TOPS = (1, 10, 100, 1_000)
@@ -32,7 +33,7 @@
 QUANTILES = (0.5, 0.9, 0.99)
 
 
-class _Usage(Exception):
+class _UsageError(OrchidferryError):
     """What can't be done as asked, in one line."""
 
 
@@ -43,13 +44,13 @@
     ]
     try:
         return what(args)
-    except (_Usage, BadClasses, BadFormat, BadSource, BadRecording) as problem:
+    except (_UsageError, ClassesFileError, LogFormatError, SourceError, RecordingError) as problem:
         print(f"orchidferry traffic {args.what}: {problem}", file=sys.stderr)
         return 2
     except OSError as problem:
         print(f"orchidferry traffic {args.what}: {problem.filename}: {problem.strerror}", file=sys.stderr)
         return 2
-    except TooMany as problem:
+    except TooManyRejectedError as problem:
         print(f"orchidferry traffic {args.what}: {problem}", file=sys.stderr)
         return 1
 
@@ -59,8 +60,8 @@
     if args.classes is not None:
         try:
             return read_classes(Path(args.classes).read_bytes())
-        except BadClasses as problem:
-            raise _Usage(f"{args.classes}: {problem}") from None
+        except ClassesFileError as problem:
+            raise _UsageError(f"{args.classes}: {problem}") from None
     text = _proposal(args, files)
     path = Path(args.to + ".classes.toml")
     path.write_text(text, encoding="utf-8")
@@ -75,7 +76,7 @@
         source = Source(path)
         if is_har(Source(path)):
             for one in read_har(source.chunks()):
-                if not isinstance(one, Reject):
+                if not isinstance(one, EntryError):
                     shapes.add(one.method, one.path)
             continue
         for block in source.blocks():
@@ -84,11 +85,11 @@
             ]:  # all of what comes first, then some
                 try:
                     entry = parse(line or b"")
-                except Reject:
+                except EntryError:
                     continue
                 shapes.add(entry.method, entry.path)
     if not shapes.total:
-        raise _Usage(f"{files[0]}: nothing in it can be read as {args.format[:60]!r}")
+        raise _UsageError(f"{files[0]}: nothing in it can be read as {args.format[:60]!r}")
     return propose(shapes.most(200), shapes.total)
 
 
@@ -96,7 +97,7 @@
     try:
         return ZoneInfo(name)
     except (ZoneInfoNotFoundError, ValueError, OSError):
-        raise _Usage(f"--zone {name!r}: is no time zone") from None
+        raise _UsageError(f"--zone {name!r}: is no time zone") from None
 
 
 def _shifts(texts: list[str]) -> tuple[tuple[str, float], ...]:
@@ -108,7 +109,7 @@
         except ValueError:
             name = ""
         if not name or not abs(found[-1][1]) <= 1e8:
-            raise _Usage(f"--shift {text!r:.60}: is not FILE=SECONDS")
+            raise _UsageError(f"--shift {text!r:.60}: is not FILE=SECONDS")
     return tuple(found)
 
 
@@ -117,12 +118,12 @@
     _zone(args.zone)
     compile_format(args.format)
     if not 0.0 <= args.rejects_share <= 1.0:
-        raise _Usage(f"--rejects-share {args.rejects_share:g}: not within 0 to 1")
+        raise _UsageError(f"--rejects-share {args.rejects_share:g}: not within 0 to 1")
     if not 0.0 < args.window <= 3_600.0:
-        raise _Usage(f"--window {args.window:g}: not within 0 to 3600")
+        raise _UsageError(f"--window {args.window:g}: not within 0 to 3600")
     shifts = _shifts(args.shift)
     if unknown := [name for name, _ in shifts if name not in {path.name for path in files}]:
-        raise _Usage(f"--shift: {unknown[0]!r} is none of the files")
+        raise _UsageError(f"--shift: {unknown[0]!r} is none of the files")
     for path in files:
         Source(path).open().close()
     plan = Plan(
@@ -352,7 +353,7 @@
 
 def _generate(args: argparse.Namespace) -> int:
     if not 0.0 < args.rate <= 100_000.0 or not 0.0 < args.seconds <= 86_400.0:
-        raise _Usage("--rate must be within 0 and 100000, --seconds within 0 and 86400")
+        raise _UsageError("--rate must be within 0 and 100000, --seconds within 0 and 86400")
     folder = Path(args.folder)
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / "access.log").open("wb") as out:
--- a/orchidferry/testkit/traffic/entry.py
+++ b/orchidferry/testkit/traffic/entry.py
@@ -6,17 +6,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from orchidferry.errors import OrchidferryError
+
 METHOD = re.compile(r"[A-Za-z0-9_-]{1,32}")
 # characters: longer ones are no request that a server takes
-MOST_TARGET = 8_192
-MOST_TEXT = 1_024
-MOST_SECONDS = 86_400.0  # of one request: more is another unit, or another field
+MAX_TARGET = 8_192
+MAX_TEXT = 1_024
+MAX_SECONDS = 86_400.0  # of one request: more is another unit, or another field
 # 2000 to 2100: what is outside is no time of a request
 EARLIEST = 946_684_800.0
 LATEST = 4_102_444_800.0
 
 
-class Reject(Exception):
+class EntryError(OrchidferryError):
     """A line or entry that is not a request; the text is the reason, the same for all of its kind."""
 
 
@@ -45,21 +47,21 @@
 
 
 def method_of(text: str) -> str:
-    """A method as RFC 9110 writes one, or `Reject`."""
+    """A method as RFC 9110 writes one, or `EntryError`."""
     if (
         not text
         or len(text) > 32
         or not text.replace("-", "").replace("_", "").isalnum()
         or not text.isascii()
     ):
-        raise Reject("no method")
+        raise EntryError("no method")
     return text.upper()
 
 
 def target_of(text: str) -> str:
     """Path and query of any form of target (RFC 9112, section 3.2): a log is never a place to send to."""
-    if len(text) > MOST_TARGET:
-        raise Reject("a target that is too long")
+    if len(text) > MAX_TARGET:
+        raise EntryError("a target that is too long")
     if "://" in text[:16]:
         rest = text.partition("://")[2]
         at = min((p for p in (rest.find("/"), rest.find("?"), rest.find("#")) if p >= 0), default=len(rest))
@@ -69,32 +71,32 @@
     text = text.partition("#")[0]
     if text == "*" or text.startswith("/"):
         return text
-    raise Reject("a target that is no path")
+    raise EntryError("a target that is no path")
 
 
 def moment(seconds: float) -> float:
     """A time that a request can have been at."""
     if not EARLIEST <= seconds <= LATEST:
-        raise Reject("a time out of range")
+        raise EntryError("a time out of range")
     return seconds
 
 
 def duration(seconds: float) -> float:
     """A time that a request can have taken."""
-    if not 0.0 <= seconds <= MOST_SECONDS:
-        raise Reject("a duration out of range")
+    if not 0.0 <= seconds <= MAX_SECONDS:
+        raise EntryError("a duration out of range")
     return seconds
 
 
 def size_of(number: int) -> int:
     """A size in bytes; what is not known is 0."""
     if number > 1 << 50:
-        raise Reject("a size out of range")
+        raise EntryError("a size out of range")
     return max(0, number)
 
 
 def status_of(number: int) -> int:
     """A status of RFC 9110, 499 and the like included; 0: no answer."""
     if number and not 100 <= number <= 999:
-        raise Reject("a status out of range")
+        raise EntryError("a status out of range")
     return number
--- a/orchidferry/testkit/traffic/formats.py
+++ b/orchidferry/testkit/traffic/formats.py
@@ -21,11 +21,11 @@
 from datetime import tzinfo
 from zoneinfo import ZoneInfo
 
-from orchidferry.testkit.traffic.log_fields import BadFormat, Parser
+from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser
 from orchidferry.testkit.traffic.mapped_formats import column_format, json_format
 from orchidferry.testkit.traffic.string_formats import Layout, string_format, string_layout
 
-__all__ = ["BadFormat", "Layout", "Parser", "compile_format", "layout_of"]
+__all__ = ["Layout", "LogFormatError", "Parser", "compile_format", "layout_of"]
 
 COMMON = '%h %l %u %t "%r" %>s %b'
 COMBINED = COMMON + ' "%{Referer}i" "%{User-Agent}i"'
@@ -47,13 +47,13 @@
 
 
 def compile_format(text: str, zone: tzinfo | None = None) -> Parser:
-    """A form's parser: an `Entry` from a line, or `Reject`. `BadFormat` if the form can't be.
+    """A form's parser: an `Entry` from a line, or `Reject`. `LogFormatError` if the form can't be.
 
     `zone` is that of times written without one.
     """
     zone = zone or ZoneInfo("UTC")
     if len(text) > MAX_FORMAT:
-        raise BadFormat(f"{len(text)} characters, {MAX_FORMAT} at most")
+        raise LogFormatError(f"{len(text)} characters, {MAX_FORMAT} at most")
     text = _named(text)
     kind, colon, rest = text.partition(":")
     if colon and kind == "json":
--- a/orchidferry/testkit/traffic/guard.py
+++ b/orchidferry/testkit/traffic/guard.py
@@ -20,6 +20,8 @@
 from enum import Enum
 from urllib.parse import urlsplit
 
+from orchidferry.errors import OrchidferryError
+
 PROOF_CLASS = "kit-proof"  # as the nodes of a replay know it: safe, and answered at once by any stand-in
 MARK = "X-Replayed"  # header of every request to a target that is not the kit's own
 NONCE_BYTES = 16
@@ -27,7 +29,7 @@
 NONCE = re.compile(f"[0-9a-f]{{{2 * NONCE_BYTES}}}")
 
 
-class BadTarget(Exception):
+class TargetError(OrchidferryError):
     """A target that can't be used, in one line."""
 
 
@@ -60,28 +62,28 @@
 
 
 def read_target(url: str) -> Target:
-    """A target from `http://ADDRESS[:PORT]`; `BadTarget` for all else, names included: a name may mean
+    """A target from `http://ADDRESS[:PORT]`; `TargetError` for all else, names included: a name may mean
     another machine by the time that it is looked up again. `localhost` is 127.0.0.1, not looked up."""
     try:
         parts = urlsplit(url)
         host = parts.hostname or ""
         port = parts.port or 80
     except ValueError:
-        raise BadTarget(f"{url!r:.80} is no URL") from None
+        raise TargetError(f"{url!r:.80} is no URL") from None
     if parts.scheme != "http" or parts.username is not None or parts.password is not None:
-        raise BadTarget(f"{url!r:.80} is not http://ADDRESS:PORT")
+        raise TargetError(f"{url!r:.80} is not http://ADDRESS:PORT")
     if parts.path not in ("", "/") or parts.query or parts.fragment:
-        raise BadTarget(f"{url!r:.80} has more than an address: paths come from the classes")
+        raise TargetError(f"{url!r:.80} has more than an address: paths come from the classes")
     if host == "localhost":
         host = "127.0.0.1"
     try:
         address = ipaddress.ip_address(host)
     except ValueError:
-        raise BadTarget(f"{url!r:.80}: {host!r:.60} is no IP address; names are not looked up") from None
+        raise TargetError(f"{url!r:.80}: {host!r:.60} is no IP address; names are not looked up") from None
     mapped = address.ipv4_mapped if isinstance(address, ipaddress.IPv6Address) else None
     address = mapped or address
     if address.is_unspecified or address.is_multicast or getattr(address, "scope_id", None):
-        raise BadTarget(f"{url!r:.80}: {host} is not the address of one machine")
+        raise TargetError(f"{url!r:.80}: {host} is not the address of one machine")
     return Target(str(address), port)
 
 
@@ -109,11 +111,11 @@
     for text in names:
         name, at, url = text.partition("@")
         if not name or not at:
-            raise BadTarget(f"{text!r:.80} is not CLASS@URL")
+            raise TargetError(f"{text!r:.80} is not CLASS@URL")
         if found is None:
-            raise BadTarget(f"{text!r:.80}: names a target, and there is none")
+            raise TargetError(f"{text!r:.80}: names a target, and there is none")
         if read_target(url) != found:
-            raise BadTarget(f"{text!r:.80}: names another target than {found}")
+            raise TargetError(f"{text!r:.80}: names another target than {found}")
         classes.add(name)
     return Guard(found, frozenset(classes))
 
--- a/orchidferry/testkit/traffic/har.py
+++ b/orchidferry/testkit/traffic/har.py
@@ -13,9 +13,9 @@
 import ijson
 
 from orchidferry.testkit.traffic.entry import (
-    MOST_TEXT,
+    MAX_TEXT,
     Entry,
-    Reject,
+    EntryError,
     duration,
     method_of,
     moment,
@@ -25,7 +25,7 @@
 )
 from orchidferry.testkit.traffic.log_values import address_of
 
-MOST_DEPTH = 64
+MAX_DEPTH = 64
 SCHEMES = ("http://", "https://")
 
 
@@ -53,7 +53,7 @@
         kind = event[0]
         if kind in ("start_map", "start_array"):
             depth += 1
-            if depth > MOST_DEPTH:
+            if depth > MAX_DEPTH:
                 raise RecursionError
         elif kind in ("end_map", "end_array"):
             depth -= 1
@@ -78,31 +78,33 @@
             ):
                 name = row["name"].lower()
                 if name in wanted or name in ("user-agent", "host"):
-                    found[name] = row["value"][:MOST_TEXT]
+                    found[name] = row["value"][:MAX_TEXT]
     return found
 
 
 def entry_of(obj: Any, wanted: frozenset[str] = frozenset()) -> Entry:
-    """One entry of `log.entries`; `Reject` if it is no request. `wanted`: headers and cookies, lower case."""
+    """One entry of `log.entries`; `EntryError` if it is no request. `wanted`: headers and cookies, lower
+    case.
+    """
     if not isinstance(obj, dict) or not isinstance(obj.get("request"), dict):
-        raise Reject("an entry without a request")
+        raise EntryError("an entry without a request")
     request = obj["request"]
     response = obj["response"] if isinstance(obj.get("response"), dict) else {}
     url = request.get("url")
     if not isinstance(url, str):
-        raise Reject("an entry without a URL")
+        raise EntryError("an entry without a URL")
     if not url.lower().startswith(SCHEMES):
-        raise Reject("a URL that is not of HTTP")
+        raise EntryError("a URL that is not of HTTP")
     status = status_of(int(_number(response.get("status"), 0.0)))
     if obj.get("_webSocketMessages") is not None or status == 101:
-        raise Reject("a WebSocket, which is no request and answer")
+        raise EntryError("a WebSocket, which is no request and answer")
     started = obj.get("startedDateTime")
     try:
         at = datetime.fromisoformat(started) if isinstance(started, str) else None
     except ValueError:
         at = None
     if at is None or at.tzinfo is None:
-        raise Reject("a time that can't be read")
+        raise EntryError("a time that can't be read")
     fields = _fields(request, wanted)
     content = response["content"] if isinstance(response.get("content"), dict) else {}
     sent = max(_number(response.get("bodySize")), _number(content.get("size")), 0.0)
@@ -121,15 +123,17 @@
         size_of(int(received)),
         address_of(str(obj.get("_clientAddress", ""))),
         fields.get("user-agent", ""),
-        host[:MOST_TEXT],
+        host[:MAX_TEXT],
         extra or None,
         0.0,
         status == 0,
     )
 
 
-def read_har(chunks: Iterable[bytes], wanted: frozenset[str] = frozenset()) -> Iterator[Entry | Reject]:
-    """All entries in the file's order, those that are no request as their `Reject`; a last one for a cut."""
+def read_har(chunks: Iterable[bytes], wanted: frozenset[str] = frozenset()) -> Iterator[Entry | EntryError]:
+    """All entries in the file's order, those that are no request as their `EntryError`; a last one for a
+    cut.
+    """
     found = 0
     try:
         events = _shallow(ijson.basic_parse(_Stream(chunks), use_float=True))
@@ -137,10 +141,10 @@
             found += 1
             try:
                 yield entry_of(obj, wanted)
-            except Reject as reason:
+            except EntryError as reason:
                 yield reason
     except (ijson.JSONError, UnicodeDecodeError, RecursionError):
-        yield Reject("a HAR that is cut off or damaged" if found else "no HAR")
+        yield EntryError("a HAR that is cut off or damaged" if found else "no HAR")
         return
     if not found:
-        yield Reject("a HAR without entries")
+        yield EntryError("a HAR without entries")
--- a/orchidferry/testkit/traffic/import_plan.py
+++ b/orchidferry/testkit/traffic/import_plan.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.traffic.classes import Classes, Shapes
 from orchidferry.testkit.traffic.retries import WINDOW_S
 
@@ -14,7 +15,7 @@
 MAX_NOTES = 50
 
 
-class TooMany(Exception):
+class TooManyRejectedError(OrchidferryError):
     """More was rejected than may be; the text says how much, and for which reasons."""
 
 
--- a/orchidferry/testkit/traffic/importing.py
+++ b/orchidferry/testkit/traffic/importing.py
@@ -23,15 +23,15 @@
 
 from orchidferry.testkit.traffic import row_columns
 from orchidferry.testkit.traffic.block_reader import BlockRows, begin, rows_of_entries, rows_of_lines
-from orchidferry.testkit.traffic.entry import Reject
+from orchidferry.testkit.traffic.entry import EntryError
 from orchidferry.testkit.traffic.har import read_har
-from orchidferry.testkit.traffic.import_plan import Plan, Report, TooMany
+from orchidferry.testkit.traffic.import_plan import Plan, Report, TooManyRejectedError
 from orchidferry.testkit.traffic.recording import SPREAD, Header, Writer, ahead
 from orchidferry.testkit.traffic.retries import Ties
 from orchidferry.testkit.traffic.sorted_runs import SortedRuns
 from orchidferry.testkit.traffic.sources import Source
 
-__all__ = ["Plan", "Report", "TooMany", "import_files", "is_har"]
+__all__ = ["Plan", "Report", "TooManyRejectedError", "import_files", "is_har"]
 
 AHEAD = 2  # blocks for each process that are read ahead of it
 MAX_REJECTS = 1_000_000  # lines of the rejects file; past that they are counted only
@@ -56,7 +56,7 @@
         if har:
             number = 1
             found = read_har(source.chunks(), plan.classes.wanted_fields())
-            plain = (str(one) if isinstance(one, Reject) else one for one in found)
+            plain = (str(one) if isinstance(one, EntryError) else one for one in found)
             while batch := list(itertools.islice(plain, HAR_BLOCK)):
                 report.lines += len(batch)
                 yield file, rows_of_entries, (file, number, batch, shift_s)
@@ -91,7 +91,9 @@
 def import_files(
     plan: Plan, to: Path, rejects: Path, watch: Callable[[Report], None] = lambda _: None
 ) -> Report:
-    """Make a recording; nothing is left of one that fails. `TooMany`, `BadSource` or `OSError` then."""
+    """Make a recording; nothing is left of one that fails. `TooManyRejectedError`, `SourceError` or
+    `OSError` then.
+    """
     report = Report()
     with tempfile.TemporaryDirectory(prefix="orchidferry-import-", dir=to.parent) as name:
         runs = SortedRuns(Path(name))
@@ -101,7 +103,7 @@
         asked = bad + runs.total
         if not runs.total or bad > plan.share * asked:
             reasons = ", ".join(f"{count} {reason}" for reason, count in report.rejects.most_common(3))
-            raise TooMany(
+            raise TooManyRejectedError(
                 f"{bad} of {asked} can't be read ({plan.share:.0%} may be): {reasons or 'nothing there'}"
             )
         _write(plan, report, runs, to)
--- a/orchidferry/testkit/traffic/log_fields.py
+++ b/orchidferry/testkit/traffic/log_fields.py
@@ -6,8 +6,9 @@
 from datetime import tzinfo
 from typing import Any
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.traffic.entry import (
-    MOST_TEXT,
+    MAX_TEXT,
     Entry,
     duration,
     method_of,
@@ -40,7 +41,7 @@
 NO_ANSWER = (0, 499)  # statuses of requests whose client left
 
 
-class BadFormat(Exception):
+class LogFormatError(OrchidferryError):
     """A form that can't be; the text names the part."""
 
 
@@ -62,7 +63,7 @@
     status = status_of(int(number(values.get("status"))))
     if values.get("spread"):
         step = SPREAD_STEP_S
-    fields = {key: str(value)[:MOST_TEXT] for key, value in values.items() if key not in KEYS}
+    fields = {key: str(value)[:MAX_TEXT] for key, value in values.items() if key not in KEYS}
     return Entry(
         start,
         took_s,
@@ -72,8 +73,8 @@
         size_of(int(number(values.get("sent")))),
         size_of(int(number(values.get("received")))),
         address_of(str(values.get("address", ""))),
-        str(values.get("agent", ""))[:MOST_TEXT],
-        str(values.get("host", ""))[:MOST_TEXT],
+        str(values.get("agent", ""))[:MAX_TEXT],
+        str(values.get("host", ""))[:MAX_TEXT],
         fields or None,
         step,
         status in NO_ANSWER or bool(values.get("aborted")),
@@ -81,7 +82,7 @@
 
 
 def require_keys(keys: set[str], text: str) -> None:
-    """Check that a form names what an entry needs. `BadFormat`."""
+    """Check that a form names what an entry needs. `LogFormatError`."""
     for one in NEEDED:
         if not one & keys:
-            raise BadFormat(f"{text[:60]!r} lacks {' or '.join(sorted(one))}")
+            raise LogFormatError(f"{text[:60]!r} lacks {' or '.join(sorted(one))}")
--- a/orchidferry/testkit/traffic/log_values.py
+++ b/orchidferry/testkit/traffic/log_values.py
@@ -8,7 +8,7 @@
 from datetime import datetime, tzinfo
 from typing import Any
 
-from orchidferry.testkit.traffic.entry import MOST_TEXT, Reject, method_of, moment, target_of
+from orchidferry.testkit.traffic.entry import MAX_TEXT, EntryError, method_of, moment, target_of
 
 UNITS = {"s": 1.0, "ms": 1e-3, "us": 1e-6, "ns": 1e-9}
 MONTHS = {name: at for at, name in enumerate(calendar.month_abbr) if name}
@@ -34,14 +34,14 @@
         datetime(year, month, day)
         at = calendar.timegm((year, month, day, hour, minute, second)) - (-zone if text[21] == "-" else zone)
     except (ValueError, KeyError, IndexError):
-        raise Reject("a time that can't be read") from None
+        raise EntryError("a time that can't be read") from None
     return moment(float(at))
 
 
 def any_time(value: Any, zone: tzinfo) -> tuple[float, float]:
     """A time in any usual form, and how finely it is written: epoch in s, ms, us or ns, ISO 8601, CLF."""
     if isinstance(value, bool) or value is None:
-        raise Reject("no time")
+        raise EntryError("no time")
     if not isinstance(value, str):
         return _epoch(float(value)), 0.0 if float(value) % 1.0 or value > 1e11 else 1.0
     text = value.strip("[] ")
@@ -52,7 +52,7 @@
     try:
         found = datetime.fromisoformat(text)
     except ValueError:
-        raise Reject("a time that can't be read") from None
+        raise EntryError("a time that can't be read") from None
     if found.tzinfo is None:
         found = found.replace(tzinfo=zone)
     return moment(found.timestamp()), 0.0 if "." in text or "," in text else 1.0
@@ -72,9 +72,9 @@
     try:
         found = float(value)
     except (TypeError, ValueError):
-        raise Reject("a number that can't be read") from None
+        raise EntryError("a number that can't be read") from None
     if found != found or found in (float("inf"), float("-inf")):
-        raise Reject("a number that can't be read")
+        raise EntryError("a number that can't be read")
     return found
 
 
@@ -85,7 +85,7 @@
         return text[1:].partition("]")[0]
     if text.count(":") == 1:
         text = text.partition(":")[0]
-    return "" if text == "-" else text[:MOST_TEXT]
+    return "" if text == "-" else text[:MAX_TEXT]
 
 
 ESCAPE = re.compile(r"\\(?:x([0-9a-fA-F]{2})|(.))")
@@ -106,5 +106,5 @@
     if not version.startswith("HTTP/"):
         target = rest
     if not method or not target or " " in target:
-        raise Reject("a request line that can't be read")
+        raise EntryError("a request line that can't be read")
     return method_of(method), target_of(target)
--- a/orchidferry/testkit/traffic/mapped_formats.py
+++ b/orchidferry/testkit/traffic/mapped_formats.py
@@ -9,8 +9,8 @@
 from datetime import tzinfo
 from typing import Any
 
-from orchidferry.testkit.traffic.entry import Entry, Reject
-from orchidferry.testkit.traffic.log_fields import BadFormat, Parser, build, require_keys
+from orchidferry.testkit.traffic.entry import Entry, EntryError
+from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser, build, require_keys
 from orchidferry.testkit.traffic.log_values import UNITS, number
 
 FIELD = re.compile(r"([\w.@+-]+?)(?::(s|ms|us|ns))?")
@@ -22,9 +22,9 @@
         key, equals, value = one.strip().partition("=")
         match = FIELD.fullmatch(value)
         if not equals or not key or match is None:
-            raise BadFormat(f"{one!r:.60} is not KEY=FIELD")
+            raise LogFormatError(f"{one!r:.60} is not KEY=FIELD")
         if match[2] and key != "took":
-            raise BadFormat(f"{one!r:.60}: only took has a unit")
+            raise LogFormatError(f"{one!r:.60}: only took has a unit")
         found[key.lower()] = match[1].split("+") if key == "took" else [match[1]], UNITS[match[2] or "s"]
     require_keys(set(found), text)
     return found
@@ -54,9 +54,9 @@
         try:
             obj = json.loads(line)
         except (ValueError, RecursionError):
-            raise Reject("not JSON") from None
+            raise EntryError("not JSON") from None
         if not isinstance(obj, dict):
-            raise Reject("JSON that is no object")
+            raise EntryError("JSON that is no object")
         values: dict[str, Any] = {}
         for key, (names, unit) in paths.items():
             got = [reach(obj, path) for path in names]
@@ -65,7 +65,7 @@
                 values[key] = value
         if isinstance(values.get("request"), str) or "request" not in values:
             return build(values, zone)
-        raise Reject("a request line that can't be read")
+        raise EntryError("a request line that can't be read")
 
     return parse
 
@@ -78,18 +78,18 @@
         try:
             columns[key] = [int(name) - 1 for name in names], unit
         except ValueError:
-            raise BadFormat(f"{key}={'+'.join(names)}: columns are numbers from 1") from None
+            raise LogFormatError(f"{key}={'+'.join(names)}: columns are numbers from 1") from None
         if min(columns[key][0]) < 0:
-            raise BadFormat(f"{key}: columns are numbers from 1")
+            raise LogFormatError(f"{key}: columns are numbers from 1")
     last = max(max(at) for at, _ in columns.values())
 
     def parse(line: bytes) -> Entry:
         try:
             row = next(csv.reader([line.decode("utf-8", "replace")], delimiter=separator))
         except (csv.Error, StopIteration):
-            raise Reject("columns that can't be read") from None
+            raise EntryError("columns that can't be read") from None
         if len(row) <= last:
-            raise Reject("too few columns")
+            raise EntryError("too few columns")
         values: dict[str, Any] = {}
         for key, (at, unit) in columns.items():
             value = _took([row[n] for n in at], unit) if key == "took" else row[at[0]]
--- a/orchidferry/testkit/traffic/recording.py
+++ b/orchidferry/testkit/traffic/recording.py
@@ -24,6 +24,8 @@
 import numpy as np
 from backports import zstd
 
+from orchidferry.errors import OrchidferryError
+
 MAGIC = b"orchidferry recording"
 FORMAT = 1
 ROW = np.dtype(
@@ -50,7 +52,7 @@
 SPREAD = 2
 END = 0xFFFF_FFFF_FFFF_FFFF
 BLOCK = 65_536  # rows of one read or write
-HEADER_MOST = 1024 * 1024
+MAX_HEADER = 1024 * 1024
 LEVEL = 3
 
 T = TypeVar("T")
@@ -67,7 +69,7 @@
             yield found  # type: ignore[misc]
 
 
-class BadRecording(Exception):
+class RecordingError(OrchidferryError):
     """A file that is no recording, or a damaged one; the text names it."""
 
 
@@ -128,7 +130,7 @@
 
 
 class Reader:
-    """Reads a recording in blocks. `BadRecording` if it is none, here or while it is read."""
+    """Reads a recording in blocks. `RecordingError` if it is none, here or while it is read."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -140,16 +142,16 @@
             magic = self._file.readline(len(MAGIC) + 16)
             kind, _, version = magic.rstrip(b"\n").rpartition(b" ")
             if kind != MAGIC:
-                raise BadRecording(f"{self._path}: is no recording")
+                raise RecordingError(f"{self._path}: is no recording")
             if version != b"%d" % FORMAT:
-                raise BadRecording(
+                raise RecordingError(
                     f"{self._path}: has format {version.decode('ascii', 'replace')}, not {FORMAT}"
                 )
-            return Header(**json.loads(self._file.readline(HEADER_MOST)))
+            return Header(**json.loads(self._file.readline(MAX_HEADER)))
         except OSError as problem:
-            raise BadRecording(f"{self._path}: {problem.strerror or problem}") from None
+            raise RecordingError(f"{self._path}: {problem.strerror or problem}") from None
         except (EOFError, ValueError, TypeError, zstd.ZstdError) as problem:
-            raise BadRecording(f"{self._path}: is no recording: {problem!s:.80}") from None
+            raise RecordingError(f"{self._path}: is no recording: {problem!s:.80}") from None
 
     def blocks(self, from_s: float = 0.0, to_s: float = math.inf) -> Iterator[Rows]:
         """All rows within these times, a block at a time; the whole file is checked on the way."""
@@ -171,7 +173,7 @@
                         tail = data[(at + 1) * ROW.itemsize :] + self._file.read(256)
                         rows = rows[:at]
                     elif len(data) < BLOCK * ROW.itemsize:
-                        raise BadRecording(f"{self._path}: is cut off after {count + len(rows)} requests")
+                        raise RecordingError(f"{self._path}: is cut off after {count + len(rows)} requests")
                     checksum.update(rows.tobytes())
                     count += len(rows)
                     found = rows[(rows["t"] >= low) & (rows["t"] < high)]
@@ -180,9 +182,9 @@
                     if last.size:
                         break
         except (EOFError, zstd.ZstdError):
-            raise BadRecording(f"{self._path}: is cut off or damaged after {count} requests") from None
+            raise RecordingError(f"{self._path}: is cut off or damaged after {count} requests") from None
         if tail != b"end %b %d\n" % (checksum.hexdigest().encode(), count):
-            raise BadRecording(f"{self._path}: does not fit its checksum")
+            raise RecordingError(f"{self._path}: does not fit its checksum")
 
     def _exactly(self, size: int) -> bytes:
         found = []
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -25,8 +25,8 @@
 
 from orchidferry.testkit import draws
 from orchidferry.testkit.clients.schedule import Arrival
-from orchidferry.testkit.scenario import BadScenario, Class, Scenario, Traffic
-from orchidferry.testkit.traffic.classes import BadClasses, Classes, mix
+from orchidferry.testkit.scenario import Class, Scenario, ScenarioError, Traffic
+from orchidferry.testkit.traffic.classes import Classes, ClassesFileError, mix
 from orchidferry.testkit.traffic.guard import May
 from orchidferry.testkit.traffic.recording import NO_TIME, Header, Reader, Rows, ahead
 from orchidferry.testkit.traffic.retries import failed
@@ -34,7 +34,7 @@
 Mask = np.ndarray[tuple[int], np.dtype[np.bool_]]
 SLICE = 256  # rows that become Python's values at once: a longer pause would be lateness
 QUANTILES = (0.5, 0.9, 0.99)
-LEAST_WORK_S = 0.001
+MIN_WORK_S = 0.001
 WORK_SAMPLE = 200_000  # requests whose durations a class's work is taken from
 GOLDEN = 0x9E3779B97F4A7C15
 
@@ -144,7 +144,7 @@
     """The arrivals of a replay in order of time, every so-manieth from `index` on.
 
     How patient a client is and whether it heeds advice is drawn for the client, not for the request.
-    `BadRecording` if one is damaged past what has been read.
+    `RecordingError` if one is damaged past what has been read.
     """
     classes = {cls.name: cls for cls in scenario.classes}
     streams = [
@@ -229,14 +229,14 @@
             known = own.get(name) or found.get(name)
             if known is not None and known.repeat != repeat:
                 # What one side calls safe may be what the other must never send.
-                raise BadScenario(
+                raise ScenarioError(
                     f"{laid.recording}: class {name!r} is {repeat} there, and {known.repeat} elsewhere"
                 )
             if name in found:
                 continue
             wanted_s = float(row.get("wanted_s", 1.0))
             gives_up_s = float(row.get("gives_up_s", 5.0))
-            work_s = min(max(LEAST_WORK_S, works.get(name, 0.05)), gives_up_s)
+            work_s = min(max(MIN_WORK_S, works.get(name, 0.05)), gives_up_s)
             found[name] = own.get(name) or Class(
                 name,
                 0.0,
@@ -262,7 +262,7 @@
         if path and not path.startswith("/"):
             path = "/" + path
         if any(not "!" <= c <= "~" for c in path):
-            raise BadClasses(f"class {kind.name!r}: path {kind.path!r:.60} can't be sent as it is")
+            raise ClassesFileError(f"class {kind.name!r}: path {kind.path!r:.60} can't be sent as it is")
         found.append((kind.name, (method, path)))
     return tuple(found)
 
@@ -270,16 +270,16 @@
 def resolve(scenario: Scenario) -> tuple[Scenario, Preview]:
     """A scenario whose classes, rate and length are its recordings', and what it will send.
 
-    `BadScenario` or `BadRecording` if it can't be played; each recording is read whole and checked.
+    `ScenarioError` or `RecordingError` if it can't be played; each recording is read whole and checked.
     """
     if not scenario.traffic:
-        raise BadScenario(f"{scenario.name}: which recording? --recording FILE, or [[traffic]] in the file")
+        raise ScenarioError(f"{scenario.name}: which recording? --recording FILE, or [[traffic]] in the file")
     ends = []
     for laid in scenario.traffic:
         header = Reader(Path(laid.recording)).header
         span = _span_s(laid, header)
         if span <= 0.0:
-            raise BadScenario(
+            raise ScenarioError(
                 f"{laid.recording}: nothing from {laid.from_s:g} s on; it has {header.seconds:g} s"
             )
         ends.append(math.inf if laid.loop else laid.at_s + span / laid.speed)
@@ -292,7 +292,7 @@
     preview = _preview(scenario)
     total = sum(preview.sent.values())
     if not total:
-        raise BadScenario(f"{scenario.name}: nothing is left to send; left out: {dict(preview.skipped)}")
+        raise ScenarioError(f"{scenario.name}: nothing is left to send; left out: {dict(preview.skipped)}")
     used = tuple(replace(c, share=preview.sent[c.name] / total) for c in classes.values())
     load = replace(scenario.load, rate=total / scenario.length_s)
     return replace(scenario, classes=used, load=load).altered(None, None), preview
--- a/orchidferry/testkit/traffic/retries.py
+++ b/orchidferry/testkit/traffic/retries.py
@@ -19,7 +19,7 @@
 
 WINDOW_S = 30.0
 SLACK_US = 50_000  # clocks and rounding: a retry may seem to begin a little before its first try's end
-NUMBER_MOST = 255
+MAX_NUMBER = 255
 MARKS = 1 << 20  # places of the table in which keys of failed requests are marked
 # one client in so many stands for all, in slices of more requests than that
 SAMPLE = 16
@@ -107,7 +107,7 @@
         for before, one in zip(first[tied].tolist(), then[tied].tolist(), strict=True):
             # Few, and in order of time within a key: retries of retries find theirs done.
             chain[one] = chain[before]
-            number[one] = min(NUMBER_MOST, int(number[before]) + 1)
+            number[one] = min(MAX_NUMBER, int(number[before]) + 1)
         rows = both[old:]
         last = int(start[-1])
         keep = (end + self._window_us >= last) & (both["client"] != 0)
--- a/orchidferry/testkit/traffic/sources.py
+++ b/orchidferry/testkit/traffic/sources.py
@@ -1,7 +1,7 @@
 """Files of any size as lines, in constant memory: plain, gzip or zstd, by their first bytes.
 
 Lines come in blocks with the number of their first, so that a reader may hand blocks to other processes.
-A line longer than `LINE_MOST` is dropped as it is read, whatever its length; a compressed file that ends in
+A line longer than `MAX_LINE` is dropped as it is read, whatever its length; a compressed file that ends in
 the middle gives what was whole.
 """
 
@@ -16,13 +16,15 @@
 from pathlib import Path
 from typing import Any
 
-LINE_MOST = 64 * 1024  # bytes: an access log's lines have some hundreds
+from orchidferry.errors import OrchidferryError
+
+MAX_LINE = 64 * 1024  # bytes: an access log's lines have some hundreds
 BLOCK = 512 * 1024  # bytes read in one go
 GZIP = b"\x1f\x8b"
 ZSTD = b"\x28\xb5\x2f\xfd"
 
 
-class BadSource(Exception):
+class SourceError(OrchidferryError):
     """A file that can't be read at all; the text names it."""
 
 
@@ -33,12 +35,12 @@
     first: int  # number of the first line, from 1
     data: bytes  # without the end of the last line
     count: int  # of lines
-    dropped: bool = False  # the first line was longer than `LINE_MOST`: what is here is not all of it
+    dropped: bool = False  # the first line was longer than `MAX_LINE`: what is here is not all of it
 
     @property
     def lines(self) -> list[bytes | None]:
         """The lines; None for one that was too long."""
-        found: list[bytes | None] = [one if len(one) <= LINE_MOST else None for one in self.data.split(b"\n")]
+        found: list[bytes | None] = [one if len(one) <= MAX_LINE else None for one in self.data.split(b"\n")]
         if self.dropped:
             found[0] = None
         return found
@@ -54,20 +56,20 @@
     _carry: bytes = field(default=b"", repr=False)
 
     def open(self) -> Any:
-        """The file's bytes, uncompressed. `BadSource` if it can't be opened."""
+        """The file's bytes, uncompressed. `SourceError` if it can't be opened."""
         try:
             raw = self.path.open("rb")
             magic = raw.read(4)
             raw.seek(0)
         except OSError as problem:
-            raise BadSource(f"{self.path}: {problem.strerror}") from None
+            raise SourceError(f"{self.path}: {problem.strerror}") from None
         if magic[:2] == GZIP:
             return gzip.GzipFile(fileobj=raw)
         if magic == ZSTD:
             try:
                 from backports import zstd
             except ImportError:
-                raise BadSource(f"{self.path}: zstd needs the extra kit") from None
+                raise SourceError(f"{self.path}: zstd needs the extra kit") from None
             return zstd.ZstdFile(raw)
         return raw
 
@@ -100,7 +102,7 @@
             data = carry + data
             end = data.rfind(b"\n")
             if end < 0:
-                if len(data) > LINE_MOST:  # its rest is dropped as it comes
+                if len(data) > MAX_LINE:  # its rest is dropped as it comes
                     dropping = True
                 carry = b"" if dropping else data
                 continue
@@ -108,7 +110,7 @@
             block = Block(number, data[:end], count, dropping)
             dropping = False
             carry = data[end + 1 :]
-            if len(carry) > LINE_MOST:
+            if len(carry) > MAX_LINE:
                 dropping = True
                 carry = b""
             number += count
--- a/orchidferry/testkit/traffic/string_formats.py
+++ b/orchidferry/testkit/traffic/string_formats.py
@@ -8,8 +8,8 @@
 from datetime import tzinfo
 from typing import Any
 
-from orchidferry.testkit.traffic.entry import Entry, Reject
-from orchidferry.testkit.traffic.log_fields import BadFormat, Parser, build, require_keys
+from orchidferry.testkit.traffic.entry import Entry, EntryError
+from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser, build, require_keys
 from orchidferry.testkit.traffic.log_values import CLF_TIME, UNITS, number, unescaped
 
 MAX_FIELDS = 64
@@ -66,7 +66,7 @@
         side = "end" if name.startswith("end:") else "start"
         if word in ("sec", "msec", "usec", "msec_frac", "usec_frac"):
             return "" if word.endswith("_frac") else side
-        raise BadFormat(f"%{{{name}}}t: only sec, msec and usec can be read back")
+        raise LogFormatError(f"%{{{name}}}t: only sec, msec and usec can be read back")
     if kind == "T" and name:
         return f"took:{name}" if name in UNITS else ""
     if kind == "i" and name:
@@ -138,9 +138,9 @@
     parts = _parts(text)
     keys = [value for kind, value in parts if kind == "key"]
     if len(keys) > MAX_FIELDS:
-        raise BadFormat(f"{len(keys)} fields, {MAX_FIELDS} at most")
+        raise LogFormatError(f"{len(keys)} fields, {MAX_FIELDS} at most")
     if not any(keys):
-        raise BadFormat(f"{text!r:.60} names no field")
+        raise LogFormatError(f"{text!r:.60} names no field")
     require_keys({key.partition(":")[0] for key in keys if key}, text)
     strict = re.compile(_pattern(parts, QUOTED))
     # Servers that escape nothing write a `"` as it is. Read so only where there is one way to read it.
@@ -153,13 +153,13 @@
         if match is None:
             # Bounded, as it is tried at every quote: a line made for it would take hours.
             if text.count('"') > MAX_QUOTES:
-                raise Reject("quotes that can be read in two ways")
+                raise EntryError("quotes that can be read in two ways")
             match = lazy.fullmatch(text)
             if match is None:
-                raise Reject("not in this format")
+                raise EntryError("not in this format")
             other = greedy.fullmatch(text)
             if other is None or other.groups() != match.groups():
-                raise Reject("quotes that can be read in two ways")
+                raise EntryError("quotes that can be read in two ways")
         values: dict[str, Any] = {}
         for key, value in zip(keys, match.groups(), strict=True):
             if key and (value != "-" or key == "sent") and (value or key not in values):
@@ -173,7 +173,7 @@
                 values["target"] = f"{values.get('target', '')}?{query}"
         values.pop("query", None)
         if "request" in keys and "request" not in values:  # `-`: the server could read none
-            raise Reject("a request line that can't be read")
+            raise EntryError("a request line that can't be read")
         return build(values, zone)
 
     return parse
--- a/orchidferry/testkit/usage.py
+++ b/orchidferry/testkit/usage.py
@@ -4,17 +4,19 @@
 
 from pathlib import Path
 
+from orchidferry.errors import OrchidferryError
 
-class Usage(Exception):
+
+class UsageError(OrchidferryError):
     """A word that can't be meant; one line that names it."""
 
 
 def kept_folder(path: Path) -> Path:
-    """An empty folder for `--keep`, made where there is none; `Usage` if that can't be."""
+    """An empty folder for `--keep`, made where there is none; `UsageError` if that can't be."""
     try:
         path.mkdir(parents=True, exist_ok=True)
         if any(path.iterdir()):
-            raise Usage(f"--keep {path}: is not empty")
+            raise UsageError(f"--keep {path}: is not empty")
     except OSError as problem:
-        raise Usage(f"--keep {path}: {problem.strerror}") from None
+        raise UsageError(f"--keep {path}: {problem.strerror}") from None
     return path
--- a/orchidferry/testkit/wire.py
+++ b/orchidferry/testkit/wire.py
@@ -225,9 +225,9 @@
 
 
 class Pool:
-    """An asker's kept connections, by address. Bound: `MOST_IDLE` for each address."""
+    """An asker's kept connections, by address. Bound: `MAX_IDLE` for each address."""
 
-    MOST_IDLE = 256
+    MAX_IDLE = 256
     IDLE_S = 5.0  # a node closes an idle connection after 10 s: kept for less, a request seldom crosses that
 
     def __init__(self, on_extra: Callable[[str], None], local: str | None = None) -> None:
@@ -257,7 +257,7 @@
     def put_back(self, address: Address, connection: AskerSide) -> None:
         """Keep a connection for the next request, if it can carry one."""
         idle = self._idle.setdefault(address, [])
-        if connection.alive and len(idle) < self.MOST_IDLE:
+        if connection.alive and len(idle) < self.MAX_IDLE:
             idle.append((time.monotonic(), connection))
         else:
             connection.drop()
--- a/orchidferry/testkit/world/addresses.py
+++ b/orchidferry/testkit/world/addresses.py
@@ -8,6 +8,7 @@
 
 import socket
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.wire import Address
 
 # all under the ports that the kernel hands out
@@ -24,7 +25,7 @@
 DOOR_PORT = 9200
 
 
-class NoAddresses(Exception):
+class NoFreeAddressesError(OrchidferryError):
     """All blocks are in use."""
 
 
@@ -75,4 +76,4 @@
             return Block(number), held
         except OSError:
             held.close()
-    raise NoAddresses("all loopback blocks from 127.64 to 127.250 are in use by other rehearsals")
+    raise NoFreeAddressesError("all loopback blocks from 127.64 to 127.250 are in use by other rehearsals")
--- a/orchidferry/testkit/world/director.py
+++ b/orchidferry/testkit/world/director.py
@@ -24,9 +24,9 @@
 from orchidferry.testkit.world.deployment import Deployment
 from orchidferry.testkit.world.nodes import WINDOW_S, NodeProcess
 from orchidferry.testkit.world.plan import Plan, Server, draw
-from orchidferry.testkit.world.run import CutOff, Progress, Run
+from orchidferry.testkit.world.run import Progress, Run, RunAbortedError
 
-__all__ = ["RESULT", "CutOff", "Director", "Progress", "Run", "rehearse"]
+__all__ = ["RESULT", "Director", "Progress", "Run", "RunAbortedError", "rehearse"]
 
 START_S = 60.0  # for all to come up
 AT_ONCE = 8  # nodes that start at the same time
@@ -168,7 +168,7 @@
     # The script
 
     async def play(self) -> None:
-        """Play the whole script; `CutOff` if it can't be played to its end."""
+        """Play the whole script; `RunAbortedError` if it can't be played to its end."""
         deployment = self.deployment
         start = deployment.start = deployment.recorder.now() + LEAD_S
         for child in deployment.clients:
@@ -198,7 +198,7 @@
                 for child in deployment.clients:
                     await child.played.wait()
         except TimeoutError:
-            raise CutOff("the clients did not come to their end") from None
+            raise RunAbortedError("the clients did not come to their end") from None
 
     async def _look(self) -> None:
         """Keep the record flowing, and watch this loop and the nodes' share of the machine."""
@@ -226,7 +226,7 @@
 
     async def until_cut(self) -> None:
         """Wait until something ends the run before its time."""
-        raise CutOff(await asyncio.shield(self.deployment.cut))
+        raise RunAbortedError(await asyncio.shield(self.deployment.cut))
 
     async def close(self) -> None:
         """End every process and close every port, whatever state they are in."""
@@ -278,7 +278,8 @@
 
 
 async def rehearse(scenario: Scenario, progress: Progress, keep: Path | None = None) -> Run:
-    """Play a scenario once. `ValueError`: its timeline comes to too much; `NoAddresses`: none is free.
+    """Play a scenario once. `ValueError`: its timeline comes to too much; `NoFreeAddressesError`: none is
+    free.
 
     SIGINT and SIGTERM end the run early; what was seen until then comes back, as it does when a node or
     a process of the kit dies. `keep`: a folder that the record and the nodes' logs are left in.
@@ -314,7 +315,7 @@
             for task in done:
                 task.result()
             complete = True
-        except CutOff as reason:
+        except RunAbortedError as reason:
             why = str(reason)
         versions = await director.control()
         await director.close()
@@ -346,5 +347,5 @@
         async with asyncio.timeout(START_S):
             await director.begin()
     except TimeoutError:
-        raise CutOff(f"not all came up within {START_S:g} s") from None
+        raise RunAbortedError(f"not all came up within {START_S:g} s") from None
     await director.play()
--- a/orchidferry/testkit/world/discovery.py
+++ b/orchidferry/testkit/world/discovery.py
@@ -15,8 +15,8 @@
 from orchidferry.testkit.record import Recorder, Told
 from orchidferry.testkit.wire import Address, Request, ServerSide
 
-MOST_WAIT_MS = 60_000
-MOST_CHANGES = 10_000  # that are kept: a watch from before these gets the whole list
+MAX_WAIT_MS = 60_000
+MAX_CHANGES = 10_000  # that are kept: a watch from before these gets the whole list
 DEEMED_S = 6.0  # what discovery has to tell counts as told so much later at the latest
 
 
@@ -51,7 +51,7 @@
         else:
             self.servers[entry.name] = entry
         self.changes.append((self.index, entry))
-        del self.changes[:-MOST_CHANGES]
+        del self.changes[:-MAX_CHANGES]
 
     def since(self, index: int | None) -> tuple[bool, list[Listed]]:
         """What a node that holds `index` must be told: whether it is the whole list, and the entries."""
@@ -188,7 +188,7 @@
         fields = parse_qs(query)
         try:
             index = int(fields["index"][0]) if "index" in fields else None
-            wait_s = min(int(fields.get("wait", ["0"])[0]), MOST_WAIT_MS) / 1000.0
+            wait_s = min(int(fields.get("wait", ["0"])[0]), MAX_WAIT_MS) / 1000.0
         except ValueError:
             return connection.answer(400)
         whole, news = self.registries[asker.tier].since(index)
--- a/orchidferry/testkit/world/hub.py
+++ b/orchidferry/testkit/world/hub.py
@@ -18,8 +18,8 @@
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.links import Links
 
-DATAGRAM_MOST = 65_536
-HELD_MOST = 50_000  # datagrams that are under way at once; more are lost, as in a full queue
+MAX_DATAGRAM = 65_536
+MAX_HELD = 50_000  # datagrams that are under way at once; more are lost, as in a full queue
 PIECE = 16 * 1024  # of a stream that is passed on at once
 LOOK_S = 0.05  # how often a piece that a cut holds up is tried again
 STREAM_S = 60.0  # after which a connection is ended, whatever it does
@@ -67,7 +67,7 @@
     def _readable(self, udp: socket.socket, to: str) -> None:
         for _ in range(64):
             try:
-                data, source = udp.recvfrom(DATAGRAM_MOST)
+                data, source = udp.recvfrom(MAX_DATAGRAM)
             except OSError:
                 return
             sender = self._name_at.get(source[0])
@@ -76,7 +76,7 @@
             self._bytes[sender] += len(data)
             self._messages[sender] += 1
             for wait in self._links.datagram(sender, to, len(data), self._t()):
-                if self._held < HELD_MOST:
+                if self._held < MAX_HELD:
                     self._held += 1
                     self._loop.call_later(wait, self._deliver, udp, data, to)
 
--- a/orchidferry/testkit/world/machine.py
+++ b/orchidferry/testkit/world/machine.py
@@ -21,7 +21,7 @@
 FAIL_S = 0.005  # how long a server that fails takes to say so
 COLD_STEP_S = 0.05  # while it warms up, the end of a part is looked at again so often
 COLD_SLACK = 1.1  # on the cold budget, for chance
-MOST_KEYS = 200_000  # kept by one cell; the oldest go first
+MAX_KEYS = 200_000  # kept by one cell; the oldest go first
 
 
 @dataclass(slots=True)
@@ -136,7 +136,7 @@
             return True
         self._seen.pop(key, None)
         self._seen[key] = now
-        if len(self._seen) > MOST_KEYS:
+        if len(self._seen) > MAX_KEYS:
             del self._seen[next(iter(self._seen))]
         return False
 
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -16,7 +16,7 @@
 
 LEAVE_BACK_S = 1.0  # from a server's stop to its start, where a scenario says nothing else
 TROUBLES = ("slow", "errors", "freeze", "silent", "resets")
-MOST_ACTS = 50_000  # that a timeline may come to: pauses add up
+MAX_ACTS = 50_000  # that a timeline may come to: pauses add up
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,8 +100,8 @@
 
     def act(self, t: float, do: str, whom: str, value: float = 0.0, entry: int = -1) -> None:
         self.acts.append(Act(t, do, whom, value, entry))
-        if len(self.acts) > MOST_ACTS:
-            raise ValueError(f"timeline: comes to over {MOST_ACTS} acts; are pauses too short?")
+        if len(self.acts) > MAX_ACTS:
+            raise ValueError(f"timeline: comes to over {MAX_ACTS} acts; are pauses too short?")
 
 
 def server_name(seed: int, tier: str, place: int, life: int) -> str:
--- a/orchidferry/testkit/world/run.py
+++ b/orchidferry/testkit/world/run.py
@@ -5,11 +5,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.record import Fact
 from orchidferry.testkit.world.plan import Plan
 
 
-class CutOff(Exception):
+class RunAbortedError(OrchidferryError):
     """The run can't go on; the text says why."""
 
 
--- a/tests/balancing/checker.py
+++ b/tests/balancing/checker.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.interface import Group, Health, ListKind, Repeat, Result
 
 
-class Broken(AssertionError):
+class RuleBrokenError(AssertionError):
     """A rule is broken."""
 
 
@@ -33,7 +33,7 @@
 
 
 class Checker:
-    """Told every event before the node, and every action after; raises `Broken`."""
+    """Told every event before the node, and every action after; raises `RuleBrokenError`."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
@@ -120,4 +120,4 @@
     @staticmethod
     def _need(kept: bool, rule: str) -> None:
         if not kept:
-            raise Broken(rule)
+            raise RuleBrokenError(rule)
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -17,7 +17,7 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
 from orchidferry.balancing.schedule import Lot
-from tests.balancing.checker import Broken, Checker
+from tests.balancing.checker import Checker, RuleBrokenError
 from tests.balancing.helpers import settings
 
 RESULTS = list(Result)
@@ -103,7 +103,7 @@
             elif not self.requests[what].ends:
                 owed = self.requests[what]
                 if not owed.attempts or owed.attempts[-1][2] is not None:
-                    raise Broken("rule 1: a request was lost")
+                    raise RuleBrokenError("rule 1: a request was lost")
                 self.finish(what, Result.TIMEOUT)
                 assert owed.ends == 1
         self.now = target
@@ -191,7 +191,7 @@
     for seed in range(60):
         try:
             play(seed, **({"max_attempts": 4} | changes))
-        except Broken as broken:
+        except RuleBrokenError as broken:
             return str(broken)
     return "none"
 
--- a/tests/balancing/test_versions.py
+++ b/tests/balancing/test_versions.py
@@ -227,11 +227,11 @@
 
 
 def test_bounds_on_how_much_a_version_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_MEMBERS", 3)
-    monkeypatch.setattr(module, "MOST_POOLS", 2)
-    monkeypatch.setattr(module, "MOST_CLASSES", 4)
-    monkeypatch.setattr(module, "MOST_TENANTS", 1)
-    monkeypatch.setattr(module, "MOST_NAMES", 5)
+    monkeypatch.setattr(module, "MAX_MEMBERS", 3)
+    monkeypatch.setattr(module, "MAX_POOLS", 2)
+    monkeypatch.setattr(module, "MAX_CLASSES", 4)
+    monkeypatch.setattr(module, "MAX_TENANTS", 1)
+    monkeypatch.setattr(module, "MAX_NAMES", 5)
     service = Service()
 
     def reason(content: Content) -> str:
@@ -267,7 +267,7 @@
         service.offer(None, f"v{n}", problem="x" * 5000)
     kept = service.versions.status()["refused"]
     assert len(kept) == REFUSALS_KEPT and kept[-1]["version"] == f"v{2 * REFUSALS_KEPT - 1}"
-    assert max(len(r["reason"]) for r in kept) <= module.REASON_MOST
+    assert max(len(r["reason"]) for r in kept) <= module.MAX_REASON
 
 
 # Whole, or not at all
--- a/tests/mesh/test_codec.py
+++ b/tests/mesh/test_codec.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from orchidferry.mesh.control.fanout_tree import Change
-from orchidferry.mesh.wire.codec import LENGTH_BYTES, SHARD_KINDS, UnreadableMessage, decode, encode
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, SHARD_KINDS, MessageDecodeError, decode, encode
 from orchidferry.mesh.wire.messages import KINDS, MESSAGES, Message
 
 PLAIN: dict[Any, st.SearchStrategy[Any]] = {
@@ -80,7 +80,7 @@
 def test_whatever_comes_is_a_message_or_is_refused_in_one_line(parts: Any) -> None:
     try:
         message = decode(cbor2.dumps(parts))
-    except UnreadableMessage as problem:
+    except MessageDecodeError as problem:
         assert "\n" not in str(problem) and len(str(problem)) < 400
     else:
         assert parts[0] in KINDS and isinstance(message, KINDS[parts[0]])
--- a/tests/mesh/test_control_client.py
+++ b/tests/mesh/test_control_client.py
@@ -7,7 +7,7 @@
 import pytest
 
 from orchidferry.mesh.control.contact import CONTACT_S
-from orchidferry.mesh.control.control_client import ASK_MOST_S, ASK_S, TICK_S, ControlClient
+from orchidferry.mesh.control.control_client import ASK_S, MAX_ASK_S, TICK_S, ControlClient
 from orchidferry.mesh.control.endpoints import LEASE_S, Record
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.settings import check_settings
@@ -166,7 +166,7 @@
     asked = first.asked()
     began_s = rig.loop.time()
     rig.node.start()
-    while rig.loop.time() < began_s + ASK_MOST_S - TICK_S:
+    while rig.loop.time() < began_s + MAX_ASK_S - TICK_S:
         first.heard_s = rig.loop.time()  # bytes of it
         rig.wires[NAMES[1]].heard_s = rig.loop.time()
         rig.ticks(1)
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -24,9 +24,9 @@
 from orchidferry.mesh.control.endpoints import Record
 from orchidferry.mesh.control.fanout_tree import (
     FANOUT,
-    FOLLOWERS_MOST,
     HEADS,
     LOG,
+    MAX_FOLLOWERS,
     Change,
     Followers,
     Stream,
@@ -135,7 +135,7 @@
     """The bound in virtual time, with half of the relays frozen, dead, silent or deaf to the controllers."""
     world = fleet(seed, 60, 2)
     some = relays(world)
-    assert len(some) > 4 and all(len(n.subscriber._followers.places) <= FOLLOWERS_MOST for n in some)
+    assert len(some) > 4 and all(len(n.subscriber._followers.places) <= MAX_FOLLOWERS for n in some)
     hit = {node.name for node in some[::2]}
     for node in some[::2]:
         if trouble == "mute":
@@ -278,15 +278,15 @@
 
 def test_a_full_relay_sends_others_elsewhere() -> None:
     subscriber, _ = lone("a", 1)
-    below = [f"n{n}" for n in range(200) if rank(f"n{n}", 1) > rank("a", 1)][: FOLLOWERS_MOST + 2]
+    below = [f"n{n}" for n in range(200) if rank(f"n{n}", 1) > rank("a", 1)][: MAX_FOLLOWERS + 2]
     links = [Wire() for _ in below]
     for name, link in zip(below, links, strict=True):
         subscriber.stranger(link)
         subscriber.from_follower(link, RelaySubscription(name, 1, "z", []))
-    assert [link.sent[0] for link in links] == [RelayAccepted()] * FOLLOWERS_MOST + [RelayFull()] * 2
+    assert [link.sent[0] for link in links] == [RelayAccepted()] * MAX_FOLLOWERS + [RelayFull()] * 2
     subscriber._loop.world.run(5.0)
     subscriber.tick()
-    assert [link.closed for link in links] == [False] * FOLLOWERS_MOST + [True] * 2
+    assert [link.closed for link in links] == [False] * MAX_FOLLOWERS + [True] * 2
     subscriber.lost_follower(links[0])
     again = Wire()
     subscriber.stranger(again)
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -17,7 +17,7 @@
 from orchidferry.mesh.control.actions import Ended
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
-from orchidferry.mesh.control.configuration_text import TEXT_MOST, compress, expand
+from orchidferry.mesh.control.configuration_text import MAX_TEXT, compress, expand
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.control_api import call
 from orchidferry.mesh.control.fanout_tree import LOG
@@ -56,9 +56,9 @@
     for wrong in (kept[:-1], kept + b"x", kept[:40] + bytes([kept[40] ^ 1]) + kept[41:]):
         with pytest.raises(ValueError, match="text is"):
             expand(wrong)
-    assert len(expand(zlib.compress(bytes(TEXT_MOST)))) == TEXT_MOST
+    assert len(expand(zlib.compress(bytes(MAX_TEXT)))) == MAX_TEXT
     with pytest.raises(ValueError, match="more than 8388608 bytes"):
-        expand(zlib.compress(bytes(TEXT_MOST * 8)))
+        expand(zlib.compress(bytes(MAX_TEXT * 8)))
 
 
 def test_the_operator_reads_the_very_bytes_that_were_sent() -> None:
@@ -107,7 +107,7 @@
     snapshots.take_from(folder, str(tmp_path / "new"))
     with monkeypatch.context() as before:
         before.setattr(snapshot_file, "FORMATS", (1,))
-        with pytest.raises(snapshots.BadSnapshot, match="format 2 is not known here"):
+        with pytest.raises(snapshots.SnapshotError, match="format 2 is not known here"):
             snapshots.read_snapshot(str(tmp_path / "new"))
 
 
--- a/tests/mesh/test_links.py
+++ b/tests/mesh/test_links.py
@@ -13,7 +13,7 @@
 
 from orchidferry.testkit.mesh.day import DAYS, Machine, Ports, machines
 from orchidferry.testkit.mesh.links import Links
-from orchidferry.testkit.mesh.relay import BROKEN_S, HELD_MOST, SOUND, Fault, Half
+from orchidferry.testkit.mesh.relay import BROKEN_S, MAX_HELD, SOUND, Fault, Half
 from orchidferry.testkit.mesh.run import free_ports
 from orchidferry.testkit.mesh.table import CLOSING, LOSSES, PLANNED, UNPLANNED, table
 from orchidferry.testkit.world.addresses import claim
@@ -76,7 +76,7 @@
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("data"), st.sampled_from([1, HELD_MOST // 3, HELD_MOST])),
+        st.tuples(st.just("data"), st.sampled_from([1, MAX_HELD // 3, MAX_HELD])),
         st.tuples(st.sampled_from(["cut", "heal", "choke", "read"]), st.just(0)),
         st.tuples(st.just("late"), st.integers(0, 400)),
         st.tuples(st.just("wait"), st.integers(0, 300)),
@@ -117,8 +117,8 @@
             assert len(far.written) == before
         elif not choked:
             assert len(far.written) == ripe
-        assert sent.startswith(far.written) and len(sent) - len(far.written) <= 2 * HELD_MOST + 4
-        assert near.reading or len(sent) - len(far.written) > HELD_MOST // 2
+        assert sent.startswith(far.written) and len(sent) - len(far.written) <= 2 * MAX_HELD + 4
+        assert near.reading or len(sent) - len(far.written) > MAX_HELD // 2
     world.ails = SOUND
     other.resume_writing()
     one.connection_lost(None)
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -187,7 +187,7 @@
 
 def play(seed: int, size: Size, trouble: float) -> LossWorld:
     """A run; whoever breaks a property raises an `AssertionError`."""
-    with mock.patch.object(shard_state, "TAKEN_MOST", LISTED):
+    with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
         world = LossWorld(random.Random(seed), size)
         for _ in range(size.steps):
             world.step(trouble)
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -242,7 +242,7 @@
 
 def _play(seed: int, trouble: float, steps: int = 2_500) -> Orders:
     world = Orders(random.Random(seed))
-    with mock.patch.object(shard_state, "TAKEN_MOST", 2):  # a state tells of one order
+    with mock.patch.object(shard_state, "MAX_TAKEN", 2):  # a state tells of one order
         for _ in range(steps):
             world.step(trouble)
             if world.rng.random() < 0.05:
@@ -320,7 +320,7 @@
     assert list(history.numbers) == [4, 5, 6, 7, 8] and history.floor == 4 and history.outdated == [1, 2, 3]
     assert history.verdict(4, b"", 3, 8) is Verdict.UNKNOWN
     assert history.verdict(5, b"", 4, 8) is Verdict.TAKEN
-    assert history.entries[4] == Entry(b"", -1) and order_book.PAGE < order_history.ORDERS_MOST
+    assert history.entries[4] == Entry(b"", -1) and order_book.PAGE < order_history.MAX_ORDERS
 
 
 def test_a_group_that_was_begun_anew_is_believed_and_not_the_disk() -> None:
@@ -433,7 +433,7 @@
 
 def test_copies_of_an_order_are_checked_once() -> None:
     resource = Resource()
-    most = configuration_resource.CHECKED_MOST
+    most = configuration_resource.MAX_CHECKED
     with mock.patch.object(configuration_resource, "check", wraps=configuration.check) as check:
         for _ in range(5):
             assert resource.put(_content(5), b"0").status == 200
@@ -448,7 +448,7 @@
 
 def test_an_order_too_old_to_be_known_has_no_clear_answer() -> None:
     resource = Resource()
-    with mock.patch.object(shard_state, "TAKEN_MOST", 2):
+    with mock.patch.object(shard_state, "MAX_TAKEN", 2):
         for number in range(1, 5):
             assert resource.put(_content(number), b"%d" % (number - 1)).status == 200
         reply = resource.put(_content(2), b"1")
--- a/tests/mesh/test_power_loss.py
+++ b/tests/mesh/test_power_loss.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.register import Kept
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.shard import remembered
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage import environment, storage_check
 from orchidferry.mesh.storage import snapshot as snapshots
 from orchidferry.mesh.storage import store as store_module
@@ -203,6 +203,6 @@
                 assert told[-1]
                 close(store)
             else:
-                with pytest.raises(BadStore, match="no space"):
+                with pytest.raises(StoreError, match="no space"):
                     Store(folder, any_loop)
     assert read_all(Path(folder))[b"k"] == b"v"
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -21,7 +21,7 @@
 from orchidferry.mesh.control.operation_keys import SHELF_S, GivenBack, Granted, Held, OperationKeys
 from orchidferry.mesh.dataplane.proxy import read_beat
 from orchidferry.mesh.errors import Kind, Refusal
-from orchidferry.mesh.settings import BadSettings, check_settings
+from orchidferry.mesh.settings import MeshSettingsError, check_settings
 
 MODULES = [
     found.name
@@ -368,7 +368,7 @@
 def test_bad_settings_are_named_in_one_line(path: str, value: Any) -> None:
     data = copy.deepcopy(BOOT)
     spoil(path, value)(data)
-    with pytest.raises(BadSettings) as problem:
+    with pytest.raises(MeshSettingsError) as problem:
         check_settings(data)
     assert path.replace("/", ".") in str(problem.value) and "\n" not in str(problem.value)
 
--- a/tests/mesh/test_storage_check.py
+++ b/tests/mesh/test_storage_check.py
@@ -31,13 +31,13 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.shard import remembered
-from orchidferry.mesh.errors import BadStore
+from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage import inspection, storage_check
 from orchidferry.mesh.storage import snapshot as snapshots
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.environment import NAMES, open_env
 from orchidferry.mesh.storage.record_format import FORMAT, FORMAT_KEY, pack, put_sealed, wrap
-from orchidferry.mesh.storage.snapshot import BadSnapshot
+from orchidferry.mesh.storage.snapshot import SnapshotError
 from orchidferry.mesh.storage.store import Store
 from tests.mesh.test_store import Loop, boot_of, close
 
@@ -117,7 +117,7 @@
     storage_check.prepare(str(tmp_path))
     assert stored(tmp_path) == rows and not storage_check.forgot(str(tmp_path))
     rewrite(tmp_path, change)
-    with pytest.raises(BadStore, match=why):
+    with pytest.raises(StoreError, match=why):
         storage_check.look(str(tmp_path))
     before = (tmp_path / "data.mdb").read_bytes()
     storage_check.prepare(str(tmp_path))
@@ -165,7 +165,7 @@
     storage_check.prepare(str(tmp_path))
     assert storage_check.forgot(str(tmp_path)) and not (tmp_path / "opening").exists()
     fill(tmp_path)  # of two that were set aside the newer is kept, and a large one is not
-    monkeypatch.setattr(storage_check, "BAD_MOST", 1)
+    monkeypatch.setattr(storage_check, "MAX_BAD", 1)
     rewrite(tmp_path, no_memory)
     storage_check.prepare(str(tmp_path))
     assert os.listdir(tmp_path / "bad") == ["why"]
@@ -179,7 +179,7 @@
         txn.put(FORMAT_KEY, wrap("about", FORMAT_KEY, pack(9)), db=dbs["about"])
 
     rewrite(tmp_path, newer)
-    with pytest.raises(BadStore, match="format 9 is of a later build"):
+    with pytest.raises(StoreError, match="format 9 is of a later build"):
         storage_check.prepare(str(tmp_path))
     rewrite(tmp_path, put_sealed)
 
@@ -253,7 +253,7 @@
 
     rewrite(tmp_path, old)
     loop: Any = Loop()
-    with pytest.raises(BadStore, match="not made ready"):
+    with pytest.raises(StoreError, match="not made ready"):
         Store(str(tmp_path), loop)
     storage_check.prepare(str(tmp_path))
     stock = storage_check.look(str(tmp_path))
@@ -269,7 +269,7 @@
         txn.put(b"k", pack(["t", 1, None]), db=dbs["slips"])
 
     rewrite(tmp_path, early)
-    with pytest.raises(BadStore, match="by a snapshot"):
+    with pytest.raises(StoreError, match="by a snapshot"):
         storage_check.prepare(str(tmp_path))
     taken = snapshots.take_from(str(tmp_path), str(tmp_path / "s"))
     assert taken.states[0] == replace(OLD, body=replace(BODY, owner="", fence=0))
@@ -298,7 +298,7 @@
     elif fails == "sync":  # the name may not last: nothing may be written to it before it does
         monkeypatch.setattr("os.fsync", refuse)
         for _ in range(2):
-            with pytest.raises(BadStore, match="no space"):
+            with pytest.raises(StoreError, match="no space"):
                 storage_check.prepare(str(tmp_path))
     elif fails == "copy":
         monkeypatch.setattr(storage_check, "put_sealed", refuse)
@@ -427,7 +427,7 @@
         assert status == 2 and why in line and line.count("\n") == 1
     for spoilt in (raw[:-40], raw + b"x", raw[:200] + b"\0" + raw[201:]):
         Path(path).write_bytes(spoilt)
-        with pytest.raises(BadSnapshot):
+        with pytest.raises(SnapshotError):
             snapshots.put_into(str(tmp_path / "new"), path, FOUNDERS)
         assert not (tmp_path / "new").exists()
     Path(path).write_bytes(raw)
--- a/tests/mesh/wire/test_golden_messages.py
+++ b/tests/mesh/wire/test_golden_messages.py
@@ -14,7 +14,7 @@
 import cbor2
 import pytest
 
-from orchidferry.mesh.wire.codec import SHARD_KINDS, UnreadableMessage, decode, encode
+from orchidferry.mesh.wire.codec import SHARD_KINDS, MessageDecodeError, decode, encode
 from orchidferry.mesh.wire.framing import PROTOCOL, Link, dial
 from orchidferry.mesh.wire.messages import KINDS
 
@@ -59,10 +59,10 @@
     while innermost[0] in ("shard", "register"):
         innermost = innermost[-1]
     innermost.append(None)
-    with pytest.raises(UnreadableMessage):
+    with pytest.raises(MessageDecodeError):
         decode(cbor2.dumps(parts))
     del innermost[-2:]  # what was added, and the last field or the tag
-    with pytest.raises(UnreadableMessage):
+    with pytest.raises(MessageDecodeError):
         decode(cbor2.dumps(parts))
 
 
@@ -74,7 +74,7 @@
     whole = ["lease_renewal", 1, "node", 7, [*record[:-1], [*server, ""]]]
     assert cbor2.loads(encode(read)[LENGTH_BYTES:]) == whole
     record[-1] = server[:-1]
-    with pytest.raises(UnreadableMessage):
+    with pytest.raises(MessageDecodeError):
         decode(cbor2.dumps(["lease_renewal", 1, "node", 7, record]))
 
 
@@ -122,7 +122,7 @@
     ],
 )
 def test_what_is_no_message_is_refused(body: bytes) -> None:
-    with pytest.raises(UnreadableMessage):
+    with pytest.raises(MessageDecodeError):
         decode(body)
 
 
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -14,13 +14,13 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Answer, Part
-from orchidferry.node.config import BadConfig, server_id
+from orchidferry.node.config import ConfigError, server_id
 from orchidferry.node.control import channel as channel_module
-from orchidferry.node.control.channel import BACK_OFF_MOST_S, Channel, Resources, back_off_s
+from orchidferry.node.control.channel import MAX_BACK_OFF_S, Channel, Resources, back_off_s
 from orchidferry.node.control.helper import open_store
 from orchidferry.node.control.messages import (
     EDS,
-    Unreadable,
+    ResourceDecodeError,
     node_message,
     pool_message,
     read_node,
@@ -36,7 +36,7 @@
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(channel_module, "BACK_OFF_S", 0.02)
-    monkeypatch.setattr(channel_module, "BACK_OFF_MOST_S", 0.1)
+    monkeypatch.setattr(channel_module, "MAX_BACK_OFF_S", 0.1)
 
 
 def test_a_version_reaches_every_node_and_is_acknowledged_by_each() -> None:
@@ -268,7 +268,7 @@
         for agent in (told, bare, plain):
             await agent.close()
         await service.stop()
-        with pytest.raises(BadConfig, match="no-such"):
+        with pytest.raises(ConfigError, match="no-such"):
             Told(service, "n3", None, ca=tmp_path / "no-such.pem")
 
     run(test())
@@ -303,7 +303,7 @@
                 service.send_raw(service.lines[0], response)
             assert sent > 50
             huge = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS)
-            huge.resources.add(name="x" * (channel_module.MESSAGE_MOST + 1), version="huge")
+            huge.resources.add(name="x" * (channel_module.MAX_MESSAGE + 1), version="huge")
             await until(lambda: bool(service.lines))
             line = service.lines[0]
             joined = service.joined
@@ -318,14 +318,14 @@
 
 def test_a_stream_with_too_many_unanswered_is_ended() -> None:
     resources = Resources()
-    for n in range(channel_module.UNANSWERED_MOST):
+    for n in range(channel_module.MAX_UNANSWERED):
         resources.take(Part.MEMBERS, discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce=f"{n}"))
-    with pytest.raises(Unreadable, match="1024 responses unanswered"):
+    with pytest.raises(ResourceDecodeError, match="1024 responses unanswered"):
         resources.take(Part.MEMBERS, discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce="more"))
 
 
 def test_too_many_resources_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(channel_module, "RESOURCES_MOST", 1)
+    monkeypatch.setattr(channel_module, "MAX_RESOURCES", 1)
     response = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce="1")
     for name in "ab":
         response.resources.add(name=name, version="1", resource=pool_message(name, []))
@@ -361,8 +361,8 @@
 def test_the_back_off_has_full_jitter_and_a_most() -> None:
     assert back_off_s(0, 0.0) == 0.0
     assert [back_off_s(n, 1.0) for n in range(3)] == [0.02, 0.04, 0.08]
-    assert back_off_s(10_000, 1.0) == channel_module.BACK_OFF_MOST_S < BACK_OFF_MOST_S
-    assert back_off_s(50, 0.5) == 0.5 * channel_module.BACK_OFF_MOST_S
+    assert back_off_s(10_000, 1.0) == channel_module.MAX_BACK_OFF_S < MAX_BACK_OFF_S
+    assert back_off_s(50, 0.5) == 0.5 * channel_module.MAX_BACK_OFF_S
 
 
 # Messages
@@ -380,9 +380,9 @@
 
 
 def test_settings_that_are_none_name_their_field() -> None:
-    with pytest.raises(Unreadable, match="settings 'e': 'pool' must be a string, not 5"):
+    with pytest.raises(ResourceDecodeError, match="settings 'e': 'pool' must be a string, not 5"):
         read_node("e", node_message("e", 5, {}))  # type: ignore[arg-type]
-    with pytest.raises(Unreadable, match="settings 'e': 'classes' is missing"):
+    with pytest.raises(ResourceDecodeError, match="settings 'e': 'classes' is missing"):
         read_node("e", node_message("e", "p", {}))
 
 
@@ -400,7 +400,7 @@
 def test_an_operators_file_that_cannot_be_used_is_named(text: str, words: str, tmp_path: Path) -> None:
     path = tmp_path / "control.toml"
     path.write_text(text)
-    with pytest.raises(BadConfig, match=words) as found:
+    with pytest.raises(ConfigError, match=words) as found:
         read_control(str(path))
     assert str(path) in str(found.value) and "\n" not in str(found.value)
 
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -16,13 +16,22 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.settings import read_settings
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.node.config import BadConfig, Listing
+from orchidferry.node.config import ConfigError, Listing
 from orchidferry.node.control import helper as helper_module
 from orchidferry.node.control import link as link_module
 from orchidferry.node.control.helper import Helper, control_from
 from orchidferry.node.control.link import Link, plain_control
 from orchidferry.node.control.members import LONG, Members
-from orchidferry.node.control.pipe import LINE_MOST, Change, Garbled, Held, Taker, Teller, read_line, steps
+from orchidferry.node.control.pipe import (
+    MAX_LINE,
+    Change,
+    Held,
+    PipeDecodeError,
+    Taker,
+    Teller,
+    read_line,
+    steps,
+)
 from orchidferry.node.control.plain import member_row
 from orchidferry.node.control.settings import Control
 from tests.node import peers
@@ -82,7 +91,7 @@
     taker = Taker()
     found = None
     for data in teller.change(configuration):
-        assert found is None and len(data) < LINE_MOST
+        assert found is None and len(data) < MAX_LINE
         found = taker.take(read_line(data))
     assert found is not None
     return found
@@ -210,7 +219,7 @@
 def test_lines_that_cannot_be_meant_are_told_as_such(lines: list[Any]) -> None:
     taker = Taker()
     first = next(Teller().change(whole(member(1))))
-    with pytest.raises(Garbled):
+    with pytest.raises(PipeDecodeError):
         for data in lines:
             taker.take(read_line(first if data == "apply" else data))
 
@@ -252,7 +261,7 @@
         await until(lambda: any(line["do"] == "commit" for line in out.lines))
         assert helper.agent.versions.held is None  # it may be half in place
         await until(lambda: helper.agent.versions.held is not None)
-        with pytest.raises(Garbled):
+        with pytest.raises(PipeDecodeError):
             helper.hear({"do": "what"})
         helper.hear({"do": "applied", "n": 1, "problem": ""})  # too late
         assert helper._teller._has is None and next(helper._teller.change(before)).count(b'"whole":true')
@@ -342,5 +351,5 @@
 
 def test_a_library_that_is_missing_is_told_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(link_module, "NEEDS", ("no_such_library",))
-    with pytest.raises(BadConfig, match="no_such_library is not installed"):
+    with pytest.raises(ConfigError, match="no_such_library is not installed"):
         Link(CONTROL_PLAIN, whole().node.settings, Home(), asyncio.new_event_loop())
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -18,7 +18,13 @@
 from orchidferry.node.control.store import Store
 from orchidferry.node.door import Door
 from orchidferry.testkit.control import rollout_service
-from orchidferry.testkit.control.files import BadVersion, comparable, differences, from_form, read_version
+from orchidferry.testkit.control.files import (
+    VersionFileError,
+    comparable,
+    differences,
+    from_form,
+    read_version,
+)
 from orchidferry.testkit.control.rollout_service import RolloutService, read_door
 from orchidferry.testkit.control.service import Service
 from tests.balancing.test_wire import ROOT
@@ -250,10 +256,10 @@
     path = str(tmp_path / "state" / "last-good")
     assert differences(comparable(path), comparable(path), ("a", "b")) == []
     assert differences(comparable(path), form("v", 1), ("a", "b"))
-    with pytest.raises(BadVersion, match="can be compared, not pushed"):
+    with pytest.raises(VersionFileError, match="can be compared, not pushed"):
         read_version(path)
     (tmp_path / "state" / "last-good").write_bytes(Path(path).read_bytes()[:-5])
-    with pytest.raises(BadVersion, match="is cut off"):
+    with pytest.raises(VersionFileError, match="is cut off"):
         comparable(path)
 
 
@@ -287,7 +293,7 @@
 def test_a_file_that_cannot_be_meant_is_one_line_that_names_it(made: Any, words: str, tmp_path: Path) -> None:
     path = tmp_path / "v.json"
     path.write_text(json.dumps(made))
-    with pytest.raises(BadVersion) as problem:
+    with pytest.raises(VersionFileError) as problem:
         read_version(str(path))
     assert words in str(problem.value) and str(problem.value).startswith(str(path))
 
@@ -295,9 +301,9 @@
 def test_files_that_are_none_are_told_and_toml_is_read(tmp_path: Path) -> None:
     for name, data in (("a.toml", b"version ="), ("a.json", b"\xff"), ("b.json", b"{")):
         (tmp_path / name).write_bytes(data)
-        with pytest.raises(BadVersion, match="neither TOML"):
+        with pytest.raises(VersionFileError, match="neither TOML"):
             read_version(str(tmp_path / name))
-    with pytest.raises(BadVersion, match="No such file"):
+    with pytest.raises(VersionFileError, match="No such file"):
         read_version(str(tmp_path / "none"))
     (tmp_path / "v.toml").write_text(
         'version = "v"\n[[pools.a]]\nname = "s"\naddress = "10.0.0.5:1"\n[settings]\n'
--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -14,7 +14,7 @@
 from orchidferry.node.control.messages import EDS, TYPES
 from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
 from orchidferry.testkit.control.service import Word
-from orchidferry.testkit.scenario import BadScenario, Scenario, load_scenario, read_scenario
+from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, read_scenario
 from tests.balancing.test_wire import ROOT
 
 HUNDRED = load_scenario("hundred-versions")
@@ -68,7 +68,7 @@
     ],
 )
 def test_a_table_that_cannot_be_played_is_named(table: dict[str, object], words: str) -> None:
-    with pytest.raises(BadScenario, match=words):
+    with pytest.raises(ScenarioError, match=words):
         read_scenario({"name": "x", "control": table}, "x.toml")
 
 
--- a/tests/node/control/test_store.py
+++ b/tests/node/control/test_store.py
@@ -15,8 +15,16 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node.control import store as module
-from orchidferry.node.control.store import FORM, Files, Store, Taken, Unusable, decode, encode
-from orchidferry.node.store import ASIDE_MOST, LOCK, checksum
+from orchidferry.node.control.store import (
+    FORM,
+    Files,
+    StateFileError,
+    StateLockedError,
+    Store,
+    decode,
+    encode,
+)
+from orchidferry.node.store import LOCK, MAX_ASIDE, checksum
 from tests.balancing import helpers
 
 
@@ -133,13 +141,13 @@
 
 def test_two_nodes_given_one_folder_are_told_apart(tmp_path: Path) -> None:
     first = Store(tmp_path)
-    with pytest.raises(Taken, match="is another node's"):
+    with pytest.raises(StateLockedError, match="is another node's"):
         Store(tmp_path)
     code = f"from orchidferry.node.control.store import *\nStore(Path({str(tmp_path)!r}))"
     other = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False
     )
-    assert "Taken" in other.stderr
+    assert "StateLockedError" in other.stderr
     first.close()
     Store(tmp_path).close()
 
@@ -199,13 +207,13 @@
 
 def test_only_so_many_are_kept_aside(tmp_path: Path) -> None:
     store = Store(tmp_path)
-    for n in range(ASIDE_MOST + 3):
+    for n in range(MAX_ASIDE + 3):
         (tmp_path / NAME).write_bytes(b"junk %d" % n)
         (tmp_path / NAME).chmod(0o600)
         store.load()
     aside = sorted(name for name in left_behind(tmp_path) if "foreign" in name)
-    assert len(aside) == ASIDE_MOST
-    assert (tmp_path / aside[-1]).read_bytes() == b"junk %d" % (ASIDE_MOST + 2)
+    assert len(aside) == MAX_ASIDE
+    assert (tmp_path / aside[-1]).read_bytes() == b"junk %d" % (MAX_ASIDE + 2)
     store.close()
 
 
@@ -222,7 +230,7 @@
     data[at] ^= by
     try:
         found = decode(bytes(data))
-    except Unusable:
+    except StateFileError:
         return
     # The checksum covers the body; what is left is its own hex digits in capitals, which it does not take.
     raise AssertionError(f"byte {at} was taken as {found.versions}")
@@ -232,5 +240,5 @@
 @given(strategies.binary(max_size=300))
 def test_noise_is_never_more_than_unusable(data: bytes) -> None:
     for text in (data, b"%b 1\n%b %d\n%b" % (FORM.magic, checksum(data), len(data), data)):
-        with pytest.raises(Unusable):
+        with pytest.raises(StateFileError):
             decode(text)
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -21,9 +21,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidferry.balancing.fleet.members import INCARNATION_MOST, Entry, Phase, Status
+from orchidferry.balancing.fleet.members import MAX_INCARNATION, Entry, Phase, Status
 from orchidferry.balancing.fleet.messages import Kind, Message
-from orchidferry.node.config import BadConfig
+from orchidferry.node.config import ConfigError
 from orchidferry.node.fleet import shell, wire
 from orchidferry.node.fleet.settings import read_fleet, read_key_file
 from orchidferry.node.fleet.shell import Peers
@@ -188,19 +188,19 @@
         ({"k": 1}, "later"),
         ({"s": 3}, "garbled"),
     ):
-        with pytest.raises(wire.Refused) as caught:
+        with pytest.raises(wire.DatagramError) as caught:
             wire.decode(msgpack.packb(body | change))
         assert caught.value.kind == kind
-    wrong = [("i", INCARNATION_MOST + 1), ("i", -1), ("l", 0), ("s", 9), ("n", "x" * 65), ("p", 70_000)]
+    wrong = [("i", MAX_INCARNATION + 1), ("i", -1), ("l", 0), ("s", 9), ("n", "x" * 65), ("p", 70_000)]
     for field, value in (*wrong, ("h", True), ("q", "x" * 200)):
-        with pytest.raises(wire.Refused):
+        with pytest.raises(wire.DatagramError):
             wire.read_entry(later | {field: value})
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300))
 def test_any_bytes_are_refused_or_read(data: bytes) -> None:
-    with pytest.raises(wire.Refused):
+    with pytest.raises(wire.DatagramError):
         wire.decode(data)
 
 
@@ -221,7 +221,7 @@
 def test_a_bad_file_is_told_in_a_line_with_its_field(text: str, says: str, tmp_path: Path) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(text)
-    with pytest.raises(BadConfig, match=r"fleet\.toml: ") as caught:
+    with pytest.raises(ConfigError, match=r"fleet\.toml: ") as caught:
         read_fleet(str(file), "n0")
     assert says in str(caught.value) and "\n" not in str(caught.value)
 
@@ -233,7 +233,7 @@
     file = tmp_path / "keys"
     file.write_text(text)
     file.chmod(mode)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         read_key_file(file)
     assert "111" not in str(caught.value) and "sss" not in str(caught.value)
 
