--- a/tests/node/h3/test_decisions.py
+++ b/tests/node/h3/test_decisions.py
@@ -12,8 +12,8 @@
 
 from orchidferry.balancing.floods import (
     HALF_OPEN_FREE,
-    HALF_OPEN_MOST,
     MALFORMED_BURST,
+    MAX_HALF_OPEN,
     RESETS_BURST,
     First,
     FirstPackets,
@@ -21,7 +21,7 @@
     Strays,
 )
 from orchidferry.balancing.transports import DOUBT_MS, REST_DOUBLINGS, REST_MS, By, State, Transports
-from orchidferry.node.config import BadConfig
+from orchidferry.node.config import ConfigError
 from orchidferry.node.h3.settings import read_http3
 from orchidferry.testkit.quic import certs
 from orchidferry.testkit.quic.faults import CLEAN, PathFaults, Trouble
@@ -146,7 +146,7 @@
     assert guard.decide(0, False, 0.0) is First.TAKE
     assert guard.decide(HALF_OPEN_FREE, False, 0.0) is First.VALIDATE
     assert guard.decide(HALF_OPEN_FREE, True, 0.0) is First.TAKE
-    assert guard.decide(HALF_OPEN_MOST, True, 0.0) is First.DROP
+    assert guard.decide(MAX_HALF_OPEN, True, 0.0) is First.DROP
     taken = [guard.decide(0, False, 1.0) for _ in range(200)]
     assert First.VALIDATE in taken and taken[0] is First.TAKE  # by their rate, too
     assert guard.decide(0, False, 2_000.0) is First.TAKE  # it comes back
@@ -181,7 +181,7 @@
 def test_a_bad_file_gives_one_line_with_file_and_key(tmp_path: Path, text: str, names: str) -> None:
     file = tmp_path / "http3.toml"
     file.write_text(text)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         read_http3(str(file))
     line = str(caught.value)
     assert "\n" not in line and "http3.toml" in line
@@ -200,7 +200,7 @@
     assert found.front.certificate == known.certificate and found.front.alt_svc_s == 0
     assert (found.servers.name, found.servers.connections) == ("inner.test", 7)
     assert known.key.stat().st_mode & 0o077 == 0
-    with pytest.raises(BadConfig, match=r"nowhere\.toml"):
+    with pytest.raises(ConfigError, match=r"nowhere\.toml"):
         read_http3(str(tmp_path / "nowhere.toml"))
 
 
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -368,7 +368,7 @@
 def test_more_requests_than_may_be_open_wait_at_their_caller_and_who_sends_them_all_the_same_is_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(front, "MOST_STREAMS", 3)
+    monkeypatch.setattr(front, "MAX_STREAMS", 3)
 
     async def test() -> None:
         server = Server(name="s0")
@@ -603,7 +603,7 @@
             caller = await made.connect()  # one that can be reached proves it
             assert caller._quic._retry_count == 1
             assert (await ask(caller, "proven")).status == 200
-            monkeypatch.setattr(floods, "HALF_OPEN_MOST", 4)
+            monkeypatch.setattr(floods, "MAX_HALF_OPEN", 4)
             assert await talk(made.address, first_packet(dcid=b"f" * 8)) == []
 
     run(test())
--- a/tests/node/test_chain.py
+++ b/tests/node/test_chain.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.chain import HOPS_MOST, Chain, Gate, Limits, RetryBudget, Why
+from orchidferry.balancing.chain import MAX_HOPS, Chain, Gate, Limits, RetryBudget, Why
 from orchidferry.balancing.interface import Carried, Result
 from orchidferry.balancing.logic import Balancer
 from orchidferry.node.chain.settings import Setup, read_chain
-from orchidferry.node.chain.wire import CALLS_MOST, Wire, read_answer, write_answer
-from orchidferry.node.config import BadConfig
+from orchidferry.node.chain.wire import MAX_CALLS, Wire, read_answer, write_answer
+from orchidferry.node.config import ConfigError
 from tests.node.peers import Seen, Server, answer, run, world
 
 KEYS = (("k2", b"b" * 32), ("k1", b"a" * 32))
@@ -173,7 +173,7 @@
         (CARRIED, {"tier": "registro"}, 1_000.0, None),
         (CARRIED, {}, 1_000.0, Why.LOOP),  # catalogo, again
         (CARRIED, {"tier": "entrada", "node": "n9", "first": True}, 1_000.0, Why.LOOP),  # back at the first
-        (Carried("r", 1, 1.0, ("x/y",) * HOPS_MOST), {}, 1_000.0, Why.LOOP),
+        (Carried("r", 1, 1.0, ("x/y",) * MAX_HOPS), {}, 1_000.0, Why.LOOP),
         (None, {}, 5.0, Why.LATE),
         (None, {}, 0.0, Why.LATE),
         (None, {}, -7.0, Why.LATE),
@@ -281,7 +281,7 @@
     now[0] += 34.0
     assert new.read(theirs) is None and new.counts == {"a tag whose time is over": 1}
     now[0] -= 34.0
-    for _ in range(CALLS_MOST - 1):
+    for _ in range(MAX_CALLS - 1):
         assert new.read(theirs) == CARRIED
     assert new.read(theirs) is None and new.counts["a tag that came too often"] == 1
     other = Wire((("k2", b"c" * 32),), lambda: now[0])
@@ -401,7 +401,7 @@
 def test_a_file_that_can_not_be_meant_is_told_in_a_line(text: str, words: str, tmp_path: Path) -> None:
     path = tmp_path / "chain.toml"
     path.write_text(text)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         read_chain(str(path))
     assert words in str(caught.value) and str(path) in str(caught.value) and "aaaa" not in str(caught.value)
     path.write_text(GOOD + f'extra = 2\nkeys = ["k1={"s" * 40}"]\n')
--- a/tests/node/test_door.py
+++ b/tests/node/test_door.py
@@ -10,7 +10,7 @@
 import pytest
 
 from orchidferry.node import door as door_module
-from orchidferry.node.config import BadConfig, read_config
+from orchidferry.node.config import ConfigError, read_config
 from orchidferry.node.door import Door
 from tests.node.peers import LIMIT_S, Server, World, answer, read_message, request, run, until, world
 from tests.node.test_node import Program, spawn
@@ -187,12 +187,12 @@
         async with world(tmp_path, Server(), start=False) as scene:
             scene.config["admin_addr"] = text
             scene.path.write_text(json.dumps(scene.config))
-            with pytest.raises(BadConfig, match=r"config\.json: "):
+            with pytest.raises(ConfigError, match=r"config\.json: "):
                 read_config(str(scene.path))
             del scene.config["admin_addr"]
             scene.path.write_text(json.dumps(scene.config))
             monkeypatch.setenv("NODE_ADMIN_ADDR", text)
-            with pytest.raises(BadConfig, match="NODE_ADMIN_ADDR"):
+            with pytest.raises(ConfigError, match="NODE_ADMIN_ADDR"):
                 read_config(str(scene.path))
             monkeypatch.setenv("NODE_ADMIN_ADDR", "127.0.0.1:9")
             assert read_config(str(scene.path)).admin == ("127.0.0.1", 9)
--- a/tests/node/test_flow.py
+++ b/tests/node/test_flow.py
@@ -5,7 +5,16 @@
 import pytest
 
 from orchidferry.node import flow as flow_module
-from orchidferry.node.flow import GRACE_S, KEEP_MOST, SHORT_BODY, SLOWEST_B_S, STALL_S, Flow, Pool, TooLong
+from orchidferry.node.flow import (
+    GRACE_S,
+    MAX_KEEP,
+    SHORT_BODY,
+    SLOWEST_B_S,
+    STALL_S,
+    BodyTooLongError,
+    Flow,
+    Pool,
+)
 
 PIECE = b"x" * (SHORT_BODY // 2)
 
@@ -61,7 +70,7 @@
 
 
 def test_a_source_without_a_sink_is_held_after_a_short_body_and_goes_on_once_there_is_one() -> None:
-    flow, source = made(Pool(KEEP_MOST))
+    flow, source = made(Pool(MAX_KEEP))
     flow.push(PIECE, 0.0)
     assert not source.held
     flow.push(PIECE, 0.0)
@@ -89,7 +98,7 @@
 
 
 def test_all_that_is_kept_is_fed_again_to_the_next_sink() -> None:
-    flow, source = made(Pool(KEEP_MOST))
+    flow, source = made(Pool(MAX_KEEP))
     first = To(flow, gives_up_at=2)
     flow.attach(first)
     for n in range(3):
@@ -105,14 +114,14 @@
 
 
 @pytest.mark.parametrize(
-    "pool", [Pool(0), Pool(KEEP_MOST * 2)], ids=["no room in the pool", "too long to keep"]
+    "pool", [Pool(0), Pool(MAX_KEEP * 2)], ids=["no room in the pool", "too long to keep"]
 )
 def test_once_more_has_gone_than_is_kept_it_is_spent_and_gives_its_memory_back(pool: Pool) -> None:
     room = pool.left
     flow, _ = made(pool)
     sink = To(flow)
     flow.attach(sink)
-    for _ in range(KEEP_MOST // len(PIECE) + 1):
+    for _ in range(MAX_KEEP // len(PIECE) + 1):
         flow.push(PIECE, 0.0)
     assert flow.spent and not flow.can_begin()
     assert pool.left == room
@@ -144,7 +153,7 @@
     sink = To(flow)
     flow.attach(sink)
     flow.push(PIECE * 2, 0.0)
-    with pytest.raises(TooLong):
+    with pytest.raises(BodyTooLongError):
         flow.push(b"x", 0.0)
     flow.fail()
     assert sink.ends == ["broken"] and flow.over
@@ -155,7 +164,7 @@
 
 def test_its_end_is_told_once_whoever_brings_it() -> None:
     for how, whole in (("fail", False), ("call_off", False), ("cut", False), ("fed", True)):
-        flow, source = made(Pool(KEEP_MOST))
+        flow, source = made(Pool(MAX_KEEP))
         sink = To(flow)
         ends = list[bool]()
         flow.on_over = ends.append
@@ -171,7 +180,7 @@
 
 
 def test_a_sink_that_comes_after_the_end_is_told_so() -> None:
-    flow, _ = made(Pool(KEEP_MOST))
+    flow, _ = made(Pool(MAX_KEEP))
     flow.push(b"half", 0.0)
     flow.fail()
     assert not flow.can_begin()
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -184,7 +184,7 @@
                 size = flow.size
                 await asyncio.sleep(0.3)
             assert size < 12 * MB  # of 24: the kernel's buffers on both ways, and little of ours
-            assert sum(map(len, flow._kept)) + sum(map(len, flow._waiting)) <= flow_module.KEEP_MOST
+            assert sum(map(len, flow._kept)) + sum(map(len, flow._waiting)) <= flow_module.MAX_KEEP
             server.gate.set()
             assert (await caller.read()).status == 200
             assert len(server.whole[0]) == 24 * MB
--- a/tests/node/test_pools.py
+++ b/tests/node/test_pools.py
@@ -11,7 +11,7 @@
 from orchidferry.balancing.interface import Health, ListKind, Repeat, Result
 from orchidferry.balancing.moves import Plan, State
 from orchidferry.balancing.pools import KEY_MS, PoolRule, Router, Rules
-from orchidferry.node.config import BadConfig
+from orchidferry.node.config import ConfigError
 from orchidferry.node.pools import read_pools
 from tests.node.peers import Server, answer, run, until, world
 
@@ -198,7 +198,7 @@
 def test_a_file_that_can_not_be_meant_is_told_in_a_line(text: str, words: str, tmp_path: Path) -> None:
     path = tmp_path / "pools.toml"
     path.write_text(text)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         read_pools(str(path), ("read",))
     assert words in str(caught.value) and str(path) in str(caught.value) and "\n" not in str(caught.value)
     path.write_text(GOOD + "steps = [0.5, 1]\nalpha = 0.001\n")
--- a/tests/testkit/test_capacity.py
+++ b/tests/testkit/test_capacity.py
@@ -19,7 +19,7 @@
 from orchidferry.testkit.capacity.compare import compared
 from orchidferry.testkit.capacity.figures import Figure, slopes, table
 from orchidferry.testkit.capacity.fit import line
-from orchidferry.testkit.capacity.plan import BadPlan, read_plan
+from orchidferry.testkit.capacity.plan import PlanError, read_plan
 
 COMMAND = (sys.executable, "-m", "orchidferry.testkit.cli", "capacity")
 
@@ -61,7 +61,7 @@
 
 
 def test_a_fleet_over_the_memory_bound_is_refused() -> None:
-    with pytest.raises(BadPlan, match="GB"):
+    with pytest.raises(PlanError, match="GB"):
         read_plan("5000", "2", "50", None, 1.0)
 
 
--- a/tests/testkit/test_fleet.py
+++ b/tests/testkit/test_fleet.py
@@ -10,7 +10,7 @@
 from orchidferry.testkit.judge.evidence import index
 from orchidferry.testkit.judge.fleet import judge_fleet
 from orchidferry.testkit.record import Fact, LinkBytes, NodeDown, NodePaused, NodeUp
-from orchidferry.testkit.scenario import BadScenario, FleetSide, Scenario, read_scenario
+from orchidferry.testkit.scenario import FleetSide, Scenario, ScenarioError, read_scenario
 from orchidferry.testkit.world.links import LinkFault, Links
 from orchidferry.testkit.world.plan import draw
 
@@ -120,6 +120,6 @@
         ({"front": {"nodes": 1}}, "two nodes at least"),
     ]
     for change, says in wrong:
-        with pytest.raises(BadScenario) as caught:
+        with pytest.raises(ScenarioError) as caught:
             read_scenario(base | {"timeline": [cut]} | change, "x.toml")
         assert says in str(caught.value) and str(caught.value).startswith("x.toml: ")
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -24,7 +24,7 @@
 from orchidferry.node.control.store import FORM as LAST_GOOD
 from orchidferry.node.fleet import wire as fleet_wire
 from orchidferry.node.fleet.shell import FORM as FLEET_STATE
-from orchidferry.node.store import Unusable
+from orchidferry.node.store import StateFileError
 from orchidferry.testkit import record
 from orchidferry.testkit.judge import mesh as mesh_judge
 from orchidferry.testkit.judge import verdict
@@ -60,14 +60,14 @@
     [(b"orchidferry", b"orchid", "foreign"), (b" 1\n", b" 2\n", "future"), (b'":', b'";', "corrupt")],
 )
 def test_state_that_is_none_is_refused(name: str, old: bytes, new: bytes, kind: str) -> None:
-    with pytest.raises(Unusable) as refusal:
+    with pytest.raises(StateFileError) as refusal:
         FORMS[name].decode(GOLDEN[name].encode().replace(old, new, 1))
     assert refusal.value.kind == kind
 
 
 @pytest.mark.parametrize("name", FORMS)
 def test_state_that_is_cut_off_is_refused(name: str) -> None:
-    with pytest.raises(Unusable) as refusal:
+    with pytest.raises(StateFileError) as refusal:
         FORMS[name].decode(GOLDEN[name].encode()[:-1])
     assert refusal.value.kind == "truncated"
 
@@ -98,7 +98,7 @@
         ((NEW,), b"\0" + data[1:], "foreign"),
         ((NEW,), data[:22], "foreign"),
     ):
-        with pytest.raises(fleet_wire.Refused) as refusal:
+        with pytest.raises(fleet_wire.DatagramError) as refusal:
             fleet_wire.Sealer(keys).open(changed)
         assert refusal.value.kind == kind
 
--- a/tests/testkit/test_scenario.py
+++ b/tests/testkit/test_scenario.py
@@ -10,7 +10,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidferry.testkit.scenario import FAULTS, MAX_FILE, BadScenario, load_scenario, read_scenario, shipped
+from orchidferry.testkit.scenario import (
+    FAULTS,
+    MAX_FILE,
+    ScenarioError,
+    load_scenario,
+    read_scenario,
+    shipped,
+)
 from orchidferry.testkit.world.plan import draw
 
 SLOW = 'name = "x"\n[[timeline]]\nat = "3s"\ndo = "slow"\nfactor = 2\nfor = "1s"\n'
@@ -52,7 +59,7 @@
 def test_a_bad_file_is_told_by_file_and_field(tmp_path: Path, text: str, words: str) -> None:
     path = tmp_path / "mine.toml"
     path.write_text(text)
-    with pytest.raises(BadScenario) as caught:
+    with pytest.raises(ScenarioError) as caught:
         load_scenario(str(path))
     assert str(caught.value).startswith(f"{path}: ")
     assert words in str(caught.value)
@@ -61,28 +68,28 @@
 
 def test_shares_of_classes_must_make_a_whole(tmp_path: Path) -> None:
     cls = {"name": "a", "share": 0.5, "work": "10ms", "wanted": "1s", "gives_up": "2s", "repeat": "safe"}
-    with pytest.raises(BadScenario, match=r"class: the shares sum to 0\.5"):
+    with pytest.raises(ScenarioError, match=r"class: the shares sum to 0\.5"):
         read_scenario({"name": "x", "class": [cls]}, "x")
-    with pytest.raises(BadScenario, match=r"class\[1\]\.name: 'a' comes twice"):
+    with pytest.raises(ScenarioError, match=r"class\[1\]\.name: 'a' comes twice"):
         read_scenario({"name": "x", "class": [cls, cls]}, "x")
-    with pytest.raises(BadScenario, match=r"class\[0\]\.gives_up: is less than wanted"):
+    with pytest.raises(ScenarioError, match=r"class\[0\]\.gives_up: is less than wanted"):
         read_scenario({"name": "x", "class": [cls | {"share": 1.0, "gives_up": "500ms"}]}, "x")
 
 
 def test_ten_megabytes_of_noise_are_turned_away(tmp_path: Path) -> None:
     path = tmp_path / "noise.toml"
     path.write_bytes(random.Random(1).randbytes(10 * 1024 * 1024))
-    with pytest.raises(BadScenario, match=f"over {MAX_FILE // 1024} KiB"):
+    with pytest.raises(ScenarioError, match=f"over {MAX_FILE // 1024} KiB"):
         load_scenario(str(path))
     path.write_bytes(b"\xff\xfe" * 100)
-    with pytest.raises(BadScenario, match="not UTF-8"):
+    with pytest.raises(ScenarioError, match="not UTF-8"):
         load_scenario(str(path))
 
 
 def test_a_file_that_is_not_there_and_a_name_that_is_none(tmp_path: Path) -> None:
-    with pytest.raises(BadScenario, match="No such file"):
+    with pytest.raises(ScenarioError, match="No such file"):
         load_scenario(str(tmp_path / "none.toml"))
-    with pytest.raises(BadScenario, match="slow-serve: no such scenario"):
+    with pytest.raises(ScenarioError, match="slow-serve: no such scenario"):
         load_scenario("slow-serve")
 
 
@@ -94,7 +101,7 @@
         return
     try:
         draw(read_scenario(obj, "x"))
-    except (BadScenario, ValueError) as problem:
+    except (ScenarioError, ValueError) as problem:
         assert "\n" not in str(problem)
 
 
--- a/tests/testkit/test_world.py
+++ b/tests/testkit/test_world.py
@@ -237,7 +237,7 @@
 def test_a_registry_that_has_forgotten_a_version_gives_the_whole_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("orchidferry.testkit.world.discovery.MOST_CHANGES", 3)
+    monkeypatch.setattr("orchidferry.testkit.world.discovery.MAX_CHANGES", 3)
     registry = Registry()
     for n in range(6):
         registry.change(entry(f"s{n}"))
--- a/tests/testkit/traffic/test_classes.py
+++ b/tests/testkit/traffic/test_classes.py
@@ -8,9 +8,9 @@
 from hypothesis import example, given, settings, strategies
 
 from orchidferry.testkit.traffic.classes import (
-    MOST_SHAPES,
-    BadClasses,
+    MAX_SHAPES,
     Classes,
+    ClassesFileError,
     Shapes,
     propose,
     read_classes,
@@ -116,7 +116,7 @@
     ],
 )
 def test_a_file_that_cannot_be_names_class_and_field(text: str, words: str) -> None:
-    with pytest.raises(BadClasses, match=words):
+    with pytest.raises(ClassesFileError, match=words):
         read_classes(text.encode())
 
 
@@ -141,7 +141,7 @@
     for n in range(20_000):
         shapes.add("GET", f"/page-{'abcdefghij'[n % 10]}{chr(97 + n // 10 % 26)}{chr(97 + n // 260 % 26)}")
         shapes.add("GET", f"/feeds/{n}")
-    assert len(shapes.counts) <= 100 < MOST_SHAPES and shapes.total == 40_000
+    assert len(shapes.counts) <= 100 < MAX_SHAPES and shapes.total == 40_000
     [(name, count)] = shapes.most(1)
     assert name == "GET /feeds/*" and count == 20_000
 
--- a/tests/testkit/traffic/test_guard.py
+++ b/tests/testkit/traffic/test_guard.py
@@ -13,14 +13,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidferry.testkit.exchange import Ask, Exchanges, Stranger, message
+from orchidferry.testkit.exchange import Ask, Exchanges, UnknownPeerError, message
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.traffic.guard import (
     PROOF_CLASS,
-    BadTarget,
     Guard,
     May,
+    TargetError,
     new_key,
     new_nonce,
     proof,
@@ -56,7 +56,7 @@
     ],
 )
 def test_a_target_is_one_address_and_nothing_else(url: str, words: str) -> None:
-    with pytest.raises(BadTarget, match=words):
+    with pytest.raises(TargetError, match=words):
         read_target(url)
 
 
@@ -65,7 +65,7 @@
     for url in (text, f"http://{text}"):
         try:
             found = read_target(url)
-        except BadTarget as problem:
+        except TargetError as problem:
             assert "\n" not in str(problem)
         else:
             assert read_target(str(found)) == found
@@ -102,7 +102,7 @@
     ],
 )
 def test_class_and_target_are_both_named(target: str | None, names: list[str], words: str) -> None:
-    with pytest.raises(BadTarget, match=words):
+    with pytest.raises(TargetError, match=words):
         read_guard(target, names)
     assert read_guard("http://localhost:1", ["a@http://127.0.0.1:1"]).named == {"a"}
 
@@ -203,12 +203,12 @@
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
-        (lambda _: (200, b"ok", ""), Stranger),
-        (lambda _: (404, b"", ""), Stranger),
-        (lambda _: (200, old, ""), Stranger),  # it has heard an answer once
-        (lambda r: (200, r.target.partition("nonce=")[2].encode(), ""), Stranger),
-        (lambda r: (200, proof("00" * 32, r.target.partition("nonce=")[2]), ""), Stranger),
-        (lambda r: (302, b"", "Location: http://127.0.0.1:1/\r\n"), Stranger),
+        (lambda _: (200, b"ok", ""), UnknownPeerError),
+        (lambda _: (404, b"", ""), UnknownPeerError),
+        (lambda _: (200, old, ""), UnknownPeerError),  # it has heard an answer once
+        (lambda r: (200, r.target.partition("nonce=")[2].encode(), ""), UnknownPeerError),
+        (lambda r: (200, proof("00" * 32, r.target.partition("nonce=")[2]), ""), UnknownPeerError),
+        (lambda r: (302, b"", "Location: http://127.0.0.1:1/\r\n"), UnknownPeerError),
         (lambda r: (503, proof(KEY, r.target.partition("nonce=")[2]), ""), "silent"),
         (lambda _: None, "silent"),
     ],
@@ -218,8 +218,8 @@
 ) -> None:
     async def work(exchanges: Exchanges) -> None:
         peer = await Peer(answer).up()
-        if outcome is Stranger:
-            with pytest.raises(Stranger, match="is not the kit's own"):
+        if outcome is UnknownPeerError:
+            with pytest.raises(UnknownPeerError, match="is not the kit's own"):
                 await ask(exchanges, peer, 0)
         else:
             assert (await ask(exchanges, peer, 0)).how == outcome
@@ -235,7 +235,7 @@
         assert (await ask(exchanges, peer, 0)).status == 200
         await peer.down()
         other = await Peer(lambda _: (200, b"done", "")).up(peer.address[1])
-        with pytest.raises(Stranger):
+        with pytest.raises(UnknownPeerError):
             await ask(exchanges, other, 1)
         assert POST not in other.seen
         await other.down()
--- a/tests/testkit/traffic/test_importing.py
+++ b/tests/testkit/traffic/test_importing.py
@@ -17,7 +17,7 @@
 from orchidferry.testkit.traffic import block_reader, export, generate, importing, row_columns, sorted_runs
 from orchidferry.testkit.traffic.classes import read_classes
 from orchidferry.testkit.traffic.command import summary
-from orchidferry.testkit.traffic.importing import Plan, Report, TooMany, import_files
+from orchidferry.testkit.traffic.importing import Plan, Report, TooManyRejectedError, import_files
 from orchidferry.testkit.traffic.recording import (
     ABORTED,
     END,
@@ -25,9 +25,9 @@
     NO_TIME,
     ROW,
     SPREAD,
-    BadRecording,
     Header,
     Reader,
+    RecordingError,
     Rows,
     Writer,
 )
@@ -129,7 +129,7 @@
 
 def test_too_many_rejects_fail_and_leave_no_recording(tmp_path: Path) -> None:
     for data in (log() + b"nothing\n" * len(TRUTH), b""):
-        with pytest.raises(TooMany, match="can't be read"):
+        with pytest.raises(TooManyRejectedError, match="can't be read"):
             take(tmp_path, ("x", data))
         assert not (tmp_path / "a.rec").exists() and not list(tmp_path.glob("*.part"))
 
@@ -237,7 +237,7 @@
     ]
     for bad in spoilt:
         path.write_bytes(bad)
-        with pytest.raises(BadRecording, match=r"a\.rec"):
+        with pytest.raises(RecordingError, match=r"a\.rec"):
             list(Reader(path).blocks())
 
 
--- a/tests/testkit/traffic/test_readers.py
+++ b/tests/testkit/traffic/test_readers.py
@@ -13,10 +13,10 @@
 from backports import zstd
 from hypothesis import given, settings, strategies
 
-from orchidferry.testkit.traffic.entry import Entry, Reject
-from orchidferry.testkit.traffic.formats import BadFormat, compile_format
+from orchidferry.testkit.traffic.entry import Entry, EntryError
+from orchidferry.testkit.traffic.formats import LogFormatError, compile_format
 from orchidferry.testkit.traffic.har import entry_of, read_har
-from orchidferry.testkit.traffic.sources import LINE_MOST, BadSource, Source
+from orchidferry.testkit.traffic.sources import MAX_LINE, Source, SourceError
 
 T0 = 1_791_633_336.0  # 2026-10-10 11:55:36 UTC
 NGINX = (
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("form, line, reason", REJECTED)
 def test_what_is_no_request_is_told_by_its_reason(form: str, line: str, reason: str) -> None:
-    with pytest.raises(Reject) as problem:
+    with pytest.raises(EntryError) as problem:
         compile_format(form)(line.encode())
     assert str(problem.value) == reason
 
@@ -153,7 +153,7 @@
     ],
 )
 def test_a_form_that_cannot_be_names_its_part(form: str, words: str) -> None:
-    with pytest.raises(BadFormat, match=words):
+    with pytest.raises(LogFormatError, match=words):
         compile_format(form)
 
 
@@ -190,7 +190,7 @@
 def test_any_bytes_give_a_request_in_range_or_a_reject(line: bytes, parse: Callable[[bytes], Entry]) -> None:
     try:
         found = parse(line)
-    except Reject as reason:
+    except EntryError as reason:
         assert str(reason)
         return
     assert found.target[0] in "/*" and found.method.isascii() and found.sent >= 0 <= found.received
@@ -244,12 +244,12 @@
     ],
 )
 def test_a_har_entry_that_is_no_request_is_told(changes: dict[str, Any], reason: str) -> None:
-    with pytest.raises(Reject) as problem:
+    with pytest.raises(EntryError) as problem:
         entry_of(har_entry(**changes))
     assert str(problem.value) == reason
 
 
-def har(data: bytes, step: int = 7) -> list[Entry | Reject]:
+def har(data: bytes, step: int = 7) -> list[Entry | EntryError]:
     return list(read_har(data[at : at + step] for at in range(0, len(data), step)))
 
 
@@ -258,16 +258,16 @@
         {"log": {"entries": [har_entry(), har_entry(request__url="about:blank"), har_entry()]}}
     )
     data = whole.encode()
-    assert [type(one) for one in har(data)] == [Entry, Reject, Entry]
+    assert [type(one) for one in har(data)] == [Entry, EntryError, Entry]
     counts = set()
     for at in [*range(0, len(data) - 20, 13), *range(len(data) - 20, len(data) - 1)]:
         found = har(data[:at], 64)
-        assert isinstance(found[-1], Reject)
+        assert isinstance(found[-1], EntryError)
         counts.add(sum(isinstance(one, Entry) for one in found))
     assert counts == {0, 1, 2}
     for none in (b"", b"[]", b'{"log": {}}', b"\xff\xfe", b"[" * 100_000):
         [reject] = har(none, 1000)
-        assert isinstance(reject, Reject)
+        assert isinstance(reject, EntryError)
 
 
 # Files
@@ -289,7 +289,7 @@
 def test_lines_come_whole_in_any_packing_and_one_of_10_mb_is_dropped(pack: str, tmp_path: Path) -> None:
     rows = [b"line %d" % n * 9 for n in range(40_000)]
     rows[20_000] = b"x" * 10_000_000
-    rows[30_000] = b"y" * (LINE_MOST + 1)
+    rows[30_000] = b"y" * (MAX_LINE + 1)
     rows[-1] = b"the last, without its end"
     path = tmp_path / "log"
     path.write_bytes(PACK[pack](b"\n".join(rows)))
@@ -314,7 +314,7 @@
         lines, problem = read(path)
         assert "ends in the middle or is damaged" in problem
         assert lines[:-1] == rows.split(b"\n")[: max(0, len(lines) - 1)] or data[500:510] == b"\0" * 10
-    with pytest.raises(BadSource, match="No such file"):
+    with pytest.raises(SourceError, match="No such file"):
         read(tmp_path / "none")
-    with pytest.raises(BadSource, match="Is a directory"):
+    with pytest.raises(SourceError, match="Is a directory"):
         read(tmp_path)
--- a/tests/testkit/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -19,7 +19,7 @@
 from orchidferry.testkit.judge.verdict import judge
 from orchidferry.testkit.record import Wanted
 from orchidferry.testkit.report.page import page as replay_page
-from orchidferry.testkit.scenario import BadScenario, Scenario, read_scenario, read_traffic
+from orchidferry.testkit.scenario import Scenario, ScenarioError, read_scenario, read_traffic
 from orchidferry.testkit.traffic.classes import read_classes
 from orchidferry.testkit.traffic.generate import CLASSES
 from orchidferry.testkit.traffic.guard import MARK, read_guard
@@ -140,7 +140,7 @@
     one = laid(tmp_path, **table)
     if kinds is not KINDS:
         one = replace(one, classes=tuple(replace(cls) for cls in Scenario("x").classes[::-1]))
-    with pytest.raises(BadScenario, match=words):
+    with pytest.raises(ScenarioError, match=words):
         resolve(one)
 
 
