--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -11,7 +11,6 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Server
-from orchidferry.mesh.dataplane import admission as module
 from orchidferry.mesh.dataplane.admission import AdmissionGate, GateRequest
 from orchidferry.mesh.dataplane.messages import (
     GATE,
@@ -19,7 +18,7 @@
 )
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import asked, header, rig, said
+from tests.mesh.fakes import asked, header, patch_clock, rig, said
 
 
 class Scene:
@@ -27,7 +26,7 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.loop, alarms, self.lines = rig()
-        patch.setattr(module, "now_ms", self.loop.now_ms)
+        patch_clock(patch, self.loop.now_ms)
         self.changes: list[str] = []
         self.gate = AdmissionGate(
             ("127.0.0.1", 1),
--- a/tests/mesh/test_sent.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -18,18 +18,16 @@
 from orchidferry.balancing import logic
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
-from orchidferry.mesh.dataplane import http_connection
 from orchidferry.mesh.dataplane import service_client as module
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.http_connection import HttpConnection, HttpConnections
 from orchidferry.mesh.dataplane.idle_limit import IdleLimit
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds
-from orchidferry.node import upstream
 from orchidferry.node.alarms import Alarms
 from orchidferry.node.flow import SHORT_BODY, Flow
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import asked, route
+from tests.mesh.fakes import asked, patch_clock, route
 from tests.mesh.wire_fakes import Peer, Pool, Sent, close_all, pool
 
 HELD_OVER_MS = 1.0  # past a route's guard; the operators pay for 250
@@ -102,8 +100,7 @@
         self.loop, made = pool()
         self.pool = Kernel(self.loop, 400.0, 14_000.0, lambda: 99, Alarms(self.loop), 500.0)
         self.pool.peers = made.peers
-        for place in (module, http_connection, upstream):
-            patch.setattr(place, "now_ms", self.loop.now_ms)
+        patch_clock(patch, self.loop.now_ms)
         self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, self.pool.alarms, self.pool, int)
         self.kinds = [route("idempotent", 3), route("non_idempotent", 3)]
         servers = [Server(id, "s", "z", IN_SERVICE, 4, 0.0) for id in "123"]
@@ -351,8 +348,7 @@
     monkeypatch: pytest.MonkeyPatch, once: bool, rested_ms: float, keep_alive: bytes, kept: bool
 ) -> None:
     loop, made = pool()
-    for place in (http_connection, upstream):
-        monkeypatch.setattr(place, "now_ms", loop.now_ms)
+    patch_clock(monkeypatch, loop.now_ms)
     made.send(Sent(asked("t1")))
     made.peers[0].put(answer("t1", more=keep_alive))
     made.peers[0].read()
@@ -364,8 +360,7 @@
 
 def test_a_server_that_forgets_idle_connections_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     loop, made = pool()
-    for place in (http_connection, upstream):
-        monkeypatch.setattr(place, "now_ms", loop.now_ms)
+    patch_clock(monkeypatch, loop.now_ms)
     for number, rest_ms in enumerate((0.0, 1_000.0, 600.0)):
         loop.now_s += rest_ms / 1e3
         sent = Sent(asked(f"t{number}"))
--- a/tests/mesh/test_lives.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -8,21 +8,18 @@
 import pytest
 
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
-from orchidferry.mesh.dataplane import admission, http_connection, service_client
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds
-from orchidferry.node import upstream
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import asked, route
-from tests.mesh.test_answers import answer
+from tests.mesh.dataplane.test_http_connection_answers import answer
+from tests.mesh.fakes import asked, patch_clock, route
 from tests.mesh.wire_fakes import Pool, close_all, pool
 
 
 def played_pool(monkeypatch: pytest.MonkeyPatch) -> tuple[Any, Pool]:
     loop, made = pool()
-    for place in (admission, http_connection, service_client, upstream):
-        monkeypatch.setattr(place, "now_ms", loop.now_ms)
+    patch_clock(monkeypatch, loop.now_ms)
     return loop, made
 
 
--- a/tests/mesh/test_callers.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -21,8 +21,8 @@
 from orchidferry.node.flow import SHORT_BODY, Flow, Pool
 from orchidferry.node.frontend import Caller, Reply, Stage
 from orchidferry.node.request import Message
+from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
 from tests.mesh.fakes import Loop, route, said
-from tests.mesh.test_service_client import Scene as ServiceScene
 
 ID = b"Attempt-Id"
 
--- a/tests/mesh/test_passed_on.py
+++ b/tests/mesh/dataplane/test_messages.py
@@ -9,12 +9,11 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
-from orchidferry.mesh.dataplane import admission
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.settings import Bounds
-from tests.mesh.fakes import rig, route, said
-from tests.mesh.test_callers import Line
-from tests.mesh.test_service_client import Scene
+from tests.mesh.dataplane.test_listener import Line
+from tests.mesh.dataplane.test_service_client import Scene
+from tests.mesh.fakes import patch_clock, rig, route, said
 
 
 class Received:
@@ -53,7 +52,7 @@
         ends_ms = self.scene.loop.now_ms() + 900.0
         self.caller = Line(lambda message, answer: self._take(message, answer, ends_ms))
         loop, alarms, self.lines = rig()
-        patch.setattr(admission, "now_ms", loop.now_ms)
+        patch_clock(patch, loop.now_ms)
         gate = AdmissionGate(
             ("127.0.0.1", 1),
             Bounds(),
--- a/tests/mesh/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -14,13 +14,12 @@
 from orchidferry.mesh import role_settings
 from orchidferry.mesh.control.configuration import Configuration, Table
 from orchidferry.mesh.control.control_api import Call, call
-from orchidferry.mesh.dataplane import proxy as module
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import check_settings
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import Loop, asked, route
+from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
+from tests.mesh.fakes import Loop, asked, patch_clock, route
 from tests.mesh.test_records import BOOT as BOOT_TABLES
-from tests.mesh.test_service_client import Scene as ServiceScene
 
 
 class Claims:
@@ -37,7 +36,7 @@
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
         self.scene = ServiceScene(patch, route(kind, 1))
         self.loop = self.scene.loop
-        patch.setattr(module, "now_ms", self.loop.now_ms)
+        patch_clock(patch, self.loop.now_ms)
         self.claims = Claims()
         proxy: Any = Proxy.__new__(Proxy)
         proxy._services = {"s": self.scene.service}
--- a/tests/mesh/test_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -13,6 +13,7 @@
 from orchidferry.mesh.dataplane import proxy as module
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import Bounds, check_settings
+from tests.mesh.fakes import patch_clock
 from tests.mesh.test_records import BOOT
 
 
@@ -65,7 +66,7 @@
 def test_a_node_that_is_told_to_end(monkeypatch: pytest.MonkeyPatch, grace_s: float, stay_s: float) -> None:
     """It says so at once, goes on to take requests while callers hear of it, and is done before the kill."""
     loop = Clock()
-    monkeypatch.setattr(module, "now_ms", lambda: loop.now_s * 1e3)
+    patch_clock(monkeypatch, lambda: loop.now_s * 1e3)
 
     async def main() -> None:
         node = ("127.0.0.1", 1)
--- a/tests/mesh/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -20,7 +20,7 @@
 from orchidferry.mesh.dataplane.service_client import PendingRequest, ServiceClient
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import asked, rig, route, said
+from tests.mesh.fakes import asked, patch_clock, rig, route, said
 
 
 class Taken:
@@ -47,7 +47,7 @@
 
     def __init__(self, patch: pytest.MonkeyPatch, *routes: Route) -> None:
         self.loop, alarms, self.lines = rig()
-        patch.setattr(module, "now_ms", self.loop.now_ms)
+        patch_clock(patch, self.loop.now_ms)
         self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, alarms, self.lines, int)
         self.taken: dict[str, Taken] = {}
         self.servers("1", "2", "3")
--- a/tests/mesh/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -10,8 +10,6 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.configuration import Configuration, Table
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
-from orchidferry.mesh.dataplane import admission, service_client
-from orchidferry.mesh.dataplane import proxy as module
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.dataplane.listener import Listener
 from orchidferry.mesh.dataplane.messages import MARGIN_MS, ProxiedRequest
@@ -20,7 +18,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.flow import Pool
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import rig, route
+from tests.mesh.fakes import patch_clock, rig, route
 
 ADDRESS = ("127.0.0.1", 1)
 
@@ -30,8 +28,7 @@
 
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
         self.loop, alarms, self.lines = rig()
-        for place in (module, service_client, admission):
-            patch.setattr(place, "now_ms", self.loop.now_ms)
+        patch_clock(patch, self.loop.now_ms)
         service = ServiceClient("s", "me", "z", Bounds(), self.loop, alarms, self.lines, int)
         servers = {n: Server(n, "s", "z", IN_SERVICE, 4, 0.0) for n in ("1", "2")}
         service.servers({n: Record(n, 1, 1, "z", "127.0.0.1", 1, one) for n, one in servers.items()})
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -3,14 +3,20 @@
 from __future__ import annotations
 
 import heapq
+import importlib
+import pkgutil
 from collections.abc import Callable
 from typing import Any
 
+import pytest
+
+from orchidferry.mesh import dataplane
 from orchidferry.mesh.control.configuration import Route
 from orchidferry.mesh.dataplane.messages import (
     ProxiedRequest,
     ServerResponse,
 )
+from orchidferry.node import upstream
 from orchidferry.node.alarms import Alarms
 from orchidferry.node.frontend import Reply
 from orchidferry.node.upstream import Attempt
@@ -102,3 +108,11 @@
 def header(reply: Reply, name: bytes) -> bytes | None:
     """One header of an answer."""
     return dict(reply.more).get(name)
+
+
+def patch_clock(patch: pytest.MonkeyPatch, now_ms: Callable[[], float]) -> None:
+    """Let the data plane and the connections below it read this clock."""
+    names = [f"{dataplane.__name__}.{module.name}" for module in pkgutil.iter_modules(dataplane.__path__)]
+    for module in (*map(importlib.import_module, names), upstream):
+        if hasattr(module, "now_ms"):
+            patch.setattr(module, "now_ms", now_ms)
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -12,8 +12,6 @@
 from orchidferry.mesh.control.operation_key_client import OperationKeyClient
 from orchidferry.mesh.control.operation_keys import Granted, OperationKeys
 from orchidferry.mesh.control.shard_state import shard_of
-from orchidferry.mesh.dataplane import proxy as module
-from orchidferry.mesh.dataplane import service_client
 from orchidferry.mesh.dataplane.messages import (
     kept_answer,
 )
@@ -22,7 +20,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.messages import KeyClaim, KeyRelease, Message
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import asked, header, rig, route, said
+from tests.mesh.fakes import asked, header, patch_clock, rig, route, said
 
 
 class News:
@@ -48,8 +46,7 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.loop, alarms, self.lines = rig()
-        for place in (module, service_client):
-            patch.setattr(place, "now_ms", self.loop.now_ms)
+        patch_clock(patch, self.loop.now_ms)
         self.route = route("keyed", 2)
         self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, alarms, self.lines, int)
         server = Server("1", "s", "z", IN_SERVICE, 4, 0.0)
--- a/tests/mesh/test_members_by_service.py
+++ b/tests/mesh/test_members_by_service.py
@@ -11,12 +11,11 @@
 
 from orchidferry.mesh.control.configuration import Route
 from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Record, Server, everyone
-from orchidferry.mesh.dataplane import service_client as module
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds, check_settings
 from orchidferry.testkit.model.relays import World
-from tests.mesh.fakes import rig, route
+from tests.mesh.fakes import patch_clock, rig, route
 from tests.mesh.test_records import BOOT
 
 SERVICES = ("s", "t", "u")
@@ -57,7 +56,7 @@
 def test_grouped_lists_give_what_whole_lists_gave(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
     rng = random.Random(seed)
     loop, alarms, lines = rig()
-    monkeypatch.setattr(module, "now_ms", loop.now_ms)
+    patch_clock(monkeypatch, loop.now_ms)
     settings = dataclasses.replace(check_settings(BOOT), application=("127.0.0.1", 1))
     proxy: Any = Proxy(settings, loop)
     numbers: dict[str, int] = {}
@@ -85,7 +84,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     loop, alarms, lines = rig()
-    monkeypatch.setattr(module, "now_ms", loop.now_ms)
+    patch_clock(monkeypatch, loop.now_ms)
     client = ServiceClient("s", "me", "z", Bounds(), loop, alarms, lines, int)
     client.configure([route()])
     settled: list[float] = []
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -21,7 +21,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState, JoinRequest, RegisterMessage
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S
-from tests.mesh.test_stop import Clock, played
+from tests.mesh.dataplane.test_proxy_stop import Clock, played
 
 A, B, C, D = (Voter(name, shard_state.GENESIS) for name in "abcd")
 
