--- a/orchidferry/mesh/control/actions.py
+++ b/orchidferry/mesh/control/actions.py
@@ -1,4 +1,6 @@
-"""What a replica wants done: its actions, carried out in the order in which it returns them."""
+"""The actions that a shard's replica returns: whoever runs it carries them out, in the order in which they
+are returned.
+"""
 
 from __future__ import annotations
 
@@ -6,46 +8,60 @@
 from typing import Any
 
 from orchidferry.balancing.register import Value
+from orchidferry.mesh.control.write_completions import WriteCompletion
 from orchidferry.mesh.storage.store import Put
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck, ShardMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """To another controller; lost if there is no link to it."""
+class SendMessage:
+    """Send a message to another controller; it is lost if there is no link to that.
+
+    :param to: the controller's name.
+    """
 
     to: str
     message: ShardMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """To whoever sent what this answers."""
+class SendReply:
+    """Answer a message, over the link by which it came.
+
+    :param to: the link, as it was handed in with the message.
+    """
 
     to: Any
     message: ShardMessage | KeyGrant | KeyReleaseAck
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
-    """Put these on disk, together; `written` wants `then` back with what came of it, unless it is None."""
+class WriteRecords:
+    """Put these records on disk, in one transaction.
+
+    :param completion: to be handed back to `Shard.written` with the result; None if no result is wanted.
+    """
 
     puts: list[Put]
-    then: tuple[Any, ...] | None = None
+    completion: WriteCompletion | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """A newer state is known to be decided."""
+class StateChanged:
+    """Publish a newer state of the shard, which is known to be decided."""
 
     old: Value
     new: Value
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """A change or a reading that was asked for here is over; `value` None: nothing is known in time, and
-    what was asked for may come true yet unless `why` is `OUT_OF_CONTACT`.
+class RequestEnded:
+    """Answer whoever asked here for a change or a read: it is over.
+
+    :param id: of the request.
+    :param value: the newest decided state; None if nothing is known in time. Then a change that was asked for
+        may still be made, unless `why` is `OUT_OF_CONTACT`.
+    :param why: the reason for which the request was refused or given up; "" for none.
     """
 
     id: str
@@ -54,10 +70,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """A line for the log."""
+class Log:
+    """Write a line to the log."""
 
     text: str
 
 
-Action = Tell | Answer | Write | Changed | Ended | Note
+Action = SendMessage | SendReply | WriteRecords | StateChanged | RequestEnded | Log
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Ended
+from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.configuration import check, digest
 from orchidferry.mesh.control.configuration_text import compress, expand
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
@@ -28,8 +28,8 @@
 VERSION = re.compile(rb'\s*(?:([0-9]{1,16})|"([0-9]{1,16})")\s*')  # of `If-Match`
 
 Answer = Callable[[Reply], None]
-AskForChange = Callable[[shard_state.Change, float, Callable[[Ended], None]], None]
-Read = Callable[[Callable[[Ended], None]], None]
+AskForChange = Callable[[shard_state.Change, float, Callable[[RequestEnded], None]], None]
+Read = Callable[[Callable[[RequestEnded], None]], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
         return answer(told(Refusal(Kind.UNREADABLE, "PUT or GET")))
 
     def _get(self, answer: Answer) -> None:
-        def got(end: Ended) -> None:
+        def got(end: RequestEnded) -> None:
             if end.value is None:
                 lost = end.why in (OUT_OF_CONTACT, LOST_CONTACT)
                 kind = Kind.OUT_OF_CONTACT if lost else Kind.NO_MAJORITY
@@ -120,7 +120,7 @@
     return version if version <= MAX_NUMBER else None
 
 
-def _outcome(end: Ended, revision: int) -> Reply:
+def _outcome(end: RequestEnded, revision: int) -> Reply:
     """The answer to an order that is over. One that is unclear may have been taken: never a refusal."""
     if end.value is None:
         kind = Kind.OUT_OF_CONTACT if end.why == OUT_OF_CONTACT else Kind.UNCLEAR
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -18,7 +18,15 @@
 
 from orchidferry.balancing.register import Kept, Value
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Action, Answer, Changed, Ended, Note, Tell, Write
+from orchidferry.mesh.control.actions import (
+    Action,
+    Log,
+    RequestEnded,
+    SendMessage,
+    SendReply,
+    StateChanged,
+    WriteRecords,
+)
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.control_api import ControlDoor
 from orchidferry.mesh.control.operation_keys import MOST
@@ -67,7 +75,7 @@
 STOP_MARGIN_S = 0.4  # of the grace time, kept for the process's own end
 
 
-def newest_revision(end: Ended) -> int:
+def newest_revision(end: RequestEnded) -> int:
     """The newest revision by a reading that is over; -1 where nothing was read."""
     return shard_state.body(end.value).revision if end.value is not None else -1
 
@@ -96,7 +104,7 @@
         self._dialling: set[str] = set()
         self._dial_s: dict[str, float] = {}  # when each may be dialled again
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._waiting: dict[str, Callable[[Ended], None]] = {}  # for changes and readings
+        self._waiting: dict[str, Callable[[RequestEnded], None]] = {}  # for changes and readings
         self._number = 0
         self._beats: dict[int, float] = {}  # when each was sent
         self._door = ControlDoor(
@@ -315,29 +323,29 @@
     def _do(self, shard: Shard, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Tell():
+                case SendMessage():
                     link = self._peers.get(action.to) or self._callers.get(action.to)
                     if link is not None:
                         link.send(action.message)
-                case Answer():
+                case SendReply():
                     action.to.send(action.message)
-                case Write():
+                case WriteRecords():
                     self._write(shard, action)
-                case Changed():
+                case StateChanged():
                     self._changed(shard, action.old, action.new)
-                case Ended():
+                case RequestEnded():
                     told = self._waiting.pop(action.id, None)
                     if told is not None:
                         told(action)
-                case Note():
+                case Log():
                     logger.info("controller: shard {}: {}", shard.number, action.text)
 
-    def _write(self, shard: Shard, write: Write) -> None:
-        then = write.then
-        if then is None:
+    def _write(self, shard: Shard, write: WriteRecords) -> None:
+        completion = write.completion
+        if completion is None:
             return self._store.write(write.puts)
         self._store.write(
-            write.puts, lambda done: self._do(shard, shard.written(then, done, self._loop.time()))
+            write.puts, lambda done: self._do(shard, shard.written(completion, done, self._loop.time()))
         )
 
     def _changed(self, shard: Shard, old: Value, new: Value) -> None:
@@ -357,19 +365,19 @@
         if now.revision != was.revision:
             self._publisher.revise(now.revision)
 
-    def _wait_for(self, told: Callable[[Ended], None]) -> str:
+    def _wait_for(self, told: Callable[[RequestEnded], None]) -> str:
         self._number += 1
         id = str(self._number)
         self._waiting[id] = told
         return id
 
-    def _ask(self, change: shard_state.Change, for_s: float, told: Callable[[Ended], None]) -> None:
+    def _ask(self, change: shard_state.Change, for_s: float, told: Callable[[RequestEnded], None]) -> None:
         """Have the configuration's shard changed."""
         id = self._wait_for(told)
         shard = self._configuration_shard
         self._do(shard, shard.ask(id, change, for_s, self._loop.time()))
 
-    def _read(self, told: Callable[[Ended], None]) -> None:
+    def _read(self, told: Callable[[RequestEnded], None]) -> None:
         """The newest configuration for sure."""
         id = self._wait_for(told)
         self._do(self._configuration_shard, self._configuration_shard.read(id, self._loop.time()))
@@ -479,7 +487,7 @@
             self._tell_group(shard, link)
 
     def _read_revision(self, link: Link, message: RevisionRead) -> None:
-        def tell(end: Ended) -> None:
+        def tell(end: RequestEnded) -> None:
             self._publisher.tell_revision(link, Revision(message.request, newest_revision(end)))
 
         self._read(tell)
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -10,15 +10,27 @@
 from enum import Enum
 from typing import Any
 
-from orchidferry.balancing.register import Acceptor, Done, Kept, Promise, Proposer, Save, Send, Value, Voter
+from orchidferry.balancing.register import (
+    Acceptor,
+    Done,
+    Kept,
+    Message,
+    Promise,
+    Proposer,
+    Save,
+    Send,
+    Value,
+    Voter,
+)
 from orchidferry.mesh.control import shard_state, value_references
-from orchidferry.mesh.control.actions import Action, Answer, Ended, Tell, Write
+from orchidferry.mesh.control.actions import Action, RequestEnded, SendMessage, SendReply, WriteRecords
 from orchidferry.mesh.control.contact import LOST_CONTACT
 from orchidferry.mesh.control.order_book import OrderBook
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.reading import ASK_AGAIN_S, SELF, Reading, Readings
 from orchidferry.mesh.control.register_messages import pack_message, pack_voter
 from orchidferry.mesh.control.value_references import ValueReferences
+from orchidferry.mesh.control.write_completions import VoteSaved, WriteCompletion
 from orchidferry.mesh.storage.store import Put, pack
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import (
@@ -131,13 +143,13 @@
         return out
 
     def _say(self, to: str, body: ShardBody) -> None:
-        self._out.append(Tell(to, ShardMessage(self.number, body)))
+        self._out.append(SendMessage(to, ShardMessage(self.number, body)))
 
     def _reply(self, who: Any, body: ShardBody) -> None:
-        self._out.append(Answer(who, ShardMessage(self.number, body)))
+        self._out.append(SendReply(who, ShardMessage(self.number, body)))
 
-    def _write(self, puts: list[Put], then: tuple[Any, ...] | None = None) -> None:
-        self._out.append(Write(puts, then))
+    def _write(self, puts: list[Put], completion: WriteCompletion | None = None) -> None:
+        self._out.append(WriteRecords(puts, completion))
 
     def _about(self, name: str, value: bytes | None) -> Put:
         return "about", f"{name}/{self.number}".encode(), value
@@ -169,7 +181,7 @@
             self._vote(sender, message, who)
 
     def _vote(self, sender: str, message: Any, who: Any) -> None:
-        replies = []
+        replies: list[Message] = []
         save = not self.clean
         for action in self.acceptor.handle(message, sender):
             if isinstance(action, Save):
@@ -184,7 +196,7 @@
         kept = self.acceptor.kept
         orders, puts = self.orders.puts()
         puts.append(self._about("kept", pack(shard_state.pack_kept(kept))))
-        self._write(puts, ("voted", who, kept, replies, orders))
+        self._write(puts, VoteSaved(who, kept, replies, orders))
 
     def _vote_out(self, who: Any, reply: Any) -> None:
         if who is None:
@@ -287,22 +299,26 @@
         if proposal.purpose is Purpose.READ:
             self._end_reading(proposal.waiting, value, why)
 
-    def _ended(self, id: str, value: Value | None, why: str) -> Ended:
+    def _ended(self, id: str, value: Value | None, why: str) -> RequestEnded:
         """Without contact nothing is confirmed, though it may be known: its caller was owed its word
         before.
         """
-        return Ended(id, value, why) if self.in_contact(self.now) else Ended(id, None, LOST_CONTACT)
+        return (
+            RequestEnded(id, value, why)
+            if self.in_contact(self.now)
+            else RequestEnded(id, None, LOST_CONTACT)
+        )
 
     def _end_calls(self) -> None:
         """Contact is lost: callers are told at once, and what only they wait for is not gone on with."""
         for id, proposal in list(self._proposals.items()):
             if proposal.purpose is Purpose.CALL:
                 self._withdraw(id)
-                self._out += [Ended(one, None, LOST_CONTACT) for one in proposal.waiting]
+                self._out += [RequestEnded(one, None, LOST_CONTACT) for one in proposal.waiting]
             elif proposal.purpose is Purpose.READ and SELF not in proposal.waiting:
                 self._withdraw(id)
                 self._readings.busy = False
-        self._out += [Ended(id, None, LOST_CONTACT) for id in self._readings.drop_callers()]
+        self._out += [RequestEnded(id, None, LOST_CONTACT) for id in self._readings.drop_callers()]
         if self._readings.queued and not self._readings.busy:
             self._next_reading()
 
@@ -360,7 +376,7 @@
         """Ask voters again, or run a round; give up on what waited too long."""
         now = self.now
         reading = self._readings.current
-        self._out += [Ended(id, None, "") for id in self._readings.expired(now)]
+        self._out += [RequestEnded(id, None, "") for id in self._readings.expired(now)]
         if reading is None:
             return
         if reading.until_s <= now:
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -15,13 +15,14 @@
 
 from orchidferry.balancing.register import Kept, Value
 from orchidferry.mesh.control import key_transfer, shard_state
-from orchidferry.mesh.control.actions import Note
+from orchidferry.mesh.control.actions import Log
 from orchidferry.mesh.control.hinted_handoff import Hints
 from orchidferry.mesh.control.key_transfer import GIVEN_BACK, KeyLearner, KeySource, Page, Request
 from orchidferry.mesh.control.membership import epoch
 from orchidferry.mesh.control.operation_keys import KeyRecord, OperationKeys
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.replica import Replica
+from orchidferry.mesh.control.write_completions import CaughtUpSaved, HandoffSaved, KeyPageSaved
 from orchidferry.mesh.storage.environment import KEYS
 from orchidferry.mesh.storage.store import Put, pack
 from orchidferry.mesh.wire.shard_messages import (
@@ -195,7 +196,7 @@
             first = request.lacking[: key_transfer.MAX_ASKED]
             return self._say(name, KeyRecordsRequest(self.name, request.number, first))
         puts = self._loaded(request.page.rows)
-        self._write(puts or [self._about("catching", b"1")], ("page", name, request))
+        self._write(puts or [self._about("catching", b"1")], KeyPageSaved(name, request))
 
     def _give_records(self, who: Any, request: KeyRecordsRequest) -> None:
         rows, covered = key_transfer.bounded(self.operation_keys, request.keys)
@@ -230,7 +231,7 @@
         waits = not self.standing.caught_up and not self._catching
         if waits and counted and self.standing.enough(self.known):
             self._catching = True
-            self._write([self._about("caught", b"1")], ("caught", epoch(self.known)))
+            self._write([self._about("caught", b"1")], CaughtUpSaved(epoch(self.known)))
 
     def _caught_up(self, under: int, ok: bool) -> None:
         """What came of writing that it has caught up; void if the group has changed meanwhile."""
@@ -240,7 +241,7 @@
         if under != epoch(self.known) or self.voter not in self.known.voters:
             return self._write([self._about("caught", None)])
         self.standing.caught_up = True
-        self._out.append(Note(f"caught up with {len(self.operation_keys.records)} keys"))
+        self._out.append(Log(f"caught up with {len(self.operation_keys.records)} keys"))
 
     def _loaded(self, rows: list[KeyRow]) -> list[Put]:
         """Take records of another controller; what is to be written of them."""
@@ -283,7 +284,7 @@
             return  # it is told again, or learns all
         puts = self._loaded([row for row in handoff.rows if self._adds(row)])
         if puts:
-            self._write(puts, ("handoff", who, handoff.number))
+            self._write(puts, HandoffSaved(who, handoff.number))
         else:
             self._reply(who, HandoffAck(self.name, handoff.number))
 
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -10,7 +10,7 @@
 
 from orchidferry.balancing.register import Kept, Value, Voter
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Action, Changed, Ended, Note
+from orchidferry.mesh.control.actions import Action, Log, RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.duties import OwnerLease, takes_over
 from orchidferry.mesh.control.group_changes import GroupView
@@ -20,6 +20,7 @@
 from orchidferry.mesh.control.reading import READING_S
 from orchidferry.mesh.control.register_replica import Purpose, RegisterReplica
 from orchidferry.mesh.control.state_teller import StateTeller
+from orchidferry.mesh.control.write_completions import OrdersSaved, RemovalSaved, VoteSaved, WriteCompletion
 from orchidferry.mesh.wire.shard_messages import (
     AcceptedState,
     AcceptedStateRequest,
@@ -85,12 +86,12 @@
     # Events
 
     def ask(self, id: str, change: shard_state.Change, for_s: float, now: float) -> list[Action]:
-        """Have the state changed; it is `Ended` once, with no value if nothing is known in time, or contact
-        with a majority is lost before. Out of contact nothing is begun.
+        """Have the state changed; it is `RequestEnded` once, with no value if nothing is known in time, or
+        contact with a majority is lost before. Out of contact nothing is begun.
         """
         self.now = now
         if not self.in_contact(now):
-            self._out.append(Ended(id, None, OUT_OF_CONTACT))
+            self._out.append(RequestEnded(id, None, OUT_OF_CONTACT))
         elif isinstance(change, shard_state.Put):
             self._order(id, change, for_s)
         else:
@@ -106,7 +107,7 @@
             self._readings.until_s[id] = now + READING_S
             self._read(id)
         else:
-            self._out.append(Ended(id, None, OUT_OF_CONTACT))
+            self._out.append(RequestEnded(id, None, OUT_OF_CONTACT))
         return self._flush()
 
     def pulse(self, name: str, sent_s: float, fence: int) -> None:
@@ -170,20 +171,20 @@
             case JoinRequest():
                 self._admit(Voter(message.name, message.memory), message.epoch, message.ready)
 
-    def _kept(self, then: tuple[Any, ...], ok: bool) -> None:
+    def _kept(self, completion: WriteCompletion, ok: bool) -> None:
         """What came of a write of the replica's own."""
-        match then:
-            case ("voted", who, kept, replies, orders) if ok:
+        match completion:
+            case VoteSaved(who, kept, replies, orders) if ok:
                 self.clean = self.clean or kept is self.acceptor.kept
                 self.orders.history.saved(orders)
                 for reply in replies:
                     self._vote_out(who, reply)
-            case ("orders", orders) if ok:
+            case OrdersSaved(orders) if ok:
                 self.orders.history.saved(orders)
-            case ("out",) if ok:
+            case RemovalSaved() if ok:
                 self.standing = Standing(False)
                 self.abstains_s = self.now
-                self._out.append(Note("put out of the group"))
+                self._out.append(Log("put out of the group"))
 
     def _learned(self, old: Value, new: Value) -> None:
         """A newer state was decided."""
@@ -192,7 +193,7 @@
         if epoch(new) != epoch(old):
             self._regrouped(new)
             self._join_s = self.now  # to be settled before the next loss
-        self._out.append(Changed(old, new))
+        self._out.append(StateChanged(old, new))
         self._end_orders()
 
     # Orders
@@ -205,7 +206,7 @@
         """An order. What is known of it for ever is told at once; copies of it share one proposal."""
         verdict = self.orders.verdict(order, self.body)
         if self.known.version and (verdict.final or verdict is Verdict.UNKNOWN):
-            self._out.append(Ended(id, self.known, shard_state.WHY_NOT.get(verdict, "")))
+            self._out.append(RequestEnded(id, self.known, shard_state.WHY_NOT.get(verdict, "")))
             return
         name = self.orders.name(order)
         if name in self._proposals:
@@ -234,7 +235,7 @@
     def _take_orders(self, who: Any, page: Orders) -> None:
         if self.orders.take_page(page):
             numbers, puts = self.orders.puts()
-            self._write(puts, ("orders", numbers))
+            self._write(puts, OrdersSaved(numbers))
             if not self.orders.history.whole:
                 self._reply(who, self.orders.older_request())
 
@@ -268,7 +269,7 @@
             return
         if self.standing.caught_up:  # it missed what was granted without it, and must not say otherwise
             if self.standing.put_out(self.voter, self.known, self.acceptor.kept.value):
-                self._write([self._about("caught", None)], ("out",))
+                self._write([self._about("caught", None)], RemovalSaved())
             return
         if self._group().wanted() and not self.ready:
             return
@@ -295,7 +296,7 @@
         if not group.is_turn(self._joiners, since_s):
             return
         whose = f", instead of {instead}" if instead else ""
-        self._out.append(Note(f"{joiner.name} asks for a place{whose}"))
+        self._out.append(Log(f"{joiner.name} asks for a place{whose}"))
         intent = ["replace", instead] if instead and instead != joiner.name else None
         change = shard_state.Admit(joiner, instead, max(self.size, len(group.names)), under)
         id = f"admit {joiner.name} {joiner.memory} {under}"
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -12,10 +12,19 @@
 from typing import Any
 
 from orchidferry.balancing.register import Kept, Value
-from orchidferry.mesh.control.actions import Action, Answer
+from orchidferry.mesh.control.actions import Action, SendReply
 from orchidferry.mesh.control.operation_keys import Granted, Held, KeyRecord
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.repair import Repair, remembered
+from orchidferry.mesh.control.write_completions import (
+    CaughtUpSaved,
+    ClaimSaved,
+    HandoffSaved,
+    KeyAnswerSaved,
+    KeyPageSaved,
+    KeyReleaseSaved,
+    WriteCompletion,
+)
 from orchidferry.mesh.storage.environment import KEYS
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import (
@@ -70,7 +79,7 @@
             self._write([(KEYS, key.encode("latin-1"), None) for key in over])
         for due, key, record in self._again:
             if due <= now and self.operation_keys.records.get(key) is record:
-                self._write([self._stored(key, record)], ("answer", key, record))
+                self._write([self._stored(key, record)], KeyAnswerSaved(key, record))
         self._again = [one for one in self._again if one[0] > now]
         if self._pass_time(now):
             self._mind_silent()
@@ -103,29 +112,34 @@
                 self._take(who, message)
         return self._flush()
 
-    def written(self, then: tuple[Any, ...], ok: bool, now: float) -> list[Action]:
-        """What came of a write."""
+    def written(self, completion: WriteCompletion, ok: bool, now: float) -> list[Action]:
+        """Take the result of a write.
+
+        :param completion: of the `WriteRecords` action.
+        :param ok: whether the records are on disk.
+        :param now: seconds on the clock of the event loop.
+        """
         self.now = now
-        match then:
-            case ("claim", who, rid, under, key, holder, record) if ok:
+        match completion:
+            case ClaimSaved(who, rid, under, key, holder, record) if ok:
                 if self.unwritten.get(key) is record:
                     del self.unwritten[key]
                 # While the disk was at work the key may have been given back, or the group have changed.
-                mine = self.operation_keys.records.get(key) is record and holder == record.holder  # type: ignore[union-attr]
+                mine = self.operation_keys.records.get(key) is record and holder == record.holder
                 what = "yours" if mine and self.grants(under) else "wait"
-                self._out.append(Answer(who, KeyGrant(rid, under, what, None)))
-            case ("answer", key, record) if not ok:
+                self._out.append(SendReply(who, KeyGrant(rid, under, what, None)))
+            case KeyAnswerSaved(key, record) if not ok:
                 self._again.append((now + AGAIN_S, key, record))
-            case ("page", name, request):
+            case KeyPageSaved(name, request):
                 self._page_written(name, request, ok)
-            case ("handoff", who, number) if ok:
+            case HandoffSaved(who, number) if ok:
                 self._reply(who, HandoffAck(self.name, number))
-            case ("given back", who, give_back) if ok:
-                self._out.append(Answer(who, KeyReleaseAck(give_back)))
-            case ("caught", under):
+            case KeyReleaseSaved(who, give_back) if ok:
+                self._out.append(SendReply(who, KeyReleaseAck(give_back)))
+            case CaughtUpSaved(under):
                 self._caught_up(under, ok)
             case _:
-                self._kept(then, ok)
+                self._kept(completion, ok)
         return self._flush()
 
     # Operation keys
@@ -137,7 +151,7 @@
         self.now = now
 
         def say(what: str, answer: Any = None) -> list[Action]:
-            self._out.append(Answer(who, KeyGrant(rid, under, what, answer)))
+            self._out.append(SendReply(who, KeyGrant(rid, under, what, answer)))
             return self._flush()
 
         if not self.grants(under) or (not room and key not in self.operation_keys.records):
@@ -152,7 +166,7 @@
             return say("yours")
         self.unwritten[key] = record
         self.hints.wrote(key, now)
-        self._write([self._stored(key, record)], ("claim", who, rid, under, key, holder, record))
+        self._write([self._stored(key, record)], ClaimSaved(who, rid, under, key, holder, record))
         return self._flush()
 
     def done(self, key: str, holder: str, answer: Any, now: float) -> list[Action]:
@@ -161,7 +175,7 @@
         record = self.operation_keys.done(key, holder, answer)
         if record is not None:
             self.hints.wrote(key, now)
-            self._write([self._stored(key, record)], ("answer", key, record))
+            self._write([self._stored(key, record)], KeyAnswerSaved(key, record))
         return self._flush()
 
     def drop(self, who: Any, give_back: int, key: str, holder: str, now: float) -> list[Action]:
@@ -172,7 +186,7 @@
         if self.operation_keys.drop(key, holder):
             self.unwritten.pop(key, None)
         if self.operation_keys.given_back.get(key) == holder:
-            self._write([(KEYS, key.encode("latin-1"), None)], ("given back", who, give_back))
+            self._write([(KEYS, key.encode("latin-1"), None)], KeyReleaseSaved(who, give_back))
         else:
-            self._out.append(Answer(who, KeyReleaseAck(give_back)))
+            self._out.append(SendReply(who, KeyReleaseAck(give_back)))
         return self._flush()
--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.configuration_resource import PUT_S
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import RegisterMessage, RegisterPrepare
@@ -166,15 +166,15 @@
         if self.controllers[to].alive:
             getattr(self.controllers[to], kind)(*message)
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         """A controller answers another one."""
         assert isinstance(answer.message, ShardMessage)
         self.send(name, answer.to, "heard", name, answer.message.body)
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         """Nothing here hangs on it."""
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         """An operator has an answer."""
         for one in self.operators:
             if one.waits == end.id:
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -25,7 +25,7 @@
 
 from orchidferry.balancing.register import Kept
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Action, Answer, Tell, Write
+from orchidferry.mesh.control.actions import Action, SendMessage, SendReply, WriteRecords
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard, remembered
 from orchidferry.mesh.storage.environment import NAMES, open_env
@@ -129,7 +129,7 @@
         """A new memory, on an empty disk."""
         self.alive = True
         self.life = self.life + 1
-        self.free_s, self.disk_busy, self.jobs = self.world.now, False, list[tuple[Shard, Write]]()
+        self.free_s, self.disk_busy, self.jobs = self.world.now, False, list[tuple[Shard, WriteRecords]]()
         self.env = open_env(tempfile.mkdtemp(dir=self.folder))
         with self.env.begin(write=True) as txn:
             self.dbs = {name: self.env.open_db(name.encode(), txn=txn) for name in NAMES}
@@ -152,7 +152,7 @@
                 MAX_KEYS,
                 len(self.world.seeds),
             )
-            self.jobs.append((self.shards[number], Write(remembered(number, kept, founder))))
+            self.jobs.append((self.shards[number], WriteRecords(remembered(number, kept, founder))))
         self.beats = dict[int, float]()
         self.number = 0
         self._each(BEAT_S, self.beat, self.life)
@@ -179,9 +179,9 @@
     def do(self, shard: Shard, actions: list[Action]) -> None:
         """What a shard wants done."""
         for action in actions:
-            if isinstance(action, Tell | Answer) and isinstance(action.to, str):
+            if isinstance(action, SendMessage | SendReply) and isinstance(action.to, str):
                 self.send(action.to, action.message)
-            elif isinstance(action, Write):
+            elif isinstance(action, WriteRecords):
                 self.jobs.append((shard, action))
 
     def send(self, to: str, message: Message) -> None:
@@ -220,8 +220,8 @@
         def told() -> None:
             self.disk_busy = False
             for shard, write in jobs:
-                if write.then is not None:
-                    self.do(shard, shard.written(write.then, True, self.world.now))
+                if write.completion is not None:
+                    self.do(shard, shard.written(write.completion, True, self.world.now))
 
         def synced() -> None:
             if self.alive and self.life == life:
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -11,7 +11,14 @@
 
 from orchidferry.balancing.register import Kept
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Action, Answer, Changed, Ended, Tell, Write
+from orchidferry.mesh.control.actions import (
+    Action,
+    RequestEnded,
+    SendMessage,
+    SendReply,
+    StateChanged,
+    WriteRecords,
+)
 from orchidferry.mesh.control.order_records import orders_of
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard, remembered
@@ -31,13 +38,13 @@
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
         """Have a controller's method of that name called, later or never."""
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         """A controller answers."""
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         """A controller has learned a newer state."""
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         """What was asked for at a controller is over."""
 
 
@@ -75,7 +82,7 @@
 
     def start(self) -> None:
         """A new life, with what is on the disk."""
-        self.alive, self.writes = True, list[Write]()
+        self.alive, self.writes = True, list[WriteRecords]()
         self.peers, self.beats, self.count = Peers(self.world.now), dict[int, float](), 0
         kept = shard_state.unpack_kept(unpack(self.disk["about", f"kept/{self.number}".encode()]))
         caught = ("about", f"caught/{self.number}".encode()) in self.disk
@@ -107,23 +114,23 @@
         """What the shard wants done, in its order."""
         for action in actions:
             match action:
-                case Tell():
+                case SendMessage():
                     self.world.send(self.name, action.to, "heard", self.name, action.message.body)
-                case Answer():
+                case SendReply():
                     self.world.answer(self.name, action)
-                case Write():
+                case WriteRecords():
                     self.writes.append(action)
-                case Changed():
+                case StateChanged():
                     self.world.decided(self.name, action)
-                case Ended():
+                case RequestEnded():
                     self.world.told(self.name, action)
 
     def disk_turn(self) -> None:
         """The oldest write reaches the disk."""
         write = self.writes.pop(0)
         self.put(write.puts)
-        if write.then is not None:
-            self.do(self.shard.written(write.then, True, self.world.now))
+        if write.completion is not None:
+            self.do(self.shard.written(write.completion, True, self.world.now))
 
     def tick(self) -> None:
         """Let time pass."""
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -33,11 +33,13 @@
     peers,
     replica,
     shard_state,
+    write_completions,
 )
 from orchidferry.mesh.control import shard as shard_module
-from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.membership import epoch
 from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.write_completions import ClaimSaved, KeyAnswerSaved, VoteSaved
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
 from orchidferry.mesh.wire.shard_messages import KeyPage, tag_of
 from orchidferry.testkit.explore import pure
@@ -75,6 +77,7 @@
     shard_module,
     operation_keys,
     operation_key_client,
+    write_completions,
 ):
     for _kind in vars(_module).values():
         if isinstance(_kind, type) and is_dataclass(_kind) and "__slots__" in vars(_kind):
@@ -525,7 +528,7 @@
         else:
             self.next.append(Mail(sender, to, kind, message))
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         """A controller answers whoever asked it."""
         to = answer.to
         message = answer.message
@@ -551,7 +554,7 @@
             message = (controller.number, own.epoch, names, own.owner, own.fence)
             self.next.append(Mail(controller.name, node, "group", message, True))
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         """The states are one chain: one for each version, and whoever learns one learns the same."""
         self._chain(changed.new)
         if epoch(changed.new) > epoch(changed.old):
@@ -616,7 +619,7 @@
         if asker.step == "read":
             asker.tries = min(asker.tries, 5)
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         """What was asked for at a controller is over."""
         asker = next((a for a in self.askers if a.waits == f"{name} {end.id}"), None)
         if asker is None:
@@ -707,10 +710,10 @@
             # Which of two equal ones is meant, where the shard looks at that.
             same = [shard.unwritten[key] is records.get(key) for key in shard.unwritten]
             for write in controller.writes:
-                match write.then:
-                    case ("voted", _, of, *_):
+                match write.completion:
+                    case VoteSaved(kept=of):
                         same.append(of is kept)
-                    case (("claim" | "answer"), *_, record):
+                    case ClaimSaved(record=record) | KeyAnswerSaved(record=record):
                         same.append(any(record is one for one in records.values()))
             held += [
                 controller.alive,
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing import register
 from orchidferry.balancing.register import Acceptor, Kept, Proposer, Value, Voter
 from orchidferry.mesh.control import duties, shard_state
-from orchidferry.mesh.control.actions import Action, Write
+from orchidferry.mesh.control.actions import Action, WriteRecords
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.operation_key_client import Count
 from orchidferry.mesh.control.operation_keys import OperationKeys
@@ -34,9 +34,9 @@
 
 def _unsynced(self: Controller, actions: list[Action]) -> None:
     for action in actions:
-        if isinstance(action, Write) and action.then is not None:
-            _do(self, [Write(action.puts)])
-            self.do(self.shard.written(action.then, True, self.world.now))
+        if isinstance(action, WriteRecords) and action.completion is not None:
+            _do(self, [WriteRecords(action.puts)])
+            self.do(self.shard.written(action.completion, True, self.world.now))
         else:
             _do(self, [action])
 
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Action, Ended
+from orchidferry.mesh.control.actions import Action, RequestEnded
 from orchidferry.mesh.control.contact import CONTACT_S, Contact
 from orchidferry.mesh.control.register_replica import Purpose
 from orchidferry.mesh.control.replica import Replica
@@ -157,7 +157,7 @@
             actions = shard.ask(attempt.id, operator.change(), 4.0, self.now)
         self.controllers[attempt.at].do(actions)
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         attempt = self.attempts.pop(end.id, None)
         if attempt is None:
             return
@@ -366,7 +366,7 @@
 
 def _local_read(self: Shard, id: str, now: float) -> list[Action]:
     """Only contact is asked for, and no round is run."""
-    return [Ended(id, self.known if self.in_contact(now) else None, "")]
+    return [RequestEnded(id, self.known if self.in_contact(now) else None, "")]
 
 
 def _confirms_early(self: Shard, id: str, *args: Any) -> list[Action]:
@@ -376,14 +376,16 @@
     after = change(self.known)
     if isinstance(after, str) or not self.in_contact(self.now):
         return actions
-    return [*actions, Ended(id, after, "")]
+    return [*actions, RequestEnded(id, after, "")]
 
 
 def _says_refused(self: Replica) -> None:
     """What contact was lost over is told as refused, and goes on."""
     for proposal in self._proposals.values():
         if proposal.purpose is Purpose.CALL:
-            self._out += [Ended(one, self.known, shard_state.OTHER_VERSION) for one in proposal.waiting]
+            self._out += [
+                RequestEnded(one, self.known, shard_state.OTHER_VERSION) for one in proposal.waiting
+            ]
             proposal.waiting = []
 
 
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.order_book import OrderBook
 from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
@@ -124,7 +124,7 @@
         asker.waits = ""
         asker.until_s = self.now
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         operator: Any = next((o for o in self.askers if o.waits == f"{name} {end.id}"), None)
         if operator is None:
             return
@@ -175,7 +175,7 @@
             if self.chain.get(order.number) == order.content and (on_that == order or on_that not in sent):
                 self.broken(f"refused: {order} was refused, and was taken")
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         super().decided(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
@@ -337,7 +337,7 @@
 def _told_before_decided(self: Replica, id: str, order: shard_state.Put, for_s: float) -> None:
     accepted = self.acceptor.kept.value
     if accepted is not None and shard_state.body(accepted).raw == order.raw:
-        self._out.append(Ended(id, accepted))
+        self._out.append(RequestEnded(id, accepted))
     else:
         _order(self, id, order, for_s)
 
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_text import compress
 from orchidferry.mesh.control.control_client import ControlClient
@@ -195,7 +195,7 @@
         if waiting:
             self.call_later(SYNC_S, written)
 
-    def learned(self, changed: Changed) -> None:
+    def learned(self, changed: StateChanged) -> None:
         """The shard has a newer state."""
         old = shard_state.body(changed.old)
         new = shard_state.body(changed.new)
@@ -212,12 +212,12 @@
             group = Group(number, own.epoch, names, own.owner, own.fence)
             self.publisher.tell_group(group, link)
 
-    def order(self, change: shard_state.Put, told: Callable[[Ended], None]) -> None:
+    def order(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
         """An operator's order comes: it is checked, then voted on."""
         done_s = self.work(CHECK_S)
         self.world.at(done_s, lambda: self.run(lambda: self._ask(change, told)))
 
-    def _ask(self, change: shard_state.Put, told: Callable[[Ended], None]) -> None:
+    def _ask(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
         id = self.rollout.wait_for(told)
         self.replica.do(self.replica.shard.ask(id, change, PUT_S, self.time()))
         self.sync()
@@ -252,7 +252,7 @@
                 publisher.since(end, message)
 
     def _read_revision(self, end: Any, request: int) -> None:
-        def tell(ended: Ended) -> None:
+        def tell(ended: RequestEnded) -> None:
             self.publisher.tell_revision(end, Revision(request, newest_revision(ended)))
 
         id = self.rollout.wait_for(tell)
@@ -349,7 +349,7 @@
         names = tuple(f"k{n}" for n in range(CONTROLLERS))
         self.voters = names[:VOTERS]
         self.seeds = names[:SEEDS]
-        self._waiting: dict[str, Callable[[Ended], None]] = {}
+        self._waiting: dict[str, Callable[[RequestEnded], None]] = {}
         self._ids = 0
         self._isolate_from_s = float("inf")
         self._killed_s: dict[str, float] = {}
@@ -384,20 +384,20 @@
 
         self.at(one.send_out(size) + self.delay(one, other), lambda: other.receive(size, handle))
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         """A replica's answer, on the link of whoever asked."""
         assert isinstance(answer.message, ShardMessage)
         self.send(name, str(answer.to), "heard", name, answer.message.body)
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         """A replica has learned a newer state."""
         self.controllers[name].learned(changed)
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         """A change or a reading is over."""
         self._waiting.pop(end.id)(end)
 
-    def wait_for(self, told: Callable[[Ended], None]) -> str:
+    def wait_for(self, told: Callable[[RequestEnded], None]) -> str:
         """An id under which a replica is asked for something."""
         self._ids += 1
         self._waiting[str(self._ids)] = told
@@ -457,7 +457,7 @@
             name = self.rng.choice([name for name in self.voters if name != self.isolated])
             self.controllers[name].order(change, lambda end: told(name, end))
 
-        def told(name: str, end: Ended) -> None:
+        def told(name: str, end: RequestEnded) -> None:
             if end.value is None:
                 return self.at(self.now + 0.1, send)
             if not self.isolated and self.now >= self._isolate_from_s:
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck, Message, ShardMessage
 from orchidferry.mesh.wire.shard_messages import tag_of
@@ -81,7 +81,7 @@
         self.seeds = tuple("abcdefghijk"[:replicas])
         self.bytes = Counter[str]()  # sent between replicas, by kind of message
         self.link_bytes = Counter[tuple[str, str]]()
-        self.ended: dict[str, tuple[float, Ended]] = {}
+        self.ended: dict[str, tuple[float, RequestEnded]] = {}
         self.dark: set[str] = set()  # that hear nobody and are heard by nobody
         self.owners: list[tuple[int, str]] = []  # fences under which duties were done, in their order
         self._free_s: dict[str, float] = {}  # when each machine has sent what it has
@@ -199,16 +199,16 @@
             getattr(controller, kind)(*message)
             self._sync(to)
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         """An answer, on the link of whoever asked."""
         assert isinstance(answer.message, ShardMessage)
         self.send(name, str(answer.to), "heard", name, answer.message.body)
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         """Whoever learns a version learns the same."""
         assert self._states.setdefault(changed.new.version, changed.new) == changed.new
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         """A change or a reading is over."""
         self.ended[end.id] = (self.now, end)
 
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -9,7 +9,7 @@
 
 from orchidferry.balancing.register import Voter
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Answer, Ended
+from orchidferry.mesh.control.actions import RequestEnded, SendReply
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.contact import CONTACT_S, LOST_CONTACT, OUT_OF_CONTACT, Contact
 from orchidferry.mesh.control.control_api import call
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         self.now = 1.0
-        self.ended: list[Ended] = []
+        self.ended: list[RequestEnded] = []
         self.readings: list[int] = []
         self.controller = Controller("a", self, True, 0, Dice())
 
@@ -66,13 +66,13 @@
         if kind == "heard" and isinstance(message[1], AcceptedStateRequest):
             self.readings.append(message[1].reading)
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         pass
 
     def decided(self, name: str, changed: Any) -> None:
         pass
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         self.ended.append(end)
 
     def tick(self, seconds: float) -> None:
@@ -89,7 +89,7 @@
         world.controller.pulse(name, 1, 0)
     world.controller.do(shard.read("r", world.now))
     world.controller.do(shard.ask("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
-    assert world.ended == [Ended("r", None, OUT_OF_CONTACT), Ended("p", None, OUT_OF_CONTACT)]
+    assert world.ended == [RequestEnded("r", None, OUT_OF_CONTACT), RequestEnded("p", None, OUT_OF_CONTACT)]
     assert not world.readings and not shard.proposer.due_ms < float("inf")
     world.controller.beat_to("bc")
     world.controller.pulse("b", 2, 0)
@@ -147,7 +147,7 @@
             world.controller.do(shard.read("r", world.now))
         assert not world.ended or world.now - 1.0 > READING_S - 1e-6
         world.tick(0.1)
-    assert world.ended == [Ended("r", None, "")]
+    assert world.ended == [RequestEnded("r", None, "")]
 
 
 BODY = json.dumps({"revision_number": 2, "access_points": [], "trunk_groups": []}).encode()
@@ -156,24 +156,24 @@
 @pytest.mark.parametrize(
     ("method", "contact", "end", "status", "error"),
     [
-        (b"GET", True, Ended("", None, OUT_OF_CONTACT), 503, "out_of_contact"),
-        (b"GET", True, Ended("", None, LOST_CONTACT), 503, "out_of_contact"),
-        (b"GET", True, Ended("", None, ""), 503, "no_majority"),
+        (b"GET", True, RequestEnded("", None, OUT_OF_CONTACT), 503, "out_of_contact"),
+        (b"GET", True, RequestEnded("", None, LOST_CONTACT), 503, "out_of_contact"),
+        (b"GET", True, RequestEnded("", None, ""), 503, "no_majority"),
         (b"PUT", False, None, 503, "out_of_contact"),
-        (b"PUT", True, Ended("", None, OUT_OF_CONTACT), 503, "out_of_contact"),
-        (b"PUT", True, Ended("", None, LOST_CONTACT), 504, "unclear"),
-        (b"PUT", True, Ended("", None, ""), 504, "unclear"),
+        (b"PUT", True, RequestEnded("", None, OUT_OF_CONTACT), 503, "out_of_contact"),
+        (b"PUT", True, RequestEnded("", None, LOST_CONTACT), 504, "unclear"),
+        (b"PUT", True, RequestEnded("", None, ""), 504, "unclear"),
         (
             b"PUT",
             True,
-            Ended("", shard_state.genesis(("a",)), shard_state.OTHER_VERSION),
+            RequestEnded("", shard_state.genesis(("a",)), shard_state.OTHER_VERSION),
             412,
             "other_version",
         ),
     ],
 )
 def test_what_an_operator_is_told(
-    method: bytes, contact: bool, end: Ended | None, status: int, error: str
+    method: bytes, contact: bool, end: RequestEnded | None, status: int, error: str
 ) -> None:
     """503: nothing was begun. 504: it may be in force. 4xx: it never will be."""
 
--- a/tests/mesh/test_give_backs.py
+++ b/tests/mesh/test_give_backs.py
@@ -8,7 +8,7 @@
 from msgspec.structs import astuple
 
 from orchidferry.mesh.control import give_backs
-from orchidferry.mesh.control.actions import Answer
+from orchidferry.mesh.control.actions import SendReply
 from orchidferry.mesh.control.give_backs import AGAIN_S, GiveBacks
 from orchidferry.mesh.control.operation_key_client import OperationKeyClient
 from orchidferry.mesh.control.operation_keys import longest_kept_s
@@ -50,7 +50,7 @@
 
         return send
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         """A controller answers a node."""
         node = str(answer.to)
         if (node, name) in self.cut:
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -14,7 +14,7 @@
 
 from orchidferry.balancing.register import Accept, Accepted, Kept, Prepare, Promise, Value, Voter
 from orchidferry.mesh.control import configuration_text, shard_state
-from orchidferry.mesh.control.actions import Ended
+from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.configuration_text import MAX_TEXT, compress, expand
@@ -69,9 +69,11 @@
         found = change(state[0])
         assert isinstance(found, Value)
         state[0] = found
-        told(Ended("", found))
+        told(RequestEnded("", found))
 
-    resource = ConfigurationResource(ask, lambda told: told(Ended("", state[0])), lambda: False, lambda: True)
+    resource = ConfigurationResource(
+        ask, lambda told: told(RequestEnded("", state[0])), lambda: False, lambda: True
+    )
     text = b" \n" + example(1)
     resource(call(b"PUT", b"/", {b"if-match": b"0"}, text), "", replies.append)
     resource(call(b"GET", b"/", {}, b""), "", replies.append)
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -17,7 +17,7 @@
 
 from orchidferry.balancing.register import Kept, Value, Voter
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Answer, Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.duties import TENURE_S
 from orchidferry.mesh.control.hinted_handoff import RECENT_S, Hints
 from orchidferry.mesh.control.membership import Standing, epoch
@@ -61,7 +61,7 @@
         self.versions: dict[int, Value] = {}
         self.taken: dict[int, bytes] = {}  # the digest that was acknowledged on top of each revision
         self.newest = 0  # revision acknowledged
-        self.waiting: dict[str, Callable[[Ended], None]] = {}
+        self.waiting: dict[str, Callable[[RequestEnded], None]] = {}
         self.counts = {"granted": 0, "put": 0, "read": 0, "epoch": 0, "owned": 0}
         self.fences: dict[int, str] = {}
 
@@ -73,7 +73,7 @@
         if to in self.controllers:
             self.wires.append((to, kind, message))
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: SendReply) -> None:
         message = answer.message
         if isinstance(message, KeyReleaseAck):
             return
@@ -83,11 +83,11 @@
         else:
             self.send(name, answer.to, "heard", name, message.body)
 
-    def told(self, name: str, end: Ended) -> None:
+    def told(self, name: str, end: RequestEnded) -> None:
         if end.id in self.waiting:
             self.waiting.pop(end.id)(end)
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         """The states are one chain: one for each version, and whoever learns one learns the same."""
         value = changed.new
         assert self.versions.setdefault(value.version, value) == value
@@ -155,7 +155,7 @@
         on = shard_state.body(controller.shard.known).revision
         revision, digest = on + self.rng.randrange(1, 3), str(self.number()).encode()
 
-        def told(end: Ended) -> None:
+        def told(end: RequestEnded) -> None:
             if end.value is not None and not end.why:
                 assert self.taken.setdefault(on, digest) == digest
                 self.newest = max(self.newest, revision)
@@ -170,7 +170,7 @@
         if controller is None:
             return
 
-        def told(end: Ended) -> None:
+        def told(end: RequestEnded) -> None:
             if end.value is not None:
                 assert shard_state.body(end.value).revision >= newest
                 self.counts["read"] += 1
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -20,7 +20,7 @@
 
 from orchidferry.balancing.register import Value, Voter
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Ended
+from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.order_history import OrderHistory, Verdict
 from orchidferry.mesh.control.repair import Repair
 from orchidferry.testkit.explore.controller import Controller
@@ -157,14 +157,14 @@
             order = shard_state.Put(digest, on + self.rng.randrange(1, 3), digest, on)
             self.orders.append(order)
 
-        def told(end: Ended) -> None:
+        def told(end: RequestEnded) -> None:
             self.judge(order, end)
 
         id = str(self.number())
         self.waiting[id] = told
         controller.do(controller.shard.ask(id, order, 3.0, self.now))
 
-    def judge(self, order: shard_state.Put, end: Ended) -> None:
+    def judge(self, order: shard_state.Put, end: RequestEnded) -> None:
         """An order is acknowledged or refused for ever, and one at most on each version."""
         if end.why in REFUSALS:
             self.refused.add(order)
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -26,7 +26,7 @@
     order_history,
     shard_state,
 )
-from orchidferry.mesh.control.actions import Changed, Ended
+from orchidferry.mesh.control.actions import RequestEnded, StateChanged
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.configuration_text import expand
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
@@ -187,7 +187,7 @@
         self.taken_orders: dict[int, tuple[bytes, int]] = {}  # by version: digest and number, as decided
         self.counts |= {"again": 0, "refused": 0, "unclear": 0}
 
-    def decided(self, name: str, changed: Changed) -> None:
+    def decided(self, name: str, changed: StateChanged) -> None:
         super().decided(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
@@ -217,7 +217,7 @@
         self.sent.append(order)
         id = str(self.number())
 
-        def told(end: Ended) -> None:
+        def told(end: RequestEnded) -> None:
             if end.value is None or end.why == shard_state.UNKNOWN_ORDER:
                 self.counts["unclear"] += 1
             elif end.why:
@@ -276,7 +276,7 @@
 def _taken(world: Orders, controller: Controller, order: shard_state.Put) -> bool:
     """What a controller says of an order, with all going well."""
     for _ in range(6):  # beats come by chance: out of contact it is asked the very same again
-        ends: list[Ended] = []
+        ends: list[RequestEnded] = []
         id = str(world.number())
         world.waiting[id] = ends.append
         controller.do(controller.shard.ask(id, order, 3.0, world.now))
@@ -365,13 +365,13 @@
     def __init__(self) -> None:
         self.value = shard_state.genesis(("a", "b", "c"))
         self.resource = ConfigurationResource(
-            self._ask, lambda told: told(Ended("", self.value)), lambda: False, lambda: True
+            self._ask, lambda told: told(RequestEnded("", self.value)), lambda: False, lambda: True
         )
 
-    def _ask(self, change: shard_state.Change, _: float, told: Callable[[Ended], None]) -> None:
+    def _ask(self, change: shard_state.Change, _: float, told: Callable[[RequestEnded], None]) -> None:
         after = change(self.value)
         self.value = after if isinstance(after, Value) else self.value
-        told(Ended("1", self.value, after if isinstance(after, str) else ""))
+        told(RequestEnded("1", self.value, after if isinstance(after, str) else ""))
 
     def put(self, body: bytes, if_match: bytes | None) -> Reply:
         headers = {} if if_match is None else {b"if-match": if_match}
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -13,11 +13,12 @@
 from orchidferry.balancing.register import Kept, Value, Voter
 from orchidferry.mesh.control import controller as module
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Tell
+from orchidferry.mesh.control.actions import SendMessage
 from orchidferry.mesh.control.controller import Controller
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.control.write_completions import CaughtUpSaved
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState, JoinRequest, RegisterMessage
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S
@@ -41,7 +42,7 @@
 
 def proposes(one: Shard, joiner: Voter, under: int, ready: bool, now: float) -> bool:
     done = one.heard(None, JoinRequest(joiner.name, joiner.memory, under, ready), now)
-    return any(isinstance(a, Tell) and isinstance(a.message.body, RegisterMessage) for a in done)
+    return any(isinstance(a, SendMessage) and isinstance(a.message.body, RegisterMessage) for a in done)
 
 
 @pytest.mark.parametrize("leaves", [False, True])
@@ -95,9 +96,9 @@
 
 def test_that_it_caught_up_is_void_if_the_group_changed_meanwhile() -> None:
     one = shard("a", caught_up=False)
-    one.written(("caught", 2), True, 1.0)
+    one.written(CaughtUpSaved(2), True, 1.0)
     assert not one.standing.caught_up
-    one.written(("caught", 3), True, 1.0)
+    one.written(CaughtUpSaved(3), True, 1.0)
     assert one.standing.caught_up
 
 
