--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -17,7 +17,7 @@
 from orchidferry.mesh.control.configuration_text import expand
 from orchidferry.mesh.control.contact import CONTACT_S
 from orchidferry.mesh.control.endpoints import Record, everyone
-from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.operation_key_client import OnClaimed, OperationKeyClient, ShardGroup
 from orchidferry.mesh.control.subscriber import Subscriber
 from orchidferry.mesh.settings import Settings
 from orchidferry.mesh.wire.framing import Link, dial
@@ -164,7 +164,7 @@
                     logger.info("control_client: controller {} is silent", controller.name)
                     link.close()
             elif not controller.dialling and now >= controller.next_dial_s:
-                if controller.name not in self.claims.names() and controller.name not in self._seeds:
+                if controller.name not in self.claims.controllers() and controller.name not in self._seeds:
                     del self._controllers[controller.name]
                     self._subscriber.forget(controller.name)
                     continue
@@ -206,7 +206,7 @@
                 self._subscriber.up(controller.name, link)
                 if self._first is None and not self.settled:
                     self._fetch(controller, read=True)
-                self.claims.linked(controller.name, self._loop.time())
+                self.claims.link_opened(controller.name, self._loop.time())
         finally:
             controller.dialling = False
 
@@ -233,11 +233,9 @@
             return
         match message:
             case KeyGrant():
-                self.claims.hear(
-                    controller.name, message.request, message.epoch, message.outcome, message.answer
-                )
+                self.claims.handle_grant(controller.name, message)
             case KeyReleaseAck():
-                self.claims.give_backs.acknowledged(controller.name, message.number)
+                self.claims.releases.acknowledge(controller.name, message.number)
             case Lease():
                 self._take_lease(controller, message)
             case News():
@@ -270,7 +268,8 @@
         names = group.names
         owner = group.owner
         fence = group.fence
-        if not self.claims.group(shard, epoch, tuple(names), owner, fence, self._loop.time()):
+        known = ShardGroup(epoch, tuple(names), owner, fence)
+        if not self.claims.update_group(shard, known, self._loop.time()):
             return
         logger.info(
             "control_client: shard {}: epoch {}, controllers {}, owner {} under fence {}",
@@ -431,6 +430,6 @@
 
     # Operation keys
 
-    def claim(self, key: str, holder: str, for_s: float, told: Callable[[str, Any], None]) -> None:
+    def claim(self, key: str, holder: str, timeout_s: float, on_claimed: OnClaimed) -> None:
         """Claim a key for one try (`OperationKeyClient.claim`)."""
-        self.claims.claim(key, holder, for_s, told, self._loop.time())
+        self.claims.claim(key, holder, timeout_s, on_claimed, self._loop.time())
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -29,7 +29,7 @@
 )
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.control_api import ControlDoor
-from orchidferry.mesh.control.operation_keys import MOST
+from orchidferry.mesh.control.operation_keys import MAX_KEYS
 from orchidferry.mesh.control.order_records import orders_of
 from orchidferry.mesh.control.peers import DEAD_S, Peers
 from orchidferry.mesh.control.publisher import Publisher
@@ -144,7 +144,7 @@
                 self._known_peers,
                 settings.bounds.key_window_s,
                 self._rng,
-                MOST // len(shard_state.KEY_SHARDS),
+                MAX_KEYS // len(shard_state.KEY_SHARDS),
                 settings.group_size,
             )
         if puts:
--- a/orchidferry/mesh/control/key_transfer.py
+++ b/orchidferry/mesh/control/key_transfer.py
@@ -45,10 +45,10 @@
         record = keys.records.get(key)
         if record is not None:
             answer = None if brief else record.answer
-            rows.append((key, (record.holder, record.shelf, answer), record.answer is not None))
+            rows.append((key, (record.holder, record.age_bucket, answer), record.answer is not None))
             size += ROW_BYTES + len(key) + len(record.holder) + weight(answer)
-        elif key in keys.given_back:
-            rows.append((key, (keys.given_back[key], GIVEN_BACK, None), False))
+        elif key in keys.released:
+            rows.append((key, (keys.released[key], GIVEN_BACK, None), False))
             size += ROW_BYTES + len(key)
     return rows, covered
 
--- a/orchidferry/mesh/control/operation_key_client.py
+++ b/orchidferry/mesh/control/operation_key_client.py
@@ -1,10 +1,11 @@
-"""A node's half of operation keys: which controllers hold which shard, and the claims that are out. Pure.
+"""The node's half of operation keys: the controllers of each shard, and the claims in flight. No I/O.
 
-What controllers say to the claim of one key is counted under one epoch of the group that holds its shard.
+What controllers answer to the claim of one key is counted under one epoch of the group that holds its shard.
 
->>> count = Count(0, ("a", "b", "c"))
->>> count.hear("a", 0, "yours", None), count.hear("b", 1, "yours", None), count.hear("b", 0, "yours", None)
-('', '', 'yours')
+>>> count = GrantCount(0, ("a", "b", "c"))
+>>> granted = ClaimOutcome.GRANTED
+>>> [count.add(*answer, granted, None) for answer in (("a", 0), ("b", 1), ("b", 0))]
+[None, None, <ClaimOutcome.GRANTED: 'yours'>]
 """
 
 from __future__ import annotations
@@ -14,179 +15,196 @@
 from typing import Any
 
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.give_backs import GiveBacks
-from orchidferry.mesh.control.operation_keys import longest_kept_s
-from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, Message
+from orchidferry.mesh.control.key_releases import KeyReleases
+from orchidferry.mesh.control.operation_keys import ClaimOutcome, max_retention_s
+from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, Message
 
-AGAIN_S = 0.12  # a controller that could not say is asked again
-MAX_OPEN = 20_000  # claims at once
+RETRY_INTERVAL_S = 0.12  # after which a controller that has not answered is asked again
+MAX_PENDING_CLAIMS = 20_000
+
+OnClaimed = Callable[[ClaimOutcome, Any], None]  # takes the outcome and the answer of an earlier run
 
 
 @dataclass(slots=True)
-class Count:
-    """The answers of one group."""
+class GrantCount:
+    """The answers of one group's controllers to a claim."""
 
     epoch: int
     group: tuple[str, ...]
-    yours: set[str] = field(default_factory=set)
-    held: set[str] = field(default_factory=set)
+    granted: set[str] = field(default_factory=set)  # controllers that granted the key
+    held: set[str] = field(default_factory=set)  # controllers that say that another attempt holds it
 
-    def anew(self, epoch: int, group: tuple[str, ...]) -> None:
-        """Another group: what the one before it said does not count."""
+    def restart(self, epoch: int, group: tuple[str, ...]) -> None:
+        """Count anew in another group: the answers of the one before it do not count."""
         self.epoch = epoch
         self.group = group
-        self.yours = set()
+        self.granted = set()
         self.held = set()
 
-    def open(self, name: str) -> bool:
-        """Whether a controller has yet to say something."""
-        return name not in self.yours and name not in self.held
+    def awaits(self, controller: str) -> bool:
+        """Return whether a controller has yet to answer."""
+        return controller not in self.granted and controller not in self.held
+
+    def add(self, controller: str, epoch: int, outcome: str, answer: Any) -> ClaimOutcome | None:
+        """Count a controller's answer.
 
-    def hear(self, name: str, epoch: int, what: str, answer: Any) -> str:
-        """Take an answer: `yours` or `held` where that ends the claim, else nothing."""
-        if epoch != self.epoch or name not in self.group:
-            return ""
-        if what == "held":
-            self.held.add(name)
+        :param epoch: of the group, as the controller knows it
+        :param outcome: a `ClaimOutcome`, as it came over the wire
+        :param answer: of the run that holds the key, where it is known
+        :returns: what the claim came to, or None while it is undecided
+        """
+        if epoch != self.epoch or controller not in self.group:
+            return None
+        if outcome == ClaimOutcome.HELD_BY_OTHER:
+            self.held.add(controller)
             if answer is not None:
-                return "held"
-        elif what == "yours":
-            self.yours.add(name)
+                return ClaimOutcome.HELD_BY_OTHER
+        elif outcome == ClaimOutcome.GRANTED:
+            self.granted.add(controller)
         half = len(self.group) / 2.0
-        if len(self.yours) > half:
-            return "yours"
-        split = bool(self.held) and len(self.held | self.yours) == len(self.group)
-        return "held" if len(self.held) > half or split else ""
+        if len(self.granted) > half:
+            return ClaimOutcome.GRANTED
+        split = bool(self.held) and len(self.held | self.granted) == len(self.group)
+        return ClaimOutcome.HELD_BY_OTHER if len(self.held) > half or split else None
 
 
 @dataclass(slots=True)
-class Group:
-    """The controllers of one shard, as they told it: the newest epoch, and the owner under the newest
-    fence.
-    """
+class ShardGroup:
+    """The controllers of one shard, by the newest epoch, and its owner, by the highest fencing token."""
 
     epoch: int
     names: tuple[str, ...]
     owner: str = ""
-    fence: int = -1
+    fencing_token: int = -1
 
 
 @dataclass(slots=True)
 class Claim:
-    """One key that is being claimed."""
+    """A key that is being claimed for one attempt."""
 
-    rid: int
+    request: int
     shard: int
     key: str
     holder: str
-    told: Callable[[str, Any], None]
-    count: Count
-    until_s: float
-    again_s: float
+    on_claimed: OnClaimed
+    count: GrantCount
+    deadline_s: float
+    next_send_s: float
 
     @property
     def message(self) -> KeyClaim:
-        """Asks a controller of the group."""
-        return KeyClaim(self.rid, self.count.epoch, self.key, self.holder)
+        """The message that asks a controller of the group."""
+        return KeyClaim(self.request, self.count.epoch, self.key, self.holder)
 
 
 class OperationKeyClient:
-    """All claims of one node. `send` puts a message to a controller by name, lost if there is no link to
-    it.
-    """
+    """All claims and releases of one node."""
 
     def __init__(self, seeds: tuple[str, ...], send: Callable[[str, Message], None], window_s: float) -> None:
-        """`window_s`: for how long a key is kept at least."""
-        self.groups = {shard: Group(-1, seeds) for shard in shard_state.SHARDS}
+        """
+        :param seeds: the controllers that are asked while no group is known
+        :param send: sends a message to a controller by name; it is lost if there is no link to it
+        :param window_s: how long controllers keep a key at least, in seconds
+        """
+        self.groups = {shard: ShardGroup(-1, seeds) for shard in shard_state.SHARDS}
+        self.releases = KeyReleases(max_retention_s(window_s), send)
         self._send = send
-        self._open: dict[int, Claim] = {}
-        self._rid = 0
-        self._now = 0.0  # as of the last event that told it
-        self.give_backs = GiveBacks(longest_kept_s(window_s), send)
+        self._pending: dict[int, Claim] = {}  # by request
+        self._last_request = 0
+        self._now = 0.0  # as of the last event that came with a time
 
-    def names(self) -> set[str]:
-        """All controllers of all shards."""
+    def controllers(self) -> set[str]:
+        """Return the names of the controllers of all shards."""
         return {name for group in self.groups.values() for name in group.names}
 
-    def group(
-        self, shard: int, epoch: int, names: tuple[str, ...], owner: str, fence: int, now: float
-    ) -> bool:
-        """A controller says who holds a shard, and who owns its duties; whether that is news."""
-        had = self.groups[shard]
-        news = epoch > had.epoch or fence > had.fence
-        if fence > had.fence:
-            had.owner = owner
-            had.fence = fence
-        if epoch > had.epoch:
-            had.epoch = epoch
-            had.names = names
-            for claim in self._open.values():
+    def update_group(self, shard: int, group: ShardGroup, now: float) -> bool:
+        """Take a controller's word of who holds a shard and who owns its singleton role.
+
+        :returns: whether any of it is newer than what was known
+        """
+        known = self.groups[shard]
+        newer = group.epoch > known.epoch or group.fencing_token > known.fencing_token
+        if group.fencing_token > known.fencing_token:
+            known.owner = group.owner
+            known.fencing_token = group.fencing_token
+        if group.epoch > known.epoch:
+            known.epoch = group.epoch
+            known.names = group.names
+            for claim in self._pending.values():
                 if claim.shard == shard:
-                    claim.count.anew(epoch, names)
-                    self._ask(claim, now)
-        return news
-
-    def claim(
-        self, key: str, holder: str, for_s: float, told: Callable[[str, Any], None], now: float
-    ) -> None:
-        """Claim a key for one try; `told` hears once: `yours`, `held` and the answer (None: not known), or
-        `none`, if no majority said either in time. What was not granted is given back.
+                    claim.count.restart(group.epoch, group.names)
+                    self._send_claim(claim, now)
+        return newer
+
+    def claim(self, key: str, holder: str, timeout_s: float, on_claimed: OnClaimed, now: float) -> None:
+        """Claim a key for one attempt. A key that was not granted is released.
+
+        :param holder: the attempt
+        :param timeout_s: after which the claim ends as `ClaimOutcome.UNDECIDED`
+        :param on_claimed: called once with the outcome and, where the key is held by another attempt, with
+            that one's answer (None: not known)
         """
-        if len(self._open) >= MAX_OPEN:
-            return told("none", None)
-        self._rid = self._rid + 1
+        if len(self._pending) >= MAX_PENDING_CLAIMS:
+            return on_claimed(ClaimOutcome.UNDECIDED, None)
+        self._last_request += 1
         self._now = now
         shard = shard_state.shard_of(key)
         group = self.groups[shard]
-        claim = Claim(self._rid, shard, key, holder, told, Count(group.epoch, group.names), now + for_s, now)
-        self._open[claim.rid] = claim
-        self._ask(claim, now)
+        count = GrantCount(group.epoch, group.names)
+        claim = Claim(self._last_request, shard, key, holder, on_claimed, count, now + timeout_s, now)
+        self._pending[claim.request] = claim
+        self._send_claim(claim, now)
 
     def tick(self, now: float) -> None:
-        """Ask again, and give up on what took too long."""
+        """Ask again, and end the claims that took too long."""
         self._now = now
-        for claim in list(self._open.values()):
-            if now >= claim.until_s:
-                self._end(claim, "none", None)
-            elif now >= claim.again_s:
-                self._ask(claim, now)
-        self.give_backs.tick(self.names(), now)
-
-    def linked(self, name: str, now: float) -> None:
-        """There is a new link to a controller. What was given back goes first: claims may wait for it."""
-        self.give_backs.linked(name, now)
-        for claim in self._open.values():
-            if name in claim.count.group:
-                self._send(name, claim.message)
-
-    def _ask(self, claim: Claim, now: float) -> None:
-        claim.again_s = now + AGAIN_S
-        for name in claim.count.group:
-            if claim.count.open(name):
-                self._send(name, claim.message)
-
-    def hear(self, name: str, rid: int, epoch: int, what: str, answer: Any) -> None:
-        """A controller's word on a claim."""
-        claim = self._open.get(rid)
-        if claim is not None:
-            end = claim.count.hear(name, epoch, what, answer)
-            if end:
-                self._end(claim, end, answer if end == "held" else None)
-
-    def _end(self, claim: Claim, what: str, answer: Any) -> None:
-        del self._open[claim.rid]
-        if what == "none" and claim.count.held:
-            what = "held"
-        if what != "yours":
-            self.drop(claim.key, claim.holder)
-        claim.told(what, answer)
-
-    def drop(self, key: str, holder: str) -> None:
-        """Give a key back: this try has not run and never will."""
-        self.give_backs.add(key, holder, self.groups[shard_state.shard_of(key)].names, self._now)
-
-    def done(self, key: str, holder: str, answer: Any) -> None:
-        """Keep the answer of a key's first run."""
+        for claim in list(self._pending.values()):
+            if now >= claim.deadline_s:
+                self._end(claim, ClaimOutcome.UNDECIDED, None)
+            elif now >= claim.next_send_s:
+                self._send_claim(claim, now)
+        self.releases.tick(self.controllers(), now)
+
+    def link_opened(self, controller: str, now: float) -> None:
+        """Send to a controller with a new link what it may have missed.
+
+        Releases go first: claims may wait for them.
+        """
+        self.releases.link_opened(controller, now)
+        for claim in self._pending.values():
+            if controller in claim.count.group:
+                self._send(controller, claim.message)
+
+    def handle_grant(self, controller: str, grant: KeyGrant) -> None:
+        """Take a controller's answer to a claim."""
+        claim = self._pending.get(grant.request)
+        if claim is None:
+            return
+        outcome = claim.count.add(controller, grant.epoch, grant.outcome, grant.answer)
+        if outcome is not None:
+            answer = grant.answer if outcome is ClaimOutcome.HELD_BY_OTHER else None
+            self._end(claim, outcome, answer)
+
+    def release(self, key: str, holder: str) -> None:
+        """Release a key: this attempt has not run and never will."""
+        self.releases.add(key, holder, self.groups[shard_state.shard_of(key)].names, self._now)
+
+    def record_answer(self, key: str, holder: str, answer: Any) -> None:
+        """Have the controllers keep the answer of a key's first run."""
         message = KeyAnswer(key, holder, answer)
-        for name in self.groups[shard_state.shard_of(key)].names:
-            self._send(name, message)
+        for controller in self.groups[shard_state.shard_of(key)].names:
+            self._send(controller, message)
+
+    def _send_claim(self, claim: Claim, now: float) -> None:
+        claim.next_send_s = now + RETRY_INTERVAL_S
+        for controller in claim.count.group:
+            if claim.count.awaits(controller):
+                self._send(controller, claim.message)
+
+    def _end(self, claim: Claim, outcome: ClaimOutcome, answer: Any) -> None:
+        del self._pending[claim.request]
+        if outcome is ClaimOutcome.UNDECIDED and claim.count.held:
+            outcome = ClaimOutcome.HELD_BY_OTHER
+        if outcome is not ClaimOutcome.GRANTED:
+            self.release(claim.key, claim.holder)
+        claim.on_claimed(outcome, answer)
--- a/orchidferry/mesh/control/operation_keys.py
+++ b/orchidferry/mesh/control/operation_keys.py
@@ -1,130 +1,130 @@
-"""Operation keys: each is claimed before its first run, and kept with its answer for the window. No I/O.
+"""The operation keys that one controller has granted, with the answers of their first runs. No I/O.
 
-One controller's half. A node claims a key at all controllers of the group and may run its request once a
-majority granted it to that try, all under one epoch of the group. A controller grants a key once: whoever
-asks later is told who holds it, and the answer, where that is known. Only the holder gives a key back, and
-only if it never ran. Nothing else ends a claim but its age.
+This is the controller's half of running a keyed request at most once. A node claims a key at all controllers
+of the shard's group and may run the request once a majority has granted the key to its attempt, all under one
+epoch of the group. A controller grants a key once: whoever claims it later learns of the attempt that holds
+it and of its answer, where that is known. Only the holder may release a key, and only if it never ran.
+Nothing else ends a claim but its age.
 
-What is granted must be on disk before the grant leaves: `claim` and its kin return what to write.
+A grant must be on disk before it leaves: `OperationKeys.claim`, `record_answer` and `release` return what has
+to be written first.
 
-Each change of a record has a number of this process's life, so that another controller that holds all up to
-one number can be given what came after it: `changed_since`.
+Each change of a record has a number of this process's run, so that another controller that has all changes up
+to one number can be sent what came after it: `OperationKeys.changed_since`.
 
-Ages are counted in shelves of `SHELF_S`: the number of the newest rises with steady time and is kept with
-each record, so a restart lengthens a window and never cuts it.
+The age of a record is counted in buckets of `AGE_BUCKET_S`. The number of the newest bucket rises with
+monotonic time and is stored with each record, so a restart lengthens a record's retention and never cuts it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import Enum, StrEnum
 from typing import Any
 
-SHELF_S = 20.0
-NOBODY = ""  # holds a key that controllers gave to more than one try
-MOST = 200_000  # keys at once; beyond these none is granted
-MAX_GIVEN_BACK = 4_000  # keys given back that are remembered as such
+AGE_BUCKET_S = 20.0
+UNKNOWN_HOLDER = ""  # of a key that controllers granted to more than one attempt
+MAX_KEYS = 200_000  # at once; beyond these none is granted
+MAX_RELEASED = 4_000  # released keys that are remembered as such
 
 
-@dataclass(slots=True)
-class KeyRecord:
-    """One key: the try that holds it, when it was claimed, and what it was answered."""
+class ClaimOutcome(StrEnum):
+    """What a claim came to, in the words of `KeyGrant.outcome` on the wire."""
 
-    holder: str
-    shelf: int
-    answer: Any = None
+    GRANTED = "yours"
+    HELD_BY_OTHER = "held"
+    RETRY = "wait"  # the controller can't say yet
+    UNDECIDED = "none"  # at a node only: no majority answered in time
 
-    def packed(self) -> list[Any]:
-        """As it is written to disk and handed to other controllers."""
-        return [self.holder, self.shelf, self.answer]
 
+class ClaimStatus(Enum):
+    """How one controller's table answers a claim."""
 
-@dataclass(frozen=True, slots=True)
-class Granted:
-    """The key is this try's."""
+    GRANTED = "granted"
+    HELD_BY_OTHER = "held by another attempt"
+    TABLE_FULL = "table full"
+    ALREADY_RELEASED = "already released"  # the attempt has released the key: its claim came late
 
 
-@dataclass(frozen=True, slots=True)
-class Held:
-    """It is another try's; `answer`: what that was answered, if it is known."""
+@dataclass(slots=True)
+class KeyRecord:
+    """One key: the attempt that holds it, the age bucket of its claim, and the answer of its first run."""
 
     holder: str
-    answer: Any
-
+    age_bucket: int
+    answer: Any = None
 
-@dataclass(frozen=True, slots=True)
-class Full:
-    """There is no room for another key."""
+    def packed(self) -> list[Any]:
+        """Return the record as it is written to disk."""
+        return [self.holder, self.age_bucket, self.answer]
 
 
 @dataclass(frozen=True, slots=True)
-class GivenBack:
-    """This try has given the key back: its claim has come late."""
+class ClaimResult:
+    """The answer of one controller's table to a claim."""
 
+    status: ClaimStatus
+    record: KeyRecord | None = None  # of the key, where it is granted or held by another attempt
+    is_new: bool = False  # whether the record has to be written before the grant leaves
 
-Outcome = Granted | Held | Full | GivenBack
 
+def max_retention_s(window_s: float) -> float:
+    """Return the longest that a record is kept.
 
-def longest_kept_s(window_s: float) -> float:
-    """The longest that a record is kept.
+    :param window_s: how long a record is kept at least, in seconds
 
-    >>> longest_kept_s(60.0)
+    >>> max_retention_s(60.0)
     140.0
     """
-    return (int(window_s / SHELF_S) + 4) * SHELF_S
+    return (int(window_s / AGE_BUCKET_S) + 4) * AGE_BUCKET_S
 
 
 @dataclass
 class OperationKeys:
-    """All keys that one controller knows."""
+    """The operation keys of one shard at one controller.
+
+    :param window_s: how long a record is kept at least, in seconds
+    :param max_keys: keys at once; beyond these none is granted
+    """
 
     window_s: float
-    most: int = MOST
+    max_keys: int = MAX_KEYS
     records: dict[str, KeyRecord] = field(default_factory=dict)
-    shelf: int = 0  # the newest
+    newest_bucket: int = 0
     sequence: int = 0  # number of the newest change
     changes: dict[str, int] = field(default_factory=dict)  # the last change of each key, the newest last
-    given_back: dict[str, str] = field(default_factory=dict)  # keys given back of late, and who held them
-    _turned_s: float = 0.0
-    _shelves: dict[int, dict[str, None]] = field(default_factory=dict)
+    released: dict[str, str] = field(default_factory=dict)  # keys released lately, and their last holders
+    _bucket_began_s: float = 0.0
+    _keys_by_bucket: dict[int, dict[str, None]] = field(default_factory=dict)
 
     @property
-    def kept_s(self) -> float:
-        """The longest that a record is kept."""
-        return longest_kept_s(self.window_s)
+    def max_retention_s(self) -> float:
+        """The longest that a record is kept, in seconds."""
+        return max_retention_s(self.window_s)
+
+    def merge(self, key: str, packed: list[Any]) -> None:
+        """Take a record as the disk or another controller has it.
 
-    def load(self, key: str, packed: list[Any]) -> None:
-        """Take a record as another controller or the disk has it; an answer is never lost by it, and what was
-        given back here does not return by one who has not heard of that.
+        An answer is never lost by it, and a claim that was released here is not restored by a controller that
+        has not heard of the release.
+
+        :param packed: the record as `KeyRecord.packed` makes it
         """
-        holder, shelf, answer = packed
-        self.shelf = max(self.shelf, shelf)
-        if answer is None and self.given_back.get(key) == holder:
+        holder, age_bucket, answer = packed
+        self.newest_bucket = max(self.newest_bucket, age_bucket)
+        if answer is None and self.released.get(key) == holder:
             return
-        had = self.records.get(key)
-        if had is not None and had.answer is not None:
+        existing = self.records.get(key)
+        if existing is not None and existing.answer is not None:
             return
-        if had is not None and answer is None:
-            if had.holder == holder:
+        if existing is not None and answer is None:
+            if existing.holder == holder:
                 return
-            holder = NOBODY  # one of the two may have run, and which one is not to be told from here
-        self._put(key, KeyRecord(holder, self.shelf, answer))
-
-    def _put(self, key: str, record: KeyRecord) -> None:
-        had = self.records.get(key)
-        if had is not None:
-            self._shelves.get(had.shelf, {}).pop(key, None)
-        self.records[key] = record
-        self.given_back.pop(key, None)
-        self._shelves.setdefault(record.shelf, {})[key] = None
-        self._changed(key)
-
-    def _changed(self, key: str) -> None:
-        self.sequence += 1
-        self.changes.pop(key, None)
-        self.changes[key] = self.sequence
+            holder = UNKNOWN_HOLDER  # one of the two may have run, and this controller can't tell which
+        self._put(key, KeyRecord(holder, self.newest_bucket, answer))
 
     def changed_since(self, sequence: int) -> list[str]:
-        """The keys that changed after a change, the oldest first; those given back of late among them."""
+        """Return the keys that changed after a change, the oldest first; those released lately among them."""
         found: list[str] = []
         for key in reversed(self.changes):
             if self.changes[key] <= sequence:
@@ -133,67 +133,99 @@
         found.reverse()
         return found
 
-    def claim(self, key: str, holder: str) -> tuple[Outcome, KeyRecord | None]:
-        """Grant a key, or say who has it; with it the record to write first, if one is new."""
-        had = self.records.get(key)
-        if had is not None:
-            return (Granted() if had.holder == holder else Held(had.holder, had.answer)), None
-        if self.given_back.get(key) == holder:
-            return GivenBack(), None
-        if len(self.records) >= self.most:
-            return Full(), None
-        record = KeyRecord(holder, self.shelf)
+    def claim(self, key: str, holder: str) -> ClaimResult:
+        """Grant a key to an attempt, or say why not.
+
+        :param holder: the attempt that claims the key
+        :returns: the outcome; a record that is new has to be written before the grant leaves
+        """
+        existing = self.records.get(key)
+        if existing is not None:
+            granted = existing.holder == holder
+            status = ClaimStatus.GRANTED if granted else ClaimStatus.HELD_BY_OTHER
+            return ClaimResult(status, existing)
+        if self.released.get(key) == holder:
+            return ClaimResult(ClaimStatus.ALREADY_RELEASED)
+        if len(self.records) >= self.max_keys:
+            return ClaimResult(ClaimStatus.TABLE_FULL)
+        record = KeyRecord(holder, self.newest_bucket)
         self._put(key, record)
-        return Granted(), record
+        return ClaimResult(ClaimStatus.GRANTED, record, is_new=True)
+
+    def record_answer(self, key: str, holder: str, answer: Any) -> KeyRecord | None:
+        """Keep the answer of a key's first run.
 
-    def done(self, key: str, holder: str, answer: Any) -> KeyRecord | None:
-        """Keep the answer of a key's first run; the record to write, if that is new."""
-        had = self.records.get(key)
-        if had is None:  # this controller missed the claim: a majority of others has it
-            record = KeyRecord(holder, self.shelf, answer)
+        :returns: the record to write, or None if there is nothing new
+        """
+        existing = self.records.get(key)
+        if existing is None:  # this controller missed the claim: a majority of the others has it
+            record = KeyRecord(holder, self.newest_bucket, answer)
             self._put(key, record)
             return record
-        if had.holder not in (holder, NOBODY) or had.answer is not None:
+        if existing.holder not in (holder, UNKNOWN_HOLDER) or existing.answer is not None:
             return None
-        had.holder = holder
-        had.answer = answer
-        self._changed(key)
-        return had
-
-    def drop(self, key: str, holder: str) -> bool:
-        """Give a key back that never ran; whether there is a record to delete. One that is not known here is
-        noted all the same: its claim may come late, from the node or with another controller's keys.
+        existing.holder = holder
+        existing.answer = answer
+        self._number_change(key)
+        return existing
+
+    def release(self, key: str, holder: str) -> bool:
+        """Release a key whose attempt never ran.
+
+        A release of an unknown key is remembered all the same: the claim may come late, from the node or with
+        another controller's keys.
+
+        :returns: whether there is a record to delete on disk
         """
-        had = self.records.get(key)
-        if had is not None and (had.holder != holder or had.answer is not None):
+        existing = self.records.get(key)
+        if existing is not None and (existing.holder != holder or existing.answer is not None):
             return False
-        if had is not None:
+        if existing is not None:
             del self.records[key]
-            self._shelves.get(had.shelf, {}).pop(key, None)
-        self._note_given_back(key, holder)
-        return had is not None
-
-    def _note_given_back(self, key: str, holder: str) -> None:
-        self._changed(key)
-        self.given_back.pop(key, None)
-        self.given_back[key] = holder
-        if len(self.given_back) > MAX_GIVEN_BACK:
-            oldest = next(iter(self.given_back))
-            del self.given_back[oldest], self.changes[oldest]
-
-    def turn(self, now_s: float) -> list[str]:
-        """Let time pass; the keys whose window is over, to be deleted on disk."""
-        if not self._turned_s:
-            self._turned_s = now_s
-        while now_s - self._turned_s >= SHELF_S:
-            self._turned_s += SHELF_S
-            self.shelf += 1
-        # A record's shelf began SHELF_S before it at most; one more for a try that was sent later.
-        last = self.shelf - int(self.window_s / SHELF_S) - 3
-        over: list[str] = []
-        for number in [number for number in self._shelves if number <= last]:
-            keys = self._shelves.pop(number)
-            over += keys
+            self._keys_by_bucket.get(existing.age_bucket, {}).pop(key, None)
+        self._remember_release(key, holder)
+        return existing is not None
+
+    def expire(self, now_s: float) -> list[str]:
+        """Let time pass.
+
+        :returns: the keys whose retention is over, to be deleted on disk
+        """
+        if not self._bucket_began_s:
+            self._bucket_began_s = now_s
+        while now_s - self._bucket_began_s >= AGE_BUCKET_S:
+            self._bucket_began_s += AGE_BUCKET_S
+            self.newest_bucket += 1
+        # A record's bucket began AGE_BUCKET_S before it at most; one more for an attempt that was sent later.
+        last_expired = self.newest_bucket - int(self.window_s / AGE_BUCKET_S) - 3
+        expired: list[str] = []
+        for bucket in [bucket for bucket in self._keys_by_bucket if bucket <= last_expired]:
+            keys = self._keys_by_bucket.pop(bucket)
+            expired += keys
             for key in keys:
-                del self.records[key], self.changes[key]
-        return over
+                del self.records[key]
+                del self.changes[key]
+        return expired
+
+    def _put(self, key: str, record: KeyRecord) -> None:
+        existing = self.records.get(key)
+        if existing is not None:
+            self._keys_by_bucket.get(existing.age_bucket, {}).pop(key, None)
+        self.records[key] = record
+        self.released.pop(key, None)
+        self._keys_by_bucket.setdefault(record.age_bucket, {})[key] = None
+        self._number_change(key)
+
+    def _number_change(self, key: str) -> None:
+        self.sequence += 1
+        self.changes.pop(key, None)
+        self.changes[key] = self.sequence
+
+    def _remember_release(self, key: str, holder: str) -> None:
+        self._number_change(key)
+        self.released.pop(key, None)
+        self.released[key] = holder
+        if len(self.released) > MAX_RELEASED:
+            oldest = next(iter(self.released))
+            del self.released[oldest]
+            del self.changes[oldest]
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -167,7 +167,7 @@
         if not request.counted or self.grants(request.epoch):
             return False
         quiet = not self.standing.caught_up and request.epoch == epoch(self.known)
-        return quiet and self.now - self.abstains_s > self.operation_keys.kept_s
+        return quiet and self.now - self.abstains_s > self.operation_keys.max_retention_s
 
     def _may_tell(self, request: KeyPageRequest) -> bool:
         if request.counted:
@@ -250,11 +250,11 @@
         for key, (holder, shelf, answer), _ in rows:
             had = keys.records.get(key)
             if shelf == GIVEN_BACK:
-                if keys.drop(key, holder):
+                if keys.release(key, holder):
                     puts.append((KEYS, key.encode("latin-1"), None))
                 continue
             before = (had.holder, had.answer) if had is not None else None
-            keys.load(key, [holder, shelf, answer])
+            keys.merge(key, [holder, shelf, answer])
             record = keys.records.get(key)  # none, where its holder has given it back here
             if record is not None and (record.holder, record.answer) != before:
                 puts.append(self._stored(key, record))
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -13,7 +13,7 @@
 
 from orchidferry.balancing.register import Kept, Value
 from orchidferry.mesh.control.actions import Action, SendReply
-from orchidferry.mesh.control.operation_keys import Granted, Held, KeyRecord
+from orchidferry.mesh.control.operation_keys import ClaimOutcome, ClaimStatus, KeyRecord
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.repair import Repair, remembered
 from orchidferry.mesh.control.write_completions import (
@@ -70,11 +70,11 @@
 
     def load(self, key: str, packed: list[Any]) -> None:
         """A record from its own disk, before anything else."""
-        self.operation_keys.load(key, packed)
+        self.operation_keys.merge(key, packed)
 
     def tick(self, now: float) -> list[Action]:
         """Let time pass."""
-        over = self.operation_keys.turn(now)
+        over = self.operation_keys.expire(now)
         if over:
             self._write([(KEYS, key.encode("latin-1"), None) for key in over])
         for due, key, record in self._again:
@@ -126,7 +126,7 @@
                     del self.unwritten[key]
                 # While the disk was at work the key may have been given back, or the group have changed.
                 mine = self.operation_keys.records.get(key) is record and holder == record.holder
-                what = "yours" if mine and self.grants(under) else "wait"
+                what = ClaimOutcome.GRANTED if mine and self.grants(under) else ClaimOutcome.RETRY
                 self._out.append(SendReply(who, KeyGrant(rid, under, what, None)))
             case KeyAnswerSaved(key, record) if not ok:
                 self._again.append((now + AGAIN_S, key, record))
@@ -150,20 +150,20 @@
         """A try wants a key; `room`: whether the disk has room for another."""
         self.now = now
 
-        def say(what: str, answer: Any = None) -> list[Action]:
+        def say(what: ClaimOutcome, answer: Any = None) -> list[Action]:
             self._out.append(SendReply(who, KeyGrant(rid, under, what, answer)))
             return self._flush()
 
         if not self.grants(under) or (not room and key not in self.operation_keys.records):
-            return say("wait")
-        outcome, new = self.operation_keys.claim(key, holder)
-        if isinstance(outcome, Held):
-            return say("held", outcome.answer)
-        if not isinstance(outcome, Granted):
-            return say("wait")
-        record = self.operation_keys.records[key]
-        if new is None and self.unwritten.get(key) is not record:
-            return say("yours")
+            return say(ClaimOutcome.RETRY)
+        result = self.operation_keys.claim(key, holder)
+        record = result.record
+        if record is None:
+            return say(ClaimOutcome.RETRY)
+        if result.status is ClaimStatus.HELD_BY_OTHER:
+            return say(ClaimOutcome.HELD_BY_OTHER, record.answer)
+        if not result.is_new and self.unwritten.get(key) is not record:
+            return say(ClaimOutcome.GRANTED)
         self.unwritten[key] = record
         self.hints.wrote(key, now)
         self._write([self._stored(key, record)], ClaimSaved(who, rid, under, key, holder, record))
@@ -172,7 +172,7 @@
     def done(self, key: str, holder: str, answer: Any, now: float) -> list[Action]:
         """A key's first run was answered."""
         self.now = now
-        record = self.operation_keys.done(key, holder, answer)
+        record = self.operation_keys.record_answer(key, holder, answer)
         if record is not None:
             self.hints.wrote(key, now)
             self._write([self._stored(key, record)], KeyAnswerSaved(key, record))
@@ -183,9 +183,9 @@
         comes again, the write of the first time may have failed.
         """
         self.now = now
-        if self.operation_keys.drop(key, holder):
+        if self.operation_keys.release(key, holder):
             self.unwritten.pop(key, None)
-        if self.operation_keys.given_back.get(key) == holder:
+        if self.operation_keys.released.get(key) == holder:
             self._write([(KEYS, key.encode("latin-1"), None)], KeyReleaseSaved(who, give_back))
         else:
             self._out.append(SendReply(who, KeyReleaseAck(give_back)))
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -20,6 +20,7 @@
 from orchidferry.mesh.control.control_api import JSON, Call, ControlDoor, told
 from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server, by_service
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.dataplane.http_connection import HttpConnections
 from orchidferry.mesh.dataplane.listener import Listener
@@ -127,7 +128,7 @@
     def _orphan(self, message: ProxiedRequest, said: ServerResponse) -> None:
         """The server here answered a keyed request whose node is gone: its repeats are told from here."""
         if message.key is not None and (kept := kept_answer(said)) is not None:
-            self._news.claims.done(message.key.decode("latin-1"), message.id, kept)
+            self._news.claims.record_answer(message.key.decode("latin-1"), message.id, kept)
 
     def _room(self) -> int:
         used = self._hops.count() + self._visits.count() + self._outbound.count() + self._inbound.count()
@@ -316,18 +317,18 @@
 
         def over(said: ServerResponse | None, ran: bool) -> None:
             if (kept := kept_answer(said)) is not None:
-                self._news.claims.done(key, holder, kept)
+                self._news.claims.record_answer(key, holder, kept)
             elif not ran:
-                self._news.claims.drop(key, holder)
+                self._news.claims.release(key, holder)
 
-        def claimed(what: str, kept: Any) -> None:
-            if what == "yours" and waiting.gone:
-                self._news.claims.drop(key, holder)
+        def claimed(outcome: ClaimOutcome, kept: Any) -> None:
+            if outcome is ClaimOutcome.GRANTED and waiting.gone:
+                self._news.claims.release(key, holder)
             elif waiting.gone:
                 return
-            elif what == "yours":
+            elif outcome is ClaimOutcome.GRANTED:
                 waiting.live = client.take(message, route, ends_ms, answer, over)
-            elif what == "held":
+            elif outcome is ClaimOutcome.HELD_BY_OTHER:
                 answer(self._repeat(message, kept))
             else:
                 answer(own_answer(message, Refusal(Kind.NO_MAJORITY), 0.2))
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -19,6 +19,7 @@
 
 from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.endpoints import Record
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.settings import Bounds, Settings
 from orchidferry.mesh.storage.store import Store
 from orchidferry.node.collector import settle
@@ -53,13 +54,13 @@
         self._out += 1
         self.late.append(max(0.0, time.monotonic() - due))
 
-        def told(what: str, _: Any) -> None:
+        def told(outcome: ClaimOutcome, _: Any) -> None:
             self._out -= 1
-            self.said[what] += 1
-            if what == "yours":
+            self.said[outcome] += 1
+            if outcome is ClaimOutcome.GRANTED:
                 self.took.append(time.monotonic() - due)
                 if answer:
-                    self._news.claims.done(key, key, [200, answer, []])
+                    self._news.claims.record_answer(key, key, [200, answer, []])
             self._then()
 
         self._news.claim(key, key, CLAIM_S, told)
@@ -95,7 +96,7 @@
             await asyncio.sleep(TICK_S)
         return {
             "asked": number,
-            "granted": self.said["yours"],
+            "granted": self.said[ClaimOutcome.GRANTED],
             "seconds": spent,
             "took": self.took,
             "late": self.late,
@@ -133,7 +134,7 @@
     one = Claimer(news)
     tries = 0
     async with asyncio.timeout(LINKED_S):
-        while news.heard < len(where["seeds"]) or not one.said["yours"]:
+        while news.heard < len(where["seeds"]) or not one.said[ClaimOutcome.GRANTED]:
             await one.run(f"try {where['ip']} {tries}", 100.0, 0.2, 1, 1, 0)
             tries += 1
     settle()
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -38,7 +38,8 @@
 from orchidferry.mesh.control import shard as shard_module
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.membership import epoch
-from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient, ShardGroup
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.control.write_completions import ClaimSaved, KeyAnswerSaved, VoteSaved
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
 from orchidferry.mesh.wire.shard_messages import KeyPage, tag_of
@@ -177,19 +178,19 @@
             KEY, self.holder, self.world.scene.for_s, self.told, self.world.now
         )
 
-    def told(self, what: str, answer: Any) -> None:
+    def told(self, outcome: ClaimOutcome, answer: Any) -> None:
         world = self.world
-        self.said = what
+        self.said = outcome
         self.answer = answer
-        world.note(f"{self.holder} is told {what}{'' if answer is None else f' and the answer {answer}'}")
-        if what == "yours":
+        world.note(f"{self.holder} is told {outcome}{'' if answer is None else f' and the answer {answer}'}")
+        if outcome is ClaimOutcome.GRANTED:
             world.granted(self)
             node = world.nodes[self.node].claims
             if self.how == "done":
-                node.done(KEY, self.holder, self.holder)
+                node.record_answer(KEY, self.holder, self.holder)
             elif self.how == "drop":
                 world.ran.remove(self.holder)
-                node.drop(KEY, self.holder)
+                node.release(KEY, self.holder)
         elif answer is not None and answer != (world.ran[0] if world.ran else None):
             world.broken(f"answer: {self.holder} is told the answer {answer}, and {world.ran} ran")
 
@@ -257,7 +258,7 @@
         if self.askers:
             return all(a.read for a in self.askers) and bool(self.taken)
         if self.tries:
-            return len(self.ran) == 1 and all(t.said != "none" for t in self.tries)
+            return len(self.ran) == 1 and all(t.said != ClaimOutcome.UNDECIDED for t in self.tries)
         return sum(k.shard.owns(self.now) is not None for k in self.controllers.values() if k.alive) == 1
 
     def finish(self) -> None:
@@ -443,12 +444,12 @@
         if mail.to in self.nodes:
             node = self.nodes[mail.to].claims
             if mail.what == "grant":
-                node.hear(mail.sender, *mail.message)
+                node.handle_grant(mail.sender, KeyGrant(*mail.message))
             elif mail.what == "dropped":
-                node.give_backs.acknowledged(mail.sender, *mail.message)
+                node.releases.acknowledge(mail.sender, *mail.message)
             else:
                 number, under, names, owner, fence = mail.message
-                node.group(number, under, names, owner, fence, self.now)
+                node.update_group(number, ShardGroup(under, names, owner, fence), self.now)
             return
         controller = self.controllers[mail.to]
         if mail.what == "heard":
@@ -536,7 +537,7 @@
             if self._open(name, to):
                 self.next.append(Mail(name, to, "dropped", (message.number,), True))
         elif isinstance(message, KeyGrant):
-            if message.outcome == "yours" and name in self.learns and not self._learned(name):
+            if message.outcome == ClaimOutcome.GRANTED and name in self.learns and not self._learned(name):
                 self.broken(
                     f"abstains: {name} grants a key, and has learned from {sorted(self.learns[name])}"
                 )
@@ -549,7 +550,7 @@
         """As the controller does when something changes, and to whoever comes back to it."""
         own = controller.shard.body
         had = self.nodes[node].claims.groups[controller.number]
-        if (own.epoch > had.epoch or own.fence > had.fence) and self._open(controller.name, node):
+        if (own.epoch > had.epoch or own.fence > had.fencing_token) and self._open(controller.name, node):
             names = tuple(v.name for v in controller.shard.known.voters)
             message = (controller.number, own.epoch, names, own.owner, own.fence)
             self.next.append(Mail(controller.name, node, "group", message, True))
@@ -727,10 +728,11 @@
                 same,
             ]
         for node in self.nodes.values():
-            open_ = node.claims._open.values()
-            backs = node.claims.give_backs
-            held += [node.claims.groups[self.number], node.claims._rid, backs._number, backs._waiting]
-            held += [(c.rid, c.holder, c.count, c.until_s, c.again_s) for c in open_]
+            pending = node.claims._pending.values()
+            releases = node.claims.releases
+            held += [node.claims.groups[self.number], node.claims._last_request]
+            held += [releases._last_number, releases._pending]
+            held += [(c.request, c.holder, c.count, c.deadline_s, c.next_send_s) for c in pending]
         return hashlib.blake2b(marshal.dumps(_plain(held), 2), digest_size=16).digest()
 
 
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -14,8 +14,8 @@
 from orchidferry.mesh.control import duties, shard_state
 from orchidferry.mesh.control.actions import Action, WriteRecords
 from orchidferry.mesh.control.membership import Standing
-from orchidferry.mesh.control.operation_key_client import Count
-from orchidferry.mesh.control.operation_keys import OperationKeys
+from orchidferry.mesh.control.operation_key_client import GrantCount
+from orchidferry.mesh.control.operation_keys import ClaimOutcome, OperationKeys
 from orchidferry.mesh.control.order_history import OrderHistory, Verdict
 from orchidferry.mesh.control.shard import Shard, remembered
 from orchidferry.testkit.explore.controller import Controller
@@ -95,15 +95,16 @@
     return replace(after, body=replace(shard_state.body(after), fence=max(1, self.fence)))
 
 
-def _any_one(self: Count, name: str, epoch_: int, what: str, answer: Any) -> str:
-    return "yours" if what == "yours" else _hear(self, name, epoch_, what, answer)
+def _any_one(self: GrantCount, name: str, epoch_: int, outcome: str, answer: Any) -> ClaimOutcome | None:
+    granted = ClaimOutcome.GRANTED
+    return granted if outcome == granted else _add(self, name, epoch_, outcome, answer)
 
 
-def _mixed(self: Count, name: str, epoch_: int, what: str, answer: Any) -> str:
-    return _hear(self, name, self.epoch, what, answer)
+def _mixed(self: GrantCount, name: str, epoch_: int, outcome: str, answer: Any) -> ClaimOutcome | None:
+    return _add(self, name, self.epoch, outcome, answer)
 
 
-def _counts_on(self: Count, epoch_: int, group: tuple[str, ...]) -> None:
+def _counts_on(self: GrantCount, epoch_: int, group: tuple[str, ...]) -> None:
     self.epoch = epoch_
     self.group = group
 
@@ -123,9 +124,9 @@
     self.standing.caught_up = caught
 
 
-def _drops_any(self: OperationKeys, key: str, holder: str) -> bool:
+def _releases_any(self: OperationKeys, key: str, holder: str) -> bool:
     had = self.records.get(key)
-    return _drop(self, key, had.holder if had is not None else holder)
+    return _release(self, key, had.holder if had is not None else holder)
 
 
 def _at_its_word(self: Shard, *args: Any) -> list[Action]:
@@ -141,9 +142,9 @@
 _verdict = OrderHistory.verdict
 _own = shard_state.Own.__call__
 _pulse = Shard.pulse
-_hear = Count.hear
+_add = GrantCount.add
 _join = Shard._join
-_drop = OperationKeys.drop
+_release = OperationKeys.release
 _claim = Shard.claim
 
 
@@ -213,15 +214,15 @@
         "fences do not rise", "duties", 1, "cut", (shard_state.Own, "__call__", _same_fence)
     ),
     "any-one": break_under_faults(
-        "any one controller grants a key", "answered", 1, "lose", (Count, "hear", _any_one)
+        "any one controller grants a key", "answered", 1, "lose", (GrantCount, "add", _any_one)
     ),
     "mixed": break_under_faults(
         "words of two epochs count together",
         "epochs",
         0,
         "",
-        (Count, "hear", _mixed),
-        (Count, "anew", _counts_on),
+        (GrantCount, "add", _mixed),
+        (GrantCount, "restart", _counts_on),
     ),
     "remembers": break_under_faults(
         "an empty disk counts as caught up",
@@ -245,7 +246,7 @@
         (Shard, "ready", True),
     ),
     "drops-any": break_under_faults(
-        "any try may give a key back", "broken-off", 0, "", (OperationKeys, "drop", _drops_any)
+        "any try may give a key back", "broken-off", 0, "", (OperationKeys, "release", _releases_any)
     ),
     "at-its-word": break_under_faults(
         "a grant leaves before its record is written", "slow", 1, "kill", (Shard, "claim", _at_its_word)
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -10,7 +10,7 @@
 from orchidferry.mesh.control.group_changes import GroupView
 from orchidferry.mesh.control.hinted_handoff import Hints
 from orchidferry.mesh.control.membership import Standing
-from orchidferry.mesh.control.operation_keys import NOBODY
+from orchidferry.mesh.control.operation_keys import UNKNOWN_HOLDER
 from orchidferry.mesh.control.repair import Repair
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.testkit.explore.mesh import KEY, KINDS, Break, Scene, Try, World, by_link
@@ -76,7 +76,7 @@
             voter.name
             for voter, shard in zip(self._newest.voters, self._voters(), strict=True)
             if (record := shard.operation_keys.records.get(KEY)) is not None
-            and record.holder in (self.ran[0], NOBODY)
+            and record.holder in (self.ran[0], UNKNOWN_HOLDER)
         ]
         if len(holders) < (len(self._newest.voters) if self.everybody else len(self._newest.voters) // 2 + 1):
             return f"{' and '.join(holders) or 'nobody'} alone hold the key"
--- a/tests/mesh/test_give_backs.py
+++ b/tests/mesh/control/test_key_releases.py
@@ -1,4 +1,4 @@
-"""Keys that are given back while links break: each becomes free at every controller, nobody else's does."""
+"""Releases of operation keys while links break: each frees its key at every controller, and no other."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import pytest
 from msgspec.structs import astuple
 
-from orchidferry.mesh.control import give_backs
+from orchidferry.mesh.control import key_releases
 from orchidferry.mesh.control.actions import SendReply
-from orchidferry.mesh.control.give_backs import AGAIN_S, GiveBacks
-from orchidferry.mesh.control.operation_key_client import OperationKeyClient
-from orchidferry.mesh.control.operation_keys import longest_kept_s
+from orchidferry.mesh.control.key_releases import RETRY_INTERVAL_S, KeyReleases
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient, ShardGroup
+from orchidferry.mesh.control.operation_keys import ClaimOutcome, max_retention_s
 from orchidferry.mesh.control.shard_state import shard_of
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller
@@ -32,7 +32,7 @@
         self.controllers = {name: Controller(name, self, True, number, dice, SEEDS) for name in SEEDS}
         for name in ("m", "n"):
             self.nodes[name] = OperationKeyClient(SEEDS, self._sender(name), WINDOW_S)
-            self.nodes[name].group(number, 0, SEEDS, "", 0, self.now)
+            self.nodes[name].update_group(number, ShardGroup(0, SEEDS, "", 0), self.now)
 
     def _sender(self, node: str) -> Any:
         def send(to: str, message: Message) -> None:
@@ -57,20 +57,21 @@
             return
         message = answer.message
         if isinstance(message, KeyReleaseAck):
-            self.nodes[node].give_backs.acknowledged(name, message.number)
+            self.nodes[node].releases.acknowledge(name, message.number)
         elif isinstance(message, KeyGrant):
-            self.nodes[node].hear(name, *astuple(message))
+            self.nodes[node].handle_grant(name, message)
 
     def send(self, *message: Any) -> None:
         """Controllers say nothing to each other here."""
 
     decided = told = send
 
-    def claim(self, node: str, holder: str) -> str:
+    def claim(self, node: str, holder: str) -> ClaimOutcome:
         """What a claim ends with at once."""
-        said: list[str] = []
-        self.nodes[node].claim(KEY, holder, 0.5, lambda what, _: said.append(what), self.now)
-        return "".join(said)
+        outcomes: list[ClaimOutcome] = []
+        self.nodes[node].claim(KEY, holder, 0.5, lambda outcome, _: outcomes.append(outcome), self.now)
+        [outcome] = outcomes
+        return outcome
 
     def pass_s(self, seconds: float) -> None:
         """Time passes at the nodes."""
@@ -91,63 +92,63 @@
     return Group()
 
 
-def test_a_give_back_that_was_lost_with_its_links_goes_out_on_the_new_ones(group: Group) -> None:
+def test_a_release_that_was_lost_with_its_links_goes_out_on_the_new_ones(group: Group) -> None:
     """The key answered 409 for the whole window."""
-    assert group.claim("m", "t1") == "yours"
+    assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     group.cut = {("m", "a"), ("m", "b")}
-    group.nodes["m"].drop(KEY, "t1")
-    assert group.claim("n", "t2") == "held" and group.holders() == ["t1", "t1"]
+    group.nodes["m"].release(KEY, "t1")
+    assert group.claim("n", "t2") == ClaimOutcome.HELD_BY_OTHER and group.holders() == ["t1", "t1"]
     group.cut.clear()
     for name in ("a", "b"):
-        group.nodes["m"].linked(name, group.now)
-    assert group.claim("n", "t3") == "yours"
+        group.nodes["m"].link_opened(name, group.now)
+    assert group.claim("n", "t3") == ClaimOutcome.GRANTED
     assert group.holders() == ["t3"] * 3
 
 
-def test_one_that_is_not_acknowledged_goes_out_again_on_the_same_link(group: Group) -> None:
-    assert group.claim("m", "t1") == "yours"
+def test_a_release_that_is_not_acknowledged_goes_out_again_on_the_same_link(group: Group) -> None:
+    assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     refused = group.controllers["a"]
     refused.disk_turn, written = lambda: refused.writes.clear(), refused.disk_turn  # type: ignore[method-assign]
-    group.nodes["m"].drop(KEY, "t1")
-    assert len(group.nodes["m"].give_backs) == 1
+    group.nodes["m"].release(KEY, "t1")
+    assert len(group.nodes["m"].releases) == 1
     refused.disk_turn = written  # type: ignore[method-assign]
-    group.pass_s(AGAIN_S + 0.2)
-    assert not group.nodes["m"].give_backs
+    group.pass_s(RETRY_INTERVAL_S + 0.2)
+    assert not group.nodes["m"].releases
     refused.start()  # and it is off the disk
     assert not group.holders()
 
 
-def test_a_late_one_frees_nobody_elses_key(group: Group) -> None:
-    assert group.claim("m", "t1") == "yours"
+def test_a_late_release_frees_nobody_elses_key(group: Group) -> None:
+    assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     group.cut = {("m", "a")}
-    group.nodes["m"].drop(KEY, "t1")
-    assert group.claim("n", "t2") == "yours"  # of two, while the third says that t1 holds it
+    group.nodes["m"].release(KEY, "t1")
+    assert group.claim("n", "t2") == ClaimOutcome.GRANTED  # of two, while the third says that t1 holds it
     group.cut.clear()
-    group.pass_s(AGAIN_S + 0.2)
-    assert not group.nodes["m"].give_backs and group.holders() == ["t2", "t2"]
-    group.nodes["m"].drop(KEY, "t1")
-    assert group.holders() == ["t2", "t2"] and group.claim("m", "t3") == "held"
+    group.pass_s(RETRY_INTERVAL_S + 0.2)
+    assert not group.nodes["m"].releases and group.holders() == ["t2", "t2"]
+    group.nodes["m"].release(KEY, "t1")
+    assert group.holders() == ["t2", "t2"] and group.claim("m", "t3") == ClaimOutcome.HELD_BY_OTHER
 
 
-def test_a_claim_that_comes_after_its_give_back_takes_nothing(group: Group) -> None:
+def test_a_claim_that_comes_after_its_release_takes_nothing(group: Group) -> None:
     """It waited in the buffers of an earlier link, or came with another controller's keys."""
-    group.nodes["m"].drop(KEY, "t1")
+    group.nodes["m"].release(KEY, "t1")
     for controller in group.controllers.values():
         controller.claim("m", 99, 0, KEY, "t1")
         controller.shard.load(KEY, ["t1", 0, None])
-    assert not group.holders() and group.claim("n", "t2") == "yours"
+    assert not group.holders() and group.claim("n", "t2") == ClaimOutcome.GRANTED
 
 
-def test_the_list_is_bounded_and_ends_with_the_window(group: Group, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(give_backs, "MOST", 3)
+def test_pending_releases_are_bounded_and_expire(group: Group, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(key_releases, "MAX_PENDING", 3)
     sent: list[tuple[str, Message]] = []
-    backs = GiveBacks(longest_kept_s(WINDOW_S), lambda name, message: sent.append((name, message)))
+    releases = KeyReleases(max_retention_s(WINDOW_S), lambda name, message: sent.append((name, message)))
     for number in range(5):
-        backs.add(f"k{number}", "t", ("a", "b"), 0.0)
-    backs.tick({"a"}, 0.1)  # b is a controller no more
-    assert len(backs) == 3
+        releases.add(f"k{number}", "t", ("a", "b"), 0.0)
+    releases.tick({"a"}, 0.1)  # b is a controller no more
+    assert len(releases) == 3
     sent.clear()
-    backs.linked("a", 0.5)
+    releases.link_opened("a", 0.5)
     assert sent == [("a", KeyRelease(n + 1, f"k{n}", "t")) for n in (2, 3, 4)]
-    backs.tick({"a"}, longest_kept_s(WINDOW_S) + 0.1)
-    assert not backs
+    releases.tick({"a"}, max_retention_s(WINDOW_S) + 0.1)
+    assert not releases
--- a/tests/mesh/test_key_transfer.py
+++ b/tests/mesh/control/test_key_transfer.py
@@ -17,7 +17,7 @@
     bounded,
     lacking,
 )
-from orchidferry.mesh.control.operation_keys import SHELF_S, OperationKeys
+from orchidferry.mesh.control.operation_keys import AGE_BUCKET_S, OperationKeys
 
 KEYS = [f"k{n}" for n in range(12)]
 
@@ -32,9 +32,9 @@
         lacks = lacks[covered:]
     for key, (holder, shelf, answer), _ in rows:
         if shelf == GIVEN_BACK:
-            to.drop(key, holder)
+            to.release(key, holder)
         else:
-            to.load(key, [holder, shelf, answer])
+            to.merge(key, [holder, shelf, answer])
     return page
 
 
@@ -53,12 +53,12 @@
         if what == "c":
             source.claim(key, f"t{n}")
         elif what == "d":
-            source.done(key, record.holder if record else f"t{n}", big)
+            source.record_answer(key, record.holder if record else f"t{n}", big)
         elif what == "b" and record is not None:
-            source.drop(key, record.holder)
+            source.release(key, record.holder)
         elif what == "t":
-            now += SHELF_S
-            source.turn(now)
+            now += AGE_BUCKET_S
+            source.expire(now)
         elif what == "p":
             page = copy(source, giver, to, at, brief)
             at = page.sequence if n % 3 else at  # lost, or not: it is given again
@@ -70,7 +70,7 @@
         assert to.records[key].answer == record.answer
         assert to.records[key].holder in (record.holder, "")
     for key, held in to.records.items():  # what the source let go by age alone goes by age here too
-        assert key in source.records or held.answer is not None or key not in source.given_back
+        assert key in source.records or held.answer is not None or key not in source.released
 
 
 def test_a_page_is_bounded_and_no_difference_is_left_out() -> None:
@@ -78,7 +78,7 @@
     giver = KeySource()
     for n in range(500):
         source.claim(f"key {n}", "t")
-        source.done(f"key {n}", "t", bytes(1_500))
+        source.record_answer(f"key {n}", "t", bytes(1_500))
     at = 0
     pages = 0
     keys = set[str]()
@@ -93,7 +93,7 @@
         if page.last:
             break
     assert len(keys) == 501 and pages == math.ceil(500 * 1_532 / PAGE_BYTES) + 1  # one for what is new
-    source.drop("new", "t")
+    source.release("new", "t")
     page = giver.page(source, "x", at, False)
     assert page.rows == [("new", ("t", GIVEN_BACK, None), False)] and page.last
     assert not giver.page(source, "x", page.sequence, False).rows and not giver.copies
--- /dev/null
+++ b/tests/mesh/control/test_operation_key_client.py
@@ -0,0 +1,55 @@
+"""A node's claims of operation keys, at controllers whose answers may be lost."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from orchidferry.mesh.control.operation_key_client import OperationKeyClient
+from orchidferry.mesh.control.operation_keys import ClaimOutcome, ClaimStatus, OperationKeys
+from orchidferry.mesh.control.shard_state import shard_of
+from orchidferry.mesh.wire.codec import as_list
+from orchidferry.mesh.wire.messages import KeyClaim, KeyGrant, KeyRelease, Message
+
+CONTROLLERS = ("c1", "c2", "c3")
+GRANTED = ClaimOutcome.GRANTED
+HELD_BY_OTHER = ClaimOutcome.HELD_BY_OTHER
+
+
+def test_a_claim_whose_answers_are_lost_runs_nowhere_while_another_node_claims() -> None:
+    """Node a's claim is granted by a majority and it never hears of it; node b asks meanwhile, and after."""
+    keys = {name: OperationKeys(60.0) for name in CONTROLLERS}
+    heard: dict[str, list[str]] = {"a": [], "b": []}
+    nodes: dict[str, OperationKeyClient] = {}
+    deaf = {"a"}
+
+    def sender(node: str) -> Callable[..., None]:
+        def send(name: str, message: Message) -> None:
+            if isinstance(message, KeyClaim):
+                status = keys[name].claim(message.key, message.holder).status
+                outcome = GRANTED if status is ClaimStatus.GRANTED else HELD_BY_OTHER
+                if node not in deaf:
+                    grant = KeyGrant(message.request, message.epoch, outcome, None)
+                    nodes[node].handle_grant(name, grant)
+            elif isinstance(message, KeyRelease) and node not in deaf:
+                keys[name].release(message.key, message.holder)
+
+        return send
+
+    for node in heard:
+        nodes[node] = OperationKeyClient(CONTROLLERS, sender(node), 60.0)
+    nodes["a"].claim("k", "ta", 1.0, lambda outcome, _: heard["a"].append(outcome), 0.0)
+    nodes["b"].claim("k", "tb", 1.0, lambda outcome, _: heard["b"].append(outcome), 0.1)
+    assert heard == {"a": [], "b": [HELD_BY_OTHER]}
+    nodes["a"].tick(1.1)  # its release is lost as well
+    assert heard["a"] == [ClaimOutcome.UNDECIDED]
+    nodes["b"].claim("k", "tb2", 1.0, lambda outcome, _: heard["b"].append(outcome), 1.2)
+    assert heard["b"] == [HELD_BY_OTHER, HELD_BY_OTHER]
+    deaf.clear()
+    nodes["a"].release("k", "ta")
+    nodes["b"].claim("k", "tb3", 1.0, lambda outcome, _: heard["b"].append(outcome), 1.3)
+    assert heard["b"][-1] == GRANTED and shard_of("k") in nodes["b"].groups
+
+
+def test_outcomes_keep_their_words_on_the_wire() -> None:
+    words = [as_list(KeyGrant(1, 0, outcome, None))[3] for outcome in ClaimOutcome]
+    assert words == ["yours", "held", "wait", "none"] and {type(word) for word in words} == {str}
--- /dev/null
+++ b/tests/mesh/control/test_operation_keys.py
@@ -0,0 +1,104 @@
+"""A controller's operation keys, beside a plain model."""
+
+from __future__ import annotations
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from orchidferry.mesh.control.operation_keys import (
+    AGE_BUCKET_S,
+    UNKNOWN_HOLDER,
+    ClaimResult,
+    ClaimStatus,
+    KeyRecord,
+    OperationKeys,
+)
+
+WINDOW_S = 60.0
+STEPS = st.tuples(
+    st.sampled_from(("claim", "claim", "answer", "release", "expire", "expire", "expire", "restart")),
+    st.sampled_from("xy"),
+    st.sampled_from(("t1", "t2", "t3")),
+    st.sampled_from((1.0, 10.0, 19.0)),
+)
+
+
+@settings(max_examples=200, deadline=None)
+@given(st.lists(STEPS, min_size=15, max_size=80))
+def test_keys_follow_a_plain_model(steps: list[tuple[str, str, str, float]]) -> None:
+    keys = OperationKeys(WINDOW_S)
+    now = 1_000.0
+    keys.expire(now)
+    model: dict[str, tuple[str, str | None, float]] = {}  # holder, answer, since when
+    released: dict[str, str] = {}  # the last attempt that did so, while nobody has the key
+    for step, key, holder, passed in steps:
+        existing = model.get(key)
+        if step == "claim":
+            result = keys.claim(key, holder)
+            if existing is None and released.get(key) == holder:  # it came late
+                assert result == ClaimResult(ClaimStatus.ALREADY_RELEASED)
+                continue
+            released.pop(key, None)
+            if existing is None:
+                model[key] = (holder, None, now)
+            granted = existing is None or existing[0] == holder
+            assert result.status is (ClaimStatus.GRANTED if granted else ClaimStatus.HELD_BY_OTHER)
+            assert result.record is not None
+            assert (result.record.holder, result.record.answer) == model[key][:2]
+            assert result.is_new is (existing is None)
+        elif step == "answer":
+            record = keys.record_answer(key, holder, f"by {holder}")
+            new = existing is None or (existing[0] == holder and existing[1] is None)
+            assert (record is not None) is new
+            if new:
+                released.pop(key, None)
+                model[key] = (holder, f"by {holder}", now if existing is None else existing[2])
+        elif step == "release":
+            gone = existing is not None and existing[:2] == (holder, None)
+            assert keys.release(key, holder) is gone
+            if gone:
+                del model[key]
+            if gone or existing is None:
+                released[key] = holder
+        elif step == "expire":
+            now += passed
+            for expired in keys.expire(now):
+                assert now - model.pop(expired)[2] >= WINDOW_S
+        else:
+            disk = {key: record.packed() for key, record in keys.records.items()}
+            keys = OperationKeys(WINDOW_S)
+            for stored, packed in disk.items():
+                keys.merge(stored, packed)
+            keys.expire(now)
+            released.clear()
+        assert {k: (record.holder, record.answer) for k, record in keys.records.items()} == {
+            k: entry[:2] for k, entry in model.items()
+        }
+
+
+def test_a_key_is_not_kept_for_long_beyond_its_window() -> None:
+    keys = OperationKeys(WINDOW_S)
+    keys.expire(1_000.0)
+    keys.claim("k", "t")
+    assert keys.expire(1_000.0 + WINDOW_S + 4 * AGE_BUCKET_S) == ["k"] and not keys.records
+
+
+def test_a_key_that_two_attempts_were_granted_has_no_known_holder() -> None:
+    """A newcomer that hears of two holders can't tell which one ran: it grants to neither."""
+    keys = OperationKeys(WINDOW_S)
+    for holder in ("t1", "t2"):
+        keys.merge("k", [holder, 0, None])
+    for holder in ("t1", "t2", "t3"):
+        record = KeyRecord(UNKNOWN_HOLDER, 0)
+        assert keys.claim("k", holder) == ClaimResult(ClaimStatus.HELD_BY_OTHER, record)
+    assert not keys.release("k", "t1")
+    answered = keys.record_answer("k", "t2", "its answer")  # this one surely ran
+    assert answered == KeyRecord("t2", 0, "its answer")
+    assert keys.claim("k", "t1") == ClaimResult(ClaimStatus.HELD_BY_OTHER, answered)
+
+
+def test_no_key_is_granted_beyond_the_maximum() -> None:
+    keys = OperationKeys(WINDOW_S, max_keys=1)
+    assert keys.claim("k1", "t").status is ClaimStatus.GRANTED
+    assert keys.claim("k2", "t") == ClaimResult(ClaimStatus.TABLE_FULL)
+    assert keys.claim("k1", "t").status is ClaimStatus.GRANTED
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -14,6 +14,7 @@
 from orchidferry.mesh import role_settings
 from orchidferry.mesh.control.configuration import Configuration, Table
 from orchidferry.mesh.control.control_api import Call, call
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import check_settings
 from orchidferry.node.frontend import Reply
@@ -94,7 +95,7 @@
     scene = Scene(monkeypatch, "keyed")
     scene.ask(key=b"k")
     assert 0.0 < scene.claims.for_s <= 0.4
-    scene.claims.told("none", None)
+    scene.claims.told(ClaimOutcome.UNDECIDED, None)
     [(_, reply)] = scene.replies
     assert reply.status == 503 and not scene.scene.lines.sent
 
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/dataplane/test_proxy_operation_keys.py
@@ -9,16 +9,13 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
-from orchidferry.mesh.control.operation_key_client import OperationKeyClient
-from orchidferry.mesh.control.operation_keys import Granted, OperationKeys
-from orchidferry.mesh.control.shard_state import shard_of
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.dataplane.messages import (
     kept_answer,
 )
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds
-from orchidferry.mesh.wire.messages import KeyClaim, KeyRelease, Message
 from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import asked, header, patch_clock, rig, route, said
 
@@ -34,11 +31,11 @@
     def claim(self, key: str, holder: str, for_s: float, told: Callable[[str, Any], None]) -> None:
         self.told.append(told)
 
-    def done(self, key: str, holder: str, answer: Any) -> None:
-        self.words.append(("done", key, holder, answer))
+    def record_answer(self, key: str, holder: str, answer: Any) -> None:
+        self.words.append(("record_answer", key, holder, answer))
 
-    def drop(self, key: str, holder: str) -> None:
-        self.words.append(("drop", key, holder))
+    def release(self, key: str, holder: str) -> None:
+        self.words.append(("release", key, holder))
 
 
 class Scene:
@@ -71,7 +68,7 @@
     def run(self, id: str) -> Any:
         """Ask, with the key granted; the attempt."""
         self.ask(id)
-        self.news.told[-1]("yours", None)
+        self.news.told[-1](ClaimOutcome.GRANTED, None)
         return self.lines.sent[-1]
 
 
@@ -90,9 +87,9 @@
     attempt.end(Result.ERROR if status == 500 else Result.SERVED, first)
     scene.loop.pass_ms(1_000.0)
     [(word, key, holder, kept)] = scene.news.words
-    assert (word, key, holder) == ("done", "k", "a")
+    assert (word, key, holder) == ("record_answer", "k", "a")
     scene.ask("b")
-    scene.news.told[-1]("held", kept)
+    scene.news.told[-1](ClaimOutcome.HELD_BY_OTHER, kept)
     for id in "ab":
         reply = scene.replies[id]
         assert (reply.status, reply.body) == (status, b"the first run's")
@@ -132,7 +129,7 @@
     scene.loop.pass_ms(1_001.0)
     assert scene.replies["a"].status in (502, 504) and scene.news.words == [] and len(scene.lines.sent) == 1
     scene.ask("b")
-    scene.news.told[-1]("held", None)
+    scene.news.told[-1](ClaimOutcome.HELD_BY_OTHER, None)
     assert scene.replies["b"].status == 409 and len(scene.lines.sent) == 1
 
 
@@ -155,45 +152,10 @@
     for attempt in scene.lines.sent:
         if not attempt.over:
             end(attempt)
-    assert scene.replies["a"].status == 503 and scene.news.words == [("drop", "k", "a")]
+    assert scene.replies["a"].status == 503 and scene.news.words == [("release", "k", "a")]
 
 
 def test_a_key_granted_to_a_caller_that_has_left_is_given_back(scene: Scene) -> None:
     scene.ask("a").caller_gone()
-    scene.news.told[-1]("yours", None)
-    assert scene.news.words == [("drop", "k", "a")] and not scene.lines.sent and not scene.replies
-
-
-def test_a_claim_whose_answers_are_lost_runs_nowhere_while_another_node_claims() -> None:
-    """Node a's claim is granted by a majority and it never hears of it; node b asks meanwhile, and after."""
-    names = ("c1", "c2", "c3")
-    keys = {name: OperationKeys(60.0) for name in names}
-    heard: dict[str, list[str]] = {"a": [], "b": []}
-    nodes: dict[str, OperationKeyClient] = {}
-    deaf = {"a"}
-
-    def sender(node: str) -> Callable[..., None]:
-        def send(name: str, message: Message) -> None:
-            if isinstance(message, KeyClaim):
-                outcome, _ = keys[name].claim(message.key, message.holder)
-                what = "yours" if isinstance(outcome, Granted) else "held"
-                if node not in deaf:
-                    nodes[node].hear(name, message.request, message.epoch, what, None)
-            elif isinstance(message, KeyRelease) and node not in deaf:
-                keys[name].drop(message.key, message.holder)
-
-        return send
-
-    for node in heard:
-        nodes[node] = OperationKeyClient(names, sender(node), 60.0)
-    nodes["a"].claim("k", "ta", 1.0, lambda what, _: heard["a"].append(what), 0.0)
-    nodes["b"].claim("k", "tb", 1.0, lambda what, _: heard["b"].append(what), 0.1)
-    assert heard == {"a": [], "b": ["held"]}
-    nodes["a"].tick(1.1)  # its give-back is lost as well
-    assert heard["a"] == ["none"]
-    nodes["b"].claim("k", "tb2", 1.0, lambda what, _: heard["b"].append(what), 1.2)
-    assert heard["b"] == ["held", "held"]
-    deaf.clear()
-    nodes["a"].drop("k", "ta")
-    nodes["b"].claim("k", "tb3", 1.0, lambda what, _: heard["b"].append(what), 1.3)
-    assert heard["b"][-1] == "yours" and shard_of("k") in nodes["b"].groups
+    scene.news.told[-1](ClaimOutcome.GRANTED, None)
+    assert scene.news.words == [("release", "k", "a")] and not scene.lines.sent and not scene.replies
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -21,8 +21,8 @@
 from orchidferry.mesh.control.duties import TENURE_S
 from orchidferry.mesh.control.hinted_handoff import RECENT_S, Hints
 from orchidferry.mesh.control.membership import Standing, epoch
-from orchidferry.mesh.control.operation_key_client import Count
-from orchidferry.mesh.control.operation_keys import Held, OperationKeys
+from orchidferry.mesh.control.operation_key_client import GrantCount
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
@@ -38,7 +38,7 @@
         self.holder = holder
         self.began_s = began_s
         self.open = True
-        self.count = Count(under, group)
+        self.count = GrantCount(under, group)
 
 
 class World:
@@ -117,12 +117,12 @@
 
     def ask(self, try_: Try) -> None:
         for name in try_.count.group:
-            if try_.count.open(name):
+            if try_.count.awaits(name):
                 self.send("", name, "claim", try_, 0, try_.count.epoch, try_.key, try_.holder)
 
     def said(self, try_: Try, name: str, under: int, what: str, answer: Any) -> None:
-        end = try_.count.hear(name, under, what, answer) if try_.open else ""
-        if end == "yours":
+        end = try_.count.add(name, under, what, answer) if try_.open else None
+        if end is ClaimOutcome.GRANTED:
             before = [t for t in self.granted.get(try_.key, []) if t.began_s > try_.began_s - WINDOW_S]
             assert not before, f"{try_.key} is {try_.holder}'s and {before[0].holder}'s"
             self.granted.setdefault(try_.key, []).append(try_)
@@ -252,7 +252,7 @@
             try_ = rng.choice(self.tries)
             known = controller.shard.known if controller is not None else None
             if try_.open and known is not None and epoch(known) > try_.count.epoch:
-                try_.count.anew(epoch(known), tuple(v.name for v in known.voters))
+                try_.count.restart(epoch(known), tuple(v.name for v in known.voters))
             return self.ask(try_) if try_.open else None
         if dice < 0.96:
             return self.put()
@@ -275,18 +275,6 @@
         world.step(trouble)
 
 
-def test_a_key_that_two_tries_were_given_is_nobodys() -> None:
-    """A newcomer that hears of two holders can't tell which one ran: it grants to neither."""
-    slips = OperationKeys(WINDOW_S)
-    for holder in ("t1", "t2"):
-        slips.load("k", [holder, 0, None])
-    for holder in ("t1", "t2", "t3"):
-        assert slips.claim("k", holder) == (Held("", None), None)
-    assert not slips.drop("k", "t1")
-    slip = slips.done("k", "t2", "its answer")  # this one surely ran
-    assert slip is not None and slips.claim("k", "t1")[0] == Held("t2", "its answer")
-
-
 def test_a_new_owner_waits_for_the_lease_of_the_last_one() -> None:
     """What the last one was acknowledged came before the change; a change of voters ends that, too."""
     a, b, c, d = (Voter(name, shard_state.GENESIS) for name in "abcd")
@@ -368,7 +356,7 @@
         one.start()
         play(4.0, lambda one=one: one.shard.voter in c.shard.known.voters)  # type: ignore[misc]
     assert epoch(c.shard.known) == 2 and not a.shard.standing.caught_up
-    kept_s = a.shard.operation_keys.kept_s
+    kept_s = a.shard.operation_keys.max_retention_s
     for _ in range(30):
         play(kept_s / 32)
         world.claim()
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -1,4 +1,4 @@
-"""Keys, members, configurations and settings, beside slow plain models and tables of what is refused."""
+"""Members, configurations and settings, beside slow plain models and tables of what is refused."""
 
 from __future__ import annotations
 
@@ -18,7 +18,6 @@
 from orchidferry.balancing.nested import TARGET, Nested
 from orchidferry.mesh.control import configuration, shard_state
 from orchidferry.mesh.control.endpoints import LEASE_S, Record, Register, everyone
-from orchidferry.mesh.control.operation_keys import SHELF_S, GivenBack, Granted, Held, OperationKeys
 from orchidferry.mesh.dataplane.proxy import read_beat
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.mesh.settings import MeshSettingsError, check_settings
@@ -35,75 +34,6 @@
     assert doctest.testmod(importlib.import_module(name)).failed == 0
 
 
-# Keys
-
-WINDOW_S = 60.0
-STEPS = st.tuples(
-    st.sampled_from(("claim", "claim", "done", "drop", "turn", "turn", "turn", "restart")),
-    st.sampled_from("xy"),
-    st.sampled_from(("t1", "t2", "t3")),
-    st.sampled_from((1.0, 10.0, 19.0)),
-)
-
-
-@settings(max_examples=200, deadline=None)
-@given(st.lists(STEPS, min_size=15, max_size=80))
-def test_slips(steps: list[tuple[str, str, str, float]]) -> None:
-    slips = OperationKeys(WINDOW_S)
-    now = 1_000.0
-    slips.turn(now)
-    model: dict[str, tuple[str, str | None, float]] = {}  # holder, answer, since when
-    given_back: dict[str, str] = {}  # the last try that did so, while nobody has the key
-    for what, key, holder, passed in steps:
-        had = model.get(key)
-        if what == "claim":
-            outcome, written = slips.claim(key, holder)
-            if had is None and given_back.get(key) == holder:  # it came late
-                assert (outcome, written) == (GivenBack(), None)
-                continue
-            given_back.pop(key, None)
-            if had is None:
-                model[key] = (holder, None, now)
-            mine = had is None or had[0] == holder
-            assert outcome == (Granted() if mine else Held(*model[key][:2]))
-            assert (written is not None) is (had is None)
-        elif what == "done":
-            slip = slips.done(key, holder, f"by {holder}")
-            new = had is None or (had[0] == holder and had[1] is None)
-            assert (slip is not None) is new
-            if new:
-                given_back.pop(key, None)
-                model[key] = (holder, f"by {holder}", now if had is None else had[2])
-        elif what == "drop":
-            gone = had is not None and had[:2] == (holder, None)
-            assert slips.drop(key, holder) is gone
-            if gone:
-                del model[key]
-            if gone or had is None:
-                given_back[key] = holder
-        elif what == "turn":
-            now += passed
-            for over in slips.turn(now):
-                assert now - model.pop(over)[2] >= WINDOW_S
-        else:
-            disk = {key: slip.packed() for key, slip in slips.records.items()}
-            slips = OperationKeys(WINDOW_S)
-            for key, packed in disk.items():
-                slips.load(key, packed)
-            slips.turn(now)
-            given_back.clear()
-        assert {k: (s.holder, s.answer) for k, s in slips.records.items()} == {
-            k: entry[:2] for k, entry in model.items()
-        }
-
-
-def test_a_key_is_not_kept_for_long_beyond_its_window() -> None:
-    slips = OperationKeys(WINDOW_S)
-    slips.turn(1_000.0)
-    slips.claim("k", "t")
-    assert slips.turn(1_000.0 + WINDOW_S + 4 * SHELF_S) == ["k"] and not slips.records
-
-
 # Members
 
 
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -20,6 +20,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.controller import Controller
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.settings import Settings, check_settings
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.store import Put, Store
@@ -371,15 +372,15 @@
         news = ControlClient(controller._settings, loop, lambda members: None, lambda revision, raw: None)
         news.start()
 
-        async def claim(holder: str) -> tuple[str, Any]:
+        async def claim(holder: str) -> tuple[ClaimOutcome, Any]:
             told = loop.create_future()
             news.claim("k", holder, 8.0, lambda what, answer: told.set_result((what, answer)))
             return await asyncio.wait_for(told, 10.0)
 
-        assert await claim("t1") == ("yours", None)
-        assert await claim("t2") == ("held", None)
-        news.claims.done("k", "t1", [200, b"x", []])
-        assert await claim("t3") == ("held", [200, b"x", []])
+        assert await claim("t1") == (ClaimOutcome.GRANTED, None)
+        assert await claim("t2") == (ClaimOutcome.HELD_BY_OTHER, None)
+        news.claims.record_answer("k", "t1", [200, b"x", []])
+        assert await claim("t3") == (ClaimOutcome.HELD_BY_OTHER, [200, b"x", []])
         stopping.set()
         await asyncio.wait_for(serving, 10.0)
         controller._store._env.close()
