--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -16,7 +16,7 @@
 
 from orchidferry.mesh.control.configuration_text import expand
 from orchidferry.mesh.control.contact import CONTACT_S
-from orchidferry.mesh.control.endpoints import Record, everyone
+from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord, merge_member_lists
 from orchidferry.mesh.control.operation_key_client import OnClaimed, OperationKeyClient, ShardGroup
 from orchidferry.mesh.control.subscriber import Subscriber
 from orchidferry.mesh.settings import Settings
@@ -89,7 +89,7 @@
         self,
         settings: Settings,
         loop: asyncio.AbstractEventLoop,
-        on_members: Callable[[dict[str, Record]], None],
+        on_members: Callable[[dict[str, NodeRecord]], None],
         on_configuration: Callable[[int, bytes], None],
         dial: Dial = dial,
         rng: random.Random | None = None,
@@ -106,17 +106,15 @@
         self._seeds = settings.seeds
         self.claims = OperationKeyClient(settings.seeds, self._send, settings.bounds.key_window_s)
         self._subscriber = Subscriber(
-            settings.name,
-            self.boot_id,
-            settings.zone,
+            NodeIdentity(settings.name, self.boot_id, settings.zone),
             loop,
             self._rng,
             self._dial_parent,
             self._look,
             self._version,
         )
-        self._members: dict[str, Record] = {}
-        self._record: Record | None = None
+        self._members: dict[str, NodeRecord] = {}
+        self._record: NodeRecord | None = None
         self._number = 0
         self._rid = 0
         self.revision = -1  # the newest that this node has
@@ -138,7 +136,7 @@
 
     # The node's own record
 
-    def publish(self, record: Record) -> None:
+    def publish(self, record: NodeRecord) -> None:
         """Tell all controllers this of the node, now and with each new link."""
         self._record = record
         for controller in self._controllers.values():
@@ -166,7 +164,7 @@
             elif not controller.dialling and now >= controller.next_dial_s:
                 if controller.name not in self.claims.controllers() and controller.name not in self._seeds:
                     del self._controllers[controller.name]
-                    self._subscriber.forget(controller.name)
+                    self._subscriber.remove_controller(controller.name)
                     continue
                 controller.dialling = True
                 controller.next_dial_s = now + 0.15
@@ -203,7 +201,7 @@
                 controller.warm = False
                 link.send(NodeHello(self._settings.name))
                 self._renew(controller)
-                self._subscriber.up(controller.name, link)
+                self._subscriber.controller_connected(controller.name, link)
                 if self._first is None and not self.settled:
                     self._fetch(controller, read=True)
                 self.claims.link_opened(controller.name, self._loop.time())
@@ -214,7 +212,7 @@
         controller = self._controllers.get(link.peer)
         if controller is not None and controller.link is link:
             controller.link = None
-            self._subscriber.down(controller.name)
+            self._subscriber.controller_disconnected(controller.name)
             controller.told_s = float("-inf")
             for rid in [rid for rid, fetch in self._fetching.items() if fetch.link is link]:
                 del self._fetching[rid]
@@ -257,7 +255,7 @@
             controller.knows = (self._record.boot, lease.number) if lease.known else (0, -1)
             if not lease.known:
                 self._renew(controller)
-        self._subscriber.lease(controller.name, lease.life, lease.news)
+        self._subscriber.lease_renewed(controller.name, lease.life, lease.news)
         if lease.warm and not controller.warm:
             controller.warm = True
             self._look()
@@ -291,17 +289,16 @@
 
     async def listen(self) -> None:
         """Let other nodes follow this one; `OSError` if the internal port is taken."""
+        relay = self._subscriber.relay
         self._server = await self._loop.create_server(
-            lambda: Link(
-                self._below, self._subscriber.lost_follower, self._subscriber.stranger, accepted=True
-            ),
+            lambda: Link(self._below, relay.disconnected, relay.connected, accepted=True),
             self._settings.local_ip,
             self._settings.internal_port,
         )
 
     def _below(self, link: Link, message: Message) -> None:
         try:
-            self._subscriber.from_follower(link, message)
+            self._subscriber.relay.received(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
             logger.warning("control_client: a follower's {} can't be taken: {}", kind_of(message), problem)
             link.close()
@@ -322,13 +319,13 @@
             try:
                 link = await self._dial_link(
                     self._above,
-                    self._subscriber.lost_parent,
+                    self._subscriber.parent_disconnected,
                     ip,
                     self._settings.internal_port,
                     self._settings.local_ip,
                 )
             finally:
-                self._subscriber.dialled(name, link)
+                self._subscriber.dial_finished(name, link)
 
         task = self._loop.create_task(work())
         self._tasks.add(task)
@@ -348,12 +345,12 @@
             if k.link is not None and k.link.open and k.warm and self._subscriber.streams[k.name].number >= 0
         }
         told = {name: stream.records for name, stream in self._subscriber.streams.items()}
-        members = everyone(told, {k.name for k in self._controllers.values() if k.link is not None})
+        members = merge_member_lists(told, {k.name for k in self._controllers.values() if k.link is not None})
         if not heard:
             members = {**self._members, **members}
         if members != self._members:
             self._members = members
-            self._subscriber.members(members)
+            self._subscriber.set_members(members)
             self._on_members(members)
 
     @property
@@ -425,7 +422,7 @@
             self.revision = revision
             self._settle()
             if raw:
-                self._subscriber.text(revision, raw)
+                self._subscriber.relay.configuration_received(revision, raw)
                 self._on_configuration(revision, text)
 
     # Operation keys
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -363,7 +363,7 @@
         if (now.epoch, now.fence) != (was.epoch, was.fence):
             self._tell_group(shard)
         if now.revision != was.revision:
-            self._publisher.revise(now.revision)
+            self._publisher.announce_revision(now.revision)
 
     def _wait_for(self, told: Callable[[RequestEnded], None]) -> str:
         self._number += 1
@@ -395,7 +395,7 @@
             link.close()
 
     def _lost(self, link: Link) -> None:
-        self._publisher.lost(link)
+        self._publisher.disconnected(link)
         for links in (self._peers, self._callers):
             if links.get(link.peer) is link:
                 del links[link.peer]
@@ -407,10 +407,10 @@
             KeyAnswer: self._take_answer,
             KeyRelease: self._take_release,
             RetryShareRequest: self._deal_retry_share,
-            LeaseRenewal: self._publisher.renew,
-            NewsRequest: self._publisher.since,
-            NewsSubscription: self._publisher.follow,
-            NewsUnsubscription: lambda link, _: self._publisher.unfollow(link),
+            LeaseRenewal: self._publisher.renew_lease,
+            NewsRequest: self._publisher.send_missed,
+            NewsSubscription: self._publisher.subscribe,
+            NewsUnsubscription: lambda link, _: self._publisher.unsubscribe(link),
             ShardMessage: self._take_shard_message,
             Heartbeat: self._take_heartbeat,
             HeartbeatAck: self._take_heartbeat_ack,
@@ -482,25 +482,25 @@
     # Nodes
 
     def _greet_node(self, link: Link, hello: NodeHello) -> None:
-        self._publisher.hello(link, hello.name)
+        self._publisher.node_connected(link, hello.name)
         for shard in self._shards.values():
             self._tell_group(shard, link)
 
     def _read_revision(self, link: Link, message: RevisionRead) -> None:
         def tell(end: RequestEnded) -> None:
-            self._publisher.tell_revision(link, Revision(message.request, newest_revision(end)))
+            self._publisher.send_revision(link, Revision(message.request, newest_revision(end)))
 
         self._read(tell)
 
     def _fetch_configuration(self, link: Link, message: ConfigurationFetch) -> None:
         state = self._configuration_shard.body
         text = ConfigurationText(message.request, state.revision, state.raw)
-        self._publisher.tell_configuration(link, text)
+        self._publisher.send_configuration(link, text)
 
     def _tell_group(self, shard: Shard, link: Link | None = None) -> None:
         own = shard.body
         names = [v.name for v in shard.known.voters]
-        self._publisher.tell_group(Group(shard.number, own.epoch, names, own.owner, own.fence), link)
+        self._publisher.send_group(Group(shard.number, own.epoch, names, own.owner, own.fence), link)
 
     # The size of the groups
 
--- a/orchidferry/mesh/control/endpoints.py
+++ b/orchidferry/mesh/control/endpoints.py
@@ -1,8 +1,8 @@
 """Which nodes and servers there are, as one controller or node knows it. Pure: no I/O, the clock handed in.
 
 A node's record has one writer, the node itself: it holds a lease at each controller and sends its record
-again when that changes. A record tells of the node's process and of the server on its machine. Of two
-records of one process the one with the higher number counts; of two lives of a server neither replaces the
+again when that changes. A record describes the node's process and the server on its machine. Of two records
+of one process the one with the higher number is the newer; two incarnations of a server do not replace each
 other, as each has an id of its own.
 """
 
@@ -12,7 +12,7 @@
 
 import msgspec
 
-LEASE_S = 2.0  # a node that has renewed nothing for so long is a member no more
+LEASE_S = 2.0  # a node that has not renewed its lease for so long is a member no more
 MAX_NODES = 4_096
 
 IN_SERVICE = "in_service"
@@ -28,12 +28,12 @@
     zone: str
     state: str
     capacity: int
-    cold_left_ms: float
+    cold_left_ms: float  # of the server's warm-up
     version: str = ""
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A node's own word of itself."""
+class NodeRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """What a node announces of itself."""
 
     name: str
     boot: int  # drawn at each start of its process
@@ -44,83 +44,113 @@
     server: Server | None
 
 
+@dataclass(frozen=True, slots=True)
+class NodeIdentity:
+    """One process of a node, and where it runs.
+
+    :ivar boot: the number drawn at the start of the process.
+    """
+
+    name: str
+    boot: int
+    zone: str
+
+
 @dataclass(slots=True)
-class _Lease:
-    record: Record
+class _NodeLease:
+    record: NodeRecord
     until_s: float
 
 
 @dataclass
-class Register:
-    """The members that one controller knows."""
+class MembershipTable:
+    """The members that one controller knows, each while its lease lasts.
+
+    :ivar lease_s: how long a lease lasts.
+    :ivar leases: by node name.
+    """
 
     lease_s: float = LEASE_S
-    leases: dict[str, _Lease] = field(default_factory=dict)
+    leases: dict[str, _NodeLease] = field(default_factory=dict)
+
+    def update(self, record: NodeRecord, now_s: float) -> bool:
+        """Take a node's record and renew its lease; older records and those beyond `MAX_NODES` are ignored.
 
-    def hear(self, record: Record, now_s: float) -> bool:
-        """Take a node's record; whether it tells anything new."""
-        had = self.leases.get(record.name)
-        if had is None and len(self.leases) >= MAX_NODES:
+        :returns: whether the record is new or has changed.
+        """
+        lease = self.leases.get(record.name)
+        if lease is None and len(self.leases) >= MAX_NODES:
             return False
-        if had is not None and had.record.boot == record.boot and had.record.number > record.number:
+        if lease is not None and lease.record.boot == record.boot and lease.record.number > record.number:
             return False
-        self.leases[record.name] = _Lease(record, now_s + self.lease_s)
-        return had is None or had.record != record
+        self.leases[record.name] = _NodeLease(record, now_s + self.lease_s)
+        return lease is None or lease.record != record
 
     def renew(self, name: str, boot: int, number: int, now_s: float) -> bool:
-        """Renew a lease; False if the record that it is for is not known here."""
-        had = self.leases.get(name)
-        if had is None or had.record.boot != boot or had.record.number != number:
+        """Renew a lease.
+
+        :returns: False if the record that the lease is for is not known here.
+        """
+        lease = self.leases.get(name)
+        if lease is None or lease.record.boot != boot or lease.record.number != number:
             return False
-        had.until_s = now_s + self.lease_s
+        lease.until_s = now_s + self.lease_s
         return True
 
-    def lapse(self, now_s: float) -> list[str]:
-        """The nodes whose leases have run out; they are members no more."""
-        late = [name for name, lease in self.leases.items() if lease.until_s <= now_s]
-        for name in late:
+    def remove_expired(self, now_s: float) -> list[str]:
+        """Remove the nodes whose leases have expired.
+
+        :returns: their names.
+        """
+        expired = [name for name, lease in self.leases.items() if lease.until_s <= now_s]
+        for name in expired:
             del self.leases[name]
-        return late
+        return expired
 
-    def records(self) -> list[Record]:
-        """All members' records."""
+    def records(self) -> list[NodeRecord]:
+        """The records of all members."""
         return [lease.record for lease in self.leases.values()]
 
 
-def by_service(members: dict[str, Record]) -> dict[str, dict[str, Record]]:
-    """Records of nodes with a server, by its service: one walk for all services together.
+def group_by_service(members: dict[str, NodeRecord]) -> dict[str, dict[str, NodeRecord]]:
+    """The records of nodes with a server, by its service and the node's name: one walk for all services.
 
     >>> server = Server("i", "s", "z", IN_SERVICE, 1, 0.0)
-    >>> beside, alone = Record("a", 1, 1, "z", "", 0, server), Record("b", 1, 1, "z", "", 0, None)
-    >>> by_service({"a": beside, "b": alone}) == {"s": {"a": beside}}
+    >>> beside, alone = NodeRecord("a", 1, 1, "z", "", 0, server), NodeRecord("b", 1, 1, "z", "", 0, None)
+    >>> group_by_service({"a": beside, "b": alone}) == {"s": {"a": beside}}
     True
     """
-    found: dict[str, dict[str, Record]] = {}
+    by_service: dict[str, dict[str, NodeRecord]] = {}
     for name, record in members.items():
         if record.server is not None:
-            found.setdefault(record.server.service, {})[name] = record
-    return found
+            by_service.setdefault(record.server.service, {})[name] = record
+    return by_service
+
 
+def merge_member_lists(
+    member_lists: dict[str, dict[str, NodeRecord]], reachable: set[str]
+) -> dict[str, NodeRecord]:
+    """Every node's newest record by the member lists of several controllers.
 
-def everyone(told: dict[str, dict[str, Record]], heard: set[str]) -> dict[str, Record]:
-    """Every node's newest record, of what controllers say by name: those that are heard; all, if none is.
+    A node is a member while any reachable controller lists it: one controller that is cut off from the node
+    removes nobody, and one that has just started knows nobody.
 
-    A node is a member while any controller that is heard says so: one controller that is cut off from it
-    takes nobody out, and one that has just started knows nobody.
+    :param member_lists: by controller.
+    :param reachable: the controllers whose lists count; all of them if none is reachable.
     """
-    found: dict[str, Record] = {}
-    for controller, mine in told.items():
-        if heard and controller not in heard:
+    merged: dict[str, NodeRecord] = {}
+    for controller, members in member_lists.items():
+        if reachable and controller not in reachable:
             continue
-        if not found:
-            found = dict(mine)
+        if not merged:
+            merged = dict(members)
             continue
-        if mine == found:  # quick where both hold the same objects (`Subscriber` sees to that)
+        if members == merged:  # quick where both hold the same objects (`Subscriber` sees to that)
             continue
-        for name, record in mine.items():
-            had = found.get(name)
-            if had is record:
+        for name, record in members.items():
+            known = merged.get(name)
+            if known is record:
                 continue
-            if had is None or (had.boot == record.boot and had.number < record.number):
-                found[name] = record
-    return found
+            if known is None or (known.boot == record.boot and known.number < record.number):
+                merged[name] = record
+    return merged
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -1,8 +1,10 @@
-"""A node's place in the tree of relays: whom it follows, who follows it, and what it does about gaps.
+"""A node's subscriptions to the controllers' streams of updates: its parent in the fan-out tree, or the
+controllers themselves, and how it finds and closes gaps.
 
-No I/O of its own: links, a loop's clock and the dialling are handed in. What the node knows rests on its
-leases: each answer of a controller says how far that controller's news is, and what has not come down the
-tree `CATCH_S` later is asked of the controller itself. A relay that is frozen, cut off or lies costs that.
+No I/O of its own: links, the event loop's clock and the dialling are handed in. What the node knows rests on
+its leases: each answer of a controller says how far that controller's stream is, and what has not come down
+the tree `CATCH_UP_DELAY_S` later is requested from the controllers. That is all that a relay costs which is
+frozen, cut off or faulty.
 """
 
 from __future__ import annotations
@@ -10,28 +12,18 @@
 import asyncio
 import math
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass
 
 import msgspec
 from loguru import logger
 
-from orchidferry.mesh.control.endpoints import Record
-from orchidferry.mesh.control.fanout_tree import (
-    HEADS,
-    MAX_FOLLOWERS,
-    Change,
-    Followers,
-    Stream,
-    Tally,
-    parents,
-    rank,
-)
-from orchidferry.mesh.wire.codec import encode
+from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord
+from orchidferry.mesh.control.fanout_tree import HEADS, parent_candidates
+from orchidferry.mesh.control.relay import Relay
+from orchidferry.mesh.control.update_stream import StreamChange, UpdateStream
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import (
-    ConfigurationFetch,
-    ConfigurationText,
     Message,
     News,
     NewsRequest,
@@ -45,356 +37,308 @@
     RelaySubscription,
 )
 
-CATCH_S = 0.15  # for news to come down the tree, once a controller has said how far it is
-SETTLE_S = 1.0  # after its start a node takes its news from controllers for so long
-REVIEW_S = (5.0, 15.0)  # how often the place in the tree is looked at, by chance within these
-ANSWER_S = 0.4  # for a parent to take this node in, or to show that it lives
-STRIKES = 3  # gaps in a row with nothing new from a parent
-STRIKE_S = 0.4  # gaps within this count as one: each controller tells of the same change
-# before a parent is tried again, doubling
-BACK_OFF_S = 4.0
-MAX_BACK_OFF_S = 60.0
-STRANGER_S = 3.0  # one that has connected and not said what it wants is cut off
-MAX_LINKS = 4 * MAX_FOLLOWERS
-MAX_POSITIONS = 32
-CHOKED = 1024 * 1024  # bytes that may wait for a follower that does not read
+CATCH_UP_DELAY_S = 0.15  # for updates to come down the tree, once a controller has said how far it is
+FIRST_REVIEW_S = 1.0  # after its start a node is subscribed to the controllers for so long at least
+REVIEW_INTERVAL_S = (5.0, 15.0)  # between reviews of the node's parent: drawn between these
+DIAL_TIMEOUT_S = 1.0
+ANSWER_TIMEOUT_S = 0.4  # for a parent to accept this node, or to show that it lives
+MAX_GAPS = 3  # in a row, with no update from a parent
+GAP_WINDOW_S = 0.4  # gaps within this count as one: each controller announces the same change
+# before a failed parent is tried again, doubling
+MIN_BACKOFF_S = 4.0
+MAX_BACKOFF_S = 60.0
 
 
 @dataclass(slots=True)
 class Parent:
-    """One that this node follows, or would."""
+    """A node that this one follows, or asks to.
+
+    :ivar answer_due_s: when it must have answered; infinite if nothing is asked of it.
+    :ivar gaps: how many times in a row updates had to be requested from the controllers.
+    """
 
-    record: Record
-    until_s: float  # when it must have answered, if something is asked of it
+    record: NodeRecord
+    answer_due_s: float
     link: Link | None = None
-    strikes: int = 0
-    struck_s: float = 0.0
+    gaps: int = 0
+    last_gap_s: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Backoff:
+    """After a parent has failed."""
+
+    until_s: float
+    duration_s: float
+
+
+NO_BACKOFF = Backoff(0.0, MIN_BACKOFF_S / 2.0)
 
 
 class Subscriber:
-    """One node in the tree.
+    """The subscriptions of one node.
 
-    `dial(name, ip)` is to call `dialled` once; `changed()` hears that some list of members has; `told`
-    hears of a new configuration's number, and the link that it came by.
+    :ivar streams: copies of the controllers' streams, by controller.
+    :ivar parent: the node that this one follows; None while it follows the controllers.
+    :ivar relay: forwards what comes to this node's own followers.
     """
 
     def __init__(
         self,
-        name: str,
-        boot: int,
-        zone: str,
+        node: NodeIdentity,
         loop: asyncio.AbstractEventLoop,
         rng: random.Random,
         dial: Callable[[str, str], None],
-        changed: Callable[[], None],
-        told: Callable[[int, Link], None],
+        on_update: Callable[[], None],
+        on_revision: Callable[[int, Link], None],
         heads: int = HEADS,
     ) -> None:
-        self._name = name
-        self._boot_id = boot
-        self._zone = zone
+        """Make a subscriber that knows no controller.
+
+        :param node: the node itself.
+        :param dial: connect to a node of this name and address, and call `dial_finished` once.
+        :param on_update: called when some controller's stream has changed.
+        :param on_revision: called with a newly announced revision, and the link that it came by.
+        :param heads: nodes of a zone that have no parent.
+        """
+        self._node = node
         self._loop = loop
         self._rng = rng
         self._dial = dial
-        self._changed = changed
-        self._told = told
+        self._on_update = on_update
+        self._on_revision = on_revision
         self._heads = heads
-        self.streams: dict[str, Stream] = {}  # by controller
+        self.streams: dict[str, UpdateStream] = {}
         self._controllers: dict[str, Link] = {}  # open links
-        self._following: set[str] = set()  # controllers that tell this node all
-        self._late: set[str] = set()  # controllers whose news is waited for
-        self._members: dict[str, Record] = {}
+        self._subscribed: set[str] = set()  # controllers that send this node all updates
+        self._catching_up: set[str] = set()  # controllers whose updates are waited for
+        self._members: dict[str, NodeRecord] = {}
         self.parent: Parent | None = None
-        self._trying: Parent | None = None
-        self._back_off: dict[str, tuple[float, float]] = {}  # by node: until when, and how long that was
-        self._review_s = loop.time() + SETTLE_S * (1.0 + rng.random())
-        self._followers: Followers[Link] = Followers()
-        self._strangers: dict[Link, float] = {}  # connected, and when it must have said what it wants
-        self._near: dict[Link, bool] = {}  # followers, and whether they are of this zone
-        self._text: tuple[int, bytes | None] = (-1, None)  # the newest configuration, while somebody follows
-        self._asking: dict[Link, tuple[int, int]] = {}  # followers that wait for it: their number, revision
-        self.tally = Tally()
+        self._candidate: Parent | None = None
+        self._backoffs: dict[str, Backoff] = {}  # by node
+        self._review_due_s = loop.time() + FIRST_REVIEW_S * (1.0 + rng.random())
+        self.relay = Relay(node, loop, self.streams, lambda: bool(self._controllers))
 
     # Controllers
 
-    def up(self, controller: str, link: Link) -> None:
+    def controller_connected(self, controller: str, link: Link) -> None:
         """There is a link to a controller."""
-        self.streams.setdefault(controller, Stream(controller))
+        self.streams.setdefault(controller, UpdateStream(controller))
         self._controllers[controller] = link
-        self._following.discard(controller)
-        self._follow_controllers()
+        self._subscribed.discard(controller)
+        self._update_subscriptions()
 
-    def down(self, controller: str) -> None:
-        """It is gone."""
+    def controller_disconnected(self, controller: str) -> None:
+        """The link to a controller is closed."""
         self._controllers.pop(controller, None)
-        self._following.discard(controller)
+        self._subscribed.discard(controller)
 
-    def forget(self, controller: str) -> None:
-        """It is no controller any more."""
-        self.down(controller)
+    def remove_controller(self, controller: str) -> None:
+        """Forget one that is no controller any more."""
+        self.controller_disconnected(controller)
         self.streams.pop(controller, None)
 
-    def lease(self, controller: str, life: int, number: int) -> None:
-        """A controller has renewed the lease, and says how far its news is."""
+    def lease_renewed(self, controller: str, incarnation: int, number: int) -> None:
+        """A controller has renewed the node's lease.
+
+        :param incarnation: of the controller's stream.
+        :param number: of the newest change in it.
+        """
         stream = self.streams[controller]
-        if stream.life != life:
-            self._begin(stream, life)
-        if number > stream.number and controller not in self._late:
-            self._late.add(controller)
-            self._loop.call_later(CATCH_S, self._catch, controller, life, number)
-
-    def _begin(self, stream: Stream, life: int) -> None:
-        """A controller has named a new life: only now a parent may tell of it."""
-        stream.begin(life)
-        self._say_positions()
-
-    def _catch(self, controller: str, life: int, number: int) -> None:
-        """Ask all controllers for what has not come: a parent may hold back the news of each of them."""
-        self._late.discard(controller)
+        if stream.incarnation != incarnation:
+            self._reset_stream(stream, incarnation)
+        if number > stream.number and controller not in self._catching_up:
+            self._catching_up.add(controller)
+            self._loop.call_later(CATCH_UP_DELAY_S, self._catch_up, controller, incarnation, number)
+
+    def _reset_stream(self, stream: UpdateStream, incarnation: int) -> None:
+        """A controller has named a new incarnation: only from now on a parent may send its updates."""
+        stream.reset(incarnation)
+        self._send_positions()
+
+    def _catch_up(self, controller: str, incarnation: int, number: int) -> None:
+        """Request what has not come from all controllers: a parent may withhold the updates of each."""
+        self._catching_up.discard(controller)
         stream = self.streams.get(controller)
-        if stream is None or stream.life != life or stream.number >= number:
+        if stream is None or stream.incarnation != incarnation or stream.number >= number:
             return
         for name, link in self._controllers.items():
             if name == controller or self.parent is not None:
-                link.send(NewsRequest(self.streams[name].life, self.streams[name].number))
-        parent = self.parent
+                link.send(NewsRequest(self.streams[name].incarnation, self.streams[name].number))
+        if self.parent is not None:
+            self._count_gap(self.parent)
+
+    def _count_gap(self, parent: Parent) -> None:
+        """A parent has not sent an update in time: drop it if that recurs, and else check that it lives."""
         now = self._loop.time()
-        if parent is None or now < parent.struck_s + STRIKE_S:
+        if now < parent.last_gap_s + GAP_WINDOW_S:
             return
-        parent.strikes = parent.strikes + 1
-        parent.struck_s = now
-        if parent.strikes >= STRIKES:
-            return self._fail(parent, "has no news")
-        if parent.until_s == math.inf:
-            parent.until_s = now + ANSWER_S
-            self._say_positions()
-
-    def from_controller(self, link: Link, news: News) -> None:
-        """A controller's news, over its own link."""
-        self._news(link, news, True)
-
-    def _news(self, link: Link, news: News, direct: bool) -> None:
-        change = self._shared(news.change)
+        parent.gaps += 1
+        parent.last_gap_s = now
+        if parent.gaps >= MAX_GAPS:
+            return self._fail(parent, "sends no updates")
+        if parent.answer_due_s == math.inf:
+            parent.answer_due_s = now + ANSWER_TIMEOUT_S
+            self._send_positions()
+
+    def from_controller(self, link: Link, update: News) -> None:
+        """Take an update that came over a controller's own link."""
+        self._apply(link, update, from_controller=True)
+
+    def _apply(self, link: Link, update: News, from_controller: bool) -> None:
+        change = self._share_records(update.change)
         stream = self.streams.get(change.controller)
         if stream is None:
             return
-        if direct and stream.life != change.life:
-            self._begin(stream, change.life)
+        if from_controller and stream.incarnation != change.incarnation:
+            self._reset_stream(stream, change.incarnation)
         revision = stream.revision
-        if not stream.take(change):
+        if not stream.apply(change):
             return
         if self.parent is not None and link is self.parent.link:
-            self.parent.strikes = 0
-        self._pass_on([stream])
+            self.parent.gaps = 0
+        self.relay.forward([stream])
         if stream.revision > revision:
-            self._told(stream.revision, link)
-        self._changed()
+            self._on_revision(stream.revision, link)
+        self._on_update()
 
-    def _shared(self, change: Change) -> Change:
-        """The change with the records that another controller has told of: one copy for all streams."""
+    def _share_records(self, change: StreamChange) -> StreamChange:
+        """The change with equal records replaced by those of other streams: one copy in memory for all."""
         others = [s.records for s in self.streams.values() if s.controller != change.controller]
 
-        def known(record: Record) -> Record:
+        def shared(record: NodeRecord) -> NodeRecord:
             for records in others:
-                had = records.get(record.name)
-                if had == record and had is not None:
-                    return had
+                known = records.get(record.name)
+                if known == record and known is not None:
+                    return known
             return record
 
-        entries = [known(record) for record in change.entries]
-        return msgspec.structs.replace(change, entries=entries)
+        return msgspec.structs.replace(change, updated=[shared(record) for record in change.updated])
 
-    def _follow_controllers(self) -> None:
-        """Follow the controllers if there is no parent, and only then."""
+    def _update_subscriptions(self) -> None:
+        """Be subscribed to the controllers exactly while there is no parent."""
         for controller, link in self._controllers.items():
             stream = self.streams[controller]
-            if self.parent is None and controller not in self._following:
-                self._following.add(controller)
-                link.send(NewsSubscription(stream.life, stream.number))
-            elif self.parent is not None and controller in self._following:
-                self._following.discard(controller)
+            if self.parent is None and controller not in self._subscribed:
+                self._subscribed.add(controller)
+                link.send(NewsSubscription(stream.incarnation, stream.number))
+            elif self.parent is not None and controller in self._subscribed:
+                self._subscribed.discard(controller)
                 link.send(NewsUnsubscription())
 
     # The parent
 
-    def members(self, members: dict[str, Record]) -> None:
-        """These nodes are there."""
+    def set_members(self, members: dict[str, NodeRecord]) -> None:
+        """Take a new member list; a parent that is not in it any more is dropped."""
         self._members = members
-        for one in (self.parent, self._trying):
-            had = members.get(one.record.name) if one is not None else None
-            if one is not None and (had is None or had.boot != one.record.boot):
-                self._fail(one, "is gone")
+        for parent in (self.parent, self._candidate):
+            if parent is None:
+                continue
+            member = members.get(parent.record.name)
+            if member is None or member.boot != parent.record.boot:
+                self._fail(parent, "is no member any more")
 
     def tick(self) -> None:
-        """Look at what is due."""
+        """Do what is due."""
         now = self._loop.time()
-        for one in (self.parent, self._trying):
-            if one is not None and now >= one.until_s:
-                self._fail(one, "does not answer")
-        for link in [link for link, until in self._strangers.items() if now >= until]:
-            link.close()
-        if now >= self._review_s and self._trying is None:
-            self._review_s = now + self._rng.uniform(*REVIEW_S)
+        for parent in (self.parent, self._candidate):
+            if parent is not None and now >= parent.answer_due_s:
+                self._fail(parent, "does not answer")
+        self.relay.close_idle_links()
+        if now >= self._review_due_s and self._candidate is None:
+            self._review_due_s = now + self._rng.uniform(*REVIEW_INTERVAL_S)
             self._review(now)
 
     def _review(self, now: float) -> None:
-        self._back_off = {n: entry for n, entry in self._back_off.items() if n in self._members}
-        chain = parents(self._members.values(), self._name, self._boot_id, self._zone, self._heads)
-        if not chain and self.parent is not None:
-            self._leave()
-        for record in chain:
+        """Dial the nearest possible parent, if that is not the present one."""
+        self._backoffs = {name: entry for name, entry in self._backoffs.items() if name in self._members}
+        candidates = parent_candidates(self._members.values(), self._node, self._heads)
+        if not candidates and self.parent is not None:
+            self._drop_parent()
+        for record in candidates:
             if self.parent is not None and record.name == self.parent.record.name:
                 return
-            if now >= self._back_off.get(record.name, (0.0, 0.0))[0]:
-                self._trying = Parent(record, now + 1.0 + ANSWER_S)
+            if now >= self._backoffs.get(record.name, NO_BACKOFF).until_s:
+                self._candidate = Parent(record, now + DIAL_TIMEOUT_S + ANSWER_TIMEOUT_S)
                 return self._dial(record.name, record.ip)
 
-    def dialled(self, name: str, link: Link | None) -> None:
-        """What became of dialling a node."""
-        trying = self._trying
-        if trying is None or trying.record.name != name or trying.link is not None:
+    def dial_finished(self, name: str, link: Link | None) -> None:
+        """Dialling a node has succeeded or failed.
+
+        :param link: None if the node can't be reached.
+        """
+        candidate = self._candidate
+        if candidate is None or candidate.record.name != name or candidate.link is not None:
             if link is not None:
                 link.close()
         elif link is None:
-            self._fail(trying, "can't be reached")
+            self._fail(candidate, "can't be reached")
         else:
-            trying.link, trying.until_s, link.peer = link, self._loop.time() + ANSWER_S, name
-            link.send(RelaySubscription(self._name, self._boot_id, self._zone, self._positions()))
+            candidate.link = link
+            candidate.answer_due_s = self._loop.time() + ANSWER_TIMEOUT_S
+            link.peer = name
+            node = self._node
+            link.send(RelaySubscription(node.name, node.boot, node.zone, self._positions()))
 
     def _positions(self) -> list[Position]:
-        return [(stream.controller, stream.life, stream.number) for stream in self.streams.values()]
+        return [(stream.controller, stream.incarnation, stream.number) for stream in self.streams.values()]
 
-    def _say_positions(self) -> None:
-        """Say how far this node is; whoever is asked to be its parent hears of it too."""
-        for one in (self.parent, self._trying):
-            if one is not None and one.link is not None:
-                one.link.send(RelayPositions(self._positions()))
+    def _send_positions(self) -> None:
+        """Send the parent, and whoever is asked to be one, how far this node is."""
+        for parent in (self.parent, self._candidate):
+            if parent is not None and parent.link is not None:
+                parent.link.send(RelayPositions(self._positions()))
 
     def from_parent(self, link: Link, message: Message) -> None:
-        """A parent's message, all but the configuration's text."""
+        """Handle a message of a parent; the configuration's text is not handled here."""
         parent = self.parent
-        trying = self._trying
-        if trying is not None and link is trying.link:
+        candidate = self._candidate
+        if candidate is not None and link is candidate.link:
             if isinstance(message, RelayAccepted):
-                self._accepted_by(trying)
+                self._follow(candidate)
             elif isinstance(message, RelayFull):
-                self._fail(trying, "takes nobody in")
+                self._fail(candidate, "accepts no more followers")
         elif parent is not None and link is parent.link:
             if isinstance(message, RelayAlive):
-                parent.until_s = math.inf
+                parent.answer_due_s = math.inf
             elif isinstance(message, News):
-                self._news(link, message, False)
+                self._apply(link, message, from_controller=False)
 
-    def _accepted_by(self, parent: Parent) -> None:
-        """Follow this parent from now on."""
-        before = self.parent
-        parent.until_s = math.inf
-        self._trying = None
+    def _follow(self, parent: Parent) -> None:
+        previous = self.parent
+        parent.answer_due_s = math.inf
+        self._candidate = None
         self.parent = parent
-        self._back_off.pop(parent.record.name, None)
-        if before is not None and before.link is not None:
-            before.link.close()
-        self._follow_controllers()
-
-    def lost_parent(self, link: Link) -> None:
-        """A link to a parent is down."""
-        for one in (self.parent, self._trying):
-            if one is not None and link is one.link:
-                self._fail(one, "has closed")
-
-    def _fail(self, one: Parent, why: str) -> None:
-        """Try another; controllers tell the news until there is one."""
-        name = one.record.name
+        self._backoffs.pop(parent.record.name, None)
+        if previous is not None and previous.link is not None:
+            previous.link.close()
+        self._update_subscriptions()
+
+    def parent_disconnected(self, link: Link) -> None:
+        """A link to a parent is closed."""
+        for parent in (self.parent, self._candidate):
+            if parent is not None and link is parent.link:
+                self._fail(parent, "has closed the link")
+
+    def _fail(self, parent: Parent, reason: str) -> None:
+        """Back off from a parent, and try another soon."""
+        name = parent.record.name
         now = self._loop.time()
-        logger.info("subscriber: {} {}", name, why)
-        wait = min(MAX_BACK_OFF_S, 2.0 * self._back_off.get(name, (0.0, BACK_OFF_S / 2.0))[1])
-        self._back_off[name] = (now + wait * (0.75 + 0.5 * self._rng.random()), wait)
-        self._review_s = min(self._review_s, now + 0.1 * self._rng.random())
-        if one is self._trying:
-            self._trying = None
-            if one.link is not None:
-                one.link.close()
+        logger.info("subscriber: parent={} reason={!r}", name, reason)
+        wait_s = min(MAX_BACKOFF_S, 2.0 * self._backoffs.get(name, NO_BACKOFF).duration_s)
+        self._backoffs[name] = Backoff(now + wait_s * (0.75 + 0.5 * self._rng.random()), wait_s)
+        self._review_due_s = min(self._review_due_s, now + 0.1 * self._rng.random())
+        if parent is self._candidate:
+            self._candidate = None
+            if parent.link is not None:
+                parent.link.close()
         else:
-            self._leave()
+            self._drop_parent()
 
-    def _leave(self) -> None:
+    def _drop_parent(self) -> None:
+        """Subscribe to the controllers until there is another parent."""
         parent = self.parent
         self.parent = None
-        self._follow_controllers()
+        self._update_subscriptions()
         if parent is not None and parent.link is not None:
             parent.link.close()
-
-    # Followers
-
-    def stranger(self, link: Link) -> None:
-        """Somebody has connected."""
-        if len(self._strangers) + len(self._followers.places) >= MAX_LINKS:
-            return link.close()
-        self._strangers[link] = self._loop.time() + STRANGER_S
-
-    def lost_follower(self, link: Link) -> None:
-        """A link from below is down."""
-        self._strangers.pop(link, None)
-        self._near.pop(link, None)
-        self._asking.pop(link, None)
-        self._followers.leave(link)
-        if not self._followers.places:
-            self._text = (self._text[0], None)
-
-    def from_follower(self, link: Link, message: Message) -> None:
-        """A message from below."""
-        if isinstance(message, RelaySubscription) and link in self._strangers:
-            self._take_in(link, message)
-        elif link not in self._followers.places:
-            return
-        elif isinstance(message, RelayPositions):
-            self._followers.follow(link, message.positions[:MAX_POSITIONS])
-            self._pass_on(self.streams.values())
-            self._send("tree", link, RelayAlive())
-        elif isinstance(message, ConfigurationFetch):
-            self._asking[link] = (message.request, message.revision)
-            self._give_text()
-
-    def _take_in(self, link: Link, asked: RelaySubscription) -> None:
-        """Those that come after this node in its row may follow: so no two can follow each other."""
-        self._near[link] = asked.zone == self._zone
-        after = rank(self._name, self._boot_id) < rank(asked.name, asked.boot)
-        positions = asked.positions[:MAX_POSITIONS]
-        if not after or not self._controllers or not self._followers.follow(link, positions):
-            return self._send("tree", link, RelayFull())
-        del self._strangers[link]
-        link.choked = CHOKED
-        self._send("tree", link, RelayAccepted())
-        self._pass_on(self.streams.values())
-
-    def _pass_on(self, streams: Iterable[Stream]) -> None:
-        for stream in streams:
-            for change, links in self._followers.due(stream):
-                data = encode(News(change))
-                for link in links:
-                    self._send_encoded("news", link, data)
-
-    def text(self, revision: int, raw: bytes) -> None:
-        """The configuration's text is here."""
-        self._text = (revision, raw if self._followers.places else None)
-        self._give_text()
-
-    def _give_text(self) -> None:
-        """Answer who asked for what is here, or will not come."""
-        coming = max((stream.revision for stream in self.streams.values()), default=0)
-        for link, (rid, revision) in list(self._asking.items()):
-            known, raw = self._text
-            if known < revision <= coming:
-                continue
-            del self._asking[link]
-            if raw is None or known < revision:
-                known = -1
-                raw = b""
-            self._send("text", link, ConfigurationText(rid, known, raw))
-
-    def _send(self, kind: str, link: Link, message: Message) -> None:
-        self._send_encoded(kind, link, encode(message))
-
-    def _send_encoded(self, kind: str, link: Link, data: bytes) -> None:
-        self.tally.count(kind, self._near.get(link, False), len(data))
-        link.send_packed(data)
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.control.configuration import Configuration, Route, Table, parse
 from orchidferry.mesh.control.control_api import JSON, Call, ControlDoor, told
 from orchidferry.mesh.control.control_client import ControlClient
-from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server, by_service
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, NodeRecord, Server, group_by_service
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.dataplane.http_connection import HttpConnections
@@ -97,8 +97,8 @@
         self._services: dict[str, ServiceClient] = {}
         self._table = Table([])
         self._configuration: Configuration | None = None
-        self._members: dict[str, Record] = {}
-        self._by_service: dict[str, dict[str, Record]] = {}  # those with a server
+        self._members: dict[str, NodeRecord] = {}
+        self._by_service: dict[str, dict[str, NodeRecord]] = {}  # those with a server
         self._leaving = False
         self._record_number = 0
         self._stop_ms = math.inf  # when all must be answered, once the node is to end
@@ -203,7 +203,7 @@
             )
         settings = self._settings
         self._news.publish(
-            Record(
+            NodeRecord(
                 settings.name,
                 self._news.boot_id,
                 self._record_number,
@@ -214,8 +214,8 @@
             )
         )
 
-    def _on_members(self, members: dict[str, Record]) -> None:
-        before, self._members, self._by_service = self._by_service, members, by_service(members)
+    def _on_members(self, members: dict[str, NodeRecord]) -> None:
+        before, self._members, self._by_service = self._by_service, members, group_by_service(members)
         known = {record.server.id for record in members.values() if record.server is not None}
         for name, client in self._services.items():
             records = self._by_service.get(name, {})
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -21,7 +21,7 @@
 from orchidferry.balancing.logic import NEVER_RAN, Balancer
 from orchidferry.balancing.nested import Nested
 from orchidferry.mesh.control.configuration import Route
-from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, NodeRecord
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.http_connection import HttpConnections
 from orchidferry.mesh.dataplane.messages import (
@@ -321,7 +321,7 @@
         self._slack_comes = False  # a timer that is early sets another
         self._settle()
 
-    def servers(self, records: dict[str, Record]) -> None:
+    def servers(self, records: dict[str, NodeRecord]) -> None:
         """Whoever serves this service now, by the news of all nodes."""
         now = now_ms()
         entries: dict[int, api.ServerEntry] = {}
--- a/orchidferry/mesh/wire/messages.py
+++ b/orchidferry/mesh/wire/messages.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from orchidferry.mesh.control.endpoints import Record
-from orchidferry.mesh.control.fanout_tree import Change
+from orchidferry.mesh.control.endpoints import NodeRecord
+from orchidferry.mesh.control.update_stream import StreamChange
 from orchidferry.mesh.wire.shard_messages import ShardBody
 
 Position = tuple[str, int, int]  # in a stream of news: its controller, the life of that, a number
@@ -42,7 +42,7 @@
     number: int  # of the record
     name: str  # of the node
     boot: int  # drawn at the start of the node's process
-    record: Record | None  # None where the controller has it already
+    record: NodeRecord | None  # None where the controller has it already
 
 
 class Lease(Message, frozen=True, tag="lease"):
@@ -77,7 +77,7 @@
 class News(Message, frozen=True, tag="news"):
     """What changed in a controller's stream, from the controller or from a relay."""
 
-    change: Change  # the difference, or all there is
+    change: StreamChange  # the difference, or all there is
 
 
 class Group(Message, frozen=True, tag="group"):
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from orchidferry.mesh.control.control_client import ControlClient
-from orchidferry.mesh.control.endpoints import Record
+from orchidferry.mesh.control.endpoints import NodeRecord
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.settings import Bounds, Settings
 from orchidferry.mesh.storage.store import Store
@@ -130,7 +130,7 @@
     where = json.loads(await reader.readline())
     news = ControlClient(claimer_boot(**where), loop, lambda _: None, lambda *_: None)
     news.start()
-    news.publish(Record(f"claimer-{where['ip']}", news.boot_id, 1, "sala-a", where["ip"], 1, None))
+    news.publish(NodeRecord(f"claimer-{where['ip']}", news.boot_id, 1, "sala-a", where["ip"], 1, None))
     one = Claimer(news)
     tries = 0
     async with asyncio.timeout(LINKED_S):
--- a/orchidferry/testkit/bench/mesh_news.py
+++ b/orchidferry/testkit/bench/mesh_news.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from orchidferry.mesh.control.fanout_tree import HEADS, Tally
+from orchidferry.mesh.control.fanout_tree import HEADS
+from orchidferry.mesh.control.traffic_counter import TrafficCounter
 from orchidferry.testkit.judge.fleet import quantile
 from orchidferry.testkit.model.relays import BETWEEN_S, EVERYBODY, Node, World
 
@@ -66,7 +67,7 @@
     world.run(END_S)
     text = [_sent(world, "text", near) - had for near, had in zip((True, False), text, strict=True)]
     text_controller = sum(
-        _bytes(controller.publisher.tally, "text") for controller in world.controllers.values()
+        _bytes(controller.publisher.traffic, "text") for controller in world.controllers.values()
     )
     assert all(node.revision == 1 for node in world.nodes.values())
 
@@ -84,7 +85,7 @@
                 stopped.append((node.name, thaw_s - THAW_S, world.now + 0.5))
             down = []
         if frozen and world.now >= next_s:
-            relays = [node for node in world.nodes.values() if node.subscriber._followers.places]
+            relays = [node for node in world.nodes.values() if node.subscriber.relay.followers.positions]
             down = rng.sample(relays, min(len(relays), max(1, round(frozen * nodes))))
             next_s = world.now + FREEZE_S
             thaw_s = world.now + THAW_S
@@ -135,14 +136,14 @@
     return round(quantile(took, share) or 0.0, 2)
 
 
-def _bytes(tally: Tally, kind: str) -> int:
+def _bytes(tally: TrafficCounter, kind: str) -> int:
     return sum(size for (of, _), (_, size) in tally.sent.items() if of == kind)
 
 
 def _sent(world: World, kind: str, near: bool) -> int:
     """Bytes of a kind by all processes, within zones or between them."""
-    tallies = [controller.publisher.tally for controller in world.controllers.values()]
-    tallies += [node.subscriber.tally for node in world.nodes.values()]
+    tallies = [controller.publisher.traffic for controller in world.controllers.values()]
+    tallies += [node.subscriber.relay.traffic for node in world.nodes.values()]
     return sum(tally.sent.get((kind, near), [0, 0])[1] for tally in tallies)
 
 
@@ -150,11 +151,11 @@
     """Sums so far: controllers' messages and bytes of news, bytes of leases, relays' news, news between
     zones.
     """
-    desks = [controller.publisher.tally for controller in world.controllers.values()]
+    desks = [controller.publisher.traffic for controller in world.controllers.values()]
     return (
         sum(tally.messages("news") for tally in desks),
         sum(_bytes(tally, "news") for tally in desks),
         sum(_bytes(tally, "lease") for tally in desks),
-        sum(_bytes(node.subscriber.tally, "news") for node in world.nodes.values()),
+        sum(_bytes(node.subscriber.relay.traffic, "news") for node in world.nodes.values()),
         _sent(world, "news", False),
     )
--- a/orchidferry/testkit/capacity/fleets.py
+++ b/orchidferry/testkit/capacity/fleets.py
@@ -152,7 +152,7 @@
 
 def _relays(fleet: Fleet, add: Add) -> None:
     relays = [node for node in fleet.live() if node.is_relay]
-    followers = [len(node.subscriber._followers.places) for node in relays]
+    followers = [len(node.subscriber.relay.followers.positions) for node in relays]
     add("relay", "nodes that relay", "nodes", float(len(relays)))
     add("relay", "followers, most", "nodes", float(max(followers, default=0)))
     add(
--- a/orchidferry/testkit/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -14,7 +14,7 @@
 from msgspec import structs
 
 from orchidferry.mesh.control.control_client import RENEW_S
-from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.framing import Link, dial
@@ -56,7 +56,7 @@
         self.name = f"hollow-{number}"
         self.head = number < HEADS * len(ZONES)
         server = Server(f"i-hollow-{number}", service, zone, IN_SERVICE, SLOTS, 0.0, "v1")
-        self.record = Record(self.name, random.randrange(1, 2**53), 1, zone, ip, inbound, server)
+        self.record = NodeRecord(self.name, random.randrange(1, 2**53), 1, zone, ip, inbound, server)
         self.links: dict[str, Link] = {}
         self._has: dict[str, int] = {}  # number of the record that each controller has
         self.revision = 0
--- a/orchidferry/testkit/capacity/regions.py
+++ b/orchidferry/testkit/capacity/regions.py
@@ -113,7 +113,7 @@
     @property
     def is_relay(self) -> bool:
         """Whether other nodes follow this one."""
-        return bool(self.subscriber._followers.places)
+        return bool(self.subscriber.relay.followers.positions)
 
 
 class BetweenRegions(Container[tuple[str, str]]):
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -22,7 +22,7 @@
 from orchidferry.mesh.control.configuration_text import compress
 from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.controller import newest_revision
-from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.settings import Bounds, Settings
 from orchidferry.mesh.wire.messages import (
@@ -202,7 +202,7 @@
         if (new.epoch, new.fence) != (old.epoch, old.fence):
             self._tell_group(None)
         if new.revision != old.revision:
-            self.publisher.revise(new.revision)
+            self.publisher.announce_revision(new.revision)
 
     def _tell_group(self, link: Any) -> None:
         shard = self.replica.shard
@@ -210,7 +210,7 @@
         for number in shard_state.SHARDS:
             own = shard.body
             group = Group(number, own.epoch, names, own.owner, own.fence)
-            self.publisher.tell_group(group, link)
+            self.publisher.send_group(group, link)
 
     def order(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
         """An operator's order comes: it is checked, then voted on."""
@@ -225,35 +225,35 @@
     @property
     def text_bytes(self) -> int:
         """Of configurations' texts that were sent to nodes."""
-        return sum(size for (kind, _), (_, size) in self.publisher.tally.sent.items() if kind == "text")
+        return sum(size for (kind, _), (_, size) in self.publisher.traffic.sent.items() if kind == "text")
 
     def gone(self, end: Any) -> None:
-        self.publisher.lost(end)
+        self.publisher.disconnected(end)
 
     def heard(self, end: Any, message: Any) -> None:
         publisher = self.publisher
         match message:
             case NodeHello():
-                publisher.hello(end, message.name)
+                publisher.node_connected(end, message.name)
                 self._tell_group(end)
             case RevisionRead():
                 self._read_revision(end, message.request)
             case ConfigurationFetch():
                 state = self.replica.shard.body
                 text = ConfigurationText(message.request, state.revision, state.raw)
-                publisher.tell_configuration(end, text)
+                publisher.send_configuration(end, text)
             case LeaseRenewal():
-                publisher.renew(end, message)
+                publisher.renew_lease(end, message)
             case NewsSubscription():
-                publisher.follow(end, message)
+                publisher.subscribe(end, message)
             case NewsUnsubscription():
-                publisher.unfollow(end)
+                publisher.unsubscribe(end)
             case NewsRequest():
-                publisher.since(end, message)
+                publisher.send_missed(end, message)
 
     def _read_revision(self, end: Any, request: int) -> None:
         def tell(ended: RequestEnded) -> None:
-            self.publisher.tell_revision(end, Revision(request, newest_revision(ended)))
+            self.publisher.send_revision(end, Revision(request, newest_revision(ended)))
 
         id = self.rollout.wait_for(tell)
         self.replica.do(self.replica.shard.read(id, self.time()))
@@ -296,7 +296,7 @@
         return Task(work)
 
     def _publish(self, number: int, server: Server | None) -> None:
-        record = Record(self.name, self.client.boot_id, number, self.zone, self.name, 1, server)
+        record = NodeRecord(self.name, self.client.boot_id, number, self.zone, self.name, 1, server)
         self.client.publish(record)
 
     def _dial(self, heard: Any, lost: Any, host: str, port: int, own_ip: str) -> Pending:
@@ -325,16 +325,16 @@
     @property
     def followers(self) -> int:
         """How many nodes follow this one."""
-        return len(self.client._subscriber._followers.places)
+        return len(self.client._subscriber.relay.followers.positions)
 
     def accept(self, end: Any) -> None:
-        self.client._subscriber.stranger(end)
+        self.client._subscriber.relay.connected(end)
 
     def heard(self, end: Any, message: Any) -> None:
         self.client._below(end, message)
 
     def gone(self, end: Any) -> None:
-        self.client._subscriber.lost_follower(end)
+        self.client._subscriber.relay.disconnected(end)
 
 
 class Rollout(World):
--- a/orchidferry/testkit/model/relays.py
+++ b/orchidferry/testkit/model/relays.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from orchidferry.mesh.control.control_client import ASK_S, QUIET_S, RENEW_S, TICK_S
-from orchidferry.mesh.control.endpoints import Record, everyone
+from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord, merge_member_lists
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.control.subscriber import Subscriber
@@ -245,28 +245,28 @@
         """A configuration was decided."""
         self.revision = revision
         self.text = text
-        self.publisher.revise(revision)
+        self.publisher.announce_revision(revision)
         self.world.stepped(self)
 
     def gone(self, end: Any) -> None:
-        self.publisher.lost(end)
+        self.publisher.disconnected(end)
 
     def heard(self, end: Any, message: Any) -> None:
         publisher = self.publisher
         match message:
             case ConfigurationFetch():
                 text = ConfigurationText(message.request, self.revision, self.text)
-                publisher.tell_configuration(end, text)
+                publisher.send_configuration(end, text)
             case NodeHello():
-                publisher.hello(end, message.name)
+                publisher.node_connected(end, message.name)
             case LeaseRenewal():
-                publisher.renew(end, message)
+                publisher.renew_lease(end, message)
             case NewsSubscription():
-                publisher.follow(end, message)
+                publisher.subscribe(end, message)
             case NewsUnsubscription():
-                publisher.unfollow(end)
+                publisher.unsubscribe(end)
             case NewsRequest():
-                publisher.since(end, message)
+                publisher.send_missed(end, message)
         self.world.stepped(self)
 
 
@@ -277,13 +277,14 @@
         super().__init__(world, name, zone)
         rng = random.Random(world.rng.random())
         self.rng, self.boot = rng, world.rng.randrange(1, 2**53)
-        self.record = Record(name, self.boot, 1, self.zone, name, 0, None)
+        self.record = NodeRecord(name, self.boot, 1, self.zone, name, 0, None)
         loop: Any = self
+        identity = NodeIdentity(name, self.boot, self.zone)
         self.subscriber = Subscriber(
-            name, self.boot, self.zone, loop, rng, self._dial_node, self._changed, self._told, heads
+            identity, loop, rng, self._dial_node, self._changed, self._on_revision, heads
         )
         self.controllers: dict[str, End] = {}
-        self.members: dict[str, Record] = {}
+        self.members: dict[str, NodeRecord] = {}
         self.revision = 0
         self.wanted = 0
         self._asked_s = -ASK_S
@@ -301,7 +302,7 @@
     def publish(self) -> None:
         """Its record changes."""
         had = self.record
-        self.record = Record(had.name, had.boot, had.number + 1, had.zone, had.ip, 0, None)
+        self.record = NodeRecord(had.name, had.boot, had.number + 1, had.zone, had.ip, 0, None)
         for name in self.controllers:
             self._renew(name)
 
@@ -338,13 +339,13 @@
             self._has.pop(name, None)
             link.send(NodeHello(self.name))
             self._renew(name)
-            self.subscriber.up(name, link)
+            self.subscriber.controller_connected(name, link)
 
     def _lost_controller(self, end: End) -> None:
         if self.controllers.get(end.peer) is end:
             del self.controllers[end.peer]
             self._dial_s[end.peer] = self.world.now + DIAL_S
-            self.subscriber.down(end.peer)
+            self.subscriber.controller_disconnected(end.peer)
             self._look()
 
     def _from_controller(self, end: Any, message: Any) -> None:
@@ -355,7 +356,7 @@
                 else:
                     self._has.pop(end.peer, None)
                     self._renew(end.peer)
-                self.subscriber.lease(end.peer, message.life, message.news)
+                self.subscriber.lease_renewed(end.peer, message.life, message.news)
             case ConfigurationText():
                 self._take_text(message)
             case News():
@@ -368,17 +369,17 @@
             else:
                 self.subscriber.from_parent(end, message)
 
-        dialled: Any = self.subscriber.dialled
-        self.world.dial(self, ip, heard, self.subscriber.lost_parent, dialled)
+        dialled: Any = self.subscriber.dial_finished
+        self.world.dial(self, ip, heard, self.subscriber.parent_disconnected, dialled)
 
     def accept(self, end: Any) -> None:
-        self.subscriber.stranger(end)
+        self.subscriber.relay.connected(end)
 
     def heard(self, end: Any, message: Any) -> None:
-        self.subscriber.from_follower(end, message)
+        self.subscriber.relay.received(end, message)
 
     def gone(self, end: Any) -> None:
-        self.subscriber.lost_follower(end)
+        self.subscriber.relay.disconnected(end)
 
     def _changed(self) -> None:
         self.world.arrived(self)
@@ -395,14 +396,14 @@
     def look(self) -> None:
         """Work out who is there."""
         told = {name: stream.records for name, stream in self.subscriber.streams.items()}
-        members = everyone(told, set(self.controllers))
+        members = merge_member_lists(told, set(self.controllers))
         if not self.controllers:
             members = {**self.members, **members}
         if members != self.members:
             self.members = members
-            self.subscriber.members(members)
+            self.subscriber.set_members(members)
 
-    def _told(self, revision: int, link: Any) -> None:
+    def _on_revision(self, revision: int, link: Any) -> None:
         self.wanted = max(self.wanted, revision)
         if self.wanted > self.revision and self.world.now - self._asked_s > ASK_S:
             self._ask(link)
@@ -417,7 +418,7 @@
             self._asked_s = -ASK_S
         if message.revision > self.revision:
             self.revision = message.revision
-            self.subscriber.text(message.revision, message.text)
+            self.subscriber.relay.configuration_received(message.revision, message.text)
 
 
 class World:
@@ -519,13 +520,13 @@
             controller.noted = controller.stream.number
         for node in self.nodes.values():
             for stream in node.subscriber.streams.values():
-                node.seen[stream.controller, stream.life] = stream.number
+                node.seen[stream.controller, stream.incarnation] = stream.number
 
     def stepped(self, controller: Controller) -> None:
         """A controller's stream may have gone on."""
         stream = controller.stream
         if self.watching and stream.number > controller.noted:
-            self.began[stream.controller, stream.life, stream.number] = self.now
+            self.began[stream.controller, stream.incarnation, stream.number] = self.now
             controller.noted = stream.number
 
     def arrived(self, node: Node) -> None:
@@ -533,8 +534,8 @@
         if not self.watching:
             return
         for stream in node.subscriber.streams.values():
-            had = node.seen.get((stream.controller, stream.life), stream.number - 1)
-            node.seen[stream.controller, stream.life] = stream.number
+            had = node.seen.get((stream.controller, stream.incarnation), stream.number - 1)
+            node.seen[stream.controller, stream.incarnation] = stream.number
             for number in range(had + 1, stream.number + 1):
-                key = (stream.controller, stream.life, number)
+                key = (stream.controller, stream.incarnation, number)
                 self.came.setdefault(key, {})[node.name] = self.now
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -17,7 +17,7 @@
 
 from orchidferry.balancing import logic
 from orchidferry.balancing.interface import Result
-from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.dataplane import service_client as module
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.http_connection import HttpConnection, HttpConnections
@@ -104,7 +104,7 @@
         self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, self.pool.alarms, self.pool, int)
         self.kinds = [route("idempotent", 3), route("non_idempotent", 3)]
         servers = [Server(id, "s", "z", IN_SERVICE, 4, 0.0) for id in "123"]
-        self.service.servers({s.id: Record(s.id, 1, 1, "z", "127.0.0.1", 1, s) for s in servers})
+        self.service.servers({s.id: NodeRecord(s.id, 1, 1, "z", "127.0.0.1", 1, s) for s in servers})
         self.service.configure(self.kinds)
         self.replies: dict[str, list[Reply]] = {}
         self.asked_ms: dict[str, float] = {}
--- a/tests/mesh/dataplane/test_incarnations.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds
@@ -77,7 +77,7 @@
     kind = route("non_idempotent", 2)
     for number, (server, life) in enumerate((("i", 1), (id, boot))):
         listed = Server(server, "s", "z", IN_SERVICE, 4, 0.0)
-        service.servers({"n": Record("n", life, 1, "z", "127.0.0.1", 1, listed)})
+        service.servers({"n": NodeRecord("n", life, 1, "z", "127.0.0.1", 1, listed)})
         if not number:
             service.configure([kind])
         replies: list[Reply] = []
--- a/tests/mesh/dataplane/test_proxy_operation_keys.py
+++ b/tests/mesh/dataplane/test_proxy_operation_keys.py
@@ -8,7 +8,7 @@
 import pytest
 
 from orchidferry.balancing.interface import Result
-from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.dataplane.messages import (
     kept_answer,
@@ -47,7 +47,7 @@
         self.route = route("keyed", 2)
         self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, alarms, self.lines, int)
         server = Server("1", "s", "z", IN_SERVICE, 4, 0.0)
-        self.service.servers({"1": Record("1", 1, 1, "z", "127.0.0.1", 1, server)})
+        self.service.servers({"1": NodeRecord("1", 1, 1, "z", "127.0.0.1", 1, server)})
         self.service.configure([self.route])
         self.proxy: Any = Proxy.__new__(Proxy)
         news: Any = News()
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import NEVER_RAN
 from orchidferry.mesh.control.configuration import Route
-from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.dataplane import service_client as module
 from orchidferry.mesh.dataplane.messages import (
     ServerResponse,
@@ -55,7 +55,10 @@
 
     def servers(self, *ids: str, state: str = IN_SERVICE, cold_ms: float = 0.0) -> None:
         self.service.servers(
-            {id: Record(id, 1, 1, "z", "127.0.0.1", 1, Server(id, "s", "z", state, 4, cold_ms)) for id in ids}
+            {
+                id: NodeRecord(id, 1, 1, "z", "127.0.0.1", 1, Server(id, "s", "z", state, 4, cold_ms))
+                for id in ids
+            }
         )
 
     def out(self) -> list[Any]:
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -9,7 +9,7 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.configuration import Configuration, Table
-from orchidferry.mesh.control.endpoints import IN_SERVICE, Record, Server
+from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.dataplane.listener import Listener
 from orchidferry.mesh.dataplane.messages import MARGIN_MS, ProxiedRequest
@@ -31,7 +31,7 @@
         patch_clock(patch, self.loop.now_ms)
         service = ServiceClient("s", "me", "z", Bounds(), self.loop, alarms, self.lines, int)
         servers = {n: Server(n, "s", "z", IN_SERVICE, 4, 0.0) for n in ("1", "2")}
-        service.servers({n: Record(n, 1, 1, "z", "127.0.0.1", 1, one) for n, one in servers.items()})
+        service.servers({n: NodeRecord(n, 1, 1, "z", "127.0.0.1", 1, one) for n, one in servers.items()})
         routes = [route(kind)]  # 1,000 ms
         service.configure(routes)
         proxy: Any = Proxy.__new__(Proxy)
--- a/tests/mesh/test_codec.py
+++ b/tests/mesh/test_codec.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidferry.mesh.control.fanout_tree import Change
+from orchidferry.mesh.control.update_stream import StreamChange
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, SHARD_KINDS, MessageDecodeError, decode, encode
 from orchidferry.mesh.wire.messages import KINDS, MESSAGES, Message
 
@@ -44,14 +44,14 @@
     return [hints[name] for name in kind.__struct_fields__]
 
 
-def change() -> st.SearchStrategy[Change]:
+def change() -> st.SearchStrategy[StreamChange]:
     """A change ends after its beginning."""
-    first, second, _, _, *rest = [of_type(one) for one in field_types(Change)]
+    first, second, _, _, *rest = [of_type(one) for one in field_types(StreamChange)]
     made = st.tuples(first, second, st.integers(-1, 2**53), st.integers(1, 2**53), *rest)
-    return made.map(lambda one: Change(one[0], one[1], one[2], one[2] + one[3], *one[4:]))
+    return made.map(lambda one: StreamChange(one[0], one[1], one[2], one[2] + one[3], *one[4:]))
 
 
-PLAIN[Change] = change()
+PLAIN[StreamChange] = change()
 
 
 def test_each_kind_has_one_type() -> None:
--- a/tests/mesh/test_control_client.py
+++ b/tests/mesh/test_control_client.py
@@ -8,7 +8,7 @@
 
 from orchidferry.mesh.control.contact import CONTACT_S
 from orchidferry.mesh.control.control_client import ASK_S, MAX_ASK_S, TICK_S, ControlClient
-from orchidferry.mesh.control.endpoints import LEASE_S, Record
+from orchidferry.mesh.control.endpoints import LEASE_S, NodeRecord
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.settings import check_settings
 from orchidferry.mesh.wire.messages import (
@@ -61,7 +61,7 @@
         for name, controller in self.node._controllers.items():
             wire: Any = self.wires[name]
             controller.link = wire
-            self.node._subscriber.up(name, wire)
+            self.node._subscriber.controller_connected(name, wire)
 
     def tell(self, name: str, message: Message) -> None:
         """A controller's message comes."""
@@ -200,10 +200,10 @@
             """To nobody."""
 
     link: Any = Link()
-    dead, live = (Record(name, 1, 1, "z", "", 0, None) for name in ("dead", "live"))
-    publisher.renew(link, LeaseRenewal(1, "dead", 1, dead))
+    dead, live = (NodeRecord(name, 1, 1, "z", "", 0, None) for name in ("dead", "live"))
+    publisher.renew_lease(link, LeaseRenewal(1, "dead", 1, dead))
     for _ in range(round(LEASE_S / 0.5) + 1):
-        publisher.renew(link, LeaseRenewal(1, "live", 1, live))
+        publisher.renew_lease(link, LeaseRenewal(1, "live", 1, live))
         loop.pass_ms(500.0)
         publisher.tick()
     assert [record.name for record in publisher._members.records()] == ["live"]
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -21,19 +21,10 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control import subscriber as subscriber_module
 from orchidferry.mesh.control.control_client import ControlClient
-from orchidferry.mesh.control.endpoints import Record
-from orchidferry.mesh.control.fanout_tree import (
-    FANOUT,
-    HEADS,
-    LOG,
-    MAX_FOLLOWERS,
-    Change,
-    Followers,
-    Stream,
-    parents,
-    rank,
-)
-from orchidferry.mesh.control.subscriber import CATCH_S, STRIKES, Subscriber
+from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord
+from orchidferry.mesh.control.fanout_tree import FANOUT, HEADS, MAX_FOLLOWERS, parent_candidates, tree_rank
+from orchidferry.mesh.control.subscriber import CATCH_UP_DELAY_S, MAX_GAPS, Backoff, Subscriber
+from orchidferry.mesh.control.update_stream import MAX_LOG_CHANGES, Followers, StreamChange, UpdateStream
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
 from orchidferry.mesh.wire.messages import (
     Message,
@@ -49,14 +40,14 @@
 from orchidferry.testkit.model.relays import BETWEEN_S, Node, World
 from tests.mesh.test_store import a_controller as real_keeper
 
-RENEWED_S = 0.5 + CATCH_S + 0.02  # a renewal, the wait, and the ways
+RENEWED_S = 0.5 + CATCH_UP_DELAY_S + 0.02  # a renewal, the wait, and the ways
 
 
-def record(name: str, number: int = 1, zone: str = "z", boot: int = 1) -> Record:
-    return Record(name, boot, number, zone, "10.0.0.1", 1, None)
+def record(name: str, number: int = 1, zone: str = "z", boot: int = 1) -> NodeRecord:
+    return NodeRecord(name, boot, number, zone, "10.0.0.1", 1, None)
 
 
-def travelled(change: Change) -> Change:
+def travelled(change: StreamChange) -> StreamChange:
     news = decode(encode(News(change))[LENGTH_BYTES:])
     assert isinstance(news, News)
     return news.change
@@ -71,7 +62,7 @@
 
 
 def relays(world: World) -> list[Node]:
-    return [node for node in world.nodes.values() if node.subscriber._followers.places]
+    return [node for node in world.nodes.values() if node.subscriber.relay.followers.positions]
 
 
 def agreed(world: World) -> None:
@@ -82,7 +73,7 @@
         assert controller.stream.records == truth
         for node in live.values():
             had = node.subscriber.streams[controller.name]
-            assert (had.life, had.number) == (controller.stream.life, controller.stream.number)
+            assert (had.incarnation, had.number) == (controller.stream.incarnation, controller.stream.number)
             assert had.records == truth and node.members == truth
             assert node.revision == max(k.revision for k in world.controllers.values())
 
@@ -135,7 +126,7 @@
     """The bound in virtual time, with half of the relays frozen, dead, silent or deaf to the controllers."""
     world = fleet(seed, 60, 2)
     some = relays(world)
-    assert len(some) > 4 and all(len(n.subscriber._followers.places) <= MAX_FOLLOWERS for n in some)
+    assert len(some) > 4 and all(len(n.subscriber.relay.followers.positions) <= MAX_FOLLOWERS for n in some)
     hit = {node.name for node in some[::2]}
     for node in some[::2]:
         if trouble == "mute":
@@ -165,18 +156,18 @@
 
 def test_news_comes_down_the_tree_and_the_keepers_tell_heads_only() -> None:
     world = fleet(1, 60, 2)
-    followed = [len(controller.publisher._followers.places) for controller in world.controllers.values()]
+    followed = [len(controller.publisher._followers.positions) for controller in world.controllers.values()]
     assert followed == [HEADS * 2] * 3
     world.watch()
-    sent = [controller.publisher.tally.messages("news") for controller in world.controllers.values()]
+    sent = [controller.publisher.traffic.messages("news") for controller in world.controllers.values()]
     world.nodes["n7"].publish()
     for controller in world.controllers.values():
         controller.revise(1, b"text")
     world.run(0.1)
     agreed(world)
-    after = [controller.publisher.tally.messages("news") for controller in world.controllers.values()]
+    after = [controller.publisher.traffic.messages("news") for controller in world.controllers.values()]
     assert [b - a for a, b in zip(sent, after, strict=True)] == [HEADS * 2 * 2] * 3
-    texts = [controller.publisher.tally.messages("text") for controller in world.controllers.values()]
+    texts = [controller.publisher.traffic.messages("text") for controller in world.controllers.values()]
     assert sum(texts) == HEADS * 2
     world.restart("k0")
     world.run(8.0)
@@ -184,7 +175,7 @@
     world.nodes["n7"].publish()
     world.run(0.1)
     agreed(world)
-    assert sum(key[:2] == ("k0", world.controllers["k0"].stream.life) for key in world.began) == 1
+    assert sum(key[:2] == ("k0", world.controllers["k0"].stream.incarnation) for key in world.began) == 1
     hops = max(world.came[key][name] - began for key, began in world.began.items() for name in world.nodes)
     assert hops < 5 * BETWEEN_S
 
@@ -194,12 +185,12 @@
 )
 def test_parents(n: int, heads: int, fanout: int) -> None:
     """Of every node: first the one at (i - heads) // fanout of its zone's row, and so on up to a head."""
-    row = sorted((record(f"n{i}", boot=i) for i in range(n)), key=lambda r: rank(r.name, r.boot))
+    row = sorted((record(f"n{i}", boot=i) for i in range(n)), key=lambda r: tree_rank(r.name, r.boot))
     stale = [record(r.name, boot=r.boot + 1) for r in row[:1]]  # a node is never its own parent
     children: dict[str, int] = {}
     for at, one in enumerate(row):
         others = [*row[:at], *row[at + 1 :], *stale[: at == 0], record("far", zone="y")]
-        chain = parents(others, one.name, one.boot, "z", heads, fanout)
+        chain = parent_candidates(others, NodeIdentity(one.name, one.boot, "z"), heads, fanout)
         places = [row.index(above) for above in chain]
         assert (not places) is (at < heads)
         for below, above in zip([at, *places], places, strict=False):
@@ -211,16 +202,16 @@
 
 
 def test_a_follower_is_told_of_a_life_that_it_has_named() -> None:
-    stream = Stream("k", 7, 0)
+    stream = UpdateStream("k", 7, 0)
     followers = Followers[str]()
-    assert followers.follow("a", [("k", 6, 0)]) and followers.follow("b", [("k", 7, 0)])
+    assert followers.add("a", [("k", 6, 0)]) and followers.add("b", [("k", 7, 0)])
     for name in "xy":
-        stream.step([record(name)])
-    [(change, links)] = followers.due(stream)
-    assert links == ["b"] and (change.since, change.number) == (0, 2) and not followers.due(stream)
-    followers.follow("a", [("k", 7, -1)])
-    [(change, links)] = followers.due(stream)
-    assert links == ["a"] and change.since == -1 and len(change.entries) == 2
+        stream.append([record(name)])
+    [(change, links)] = followers.advance(stream)
+    assert links == ["b"] and (change.since, change.number) == (0, 2) and not followers.advance(stream)
+    followers.add("a", [("k", 7, -1)])
+    [(change, links)] = followers.advance(stream)
+    assert links == ["a"] and change.since == -1 and len(change.updated) == 2
 
 
 class Wire:
@@ -251,16 +242,14 @@
     loop: Any = World(1, 1).start("loop", 0)
     dialled: list[str] = []
     subscriber: Any = Subscriber(
-        name,
-        boot,
-        "z",
+        NodeIdentity(name, boot, "z"),
         loop,
         random.Random(1),
         lambda name, ip: dialled.append(name),
         lambda: None,
         lambda revision, link: None,
     )
-    subscriber.up("k", Wire())
+    subscriber.controller_connected("k", Wire())
     return subscriber, dialled
 
 
@@ -270,57 +259,57 @@
     for one, other in (("a", "b"), ("b", "a")):
         subscriber, _ = lone(one, 1)
         link = Wire()
-        subscriber.stranger(link)
-        subscriber.from_follower(link, RelaySubscription(other, 1, "z", []))
+        subscriber.relay.connected(link)
+        subscriber.relay.received(link, RelaySubscription(other, 1, "z", []))
         answers.append(link.sent[0])
     assert RelayAccepted() in answers and RelayFull() in answers
 
 
 def test_a_full_relay_sends_others_elsewhere() -> None:
     subscriber, _ = lone("a", 1)
-    below = [f"n{n}" for n in range(200) if rank(f"n{n}", 1) > rank("a", 1)][: MAX_FOLLOWERS + 2]
+    below = [f"n{n}" for n in range(200) if tree_rank(f"n{n}", 1) > tree_rank("a", 1)][: MAX_FOLLOWERS + 2]
     links = [Wire() for _ in below]
     for name, link in zip(below, links, strict=True):
-        subscriber.stranger(link)
-        subscriber.from_follower(link, RelaySubscription(name, 1, "z", []))
+        subscriber.relay.connected(link)
+        subscriber.relay.received(link, RelaySubscription(name, 1, "z", []))
     assert [link.sent[0] for link in links] == [RelayAccepted()] * MAX_FOLLOWERS + [RelayFull()] * 2
     subscriber._loop.world.run(5.0)
     subscriber.tick()
     assert [link.closed for link in links] == [False] * MAX_FOLLOWERS + [True] * 2
-    subscriber.lost_follower(links[0])
+    subscriber.relay.disconnected(links[0])
     again = Wire()
-    subscriber.stranger(again)
-    subscriber.from_follower(again, RelaySubscription(below[-1], 1, "z", []))
+    subscriber.relay.connected(again)
+    subscriber.relay.received(again, RelaySubscription(below[-1], 1, "z", []))
     assert again.sent[0] == RelayAccepted()
 
 
 def test_a_node_that_is_turned_away_goes_up_and_comes_back() -> None:
     """The nearest that is not backed off; controllers are followed while there is none."""
-    row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: rank(r.name, 1))
+    row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
     me = row[HEADS + HEADS * FANOUT + 3]
     subscriber, dialled = lone(me.name, 1)
     controller = subscriber._controllers["k"]
     assert controller.kinds() == [NewsSubscription]
-    subscriber.members({r.name: r for r in row})
-    first, second = [r.name for r in parents(row, me.name, 1, "z")]
+    subscriber.set_members({r.name: r for r in row})
+    first, second = [r.name for r in parent_candidates(row, NodeIdentity(me.name, 1, "z"))]
 
     def ask(name: str, answer: Message) -> Wire:
         subscriber._loop.world.run(16.0)
         subscriber.tick()
         assert dialled[-1] == name
         link = Wire()
-        subscriber.dialled(name, link)
+        subscriber.dial_finished(name, link)
         subscriber.from_parent(link, answer)
         return link
 
     assert ask(first, RelayFull()).closed
-    subscriber._back_off[first] = (1e9, 1.0)
+    subscriber._backoffs[first] = Backoff(1e9, 1.0)
     above = ask(second, RelayAccepted())
     assert controller.kinds() == [NewsSubscription, NewsUnsubscription] and not above.closed
-    subscriber._back_off.clear()
+    subscriber._backoffs.clear()
     near = ask(first, RelayAccepted())
     assert above.closed and subscriber.parent.record.name == first
-    subscriber.lost_parent(near)
+    subscriber.parent_disconnected(near)
     assert controller.kinds() == [NewsSubscription, NewsUnsubscription, NewsSubscription]
     subscriber._loop.world.run(0.11)
     subscriber.tick()
@@ -330,29 +319,29 @@
 @pytest.mark.parametrize("useful", [False, True])
 def test_a_parent_without_news_is_left_after_three_gaps(useful: bool) -> None:
     """Though it answers; one that has brought something meanwhile stays."""
-    row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: rank(r.name, 1))
+    row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
     me = row[HEADS + 3]
     subscriber, _ = lone(me.name, 1)
-    subscriber.members({r.name: r for r in row})
+    subscriber.set_members({r.name: r for r in row})
     subscriber._loop.world.run(3.0)
     subscriber.tick()
     link = Wire()
-    subscriber.dialled(subscriber._trying.record.name, link)
+    subscriber.dial_finished(subscriber._candidate.record.name, link)
     subscriber.from_parent(link, RelayAccepted())
     controller = subscriber._controllers["k"]
     number = 1
-    subscriber.from_controller(controller, News(Change("k", 7, -1, number, [], [], 0)))
-    for gap in range(STRIKES):
+    subscriber.from_controller(controller, News(StreamChange("k", 7, -1, number, [], [], 0)))
+    for gap in range(MAX_GAPS):
         if gap and useful:
             number += 1
-            subscriber.from_parent(link, News(Change("k", 7, number - 1, number, [], [], 0)))
+            subscriber.from_parent(link, News(StreamChange("k", 7, number - 1, number, [], [], 0)))
         assert subscriber.parent is not None
-        subscriber.lease("k", 7, number + 1)
+        subscriber.lease_renewed("k", 7, number + 1)
         subscriber._loop.world.run(0.5)
         assert NewsRequest(7, number) in controller.sent
         subscriber.from_parent(link, RelayAlive())
         number += 1
-        subscriber.from_controller(controller, News(Change("k", 7, number - 1, number, [], [], 0)))
+        subscriber.from_controller(controller, News(StreamChange("k", 7, number - 1, number, [], [], 0)))
     assert (subscriber.parent is not None) is useful and link.closed is not useful
     assert controller.kinds()[-1] is (NewsRequest if useful else NewsSubscription)
 
@@ -361,8 +350,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One controller, four nodes of a zone: two follow it, and the text comes to the others from those."""
-    monkeypatch.setattr(subscriber_module, "SETTLE_S", 0.02)
-    monkeypatch.setattr(subscriber_module, "REVIEW_S", (0.02, 0.05))
+    monkeypatch.setattr(subscriber_module, "FIRST_REVIEW_S", 0.02)
+    monkeypatch.setattr(subscriber_module, "REVIEW_INTERVAL_S", (0.02, 0.05))
 
     def heard(text: asyncio.Future[bytes], revision: int, raw: bytes) -> None:
         text.set_result(raw)
@@ -376,32 +365,32 @@
         serving = loop.create_task(controller.run(stopping))
         texts: list[asyncio.Future[bytes]] = []
         nodes: list[ControlClient] = []
-        follow_controllers = Subscriber._follow_controllers
+        follow_controllers = Subscriber._update_subscriptions
 
         def followed(self: Subscriber) -> None:
             follow_controllers(self)
             if sum(node._subscriber.parent is not None for node in nodes) == 2:
                 formed.set()
 
-        monkeypatch.setattr(Subscriber, "_follow_controllers", followed)
+        monkeypatch.setattr(Subscriber, "_update_subscriptions", followed)
         for n in range(2, 6):
             boot = dataclasses.replace(controller._settings, name=f"n{n}", ip=f"127.0.0.{n}")
             text = loop.create_future()
             node = ControlClient(boot, loop, lambda members: None, partial(heard, text))
             await node.listen()
             node.start()
-            node.publish(Record(f"n{n}", node.boot_id, 1, boot.zone, boot.ip, 1, None))
+            node.publish(NodeRecord(f"n{n}", node.boot_id, 1, boot.zone, boot.ip, 1, None))
             nodes.append(node)
             texts.append(text)
         await asyncio.wait_for(formed.wait(), 10.0)
-        told = controller._publisher.tally.messages("text")
+        told = controller._publisher.traffic.messages("text")
         put = controller._configuration_shard.ask(
             "", shard_state.Put(b"text", 7, b"mark", 0), 4.0, loop.time()
         )
         controller._do(controller._configuration_shard, put)
         assert await asyncio.wait_for(asyncio.gather(*texts), 10.0) == [b"text"] * 4
-        assert controller._publisher.tally.messages("text") - told == 2
-        assert sum(node._subscriber.tally.messages("text") for node in nodes) == 2
+        assert controller._publisher.traffic.messages("text") - told == 2
+        assert sum(node._subscriber.relay.traffic.messages("text") for node in nodes) == 2
         stopping.set()
         await asyncio.wait_for(serving, 10.0)
         controller._store._env.close()
@@ -413,33 +402,33 @@
 @given(st.data())
 def test_differences_and_whole_lists_come_to_the_same(data: Any) -> None:
     """Whoever takes what came after its place has the sender's list, however long it was away."""
-    stream = Stream("k", 7, 0)
-    copies = [Stream("k", 7, 0) for _ in range(3)]
-    truth: dict[str, Record] = {}
+    stream = UpdateStream("k", 7, 0)
+    copies = [UpdateStream("k", 7, 0) for _ in range(3)]
+    truth: dict[str, NodeRecord] = {}
     names = st.sampled_from("abcdef")
     for number in range(data.draw(st.integers(0, 20))):
         name = data.draw(names)
         gone = data.draw(st.booleans())
-        times = data.draw(st.sampled_from((1, 1, 1, LOG)))
+        times = data.draw(st.sampled_from((1, 1, 1, MAX_LOG_CHANGES)))
         for again in range(times):
             if gone:
                 truth.pop(name, None)
-                stream.step(gone=[name])
+                stream.append(removed=[name])
             else:
-                truth[name] = record(name, number * LOG + again)
-                stream.step([truth[name]])
+                truth[name] = record(name, number * MAX_LOG_CHANGES + again)
+                stream.append([truth[name]])
         copy = data.draw(st.sampled_from(copies))
         source = data.draw(st.sampled_from([stream, *copies]))
-        change = source.after(copy.life, copy.number)
+        change = source.changes_since(copy.incarnation, copy.number)
         if change is not None:
-            far = source is stream and stream.number - copy.number > LOG
+            far = source is stream and stream.number - copy.number > MAX_LOG_CHANGES
             assert change.since == (-1 if far else copy.number) or source is not stream
-            assert copy.take(travelled(change))
+            assert copy.apply(travelled(change))
             assert copy.records == source.records and copy.number == source.number
-        assert source.after(source.life, source.number) is None
+        assert source.changes_since(source.incarnation, source.number) is None
     assert stream.records == truth
-    whole = stream.after(8, 3)  # of another life: all
+    whole = stream.changes_since(8, 3)  # of another life: all
     assert whole is not None and whole.since == -1
-    assert not copies[0].take(Change("k", 8, -1, 5, [], [], 0))
+    assert not copies[0].apply(StreamChange("k", 8, -1, 5, [], [], 0))
     number = copies[0].number
-    assert not copies[0].take(Change("k", 7, number + 1, number + 2, [], [], 0))  # a step is missing
+    assert not copies[0].apply(StreamChange("k", 7, number + 1, number + 2, [], [], 0))  # a step is missing
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -20,8 +20,8 @@
 from orchidferry.mesh.control.configuration_text import MAX_TEXT, compress, expand
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.control_api import call
-from orchidferry.mesh.control.fanout_tree import LOG
 from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.control.update_stream import MAX_LOG_CHANGES
 from orchidferry.mesh.control.value_references import ValueReferences, refusal, unpack
 from orchidferry.mesh.storage import record_format, snapshot_file, storage_check
 from orchidferry.mesh.storage import snapshot as snapshots
@@ -317,5 +317,7 @@
     world.cuts.clear()
     world.run(4.0)
     assert dark.revision == 500 and [revision for revision in fetched if revision > 1] == [500]
-    assert all(len(one.stream._log) <= LOG for one in world.controllers.values())
-    assert all(len(stream._log) <= LOG for node in nodes for stream in node.subscriber.streams.values())
+    assert all(len(one.stream._log) <= MAX_LOG_CHANGES for one in world.controllers.values())
+    assert all(
+        len(stream._log) <= MAX_LOG_CHANGES for node in nodes for stream in node.subscriber.streams.values()
+    )
--- a/tests/mesh/test_members_by_service.py
+++ b/tests/mesh/test_members_by_service.py
@@ -10,7 +10,14 @@
 import pytest
 
 from orchidferry.mesh.control.configuration import Route
-from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Record, Server, everyone
+from orchidferry.mesh.control.endpoints import (
+    DRAINING,
+    GONE,
+    IN_SERVICE,
+    NodeRecord,
+    Server,
+    merge_member_lists,
+)
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds, check_settings
@@ -26,7 +33,7 @@
 
     lists = 0
 
-    def servers(self, records: dict[str, Record]) -> None:
+    def servers(self, records: dict[str, NodeRecord]) -> None:
         self.lists += 1
         super().servers(records)
 
@@ -38,7 +45,7 @@
     return {ids[n] for n in client._ready}, entries, sorted(client._targets.values()), client._slack()
 
 
-def step(rng: random.Random, members: dict[str, Record], number: int) -> dict[str, Record]:
+def step(rng: random.Random, members: dict[str, NodeRecord], number: int) -> dict[str, NodeRecord]:
     """Some node comes, goes, restarts, or its server changes, also to another service."""
     after = dict(members)
     name = f"n{rng.randrange(12)}"
@@ -48,7 +55,7 @@
     boot = rng.randrange(3)
     state = rng.choice((IN_SERVICE, IN_SERVICE, DRAINING, GONE))
     server = Server(f"{name}-{boot}", rng.choice(SERVICES), "z", state, 4, rng.choice((0.0, 3_000.0)))
-    after[name] = Record(name, boot, number, "z", "127.0.0.1", 1, rng.choice((server, server, None)))
+    after[name] = NodeRecord(name, boot, number, "z", "127.0.0.1", 1, rng.choice((server, server, None)))
     return after
 
 
@@ -68,7 +75,7 @@
     routes: list[Route] = [route()]
     for client in (*plain.values(), *grouped.values()):
         client.configure(routes)
-    members: dict[str, Record] = {}
+    members: dict[str, NodeRecord] = {}
     for number in range(60):
         members = step(rng, members, number)
         proxy._on_members(members)
@@ -107,9 +114,9 @@
     assert client._slack() == pytest.approx(0.4 * Bounds().retry_slack / (1.5 * 1_000))
 
 
-def plainly(told: dict[str, dict[str, Record]], heard: set[str]) -> dict[str, Record]:
+def plainly(told: dict[str, dict[str, NodeRecord]], heard: set[str]) -> dict[str, NodeRecord]:
     """`everyone` without its short cuts."""
-    found: dict[str, Record] = {}
+    found: dict[str, NodeRecord] = {}
     for controller, mine in told.items():
         for name, record in mine.items() if not heard or controller in heard else ():
             had = found.get(name)
@@ -122,7 +129,7 @@
 def test_everyone_is_what_the_plain_walk_finds(seed: int) -> None:
     rng = random.Random(seed)
     records = [
-        Record(f"n{n}", boot, number, "z", "", 1, None)
+        NodeRecord(f"n{n}", boot, number, "z", "", 1, None)
         for n in range(4)
         for boot in (1, 2)
         for number in (1, 2)
@@ -132,8 +139,8 @@
         if rng.random() < 0.5:  # other objects, the same records
             told["k2"] = {name: msgspec.structs.replace(record) for name, record in told["k0"].items()}
         heard = set(rng.sample(sorted(told), rng.randrange(4)))
-        assert everyone(told, heard) == plainly(told, heard)
-        assert list(everyone(told, heard)) == list(plainly(told, heard))
+        assert merge_member_lists(told, heard) == plainly(told, heard)
+        assert list(merge_member_lists(told, heard)) == list(plainly(told, heard))
 
 
 def test_a_node_keeps_one_copy_of_a_record_that_all_controllers_tell_of() -> None:
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -17,7 +17,7 @@
 import orchidferry.mesh
 from orchidferry.balancing.nested import TARGET, Nested
 from orchidferry.mesh.control import configuration, shard_state
-from orchidferry.mesh.control.endpoints import LEASE_S, Record, Register, everyone
+from orchidferry.mesh.control.endpoints import LEASE_S, MembershipTable, NodeRecord, merge_member_lists
 from orchidferry.mesh.dataplane.proxy import read_beat
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.mesh.settings import MeshSettingsError, check_settings
@@ -37,8 +37,8 @@
 # Members
 
 
-def record(name: str, boot: int, number: int) -> Record:
-    return Record(name, boot, number, "z", "10.0.0.1", 1, None)
+def record(name: str, boot: int, number: int) -> NodeRecord:
+    return NodeRecord(name, boot, number, "z", "10.0.0.1", 1, None)
 
 
 NEWS = st.tuples(
@@ -49,20 +49,20 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(NEWS, max_size=30))
 def test_leases(news: list[tuple[bool, str, int, int, float]]) -> None:
-    register = Register()
+    register = MembershipTable()
     now = 100.0
-    told: list[tuple[float, Record]] = []  # all that counted, the newest last
+    told: list[tuple[float, NodeRecord]] = []  # all that counted, the newest last
     for whole, name, boot, number, passed in news:
         now += passed
         before = {r.name for r in register.records()}
-        gone = register.lapse(now)
+        gone = register.remove_expired(now)
         live = {r.name: r for at, r in told if at + LEASE_S > now}
         assert set(gone) == before - live.keys()
         had = live.get(name)
         new = record(name, boot, number)
         if whole:
             older = had is not None and had.boot == boot and had.number > number
-            assert register.hear(new, now) is (not older and had != new)
+            assert register.update(new, now) is (not older and had != new)
             if not older:
                 told.append((now, new))
         else:
@@ -80,7 +80,7 @@
 def test_a_node_is_a_member_while_any_keeper_says_so(
     news: list[tuple[str, str, int]], heard: set[str]
 ) -> None:
-    told: dict[str, dict[str, Record]] = {"k": {}, "l": {}}
+    told: dict[str, dict[str, NodeRecord]] = {"k": {}, "l": {}}
     for controller, name, number in news:
         told[controller][name] = record(name, 1, number)
     counted = [r for k, mine in told.items() for r in mine.values() if not heard or k in heard]
@@ -88,7 +88,7 @@
         name: record(name, 1, max(r.number for r in counted if r.name == name))
         for name in {r.name for r in counted}
     }
-    assert everyone(told, heard) == wanted
+    assert merge_member_lists(told, heard) == wanted
 
 
 # Configurations
