--- a/orchidferry/mesh/__main__.py
+++ b/orchidferry/mesh/__main__.py
@@ -16,7 +16,7 @@
 from orchidferry.mesh.process_end import end_now, stop_on_sigterm
 from orchidferry.mesh.role_settings import ROLES, VARIABLE, settings_for
 from orchidferry.mesh.settings import MeshSettingsError, Settings
-from orchidferry.node.collector import settle
+from orchidferry.node.garbage_collector import freeze_startup_objects
 
 if TYPE_CHECKING:
     from orchidferry.mesh.control.controller import Controller
@@ -73,7 +73,7 @@
     loop.add_signal_handler(signal.SIGHUP, reread, role, server)
     watch_file(loop, role, server, file_mark())
     running = server.run(stopping)
-    settle()
+    freeze_startup_objects()
     await running
     end_now()
 
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from orchidferry.mesh.errors import Kind, Refusal
-from orchidferry.node.flow import Flow, Pool
-from orchidferry.node.frontend import LIMITS_S, Frontend, Owed, Reply, Stage
+from orchidferry.node.flow import Flow, MemoryPool
+from orchidferry.node.frontend import LIMITS_S, Frontend, Reply, RequestHandle, Stage
 from orchidferry.node.request import Message
 
 JSON = b"application/json"
@@ -75,7 +75,7 @@
             self._timer.cancel()
             answer(reply)
 
-    def caller_gone(self) -> None:
+    def client_disconnected(self) -> None:
         self._answer = None
         self._timer.cancel()
 
@@ -83,13 +83,13 @@
 class ControlDoor(Frontend):
     """A listener for control calls."""
 
-    single = SINGLE
-    held_most = CONTROL_BODY
+    unique_headers = SINGLE
+    max_buffered_body = CONTROL_BODY
     limits_s = LIMITS_S | {Stage.IDLE: 30.0, Stage.READING: 10.0, Stage.NEW: 10.0}
 
     def __init__(self, handlers: Mapping[str, Handler], most: int) -> None:
         """`handlers` by the path, without its last slash, that begins what they handle."""
-        super().__init__({}, self._take, lambda: True, most, Pool(CONTROL_BODY))
+        super().__init__({}, self._take, lambda: True, most, MemoryPool(CONTROL_BODY))
         self._handlers = handlers
 
     def read(
@@ -100,7 +100,7 @@
             return Reply(413, b"too long for a control call")
         return call(method, target, headers, body)
 
-    def _take(self, message: Message, answer: Callable[[Reply], None]) -> Owed:
+    def _take(self, message: Message, answer: Callable[[Reply], None]) -> RequestHandle:
         assert isinstance(message, Call)
         once = _Once(self, answer)
         path = message.target.partition(b"?")[0].decode("latin-1")
--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -39,11 +39,11 @@
 from orchidferry.mesh.dataplane.server_registration import Heard, ServerRegistration
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.mesh.settings import Address, Bounds
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import now_ms
 from orchidferry.node.frontend import Reply
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import Answer
+from orchidferry.node.timer_queue import TimerQueue
+from orchidferry.node.upstream import UpstreamResponse
 
 OVER = 1  # requests beyond its slots that a server is given, so that none of these is idle
 GUESS = 4  # slots of a server that has said nothing yet
@@ -74,13 +74,13 @@
         self.timer = 0
         self.place = 0
 
-    def caller_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Whoever sent it has gone. What may not run twice is let run."""
         self.owed = False
         if self.attempt is None:
             self._gate.forget(self)
         elif not self.attempt.begun:
-            self.attempt.break_off(Result.CANCELLED)
+            self.attempt.abort(Result.CANCELLED)
         elif not self.once:
             self._gate.abandon(self, self.attempt)
 
@@ -90,7 +90,7 @@
             self.owed = False
             self.answer(reply)
         elif reply.flow is not None:
-            reply.flow.call_off()
+            reply.flow.cancel()
 
 
 class ServerAttempt(TrackedAttempt):
@@ -120,7 +120,7 @@
     def may_send(self) -> bool:
         return self._pass.owed and self._gate.open_for(self._pass.message) is None
 
-    def ended(self, result: Result, answer: Answer | None) -> None:
+    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
         self._gate.left(self._pass, result, answer if isinstance(answer, ServerResponse) else None)
 
 
@@ -133,7 +133,7 @@
         bounds: Bounds,
         beat_ms: float,
         loop: asyncio.AbstractEventLoop,
-        alarms: Alarms,
+        alarms: TimerQueue,
         lines: HttpConnections,
         changed: Callable[[], None],
         below: Callable[[], bool],
@@ -175,7 +175,7 @@
         if heard is Heard.LATE:
             return None
         if heard is Heard.NEW_LIFE:
-            self._lines.gone(self.life)
+            self._lines.server_removed(self.life)
             self.life += 1
         if heard is not Heard.SAME:
             assert self.server is not None
@@ -236,15 +236,15 @@
     def _has_room(self) -> bool:
         """Whether the server can be given one more, if need be in the place of one that nobody waits for."""
         if self.inside >= self._slots() and self._abandoned:
-            next(iter(self._abandoned.values())).break_off(Result.CANCELLED)
+            next(iter(self._abandoned.values())).abort(Result.CANCELLED)
         return self.inside < self._slots()
 
     def abandon(self, passing: GateRequest, visit: ServerAttempt) -> None:
         """Nobody waits for a request at the server that may be repeated: its work is to end soon."""
         if self._waiting or self.inside >= self._slots():
-            return visit.break_off(Result.CANCELLED)
+            return visit.abort(Result.CANCELLED)
         self._abandoned[passing] = visit
-        self._alarms.after(ABANDONED_S, lambda: visit.break_off(Result.CANCELLED))
+        self._alarms.after(ABANDONED_S, lambda: visit.abort(Result.CANCELLED))
 
     def _slots(self) -> int:
         capacity = self.server.capacity if self.server is not None else GUESS
@@ -337,7 +337,7 @@
             if result is Result.REFUSED:
                 return own_answer(message, Refusal(Kind.SHED), gate=UNRUN, load=self._waiting)
         if said is not None and said.flow is not None:
-            said.flow.call_off()
+            said.flow.cancel()
         if result is Result.MOOT:
             return own_answer(message, Refusal(Kind.SHED), gate=GATE_GONE)
         if result is Result.UNREACHABLE:
--- a/orchidferry/mesh/dataplane/attempt.py
+++ b/orchidferry/mesh/dataplane/attempt.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.node.config import Address
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import Answer, Attempt
+from orchidferry.node.upstream import Attempt, UpstreamResponse
 
 
 class TrackedAttempt(Attempt):
@@ -40,21 +40,21 @@
         self._untouched = untouched
         self._begun = untouched is None
 
-    def end(self, result: Result, answer: Answer | None = None) -> None:
+    def end(self, result: Result, answer: UpstreamResponse | None = None) -> None:
         if result is Result.UNREACHABLE and self.begun:
             result = Result.RESET
         super().end(result, answer)
 
-    def sent_whole(self) -> None:
+    def on_sent(self) -> None:
         """Its last byte is written: the server has its time from now on."""
-        super().sent_whole()
+        super().on_sent()
         if self.message.flow is not None:  # until now only a body that stood still was given up
-            self.go_on_for(self.timeout_ms / 1000.0)
+            self.extend_timeout(self.timeout_ms / 1000.0)
 
-    def break_off(self, result: Result) -> None:
+    def abort(self, result: Result) -> None:
         if not self.begun:  # asked while there is a connection to ask; nothing goes out on it after that
             self._untouched = None
-        super().break_off(result)
+        super().abort(result)
 
-    def timed_out(self) -> None:
-        self.break_off(Result.TIMEOUT if self.begun else Result.UNREACHABLE)
+    def on_timeout(self) -> None:
+        self.abort(Result.TIMEOUT if self.begun else Result.UNREACHABLE)
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -17,10 +17,10 @@
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.idle_limit import IdleLimit
 from orchidferry.mesh.dataplane.messages import BELOW, GATE, LOAD, MILLISECONDS, ServerResponse, judged
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import Address, now_ms
 from orchidferry.node.flow import Flow
-from orchidferry.node.upstream import UPLOAD_STALL_S, Answer, Attempt, Connection, Upstream
+from orchidferry.node.timer_queue import TimerQueue
+from orchidferry.node.upstream import UPLOAD_STALL_S, Attempt, Connection, Upstream, UpstreamResponse
 
 HELD_ANSWER = 1024 * 1024  # bytes of an answer that are read whole before any of it is passed on
 # statuses
@@ -85,8 +85,8 @@
         "_tried",
     )
 
-    held_most = HELD_ANSWER
-    _pool: HttpConnections
+    max_buffered_body = HELD_ANSWER
+    _upstream: HttpConnections
 
     def __init__(self, pool: HttpConnections, server: int, address: Address) -> None:
         self._tried: tuple[str, ...] = ()  # ids of the last requests that it carried
@@ -100,8 +100,8 @@
         """Whether the answer at hand has come whole."""
         return self._complete
 
-    def _start_answer(self) -> None:
-        super()._start_answer()
+    def _reset_response(self) -> None:
+        super()._reset_response()
         self._begun = False  # something of the answer at hand has come
         self._start_words()
 
@@ -117,25 +117,25 @@
         """Whether it carried a request of this id: a second answer to that one would pass for this one's."""
         return id in self._tried
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request and wait for its answer; the attempt learns whether it has begun."""
         assert isinstance(attempt, TrackedAttempt)
         self._tainted = False
         self._tried = (*self._tried[1 - MAX_TRIED :], attempt.message.id)
         self._attempt = attempt
-        self._start_answer()
-        attempt.carried_by(self.close)
+        self._reset_response()
+        attempt.set_cancel_io(self.close)
         request = attempt.head_bytes()
         self._transport.write(request)
         if self._transport.is_closing():  # the write itself failed: the kernel took nothing
-            return self._end(Result.UNREACHABLE, reuse=False)
+            return self._finish_attempt(Result.UNREACHABLE, reuse=False)
         attempt.begin(partial(self._untouched, len(request)) if self._paused else None)
         flow = attempt.message.flow
         if flow is not None:
             self._upload = flow
             flow.attach(self)
         elif not self._paused:
-            attempt.sent_whole()
+            attempt.on_sent()
 
     def rested(self, idle_ms: float) -> None:
         """It has rested for so long before the attempt that it is about to carry."""
@@ -149,7 +149,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         waits = self._attempt is not None and not self._begun
         if waits and self._rested_ms > 0.0:
-            self._pool.idle_limit(self.server).forgotten_after(self._rested_ms, now_ms())
+            self._upstream.idle_limit(self.server).forgotten_after(self._rested_ms, now_ms())
         super().connection_lost(exc)
 
     # The parser's calls
@@ -167,9 +167,9 @@
         if low in (b"content-length", b"transfer-encoding", b"connection"):
             return super().on_header(name, value)
         if low == b"keep-alive":
-            return self._pool.idle_limit(self.server).states(value)
+            return self._upstream.idle_limit(self.server).states(value)
         if low == b"attempt-id":
-            self._spoilt = self._spoilt or self._id is not None  # of two, one is somebody else's
+            self._malformed = self._malformed or self._id is not None  # of two, one is somebody else's
             self._id = value.strip()
             return
         elif low == b"server-seal":
@@ -196,44 +196,44 @@
         bodiless = False
         if self._attempt is not None:
             # A surplus answer in the place of the one that is due: it is nobody's.
-            self._skip = not self._spoilt and self._is_anothers(self._attempt)
+            self._skip = not self._malformed and self._is_anothers(self._attempt)
             self._tainted = self._tainted or self._skip
             bodiless = status >= 200 and self._attempt.message.method == b"HEAD"
-        if bodiless or (status in NO_BODY and not self._framings):
-            self._framings = 1
+        if bodiless or (status in NO_BODY and not self._framing_headers):
+            self._framing_headers = 1
             self._length = None
-        if status >= 200 and not self._framings:
-            self._to_close = True  # its body ends with the connection (RFC 9112, section 6.3)
+        if status >= 200 and not self._framing_headers:
+            self._server_closes = True  # its body ends with the connection (RFC 9112, section 6.3)
         super().on_headers_complete()
         if status == SWITCHING:
-            self._spoilt = True  # nobody asked for that
+            self._malformed = True  # nobody asked for that
         elif bodiless:
             # The parser waits for a body that never comes: the answer is whole, the connection is done with.
-            self._spoilt = self._spoilt or self._skip
+            self._malformed = self._malformed or self._skip
             self._complete = True
 
     def _is_anothers(self, attempt: Attempt) -> bool:
         """Whether the answer at hand bears the id of another request than that of the attempt."""
         return self._id is not None and self._id != attempt.message.id.encode("latin-1")
 
-    def _flows(self) -> bool:
+    def _stream_body(self) -> bool:
         whole = self._id is not None and self._seal and not self._encoded and not self._skip
-        return whole and super()._flows()
+        return whole and super()._stream_body()
 
     def on_message_complete(self) -> None:
         if not self._complete and self._skip and self._status >= 200:
-            return self._start_answer()
+            return self._reset_response()
         interim = not self._complete and 100 <= self._status < 200
         super().on_message_complete()
         if interim:  # what it says of itself is not the answer's
             self._start_words()
         self._keep = self._keep and not self._tainted and self._id is not None
 
-    def _flowed(self) -> None:
-        self.go_on()  # whoever took it may have held back its last piece: the next answer must be read
-        super()._flowed()
+    def _stream_finished(self) -> None:
+        self.resume()  # whoever took it may have held back its last piece: the next answer must be read
+        super()._stream_finished()
 
-    def _made(self, body: bytes, flow: Flow | None = None) -> Answer:
+    def _build_response(self, body: bytes, flow: Flow | None = None) -> UpstreamResponse:
         return ServerResponse(
             self._status,
             body,
@@ -250,7 +250,7 @@
             self._below,
         )
 
-    def _judged(self, answer: Answer) -> Result:
+    def _classify(self, answer: UpstreamResponse) -> Result:
         assert isinstance(answer, ServerResponse)
         # One in the place of the one that is due can also end with the line.
         return Result.RESET if self._skip else judged(answer)
@@ -259,19 +259,19 @@
 class HttpConnections(Upstream):
     """All connections of one kind."""
 
-    kind = HttpConnection
+    connection_class = HttpConnection
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         connect_timeout_ms: float,
         keepalive_ms: float,
-        room: Callable[[], int],
-        alarms: Alarms,
+        free_sockets: Callable[[], int],
+        alarms: TimerQueue,
         once_idle_ms: float,
     ) -> None:
         """`once_idle_ms`: what may run once goes on no connection that has rested for longer."""
-        super().__init__(loop, connect_timeout_ms, keepalive_ms, room, alarms)
+        super().__init__(loop, connect_timeout_ms, keepalive_ms, free_sockets, alarms)
         self._once_idle_ms = once_idle_ms
         self._limits: dict[int, IdleLimit] = {}
 
@@ -282,8 +282,8 @@
             limit = self._limits[server] = IdleLimit(self._idle_limit_ms, self._once_idle_ms)
         return limit
 
-    def gone(self, server: int) -> None:
-        super().gone(server)
+    def server_removed(self, server: int) -> None:
+        super().server_removed(server)
         self._limits.pop(server, None)
 
     def send(self, attempt: Attempt, fresh: bool = False) -> None:
@@ -292,11 +292,11 @@
         if kept is None:  # a new one takes the place of the one that has rested longest
             return super().send(attempt, fresh=True)
         self._idle[attempt.server].pop()
-        self._aged.pop(kept, None)
-        attempt.give_up_after(
+        self._idle_by_age.pop(kept, None)
+        attempt.set_timeout(
             self.alarms, attempt.timeout_ms / 1000.0 if attempt.message.flow is None else UPLOAD_STALL_S
         )
-        kept.carry(attempt)
+        kept.send_attempt(attempt)
 
     def _kept_for(self, attempt: TrackedAttempt) -> HttpConnection | None:
         """The connection used last, if it may carry this attempt; those that can carry none are closed."""
@@ -306,7 +306,7 @@
         while idle:
             newest = idle[-1]
             rested_ms = now - newest.idle_since
-            if newest.address == attempt.address and newest.usable():
+            if newest.address == attempt.address and newest.is_reusable():
                 if limit.allows(rested_ms, attempt.once, now):
                     newest.rested(rested_ms)
                     return None if newest.has_tried(attempt.message.id) else newest
--- a/orchidferry/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -17,8 +17,8 @@
     ProxiedRequest,
 )
 from orchidferry.mesh.errors import Kind, Refusal
-from orchidferry.node.flow import Flow, Pool
-from orchidferry.node.frontend import LIMITS_S, Accept, Caller, Frontend, Reply, Stage
+from orchidferry.node.flow import Flow, MemoryPool
+from orchidferry.node.frontend import LIMITS_S, Accept, ClientConnection, Frontend, Reply, Stage
 from orchidferry.node.request import Message, RequestError
 
 # Headers that concern one connection, or that the system writes itself.
@@ -56,7 +56,7 @@
 IDLE_GRACE_S = 1.0  # a caller may send at the end of its idle time, and what it sends takes a while
 
 
-class CallerConnection(Caller):
+class CallerConnection(ClientConnection):
     """A caller of the data plane."""
 
     def __init__(self, frontend: Frontend) -> None:
@@ -69,14 +69,14 @@
         self._along: list[tuple[bytes, bytes]] = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        had = self._headers_done or self._deaf
+        had = self._headers_done or self._input_closed
         super().on_header(name, value)
         low = name.lower()
         if not had and low not in ONCE and not low.startswith(PRIVATE):
             self._along.append((name, value))
 
-    def _message(self, flow: Flow | None = None) -> Message | Reply:
-        message = super()._message(flow)
+    def _build_message(self, flow: Flow | None = None) -> Message | Reply:
+        message = super()._build_message(flow)
         if isinstance(message, ProxiedRequest):
             named = message.headers.get(b"connection", b"").lower()
             message.along = self._along
@@ -87,81 +87,83 @@
 
     # Answers
 
-    def _take(self, message: Message) -> None:
+    def _start_request(self, message: Message) -> None:
         self._serving = message
-        super()._take(message)
+        super()._start_request(message)
 
-    def _write(self, reply: Reply) -> None:
+    def _write_reply(self, reply: Reply) -> None:
         if reply.body and self._serving is not None and self._serving.method == b"HEAD":
             reply = dataclasses.replace(reply, body=b"")  # a body would be read as the next answer
-        super()._write(reply)
+        super()._write_reply(reply)
 
     def _serve_next(self) -> None:
         super()._serve_next()
-        if self._last_word is not None and not self._busy and not self._queue and not self._choked:
+        if self._last_word is not None and not self._busy and not self._queue and not self._write_paused:
             word = self._last_word
             self._last_word = None
-            super()._turn_away(word)
+            super()._close_with_error(word)
 
-    def _turn_away(self, reply: Reply) -> None:
+    def _close_with_error(self, reply: Reply) -> None:
         """End the connection with an error for what is being read.
 
         A caller reads whatever comes first as the answer to its first open request. So the error waits for
         the answers before it; and where the request being read has been answered, or its answer has begun,
         there is no place for another word: the connection just ends.
         """
-        coming = self._in
+        coming = self._request_flow
         if coming is None or not self._owns(coming):
             if self._busy or self._queue:
-                return self._turn_away_later(reply)
-            return self._cut() if coming is not None else super()._turn_away(reply)
-        if self._out is not None:
+                return self._close_with_error_later(reply)
+            return self._cut() if coming is not None else super()._close_with_error(reply)
+        if self._response_flow is not None:
             return self._cut()
         if reply.status == 408:  # its beginning is on its way to a server: no promise, then
             refusal = Refusal(Kind.BROKEN)
             reply = Reply(refusal.status, refusal.line.encode())
-        super()._turn_away(reply)
+        super()._close_with_error(reply)
 
     def _owns(self, flow: Flow) -> bool:
         """Whether the request that the node has is the one whose body is coming."""
         return self._busy and self._serving is not None and self._serving.flow is flow
 
-    def _turn_away_later(self, reply: Reply) -> None:
-        coming = self._in
-        self._in = None
+    def _close_with_error_later(self, reply: Reply) -> None:
+        coming = self._request_flow
+        self._request_flow = None
         if coming is not None:  # its request waits in the queue, and is the one that can't be read
             self._queue.pop()
             coming.fail()
-        self._deaf = True
+        self._input_closed = True
         self._last_word = reply
         self._serve_next()
-        self._settle()
+        self._update_stage()
 
     def _cut(self) -> None:
         """End the connection without a word."""
-        self._deaf = self._closing = self._ended = True
+        self._input_closed = self._closing = self._finished = True
         self._queue.clear()
-        self._let_go()
+        self._release_request()
         self._transport.close()
-        self._settle()
+        self._update_stage()
 
 
 class Listener(Frontend):
     """A listener of the data plane."""
 
-    kind = CallerConnection
-    single = SINGLE
+    connection_class = CallerConnection
+    unique_headers = SINGLE
     limits_s = LIMITS_S | {Stage.IDLE: 60.0, Stage.NEW: 60.0, Stage.READING: 3.0}
 
-    def __init__(self, accept: Accept, most: int, pool: Pool, ready: Callable[[], bool]) -> None:
-        super().__init__({}, accept, ready, most, pool)
+    def __init__(
+        self, accept: Accept, max_connections: int, pool: MemoryPool, ready: Callable[[], bool]
+    ) -> None:
+        super().__init__({}, accept, ready, max_connections, pool)
         self._idle_s = 0.0  # the longest that callers may know of
         self._changes = 0  # of the operator's limits
 
     def limit_sizes(self, head: int, body: int) -> None:
         """Take the operator's limits on what a caller may send, in bytes."""
-        self.head_most = head
-        self.body_most = body
+        self.max_header_bytes = head
+        self.max_body_bytes = body
 
     def limit(self, idle_s: float, header_s: float) -> None:
         """Take the operator's limits. Callers that know a longer idle time may use it once more."""
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -14,7 +14,7 @@
 from orchidferry.mesh.errors import Refusal
 from orchidferry.node.frontend import Reply
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import Answer, framing
+from orchidferry.node.upstream import UpstreamResponse, framing
 
 MARGIN_MS = 4.0  # of the time that a sender has, for the way there and back
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class ServerResponse(Answer):
+class ServerResponse(UpstreamResponse):
     """A server's answer, or its gate's."""
 
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -34,11 +34,11 @@
 from orchidferry.mesh.dataplane.service_client import PendingRequest, ServiceClient
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.mesh.settings import Settings
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import now_ms
-from orchidferry.node.flow import LONG_BODY, Pool
+from orchidferry.node.flow import LONG_BODY, MemoryPool
 from orchidferry.node.frontend import Reply
 from orchidferry.node.request import Message
+from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream import MAX_HEAD
 
 CONNECT_MS = 400.0
@@ -68,16 +68,16 @@
         self.gone = False
         self.live: PendingRequest | None = None
 
-    def caller_gone(self) -> None:
+    def client_disconnected(self) -> None:
         self.gone = True
         if self.live is not None:
-            self.live.caller_gone()
+            self.live.client_disconnected()
 
 
 class NothingOwed:
     """Nothing is owed."""
 
-    def caller_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Nothing to do."""
 
 
@@ -86,7 +86,7 @@
 
     def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop) -> None:
         self._settings, self._loop, self._rng = settings, loop, random.Random()
-        self._alarms = Alarms(loop)
+        self._alarms = TimerQueue(loop)
         self._room_most = max(64, settings.descriptors - SPARE_SOCKETS)
         room = self._room
         self._hops = HttpConnections(loop, CONNECT_MS, KEEP_HOP_MS, room, self._alarms, ONCE_IDLE_MS)
@@ -102,7 +102,7 @@
         self._leaving = False
         self._record_number = 0
         self._stop_ms = math.inf  # when all must be answered, once the node is to end
-        pool = Pool(int(settings.memory_mb * 0.2e6))
+        pool = MemoryPool(int(settings.memory_mb * 0.2e6))
         self._outbound = Listener(self._take, self._room_most // 3, pool, lambda: True)
         self._inbound = Listener(self._visit, self._room_most // 3, pool, lambda: True)
         self._ready = ControlDoor({"/orchidferry/readiness": self._readiness}, 64)
@@ -165,15 +165,15 @@
         self._publish()
         await asyncio.sleep(STOP_READY_S)
         self._gate.leaving = True
-        inbound = self._loop.create_task(self._inbound.wind_up())
+        inbound = self._loop.create_task(self._inbound.close_gracefully())
         try:
             async with asyncio.timeout_at(began_s + min(STOP_TAKE_S, grace_s / 2.0)):
-                await self._outbound.empty()
+                await self._outbound.wait_closed()
         except TimeoutError:
             pass
         try:
             async with asyncio.timeout_at(ends_s):
-                await self._outbound.wind_up()
+                await self._outbound.close_gracefully()
                 await inbound
         except TimeoutError:
             logger.warning("proxy: {} callers were still there", self._outbound.count())
@@ -272,7 +272,7 @@
         self._outbound.limit_sizes(head, body)
         # What a node took under limits that this one does not know any more, or not yet, is let in.
         self._inbound.limit_sizes(
-            max(self._inbound.head_most, head + OWN_HEADERS), max(self._inbound.longest_body, body)
+            max(self._inbound.max_header_bytes, head + OWN_HEADERS), max(self._inbound.body_limit, body)
         )
 
     # Outbound
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -39,11 +39,11 @@
 )
 from orchidferry.mesh.errors import Kind, Refusal
 from orchidferry.mesh.settings import Address, Bounds
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import now_ms
+from orchidferry.node.event_queue import EventQueue
 from orchidferry.node.frontend import Reply
-from orchidferry.node.turns import Turns
-from orchidferry.node.upstream import Answer
+from orchidferry.node.timer_queue import TimerQueue
+from orchidferry.node.upstream import UpstreamResponse
 
 RATIO_SHARE = 0.4  # of the ratio of further tries: a repeated run's own calls are repeats elsewhere
 SLACK_SHARE = 0.4  # of the slack, over all nodes
@@ -128,8 +128,8 @@
         self.backstop = 0
         self.said: ServerResponse | None = None  # the last answer of a server that ran it
 
-    def caller_gone(self) -> None:
-        self.service.caller_gone(self)
+    def client_disconnected(self) -> None:
+        self.service.client_disconnected(self)
 
     def overdue(self) -> None:
         self.service.overdue(self)
@@ -169,20 +169,20 @@
             own.append((KEYED, b"1"))
         return head(live.message, own)
 
-    def timed_out(self) -> None:
+    def on_timeout(self) -> None:
         # Around a planned end what is broken off at work and answered 502 counts as lost.
         live = self._live
         left_ms = self._live.ends_ms - now_ms() - MARGIN_MS / 2.0
         if live.service.leaving and live.owed and self.begun and left_ms > 1.0:
-            return self.go_on_for(left_ms / 1000.0)
-        super().timed_out()
+            return self.extend_timeout(left_ms / 1000.0)
+        super().on_timeout()
 
     def may_send(self) -> bool:
         flow = self.message.flow
-        beginnable = flow is None or flow.can_begin()
+        beginnable = flow is None or flow.can_start()
         return beginnable and self._live.owed and self._live.service.serves(self.server)
 
-    def ended(self, result: Result, answer: Answer | None) -> None:
+    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
         live = self._live
         service = self._live.service
         del service.out[live.id, self._number]
@@ -197,8 +197,8 @@
             service.finish(live, passed_on(said))
         if result in (Result.SERVED, Result.ERROR) and said is not None:
             service.outcome(live, result is Result.ERROR and said.below)
-        if said is not None and said.flow is not None and not said.flow.fed_by_now():
-            said.flow.call_off()
+        if said is not None and said.flow is not None and not said.flow.has_consumer():
+            said.flow.cancel()
         flow = self.message.flow
         spent = flow is not None and (flow.spent or flow.over)
         report = said.report if said is not None else None
@@ -230,7 +230,7 @@
         zone: str,
         bounds: Bounds,
         loop: asyncio.AbstractEventLoop,
-        alarms: Alarms,
+        alarms: TimerQueue,
         lines: HttpConnections,
         numbers: Callable[[str], int],
     ) -> None:
@@ -245,7 +245,7 @@
         self._attempts = 1
         self._members = 1
         self._balancer: Balancer | None = None
-        self._turns: Turns | None = None
+        self._turns: EventQueue | None = None
         self._serial = 0
         self.live: dict[str, PendingRequest] = {}
         self.out: dict[tuple[str, int], GateAttempt] = {}
@@ -299,7 +299,7 @@
         )
         if self._balancer is None:
             self._balancer = Balancer(settings, self._rng.randrange(2**31))
-            self._turns = Turns(self._balancer.handle, self._do, _not_handled)
+            self._turns = EventQueue(self._balancer.handle, self._do, _not_handled)
             self.handle(api.Started())
             self.handle(api.ServerList(api.ListKind.FULL, 0, list(self._entries.values())))
         else:
@@ -354,7 +354,7 @@
         self._boots = boots
         for number in gone:
             self._cold.pop(number, None)
-            self._lines.gone(number)
+            self._lines.server_removed(number)
         changes += [api.ServerEntry(number, health=api.Health.GONE) for number in gone]
         if changes:
             self.handle(api.ServerList(api.ListKind.CHANGES, 0, changes))
@@ -478,11 +478,11 @@
             self.finish(live, own_answer(live.message, Refusal(kind), None if sent else 0.05))
             for hop in hops:
                 if not hop.begun:  # and it never will
-                    hop.break_off(Result.CANCELLED)
+                    hop.abort(Result.CANCELLED)
         self.handle(api.ClientGone(live.id))
         self.over(live)
 
-    def caller_gone(self, live: PendingRequest) -> None:
+    def client_disconnected(self, live: PendingRequest) -> None:
         """Nobody waits for the answer: no attempt of it is to reach a server from now on.
 
         Closing the connection to the gate withdraws an attempt that is held there, and ends the work on one
@@ -497,7 +497,7 @@
         self.handle(api.ClientGone(live.id))
         for hop in self._hops_of(live):
             if live.on_end is None or not hop.begun:
-                hop.break_off(Result.CANCELLED)
+                hop.abort(Result.CANCELLED)
         self.over(live)
 
     # The module
@@ -522,7 +522,7 @@
             case api.Cancel():
                 for number in range(action.attempt, -1, -1):
                     if (hop := self.out.get((action.id, number))) is not None:
-                        hop.break_off(Result.CANCELLED)
+                        hop.abort(Result.CANCELLED)
                         break
             case api.CloseIdle():
                 self._lines.close_idle(action.server)
--- a/orchidferry/node/door.py
+++ b/orchidferry/node/admin_server.py
@@ -1,7 +1,7 @@
 """The operators' door: a second listener that tells whether the node is ready, and its figures.
 
 HTTP/1.1, one call a connection, GET only. Whoever sends nothing, half a call or too much is answered or
-closed within `CALL_S`; of more than `MOST` callers the one that has waited longest goes.
+closed within `REQUEST_TIMEOUT_S`; of more than `MAX_CONNECTIONS` callers the longest there goes.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from orchidferry.node.config import Address
 
-MOST = 16  # callers at once: a few watchers, and some that say nothing
-MAX_CALL = 4 * 1024  # of a call, head and body
-CALL_S = 2.0  # for a call to come whole, and for its answer to be read
+MAX_CONNECTIONS = 16  # callers at once: a few watchers, and some that say nothing
+MAX_REQUEST_BYTES = 4 * 1024  # of a call, head and body
+REQUEST_TIMEOUT_S = 2.0  # for a call to come whole, and for its answer to be read
 BACKLOG = 64
 
 PHRASES = {
@@ -30,13 +30,13 @@
     503: b"Service Unavailable",
 }
 
-Page = Callable[[], tuple[int, bytes]]  # status and text of one path, made when it is asked for
+PageHandler = Callable[[], tuple[int, bytes]]  # status and text of one path, made when it is asked for
 
 
-class Call(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One caller and its one call."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self._door = door
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -46,7 +46,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._limit = asyncio.get_running_loop().call_later(CALL_S, self._late)
+        self._limit = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._late)
         self._door.opened(self)
 
     def data_received(self, data: bytes) -> None:
@@ -57,7 +57,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._answer(400, b"malformed HTTP\n")
-        if self._size > MAX_CALL:
+        if self._size > MAX_REQUEST_BYTES:
             self._answer(413, b"a call holds 4 KiB at most\n")
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -91,7 +91,7 @@
             self.abort()
         else:
             self._answer(408, b"the call took too long to come\n")
-            self._limit = asyncio.get_running_loop().call_later(CALL_S, self.abort)
+            self._limit = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self.abort)
 
     def abort(self) -> None:
         """End it at once."""
@@ -99,19 +99,22 @@
             self._transport.abort()
 
 
-class Door:
+class AdminServer:
     """The listener, and those who call there."""
 
-    def __init__(self, pages: dict[bytes, Page]) -> None:
+    def __init__(self, pages: dict[bytes, PageHandler]) -> None:
         self.pages = pages
-        self._calls: dict[Call, None] = {}  # the longest there first
+        self._calls: dict[AdminConnection, None] = {}  # the longest there first
         self._server: asyncio.Server | None = None
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: Address) -> Address:
         """Take calls from now on; the address, with the port that 0 stands for. `OSError` if it can't."""
         # An old process may stand at the address still, if operators give the new one the same.
         self._server = await loop.create_server(
-            lambda: Call(self), *address, backlog=BACKLOG, reuse_port=hasattr(socket, "SO_REUSEPORT")
+            lambda: AdminConnection(self),
+            *address,
+            backlog=BACKLOG,
+            reuse_port=hasattr(socket, "SO_REUSEPORT"),
         )
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
@@ -120,13 +123,13 @@
         """Sockets in use."""
         return len(self._calls) + (self._server is not None)
 
-    def opened(self, call: Call) -> None:
+    def opened(self, call: AdminConnection) -> None:
         """Count a caller in; at the most there may be, the one that has waited longest goes."""
         self._calls[call] = None
-        if len(self._calls) > MOST:
+        if len(self._calls) > MAX_CONNECTIONS:
             next(iter(self._calls)).abort()
 
-    def closed(self, call: Call) -> None:
+    def closed(self, call: AdminConnection) -> None:
         """Count a caller out."""
         self._calls.pop(call, None)
 
--- a/orchidferry/node/chain/links.py
+++ b/orchidferry/node/chain/links.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from orchidferry.node.request import Message
-    from orchidferry.node.upstream import Answer
+    from orchidferry.node.upstream import UpstreamResponse
 
 TELL_S = 10.0  # a loop is told of so often at most: a misrouted list makes one of each request
 log = logging.getLogger("orchidferry")
@@ -51,6 +51,6 @@
         return write_answer(action.below, action.used)
 
     @staticmethod
-    def read_answer(answer: Answer | None) -> tuple[bool, int]:
+    def read_answer(answer: UpstreamResponse | None) -> tuple[bool, int]:
         """What a server tells of its own calls."""
         return read_answer(answer.chain) if answer is not None else (False, 0)
--- a/orchidferry/node/chain/settings.py
+++ b/orchidferry/node/chain/settings.py
@@ -7,8 +7,8 @@
 
 from orchidferry.balancing import chain
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
-from orchidferry.node.config import operators_file
-from orchidferry.node.keys import read_keys
+from orchidferry.node.config import read_toml_file
+from orchidferry.node.shared_keys import parse_keys
 
 MAX_KEYS = 8  # that are valid at once
 NAMES = ("tier", "node")
@@ -25,7 +25,7 @@
 
 def read_chain(path: str) -> Setup:
     """Read the file; `ConfigError` names it and what is wrong."""
-    return operators_file("ORCHIDFERRY_CHAIN", path, _read)
+    return read_toml_file("ORCHIDFERRY_CHAIN", path, _read)
 
 
 def _read(obj: Json) -> Setup:
@@ -38,4 +38,4 @@
     values |= {name: get(obj, name, int) for name in ("extra", "nodes") if name in obj}
     values |= {name: get(obj, name, bool) for name in ("shed",) if name in obj}
     limits = chain.Limits(**values)
-    return Setup(limits, read_keys(opt(obj, "keys", list, []), MAX_KEYS))
+    return Setup(limits, parse_keys(opt(obj, "keys", list, []), MAX_KEYS))
--- a/orchidferry/node/config.py
+++ b/orchidferry/node/config.py
@@ -28,7 +28,7 @@
     word,
 )
 from orchidferry.errors import OrchidferryError
-from orchidferry.node.steps import at_once
+from orchidferry.node.incremental import run_to_completion
 
 Address = tuple[str, int]
 
@@ -106,7 +106,7 @@
     return int(text, 16)
 
 
-def operators_file(variable: str, path: str, read: Callable[[Json], T]) -> T:
+def read_toml_file(variable: str, path: str, read: Callable[[Json], T]) -> T:
     """What an operator's own TOML file says, which a variable of the environment names."""
     import tomllib  # where such a file is there alone
 
@@ -197,7 +197,7 @@
 
 def read_listing(obj: Json) -> Listing:
     """Read a list as discovery writes it, at once."""
-    return at_once(read_in_steps(obj))
+    return run_to_completion(read_in_steps(obj))
 
 
 def read_in_steps(obj: Json) -> Generator[None, None, Listing]:
--- a/orchidferry/node/control/plain.py
+++ b/orchidferry/node/control/plain.py
@@ -9,7 +9,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Member
-from orchidferry.node.store import BAD_PLAIN as BAD_PLAIN
+from orchidferry.node.state_store import BAD_PLAIN as BAD_PLAIN
 
 HEALTHS = {health.value: health for health in api.Health}
 
--- a/orchidferry/node/control/settings.py
+++ b/orchidferry/node/control/settings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
-from orchidferry.node.config import Address, ConfigError, address, operators_file
+from orchidferry.node.config import Address, ConfigError, address, read_toml_file
 
 KNOWN = {
     "service",
@@ -41,7 +41,7 @@
 
 def read_control(path: str) -> Control:
     """Read the file; `ConfigError` names it and what is wrong."""
-    return operators_file("ORCHIDFERRY_CONTROL", path, lambda obj: _read(obj, Path(path).parent))
+    return read_toml_file("ORCHIDFERRY_CONTROL", path, lambda obj: _read(obj, Path(path).parent))
 
 
 def _read(obj: Json, folder: Path) -> Control:
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -8,9 +8,9 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.node import store
+from orchidferry.node import state_store
 from orchidferry.node.control.plain import made, plain, settings_from
-from orchidferry.node.store import Files, Form, StateFileError, StateLockedError
+from orchidferry.node.state_store import Files, StateFileError, StateFormat, StateLockedError
 
 __all__ = [
     "FORM",
@@ -59,7 +59,7 @@
     return Configuration(Pools(pools), NodeSettings(str(obj["pool"]), settings), versions)
 
 
-FORM = Form(
+FORM = StateFormat(
     "last-good",
     "last good configuration",
     b"orchidferry last-good",
@@ -80,7 +80,7 @@
     return FORM.decode(data)
 
 
-class Store(store.Store[Configuration]):
+class Store(state_store.Store[Configuration]):
     """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
 
     def __init__(self, folder: Path, files: Files | None = None) -> None:
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -14,7 +14,7 @@
 
 from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.config import Address, Listing, parse_in_steps, read_in_steps, read_listing
-from orchidferry.node.steps import between_others
+from orchidferry.node.incremental import run_cooperatively
 
 # How long discovery may keep a watch open. Its silence shows only after that: in incident r32b5e5 first
 # calls were lost, and with 20 s all nodes sent through a whole release by the list they had started with.
@@ -201,7 +201,7 @@
     async def _read(self, body: bytes, keep: bool) -> None:
         task = self._asking
         try:
-            listing = await between_others(read_in_steps(await between_others(parse_in_steps(body))))
+            listing = await run_cooperatively(read_in_steps(await run_cooperatively(parse_in_steps(body))))
         except (ValueError, RecursionError, SettingsFormatError) as problem:
             if self._asking is task:
                 self._fail(f"a list that can't be read: {problem!s:.100}")
--- a/orchidferry/node/turns.py
+++ b/orchidferry/node/event_queue.py
@@ -11,7 +11,7 @@
 Decide = Callable[[api.Event, float], Iterable[api.Action]]
 
 
-class Turns:
+class EventQueue:
     """`decide` has one event at a time, and `do` its actions in their order; `failed` hears, inside the
     exception, which event it was. Such a request is ended by its backstop.
     """
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -10,8 +10,8 @@
 from orchidferry.balancing.fleet.suspicion import Timing
 from orchidferry.balancing.fleet.swim import MAX_SEEDS
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
-from orchidferry.node.config import Address, ConfigError, address, operators_file
-from orchidferry.node.keys import Keys, read_keys
+from orchidferry.node.config import Address, ConfigError, address, read_toml_file
+from orchidferry.node.shared_keys import Keys, parse_keys
 
 KNOWN = {
     "name",
@@ -50,7 +50,7 @@
 
 def read_fleet(path: str, name: str) -> Setup:
     """Read the file; `ConfigError` names it and what is wrong. `name`: the node's own, where it says none."""
-    return operators_file("ORCHIDFERRY_FLEET", path, lambda obj: _read(obj, Path(path).parent, name))
+    return read_toml_file("ORCHIDFERRY_FLEET", path, lambda obj: _read(obj, Path(path).parent, name))
 
 
 def _where(field: str, value: object) -> Address:
@@ -143,7 +143,7 @@
     except UnicodeDecodeError as problem:
         raise ConfigError(f"{path}: not UTF-8 at byte {problem.start}") from None
     try:
-        keys = read_keys([line for line in lines if line.strip() and not line.startswith("#")], MAX_KEYS)
+        keys = parse_keys([line for line in lines if line.strip() and not line.startswith("#")], MAX_KEYS)
     except SettingsFormatError as problem:
         raise ConfigError(f"{path}: {problem}") from None
     if not keys:
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -27,13 +27,13 @@
 from orchidferry.balancing.fleet.fresh import Credit
 from orchidferry.balancing.fleet.members import Entry, Phase
 from orchidferry.balancing.fleet.swim import Fleet, Lasting
+from orchidferry.node.admin_server import PageHandler
 from orchidferry.node.config import Address, ConfigError, now_ms
-from orchidferry.node.door import Page
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.settings import Setup, read_key_file
 from orchidferry.node.fleet.wire import MAX_DATAGRAM, DatagramError, Sealer
-from orchidferry.node.steps import between_others
-from orchidferry.node.store import Form, StateLockedError, Store
+from orchidferry.node.incremental import run_cooperatively
+from orchidferry.node.state_store import StateFormat, StateLockedError, Store
 
 # A datagram takes some 40 microseconds to read, so a flood takes a tenth of a core and no turn of over 1 ms;
 # a node of a fleet of 1,000 gets some 30 a second.
@@ -70,7 +70,7 @@
     return Lasting(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:MAX_PEERS]))
 
 
-FORM = Form("fleet", "fleet's state", b"orchidferry fleet", 1, 64 * 1024, _to_json, _from_json)
+FORM = StateFormat("fleet", "fleet's state", b"orchidferry fleet", 1, 64 * 1024, _to_json, _from_json)
 
 
 class Journal:
@@ -223,7 +223,7 @@
         if self._journal is not None:
             self._journal.close()
 
-    def pages(self) -> dict[bytes, Page]:
+    def pages(self) -> dict[bytes, PageHandler]:
         """What it shows at the operators' door."""
         return {b"/-/fleet": self.page}
 
@@ -443,7 +443,7 @@
         """A view, in steps: a long one must not hold requests up. Where its sender is reached."""
         self.counts["got"] += 1
         body, key = self._sealer.open(data)
-        message = await between_others(wire.decode_in_steps(body))
+        message = await run_cooperatively(wire.decode_in_steps(body))
         self._remember_key(message.sender, key)
         self.handle(api.Heard(message), answers)
         return message.sender.host, message.sender.port
--- a/orchidferry/node/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -19,8 +19,8 @@
 from orchidferry.balancing.fleet.members import Entry, Phase, Status, problem_of
 from orchidferry.balancing.fleet.messages import Kind, Message
 from orchidferry.errors import OrchidferryError
-from orchidferry.node.keys import Keys
-from orchidferry.node.steps import at_once
+from orchidferry.node.incremental import run_to_completion
+from orchidferry.node.shared_keys import Keys
 
 # that this program writes; of one that can read it
 FORMAT = 1
@@ -144,7 +144,7 @@
 
 def decode(body: bytes) -> Message:
     """A message from its body, at once; `DatagramError` if it is none that can be meant."""
-    return at_once(decode_in_steps(body))
+    return run_to_completion(decode_in_steps(body))
 
 
 def decode_in_steps(body: bytes) -> Generator[None, None, Message]:
--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -15,8 +15,8 @@
 
 SHORT_BODY = 64 * 1024  # up to this a body is read whole and never flows; as much waits for a sink
 LONG_BODY = 32 * 1024 * 1024  # the most that flows
-MAX_KEEP = 1024 * 1024  # of one flow is kept to be sent again
-POOL_SHARE = 0.15  # of the node's memory, for what flows keep beyond the first `SHORT_BODY`
+MAX_REPLAY_BYTES = 1024 * 1024  # of one flow is kept to be sent again
+POOL_MEMORY_FRACTION = 0.15  # of the node's memory, for what flows keep beyond the first `SHORT_BODY`
 STALL_S = 10.0  # without a byte either way a flow has ended
 SLOWEST_B_S = 16 * 1024  # a flow slower than this over its life has ended, after `GRACE_S`
 GRACE_S = 20.0
@@ -29,13 +29,13 @@
 class Source(Protocol):
     """Where a body comes from."""
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Send nothing for now."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Send on."""
 
-    def called_off(self) -> None:
+    def flow_cancelled(self) -> None:
         """Nobody wants the rest."""
 
 
@@ -48,28 +48,28 @@
     def end(self) -> None:
         """That was all."""
 
-    def broken(self) -> None:
+    def flow_failed(self) -> None:
         """The rest never comes."""
 
 
-class Pool:
+class MemoryPool:
     """Memory that all flows share, in bytes."""
 
-    __slots__ = ("left",)
+    __slots__ = ("available",)
 
-    def __init__(self, size: int) -> None:
-        self.left = size
+    def __init__(self, received_bytes: int) -> None:
+        self.available = received_bytes
 
-    def take(self, size: int) -> bool:
+    def reserve(self, received_bytes: int) -> bool:
         """Whether there was room for so much more; it is taken then."""
-        if size > self.left:
+        if received_bytes > self.available:
             return False
-        self.left -= size
+        self.available -= received_bytes
         return True
 
-    def give(self, size: int) -> None:
+    def return_bytes(self, received_bytes: int) -> None:
         """Give back what was taken."""
-        self.left += size
+        self.available += received_bytes
 
 
 class Flow:
@@ -77,22 +77,22 @@
 
     __slots__ = (
         "_borrowed",
-        "_choked",
-        "_held",
-        "_kept",
-        "_most",
+        "_sink_blocked",
+        "_source_paused",
+        "_replay",
+        "_max_length",
         "_pool",
         "_sink",
-        "_waiting",
-        "began_s",
+        "_unfed",
+        "started_s",
         "complete",
         "length",
-        "moved_s",
+        "last_progress_s",
         "on_complete",
         "on_over",
         "over",
-        "passed",
-        "size",
+        "fed_bytes",
+        "received_bytes",
         "source",
         "spent",
     )
@@ -102,26 +102,26 @@
         source: Source,
         length: int | None,
         now_s: float,
-        pool: Pool | None = None,
-        most: int | None = None,
+        pool: MemoryPool | None = None,
+        max_length: int | None = None,
     ) -> None:
         """`pool`: where memory comes from for what is kept; None: nothing is kept, as there is one sink.
-        `most`: bytes that a body may have whose length is not known; None: `LONG_BODY`.
+        `max_length`: bytes that a body may have whose length is not known; None: `LONG_BODY`.
         """
         self.source = source
         self.length = length
         self._pool = pool
-        self._most = LONG_BODY if most is None else most
-        self.size = self.passed = 0  # bytes that came in, and that the sink was fed
-        self.complete = self.over = self._choked = self._held = False
+        self._max_length = LONG_BODY if max_length is None else max_length
+        self.received_bytes = self.fed_bytes = 0  # bytes that came in, and that the sink was fed
+        self.complete = self.over = self._sink_blocked = self._source_paused = False
         self.spent = False  # the beginning is not there any more: no other sink can be fed
-        self._kept: list[bytes] = []
-        self._waiting: deque[bytes] = deque()  # for want of a sink, or of a pool to keep them in
+        self._replay: list[bytes] = []
+        self._unfed: deque[bytes] = deque()  # for want of a sink, or of a pool to keep them in
         self._borrowed = 0  # from the pool
         self._sink: Sink | None = None
         self.on_complete: Callable[[], None] | None = None  # the last byte has come in
         self.on_over: Callable[[bool], None] | None = None  # called once; whether all of it was fed
-        self.began_s = self.moved_s = now_s
+        self.started_s = self.last_progress_s = now_s
 
     # The source's side
 
@@ -131,38 +131,38 @@
         """
         if self.over:
             return
-        if self.size + len(data) > (self._most if self.length is None else self.length):
+        if self.received_bytes + len(data) > (self._max_length if self.length is None else self.length):
             raise BodyTooLongError
-        self.size += len(data)
-        self.moved_s = now_s
-        self._keep(data)
+        self.received_bytes += len(data)
+        self.last_progress_s = now_s
+        self._store(data)
         if self._sink is None:
-            self._waiting.append(data)
-            if self.size - self.passed >= SHORT_BODY:
-                self._hold()
+            self._unfed.append(data)
+            if self.received_bytes - self.fed_bytes >= SHORT_BODY:
+                self._pause_source()
         else:
-            self.passed += len(data)
+            self.fed_bytes += len(data)
             self._sink.feed(data)
 
-    def _keep(self, data: bytes) -> None:
+    def _store(self, data: bytes) -> None:
         """Keep a piece if there is room for all so far; drop all that is kept otherwise."""
         if self._pool is None or self.spent:
             self.spent = True
             return
-        beyond = max(0, self.size - SHORT_BODY) - self._borrowed
-        if self.size <= MAX_KEEP and self._pool.take(beyond):
+        beyond = max(0, self.received_bytes - SHORT_BODY) - self._borrowed
+        if self.received_bytes <= MAX_REPLAY_BYTES and self._pool.reserve(beyond):
             self._borrowed += beyond
-            self._kept.append(data)
-        elif self._sink is not None or self.passed:
-            self._forget()
+            self._replay.append(data)
+        elif self._sink is not None or self.fed_bytes:
+            self._discard_replay()
         else:  # nothing was fed so far: what waits is the whole still
-            self._kept.append(data)
+            self._replay.append(data)
 
-    def _forget(self) -> None:
+    def _discard_replay(self) -> None:
         self.spent = True
-        self._kept.clear()
+        self._replay.clear()
         if self._pool is not None:
-            self._pool.give(self._borrowed)
+            self._pool.return_bytes(self._borrowed)
         self._borrowed = 0
 
     def finish(self) -> None:
@@ -177,99 +177,99 @@
 
     def fail(self) -> None:
         """The rest never comes."""
-        if self._end(False) and self._sink is not None:
-            self._sink.broken()
+        if self._finish(False) and self._sink is not None:
+            self._sink.flow_failed()
 
     # The sink's side
 
     def attach(self, sink: Sink) -> None:
         """Feed this sink from the start: what is there now, and what comes later."""
-        assert self._sink is None and not (self.spent and self.passed), "its beginning is gone"
+        assert self._sink is None and not (self.spent and self.fed_bytes), "its beginning is gone"
         self._sink = sink
-        self._choked = False
-        self.passed = 0
-        pieces = list(self._waiting) if self._pool is None else list(self._kept)
-        self._waiting.clear()
-        for piece in pieces:
+        self._sink_blocked = False
+        self.fed_bytes = 0
+        chunks = list(self._unfed) if self._pool is None else list(self._replay)
+        self._unfed.clear()
+        for chunk in chunks:
             if self._sink is not sink:
                 return  # it gave up meanwhile
-            self.passed += len(piece)
-            sink.feed(piece)
+            self.fed_bytes += len(chunk)
+            sink.feed(chunk)
         if self._sink is sink:
             if self.over:
-                sink.broken()
+                sink.flow_failed()
             elif self.complete:
                 sink.end()
-            elif not self._choked:
-                self._release()
+            elif not self._sink_blocked:
+                self._resume_source()
 
     def detach(self, sink: Sink) -> None:
         """This sink takes no more; another may be fed, if the flow is not spent."""
         if self._sink is sink:
             self._sink = None
-            if not self.complete and not self.over and self.size >= SHORT_BODY:
-                self._hold()
+            if not self.complete and not self.over and self.received_bytes >= SHORT_BODY:
+                self._pause_source()
 
-    def choke(self) -> None:
+    def block(self) -> None:
         """The sink can't take more now."""
-        self._choked = True
+        self._sink_blocked = True
         if not self.complete:
-            self._hold()
+            self._pause_source()
 
-    def release(self, now_s: float) -> None:
+    def unblock(self, now_s: float) -> None:
         """The sink can take more again."""
-        self._choked = False
-        self.moved_s = now_s
-        self._release()
+        self._sink_blocked = False
+        self.last_progress_s = now_s
+        self._resume_source()
 
-    def _hold(self) -> None:
-        if not self._held and not self.over:
-            self._held = True
-            self.source.hold()
+    def _pause_source(self) -> None:
+        if not self._source_paused and not self.over:
+            self._source_paused = True
+            self.source.pause()
 
-    def _release(self) -> None:
-        if self._held:
-            self._held = False
-            self.source.go_on()
+    def _resume_source(self) -> None:
+        if self._source_paused:
+            self._source_paused = False
+            self.source.resume()
 
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Nobody wants it any more; the source is told to go on, as it may drop what comes, and told why."""
-        if self._end(False):
-            self._release()
-            self.source.called_off()
+        if self._finish(False):
+            self._resume_source()
+            self.source.flow_cancelled()
 
-    def fed(self) -> None:
+    def delivered(self) -> None:
         """All of it has gone where it should."""
-        self._end(True)
+        self._finish(True)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End it from outside: both sides are told."""
         sink = self._sink
-        if self._end(False):
+        if self._finish(False):
             if sink is not None:
-                sink.broken()
-            self.source.called_off()
+                sink.flow_failed()
+            self.source.flow_cancelled()
 
-    def _end(self, whole: bool) -> bool:
+    def _finish(self, complete: bool) -> bool:
         """Be over; whether it was not before."""
         if self.over:
             return False
         self.over = True
-        self._forget()
-        self._waiting.clear()
+        self._discard_replay()
+        self._unfed.clear()
         if self.on_over is not None:
-            self.on_over(whole)
+            self.on_over(complete)
         return True
 
-    def can_begin(self) -> bool:
+    def can_start(self) -> bool:
         """Whether a sink can be fed from the start."""
-        return not self.over and not (self.spent and self.passed)
+        return not self.over and not (self.spent and self.fed_bytes)
 
-    def fed_by_now(self) -> bool:
+    def has_consumer(self) -> bool:
         """Whether somebody takes it, or has taken it."""
         return self.over or self._sink is not None
 
-    def overdue(self, now_s: float) -> bool:
+    def is_stalled(self, now_s: float) -> bool:
         """Whether it has stood still, or crawled, for too long."""
-        slow = now_s - self.began_s > GRACE_S + max(self.size, self.passed) / SLOWEST_B_S
-        return not self.over and (slow or now_s - self.moved_s > STALL_S)
+        slow = now_s - self.started_s > GRACE_S + max(self.received_bytes, self.fed_bytes) / SLOWEST_B_S
+        return not self.over and (slow or now_s - self.last_progress_s > STALL_S)
--- a/orchidferry/node/collector.py
+++ b/orchidferry/node/garbage_collector.py
@@ -9,7 +9,7 @@
 GC_THRESHOLDS = (5_000, 20, 20)
 
 
-def settle() -> None:
+def freeze_startup_objects() -> None:
     """Have full collections leave out what was made so far: it lives to the end."""
     gc.collect()
     gc.freeze()
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -47,7 +47,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.floods import First, FirstPackets, Patience, Strays
 from orchidferry.node.config import Address, ConfigError, now_ms
-from orchidferry.node.frontend import LIMITS_S, OWN_PATHS, Accept, Owed, Reply, Stage
+from orchidferry.node.frontend import LIMITS_S, NODE_PATHS, Accept, Reply, RequestHandle, Stage
 from orchidferry.node.h3 import settings
 from orchidferry.node.h3.session import (
     LAST_STREAM,
@@ -110,7 +110,7 @@
     body: list[bytes] = field(default_factory=list)
     size: int = 0
     headed: bool = False
-    owed: Owed | None = None
+    owed: RequestHandle | None = None
 
     def answer(self, reply: Reply) -> None:
         """The node's one answer."""
@@ -183,13 +183,13 @@
                 case DataReceived():
                     exchange.size += len(found.data)
                     if exchange.size > MAX_BODY:
-                        self._turn_away(exchange, 413, "body over 64 KiB")
+                        self._reject_request(exchange, 413, "body over 64 KiB")
                     else:
                         exchange.body.append(found.data)
                 case Malformed():
                     if not self._patience.malformed(now_ms()):
                         return self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
-                    self._turn_away(exchange, found.status, found.why)
+                    self._reject_request(exchange, found.status, found.why)
             if getattr(found, "stream_ended", False) and exchange.step is Step.READING:
                 self._complete(exchange)
 
@@ -222,23 +222,23 @@
                 exchange.target = value
             elif name[:1] != b":":
                 if name in SINGLE and name in exchange.headers:
-                    return self._turn_away(exchange, 400, "a header came twice")
+                    return self._reject_request(exchange, 400, "a header came twice")
                 exchange.headers[name] = value.strip()
         if size > MAX_HEAD:
-            return self._turn_away(exchange, 431, "headers too large")
+            return self._reject_request(exchange, 431, "headers too large")
         if not exchange.target:
-            return self._turn_away(exchange, 400, "no :path")
+            return self._reject_request(exchange, 400, "no :path")
         length = exchange.headers.get(b"content-length", b"0")
         if not length.isdigit():
-            self._turn_away(exchange, 400, "content-length is no number")
+            self._reject_request(exchange, 400, "content-length is no number")
         elif int(length[:12]) > MAX_BODY:
-            self._turn_away(exchange, 413, "body over 64 KiB")
+            self._reject_request(exchange, 413, "body over 64 KiB")
 
     def _complete(self, exchange: Exchange) -> None:
         """The whole request has come."""
         listener = self.listener
-        if exchange.target.startswith(OWN_PATHS):
-            return self.answered(exchange, listener.own_path(exchange.target.partition(b"?")[0]))
+        if exchange.target.startswith(NODE_PATHS):
+            return self.answered(exchange, listener.node_page(exchange.target.partition(b"?")[0]))
         body = b"".join(exchange.body)
         exchange.body = []
         try:
@@ -248,7 +248,7 @@
             self._step(exchange, Step.SERVING)
             owed = listener.accept(message, exchange.answer)
         except RequestError as problem:
-            return self._turn_away(exchange, 400, str(problem))
+            return self._reject_request(exchange, 400, str(problem))
         if exchange.step is Step.SERVING:  # it may have been answered at once
             exchange.owed = owed
 
@@ -273,7 +273,7 @@
             self._drop(exchange, ErrorCode.H3_INTERNAL_ERROR)
         self.shell.flush_soon()
 
-    def _turn_away(self, exchange: Exchange, status: int, why: str) -> None:
+    def _reject_request(self, exchange: Exchange, status: int, why: str) -> None:
         """Answer a request that can't be read, and read no more of it (RFC 9114, section 4.1.1)."""
         if self._session is not None and not is_over(self.quic, exchange.id):
             self._session.ignore(exchange.id, False)
@@ -305,7 +305,7 @@
         owed = exchange.owed
         exchange.owed = None
         if owed is not None:
-            owed.caller_gone()
+            owed.client_disconnected()
 
     def _step(self, exchange: Exchange, step: Step) -> None:
         exchange.step, exchange.since = step, time.monotonic()
@@ -331,18 +331,18 @@
         for exchange in list(self.exchanges.values()):
             waited = now - exchange.since
             if exchange.step is Step.READING and waited > READ_S:
-                self._turn_away(exchange, 408, "the request took too long to come")
+                self._reject_request(exchange, 408, "the request took too long to come")
             elif exchange.step is Step.WRITING and waited > WRITE_S:
                 self._drop(exchange, ErrorCode.H3_INTERNAL_ERROR)
                 self.shell.flush_soon()
 
-    def leave(self) -> None:
+    def set_not_ready(self) -> None:
         """Say that the node is going; requests are still taken (RFC 9114, section 5.2)."""
         if self._session is not None and not self.over:
             self._session.say_goaway(LAST_STREAM)
             self.shell.flush_soon()
 
-    def wind_up(self) -> None:
+    def close_gracefully(self) -> None:
         """Take no new requests; close once those there are have been answered."""
         if not self.over and not self._closing:
             self._closing = True
@@ -377,11 +377,11 @@
         front: settings.Front,
         classes: dict[str, api.RequestClass],
         accept: Accept,
-        own_path: Callable[[bytes], Reply],
+        node_page: Callable[[bytes], Reply],
     ) -> None:
         self.classes = classes
         self.accept = accept
-        self.own_path = own_path
+        self.node_page = node_page
         self._front = front
         self.loop: asyncio.AbstractEventLoop
         self._transport: asyncio.DatagramTransport | None = None
@@ -581,22 +581,22 @@
         """Sockets in use: one, whatever the number of callers."""
         return 1 if self._transport is not None else 0
 
-    def leave(self) -> None:
+    def set_not_ready(self) -> None:
         """Tell callers to go elsewhere when they can."""
         for connection in list(self._connections):
-            connection.leave()
+            connection.set_not_ready()
 
     def close_listener(self) -> None:
         """Take no new connections; go on with those there are."""
         self._taking_none = True
 
-    async def wind_up(self) -> None:
+    async def close_gracefully(self) -> None:
         """Answer all that is owed, take nothing new, and close."""
         for connection in list(self._connections):
-            connection.wind_up()
-        await self.empty()
+            connection.close_gracefully()
+        await self.wait_closed()
 
-    async def empty(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until no caller is left."""
         while self._connections:
             self._empty.clear()
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -56,13 +56,13 @@
 )
 from orchidferry.node.request import Message
 from orchidferry.node.upstream import (
-    IDLE_SHARE,
+    IDLE_LIMIT_FRACTION,
     MAX_BODY,
-    Answer,
     Attempt,
     Upstream,
+    UpstreamResponse,
+    classify_response,
     read_report,
-    result_of,
 )
 
 HANDSHAKE_S = 2.0  # beside the requests, which go by TCP meanwhile
@@ -147,12 +147,12 @@
         """Whether a request may go on it now."""
         return self.up and not self.over and not self.leaving and streams_left(self.quic) > 0
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         """Send an attempt's request on a stream of its own."""
         assert self._session is not None
         stream = new_stream(self.quic)
         flight = self.flights[stream] = Flight(attempt, stream, now_ms())
-        attempt.carried_by(lambda: self._give_up(flight))
+        attempt.set_cancel_io(lambda: self._give_up(flight))
         message = attempt.message
         self.used = time.monotonic()
         self._session.send_headers(
@@ -188,7 +188,7 @@
             self.routes.loop.call_soon(self.end)
         return flight
 
-    def _end_flight(self, stream: int, result: Result, answer: Answer | None = None) -> None:
+    def _end_flight(self, stream: int, result: Result, answer: UpstreamResponse | None = None) -> None:
         flight = self._take_off(stream)
         if flight is not None:
             flight.attempt.end(result, answer)
@@ -276,10 +276,10 @@
         if flight.status < 200:  # an end without an answer
             return self._spoilt(flight)
         body = b"".join(flight.body)
-        answer = Answer(flight.status, body, flight.content_type, flight.report, chain=flight.chain)
+        answer = UpstreamResponse(flight.status, body, flight.content_type, flight.report, chain=flight.chain)
         if not flight.attempt.written:  # it was answered
-            flight.attempt.sent_whole()
-        self._end_flight(flight.stream, result_of(flight.status, flight.rejected), answer)
+            flight.attempt.on_sent()
+        self._end_flight(flight.stream, classify_response(flight.status, flight.rejected), answer)
 
     def _spoilt(self, flight: Flight) -> None:
         self._reset(flight.stream)
@@ -299,7 +299,7 @@
     def _flushed(self) -> None:
         for flight in self.flights.values():
             if not flight.attempt.written and sent_whole(self.quic, flight.stream):
-                flight.attempt.sent_whole()
+                flight.attempt.on_sent()
 
     # Its life
 
@@ -341,7 +341,7 @@
         self._servers = servers
         self._listed = listed
         self.transports = Transports(random.Random(seed), servers.connections)
-        self._idle_s = keepalive_ms * IDLE_SHARE / 1000.0
+        self._idle_s = keepalive_ms * IDLE_LIMIT_FRACTION / 1000.0
         self._links: dict[int, Link] = {}  # the one that new requests to a server go on
         self._leaving: dict[Link, None] = {}  # those that only finish what they have
         self.ids: Ids[Link] = Ids()
@@ -386,8 +386,8 @@
         if time.monotonic() - max(link.heard, link.used) > self._idle_s:  # the server may be closing it
             link.end()
             return self._tcp.send(attempt, fresh)
-        attempt.give_up_after(self._tcp.alarms, attempt.timeout_ms / 1000.0)
-        link.carry(attempt)
+        attempt.set_timeout(self._tcp.alarms, attempt.timeout_ms / 1000.0)
+        link.send_attempt(attempt)
 
     def close_idle(self, server: int) -> None:
         """What has idled is not trusted: a connection is asked whether it is still there."""
@@ -397,9 +397,9 @@
             link.quic.send_ping(0)
             link.shell.flush_soon()
 
-    def gone(self, server: int) -> None:
+    def server_removed(self, server: int) -> None:
         """The server is listed no more."""
-        self._tcp.gone(server)
+        self._tcp.server_removed(server)
         link = self._links.get(server)
         if link is not None:
             link.leaving = True
--- a/orchidferry/node/steps.py
+++ b/orchidferry/node/incremental.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-def at_once(steps: Generator[None, None, T]) -> T:
+def run_to_completion(steps: Generator[None, None, T]) -> T:
     """Run it to its end."""
     while True:
         try:
@@ -21,7 +21,7 @@
             return result
 
 
-async def between_others(steps: Generator[None, None, T]) -> T:
+async def run_cooperatively(steps: Generator[None, None, T]) -> T:
     """Run it to its end, with all else that is ready before each step."""
     while True:
         try:
--- a/orchidferry/node/main.py
+++ b/orchidferry/node/main.py
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from orchidferry.node.collector import settle
 from orchidferry.node.config import ConfigError, read_config
+from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
         print(f"orchidferry: can't listen on {where[0]}:{where[1]}: {problem}", file=sys.stderr)
         return 2
     node.start()
-    settle()
+    freeze_startup_objects()
     watch_lag(loop, loop.time())
     log.info("started, listening on %s:%d", host, port)
     if node.h3_front is not None:
@@ -124,9 +124,9 @@
     path = os.environ.get("ORCHIDFERRY_POOLS")
     if not path:
         return None
-    from orchidferry.node import pools
+    from orchidferry.node import pool_settings
 
-    return pools.read_pools(path, classes)
+    return pool_settings.read_pools(path, classes)
 
 
 def read_fleet(name: str, loop: asyncio.AbstractEventLoop) -> Peers | None:
--- a/orchidferry/node/figures.py
+++ b/orchidferry/node/metrics.py
@@ -14,7 +14,7 @@
 REFUSALS = frozenset((429, 503))
 
 
-class Figures:
+class Metrics:
     """Requests by class and how they ended, and the attempts that were written whole to servers."""
 
     __slots__ = ("_attempts", "_ends")
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -18,15 +18,15 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import Address, Config, ConfigError, Listing, now_ms
 from orchidferry.node.discovery import Discovery
-from orchidferry.node.figures import Figures
-from orchidferry.node.flow import GRACE_S, LONG_BODY, POOL_SHARE, SLOWEST_B_S, Flow, Pool
+from orchidferry.node.event_queue import EventQueue
+from orchidferry.node.flow import GRACE_S, LONG_BODY, POOL_MEMORY_FRACTION, SLOWEST_B_S, Flow, MemoryPool
 from orchidferry.node.frontend import Frontend, Reply
+from orchidferry.node.metrics import Metrics
 from orchidferry.node.request import Message, RequestError
-from orchidferry.node.turns import Turns
-from orchidferry.node.upstream import Answer, Attempt, Upstream
+from orchidferry.node.timer_queue import TimerQueue
+from orchidferry.node.upstream import Attempt, Upstream, UpstreamResponse
 
 MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
 # A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
@@ -44,11 +44,11 @@
 
 if TYPE_CHECKING:  # a transport is imported only where it is switched on
     from orchidferry.balancing.pools import Rules
+    from orchidferry.node.admin_server import AdminServer, PageHandler
     from orchidferry.node.chain.links import Links
     from orchidferry.node.chain.settings import Setup
     from orchidferry.node.control.link import Link
     from orchidferry.node.control.settings import Control
-    from orchidferry.node.door import Door, Page
     from orchidferry.node.h3.front import Listener
     from orchidferry.node.h3.settings import Http3
 
@@ -59,39 +59,39 @@
     log.exception("handling %s", type(event).__name__)
 
 
-class Front(Protocol):
+class FrontendTransport(Protocol):
     """A transport's listener and its callers."""
 
     def count(self) -> int: ...  # sockets in use
-    def leave(self) -> None: ...
+    def set_not_ready(self) -> None: ...
     def close_listener(self) -> None: ...
-    async def empty(self) -> None: ...
-    async def wind_up(self) -> None: ...
+    async def wait_closed(self) -> None: ...
+    async def close_gracefully(self) -> None: ...
     def abort(self) -> None: ...
 
 
-class Carrier(Protocol):
+class UpstreamTransport(Protocol):
     """The way to servers."""
 
     def count(self) -> int: ...  # sockets in use
     def send(self, attempt: Attempt, fresh: bool = False) -> None: ...
     def close_idle(self, server: int) -> None: ...
-    def gone(self, server: int) -> None: ...
+    def server_removed(self, server: int) -> None: ...
     def close(self) -> None: ...
 
 
-class Part(Protocol):
+class Subsystem(Protocol):
     """A subsystem beside the requests, with sockets of its own."""
 
     def attach(self, ready: Callable[[], bool]) -> None: ...  # before it starts
-    def pages(self) -> dict[bytes, Page]: ...  # at the operators' door, where there is one
+    def pages(self) -> dict[bytes, PageHandler]: ...  # at the operators' door, where there is one
     def start(self) -> None: ...
     def count(self) -> int: ...  # sockets in use
     def leaving(self) -> None: ...  # the node was told to end
     async def close(self) -> None: ...
 
 
-class Live:
+class PendingRequest:
     """A request that is owed its answer, with its attempts."""
 
     __slots__ = ("_node", "answer", "attempts", "backstop", "ends_ms", "id", "message", "owed")
@@ -108,20 +108,26 @@
         self.owed = True  # the one answer
         self.backstop = 0  # the alarm at its end
 
-    def caller_gone(self) -> None:
-        self._node.caller_gone(self)
+    def client_disconnected(self) -> None:
+        self._node.client_disconnected(self)
 
     def overdue(self) -> None:
         self._node.overdue(self)
 
 
-class Try(Attempt):
+class RequestAttempt(Attempt):
     """An attempt at a request, as the module asked for it."""
 
     __slots__ = ("_life", "_live", "_node", "_number", "_sent_ms")
 
     def __init__(
-        self, node: Node, live: Live, server: int, address: Address, timeout_ms: float, sent_ms: float
+        self,
+        node: Node,
+        live: PendingRequest,
+        server: int,
+        address: Address,
+        timeout_ms: float,
+        sent_ms: float,
     ) -> None:
         super().__init__(live.message, server, address, timeout_ms)
         self._node = node
@@ -134,12 +140,12 @@
 
     def may_send(self) -> bool:
         flow = self.message.flow
-        beginnable = flow is None or flow.can_begin()
+        beginnable = flow is None or flow.can_start()
         # A server that left and came back meanwhile is another one: cold, and with a budget of its own.
         same = self._node.life(self.server) == self._life
         return beginnable and self._live.owed and same and self._node.serves(self.server)
 
-    def sent_whole(self) -> None:
+    def on_sent(self) -> None:
         self.written = True
         self._node.figures.attempt(self.message.cls)
         if self.message.flow is not None:
@@ -149,10 +155,10 @@
         """Time counts from here, for the attempt as for its request."""
         self._sent_ms = now_ms()
         left_ms = self._live.ends_ms - MARGIN_MS - self._sent_ms
-        self.go_on_for(max(0.0, min(self.timeout_ms, left_ms)) / 1000.0)
+        self.extend_timeout(max(0.0, min(self.timeout_ms, left_ms)) / 1000.0)
         return api.Uploaded(self._live.id, self._number, max(0.0, left_ms))
 
-    def ended(self, result: Result, answer: Answer | None) -> None:
+    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
         live = self._live
         report = None
         del self._node.attempts[live.id, self._number]
@@ -160,8 +166,8 @@
             report = answer.report
             if result is Result.SERVED:
                 self._node.finish(live, Reply(200, answer.body, answer.content_type, flow=answer.flow))
-            if answer.flow is not None and not answer.flow.fed_by_now():
-                answer.flow.call_off()
+            if answer.flow is not None and not answer.flow.has_consumer():
+                answer.flow.cancel()
         flow = self.message.flow
         spent = flow is not None and (flow.spent or flow.over)
         links = self._node.links
@@ -193,7 +199,7 @@
         control: Control | None = None,
         chain: Setup | None = None,
         pools: Rules | None = None,
-        parts: Sequence[Part] = (),
+        parts: Sequence[Subsystem] = (),
     ) -> None:
         self._config = config
         self._loop = loop
@@ -210,22 +216,24 @@
 
             # The same face; each pool has a balancer behind it.
             self._balancer = cast(Balancer, Router(settings, config.seed, pools, budgets))
-        self._turns = Turns(self._balancer.handle, self._do, _not_handled)
-        self.figures = Figures(self._balancer.classes)
+        self._turns = EventQueue(self._balancer.handle, self._do, _not_handled)
+        self.figures = Metrics(self._balancer.classes)
         self._flowing = 0  # answers that have begun and go on
         # Keyed by a serial of the node's own, as is all that the module hears: an attempt may outlast its
         # request, and a caller's id that came again would mix up their books.
         self._serial = 0
-        self._live: dict[str, Live] = {}
-        self.attempts: dict[tuple[str, int], Try] = {}  # those that are out
+        self._live: dict[str, PendingRequest] = {}
+        self.attempts: dict[tuple[str, int], RequestAttempt] = {}  # those that are out
         self._open_ids: set[str] = set()  # the callers' ids of those
         self._addresses: dict[int, Address] = {}
         self._in_service: set[int] = set()
         self._lives: dict[int, int] = {}  # of those that are listed: a number for each time that they came
         self._came = 0
-        self._alarms = Alarms(loop)
-        tcp = Upstream(loop, settings.connect_timeout_ms, settings.keepalive_ms, self._room, self._alarms)
-        self._upstream: Carrier = tcp
+        self._alarms = TimerQueue(loop)
+        tcp = Upstream(
+            loop, settings.connect_timeout_ms, settings.keepalive_ms, self._free_sockets, self._alarms
+        )
+        self._upstream: UpstreamTransport = tcp
         self._tcp = tcp
         self._h3: dict[int, Address] = {}  # where servers that list it speak HTTP/3
         self.h3_front: Listener | None = None
@@ -246,17 +254,19 @@
             self.accept,
             lambda: bool(self._in_service),
             int(CALLERS_SHARE * config.sockets),
-            Pool(int(POOL_SHARE * config.memory_mb * 1e6)),
+            MemoryPool(int(POOL_MEMORY_FRACTION * config.memory_mb * 1e6)),
         )
         if http3 is not None and http3.front is not None:
             from orchidferry.node.h3.front import Listener
 
-            self.h3_front = Listener(http3.front, self._balancer.classes, self.accept, self.frontend.own_path)
-        self.door: Door | None = None
+            self.h3_front = Listener(
+                http3.front, self._balancer.classes, self.accept, self.frontend.node_page
+            )
+        self.door: AdminServer | None = None
         if config.admin is not None:
-            from orchidferry.node.door import Door
+            from orchidferry.node.admin_server import AdminServer
 
-            self.door = Door(
+            self.door = AdminServer(
                 {
                     b"/-/ready": lambda: (200, b"ready\n") if self.ready() else (503, b"not ready\n"),
                     b"/-/metrics": lambda: (200, self.report()),
@@ -267,7 +277,7 @@
         self._parts = parts
         for part in parts:
             part.attach(self.ready)
-        self._fronts: list[Front] = [self.frontend, *([self.h3_front] if self.h3_front else [])]
+        self._fronts: list[FrontendTransport] = [self.frontend, *([self.h3_front] if self.h3_front else [])]
         self._news: deque[api.ServerList] = deque()  # steps of long lists that the module is still to be told
         self._telling = False
         self._longest_ms = 0.0  # the longest budget so far
@@ -346,20 +356,20 @@
         for part in self._parts:
             part.leaving()
         for front in self._fronts:
-            front.leave()
+            front.set_not_ready()
         await asyncio.sleep(accept_s)
         # The listener stays open as long as connections are served: whoever is refused a new one takes the
         # node for dead and leaves its open ones too, and where it is the only node has nowhere to go.
         try:
             async with asyncio.timeout((self._stop_ms - LAST_MS - now_ms()) / 1000.0):
-                await asyncio.gather(*(front.empty() for front in self._fronts))
+                await asyncio.gather(*(front.wait_closed() for front in self._fronts))
         except TimeoutError:
             log.info("closing connections %.0f ms after the signal", now_ms() - asked_ms)
         for front in self._fronts:
             front.close_listener()
         try:
             async with asyncio.timeout((self._stop_ms + STOP_MARGIN_MS / 2.0 - now_ms()) / 1000.0):
-                await asyncio.gather(*(front.wind_up() for front in self._fronts))
+                await asyncio.gather(*(front.close_gracefully() for front in self._fronts))
         except TimeoutError:
             for front in self._fronts:
                 front.abort()  # all is answered by now; what is left does not read
@@ -374,7 +384,7 @@
         if self.h3_front is not None:
             self.h3_front.close()
 
-    def _room(self) -> int:
+    def _free_sockets(self) -> int:
         fronts = sum(front.count() for front in self._fronts)
         door = self.door.count() if self.door is not None else 0
         parts = sum(part.count() for part in self._parts)
@@ -382,7 +392,7 @@
 
     # Requests
 
-    def accept(self, message: Message, answer: Callable[[Reply], None]) -> Live:
+    def accept(self, message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
         """Take a request; from now on it is owed exactly one call of `answer`."""
         if message.id in self._open_ids:
             raise RequestError("a request with this X-Call-Id is open")
@@ -395,7 +405,7 @@
         coming = flow is not None and not flow.complete
         if flow is not None and coming:  # until it has come whole it may take as long as a flow may
             ends_ms += 1000.0 * ((flow.length or LONG_BODY) / SLOWEST_B_S + GRACE_S)
-        live = Live(self, id, message, answer, min(ends_ms, self._stop_ms))
+        live = PendingRequest(self, id, message, answer, min(ends_ms, self._stop_ms))
         if flow is not None:
             flow.on_complete = functools.partial(self._came_whole, live)
             self._watch_flow(flow)
@@ -417,18 +427,18 @@
         )
         return live
 
-    def _watch(self, live: Live) -> None:
+    def _watch(self, live: PendingRequest) -> None:
         """Set the backstop to the request's end, as it is now."""
         self._alarms.cancel(live.backstop)
         left_s = (live.ends_ms - now_ms()) / 1000.0
         live.backstop = self._alarms.after(left_s, live.overdue)
 
-    def caller_gone(self, live: Live) -> None:
+    def client_disconnected(self, live: PendingRequest) -> None:
         """Nobody waits any more."""
         if self._drop(live):
             self._handle(api.ClientGone(live.id))
 
-    def _drop(self, live: Live) -> bool:
+    def _drop(self, live: PendingRequest) -> bool:
         """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
         if not live.owed:
             return False
@@ -438,7 +448,7 @@
         self._alarms.cancel(live.backstop)
         return True
 
-    def finish(self, live: Live | None, reply: Reply) -> None:
+    def finish(self, live: PendingRequest | None, reply: Reply) -> None:
         """Answer a request, if it is still owed that."""
         if live is not None and self._drop(live):
             if reply.flow is None:
@@ -456,22 +466,22 @@
 
     def _watch_flow(self, flow: Flow) -> None:
         """End a flow that stands still or crawls; looked at now and then, as there are few."""
-        if flow.overdue(self._loop.time()):
-            flow.cut()
+        if flow.is_stalled(self._loop.time()):
+            flow.abort()
         elif not flow.over:
             self._alarms.after(FLOW_LOOK_S, functools.partial(self._watch_flow, flow))
 
-    def uploaded(self, attempt: Try) -> None:
+    def uploaded(self, attempt: RequestAttempt) -> None:
         """A server has the whole of a long request."""
         self._handle(attempt.uploaded())
 
-    def _came_whole(self, live: Live) -> None:
+    def _came_whole(self, live: PendingRequest) -> None:
         """The last byte of a long request has come: its budget counts from here."""
         if live.owed:
             live.ends_ms = min(now_ms() + live.message.budget_ms, self._stop_ms)
             self._watch(live)
 
-    def overdue(self, live: Live) -> None:
+    def overdue(self, live: PendingRequest) -> None:
         """Fail a request that the module has not ended by its deadline, whatever the reason."""
         left_ms = live.ends_ms - now_ms()
         if left_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
@@ -506,7 +516,7 @@
                 # An attempt that was moot before it began has no number here: the module counts it.
                 for number in range(action.attempt, -1, -1):
                     if (attempt := self.attempts.get((action.id, number))) is not None:
-                        attempt.break_off(Result.CANCELLED)
+                        attempt.abort(Result.CANCELLED)
                         break
             case api.CloseIdle():
                 self._upstream.close_idle(action.server)
@@ -525,12 +535,12 @@
             number = live.attempts if live is not None else 0
             return self._handle(api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, live is None))
         flow = live.message.flow
-        if flow is not None and not flow.can_begin():
+        if flow is not None and not flow.can_start():
             event = api.AttemptEnded(live.id, live.attempts, server, Result.MOOT, 0.0, False, spent=True)
             return self._handle(event)
         # Cut to what is left: an outcome must come before the answer is due.
         timeout_ms = max(0.0, min(action.timeout_ms, live.ends_ms - MARGIN_MS - sent_ms))
-        attempt = Try(self, live, server, self._addresses[server], timeout_ms, sent_ms)
+        attempt = RequestAttempt(self, live, server, self._addresses[server], timeout_ms, sent_ms)
         if action.carried is not None and self.links is not None:
             attempt.more = self.links.write(action.carried, timeout_ms)
         self._upstream.send(attempt, action.fresh)
@@ -613,4 +623,4 @@
         self._addresses.pop(server, None)
         self._lives.pop(server, None)
         self._h3.pop(server, None)
-        self._upstream.gone(server)
+        self._upstream.server_removed(server)
--- a/orchidferry/node/pools.py
+++ b/orchidferry/node/pool_settings.py
@@ -4,7 +4,7 @@
 
 from orchidferry.balancing import moves, pools
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, objects, opt, word
-from orchidferry.node.config import operators_file
+from orchidferry.node.config import read_toml_file
 
 POOL_KEYS = {"name", "kinds", "groups"}
 NUMBERS = ("alpha", "beta", "margin", "step_ms", "rare_ms", "settle_ms")
@@ -13,7 +13,7 @@
 
 def read_pools(path: str, classes: tuple[str, ...]) -> pools.Rules:
     """Read the file; `ConfigError` names it and what is wrong."""
-    return operators_file("ORCHIDFERRY_POOLS", path, lambda obj: _read(obj, classes))
+    return read_toml_file("ORCHIDFERRY_POOLS", path, lambda obj: _read(obj, classes))
 
 
 def _read(obj: Json, classes: tuple[str, ...]) -> pools.Rules:
--- a/orchidferry/node/store.py
+++ b/orchidferry/node/state_store.py
@@ -4,7 +4,7 @@
 checksum and length of the rest, and the rest, JSON. It is written beside its place, synced, renamed over it,
 and the folder is synced. Whatever can't be used is set aside under a name that says why, with one line, and
 never stops a start. A folder belongs to one node at a time: a lock on `lock` says so. What stands in the file
-is its owner's: a `Form` says how it is written and read.
+is its owner's: a `StateFormat` says how it is written and read.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Form(Generic[T]):
+class StateFormat(Generic[T]):
     """How one kind of state is kept."""
 
     name: str  # of the file
@@ -116,7 +116,7 @@
 class Store(Generic[T]):
     """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
 
-    def __init__(self, folder: Path, form: Form[T], files: Files | None = None) -> None:
+    def __init__(self, folder: Path, form: StateFormat[T], files: Files | None = None) -> None:
         self._folder, self._form, self._files = folder, form, files or Files()
         self._fresh = folder / f"{form.name}.new"
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
--- a/orchidferry/node/alarms.py
+++ b/orchidferry/node/timer_queue.py
@@ -14,7 +14,7 @@
 DEAD = 1_024  # entries called off beyond the living ones that the heap may hold
 
 
-class Alarms:
+class TimerQueue:
     """Calls things at their time; never early by the loop's clock, and late by no more than a timer is."""
 
     __slots__ = ("_calls", "_heap", "_loop", "_next", "_number", "_timer")
--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -18,17 +18,17 @@
 import httptools
 
 from orchidferry.balancing.interface import Result
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import Address, now_ms
 from orchidferry.node.flow import LONG_BODY, SHORT_BODY, BodyTooLongError, Flow
 from orchidferry.node.request import Message
+from orchidferry.node.timer_queue import TimerQueue
 
 MAX_BODY = SHORT_BODY
 MAX_HEAD = 16 * 1024
 MAX_REPORTED = 1e6  # of any figure in a load report
-IDLE_SHARE = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
+IDLE_LIMIT_FRACTION = 0.5  # of the servers' idle limit: a request that crosses their close ends as a reset
 # What a dial fails with for want of something here, whatever the server does.
-OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+LOCAL_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 UPLOAD_STALL_S = 4.0  # a server that takes nothing of a long request for so long is given up
 SWEEP_S = 1.0  # how often connections that have idled too long are looked for
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class UpstreamResponse:
     """What a server answered."""
 
     status: int
@@ -73,7 +73,7 @@
         self.timeout_ms = timeout_ms
         self.more: list[tuple[bytes, bytes]] = []  # headers besides the message's own
         self.written = self.over = False
-        self._alarms: Alarms | None = None
+        self._alarms: TimerQueue | None = None
         self._alarm = 0
         self._cancel_io: Callable[[], object] | None = None
 
@@ -85,30 +85,30 @@
         """Whether it may still go out: asked after a wait for a connection."""
         raise NotImplementedError
 
-    def ended(self, result: Result, answer: Answer | None) -> None:
+    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
         """It is over; called once."""
         raise NotImplementedError
 
-    def sent_whole(self) -> None:
+    def on_sent(self) -> None:
         """Its last byte is written: from now on it may have run."""
         self.written = True
 
-    def give_up_after(self, alarms: Alarms, delay_s: float) -> None:
+    def set_timeout(self, alarms: TimerQueue, delay_s: float) -> None:
         """Time it out then."""
         if self._alarms is not None:
             self._alarms.cancel(self._alarm)
-        self._alarms, self._alarm = alarms, alarms.after(delay_s, self.timed_out)
+        self._alarms, self._alarm = alarms, alarms.after(delay_s, self.on_timeout)
 
-    def go_on_for(self, delay_s: float) -> None:
+    def extend_timeout(self, delay_s: float) -> None:
         """Time it out later, so long from now."""
         if self._alarms is not None and not self.over:
-            self.give_up_after(self._alarms, delay_s)
+            self.set_timeout(self._alarms, delay_s)
 
-    def carried_by(self, cancel_io: Callable[[], object]) -> None:
+    def set_cancel_io(self, cancel_io: Callable[[], object]) -> None:
         """Note what stops the attempt where it is: its dial, or its connection."""
         self._cancel_io = cancel_io
 
-    def end(self, result: Result, answer: Answer | None = None) -> None:
+    def end(self, result: Result, answer: UpstreamResponse | None = None) -> None:
         """Report the outcome, unless one was reported before."""
         if self.over:
             return
@@ -118,7 +118,7 @@
             self._alarms.cancel(self._alarm)
         self.ended(result, answer)
 
-    def break_off(self, result: Result) -> None:
+    def abort(self, result: Result) -> None:
         """Stop waiting: closing the connection is what tells the server."""
         if not self.over:
             cancel_io = self._cancel_io
@@ -126,9 +126,9 @@
                 cancel_io()
             self.end(result)
 
-    def timed_out(self) -> None:
+    def on_timeout(self) -> None:
         # Not all of it written: the server can't have begun, as it waits for the last byte.
-        self.break_off(Result.TIMEOUT if self.written else Result.UNREACHABLE)
+        self.abort(Result.TIMEOUT if self.written else Result.UNREACHABLE)
 
 
 def framing(message: Message) -> bytes:
@@ -167,7 +167,7 @@
     )
 
 
-def result_of(status: int, rejected: bool) -> Result:
+def classify_response(status: int, rejected: bool) -> Result:
     """What a whole answer means for its attempt."""
     if status == 200:
         return Result.SERVED
@@ -196,7 +196,7 @@
         "_attempt",
         "_body",
         "_complete",
-        "_framings",
+        "_framing_headers",
         "_head",
         "_in_body",
         "_keep",
@@ -204,17 +204,17 @@
         "_parser",
         "_paused",
         "_poll",
-        "_pool",
+        "_upstream",
         "_rejected",
         "_report",
         "_size",
-        "_spoilt",
+        "_malformed",
         "_status",
         "_transport",
-        "_answer_flow",
+        "_response_flow",
         "_chain",
         "_length",
-        "_to_close",
+        "_server_closes",
         "_type",
         "_upload",
         "_uploaded_s",
@@ -223,13 +223,13 @@
         "server",
     )
 
-    held_most = MAX_BODY  # bytes of an answer that are read whole; a longer one flows
+    max_buffered_body = MAX_BODY  # bytes of an answer that are read whole; a longer one flows
 
     def __init__(self, pool: Upstream, server: int, address: Address) -> None:
         self.server = server
         self.address = address
         self.idle_since = 0.0
-        self._pool = pool
+        self._upstream = pool
         self._transport: asyncio.Transport
         self._attempt: Attempt | None = None
         # no socket yet
@@ -237,21 +237,21 @@
         self._lost = True
         self._upload: Flow | None = None  # the body that it is fed
         self._uploaded_s = 0.0  # when that moved last
-        self._answer_flow: Flow | None = None  # the body that it gives
+        self._response_flow: Flow | None = None  # the body that it gives
         # One for all answers: a connection is kept only where the last one ended the message it parsed.
         self._parser = httptools.HttpResponseParser(self)
-        self._start_answer()
+        self._reset_response()
 
-    def _start_answer(self) -> None:
+    def _reset_response(self) -> None:
         self._body: list[bytes] = []
         self._size = self._head = self._status = 0
         self._type: bytes | None = None
         self._report: dict[str, float] | None = None
         self._chain: bytes | None = None
-        self._rejected = self._complete = self._in_body = self._spoilt = self._keep = False
-        self._framings = 0  # headers that tell where the body ends
+        self._rejected = self._complete = self._in_body = self._malformed = self._keep = False
+        self._framing_headers = 0  # headers that tell where the body ends
         self._length: int | None = None
-        self._to_close = False  # the server closes after this answer
+        self._server_closes = False  # the server closes after this answer
 
     # The socket
 
@@ -270,63 +270,63 @@
     def resume_writing(self) -> None:
         self._paused = False
         if self._upload is not None:
-            self._upload.release(self._pool.now_s())
+            self._upload.unblock(self._upstream.now_s())
             if self._upload is not None:
-                self._moved()
+                self._upload_progressed()
         elif self._attempt is not None and not self._attempt.written:
-            self._attempt.sent_whole()
+            self._attempt.on_sent()
 
     def data_received(self, data: bytes) -> None:
-        if self._attempt is None and self._answer_flow is None:
+        if self._attempt is None and self._response_flow is None:
             return self.close()  # nobody asked: the next answer on it could be somebody else's
         try:
             if not self._in_body:
                 self._head += len(data)
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._spoilt = True
+            self._malformed = True
         except httptools.HttpParserError:
-            self._spoilt = self._spoilt or not self._complete
+            self._malformed = self._malformed or not self._complete
             self._keep = False  # more than the answer came: of no further use
-        if self._answer_flow is not None:
-            if self._spoilt:
-                self._answer_flow.fail()
+        if self._response_flow is not None:
+            if self._malformed:
+                self._response_flow.fail()
                 self.close()
             elif self._complete:
-                self._flowed()
-        elif self._complete and not self._spoilt:
-            self._answered()
-        elif self._spoilt or (not self._in_body and self._head > MAX_HEAD):
-            self._end(Result.ERROR, reuse=False)
+                self._stream_finished()
+        elif self._complete and not self._malformed:
+            self._response_complete()
+        elif self._malformed or (not self._in_body and self._head > MAX_HEAD):
+            self._finish_attempt(Result.ERROR, reuse=False)
 
     def eof_received(self) -> None:
         return None  # closes, and `connection_lost` reports
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._lost = True
-        self._pool.forget(self)
-        if self._to_close and self._in_body and exc is None:  # this was the end of its answer
-            if self._answer_flow is not None:
-                return self._flowed()
-            if self._attempt is not None and not self._spoilt:
+        self._upstream.forget(self)
+        if self._server_closes and self._in_body and exc is None:  # this was the end of its answer
+            if self._response_flow is not None:
+                return self._stream_finished()
+            if self._attempt is not None and not self._malformed:
                 self._complete = True
-                return self._answered()
-        if self._answer_flow is not None:
-            self._answer_flow.fail()
+                return self._response_complete()
+        if self._response_flow is not None:
+            self._response_flow.fail()
         if self._attempt is not None:
-            self._end(Result.RESET if self._attempt.written else Result.UNREACHABLE, reuse=False)
+            self._finish_attempt(Result.RESET if self._attempt.written else Result.UNREACHABLE, reuse=False)
 
     def close(self) -> None:
         """Close now, whatever it carries."""
-        self._pool.forget(self)
+        self._upstream.forget(self)
         self._attempt = None
-        self._leave_upload()
+        self._detach_upload()
         if not self._lost:
             self._transport.abort()
 
     # Attempts
 
-    def usable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether a request may be written: open as far as known, and nothing unread.
 
         The loop reads only once a turn. An end or a stray byte that has come in since would turn a
@@ -336,20 +336,20 @@
             return False
         return not self._poll.poll(0)
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request and wait for its answer."""
         self._attempt = attempt
-        self._start_answer()
-        attempt.carried_by(self.close)
+        self._reset_response()
+        attempt.set_cancel_io(self.close)
         self._transport.write(attempt.head_bytes())
         flow = attempt.message.flow
         if self._transport.is_closing():  # the write itself failed
-            self._end(Result.UNREACHABLE, reuse=False)
+            self._finish_attempt(Result.UNREACHABLE, reuse=False)
         elif flow is not None:
             self._upload = flow
             flow.attach(self)
         elif not self._paused:
-            attempt.sent_whole()
+            attempt.on_sent()
 
     # A long request: it is fed what comes
 
@@ -358,29 +358,29 @@
             return  # its end is on its way
         self._transport.write(data if self._upload.length is not None else chunk(data))
         if self._paused:
-            self._upload.choke()
+            self._upload.block()
         else:
-            self._moved()
+            self._upload_progressed()
 
-    def _moved(self) -> None:
+    def _upload_progressed(self) -> None:
         """Some of the long request has gone out: it has a while for the next."""
-        now_s = self._pool.now_s()
+        now_s = self._upstream.now_s()
         if self._attempt is not None and now_s - self._uploaded_s > UPLOAD_STALL_S / 8.0:
             self._uploaded_s = now_s
-            self._attempt.go_on_for(UPLOAD_STALL_S)
+            self._attempt.extend_timeout(UPLOAD_STALL_S)
 
     def end(self) -> None:
         flow = self._upload
         if flow is not None and flow.length is None and not self._transport.is_closing():
             self._transport.write(b"0\r\n\r\n")
-        self._leave_upload()
+        self._detach_upload()
         if self._attempt is not None and not self._paused:
-            self._attempt.sent_whole()
+            self._attempt.on_sent()
 
-    def broken(self) -> None:
-        self._end(Result.UNREACHABLE, reuse=False)
+    def flow_failed(self) -> None:
+        self._finish_attempt(Result.UNREACHABLE, reuse=False)
 
-    def _leave_upload(self) -> None:
+    def _detach_upload(self) -> None:
         flow = self._upload
         self._upload = None
         if flow is not None:
@@ -388,68 +388,68 @@
 
     # A long answer: it gives what comes
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if not self._lost:
             self._transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if not self._lost and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def called_off(self) -> None:
-        self._answer_flow = None
+    def flow_cancelled(self) -> None:
+        self._response_flow = None
         self.close()
 
-    def _flows(self) -> bool:
+    def _stream_body(self) -> bool:
         """Let a long answer flow from here on, if whoever asked can take it; whether it does."""
         attempt = self._attempt
         wanted = attempt is not None and attempt.message.long_answer and attempt.written
-        if not wanted or self._status != 200 or self._spoilt or attempt is None:
+        if not wanted or self._status != 200 or self._malformed or attempt is None:
             return False
-        now_s = self._pool.now_s()
-        flow = self._answer_flow = Flow(self, self._length, now_s)
+        now_s = self._upstream.now_s()
+        flow = self._response_flow = Flow(self, self._length, now_s)
         self._attempt = None
         pieces = self._body
         self._body = []
         for piece in pieces:
             flow.push(piece, now_s)
-        attempt.end(Result.SERVED, self._made(b"", flow))
+        attempt.end(Result.SERVED, self._build_response(b"", flow))
         return True
 
-    def _made(self, body: bytes, flow: Flow | None = None) -> Answer:
+    def _build_response(self, body: bytes, flow: Flow | None = None) -> UpstreamResponse:
         """The answer that has come."""
-        return Answer(self._status, body, self._type, self._report, flow, self._chain)
+        return UpstreamResponse(self._status, body, self._type, self._report, flow, self._chain)
 
-    def _judged(self, answer: Answer) -> Result:
+    def _classify(self, answer: UpstreamResponse) -> Result:
         """What it means for the attempt."""
-        return result_of(answer.status, self._rejected)
+        return classify_response(answer.status, self._rejected)
 
-    def _flowed(self) -> None:
+    def _stream_finished(self) -> None:
         """The last of a long answer has come."""
-        flow = self._answer_flow
-        self._answer_flow = None
+        flow = self._response_flow
+        self._response_flow = None
         keep = self._keep and not self._lost and not self._transport.is_closing()
         if keep:
-            self._pool.put_back(self)
+            self._upstream.return_connection(self)
         else:
             self.close()
         if flow is not None:
-            if flow.length is not None and flow.size < flow.length:
+            if flow.length is not None and flow.received_bytes < flow.length:
                 flow.fail()
             flow.finish()
 
-    def _answered(self) -> None:
-        answer = self._made(b"".join(self._body))
-        self._end(self._judged(answer), self._keep, answer)
+    def _response_complete(self) -> None:
+        answer = self._build_response(b"".join(self._body))
+        self._finish_attempt(self._classify(answer), self._keep, answer)
 
-    def _end(self, result: Result, reuse: bool, answer: Answer | None = None) -> None:
+    def _finish_attempt(self, result: Result, reuse: bool, answer: UpstreamResponse | None = None) -> None:
         attempt = self._attempt
         self._attempt = None
-        self._leave_upload()
+        self._detach_upload()
         # Whether anything unread has come is asked before the next use, as it may come until then.
         written = attempt is not None and attempt.written
         if reuse and written and not self._paused and not self._lost and not self._transport.is_closing():
-            self._pool.put_back(self)  # first: what the outcome sets off may use it
+            self._upstream.return_connection(self)  # first: what the outcome sets off may use it
         else:
             self.close()
         if attempt is not None:
@@ -466,15 +466,15 @@
             return
         match name.lower():
             case b"transfer-encoding":
-                self._framings += 1
+                self._framing_headers += 1
             case b"content-length":
-                self._framings += 1
+                self._framing_headers += 1
                 self._length = int(value)
-                self._spoilt = self._spoilt or self._length > LONG_BODY
+                self._malformed = self._malformed or self._length > LONG_BODY
             case b"content-type":
                 self._type = value
             case b"connection":
-                self._to_close = value.strip().lower() == b"close"
+                self._server_closes = value.strip().lower() == b"close"
             case b"x-rejected":
                 self._rejected = value.strip() == b"1"
             case b"x-load-report":
@@ -487,26 +487,26 @@
             self._status = self._parser.get_status_code()
             self._in_body = True
             # With none the answer ends with the connection, if it says that it will; of two, one lies.
-            self._to_close = not self._framings and self._to_close
-            self._spoilt = self._spoilt or (
-                self._status >= 200 and self._framings != 1 and not self._to_close
+            self._server_closes = not self._framing_headers and self._server_closes
+            self._malformed = self._malformed or (
+                self._status >= 200 and self._framing_headers != 1 and not self._server_closes
             )
-            if self._status >= 200 and self._length is not None and self._length > self.held_most:
-                self._spoilt = self._spoilt or not self._flows()
+            if self._status >= 200 and self._length is not None and self._length > self.max_buffered_body:
+                self._malformed = self._malformed or not self._stream_body()
 
     def on_body(self, body: bytes) -> None:
         if self._complete:
             return
-        if self._answer_flow is not None:
+        if self._response_flow is not None:
             try:
-                self._answer_flow.push(body, self._pool.now_s())
+                self._response_flow.push(body, self._upstream.now_s())
             except BodyTooLongError:
-                self._spoilt = True
+                self._malformed = True
             return
         self._size += len(body)
         self._body.append(body)
-        if self._size > self.held_most and not self._flows():
-            self._spoilt = True
+        if self._size > self.max_buffered_body and not self._stream_body():
+            self._malformed = True
             self._body.clear()
 
     def on_message_complete(self) -> None:
@@ -517,9 +517,9 @@
             self._rejected = False
             self._report = None
             self._type = None
-            self._framings = 0
+            self._framing_headers = 0
             self._length = None
-            self._to_close = False
+            self._server_closes = False
             return
         self._complete, self._keep = True, self._parser.should_keep_alive()
 
@@ -527,7 +527,7 @@
 class Upstream:
     """All connections to servers."""
 
-    kind: type[Connection] = Connection  # what its connections speak
+    connection_class: type[Connection] = Connection  # what its connections speak
     local_ip: str | None = None  # the address that they come from; None: the kernel's choice
 
     def __init__(
@@ -535,16 +535,16 @@
         loop: asyncio.AbstractEventLoop,
         connect_timeout_ms: float,
         keepalive_ms: float,
-        room: Callable[[], int],
-        alarms: Alarms,
+        free_sockets: Callable[[], int],
+        alarms: TimerQueue,
     ) -> None:
         self._loop = loop
-        self._room = room
+        self._free_sockets = free_sockets
         self.alarms = alarms
         self._connect_timeout_s = connect_timeout_ms / 1000.0
-        self._idle_limit_ms = keepalive_ms * IDLE_SHARE
+        self._idle_limit_ms = keepalive_ms * IDLE_LIMIT_FRACTION
         self._idle: dict[int, list[Connection]] = {}  # none is empty for longer than its last one is in use
-        self._aged: dict[Connection, None] = {}  # all of these, the longest idle first
+        self._idle_by_age: dict[Connection, None] = {}  # all of these, the longest idle first
         self._open: set[Connection] = set()
         self._dials: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_S, self._sweep)
@@ -552,7 +552,7 @@
     def configure(self, connect_timeout_ms: float, keepalive_ms: float) -> None:
         """Other limits from now on."""
         self._connect_timeout_s = connect_timeout_ms / 1000.0
-        self._idle_limit_ms = keepalive_ms * IDLE_SHARE
+        self._idle_limit_ms = keepalive_ms * IDLE_LIMIT_FRACTION
 
     def now_s(self) -> float:
         """The clock that flows go by."""
@@ -565,42 +565,42 @@
     def send(self, attempt: Attempt, fresh: bool = False) -> None:
         """Start an attempt, on a new connection if `fresh`; it may be over before this returns."""
         wait_s = attempt.timeout_ms / 1000.0 if attempt.message.flow is None else UPLOAD_STALL_S
-        attempt.give_up_after(self.alarms, wait_s)
+        attempt.set_timeout(self.alarms, wait_s)
         idle = self._idle.get(attempt.server, ())
         if fresh and idle:
             idle[0].close()  # the new one takes its place, or they would add up
         while idle and not fresh:
             connection = idle.pop()  # the most recently used, so that the rest can grow old and go
-            self._aged.pop(connection, None)
-            if connection.usable() and connection.address == attempt.address:
-                return connection.carry(attempt)
+            self._idle_by_age.pop(connection, None)
+            if connection.is_reusable() and connection.address == attempt.address:
+                return connection.send_attempt(attempt)
             connection.close()
-        if self._room() <= 0 and not self.close_oldest_idle():
+        if self._free_sockets() <= 0 and not self.close_oldest_idle():
             # Our own shortage: it never ran, and says nothing about the server.
             return attempt.end(Result.MOOT)
         dial = self._loop.create_task(self._dial(attempt))
         self._dials.add(dial)
         dial.add_done_callback(self._dials.discard)
-        attempt.carried_by(dial.cancel)
+        attempt.set_cancel_io(dial.cancel)
 
     async def _dial(self, attempt: Attempt) -> None:
-        connection = self.kind(self, attempt.server, attempt.address)
+        connection = self.connection_class(self, attempt.server, attempt.address)
         result = Result.UNREACHABLE
         kept = False
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 local = None if self.local_ip is None else (self.local_ip, 0)
                 await self._loop.create_connection(lambda: connection, *attempt.address, local_addr=local)
-            if connection.usable():  # else it came up and broke at once
+            if connection.is_reusable():  # else it came up and broke at once
                 self._open.add(connection)
                 kept = True
                 # Connecting took time: the request may have ended, its server may have been called off.
                 if not attempt.over and attempt.may_send():
-                    return connection.carry(attempt)
-                self.put_back(connection)
+                    return connection.send_attempt(attempt)
+                self.return_connection(connection)
                 result = Result.MOOT
         except OSError as problem:  # a time-out is one too
-            if problem.errno in OWN_SHORTAGE:
+            if problem.errno in LOCAL_SHORTAGE:
                 result = Result.MOOT
         except Exception:
             log.exception("connecting to a server")
@@ -610,17 +610,17 @@
                 connection.close()
         attempt.end(result)
 
-    def put_back(self, connection: Connection) -> None:
+    def return_connection(self, connection: Connection) -> None:
         """Keep a connection that carries nothing for the next attempt."""
         connection.idle_since = now_ms()
-        self._aged[connection] = None
+        self._idle_by_age[connection] = None
         self._idle.setdefault(connection.server, []).append(connection)
 
     def forget(self, connection: Connection) -> None:
         """Count a connection out."""
         self._open.discard(connection)
-        if connection in self._aged:
-            del self._aged[connection]
+        if connection in self._idle_by_age:
+            del self._idle_by_age[connection]
             idle = self._idle[connection.server]
             idle.remove(connection)
             if not idle:
@@ -631,18 +631,18 @@
         for connection in list(self._idle.get(server, ())):
             connection.close()
 
-    def gone(self, server: int) -> None:
+    def server_removed(self, server: int) -> None:
         """A server is listed no more."""
         self.close_idle(server)
 
     def close(self) -> None:
         """Close what carries nothing."""
-        for connection in list(self._aged):
+        for connection in list(self._idle_by_age):
             connection.close()
 
     def close_oldest_idle(self) -> bool:
         """Give back a socket, if one carries nothing."""
-        oldest = next(iter(self._aged), None)
+        oldest = next(iter(self._idle_by_age), None)
         if oldest is not None:
             oldest.close()
         return oldest is not None
@@ -650,5 +650,5 @@
     def _sweep(self) -> None:
         self._loop.call_later(SWEEP_S, self._sweep)
         before = now_ms() - self._idle_limit_ms
-        while self._aged and (oldest := next(iter(self._aged))).idle_since < before:
+        while self._idle_by_age and (oldest := next(iter(self._idle_by_age))).idle_since < before:
             oldest.close()
--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -18,12 +18,12 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.settings import read_settings
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.node.collector import settle
 from orchidferry.node.config import Config, Listing
 from orchidferry.node.control.link import Link
 from orchidferry.node.control.messages import node_message, pool_message
 from orchidferry.node.control.pipe import Teller
 from orchidferry.node.control.settings import Control
+from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
 from orchidferry.testkit.bench.forward import Bench, ask_all, cpu_s, rss_kb, scenario
 from orchidferry.testkit.control.service import Service
@@ -162,7 +162,7 @@
         took = time.thread_time() - began
         longest[0], longest[1] = max(longest[0], took), longest[1] + took
 
-    settle()
+    freeze_startup_objects()
     config = Config(
         "bench",
         ("127.0.0.1", 0),
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -22,7 +22,7 @@
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.settings import Bounds, Settings
 from orchidferry.mesh.storage.store import Store
-from orchidferry.node.collector import settle
+from orchidferry.node.garbage_collector import freeze_startup_objects
 
 CLAIM_S = 1.0  # for one key
 MAX_S = 30.0  # of one load
@@ -137,7 +137,7 @@
         while news.heard < len(where["seeds"]) or not one.said[ClaimOutcome.GRANTED]:
             await one.run(f"try {where['ip']} {tries}", 100.0, 0.2, 1, 1, 0)
             tries += 1
-    settle()
+    freeze_startup_objects()
     print("ready", flush=True)
     while line := await reader.readline():
         print(json.dumps(await one.run(**json.loads(line))), flush=True)
--- a/orchidferry/testkit/capacity/hops.py
+++ b/orchidferry/testkit/capacity/hops.py
@@ -23,11 +23,11 @@
 Function = tuple[str, int, str]  # file, line, name
 
 FUNCTIONS = {  # where one module does the work of two hops
-    ("orchidferry/node/frontend.py", "_write"): ANSWER,
-    ("orchidferry/node/frontend.py", "_answer"): ANSWER,
-    ("orchidferry/node/frontend.py", "_give"): ANSWER,
+    ("orchidferry/node/frontend.py", "_write_reply"): ANSWER,
+    ("orchidferry/node/frontend.py", "_on_reply"): ANSWER,
+    ("orchidferry/node/frontend.py", "_start_streaming"): ANSWER,
     ("orchidferry/node/frontend.py", "render"): ANSWER,
-    ("orchidferry/node/frontend.py", "_settle"): ANSWER,
+    ("orchidferry/node/frontend.py", "_update_stage"): ANSWER,
     ("orchidferry/node/upstream.py", "data_received"): ANSWER,
     ("orchidferry/node/upstream.py", "on_header"): ANSWER,
     ("orchidferry/node/upstream.py", "on_message_complete"): ANSWER,
@@ -36,7 +36,7 @@
     ("dataplane/http_connection.py", "on_header"): ANSWER,
     ("dataplane/http_connection.py", "on_headers_complete"): ANSWER,
     ("dataplane/http_connection.py", "on_message_complete"): ANSWER,
-    ("dataplane/listener.py", "_write"): ANSWER,
+    ("dataplane/listener.py", "_write_reply"): ANSWER,
     ("dataplane/messages.py", "passed_on"): ANSWER,
     ("dataplane/messages.py", "judged"): ANSWER,
     ("dataplane/messages.py", "kept_answer"): KEY,
@@ -55,8 +55,8 @@
     ("control/configuration.py", ROUTE),
     ("dataplane/service_client.py", PICK),
     ("orchidferry/balancing/", PICK),
-    ("orchidferry/node/turns.py", PICK),
-    ("orchidferry/node/alarms.py", PICK),
+    ("orchidferry/node/event_queue.py", PICK),
+    ("orchidferry/node/timer_queue.py", PICK),
     ("dataplane/admission.py", GATE),
     ("dataplane/", WRITE),
     ("orchidferry/node/upstream.py", WRITE),
@@ -70,7 +70,7 @@
 def hop_of(function: Function) -> str:
     """The hop that a function of the program works for.
 
-    >>> hop_of(("orchidferry/node/frontend.py", 1, "_write"))
+    >>> hop_of(("orchidferry/node/frontend.py", 1, "_write_reply"))
     'answer'
     >>> hop_of(("orchidferry/mesh/dataplane/proxy.py", 1, "_take"))
     'route'
--- a/orchidferry/testkit/explore/breaks.py
+++ b/orchidferry/testkit/explore/breaks.py
@@ -12,20 +12,20 @@
 from orchidferry.balancing import cold, logic
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
-from orchidferry.node import alarms, frontend, node, upstream
+from orchidferry.node import frontend, node, timer_queue, upstream
 
 Patch = tuple[Any, str, Any]  # where, what, and what stands there instead
 
 
 def _answer_twice() -> list[Patch]:
-    inner = frontend.Caller._write
+    inner = frontend.ClientConnection._write_reply
 
     def write(self: Any, reply: Any) -> None:
         inner(self, reply)
         if reply.status == 200 and not self._transport.is_closing():
             self._transport.write(frontend.render(reply, False))
 
-    return [(frontend.Caller, "_write", write)]
+    return [(frontend.ClientConnection, "_write_reply", write)]
 
 
 def _lose_answer() -> list[Patch]:
@@ -74,8 +74,8 @@
     def lost(self: Any, exc: Exception | None) -> None:
         if self._attempt is not None:
             self._lost = True
-            self._pool.forget(self)
-            self._end(Result.UNREACHABLE, reuse=False)
+            self._upstream.forget(self)
+            self._finish_attempt(Result.UNREACHABLE, reuse=False)
         else:
             inner(self, exc)
 
@@ -83,7 +83,7 @@
 
 
 def _no_late_check() -> list[Patch]:
-    return [(node.Try, "may_send", lambda self: True)]
+    return [(node.RequestAttempt, "may_send", lambda self: True)]
 
 
 def _ignore_drain() -> list[Patch]:
@@ -112,18 +112,18 @@
     def gone(self: Any, live: Any) -> None:
         self._drop(live)
 
-    return [(node.Node, "caller_gone", gone)]
+    return [(node.Node, "client_disconnected", gone)]
 
 
 def _leak_attempt() -> list[Patch]:
-    inner = node.Try.ended
+    inner = node.RequestAttempt.ended
 
     def ended(self: Any, result: Any, answer: Any) -> None:
         inner(self, result, answer)
         if result is Result.RESET:
             self._node.attempts[self._live.id, self._number] = self
 
-    return [(node.Try, "ended", ended)]
+    return [(node.RequestAttempt, "ended", ended)]
 
 
 def _swallow_end() -> list[Patch]:
@@ -149,7 +149,7 @@
 
 def _reuse_unread() -> list[Patch]:
     """A connection is used again whatever has come on it, and its loss then counts as nothing sent."""
-    return [(upstream.Connection, "usable", lambda self: True)]
+    return [(upstream.Connection, "is_reusable", lambda self: True)]
 
 
 def _refuse_what_may_have_run() -> list[Patch]:
@@ -181,7 +181,7 @@
 
 
 def _leak_timer() -> list[Patch]:
-    return [(alarms.Alarms, "cancel", lambda self, number: None)]
+    return [(timer_queue.TimerQueue, "cancel", lambda self, number: None)]
 
 
 BREAKS: dict[str, tuple[str, Callable[[], list[Patch]]]] = {
--- a/orchidferry/testkit/explore/state.py
+++ b/orchidferry/testkit/explore/state.py
@@ -12,7 +12,7 @@
   but its history;
 - parsers of httptools, whose state is in C: at rest no message is half read here, as peers send whole ones;
 - the explorer's own story, what the properties have seen beyond what they still compare with, and counts for
-  operators (`Figures`), which nothing decides by;
+  operators (`Metrics`), which nothing decides by;
 - the modules' code, loggers, and the handler that is wrapped round the module.
 
 Chance is not in it: here it always falls in the middle.
@@ -33,7 +33,7 @@
 from orchidferry.testkit.explore.world import World
 
 OURS = ("orchidferry.balancing", "orchidferry.node", "orchidferry.testkit.explore")
-SKIPPED = frozenset(("Figures", "Logger", "HttpRequestParser", "HttpResponseParser", "_Errors", "Context"))
+SKIPPED = frozenset(("Metrics", "Logger", "HttpRequestParser", "HttpResponseParser", "_Errors", "Context"))
 SKIPPED_FIELDS = frozenset(("handle",))  # of the module: the wrapper round it
 
 
--- a/tests/mesh/dataplane/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -79,7 +79,7 @@
     for n, (rank, patience, gone) in enumerate(held):
         passing = scene.ask(str(n), orchid_rank=b"%d" % rank, orchid_patience=b"%d" % (100 * patience))
         if gone:
-            passing.caller_gone()
+            passing.client_disconnected()
         elif patience > 1:
             wanted.append((rank, n))
     scene.loop.pass_ms(150.0)
@@ -87,7 +87,7 @@
     assert {id for id in scene.replies if scene.word(id) == b"unrun"} >= late and scene.inside() == ["x", "y"]
     for _, n in sorted(wanted):
         first = next(a for a in scene.lines.sent if not a.over)
-        first.sent_whole()
+        first.on_sent()
         first.end(Result.SERVED, said(id=first.message.id.encode()))
         assert scene.inside()[-1] == str(n)
     assert len(scene.inside()) == 2 and scene.gate._waiting == 0
@@ -213,7 +213,7 @@
     assert scene.inside() == ["a", "b"]  # it serves on
     assert [scene.word(id) for id in ("held", "late")] == [b"gone", b"gone"]
     for attempt in scene.lines.sent:
-        attempt.sent_whole()
+        attempt.on_sent()
         attempt.end(Result.SERVED, said(id=attempt.message.id.encode()))
     assert [scene.replies[id].status for id in "ab"] == [200, 200] and len(scene.lines.sent) == 2
 
@@ -234,10 +234,10 @@
     scene.beat(1)
     for passing in (scene.ask("a", orchid_once=b"1"), scene.ask("b")):
         assert passing.attempt is not None
-        passing.attempt.sent_whole()
-        passing.caller_gone()
+        passing.attempt.on_sent()
+        passing.client_disconnected()
     assert scene.inside() == ["a"]
-    scene.ask("c", orchid_once=b"1").caller_gone()  # not written yet: it never ran
+    scene.ask("c", orchid_once=b"1").client_disconnected()  # not written yet: it never ran
     assert scene.inside() == ["a"] and not scene.replies
 
 
@@ -259,8 +259,8 @@
     for n in range(others):
         scene.ask(str(n))
     assert passing.attempt is not None
-    passing.attempt.sent_whole()
-    passing.caller_gone()
+    passing.attempt.on_sent()
+    passing.client_disconnected()
     for _ in range(later):
         scene.ask("later")
     scene.loop.pass_ms(after_ms)
@@ -290,6 +290,6 @@
     passing = scene.ask("t", **headers)
     scene.lines.sent[0].written = True
     if gone:
-        passing.caller_gone()
+        passing.client_disconnected()
     scene.lines.sent[0].end(Result.SERVED, answer)
     assert scene.orphans == kept and not scene.inside()
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -24,9 +24,9 @@
 from orchidferry.mesh.dataplane.idle_limit import IdleLimit
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.flow import SHORT_BODY, Flow
 from orchidferry.node.frontend import Reply
+from orchidferry.node.timer_queue import TimerQueue
 from tests.mesh.fakes import asked, patch_clock, route
 from tests.mesh.wire_fakes import Peer, Pool, Sent, close_all, pool
 
@@ -75,7 +75,7 @@
         peer.transport.takes = self.takes
         self.peers.append(peer)
         self._open.add(connection)
-        connection.carry(attempt)
+        connection.send_attempt(attempt)
 
 
 @dataclass
@@ -98,7 +98,7 @@
     def __init__(self, patch: Any, seed: int) -> None:
         patch.setattr(module, "random", SimpleNamespace(Random=lambda: random.Random(seed)))
         self.loop, made = pool()
-        self.pool = Kernel(self.loop, 400.0, 14_000.0, lambda: 99, Alarms(self.loop), 500.0)
+        self.pool = Kernel(self.loop, 400.0, 14_000.0, lambda: 99, TimerQueue(self.loop), 500.0)
         self.pool.peers = made.peers
         patch_clock(patch, self.loop.now_ms)
         self.service = ServiceClient("s", "me", "z", Bounds(), self.loop, self.pool.alarms, self.pool, int)
@@ -111,14 +111,14 @@
         self.once: set[str] = set()
         self.lives: dict[str, Any] = {}
         self.sendings: list[Sending] = []
-        carry = HttpConnection.carry
+        send_attempt = HttpConnection.send_attempt
 
         def noted(connection: HttpConnection, attempt: Any) -> None:
             [peer] = [p for p in self.pool.peers if p.connection is connection]
             self.sendings.append(Sending(attempt.message.id, peer, len(peer.transport.written)))
-            carry(connection, attempt)
+            send_attempt(connection, attempt)
 
-        patch.setattr(HttpConnection, "carry", noted)
+        patch.setattr(HttpConnection, "send_attempt", noted)
 
     def ask(self, once: bool) -> str:
         id = f"t{len(self.replies)}"
@@ -163,7 +163,7 @@
         elif dice < 0.95:
             self.loop.pass_ms(rng.choice((1.0, 40.0, 300.0, 1_000.0)))
         else:
-            self.lives[rng.choice(sorted(self.lives))].caller_gone()
+            self.lives[rng.choice(sorted(self.lives))].client_disconnected()
         self.check()
 
     def act(self, rng: random.Random, sending: Sending) -> None:
@@ -256,7 +256,7 @@
     sent, peer = sending(taken)
     if later:
         peer.transport.drain(later)
-    sent.timed_out()
+    sent.on_timeout()
     assert [r for r, _ in sent.ends] == [result] and peer.transport.closed
 
 
@@ -319,7 +319,7 @@
 def test_a_connection_that_was_never_made_proves_that_nothing_ran(problem: OSError) -> None:
     async def main() -> list[Result]:
         loop = asyncio.get_running_loop()
-        lines = HttpConnections(loop, 400.0, 14_000.0, lambda: 9, Alarms(loop), 500.0)
+        lines = HttpConnections(loop, 400.0, 14_000.0, lambda: 9, TimerQueue(loop), 500.0)
         with mock.patch.object(loop, "create_connection", side_effect=problem):
             sent = Sent(asked("t1"), once=True)
             lines.send(sent)
--- a/tests/mesh/dataplane/test_http_connection.py
+++ b/tests/mesh/dataplane/test_http_connection.py
@@ -53,7 +53,7 @@
         self.line = HttpConnection(self.lines, 1, ("127.0.0.1", 1))
         self.line.connection_made(self.transport)
         self.sent = Sent(asked())
-        self.line.carry(self.sent)
+        self.line.send_attempt(self.sent)
 
     @property
     def kept(self) -> bool:
--- a/tests/mesh/dataplane/test_http_connection_answers.py
+++ b/tests/mesh/dataplane/test_http_connection_answers.py
@@ -17,7 +17,7 @@
     ServerResponse,
 )
 from orchidferry.node.flow import Flow
-from orchidferry.node.upstream import Answer, Connection
+from orchidferry.node.upstream import Connection, UpstreamResponse
 from tests.mesh.fakes import asked
 from tests.mesh.wire_fakes import Peer, Sent, close_all, pool
 
@@ -256,8 +256,8 @@
     def end(self) -> None:
         self.said.append("end")
 
-    def broken(self) -> None:
-        self.said.append("broken")
+    def flow_failed(self) -> None:
+        self.said.append("flow_failed")
 
 
 @settings(max_examples=400, deadline=None)
@@ -280,7 +280,7 @@
         [(result, said)] = sent.ends
         assert result is Result.SERVED and said.flow is not None
         said.flow.attach(Reader())
-        said.flow.choke()
+        said.flow.block()
         peer.connection.data_received(body[-1:])
         assert story.ask("t2") and story.attempts[1].ends == []
         peer.put(answer(b"t2", tag(1)))
@@ -299,7 +299,7 @@
         reader, [(_, said)] = Reader(), sent.ends
         said.flow.attach(reader)
         peer.lose(exc)
-        assert reader.said == ["broken"]
+        assert reader.said == ["flow_failed"]
 
 
 @pytest.mark.parametrize("said_close", [b"", b"Connection: close\r\n"])
@@ -319,7 +319,7 @@
         peer.lose(exc)
         [(result, said)] = sent.ends
         if size > HELD_ANSWER:
-            assert (result, reader.said) == (Result.SERVED, ["end" if exc is None else "broken"])
+            assert (result, reader.said) == (Result.SERVED, ["end" if exc is None else "flow_failed"])
         elif exc is None:
             assert (result, said.body) == (Result.SERVED, b"xxx")
         else:
@@ -347,15 +347,17 @@
         assert other is not peer
 
 
-def reuse_always(self: Connection, result: Result, reuse: bool, answer: Answer | None = None) -> None:
+def reuse_always(
+    self: Connection, result: Result, reuse: bool, answer: UpstreamResponse | None = None
+) -> None:
     END(self, result, True, answer)
 
 
-END = Connection._end
+END = Connection._finish_attempt
 BREAKS: dict[str, tuple[type, str, object, list[str], list[str], int]] = {
     "reuse-after-surplus": (
         Connection,
-        "_end",
+        "_finish_attempt",
         reuse_always,
         ["surplus after", "length"],
         ["t1", "t2"],
@@ -363,7 +365,7 @@
     ),
     "reuse-unread": (
         Connection,
-        "usable",
+        "is_reusable",
         lambda self: True,
         ["surplus after", "length"],
         ["t1", "t2"],
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -18,8 +18,8 @@
     ProxiedRequest,
 )
 from orchidferry.mesh.dataplane.service_client import PendingRequest, ServiceClient
-from orchidferry.node.flow import SHORT_BODY, Flow, Pool
-from orchidferry.node.frontend import Caller, Reply, Stage
+from orchidferry.node.flow import SHORT_BODY, Flow, MemoryPool
+from orchidferry.node.frontend import ClientConnection, Reply, Stage
 from orchidferry.node.request import Message
 from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
 from tests.mesh.fakes import Loop, route, said
@@ -61,7 +61,7 @@
 
     def end(self) -> None: ...
 
-    def broken(self) -> None: ...
+    def flow_failed(self) -> None: ...
 
 
 class Owed:
@@ -75,7 +75,7 @@
         if message.flow is not None:
             message.flow.attach(Sink())
 
-    def caller_gone(self) -> None:
+    def client_disconnected(self) -> None:
         self.gone = True
 
     def reply(self, status: int = 200, flow: Flow | None = None) -> None:
@@ -86,11 +86,11 @@
 class Source:
     """Where an answer that flows comes from."""
 
-    def hold(self) -> None: ...
+    def pause(self) -> None: ...
 
-    def go_on(self) -> None: ...
+    def resume(self) -> None: ...
 
-    def called_off(self) -> None: ...
+    def flow_cancelled(self) -> None: ...
 
 
 class Line:
@@ -99,7 +99,7 @@
     def __init__(self, accept: Callable[[Message, Callable[[Reply], None]], Any] | None = None) -> None:
         loop: Any = Loop()
         self.loop = loop
-        self.listener = Listener(accept or self._accept, 9, Pool(1 << 20), lambda: True)
+        self.listener = Listener(accept or self._accept, 9, MemoryPool(1 << 20), lambda: True)
         self.listener._loop = loop
         self.listener.limit(5.0, 3.0)
         self.listener._sweep()
@@ -401,13 +401,13 @@
         """Two requests on one connection; the first's answer comes after its time."""
         self.line.send(request(b"a"))
         [attempt] = self.scene.out()
-        attempt.sent_whole()
-        attempt.go_on_for(60.0)
+        attempt.on_sent()
+        attempt.extend_timeout(60.0)
         self.scene.loop.pass_ms(501.0)
         self.line.send(request(b"b"))
         attempt.end(Result.SERVED, said(id=b"a"))
         [second] = self.scene.of("b")
-        second.sent_whole()
+        second.on_sent()
         second.end(Result.SERVED, said(id=b"b"))
         return self.line.answers()
 
@@ -435,7 +435,7 @@
 )
 def test_the_break_error_out_of_turn_is_seen(test: Callable[[], None]) -> None:
     seen = pytest.raises((AssertionError, httptools.HttpParserError))
-    with mock.patch.object(CallerConnection, "_turn_away", Caller._turn_away), seen:
+    with mock.patch.object(CallerConnection, "_close_with_error", ClientConnection._close_with_error), seen:
         test()
 
 
--- a/tests/mesh/dataplane/test_messages.py
+++ b/tests/mesh/dataplane/test_messages.py
@@ -128,7 +128,7 @@
     [visit], answer = way.lines.sent, said(status, b"9c41")
     answer.headers = [(b"Server-Seal", b"3e1b"), (b"Content-Type", b"a/b"), (b"Kind", b"1"), (b"Kind", b"2")]
     answer.body = b"the server's bytes"
-    visit.sent_whole()
+    visit.on_sent()
     visit.end(Result.ERROR if status >= 500 else Result.SERVED, answer)
     written = way.inbound.transport.written
     assert written.startswith(b"HTTP/1.1 %d" % status) and written.endswith(b"\r\n\r\nthe server's bytes")
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -82,8 +82,8 @@
     scene.ask()
     [attempt] = scene.scene.out()
     if written:
-        attempt.sent_whole()
-    attempt.go_on_for(60.0)
+        attempt.on_sent()
+    attempt.extend_timeout(60.0)
     scene.loop.pass_ms(1_100.0)  # 1,000 ms is the route's
     [(after_ms, reply)] = scene.replies
     assert after_ms <= 1_000.5 and reply.status == status
--- a/tests/mesh/dataplane/test_proxy_operation_keys.py
+++ b/tests/mesh/dataplane/test_proxy_operation_keys.py
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("status", [200, 404, 500])
 def test_a_repeat_gets_the_first_runs_answer_under_its_own_id(scene: Scene, status: int) -> None:
     attempt = scene.run("a")
-    attempt.sent_whole()
+    attempt.on_sent()
     first = said(status, b"a")
     first.body = b"the first run's"
     first.headers = [(b"Server-Seal", b"s1"), (b"Kind", b"x")]
@@ -99,7 +99,7 @@
 
 
 def lost(attempt: Any) -> None:
-    attempt.sent_whole()
+    attempt.on_sent()
     attempt.end(Result.RESET)
 
 
@@ -109,12 +109,12 @@
 
 
 def silent(attempt: Any) -> None:
-    attempt.sent_whole()
-    attempt.timed_out()
+    attempt.on_sent()
+    attempt.on_timeout()
 
 
 def refused(attempt: Any) -> None:
-    attempt.sent_whole()
+    attempt.on_sent()
     attempt.end(Result.REFUSED, said(503, b"a", gate=b"unrun"))
 
 
@@ -136,7 +136,7 @@
 def test_a_promise_without_its_proof_is_told_to_nobody(scene: Scene) -> None:
     """The server says 503 and not that it did not run it: neither the caller nor a repeat may believe it."""
     attempt = scene.run("a")
-    attempt.sent_whole()
+    attempt.on_sent()
     attempt.end(Result.ERROR, said(503, b"a"))
     scene.loop.pass_ms(1_001.0)
     assert scene.replies["a"].status == 502 and scene.news.words == [] and kept_answer(said(503)) is None
@@ -156,6 +156,6 @@
 
 
 def test_a_key_granted_to_a_caller_that_has_left_is_given_back(scene: Scene) -> None:
-    scene.ask("a").caller_gone()
+    scene.ask("a").client_disconnected()
     scene.news.told[-1](ClaimOutcome.GRANTED, None)
     assert scene.news.words == [("release", "k", "a")] and not scene.lines.sent and not scene.replies
--- a/tests/mesh/dataplane/test_proxy_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -46,12 +46,12 @@
     def count(self) -> int:
         return int(self.loop.now_s < self.gone_s)
 
-    async def empty(self) -> None:
+    async def wait_closed(self) -> None:
         await asyncio.sleep(max(0.0, self.gone_s - self.loop.now_s))
 
-    async def wind_up(self) -> None:
+    async def close_gracefully(self) -> None:
         self.wound_s = self.loop.now_s
-        await self.empty()
+        await self.wait_closed()
 
 
 def played(loop: Clock, work: Coroutine[Any, Any, None]) -> None:
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -116,7 +116,7 @@
     taken = Taken(scene, route("idempotent", 1))
     [attempt] = scene.out()
     attempt.written = True
-    attempt.timed_out()  # out of patience, long before the request's end
+    attempt.on_timeout()  # out of patience, long before the request's end
     assert attempt.over is bool(taken.replies) is not leaving
     scene.loop.pass_ms(1_000.0)
     assert [reply.status in (502, 504) for reply in taken.replies] == [True] and attempt.over
@@ -146,7 +146,7 @@
         elif dice < 0.85 and out:
             attempt = rng.choice(out)
             if not attempt.written and rng.random() < 0.7:
-                attempt.sent_whole()
+                attempt.on_sent()
             elif not attempt.written:
                 watch.end(attempt, rng.choice((Result.UNREACHABLE, Result.MOOT)), None)
             else:
@@ -157,7 +157,7 @@
         elif dice < 0.95 and scene.taken:
             taken = rng.choice(list(scene.taken.values()))
             taken.gone = True
-            taken.live.caller_gone()
+            taken.live.client_disconnected()
         else:
             state = rng.choice((IN_SERVICE, IN_SERVICE, DRAINING))
             scene.servers(*rng.sample("1234", rng.randrange(4)), state=state)
@@ -180,9 +180,9 @@
 def test_what_was_not_written_is_refused_and_what_was_is_late(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch, route("non_idempotent", 2))
     unwritten, written = (Taken(scene, route("non_idempotent", 2)) for _ in range(2))
-    scene.of(written.id)[0].sent_whole()
+    scene.of(written.id)[0].on_sent()
     for attempt in scene.out():
-        attempt.go_on_for(60.0)  # the line says nothing
+        attempt.extend_timeout(60.0)  # the line says nothing
     scene.loop.pass_ms(1_001.0)
     assert [t.replies[0].status for t in (unwritten, written)] == [503, 504]
     scene.of(written.id)[0].end(Result.SERVED, said(id=written.id.encode()))
@@ -193,7 +193,7 @@
     scene = Scene(monkeypatch, route())
     taken = Taken(scene, route())
     attempt = scene.out()[0]
-    attempt.sent_whole()
+    attempt.on_sent()
     attempt.end(Result.ERROR, said(500, taken.id.encode(), below=True))
     scene.loop.pass_ms(900.0)
     assert len(scene.of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
@@ -217,8 +217,8 @@
     taken = Taken(scene, route(kind, 2), keyed)
     [attempt] = scene.out()
     if written:
-        attempt.sent_whole()
-    taken.live.caller_gone()
+        attempt.on_sent()
+    taken.live.client_disconnected()
     scene.loop.pass_ms(500.0)
     assert attempt.over is over and scene.of(taken.id) == [attempt] and not taken.replies
 
@@ -227,8 +227,8 @@
     scene = Scene(monkeypatch, route("keyed", 2))
     taken = Taken(scene, route("keyed", 2))
     attempt = scene.out()[0]
-    attempt.sent_whole()
-    taken.live.caller_gone()
+    attempt.on_sent()
+    taken.live.client_disconnected()
     assert not taken.ends and not attempt.over
     attempt.end(Result.SERVED, said(id=taken.id.encode()))
     assert [(said and said.status, ran) for said, ran in taken.ends] == [(200, True)] and not taken.replies
@@ -258,7 +258,7 @@
             (further if attempt.message.id in ids else first).append(scene.loop.now_ms())
             ids.add(attempt.message.id)
         for attempt in sent:
-            attempt.sent_whole()
+            attempt.on_sent()
             refused = rng.random() < 0.3
             answer = said(503, attempt.message.id.encode(), gate=b"unrun") if refused else None
             attempt.end(Result.REFUSED if refused else Result.RESET, answer)
@@ -294,7 +294,7 @@
     taken = Taken(scene, route(kind, 1))
     [attempt] = scene.out()
     if written:
-        attempt.sent_whole()
+        attempt.on_sent()
     if taken_before:
         scene.service.stop_by(stop_ms)
     scene.loop.pass_ms(350.0)
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -16,7 +16,7 @@
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds
-from orchidferry.node.flow import Pool
+from orchidferry.node.flow import MemoryPool
 from orchidferry.node.frontend import Reply
 from tests.mesh.fakes import patch_clock, rig, route
 
@@ -64,7 +64,7 @@
 
 
 def read(headers: dict[bytes, bytes]) -> ProxiedRequest:
-    listener = Listener(lambda message, answer: None, 9, Pool(0), lambda: True)  # type: ignore[arg-type,return-value]
+    listener = Listener(lambda message, answer: None, 9, MemoryPool(0), lambda: True)  # type: ignore[arg-type,return-value]
     message = listener.read(b"GET", b"/x/", headers, b"", None)
     assert isinstance(message, ProxiedRequest)
     return message
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -17,8 +17,8 @@
     ServerResponse,
 )
 from orchidferry.node import upstream
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.frontend import Reply
+from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream import Attempt
 
 
@@ -71,19 +71,19 @@
         self.alarms, self.sent = alarms, list[Attempt]()
 
     def send(self, attempt: Attempt) -> None:
-        attempt.give_up_after(self.alarms, attempt.timeout_ms / 1e3)
+        attempt.set_timeout(self.alarms, attempt.timeout_ms / 1e3)
         self.sent.append(attempt)
 
-    def gone(self, server: int) -> None:
+    def server_removed(self, server: int) -> None:
         pass
 
-    close_idle = gone
+    close_idle = server_removed
 
 
 def rig() -> tuple[Any, Any, Any]:
     """A loop, its alarms and lines."""
     loop: Any = Loop()
-    alarms = Alarms(loop)
+    alarms = TimerQueue(loop)
     return loop, alarms, FakeLines(alarms)
 
 
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.dataplane.messages import (
     ProxiedRequest,
 )
-from orchidferry.node.upstream import Answer, Attempt
+from orchidferry.node.upstream import Attempt, UpstreamResponse
 from tests.mesh.fakes import rig
 
 
@@ -83,7 +83,7 @@
     def may_send(self) -> bool:
         return True
 
-    def ended(self, result: Result, answer: Answer | None) -> None:
+    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
         self.ends.append((result, answer))
 
 
@@ -152,13 +152,13 @@
         super().send(attempt, fresh)
         for peer in self.peers:  # the dial is over already
             if peer.connection._attempt is attempt:
-                attempt.carried_by(peer.connection.close)
+                attempt.set_cancel_io(peer.connection.close)
 
     async def _dial(self, attempt: Attempt) -> None:
         connection = HttpConnection(self, attempt.server, attempt.address)
         self.peers.append(Peer(connection))
         self._open.add(connection)
-        connection.carry(attempt)
+        connection.send_attempt(attempt)
 
 
 def pool(**more: Any) -> tuple[Any, Pool]:
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -15,8 +15,8 @@
 
 from orchidferry.balancing.settings import Json
 from orchidferry.balancing.versions import Part
+from orchidferry.node.admin_server import AdminServer
 from orchidferry.node.control.store import Store
-from orchidferry.node.door import Door
 from orchidferry.testkit.control import rollout_service
 from orchidferry.testkit.control.files import (
     VersionFileError,
@@ -79,14 +79,14 @@
         self.agents = agents
         self.where = f"{service.address[0]}:{service.address[1]}"
         self.doors: list[str] = []
-        self.made: list[Door] = []
+        self.made: list[AdminServer] = []
         self.failing: set[str] = set()  # versions under which answers fail
         self._asked = dict.fromkeys(range(len(agents)), 0)
         self._failed = dict.fromkeys(range(len(agents)), 0)
 
     async def open(self) -> None:
         for at in range(len(self.agents)):
-            door = Door(
+            door = AdminServer(
                 {
                     b"/-/control": functools.partial(self._status, at),
                     b"/-/ready": lambda: (200, b"ready\n"),
@@ -219,7 +219,7 @@
 def test_what_a_door_says_that_cannot_be_read_is_nothing() -> None:
     async def test() -> None:
         for page in (None, lambda: (200, b"x"), lambda: (200, b"[]"), lambda: (200, b'{"node":"n"}')):
-            door = Door({b"/-/control": page} if page is not None else {})
+            door = AdminServer({b"/-/control": page} if page is not None else {})
             where = await door.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
             name, reading = await read_door(where)
             assert reading is None and name in ("", "n")
--- a/tests/node/control/test_status.py
+++ b/tests/node/control/test_status.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.node.door import Door
+from orchidferry.node.admin_server import AdminServer
 from tests.balancing.test_wire import ROOT
 from tests.node.control.scene import members, node, run, scene
 from tests.node.peers import LIMIT_S, until
 
 
-async def door(page: Any) -> tuple[Door, str]:
-    made = Door({b"/-/control": page} if page is not None else {})
+async def door(page: Any) -> tuple[AdminServer, str]:
+    made = AdminServer({b"/-/control": page} if page is not None else {})
     host, port = await made.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
     return made, f"{host}:{port}"
 
--- a/tests/node/control/test_store.py
+++ b/tests/node/control/test_store.py
@@ -24,7 +24,7 @@
     decode,
     encode,
 )
-from orchidferry.node.store import LOCK, MAX_ASIDE, checksum
+from orchidferry.node.state_store import LOCK, MAX_ASIDE, checksum
 from tests.balancing import helpers
 
 
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -242,7 +242,8 @@
     code = (
         "import sys, orchidferry.__main__, orchidferry.node.node; "
         "bad = [m for m in sys.modules if m.startswith(("
-        "'msgpack', 'orchidferry.node.fleet', 'orchidferry.balancing.fleet', 'orchidferry.node.store'))]; "
+        "'msgpack', 'orchidferry.node.fleet', 'orchidferry.balancing.fleet', "
+        "'orchidferry.node.state_store'))]; "
         "sys.exit(str(bad) if bad else 0)"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -580,7 +580,7 @@
             assert lost.waiting is not None
             found = await asyncio.wait_for(lost.waiting, LIMIT_S)
             assert (found.how, found.reused) == ("reset", True)  # at once, not at some time-out
-            other = Listener(listener(made)._front, {}, listener(made).accept, listener(made).own_path)
+            other = Listener(listener(made)._front, {}, listener(made).accept, listener(made).node_page)
             assert other._reset_key == listener(made)._reset_key
 
     run(test())
--- a/tests/node/test_door.py
+++ b/tests/node/test_admin_server.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from orchidferry.node import door as door_module
+from orchidferry.node import admin_server as admin_module
+from orchidferry.node.admin_server import AdminServer
 from orchidferry.node.config import ConfigError, read_config
-from orchidferry.node.door import Door
 from tests.node.peers import LIMIT_S, Server, World, answer, read_message, request, run, until, world
 from tests.node.test_node import Program, spawn
 
@@ -160,14 +160,14 @@
 def test_silent_callers_are_bounded_in_time_and_number_and_others_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(door_module, "CALL_S", 0.3)
+    monkeypatch.setattr(admin_module, "REQUEST_TIMEOUT_S", 0.3)
 
     async def test(scene: World, at: tuple[str, int]) -> None:
-        assert scene.node is not None and isinstance(scene.node.door, Door)
-        silent = [await asyncio.open_connection(*at) for _ in range(door_module.MOST + 8)]
+        assert scene.node is not None and isinstance(scene.node.door, AdminServer)
+        silent = [await asyncio.open_connection(*at) for _ in range(admin_module.MAX_CONNECTIONS + 8)]
         silent[-1][1].write(b"GET /-/met")
         assert (await get(at, "/-/ready"))[0] == 200  # among them
-        assert scene.node.door.count() <= door_module.MOST + 1
+        assert scene.node.door.count() <= admin_module.MAX_CONNECTIONS + 1
         ends = [await asyncio.wait_for(reader.read(12), LIMIT_S) for reader, _ in silent[-3:]]
         assert ends == [b"HTTP/1.1 408"] * 3
         for _, writer in silent:
--- a/tests/node/test_flow.py
+++ b/tests/node/test_flow.py
@@ -7,13 +7,13 @@
 from orchidferry.node import flow as flow_module
 from orchidferry.node.flow import (
     GRACE_S,
-    MAX_KEEP,
+    MAX_REPLAY_BYTES,
     SHORT_BODY,
     SLOWEST_B_S,
     STALL_S,
     BodyTooLongError,
     Flow,
-    Pool,
+    MemoryPool,
 )
 
 PIECE = b"x" * (SHORT_BODY // 2)
@@ -26,15 +26,15 @@
         self.held = False
         self.told: list[str] = []
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self.held = True
-        self.told.append("hold")
+        self.told.append("pause")
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.held = False
         self.told.append("go on")
 
-    def called_off(self) -> None:
+    def flow_cancelled(self) -> None:
         self.told.append("called off")
 
 
@@ -52,7 +52,7 @@
         self.got += data
         self.room -= 1
         if self.room == 0:
-            self.flow.choke()
+            self.flow.block()
         self.gives_up_at -= 1
         if self.gives_up_at == 0:
             self.flow.detach(self)
@@ -60,17 +60,17 @@
     def end(self) -> None:
         self.ends.append("end")
 
-    def broken(self) -> None:
-        self.ends.append("broken")
+    def flow_failed(self) -> None:
+        self.ends.append("flow_failed")
 
 
-def made(pool: Pool | None, length: int | None = None) -> tuple[Flow, From]:
+def made(pool: MemoryPool | None, length: int | None = None) -> tuple[Flow, From]:
     source = From()
     return Flow(source, length, 0.0, pool), source
 
 
 def test_a_source_without_a_sink_is_held_after_a_short_body_and_goes_on_once_there_is_one() -> None:
-    flow, source = made(Pool(MAX_KEEP))
+    flow, source = made(MemoryPool(MAX_REPLAY_BYTES))
     flow.push(PIECE, 0.0)
     assert not source.held
     flow.push(PIECE, 0.0)
@@ -91,14 +91,14 @@
     flow.attach(sink)
     flow.push(b"one", 0.0)
     assert source.held
-    flow.release(0.0)
+    flow.unblock(0.0)
     assert not source.held
     flow.push(b"two", 0.0)
     assert sink.got == b"onetwo"
 
 
 def test_all_that_is_kept_is_fed_again_to_the_next_sink() -> None:
-    flow, source = made(Pool(MAX_KEEP))
+    flow, source = made(MemoryPool(MAX_REPLAY_BYTES))
     first = To(flow, gives_up_at=2)
     flow.attach(first)
     for n in range(3):
@@ -106,7 +106,7 @@
     assert len(first.got) == 2 * SHORT_BODY
     assert source.held  # nobody takes it now
     second = To(flow)
-    assert flow.can_begin()
+    assert flow.can_start()
     flow.attach(second)
     assert second.got == b"".join(bytes([n]) * SHORT_BODY for n in range(3))
     flow.finish()
@@ -114,36 +114,36 @@
 
 
 @pytest.mark.parametrize(
-    "pool", [Pool(0), Pool(MAX_KEEP * 2)], ids=["no room in the pool", "too long to keep"]
+    "pool", [MemoryPool(0), MemoryPool(MAX_REPLAY_BYTES * 2)], ids=["no room in the pool", "too long to keep"]
 )
-def test_once_more_has_gone_than_is_kept_it_is_spent_and_gives_its_memory_back(pool: Pool) -> None:
-    room = pool.left
+def test_once_more_has_gone_than_is_kept_it_is_spent_and_gives_its_memory_back(pool: MemoryPool) -> None:
+    room = pool.available
     flow, _ = made(pool)
     sink = To(flow)
     flow.attach(sink)
-    for _ in range(MAX_KEEP // len(PIECE) + 1):
+    for _ in range(MAX_REPLAY_BYTES // len(PIECE) + 1):
         flow.push(PIECE, 0.0)
-    assert flow.spent and not flow.can_begin()
-    assert pool.left == room
+    assert flow.spent and not flow.can_start()
+    assert pool.available == room
     flow.detach(sink)
     with pytest.raises(AssertionError, match="beginning is gone"):
         flow.attach(To(flow))
 
 
 def test_the_pool_bounds_what_all_flows_keep_and_gets_all_of_it_back() -> None:
-    pool = Pool(3 * SHORT_BODY)
+    pool = MemoryPool(3 * SHORT_BODY)
     flows = [made(pool)[0] for _ in range(4)]
     for flow in flows:
         flow.attach(To(flow))
         for _ in range(4):  # the first two are free, each further one is half a SHORT_BODY of the pool's
             flow.push(PIECE, 0.0)
     assert [flow.spent for flow in flows] == [False, False, False, True]
-    assert pool.left == 0
+    assert pool.available == 0
     flows[0].fail()
     flows[1].finish()
-    flows[1].fed()
-    flows[2].cut()
-    assert pool.left == 3 * SHORT_BODY
+    flows[1].delivered()
+    flows[2].abort()
+    assert pool.available == 3 * SHORT_BODY
 
 
 @pytest.mark.parametrize("length", [SHORT_BODY, None], ids=["than was said", "than may flow"])
@@ -156,15 +156,15 @@
     with pytest.raises(BodyTooLongError):
         flow.push(b"x", 0.0)
     flow.fail()
-    assert sink.ends == ["broken"] and flow.over
+    assert sink.ends == ["flow_failed"] and flow.over
     flow.push(b"later", 0.0)  # is dropped
     flow.finish()
-    assert sink.ends == ["broken"] and sink.got == PIECE * 2
+    assert sink.ends == ["flow_failed"] and sink.got == PIECE * 2
 
 
 def test_its_end_is_told_once_whoever_brings_it() -> None:
-    for how, whole in (("fail", False), ("call_off", False), ("cut", False), ("fed", True)):
-        flow, source = made(Pool(MAX_KEEP))
+    for how, whole in (("fail", False), ("cancel", False), ("abort", False), ("delivered", True)):
+        flow, source = made(MemoryPool(MAX_REPLAY_BYTES))
         sink = To(flow)
         ends = list[bool]()
         flow.on_over = ends.append
@@ -172,34 +172,34 @@
         flow.push(b"some", 0.0)
         for _ in range(2):
             getattr(flow, how)()
-            flow.cut()
+            flow.abort()
             flow.fail()
         assert ends == [whole]
-        assert sink.ends == (["broken"] if how in ("fail", "cut") else [])
-        assert source.told.count("called off") == (how in ("call_off", "cut"))
+        assert sink.ends == (["flow_failed"] if how in ("fail", "abort") else [])
+        assert source.told.count("called off") == (how in ("cancel", "abort"))
 
 
 def test_a_sink_that_comes_after_the_end_is_told_so() -> None:
-    flow, _ = made(Pool(MAX_KEEP))
+    flow, _ = made(MemoryPool(MAX_REPLAY_BYTES))
     flow.push(b"half", 0.0)
     flow.fail()
-    assert not flow.can_begin()
+    assert not flow.can_start()
     sink = To(flow)
     flow.attach(sink)
-    assert (sink.got, sink.ends) == (b"", ["broken"])
+    assert (sink.got, sink.ends) == (b"", ["flow_failed"])
 
 
 def test_standing_still_and_crawling_end_it_and_a_slow_steady_pace_does_not() -> None:
     flow, _ = made(None)
-    assert not flow.overdue(STALL_S)
-    assert flow.overdue(STALL_S + 1.0)
+    assert not flow.is_stalled(STALL_S)
+    assert flow.is_stalled(STALL_S + 1.0)
     now = 0.0
     while now < 200.0:  # twice the least pace
         now += 1.0
         flow.push(b"x" * SLOWEST_B_S * 2, now)
-        assert not flow.overdue(now + 0.5)
+        assert not flow.is_stalled(now + 0.5)
     crawling, _ = made(None)
-    while not crawling.overdue(now):
+    while not crawling.is_stalled(now):
         crawling.push(b"x", now)
         now += 1.0
     assert now <= 200.0 + GRACE_S + 2.0
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -180,11 +180,11 @@
             flow = live.message.flow
             assert flow is not None
             size = -1
-            while size != flow.size:  # until it stands still
-                size = flow.size
+            while size != flow.received_bytes:  # until it stands still
+                size = flow.received_bytes
                 await asyncio.sleep(0.3)
             assert size < 12 * MB  # of 24: the kernel's buffers on both ways, and little of ours
-            assert sum(map(len, flow._kept)) + sum(map(len, flow._waiting)) <= flow_module.MAX_KEEP
+            assert sum(map(len, flow._replay)) + sum(map(len, flow._unfed)) <= flow_module.MAX_REPLAY_BYTES
             server.gate.set()
             assert (await caller.read()).status == 200
             assert len(server.whole[0]) == 24 * MB
--- a/tests/node/test_outcomes.py
+++ b/tests/node/test_outcomes.py
@@ -17,10 +17,10 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.alarms import Alarms
 from orchidferry.node.config import Address
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import Answer, Attempt, Connection, Upstream, read_report
+from orchidferry.node.timer_queue import TimerQueue
+from orchidferry.node.upstream import Attempt, Connection, Upstream, UpstreamResponse, read_report
 from tests.node.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, run, until, world
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
@@ -148,7 +148,7 @@
         figures = {"connect_timeout_ms": 5000.0, "keepalive_ms": 60_000.0} | changes
         loop = asyncio.get_running_loop()
         self.upstream = Upstream(
-            loop, figures["connect_timeout_ms"], figures["keepalive_ms"], lambda: 100, Alarms(loop)
+            loop, figures["connect_timeout_ms"], figures["keepalive_ms"], lambda: 100, TimerQueue(loop)
         )
         host, port = address.split(":")
         self.address: Address = (host, int(port))
@@ -161,7 +161,7 @@
             def may_send(self) -> bool:
                 return alive is None or alive[0]
 
-            def ended(self, result: Result, answer: Answer | None) -> None:
+            def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
                 results.append(result)
 
         message = Message(b"GET", b"/play/1", id, "play", 20_000.0, None, False, None, None, b"")
@@ -225,7 +225,7 @@
 
 def test_a_write_that_fails_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     """The last byte did not go out, so the attempt may be made again, of whatever class."""
-    monkeypatch.setattr(Connection, "usable", lambda self: not self._lost)
+    monkeypatch.setattr(Connection, "is_reusable", lambda self: not self._lost)
 
     async def test() -> None:
         server = Blocking(reset=True)
@@ -337,7 +337,7 @@
         server = Server()
         await server.start()
         attempts = Attempts(server.address)
-        attempts.upstream._room = lambda: 0
+        attempts.upstream._free_sockets = lambda: 0
         attempts.send("a")
         assert await attempts.result(1) is Result.MOOT and not server.connections
         await server.stop()
@@ -354,7 +354,7 @@
             attempt = attempts.send("a")
             for _ in range(n % 4):  # at each step of it
                 await asyncio.sleep(0)
-            attempt.break_off(Result.CANCELLED)
+            attempt.abort(Result.CANCELLED)
         assert attempts.results == [Result.CANCELLED] * 20
         await until(lambda: attempts.upstream.count() == 0 and server.lost == server.connections)
         await server.stop()
--- a/tests/node/test_pools.py
+++ b/tests/node/test_pool_settings.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.moves import Plan, State
 from orchidferry.balancing.pools import KEY_MS, PoolRule, Router, Rules
 from orchidferry.node.config import ConfigError
-from orchidferry.node.pools import read_pools
+from orchidferry.node.pool_settings import read_pools
 from tests.node.peers import Server, answer, run, until, world
 
 POOLS = (PoolRule("old"), PoolRule("new", frozenset({"v2"})))
--- a/tests/node/test_alarms.py
+++ b/tests/node/test_timer_queue.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from orchidferry.node import alarms as module
-from orchidferry.node.alarms import Alarms
+from orchidferry.node import timer_queue as module
+from orchidferry.node.timer_queue import TimerQueue
 from tests.node.peers import run, until
 
 
 def test_all_that_is_not_called_off_rings_once_in_order_and_never_early() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        alarms, rng = Alarms(loop), random.Random(1)
+        alarms, rng = TimerQueue(loop), random.Random(1)
         rung: list[tuple[int, float]] = []
         due: dict[int, float] = {}
         for n in range(300):
@@ -43,7 +43,7 @@
 
 def test_one_may_call_off_another_that_is_due_with_it_and_set_new_ones() -> None:
     async def test() -> None:
-        alarms = Alarms(asyncio.get_running_loop())
+        alarms = TimerQueue(asyncio.get_running_loop())
         rung: list[str] = []
         numbers: dict[str, int] = {}
 
@@ -62,7 +62,7 @@
 
 def test_an_earlier_one_is_not_held_up_by_a_later_one() -> None:
     async def test() -> None:
-        alarms = Alarms(asyncio.get_running_loop())
+        alarms = TimerQueue(asyncio.get_running_loop())
         rung: list[str] = []
         alarms.after(30.0, lambda: rung.append("late"))
         alarms.after(0.01, lambda: rung.append("soon"))
@@ -77,7 +77,7 @@
         loop = asyncio.get_running_loop()
         told: list[str] = []
         loop.set_exception_handler(lambda _, context: told.append(str(context["exception"])))
-        alarms = Alarms(loop)
+        alarms = TimerQueue(loop)
         rung: list[int] = []
         alarms.after(0.0, partial(list[str]().remove, "nothing"))
         alarms.after(0.0, lambda: rung.append(1))
@@ -97,7 +97,7 @@
             raise AssertionError("it was called off")
 
     async def test() -> None:
-        alarms = Alarms(asyncio.get_running_loop())
+        alarms = TimerQueue(asyncio.get_running_loop())
         held = Held()
         seen = weakref.ref(held)
         for _ in range(1_000):
--- a/tests/testkit/broken_node.py
+++ b/tests/testkit/broken_node.py
@@ -20,36 +20,36 @@
 
 def answers_twice() -> None:
     """Every so often an answer goes out twice."""
-    write = frontend.Caller._write
+    write = frontend.ClientConnection._write_reply
     count = [0]
 
-    def spoilt(self: frontend.Caller, reply: frontend.Reply) -> None:
+    def spoilt(self: frontend.ClientConnection, reply: frontend.Reply) -> None:
         count[0] += reply.status == 200
         if reply.status == 200 and count[0] % EVERY == 0:
             self._transport.write(frontend.render(reply, False))
         write(self, reply)
 
-    frontend.Caller._write = spoilt  # type: ignore[method-assign]
+    frontend.ClientConnection._write_reply = spoilt  # type: ignore[method-assign]
 
 
 def loses_answers() -> None:
     """Every so often an answer is not given at all."""
-    answer = frontend.Caller._answer
+    answer = frontend.ClientConnection._on_reply
     count = [0]
 
-    def spoilt(self: frontend.Caller, reply: frontend.Reply) -> None:
+    def spoilt(self: frontend.ClientConnection, reply: frontend.Reply) -> None:
         count[0] += 1
         if count[0] % EVERY:
             answer(self, reply)
 
-    frontend.Caller._answer = spoilt  # type: ignore[method-assign]
+    frontend.ClientConnection._on_reply = spoilt  # type: ignore[method-assign]
 
 
 def makes_up_answers() -> None:
     """A failure is told as served."""
     finish = node.Node.finish
 
-    def spoilt(self: node.Node, live: node.Live | None, reply: frontend.Reply) -> None:
+    def spoilt(self: node.Node, live: node.PendingRequest | None, reply: frontend.Reply) -> None:
         finish(self, live, frontend.Reply(200, b"all is well") if reply.status == 502 else reply)
 
     node.Node.finish = spoilt  # type: ignore[method-assign]
@@ -103,7 +103,7 @@
     accept = node.Node.accept
     count = [0]
 
-    def spoilt(self: node.Node, *args: Any) -> node.Live:
+    def spoilt(self: node.Node, *args: Any) -> node.PendingRequest:
         count[0] += 1
         if count[0] > EVERY:
             sys.stderr.write("ERROR a fault that nobody thought of\n")
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -24,7 +24,7 @@
 from orchidferry.node.control.store import FORM as LAST_GOOD
 from orchidferry.node.fleet import wire as fleet_wire
 from orchidferry.node.fleet.shell import FORM as FLEET_STATE
-from orchidferry.node.store import StateFileError
+from orchidferry.node.state_store import StateFileError
 from orchidferry.testkit import record
 from orchidferry.testkit.judge import mesh as mesh_judge
 from orchidferry.testkit.judge import verdict
