--- a/orchidferry/mesh/control/actions.py
+++ b/orchidferry/mesh/control/actions.py
@@ -39,7 +39,8 @@
 class WriteRecords:
     """Put these records on disk, in one transaction.
 
-    :param completion: to be handed back to `Shard.written` with the result; None if no result is wanted.
+    :param completion: to be handed back to `Shard.write_finished` with the result; None if no result is
+        wanted.
     """
 
     puts: list[Put]
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -35,6 +35,7 @@
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.control.retry_budget import RetryBudgets
 from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.settings import Settings
 from orchidferry.mesh.storage.environment import KEYS
 from orchidferry.mesh.storage.store import Put, Store, pack
@@ -135,18 +136,15 @@
             else:
                 kept = Kept(shard_state.GENESIS if new and founder else self._rng.randrange(2, 2**53))
                 puts += remembered(number, kept, caught)
-            self._shards[number] = Shard(
-                number,
-                self._name,
-                shard_state.genesis(names),
-                kept,
-                caught,
-                self._known_peers,
-                settings.bounds.key_window_s,
-                self._rng,
-                MAX_KEYS // len(shard_state.KEY_SHARDS),
-                settings.group_size,
+            parameters = ShardParameters(
+                number=number,
+                name=self._name,
+                genesis=shard_state.genesis(names),
+                group_size=settings.group_size,
+                key_window_s=settings.bounds.key_window_s,
+                max_keys=MAX_KEYS // len(shard_state.KEY_SHARDS),
             )
+            self._shards[number] = Shard(parameters, kept, caught, self._known_peers, self._rng)
         if puts:
             self._store.write(puts)
             logger.info(
@@ -156,7 +154,7 @@
     def _load_keys(self) -> None:
         for raw, packed in self._store.all(KEYS):
             key = raw.decode("latin-1")
-            self._shards[shard_state.shard_of(key)].load(key, unpack_stored(packed))
+            self._shards[shard_state.shard_of(key)].load_key(key, unpack_stored(packed))
 
     def _load_orders(self) -> None:
         rows = self._store.all("about")
@@ -345,7 +343,8 @@
         if completion is None:
             return self._store.write(write.puts)
         self._store.write(
-            write.puts, lambda done: self._do(shard, shard.written(completion, done, self._loop.time()))
+            write.puts,
+            lambda done: self._do(shard, shard.write_finished(completion, done, self._loop.time())),
         )
 
     def _changed(self, shard: Shard, old: Value, new: Value) -> None:
@@ -424,7 +423,7 @@
 
     def _take_shard_message(self, link: Link, message: ShardMessage) -> None:
         shard = self._shards[message.shard]
-        self._do(shard, shard.heard(link, message.body, self._loop.time()))
+        self._do(shard, shard.receive(link, message.body, self._loop.time()))
 
     def _take_heartbeat(self, link: Link, beat: Heartbeat) -> None:
         self._note_peer(beat)
@@ -461,18 +460,17 @@
     def _take_claim(self, link: Link, claim: KeyClaim) -> None:
         shard = self._shards[shard_state.shard_of(claim.key)]
         now = self._loop.time()
-        room = self._store.room
-        self._do(shard, shard.claim(link, claim.request, claim.epoch, claim.key, claim.holder, room, now))
+        self._do(shard, shard.claim_key(link, claim, self._store.room, now))
         if claim.epoch != shard.body.epoch:
             self._tell_group(shard, link)
 
     def _take_answer(self, link: Link, message: KeyAnswer) -> None:
         shard = self._shards[shard_state.shard_of(message.key)]
-        self._do(shard, shard.done(message.key, message.holder, message.answer, self._loop.time()))
+        self._do(shard, shard.record_answer(message, self._loop.time()))
 
     def _take_release(self, link: Link, message: KeyRelease) -> None:
         shard = self._shards[shard_state.shard_of(message.key)]
-        self._do(shard, shard.drop(link, message.number, message.key, message.holder, self._loop.time()))
+        self._do(shard, shard.release_key(link, message, self._loop.time()))
 
     def _deal_retry_share(self, link: Link, request: RetryShareRequest) -> None:
         share = self._retry_budgets.handle(request, self._loop.time())
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -22,6 +22,7 @@
 from orchidferry.mesh.control.operation_keys import KeyRecord, OperationKeys
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.replica import Replica
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.control.write_completions import CaughtUpSaved, HandoffSaved, KeyPageSaved
 from orchidferry.mesh.storage.environment import KEYS
 from orchidferry.mesh.storage.store import Put, pack
@@ -44,22 +45,15 @@
 
     def __init__(
         self,
-        number: int,
-        name: str,
-        first: Value,
+        parameters: ShardParameters,
         kept: Kept,
         caught_up: bool,
         peers: Peers,
-        window_s: float,
         rng: random.Random,
-        most: int,
-        size: int,
     ) -> None:
-        """`first`: the state that all founders begin with; `most`: keys that it may hold; `size`: voters that
-        the group should have.
-        """
-        super().__init__(number, name, first, kept, caught_up, peers, rng, size)
-        self.operation_keys = OperationKeys(window_s, most)
+        """As `Shard.__init__`."""
+        super().__init__(parameters, kept, caught_up, peers, rng)
+        self.operation_keys = OperationKeys(parameters.key_window_s, parameters.max_keys)
         self.hints = Hints()
         self.source = KeySource()
         self.learner = KeyLearner()
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -19,6 +19,7 @@
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.reading import READING_S
 from orchidferry.mesh.control.register_replica import Purpose, RegisterReplica
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.control.state_teller import StateTeller
 from orchidferry.mesh.control.write_completions import OrdersSaved, RemovalSaved, VoteSaved, WriteCompletion
 from orchidferry.mesh.wire.shard_messages import (
@@ -45,18 +46,15 @@
 
     def __init__(
         self,
-        number: int,
-        name: str,
-        first: Value,
+        parameters: ShardParameters,
         kept: Kept,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
-        size: int,
     ) -> None:
-        """`first`: the state that all founders begin with; `size`: voters that the group should have."""
-        super().__init__(number, name, first, kept, peers, rng)
-        self.size = size
+        """As `Shard.__init__`."""
+        super().__init__(parameters.number, parameters.name, parameters.genesis, kept, peers, rng)
+        self.size = parameters.group_size
         self.standing = Standing(caught_up)
         self.abstains_s = peers.began_s  # since when it has granted nothing, if it has not caught up
         self._owner_lease = OwnerLease()
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -1,21 +1,22 @@
-"""One controller's half of one shard of the state: its replica in the group, the keys of the shard, and
-their repair.
+"""One controller's replica of one shard of the control state, with the shard's operation keys.
 
-Pure: events in, actions out, in the order in which they are to be done; clock and chance are handed in, and
-all that it holds can be copied. Whoever runs it does the actions and tells it what came of a `Write`. What a
-message promises is on disk before the message leaves.
+Pure: events in, actions out, in the order in which they are to be carried out; the clock and the random
+generator are handed in. Whoever runs a shard carries out its actions and hands back the result of each
+`WriteRecords`. What a message promises is on disk before the message leaves.
 """
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from typing import Any
 
-from orchidferry.balancing.register import Kept, Value
+from orchidferry.balancing.register import Kept
 from orchidferry.mesh.control.actions import Action, SendReply
 from orchidferry.mesh.control.operation_keys import ClaimOutcome, ClaimStatus, KeyRecord
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.repair import Repair, remembered
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.control.write_completions import (
     CaughtUpSaved,
     ClaimSaved,
@@ -26,7 +27,7 @@
     WriteCompletion,
 )
 from orchidferry.mesh.storage.environment import KEYS
-from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
+from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import (
     Handoff,
     HandoffAck,
@@ -40,79 +41,95 @@
 
 __all__ = ["Shard", "remembered"]
 
-AGAIN_S = 1.0  # after the disk refused an answer
+ANSWER_RETRY_S = 1.0  # after an answer could not be written
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerRetry:
+    """An answer that could not be written, and when that is tried again."""
+
+    due_s: float
+    key: str
+    record: KeyRecord
 
 
 class Shard(Repair):
-    """One shard at one controller."""
+    """One shard at one controller.
+
+    :ivar unsaved_records: records of keys whose first write has not been confirmed.
+    """
 
     def __init__(
         self,
-        number: int,
-        name: str,
-        first: Value,
+        parameters: ShardParameters,
         kept: Kept,
         caught_up: bool,
         peers: Peers,
-        window_s: float,
         rng: random.Random,
-        most: int,
-        size: int,
     ) -> None:
-        """`first`: the state that all founders begin with; `most`: keys that it may hold; `size`: voters that
-        the group should have.
+        """Make the shard as it is on the controller's disk, without its keys and orders.
+
+        :param kept: what the register's acceptor has on disk.
+        :param caught_up: whether this replica holds all that was granted.
+        :param peers: what the controller knows of the others.
         """
-        super().__init__(number, name, first, kept, caught_up, peers, window_s, rng, most, size)
-        self.unwritten: dict[str, KeyRecord] = {}  # records that are not surely on disk
-        self._again: list[tuple[float, str, KeyRecord]] = []  # answers that the disk refused
+        super().__init__(parameters, kept, caught_up, peers, rng)
+        self.unsaved_records: dict[str, KeyRecord] = {}
+        self._answer_retries: list[AnswerRetry] = []
 
     # Events
 
-    def load(self, key: str, packed: list[Any]) -> None:
-        """A record from its own disk, before anything else."""
+    def load_key(self, key: str, packed: list[Any]) -> None:
+        """Load the record of an operation key from disk, before any other event."""
         self.operation_keys.merge(key, packed)
 
     def tick(self, now: float) -> list[Action]:
-        """Let time pass."""
-        over = self.operation_keys.expire(now)
-        if over:
-            self._write([(KEYS, key.encode("latin-1"), None) for key in over])
-        for due, key, record in self._again:
-            if due <= now and self.operation_keys.records.get(key) is record:
-                self._write([self._stored(key, record)], KeyAnswerSaved(key, record))
-        self._again = [one for one in self._again if one[0] > now]
+        """Do what is due.
+
+        :param now: seconds on the clock of the event loop.
+        """
+        expired = self.operation_keys.expire(now)
+        if expired:
+            self._write([(KEYS, key.encode("latin-1"), None) for key in expired])
+        for retry in self._answer_retries:
+            if retry.due_s <= now and self.operation_keys.records.get(retry.key) is retry.record:
+                self._write([self._stored(retry.key, retry.record)], KeyAnswerSaved(retry.key, retry.record))
+        self._answer_retries = [retry for retry in self._answer_retries if retry.due_s > now]
         if self._pass_time(now):
             self._mind_silent()
             self._see_whether_caught_up()
         self._learn_keys(now)
         return self._flush()
 
-    def heard(self, who: Any, message: ShardBody, now: float) -> list[Action]:
-        """A message of another controller; `who` takes the answer. `ValueError` and its like for a bad
-        one.
+    def receive(self, sender: Any, message: ShardBody, now: float) -> list[Action]:
+        """Handle a message of another controller.
+
+        :param sender: the link over which an answer is sent.
+        :param now: seconds on the clock of the event loop.
+        :raises ValueError: for a malformed message; also TypeError, KeyError or IndexError.
         """
         self.now = now
         match message:
             case KeyPageRequest():
-                self._give_page(who, message)
+                self._give_page(sender, message)
             case KeyPage():
                 self._take_page(message)
             case KeyPageRefusal():
                 self.learner.declined(message.name, message.number, now)
             case KeyRecordsRequest():
-                self._give_records(who, message)
+                self._give_records(sender, message)
             case KeyRecords():
                 self._take_records(message)
             case Handoff():
-                self._take_handoff(who, message)
+                self._take_handoff(sender, message)
             case HandoffAck():
                 self.hints.taken(message.name, message.number)
                 self._hand_over(message.name)
             case _:
-                self._take(who, message)
+                self._take(sender, message)
         return self._flush()
 
-    def written(self, completion: WriteCompletion, ok: bool, now: float) -> list[Action]:
+    def write_finished(self, completion: WriteCompletion, ok: bool, now: float) -> list[Action]:
         """Take the result of a write.
 
         :param completion: of the `WriteRecords` action.
@@ -121,72 +138,94 @@
         """
         self.now = now
         match completion:
-            case ClaimSaved(who, rid, under, key, holder, record) if ok:
-                if self.unwritten.get(key) is record:
-                    del self.unwritten[key]
-                # While the disk was at work the key may have been given back, or the group have changed.
-                mine = self.operation_keys.records.get(key) is record and holder == record.holder
-                what = ClaimOutcome.GRANTED if mine and self.grants(under) else ClaimOutcome.RETRY
-                self._out.append(SendReply(who, KeyGrant(rid, under, what, None)))
+            case ClaimSaved() if ok:
+                self._claim_saved(completion)
             case KeyAnswerSaved(key, record) if not ok:
-                self._again.append((now + AGAIN_S, key, record))
+                self._answer_retries.append(AnswerRetry(now + ANSWER_RETRY_S, key, record))
             case KeyPageSaved(name, request):
                 self._page_written(name, request, ok)
-            case HandoffSaved(who, number) if ok:
-                self._reply(who, HandoffAck(self.name, number))
-            case KeyReleaseSaved(who, give_back) if ok:
-                self._out.append(SendReply(who, KeyReleaseAck(give_back)))
-            case CaughtUpSaved(under):
-                self._caught_up(under, ok)
+            case HandoffSaved(reply_to, number) if ok:
+                self._reply(reply_to, HandoffAck(self.name, number))
+            case KeyReleaseSaved(reply_to, number) if ok:
+                self._out.append(SendReply(reply_to, KeyReleaseAck(number)))
+            case CaughtUpSaved(epoch):
+                self._caught_up(epoch, ok)
             case _:
                 self._kept(completion, ok)
         return self._flush()
 
     # Operation keys
 
-    def claim(
-        self, who: Any, rid: int, under: int, key: str, holder: str, room: bool, now: float
-    ) -> list[Action]:
-        """A try wants a key; `room`: whether the disk has room for another."""
-        self.now = now
-
-        def say(what: ClaimOutcome, answer: Any = None) -> list[Action]:
-            self._out.append(SendReply(who, KeyGrant(rid, under, what, answer)))
-            return self._flush()
+    def claim_key(self, sender: Any, claim: KeyClaim, has_room: bool, now: float) -> list[Action]:
+        """Grant or refuse an operation key to an attempt.
 
-        if not self.grants(under) or (not room and key not in self.operation_keys.records):
-            return say(ClaimOutcome.RETRY)
-        result = self.operation_keys.claim(key, holder)
+        :param sender: the link over which the answer is sent, once the grant is on disk.
+        :param has_room: whether the disk has room for another record.
+        :param now: seconds on the clock of the event loop.
+        """
+        self.now = now
+        key = claim.key
+        if not self.grants(claim.epoch) or (not has_room and key not in self.operation_keys.records):
+            return self._answer_claim(sender, claim, ClaimOutcome.RETRY)
+        result = self.operation_keys.claim(key, claim.holder)
         record = result.record
         if record is None:
-            return say(ClaimOutcome.RETRY)
+            return self._answer_claim(sender, claim, ClaimOutcome.RETRY)
         if result.status is ClaimStatus.HELD_BY_OTHER:
-            return say(ClaimOutcome.HELD_BY_OTHER, record.answer)
-        if not result.is_new and self.unwritten.get(key) is not record:
-            return say(ClaimOutcome.GRANTED)
-        self.unwritten[key] = record
+            return self._answer_claim(sender, claim, ClaimOutcome.HELD_BY_OTHER, record.answer)
+        if not result.is_new and self.unsaved_records.get(key) is not record:
+            return self._answer_claim(sender, claim, ClaimOutcome.GRANTED)
+        self.unsaved_records[key] = record
         self.hints.wrote(key, now)
-        self._write([self._stored(key, record)], ClaimSaved(who, rid, under, key, holder, record))
+        completion = ClaimSaved(sender, claim.request, claim.epoch, key, claim.holder, record)
+        self._write([self._stored(key, record)], completion)
         return self._flush()
 
-    def done(self, key: str, holder: str, answer: Any, now: float) -> list[Action]:
-        """A key's first run was answered."""
+    def _answer_claim(
+        self, sender: Any, claim: KeyClaim, outcome: ClaimOutcome, answer: Any = None
+    ) -> list[Action]:
+        self._out.append(SendReply(sender, KeyGrant(claim.request, claim.epoch, outcome, answer)))
+        return self._flush()
+
+    def _claim_saved(self, claim: ClaimSaved) -> None:
+        """Answer a claim, whose record is on disk now.
+
+        Meanwhile the key may have been released, or the group have changed.
+        """
+        if self.unsaved_records.get(claim.key) is claim.record:
+            del self.unsaved_records[claim.key]
+        is_current = self.operation_keys.records.get(claim.key) is claim.record
+        granted = is_current and claim.holder == claim.record.holder and self.grants(claim.epoch)
+        outcome = ClaimOutcome.GRANTED if granted else ClaimOutcome.RETRY
+        self._out.append(SendReply(claim.reply_to, KeyGrant(claim.request, claim.epoch, outcome, None)))
+
+    def record_answer(self, message: KeyAnswer, now: float) -> list[Action]:
+        """Record the answer of the first run under a key.
+
+        :param now: seconds on the clock of the event loop.
+        """
         self.now = now
-        record = self.operation_keys.record_answer(key, holder, answer)
+        record = self.operation_keys.record_answer(message.key, message.holder, message.answer)
         if record is not None:
-            self.hints.wrote(key, now)
-            self._write([self._stored(key, record)], KeyAnswerSaved(key, record))
+            self.hints.wrote(message.key, now)
+            self._write([self._stored(message.key, record)], KeyAnswerSaved(message.key, record))
         return self._flush()
 
-    def drop(self, who: Any, give_back: int, key: str, holder: str, now: float) -> list[Action]:
-        """A try gives its key back: it has not run and never will. `who` hears once that is on disk; when it
-        comes again, the write of the first time may have failed.
+    def release_key(self, sender: Any, release: KeyRelease, now: float) -> list[Action]:
+        """Release a key whose attempt has not run and never will.
+
+        The release is acknowledged once it is on disk. One that comes again is written again, as the first
+        write may have failed.
+
+        :param sender: the link over which the release is acknowledged.
+        :param now: seconds on the clock of the event loop.
         """
         self.now = now
-        if self.operation_keys.release(key, holder):
-            self.unwritten.pop(key, None)
-        if self.operation_keys.released.get(key) == holder:
-            self._write([(KEYS, key.encode("latin-1"), None)], KeyReleaseSaved(who, give_back))
+        key = release.key
+        if self.operation_keys.release(key, release.holder):
+            self.unsaved_records.pop(key, None)
+        if self.operation_keys.released.get(key) == release.holder:
+            self._write([(KEYS, key.encode("latin-1"), None)], KeyReleaseSaved(sender, release.number))
         else:
-            self._out.append(SendReply(who, KeyReleaseAck(give_back)))
+            self._out.append(SendReply(sender, KeyReleaseAck(release.number)))
         return self._flush()
--- a/orchidferry/mesh/control/write_completions.py
+++ b/orchidferry/mesh/control/write_completions.py
@@ -1,7 +1,7 @@
 """What a write of a shard was for.
 
 A `WriteRecords` action carries one of these; whoever runs the shard hands it back, unchanged, to
-`Shard.written` once it is known whether the records are on disk.
+`Shard.write_finished` once it is known whether the records are on disk.
 """
 
 from __future__ import annotations
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -28,10 +28,11 @@
 from orchidferry.mesh.control.actions import Action, SendMessage, SendReply, WriteRecords
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.storage.environment import NAMES, open_env
 from orchidferry.mesh.storage.record_format import put_sealed, wrap
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
-from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck, Message, ShardMessage
+from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck, KeyAnswer, KeyClaim, Message, ShardMessage
 from orchidferry.mesh.wire.shard_messages import Handoff, KeyPage, KeyRecords
 
 DISK = "ORCHIDFERRY_BENCH_DISK"  # names a folder in memory, as for `orchidferry bench mesh`
@@ -81,7 +82,7 @@
             key = key_of(number)
             for name in self.seeds:
                 shard = self.machines[name].shards[shard_state.shard_of(key)]
-                shard.load(key, [f"node {number}", 0, [200, [], self.rng.randbytes(ANSWER)]])
+                shard.load_key(key, [f"node {number}", 0, [200, [], self.rng.randbytes(ANSWER)]])
 
     def claim(self) -> None:
         """A node claims a key at all controllers, and tells them the answer once it ran."""
@@ -140,18 +141,8 @@
         self.shards = dict[int, Shard]()
         for number in shard_state.KEY_SHARDS:
             kept = Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50))
-            self.shards[number] = Shard(
-                number,
-                self.name,
-                first,
-                kept,
-                founder,
-                self.peers,
-                WINDOW_S,
-                rng,
-                MAX_KEYS,
-                len(self.world.seeds),
-            )
+            parameters = ShardParameters(number, self.name, first, len(self.world.seeds), WINDOW_S, MAX_KEYS)
+            self.shards[number] = Shard(parameters, kept, founder, self.peers, rng)
             self.jobs.append((self.shards[number], WriteRecords(remembered(number, kept, founder))))
         self.beats = dict[int, float]()
         self.number = 0
@@ -221,7 +212,7 @@
             self.disk_busy = False
             for shard, write in jobs:
                 if write.completion is not None:
-                    self.do(shard, shard.written(write.completion, True, self.world.now))
+                    self.do(shard, shard.write_finished(write.completion, True, self.world.now))
 
         def synced() -> None:
             if self.alive and self.life == life:
@@ -262,19 +253,25 @@
             case ShardMessage():
                 self.cost.pages += isinstance(message.body, KeyPage | KeyRecords | Handoff)
                 shard = self.shards[message.shard]
-                self.do(shard, shard.heard(sender, message.body, now))
+                self.do(shard, shard.receive(sender, message.body, now))
 
     def claim(self, shard: Shard, key: str, holder: str) -> None:
         under = shard.body.epoch
-        self.run(lambda: self.do(shard, shard.claim(None, 0, under, key, holder, True, self.world.now)))
+
+        def claim() -> None:
+            message = KeyClaim(0, under, key, holder)
+            self.do(shard, shard.claim_key(None, message, True, self.world.now))
+
+        self.run(claim)
 
     def done(self, shard: Shard, key: str, holder: str, answer: Any) -> None:
         if self.alive and shard in self.shards.values():
-            self.run(
-                lambda: self.do(
-                    shard, shard.done(key, holder, cbor2.loads(cbor2.dumps(answer)), self.world.now)
-                )
-            )
+
+            def record() -> None:
+                message = KeyAnswer(key, holder, cbor2.loads(cbor2.dumps(answer)))
+                self.do(shard, shard.record_answer(message, self.world.now))
+
+            self.run(record)
 
     @property
     def keys(self) -> int:
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -22,10 +22,13 @@
 from orchidferry.mesh.control.order_records import orders_of
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.storage.store import Put, unpack
+from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyRelease
 from orchidferry.mesh.wire.shard_messages import ShardBody
 
 WINDOW_S = 60.0
+MAX_KEYS = 1_000
 SEEDS = ("a", "b", "c")
 MAX_BEATS = 16  # that may be acknowledged yet, as at `Controller`
 
@@ -87,21 +90,11 @@
         kept = shard_state.unpack_kept(unpack(self.disk["about", f"kept/{self.number}".encode()]))
         caught = ("about", f"caught/{self.number}".encode()) in self.disk
         first = shard_state.genesis(self.seeds)
-        self.shard = Shard(
-            self.number,
-            self.name,
-            first,
-            kept,
-            caught,
-            self.peers,
-            WINDOW_S,
-            self.rng,
-            1_000,
-            len(self.seeds),
-        )
+        parameters = ShardParameters(self.number, self.name, first, len(self.seeds), WINDOW_S, MAX_KEYS)
+        self.shard = Shard(parameters, kept, caught, self.peers, self.rng)
         for (name, key), value in self.disk.items():
             if name == "slips":
-                self.shard.load(key.decode(), unpack(value))
+                self.shard.load_key(key.decode(), unpack(value))
         rows = [(key, value) for (name, key), value in self.disk.items() if name == "about"]
         self.shard.load_orders(orders_of(self.number, rows))
 
@@ -130,7 +123,7 @@
         write = self.writes.pop(0)
         self.put(write.puts)
         if write.completion is not None:
-            self.do(self.shard.written(write.completion, True, self.world.now))
+            self.do(self.shard.write_finished(write.completion, True, self.world.now))
 
     def tick(self) -> None:
         """Let time pass."""
@@ -152,7 +145,7 @@
 
     def heard(self, sender: str, message: ShardBody) -> None:
         """A message of another controller."""
-        self.do(self.shard.heard(sender, message, self.world.now))
+        self.do(self.shard.receive(sender, message, self.world.now))
 
     def beat(self, sender: str, number: int, fit: bool, version: int, leaves: bool, learned: bool) -> None:
         """Another one lives."""
@@ -170,12 +163,12 @@
 
     def claim(self, who: Any, rid: int, under: int, key: str, holder: str) -> None:
         """A try wants a key."""
-        self.do(self.shard.claim(who, rid, under, key, holder, True, self.world.now))
+        self.do(self.shard.claim_key(who, KeyClaim(rid, under, key, holder), True, self.world.now))
 
     def done(self, key: str, holder: str, answer: Any) -> None:
         """A key's run was answered."""
-        self.do(self.shard.done(key, holder, answer, self.world.now))
+        self.do(self.shard.record_answer(KeyAnswer(key, holder, answer), self.world.now))
 
     def drop(self, who: Any, give_back: int, key: str, holder: str) -> None:
         """A key is given back."""
-        self.do(self.shard.drop(who, give_back, key, holder, self.world.now))
+        self.do(self.shard.release_key(who, KeyRelease(give_back, key, holder), self.world.now))
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -709,7 +709,7 @@
             inside = [references, *(v for k, v in vars(shard).items() if k not in NOT_IN_PRINT)]
             records = shard.operation_keys.records
             # Which of two equal ones is meant, where the shard looks at that.
-            same = [shard.unwritten[key] is records.get(key) for key in shard.unwritten]
+            same = [shard.unsaved_records[key] is records.get(key) for key in shard.unsaved_records]
             for write in controller.writes:
                 match write.completion:
                     case VoteSaved(kept=of):
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -36,7 +36,7 @@
     for action in actions:
         if isinstance(action, WriteRecords) and action.completion is not None:
             _do(self, [WriteRecords(action.puts)])
-            self.do(self.shard.written(action.completion, True, self.world.now))
+            self.do(self.shard.write_finished(action.completion, True, self.world.now))
         else:
             _do(self, [action])
 
@@ -130,7 +130,7 @@
 
 
 def _at_its_word(self: Shard, *args: Any) -> list[Action]:
-    self.unwritten.clear()
+    self.unsaved_records.clear()
     return _claim(self, *args)
 
 
@@ -145,7 +145,7 @@
 _add = GrantCount.add
 _join = Shard._join
 _release = OperationKeys.release
-_claim = Shard.claim
+_claim = Shard.claim_key
 
 
 @dataclass(frozen=True)
@@ -249,7 +249,7 @@
         "any try may give a key back", "broken-off", 0, "", (OperationKeys, "release", _releases_any)
     ),
     "at-its-word": break_under_faults(
-        "a grant leaves before its record is written", "slow", 1, "kill", (Shard, "claim", _at_its_word)
+        "a grant leaves before its record is written", "slow", 1, "kill", (Shard, "claim_key", _at_its_word)
     ),
     "unsynced-keys": break_under_faults(
         "a grant leaves before it is on disk", "missed", 1, "kill", (Controller, "do", _unsynced)
--- a/tests/mesh/control/test_key_releases.py
+++ b/tests/mesh/control/test_key_releases.py
@@ -135,7 +135,7 @@
     group.nodes["m"].release(KEY, "t1")
     for controller in group.controllers.values():
         controller.claim("m", 99, 0, KEY, "t1")
-        controller.shard.load(KEY, ["t1", 0, None])
+        controller.shard.load_key(KEY, ["t1", 0, None])
     assert not group.holders() and group.claim("n", "t2") == ClaimOutcome.GRANTED
 
 
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -25,6 +25,7 @@
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import DecidedState
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller
@@ -279,12 +280,11 @@
     """What the last one was acknowledged came before the change; a change of voters ends that, too."""
     a, b, c, d = (Voter(name, shard_state.GENESIS) for name in "abcd")
     first = shard_state.genesis(SEEDS)
-    shard = Shard(
-        1, "a", first, Kept(shard_state.GENESIS), True, Peers(0.0), WINDOW_S, random.Random(1), 10, 3
-    )
+    parameters = ShardParameters(1, "a", first, 3, WINDOW_S, 10)
+    shard = Shard(parameters, Kept(shard_state.GENESIS), True, Peers(0.0), random.Random(1))
 
     def know(value: Value, now: float) -> None:
-        shard.heard("b", DecidedState(shard_state.pack_value(value)), now)
+        shard.receive("b", DecidedState(shard_state.pack_value(value)), now)
 
     mine = Value(1, (a, b, c), shard_state.Body(0, owner="a", fence=1))
     know(mine, 1.0)
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -18,6 +18,7 @@
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.control.write_completions import CaughtUpSaved
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState, JoinRequest, RegisterMessage
@@ -29,19 +30,18 @@
 
 def shard(name: str, caught_up: bool = True, size: int = 3) -> Shard:
     kept = Kept(shard_state.GENESIS)
-    made = Shard(
-        1, name, shard_state.genesis(SEEDS), kept, caught_up, Peers(0.0), WINDOW_S, random.Random(1), 10, size
-    )
+    parameters = ShardParameters(1, name, shard_state.genesis(SEEDS), size, WINDOW_S, 10)
+    made = Shard(parameters, kept, caught_up, Peers(0.0), random.Random(1))
     know(made, Value(1, (A, B, C), shard_state.Body(3)))
     return made
 
 
 def know(one: Shard, value: Value, now: float = 1.0) -> None:
-    one.heard(None, DecidedState(shard_state.pack_value(value)), now)
+    one.receive(None, DecidedState(shard_state.pack_value(value)), now)
 
 
 def proposes(one: Shard, joiner: Voter, under: int, ready: bool, now: float) -> bool:
-    done = one.heard(None, JoinRequest(joiner.name, joiner.memory, under, ready), now)
+    done = one.receive(None, JoinRequest(joiner.name, joiner.memory, under, ready), now)
     return any(isinstance(a, SendMessage) and isinstance(a.message.body, RegisterMessage) for a in done)
 
 
@@ -96,9 +96,9 @@
 
 def test_that_it_caught_up_is_void_if_the_group_changed_meanwhile() -> None:
     one = shard("a", caught_up=False)
-    one.written(CaughtUpSaved(2), True, 1.0)
+    one.write_finished(CaughtUpSaved(2), True, 1.0)
     assert not one.standing.caught_up
-    one.written(CaughtUpSaved(3), True, 1.0)
+    one.write_finished(CaughtUpSaved(3), True, 1.0)
     assert one.standing.caught_up
 
 
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -351,7 +351,7 @@
         assert shard.grants(0)
         state = Value(1, (Voter("127.0.0.2", 1),), shard_state.Body(1))
         known = DecidedState(shard_state.pack_value(state))
-        controller._do(shard, shard.heard(None, known, 0.0))
+        controller._do(shard, shard.receive(None, known, 0.0))
         controller._do(shard, shard.tick(10.0))
         assert await write(controller._store, [])  # and so is what was written before
         assert not shard.standing.caught_up and controller._store.read("about", b"caught/1") is None
