--- a/orchidferry/mesh/dataplane/attempt.py
+++ b/orchidferry/mesh/dataplane/attempt.py
@@ -16,32 +16,38 @@
 
 
 class TrackedAttempt(Attempt):
-    """One copy of a request; `once`: it must not run twice."""
+    """One copy of a request on its way to one server."""
 
-    __slots__ = ("_begun", "_untouched", "once")
+    __slots__ = ("_kernel_took_nothing", "_possibly_sent", "at_most_once")
 
     def __init__(
-        self, message: Message, server: int, address: Address, timeout_ms: float, once: bool
+        self, message: Message, server: int, address: Address, timeout_ms: float, at_most_once: bool
     ) -> None:
+        """`at_most_once`: the request must not run twice."""
         super().__init__(message, server, address, timeout_ms)
-        self.once = once
-        self._begun = False
-        self._untouched: Callable[[], bool] | None = None
+        self.at_most_once = at_most_once
+        self._possibly_sent = False
+        self._kernel_took_nothing: Callable[[], bool] | None = None
 
     @property
-    def begun(self) -> bool:
+    def possibly_sent(self) -> bool:
         """Whether a byte of it may have been sent: from then on it may have run."""
-        if not self._begun and not self.written and self._untouched is not None:
-            self._begun = not self._untouched()
-        return self._begun or self.written
+        if not self._possibly_sent and not self.written and self._kernel_took_nothing is not None:
+            self._possibly_sent = not self._kernel_took_nothing()
+        return self._possibly_sent or self.written
 
-    def begin(self, untouched: Callable[[], bool] | None = None) -> None:
-        """Its bytes were given to the kernel; `untouched` tells whether that has taken none of them yet."""
-        self._untouched = untouched
-        self._begun = untouched is None
+    def request_written(self, kernel_took_nothing: Callable[[], bool] | None = None) -> None:
+        """Its connection has written the request.
+
+        :param kernel_took_nothing: tells whether all of the request is still in the transport's buffer; None
+            if the kernel has taken some of it.
+        """
+        self._kernel_took_nothing = kernel_took_nothing
+        self._possibly_sent = kernel_took_nothing is None
 
     def end(self, result: Result, answer: UpstreamResponse | None = None) -> None:
-        if result is Result.UNREACHABLE and self.begun:
+        """Report the outcome; what may have been sent is never reported as unreachable."""
+        if result is Result.UNREACHABLE and self.possibly_sent:
             result = Result.RESET
         super().end(result, answer)
 
@@ -52,9 +58,13 @@
             self.extend_timeout(self.timeout_ms / 1000.0)
 
     def abort(self, result: Result) -> None:
-        if not self.begun:  # asked while there is a connection to ask; nothing goes out on it after that
-            self._untouched = None
+        """Stop waiting, and close the connection that carries it."""
+        if (
+            not self.possibly_sent
+        ):  # asked while there is a connection to ask; nothing goes out on it after that
+            self._kernel_took_nothing = None
         super().abort(result)
 
     def on_timeout(self) -> None:
-        self.abort(Result.TIMEOUT if self.begun else Result.UNREACHABLE)
+        """End it as timed out, or as unreachable if nothing of it was sent."""
+        self.abort(Result.TIMEOUT if self.possibly_sent else Result.UNREACHABLE)
--- a/orchidferry/mesh/dataplane/idle_limit.py
+++ b/orchidferry/mesh/dataplane/idle_limit.py
@@ -1,17 +1,17 @@
-"""How long a connection to one server may rest and be used again. Pure.
+"""How long a connection to one server may be idle and be used again. Pure.
 
 A server closes idle connections after the time that its `Keep-Alive` states, if it states one, and some
-forget them sooner without a word: what is sent next is reset. For a request that may run once nobody can make
-that good, so it goes only on a connection that was used a moment ago.
+forget them sooner without a word: what is sent next is reset. For a request that may run at most once nobody
+can make that good, so it goes only on a connection that was used a moment ago.
 
 >>> limit = IdleLimit(7_000.0, 500.0)
 >>> limit.allows(6_000.0, False, 0.0), limit.allows(6_000.0, True, 0.0), limit.allows(400.0, True, 0.0)
 (True, False, True)
->>> limit.states(b"timeout=4, max=100")
+>>> limit.keep_alive_stated(b"timeout=4, max=100")
 >>> limit.allows(2_700.0, False, 0.0), limit.allows(2_900.0, False, 0.0)
 (True, False)
->>> limit.forgotten_after(1_000.0, 0.0)
->>> limit.allows(600.0, False, 1.0), limit.allows(600.0, False, 1.0 + FORGOTTEN_FOR_MS)
+>>> limit.closed_after(1_000.0, 0.0)
+>>> limit.allows(600.0, False, 1.0), limit.allows(600.0, False, 1.0 + OBSERVATION_VALID_MS)
 (False, True)
 """
 
@@ -21,45 +21,55 @@
 import re
 
 STATED_SHARE = 0.7  # of the time that a server states: a request that crosses its close ends as a reset
-FORGOTTEN_SHARE = 0.5  # of the time after which a connection was found dead
-MIN_MS = 250.0  # a connection that died younger than this did not die of resting
-FORGOTTEN_FOR_MS = 30_000.0  # what was found is believed for so long
+OBSERVED_SHARE = 0.5  # of the idle time after which a connection was found dead
+MIN_OBSERVED_MS = 250.0  # a connection that died after less did not die of being idle
+OBSERVATION_VALID_MS = 30_000.0
 TIMEOUT = re.compile(rb"(?:^|[\s,;])timeout=([0-9]{1,6})(?![0-9])", re.IGNORECASE)
 
 
 class IdleLimit:
-    """What is known of one server's patience with idle connections."""
+    """The idle time that one server allows its connections, as far as it is known."""
 
-    __slots__ = ("_found_ms", "_found_until_ms", "_longest_ms", "_most_ms", "_once_ms", "_stated")
+    __slots__ = (
+        "_at_most_once_ms",
+        "_default_ms",
+        "_keep_alive",
+        "_max_idle_ms",
+        "_observed_ms",
+        "_observed_until_ms",
+    )
 
-    def __init__(self, most_ms: float, once_ms: float) -> None:
-        """`most_ms`: where nothing is known; `once_ms`: for requests that may run once only."""
-        self._most_ms = most_ms
-        self._once_ms = once_ms
-        self._stated = b""
-        self._longest_ms = most_ms
-        self._found_ms = math.inf
-        self._found_until_ms = -math.inf
+    def __init__(self, default_ms: float, at_most_once_ms: float) -> None:
+        """:param default_ms: the limit while nothing is known.
 
-    def states(self, header: bytes) -> None:
-        """The server's own word: the value of its `Keep-Alive`."""
-        if header != self._stated:
-            self._stated = header
-            found = TIMEOUT.search(header)
-            stated_ms = float(found[1]) * 1e3 if found is not None else math.inf
-            self._longest_ms = min(self._most_ms, STATED_SHARE * stated_ms)
+        :param at_most_once_ms: the limit for requests that may run at most once.
+        """
+        self._default_ms = default_ms
+        self._at_most_once_ms = at_most_once_ms
+        self._keep_alive = b""
+        self._max_idle_ms = default_ms
+        self._observed_ms = math.inf
+        self._observed_until_ms = -math.inf
 
-    def forgotten_after(self, idle_ms: float, now_ms: float) -> None:
-        """A connection that had rested for so long was found dead."""
-        if idle_ms < MIN_MS:
+    def keep_alive_stated(self, header: bytes) -> None:
+        """Take the value of the server's `Keep-Alive` header."""
+        if header != self._keep_alive:
+            self._keep_alive = header
+            match = TIMEOUT.search(header)
+            stated_ms = float(match[1]) * 1e3 if match is not None else math.inf
+            self._max_idle_ms = min(self._default_ms, STATED_SHARE * stated_ms)
+
+    def closed_after(self, idle_ms: float, now_ms: float) -> None:
+        """A connection that had been idle for so long was found dead."""
+        if idle_ms < MIN_OBSERVED_MS:
             return
-        if now_ms >= self._found_until_ms:
-            self._found_ms = math.inf
-        self._found_ms = min(self._found_ms, idle_ms)
-        self._found_until_ms = now_ms + FORGOTTEN_FOR_MS
+        if now_ms >= self._observed_until_ms:
+            self._observed_ms = math.inf
+        self._observed_ms = min(self._observed_ms, idle_ms)
+        self._observed_until_ms = now_ms + OBSERVATION_VALID_MS
 
-    def allows(self, idle_ms: float, once: bool, now_ms: float) -> bool:
-        """Whether a connection that has rested for so long may carry a request."""
-        if idle_ms > self._longest_ms or (once and idle_ms > self._once_ms):
+    def allows(self, idle_ms: float, at_most_once: bool, now_ms: float) -> bool:
+        """Whether a connection that has been idle for so long may carry a request."""
+        if idle_ms > self._max_idle_ms or (at_most_once and idle_ms > self._at_most_once_ms):
             return False
-        return now_ms >= self._found_until_ms or idle_ms <= FORGOTTEN_SHARE * self._found_ms
+        return now_ms >= self._observed_until_ms or idle_ms <= OBSERVED_SHARE * self._observed_ms
--- /dev/null
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -0,0 +1,96 @@
+"""Requests with an operation key: the key is claimed before the first run, its answer stored after it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from orchidferry.mesh.control.configuration import Route
+from orchidferry.mesh.control.control_client import ControlClient
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
+from orchidferry.mesh.dataplane.messages import ProxiedRequest, ServerResponse, refusal_reply, stored_answer
+from orchidferry.mesh.dataplane.pending_request import PendingRequest
+from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.node.config import now_ms
+from orchidferry.node.frontend import Reply
+
+# For claiming a key: so long, or this share of the time left.
+MAX_CLAIM_S = 1.0
+CLAIM_SHARE = 0.4
+NO_MAJORITY_RETRY_AFTER_S = 0.2
+KEY_AT_WORK_RETRY_AFTER_S = 0.1
+
+
+class PendingClaim:
+    """A request whose key is being claimed, and which is sent once it is."""
+
+    def __init__(self) -> None:
+        self.abandoned = False  # its caller has gone
+        self.request: PendingRequest | None = None
+
+    def client_disconnected(self) -> None:
+        """Its caller has gone."""
+        self.abandoned = True
+        if self.request is not None:
+            self.request.client_disconnected()
+
+
+class KeyedRequests:
+    """Runs each operation key once, and answers its repeats from the stored answer."""
+
+    def __init__(self, control_client: ControlClient) -> None:
+        self._control_client = control_client
+
+    def take(
+        self,
+        message: ProxiedRequest,
+        route: Route,
+        client: ServiceClient,
+        deadline_ms: float,
+        answer: Callable[[Reply], None],
+    ) -> PendingClaim:
+        """Claim the key of a request, then send it by `client`, or answer as its first run was answered."""
+        assert message.key is not None
+        key = message.key.decode("latin-1")
+        holder = message.id
+        claims = self._control_client.claims
+        pending = PendingClaim()
+
+        def ended(response: ServerResponse | None, may_have_run: bool) -> None:
+            stored = stored_answer(response)
+            if stored is not None:
+                claims.record_answer(key, holder, stored)
+            elif not may_have_run:
+                claims.release(key, holder)
+
+        def claimed(outcome: ClaimOutcome, stored: Any) -> None:
+            if pending.abandoned:
+                if outcome is ClaimOutcome.GRANTED:
+                    claims.release(key, holder)
+            elif outcome is ClaimOutcome.GRANTED:
+                pending.request = client.take(message, route, deadline_ms, answer, ended)
+            elif outcome is ClaimOutcome.HELD_BY_OTHER:
+                answer(_repeat_reply(message, stored))
+            else:
+                answer(refusal_reply(message, Refusal(Kind.NO_MAJORITY), NO_MAJORITY_RETRY_AFTER_S))
+
+        remaining_s = (deadline_ms - now_ms()) / 1000.0
+        claim_s = max(0.0, min(MAX_CLAIM_S, CLAIM_SHARE * remaining_s))
+        self._control_client.claim(key, holder, claim_s, claimed)
+        return pending
+
+    def store_orphaned(self, message: ProxiedRequest, response: ServerResponse) -> None:
+        """Store the response to a request whose node is gone: its repeats are answered with it."""
+        stored = stored_answer(response)
+        if message.key is not None and stored is not None:
+            self._control_client.claims.record_answer(message.key.decode("latin-1"), message.id, stored)
+
+
+def _repeat_reply(message: ProxiedRequest, stored: Any) -> Reply:
+    """The reply to a repeat of a key; `stored` is None while the first run is at work."""
+    if stored is None:
+        return refusal_reply(message, Refusal(Kind.KEY_AT_WORK), KEY_AT_WORK_RETRY_AFTER_S)
+    status, body, headers = stored
+    attempt_id = (b"Attempt-Id", message.id.encode("latin-1"))
+    return Reply(status, body, more=[*((name, value) for name, value in headers), attempt_id])
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -1,13 +1,14 @@
-"""Requests and answers of the data plane, and what an answer means for its attempt. No I/O.
+"""Requests and responses of the data plane, and what a response means for its attempt. No I/O.
 
-Here is what the mesh's wire adds to HTTP: headers that go along unchanged, stamps without which a success
-does not count, proofs that a request has not run, and the gate's own words.
+The mesh adds to HTTP: headers that are forwarded unchanged, a seal without which a success does not count,
+proofs that a request has not run, and the outcomes that an admission gate reports in headers of its own.
 """
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass, field
+from enum import Enum
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.configuration import Route
@@ -16,120 +17,144 @@
 from orchidferry.node.request import Message
 from orchidferry.node.upstream import UpstreamResponse, framing
 
-MARGIN_MS = 4.0  # of the time that a sender has, for the way there and back
+TRANSIT_MARGIN_MS = 4.0  # of the time that a sender has, for the way there and back
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-MAX_ANSWER = 256 * 1024  # bytes of an answer that is kept for repeats of its key
-# The gate's own headers, which no client or server sees.
-GATE = b"orchid-gate"
-RANK = b"orchid-rank"
-PATIENCE = b"orchid-patience"
-TIMES = b"orchid-once"
-LOAD = b"orchid-load"
-BELOW = b"orchid-below"
-KEYED = b"orchid-keyed"
-PRIVATE = b"orchid-"
-
-PROMISES = frozenset((408, 421, 429, 503))  # statuses that promise a caller that its request has not run
-# what a gate says of a request
-UNRUN = b"unrun"
-GONE = b"gone"
-LOST = b"lost"
-LATE = b"late"
+MAX_STORED_BODY = 256 * 1024  # bytes of a response that is stored for repeats of its operation key
+
+# Headers between a node and the gate of a server, which no client or server sees.
+PRIVATE_HEADER_PREFIX = b"orchid-"
+GATE_HEADER = b"orchid-gate"  # a `GateOutcome`
+RANK_HEADER = b"orchid-rank"  # the route's rank; 0 is the most important
+QUEUE_TIMEOUT_HEADER = b"orchid-patience"  # ms that the request may wait for a slot
+AT_MOST_ONCE_HEADER = b"orchid-once"  # the request must not run twice
+QUEUE_LENGTH_HEADER = b"orchid-load"  # requests that wait at the gate
+DEPENDENCY_SHED_HEADER = b"orchid-below"  # calls that the server made were rejected
+KEYED_HEADER = b"orchid-keyed"  # the request's operation key is claimed
+
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))  # they promise a caller that its request has not run
+
+
+class GateOutcome(Enum):
+    """What a gate reports of a request that has no response of the server."""
+
+    NOT_RUN = b"unrun"
+    SERVER_GONE = b"gone"
+    CONNECTION_LOST = b"lost"
+    TIMED_OUT = b"late"
+
+
 GATE_RESULTS = {
-    UNRUN: Result.REFUSED,
-    GONE: Result.MOOT,
-    LOST: Result.RESET,
-    LATE: Result.TIMEOUT,
+    GateOutcome.NOT_RUN.value: Result.REFUSED,
+    GateOutcome.SERVER_GONE.value: Result.MOOT,
+    GateOutcome.CONNECTION_LOST.value: Result.RESET,
+    GateOutcome.TIMED_OUT.value: Result.TIMEOUT,
 }
 
 
 @dataclass(slots=True)
 class ProxiedRequest(Message):
-    """A request on its way."""
+    """A request that passes through a node."""
 
     host: bytes = b""
-    headers: dict[bytes, bytes] = field(default_factory=dict)
-    along: list[tuple[bytes, bytes]] = field(default_factory=list)  # what goes on unchanged
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # all, by name in lower case
+    forwarded_headers: list[tuple[bytes, bytes]] = field(default_factory=list)  # as they came
     route: Route | None = None
-    untimed: bool = False  # its sender has not said how long it waits: `budget_ms` says nothing
+    without_deadline: bool = False  # its sender has not said how long it waits; `budget_ms` has no meaning
 
 
 @dataclass(slots=True)
 class ServerResponse(UpstreamResponse):
-    """A server's answer, or its gate's."""
+    """A response of a server, or of the gate in front of it."""
 
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
-    seal: bool = False
-    encoded: bool = False
-    id: bytes | None = None
-    not_run: bool = False
-    gate: bytes | None = None  # the gate's own word
-    below: bool = False  # calls that its server made were turned away
+    sealed: bool = False  # it bears the server's seal
+    encoded: bool = False  # it bears a content coding, so the bytes need not be the server's
+    attempt_id: bytes | None = None
+    not_executed: bool = False  # the server states that it did not run the request
+    gate_outcome: bytes | None = None  # value of a `GateOutcome`
+    dependency_shed: bool = False
 
     @property
-    def whole(self) -> bool:
-        """Whether it is a server's own answer, as the server gave it."""
-        stamped = self.seal or self.status >= 300
-        return self.gate is None and self.id is not None and not self.encoded and stamped
+    def authentic(self) -> bool:
+        """Whether it is a server's own response, as the server gave it."""
+        sealed = self.sealed or self.status >= 300
+        return self.gate_outcome is None and self.attempt_id is not None and not self.encoded and sealed
 
 
-def head(message: ProxiedRequest, own: list[tuple[bytes, bytes]]) -> bytes:
-    """A request as it goes on, with its body unless that flows; `own`: what the system adds."""
+def request_bytes(message: ProxiedRequest, added_headers: list[tuple[bytes, bytes]]) -> bytes:
+    """Render a request for the next hop.
+
+    :param added_headers: what this node states itself, besides host and attempt id.
+    :returns: the head, and the body unless that flows.
+    """
     return b"%b %b HTTP/1.1\r\nHost: %b\r\nAttempt-Id: %b\r\n%b%b%b\r\n%b" % (
         message.method,
         message.target,
         message.host,
         message.id.encode("latin-1"),
-        b"".join([b"%b: %b\r\n" % header for header in own]),
-        b"".join([b"%b: %b\r\n" % header for header in message.along]),
+        b"".join([b"%b: %b\r\n" % header for header in added_headers]),
+        b"".join([b"%b: %b\r\n" % header for header in message.forwarded_headers]),
         framing(message),
         message.body,
     )
 
 
-def judged(said: ServerResponse) -> Result:
-    """What an answer means for its attempt.
+def attempt_result(response: ServerResponse) -> Result:
+    """What a response means for its attempt.
 
-    A success counts only with the server's stamp, and only as the server's own bytes. An answer that does not
-    say whose it is proves nothing.
+    A success counts only with the server's seal, and only as the server's own bytes. A response without an
+    attempt id proves nothing, as it may belong to another request.
     """
-    if said.id is None:
+    if response.attempt_id is None:
         return Result.ERROR
-    if said.gate is not None:
-        return GATE_RESULTS.get(said.gate, Result.ERROR)
-    if said.not_run or said.status == 421:
-        return Result.REFUSED if said.status != 421 else Result.MOOT
-    if said.encoded or (200 <= said.status < 300 and not said.seal):
+    if response.gate_outcome is not None:
+        return GATE_RESULTS.get(response.gate_outcome, Result.ERROR)
+    if response.status == 421:
+        return Result.MOOT
+    if response.not_executed:
+        return Result.REFUSED
+    if response.encoded or (200 <= response.status < 300 and not response.sealed):
         return Result.ERROR
-    return Result.ERROR if said.status >= 500 or said.status in PROMISES else Result.SERVED
+    failed = response.status >= 500 or response.status in NOT_RUN_STATUSES
+    return Result.ERROR if failed else Result.SERVED
+
 
+def forwarded_reply(response: ServerResponse) -> Reply:
+    """A server's response as it is forwarded to the caller."""
+    headers = response.headers
+    if response.attempt_id is not None:
+        headers = [*headers, (b"Attempt-Id", response.attempt_id)]
+    return Reply(response.status, response.body, flow=response.flow, more=headers)
 
-def passed_on(said: ServerResponse) -> Reply:
-    """A server's answer as it goes to whoever asked."""
-    more = [*said.headers, (b"Attempt-Id", said.id)] if said.id is not None else said.headers
-    return Reply(said.status, said.body, flow=said.flow, more=more)
 
+def stored_answer(response: ServerResponse | None) -> list[object] | None:
+    """The form in which controllers store a response for repeats of its operation key.
 
-def kept_answer(said: ServerResponse | None) -> list[object] | None:
-    """An answer as it is kept for repeats of its key; None for one that isn't."""
-    if said is None or said.flow is not None or len(said.body) > MAX_ANSWER:
+    :returns: status, body and headers; None for a response that is not stored, because it is too long, or
+        because its status promises without a proof that the request has not run.
+    """
+    if response is None or response.flow is not None or len(response.body) > MAX_STORED_BODY:
         return None
-    if said.status in PROMISES:  # it came without a proof: a repeat must not be promised what nobody knows
+    if response.status in NOT_RUN_STATUSES:
         return None
-    return [said.status, said.body, [list(header) for header in said.headers]]
+    return [response.status, response.body, [list(header) for header in response.headers]]
 
 
-def own_answer(
+def refusal_reply(
     message: Message,
     refusal: Refusal,
     retry_after_s: float | None = None,
-    gate: bytes | None = None,
-    load: int | None = None,
+    gate_outcome: GateOutcome | None = None,
+    queue_length: int | None = None,
 ) -> Reply:
-    """An answer of the system's own."""
-    more = [(b"Attempt-Id", message.id.encode("latin-1"))]
-    if gate is not None:
-        more.append((GATE, gate))
-    if load is not None:
-        more.append((LOAD, b"%d" % load))
-    return Reply(refusal.status, refusal.line.encode(), b"text/plain", retry_after_s, more=more)
+    """A reply of the mesh's own, for a request without a response of a server.
+
+    :param gate_outcome: what the gate, if it is a gate that replies, tells the node that asked.
+    :param queue_length: requests that wait at that gate.
+    """
+    headers = [(b"Attempt-Id", message.id.encode("latin-1"))]
+    if gate_outcome is not None:
+        headers.append((GATE_HEADER, gate_outcome.value))
+    if queue_length is not None:
+        headers.append((QUEUE_LENGTH_HEADER, b"%d" % queue_length))
+    return Reply(refusal.status, refusal.line.encode(), b"text/plain", retry_after_s, more=headers)
--- /dev/null
+++ b/orchidferry/mesh/dataplane/registration_api.py
@@ -0,0 +1,73 @@
+"""The calls by which the server on this machine registers: heartbeats (PUT) and its end (DELETE)."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from orchidferry.mesh.control.control_api import JSON, Call, told
+from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
+from orchidferry.mesh.dataplane.admission import AdmissionGate
+from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.node.frontend import Reply
+
+PATH = "/orchidferry/instances"
+
+
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """What a server says of itself."""
+
+    server: Server
+    sequence: int  # orders the calls of one incarnation
+
+
+class RegistrationApi:
+    """Handles the calls below `PATH`."""
+
+    def __init__(self, gate: AdmissionGate) -> None:
+        self._gate = gate
+
+    def handle(self, call: Call, rest: str, answer: Callable[[Reply], None]) -> None:
+        """Answer a call; `rest` is the server's id."""
+        answer(self._reply_to(call, rest))
+
+    def _reply_to(self, call: Call, id: str) -> Reply:
+        if not id or "/" in id:
+            return told(Refusal(Kind.UNKNOWN, f"{PATH}/ID"))
+        if call.method == b"DELETE":
+            self._gate.deregister(id)
+            return Reply(200, b"{}", JSON)
+        if call.method != b"PUT":
+            return told(Refusal(Kind.UNREADABLE, "PUT or DELETE"))
+        heartbeat = read_heartbeat(id, call.body)
+        if isinstance(heartbeat, Refusal):
+            return told(heartbeat)
+        self._gate.heartbeat(heartbeat.server, heartbeat.sequence)
+        return Reply(200, b"{}", JSON)
+
+
+def read_heartbeat(id: str, raw: bytes) -> Heartbeat | Refusal:
+    """Read the body of a heartbeat; a refusal names the field that is wrong."""
+    try:
+        data = json.loads(raw)
+        information = data["information"]
+        condition = data["condition"]
+        state = condition["state"]
+        if state not in (IN_SERVICE, DRAINING):
+            return Refusal(Kind.INVALID, f"beat: condition.state: {state!r} is no state")
+        server = Server(
+            id,
+            str(information["service_name"]),
+            str(information.get("zone", "")),
+            state,
+            int(information["capacity"]),
+            float(condition.get("cold_left_ms", 0.0)),
+            str(information.get("revision_number", "")),
+        )
+        return Heartbeat(server, int(condition["call_sequence"]))
+    except KeyError as problem:
+        return Refusal(Kind.INVALID, f"beat: {problem.args[0]} is missing")
+    except (ValueError, TypeError, AttributeError, OverflowError, RecursionError) as problem:
+        return Refusal(Kind.UNREADABLE, f"beat: {problem}")
--- a/orchidferry/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -1,15 +1,15 @@
-"""What the server on this machine has said of itself: which life of it is current, its state, its drain.
+"""The registration of the server on this machine: its current incarnation, its state, its drain.
 
-Pure: no I/O, the clock is handed in. Calls of a server may come late and out of order; `call_sequence` is
-their order within one life, and nothing orders two lives but when they were heard.
+Pure: no I/O, the clock is handed in. Heartbeats may come late and out of order; `call_sequence` is their
+order within one incarnation, and nothing orders two incarnations but when they were heard.
 
 >>> from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
 >>> registration = ServerRegistration(1_500.0, 0.0)
 >>> a, b = (Server(id, "s", "z", IN_SERVICE, 4, 0.0) for id in "ab")
->>> registration.beat(a, 3, 0.0).name, registration.beat(a, 2, 9.0).name, registration.beat(b, 1, 20.0).name
-('NEW_LIFE', 'LATE', 'NEW_LIFE')
->>> registration.beat(a, 4, 30.0).name, registration.beat(a, 5, 20.0 + 1.5 * 1_500.0).name
-('LATE', 'NEW_LIFE')
+>>> [registration.heartbeat(*call).name for call in ((a, 3, 0.0), (a, 2, 9.0), (b, 1, 20.0))]
+['NEW_INCARNATION', 'STALE', 'NEW_INCARNATION']
+>>> [registration.heartbeat(*call).name for call in ((a, 4, 30.0), (a, 5, 20.0 + 1.5 * 1_500.0))]
+['STALE', 'NEW_INCARNATION']
 """
 
 from __future__ import annotations
@@ -22,107 +22,115 @@
 
 from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Server
 
-SILENT_BEATS = 3.5  # a server that sent no beat for so long is gone
-MAX_FORMER = 64
-# A life that another one replaced is taken back if the other one has said nothing for so many beats: beats
-# come late, and the first that a process hears may be the last one of a server that is gone.
-REPLACED_BEATS = 1.5
+MISSED_HEARTBEATS = 3.5  # intervals without a heartbeat after which a server is gone
+MAX_FORMER_INCARNATIONS = 64
+# Intervals after which an incarnation that another one replaced is taken back if the other one is silent:
+# heartbeats come late, and the first that a process hears may be the last one of a server that is gone.
+REPLACEMENT_SILENCE = 1.5
 
 
-class Heard(Enum):
-    """What a beat has changed."""
+class HeartbeatEffect(Enum):
+    """What a heartbeat has changed."""
 
-    LATE = "nothing: a later call was heard, or its life is over"
-    SAME = "nothing but the time of the last beat"
+    STALE = "nothing: a later call was heard, or its incarnation is over"
+    UNCHANGED = "nothing but the time of the last heartbeat"
     CHANGED = "the server's state, service or capacity"
-    NEW_LIFE = "the server: this life replaces the one before it"
+    NEW_INCARNATION = "the server: this incarnation replaces the one before it"
 
 
 @dataclass(frozen=True, slots=True)
-class FormerLife:
-    """A life of the server that signed off, or that another one has replaced."""
+class FormerIncarnation:
+    """An incarnation of the server that has deregistered, or that another one has replaced."""
 
-    signed_off: bool
+    deregistered: bool
     sequence: int  # of the last call that was heard of it
-    drained_ms: float  # when its drain was acknowledged
+    drain_acknowledged_ms: float
 
 
 class ServerRegistration:
-    """One machine's server."""
+    """The server on one machine, as its heartbeats describe it."""
 
-    def __init__(self, beat_ms: float, now_ms: float) -> None:
+    def __init__(self, heartbeat_interval_ms: float, now_ms: float) -> None:
         self.server: Server | None = None
-        self.heard_ms = now_ms  # when the last beat came
-        self._beat_ms = beat_ms
+        self.last_heartbeat_ms = now_ms
+        self._heartbeat_interval_ms = heartbeat_interval_ms
         self._sequence = -1
-        self._drained_ms = math.inf  # when the drain was acknowledged
-        self._former: dict[str, FormerLife] = {}  # by id, the oldest first
+        self._drain_acknowledged_ms = math.inf
+        self._former: dict[str, FormerIncarnation] = {}  # by id, the oldest first
 
     @property
     def serving(self) -> bool:
         """Whether there is a server, and it is in service."""
         return self.server is not None and self.server.state == IN_SERVICE
 
-    def beat(self, server: Server, sequence: int, now_ms: float) -> Heard:
-        """Take a server's word of itself."""
-        had = self.server
-        same_life = had is not None and had.id == server.id
-        if same_life and (sequence <= self._sequence or server.id in self._former):
-            return Heard.LATE
-        if not same_life and not self._begin_life(server.id, sequence, now_ms):
-            return Heard.LATE
+    def heartbeat(self, server: Server, sequence: int, now_ms: float) -> HeartbeatEffect:
+        """Take a heartbeat.
+
+        :param sequence: its number among the calls of this incarnation.
+        """
+        previous = self.server
+        same_incarnation = previous is not None and previous.id == server.id
+        if same_incarnation and (sequence <= self._sequence or server.id in self._former):
+            return HeartbeatEffect.STALE
+        if not same_incarnation and not self._replace_incarnation(server.id, sequence, now_ms):
+            return HeartbeatEffect.STALE
         self._sequence = sequence
-        self.heard_ms = now_ms
+        self.last_heartbeat_ms = now_ms
         if server.state == DRAINING:
-            self._drained_ms = min(self._drained_ms, now_ms)
-        elif self._drained_ms < math.inf:  # a drain that was acknowledged is final
+            self._drain_acknowledged_ms = min(self._drain_acknowledged_ms, now_ms)
+        elif self._drain_acknowledged_ms < math.inf:  # a drain that was acknowledged is final
             server = structs.replace(server, state=DRAINING)
-        if had is not None and _told(had) == _told(server):
-            return Heard.SAME
+        if previous is not None and _published_fields(previous) == _published_fields(server):
+            return HeartbeatEffect.UNCHANGED
         self.server = server
-        return Heard.CHANGED if same_life else Heard.NEW_LIFE
+        return HeartbeatEffect.CHANGED if same_incarnation else HeartbeatEffect.NEW_INCARNATION
 
-    def sign_off(self, id: str) -> bool:
-        """A life has signed off; whether it is the current one. No later call brings it back."""
-        self._note_former(id, signed_off=True)
+    def deregister(self, id: str) -> bool:
+        """An incarnation has ended by its own word; no later call brings it back.
+
+        :returns: whether it is the current one.
+        """
+        self._add_former(id, deregistered=True)
         return self.server is not None and self.server.id == id
 
-    def take_for_gone(self) -> None:
-        """The server has signed off, is silent, or can't be reached; only the first is final."""
+    def mark_gone(self) -> None:
+        """The server has deregistered, is silent, or is unreachable; only the first is final."""
         assert self.server is not None
         self.server = structs.replace(self.server, state=GONE, cold_left_ms=0.0)
 
-    def is_silent(self, now_ms: float) -> bool:
-        """Whether the server has said nothing for so long that it is taken for gone, and was not before."""
-        late = now_ms - self.heard_ms > SILENT_BEATS * self._beat_ms
-        return late and self.server is not None and self.server.state != GONE
+    def heartbeat_overdue(self, now_ms: float) -> bool:
+        """Whether a server that is not gone yet has been silent for too long."""
+        overdue = now_ms - self.last_heartbeat_ms > MISSED_HEARTBEATS * self._heartbeat_interval_ms
+        return overdue and self.server is not None and self.server.state != GONE
 
     def drained_for_ms(self, now_ms: float) -> float:
-        """How long ago the drain of the current life was acknowledged; below 0 if it was not."""
-        return now_ms - self._drained_ms
+        """How long ago the drain of the current incarnation was acknowledged; below 0 if it was not."""
+        return now_ms - self._drain_acknowledged_ms
 
-    def _begin_life(self, id: str, sequence: int, now_ms: float) -> bool:
-        """Take another life of the server in the place of the one before it; whether it counts."""
+    def _replace_incarnation(self, id: str, sequence: int, now_ms: float) -> bool:
+        """Put another incarnation in the place of the current one; whether the call counts."""
         former = self._former.get(id)
         if former is not None:
-            returns = not former.signed_off and sequence > former.sequence
-            if not returns or now_ms - self.heard_ms < REPLACED_BEATS * self._beat_ms:
+            newer = not former.deregistered and sequence > former.sequence
+            silent_ms = now_ms - self.last_heartbeat_ms
+            if not newer or silent_ms < REPLACEMENT_SILENCE * self._heartbeat_interval_ms:
                 return False
             del self._former[id]
         if self.server is not None and self.server.id not in self._former:
-            self._note_former(self.server.id, signed_off=False)
-        self._drained_ms = former.drained_ms if former is not None else math.inf
+            self._add_former(self.server.id, deregistered=False)
+        self._drain_acknowledged_ms = former.drain_acknowledged_ms if former is not None else math.inf
         return True
 
-    def _note_former(self, id: str, signed_off: bool) -> None:
-        current = self.server is not None and self.server.id == id
-        sequence, drained_ms = (self._sequence, self._drained_ms) if current else (-1, math.inf)
+    def _add_former(self, id: str, deregistered: bool) -> None:
+        former = FormerIncarnation(deregistered, -1, math.inf)
+        if self.server is not None and self.server.id == id:
+            former = FormerIncarnation(deregistered, self._sequence, self._drain_acknowledged_ms)
         self._former.pop(id, None)
-        self._former[id] = FormerLife(signed_off, sequence, drained_ms)
-        while len(self._former) > MAX_FORMER:
+        self._former[id] = former
+        while len(self._former) > MAX_FORMER_INCARNATIONS:
             del self._former[next(iter(self._former))]
 
 
-def _told(server: Server) -> tuple[str, str, str, int]:
-    """What of a server other nodes are told at once when it changes."""
+def _published_fields(server: Server) -> tuple[str, str, str, int]:
+    """The fields whose change is published at once."""
     return server.id, server.state, server.service, server.capacity
