--- a/orchidferry/mesh/control/configuration.py
+++ b/orchidferry/mesh/control/configuration.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 
 REPEATABLE = frozenset(("idempotent", "download"))
 KINDS = ("idempotent", "non_idempotent", "keyed", "download")
@@ -203,42 +203,46 @@
     return _SCHEMA
 
 
-def check(raw: bytes) -> Configuration | Refusal:
+def check(raw: bytes) -> Configuration | Rejection:
     """Read a configuration and check it whole; the fault names the field."""
     try:
         data = json.loads(raw)
     except (ValueError, RecursionError) as problem:
-        return Refusal(Kind.UNREADABLE, f"configuration: {problem}")
+        return Rejection(RejectionReason.MALFORMED, f"configuration: {problem}")
     errors = _schema().validate(data)
     if errors:
-        return Refusal(Kind.INVALID, f"configuration: {next(_flat(errors))}")
+        return Rejection(RejectionReason.INVALID, f"configuration: {next(_flat(errors))}")
     try:
         configuration = parse(raw)
     except (KeyError, TypeError, ValueError) as problem:
-        return Refusal(Kind.INVALID, f"configuration: {problem!r}")
+        return Rejection(RejectionReason.INVALID, f"configuration: {problem!r}")
     if len(configuration.services) < len(data["trunk_groups"]):
-        return Refusal(Kind.INVALID, "configuration: trunk_groups: an identifier is there twice")
+        return Rejection(RejectionReason.INVALID, "configuration: trunk_groups: an identifier is there twice")
     return _whole(configuration) or configuration
 
 
-def _whole(configuration: Configuration) -> Refusal | None:
+def _whole(configuration: Configuration) -> Rejection | None:
     """What holds between the parts of a configuration."""
     identifiers = set()
     places = set()
     for route in configuration.routes:
         where = f"configuration: route {route.id}"
         if route.id in identifiers:
-            return Refusal(Kind.INVALID, f"{where}: its identifier is there twice")
+            return Rejection(RejectionReason.INVALID, f"{where}: its identifier is there twice")
         identifiers.add(route.id)
         for service, _ in route.split:
             if service not in configuration.services:
-                return Refusal(Kind.INVALID, f"{where}: service {service} is not in trunk_groups")
+                return Rejection(
+                    RejectionReason.INVALID, f"{where}: service {service} is not in trunk_groups"
+                )
         if sum(share for _, share in route.split) <= 0:
-            return Refusal(Kind.INVALID, f"{where}: weighted_split has no share above 0")
+            return Rejection(RejectionReason.INVALID, f"{where}: weighted_split has no share above 0")
         place = (route.host.lower(), route.prefix)
         if place in places:
-            return Refusal(Kind.INVALID, f"{where}: path_prefix {route.prefix} is there twice")
+            return Rejection(RejectionReason.INVALID, f"{where}: path_prefix {route.prefix} is there twice")
         places.add(place)
         if route.aim_ms - route.guard_ms >= AIM_OVER_MS:
-            return Refusal(Kind.INVALID, f"{where}: target_ms lies a minute or more over guard_timer_ms")
+            return Rejection(
+                RejectionReason.INVALID, f"{where}: target_ms lies a minute or more over guard_timer_ms"
+            )
     return None
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
 from orchidferry.mesh.control.control_api import JSON, Call, told
 from orchidferry.mesh.control.order_history import MAX_NUMBER
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.frontend import Reply
 
 PUT_S = 4.0  # for a change to be decided
@@ -59,21 +59,21 @@
     def __call__(self, call: Call, rest: str, answer: Answer) -> None:
         """Handle a call; `rest` is what follows the resource's path."""
         if rest:
-            return answer(told(Refusal(Kind.UNKNOWN, rest[:80])))
+            return answer(told(Rejection(RejectionReason.NOT_FOUND, rest[:80])))
         if call.method == b"GET":
             return self._get(answer)
         if call.method == b"PUT":
             return self._put(call, answer)
-        return answer(told(Refusal(Kind.UNREADABLE, "PUT or GET")))
+        return answer(told(Rejection(RejectionReason.MALFORMED, "PUT or GET")))
 
     def _get(self, answer: Answer) -> None:
         def got(end: RequestEnded) -> None:
             if end.value is None:
                 lost = end.why in (OUT_OF_CONTACT, LOST_CONTACT)
-                kind = Kind.OUT_OF_CONTACT if lost else Kind.NO_MAJORITY
-                answer(told(Refusal(kind), RETRY_AFTER_S))
+                kind = RejectionReason.OUT_OF_CONTACT if lost else RejectionReason.NO_MAJORITY
+                answer(told(Rejection(kind), RETRY_AFTER_S))
             elif not shard_state.body(end.value).revision:
-                answer(told(Refusal(Kind.UNKNOWN, "there is no configuration yet")))
+                answer(told(Rejection(RejectionReason.NOT_FOUND, "there is no configuration yet")))
             else:
                 answer(Reply(200, expand(shard_state.body(end.value).raw), JSON))
 
@@ -82,26 +82,32 @@
     def _put(self, call: Call, answer: Answer) -> None:
         on = base_version(call.headers.get(b"if-match", b""))
         if on is None:
-            return answer(told(Refusal(Kind.UNREADABLE, "If-Match: one version, such as 5, is needed")))
+            return answer(
+                told(Rejection(RejectionReason.MALFORMED, "If-Match: one version, such as 5, is needed"))
+            )
         if not self._in_contact():  # before the work of checking it
-            return answer(told(Refusal(Kind.OUT_OF_CONTACT), RETRY_AFTER_S))
+            return answer(told(Rejection(RejectionReason.OUT_OF_CONTACT), RETRY_AFTER_S))
         mark = digest(call.body)
         found = self._checked.get(mark) or self._check(mark, call.body)
-        if isinstance(found, Refusal):
+        if isinstance(found, Rejection):
             logger.info("configuration: refused, {}", found.line)
             return answer(told(found))
         if self._growing():
-            return answer(told(Refusal(Kind.STARTING, "the group of controllers is growing"), RETRY_AFTER_S))
+            return answer(
+                told(
+                    Rejection(RejectionReason.NOT_READY, "the group of controllers is growing"), RETRY_AFTER_S
+                )
+            )
         change = shard_state.Put(found.raw, found.revision, mark, on)
         self._ask(change, PUT_S, lambda end: answer(_outcome(end, found.revision)))
 
-    def _check(self, mark: bytes, text: bytes) -> Checked | Refusal:
+    def _check(self, mark: bytes, text: bytes) -> Checked | Rejection:
         """Check a configuration whole. One that is valid is not checked again when it is sent again."""
         found = check(text)
-        if isinstance(found, Refusal):
+        if isinstance(found, Rejection):
             return found
         if found.revision > MAX_NUMBER:
-            return Refusal(Kind.INVALID, f"configuration: revision_number: {MAX_NUMBER} at most")
+            return Rejection(RejectionReason.INVALID, f"configuration: revision_number: {MAX_NUMBER} at most")
         if len(self._checked) >= MAX_CHECKED:
             del self._checked[next(iter(self._checked))]
         self._checked[mark] = Checked(found.revision, compress(text))
@@ -123,12 +129,16 @@
 def _outcome(end: RequestEnded, revision: int) -> Reply:
     """The answer to an order that is over. One that is unclear may have been taken: never a refusal."""
     if end.value is None:
-        kind = Kind.OUT_OF_CONTACT if end.why == OUT_OF_CONTACT else Kind.UNCLEAR
-        return told(Refusal(kind), RETRY_AFTER_S)
+        kind = RejectionReason.OUT_OF_CONTACT if end.why == OUT_OF_CONTACT else RejectionReason.COMMIT_UNKNOWN
+        return told(Rejection(kind), RETRY_AFTER_S)
     if end.why == shard_state.UNKNOWN_ORDER:
         older = f"revision {revision} is older than what this controller remembers"
-        return told(Refusal(Kind.FORGOTTEN, older), RETRY_AFTER_S)
+        return told(Rejection(RejectionReason.HISTORY_EXPIRED, older), RETRY_AFTER_S)
     if end.why:
-        kind = Kind.OLD_VERSION if end.why == shard_state.OLD_VERSION else Kind.OTHER_VERSION
-        return told(Refusal(kind, f"{shard_state.body(end.value).revision} is current"))
+        kind = (
+            RejectionReason.STALE_VERSION
+            if end.why == shard_state.OLD_VERSION
+            else RejectionReason.VERSION_MISMATCH
+        )
+        return told(Rejection(kind, f"{shard_state.body(end.value).revision} is current"))
     return Reply(200, json.dumps({"revision_number": revision}).encode(), JSON)
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.flow import Flow, MemoryPool
 from orchidferry.node.frontend import LIMITS_S, Frontend, Reply, RequestHandle, Stage
 from orchidferry.node.request import Message
@@ -52,10 +52,10 @@
     def __call__(self, call: Call, rest: str, answer: Callable[[Reply], None]) -> None: ...
 
 
-def told(refusal: Refusal, retry_after_s: float | None = None) -> Reply:
+def told(refusal: Rejection, retry_after_s: float | None = None) -> Reply:
     """A fault as an answer."""
     detail = refusal.line[:MAX_DETAIL]
-    body = json.dumps({"error": refusal.kind.name.lower(), "detail": detail}).encode()
+    body = json.dumps({"error": refusal.reason.code, "detail": detail}).encode()
     return Reply(refusal.status, body, JSON, retry_after_s)
 
 
@@ -65,7 +65,7 @@
     def __init__(self, door: ControlDoor, answer: Callable[[Reply], None]) -> None:
         self._answer: Callable[[Reply], None] | None = answer
         self._timer = asyncio.get_running_loop().call_later(
-            MAX_OWED_S, self, told(Refusal(Kind.LATE, "no answer in time"))
+            MAX_OWED_S, self, told(Rejection(RejectionReason.TIMEOUT, "no answer in time"))
         )
 
     def __call__(self, reply: Reply) -> None:
@@ -108,5 +108,5 @@
             if path == prefix or path.startswith(prefix + "/"):
                 handler(message, path[len(prefix) + 1 :], once)
                 return once
-        once(told(Refusal(Kind.UNKNOWN, path[:80])))
+        once(told(Rejection(RejectionReason.NOT_FOUND, path[:80])))
         return once
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -24,18 +24,18 @@
 from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
-    Group,
+    GroupAnnouncement,
     KeyGrant,
     KeyReleaseAck,
     Lease,
     LeaseRenewal,
     Message,
-    News,
     NodeHello,
     Revision,
     RevisionRead,
-    kind_of,
+    Update,
 )
+from orchidferry.mesh.wire.shard_messages import tag_of
 
 RENEW_S = 0.5
 QUIET_S = 1.6  # a controller that answers nothing for so long is not heard
@@ -222,7 +222,7 @@
         try:
             self._take(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("control_client: a {} can't be taken: {}", kind_of(message), problem)
+            logger.warning("control_client: a {} can't be taken: {}", tag_of(message), problem)
             link.close()
 
     def _take(self, link: Link, message: Message) -> None:
@@ -236,13 +236,13 @@
                 self.claims.releases.acknowledge(controller.name, message.number)
             case Lease():
                 self._take_lease(controller, message)
-            case News():
+            case Update():
                 self._subscriber.from_controller(link, message)
             case Revision():
                 self._take_revision(link, message)
             case ConfigurationText():
                 self._take_text(message)
-            case Group():
+            case GroupAnnouncement():
                 self._group(message)
 
     def _take_lease(self, controller: Controller, lease: Lease) -> None:
@@ -252,20 +252,20 @@
         controller.told_s = now
         controller.contact_s = now - age_ms / 1e3 if age_ms is not None else float("-inf")
         if self._record is not None:
-            controller.knows = (self._record.boot, lease.number) if lease.known else (0, -1)
-            if not lease.known:
+            controller.knows = (self._record.boot, lease.number) if lease.has_record else (0, -1)
+            if not lease.has_record:
                 self._renew(controller)
-        self._subscriber.lease_renewed(controller.name, lease.life, lease.news)
-        if lease.warm and not controller.warm:
+        self._subscriber.lease_renewed(controller.name, lease.incarnation, lease.newest_number)
+        if lease.warmed_up and not controller.warm:
             controller.warm = True
             self._look()
 
-    def _group(self, group: Group) -> None:
+    def _group(self, group: GroupAnnouncement) -> None:
         shard = group.shard
         epoch = group.epoch
-        names = group.names
+        names = group.voters
         owner = group.owner
-        fence = group.fence
+        fence = group.fencing_token
         known = ShardGroup(epoch, tuple(names), owner, fence)
         if not self.claims.update_group(shard, known, self._loop.time()):
             return
@@ -300,7 +300,7 @@
         try:
             self._subscriber.relay.received(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("control_client: a follower's {} can't be taken: {}", kind_of(message), problem)
+            logger.warning("control_client: a follower's {} can't be taken: {}", tag_of(message), problem)
             link.close()
 
     def _above(self, link: Link, message: Message) -> None:
@@ -310,7 +310,7 @@
             else:
                 self._subscriber.from_parent(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("control_client: a parent's {} can't be taken: {}", kind_of(message), problem)
+            logger.warning("control_client: a parent's {} can't be taken: {}", tag_of(message), problem)
             link.close()
 
     def _dial_parent(self, name: str, ip: str) -> None:
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -45,7 +45,7 @@
     ConfigurationFetch,
     ConfigurationText,
     ControllerHello,
-    Group,
+    GroupAnnouncement,
     Heartbeat,
     HeartbeatAck,
     KeyAnswer,
@@ -53,16 +53,16 @@
     KeyRelease,
     LeaseRenewal,
     Message,
-    NewsRequest,
-    NewsSubscription,
-    NewsUnsubscription,
     NodeHello,
-    RetryShareRequest,
+    RetryQuotaRequest,
     Revision,
     RevisionRead,
     ShardMessage,
-    kind_of,
+    UpdateRequest,
+    UpdateSubscription,
+    UpdateUnsubscription,
 )
+from orchidferry.mesh.wire.shard_messages import tag_of
 
 BEAT_S = 0.4  # how often a controller tells the others that it lives
 MAX_BEATS = 16  # that may be acknowledged yet
@@ -390,7 +390,7 @@
         try:
             handler(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("controller: a {} can't be taken: {}", kind_of(message), problem)
+            logger.warning("controller: a {} can't be taken: {}", tag_of(message), problem)
             link.close()
 
     def _lost(self, link: Link) -> None:
@@ -405,11 +405,11 @@
             KeyClaim: self._take_claim,
             KeyAnswer: self._take_answer,
             KeyRelease: self._take_release,
-            RetryShareRequest: self._deal_retry_share,
+            RetryQuotaRequest: self._deal_retry_share,
             LeaseRenewal: self._publisher.renew_lease,
-            NewsRequest: self._publisher.send_missed,
-            NewsSubscription: self._publisher.subscribe,
-            NewsUnsubscription: lambda link, _: self._publisher.unsubscribe(link),
+            UpdateRequest: self._publisher.send_missed,
+            UpdateSubscription: self._publisher.subscribe,
+            UpdateUnsubscription: lambda link, _: self._publisher.unsubscribe(link),
             ShardMessage: self._take_shard_message,
             Heartbeat: self._take_heartbeat,
             HeartbeatAck: self._take_heartbeat_ack,
@@ -441,14 +441,14 @@
             del known.heard_s[oldest]
             known.learning.pop(oldest, None)
         known.heard_s[name] = self._loop.time()
-        (known.unfit.discard if beat.fit else known.unfit.add)(name)
+        (known.unfit.discard if beat.eligible else known.unfit.add)(name)
         (known.leaving.add if beat.leaving else known.leaving.discard)(name)
-        known.learning[name] = tuple(beat.learning)
+        known.learning[name] = tuple(beat.missing_shards)
 
     def _take_heartbeat_ack(self, link: Link, ack: HeartbeatAck) -> None:
         sent_s = self._beats.get(ack.number)
         if sent_s is not None:
-            for shard, fence in zip(self._shards.values(), ack.fences, strict=True):
+            for shard, fence in zip(self._shards.values(), ack.fencing_tokens, strict=True):
                 shard.pulse(ack.name, sent_s, fence)
 
     def _greet_controller(self, link: Link, hello: ControllerHello) -> None:
@@ -472,7 +472,7 @@
         shard = self._shards[shard_state.shard_of(message.key)]
         self._do(shard, shard.release_key(link, message, self._loop.time()))
 
-    def _deal_retry_share(self, link: Link, request: RetryShareRequest) -> None:
+    def _deal_retry_share(self, link: Link, request: RetryQuotaRequest) -> None:
         share = self._retry_budgets.handle(request, self._loop.time())
         if share is not None:
             link.send(share)
@@ -498,7 +498,9 @@
     def _tell_group(self, shard: Shard, link: Link | None = None) -> None:
         own = shard.body
         names = [v.name for v in shard.known.voters]
-        self._publisher.send_group(Group(shard.number, own.epoch, names, own.owner, own.fence), link)
+        self._publisher.send_group(
+            GroupAnnouncement(shard.number, own.epoch, names, own.owner, own.fence), link
+        )
 
     # The size of the groups
 
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -18,14 +18,14 @@
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import (
     ConfigurationText,
-    Group,
+    GroupAnnouncement,
     Lease,
     LeaseRenewal,
     Message,
-    News,
-    NewsRequest,
-    NewsSubscription,
     Revision,
+    Update,
+    UpdateRequest,
+    UpdateSubscription,
 )
 
 # Between two rounds of publishing, for each follower: so sending takes about a third of the time at most.
@@ -79,10 +79,10 @@
         self._nodes.pop(link, None)
         self._followers.remove(link)
 
-    def subscribe(self, link: Link, subscription: NewsSubscription) -> None:
+    def subscribe(self, link: Link, subscription: UpdateSubscription) -> None:
         """Send a node all updates after its position, now and from now on."""
         stream = self._stream
-        number = subscription.number if subscription.life == stream.incarnation else NOTHING
+        number = subscription.number if subscription.incarnation == stream.incarnation else NOTHING
         self._followers.add(link, [(stream.controller, stream.incarnation, number)])
         self._publish()
 
@@ -90,11 +90,11 @@
         """Send a node no more updates: it has another source."""
         self._followers.remove(link)
 
-    def send_missed(self, link: Link, request: NewsRequest) -> None:
+    def send_missed(self, link: Link, request: UpdateRequest) -> None:
         """Send a node once what came after its position."""
-        change = self._stream.changes_since(request.life, request.number)
+        change = self._stream.changes_since(request.incarnation, request.number)
         if change is not None:
-            self._send("news", link, News(change))
+            self._send("news", link, Update(change))
 
     def renew_lease(self, link: Link, renewal: LeaseRenewal) -> None:
         """Renew a node's lease, and take its record if that is in the renewal.
@@ -128,7 +128,7 @@
             self._stream.append(removed=expired)
             self._publish()
 
-    def send_group(self, group: Group, link: Link | None = None) -> None:
+    def send_group(self, group: GroupAnnouncement, link: Link | None = None) -> None:
         """Send the group of a shard's controllers: directly, as claims of operation keys wait for it.
 
         :param link: of the node that gets it; None for all nodes.
@@ -158,7 +158,7 @@
             return
         self._next_publish_s = now + PAUSE_PER_FOLLOWER_S * len(self._followers.positions)
         for change, links in self._followers.advance(self._stream):
-            data = encode(News(change))
+            data = encode(Update(change))
             for link in links:
                 self._send_encoded("news", link, data)
 
--- a/orchidferry/mesh/control/register_messages.py
+++ b/orchidferry/mesh/control/register_messages.py
@@ -43,7 +43,7 @@
     """The message that travelled; `ValueError` for one without its state."""
     match body:
         case RegisterPrepare():
-            return Prepare(body.ballot, body.intent, body.has)
+            return Prepare(body.ballot, body.intent, body.known_ballot)
         case RegisterPromise():
             return Promise(
                 body.ballot,
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -355,7 +355,7 @@
     def _tell_accepted(self, who: Any, request: AcceptedStateRequest) -> None:
         kept = self.acceptor.kept
         if self.clean:
-            state = None if request.has == kept.accepted else shard_state.pack_value(kept.value)
+            state = None if request.known_ballot == kept.accepted else shard_state.pack_value(kept.value)
             answer = AcceptedState(request.reading, pack_voter(self.voter), kept.accepted, state)
             self._reply(who, answer)
 
--- a/orchidferry/mesh/control/relay.py
+++ b/orchidferry/mesh/control/relay.py
@@ -18,12 +18,12 @@
     ConfigurationFetch,
     ConfigurationText,
     Message,
-    News,
     RelayAccepted,
     RelayAlive,
     RelayFull,
     RelayPositions,
     RelaySubscription,
+    Update,
 )
 
 SUBSCRIBE_TIMEOUT_S = 3.0  # one that has connected and not subscribed by then is disconnected
@@ -104,7 +104,7 @@
         """Send each follower what it lacks of these streams."""
         for stream in streams:
             for change, links in self.followers.advance(stream):
-                data = encode(News(change))
+                data = encode(Update(change))
                 for link in links:
                     self._send_encoded("news", link, data)
 
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -30,7 +30,7 @@
     Handoff,
     HandoffAck,
     KeyPage,
-    KeyPageRefusal,
+    KeyPageRejection,
     KeyPageRequest,
     KeyRecords,
     KeyRecordsRequest,
@@ -151,26 +151,26 @@
         if self._granted_nothing_that_counts(request):
             return self._reply(who, self._page_of(request, Page([], 0, True)))
         if not self._may_tell(request):
-            return self._reply(who, KeyPageRefusal(self.name, request.number))
-        sequence = request.sequence if request.life == self.life else 0
-        page = self.source.page(self.operation_keys, request.name, sequence, request.brief)
+            return self._reply(who, KeyPageRejection(self.name, request.number))
+        sequence = request.sequence if request.incarnation == self.life else 0
+        page = self.source.page(self.operation_keys, request.name, sequence, request.omit_answers)
         self._reply(who, self._page_of(request, page))
 
     def _granted_nothing_that_counts(self, request: KeyPageRequest) -> bool:
         """Whether all that this controller may have forgotten is out of its window, as it grants nothing."""
-        if not request.counted or self.grants(request.epoch):
+        if not request.as_voter or self.grants(request.epoch):
             return False
         quiet = not self.standing.caught_up and request.epoch == epoch(self.known)
         return quiet and self.now - self.abstains_s > self.operation_keys.max_retention_s
 
     def _may_tell(self, request: KeyPageRequest) -> bool:
-        if request.counted:
+        if request.as_voter:
             return self.grants(request.epoch)
         return self.standing.caught_up or self.peers.stopping
 
     def _page_of(self, request: KeyPageRequest, page: Page) -> KeyPage:
         return KeyPage(
-            self.name, request.number, page.sequence, page.rows, page.last, self.life, request.counted
+            self.name, request.number, page.sequence, page.rows, page.last, self.life, request.as_voter
         )
 
     def _take_page(self, message: KeyPage) -> None:
@@ -178,7 +178,7 @@
         if request is None or request.page is not None:
             return
         request.page = Page(message.rows, message.sequence, message.last)
-        request.life = message.life
+        request.life = message.incarnation
         request.lacking = key_transfer.lacking(self.operation_keys, message.rows)
         self._go_on(message.name, request)
 
@@ -201,7 +201,7 @@
         if request is None or request.page is None or not request.lacking:
             return
         request.page.rows.extend(message.rows)
-        request.lacking = request.lacking[max(1, message.covered) :]
+        request.lacking = request.lacking[max(1, message.keys_covered) :]
         self._go_on(message.name, request)
 
     def _page_written(self, name: str, request: Request, ok: bool) -> None:
--- a/orchidferry/mesh/control/retry_budget.py
+++ b/orchidferry/mesh/control/retry_budget.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidferry.mesh.wire.messages import RetryShare, RetryShareRequest
+from orchidferry.mesh.wire.messages import RetryQuota, RetryQuotaRequest
 
 LEASE_S = 3.0  # of a share, for the node counted from when it asked
 LATE_S = 1.0  # a try may arrive so long after it was sent: gates hold, and links are slow
@@ -242,11 +242,11 @@
         self._owner_fence = owner_fence
         self._dealers: dict[str, tuple[int, Dealer]] = {}
 
-    def handle(self, request: RetryShareRequest, now_s: float) -> RetryShare | None:
+    def handle(self, request: RetryQuotaRequest, now_s: float) -> RetryQuota | None:
         """The answer to a node, or None: this controller does not own the service, or must not speak."""
         service = request.service
         own = self._owner_fence(service, now_s)
-        if own is None or request.fence > own:
+        if own is None or request.fencing_token > own:
             self._dealers.pop(service, None)
             return None
         had = self._dealers.get(service)
@@ -255,6 +255,6 @@
                 oldest = min(self._dealers, key=lambda name: self._dealers[name][1].heard_s)
                 del self._dealers[oldest]
             had = self._dealers[service] = (own, Dealer(self._whole, self._window_s, now_s))
-        wanted = max(request.used, request.wanted)
-        amount = had[1].deal(request.node, request.life, wanted, request.held, now_s)
-        return None if amount is None else RetryShare(service, own, request.number, amount, LEASE_S)
+        wanted = max(request.retries_made, request.retries_wanted)
+        amount = had[1].deal(request.node, request.incarnation, wanted, request.current_amount, now_s)
+        return None if amount is None else RetryQuota(service, own, request.number, amount, LEASE_S)
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -32,7 +32,7 @@
     Handoff,
     HandoffAck,
     KeyPage,
-    KeyPageRefusal,
+    KeyPageRejection,
     KeyPageRequest,
     KeyRecords,
     KeyRecordsRequest,
@@ -114,7 +114,7 @@
                 self._give_page(sender, message)
             case KeyPage():
                 self._take_page(message)
-            case KeyPageRefusal():
+            case KeyPageRejection():
                 self.learner.declined(message.name, message.number, now)
             case KeyRecordsRequest():
                 self._give_records(sender, message)
@@ -167,7 +167,7 @@
         key = claim.key
         if not self.grants(claim.epoch) or (not has_room and key not in self.operation_keys.records):
             return self._answer_claim(sender, claim, ClaimOutcome.RETRY)
-        result = self.operation_keys.claim(key, claim.holder)
+        result = self.operation_keys.claim(key, claim.attempt_id)
         record = result.record
         if record is None:
             return self._answer_claim(sender, claim, ClaimOutcome.RETRY)
@@ -177,7 +177,7 @@
             return self._answer_claim(sender, claim, ClaimOutcome.GRANTED)
         self.unsaved_records[key] = record
         self.hints.wrote(key, now)
-        completion = ClaimSaved(sender, claim.request, claim.epoch, key, claim.holder, record)
+        completion = ClaimSaved(sender, claim.request, claim.epoch, key, claim.attempt_id, record)
         self._write([self._stored(key, record)], completion)
         return self._flush()
 
@@ -205,7 +205,7 @@
         :param now: seconds on the clock of the event loop.
         """
         self.now = now
-        record = self.operation_keys.record_answer(message.key, message.holder, message.answer)
+        record = self.operation_keys.record_answer(message.key, message.attempt_id, message.answer)
         if record is not None:
             self.hints.wrote(message.key, now)
             self._write([self._stored(message.key, record)], KeyAnswerSaved(message.key, record))
@@ -222,9 +222,9 @@
         """
         self.now = now
         key = release.key
-        if self.operation_keys.release(key, release.holder):
+        if self.operation_keys.release(key, release.attempt_id):
             self.unsaved_records.pop(key, None)
-        if self.operation_keys.released.get(key) == release.holder:
+        if self.operation_keys.released.get(key) == release.attempt_id:
             self._write([(KEYS, key.encode("latin-1"), None)], KeyReleaseSaved(sender, release.number))
         else:
             self._out.append(SendReply(sender, KeyReleaseAck(release.number)))
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -25,16 +25,16 @@
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import (
     Message,
-    News,
-    NewsRequest,
-    NewsSubscription,
-    NewsUnsubscription,
-    Position,
     RelayAccepted,
     RelayAlive,
     RelayFull,
     RelayPositions,
     RelaySubscription,
+    StreamPosition,
+    Update,
+    UpdateRequest,
+    UpdateSubscription,
+    UpdateUnsubscription,
 )
 
 CATCH_UP_DELAY_S = 0.15  # for updates to come down the tree, once a controller has said how far it is
@@ -164,7 +164,7 @@
             return
         for name, link in self._controllers.items():
             if name == controller or self.parent is not None:
-                link.send(NewsRequest(self.streams[name].incarnation, self.streams[name].number))
+                link.send(UpdateRequest(self.streams[name].incarnation, self.streams[name].number))
         if self.parent is not None:
             self._count_gap(self.parent)
 
@@ -181,11 +181,11 @@
             parent.answer_due_s = now + ANSWER_TIMEOUT_S
             self._send_positions()
 
-    def from_controller(self, link: Link, update: News) -> None:
+    def from_controller(self, link: Link, update: Update) -> None:
         """Take an update that came over a controller's own link."""
         self._apply(link, update, from_controller=True)
 
-    def _apply(self, link: Link, update: News, from_controller: bool) -> None:
+    def _apply(self, link: Link, update: Update, from_controller: bool) -> None:
         change = self._share_records(update.change)
         stream = self.streams.get(change.controller)
         if stream is None:
@@ -221,10 +221,10 @@
             stream = self.streams[controller]
             if self.parent is None and controller not in self._subscribed:
                 self._subscribed.add(controller)
-                link.send(NewsSubscription(stream.incarnation, stream.number))
+                link.send(UpdateSubscription(stream.incarnation, stream.number))
             elif self.parent is not None and controller in self._subscribed:
                 self._subscribed.discard(controller)
-                link.send(NewsUnsubscription())
+                link.send(UpdateUnsubscription())
 
     # The parent
 
@@ -280,7 +280,7 @@
             node = self._node
             link.send(RelaySubscription(node.name, node.boot, node.zone, self._positions()))
 
-    def _positions(self) -> list[Position]:
+    def _positions(self) -> list[StreamPosition]:
         return [(stream.controller, stream.incarnation, stream.number) for stream in self.streams.values()]
 
     def _send_positions(self) -> None:
@@ -301,7 +301,7 @@
         elif parent is not None and link is parent.link:
             if isinstance(message, RelayAlive):
                 parent.answer_due_s = math.inf
-            elif isinstance(message, News):
+            elif isinstance(message, Update):
                 self._apply(link, message, from_controller=False)
 
     def _follow(self, parent: Parent) -> None:
--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -33,7 +33,7 @@
     request_bytes,
 )
 from orchidferry.mesh.dataplane.server_registration import HeartbeatEffect, ServerRegistration
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Address, Bounds
 from orchidferry.node.config import now_ms
 from orchidferry.node.frontend import Reply
@@ -292,7 +292,7 @@
                 self._admit(request)
 
     def _reject(self, request: GateRequest, outcome: GateOutcome) -> None:
-        refusal = Refusal(Kind.SHED)
+        refusal = Rejection(RejectionReason.NOT_EXECUTED)
         request.reply(refusal_reply(request.message, refusal, None, outcome, self._queue.length))
 
     # Outcomes
@@ -316,16 +316,24 @@
         if response is not None:
             if result is Result.REFUSED:
                 not_run = GateOutcome.NOT_RUN
-                return refusal_reply(message, Refusal(Kind.SHED), None, not_run, self._queue.length)
+                return refusal_reply(
+                    message, Rejection(RejectionReason.NOT_EXECUTED), None, not_run, self._queue.length
+                )
             if response.attempt_id is not None and result in (Result.SERVED, Result.ERROR):
                 return self._forwarded(result, response)
             if response.flow is not None:
                 response.flow.cancel()
         if result in (Result.MOOT, Result.UNREACHABLE):
-            return refusal_reply(message, Refusal(Kind.SHED), gate_outcome=GateOutcome.SERVER_GONE)
+            return refusal_reply(
+                message, Rejection(RejectionReason.NOT_EXECUTED), gate_outcome=GateOutcome.SERVER_GONE
+            )
         if result is Result.TIMEOUT:
-            return refusal_reply(message, Refusal(Kind.LATE), gate_outcome=GateOutcome.TIMED_OUT)
-        return refusal_reply(message, Refusal(Kind.BROKEN), gate_outcome=GateOutcome.CONNECTION_LOST)
+            return refusal_reply(
+                message, Rejection(RejectionReason.TIMEOUT), gate_outcome=GateOutcome.TIMED_OUT
+            )
+        return refusal_reply(
+            message, Rejection(RejectionReason.EXECUTION_UNKNOWN), gate_outcome=GateOutcome.CONNECTION_LOST
+        )
 
     def _forwarded(self, result: Result, response: ServerResponse) -> Reply:
         reply = forwarded_reply(response)
--- a/orchidferry/mesh/dataplane/keyed_requests.py
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -11,7 +11,7 @@
 from orchidferry.mesh.dataplane.messages import ProxiedRequest, ServerResponse, refusal_reply, stored_answer
 from orchidferry.mesh.dataplane.pending_request import PendingRequest
 from orchidferry.mesh.dataplane.service_client import ServiceClient
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.config import now_ms
 from orchidferry.node.frontend import Reply
 
@@ -73,7 +73,9 @@
             elif outcome is ClaimOutcome.HELD_BY_OTHER:
                 answer(_repeat_reply(message, stored))
             else:
-                answer(refusal_reply(message, Refusal(Kind.NO_MAJORITY), NO_MAJORITY_RETRY_AFTER_S))
+                answer(
+                    refusal_reply(message, Rejection(RejectionReason.NO_MAJORITY), NO_MAJORITY_RETRY_AFTER_S)
+                )
 
         remaining_s = (deadline_ms - now_ms()) / 1000.0
         claim_s = max(0.0, min(MAX_CLAIM_S, CLAIM_SHARE * remaining_s))
@@ -90,7 +92,7 @@
 def _repeat_reply(message: ProxiedRequest, stored: Any) -> Reply:
     """The reply to a repeat of a key; `stored` is None while the first run is at work."""
     if stored is None:
-        return refusal_reply(message, Refusal(Kind.KEY_AT_WORK), KEY_AT_WORK_RETRY_AFTER_S)
+        return refusal_reply(message, Rejection(RejectionReason.KEY_IN_PROGRESS), KEY_AT_WORK_RETRY_AFTER_S)
     status, body, headers = stored
     attempt_id = (b"Attempt-Id", message.id.encode("latin-1"))
     return Reply(status, body, more=[*((name, value) for name, value in headers), attempt_id])
--- a/orchidferry/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from orchidferry.mesh.dataplane.messages import MILLISECONDS, PRIVATE_HEADER_PREFIX, ProxiedRequest
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.flow import Flow, MemoryPool
 from orchidferry.node.frontend import LIMITS_S, Accept, ClientConnection, Frontend, Reply, Stage
 from orchidferry.node.request import Message, RequestError
@@ -116,7 +116,7 @@
         if self._response_flow is not None:
             return self._close_without_reply()
         if reply.status == 408:  # part of it is on its way to a server: the status would promise too much
-            refusal = Refusal(Kind.BROKEN)
+            refusal = Rejection(RejectionReason.EXECUTION_UNKNOWN)
             reply = Reply(refusal.status, refusal.line.encode())
         super()._close_with_error(reply)
 
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -12,7 +12,7 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.configuration import Route
-from orchidferry.mesh.errors import Refusal
+from orchidferry.mesh.errors import Rejection
 from orchidferry.node.frontend import Reply
 from orchidferry.node.request import Message
 from orchidferry.node.upstream import UpstreamResponse, framing
@@ -142,7 +142,7 @@
 
 def refusal_reply(
     message: Message,
-    refusal: Refusal,
+    refusal: Rejection,
     retry_after_s: float | None = None,
     gate_outcome: GateOutcome | None = None,
     queue_length: int | None = None,
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -27,7 +27,7 @@
 from orchidferry.mesh.dataplane.registration_api import PATH as REGISTRATION_PATH
 from orchidferry.mesh.dataplane.registration_api import RegistrationApi
 from orchidferry.mesh.dataplane.service_client import ClientContext, ServiceClient
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Settings
 from orchidferry.node.config import now_ms
 from orchidferry.node.flow import LONG_BODY, MemoryPool
@@ -305,13 +305,13 @@
         """Take a request of this machine: find its route, and send it to one of the route's services."""
         assert isinstance(message, ProxiedRequest)
         if self._configuration is None:
-            refusal = Refusal(Kind.STARTING)
+            refusal = Rejection(RejectionReason.NOT_READY)
             answer(refusal_reply(message, refusal, NOT_CONFIGURED_RETRY_AFTER_S))
             return NoPendingRequest()
         path = message.target.partition(b"?")[0].decode("latin-1")
         route = self._table.find(message.host.decode("latin-1"), path)
         if route is None:
-            answer(refusal_reply(message, Refusal(Kind.NO_ROUTE)))
+            answer(refusal_reply(message, Rejection(RejectionReason.NO_ROUTE)))
             return NoPendingRequest()
         message.cls = route.id
         message.route = route
--- a/orchidferry/mesh/dataplane/registration_api.py
+++ b/orchidferry/mesh/dataplane/registration_api.py
@@ -9,7 +9,7 @@
 from orchidferry.mesh.control.control_api import JSON, Call, told
 from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
 from orchidferry.mesh.dataplane.admission import AdmissionGate
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.frontend import Reply
 
 PATH = "/orchidferry/instances"
@@ -35,20 +35,20 @@
 
     def _reply_to(self, call: Call, id: str) -> Reply:
         if not id or "/" in id:
-            return told(Refusal(Kind.UNKNOWN, f"{PATH}/ID"))
+            return told(Rejection(RejectionReason.NOT_FOUND, f"{PATH}/ID"))
         if call.method == b"DELETE":
             self._gate.deregister(id)
             return Reply(200, b"{}", JSON)
         if call.method != b"PUT":
-            return told(Refusal(Kind.UNREADABLE, "PUT or DELETE"))
+            return told(Rejection(RejectionReason.MALFORMED, "PUT or DELETE"))
         heartbeat = read_heartbeat(id, call.body)
-        if isinstance(heartbeat, Refusal):
+        if isinstance(heartbeat, Rejection):
             return told(heartbeat)
         self._gate.heartbeat(heartbeat.server, heartbeat.sequence)
         return Reply(200, b"{}", JSON)
 
 
-def read_heartbeat(id: str, raw: bytes) -> Heartbeat | Refusal:
+def read_heartbeat(id: str, raw: bytes) -> Heartbeat | Rejection:
     """Read the body of a heartbeat; a refusal names the field that is wrong."""
     try:
         data = json.loads(raw)
@@ -56,7 +56,7 @@
         condition = data["condition"]
         state = condition["state"]
         if state not in (IN_SERVICE, DRAINING):
-            return Refusal(Kind.INVALID, f"beat: condition.state: {state!r} is no state")
+            return Rejection(RejectionReason.INVALID, f"beat: condition.state: {state!r} is no state")
         server = Server(
             id,
             str(information["service_name"]),
@@ -68,6 +68,6 @@
         )
         return Heartbeat(server, int(condition["call_sequence"]))
     except KeyError as problem:
-        return Refusal(Kind.INVALID, f"beat: {problem.args[0]} is missing")
+        return Rejection(RejectionReason.INVALID, f"beat: {problem.args[0]} is missing")
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError) as problem:
-        return Refusal(Kind.UNREADABLE, f"beat: {problem}")
+        return Rejection(RejectionReason.MALFORMED, f"beat: {problem}")
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -32,7 +32,7 @@
 from orchidferry.mesh.dataplane.pending_request import GateAttempt, OnEnded, PendingRequest
 from orchidferry.mesh.dataplane.request_classes import class_name, request_class
 from orchidferry.mesh.dataplane.retry_slack import RetrySlack
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.config import now_ms
 from orchidferry.node.event_queue import EventQueue
@@ -191,7 +191,7 @@
         self._set_deadline_alarm(request)
         name = class_name(route)
         if self._balancer is None or name not in self._balancer.classes:
-            refusal = Refusal(Kind.SHED, "the route has just changed")
+            refusal = Rejection(RejectionReason.NOT_EXECUTED, "the route has just changed")
             self.finish(request, refusal_reply(message, refusal, SHORT_RETRY_AFTER_S))
             self.attempts_changed(request)
         elif self._rng.random() < self._nested.shed(name, now_ms()):
@@ -232,7 +232,7 @@
             # What was begun on its way to a gate may run yet, so its caller is not told that it did not.
             attempts = self._attempts_of(request)
             sent = request.may_have_run or any(attempt.possibly_sent for attempt in attempts)
-            refusal = Refusal(Kind.LATE if sent else Kind.SHED)
+            refusal = Rejection(RejectionReason.TIMEOUT if sent else RejectionReason.NOT_EXECUTED)
             retry_after_s = None if sent else SHORT_RETRY_AFTER_S
             self.finish(request, refusal_reply(request.message, refusal, retry_after_s))
             for attempt in attempts:
@@ -275,12 +275,16 @@
         if request.response is not None:
             return self.finish(request, forwarded_reply(request.response))
         if request.may_have_run:
-            return self.finish(request, refusal_reply(request.message, Refusal(Kind.BROKEN)))
+            return self.finish(
+                request, refusal_reply(request.message, Rejection(RejectionReason.EXECUTION_UNKNOWN))
+            )
         now = now_ms()
         self.last_rejected_ms = now
         longest_ms = max(MIN_RETRY_AFTER_MS, RETRY_AFTER_SHARE * (request.deadline_ms - now))
         retry_after_s = min(retry_after_ms, longest_ms) / 1000.0
-        self.finish(request, refusal_reply(request.message, Refusal(Kind.SHED), retry_after_s))
+        self.finish(
+            request, refusal_reply(request.message, Rejection(RejectionReason.NOT_EXECUTED), retry_after_s)
+        )
 
     # The decision module
 
--- a/orchidferry/mesh/errors.py
+++ b/orchidferry/mesh/errors.py
@@ -1,4 +1,4 @@
-"""Every way in which a call can be turned down, and the one table from kind to answer."""
+"""The reasons for which the mesh rejects a call, and the error of a controller's store."""
 
 from __future__ import annotations
 
@@ -8,43 +8,37 @@
 from orchidferry.errors import OrchidferryError
 
 
-class Kind(Enum):
-    """Why a call is turned down. The list is closed."""
-
-    UNREADABLE = "it can't be read"
-    INVALID = "it breaks a rule of its resource"
-    UNKNOWN = "there is no such thing"
-    NO_ROUTE = "no route leads there"
-    OTHER_VERSION = "another version is in place"
-    OLD_VERSION = "its number is not above the current one"
-    KEY_AT_WORK = "the first run of its key is under way"
-    SHED = "it has not run; come back"
-    BROKEN = "it may have run"
-    LATE = "no answer in time"
-    FORGOTTEN = "whether it was taken is not known here"
-    NO_MAJORITY = "too few controllers answered"
-    OUT_OF_CONTACT = "this controller hears no majority; nothing was begun, ask another one"
-    UNCLEAR = "it may be in force or not; send the very same again"
-    STARTING = "not ready yet"
-
-
-STATUS = {
-    Kind.UNREADABLE: 400,
-    Kind.INVALID: 400,
-    Kind.UNKNOWN: 404,
-    Kind.NO_ROUTE: 404,
-    Kind.OTHER_VERSION: 412,
-    Kind.OLD_VERSION: 400,
-    Kind.KEY_AT_WORK: 409,
-    Kind.SHED: 503,
-    Kind.BROKEN: 502,
-    Kind.LATE: 504,
-    Kind.FORGOTTEN: 504,
-    Kind.NO_MAJORITY: 503,
-    Kind.OUT_OF_CONTACT: 503,
-    Kind.UNCLEAR: 504,
-    Kind.STARTING: 503,
-}
+class RejectionReason(Enum):
+    """Why a call is rejected. The list is closed.
+
+    Each member holds the code that the body of the answer names, the HTTP status of the answer, and what the
+    reason means to whoever made the call.
+    """
+
+    MALFORMED = ("unreadable", 400, "it can't be read")
+    INVALID = ("invalid", 400, "it breaks a rule of its resource")
+    NOT_FOUND = ("unknown", 404, "there is no such thing")
+    NO_ROUTE = ("no_route", 404, "no route leads there")
+    VERSION_MISMATCH = ("other_version", 412, "another version is in place")
+    STALE_VERSION = ("old_version", 400, "its number is not above the current one")
+    KEY_IN_PROGRESS = ("key_at_work", 409, "the first run of its key is under way")
+    NOT_EXECUTED = ("shed", 503, "it has not run; come back")
+    EXECUTION_UNKNOWN = ("broken", 502, "it may have run")
+    TIMEOUT = ("late", 504, "no answer in time")
+    HISTORY_EXPIRED = ("forgotten", 504, "whether it was taken is not known here")
+    NO_MAJORITY = ("no_majority", 503, "too few controllers answered")
+    OUT_OF_CONTACT = (
+        "out_of_contact",
+        503,
+        "this controller hears no majority; nothing was begun, ask another one",
+    )
+    COMMIT_UNKNOWN = ("unclear", 504, "it may be in force or not; send the very same again")
+    NOT_READY = ("starting", 503, "not ready yet")
+
+    def __init__(self, code: str, status: int, description: str) -> None:
+        self.code = code
+        self.status = status
+        self.description = description
 
 
 class StoreError(OrchidferryError):
@@ -52,18 +46,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """A call that was turned down, and what to tell whoever made it."""
+class Rejection:
+    """A call that was rejected, and what its caller is told.
+
+    :param reason: why it was rejected
+    :param detail: what exactly is wrong, in one line; empty if the reason says enough
+    """
 
-    kind: Kind
-    text: str = ""
+    reason: RejectionReason
+    detail: str = ""
 
     @property
     def status(self) -> int:
-        """The HTTP status of its answer."""
-        return STATUS[self.kind]
+        """The HTTP status of the answer."""
+        return self.reason.status
 
     @property
     def line(self) -> str:
         """One line for whoever made the call."""
-        return f"{self.kind.value}: {self.text}" if self.text else self.kind.value
+        description = self.reason.description
+        return f"{description}: {self.detail}" if self.detail else description
--- a/orchidferry/mesh/wire/codec.py
+++ b/orchidferry/mesh/wire/codec.py
@@ -1,4 +1,7 @@
-"""Messages as bytes and back: cbor2 lists with a length in front. What can't be read is told by its field."""
+"""Encoding of messages: CBOR lists (RFC 8949) with their length in front.
+
+A message that can't be decoded is reported with its tag and the name of the field that is wrong.
+"""
 
 from __future__ import annotations
 
@@ -9,92 +12,112 @@
 import msgspec
 
 from orchidferry.errors import OrchidferryError
-from orchidferry.mesh.wire.messages import KINDS, Greeting, Message, ShardMessage, kind_of
-from orchidferry.mesh.wire.shard_messages import Body, ShardBody, tag_of
+from orchidferry.mesh.wire.messages import TYPE_BY_TAG, Greeting, Message, ShardMessage
+from orchidferry.mesh.wire.shard_messages import ShardBody, ShardBodyBase, tag_of
 
-LENGTH_BYTES = 4
-NATIVE = (bytes,)  # cbor2 carries them as they are
-MAX_TOLD = 200  # characters of a problem that go into a log line
-SHARD_KINDS: dict[str, type[Body]] = {tag_of(kind): kind for kind in get_args(ShardBody)}
-_PATH = re.compile(r" - at `\$(?P<steps>(?:\[[^\]]*\])*)`")
+LENGTH_BYTES = 4  # of the length in front of a message, big-endian
+CBOR_NATIVE_TYPES = (bytes,)  # that cbor2 encodes itself, so that msgspec leaves them as they are
+MAX_PROBLEM_CHARS = 200  # of a decoder's error text that go into an error of our own
+MAX_TAG_CHARS = 40  # of an unknown tag, likewise
+SHARD_TYPE_BY_TAG: dict[str, type[ShardBodyBase]] = {tag_of(body): body for body in get_args(ShardBody)}
+_ERROR_PATH = re.compile(r" - at `\$(?P<steps>(?:\[[^\]]*\])*)`")  # of a list item, in msgspec's error texts
+_PATH_STEP = re.compile(r"\[([^\]]*)\]")
 
 
 class MessageDecodeError(OrchidferryError, ValueError):
-    """Bytes that are no message; the text is one line that names the kind and the field."""
+    """Bytes that are no message; the text is one line.
+
+    :ivar location: tag of the message and name of its wrong field; empty if the message has no known tag
+    """
+
+    def __init__(self, problem: str, location: str = "") -> None:
+        super().__init__(f"{location}: {problem}" if location else problem)
+        self.location = location
 
 
-def as_list(message: Message) -> list[Any]:
-    """A message in plain lists, its kind first."""
-    found: list[Any] = msgspec.to_builtins(message, builtin_types=NATIVE)
-    return found
+def to_list(message: Message) -> list[Any]:
+    """Return a message as a list of plain values, its tag first."""
+    values: list[Any] = msgspec.to_builtins(message, builtin_types=CBOR_NATIVE_TYPES)
+    return values
 
 
 def encode(message: Message) -> bytes:
-    """A message as it goes out."""
-    body = cbor2.dumps(as_list(message))
+    """Return a message as it is sent: its length, then its values."""
+    body = cbor2.dumps(to_list(message))
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode(body: bytes) -> Message:
-    """The message in these bytes, without their length; `MessageDecodeError` for what is none."""
+    """Return the message that these bytes encode.
+
+    :param body: the bytes of one message, without its length
+    :raises MessageDecodeError: if they are no message
+    """
     try:
-        parts = cbor2.loads(body)
-    except (cbor2.CBORDecodeError, ValueError) as problem:
-        raise MessageDecodeError(f"no CBOR: {problem!s:.{MAX_TOLD}}") from None
-    return from_list(parts)
+        values = cbor2.loads(body)
+    except (cbor2.CBORDecodeError, ValueError) as error:
+        raise MessageDecodeError(f"no CBOR: {error!s:.{MAX_PROBLEM_CHARS}}") from None
+    return from_list(values)
+
 
+def from_list(values: Any) -> Message:
+    """Return the message that `to_list` made a list of.
 
-def from_list(parts: Any) -> Message:
-    """The message in a list; `MessageDecodeError` for what is none."""
-    if not isinstance(parts, list) or not parts or not isinstance(parts[0], str):
+    :raises MessageDecodeError: if the values are no message
+    """
+    if not isinstance(values, list) or not values or not isinstance(values[0], str):
         raise MessageDecodeError("a message is a list that begins with its kind")
-    kind = KINDS.get(parts[0])
-    if kind is None:
-        raise MessageDecodeError(f"no message of kind {parts[0]!r:.40}")
+    message_type = TYPE_BY_TAG.get(values[0])
+    if message_type is None:
+        raise MessageDecodeError(f"no message of kind {values[0]!r:.{MAX_TAG_CHARS}}")
     try:
-        return msgspec.convert(parts, kind, builtin_types=NATIVE)
-    except msgspec.ValidationError as problem:
-        raise MessageDecodeError(_describe(kind, parts, str(problem))) from None
+        return msgspec.convert(values, message_type, builtin_types=CBOR_NATIVE_TYPES)
+    except msgspec.ValidationError as error:
+        raise _decode_error(message_type, values, str(error)) from None
+
 
+def greeting_protocol(body: bytes) -> Any:
+    """Return the protocol number that the first message of a link names.
 
-def spoken_protocol(body: bytes) -> Any:
-    """The number of the protocol that a link's first message names; None if it names none."""
+    :param body: the bytes of the message, without its length; a later build may encode it in another way
+    :returns: the number as it was sent, of whatever type; None if there is none
+    """
     try:
         match cbor2.loads(body):
-            case [kind, number] if kind == kind_of(Greeting):
+            case [tag, number] if tag == tag_of(Greeting):
                 return number
     except (cbor2.CBORDecodeError, ValueError):
         pass
     return None
 
 
-def _describe(kind: type[Message], parts: list[Any], problem: str) -> str:
-    """What msgspec says, with the names of fields in place of their positions."""
-    found = _PATH.search(problem)
-    if found is None:
-        return f"{kind_of(kind)}: {problem:.{MAX_TOLD}}"
-    steps = re.findall(r"\[([^\]]*)\]", found["steps"])
-    where = _field_names(kind, parts, steps)
-    return f"{where}: {problem[: found.start()]:.{MAX_TOLD}}"
+def _decode_error(message_type: type[Message], values: list[Any], problem: str) -> MessageDecodeError:
+    """Replace the position that msgspec names at the end of an error text by the names of fields."""
+    path = _ERROR_PATH.search(problem)
+    if path is None:
+        return MessageDecodeError(f"{problem:.{MAX_PROBLEM_CHARS}}", tag_of(message_type))
+    location = _location(message_type, values, _PATH_STEP.findall(path["steps"]))
+    return MessageDecodeError(f"{problem[: path.start()]:.{MAX_PROBLEM_CHARS}}", location)
 
 
-def _field_names(kind: type[Message], parts: list[Any], steps: list[str]) -> str:
-    names = [kind_of(kind), _field(kind, steps[0])]
-    rest = steps[1:]
-    if kind is ShardMessage and names[-1] == "body":
-        inside = _shard_kind(parts)
-        names += [tag_of(inside)] if inside is not None else []
-        names += [_field(inside or Body, step) for step in rest[:1]]
-        rest = rest[1:]
-    return ": ".join(names) + "".join(f"[{step}]" for step in rest)
+def _location(message_type: type[Message], values: list[Any], steps: list[str]) -> str:
+    names = [tag_of(message_type), _field_name(message_type, steps[0])]
+    inner_steps = steps[1:]
+    if message_type is ShardMessage and names[-1] == "body":
+        body_type = _shard_body_type(values)
+        if body_type is not None:
+            names.append(tag_of(body_type))
+        names += [_field_name(body_type or ShardBodyBase, step) for step in inner_steps[:1]]
+        inner_steps = inner_steps[1:]
+    return ": ".join(names) + "".join(f"[{step}]" for step in inner_steps)
 
 
-def _field(kind: type[msgspec.Struct], step: str) -> str:
-    """The name of the field at a position of a list whose first part is the kind."""
-    return kind.__struct_fields__[int(step) - 1] if step != "0" else "kind"
+def _field_name(struct_type: type[msgspec.Struct], step: str) -> str:
+    """Return the name of the field at a position of a list whose first item is the tag."""
+    return struct_type.__struct_fields__[int(step) - 1] if step != "0" else "kind"
 
 
-def _shard_kind(parts: list[Any]) -> type[Body] | None:
-    body = parts[ShardMessage.__struct_fields__.index("body") + 1]
+def _shard_body_type(values: list[Any]) -> type[ShardBodyBase] | None:
+    body = values[ShardMessage.__struct_fields__.index("body") + 1]
     tag = body[0] if isinstance(body, list) and body else None
-    return SHARD_KINDS.get(tag) if isinstance(tag, str) else None
+    return SHARD_TYPE_BY_TAG.get(tag) if isinstance(tag, str) else None
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from orchidferry.mesh.wire.codec import LENGTH_BYTES, MessageDecodeError, decode, encode, spoken_protocol
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, MessageDecodeError, decode, encode, greeting_protocol
 from orchidferry.mesh.wire.messages import Greeting, Message
 
 MOST = 16 * 1024 * 1024  # bytes of one message
@@ -91,7 +91,7 @@
 
     def _greeted(self, body: bytes) -> None:
         self._awaits_greeting = False
-        spoken = spoken_protocol(body)
+        spoken = greeting_protocol(body)
         if spoken != PROTOCOL:
             logger.warning(
                 "link: {} speaks protocol {!s:.20}, {} is needed: it is of another build",
--- a/orchidferry/mesh/wire/messages.py
+++ b/orchidferry/mesh/wire/messages.py
@@ -12,19 +12,19 @@
 
 from orchidferry.mesh.control.endpoints import NodeRecord
 from orchidferry.mesh.control.update_stream import StreamChange
-from orchidferry.mesh.wire.shard_messages import ShardBody
+from orchidferry.mesh.wire.shard_messages import ShardBody, tag_of
 
-Position = tuple[str, int, int]  # in a stream of news: its controller, the life of that, a number
+StreamPosition = tuple[str, int, int]  # in a stream of updates: controller, its incarnation, update number
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What all messages have in common."""
+    """The base of all messages between processes."""
 
 
 class Greeting(Message, frozen=True, tag="protocol"):
-    """The first message of a link, from whoever dialled."""
+    """The first message of a link, from the side that dialled."""
 
-    protocol: int  # the number of the protocol that the dialler speaks
+    protocol: int  # number of the protocol that the dialling side speaks
 
 
 # Between a node and a controller
@@ -41,147 +41,147 @@
 
     number: int  # of the record
     name: str  # of the node
-    boot: int  # drawn at the start of the node's process
-    record: NodeRecord | None  # None where the controller has it already
+    boot: int  # random number of the node's process, chosen at its start
+    record: NodeRecord | None  # None if the controller has it already
 
 
 class Lease(Message, frozen=True, tag="lease"):
     """The answer to a renewal."""
 
     number: int  # of the record that was renewed
-    known: bool  # whether the controller has that record
-    warm: bool  # whether all live nodes have had the time to come back to this controller
-    life: int  # of the controller's stream of news
-    news: int  # the newest number of that stream
+    has_record: bool  # whether the controller has that record
+    warmed_up: bool  # whether all live nodes have had the time to reconnect to this controller
+    incarnation: int  # of the controller's stream of updates
+    newest_number: int  # number of the newest update of that stream
     contact_age_ms: int | None  # since the controller was in contact with a majority; None for never
 
 
-class NewsSubscription(Message, frozen=True, tag="news_subscription"):
-    """A node wants a controller's news from a place in its stream on."""
+class UpdateSubscription(Message, frozen=True, tag="news_subscription"):
+    """A node subscribes to a controller's updates from a position of its stream on."""
 
-    life: int  # of the stream that the node knows
-    number: int  # the newest that it has of it
+    incarnation: int  # of the stream that the node knows
+    number: int  # of the newest update that it has of that stream
 
 
-class NewsUnsubscription(Message, frozen=True, tag="news_unsubscription"):
-    """A node has its news from elsewhere now."""
+class UpdateUnsubscription(Message, frozen=True, tag="news_unsubscription"):
+    """A node gets its updates from another process now."""
 
 
-class NewsRequest(Message, frozen=True, tag="news_request"):
-    """A node asks once for what it has missed."""
+class UpdateRequest(Message, frozen=True, tag="news_request"):
+    """A node asks once for the updates that it has missed."""
 
-    life: int  # of the stream that the node knows
-    number: int  # the newest that it has of it
+    incarnation: int  # of the stream that the node knows
+    number: int  # of the newest update that it has of that stream
 
 
-class News(Message, frozen=True, tag="news"):
+class Update(Message, frozen=True, tag="news"):
     """What changed in a controller's stream, from the controller or from a relay."""
 
-    change: StreamChange  # the difference, or all there is
+    change: StreamChange  # the difference, or the complete state
 
 
-class Group(Message, frozen=True, tag="group"):
-    """Which controllers hold a shard, and which of them owns its duties."""
+class GroupAnnouncement(Message, frozen=True, tag="group"):
+    """The controllers that replicate a shard, and the one that owns its singleton roles."""
 
     shard: int  # its number
     epoch: int  # of the group
-    names: list[str]  # of its voters
+    voters: list[str]  # names of its voting controllers
     owner: str  # "" for none
-    fence: int  # under which that one owns it
+    fencing_token: int  # of the ownership
 
 
 class RevisionRead(Message, frozen=True, tag="revision_read"):
-    """A node that starts asks for the newest revision, confirmed by a majority."""
+    """A starting node asks for the newest revision, confirmed by a majority."""
 
-    request: int  # to be named in the answer
+    request: int  # number to be named in the answer
 
 
 class Revision(Message, frozen=True, tag="revision"):
     """The answer to `RevisionRead`."""
 
-    request: int  # that is answered
-    revision: int  # of the newest configuration; 0: there is none, -1: there is no telling
+    request: int  # number of the request that is answered
+    revision: int  # of the newest configuration; 0 if there is none, -1 if it is unknown
 
 
 class ConfigurationFetch(Message, frozen=True, tag="configuration_fetch"):
-    """A node asks for a configuration of which it has heard, as a controller or a relay knows it."""
+    """A node asks for a configuration that a controller or a relay has announced."""
 
-    request: int  # to be named in the answer
-    revision: int  # the newest that the node has heard of
+    request: int  # number to be named in the answer
+    revision: int  # the newest that was announced to the node
 
 
 class ConfigurationText(Message, frozen=True, tag="configuration_text"):
     """The answer to `ConfigurationFetch`."""
 
-    request: int  # that is answered
-    revision: int  # -1: there is no telling
-    text: bytes  # packed as `configuration_text` does
+    request: int  # number of the request that is answered
+    revision: int  # -1 if it is unknown
+    text: bytes  # as `configuration_text` packs it
 
 
-# Operation keys and shares of retries
+# Operation keys and quotas of retries
 
 
 class KeyClaim(Message, frozen=True, tag="key_claim"):
-    """A node claims an operation key for one try."""
+    """A node claims an operation key for one attempt."""
 
-    request: int  # to be named in the answer
+    request: int  # number to be named in the answer
     epoch: int  # of the group that is asked
     key: str  # the operation key
-    holder: str  # the try
+    attempt_id: str  # of the attempt that claims it
 
 
 class KeyGrant(Message, frozen=True, tag="key_grant"):
     """One controller's answer to a claim."""
 
-    request: int  # that is answered
+    request: int  # number of the request that is answered
     epoch: int  # under which the claim was made
-    outcome: str  # `yours`, `held` by another try, or `wait`: it can't say
-    answer: Any  # of the run that holds it, where it is known
+    outcome: str  # `yours`, `held` by another attempt, or `wait`: the controller can't decide yet
+    answer: Any  # of the attempt that holds the key, if it is known
 
 
 class KeyAnswer(Message, frozen=True, tag="key_answer"):
-    """The first run of a key was answered."""
+    """The first attempt with a key was answered."""
 
     key: str  # the operation key
-    holder: str  # the try that ran
-    answer: Any  # as it is to be given again
+    attempt_id: str  # of the attempt that was executed
+    answer: Any  # as repeated calls with the key will get it
 
 
 class KeyRelease(Message, frozen=True, tag="key_release"):
-    """A try gives its key back: it has not run and never will. It is sent until it is acknowledged."""
+    """An attempt releases its key: it was not executed and never will be. Sent until acknowledged."""
 
-    number: int  # of the node's process, to be named in the answer
+    number: int  # of the release, unique within the node's process; the answer names it
     key: str  # the operation key
-    holder: str  # the try
+    attempt_id: str  # of the attempt that held it
 
 
 class KeyReleaseAck(Message, frozen=True, tag="key_release_ack"):
-    """A key that was given back is off the controller's disk."""
+    """A released key is durably deleted at the controller."""
 
     number: int  # of the release
 
 
-class RetryShareRequest(Message, frozen=True, tag="retry_share_request"):
-    """A node asks the owner of a service for a share of its retries."""
+class RetryQuotaRequest(Message, frozen=True, tag="retry_share_request"):
+    """A node asks the owner of a service for a quota of its retries."""
 
     service: str  # its name
-    node: str  # who asks
-    life: int  # of the node's process
+    node: str  # name of the node that asks
+    incarnation: int  # of the node's process
     number: int  # of the request
-    used: float  # retries that were made in the last window
-    wanted: float  # retries that would have been made
-    held: float  # the share that the node holds now
-    fence: int  # the highest that the node has heard of
+    retries_made: float  # in the last window
+    retries_wanted: float  # in the last window, with an unlimited quota
+    current_amount: float  # the quota that the node has now
+    fencing_token: int  # the highest that the node has seen
 
 
-class RetryShare(Message, frozen=True, tag="retry_share"):
-    """A share of a service's retries."""
+class RetryQuota(Message, frozen=True, tag="retry_share"):
+    """A node's quota of a service's retries."""
 
     service: str  # its name
-    fence: int  # under which the controller owns the service
+    fencing_token: int  # of the controller's ownership of the service
     number: int  # of the request
     amount: float  # retries in any window
-    lease_s: float  # the share's, from when it was asked for
+    lease_s: float  # validity of the quota, counted from the request
 
 
 # Between controllers
@@ -194,71 +194,71 @@
 
 
 class Heartbeat(Message, frozen=True, tag="heartbeat"):
-    """A controller lives."""
+    """A controller is alive."""
 
     name: str  # of the controller
     number: int  # of the heartbeat
-    fit: bool  # whether it can do duties
+    eligible: bool  # whether it can own singleton roles
     versions: list[int]  # the newest that it knows of each shard
-    leaving: bool  # whether it was told to end
-    learning: list[int]  # shards that it has yet to learn
+    leaving: bool  # whether it is shutting down
+    missing_shards: list[int]  # shards whose state it has yet to learn
 
 
 class HeartbeatAck(Message, frozen=True, tag="heartbeat_ack"):
-    """A heartbeat was heard."""
+    """A heartbeat was received."""
 
-    name: str  # of the controller that heard it
+    name: str  # of the controller that received it
     number: int  # of the heartbeat
-    fences: list[int]  # the highest that it has voted for in each shard
+    fencing_tokens: list[int]  # the highest that it has voted for in each shard
 
 
 class ShardMessage(Message, frozen=True, tag="shard"):
-    """What one controller's half of a shard says to another's."""
+    """A message from one replica of a shard to another."""
 
     shard: int  # its number
-    body: ShardBody  # what is said
+    body: ShardBody  # the message
 
 
 # Between a node and its relay
 
 
 class RelaySubscription(Message, frozen=True, tag="relay_subscription"):
-    """A node asks another one to pass on all news to it."""
+    """A node asks another one to forward all updates to it."""
 
     name: str  # of the node that asks
-    boot: int  # drawn at the start of its process
-    zone: str  # where it is
-    positions: list[Position]  # how far it is in each stream
+    boot: int  # random number of its process, chosen at its start
+    zone: str  # of the node that asks
+    positions: list[StreamPosition]  # what it has of each stream
 
 
 class RelayAccepted(Message, frozen=True, tag="relay_accepted"):
-    """The relay takes the node in."""
+    """The relay accepts the node as a follower."""
 
 
 class RelayFull(Message, frozen=True, tag="relay_full"):
-    """The relay does not take the node in."""
+    """The relay rejects the node, as it has followers enough."""
 
 
 class RelayPositions(Message, frozen=True, tag="relay_positions"):
-    """A node says to its relay how far it is."""
+    """A node reports to its relay what it has received."""
 
-    positions: list[Position]  # in each stream
+    positions: list[StreamPosition]  # what it has of each stream
 
 
 class RelayAlive(Message, frozen=True, tag="relay_alive"):
-    """The relay has heard the positions, and lives."""
+    """The relay is alive and has received the positions."""
 
 
-MESSAGES: tuple[type[Message], ...] = (
+MESSAGE_TYPES: tuple[type[Message], ...] = (
     Greeting,
     NodeHello,
     LeaseRenewal,
     Lease,
-    NewsSubscription,
-    NewsUnsubscription,
-    NewsRequest,
-    News,
-    Group,
+    UpdateSubscription,
+    UpdateUnsubscription,
+    UpdateRequest,
+    Update,
+    GroupAnnouncement,
     RevisionRead,
     Revision,
     ConfigurationFetch,
@@ -268,8 +268,8 @@
     KeyAnswer,
     KeyRelease,
     KeyReleaseAck,
-    RetryShareRequest,
-    RetryShare,
+    RetryQuotaRequest,
+    RetryQuota,
     ControllerHello,
     Heartbeat,
     HeartbeatAck,
@@ -281,10 +281,4 @@
     RelayAlive,
 )
 
-
-def kind_of(message: Message | type[Message]) -> str:
-    """Its kind, as it stands on the wire."""
-    return str(message.__struct_config__.tag)
-
-
-KINDS: dict[str, type[Message]] = {kind_of(message): message for message in MESSAGES}
+TYPE_BY_TAG: dict[str, type[Message]] = {tag_of(message): message for message in MESSAGE_TYPES}
--- a/orchidferry/mesh/wire/shard_messages.py
+++ b/orchidferry/mesh/wire/shard_messages.py
@@ -1,6 +1,6 @@
-"""The messages between the controllers' halves of one shard, one type each: they travel in a `ShardMessage`.
+"""The messages between the replicas of one shard, one type each: they are sent inside a `ShardMessage`.
 
-A state travels as `shard_state.pack_value` has it, as a list: on disk it has the same form.
+A state is sent as the list that `shard_state.pack_value` makes; on disk it has the same form.
 """
 
 from __future__ import annotations
@@ -9,192 +9,192 @@
 
 import msgspec
 
-Ballot = tuple[int, str]  # a counter, and whose it is
-PackedVoter = tuple[str, int]  # name and memory
+Ballot = tuple[int, str]  # counter and name of the proposer
+PackedVoter = tuple[str, int]  # name and memory number
 PackedState = list[Any] | None  # as `shard_state.pack_value` makes it
-KeyRow = tuple[str, tuple[str, int, Any], bool]  # key; holder, shelf, answer; whether there is an answer
+KeyRow = tuple[str, tuple[str, int, Any], bool]  # key; attempt id, time slot, answer; whether it is answered
 
 
-class Body(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What all messages inside a shard have in common."""
+class ShardBodyBase(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """The base of all messages between replicas of a shard."""
 
 
 # The register
 
 
-class RegisterPrepare(Body, frozen=True, tag="prepare"):
-    """`register.Prepare` as it travels."""
+class RegisterPrepare(ShardBodyBase, frozen=True, tag="prepare"):
+    """`register.Prepare` on the wire."""
 
     ballot: Ballot  # that is prepared
-    intent: list[str] | None  # what the round is for, where voters may object
-    has: Ballot  # the ballot whose state the proposer has
+    intent: list[str] | None  # purpose of the proposal, if voters may object to it
+    known_ballot: Ballot  # of the state that the proposer has already
 
 
-class RegisterPromise(Body, frozen=True, tag="promise"):
-    """`register.Promise` as it travels."""
+class RegisterPromise(ShardBodyBase, frozen=True, tag="promise"):
+    """`register.Promise` on the wire."""
 
     ballot: Ballot  # that is answered
     voter: PackedVoter  # who promises
-    promised: Ballot  # above `ballot` it is a refusal
+    promised: Ballot  # a rejection if it is above `ballot`
     accepted: Ballot  # the newest that this voter accepted
     state: PackedState  # of that one, unless the proposer has it
-    objection: str  # why the voter does not want the change; "" if it does not mind
+    objection: str  # why the voter objects to the change; "" if it does not
 
 
-class RegisterAccept(Body, frozen=True, tag="accept"):
-    """`register.Accept` as it travels."""
+class RegisterAccept(ShardBodyBase, frozen=True, tag="accept"):
+    """`register.Accept` on the wire."""
 
     ballot: Ballot  # that is to be accepted
-    state: PackedState  # whole, or what differs from that of `base`
-    base: Ballot | None  # the ballot whose state the voter has
+    state: PackedState  # complete, or the difference from the state of `base`
+    base: Ballot | None  # ballot of the state that the voter has already
 
 
-class RegisterAccepted(Body, frozen=True, tag="accepted"):
-    """`register.Accepted` as it travels."""
+class RegisterAccepted(ShardBodyBase, frozen=True, tag="accepted"):
+    """`register.Accepted` on the wire."""
 
     ballot: Ballot  # that is answered
     voter: PackedVoter  # who answers
-    promised: Ballot  # above `ballot` it is a refusal
+    promised: Ballot  # a rejection if it is above `ballot`
 
 
 RegisterBody = RegisterPrepare | RegisterPromise | RegisterAccept | RegisterAccepted
 
 
-class RegisterMessage(Body, frozen=True, tag="register"):
-    """A message of the register."""
+class RegisterMessage(ShardBodyBase, frozen=True, tag="register"):
+    """A message of the replicated register."""
 
     sender: str  # the controller's name
-    body: RegisterBody  # what it says
+    body: RegisterBody  # the message
 
 
-# Decided states and readings
+# Decided states and reads
 
 
-class DecidedState(Body, frozen=True, tag="decided_state"):
+class DecidedState(ShardBodyBase, frozen=True, tag="decided_state"):
     """A state that was decided."""
 
-    state: PackedState  # whole
+    state: PackedState  # complete
 
 
-class DecidedBallot(Body, frozen=True, tag="decided_ballot"):
-    """The state of a ballot was decided, which the receiver was asked to accept."""
+class DecidedBallot(ShardBodyBase, frozen=True, tag="decided_ballot"):
+    """The state of a ballot that the receiver was asked to accept was decided."""
 
     ballot: Ballot  # that was decided
     version: int  # of its state
 
 
-class DecidedStateRequest(Body, frozen=True, tag="decided_state_request"):
+class DecidedStateRequest(ShardBodyBase, frozen=True, tag="decided_state_request"):
     """A controller asks for the newest state that is known to be decided."""
 
     version: int  # the newest that it knows
 
 
-class AcceptedStateRequest(Body, frozen=True, tag="accepted_state_request"):
+class AcceptedStateRequest(ShardBodyBase, frozen=True, tag="accepted_state_request"):
     """A reader asks a voter what it has accepted."""
 
-    reading: int  # to be named in the answer
-    has: Ballot  # the ballot whose state the reader has
+    reading: int  # number of the read, to be named in the answer
+    known_ballot: Ballot  # of the state that the reader has already
 
 
-class AcceptedState(Body, frozen=True, tag="accepted_state"):
+class AcceptedState(ShardBodyBase, frozen=True, tag="accepted_state"):
     """What a voter has accepted."""
 
-    reading: int  # that is answered
+    reading: int  # number of the read that is answered
     voter: PackedVoter  # who answers
     accepted: Ballot  # the newest that it accepted
     state: PackedState  # of that one, unless the reader has it
 
 
-# Orders and places
+# Configuration changes and membership of the group
 
 
-class OrdersRequest(Body, frozen=True, tag="orders_request"):
-    """A controller asks for orders older than it knows."""
+class OrdersRequest(ShardBodyBase, frozen=True, tag="orders_request"):
+    """A controller asks for configuration changes that are older than those it knows."""
 
-    number: int  # of the oldest order that it knows
+    number: int  # of the oldest change that it knows
     digest: bytes  # of that one
 
 
-class Orders(Body, frozen=True, tag="orders"):
-    """Older orders, without a gap."""
+class Orders(ShardBodyBase, frozen=True, tag="orders"):
+    """Older configuration changes, without a gap."""
 
     orders: list[tuple[int, bytes]]  # number and digest of each, the newest last
-    complete: bool  # whether the first of all is among them
+    complete: bool  # whether they begin with the very first change
 
 
-class JoinRequest(Body, frozen=True, tag="join_request"):
-    """A controller asks for a place in the group."""
+class JoinRequest(ShardBodyBase, frozen=True, tag="join_request"):
+    """A controller asks to become a voter of the group."""
 
     name: str  # of the controller
-    memory: int  # it would vote as
+    memory: int  # memory number that it would vote with
     epoch: int  # the last that it knows
-    ready: bool  # whether it has learned what it can without a place
+    ready: bool  # whether it has caught up as far as a non-voter can
 
 
 # Repair of operation keys
 
 
-class KeyPageRequest(Body, frozen=True, tag="key_page_request"):
+class KeyPageRequest(ShardBodyBase, frozen=True, tag="key_page_request"):
     """A learner asks a source for its next page of keys."""
 
     name: str  # of the learner
     number: int  # of the request
-    counted: bool  # whether it asks as a voter of this epoch
-    epoch: int  # that the learner knows
-    life: str  # of the source's process that the learner has copied from
-    sequence: int  # the change up to which the learner has all on disk
-    brief: bool  # whether answers are to be left out
+    as_voter: bool  # whether it asks as a voter of `epoch`
+    epoch: int  # of the group that the learner knows
+    incarnation: str  # of the source's process from which the learner has copied so far
+    sequence: int  # number of the last change that the learner has on disk
+    omit_answers: bool  # whether the page is to come without answers
 
 
-class KeyPage(Body, frozen=True, tag="key_page"):
+class KeyPage(ShardBodyBase, frozen=True, tag="key_page"):
     """A page of a source's keys."""
 
     name: str  # of the source
     number: int  # of the request
-    sequence: int  # the change up to which the learner has all with this page
+    sequence: int  # number of the last change that the learner has with this page
     rows: list[KeyRow]  # the keys
-    last: bool  # whether it is the source's newest
-    life: str  # of the source's process
-    counted: bool  # as the learner asked
+    last: bool  # whether no newer change follows
+    incarnation: str  # of the source's process
+    as_voter: bool  # as in the request
 
 
-class KeyPageRefusal(Body, frozen=True, tag="key_page_refusal"):
-    """A source has nothing to give now."""
+class KeyPageRejection(ShardBodyBase, frozen=True, tag="key_page_refusal"):
+    """A source can't send a page at the moment."""
 
     name: str  # of the source
     number: int  # of the request
 
 
-class KeyRecordsRequest(Body, frozen=True, tag="key_records_request"):
-    """A learner asks for the records of keys whose answers a page left out."""
+class KeyRecordsRequest(ShardBodyBase, frozen=True, tag="key_records_request"):
+    """A learner asks for the records of keys whose answers a page omitted."""
 
     name: str  # of the learner
     number: int  # of the request for the page
-    keys: list[str]  # that it lacks
+    keys: list[str]  # whose records are missing
 
 
-class KeyRecords(Body, frozen=True, tag="key_records"):
-    """Whole records of some keys."""
+class KeyRecords(ShardBodyBase, frozen=True, tag="key_records"):
+    """Complete records of some keys."""
 
     name: str  # of the source
     number: int  # of the request for the page
     rows: list[KeyRow]  # the records
-    covered: int  # how many of the keys asked for these are all of
+    keys_covered: int  # how many of the requested keys are dealt with by these records
 
 
-class Handoff(Body, frozen=True, tag="handoff"):
-    """A page of what a controller missed while it was silent."""
+class Handoff(ShardBodyBase, frozen=True, tag="handoff"):
+    """A page of the keys that a controller missed while it was unreachable (hinted handoff)."""
 
-    name: str  # of the controller that hands over
+    name: str  # of the sender
     epoch: int  # of the group
     number: int  # of the page
     rows: list[KeyRow]  # the keys
 
 
-class HandoffAck(Body, frozen=True, tag="handoff_ack"):
-    """A page of a handoff is on disk."""
+class HandoffAck(ShardBodyBase, frozen=True, tag="handoff_ack"):
+    """A page of a handoff is durably stored."""
 
-    name: str  # of the controller that took it
+    name: str  # of the receiver of the page
     number: int  # of the page
 
 
@@ -210,7 +210,7 @@
     | JoinRequest
     | KeyPageRequest
     | KeyPage
-    | KeyPageRefusal
+    | KeyPageRejection
     | KeyRecordsRequest
     | KeyRecords
     | Handoff
@@ -218,6 +218,6 @@
 )
 
 
-def tag_of(body: Body | type[Body]) -> str:
-    """Its kind, as it stands on the wire."""
-    return str(body.__struct_config__.tag)
+def tag_of(message: msgspec.Struct | type[msgspec.Struct]) -> str:
+    """Return the tag that names a type of message on the wire."""
+    return str(message.__struct_config__.tag)
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -242,13 +242,13 @@
             case Heartbeat():
                 self.peers.heard_s[sender] = now
                 (self.peers.leaving.add if message.leaving else self.peers.leaving.discard)(sender)
-                self.peers.learning[sender] = tuple(message.learning)
+                self.peers.learning[sender] = tuple(message.missing_shards)
                 fences = [s.accepted_fence for s in self.shards.values()]
                 self.send(sender, HeartbeatAck(self.name, message.number, fences))
                 for shard, version in zip(self.shards.values(), message.versions, strict=True):
                     self.do(shard, shard.catch(version, sender))
             case HeartbeatAck():
-                for shard, fence in zip(self.shards.values(), message.fences, strict=True):
+                for shard, fence in zip(self.shards.values(), message.fencing_tokens, strict=True):
                     shard.pulse(sender, self.beats.get(message.number, 0.0), fence)
             case ShardMessage():
                 self.cost.pages += isinstance(message.body, KeyPage | KeyRecords | Handoff)
--- a/orchidferry/testkit/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -24,11 +24,11 @@
     Lease,
     LeaseRenewal,
     Message,
-    News,
-    NewsSubscription,
     NodeHello,
-    kind_of,
+    Update,
+    UpdateSubscription,
 )
+from orchidferry.mesh.wire.shard_messages import tag_of
 
 ZONES = tuple(f"hollow-{number}" for number in range(8))
 SLOTS = 8
@@ -84,7 +84,7 @@
 
     def _send(self, link: Link, message: Message) -> None:
         data = encode(message)
-        self._crowd.traffic.up[kind_of(message)] += len(data)
+        self._crowd.traffic.up[tag_of(message)] += len(data)
         self._crowd.traffic.up_messages += 1
         link.send_packed(data)
 
@@ -92,23 +92,23 @@
         """A controller's message."""
         traffic = self._crowd.traffic
         traffic.down_messages += 1
-        traffic.down[kind_of(message)] += len(encode(message))
+        traffic.down[tag_of(message)] += len(encode(message))
         match message:
             case Lease():
                 self._take_lease(link, message)
-            case News() if message.change.revision > self.revision:
+            case Update() if message.change.revision > self.revision:
                 self.revision = message.change.revision
                 self._send(link, ConfigurationFetch(1, self.revision))
             case ConfigurationText():
                 self._crowd.got_text(message.revision)
 
     def _take_lease(self, link: Link, lease: Lease) -> None:
-        self._has[link.peer] = lease.number if lease.known else -1
-        if not lease.known:
+        self._has[link.peer] = lease.number if lease.has_record else -1
+        if not lease.has_record:
             self.renew(link.peer)
         if self.head and link.peer not in self._followed:
             self._followed.add(link.peer)
-            self._send(link, NewsSubscription(lease.life, -1))
+            self._send(link, UpdateSubscription(lease.incarnation, -1))
 
 
 class Hollow:
--- a/orchidferry/testkit/capacity/regions.py
+++ b/orchidferry/testkit/capacity/regions.py
@@ -18,7 +18,8 @@
 from msgspec.structs import replace
 
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
-from orchidferry.mesh.wire.messages import ConfigurationText, kind_of
+from orchidferry.mesh.wire.messages import ConfigurationText
+from orchidferry.mesh.wire.shard_messages import tag_of
 from orchidferry.testkit.capacity.plan import CONTROLLERS, services_of
 from orchidferry.testkit.capacity.texts import names
 from orchidferry.testkit.model.relays import LOST_S, Controller, End, Node, Process, World
@@ -199,7 +200,7 @@
             return self._read[1]
         began = time.thread_time()
         message = super().read(data)
-        self._kind = kind_of(message)
+        self._kind = tag_of(message)
         self._read_s = time.thread_time() - began
         self._unread_s = self._read_s  # it was not the sender that spent this
         return message
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -455,7 +455,7 @@
         if mail.what == "heard":
             page = mail.message[1]
             # What it is told before it has a place does not count.
-            if isinstance(page, KeyPage) and page.last and page.counted and mail.to in self.learns:
+            if isinstance(page, KeyPage) and page.last and page.as_voter and mail.to in self.learns:
                 self.learns[mail.to].add(mail.sender)
         getattr(controller, mail.what)(*mail.message)
         if mail.what == "claim" and mail.message[2] != controller.shard.body.epoch:
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -28,15 +28,15 @@
 from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
-    Group,
+    GroupAnnouncement,
     LeaseRenewal,
-    NewsRequest,
-    NewsSubscription,
-    NewsUnsubscription,
     NodeHello,
     Revision,
     RevisionRead,
     ShardMessage,
+    UpdateRequest,
+    UpdateSubscription,
+    UpdateUnsubscription,
 )
 from orchidferry.testkit.explore.controller import Controller as Replica
 from orchidferry.testkit.model.relays import Machine, Process, World
@@ -209,7 +209,7 @@
         names = [voter.name for voter in shard.known.voters]
         for number in shard_state.SHARDS:
             own = shard.body
-            group = Group(number, own.epoch, names, own.owner, own.fence)
+            group = GroupAnnouncement(number, own.epoch, names, own.owner, own.fence)
             self.publisher.send_group(group, link)
 
     def order(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
@@ -244,11 +244,11 @@
                 publisher.send_configuration(end, text)
             case LeaseRenewal():
                 publisher.renew_lease(end, message)
-            case NewsSubscription():
+            case UpdateSubscription():
                 publisher.subscribe(end, message)
-            case NewsUnsubscription():
+            case UpdateUnsubscription():
                 publisher.unsubscribe(end)
-            case NewsRequest():
+            case UpdateRequest():
                 publisher.send_missed(end, message)
 
     def _read_revision(self, end: Any, request: int) -> None:
--- a/orchidferry/testkit/model/relays.py
+++ b/orchidferry/testkit/model/relays.py
@@ -28,11 +28,11 @@
     Lease,
     LeaseRenewal,
     Message,
-    News,
-    NewsRequest,
-    NewsSubscription,
-    NewsUnsubscription,
     NodeHello,
+    Update,
+    UpdateRequest,
+    UpdateSubscription,
+    UpdateUnsubscription,
 )
 
 DIAL_S = 0.15
@@ -173,7 +173,7 @@
         if not self.open:
             return
         message = world.read(data)
-        if owner.mute and isinstance(message, News):
+        if owner.mute and isinstance(message, Update):
             return
         left_s = owner.send_out(len(data))
         self._go(left_s + world.delay(owner, self.other.owner), message, len(data))
@@ -261,11 +261,11 @@
                 publisher.node_connected(end, message.name)
             case LeaseRenewal():
                 publisher.renew_lease(end, message)
-            case NewsSubscription():
+            case UpdateSubscription():
                 publisher.subscribe(end, message)
-            case NewsUnsubscription():
+            case UpdateUnsubscription():
                 publisher.unsubscribe(end)
-            case NewsRequest():
+            case UpdateRequest():
                 publisher.send_missed(end, message)
         self.world.stepped(self)
 
@@ -351,15 +351,15 @@
     def _from_controller(self, end: Any, message: Any) -> None:
         match message:
             case Lease():
-                if message.known:
+                if message.has_record:
                     self._has[end.peer] = (self.boot, message.number)
                 else:
                     self._has.pop(end.peer, None)
                     self._renew(end.peer)
-                self.subscriber.lease_renewed(end.peer, message.life, message.news)
+                self.subscriber.lease_renewed(end.peer, message.incarnation, message.newest_number)
             case ConfigurationText():
                 self._take_text(message)
-            case News():
+            case Update():
                 self.subscriber.from_controller(end, message)
 
     def _dial_node(self, name: str, ip: str) -> None:
--- a/tests/mesh/control/test_operation_key_client.py
+++ b/tests/mesh/control/test_operation_key_client.py
@@ -7,7 +7,7 @@
 from orchidferry.mesh.control.operation_key_client import OperationKeyClient
 from orchidferry.mesh.control.operation_keys import ClaimOutcome, ClaimStatus, OperationKeys
 from orchidferry.mesh.control.shard_state import shard_of
-from orchidferry.mesh.wire.codec import as_list
+from orchidferry.mesh.wire.codec import to_list
 from orchidferry.mesh.wire.messages import KeyClaim, KeyGrant, KeyRelease, Message
 
 CONTROLLERS = ("c1", "c2", "c3")
@@ -25,13 +25,13 @@
     def sender(node: str) -> Callable[..., None]:
         def send(name: str, message: Message) -> None:
             if isinstance(message, KeyClaim):
-                status = keys[name].claim(message.key, message.holder).status
+                status = keys[name].claim(message.key, message.attempt_id).status
                 outcome = GRANTED if status is ClaimStatus.GRANTED else HELD_BY_OTHER
                 if node not in deaf:
                     grant = KeyGrant(message.request, message.epoch, outcome, None)
                     nodes[node].handle_grant(name, grant)
             elif isinstance(message, KeyRelease) and node not in deaf:
-                keys[name].release(message.key, message.holder)
+                keys[name].release(message.key, message.attempt_id)
 
         return send
 
@@ -51,5 +51,5 @@
 
 
 def test_outcomes_keep_their_words_on_the_wire() -> None:
-    words = [as_list(KeyGrant(1, 0, outcome, None))[3] for outcome in ClaimOutcome]
+    words = [to_list(KeyGrant(1, 0, outcome, None))[3] for outcome in ClaimOutcome]
     assert words == ["yours", "held", "wait", "none"] and {type(word) for word in words} == {str}
--- a/tests/mesh/control/test_retry_budget.py
+++ b/tests/mesh/control/test_retry_budget.py
@@ -19,7 +19,7 @@
     Holder,
     RetryBudgets,
 )
-from orchidferry.mesh.wire.messages import RetryShare, RetryShareRequest
+from orchidferry.mesh.wire.messages import RetryQuota, RetryQuotaRequest
 
 WINDOW_S = 10.0
 SLACK = 40.0
@@ -129,23 +129,23 @@
         used, wanted = float(node.used(self.now)), node.used(self.now) + node.hunger
         held = holder.held(self.now)
         fence = holder.fence
-        request = RetryShareRequest("s", node.name, node.life, number, used, wanted, held, fence)
+        request = RetryQuotaRequest("s", node.name, node.life, number, used, wanted, held, fence)
         for since, owner in self.owners:
             if self.now >= max(since, node.cut_s):
                 self.post(lambda owner=owner: self.answer(owner, node, request), 0.5)
 
-    def answer(self, owner: RetryBudgets, node: Node, request: RetryShareRequest) -> None:
+    def answer(self, owner: RetryBudgets, node: Node, request: RetryQuotaRequest) -> None:
         if all(owner is not known for _, known in self.owners):
             return  # it knows that it owns nothing any more
         reply = owner.handle(request, self.now)
         if reply is not None:
             self.post(lambda: self.hear(node, reply), 1.0)
 
-    def hear(self, node: Node, reply: RetryShare) -> None:
+    def hear(self, node: Node, reply: RetryQuota) -> None:
         if node.asleep_s > self.now:
             self.late.append((node.asleep_s, 0, lambda: self.hear(node, reply)))
         else:
-            node.holder.hear(reply.fence, reply.number, reply.amount, reply.lease_s, self.now)
+            node.holder.hear(reply.fencing_token, reply.number, reply.amount, reply.lease_s, self.now)
 
     def step(self) -> None:
         self.now += STEP_S
@@ -246,9 +246,9 @@
     controller = RetryBudgets(SLACK, WINDOW_S, lambda service, now: owned.get(service))
 
     def ask(service: str, fence: int, now: float) -> Any:
-        return controller.handle(RetryShareRequest(service, "n", 1, 7, 0.0, 5.0, 2.0, fence), now)
+        return controller.handle(RetryQuotaRequest(service, "n", 1, 7, 0.0, 5.0, 2.0, fence), now)
 
     assert ask("b", -1, 0.0) is None and ask("a", 4, 0.0) is None
-    assert ask("a", 3, 0.0) == RetryShare("a", 3, 7, 2.0, LEASE_S)  # learning: what it holds
+    assert ask("a", 3, 0.0) == RetryQuota("a", 3, 7, 2.0, LEASE_S)  # learning: what it holds
     assert ask("a", 3, LEASE_S + WINDOW_S + LATE_S).amount > 2.0
     assert STATIC_SHARE + DEALT_SHARE < 1.0
--- a/tests/mesh/dataplane/test_registration_api.py
+++ b/tests/mesh/dataplane/test_registration_api.py
@@ -11,7 +11,7 @@
 from orchidferry.mesh.control.control_api import call
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
 from orchidferry.mesh.dataplane.registration_api import PATH, RegistrationApi, read_heartbeat
-from orchidferry.mesh.errors import Kind, Refusal
+from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.frontend import Reply
 from tests.mesh.test_records import spoil
 
@@ -49,13 +49,16 @@
 )
 def test_a_bad_heartbeat_is_refused_by_the_name_of_its_field(path: str, value: Any, named: str) -> None:
     heartbeat = read_heartbeat("i", json.dumps(HEARTBEAT).encode())
-    assert not isinstance(heartbeat, Refusal)
+    assert not isinstance(heartbeat, Rejection)
     assert (heartbeat.server.capacity, heartbeat.sequence) == (4, 9)
     data = copy.deepcopy(HEARTBEAT)
     spoil(path, value)(data)
     for raw in (json.dumps(data).encode(), b"{", b"[]", b"[" * 100_000):
         found = read_heartbeat("i", raw)
-        assert isinstance(found, Refusal) and found.kind in (Kind.INVALID, Kind.UNREADABLE)
+        assert isinstance(found, Rejection) and found.reason in (
+            RejectionReason.INVALID,
+            RejectionReason.MALFORMED,
+        )
         assert named in found.line or raw[:1] != b"{" or raw == b"{"
 
 
--- a/tests/mesh/test_codec.py
+++ b/tests/mesh/test_codec.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from orchidferry.mesh.control.update_stream import StreamChange
-from orchidferry.mesh.wire.codec import LENGTH_BYTES, SHARD_KINDS, MessageDecodeError, decode, encode
-from orchidferry.mesh.wire.messages import KINDS, MESSAGES, Message
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, SHARD_TYPE_BY_TAG, MessageDecodeError, decode, encode
+from orchidferry.mesh.wire.messages import MESSAGE_TYPES, TYPE_BY_TAG, Message
 
 PLAIN: dict[Any, st.SearchStrategy[Any]] = {
     int: st.integers(-(2**63), 2**64 - 1),
@@ -55,10 +55,10 @@
 
 
 def test_each_kind_has_one_type() -> None:
-    assert list(KINDS.values()) == list(MESSAGES) and len(SHARD_KINDS) == 16
+    assert list(TYPE_BY_TAG.values()) == list(MESSAGE_TYPES) and len(SHARD_TYPE_BY_TAG) == 16
 
 
-@pytest.mark.parametrize("kind", MESSAGES)
+@pytest.mark.parametrize("kind", MESSAGE_TYPES)
 @given(data=st.data())
 def test_a_message_comes_out_as_it_went_in(kind: type[Message], data: Any) -> None:
     message = data.draw(of_type(kind))
@@ -73,8 +73,10 @@
         | st.integers()
         | st.text(max_size=9)
         | st.binary(max_size=9)
-        | st.sampled_from(list(KINDS)),
-        lambda inner: st.lists(inner, max_size=5) | st.tuples(st.sampled_from(list(KINDS)), inner).map(list),
+        | st.sampled_from(list(TYPE_BY_TAG)),
+        lambda inner: (
+            st.lists(inner, max_size=5) | st.tuples(st.sampled_from(list(TYPE_BY_TAG)), inner).map(list)
+        ),
     )
 )
 def test_whatever_comes_is_a_message_or_is_refused_in_one_line(parts: Any) -> None:
@@ -83,4 +85,4 @@
     except MessageDecodeError as problem:
         assert "\n" not in str(problem) and len(str(problem)) < 400
     else:
-        assert parts[0] in KINDS and isinstance(message, KINDS[parts[0]])
+        assert parts[0] in TYPE_BY_TAG and isinstance(message, TYPE_BY_TAG[parts[0]])
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -28,14 +28,14 @@
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
 from orchidferry.mesh.wire.messages import (
     Message,
-    News,
-    NewsRequest,
-    NewsSubscription,
-    NewsUnsubscription,
     RelayAccepted,
     RelayAlive,
     RelayFull,
     RelaySubscription,
+    Update,
+    UpdateRequest,
+    UpdateSubscription,
+    UpdateUnsubscription,
 )
 from orchidferry.testkit.model.relays import BETWEEN_S, Node, World
 from tests.mesh.test_store import a_controller as real_keeper
@@ -48,8 +48,8 @@
 
 
 def travelled(change: StreamChange) -> StreamChange:
-    news = decode(encode(News(change))[LENGTH_BYTES:])
-    assert isinstance(news, News)
+    news = decode(encode(Update(change))[LENGTH_BYTES:])
+    assert isinstance(news, Update)
     return news.change
 
 
@@ -289,7 +289,7 @@
     me = row[HEADS + HEADS * FANOUT + 3]
     subscriber, dialled = lone(me.name, 1)
     controller = subscriber._controllers["k"]
-    assert controller.kinds() == [NewsSubscription]
+    assert controller.kinds() == [UpdateSubscription]
     subscriber.set_members({r.name: r for r in row})
     first, second = [r.name for r in parent_candidates(row, NodeIdentity(me.name, 1, "z"))]
 
@@ -305,12 +305,12 @@
     assert ask(first, RelayFull()).closed
     subscriber._backoffs[first] = Backoff(1e9, 1.0)
     above = ask(second, RelayAccepted())
-    assert controller.kinds() == [NewsSubscription, NewsUnsubscription] and not above.closed
+    assert controller.kinds() == [UpdateSubscription, UpdateUnsubscription] and not above.closed
     subscriber._backoffs.clear()
     near = ask(first, RelayAccepted())
     assert above.closed and subscriber.parent.record.name == first
     subscriber.parent_disconnected(near)
-    assert controller.kinds() == [NewsSubscription, NewsUnsubscription, NewsSubscription]
+    assert controller.kinds() == [UpdateSubscription, UpdateUnsubscription, UpdateSubscription]
     subscriber._loop.world.run(0.11)
     subscriber.tick()
     assert dialled[-1] == second
@@ -330,20 +330,20 @@
     subscriber.from_parent(link, RelayAccepted())
     controller = subscriber._controllers["k"]
     number = 1
-    subscriber.from_controller(controller, News(StreamChange("k", 7, -1, number, [], [], 0)))
+    subscriber.from_controller(controller, Update(StreamChange("k", 7, -1, number, [], [], 0)))
     for gap in range(MAX_GAPS):
         if gap and useful:
             number += 1
-            subscriber.from_parent(link, News(StreamChange("k", 7, number - 1, number, [], [], 0)))
+            subscriber.from_parent(link, Update(StreamChange("k", 7, number - 1, number, [], [], 0)))
         assert subscriber.parent is not None
         subscriber.lease_renewed("k", 7, number + 1)
         subscriber._loop.world.run(0.5)
-        assert NewsRequest(7, number) in controller.sent
+        assert UpdateRequest(7, number) in controller.sent
         subscriber.from_parent(link, RelayAlive())
         number += 1
-        subscriber.from_controller(controller, News(StreamChange("k", 7, number - 1, number, [], [], 0)))
+        subscriber.from_controller(controller, Update(StreamChange("k", 7, number - 1, number, [], [], 0)))
     assert (subscriber.parent is not None) is useful and link.closed is not useful
-    assert controller.kinds()[-1] is (NewsRequest if useful else NewsSubscription)
+    assert controller.kinds()[-1] is (UpdateRequest if useful else UpdateSubscription)
 
 
 def test_a_configuration_comes_down_the_tree_over_sockets(
--- a/tests/mesh/test_framing.py
+++ b/tests/mesh/test_framing.py
@@ -9,12 +9,13 @@
 import pytest
 from loguru import logger
 
-from orchidferry.mesh.wire.codec import as_list
+from orchidferry.mesh.wire.codec import to_list
 from orchidferry.mesh.wire.framing import PROTOCOL, Link, dial
-from orchidferry.mesh.wire.messages import Greeting, KeyRelease, Message, kind_of
+from orchidferry.mesh.wire.messages import Greeting, KeyRelease, Message
+from orchidferry.mesh.wire.shard_messages import tag_of
 
-RELEASE = KeyRelease(1, "key", "holder")
-GREETING = [kind_of(Greeting), PROTOCOL]
+RELEASE = KeyRelease(1, "key", "attempt")
+GREETING = [tag_of(Greeting), PROTOCOL]
 
 
 class Transport:
@@ -57,7 +58,7 @@
 
 
 def test_the_greeting_opens_a_link_and_is_handed_to_nobody() -> None:
-    assert accepted(GREETING, as_list(RELEASE)) == ([RELEASE], False, [])
+    assert accepted(GREETING, to_list(RELEASE)) == ([RELEASE], False, [])
 
 
 @pytest.mark.parametrize(
@@ -67,12 +68,12 @@
         ([GREETING[0], PROTOCOL - 1], str(PROTOCOL - 1)),
         ([GREETING[0], "x" * 1000], "x" * 20 + ","),
         (GREETING[:1], "none"),
-        (as_list(RELEASE), "none"),  # the first builds had no such message
+        (to_list(RELEASE), "none"),  # the first builds had no such message
         (b"\xff", "none"),
     ],
 )
 def test_another_build_is_told_of_in_one_line_and_hears_nothing(first: Any, told: str) -> None:
-    heard, closed, lines = accepted(first, as_list(RELEASE))
+    heard, closed, lines = accepted(first, to_list(RELEASE))
     assert heard == [] and closed
     assert len(lines) == 1 and "10.0.0.9" in lines[0] and f"protocol {told}" in lines[0]
 
@@ -80,7 +81,7 @@
 @pytest.mark.parametrize(
     ("bad", "told"),
     [
-        (["key_release", 1, "key", 7], "key_release: holder: Expected `str`, got `int`"),
+        (["key_release", 1, "key", 7], "key_release: attempt_id: Expected `str`, got `int`"),
         (["key_release", 1, "key"], "key_release: Expected `array` of at least length 4, got 3"),
         (["key_release", 1, "key", "a", "b"], "key_release: Expected `array` of at most length "),
         (["configuration_text", 1, 2, "YQ=="], "configuration_text: text: Expected `bytes`, got `str`"),
@@ -103,7 +104,7 @@
 def test_a_message_that_cant_be_read_ends_its_link_with_one_line_that_names_the_field(
     bad: Any, told: str
 ) -> None:
-    heard, closed, lines = accepted(GREETING, as_list(RELEASE), bad, as_list(RELEASE))
+    heard, closed, lines = accepted(GREETING, to_list(RELEASE), bad, to_list(RELEASE))
     assert heard == [RELEASE] and closed
     assert len(lines) == 1 and lines[0].startswith(f"link: a message of 10.0.0.9 can't be read: {told}")
 
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -18,7 +18,7 @@
 from orchidferry.balancing.nested import TARGET, Nested
 from orchidferry.mesh.control import configuration, shard_state
 from orchidferry.mesh.control.endpoints import LEASE_S, MembershipTable, NodeRecord, merge_member_lists
-from orchidferry.mesh.errors import Refusal
+from orchidferry.mesh.errors import Rejection
 from orchidferry.mesh.settings import MeshSettingsError, check_settings
 
 MODULES = [
@@ -182,14 +182,14 @@
     data = copy.deepcopy(example())
     spoil(path, value)(data)
     found = configuration.check(json.dumps(data).encode())
-    assert isinstance(found, Refusal) and found.status == 400
+    assert isinstance(found, Rejection) and found.status == 400
     assert named in found.line and "\n" not in found.line
 
 
 @pytest.mark.parametrize("raw", [json.dumps(example()).encode()[:-9], b"", b"[]", b"\xff", b"[" * 100_000])
 def test_what_is_no_configuration_is_refused(raw: bytes) -> None:
     found = configuration.check(raw)
-    assert isinstance(found, Refusal) and found.status == 400
+    assert isinstance(found, Rejection) and found.status == 400
 
 
 def test_a_configuration_goes_on_top_of_the_current_one_only() -> None:
--- a/tests/mesh/wire/test_golden_messages.py
+++ b/tests/mesh/wire/test_golden_messages.py
@@ -14,9 +14,9 @@
 import cbor2
 import pytest
 
-from orchidferry.mesh.wire.codec import SHARD_KINDS, MessageDecodeError, decode, encode
+from orchidferry.mesh.wire.codec import SHARD_TYPE_BY_TAG, MessageDecodeError, decode, encode
 from orchidferry.mesh.wire.framing import PROTOCOL, Link, dial
-from orchidferry.mesh.wire.messages import KINDS
+from orchidferry.mesh.wire.messages import TYPE_BY_TAG
 
 GOLDEN: dict[str, Any] = json.loads(Path(__file__).with_name("golden_messages.json").read_text("utf-8"))
 TABLES = ("messages", "shard_bodies", "register_bodies")
@@ -85,8 +85,8 @@
 
 
 def test_the_tags_are_those_that_the_codec_knows() -> None:
-    assert {*GOLDEN["messages"], "shard"} == set(KINDS)
-    assert {*GOLDEN["shard_bodies"], "register"} == set(SHARD_KINDS)
+    assert {*GOLDEN["messages"], "shard"} == set(TYPE_BY_TAG)
+    assert {*GOLDEN["shard_bodies"], "register"} == set(SHARD_TYPE_BY_TAG)
     assert set(GOLDEN["register_bodies"]) == {"prepare", "promise", "accept", "accepted"}
 
 
