--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -34,7 +34,7 @@
 from orchidferry.mesh.control.peers import DEAD_S, Peers
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.control.retry_budget import RetryBudgets
-from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard import Shard, initial_records
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.settings import Settings
 from orchidferry.mesh.storage.environment import KEYS
@@ -135,7 +135,7 @@
                 kept = shard_state.unpack_kept(unpack_stored(raw))
             else:
                 kept = Kept(shard_state.GENESIS if new and founder else self._rng.randrange(2, 2**53))
-                puts += remembered(number, kept, caught)
+                puts += initial_records(number, kept, caught)
             parameters = ShardParameters(
                 number=number,
                 name=self._name,
@@ -263,7 +263,7 @@
         if len(self._beats) > MAX_BEATS:
             del self._beats[next(iter(self._beats))]
         versions = [self._shards[n].known.version for n in shard_state.SHARDS]
-        learning = [n for n in shard_state.SHARDS if not self._shards[n].learned(now)]
+        learning = [n for n in shard_state.SHARDS if not self._shards[n].has_learned(now)]
         # One without a place is known by its call alone: it too hears who dies and who leaves.
         for link in [*({**self._callers, **self._peers}).values()]:
             if link.open:
--- a/orchidferry/mesh/control/hinted_handoff.py
+++ b/orchidferry/mesh/control/hinted_handoff.py
@@ -1,9 +1,12 @@
-"""What a silent controller misses, kept for it by the others and handed over once it is back. Pure.
+"""Hinted handoff: the keys that a silent controller misses, kept for it by the others. No I/O.
 
-Each controller notes which keys it wrote of late. While another one is silent, these and all that are written
-meanwhile are kept for it: by key, so that it is handed what stands when it is back and nothing that was given
-back since. Pages go one at a time, the next as soon as the last is acknowledged. One that misses more than
-`MOST` is handed what is noted; it lacks the rest, which a majority has.
+Each controller remembers which keys it wrote lately. While another one is silent, these and all that are
+written meanwhile are kept for it as hints: by key, so that it is sent the record as it is when it is back,
+and nothing that was released since. Pages go out one at a time, the next as soon as the last is acknowledged.
+A controller that misses more than `MAX_HINTS_PER_PEER` is sent what is kept; it lacks the rest, which a
+majority has.
+
+Hinted handoff is described in DeCandia et al., *Dynamo* (2007), section 4.6.
 """
 
 from __future__ import annotations
@@ -14,16 +17,29 @@
 
 RECENT_S = 4.0  # what was written so long before a controller was found silent may have missed it too
 MAX_RECENT = 8_000
-MOST = 40_000  # keys that are kept for one
-AGAIN_S = 1.0  # a page that is not acknowledged goes out again
+MAX_HINTS_PER_PEER = 40_000
+RETRY_INTERVAL_S = 1.0  # after which a page that is not acknowledged goes out again
+
+
+@dataclass(frozen=True, slots=True)
+class HintPage:
+    """Keys whose records are to be sent to a controller that is back.
+
+    :param number: to be named in its acknowledgement
+    """
+
+    number: int
+    keys: list[str]
 
 
 @dataclass(slots=True)
-class _Kept:
+class _PeerHints:
+    """What is kept for one controller."""
+
     keys: dict[str, None] = field(default_factory=dict)
-    number: int = 0  # of the page that is out
-    page: list[str] = field(default_factory=list)
-    again_s: float = 0.0
+    page_number: int = 0  # of the page that was sent last
+    page: list[str] = field(default_factory=list)  # the page in flight
+    next_send_s: float = 0.0
     silent: bool = True
 
 
@@ -31,61 +47,66 @@
 class Hints:
     """What one controller keeps for the others."""
 
-    recent: deque[tuple[float, str]] = field(default_factory=deque)
-    kept: dict[str, _Kept] = field(default_factory=dict)
+    recent: deque[tuple[float, str]] = field(default_factory=deque)  # when each key was written
+    kept: dict[str, _PeerHints] = field(default_factory=dict)  # by controller
 
-    def wrote(self, key: str, now: float) -> None:
-        """A key was claimed or answered here."""
+    def record_write(self, key: str, now: float) -> None:
+        """Remember that a key was claimed or answered here."""
         self.recent.append((now, key))
         while len(self.recent) > MAX_RECENT or self.recent[0][0] < now - RECENT_S:
             self.recent.popleft()
-        for one in self.kept.values():
-            if one.silent and len(one.keys) < MOST:
-                one.keys[key] = None
-
-    def silent(self, name: str, now: float) -> None:
-        """A controller is not heard."""
-        one = self.kept.get(name)
-        if one is not None and one.silent:
+        for hints in self.kept.values():
+            if hints.silent and len(hints.keys) < MAX_HINTS_PER_PEER:
+                hints.keys[key] = None
+
+    def mark_silent(self, controller: str, now: float) -> None:
+        """Keep hints for a controller that is not heard."""
+        hints = self.kept.get(controller)
+        if hints is not None and hints.silent:
             return
-        one = self.kept.setdefault(name, _Kept())
-        one.silent = True
-        one.page = []
-        one.keys |= dict.fromkeys(key for at, key in self.recent if at >= now - RECENT_S)
-
-    def page(
-        self, name: str, now: float, most: int, fits: Callable[[list[str]], int] = len
-    ) -> tuple[int, list[str]] | None:
-        """The number and the keys of the page that a controller that is back is to be sent now, if one is.
-        `fits`: how many of the first keys a page has room for.
+        hints = self.kept.setdefault(controller, _PeerHints())
+        hints.silent = True
+        hints.page = []
+        self._add_recent(hints, now)
+
+    def next_page(
+        self, controller: str, now: float, max_keys: int, fitting: Callable[[list[str]], int] = len
+    ) -> HintPage | None:
+        """Return the page that a controller that is back is to be sent now, or None.
+
+        :param max_keys: in one page
+        :param fitting: returns how many of the first keys a page has room for
         """
-        one = self.kept.get(name)
-        if one is None:
+        hints = self.kept.get(controller)
+        if hints is None:
             return None
-        if one.silent:  # what was on its way to it when it came back is late for it too
-            one.silent = False
-            one.keys |= dict.fromkeys(key for at, key in self.recent if at >= now - RECENT_S)
-        if one.page and now < one.again_s:
+        if hints.silent:  # what was on its way to it when it came back may have missed it too
+            hints.silent = False
+            self._add_recent(hints, now)
+        if hints.page and now < hints.next_send_s:
             return None
-        if not one.page:
-            one.page = [key for key, _ in zip(one.keys, range(most), strict=False)]
-            one.page = one.page[: fits(one.page)]
-            one.number += 1
-        if not one.page:
-            del self.kept[name]
+        if not hints.page:
+            first_keys = [key for key, _ in zip(hints.keys, range(max_keys), strict=False)]
+            hints.page = first_keys[: fitting(first_keys)]
+            hints.page_number += 1
+        if not hints.page:
+            del self.kept[controller]
             return None
-        one.again_s = now + AGAIN_S
-        return one.number, one.page
-
-    def taken(self, name: str, number: int) -> None:
-        """A page has reached its disk."""
-        one = self.kept.get(name)
-        if one is not None and one.page and one.number == number:
-            for key in one.page:
-                one.keys.pop(key, None)
-            one.page = []
-
-    def keep_only(self, names: set[str]) -> None:
-        """These are the group now."""
-        for name in self.kept.keys() - names:
-            del self.kept[name]
+        hints.next_send_s = now + RETRY_INTERVAL_S
+        return HintPage(hints.page_number, hints.page)
+
+    def acknowledge(self, controller: str, page_number: int) -> None:
+        """Drop the hints of a page that a controller has on disk."""
+        hints = self.kept.get(controller)
+        if hints is not None and hints.page and hints.page_number == page_number:
+            for key in hints.page:
+                hints.keys.pop(key, None)
+            hints.page = []
+
+    def retain(self, controllers: set[str]) -> None:
+        """Drop the hints for all controllers but these."""
+        for controller in self.kept.keys() - controllers:
+            del self.kept[controller]
+
+    def _add_recent(self, hints: _PeerHints, now: float) -> None:
+        hints.keys |= dict.fromkeys(key for written_s, key in self.recent if written_s >= now - RECENT_S)
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -1,10 +1,12 @@
-"""Repair of one controller's half of a shard: learning all keys of the others, giving them to who learns,
-and handing over what a silent controller missed. Pure.
+"""Repair of the operation keys of one shard at one controller. No I/O.
 
-A controller that forgot, or that has no place in the group yet, learns from `sources_needed` others. Without
-a place it copies ahead: that counts for nothing but its word that it is ready. What counts is told under the
-epoch of a group that it is a voter of, by voters that have closed all epochs before; by then that is the
-difference since it copied.
+Repair is learning all keys of the other controllers, sending them to a controller that learns, and handing
+over what a silent controller missed.
+
+A controller that lost its records, or that is not a voter of the group yet, learns from
+`shard_state.sources_needed` others. While it is no voter it copies ahead, which counts for nothing but its
+own word that it is ready to join. What counts is learned under the epoch of a group that it is a voter of,
+from voters that have closed all epochs before; by then that is the difference since it copied.
 """
 
 from __future__ import annotations
@@ -17,7 +19,14 @@
 from orchidferry.mesh.control import key_transfer, shard_state
 from orchidferry.mesh.control.actions import Log
 from orchidferry.mesh.control.hinted_handoff import Hints
-from orchidferry.mesh.control.key_transfer import GIVEN_BACK, KeyLearner, KeySource, Page, Request
+from orchidferry.mesh.control.key_transfer import (
+    NO_CURSOR,
+    RELEASED,
+    KeyLearner,
+    KeySource,
+    PageRequest,
+    TransferPage,
+)
 from orchidferry.mesh.control.membership import epoch
 from orchidferry.mesh.control.operation_keys import KeyRecord, OperationKeys
 from orchidferry.mesh.control.peers import Peers
@@ -37,11 +46,11 @@
     KeyRow,
 )
 
-MAX_HINTS = 4_000  # keys in one page of hints, whatever its bytes
+MAX_HINTS_PER_PAGE = 4_000  # keys, whatever their bytes
 
 
-class Repair(Replica):
-    """One shard's repair at one controller."""
+class RepairingReplica(Replica):
+    """A replica that holds operation keys and repairs them with the other controllers of its shard."""
 
     def __init__(
         self,
@@ -51,245 +60,297 @@
         peers: Peers,
         rng: random.Random,
     ) -> None:
-        """As `Shard.__init__`."""
+        """Take the parameters of `Shard`.
+
+        :param kept: what the register's acceptor has on disk
+        :param caught_up: whether this controller has learned all that was granted, by its disk
+        :param peers: what the controller knows of the others
+        """
         super().__init__(parameters, kept, caught_up, peers, rng)
         self.operation_keys = OperationKeys(parameters.key_window_s, parameters.max_keys)
         self.hints = Hints()
         self.source = KeySource()
         self.learner = KeyLearner()
-        self._catching = False  # that it has caught up is on its way to the disk
-
-    @staticmethod
-    def _stored(key: str, record: KeyRecord) -> Put:
-        return KEYS, key.encode("latin-1"), pack(record.packed())
-
-    def _regrouped(self, value: Value) -> None:
-        super()._regrouped(value)
-        self.hints.keep_only({voter.name for voter in value.voters})
-        self.standing.regrouped()
-        self.learner.regrouped()
-        self.source.copies.clear()
-
-    # What is known of it
+        self._saving_caught_up = False  # that it has caught up is being written to disk
 
     @property
     def ready(self) -> bool:
-        """Whether it holds what it can be told before it has a place: all of enough voters, or of all that
-        can tell.
+        """Whether it has learned what it can before it is a voter: all of enough voters, or of all that are
+        alive and able to send their keys.
         """
         if self.standing.enough(self.known):
             return True
-        able = [v.name for v in self.known.voters if self.peers.alive(v.name, self.now)]
-        return bool(able) and all(
-            self.standing.sources.get(name) or name in self.learner.refused for name in able
+        alive = [v.name for v in self.known.voters if self.peers.alive(v.name, self.now)]
+        return bool(alive) and all(
+            self.standing.sources.get(name) or name in self.learner.refused for name in alive
         )
 
-    def learned(self, now: float) -> bool:
-        """Whether it holds all that voters and those that leave can tell."""
-        return self.standing.caught_up and not self._farewells(now)
-
-    def _farewells(self, now: float) -> list[str]:
-        """Controllers that have just lost their place and live on until this one has what they heard last."""
-        sources = self.standing.sources
-        names = {v.name for v in self.known.voters}
-        return [
-            name
-            for name in self.learner.cursors
-            if name not in names
-            and name in self.peers.leaving
-            and not sources.get(name)
-            and self.peers.alive(name, now)
-        ]
+    def has_learned(self, now: float) -> bool:
+        """Return whether it has all keys of the voters and of the controllers that leave."""
+        return self.standing.caught_up and not self._leaving_sources(now)
 
     def must_stay(self, now: float) -> bool:
-        """Whether this controller, told to end, is still needed here: as a voter in whose place another could
-        come, or until the others have all that it holds for them.
+        """Return whether this controller, which was told to end, is still needed here.
+
+        It is needed as a voter while another controller could come in its place, or until the others have all
+        that it has for them.
         """
         names = {voter.name for voter in self.known.voters}
         others = [name for name in self.peers.heard_s if name != self.name and self.peers.alive(name, now)]
         if self.voter in self.known.voters:
             return any(name not in names and name not in self.peers.leaving for name in others)
-        owed = [name for name in others if name in names]
         return any(
-            name in self.hints.kept or self.number in self.peers.learning.get(name, ()) for name in owed
+            name in self.hints.kept or self.number in self.peers.learning.get(name, ())
+            for name in others
+            if name in names
         )
 
-    # Learning
+    def _regrouped(self, value: Value) -> None:
+        super()._regrouped(value)
+        self.hints.retain({voter.name for voter in value.voters})
+        self.standing.regrouped()
+        self.learner.reset_requests()
+        self.source.transfers.clear()
+
+    def _leaving_sources(self, now: float) -> list[str]:
+        """Return the sources that are voters no more and stay alive until their last keys are here."""
+        names = {v.name for v in self.known.voters}
+        return [
+            name
+            for name in self.learner.cursors
+            if name not in names
+            and name in self.peers.leaving
+            and not self.standing.sources.get(name)
+            and self.peers.alive(name, now)
+        ]
+
+    # Learning from others
 
-    def _learn_keys(self, now: float) -> None:
-        """Ask who has yet to tell what this controller lacks."""
-        self.learner.give_up(now)
-        counted = self.standing.counts(self.voter, self.known, self.acceptor.kept.value)
-        for name in self._farewells(now):
-            self._ask_page(name, False)
+    def _request_pages(self, now: float) -> None:
+        """Ask the controllers that have yet to send what this one lacks."""
+        self.learner.expire_requests(now)
+        as_voter = self.standing.counts(self.voter, self.known, self.acceptor.kept.value)
+        for name in self._leaving_sources(now):
+            self._request_page(name, False)
         if self.standing.caught_up:
             return
-        if not counted and not self._group().wanted():
-            return self.standing.regrouped()  # what it was told grows old
+        if not as_voter and not self._group().wanted():
+            return self.standing.regrouped()  # what it has copied grows old
         if self.standing.enough(self.known):
             return
-        names = self.standing.to_ask(self.voter, self.known)
-        # Who leaves comes first, then who is being copied from.
-        cursors = self.learner.cursors
         leaving = self.peers.leaving
-        for name in sorted(names, key=lambda name: (name not in leaving, name not in cursors)):
+        cursors = self.learner.cursors
+        # Controllers that leave come first, then those that are being copied from.
+        names = sorted(
+            self.standing.to_ask(self.voter, self.known),
+            key=lambda name: (name not in leaving, name not in cursors),
+        )
+        for name in names:
             if self.peers.alive(name, now):
-                self._ask_page(name, counted)
+                self._request_page(name, as_voter)
 
-    def _ask_page(self, name: str, counted: bool) -> None:
-        if not self.learner.may_ask(name, self.now):
+    def _request_page(self, source: str, as_voter: bool) -> None:
+        """Ask a source for its next page, if it can be asked now."""
+        if not self.learner.may_ask(source, self.now):
             return
-        request = self.learner.ask(name, counted, self.now)
-        life, sequence = self.learner.cursors.get(name, ("", 0))
-        brief = self.learner.brief(name, len(self.operation_keys.records))
-        self._say(
-            name,
-            KeyPageRequest(self.name, request.number, counted, epoch(self.known), life, sequence, brief),
+        request = self.learner.begin_request(source, as_voter, self.now)
+        cursor = self.learner.cursors.get(source, NO_CURSOR)
+        omit_answers = self.learner.omits_answers(source, len(self.operation_keys.records))
+        message = KeyPageRequest(
+            self.name,
+            request.number,
+            as_voter,
+            epoch(self.known),
+            cursor.incarnation,
+            cursor.sequence,
+            omit_answers,
         )
+        self._say(source, message)
 
-    def _give_page(self, who: Any, request: KeyPageRequest) -> None:
-        if self._granted_nothing_that_counts(request):
-            return self._reply(who, self._page_of(request, Page([], 0, True)))
-        if not self._may_tell(request):
-            return self._reply(who, KeyPageRejection(self.name, request.number))
-        sequence = request.sequence if request.incarnation == self.life else 0
-        page = self.source.page(self.operation_keys, request.name, sequence, request.omit_answers)
-        self._reply(who, self._page_of(request, page))
-
-    def _granted_nothing_that_counts(self, request: KeyPageRequest) -> bool:
-        """Whether all that this controller may have forgotten is out of its window, as it grants nothing."""
-        if not request.as_voter or self.grants(request.epoch):
-            return False
-        quiet = not self.standing.caught_up and request.epoch == epoch(self.known)
-        return quiet and self.now - self.abstains_s > self.operation_keys.max_retention_s
-
-    def _may_tell(self, request: KeyPageRequest) -> bool:
-        if request.as_voter:
-            return self.grants(request.epoch)
-        return self.standing.caught_up or self.peers.stopping
-
-    def _page_of(self, request: KeyPageRequest, page: Page) -> KeyPage:
-        return KeyPage(
-            self.name, request.number, page.sequence, page.rows, page.last, self.life, request.as_voter
-        )
-
-    def _take_page(self, message: KeyPage) -> None:
-        request = self.learner.waits(message.name, message.number)
+    def _handle_page(self, message: KeyPage) -> None:
+        """Take a page from a source."""
+        request = self.learner.pending_request(message.name, message.number)
         if request is None or request.page is not None:
             return
-        request.page = Page(message.rows, message.sequence, message.last)
-        request.life = message.incarnation
-        request.lacking = key_transfer.lacking(self.operation_keys, message.rows)
-        self._go_on(message.name, request)
-
-    def _go_on(self, name: str, request: Request) -> None:
-        """Ask for the records that a page left out; once all are here, have the page on disk."""
-        assert request.page is not None
-        request.until_s = self.now + key_transfer.WAIT_S
-        if request.lacking:
-            first = request.lacking[: key_transfer.MAX_ASKED]
-            return self._say(name, KeyRecordsRequest(self.name, request.number, first))
-        puts = self._loaded(request.page.rows)
-        self._write(puts or [self._about("catching", b"1")], KeyPageSaved(name, request))
-
-    def _give_records(self, who: Any, request: KeyRecordsRequest) -> None:
-        rows, covered = key_transfer.bounded(self.operation_keys, request.keys)
-        self._reply(who, KeyRecords(self.name, request.number, rows, covered))
-
-    def _take_records(self, message: KeyRecords) -> None:
-        request = self.learner.waits(message.name, message.number)
+        request.page = TransferPage(message.rows, message.sequence, message.last)
+        request.incarnation = message.incarnation
+        request.lacking = key_transfer.missing_answers(self.operation_keys, message.rows)
+        self._complete_page(message.name, request)
+
+    def _handle_records(self, message: KeyRecords) -> None:
+        """Take records that a page left out."""
+        request = self.learner.pending_request(message.name, message.number)
         if request is None or request.page is None or not request.lacking:
             return
         request.page.rows.extend(message.rows)
         request.lacking = request.lacking[max(1, message.keys_covered) :]
-        self._go_on(message.name, request)
+        self._complete_page(message.name, request)
 
-    def _page_written(self, name: str, request: Request, ok: bool) -> None:
-        if self.learner.requests.get(name) is not request:
+    def _complete_page(self, source: str, request: PageRequest) -> None:
+        """Ask for the records that a page left out; once all are here, write the page to disk."""
+        assert request.page is not None
+        request.deadline_s = self.now + key_transfer.PAGE_TIMEOUT_S
+        if request.lacking:
+            first = request.lacking[: key_transfer.MAX_RECORDS_REQUESTED]
+            return self._say(source, KeyRecordsRequest(self.name, request.number, first))
+        puts = self._merge_rows(request.page.rows)
+        self._write(puts or [self._about("catching", b"1")], KeyPageSaved(source, request))
+
+    def _page_saved(self, source: str, request: PageRequest, ok: bool) -> None:
+        """Go on after the write of a page.
+
+        :param ok: whether it is on disk
+        """
+        if self.learner.requests.get(source) is not request:
             return
         if not ok:
-            self.learner.declined(name, request.number, self.now)
+            self.learner.handle_refusal(source, request.number, self.now)
             return
-        self.learner.on_disk(name, request)
+        self.learner.page_stored(source, request)
         assert request.page is not None
         if not request.page.last:
-            return self._ask_page(name, request.counted)
-        self.standing.sources[name] = True
-        self._see_whether_caught_up()
-        self._learn_keys(self.now)
+            return self._request_page(source, request.as_voter)
+        self.standing.sources[source] = True
+        self._check_caught_up()
+        self._request_pages(self.now)
         if not self.standing.caught_up and self.voter not in self.known.voters and self.ready:
             self._join()
 
-    def _see_whether_caught_up(self) -> None:
-        counted = self.standing.counts(self.voter, self.known, self.acceptor.kept.value)
-        waits = not self.standing.caught_up and not self._catching
-        if waits and counted and self.standing.enough(self.known):
-            self._catching = True
+    def _check_caught_up(self) -> None:
+        """Write to disk that this controller has caught up, once it has."""
+        if self.standing.caught_up or self._saving_caught_up:
+            return
+        as_voter = self.standing.counts(self.voter, self.known, self.acceptor.kept.value)
+        if as_voter and self.standing.enough(self.known):
+            self._saving_caught_up = True
             self._write([self._about("caught", b"1")], CaughtUpSaved(epoch(self.known)))
 
-    def _caught_up(self, under: int, ok: bool) -> None:
-        """What came of writing that it has caught up; void if the group has changed meanwhile."""
-        self._catching = False
+    def _caught_up_saved(self, under: int, ok: bool) -> None:
+        """Go on after the write that says that it has caught up; void if the group has changed meanwhile.
+
+        :param under: the epoch in which it has caught up
+        :param ok: whether the write is on disk
+        """
+        self._saving_caught_up = False
         if not ok:
-            return  # looked at again with time
+            return  # `_check_caught_up` is called again with time
         if under != epoch(self.known) or self.voter not in self.known.voters:
             return self._write([self._about("caught", None)])
         self.standing.caught_up = True
         self._out.append(Log(f"caught up with {len(self.operation_keys.records)} keys"))
 
-    def _loaded(self, rows: list[KeyRow]) -> list[Put]:
-        """Take records of another controller; what is to be written of them."""
+    def _merge_rows(self, rows: list[KeyRow]) -> list[Put]:
+        """Take the records of another controller.
+
+        :returns: what is to be written of them
+        """
         puts: list[Put] = []
         keys = self.operation_keys
-        for key, (holder, shelf, answer), _ in rows:
-            had = keys.records.get(key)
-            if shelf == GIVEN_BACK:
+        for key, (holder, age_bucket, answer), _ in rows:
+            if age_bucket == RELEASED:
                 if keys.release(key, holder):
-                    puts.append((KEYS, key.encode("latin-1"), None))
+                    puts.append(deletion_of(key))
                 continue
-            before = (had.holder, had.answer) if had is not None else None
-            keys.merge(key, [holder, shelf, answer])
-            record = keys.records.get(key)  # none, where its holder has given it back here
+            existing = keys.records.get(key)
+            before = (existing.holder, existing.answer) if existing is not None else None
+            keys.merge(key, [holder, age_bucket, answer])
+            record = keys.records.get(key)  # none, where its holder has released it here
             if record is not None and (record.holder, record.answer) != before:
-                puts.append(self._stored(key, record))
+                puts.append(put_of(key, record))
         return puts
 
-    # What a silent controller missed
+    # Sending to controllers that learn
 
-    def _mind_silent(self) -> None:
-        """Keep for a silent controller what it misses; hand it over, page by page, once it is back."""
+    def _handle_page_request(self, reply_to: Any, request: KeyPageRequest) -> None:
+        """Send a learner its next page, or refuse."""
+        if self._granted_nothing(request):
+            return self._reply(reply_to, self._key_page(request, TransferPage([], 0, True)))
+        if not self._may_send_keys(request):
+            return self._reply(reply_to, KeyPageRejection(self.name, request.number))
+        sequence = request.sequence if request.incarnation == self.life else 0
+        page = self.source.page(self.operation_keys, request.name, sequence, request.omit_answers)
+        self._reply(reply_to, self._key_page(request, page))
+
+    def _granted_nothing(self, request: KeyPageRequest) -> bool:
+        """Return whether this controller grants nothing, and all that it may have forgotten has expired."""
+        if not request.as_voter or self.grants(request.epoch):
+            return False
+        abstains = not self.standing.caught_up and request.epoch == epoch(self.known)
+        return abstains and self.now - self.abstains_s > self.operation_keys.max_retention_s
+
+    def _may_send_keys(self, request: KeyPageRequest) -> bool:
+        if request.as_voter:
+            return self.grants(request.epoch)
+        return self.standing.caught_up or self.peers.stopping
+
+    def _key_page(self, request: KeyPageRequest, page: TransferPage) -> KeyPage:
+        return KeyPage(
+            self.name, request.number, page.sequence, page.rows, page.last, self.life, request.as_voter
+        )
+
+    def _handle_records_request(self, reply_to: Any, request: KeyRecordsRequest) -> None:
+        """Send a learner the complete records of some keys."""
+        batch = key_transfer.collect_rows(self.operation_keys, request.keys)
+        self._reply(reply_to, KeyRecords(self.name, request.number, batch.rows, batch.covered))
+
+    # Hinted handoff
+
+    def _update_hints(self) -> None:
+        """Keep hints for the voters that are silent; send them, page by page, to those that are back."""
         for name in self._others():
             if not any(v.name == name for v in self.known.voters):
                 continue
             if not self.peers.alive(name, self.now):
-                self.hints.silent(name, self.now)
+                self.hints.mark_silent(name, self.now)
             else:
-                self._hand_over(name)
+                self._send_hints(name)
 
-    def _hand_over(self, name: str) -> None:
+    def _send_hints(self, controller: str) -> None:
+        """Send a controller that is back its next page of hints, if one is due."""
         keys = self.operation_keys
-        page = self.hints.page(name, self.now, MAX_HINTS, lambda names: key_transfer.bounded(keys, names)[1])
+        page = self.hints.next_page(
+            controller,
+            self.now,
+            MAX_HINTS_PER_PAGE,
+            lambda names: key_transfer.collect_rows(keys, names).covered,
+        )
         if page is not None:
-            rows, _ = key_transfer.bounded(keys, page[1], most=math.inf)
-            self._say(name, Handoff(self.name, epoch(self.known), page[0], rows))
+            batch = key_transfer.collect_rows(keys, page.keys, max_bytes=math.inf)
+            self._say(controller, Handoff(self.name, epoch(self.known), page.number, batch.rows))
 
-    def _take_handoff(self, who: Any, handoff: Handoff) -> None:
+    def _handle_handoff(self, reply_to: Any, handoff: Handoff) -> None:
+        """Take a page of what this controller missed while it was silent."""
         if handoff.epoch != epoch(self.known) or not self.standing.caught_up:
-            return  # it is told again, or learns all
-        puts = self._loaded([row for row in handoff.rows if self._adds(row)])
+            return  # it is sent again, or this controller learns all
+        puts = self._merge_rows([row for row in handoff.rows if self._adds_to_records(row)])
         if puts:
-            self._write(puts, HandoffSaved(who, handoff.number))
+            self._write(puts, HandoffSaved(reply_to, handoff.number))
         else:
-            self._reply(who, HandoffAck(self.name, handoff.number))
+            self._reply(reply_to, HandoffAck(self.name, handoff.number))
+
+    def _adds_to_records(self, row: KeyRow) -> bool:
+        """Return whether a row adds to what this controller has; what it granted itself stands."""
+        key, (_, age_bucket, _), answered = row
+        return answered or age_bucket == RELEASED or key not in self.operation_keys.records
+
+
+def put_of(key: str, record: KeyRecord) -> Put:
+    """Return the write of an operation key's record."""
+    return KEYS, key.encode("latin-1"), pack(record.packed())
+
+
+def deletion_of(key: str) -> Put:
+    """Return the write that deletes an operation key's record."""
+    return KEYS, key.encode("latin-1"), None
 
-    def _adds(self, row: KeyRow) -> bool:
-        """Whether another controller's word adds to what this one holds; what it granted itself stands."""
-        key, (_, shelf, _), answered = row
-        return answered or shelf == GIVEN_BACK or key not in self.operation_keys.records
 
+def initial_records(number: int, kept: Kept, caught_up: bool) -> list[Put]:
+    """Return what a controller without records of a shard writes first.
 
-def remembered(number: int, kept: Kept, caught_up: bool) -> list[Put]:
-    """What a shard's new memory puts on disk."""
+    :param number: of the shard
+    :param kept: what the register's acceptor starts with
+    :param caught_up: whether there is nothing that it would have to learn
+    """
     puts: list[Put] = [("about", f"kept/{number}".encode(), pack(shard_state.pack_kept(kept)))]
     if caught_up:
         puts.append(("about", f"caught/{number}".encode(), b"1"))
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -15,7 +15,7 @@
 from orchidferry.mesh.control.actions import Action, SendReply
 from orchidferry.mesh.control.operation_keys import ClaimOutcome, ClaimStatus, KeyRecord
 from orchidferry.mesh.control.peers import Peers
-from orchidferry.mesh.control.repair import Repair, remembered
+from orchidferry.mesh.control.repair import RepairingReplica, deletion_of, initial_records, put_of
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.control.write_completions import (
     CaughtUpSaved,
@@ -26,7 +26,6 @@
     KeyReleaseSaved,
     WriteCompletion,
 )
-from orchidferry.mesh.storage.environment import KEYS
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import (
     Handoff,
@@ -39,7 +38,7 @@
     ShardBody,
 )
 
-__all__ = ["Shard", "remembered"]
+__all__ = ["Shard", "initial_records"]
 
 ANSWER_RETRY_S = 1.0  # after an answer could not be written
 
@@ -53,7 +52,7 @@
     record: KeyRecord
 
 
-class Shard(Repair):
+class Shard(RepairingReplica):
     """One shard at one controller.
 
     :ivar unsaved_records: records of keys whose first write has not been confirmed.
@@ -90,15 +89,15 @@
         """
         expired = self.operation_keys.expire(now)
         if expired:
-            self._write([(KEYS, key.encode("latin-1"), None) for key in expired])
+            self._write([deletion_of(key) for key in expired])
         for retry in self._answer_retries:
             if retry.due_s <= now and self.operation_keys.records.get(retry.key) is retry.record:
-                self._write([self._stored(retry.key, retry.record)], KeyAnswerSaved(retry.key, retry.record))
+                self._write([put_of(retry.key, retry.record)], KeyAnswerSaved(retry.key, retry.record))
         self._answer_retries = [retry for retry in self._answer_retries if retry.due_s > now]
         if self._pass_time(now):
-            self._mind_silent()
-            self._see_whether_caught_up()
-        self._learn_keys(now)
+            self._update_hints()
+            self._check_caught_up()
+        self._request_pages(now)
         return self._flush()
 
     def receive(self, sender: Any, message: ShardBody, now: float) -> list[Action]:
@@ -111,20 +110,20 @@
         self.now = now
         match message:
             case KeyPageRequest():
-                self._give_page(sender, message)
+                self._handle_page_request(sender, message)
             case KeyPage():
-                self._take_page(message)
+                self._handle_page(message)
             case KeyPageRejection():
-                self.learner.declined(message.name, message.number, now)
+                self.learner.handle_refusal(message.name, message.number, now)
             case KeyRecordsRequest():
-                self._give_records(sender, message)
+                self._handle_records_request(sender, message)
             case KeyRecords():
-                self._take_records(message)
+                self._handle_records(message)
             case Handoff():
-                self._take_handoff(sender, message)
+                self._handle_handoff(sender, message)
             case HandoffAck():
-                self.hints.taken(message.name, message.number)
-                self._hand_over(message.name)
+                self.hints.acknowledge(message.name, message.number)
+                self._send_hints(message.name)
             case _:
                 self._take(sender, message)
         return self._flush()
@@ -143,13 +142,13 @@
             case KeyAnswerSaved(key, record) if not ok:
                 self._answer_retries.append(AnswerRetry(now + ANSWER_RETRY_S, key, record))
             case KeyPageSaved(name, request):
-                self._page_written(name, request, ok)
+                self._page_saved(name, request, ok)
             case HandoffSaved(reply_to, number) if ok:
                 self._reply(reply_to, HandoffAck(self.name, number))
             case KeyReleaseSaved(reply_to, number) if ok:
                 self._out.append(SendReply(reply_to, KeyReleaseAck(number)))
             case CaughtUpSaved(epoch):
-                self._caught_up(epoch, ok)
+                self._caught_up_saved(epoch, ok)
             case _:
                 self._kept(completion, ok)
         return self._flush()
@@ -176,9 +175,9 @@
         if not result.is_new and self.unsaved_records.get(key) is not record:
             return self._answer_claim(sender, claim, ClaimOutcome.GRANTED)
         self.unsaved_records[key] = record
-        self.hints.wrote(key, now)
+        self.hints.record_write(key, now)
         completion = ClaimSaved(sender, claim.request, claim.epoch, key, claim.attempt_id, record)
-        self._write([self._stored(key, record)], completion)
+        self._write([put_of(key, record)], completion)
         return self._flush()
 
     def _answer_claim(
@@ -207,8 +206,8 @@
         self.now = now
         record = self.operation_keys.record_answer(message.key, message.attempt_id, message.answer)
         if record is not None:
-            self.hints.wrote(message.key, now)
-            self._write([self._stored(message.key, record)], KeyAnswerSaved(message.key, record))
+            self.hints.record_write(message.key, now)
+            self._write([put_of(message.key, record)], KeyAnswerSaved(message.key, record))
         return self._flush()
 
     def release_key(self, sender: Any, release: KeyRelease, now: float) -> list[Action]:
@@ -225,7 +224,7 @@
         if self.operation_keys.release(key, release.attempt_id):
             self.unsaved_records.pop(key, None)
         if self.operation_keys.released.get(key) == release.attempt_id:
-            self._write([(KEYS, key.encode("latin-1"), None)], KeyReleaseSaved(sender, release.number))
+            self._write([deletion_of(key)], KeyReleaseSaved(sender, release.number))
         else:
             self._out.append(SendReply(sender, KeyReleaseAck(release.number)))
         return self._flush()
--- a/orchidferry/mesh/control/write_completions.py
+++ b/orchidferry/mesh/control/write_completions.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from orchidferry.balancing.register import Kept, Message
-from orchidferry.mesh.control.key_transfer import Request
+from orchidferry.mesh.control.key_transfer import PageRequest
 from orchidferry.mesh.control.operation_keys import KeyRecord
 
 
@@ -98,7 +98,7 @@
     """
 
     source: str
-    request: Request
+    request: PageRequest
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -19,7 +19,7 @@
 
 from orchidferry.balancing.register import Ballot, Kept, Value, Voter
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import (
     ABOUT,
@@ -183,7 +183,7 @@
     dbs = {name: env.open_db(name.encode()) for name in NAMES}
     puts: list[Put] = [(ABOUT, b"founders", pack(sorted(founders)))]
     for number, one in kept.items():
-        puts += remembered(number, one, True)
+        puts += initial_records(number, one, True)
     with env.begin(write=True) as txn:
         for name, key, value in puts:
             assert value is not None
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -27,7 +27,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import Action, SendMessage, SendReply, WriteRecords
 from orchidferry.mesh.control.peers import Peers
-from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard import Shard, initial_records
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.storage.environment import NAMES, open_env
 from orchidferry.mesh.storage.record_format import put_sealed, wrap
@@ -143,7 +143,7 @@
             kept = Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50))
             parameters = ShardParameters(number, self.name, first, len(self.world.seeds), WINDOW_S, MAX_KEYS)
             self.shards[number] = Shard(parameters, kept, founder, self.peers, rng)
-            self.jobs.append((self.shards[number], WriteRecords(remembered(number, kept, founder))))
+            self.jobs.append((self.shards[number], WriteRecords(initial_records(number, kept, founder))))
         self.beats = dict[int, float]()
         self.number = 0
         self._each(BEAT_S, self.beat, self.life)
@@ -230,7 +230,7 @@
         self.number += 1
         self.beats[self.number] = self.world.now
         versions = [s.known.version for s in self.shards.values()]
-        learning = [n for n, s in self.shards.items() if not s.learned(self.world.now)]
+        learning = [n for n, s in self.shards.items() if not s.has_learned(self.world.now)]
         beat = Heartbeat(self.name, self.number, True, versions, self.peers.stopping, learning)
         for other in self.world.machines.values():
             if other is not self and other.alive:
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -21,7 +21,7 @@
 )
 from orchidferry.mesh.control.order_records import orders_of
 from orchidferry.mesh.control.peers import Peers
-from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard import Shard, initial_records
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.storage.store import Put, unpack
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyRelease
@@ -71,7 +71,9 @@
         self.seeds = seeds
         self.disk: dict[tuple[str, bytes], bytes] = {}
         self.put(
-            remembered(number, Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50)), founder)
+            initial_records(
+                number, Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50)), founder
+            )
         )
         self.start()
 
@@ -101,7 +103,7 @@
     def wipe(self) -> None:
         """An empty disk, with a new memory."""
         self.disk = {}
-        self.put(remembered(self.number, Kept(self.rng.randrange(2, 2**50)), False))
+        self.put(initial_records(self.number, Kept(self.rng.randrange(2, 2**50)), False))
 
     def do(self, actions: list[Action]) -> None:
         """What the shard wants done, in its order."""
@@ -137,7 +139,7 @@
             del self.beats[next(iter(self.beats))]
         for name in names:
             known = self.shard.known.version
-            learned = self.shard.learned(self.world.now)
+            learned = self.shard.has_learned(self.world.now)
             own = (self.peers.fit, known, self.peers.stopping, learned)
             self.world.send(self.name, name, "beat", self.name, self.count, *own)
 
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -17,19 +17,19 @@
 from orchidferry.mesh.control.operation_key_client import GrantCount
 from orchidferry.mesh.control.operation_keys import ClaimOutcome, OperationKeys
 from orchidferry.mesh.control.order_history import OrderHistory, Verdict
-from orchidferry.mesh.control.shard import Shard, remembered
+from orchidferry.mesh.control.shard import Shard, initial_records
 from orchidferry.testkit.explore.controller import Controller
 
 
 def _same_memory(self: Controller) -> None:
     memory = self.shard.voter.memory
     self.disk = {}
-    self.put(remembered(self.number, Kept(memory), False))
+    self.put(initial_records(self.number, Kept(memory), False))
 
 
 def _full_memory(self: Controller) -> None:
     self.disk = {}
-    self.put(remembered(self.number, Kept(self.rng.randrange(2, 2**50)), True))
+    self.put(initial_records(self.number, Kept(self.rng.randrange(2, 2**50)), True))
 
 
 def _unsynced(self: Controller, actions: list[Action]) -> None:
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -11,7 +11,7 @@
 from orchidferry.mesh.control.hinted_handoff import Hints
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.operation_keys import UNKNOWN_HOLDER
-from orchidferry.mesh.control.repair import Repair
+from orchidferry.mesh.control.repair import RepairingReplica
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.testkit.explore.mesh import KEY, KINDS, Break, Scene, Try, World, by_link
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
@@ -216,7 +216,7 @@
 # Deliberate breaks
 
 
-def _counts_at_once(self: Repair, value: Value) -> None:
+def _counts_at_once(self: RepairingReplica, value: Value) -> None:
     _regrouped(self, value)
     if self.voter in value.voters:
         self.standing.caught_up = True
@@ -226,7 +226,7 @@
     return 1
 
 
-def _never_stays(self: Repair, now: float) -> bool:
+def _never_stays(self: RepairingReplica, now: float) -> bool:
     return False
 
 
@@ -234,7 +234,7 @@
     return None
 
 
-def _not_the_leaver(self: Repair, now: float) -> list[str]:
+def _not_the_leaver(self: RepairingReplica, now: float) -> list[str]:
     return []
 
 
@@ -246,7 +246,7 @@
     return False
 
 
-_regrouped = Repair._regrouped
+_regrouped = RepairingReplica._regrouped
 _to_ask = Standing.to_ask
 
 
@@ -254,8 +254,8 @@
     "votes-before-learning": deliberate_break(
         "a newcomer counts as caught up when it is admitted",
         "replaced-wiped",
-        (Repair, "_regrouped", _counts_at_once),
-        (Repair, "ready", True),
+        (RepairingReplica, "_regrouped", _counts_at_once),
+        (RepairingReplica, "ready", True),
     ),
     "one-source-replaced": deliberate_break(
         "one other is enough to learn from", "replaced-wiped", (shard_state, "sources_needed", _one_source)
@@ -266,14 +266,14 @@
     "leaves-at-once": deliberate_break(
         "who is told to end does not wait, and nobody takes its place while it lives",
         "only-copy",
-        (Repair, "must_stay", _never_stays),
+        (RepairingReplica, "must_stay", _never_stays),
         (GroupView, "leaves", _dead_only),
     ),
-    "hints-dropped": deliberate_break("nothing is handed over", "returned", (Hints, "page", _no_page)),
+    "hints-dropped": deliberate_break("nothing is handed over", "returned", (Hints, "next_page", _no_page)),
     "leaver-not-asked": deliberate_break(
         "newcomers learn from those that stay alone",
         "only-answer",
         (Standing, "to_ask", _without_leavers),
-        (Repair, "_farewells", _not_the_leaver),
+        (RepairingReplica, "_leaving_sources", _not_the_leaver),
     ),
 }
--- a/tests/mesh/control/test_key_transfer.py
+++ b/tests/mesh/control/test_key_transfer.py
@@ -9,32 +9,33 @@
 
 from orchidferry.mesh.control import key_transfer
 from orchidferry.mesh.control.key_transfer import (
-    GIVEN_BACK,
-    PAGE_BYTES,
+    MAX_PAGE_BYTES,
+    RELEASED,
+    Cursor,
     KeyLearner,
     KeySource,
-    Page,
-    bounded,
-    lacking,
+    TransferPage,
+    collect_rows,
+    missing_answers,
 )
 from orchidferry.mesh.control.operation_keys import AGE_BUCKET_S, OperationKeys
 
 KEYS = [f"k{n}" for n in range(12)]
 
 
-def copy(source: OperationKeys, giver: KeySource, to: OperationKeys, at: int, brief: bool) -> Page:
+def copy(source: OperationKeys, giver: KeySource, to: OperationKeys, at: int, brief: bool) -> TransferPage:
     page = giver.page(source, "x", at, brief)
     rows = list(page.rows)
-    lacks = lacking(to, page.rows)
+    lacks = missing_answers(to, page.rows)
     while lacks:  # as many as a page holds at a time
-        more, covered = bounded(source, lacks)
-        rows = rows + more
-        lacks = lacks[covered:]
-    for key, (holder, shelf, answer), _ in rows:
-        if shelf == GIVEN_BACK:
+        batch = collect_rows(source, lacks)
+        rows = rows + batch.rows
+        lacks = lacks[batch.covered :]
+    for key, (holder, age_bucket, answer), _ in rows:
+        if age_bucket == RELEASED:
             to.release(key, holder)
         else:
-            to.merge(key, [holder, shelf, answer])
+            to.merge(key, [holder, age_bucket, answer])
     return page
 
 
@@ -47,7 +48,7 @@
     giver = KeySource()
     at = 0
     now = 1.0
-    big = b"x" * (PAGE_BYTES // 3)  # three records a page
+    big = b"x" * (MAX_PAGE_BYTES // 3)  # three records a page
     for n, (what, key) in enumerate(events):
         record = source.records.get(key)
         if what == "c":
@@ -84,7 +85,7 @@
     keys = set[str]()
     while True:
         page = giver.page(source, "x", at, False)
-        assert sum(map(key_transfer.weight, page.rows)) < PAGE_BYTES + 2_000
+        assert sum(map(key_transfer.approximate_size, page.rows)) < MAX_PAGE_BYTES + 2_000
         at = page.sequence
         pages = pages + 1
         keys |= {row[0] for row in page.rows}
@@ -92,34 +93,36 @@
             source.claim("new", "t")  # comes after all that stood
         if page.last:
             break
-    assert len(keys) == 501 and pages == math.ceil(500 * 1_532 / PAGE_BYTES) + 1  # one for what is new
+    assert len(keys) == 501 and pages == math.ceil(500 * 1_532 / MAX_PAGE_BYTES) + 1  # one for what is new
     source.release("new", "t")
     page = giver.page(source, "x", at, False)
-    assert page.rows == [("new", ("t", GIVEN_BACK, None), False)] and page.last
-    assert not giver.page(source, "x", page.sequence, False).rows and not giver.copies
+    assert page.rows == [("new", ("t", RELEASED, None), False)] and page.last
+    assert not giver.page(source, "x", page.sequence, False).rows and not giver.transfers
 
 
 def test_one_source_at_a_time_until_it_has_been_copied() -> None:
     learner = KeyLearner()
-    first = learner.ask("a", False, 0.0)
-    assert not learner.may_ask("b", 0.0) and not learner.brief("a", 0)
-    first.page = Page([], 7, False)
-    first.life = "life"
-    learner.on_disk("a", first)
-    assert learner.cursors == {"a": ("life", 7)} and not learner.copied
-    again = learner.ask("a", False, 0.0)
-    again.page = Page([], 9, True)
-    again.life = "life"
-    learner.on_disk("a", again)
-    assert learner.may_ask("b", 0.0) and learner.brief("b", 3)
-    learner.ask("b", True, 0.0)
+    first = learner.begin_request("a", False, 0.0)
+    assert not learner.may_ask("b", 0.0) and not learner.omits_answers("a", 0)
+    first.page = TransferPage([], 7, False)
+    first.incarnation = "life"
+    learner.page_stored("a", first)
+    assert learner.cursors == {"a": Cursor("life", 7)} and not learner.copied
+    again = learner.begin_request("a", False, 0.0)
+    again.page = TransferPage([], 9, True)
+    again.incarnation = "life"
+    learner.page_stored("a", again)
+    assert learner.may_ask("b", 0.0) and learner.omits_answers("b", 3)
+    learner.begin_request("b", True, 0.0)
     assert learner.may_ask("a", 0.0)  # the difference does not wait
     number = learner.requests["b"].number
-    assert learner.declined("b", number, 0.0) and not learner.declined("b", number, 0.0)
+    assert learner.handle_refusal("b", number, 0.0) and not learner.handle_refusal("b", number, 0.0)
     assert not learner.may_ask("b", 0.1) and learner.may_ask("b", 0.2)
-    learner.ask("b", True, 0.2)
-    learner.regrouped()
-    assert learner.waits("b", learner.number) is None and learner.cursors == {"a": ("life", 9)}
-    learner.ask("b", True, 0.2)
-    learner.give_up(0.2 + key_transfer.WAIT_S)
+    learner.begin_request("b", True, 0.2)
+    learner.reset_requests()
+    assert learner.pending_request("b", learner.last_number) is None and learner.cursors == {
+        "a": Cursor("life", 9)
+    }
+    learner.begin_request("b", True, 0.2)
+    learner.expire_requests(0.2 + key_transfer.PAGE_TIMEOUT_S)
     assert not learner.requests
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -20,7 +20,7 @@
 from orchidferry.mesh.control.configuration_text import MAX_TEXT, compress, expand
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.control_api import call
-from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.control.update_stream import MAX_LOG_CHANGES
 from orchidferry.mesh.control.value_references import ValueReferences, refusal, unpack
 from orchidferry.mesh.storage import record_format, snapshot_file, storage_check
@@ -95,7 +95,7 @@
         before.setattr(snapshot_file, "FORMAT", 1)
         store = Store(folder, loop)
         for number in shard_state.SHARDS:
-            store.write(remembered(number, kept, True))
+            store.write(initial_records(number, kept, True))
         store.write([("about", b"founders", pack(["10.0.0.1"]))])
         close(store)
         snapshots.take_from(folder, str(tmp_path / "old"))
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -19,7 +19,6 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.duties import TENURE_S
-from orchidferry.mesh.control.hinted_handoff import RECENT_S, Hints
 from orchidferry.mesh.control.membership import Standing, epoch
 from orchidferry.mesh.control.operation_key_client import GrantCount
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
@@ -365,42 +364,3 @@
     world.claim()
     play(1.0)
     assert world.counts["granted"] == 2
-
-
-@settings(max_examples=100, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from("wwwsabt"), st.integers(0, 5)), max_size=60))
-def test_what_a_silent_keeper_misses_is_kept_for_it(events: list[tuple[str, int]]) -> None:
-    """Beside a list of all writes since 4 s before its silence: none is left out, none is sent for ever."""
-    missed = Hints()
-    now = 100.0
-    owed = set[str]()
-    silent = False
-    wrote: list[tuple[float, str]] = []
-    page: tuple[int, list[str]] | None = None
-    for what, n in events:
-        now += n / 2
-        if what == "w":
-            key = f"k{len(wrote)}"
-            wrote.append((now, key))
-            missed.wrote(key, now)
-            owed |= {key} if silent else set()
-        elif what == "s":
-            missed.silent("x", now)
-            silent = True
-            page = None
-            owed |= {key for at, key in wrote if at >= now - RECENT_S}
-        elif what == "a" and page is not None:
-            missed.taken("x", page[0])
-            owed -= set(page[1])
-            page = None
-        elif what == "b":
-            silent = False
-            if (found := missed.page("x", now, 3)) is not None:
-                assert len(found[1]) <= 3 and (page is None or found == page)
-                page = found
-    for _ in range(len(wrote) + 2):
-        now += 2.0
-        if (found := missed.page("x", now, 3)) is not None:
-            owed -= set(found[1])
-            missed.taken("x", found[0])
-    assert not owed and not missed.kept
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -22,7 +22,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.order_history import OrderHistory, Verdict
-from orchidferry.mesh.control.repair import Repair
+from orchidferry.mesh.control.repair import RepairingReplica
 from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.test_membership import World
 
@@ -216,7 +216,7 @@
 
 
 _verdict = OrderHistory.verdict
-_regrouped = Repair._regrouped
+_regrouped = RepairingReplica._regrouped
 
 
 def _refuses_the_unknown(self: OrderHistory, *order: Any) -> Verdict:
@@ -224,7 +224,7 @@
     return Verdict.OTHER_VERSION if verdict is Verdict.UNKNOWN else verdict
 
 
-def _counts_at_once(self: Repair, value: Value) -> None:
+def _counts_at_once(self: RepairingReplica, value: Value) -> None:
     _regrouped(self, value)
     if self.voter in value.voters:
         self.standing.caught_up = True
@@ -234,7 +234,7 @@
     "patches",
     [
         [(OrderHistory, "verdict", _refuses_the_unknown)],
-        [(Repair, "_regrouped", _counts_at_once), (Repair, "ready", True)],
+        [(RepairingReplica, "_regrouped", _counts_at_once), (RepairingReplica, "ready", True)],
     ],
     ids=["unknown-refused", "votes-before-learning"],
 )
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -15,6 +15,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import SendMessage
 from orchidferry.mesh.control.controller import Controller
+from orchidferry.mesh.control.key_transfer import Cursor
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
@@ -85,7 +86,7 @@
     """A learner that was put out and is back must not lean on what it heard before."""
     one = shard("a", caught_up=False)
     one.standing.sources |= {"b": True, "c": True}
-    one.learner.cursors["b"] = ("life", 9)
+    one.learner.cursors["b"] = Cursor("life", 9)
     assert one.standing.enough(one.known)
     know(one, Value(2, (B, C, D), shard_state.Body(4)))
     know(one, Value(3, (A, B, D), shard_state.Body(5)))
@@ -116,7 +117,7 @@
     assert one.must_stay(1.1)
     one.peers.learning["d"] = (2,)
     assert not one.must_stay(1.1)
-    one.hints.silent("c", 1.0)
+    one.hints.mark_silent("c", 1.0)
     assert one.must_stay(1.1)
 
 
--- a/tests/mesh/test_storage_check.py
+++ b/tests/mesh/test_storage_check.py
@@ -30,7 +30,7 @@
 from orchidferry.mesh import __main__ as program
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.membership import Standing
-from orchidferry.mesh.control.shard import remembered
+from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage import inspection, storage_check
 from orchidferry.mesh.storage import snapshot as snapshots
@@ -52,7 +52,7 @@
     store = Store(str(folder), loop)
     rows = {b"k%d" % n: pack([f"t{n}", n, b"x" * (n % 7) * 40]) for n in range(keys)}
     for name, key, value in (
-        *(put for n, kept in KEPT.items() for put in remembered(n, kept, True)),
+        *(put for n, kept in KEPT.items() for put in initial_records(n, kept, True)),
         ("about", b"founders", pack(list(FOUNDERS))),
         *(("slips", key, raw) for key, raw in rows.items()),
     ):
@@ -245,7 +245,7 @@
     rows = {b"k%d" % n: pack(["t", n, None]) for n in range(50)}
 
     def old(txn: Any, dbs: Any) -> None:
-        puts = [put for n, kept in KEPT.items() for put in remembered(n, kept, True)]
+        puts = [put for n, kept in KEPT.items() for put in initial_records(n, kept, True)]
         for _, key, value in (*puts, ("about", b"founders", pack(list(FOUNDERS)))):
             txn.put(key, value, db=dbs["about"])
         for key, value in rows.items():
