--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -374,12 +374,12 @@
         """Have the configuration's shard changed."""
         id = self._wait_for(told)
         shard = self._configuration_shard
-        self._do(shard, shard.ask(id, change, for_s, self._loop.time()))
+        self._do(shard, shard.request_change(id, change, for_s, self._loop.time()))
 
     def _read(self, told: Callable[[RequestEnded], None]) -> None:
         """The newest configuration for sure."""
         id = self._wait_for(told)
-        self._do(self._configuration_shard, self._configuration_shard.read(id, self._loop.time()))
+        self._do(self._configuration_shard, self._configuration_shard.request_read(id, self._loop.time()))
 
     # Links
 
@@ -430,7 +430,7 @@
         fences = [shard.accepted_fence for shard in self._shards.values()]
         link.send(HeartbeatAck(self._name, beat.number, fences))
         for shard, version in zip(self._shards.values(), beat.versions, strict=True):
-            self._do(shard, shard.catch(version, beat.name))
+            self._do(shard, shard.heartbeat_received(version, beat.name))
 
     def _note_peer(self, beat: Heartbeat) -> None:
         """What a heartbeat says of its sender."""
@@ -449,7 +449,7 @@
         sent_s = self._beats.get(ack.number)
         if sent_s is not None:
             for shard, fence in zip(self._shards.values(), ack.fencing_tokens, strict=True):
-                shard.pulse(ack.name, sent_s, fence)
+                shard.heartbeat_acknowledged(ack.name, sent_s, fence)
 
     def _greet_controller(self, link: Link, hello: ControllerHello) -> None:
         link.peer = hello.name
--- /dev/null
+++ b/orchidferry/mesh/control/register_reader.py
@@ -0,0 +1,144 @@
+"""Linearizable reads at one replica of a shard's register.
+
+A read asks the voters what they have accepted; where their reports show no decided state, it runs a round of
+the register that changes nothing.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from orchidferry.balancing.register import Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.actions import RequestEnded
+from orchidferry.mesh.control.contact import LOST_CONTACT
+from orchidferry.mesh.control.quorum_read import (
+    INTERNAL_READER,
+    READ_RETRY_S,
+    READ_TIMEOUT_S,
+    AcceptedReport,
+    QuorumRead,
+    ReadQueue,
+)
+from orchidferry.mesh.control.register_messages import pack_voter
+from orchidferry.mesh.control.register_replica import Purpose, RegisterReplica
+from orchidferry.mesh.control.shard_context import ShardContext
+from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
+
+UNDECIDED_CHECK_S = 0.15  # a state that was accepted, and is not known to be decided, is read after this
+
+
+class RegisterReader:
+    """Reads the newest state of one shard, for requests and for the replica itself."""
+
+    def __init__(self, context: ShardContext, register: RegisterReplica) -> None:
+        self.context = context
+        self.register = register
+        self.reads = ReadQueue()
+        self._undecided_since_s = 0.0  # since when an accepted state is not known to be decided; 0.0: none is
+
+    @property
+    def due_s(self) -> float:
+        """When `tick` is to be called at the latest; infinite for never."""
+        return self.reads.due_s
+
+    def begin_request(self, request: str) -> None:
+        """Begin a read for a request; those that come while a read is under way share the next one."""
+        self.reads.until_s[request] = self.context.now + READ_TIMEOUT_S
+        self.read(request)
+
+    def read(self, reader: str) -> None:
+        """Begin a read, or have the next one begun once the current one has ended.
+
+        :param reader: the id of a request, or `INTERNAL_READER`.
+        """
+        self.reads.queued.append(reader)
+        if not self.reads.busy:
+            self._begin_next()
+
+    def end(self, readers: list[str], value: Value | None, why: str) -> None:
+        """End a read: its readers are answered, and the next one is begun."""
+        requests = self.reads.take_waiting(readers)
+        self.context.actions += [self.register.outcome(request, value, why) for request in requests]
+        self._begin_next()
+
+    def round_withdrawn(self) -> None:
+        """The round that a read has led to was withdrawn."""
+        self.reads.busy = False
+
+    def end_requests(self) -> None:
+        """End all requests, because contact is lost; the replica's own reads go on."""
+        requests = self.reads.take_all_requests()
+        self.context.actions += [RequestEnded(request, None, LOST_CONTACT) for request in requests]
+        if self.reads.queued and not self.reads.busy:
+            self._begin_next()
+
+    def tick(self) -> None:
+        """Ask voters again, or run a round; give up on what has taken too long."""
+        now = self.context.now
+        read = self.reads.current
+        self.context.actions += [RequestEnded(request, None, "") for request in self.reads.take_expired(now)]
+        if read is None:
+            return
+        if read.until_s <= now:
+            self.end(read.readers, None, "")
+        elif read.retry_s <= now and read.needs_round(self.register.known.voters):
+            self.reads.current = None
+            self.register.propose(
+                f"read {read.number}", shard_state.read, read.until_s - now, Purpose.READ, read.readers
+            )
+        elif read.retry_s <= now:
+            read.retry_s = now + READ_RETRY_S
+            self._ask_voters(read)
+
+    def check_undecided(self) -> None:
+        """Read the state if one that was accepted here has not been known to be decided for a while."""
+        now = self.context.now
+        value = self.register.acceptor.kept.value
+        if value is None or value.version <= self.register.known.version:
+            self._undecided_since_s = 0.0
+        elif not self._undecided_since_s:
+            self._undecided_since_s = now
+        elif now - self._undecided_since_s > UNDECIDED_CHECK_S * (1.0 + self.context.rng.random()):
+            self._undecided_since_s = now
+            self.read(INTERNAL_READER)
+
+    def report_accepted(self, sender_link: Any, request: AcceptedStateRequest) -> None:
+        """Report to another replica what this one has accepted, if that is on disk."""
+        if not self.register.vote_on_disk:
+            return
+        kept = self.register.acceptor.kept
+        state = None if request.known_ballot == kept.accepted else shard_state.pack_value(kept.value)
+        voter = pack_voter(self.register.voter)
+        self.context.reply(sender_link, AcceptedState(request.reading, voter, kept.accepted, state))
+
+    def take_report(self, message: AcceptedState) -> None:
+        """Take another replica's report."""
+        value = shard_state.unpack_value(message.state)
+        report = AcceptedReport(Voter(*message.voter), message.accepted, value)
+        read = self.reads.current
+        if read is not None and read.number == message.reading:
+            self._add_report(read, report)
+
+    def _begin_next(self) -> None:
+        read = self.reads.begin(self.register.acceptor.kept, self.context.now)
+        if read is not None:
+            self._ask_voters(read)
+
+    def _ask_voters(self, read: QuorumRead) -> None:
+        """Ask all voters what they have accepted, this replica among them."""
+        for name in self.register.other_controllers():
+            self.context.send(name, AcceptedStateRequest(read.number, read.kept.accepted))
+        if self.register.vote_on_disk:
+            kept = self.register.acceptor.kept
+            value = None if kept.accepted == read.kept.accepted else kept.value
+            self._add_report(read, AcceptedReport(self.register.voter, kept.accepted, value))
+
+    def _add_report(self, read: QuorumRead, report: AcceptedReport) -> None:
+        read.add(report)
+        register = self.register
+        knows_initial = register.is_founder and not register.known.version
+        value = read.decided_value(register.known if knows_initial else None)
+        if value is not None:
+            register.learn(value)
+            self.end(read.readers, register.known, "")
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -17,7 +17,6 @@
 
 from orchidferry.balancing.register import Kept, Value
 from orchidferry.mesh.control import key_transfer, shard_state
-from orchidferry.mesh.control.actions import Log
 from orchidferry.mesh.control.hinted_handoff import Hints
 from orchidferry.mesh.control.key_transfer import (
     NO_CURSOR,
@@ -80,7 +79,7 @@
         """
         if self.standing.enough(self.known):
             return True
-        alive = [v.name for v in self.known.voters if self.peers.alive(v.name, self.now)]
+        alive = [v.name for v in self.known.voters if self.peers.alive(v.name, self.context.now)]
         return bool(alive) and all(
             self.standing.sources.get(name) or name in self.learner.refused for name in alive
         )
@@ -105,8 +104,8 @@
             if name in names
         )
 
-    def _regrouped(self, value: Value) -> None:
-        super()._regrouped(value)
+    def _group_changed(self, value: Value) -> None:
+        super()._group_changed(value)
         self.hints.retain({voter.name for voter in value.voters})
         self.standing.regrouped()
         self.learner.reset_requests()
@@ -129,7 +128,7 @@
     def _request_pages(self, now: float) -> None:
         """Ask the controllers that have yet to send what this one lacks."""
         self.learner.expire_requests(now)
-        as_voter = self.standing.counts(self.voter, self.known, self.acceptor.kept.value)
+        as_voter = self.standing.counts(self.voter, self.known, self.accepted_value)
         for name in self._leaving_sources(now):
             self._request_page(name, False)
         if self.standing.caught_up:
@@ -151,9 +150,9 @@
 
     def _request_page(self, source: str, as_voter: bool) -> None:
         """Ask a source for its next page, if it can be asked now."""
-        if not self.learner.may_ask(source, self.now):
+        if not self.learner.may_ask(source, self.context.now):
             return
-        request = self.learner.begin_request(source, as_voter, self.now)
+        request = self.learner.begin_request(source, as_voter, self.context.now)
         cursor = self.learner.cursors.get(source, NO_CURSOR)
         omit_answers = self.learner.omits_answers(source, len(self.operation_keys.records))
         message = KeyPageRequest(
@@ -165,7 +164,7 @@
             cursor.sequence,
             omit_answers,
         )
-        self._say(source, message)
+        self.context.send(source, message)
 
     def _handle_page(self, message: KeyPage) -> None:
         """Take a page from a source."""
@@ -189,12 +188,12 @@
     def _complete_page(self, source: str, request: PageRequest) -> None:
         """Ask for the records that a page left out; once all are here, write the page to disk."""
         assert request.page is not None
-        request.deadline_s = self.now + key_transfer.PAGE_TIMEOUT_S
+        request.deadline_s = self.context.now + key_transfer.PAGE_TIMEOUT_S
         if request.lacking:
             first = request.lacking[: key_transfer.MAX_RECORDS_REQUESTED]
-            return self._say(source, KeyRecordsRequest(self.name, request.number, first))
+            return self.context.send(source, KeyRecordsRequest(self.name, request.number, first))
         puts = self._merge_rows(request.page.rows)
-        self._write(puts or [self._about("catching", b"1")], KeyPageSaved(source, request))
+        self.context.write(puts or [self.context.metadata("catching", b"1")], KeyPageSaved(source, request))
 
     def _page_saved(self, source: str, request: PageRequest, ok: bool) -> None:
         """Go on after the write of a page.
@@ -204,7 +203,7 @@
         if self.learner.requests.get(source) is not request:
             return
         if not ok:
-            self.learner.handle_refusal(source, request.number, self.now)
+            self.learner.handle_refusal(source, request.number, self.context.now)
             return
         self.learner.page_stored(source, request)
         assert request.page is not None
@@ -212,18 +211,18 @@
             return self._request_page(source, request.as_voter)
         self.standing.sources[source] = True
         self._check_caught_up()
-        self._request_pages(self.now)
+        self._request_pages(self.context.now)
         if not self.standing.caught_up and self.voter not in self.known.voters and self.ready:
-            self._join()
+            self._ask_to_join()
 
     def _check_caught_up(self) -> None:
         """Write to disk that this controller has caught up, once it has."""
         if self.standing.caught_up or self._saving_caught_up:
             return
-        as_voter = self.standing.counts(self.voter, self.known, self.acceptor.kept.value)
+        as_voter = self.standing.counts(self.voter, self.known, self.accepted_value)
         if as_voter and self.standing.enough(self.known):
             self._saving_caught_up = True
-            self._write([self._about("caught", b"1")], CaughtUpSaved(epoch(self.known)))
+            self.context.write([self.context.metadata("caught", b"1")], CaughtUpSaved(epoch(self.known)))
 
     def _caught_up_saved(self, under: int, ok: bool) -> None:
         """Go on after the write that says that it has caught up; void if the group has changed meanwhile.
@@ -235,9 +234,9 @@
         if not ok:
             return  # `_check_caught_up` is called again with time
         if under != epoch(self.known) or self.voter not in self.known.voters:
-            return self._write([self._about("caught", None)])
+            return self.context.write([self.context.metadata("caught", None)])
         self.standing.caught_up = True
-        self._out.append(Log(f"caught up with {len(self.operation_keys.records)} keys"))
+        self.context.log(f"caught up with {len(self.operation_keys.records)} keys")
 
     def _merge_rows(self, rows: list[KeyRow]) -> list[Put]:
         """Take the records of another controller.
@@ -264,19 +263,19 @@
     def _handle_page_request(self, reply_to: Any, request: KeyPageRequest) -> None:
         """Send a learner its next page, or refuse."""
         if self._granted_nothing(request):
-            return self._reply(reply_to, self._key_page(request, TransferPage([], 0, True)))
+            return self.context.reply(reply_to, self._key_page(request, TransferPage([], 0, True)))
         if not self._may_send_keys(request):
-            return self._reply(reply_to, KeyPageRejection(self.name, request.number))
-        sequence = request.sequence if request.incarnation == self.life else 0
+            return self.context.reply(reply_to, KeyPageRejection(self.name, request.number))
+        sequence = request.sequence if request.incarnation == self.register.incarnation else 0
         page = self.source.page(self.operation_keys, request.name, sequence, request.omit_answers)
-        self._reply(reply_to, self._key_page(request, page))
+        self.context.reply(reply_to, self._key_page(request, page))
 
     def _granted_nothing(self, request: KeyPageRequest) -> bool:
         """Return whether this controller grants nothing, and all that it may have forgotten has expired."""
         if not request.as_voter or self.grants(request.epoch):
             return False
         abstains = not self.standing.caught_up and request.epoch == epoch(self.known)
-        return abstains and self.now - self.abstains_s > self.operation_keys.max_retention_s
+        return abstains and self.context.now - self.abstains_s > self.operation_keys.max_retention_s
 
     def _may_send_keys(self, request: KeyPageRequest) -> bool:
         if request.as_voter:
@@ -285,23 +284,29 @@
 
     def _key_page(self, request: KeyPageRequest, page: TransferPage) -> KeyPage:
         return KeyPage(
-            self.name, request.number, page.sequence, page.rows, page.last, self.life, request.as_voter
+            self.name,
+            request.number,
+            page.sequence,
+            page.rows,
+            page.last,
+            self.register.incarnation,
+            request.as_voter,
         )
 
     def _handle_records_request(self, reply_to: Any, request: KeyRecordsRequest) -> None:
         """Send a learner the complete records of some keys."""
         batch = key_transfer.collect_rows(self.operation_keys, request.keys)
-        self._reply(reply_to, KeyRecords(self.name, request.number, batch.rows, batch.covered))
+        self.context.reply(reply_to, KeyRecords(self.name, request.number, batch.rows, batch.covered))
 
     # Hinted handoff
 
     def _update_hints(self) -> None:
         """Keep hints for the voters that are silent; send them, page by page, to those that are back."""
-        for name in self._others():
+        for name in self.register.other_controllers():
             if not any(v.name == name for v in self.known.voters):
                 continue
-            if not self.peers.alive(name, self.now):
-                self.hints.mark_silent(name, self.now)
+            if not self.peers.alive(name, self.context.now):
+                self.hints.mark_silent(name, self.context.now)
             else:
                 self._send_hints(name)
 
@@ -310,13 +315,13 @@
         keys = self.operation_keys
         page = self.hints.next_page(
             controller,
-            self.now,
+            self.context.now,
             MAX_HINTS_PER_PAGE,
             lambda names: key_transfer.collect_rows(keys, names).covered,
         )
         if page is not None:
             batch = key_transfer.collect_rows(keys, page.keys, max_bytes=math.inf)
-            self._say(controller, Handoff(self.name, epoch(self.known), page.number, batch.rows))
+            self.context.send(controller, Handoff(self.name, epoch(self.known), page.number, batch.rows))
 
     def _handle_handoff(self, reply_to: Any, handoff: Handoff) -> None:
         """Take a page of what this controller missed while it was silent."""
@@ -324,9 +329,9 @@
             return  # it is sent again, or this controller learns all
         puts = self._merge_rows([row for row in handoff.rows if self._adds_to_records(row)])
         if puts:
-            self._write(puts, HandoffSaved(reply_to, handoff.number))
+            self.context.write(puts, HandoffSaved(reply_to, handoff.number))
         else:
-            self._reply(reply_to, HandoffAck(self.name, handoff.number))
+            self.context.reply(reply_to, HandoffAck(self.name, handoff.number))
 
     def _adds_to_records(self, row: KeyRow) -> bool:
         """Return whether a row adds to what this controller has; what it granted itself stands."""
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -1,6 +1,8 @@
-"""One controller's replica in the group of a shard: the orders that it takes, its place in the group, and the
-duties. Pure: events in, actions out, in the order in which they are to be done; clock and chance are handed
-in, and all that it holds can be copied.
+"""One controller's replica in the group of a shard: the configurations that it takes, its membership of the
+group, and the ownership of the shard.
+
+It does no I/O: events go in, actions come out, in the order in which they are to be carried out; clock and
+randomness are handed in, and the whole replica can be copied.
 """
 
 from __future__ import annotations
@@ -10,17 +12,21 @@
 
 from orchidferry.balancing.register import Kept, Value, Voter
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.control.actions import Action, Log, RequestEnded, StateChanged
-from orchidferry.mesh.control.contact import OUT_OF_CONTACT
+from orchidferry.mesh.control.actions import Action, RequestEnded, StateChanged
+from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
 from orchidferry.mesh.control.duties import OwnerLease, takes_over
 from orchidferry.mesh.control.group_changes import GroupView
 from orchidferry.mesh.control.membership import Standing, epoch
-from orchidferry.mesh.control.order_history import Entry, Verdict
+from orchidferry.mesh.control.order_book import OrderBook
+from orchidferry.mesh.control.order_history import Entry
+from orchidferry.mesh.control.order_requests import OrderRequests
 from orchidferry.mesh.control.peers import Peers
-from orchidferry.mesh.control.reading import READING_S
-from orchidferry.mesh.control.register_replica import Purpose, RegisterReplica
+from orchidferry.mesh.control.quorum_read import INTERNAL_READER
+from orchidferry.mesh.control.register_reader import RegisterReader
+from orchidferry.mesh.control.register_replica import Proposal, Purpose, RegisterReplica
+from orchidferry.mesh.control.shard_context import ShardContext
 from orchidferry.mesh.control.shard_parameters import ShardParameters
-from orchidferry.mesh.control.state_teller import StateTeller
+from orchidferry.mesh.control.state_request import StateRequest
 from orchidferry.mesh.control.write_completions import OrdersSaved, RemovalSaved, VoteSaved, WriteCompletion
 from orchidferry.mesh.wire.shard_messages import (
     AcceptedState,
@@ -35,14 +41,22 @@
     ShardBody,
 )
 
-SETTLE_S = 0.8  # after its start a controller does not ask for duties
-ADMIT_S = 1.9
-OWN_S = 1.5
-JOIN_S = 0.4
+OWNERSHIP_START_S = 0.8  # for so long after its start a controller does not ask for ownership
+ADMIT_TIMEOUT_S = 1.9
+CHANGE_TIMEOUT_S = 1.5  # for other changes that a replica proposes by itself
+MAINTENANCE_S = 0.4  # between two looks at membership and ownership
+
+# What an intent asks the voters about, on the wire: a list of one of these and a controller's name.
+INTENT_REPLACE = "replace"
+INTENT_OWN = "own"
 
 
-class Replica(RegisterReplica):
-    """One controller in the group of one shard."""
+class Replica:
+    """One controller in the group of one shard.
+
+    :ivar standing: whether it is caught up, and from whom it has learned.
+    :ivar abstains_s: since when it has granted no operation keys, if it is not caught up.
+    """
 
     def __init__(
         self,
@@ -52,275 +66,346 @@
         peers: Peers,
         rng: random.Random,
     ) -> None:
-        """As `Shard.__init__`."""
-        super().__init__(parameters.number, parameters.name, parameters.genesis, kept, peers, rng)
+        """
+        :param kept: what the register's acceptor keeps on disk.
+        :param caught_up: whether it has all operation keys that were granted.
+        :param peers: what is known of the other controllers, shared by all shards.
+        :param rng: the source of all random choices.
+        """
+        self.context = ShardContext(parameters.number, parameters.name, peers, rng, peers.began_s)
+        self.number = parameters.number
+        self.name = parameters.name
+        self.peers = peers
         self.size = parameters.group_size
+        self.orders = OrderBook(parameters.number)
+        self.register = RegisterReplica(self.context, parameters.genesis, kept, self.orders, self)
+        self.reader = RegisterReader(self.context, self.register)
+        self.order_requests = OrderRequests(self.context, self.register, self.orders)
         self.standing = Standing(caught_up)
-        self.abstains_s = peers.began_s  # since when it has granted nothing, if it has not caught up
+        self.abstains_s = peers.began_s
         self._owner_lease = OwnerLease()
-        self._teller = StateTeller()
-        self._join_s = 0.0
-        self._joiners: dict[Voter, float] = {}  # since when each asks for a place in this epoch
+        self._state_request = StateRequest()
+        self._maintenance_s = 0.0  # when membership and ownership are looked at next
+        self._joiners: dict[Voter, float] = {}  # since when each asks to join in this epoch
+
+    @property
+    def voter(self) -> Voter:
+        """The voter that this controller is."""
+        return self.register.voter
+
+    @property
+    def known(self) -> Value:
+        """The newest state that is known to be decided."""
+        return self.register.known
+
+    @property
+    def body(self) -> shard_state.Body:
+        """The body of that state."""
+        return shard_state.body(self.known)
+
+    @property
+    def accepted_value(self) -> Value | None:
+        """The state that this voter has accepted last; None for none."""
+        return self.register.acceptor.kept.value
+
+    @property
+    def accepted_fence(self) -> int:
+        """The highest fencing token that it has voted for."""
+        accepted = self.accepted_value
+        return max(self.body.fence, shard_state.body(accepted).fence if accepted is not None else 0)
 
-    def grants(self, under: int) -> bool:
-        """Whether this controller may grant keys under an epoch."""
-        return self.standing.grants(under, self.voter, self.known, self.acceptor.kept.value)
+    def in_contact(self, now: float) -> bool:
+        """Whether a majority of the voters has lately acknowledged this controller's heartbeats."""
+        return self.register.in_contact(now)
+
+    def grants(self, epoch_: int) -> bool:
+        """Whether this controller may grant operation keys under an epoch."""
+        return self.standing.grants(epoch_, self.voter, self.known, self.accepted_value)
 
     def owns(self, now: float) -> int | None:
-        """The fence under which this controller does the duties of the shard now; None if it doesn't."""
-        own = self.body
-        if own.owner != self.name or self.accepted_fence != own.fence or self.voter not in self.known.voters:
+        """Tell whether this controller owns the shard now.
+
+        :returns: the fencing token under which it does; None if it doesn't.
+        """
+        state = self.body
+        if state.owner != self.name or self.accepted_fence != state.fence:
             return None
-        return own.fence if self._owner_lease.holds(self.known.voters, now) and self.peers.fit else None
+        if self.voter not in self.known.voters:
+            return None
+        return state.fence if self._owner_lease.holds(self.known.voters, now) and self.peers.fit else None
 
     @property
     def due_s(self) -> float:
-        """When `tick` is wanted before its turn; infinite for never."""
-        due = min(self.proposer.due_ms / 1000.0, self._readings.due_s)
-        if self._readings.until_s or self._proposes(Purpose.CALL):
+        """When `tick` is to be called at the latest, even before its turn; infinite for never."""
+        due = min(self.register.proposer.due_ms / 1000.0, self.reader.due_s)
+        if self.reader.reads.until_s or self.register.is_proposing(Purpose.REQUEST):
             due = min(due, self.peers.contact.until_s(self.known.voters, self.voter))
         return due
 
     # Events
 
-    def ask(self, id: str, change: shard_state.Change, for_s: float, now: float) -> list[Action]:
-        """Have the state changed; it is `RequestEnded` once, with no value if nothing is known in time, or
-        contact with a majority is lost before. Out of contact nothing is begun.
+    def load_orders(self, rows: list[tuple[int, Entry]]) -> None:
+        """Load the orders on this controller's own disk, before anything else."""
+        self.orders.history.load(rows)
+
+    def request_change(self, id: str, change: shard_state.Change, for_s: float, now: float) -> list[Action]:
+        """Have the state changed. The request ends once, with `RequestEnded`: without a value if the outcome
+        is not known in time, or if contact with a majority is lost before. Out of contact nothing is begun.
+
+        :param id: of the request.
+        :param for_s: seconds for which it is tried.
+        :param now: seconds on the clock of the event loop.
         """
-        self.now = now
+        self.context.now = now
         if not self.in_contact(now):
-            self._out.append(RequestEnded(id, None, OUT_OF_CONTACT))
+            self.context.actions.append(RequestEnded(id, None, OUT_OF_CONTACT))
         elif isinstance(change, shard_state.Put):
-            self._order(id, change, for_s)
+            self.order_requests.request(id, change, for_s)
         else:
-            self._propose(f"ask {id}", change, for_s, Purpose.CALL, [id])
-        return self._flush()
+            self.register.propose(f"ask {id}", change, for_s, Purpose.REQUEST, [id])
+        return self._take_actions()
 
-    def read(self, id: str, now: float) -> list[Action]:
-        """The newest state for sure, within `READING_S`; those that ask while a reading is out share the
-        next one.
-        """
-        self.now = now
+    def request_read(self, id: str, now: float) -> list[Action]:
+        """Read the newest state, within `READ_TIMEOUT_S`; the request ends once, with `RequestEnded`."""
+        self.context.now = now
         if self.in_contact(now):
-            self._readings.until_s[id] = now + READING_S
-            self._read(id)
+            self.reader.begin_request(id)
         else:
-            self._out.append(RequestEnded(id, None, OUT_OF_CONTACT))
-        return self._flush()
+            self.context.actions.append(RequestEnded(id, None, OUT_OF_CONTACT))
+        return self._take_actions()
+
+    def heartbeat_acknowledged(self, name: str, sent_s: float, fencing_token: int) -> None:
+        """A controller has acknowledged a heartbeat of this one.
 
-    def pulse(self, name: str, sent_s: float, fence: int) -> None:
-        """A controller has acknowledged the beat that was sent then, and has voted for no fence above
-        this.
+        :param sent_s: when the heartbeat was sent.
+        :param fencing_token: the highest that the other controller has voted for.
         """
         self.peers.contact.hear(name, sent_s)
-        if fence <= self.body.fence:
+        if fencing_token <= self.body.fence:
             self._owner_lease.acknowledge(name, sent_s)
 
-    def catch(self, version: int, name: str) -> list[Action]:
-        """Another controller's beat says what it knows: where that is more, one is asked for all of it."""
+    def heartbeat_received(self, version: int, name: str) -> list[Action]:
+        """A controller's heartbeat says which version it knows: a replica that knows an older one asks for
+        the state, one controller at a time.
+        """
         if version > self.known.version:
-            others = [n for n in self._others() if n != name and self.peers.alive(n, self.now)]
-            if self._teller.asks(name, others, self.now):
-                self._say(name, DecidedStateRequest(self.known.version))
-        return self._flush()
+            others = [
+                other
+                for other in self.register.other_controllers()
+                if other != name and self.peers.alive(other, self.context.now)
+            ]
+            if self._state_request.begin(name, others, self.context.now):
+                self.context.send(name, DecidedStateRequest(self.known.version))
+        return self._take_actions()
+
+    def _take_actions(self) -> list[Action]:
+        self.register.deliver_local_messages()
+        return self.context.take_actions()
 
     def _pass_time(self, now: float) -> bool:
-        """Do what is due; whether it is also time for what is done now and then."""
-        self.now = now
+        """Do what is due.
+
+        :returns: whether membership and ownership were looked at as well.
+        """
+        self.context.now = now
         if not self.in_contact(now):
-            self._end_calls()
-        for id, proposal in list(self._proposals.items()):
-            if proposal.until_s <= now:
-                self._end(id, None, "")
-        self._act(self.proposer.tick(now * 1000.0))
-        self._pass_reading_time()
-        self._mind_accepted()
-        if now < self._join_s:
+            self._end_requests()
+        self.register.tick()
+        self.reader.tick()
+        self.reader.check_undecided()
+        if now < self._maintenance_s:
             return False
-        self._join_s = now + JOIN_S
-        self._join()
-        self._mind_orders()
-        self._settle()
-        self._mind_owner()
+        self._maintenance_s = now + MAINTENANCE_S
+        self._ask_to_join()
+        self.order_requests.ask_for_older()
+        self._end_voter_change()
+        self._take_ownership()
         return True
 
-    def _take(self, who: Any, message: ShardBody) -> None:
-        """A message between replicas; `ValueError` and its like for a bad one."""
+    def _receive_from_replica(self, sender_link: Any, message: ShardBody) -> None:
+        """Take a message between replicas.
+
+        :param sender_link: takes the answer.
+        :raises ValueError: and its like for a malformed message.
+        """
         match message:
             case RegisterMessage():
-                self._heard_register(message, who)
+                self.register.receive(message, sender_link)
             case DecidedState():
                 value = shard_state.unpack_value(message.state)
                 if value is not None:
-                    self._learn(value)
+                    self.register.learn(value)
             case DecidedBallot():
-                self._decided(who, message)
+                self.register.take_decided_ballot(sender_link, message)
             case DecidedStateRequest():
-                if message.version < self.known.version:
-                    self._reply(who, self._decided_state(self.known))
+                self.register.give_decided_state(sender_link, message)
             case AcceptedStateRequest():
-                self._tell_accepted(who, message)
+                self.reader.report_accepted(sender_link, message)
             case AcceptedState():
-                self._heard_accepted(message)
+                self.reader.take_report(message)
             case OrdersRequest():
-                self._tell_orders(who, message)
+                self.order_requests.give_older(sender_link, message)
             case Orders():
-                self._take_orders(who, message)
+                self.order_requests.take_older(sender_link, message)
             case JoinRequest():
                 self._admit(Voter(message.name, message.memory), message.epoch, message.ready)
 
-    def _kept(self, completion: WriteCompletion, ok: bool) -> None:
-        """What came of a write of the replica's own."""
+    def _replica_written(self, completion: WriteCompletion, ok: bool) -> None:
+        """Take the result of a write of the replica itself."""
         match completion:
-            case VoteSaved(who, kept, replies, orders) if ok:
-                self.clean = self.clean or kept is self.acceptor.kept
-                self.orders.history.saved(orders)
-                for reply in replies:
-                    self._vote_out(who, reply)
-            case OrdersSaved(orders) if ok:
-                self.orders.history.saved(orders)
+            case VoteSaved() if ok:
+                self.register.vote_saved(completion)
+            case OrdersSaved(order_numbers) if ok:
+                self.orders.history.saved(order_numbers)
             case RemovalSaved() if ok:
                 self.standing = Standing(False)
-                self.abstains_s = self.now
-                self._out.append(Log("put out of the group"))
+                self.abstains_s = self.context.now
+                self.context.log("put out of the group")
 
-    def _learned(self, old: Value, new: Value) -> None:
-        """A newer state was decided."""
-        self._teller.answered()
-        self._owner_lease.learn(shard_state.body(old), shard_state.body(new), self.now)
-        if epoch(new) != epoch(old):
-            self._regrouped(new)
-            self._join_s = self.now  # to be settled before the next loss
-        self._out.append(StateChanged(old, new))
-        self._end_orders()
+    # The listener of the register
 
-    # Orders
+    def object_to(self, intent: Any) -> str:
+        """Object to a change that removes a controller which is alive as far as this one observes: from the
+        group, unless it is leaving, or from ownership.
 
-    def load_orders(self, rows: list[tuple[int, Entry]]) -> None:
-        """Orders from its own disk, before anything else."""
-        self.orders.history.load(rows)
+        :param intent: a list of what is asked and the name of the controller concerned.
+        :returns: the objection; "" for none.
+        """
+        if not isinstance(intent, list) or len(intent) != 2:
+            return ""
+        asked, name = intent
+        alive = self.peers.alive(name, self.context.now) if name != self.name else True
+        if asked == INTENT_OWN:
+            fit = self.peers.fit if name == self.name else name not in self.peers.unfit
+            return shard_state.ALIVE if alive and fit else ""
+        return shard_state.ALIVE if alive and not self._group().leaves(name) else ""
 
-    def _order(self, id: str, order: shard_state.Put, for_s: float) -> None:
-        """An order. What is known of it for ever is told at once; copies of it share one proposal."""
-        verdict = self.orders.verdict(order, self.body)
-        if self.known.version and (verdict.final or verdict is Verdict.UNKNOWN):
-            self._out.append(RequestEnded(id, self.known, shard_state.WHY_NOT.get(verdict, "")))
-            return
-        name = self.orders.name(order)
-        if name in self._proposals:
-            self._proposals[name].waiting.append(id)
-            return
-        self.orders.waiting[name] = order
-        self._propose(name, order, for_s, Purpose.CALL, [id])
-
-    def _end_orders(self) -> None:
-        """Answer the orders of which a newly learned state says for ever what became of them."""
-        for name, why in self.orders.settled(self.body):
-            self.proposer.withdraw(name)
-            self._end(name, self.known, why)
-
-    def _mind_orders(self) -> None:
-        """Ask another replica for orders older than it knows."""
-        name = self.orders.to_ask([n for n in self._others() if self.peers.alive(n, self.now)], self.now)
-        if name is not None:
-            self._say(name, self.orders.older_request())
-
-    def _tell_orders(self, who: Any, request: OrdersRequest) -> None:
-        page = self.orders.page(request)
-        if page is not None:
-            self._reply(who, page)
-
-    def _take_orders(self, who: Any, page: Orders) -> None:
-        if self.orders.take_page(page):
-            numbers, puts = self.orders.puts()
-            self._write(puts, OrdersSaved(numbers))
-            if not self.orders.history.whole:
-                self._reply(who, self.orders.older_request())
-
-    # The group
+    def state_learned(self, old: Value, new: Value) -> None:
+        """A newer state is known to be decided."""
+        self.orders.learn(shard_state.body(new))
+        self._state_request.end()
+        self._owner_lease.learn(shard_state.body(old), shard_state.body(new), self.context.now)
+        if epoch(new) != epoch(old):
+            self._group_changed(new)
+            self._maintenance_s = self.context.now  # the change is to be ended before the next loss
+        self.context.actions.append(StateChanged(old, new))
+        self.order_requests.end_settled()
+
+    def proposal_ended(self, id: str, proposal: Proposal, value: Value | None, why: str) -> None:
+        """A proposal has ended: those who wait for it are answered."""
+        self.orders.waiting.pop(id, None)
+        if proposal.purpose is Purpose.REQUEST:
+            self.context.actions += [
+                self.register.outcome(request, value, why) for request in proposal.waiting
+            ]
+        if proposal.purpose is Purpose.READ:
+            self.reader.end(proposal.waiting, value, why)
+
+    # Requests
+
+    def _end_requests(self) -> None:
+        """Contact is lost: requests end at once, and what only they wait for is given up."""
+        for id, proposal in list(self.register.proposals.items()):
+            if proposal.purpose is Purpose.REQUEST:
+                self._withdraw(id)
+                self.context.actions += [
+                    RequestEnded(request, None, LOST_CONTACT) for request in proposal.waiting
+                ]
+            elif proposal.purpose is Purpose.READ and INTERNAL_READER not in proposal.waiting:
+                self._withdraw(id)
+                self.reader.round_withdrawn()
+        self.reader.end_requests()
+
+    def _withdraw(self, id: str) -> None:
+        self.orders.waiting.pop(id, None)
+        self.register.withdraw(id)
+
+    # Membership of the group
 
     @property
     def ready(self) -> bool:
-        """Whether it holds what a newcomer can be told before it has a place."""
+        """Whether it has learned what a newcomer can learn before it is admitted."""
         return True
 
-    def _regrouped(self, value: Value) -> None:
-        """The shard has another group."""
+    def _group_changed(self, value: Value) -> None:
+        """The shard has another group of voters."""
         self._joiners.clear()
 
-    def _object_to(self, intent: Any) -> str:
-        """Nobody who is alive as far as this controller sees is put out of the group, unless it says that it
-        leaves, or out of its duties.
-        """
-        if not isinstance(intent, list) or len(intent) != 2:
-            return ""
-        what, name = intent
-        alive = self.peers.alive(name, self.now) if name != self.name else True
-        if what == "own":
-            fit = self.peers.fit if name == self.name else name not in self.peers.unfit
-            return shard_state.ALIVE if alive and fit else ""
-        return shard_state.ALIVE if alive and not self._group().leaves(name) else ""
+    def _group(self) -> GroupView:
+        """The group as this controller observes it now."""
+        return GroupView(
+            self.number,
+            self.name,
+            self.size,
+            self.known,
+            self.peers,
+            self.standing.caught_up,
+            self.context.now,
+        )
 
-    def _join(self) -> None:
-        """Ask for a place, where this controller has none."""
+    def _ask_to_join(self) -> None:
+        """Ask to be admitted, if this controller is no voter."""
         if self.voter in self.known.voters or (self.peers.stopping and not self.standing.caught_up):
             return
         if self.standing.caught_up:  # it missed what was granted without it, and must not say otherwise
-            if self.standing.put_out(self.voter, self.known, self.acceptor.kept.value):
-                self._write([self._about("caught", None)], RemovalSaved())
+            if self.standing.put_out(self.voter, self.known, self.accepted_value):
+                self.context.write([self.context.metadata("caught", None)], RemovalSaved())
             return
         if self._group().wanted() and not self.ready:
             return
-        for name in self._others():
-            self._say(name, JoinRequest(self.name, self.voter.memory, epoch(self.known), self.ready))
+        request = JoinRequest(self.name, self.voter.memory, epoch(self.known), self.ready)
+        for name in self.register.other_controllers():
+            self.context.send(name, request)
 
-    def _group(self) -> GroupView:
-        """The group as this controller sees it now."""
-        return GroupView(
-            self.number, self.name, self.size, self.known, self.peers, self.standing.caught_up, self.now
-        )
+    def _admit(self, joiner: Voter, joiner_epoch: int, ready: bool) -> None:
+        """Propose to admit another controller to the group, if it is this one's turn.
 
-    def _admit(self, joiner: Voter, under: int, ready: bool) -> None:
-        """Another controller asks for a place in the group; `under`: the last epoch that it knows."""
+        :param joiner_epoch: of the last group that the other controller knows.
+        :param ready: whether it has learned what it can before it is admitted.
+        """
         if self.voter not in self.known.voters:
             return
-        if self._proposes(Purpose.ADMIT):
+        if self.register.is_proposing(Purpose.ADMIT_VOTER):
             return
         group = self._group()
-        instead = group.place_for(joiner, under, ready)
-        if instead is None:
+        replaced = group.place_for(joiner, joiner_epoch, ready)
+        if replaced is None:
             return
-        since_s = self._joiners.setdefault(joiner, self.now)
+        since_s = self._joiners.setdefault(joiner, self.context.now)
         if not group.is_turn(self._joiners, since_s):
             return
-        whose = f", instead of {instead}" if instead else ""
-        self._out.append(Log(f"{joiner.name} asks for a place{whose}"))
-        intent = ["replace", instead] if instead and instead != joiner.name else None
-        change = shard_state.Admit(joiner, instead, max(self.size, len(group.names)), under)
-        id = f"admit {joiner.name} {joiner.memory} {under}"
-        self._propose(id, change, ADMIT_S, Purpose.ADMIT, [], intent)
-
-    def _settle(self) -> None:
-        """Have a change of voters done with: who starts anew has forgotten that it was decided, and needs the
-        voters before it too, of whom another may have lost its disk by then."""
+        of_whom = f", instead of {replaced}" if replaced else ""
+        self.context.log(f"{joiner.name} asks for a place{of_whom}")
+        intent = [INTENT_REPLACE, replaced] if replaced and replaced != joiner.name else None
+        change = shard_state.Admit(joiner, replaced, max(self.size, len(group.names)), joiner_epoch)
+        id = f"admit {joiner.name} {joiner.memory} {joiner_epoch}"
+        self.register.propose(id, change, ADMIT_TIMEOUT_S, Purpose.ADMIT_VOTER, [], intent)
+
+    def _end_voter_change(self) -> None:
+        """Propose to end a change of voters.
+
+        A replica that starts anew has forgotten that the change was decided, and needs the voters before it
+        too, of whom another may have lost its disk by then.
+        """
         if not self.known.former or self.voter not in self.known.voters or not self.standing.caught_up:
             return
         if self._group().able(self._joiners)[0] == self.name:
             id = f"settle {self.known.version}"
-            self._propose(id, shard_state.settle, OWN_S, Purpose.SETTLE, [])
+            self.register.propose(id, shard_state.settle, CHANGE_TIMEOUT_S, Purpose.END_VOTER_CHANGE, [])
 
-    # Duties
+    # Ownership
 
-    def _mind_owner(self) -> None:
-        """Take the duties of the shard where their owner is gone or can't do them, if this one comes
-        first.
-        """
-        if self.voter not in self.known.voters or self.now - self.peers.began_s < SETTLE_S:
+    def _take_ownership(self) -> None:
+        """Propose to own the shard, if its owner is gone or unfit and this controller comes first."""
+        started_s = self.peers.began_s
+        if self.voter not in self.known.voters or self.context.now - started_s < OWNERSHIP_START_S:
             return
-        if not self.standing.caught_up or self._proposes(Purpose.OWN):
+        if not self.standing.caught_up or self.register.is_proposing(Purpose.TAKE_OWNERSHIP):
             return
         owner = self.body.owner
-        fence = self.body.fence
+        fencing_token = self.body.fence
         if takes_over(self._group(), owner):
-            intent = ["own", owner] if owner and owner != self.name else None
-            self._propose(f"own {fence}", shard_state.Own(self.name, fence), OWN_S, Purpose.OWN, [], intent)
+            intent = [INTENT_OWN, owner] if owner and owner != self.name else None
+            change = shard_state.Own(self.name, fencing_token)
+            id = f"own {fencing_token}"
+            self.register.propose(id, change, CHANGE_TIMEOUT_S, Purpose.TAKE_OWNERSHIP, [], intent)
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -89,16 +89,16 @@
         """
         expired = self.operation_keys.expire(now)
         if expired:
-            self._write([deletion_of(key) for key in expired])
+            self.context.write([deletion_of(key) for key in expired])
         for retry in self._answer_retries:
             if retry.due_s <= now and self.operation_keys.records.get(retry.key) is retry.record:
-                self._write([put_of(retry.key, retry.record)], KeyAnswerSaved(retry.key, retry.record))
+                self.context.write([put_of(retry.key, retry.record)], KeyAnswerSaved(retry.key, retry.record))
         self._answer_retries = [retry for retry in self._answer_retries if retry.due_s > now]
         if self._pass_time(now):
             self._update_hints()
             self._check_caught_up()
         self._request_pages(now)
-        return self._flush()
+        return self._take_actions()
 
     def receive(self, sender: Any, message: ShardBody, now: float) -> list[Action]:
         """Handle a message of another controller.
@@ -107,7 +107,7 @@
         :param now: seconds on the clock of the event loop.
         :raises ValueError: for a malformed message; also TypeError, KeyError or IndexError.
         """
-        self.now = now
+        self.context.now = now
         match message:
             case KeyPageRequest():
                 self._handle_page_request(sender, message)
@@ -125,8 +125,8 @@
                 self.hints.acknowledge(message.name, message.number)
                 self._send_hints(message.name)
             case _:
-                self._take(sender, message)
-        return self._flush()
+                self._receive_from_replica(sender, message)
+        return self._take_actions()
 
     def write_finished(self, completion: WriteCompletion, ok: bool, now: float) -> list[Action]:
         """Take the result of a write.
@@ -135,7 +135,7 @@
         :param ok: whether the records are on disk.
         :param now: seconds on the clock of the event loop.
         """
-        self.now = now
+        self.context.now = now
         match completion:
             case ClaimSaved() if ok:
                 self._claim_saved(completion)
@@ -144,14 +144,14 @@
             case KeyPageSaved(name, request):
                 self._page_saved(name, request, ok)
             case HandoffSaved(reply_to, number) if ok:
-                self._reply(reply_to, HandoffAck(self.name, number))
+                self.context.reply(reply_to, HandoffAck(self.name, number))
             case KeyReleaseSaved(reply_to, number) if ok:
-                self._out.append(SendReply(reply_to, KeyReleaseAck(number)))
+                self.context.actions.append(SendReply(reply_to, KeyReleaseAck(number)))
             case CaughtUpSaved(epoch):
                 self._caught_up_saved(epoch, ok)
             case _:
-                self._kept(completion, ok)
-        return self._flush()
+                self._replica_written(completion, ok)
+        return self._take_actions()
 
     # Operation keys
 
@@ -162,7 +162,7 @@
         :param has_room: whether the disk has room for another record.
         :param now: seconds on the clock of the event loop.
         """
-        self.now = now
+        self.context.now = now
         key = claim.key
         if not self.grants(claim.epoch) or (not has_room and key not in self.operation_keys.records):
             return self._answer_claim(sender, claim, ClaimOutcome.RETRY)
@@ -177,14 +177,14 @@
         self.unsaved_records[key] = record
         self.hints.record_write(key, now)
         completion = ClaimSaved(sender, claim.request, claim.epoch, key, claim.attempt_id, record)
-        self._write([put_of(key, record)], completion)
-        return self._flush()
+        self.context.write([put_of(key, record)], completion)
+        return self._take_actions()
 
     def _answer_claim(
         self, sender: Any, claim: KeyClaim, outcome: ClaimOutcome, answer: Any = None
     ) -> list[Action]:
-        self._out.append(SendReply(sender, KeyGrant(claim.request, claim.epoch, outcome, answer)))
-        return self._flush()
+        self.context.actions.append(SendReply(sender, KeyGrant(claim.request, claim.epoch, outcome, answer)))
+        return self._take_actions()
 
     def _claim_saved(self, claim: ClaimSaved) -> None:
         """Answer a claim, whose record is on disk now.
@@ -196,19 +196,21 @@
         is_current = self.operation_keys.records.get(claim.key) is claim.record
         granted = is_current and claim.holder == claim.record.holder and self.grants(claim.epoch)
         outcome = ClaimOutcome.GRANTED if granted else ClaimOutcome.RETRY
-        self._out.append(SendReply(claim.reply_to, KeyGrant(claim.request, claim.epoch, outcome, None)))
+        self.context.actions.append(
+            SendReply(claim.reply_to, KeyGrant(claim.request, claim.epoch, outcome, None))
+        )
 
     def record_answer(self, message: KeyAnswer, now: float) -> list[Action]:
         """Record the answer of the first run under a key.
 
         :param now: seconds on the clock of the event loop.
         """
-        self.now = now
+        self.context.now = now
         record = self.operation_keys.record_answer(message.key, message.attempt_id, message.answer)
         if record is not None:
             self.hints.record_write(message.key, now)
-            self._write([put_of(message.key, record)], KeyAnswerSaved(message.key, record))
-        return self._flush()
+            self.context.write([put_of(message.key, record)], KeyAnswerSaved(message.key, record))
+        return self._take_actions()
 
     def release_key(self, sender: Any, release: KeyRelease, now: float) -> list[Action]:
         """Release a key whose attempt has not run and never will.
@@ -219,12 +221,12 @@
         :param sender: the link over which the release is acknowledged.
         :param now: seconds on the clock of the event loop.
         """
-        self.now = now
+        self.context.now = now
         key = release.key
         if self.operation_keys.release(key, release.attempt_id):
             self.unsaved_records.pop(key, None)
         if self.operation_keys.released.get(key) == release.attempt_id:
-            self._write([deletion_of(key)], KeyReleaseSaved(sender, release.number))
+            self.context.write([deletion_of(key)], KeyReleaseSaved(sender, release.number))
         else:
-            self._out.append(SendReply(sender, KeyReleaseAck(release.number)))
-        return self._flush()
+            self.context.actions.append(SendReply(sender, KeyReleaseAck(release.number)))
+        return self._take_actions()
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from orchidferry.balancing.register import NONE, Kept, Value, Voter, majority
+from orchidferry.balancing.register import Kept, Value, Voter
 from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
 
 # Orders that each state lists. A list as long as this may be cut: a build with a larger number has to tell
@@ -178,40 +178,6 @@
     return Value(before.version + 1, before.voters, after)
 
 
-@dataclass(frozen=True, slots=True)
-class Seen:
-    """What one voter has accepted last, on its disk. `value`: None where the asker has that one itself."""
-
-    voter: Voter
-    accepted: tuple[int, str]
-    value: Value | None
-
-
-def stands(
-    seen: list[Seen], own: Value | None, own_ballot: tuple[int, str], first: Value | None
-) -> Value | None:
-    """The state that was decided, if what a majority has accepted shows it; None if a round has to be run.
-
-    A majority that accepted one ballot has decided it; anything decided later would have been accepted by one
-    of them. Nothing is written for this, and nobody's round is disturbed. `first`: the state that stands if
-    nobody has accepted any, where that is known.
-    """
-    for ballot in {s.accepted for s in seen}:
-        alike = [s for s in seen if s.accepted == ballot]
-        if ballot == NONE:
-            value = first
-        elif ballot == own_ballot:
-            value = own
-        else:
-            value = next((s.value for s in alike if s.value is not None), None)
-        if value is None:
-            continue
-        voters = [s.voter for s in alike]
-        if majority(value.voters, voters) and (not value.former or majority(value.former, voters)):
-            return value
-    return None
-
-
 def sources_needed(voters: int) -> int:
     """How many controllers that remember a newcomer must hear, so that no majority of old is missed.
 
--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -201,7 +201,7 @@
         controller = self.controllers[name]
         if not controller.alive:
             return
-        controller.do(controller.shard.ask(one.waits, one.order, PUT_S, self.now))
+        controller.do(controller.shard.request_change(one.waits, one.order, PUT_S, self.now))
 
     def _silent(self, one: Operator, waits: str) -> None:
         if one.waits == waits:
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -246,10 +246,10 @@
                 fences = [s.accepted_fence for s in self.shards.values()]
                 self.send(sender, HeartbeatAck(self.name, message.number, fences))
                 for shard, version in zip(self.shards.values(), message.versions, strict=True):
-                    self.do(shard, shard.catch(version, sender))
+                    self.do(shard, shard.heartbeat_received(version, sender))
             case HeartbeatAck():
                 for shard, fence in zip(self.shards.values(), message.fencing_tokens, strict=True):
-                    shard.pulse(sender, self.beats.get(message.number, 0.0), fence)
+                    shard.heartbeat_acknowledged(sender, self.beats.get(message.number, 0.0), fence)
             case ShardMessage():
                 self.cost.pages += isinstance(message.body, KeyPage | KeyRecords | Handoff)
                 shard = self.shards[message.shard]
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -156,12 +156,12 @@
         self.peers.learning[sender] = () if learned else (self.number,)
         (self.peers.unfit.discard if fit else self.peers.unfit.add)(sender)
         self.world.send(self.name, sender, "pulse", self.name, number, self.shard.accepted_fence)
-        self.do(self.shard.catch(version, sender))
+        self.do(self.shard.heartbeat_received(version, sender))
 
     def pulse(self, sender: str, number: int, fence: int) -> None:
         """A beat was heard."""
         if number in self.beats:
-            self.shard.pulse(sender, self.beats[number], fence)
+            self.shard.heartbeat_acknowledged(sender, self.beats[number], fence)
 
     def claim(self, who: Any, rid: int, under: int, key: str, holder: str) -> None:
         """A try wants a key."""
--- a/orchidferry/testkit/explore/dead_messages.py
+++ b/orchidferry/testkit/explore/dead_messages.py
@@ -31,7 +31,7 @@
         case DecidedBallot():
             return message.version <= receiver.known.version
         case AcceptedState():  # each reading has a number of its own
-            reading = receiver._readings.current
+            reading = receiver.reader.reads.current
             return reading is None or reading.number != message.reading
         case RegisterMessage(body=RegisterPromise() | RegisterAccepted()):  # each round has its own ballot
             return ballot_of_round(receiver) != message.body.ballot
@@ -40,5 +40,5 @@
 
 def ballot_of_round(shard: Shard) -> Ballot | None:
     """The ballot of the round that a shard's proposer runs; None for none."""
-    round_ = shard.proposer._round
+    round_ = shard.register.proposer._round
     return round_.ballot if round_ is not None else None
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -56,8 +56,17 @@
 GRID_S = 0.4  # beats, and what a shard does now and then
 MIN_S = 0.02  # that time moves
 KEY = "k"
-# Of a shard: told by other fields, set by each event before it is read, or of use in a round alone.
-NOT_IN_PRINT = ("acceptor", "rng", "peers", "now", "_references")
+# Of a shard and its parts: told by other fields, set by each event, or of use in a round alone.
+NOT_IN_PRINT = (
+    "acceptor",
+    "context",
+    "listener",
+    "order_requests",
+    "peers",
+    "reader",
+    "references",
+    "register",
+)
 
 
 def _fast(kind: Any) -> None:
@@ -608,9 +617,9 @@
             id = asker.waits.split()[1]
             if asker.step == "read":
                 asker.newest = self.newest
-                controller.do(controller.shard.read(id, self.now))
+                controller.do(controller.shard.request_read(id, self.now))
             else:
-                controller.do(controller.shard.ask(id, asker.change(), 1.2, self.now))
+                controller.do(controller.shard.request_change(id, asker.change(), 1.2, self.now))
 
     def _next(self, asker: Asker, settled: bool = False) -> None:
         after = {"put": "read" if settled else "again", "again": "read", "read": "over"}
@@ -704,9 +713,11 @@
         ]
         for controller in self.controllers.values():
             shard = controller.shard
-            kept = controller.shard.acceptor.kept
-            references = shard._references if shard._references.ballot == ballot_of_round(shard) else None
-            inside = [references, *(v for k, v in vars(shard).items() if k not in NOT_IN_PRINT)]
+            kept = controller.shard.register.acceptor.kept
+            references = shard.register.references
+            inside = [references if references.ballot == ballot_of_round(shard) else None]
+            for part in (shard, shard.register, shard.reader):
+                inside += [v for k, v in vars(part).items() if k not in NOT_IN_PRINT]
             records = shard.operation_keys.records
             # Which of two equal ones is meant, where the shard looks at that.
             same = [shard.unsaved_records[key] is records.get(key) for key in shard.unsaved_records]
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -11,7 +11,7 @@
 
 from orchidferry.balancing import register
 from orchidferry.balancing.register import Acceptor, Kept, Proposer, Value, Voter
-from orchidferry.mesh.control import duties, shard_state
+from orchidferry.mesh.control import duties, quorum_read, shard_state
 from orchidferry.mesh.control.actions import Action, WriteRecords
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.operation_key_client import GrantCount
@@ -68,7 +68,7 @@
 
 
 def _from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
-    self.shard.pulse(sender, self.world.now, fence)
+    self.shard.heartbeat_acknowledged(sender, self.world.now, fence)
 
 
 def _long_lease(self: Shard, now: float) -> int | None:
@@ -141,9 +141,9 @@
 _promised = Proposer._promised
 _verdict = OrderHistory.verdict
 _own = shard_state.Own.__call__
-_pulse = Shard.pulse
+_pulse = Shard.heartbeat_acknowledged
 _add = GrantCount.add
-_join = Shard._join
+_join = Shard._ask_to_join
 _release = OperationKeys.release
 _claim = Shard.claim_key
 
@@ -190,7 +190,7 @@
         "any one voter is enough for a round", "puts", 1, "cut", (register, "majority", _any_majority)
     ),
     "any-reading": break_under_faults(
-        "any one voter is enough for a reading", "puts", 1, "cut", (shard_state, "majority", _any_majority)
+        "any one voter is enough for a reading", "puts", 1, "cut", (quorum_read, "majority", _any_majority)
     ),
     "any-version": break_under_faults(
         "a configuration is taken on top of any", "puts", 0, "", (OrderHistory, "verdict", _any_version)
@@ -231,7 +231,7 @@
         "wipe",
         (Controller, "wipe", _full_memory),
         (Standing, "put_out", _not_put_out),
-        (Shard, "_join", _joins),
+        (Shard, "_ask_to_join", _joins),
     ),
     "one-source": break_under_faults(
         "one other is enough to learn from", "learning", 0, "", (shard_state, "sources_needed", _one_source)
@@ -242,7 +242,7 @@
         0,
         "",
         (Standing, "put_out", _not_put_out),
-        (Shard, "_join", _joins),
+        (Shard, "_ask_to_join", _joins),
         (Shard, "ready", True),
     ),
     "drops-any": break_under_faults(
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -14,6 +14,7 @@
 from orchidferry.balancing.register import Accept, Acceptor, Prepare, Promise
 from orchidferry.balancing.register import Send as SendMessage
 from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.register_reader import RegisterReader
 from orchidferry.mesh.control.replica import Replica
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.control.value_references import ValueReferences
@@ -57,7 +58,7 @@
             name
             for name, one in self.controllers.items()
             if one.shard.voter in voters
-            and (value := one.shard.acceptor.kept.value) is not None
+            and (value := one.shard.accepted_value) is not None
             and value.version >= newest
         ]
         if 2 * len(holders) <= len(voters):
@@ -145,13 +146,13 @@
 
 def _owns_by_its_disk(self: Shard, now: float) -> int | None:
     """The fence on its own disk is enough."""
-    value = self.acceptor.kept.value
+    value = self.accepted_value
     state = shard_state.body(value) if value is not None else self.body
     return state.fence if state.owner == self.name else None
 
 
-def _reads_own(self: Replica, id: str) -> None:
-    self._end_reading([id], self.known, "")
+def _reads_own(self: RegisterReader, reader: str) -> None:
+    self.end([reader], self.register.known, "")
 
 
 def _tells_nothing(self: Replica, version: int, name: str) -> list[Any]:
@@ -182,12 +183,12 @@
         "an owner acts by the fence on its own disk", "hundreds-owner", (Shard, "owns", _owns_by_its_disk)
     ),
     "reads-own": deliberate_break(
-        "a replica answers readings from what it knows", "hundreds-dark", (Replica, "_read", _reads_own)
+        "a replica answers readings from what it knows", "hundreds-dark", (RegisterReader, "read", _reads_own)
     ),
     "never-catches-up": deliberate_break(
         "a replica that is behind asks for nothing",
         "hundreds-unasked",
-        (Replica, "catch", _tells_nothing),
+        (Replica, "heartbeat_received", _tells_nothing),
     ),
     "named-is-nothing": deliberate_break(
         "a state that a promise names by its ballot counts as none",
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -152,9 +152,9 @@
         operator = self.operators[attempt.operator]
         shard = self.controllers[attempt.at].shard
         if operator.what == "read":
-            actions = shard.read(attempt.id, self.now)
+            actions = shard.request_read(attempt.id, self.now)
         else:
-            actions = shard.ask(attempt.id, operator.change(), 4.0, self.now)
+            actions = shard.request_change(attempt.id, operator.change(), 4.0, self.now)
         self.controllers[attempt.at].do(actions)
 
     def told(self, name: str, end: RequestEnded) -> None:
@@ -353,7 +353,7 @@
 
 
 def _from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
-    self.shard.pulse(sender, self.world.now, fence)
+    self.shard.heartbeat_acknowledged(sender, self.world.now, fence)
 
 
 def _keeps_waiting(self: Replica) -> None:
@@ -374,22 +374,22 @@
     change: shard_state.Change = args[0]
     actions = _ask(self, id, *args)
     after = change(self.known)
-    if isinstance(after, str) or not self.in_contact(self.now):
+    if isinstance(after, str) or not self.in_contact(self.context.now):
         return actions
     return [*actions, RequestEnded(id, after, "")]
 
 
 def _says_refused(self: Replica) -> None:
     """What contact was lost over is told as refused, and goes on."""
-    for proposal in self._proposals.values():
-        if proposal.purpose is Purpose.CALL:
-            self._out += [
+    for proposal in self.register.proposals.values():
+        if proposal.purpose is Purpose.REQUEST:
+            self.context.actions += [
                 RequestEnded(one, self.known, shard_state.OTHER_VERSION) for one in proposal.waiting
             ]
             proposal.waiting = []
 
 
-_ask = Shard.ask
+_ask = Shard.request_change
 
 
 BREAKS: dict[str, Break] = {
@@ -408,22 +408,30 @@
         "isolated",
         0,
         "",
-        (Replica, "_end_calls", _keeps_waiting),
+        (Replica, "_end_requests", _keeps_waiting),
     ),
     "contact-with-one": break_under_faults(
         "one other is enough for contact", "halves", 0, "", (Contact, "since_s", _any_one)
     ),
     "reads-by-contact": break_under_faults(
-        "a reading is answered by contact alone", "isolated-briefly", 0, "", (Shard, "read", _local_read)
+        "a reading is answered by contact alone",
+        "isolated-briefly",
+        0,
+        "",
+        (Shard, "request_read", _local_read),
     ),
     "confirms-by-contact": break_under_faults(
-        "an order is confirmed by contact alone", "isolated-briefly", 0, "", (Shard, "ask", _confirms_early)
+        "an order is confirmed by contact alone",
+        "isolated-briefly",
+        0,
+        "",
+        (Shard, "request_change", _confirms_early),
     ),
     "unclear-as-refused": break_under_faults(
         "what is unclear is told as refused",
         "isolated-at-once",
         1,
         "cut oneway",
-        (Replica, "_end_calls", _says_refused),
+        (Replica, "_end_requests", _says_refused),
     ),
 }
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -16,7 +16,7 @@
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.order_book import OrderBook
 from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
-from orchidferry.mesh.control.replica import Replica
+from orchidferry.mesh.control.order_requests import OrderRequests
 from orchidferry.testkit.explore.mesh import Break, Scene, World
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
 from orchidferry.testkit.explore.worst_days.play import Play
@@ -114,10 +114,10 @@
         operator.until_s = self.now + SILENCE_S
         with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
             if send is not None:
-                controller.do(controller.shard.ask(id, send.order.change(), 1.2, self.now))
+                controller.do(controller.shard.request_change(id, send.order.change(), 1.2, self.now))
             else:
                 operator.newest = max((order.number for order in self.acknowledged), default=0)
-                controller.do(controller.shard.read(id, self.now))
+                controller.do(controller.shard.request_read(id, self.now))
 
     def _next(self, asker: Any, settled: bool = False) -> None:
         """No answer in time: the same again, to the next controller."""
@@ -334,17 +334,17 @@
     return [], []
 
 
-def _told_before_decided(self: Replica, id: str, order: shard_state.Put, for_s: float) -> None:
-    accepted = self.acceptor.kept.value
+def _told_before_decided(self: OrderRequests, id: str, order: shard_state.Put, for_s: float) -> None:
+    accepted = self.register.acceptor.kept.value
     if accepted is not None and shard_state.body(accepted).raw == order.raw:
-        self._out.append(RequestEnded(id, accepted))
+        self.context.actions.append(RequestEnded(id, accepted))
     else:
         _order(self, id, order, for_s)
 
 
 _verdict = OrderHistory.verdict
 _merge = OrderHistory.merge
-_order = Replica._order
+_order = OrderRequests.request
 
 
 BREAKS: dict[str, Break] = {
@@ -367,7 +367,7 @@
         (OrderHistory, "_forget", _never),
     ),
     "not-asked": deliberate_break(
-        "a replica that forgot asks nobody", "wiped-replica", (Replica, "_mind_orders", _never)
+        "a replica that forgot asks nobody", "wiped-replica", (OrderRequests, "ask_for_older", _never)
     ),
     "not-saved": deliberate_break(
         "orders are not put on disk", "all-killed", (OrderBook, "puts", _nothing_saved)
@@ -375,7 +375,7 @@
     "told-early": deliberate_break(
         "an order counts as taken once its replica has accepted it",
         "minority",
-        (Replica, "_order", _told_before_decided),
+        (OrderRequests, "request", _told_before_decided),
         faults=1,
         kinds="cut",
     ),
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -217,7 +217,7 @@
 
 
 def _counts_at_once(self: RepairingReplica, value: Value) -> None:
-    _regrouped(self, value)
+    _group_changed(self, value)
     if self.voter in value.voters:
         self.standing.caught_up = True
 
@@ -246,7 +246,7 @@
     return False
 
 
-_regrouped = RepairingReplica._regrouped
+_group_changed = RepairingReplica._group_changed
 _to_ask = Standing.to_ask
 
 
@@ -254,7 +254,7 @@
     "votes-before-learning": deliberate_break(
         "a newcomer counts as caught up when it is admitted",
         "replaced-wiped",
-        (RepairingReplica, "_regrouped", _counts_at_once),
+        (RepairingReplica, "_group_changed", _counts_at_once),
         (RepairingReplica, "ready", True),
     ),
     "one-source-replaced": deliberate_break(
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -219,7 +219,7 @@
 
     def _ask(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
         id = self.rollout.wait_for(told)
-        self.replica.do(self.replica.shard.ask(id, change, PUT_S, self.time()))
+        self.replica.do(self.replica.shard.request_change(id, change, PUT_S, self.time()))
         self.sync()
 
     @property
@@ -256,7 +256,7 @@
             self.publisher.send_revision(end, Revision(request, newest_revision(ended)))
 
         id = self.rollout.wait_for(tell)
-        self.replica.do(self.replica.shard.read(id, self.time()))
+        self.replica.do(self.replica.shard.request_read(id, self.time()))
         self.sync()
 
 
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -217,11 +217,11 @@
     def put(self, name: str, id: str, change: shard_state.Put, for_s: float = 4.0) -> None:
         """Ask a controller for a change."""
         controller = self.controllers[name]
-        controller.do(controller.shard.ask(id, change, for_s, self.now))
+        controller.do(controller.shard.request_change(id, change, for_s, self.now))
         self._sync(name)
 
     def read(self, name: str, id: str) -> None:
         """Ask a controller for the newest state."""
         controller = self.controllers[name]
-        controller.do(controller.shard.read(id, self.now))
+        controller.do(controller.shard.request_read(id, self.now))
         self._sync(name)
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.contact import CONTACT_S, LOST_CONTACT, OUT_OF_CONTACT, Contact
 from orchidferry.mesh.control.control_api import call
-from orchidferry.mesh.control.reading import READING_S
+from orchidferry.mesh.control.quorum_read import READ_TIMEOUT_S
 from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
 from orchidferry.node.frontend import Reply
 from orchidferry.testkit.explore import worst_days
@@ -87,13 +87,13 @@
     world.now += 5.0  # frozen; the acknowledgements of that beat are in its buffers
     for name in "bc":
         world.controller.pulse(name, 1, 0)
-    world.controller.do(shard.read("r", world.now))
-    world.controller.do(shard.ask("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
+    world.controller.do(shard.request_read("r", world.now))
+    world.controller.do(shard.request_change("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
     assert world.ended == [RequestEnded("r", None, OUT_OF_CONTACT), RequestEnded("p", None, OUT_OF_CONTACT)]
-    assert not world.readings and not shard.proposer.due_ms < float("inf")
+    assert not world.readings and not shard.register.proposer.due_ms < float("inf")
     world.controller.beat_to("bc")
     world.controller.pulse("b", 2, 0)
-    world.controller.do(shard.read("r2", world.now))
+    world.controller.do(shard.request_read("r2", world.now))
     assert len(world.ended) == 2 and world.readings
 
 
@@ -103,8 +103,8 @@
     world.controller.beat_to("bc")
     world.controller.pulse("b", 1, 0)
     world.now += CONTACT_S - 0.3
-    world.controller.do(shard.read("r", world.now))
-    world.controller.do(shard.ask("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
+    world.controller.do(shard.request_read("r", world.now))
+    world.controller.do(shard.request_change("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
     assert shard.due_s <= 1.0 + CONTACT_S and not world.ended
     world.tick(0.29)
     assert not world.ended
@@ -113,7 +113,7 @@
         ("r", None, LOST_CONTACT),
         ("p", None, LOST_CONTACT),
     }
-    assert shard.proposer.due_ms == float("inf")  # and the order is not gone on with
+    assert shard.register.proposer.due_ms == float("inf")  # and the order is not gone on with
 
 
 def test_a_reading_over_a_slow_link_takes_its_answers_when_they_come() -> None:
@@ -126,7 +126,7 @@
         world.controller.pulse("b", world.controller.count, 0)
 
     beat()
-    world.controller.do(shard.read("r", world.now))
+    world.controller.do(shard.request_read("r", world.now))
     for _ in range(4):
         world.tick(0.1)
         beat()
@@ -144,8 +144,8 @@
         world.controller.beat_to("bc")
         world.controller.pulse("b", world.controller.count, 0)
         if not world.controller.count > 1:
-            world.controller.do(shard.read("r", world.now))
-        assert not world.ended or world.now - 1.0 > READING_S - 1e-6
+            world.controller.do(shard.request_read("r", world.now))
+        assert not world.ended or world.now - 1.0 > READ_TIMEOUT_S - 1e-6
         world.tick(0.1)
     assert world.ended == [RequestEnded("r", None, "")]
 
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -384,7 +384,7 @@
             texts.append(text)
         await asyncio.wait_for(formed.wait(), 10.0)
         told = controller._publisher.traffic.messages("text")
-        put = controller._configuration_shard.ask(
+        put = controller._configuration_shard.request_change(
             "", shard_state.Put(b"text", 7, b"mark", 0), 4.0, loop.time()
         )
         controller._do(controller._configuration_shard, put)
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -168,7 +168,7 @@
     group.dark.clear()
     group.run(0.011)
     assert group.controllers["c"].shard.body.revision == 1 and group.bytes["decided_state_request"]
-    assert shard_state.body(group.controllers["c"].shard.acceptor.kept.value or VALUE).revision == 0
+    assert shard_state.body(group.controllers["c"].shard.accepted_value or VALUE).revision == 0
 
 
 # What a change costs
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -163,7 +163,9 @@
 
         id = str(self.number())
         self.waiting[id] = told
-        controller.do(controller.shard.ask(id, shard_state.Put(digest, revision, digest, on), 3.0, self.now))
+        controller.do(
+            controller.shard.request_change(id, shard_state.Put(digest, revision, digest, on), 3.0, self.now)
+        )
 
     def read(self) -> None:
         controller, newest = self.some(), self.newest
@@ -177,7 +179,7 @@
 
         id = str(self.number())
         self.waiting[id] = told
-        controller.do(controller.shard.read(id, self.now))
+        controller.do(controller.shard.request_read(id, self.now))
 
     def play(self, seconds: float, until: Callable[[], bool] = lambda: False) -> None:
         """All goes well: what is sent arrives, and disks take what is written."""
@@ -205,7 +207,9 @@
         """Kill one; a disk is lost only while all the others remember."""
         controller = self.some()
         up = [
-            k for k in self.controllers.values() if k.alive and k.shard.standing.caught_up and k.shard.clean
+            k
+            for k in self.controllers.values()
+            if k.alive and k.shard.standing.caught_up and k.shard.register.vote_on_disk
         ]
         if controller is None or sum(k is not controller for k in up) < 2:
             return
@@ -287,19 +291,19 @@
 
     mine = Value(1, (a, b, c), shard_state.Body(0, owner="a", fence=1))
     know(mine, 1.0)
-    shard.pulse("b", 1.0, 1)
+    shard.heartbeat_acknowledged("b", 1.0, 1)
     assert shard.owns(1.0) == 1 and shard.owns(1.9) == 1 and shard.owns(1.0 + TENURE_S) is None
     changed = shard_state.Admit(d, "c", 3, 0)(mine)
     assert isinstance(changed, Value) and shard_state.body(changed).fence == 2
-    shard.acceptor.kept = Kept(shard_state.GENESIS, (5, "b"), (5, "b"), changed)
+    shard.register.acceptor.kept = Kept(shard_state.GENESIS, (5, "b"), (5, "b"), changed)
     assert shard.owns(1.5) is None  # who counts may have changed
     know(changed, 1.5)
-    shard.pulse("b", 1.6, 1)
+    shard.heartbeat_acknowledged("b", 1.6, 1)
     assert shard.owns(1.6) == 2  # it was the owner before, too
     know(Value(3, (a, b, d), shard_state.Body(1, owner="b", fence=3)), 2.0)
     know(Value(4, (a, b, d), shard_state.Body(1, owner="a", fence=4)), 3.0)
     for now in (3.1, 3.9, 4.0):
-        shard.pulse("b", now, 4)
+        shard.heartbeat_acknowledged("b", now, 4)
         assert shard.owns(now) == (4 if now >= 3.0 + TENURE_S else None)
 
 
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -76,7 +76,7 @@
         controllers = self.controllers.values()
         newest = max(k.shard.known.version for k in controllers)
         states: list[Value] = [k.shard.known for k in controllers]
-        states += [value for k in controllers if (value := k.shard.acceptor.kept.value) is not None]
+        states += [value for k in controllers if (value := k.shard.accepted_value) is not None]
         for state in states:
             if state.version >= newest:
                 yield state.voters
@@ -87,7 +87,12 @@
         """Whether a voter is not lost."""
         controller = self.controllers[voter.name]
         shard = controller.shard
-        return controller.alive and shard.voter == voter and shard.standing.caught_up and shard.clean
+        return (
+            controller.alive
+            and shard.voter == voter
+            and shard.standing.caught_up
+            and shard.register.vote_on_disk
+        )
 
     def tolerated(self, lost: list[Controller]) -> bool:
         """Whether a majority of each group is left without these."""
@@ -162,7 +167,7 @@
 
         id = str(self.number())
         self.waiting[id] = told
-        controller.do(controller.shard.ask(id, order, 3.0, self.now))
+        controller.do(controller.shard.request_change(id, order, 3.0, self.now))
 
     def judge(self, order: shard_state.Put, end: RequestEnded) -> None:
         """An order is acknowledged or refused for ever, and one at most on each version."""
@@ -216,7 +221,7 @@
 
 
 _verdict = OrderHistory.verdict
-_regrouped = RepairingReplica._regrouped
+_group_changed = RepairingReplica._group_changed
 
 
 def _refuses_the_unknown(self: OrderHistory, *order: Any) -> Verdict:
@@ -225,7 +230,7 @@
 
 
 def _counts_at_once(self: RepairingReplica, value: Value) -> None:
-    _regrouped(self, value)
+    _group_changed(self, value)
     if self.voter in value.voters:
         self.standing.caught_up = True
 
@@ -234,7 +239,7 @@
     "patches",
     [
         [(OrderHistory, "verdict", _refuses_the_unknown)],
-        [(RepairingReplica, "_regrouped", _counts_at_once), (RepairingReplica, "ready", True)],
+        [(RepairingReplica, "_group_changed", _counts_at_once), (RepairingReplica, "ready", True)],
     ],
     ids=["unknown-refused", "votes-before-learning"],
 )
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -53,7 +53,7 @@
     other = next(name for name in "abc" if name != first)
     one.peers.heard_s = dict.fromkeys("abcd", 1.0)
     one.peers.leaving |= {other} if leaves else set()
-    assert bool(one._object_to(["replace", other])) is not leaves
+    assert bool(one.object_to(["replace", other])) is not leaves
     assert not proposes(one, D, 3, False, 1.0)  # it has not learned
     assert not proposes(one, D, 2, True, 1.0)  # it does not know this group
     assert proposes(one, D, 3, True, 1.0) is leaves
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/test_state_teller.py
@@ -7,7 +7,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_text import compress
-from orchidferry.mesh.control.state_teller import TELL_S
+from orchidferry.mesh.control.state_request import STATE_TIMEOUT_S
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import DecidedState, tag_of
@@ -61,4 +61,4 @@
     monkeypatch.setattr(group, "send", lossy)
     group.dark.clear()
     took_s = group.run_until(lambda: returned(group), 3.0)
-    assert len(set(silent)) == 2 and took_s < TELL_S + 2.0 * BEAT_S
+    assert len(set(silent)) == 2 and took_s < STATE_TIMEOUT_S + 2.0 * BEAT_S
--- a/tests/mesh/test_storage_check.py
+++ b/tests/mesh/test_storage_check.py
@@ -30,6 +30,7 @@
 from orchidferry.mesh import __main__ as program
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.membership import Standing
+from orchidferry.mesh.control.quorum_read import AcceptedReport, decided_value
 from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage import inspection, storage_check
@@ -347,13 +348,13 @@
     )
     # Two of them know it decided, with nothing written, and grant keys; a lone one does not.
     voters = {name: Acceptor(name, kept[name][0]) for name in FOUNDERS}
-    seen = [shard_state.Seen(v.voter, v.kept.accepted, v.kept.value) for v in voters.values()]
-    known = shard_state.stands(seen[:2], None, (0, ""), None)
-    assert known == one.value and shard_state.stands(seen[:1], None, (0, ""), None) is None
+    seen = [AcceptedReport(v.voter, v.kept.accepted, v.kept.value) for v in voters.values()]
+    known = decided_value(seen[:2], None, (0, ""), None)
+    assert known == one.value and decided_value(seen[:1], None, (0, ""), None) is None
     assert Standing(True).grants(shard_state.body(known).epoch, voters[FOUNDERS[0]].voter, known, one.value)
     # A survivor of the lost group has no voice, and its ballots and versions are behind.
-    survivor = shard_state.Seen(Voter("10.0.0.2", 6), (8, "y"), OLD)
-    assert shard_state.stands([seen[0], survivor], None, (0, ""), None) is None
+    survivor = AcceptedReport(Voter("10.0.0.2", 6), (8, "y"), OLD)
+    assert decided_value([seen[0], survivor], None, (0, ""), None) is None
     # A change builds on it, whoever of them asks, with no more known than the first state.
     proposer = Proposer("10.0.0.3 life", shard_state.genesis(FOUNDERS), random.Random(1))
     change = shard_state.Put(b"new", 8, b"e", 7)
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -336,7 +336,10 @@
         for _ in range(2):
             controller = a_controller(tmp_path)
             lives.append(
-                (controller._configuration_shard.voter, controller._configuration_shard.proposer.name)
+                (
+                    controller._configuration_shard.voter,
+                    controller._configuration_shard.register.proposer.name,
+                )
             )
             close(controller._store)
         assert lives[0][0] == lives[1][0] and lives[0][1] != lives[1][1]
