--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -33,7 +33,7 @@
 from orchidferry.mesh.control.order_records import orders_of
 from orchidferry.mesh.control.peers import DEAD_S, Peers
 from orchidferry.mesh.control.publisher import Publisher
-from orchidferry.mesh.control.retry_budget import RetryBudgets
+from orchidferry.mesh.control.retry_quota_allocator import RetryQuotaAllocators
 from orchidferry.mesh.control.shard import Shard, initial_records
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.settings import Settings
@@ -99,7 +99,9 @@
             self._name, settings.zone, self._rng.randrange(1, 2**53), loop, self._contact_age_ms
         )
         bounds = settings.bounds
-        self._retry_budgets = RetryBudgets(bounds.retry_slack, bounds.retry_window_s, self._owner_fence)
+        self._retry_quotas = RetryQuotaAllocators(
+            bounds.retry_slack, bounds.retry_window_s, self._owner_fence
+        )
         self._peers: dict[str, Link] = {}  # controllers that this one dialled,
         self._callers: dict[str, Link] = {}  # and that dialled it: also those that it knows of no other way
         self._dialling: set[str] = set()
@@ -473,7 +475,7 @@
         self._do(shard, shard.release_key(link, message, self._loop.time()))
 
     def _deal_retry_share(self, link: Link, request: RetryQuotaRequest) -> None:
-        share = self._retry_budgets.handle(request, self._loop.time())
+        share = self._retry_quotas.handle(request, self._loop.time())
         if share is not None:
             link.send(share)
 
