--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -35,7 +35,7 @@
 from orchidferry.mesh.dataplane.server_registration import HeartbeatEffect, ServerRegistration
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Address, Bounds
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.frontend import Reply
 from orchidferry.node.request import Message
 from orchidferry.node.timer_queue import TimerQueue
@@ -140,13 +140,13 @@
         application: Address,
         bounds: Bounds,
         heartbeat_interval_ms: float,
-        alarms: TimerQueue,
+        timers: TimerQueue,
         connections: HttpConnectionPool,
         hooks: GateHooks,
     ) -> None:
         self._application = application
         self._bounds = bounds
-        self._alarms = alarms
+        self._timers = timers
         self._connections = connections
         self._hooks = hooks
         self._registration = ServerRegistration(heartbeat_interval_ms, now_ms())
@@ -156,7 +156,7 @@
         self.in_flight = 0  # requests at the server
         # Of these, those that nobody waits for, the oldest first.
         self._abandoned: dict[GateRequest, ServerAttempt] = {}
-        self._queue: AdmissionQueue[GateRequest] = AdmissionQueue(alarms)
+        self._queue: AdmissionQueue[GateRequest] = AdmissionQueue(timers)
         self.draining = False  # the node is to end: nothing more is admitted
 
     @property
@@ -248,7 +248,7 @@
         if self._queue.length or self.in_flight >= self._slots():
             return attempt.abort(Result.CANCELLED)
         self._abandoned[request] = attempt
-        self._alarms.after(ABANDONED_S, lambda: attempt.abort(Result.CANCELLED))
+        self._timers.schedule(ABANDONED_S, lambda: attempt.abort(Result.CANCELLED))
 
     def _slots(self) -> int:
         capacity = self.server.capacity if self.server is not None else DEFAULT_SLOTS
--- a/orchidferry/mesh/dataplane/admission_queue.py
+++ b/orchidferry/mesh/dataplane/admission_queue.py
@@ -28,8 +28,8 @@
 class AdmissionQueue(Generic[RequestT]):
     """Requests that wait; all operations but `waiting` take constant time for a bounded number of ranks."""
 
-    def __init__(self, alarms: TimerQueue) -> None:
-        self._alarms = alarms
+    def __init__(self, timers: TimerQueue) -> None:
+        self._timers = timers
         self._by_rank: dict[int, dict[int, RequestT]] = {}  # by position, in the order of arrival
         self._last_position = 0
         self.length = 0
@@ -48,12 +48,12 @@
             self.discard(request)
             on_timeout(request)
 
-        request.queue_alarm = self._alarms.after(timeout_s, expire)
+        request.queue_alarm = self._timers.schedule(timeout_s, expire)
 
     def discard(self, request: RequestT) -> None:
         """Take a request out, if it is in the queue."""
         if request.queue_alarm:
-            self._alarms.cancel(request.queue_alarm)
+            self._timers.cancel(request.queue_alarm)
             request.queue_alarm = 0
             self.length -= 1
             del self._by_rank[request.rank][request.queue_position]
--- a/orchidferry/mesh/dataplane/attempt.py
+++ b/orchidferry/mesh/dataplane/attempt.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from orchidferry.balancing.interface import Result
-from orchidferry.node.config import Address
+from orchidferry.node.address import Address
 from orchidferry.node.request import Message
 from orchidferry.node.upstream import Attempt, UpstreamResponse
 
--- a/orchidferry/mesh/dataplane/connection_pool.py
+++ b/orchidferry/mesh/dataplane/connection_pool.py
@@ -9,7 +9,7 @@
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.http_connection import HttpConnection
 from orchidferry.mesh.dataplane.idle_limit import IdleLimit
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream import UPLOAD_STALL_S, Attempt, Upstream
 
@@ -25,14 +25,14 @@
         connect_timeout_ms: float,
         keepalive_ms: float,
         free_sockets: Callable[[], int],
-        alarms: TimerQueue,
+        timers: TimerQueue,
         at_most_once_idle_ms: float,
     ) -> None:
         """:param free_sockets: how many more connections there may be.
 
         :param at_most_once_idle_ms: what may run at most once goes on no connection that was idle for longer.
         """
-        super().__init__(loop, connect_timeout_ms, keepalive_ms, free_sockets, alarms)
+        super().__init__(loop, connect_timeout_ms, keepalive_ms, free_sockets, timers)
         self._at_most_once_idle_ms = at_most_once_idle_ms
         self._idle_limits: dict[int, IdleLimit] = {}  # by server
 
@@ -57,7 +57,7 @@
         self._idle[attempt.server].pop()
         self._idle_by_age.pop(connection, None)
         attempt.set_timeout(
-            self.alarms, attempt.timeout_ms / 1000.0 if attempt.message.flow is None else UPLOAD_STALL_S
+            self.timers, attempt.timeout_ms / 1000.0 if attempt.message.flow is None else UPLOAD_STALL_S
         )
         connection.send_attempt(attempt)
 
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -22,7 +22,8 @@
     attempt_result,
 )
 from orchidferry.mesh.dataplane.response_parser import LINE_END, ResponseParser
-from orchidferry.node.config import Address, now_ms
+from orchidferry.node.address import Address
+from orchidferry.node.clock import now_ms
 from orchidferry.node.flow import Flow
 from orchidferry.node.upstream import Attempt, Connection, UpstreamResponse
 
--- a/orchidferry/mesh/dataplane/keyed_requests.py
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.dataplane.pending_request import PendingRequest
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.errors import Rejection, RejectionReason
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.frontend import Reply
 
 # For claiming a key: so long, or this share of the time left.
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -23,7 +23,7 @@
     forwarded_reply,
     request_bytes,
 )
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.frontend import Reply
 from orchidferry.node.upstream import UpstreamResponse
 
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -29,7 +29,7 @@
 from orchidferry.mesh.dataplane.service_client import ClientContext, ServiceClient
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Settings
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.flow import LONG_BODY, MemoryPool
 from orchidferry.node.frontend import Reply, RequestHandle
 from orchidferry.node.request import Message
@@ -74,7 +74,7 @@
         self._settings = settings
         self._loop = loop
         self._rng = random.Random()
-        self._alarms = TimerQueue(loop)
+        self._timers = TimerQueue(loop)
         self._max_sockets = max(MIN_SOCKETS, settings.descriptors - RESERVED_SOCKETS)
         self._gate_connections = self._connection_pool(GATE_KEEPALIVE_MS)
         self._gate_connections.local_ip = settings.bind_ip or None
@@ -96,7 +96,7 @@
             settings.application,
             settings.bounds,
             settings.beat_ms,
-            self._alarms,
+            self._timers,
             self._server_connections,
             GateHooks(self._publish, self._dependency_shed, self._keyed_requests.store_orphaned),
         )
@@ -108,7 +108,7 @@
             CONNECT_TIMEOUT_MS,
             keepalive_ms,
             self._free_sockets,
-            self._alarms,
+            self._timers,
             AT_MOST_ONCE_IDLE_MS,
         )
 
@@ -274,7 +274,7 @@
             settings.zone,
             settings.bounds,
             self._loop,
-            self._alarms,
+            self._timers,
             self._gate_connections,
             self._server_number,
         )
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -34,7 +34,7 @@
 from orchidferry.mesh.dataplane.retry_slack import RetrySlack
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Bounds
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.event_queue import EventQueue
 from orchidferry.node.frontend import Reply
 from orchidferry.node.timer_queue import TimerQueue
@@ -57,7 +57,7 @@
     zone: str
     bounds: Bounds
     loop: asyncio.AbstractEventLoop
-    alarms: TimerQueue
+    timers: TimerQueue
     connections: HttpConnectionPool
     server_number: Callable[[str], int]  # gives the number of a server by its id
 
@@ -70,13 +70,13 @@
         self.set_caller(context.service)
         self._bounds = context.bounds
         self._loop = context.loop
-        self._alarms = context.alarms
+        self._timers = context.timers
         self._connections = context.connections
         self._rng = random.Random()
         self._classes: dict[str, api.RequestClass] = {}
         self._max_attempts = 1
         self._balancer: Balancer | None = None
-        self._turns: EventQueue | None = None
+        self._events: EventQueue | None = None
         self._last_request = 0
         self.pending: dict[str, PendingRequest] = {}  # those that are owed a reply, by id
         self.attempts: dict[tuple[str, int], GateAttempt] = {}  # under way, by request and number
@@ -137,7 +137,7 @@
         )
         if self._balancer is None:
             self._balancer = Balancer(settings, self._rng.randrange(2**31))
-            self._turns = EventQueue(self._balancer.handle, self._perform, _log_failure)
+            self._events = EventQueue(self._balancer.handle, self._perform, _log_failure)
             self.handle(api.Started())
             self.handle(api.ServerList(api.ListKind.FULL, 0, self.endpoints.entries()))
         else:
@@ -162,12 +162,12 @@
         for request in self.pending.values():
             if request.deadline_ms > stop_ms:
                 request.deadline_ms = stop_ms
-                self._alarms.cancel(request.deadline_alarm)
+                self._timers.cancel(request.deadline_alarm)
                 self._set_deadline_alarm(request)
 
     def _set_deadline_alarm(self, request: PendingRequest) -> None:
         delay_s = (request.deadline_ms - now_ms()) / 1000.0
-        request.deadline_alarm = self._alarms.after(delay_s, request.deadline_passed)
+        request.deadline_alarm = self._timers.schedule(delay_s, request.deadline_passed)
 
     # Requests
 
@@ -259,7 +259,7 @@
 
     def _withdraw(self, request: PendingRequest) -> None:
         request.awaited = False
-        self._alarms.cancel(request.deadline_alarm)
+        self._timers.cancel(request.deadline_alarm)
         self.pending.pop(request.id, None)
 
     def _attempts_of(self, request: PendingRequest) -> list[GateAttempt]:
@@ -290,8 +290,8 @@
 
     def handle(self, event: api.Event) -> None:
         """Give the module an event and perform its actions; events raised meanwhile wait their turn."""
-        if self._turns is not None:
-            self._turns.handle(event)
+        if self._events is not None:
+            self._events.handle(event)
 
     def _perform(self, action: api.Action) -> None:
         match action:
--- a/orchidferry/mesh/dataplane/zone_preference.py
+++ b/orchidferry/mesh/dataplane/zone_preference.py
@@ -8,7 +8,7 @@
 
 import math
 
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 
 # Weight of a server of the same zone, by the queue length (averaged) up to which it applies.
 WEIGHTS = ((0.02, 4.0), (0.1, 2.0), (math.inf, 1.0))
--- a/orchidferry/node/admin_server.py
+++ b/orchidferry/node/admin_server.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from orchidferry.node.config import Address
+from orchidferry.node.address import Address
 
 MAX_CONNECTIONS = 16  # callers at once: a few watchers, and some that say nothing
 MAX_REQUEST_BYTES = 4 * 1024  # of a call, head and body
--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -16,7 +16,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing import versions as v
 from orchidferry.balancing.versions import Configuration, Part, Versions
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.control.channel import Channel
 from orchidferry.node.control.settings import Control
 from orchidferry.node.control.store import Store
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -20,7 +20,7 @@
 from orchidferry.balancing.versions import Configuration
 from orchidferry.node.control.agent import Agent, own_file
 from orchidferry.node.control.pipe import MAX_LINE, Held, PipeDecodeError, Row, Teller, line, read_line
-from orchidferry.node.control.plain import BAD_PLAIN, settings_from
+from orchidferry.node.control.plain import MALFORMED_JSON_ERRORS, settings_from
 from orchidferry.node.control.settings import Control
 from orchidferry.node.control.store import StateLockedError, Store
 
@@ -146,7 +146,7 @@
     try:
         async with asyncio.timeout(BEGIN_S):
             control, own, held = await _read_begin(reader)
-    except (*BAD_PLAIN, PipeDecodeError, TimeoutError) as problem:
+    except (*MALFORMED_JSON_ERRORS, PipeDecodeError, TimeoutError) as problem:
         if reader.at_eof():
             return 0  # the node has gone again
         print(f"orchidferry: the helper was told nothing that it can use: {problem}", file=sys.stderr)
--- a/orchidferry/node/control/link.py
+++ b/orchidferry/node/control/link.py
@@ -20,7 +20,8 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.node.config import ConfigError, now_ms
+from orchidferry.node.clock import now_ms
+from orchidferry.node.config import ConfigError
 from orchidferry.node.control.members import Home, Members
 from orchidferry.node.control.pipe import MAX_LINE, Change, PipeDecodeError, Taker, line, read_line
 from orchidferry.node.control.plain import plain
--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -18,9 +18,9 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Member, merged
-from orchidferry.node.config import Listing
 from orchidferry.node.control.pipe import STEP, Change, Row, steps
 from orchidferry.node.control.plain import member_from, member_row
+from orchidferry.node.server_listing import ServerListing
 
 IN_SERVICE = api.Health.IN_SERVICE
 LONG = 1_000  # rows of a change: a collection of what fewer make takes under 1 ms
@@ -34,7 +34,7 @@
     def listed(self) -> Collection[int]: ...  # the servers that it knows
     def serves(self, server: int) -> bool: ...  # whether one of them may be sent to
     def take_settings(self, settings: api.Settings) -> None: ...
-    def take_listing(self, listing: Listing, kind: api.ListKind) -> None: ...
+    def take_listing(self, listing: ServerListing, kind: api.ListKind) -> None: ...
     def stop_sending(self, servers: Iterable[int]) -> None: ...
 
 
@@ -153,7 +153,7 @@
             self.members.pop(server, None)
             self._ahead.discard(server)
         entries = [api.ServerEntry(server, health=api.Health.GONE) for server in servers]
-        self._home.take_listing(Listing(0, False, entries, {}), api.ListKind.CHANGES)
+        self._home.take_listing(ServerListing(0, False, entries, {}), api.ListKind.CHANGES)
 
     def _take(self, rows: list[Row]) -> None:
         assert self.members is not None
@@ -173,7 +173,7 @@
                 entries[at] = dataclasses.replace(entry, health=api.Health.DRAINING)
         addresses = {member.entry.server: member.address for member in known}
         kind = api.ListKind.FULL if whole else api.ListKind.CHANGES
-        self._home.take_listing(Listing(0, whole, entries, addresses), kind)
+        self._home.take_listing(ServerListing(0, whole, entries, addresses), kind)
 
     def drain(self, servers: list[int]) -> None:
         """Send nothing new to these, before the version that says so is applied."""
@@ -183,13 +183,13 @@
         self._home.stop_sending(servers)
         self._relist(servers)
 
-    def hear(self, listing: Listing) -> bool:
+    def hear(self, listing: ServerListing) -> bool:
         """Discovery's word of processes; False if members are its to name."""
         if self.members is None:
             return False
         members = self.members
         told = {entry.server: entry.health for entry in listing.entries}
-        if listing.whole:
+        if listing.complete:
             changed = [s for s in members if self._heard.get(s) != told.get(s)]
             self._heard = told
         else:
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -26,7 +26,8 @@
 from orchidferry.balancing.settings import SettingsFormatError, get, read_settings
 from orchidferry.balancing.versions import Member, NodeSettings, Part
 from orchidferry.errors import OrchidferryError
-from orchidferry.node.config import server_id, unix_offset_ms
+from orchidferry.node.clock import unix_offset_ms
+from orchidferry.node.server_listing import server_id
 
 PREFIX = "type.googleapis.com/"
 EDS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
--- a/orchidferry/node/control/pipe.py
+++ b/orchidferry/node/control/pipe.py
@@ -20,7 +20,13 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import MAX_MEMBERS, Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.errors import OrchidferryError
-from orchidferry.node.control.plain import BAD_PLAIN, member_from, member_row, plain, settings_from
+from orchidferry.node.control.plain import (
+    MALFORMED_JSON_ERRORS,
+    member_from,
+    member_row,
+    plain,
+    settings_from,
+)
 
 STEP = 32  # members of a line, and that the node takes in one go: some 1 ms
 MAX_LINE = 4 * 1024 * 1024  # bytes: the settings are one line, 10,000 tenants take some 600 KB
@@ -146,7 +152,7 @@
         """One of the lines of a change; `PipeDecodeError` if it does not belong there."""
         try:
             return self._take(found)
-        except BAD_PLAIN as problem:
+        except MALFORMED_JSON_ERRORS as problem:
             raise PipeDecodeError(f"{found['do']}: {type(problem).__name__}: {problem!s:.100}") from None
 
     def _take(self, found: dict[str, Any]) -> Change | None:
@@ -189,7 +195,7 @@
     settings: api.Settings
 
     def configuration(self, rows: Iterable[Row]) -> Configuration:
-        """Whole again; one of `BAD_PLAIN` if it can't be."""
+        """Whole again; one of `MALFORMED_JSON_ERRORS` if it can't be."""
         members = tuple(member_from(row) for row in rows)
         versions = {part: str(self.versions[part.value]) for part in Part}
         return Configuration(Pools({self.pool: members}), NodeSettings(self.pool, self.settings), versions)
--- a/orchidferry/node/control/plain.py
+++ b/orchidferry/node/control/plain.py
@@ -9,7 +9,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Member
-from orchidferry.node.state_store import BAD_PLAIN as BAD_PLAIN
+from orchidferry.node.state_store import MALFORMED_JSON_ERRORS as MALFORMED_JSON_ERRORS
 
 HEALTHS = {health.value: health for health in api.Health}
 
@@ -28,14 +28,14 @@
 
 
 def made(cls: type[Any], obj: Any, enums: dict[str, type[Enum]]) -> Any:
-    """A dataclass of flat fields from its object; one of `BAD_PLAIN` if it doesn't fit."""
+    """A dataclass of flat fields from its object; one of `MALFORMED_JSON_ERRORS` if it doesn't fit."""
     if not isinstance(obj, dict):
         raise TypeError(f"{cls.__name__} must be an object")
     return cls(**{name: enums[name](value) if name in enums else value for name, value in obj.items()})
 
 
 def settings_from(obj: Any) -> api.Settings:
-    """Settings from what `plain` made of them; one of `BAD_PLAIN` if it is not that."""
+    """Settings from what `plain` made of them; one of `MALFORMED_JSON_ERRORS` if it is not that."""
     fields = dict(obj)
     kinds: dict[str, type[Enum]] = {"repeat": api.Repeat, "group": api.Group}
     fields["classes"] = [made(api.RequestClass, one, kinds) for one in fields["classes"]]
@@ -50,7 +50,7 @@
 
 
 def member_from(row: Sequence[Any]) -> Member:
-    """A member from its row; one of `BAD_PLAIN` if it is none."""
+    """A member from its row; one of `MALFORMED_JSON_ERRORS` if it is none."""
     server, zone, kind, cell, health, share, started_ms, host, port = row
     entry = api.ServerEntry(server, zone, kind, cell, HEALTHS[health], share, started_ms)
     return Member(entry, (host, port))
--- a/orchidferry/node/control/settings.py
+++ b/orchidferry/node/control/settings.py
@@ -6,7 +6,8 @@
 from pathlib import Path
 
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
-from orchidferry.node.config import Address, ConfigError, address, read_toml_file
+from orchidferry.node.address import Address, parse_address
+from orchidferry.node.config import ConfigError, read_toml_file
 
 KNOWN = {
     "service",
@@ -61,7 +62,7 @@
             f"'first_wait_s' must be above 0 and at most {MAX_WAIT_S:g}, not {wait_s:g}"
         )
     made = Control(
-        address(get(obj, "service", str)),
+        parse_address(get(obj, "service", str)),
         get(obj, "node", str),
         opt(obj, "cluster", str, ""),
         tuple(pools),
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -10,11 +10,11 @@
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node import state_store
 from orchidferry.node.control.plain import made, plain, settings_from
-from orchidferry.node.state_store import Files, StateFileError, StateFormat, StateLockedError
+from orchidferry.node.state_store import FileSystem, StateFileError, StateFormat, StateLockedError
 
 __all__ = [
     "FORM",
-    "Files",
+    "FileSystem",
     "Path",
     "StateFileError",
     "StateLockedError",
@@ -43,7 +43,7 @@
 
 
 def from_json(obj: Any) -> Configuration:
-    """What `to_json` made; one of `BAD_PLAIN` if it is not."""
+    """What `to_json` made; one of `MALFORMED_JSON_ERRORS` if it is not."""
     settings = settings_from(obj["settings"])
     pools = {}
     for name, members in obj["pools"].items():
@@ -80,8 +80,8 @@
     return FORM.decode(data)
 
 
-class Store(state_store.Store[Configuration]):
+class Store(state_store.StateStore[Configuration]):
     """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
 
-    def __init__(self, folder: Path, files: Files | None = None) -> None:
+    def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
         super().__init__(folder, FORM, files)
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -13,8 +13,9 @@
 import httptools
 
 from orchidferry.balancing.settings import SettingsFormatError
-from orchidferry.node.config import Address, Listing, parse_in_steps, read_in_steps, read_listing
+from orchidferry.node.address import Address
 from orchidferry.node.incremental import run_cooperatively
+from orchidferry.node.server_listing import ServerListing, decode_listing, parse_listing, read_listing
 
 # How long discovery may keep a watch open. Its silence shows only after that: in incident r32b5e5 first
 # calls were lost, and with 20 s all nodes sent through a whole release by the list they had started with.
@@ -86,7 +87,7 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         index: int,
-        news: Callable[[Listing | None, str], None],
+        news: Callable[[ServerListing | None, str], None],
     ) -> None:
         self._loop = loop
         self._address = address
@@ -201,7 +202,7 @@
     async def _read(self, body: bytes, keep: bool) -> None:
         task = self._asking
         try:
-            listing = await run_cooperatively(read_in_steps(await run_cooperatively(parse_in_steps(body))))
+            listing = await run_cooperatively(decode_listing(await run_cooperatively(parse_listing(body))))
         except (ValueError, RecursionError, SettingsFormatError) as problem:
             if self._asking is task:
                 self._fail(f"a list that can't be read: {problem!s:.100}")
@@ -210,17 +211,17 @@
             self._asking = None
             self._take(listing, keep)
 
-    def _take(self, listing: Listing, keep: bool) -> None:
+    def _take(self, listing: ServerListing, keep: bool) -> None:
         """Go on from a list that was read: the next watch first, as it must come within 200 ms."""
         self._end_call()
         if not keep:
             self._drop()
-        if not listing.whole and (self._whole or listing.index < self._index):
+        if not listing.complete and (self._whole or listing.index < self._index):
             self._whole = True  # changes to a list that we don't hold
             return self._ask()
         self._index = listing.index
         self._whole = False
         # A watch goes on only if the next call comes within 200 ms.
         self._ask()
-        if listing.whole or listing.entries:
+        if listing.complete or listing.entries:
             self._news(listing, "")
--- a/orchidferry/node/event_queue.py
+++ b/orchidferry/node/event_queue.py
@@ -1,4 +1,4 @@
-"""Events for something that decides, one at a time: what an action raises waits its turn."""
+"""The queue of events before a decision function, which must handle one event at a time."""
 
 from __future__ import annotations
 
@@ -6,29 +6,39 @@
 from collections.abc import Callable, Iterable
 
 from orchidferry.balancing import interface as api
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 
-Decide = Callable[[api.Event, float], Iterable[api.Action]]
+Decide = Callable[[api.Event, float], Iterable[api.Action]]  # an event and the time in ms
 
 
 class EventQueue:
-    """`decide` has one event at a time, and `do` its actions in their order; `failed` hears, inside the
-    exception, which event it was. Such a request is ended by its backstop.
+    """Passes events to a decision function one by one, and performs the actions that it returns.
+
+    An event that is raised while an action is performed waits until all actions before it are done.
     """
 
-    __slots__ = ("_decide", "_do", "_events", "_failed", "_handling")
+    __slots__ = ("_decide", "_events", "_handling", "_on_error", "_perform")
 
     def __init__(
-        self, decide: Decide, do: Callable[[api.Action], None], failed: Callable[[api.Event], None]
+        self,
+        decide: Decide,
+        perform: Callable[[api.Action], None],
+        on_error: Callable[[api.Event], None],
     ) -> None:
+        """
+        :param decide: returns the actions that follow from an event.
+        :param perform: performs one action.
+        :param on_error: called inside the handler of an exception, with the event that led to it; a request
+            that is lost so is ended by the backstop at its deadline.
+        """
         self._decide = decide
-        self._do = do
-        self._failed = failed
+        self._perform = perform
+        self._on_error = on_error
         self._events: deque[api.Event] = deque()
         self._handling = False
 
     def handle(self, event: api.Event) -> None:
-        """Give it an event and do what it says; events raised meanwhile wait their turn."""
+        """Handle an event now, or after the one that is being handled."""
         if self._handling:
             self._events.append(event)
             return
@@ -37,9 +47,9 @@
             while True:
                 try:
                     for action in self._decide(event, now_ms()):
-                        self._do(action)
+                        self._perform(action)
                 except Exception:
-                    self._failed(event)
+                    self._on_error(event)
                 if not self._events:
                     break
                 event = self._events.popleft()
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -10,7 +10,8 @@
 from orchidferry.balancing.fleet.suspicion import Timing
 from orchidferry.balancing.fleet.swim import MAX_SEEDS
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
-from orchidferry.node.config import Address, ConfigError, address, read_toml_file
+from orchidferry.node.address import Address, parse_address
+from orchidferry.node.config import ConfigError, read_toml_file
 from orchidferry.node.shared_keys import Keys, parse_keys
 
 KNOWN = {
@@ -57,7 +58,7 @@
     """An address with a number for its host: peers are reached without a name service."""
     if not isinstance(value, str):
         raise SettingsFormatError(f"{field}: must be host:port")
-    host, port = address(value)
+    host, port = parse_address(value)
     try:
         return str(ipaddress.ip_address(host)), port
     except ValueError:
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -27,13 +27,15 @@
 from orchidferry.balancing.fleet.fresh import Credit
 from orchidferry.balancing.fleet.members import Entry, Phase
 from orchidferry.balancing.fleet.swim import Fleet, Lasting
+from orchidferry.node.address import Address
 from orchidferry.node.admin_server import PageHandler
-from orchidferry.node.config import Address, ConfigError, now_ms
+from orchidferry.node.clock import now_ms
+from orchidferry.node.config import ConfigError
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.settings import Setup, read_key_file
 from orchidferry.node.fleet.wire import MAX_DATAGRAM, DatagramError, Sealer
 from orchidferry.node.incremental import run_cooperatively
-from orchidferry.node.state_store import StateFormat, StateLockedError, Store
+from orchidferry.node.state_store import StateFormat, StateLockedError, StateStore
 
 # A datagram takes some 40 microseconds to read, so a flood takes a tenth of a core and no turn of over 1 ms;
 # a node of a fleet of 1,000 gets some 30 a second.
@@ -121,7 +123,7 @@
         self.where = setup.listen
         self._sealer = Sealer(read_key_file(setup.keys))
         self._keys_stamp = self._stamp()
-        self._store: Store[Lasting] | None = None
+        self._store: StateStore[Lasting] | None = None
         self._saved = ""
         lasting = self._load()
         self._journal: Journal | None = None
@@ -489,7 +491,7 @@
         if self._setup.state is None:
             return None
         try:
-            self._store = Store(self._setup.state, FORM)
+            self._store = StateStore(self._setup.state, FORM)
         except StateLockedError as problem:
             raise ConfigError(f"the fleet's state: {problem}") from None
         except OSError as problem:
--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -21,7 +21,7 @@
 import httptools
 
 from orchidferry.balancing import interface as api
-from orchidferry.node.config import Address
+from orchidferry.node.address import Address
 from orchidferry.node.flow import LONG_BODY, BodyTooLongError, Flow, MemoryPool
 from orchidferry.node.request import SINGLE, Message, RequestError, check_framing, read_message
 from orchidferry.node.upstream import MAX_BODY, MAX_HEAD, chunk
--- a/orchidferry/node/garbage_collector.py
+++ b/orchidferry/node/garbage_collector.py
@@ -1,16 +1,16 @@
-"""The garbage collector of a process that serves."""
+"""Settings of Python's garbage collector for a process that serves requests."""
 
 from __future__ import annotations
 
 import gc
 
-# A request makes some 30 objects that the collector counts, nearly all freed by their references: with the
-# usual 700 it looks at them every few requests, and finds next to nothing.
+# A request makes some 30 objects that the collector counts, and nearly all are freed by their reference
+# counts. At Python's default of 700 a collection would run every few requests and find next to nothing.
 GC_THRESHOLDS = (5_000, 20, 20)
 
 
 def freeze_startup_objects() -> None:
-    """Have full collections leave out what was made so far: it lives to the end."""
+    """Exclude all present objects from later collections, as they live until the process ends."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -46,7 +46,9 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.floods import First, FirstPackets, Patience, Strays
-from orchidferry.node.config import Address, ConfigError, now_ms
+from orchidferry.node.address import Address
+from orchidferry.node.clock import now_ms
+from orchidferry.node.config import ConfigError
 from orchidferry.node.frontend import LIMITS_S, NODE_PATHS, Accept, Reply, RequestHandle, Stage
 from orchidferry.node.h3 import settings
 from orchidferry.node.h3.session import (
--- a/orchidferry/node/h3/settings.py
+++ b/orchidferry/node/h3/settings.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.node.config import Address, ConfigError
+from orchidferry.node.address import Address
+from orchidferry.node.config import ConfigError
 
 MAX_CONNECTIONS = 512  # callers' connections, by default: some 90 KB each
 
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -38,7 +38,8 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.transports import By, Transports
-from orchidferry.node.config import Address, now_ms
+from orchidferry.node.address import Address
+from orchidferry.node.clock import now_ms
 from orchidferry.node.h3 import settings
 from orchidferry.node.h3.session import DataReceived, ErrorCode, GoAway, HeadersReceived, Malformed, Session
 from orchidferry.node.h3.shell import (
@@ -386,7 +387,7 @@
         if time.monotonic() - max(link.heard, link.used) > self._idle_s:  # the server may be closing it
             link.end()
             return self._tcp.send(attempt, fresh)
-        attempt.set_timeout(self._tcp.alarms, attempt.timeout_ms / 1000.0)
+        attempt.set_timeout(self._tcp.timers, attempt.timeout_ms / 1000.0)
         link.send_attempt(attempt)
 
     def close_idle(self, server: int) -> None:
--- a/orchidferry/node/incremental.py
+++ b/orchidferry/node/incremental.py
@@ -1,6 +1,4 @@
-"""Long work as a generator that yields between its steps: run at once, or with all else that is ready
-between.
-"""
+"""Long work as a generator that yields between its steps, so that an event loop can do other work there."""
 
 from __future__ import annotations
 
@@ -12,7 +10,10 @@
 
 
 def run_to_completion(steps: Generator[None, None, T]) -> T:
-    """Run it to its end."""
+    """Run all steps in one go.
+
+    :returns: the generator's result.
+    """
     while True:
         try:
             next(steps)
@@ -22,7 +23,10 @@
 
 
 async def run_cooperatively(steps: Generator[None, None, T]) -> T:
-    """Run it to its end, with all else that is ready before each step."""
+    """Run the steps, and let the event loop do what else is ready after each.
+
+    :returns: the generator's result.
+    """
     while True:
         try:
             next(steps)
--- a/orchidferry/node/metrics.py
+++ b/orchidferry/node/metrics.py
@@ -1,48 +1,55 @@
-"""What the node counts for its operators, and the form in which it tells it.
+"""The node's metrics and their text format.
 
-Counts start at 0 with the process and only grow; whoever reads them takes differences.
+Counters start at 0 with the process and never fall; a reader takes differences.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
+HTTP_OK = 200
+REFUSAL_STATUSES = frozenset((429, 503))
+
+OUTCOMES = ("success", "busy", "failure")  # as the metrics name them
 SUCCESS = 0
 BUSY = 1
 FAILURE = 2
-NAMES = ("success", "busy", "failure")
-REFUSALS = frozenset((429, 503))
 
 
 class Metrics:
-    """Requests by class and how they ended, and the attempts that were written whole to servers."""
+    """Counts requests by class and outcome, and attempts whose last byte was written to a server."""
 
-    __slots__ = ("_attempts", "_ends")
+    __slots__ = ("_attempts", "_outcomes")
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self._ends = {name: [0, 0, 0] for name in classes}
-        self._attempts = dict.fromkeys(self._ends, 0)
+        self._outcomes = {name: [0] * len(OUTCOMES) for name in classes}
+        self._attempts = dict.fromkeys(self._outcomes, 0)
 
-    def add(self, classes: Iterable[str]) -> None:
-        """Count these classes too; those that are not asked for any more keep their counts."""
+    def add_classes(self, classes: Iterable[str]) -> None:
+        """Count these request classes too; classes that are not configured any more keep their counts."""
         for name in classes:
-            self._ends.setdefault(name, [0, 0, 0])
+            self._outcomes.setdefault(name, [0] * len(OUTCOMES))
             self._attempts.setdefault(name, 0)
 
-    def ended(self, cls: str, status: int) -> None:
-        """A request of a class was answered, or its caller had gone before."""
-        self._ends[cls][SUCCESS if status == 200 else BUSY if status in REFUSALS else FAILURE] += 1
+    def count_request(self, class_name: str, status: int) -> None:
+        """Count a request that was answered with a status, or whose client had disconnected before."""
+        outcome = SUCCESS if status == HTTP_OK else BUSY if status in REFUSAL_STATUSES else FAILURE
+        self._outcomes[class_name][outcome] += 1
 
-    def attempt(self, cls: str) -> None:
-        """The last byte of an attempt was written to a server."""
-        self._attempts[cls] += 1
+    def count_attempt(self, class_name: str) -> None:
+        """Count an attempt whose last byte was written to a server."""
+        self._attempts[class_name] += 1
 
     def render(self, inflight: int, hosts_listed: int, hosts_down: int) -> bytes:
-        """All figures, a line each: `node.NAME=value`, by class `node.calls.CLASS.NAME=value`."""
+        """Return all metrics as text.
+
+        Each line is `node.NAME=value`, or `node.calls.CLASS.NAME=value` for a metric by request class.
+        """
         lines = []
-        for cls, ends in self._ends.items():
-            lines += [f"node.calls.{cls}.{name}={count}" for name, count in zip(NAMES, ends, strict=True)]
-            lines.append(f"node.calls.{cls}.backend_calls={self._attempts[cls]}")
+        for class_name, counts in self._outcomes.items():
+            for outcome, count in zip(OUTCOMES, counts, strict=True):
+                lines.append(f"node.calls.{class_name}.{outcome}={count}")
+            lines.append(f"node.calls.{class_name}.backend_calls={self._attempts[class_name]}")
         lines += [
             f"node.backend_calls={sum(self._attempts.values())}",
             f"node.inflight={inflight}",
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -18,13 +18,16 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.config import Address, Config, ConfigError, Listing, now_ms
+from orchidferry.node.address import Address
+from orchidferry.node.clock import now_ms
+from orchidferry.node.config import Config, ConfigError
 from orchidferry.node.discovery import Discovery
 from orchidferry.node.event_queue import EventQueue
 from orchidferry.node.flow import GRACE_S, LONG_BODY, POOL_MEMORY_FRACTION, SLOWEST_B_S, Flow, MemoryPool
 from orchidferry.node.frontend import Frontend, Reply
 from orchidferry.node.metrics import Metrics
 from orchidferry.node.request import Message, RequestError
+from orchidferry.node.server_listing import ServerListing
 from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream import Attempt, Upstream, UpstreamResponse
 
@@ -147,7 +150,7 @@
 
     def on_sent(self) -> None:
         self.written = True
-        self._node.figures.attempt(self.message.cls)
+        self._node.metrics.count_attempt(self.message.cls)
         if self.message.flow is not None:
             self._node.uploaded(self)
 
@@ -216,8 +219,8 @@
 
             # The same face; each pool has a balancer behind it.
             self._balancer = cast(Balancer, Router(settings, config.seed, pools, budgets))
-        self._turns = EventQueue(self._balancer.handle, self._do, _not_handled)
-        self.figures = Metrics(self._balancer.classes)
+        self._events = EventQueue(self._balancer.handle, self._do, _not_handled)
+        self.metrics = Metrics(self._balancer.classes)
         self._flowing = 0  # answers that have begun and go on
         # Keyed by a serial of the node's own, as is all that the module hears: an attempt may outlast its
         # request, and a caller's id that came again would mix up their books.
@@ -229,9 +232,9 @@
         self._in_service: set[int] = set()
         self._lives: dict[int, int] = {}  # of those that are listed: a number for each time that they came
         self._came = 0
-        self._alarms = TimerQueue(loop)
+        self._timers = TimerQueue(loop)
         tcp = Upstream(
-            loop, settings.connect_timeout_ms, settings.keepalive_ms, self._free_sockets, self._alarms
+            loop, settings.connect_timeout_ms, settings.keepalive_ms, self._free_sockets, self._timers
         )
         self._upstream: UpstreamTransport = tcp
         self._tcp = tcp
@@ -290,7 +293,7 @@
     def report(self) -> bytes:
         """The figures for operators, as of now."""
         down = self._balancer.avoided(now_ms())
-        return self.figures.render(len(self._live) + self._flowing, len(self._addresses), down)
+        return self.metrics.render(len(self._live) + self._flowing, len(self._addresses), down)
 
     def start(self) -> None:
         """Let the module begin, with the list as this node last had it."""
@@ -319,7 +322,7 @@
     def take_settings(self, settings: api.Settings) -> None:
         """Go on under these; nothing that is held is disturbed."""
         self._tcp.configure(settings.connect_timeout_ms, settings.keepalive_ms)
-        self.figures.add(cls.name for cls in settings.classes)
+        self.metrics.add_classes(cls.name for cls in settings.classes)
         if settings != self._balancer.settings:
             self._handle(api.NewSettings(settings))
 
@@ -429,9 +432,9 @@
 
     def _watch(self, live: PendingRequest) -> None:
         """Set the backstop to the request's end, as it is now."""
-        self._alarms.cancel(live.backstop)
+        self._timers.cancel(live.backstop)
         left_s = (live.ends_ms - now_ms()) / 1000.0
-        live.backstop = self._alarms.after(left_s, live.overdue)
+        live.backstop = self._timers.schedule(left_s, live.overdue)
 
     def client_disconnected(self, live: PendingRequest) -> None:
         """Nobody waits any more."""
@@ -445,14 +448,14 @@
         live.owed = False
         del self._live[live.id]
         self._open_ids.discard(live.message.id)
-        self._alarms.cancel(live.backstop)
+        self._timers.cancel(live.backstop)
         return True
 
     def finish(self, live: PendingRequest | None, reply: Reply) -> None:
         """Answer a request, if it is still owed that."""
         if live is not None and self._drop(live):
             if reply.flow is None:
-                self.figures.ended(live.message.cls, reply.status)
+                self.metrics.count_request(live.message.cls, reply.status)
             else:  # it ends with its last byte, and only then is known to be whole
                 self._flowing += 1
                 reply.flow.on_over = functools.partial(self._flowed, live.message.cls)
@@ -462,14 +465,14 @@
     def _flowed(self, cls: str, whole: bool) -> None:
         """An answer that flowed is over."""
         self._flowing -= 1
-        self.figures.ended(cls, 200 if whole else 502)
+        self.metrics.count_request(cls, 200 if whole else 502)
 
     def _watch_flow(self, flow: Flow) -> None:
         """End a flow that stands still or crawls; looked at now and then, as there are few."""
         if flow.is_stalled(self._loop.time()):
             flow.abort()
         elif not flow.over:
-            self._alarms.after(FLOW_LOOK_S, functools.partial(self._watch_flow, flow))
+            self._timers.schedule(FLOW_LOOK_S, functools.partial(self._watch_flow, flow))
 
     def uploaded(self, attempt: RequestAttempt) -> None:
         """A server has the whole of a long request."""
@@ -485,10 +488,10 @@
         """Fail a request that the module has not ended by its deadline, whatever the reason."""
         left_ms = live.ends_ms - now_ms()
         if left_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
-            live.backstop = self._alarms.after(left_ms / 1000.0 + 0.001, live.overdue)
+            live.backstop = self._timers.schedule(left_ms / 1000.0 + 0.001, live.overdue)
         elif self._drop(live):
             log.warning("request %s was not ended by its deadline", live.message.id)
-            self.figures.ended(live.message.cls, 504)
+            self.metrics.count_request(live.message.cls, 504)
             live.answer(Reply(504, b"no answer in time"))
             self._handle(api.ClientGone(live.id))
 
@@ -496,7 +499,7 @@
 
     def _handle(self, event: api.Event) -> None:
         """Give the module an event and do what it says; events raised meanwhile wait their turn."""
-        self._turns.handle(event)
+        self._events.handle(event)
 
     def _do(self, action: api.Action) -> None:
         match action:
@@ -559,11 +562,11 @@
 
     # Discovery
 
-    def _on_news(self, listing: Listing | None, why: str) -> None:
+    def _on_news(self, listing: ServerListing | None, why: str) -> None:
         if listing is not None and self.control is not None and self.control.members.hear(listing):
             return
         if listing is not None:
-            self.take_listing(listing, api.ListKind.FULL if listing.whole else api.ListKind.CHANGES)
+            self.take_listing(listing, api.ListKind.FULL if listing.complete else api.ListKind.CHANGES)
             return
         log.info("discovery: %s", why)
         if self._config.settings.follow_list:
@@ -571,7 +574,7 @@
         else:
             self._loop.call_later(PUSHED_RETRY_S, self._discovery.subscribe)
 
-    def take_listing(self, listing: Listing, kind: api.ListKind) -> None:
+    def take_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
         """Take news at once; what the module is told of a long list it is told in steps.
 
         Here all of it counts from now on: what the module sends to a server that has left is sent nowhere.
@@ -589,8 +592,8 @@
                 self._came += 1
                 self._lives[entry.server] = self._came
             self._addresses[entry.server] = listing.addresses[entry.server]
-            if entry.server in listing.h3:
-                self._h3[entry.server] = listing.h3[entry.server]
+            if entry.server in listing.h3_addresses:
+                self._h3[entry.server] = listing.h3_addresses[entry.server]
             else:
                 self._h3.pop(entry.server, None)
             if entry.health is api.Health.IN_SERVICE:
--- a/orchidferry/node/pool_settings.py
+++ b/orchidferry/node/pool_settings.py
@@ -1,4 +1,4 @@
-"""The operator's own file for pools of servers (`ORCHIDFERRY_POOLS`), as typed values."""
+"""The operators' file for pools of servers (`ORCHIDFERRY_POOLS`), as typed values."""
 
 from __future__ import annotations
 
@@ -7,38 +7,46 @@
 from orchidferry.node.config import read_toml_file
 
 POOL_KEYS = {"name", "kinds", "groups"}
-NUMBERS = ("alpha", "beta", "margin", "step_ms", "rare_ms", "settle_ms")
+MOVE_NUMBERS = ("alpha", "beta", "margin", "step_ms", "rare_ms", "settle_ms")
 MAX_POOLS = 200
 
 
 def read_pools(path: str, classes: tuple[str, ...]) -> pools.Rules:
-    """Read the file; `ConfigError` names it and what is wrong."""
-    return read_toml_file("ORCHIDFERRY_POOLS", path, lambda obj: _read(obj, classes))
+    """Read the file.
 
+    :param classes: names of the request classes, which a move between pools is judged by.
+    :raises ConfigError: names the file and what is wrong with it.
+    """
+    return read_toml_file("ORCHIDFERRY_POOLS", path, lambda obj: _decode_rules(obj, classes))
 
-def _read(obj: Json, classes: tuple[str, ...]) -> pools.Rules:
+
+def _decode_rules(obj: Json, classes: tuple[str, ...]) -> pools.Rules:
     if unknown := sorted(obj.keys() - {"pool", "move"}):
         raise SettingsFormatError(f"{unknown[0]!r} is not known")
-    rules = [_pool(item) for item in objects(obj, "pool")]
+    rules = tuple(_decode_pool(item) for item in objects(obj, "pool"))
     if len(rules) > MAX_POOLS:
         raise SettingsFormatError(f"pool: {len(rules)} of them, {MAX_POOLS} at most")
     move = opt(obj, "move", dict, None)
     if move is None:
-        return pools.Rules(tuple(rules))
-    if unknown := sorted(move.keys() - {"to", "steps", "rare", *NUMBERS}):
+        return pools.Rules(rules)
+    plan = _decode_move(move, classes)
+    return pools.Rules(rules, get(move, "to", str), plan)
+
+
+def _decode_move(move: Json, classes: tuple[str, ...]) -> moves.Plan:
+    if unknown := sorted(move.keys() - {"to", "steps", "rare", *MOVE_NUMBERS}):
         raise SettingsFormatError(f"move: {unknown[0]!r} is not known")
-    values = {name: float(get(move, name, NUMBER)) for name in NUMBERS if name in move}
+    values = {name: float(get(move, name, NUMBER)) for name in MOVE_NUMBERS if name in move}
     steps = opt(move, "steps", list, list(moves.STEPS))
     if not all(isinstance(step, int | float) and not isinstance(step, bool) for step in steps):
         raise SettingsFormatError("move: 'steps' must be numbers")
     rare = moves.Rare.HOLD
     if "rare" in move:
         rare = word(move, "rare", {kind.value: kind for kind in moves.Rare})
-    plan = moves.Plan(classes, tuple(map(float, steps)), rare=rare, **values)
-    return pools.Rules(tuple(rules), get(move, "to", str), plan)
+    return moves.Plan(classes, tuple(map(float, steps)), rare=rare, **values)
 
 
-def _pool(item: Json) -> pools.PoolRule:
+def _decode_pool(item: Json) -> pools.PoolRule:
     if unknown := sorted(item.keys() - POOL_KEYS):
         raise SettingsFormatError(f"pool: {unknown[0]!r} is not known")
     kinds = opt(item, "kinds", list, [])
--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -1,7 +1,7 @@
-"""What a caller's request must be to be taken: checked once, here, before anything believes it.
+"""Requests of clients: checked once, here, before anything relies on them.
 
-Ids, keys and targets go on to servers as they came, so nothing passes that a server could read in
-another way than this node did: no header twice, no length beside chunks, no odd characters.
+Ids, keys and targets are forwarded to servers as they came. A request is therefore rejected if a server could
+read it in another way than this node did: a header that came twice, a length beside chunks, odd characters.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from orchidferry.errors import OrchidferryError
 from orchidferry.node.flow import Flow
 
-# Each may come once: of two, a server might believe the other one.
+# Each may come once: of two, a server might use the other one.
 SINGLE = frozenset(
     (
         b"host",
@@ -34,29 +34,35 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request as it came in, with what must go on unchanged."""
+    """A request as it came in, with what is forwarded unchanged."""
 
     method: bytes
     target: bytes
     id: str
-    cls: str
-    budget_ms: float
+    cls: str  # name of its request class
+    budget_ms: float  # time that its client waits for the answer
     tenant: str | None
-    again: bool
-    key: bytes | None
+    again: bool  # whether the client says that it has sent the request before
+    key: bytes | None  # idempotency key
     content_type: bytes | None
     body: bytes
-    flow: Flow | None = None  # the body, where it is too long to hold; `body` is empty then
-    long_answer: bool = False  # whoever asked can be fed an answer that flows
-    chain: dict[bytes, bytes] | None = None  # headers of a chain of tiers, as they came
+    flow: Flow | None = None  # the body, where it is too long to buffer; `body` is empty then
+    long_answer: bool = False  # whether the client can be sent a body of unknown length
+    chain: dict[bytes, bytes] | None = None  # all headers, where some are those of a chain of tiers
 
 
 class RequestError(OrchidferryError):
-    """A request that can't be taken; the text tells the caller why."""
+    """A request that can't be accepted; the text tells the client why."""
 
 
 def check_framing(headers: dict[bytes, bytes], version: str) -> None:
-    """Refuse a head that leaves open where its body ends: another request may hide in it."""
+    """Check that headers leave no doubt where the body ends: else another request may hide in it.
+
+    See RFC 9112, section 6.3, and 11.2 on request smuggling.
+
+    :param version: of HTTP, such as "1.1".
+    :raises RequestError: if they do.
+    """
     coding = headers.get(b"transfer-encoding")
     if coding is None:
         return
@@ -74,25 +80,20 @@
     body: bytes,
     flow: Flow | None = None,
 ) -> Message:
-    """Check a whole request; `RequestError` says what is wrong with it."""
-    try:
-        path = target.partition(b"?")[0].decode("ascii")
-        part = path.split("/", 2)[1] if path[:1] == "/" else ""
-        cls = classes.get(unquote(part) if "%" in part else part)
-        caller = headers.get(b"x-caller")
-        tenant = caller.decode("utf-8") if caller else None
-    except ValueError:
-        raise RequestError("X-Caller or the path can't be read") from None
-    if cls is None:
-        raise RequestError("no such class")
+    """Check a request whose headers are complete, and its body too unless that is a flow.
+
+    :param classes: request classes by name; the first segment of the path names one.
+    :raises RequestError: if the request can't be accepted.
+    """
+    cls, tenant = _class_and_tenant(classes, target, headers)
     if method != (b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"):
         raise RequestError("not the method of this class")
     if method == b"GET" and (body or flow is not None):
         raise RequestError("GET with a body")
-    id = headers.get(b"x-call-id")
+    request_id = headers.get(b"x-call-id")
     key = headers.get(b"idempotency-key")
     budget = headers.get(b"x-budget")
-    if id is None or not TOKEN.fullmatch(id):
+    if request_id is None or not TOKEN.fullmatch(request_id):
         raise RequestError("X-Call-Id is missing or can't be used")
     # Without its key servers could not drop a keyed request's repeats.
     keyed = cls.repeat is api.Repeat.KEYED
@@ -101,11 +102,11 @@
     if budget is None or not SECONDS.fullmatch(budget) or not (budget_s := float(budget)):
         raise RequestError("X-Budget must be seconds above 0")
     return Message(
-        # Nobody waits longer than the class's deadline: a longer budget would hold the books open.
         method,
         target,
-        id.decode(),
+        request_id.decode(),
         cls.name,
+        # Nobody waits longer than the class's deadline: a longer budget would keep the request's state.
         min(budget_s * 1000.0, cls.deadline_ms),
         tenant,
         headers.get(b"x-again") == b"1",
@@ -115,3 +116,19 @@
         flow,
         chain=headers if b"baggage" in headers else None,
     )
+
+
+def _class_and_tenant(
+    classes: dict[str, api.RequestClass], target: bytes, headers: dict[bytes, bytes]
+) -> tuple[api.RequestClass, str | None]:
+    try:
+        path = target.partition(b"?")[0].decode("ascii")
+        segment = path.split("/", 2)[1] if path[:1] == "/" else ""
+        cls = classes.get(unquote(segment) if "%" in segment else segment)
+        caller = headers.get(b"x-caller")
+        tenant = caller.decode("utf-8") if caller else None
+    except ValueError:
+        raise RequestError("X-Caller or the path can't be read") from None
+    if cls is None:
+        raise RequestError("no such class")
+    return cls, tenant
--- a/orchidferry/node/shared_keys.py
+++ b/orchidferry/node/shared_keys.py
@@ -1,4 +1,7 @@
-"""Shared secrets with names, as operators write them: NAME=SECRET, the first signs, all are believed."""
+"""Shared secrets with names, as operators' files write them: `NAME=SECRET`.
+
+The first key signs; signatures made with any of them are accepted, so that keys can be rotated.
+"""
 
 from __future__ import annotations
 
@@ -6,23 +9,27 @@
 
 from orchidferry.balancing.settings import SettingsFormatError
 
-MIN_SECRET_LENGTH = 32  # characters of a secret
+MIN_SECRET_LENGTH = 32  # characters
+MAX_NAME_LENGTH = 16  # characters
 
 Keys = tuple[tuple[str, bytes], ...]  # name and secret
 
 
-def parse_keys(found: Iterable[object], most: int) -> Keys:
-    """`SettingsFormatError` says which is wrong, by its place: a key has no place in a log."""
-    keys: list[tuple[str, bytes]] = []
-    for one in found:
-        name, equals, secret = one.partition("=") if isinstance(one, str) else ("", "", "")
-        if not equals or not name.isalnum() or not name.isascii() or len(name) > 16:
-            raise SettingsFormatError(f"keys[{len(keys)}]: is not NAME=SECRET")
-        if len(secret) < MIN_SECRET_LENGTH:
-            raise SettingsFormatError(
-                f"keys[{len(keys)}]: the secret has less than {MIN_SECRET_LENGTH} characters"
-            )
-        keys.append((name, secret.encode()))
-    if len(keys) > most or len({name for name, _ in keys}) < len(keys):
-        raise SettingsFormatError(f"keys: {most} at most, each with a name of its own")
+def parse_keys(texts: Iterable[object], max_keys: int) -> Keys:
+    """Parse a list of keys.
+
+    :raises SettingsFormatError: names a key by its index only, as a secret must not reach a log.
+    """
+    keys = [_parse_key(index, text) for index, text in enumerate(texts)]
+    if len(keys) > max_keys or len({name for name, _ in keys}) < len(keys):
+        raise SettingsFormatError(f"keys: {max_keys} at most, each with a name of its own")
     return tuple(keys)
+
+
+def _parse_key(index: int, text: object) -> tuple[str, bytes]:
+    name, equals, secret = text.partition("=") if isinstance(text, str) else ("", "", "")
+    if not equals or not name.isalnum() or not name.isascii() or len(name) > MAX_NAME_LENGTH:
+        raise SettingsFormatError(f"keys[{index}]: is not NAME=SECRET")
+    if len(secret) < MIN_SECRET_LENGTH:
+        raise SettingsFormatError(f"keys[{index}]: the secret has less than {MIN_SECRET_LENGTH} characters")
+    return name, secret.encode()
--- a/orchidferry/node/state_store.py
+++ b/orchidferry/node/state_store.py
@@ -1,10 +1,10 @@
-"""State that lasts where a disk does: a kill at any byte leaves the old one or the new one.
+"""State in a file that survives a crash: a kill at any byte leaves the old state or the new one.
 
-One file in a folder of this node's own: a line that names the format and its version, one with the BLAKE2b
-checksum and length of the rest, and the rest, JSON. It is written beside its place, synced, renamed over it,
-and the folder is synced. Whatever can't be used is set aside under a name that says why, with one line, and
-never stops a start. A folder belongs to one node at a time: a lock on `lock` says so. What stands in the file
-is its owner's: a `StateFormat` says how it is written and read.
+A directory belongs to one node at a time, which holds a lock on the file `lock` in it. The state is one file:
+a line with the format's name and version, a line with the BLAKE2b checksum and the length of the rest, and
+the rest, which is JSON. It is written beside its final path, synced, renamed over it, and the directory is
+synced. A file that can't be used is set aside under a name that says why, with one line for the log; it never
+keeps a node from starting. A `StateFormat` says how one kind of state is encoded.
 """
 
 from __future__ import annotations
@@ -23,89 +23,103 @@
 from orchidferry.errors import OrchidferryError
 
 T = TypeVar("T")
+
 LOCK = "lock"
-MAX_ASIDE = 4  # files set aside that are kept
-BAD_PLAIN = (KeyError, TypeError, ValueError, AttributeError)  # what JSON that doesn't fit raises in a `read`
+MAX_SET_ASIDE = 4  # files set aside that are kept; a further one replaces the last
+MAX_DIGITS = 12  # of a length that is believed
+MALFORMED_JSON_ERRORS = (
+    KeyError,
+    TypeError,
+    ValueError,
+    AttributeError,
+)  # what `StateFormat.from_json` may raise
+
+
+class StateFileError(OrchidferryError):
+    """A state file can't be used; the text says why, in one line."""
+
+    def __init__(self, kind: str, reason: str) -> None:
+        """
+        :param kind: stands in the name under which the file is set aside.
+        """
+        super().__init__(reason)
+        self.kind = kind
+
+
+class StateLockedError(OrchidferryError):
+    """Another process has locked the directory."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateFormat(Generic[T]):
-    """How one kind of state is kept."""
+    """How one kind of state is encoded in a file."""
 
-    name: str  # of the file
-    what: str  # it holds, for people
-    magic: bytes
-    format: int
-    most: int  # bytes
-    write: Callable[[T], Any]  # to what JSON holds
-    read: Callable[[Any], T]  # back; one of `BAD_PLAIN` if it doesn't fit
+    file_name: str
+    description: str  # of the content, for error texts
+    magic: bytes  # the format's name, at the start of the file
+    version: int
+    max_bytes: int
+    to_json: Callable[[T], Any]
+    from_json: Callable[[Any], T]  # raises one of `MALFORMED_JSON_ERRORS` for anything else
 
     def encode(self, state: T) -> bytes:
-        """The file's bytes."""
-        body = json.dumps(self.write(state), separators=(",", ":")).encode()
-        return b"%b %d\n%b %d\n%b" % (self.magic, self.format, checksum(body), len(body), body)
+        """Return the file's content."""
+        body = json.dumps(self.to_json(state), separators=(",", ":")).encode()
+        return b"%b %d\n%b %d\n%b" % (self.magic, self.version, checksum(body), len(body), body)
 
     def decode(self, data: bytes) -> T:
-        """The state in a file's bytes; `StateFileError` if there is none that this program can read."""
-        head, _, rest = data.partition(b"\n")
-        magic, _, number = head.rpartition(b" ")
-        if magic != self.magic or not number.isdigit():
-            raise StateFileError("foreign", f"is no {self.what}")
-        if int(number[:9]) != self.format:
-            raise StateFileError(
-                "future", f"has format {int(number[:9])}, and this program reads {self.format}"
-            )
-        line, _, body = rest.partition(b"\n")
-        found, _, length = line.partition(b" ")
-        if not length.isdigit() or len(body) < int(length[:12]):
+        """Return the state in a file's content.
+
+        :raises StateFileError: if this program can't read it.
+        """
+        try:
+            return self.from_json(json.loads(self._checked_body(data)))
+        except (*MALFORMED_JSON_ERRORS, RecursionError) as problem:
+            reason = f"can't be read: {type(problem).__name__}: {problem!s:.100}"
+            raise StateFileError("corrupt", reason) from None
+
+    def _checked_body(self, data: bytes) -> bytes:
+        first_line, _, rest = data.partition(b"\n")
+        magic, _, version = first_line.rpartition(b" ")
+        if magic != self.magic or not version.isdigit():
+            raise StateFileError("foreign", f"is no {self.description}")
+        if int(version[:9]) != self.version:
+            reason = f"has format {int(version[:9])}, and this program reads {self.version}"
+            raise StateFileError("future", reason)
+        second_line, _, body = rest.partition(b"\n")
+        expected, _, length = second_line.partition(b" ")
+        if not length.isdigit() or len(body) < int(length[:MAX_DIGITS]):
             raise StateFileError("truncated", f"is cut off at {len(data)} bytes")
-        if len(body) != int(length[:12]) or checksum(body) != found:
+        if len(body) != int(length[:MAX_DIGITS]) or checksum(body) != expected:
             raise StateFileError("corrupt", "does not fit its checksum")
-        try:
-            return self.read(json.loads(body))
-        except (*BAD_PLAIN, RecursionError) as problem:
-            raise StateFileError(
-                "corrupt", f"can't be read: {type(problem).__name__}: {problem!s:.100}"
-            ) from None
+        return body
 
 
 def checksum(body: bytes) -> bytes:
-    """In hex digits."""
+    """Return the BLAKE2b checksum (RFC 7693) of 32 bytes in hex digits."""
     return hashlib.blake2b(body, digest_size=32).hexdigest().encode()
 
 
-class StateFileError(OrchidferryError):
-    """What is on disk can't be used; the text says why, in one line."""
-
-    def __init__(self, kind: str, why: str) -> None:
-        super().__init__(why)
-        self.kind = kind  # in the name under which it is set aside
-
-
-class StateLockedError(OrchidferryError):
-    """Another process holds the folder."""
-
-
-class Files:
-    """What the store does to a disk, a call each, so that a test can stop it anywhere."""
+class FileSystem:
+    """The operations of a store on a disk, one method each, so that a test can interrupt any of them."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """Make a file that its owner alone may read and write, with this in it, synced."""
+        """Create a file that only its owner may read and write, with this content, and sync it."""
         handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
         try:
-            left = memoryview(data)
-            while left:
-                left = left[os.write(handle, left) :]
+            unwritten = memoryview(data)
+            while unwritten:
+                unwritten = unwritten[os.write(handle, unwritten) :]
             os.fsync(handle)
         finally:
             os.close(handle)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Put a file in another's place, at once."""
+        """Rename a file atomically, over another one if there is one."""
         os.replace(old, new)
 
     def sync_folder(self, path: Path) -> None:
-        """Make renames in it last."""
+        """Make renames in a directory durable."""
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
@@ -113,12 +127,20 @@
             os.close(handle)
 
 
-class Store(Generic[T]):
-    """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
+class StateStore(Generic[T]):
+    """The state of one node, in a directory that it has locked."""
+
+    def __init__(self, folder: Path, state_format: StateFormat[T], files: FileSystem | None = None) -> None:
+        """Create the directory if it is missing, and lock it.
 
-    def __init__(self, folder: Path, form: StateFormat[T], files: Files | None = None) -> None:
-        self._folder, self._form, self._files = folder, form, files or Files()
-        self._fresh = folder / f"{form.name}.new"
+        :raises StateLockedError: if another process has locked it.
+        :raises OSError: if it can't be created or opened.
+        """
+        self._folder = folder
+        self._format = state_format
+        self._files = files or FileSystem()
+        self._path = folder / state_format.file_name
+        self._unfinished = folder / f"{state_format.file_name}.new"
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -130,52 +152,63 @@
             raise
 
     def load(self) -> tuple[T | None, str]:
-        """What was kept last, if anything was; and a line for the operators where something was wrong."""
-        path = self._folder / self._form.name
+        """Read the state that was saved last.
+
+        :returns: the state, or None if there is none that can be used; and a line for the log if something
+            was wrong, else an empty text.
+        """
         with contextlib.suppress(OSError):
-            self._fresh.unlink()  # a write that never came to its end
+            self._unfinished.unlink()
         try:
-            found = path.lstat()
-            if found.st_uid != os.geteuid() or found.st_mode & 0o077:
-                raise StateFileError("foreign", "is not this user's alone")
-            if not path.is_file() or path.is_symlink():
-                raise StateFileError("foreign", "is no plain file")
-            if found.st_size > self._form.most:
-                raise StateFileError("foreign", f"has {found.st_size} bytes, {self._form.most} at most")
-            return self._form.decode(path.read_bytes()), ""
+            return self._format.decode(self._read()), ""
         except FileNotFoundError:
             return None, ""
         except StateFileError as problem:
-            return None, f"{path}: {problem}; {self._set_aside(path, problem.kind)}"
+            return None, f"{self._path}: {problem}; {self._set_aside(problem.kind)}"
         except OSError as problem:
-            return None, f"{path}: can't be read: {problem.strerror}"
-
-    def _set_aside(self, path: Path, kind: str) -> str:
+            return None, f"{self._path}: can't be read: {problem.strerror}"
+
+    def _read(self) -> bytes:
+        """Read the file, if it is a plain one of this user's that nobody else may read."""
+        path = self._path
+        found = path.lstat()
+        if found.st_uid != os.geteuid() or found.st_mode & 0o077:
+            raise StateFileError("foreign", "is not this user's alone")
+        if not path.is_file() or path.is_symlink():
+            raise StateFileError("foreign", "is no plain file")
+        if found.st_size > self._format.max_bytes:
+            reason = f"has {found.st_size} bytes, {self._format.max_bytes} at most"
+            raise StateFileError("foreign", reason)
+        return path.read_bytes()
+
+    def _set_aside(self, kind: str) -> str:
+        """Rename the file; return a text that says under which name, or why that failed."""
+        path = self._path
         try:
-            for at in range(MAX_ASIDE):
-                aside = path.with_name(f"{path.name}.{kind}.{at}")
-                if at == MAX_ASIDE - 1 or not os.path.lexists(aside):
-                    self._files.rename(path, aside)
-                    return f"set aside as {aside.name}"
+            for number in range(MAX_SET_ASIDE):
+                target = path.with_name(f"{path.name}.{kind}.{number}")
+                if number == MAX_SET_ASIDE - 1 or not os.path.lexists(target):
+                    self._files.rename(path, target)
+                    return f"set aside as {target.name}"
         except OSError as problem:
             return f"can't be set aside: {problem.strerror}"
         return "can't be set aside"
 
     def save(self, state: T) -> str:
-        """Keep this; a line for the operators if it can't be. What was there stays then."""
-        fresh = self._fresh
+        """Replace the saved state.
+
+        :returns: a line for the log if that failed, and the old state is kept; else an empty text.
+        """
         try:
-            self._files.write(fresh, self._form.encode(state))
-            self._files.rename(fresh, self._folder / self._form.name)
+            self._files.write(self._unfinished, self._format.encode(state))
+            self._files.rename(self._unfinished, self._path)
             self._files.sync_folder(self._folder)
         except OSError as problem:
             with contextlib.suppress(OSError):
-                fresh.unlink()  # on a full disk it holds what others need
-            return (
-                f"{self._folder / self._form.name}: can't be written: {problem.strerror}; the old one stays"
-            )
+                self._unfinished.unlink()  # on a full disk others need its space
+            return f"{self._path}: can't be written: {problem.strerror}; the old one stays"
         return ""
 
     def close(self) -> None:
-        """Let the folder go."""
+        """Unlock the directory."""
         os.close(self._lock)
--- a/orchidferry/node/timer_queue.py
+++ b/orchidferry/node/timer_queue.py
@@ -1,8 +1,8 @@
-"""Many time limits on one timer of the event loop.
+"""Many timers on one timer of the event loop.
 
-Nearly all limits are called off long before they are due, and a timer of the loop costs several times what
-an entry of a heap and of a dictionary does. Calling one off drops what it would have called at once, so that
-nothing is kept alive by its time.
+Nearly all time limits are cancelled long before they are due, and a timer of the event loop costs several
+times what an entry of a heap and of a dictionary does. Cancelling drops the callback at once, so that nothing
+is kept alive until the timer would have been due.
 """
 
 from __future__ import annotations
@@ -11,64 +11,72 @@
 import heapq
 from collections.abc import Callable
 
-DEAD = 1_024  # entries called off beyond the living ones that the heap may hold
+MAX_CANCELLED = 1_024  # cancelled entries that the heap may hold beyond twice the active ones
 
 
 class TimerQueue:
-    """Calls things at their time; never early by the loop's clock, and late by no more than a timer is."""
+    """Calls functions at their time: never early by the loop's clock, as punctual as the loop's timers."""
 
-    __slots__ = ("_calls", "_heap", "_loop", "_next", "_number", "_timer")
+    __slots__ = ("_callbacks", "_due_s", "_heap", "_last_id", "_loop", "_timer")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._heap: list[tuple[float, int]] = []
-        self._calls: dict[int, Callable[[], object]] = {}
-        self._number = 0
+        self._heap: list[tuple[float, int]] = []  # when a timer is due, by the loop's clock, and its id
+        self._callbacks: dict[int, Callable[[], object]] = {}
+        self._last_id = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._next = 0.0  # when that timer is due
+        self._due_s = 0.0  # when `_timer` is due
 
     def __len__(self) -> int:
-        return len(self._calls)
+        return len(self._callbacks)
 
-    def after(self, delay_s: float, call: Callable[[], object]) -> int:
-        """Call it after so many seconds; the number to call that off by, which is never 0."""
-        self._number += 1
-        due = self._loop.time() + max(0.0, delay_s)
-        heapq.heappush(self._heap, (due, self._number))
-        self._calls[self._number] = call
-        if self._timer is None or due < self._next:
-            self._arm(due)
-        return self._number
+    def schedule(self, delay_s: float, callback: Callable[[], object]) -> int:
+        """Call a function after a delay.
 
-    def cancel(self, number: int) -> None:
-        """Call one off; nothing if it has been called or called off."""
-        if self._calls.pop(number, None) is not None and len(self._heap) > 2 * len(self._calls) + DEAD:
-            self._heap = [entry for entry in self._heap if entry[1] in self._calls]
+        :returns: the id that `cancel` takes; never 0.
+        """
+        self._last_id += 1
+        due_s = self._loop.time() + max(0.0, delay_s)
+        heapq.heappush(self._heap, (due_s, self._last_id))
+        self._callbacks[self._last_id] = callback
+        if self._timer is None or due_s < self._due_s:
+            self._arm(due_s)
+        return self._last_id
+
+    def cancel(self, timer_id: int) -> None:
+        """Cancel a timer; no effect if it was called or cancelled before."""
+        if self._callbacks.pop(timer_id, None) is None:
+            return
+        if len(self._heap) > 2 * len(self._callbacks) + MAX_CANCELLED:
+            self._heap = [entry for entry in self._heap if entry[1] in self._callbacks]
             heapq.heapify(self._heap)
 
-    def _arm(self, due: float) -> None:
+    def _arm(self, due_s: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._next = due
-        self._timer = self._loop.call_at(due, self._ring)
+        self._due_s = due_s
+        self._timer = self._loop.call_at(due_s, self._run_due)
 
-    def _ring(self) -> None:
-        """Call what is due, and set the timer for what is next."""
+    def _run_due(self) -> None:
+        """Call what is due, and set the loop's timer for what comes next."""
         self._timer = None
-        now = self._loop.time()
-        heap = self._heap
-        calls = self._calls
-        due = []
-        while heap and (heap[0][0] <= now or heap[0][1] not in calls):
-            _, number = heapq.heappop(heap)
-            if number in calls:
-                due.append(number)
-        if heap:
-            self._arm(heap[0][0])
-        for number in due:  # one may call off another that is due with it
-            call = calls.pop(number, None)
-            if call is not None:
+        due = self._pop_due()
+        if self._heap:
+            self._arm(self._heap[0][0])
+        for timer_id in due:  # a callback may cancel another that is due with it
+            callback = self._callbacks.pop(timer_id, None)
+            if callback is not None:
                 try:
-                    call()
+                    callback()
                 except Exception as problem:
                     self._loop.call_exception_handler({"message": "a time limit", "exception": problem})
+
+    def _pop_due(self) -> list[int]:
+        now_s = self._loop.time()
+        heap = self._heap
+        due = []
+        while heap and (heap[0][0] <= now_s or heap[0][1] not in self._callbacks):
+            _, timer_id = heapq.heappop(heap)
+            if timer_id in self._callbacks:
+                due.append(timer_id)
+        return due
--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -18,7 +18,8 @@
 import httptools
 
 from orchidferry.balancing.interface import Result
-from orchidferry.node.config import Address, now_ms
+from orchidferry.node.address import Address
+from orchidferry.node.clock import now_ms
 from orchidferry.node.flow import LONG_BODY, SHORT_BODY, BodyTooLongError, Flow
 from orchidferry.node.request import Message
 from orchidferry.node.timer_queue import TimerQueue
@@ -54,8 +55,8 @@
     """
 
     __slots__ = (
-        "_alarm",
-        "_alarms",
+        "_timeout",
+        "_timers",
         "_cancel_io",
         "address",
         "message",
@@ -73,8 +74,8 @@
         self.timeout_ms = timeout_ms
         self.more: list[tuple[bytes, bytes]] = []  # headers besides the message's own
         self.written = self.over = False
-        self._alarms: TimerQueue | None = None
-        self._alarm = 0
+        self._timers: TimerQueue | None = None
+        self._timeout = 0
         self._cancel_io: Callable[[], object] | None = None
 
     def head_bytes(self) -> bytes:
@@ -93,16 +94,16 @@
         """Its last byte is written: from now on it may have run."""
         self.written = True
 
-    def set_timeout(self, alarms: TimerQueue, delay_s: float) -> None:
+    def set_timeout(self, timers: TimerQueue, delay_s: float) -> None:
         """Time it out then."""
-        if self._alarms is not None:
-            self._alarms.cancel(self._alarm)
-        self._alarms, self._alarm = alarms, alarms.after(delay_s, self.on_timeout)
+        if self._timers is not None:
+            self._timers.cancel(self._timeout)
+        self._timers, self._timeout = timers, timers.schedule(delay_s, self.on_timeout)
 
     def extend_timeout(self, delay_s: float) -> None:
         """Time it out later, so long from now."""
-        if self._alarms is not None and not self.over:
-            self.set_timeout(self._alarms, delay_s)
+        if self._timers is not None and not self.over:
+            self.set_timeout(self._timers, delay_s)
 
     def set_cancel_io(self, cancel_io: Callable[[], object]) -> None:
         """Note what stops the attempt where it is: its dial, or its connection."""
@@ -114,8 +115,8 @@
             return
         self.over = True
         self._cancel_io = None
-        if self._alarms is not None:
-            self._alarms.cancel(self._alarm)
+        if self._timers is not None:
+            self._timers.cancel(self._timeout)
         self.ended(result, answer)
 
     def abort(self, result: Result) -> None:
@@ -536,11 +537,11 @@
         connect_timeout_ms: float,
         keepalive_ms: float,
         free_sockets: Callable[[], int],
-        alarms: TimerQueue,
+        timers: TimerQueue,
     ) -> None:
         self._loop = loop
         self._free_sockets = free_sockets
-        self.alarms = alarms
+        self.timers = timers
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._idle_limit_ms = keepalive_ms * IDLE_LIMIT_FRACTION
         self._idle: dict[int, list[Connection]] = {}  # none is empty for longer than its last one is in use
@@ -565,7 +566,7 @@
     def send(self, attempt: Attempt, fresh: bool = False) -> None:
         """Start an attempt, on a new connection if `fresh`; it may be over before this returns."""
         wait_s = attempt.timeout_ms / 1000.0 if attempt.message.flow is None else UPLOAD_STALL_S
-        attempt.set_timeout(self.alarms, wait_s)
+        attempt.set_timeout(self.timers, wait_s)
         idle = self._idle.get(attempt.server, ())
         if fresh and idle:
             idle[0].close()  # the new one takes its place, or they would add up
--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -18,13 +18,14 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.settings import read_settings
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.node.config import Config, Listing
+from orchidferry.node.config import Config
 from orchidferry.node.control.link import Link
 from orchidferry.node.control.messages import node_message, pool_message
 from orchidferry.node.control.pipe import Teller
 from orchidferry.node.control.settings import Control
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
+from orchidferry.node.server_listing import ServerListing
 from orchidferry.testkit.bench.forward import Bench, ask_all, cpu_s, rss_kb, scenario
 from orchidferry.testkit.control.service import Service
 from orchidferry.testkit.world.addresses import claim
@@ -170,7 +171,7 @@
         1,
         1000,
         64.0,
-        Listing(0, True, [], {}),
+        ServerListing(0, True, [], {}),
         versions(1, 0).node.settings,
     )
     node = Node(config, loop)
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -19,7 +19,7 @@
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.members import Entry, Phase
 from orchidferry.balancing.fleet.swim import Fleet
-from orchidferry.node.config import now_ms
+from orchidferry.node.clock import now_ms
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.settings import scaled
 from orchidferry.node.fleet.shell import LENGTH
--- a/orchidferry/testkit/control/files.py
+++ b/orchidferry/testkit/control/files.py
@@ -26,7 +26,7 @@
 from orchidferry.balancing import versions as v
 from orchidferry.balancing.settings import Json, SettingsFormatError, get
 from orchidferry.errors import OrchidferryError
-from orchidferry.node.config import address
+from orchidferry.node.address import parse_address
 from orchidferry.node.control.messages import (
     ResourceDecodeError,
     node_message,
@@ -138,7 +138,7 @@
             raise VersionFileError(f"{where}[{at}]: must be a table")
         try:
             get(one, "name", str)
-            address(get(one, "address", str))
+            parse_address(get(one, "address", str))
         except SettingsFormatError as problem:
             raise VersionFileError(f"{where}[{at}]: {problem}") from None
         if one.get("status", "active") not in ("active", "leaving"):
--- a/orchidferry/testkit/control/operate.py
+++ b/orchidferry/testkit/control/operate.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 
 from orchidferry.balancing.settings import SettingsFormatError
-from orchidferry.node.config import Address, address
+from orchidferry.node.address import Address, parse_address
 from orchidferry.testkit.control.files import VersionFileError, comparable, differences, read_version
 from orchidferry.testkit.control.rollout_service import RolloutService, call
 from orchidferry.testkit.control.service import Service
@@ -31,7 +31,7 @@
 async def _serve(args: argparse.Namespace) -> int:
     base = read_version(args.file)
     service = Service()
-    service.address = _loopback(address(args.listen))
+    service.address = _loopback(parse_address(args.listen))
     RolloutService(service, base)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -61,7 +61,7 @@
     }
     console = Console(highlight=False)
     state = "offering"
-    async for found in call(_loopback(address(args.to)), "Push", request, PUSH_S):
+    async for found in call(_loopback(parse_address(args.to)), "Push", request, PUSH_S):
         state = found["state"]
         console.print(f"[bold]{state:9}[/] ", end="")
         console.print(found["text"], markup=False, soft_wrap=True)
@@ -71,7 +71,7 @@
 async def _form(what: str) -> Any:
     """A file's form, or that of what a service at HOST:PORT holds."""
     try:
-        where = _loopback(address(what))
+        where = _loopback(parse_address(what))
     except SettingsFormatError:
         return comparable(what)
     async for found in call(where, "Held", {}, ASK_S):
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -34,7 +34,7 @@
     Withdraw,
 )
 from orchidferry.balancing.settings import SettingsFormatError, get, opt
-from orchidferry.node.config import Address, address
+from orchidferry.node.address import Address, parse_address
 from orchidferry.node.control.messages import TYPES
 from orchidferry.testkit.control.files import Version, VersionFileError, from_form
 from orchidferry.testkit.control.service import Held, Service, Word
@@ -152,7 +152,7 @@
         new = from_form(get(request, "file", dict))
         if new.version == self.base.version:
             raise VersionFileError(f"'version': {new.version!r} is what the service holds")
-        doors = [address(one) for one in opt(request, "doors", list, [])]
+        doors = [parse_address(one) for one in opt(request, "doors", list, [])]
         if len(doors) > MAX_DOORS:
             raise VersionFileError(f"{len(doors)} doors, {MAX_DOORS} at most")
         plan = Plan(
--- a/orchidferry/testkit/control/status.py
+++ b/orchidferry/testkit/control/status.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from orchidferry.balancing.settings import SettingsFormatError
-from orchidferry.node.config import address
+from orchidferry.node.address import parse_address
 from orchidferry.testkit import door
 
 AT_ONCE = 64
@@ -22,7 +22,7 @@
 
 async def ask(where: str) -> dict[str, Any]:
     """One node's word, or `error` with why there is none."""
-    return await door.ask(address(where), "/-/control", "has no control service")
+    return await door.ask(parse_address(where), "/-/control", "has no control service")
 
 
 async def ask_all(nodes: list[str]) -> list[dict[str, Any]]:
@@ -58,7 +58,7 @@
     """The command: 0 if every node answered and all hold the same, 1 if not, 2 for bad usage."""
     try:
         for where in args.nodes:
-            address(where)
+            parse_address(where)
     except SettingsFormatError as problem:
         print(f"orchidferry control status: {problem}", file=sys.stderr)
         return 2
--- a/orchidferry/testkit/door.py
+++ b/orchidferry/testkit/door.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from orchidferry.node.config import Address
+from orchidferry.node.address import Address
 from orchidferry.testkit.wire import get
 
 WAIT_S = 2.0  # for one node
--- a/orchidferry/testkit/explore/world.py
+++ b/orchidferry/testkit/explore/world.py
@@ -18,11 +18,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-import orchidferry.node.config
+import orchidferry.node.clock
 import orchidferry.node.upstream
 from orchidferry.balancing import interface as api
-from orchidferry.node.config import Config, address, read_listing
+from orchidferry.node.address import parse_address
+from orchidferry.node.config import Config
 from orchidferry.node.node import MARGIN_MS, Node
+from orchidferry.node.server_listing import read_listing
 from orchidferry.testkit.explore.loop import Dial, Loop, Poll, Wire
 
 DISCOVERY = ("10.9.9.9", 1)
@@ -37,7 +39,7 @@
 END_S = 8.0  # after the last choice: all that is under way must have come to its end
 # Timers that come round by themselves: time does not stop for them.
 BACKGROUND = ("Frontend._sweep", "Upstream._sweep", "Discovery._silent")
-PATCHED = ((orchidferry.node.config, "time"), (orchidferry.node.upstream, "select"))
+PATCHED = ((orchidferry.node.clock, "time"), (orchidferry.node.upstream, "select"))
 KINDS = {"read": api.Repeat.SAFE, "pay": api.Repeat.UNSAFE, "save": api.Repeat.KEYED}
 
 
@@ -231,8 +233,8 @@
         if balancer._calls.keys() != node._live.keys():
             odd = sorted(balancer._calls.keys() ^ node._live.keys())
             self._broken("nothing-left", f"node and module do not hold the same requests: {odd}")
-        if len(node._alarms) > len(node._live) + len(node.attempts):
-            self._broken("nothing-left", f"{len(node._alarms)} time limits for {len(node._live)} requests")
+        if len(node._timers) > len(node._live) + len(node.attempts):
+            self._broken("nothing-left", f"{len(node._timers)} time limits for {len(node._live)} requests")
 
     def _look(self) -> bool:
         """Take what came out of the node; whether discovery has made more come."""
@@ -617,7 +619,7 @@
             "attempts in flight": balancer.inflight,
             "uploads": len(balancer._uploads),
             "lost calls": balancer.outstanding.lost,
-            "alarms": len(node._alarms),
+            "alarms": len(node._timers),
             "dials": len(node._tcp._dials),
             "calls out at servers": sum(len(server.out) for server in balancer.fleet.servers.values()),
             "sends without an end": sum(self.sends.values()),
@@ -646,7 +648,7 @@
 
 
 class _Clock:
-    """What `orchidferry.node.config` takes for the module `time`."""
+    """What `orchidferry.node.clock` takes for the module `time`."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -715,7 +717,7 @@
     for entry in entries[small.servers - small.cold :]:
         entry["since_ms"] = 1_000_000
     known = read_listing({"index": 1, "snapshot": True, "endpoints": entries})
-    return Config("n0", address("10.0.0.1:80"), DISCOVERY, 7, 1024, 64.0, known, settings)
+    return Config("n0", parse_address("10.0.0.1:80"), DISCOVERY, 7, 1024, 64.0, known, settings)
 
 
 def _message(wire: Wire) -> bytes | None:
--- a/orchidferry/testkit/fleet/status.py
+++ b/orchidferry/testkit/fleet/status.py
@@ -12,7 +12,7 @@
 from rich.table import Table
 
 from orchidferry.balancing.settings import SettingsFormatError
-from orchidferry.node.config import Address, address
+from orchidferry.node.address import Address, parse_address
 from orchidferry.testkit import door
 
 HEAD = ("node", "status", "phase", "zone", "version", "address", "incarnation", "for", "by the word of")
@@ -42,7 +42,7 @@
 def main(args: argparse.Namespace) -> int:
     """The command."""
     try:
-        where = address(args.node)
+        where = parse_address(args.node)
     except SettingsFormatError as problem:
         print(f"orchidferry fleet status: {problem}", file=sys.stderr)
         return 2
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -303,7 +303,7 @@
 
 def sending(taken: int | None) -> tuple[Sent, Peer]:
     _, made = pool()
-    kernel = Kernel(made._loop, 400.0, 14_000.0, lambda: 99, made.alarms, 500.0)
+    kernel = Kernel(made._loop, 400.0, 14_000.0, lambda: 99, made.timers, 500.0)
     kernel.peers = made.peers
     kernel.takes = taken
     sent = Sent(proxied_request("t1"), at_most_once=True)
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -67,11 +67,11 @@
 class FakeConnections:
     """Records what is sent."""
 
-    def __init__(self, alarms: Any) -> None:
-        self.alarms, self.sent = alarms, list[Attempt]()
+    def __init__(self, timers: Any) -> None:
+        self.timers, self.sent = timers, list[Attempt]()
 
     def send(self, attempt: Attempt) -> None:
-        attempt.set_timeout(self.alarms, attempt.timeout_ms / 1e3)
+        attempt.set_timeout(self.timers, attempt.timeout_ms / 1e3)
         self.sent.append(attempt)
 
     def server_removed(self, server: int) -> None:
@@ -109,14 +109,14 @@
     kind: type[ServiceClient] = ServiceClient,
 ) -> Any:
     """A client of a service, on a node of the service `me` in the zone `z`."""
-    context = ClientContext("me", "z", Bounds(), loop, connections.alarms, connections, server_number)
+    context = ClientContext("me", "z", Bounds(), loop, connections.timers, connections, server_number)
     return kind(name, context)
 
 
 def admission_gate(connections: Any, hooks: GateHooks | None = None) -> AdmissionGate:
     """A gate of a server that sends a heartbeat each second."""
     hooks = hooks or GateHooks(lambda: None, lambda: False, lambda message, response: None)
-    return AdmissionGate(("127.0.0.1", 1), Bounds(), 1_000.0, connections.alarms, connections, hooks)
+    return AdmissionGate(("127.0.0.1", 1), Bounds(), 1_000.0, connections.timers, connections, hooks)
 
 
 def route(kind: str = "idempotent", attempts: int = 3, **more: Any) -> Route:
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -167,7 +167,7 @@
     loop, connections = rig()
     loop.create_task = Task
     made = Pool(
-        loop, 400.0, 14_000.0, lambda: 99, connections.alarms, **{"at_most_once_idle_ms": 500.0} | more
+        loop, 400.0, 14_000.0, lambda: 99, connections.timers, **{"at_most_once_idle_ms": 500.0} | more
     )
     made.peers = []
     return loop, made
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -14,7 +14,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Answer, Part
-from orchidferry.node.config import ConfigError, server_id
+from orchidferry.node.config import ConfigError
 from orchidferry.node.control import channel as channel_module
 from orchidferry.node.control.channel import MAX_BACK_OFF_S, Channel, Resources, back_off_s
 from orchidferry.node.control.helper import open_store
@@ -27,6 +27,7 @@
     read_pool,
 )
 from orchidferry.node.control.settings import read_control
+from orchidferry.node.server_listing import server_id
 from orchidferry.testkit.control.service import Service
 from orchidferry.testkit.quic import certs
 from tests.node.control.scene import POOL, Told, endpoint, members, node, reasons, run, scene
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -16,7 +16,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.settings import read_settings
 from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.node.config import ConfigError, Listing
+from orchidferry.node.config import ConfigError
 from orchidferry.node.control import helper as helper_module
 from orchidferry.node.control import link as link_module
 from orchidferry.node.control.helper import Helper, control_from
@@ -34,6 +34,7 @@
 )
 from orchidferry.node.control.plain import member_row
 from orchidferry.node.control.settings import Control
+from orchidferry.node.server_listing import ServerListing
 from tests.node import peers
 from tests.node.control.scene import POOL, run
 from tests.node.control.test_live import becomes, pool, scene
@@ -75,8 +76,8 @@
             raise RuntimeError("no settings today")
         self.settings.append(settings)
 
-    def take_listing(self, listing: Listing, kind: api.ListKind) -> None:
-        if listing.whole:
+    def take_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
+        if listing.complete:
             self.known = {s: v for s, v in self.known.items() if s in listing.addresses}
         for entry in listing.entries:
             if entry.server in self.broken:
@@ -168,7 +169,7 @@
         many = [member(n) for n in range(LONG + 10)]
         before = changes(teller, whole(*many))
         assert await applied(members, before) == "" and teller.applied(before.number, "")
-        assert members.hear(Listing(0, False, [api.ServerEntry(7, health=api.Health.DRAINING)], {}))
+        assert members.hear(ServerListing(0, False, [api.ServerEntry(7, health=api.Health.DRAINING)], {}))
         assert not home.known[7]
         leaving = [member(n, api.Health.DRAINING) for n in range(5)]
         change = changes(teller, whole(*leaving, *many[100:]))
@@ -176,7 +177,9 @@
         said: list[str] = []
         members.apply(change, said.append)
         assert not said and not any(home.known[n] for n in range(100)) and home.known[100]
-        members.hear(Listing(0, True, [api.ServerEntry(n) for n in range(100)], {}))  # as discovery sees it
+        members.hear(
+            ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {})
+        )  # as discovery sees it
         await members.idle.wait()
         assert said == [""] and sorted(home.known) == [*range(5), *range(100, LONG + 10)]
         assert not any(home.known[n] for n in range(5)) and gc.isenabled()
@@ -196,7 +199,7 @@
         assert teller.applied(change.number, "no settings today")
         again = changes(teller, whole())  # the node's own file: no pool
         assert await applied(members, again) == "" and members.members is None and len(home.settings) == 1
-        assert not members.hear(Listing(0, True, [], {}))
+        assert not members.hear(ServerListing(0, True, [], {}))
 
     asyncio.run(test())
 
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -20,11 +20,12 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.versions import Part
-from orchidferry.node.config import read_config, server_id
+from orchidferry.node.config import read_config
 from orchidferry.node.control.messages import pool_message
 from orchidferry.node.control.settings import Control
 from orchidferry.node.control.store import FORM, decode
 from orchidferry.node.node import Node
+from orchidferry.node.server_listing import server_id
 from orchidferry.testkit.control.service import Service
 from tests.balancing import helpers
 from tests.balancing.helpers import KEYED, SAFE, UNSAFE, ends, sends
@@ -314,7 +315,7 @@
             assert live is not None
             found = live._balancer.fleet.servers[server_id("cold")]
             assert found.started_ms is not None
-            from orchidferry.node.config import now_ms
+            from orchidferry.node.clock import now_ms
 
             assert live._balancer.cold.warmth(found, now_ms()) < 0.5
 
@@ -398,7 +399,7 @@
             program = await Program.start(made)
             await until(lambda: len(service.words) == 2)
             await until(
-                lambda: kept(tmp_path / "state" / FORM.name) == {Part.MEMBERS: "v1", Part.SETTINGS: "v1"}
+                lambda: kept(tmp_path / "state" / FORM.file_name) == {Part.MEMBERS: "v1", Part.SETTINGS: "v1"}
             )
             assert (await made.ask("a")).status == 200
             assert [len(member.seen), len(listed.seen)] == [1, 0]
--- a/tests/node/control/test_store.py
+++ b/tests/node/control/test_store.py
@@ -17,14 +17,14 @@
 from orchidferry.node.control import store as module
 from orchidferry.node.control.store import (
     FORM,
-    Files,
+    FileSystem,
     StateFileError,
     StateLockedError,
     Store,
     decode,
     encode,
 )
-from orchidferry.node.state_store import LOCK, MAX_ASIDE, checksum
+from orchidferry.node.state_store import LOCK, MAX_SET_ASIDE, checksum
 from tests.balancing import helpers
 
 
@@ -42,7 +42,7 @@
     )
 
 
-NAME = FORM.name
+NAME = FORM.file_name
 OLD = made("old")
 NEW = made("new", 5)
 
@@ -51,7 +51,7 @@
     """The process is gone: no handler of its own runs."""
 
 
-class Stopping(Files):
+class Stopping(FileSystem):
     """Stops at one step of one write: a step is a byte, a sync, a rename or the folder's sync."""
 
     def __init__(self, at: int, problem: OSError | None = None) -> None:
@@ -198,7 +198,7 @@
         path.write_bytes(WHOLE)
         path.chmod(0o644 if what == "others may read it" else 0o600)
         if what == "huge":
-            monkeypatch.setattr(module, "FORM", dataclasses.replace(FORM, most=10))
+            monkeypatch.setattr(module, "FORM", dataclasses.replace(FORM, max_bytes=10))
     store = Store(tmp_path)
     found, line = store.load()
     assert found is None and "set aside as last-good.foreign.0" in line
@@ -207,13 +207,13 @@
 
 def test_only_so_many_are_kept_aside(tmp_path: Path) -> None:
     store = Store(tmp_path)
-    for n in range(MAX_ASIDE + 3):
+    for n in range(MAX_SET_ASIDE + 3):
         (tmp_path / NAME).write_bytes(b"junk %d" % n)
         (tmp_path / NAME).chmod(0o600)
         store.load()
     aside = sorted(name for name in left_behind(tmp_path) if "foreign" in name)
-    assert len(aside) == MAX_ASIDE
-    assert (tmp_path / aside[-1]).read_bytes() == b"junk %d" % (MAX_ASIDE + 2)
+    assert len(aside) == MAX_SET_ASIDE
+    assert (tmp_path / aside[-1]).read_bytes() == b"junk %d" % (MAX_SET_ASIDE + 2)
     store.close()
 
 
--- a/tests/node/test_callers.py
+++ b/tests/node/test_callers.py
@@ -209,7 +209,7 @@
             await until(lambda: callers(scene) == 0)
             own = scene.node
             module = scene.node._balancer
-            assert not own._live and not own._open_ids and not own.attempts and not own._turns._events
+            assert not own._live and not own._open_ids and not own.attempts and not own._events._events
             assert len(own._addresses) == len(own._in_service) == len(module.fleet.servers) == 1
             assert not module._calls and not module._waiting and not any(module.admission._held.values())
             assert len(module._taken._times) + len(module._further._times) <= 2
--- a/tests/node/test_long_lists.py
+++ b/tests/node/test_long_lists.py
@@ -16,8 +16,9 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node import config, discovery, node
-from orchidferry.node.config import read_in_steps, read_listing, server_id, unix_offset_ms
+from orchidferry.node import discovery, node, server_listing
+from orchidferry.node.clock import unix_offset_ms
+from orchidferry.node.server_listing import decode_listing, read_listing, server_id
 from tests.node.peers import Server, run, until, world
 
 
@@ -53,7 +54,7 @@
 def small_steps(monkeypatch: pytest.MonkeyPatch) -> list[api.ServerList]:
     """Steps so small that a list of some dozens is long; what the module is told of lists."""
     monkeypatch.setattr(discovery, "LONG_BODY", 1_000)
-    monkeypatch.setattr(config, "READ_STEP", 5)
+    monkeypatch.setattr(server_listing, "ENTRIES_PER_STEP", 5)
     monkeypatch.setattr(node, "LIST_STEP", 10)
     told: list[api.ServerList] = []
     handle = Balancer.handle
@@ -162,9 +163,9 @@
 
 def test_steps_read_what_one_go_reads() -> None:
     obj = {"index": 3, "snapshot": True, "endpoints": listed(1_003, since_ms=1_700_000_000_000)}
-    listing, count = finished(read_in_steps(obj))
+    listing, count = finished(decode_listing(obj))
     assert listing == read_listing(obj)
-    assert count == 1_003 // config.READ_STEP
+    assert count == 1_003 // server_listing.ENTRIES_PER_STEP
 
 
 def test_an_entry_that_has_not_changed_reads_the_same_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -180,7 +181,7 @@
 
 
 def parsed(body: bytes) -> Any:
-    return finished(config.parse_in_steps(body))[0]
+    return finished(server_listing.parse_listing(body))[0]
 
 
 JSON = st.recursive(
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -17,7 +17,8 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.config import address, server_id
+from orchidferry.node.address import parse_address
+from orchidferry.node.server_listing import server_id
 from tests.balancing.test_wire import ROOT
 from tests.node.peers import (
     CLOSE,
@@ -516,7 +517,7 @@
             line = await asyncio.wait_for(program.process.stderr.readline(), LIMIT_S)
             assert line, "ended before it was ready"
             if b"started" in line:
-                scene.address = address(line.decode().split()[-1])
+                scene.address = parse_address(line.decode().split()[-1])
                 return program
 
     async def refuses(self) -> None:
--- a/tests/node/test_outcomes.py
+++ b/tests/node/test_outcomes.py
@@ -17,7 +17,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.config import Address
+from orchidferry.node.address import Address
 from orchidferry.node.request import Message
 from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream import Attempt, Connection, Upstream, UpstreamResponse, read_report
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -11,7 +11,7 @@
 import pytest
 
 from orchidferry.node import discovery
-from orchidferry.node.config import Listing
+from orchidferry.node.server_listing import ServerListing
 from tests.node.peers import LIMIT_S, Registry, Server, World, request, run, until, world
 from tests.node.test_node import Program
 
@@ -114,7 +114,7 @@
                 failed: list[str] = []
                 on_news = scene.node._discovery._news
 
-                def note(news: Listing | None, why: str) -> None:
+                def note(news: ServerListing | None, why: str) -> None:
                     failed.append(why)
                     on_news(news, why)
 
--- a/tests/testkit/broken_node.py
+++ b/tests/testkit/broken_node.py
@@ -13,7 +13,7 @@
 from orchidferry.balancing.logic import Balancer
 from orchidferry.node import frontend, node
 from orchidferry.node import main as program
-from orchidferry.node.config import Listing
+from orchidferry.node.server_listing import ServerListing
 
 EVERY = 20  # of what can be spoilt, so often: most must go well for the run to go on
 
@@ -71,7 +71,7 @@
     """Servers that drain stay in service, as do those that are gone."""
     take = node.Node.take_listing
 
-    def spoilt(self: node.Node, listing: Listing, kind: api.ListKind) -> None:
+    def spoilt(self: node.Node, listing: ServerListing, kind: api.ListKind) -> None:
         for entry in listing.entries:
             if entry.health is api.Health.DRAINING:
                 entry.health = api.Health.IN_SERVICE
@@ -84,7 +84,7 @@
     """All goes to a server that has just started, as if it were the only one, and warm."""
     take = node.Node.take_listing
 
-    def spoilt(self: node.Node, listing: Listing, kind: api.ListKind) -> None:
+    def spoilt(self: node.Node, listing: ServerListing, kind: api.ListKind) -> None:
         fresh = [entry for entry in listing.entries if entry.started_ms is not None]
         for entry in fresh:
             entry.started_ms = None
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -50,7 +50,7 @@
 def test_state_on_disk_is_read_and_written_the_same(name: str) -> None:
     form = FORMS[name]
     data = GOLDEN[name].encode()
-    assert form.name == FILES[name]
+    assert form.file_name == FILES[name]
     assert form.encode(form.decode(data)) == data
 
 
