--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -123,7 +123,7 @@
         """Remove the nodes whose leases have expired."""
         expired = self._members.remove_expired(self._loop.time())
         for name in expired:
-            logger.info("endpoints: {} has not renewed its lease", name)
+            logger.info("publisher: node={} removed: its lease has expired", name)
         if expired:
             self._stream.append(removed=expired)
             self._publish()
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -21,8 +21,8 @@
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_text import compress
 from orchidferry.mesh.control.control_client import ControlClient
-from orchidferry.mesh.control.controller import newest_revision
 from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
+from orchidferry.mesh.control.message_handlers import newest_revision
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.settings import Bounds, Settings
 from orchidferry.mesh.wire.messages import (
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -384,10 +384,10 @@
             texts.append(text)
         await asyncio.wait_for(formed.wait(), 10.0)
         told = controller._publisher.traffic.messages("text")
-        put = controller._configuration_shard.request_change(
+        put = controller._runner.configuration_shard.request_change(
             "", shard_state.Put(b"text", 7, b"mark", 0), 4.0, loop.time()
         )
-        controller._do(controller._configuration_shard, put)
+        controller._runner.carry_out(controller._runner.configuration_shard, put)
         assert await asyncio.wait_for(asyncio.gather(*texts), 10.0) == [b"text"] * 4
         assert controller._publisher.traffic.messages("text") - told == 2
         assert sum(node._subscriber.relay.traffic.messages("text") for node in nodes) == 2
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -345,7 +345,7 @@
     async def load() -> OrderHistory:
         controller = a_controller(tmp_path)
         controller._store.close()
-        return controller._configuration_shard.orders.history
+        return controller._runner.configuration_shard.orders.history
 
     found = asyncio.run(load())
     assert found.entries == history.entries and found.floor == 0
--- a/tests/mesh/test_process_end.py
+++ b/tests/mesh/test_process_end.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from orchidferry.mesh.control.controller import STOP_S
+from orchidferry.mesh.control.controller import MIN_STOP_S
 from orchidferry.mesh.process_end import WATCH_MARGIN_S
 from orchidferry.mesh.storage.store import CLOSE_S
 from orchidferry.testkit.mesh.day import DAYS, Machine, Ports, machines
@@ -30,7 +30,7 @@
 KILL_S = 5.0
 SIGTERM_BIT = 1 << (signal.SIGTERM - 1)
 STOPPED = b"stopped"
-SERVING = {"sidecar": b"proxy: serving", "core": b"controller: shard 3 with epoch"}  # in its log
+SERVING = {"sidecar": b"proxy: serving", "core": b"controller: listening: shard=3"}  # in its log
 
 
 class Process:
@@ -211,7 +211,7 @@
     controller.until(controller.serves)
     controller.signal(signal.SIGTERM)
     status, took_s = controller.ended()
-    assert status == 0 and took_s < STOP_S + CLOSE_S + 1.0
+    assert status == 0 and took_s < MIN_STOP_S + CLOSE_S + 1.0
 
 
 # The watch
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -134,9 +134,9 @@
     async def turn(self: Any, stopping: asyncio.Event, until_s: float) -> None:
         await asyncio.sleep(until_s - loop.time())
 
-    monkeypatch.setattr(module.Controller, "_turn_until", turn)
+    monkeypatch.setattr(module.Controller, "_run_until", turn)
     leaving: Any = Controller.__new__(Controller)
     leaving._loop, leaving._shards = loop, {1: Needed()}
     leaving._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
-    played(loop, leaving._leave())
+    played(loop, leaving._hand_over())
     assert loop.now_s - began_s == pytest.approx(ends_s, abs=0.12)
--- a/tests/mesh/test_storage_check.py
+++ b/tests/mesh/test_storage_check.py
@@ -233,7 +233,7 @@
         found = await program.controller(boot_of(tmp_path), asyncio.get_running_loop(), asyncio.Event())
         assert found is not None
         close(found._store)
-        return found._configuration_shard.voter.memory
+        return found._runner.configuration_shard.voter.memory
 
     first = asyncio.run(start())
     assert first == shard_state.GENESIS
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -335,12 +335,8 @@
         lives = []
         for _ in range(2):
             controller = a_controller(tmp_path)
-            lives.append(
-                (
-                    controller._configuration_shard.voter,
-                    controller._configuration_shard.register.proposer.name,
-                )
-            )
+            shard = controller._runner.configuration_shard
+            lives.append((shard.voter, shard.register.proposer.name))
             close(controller._store)
         assert lives[0][0] == lives[1][0] and lives[0][1] != lives[1][1]
 
@@ -354,8 +350,8 @@
         assert shard.grants(0)
         state = Value(1, (Voter("127.0.0.2", 1),), shard_state.Body(1))
         known = DecidedState(shard_state.pack_value(state))
-        controller._do(shard, shard.receive(None, known, 0.0))
-        controller._do(shard, shard.tick(10.0))
+        controller._runner.carry_out(shard, shard.receive(None, known, 0.0))
+        controller._runner.carry_out(shard, shard.tick(10.0))
         assert await write(controller._store, [])  # and so is what was written before
         assert not shard.standing.caught_up and controller._store.read("about", b"caught/1") is None
         assert controller._shards[2].standing.caught_up
