--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -1,9 +1,9 @@
 """Every decision of the load balancer; settings, events and actions: orchidferry/balancing/interface.py.
 
 Here: the gate that every send passes, retries, and how a request ends. The parts: `delay` how much may be
-outstanding, `server_set` which servers are this copy's, `outlier_detection` how healthy they are, `calls` which
-calls are late, `slow_start` what warming servers get, `picker` which server is next, `admission` which calls
-wait or are shed. Rules 1 to 6 are those of the operators' pages; docs/design.md gives the reasons."""
+outstanding, `server_set` which servers are this copy's, `outlier_detection` how healthy they are, `calls`
+which calls are late, `slow_start` what warming servers get, `picker` which server is next, `admission` which
+calls wait or are shed. Rules 1 to 6 are those of the operators' pages; docs/design.md gives the reasons."""
 
 from __future__ import annotations
 
--- a/orchidferry/balancing/picker.py
+++ b/orchidferry/balancing/picker.py
@@ -162,7 +162,7 @@
         return share < 1.0 and self._slow_start.available_tokens(server, share, self.now) < 1.0
 
     def _is_crowded(self, server: Server) -> bool:
-        """Whether it has more than its fair share outstanding, as slow or stuck servers have; if so, watch it."""
+        """Whether it has over its fair share outstanding, as slow or stuck servers have; if so, watch it."""
         weight = server.member.weight
         needed = (server.inflight - 1.0) / weight if weight > 0.0 else math.inf
         if needed < self.fair_share():
