--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -43,7 +43,7 @@
 
 EXTRA_SLOTS = 1  # requests beyond its slots that a server is given, so that none of these is idle
 DEFAULT_SLOTS = 4  # slots of a server that has sent no heartbeat yet
-DRAIN_SHARE = 0.75  # of the time in which a drained server may still be reached
+DRAIN_FRACTION = 0.75  # of the time in which a drained server may still be reached
 QUEUE_PER_SLOT = 4  # requests that may be queued
 MIN_REMAINING_MS = 8.0  # of a request's time, for it to be worth sending
 MAX_UNREACHABLE = 2  # failed connections in a row, after which a server is gone until its next heartbeat
@@ -218,7 +218,7 @@
         other_incarnation = target is not None and target != server.id.encode("latin-1")
         if other_incarnation or server.state == GONE:
             return GateOutcome.SERVER_GONE
-        if self._registration.drained_for_ms(now_ms()) > DRAIN_SHARE * self._bounds.drain_ms:
+        if self._registration.drained_for_ms(now_ms()) > DRAIN_FRACTION * self._bounds.drain_ms:
             return GateOutcome.SERVER_GONE
         return None
 
--- a/orchidferry/mesh/dataplane/admission_queue.py
+++ b/orchidferry/mesh/dataplane/admission_queue.py
@@ -14,11 +14,11 @@
 class QueuedRequest:
     """A request that can wait in an `AdmissionQueue`."""
 
-    __slots__ = ("queue_alarm", "queue_position", "rank")
+    __slots__ = ("queue_timer", "queue_position", "rank")
 
     def __init__(self, rank: int) -> None:
         self.rank = rank
-        self.queue_alarm = 0  # the number of its timeout's alarm; 0: it is not queued
+        self.queue_timer = 0  # the number of its timer; 0: it is not queued
         self.queue_position = 0
 
 
@@ -48,13 +48,13 @@
             self.discard(request)
             on_timeout(request)
 
-        request.queue_alarm = self._timers.schedule(timeout_s, expire)
+        request.queue_timer = self._timers.schedule(timeout_s, expire)
 
     def discard(self, request: RequestT) -> None:
         """Take a request out, if it is in the queue."""
-        if request.queue_alarm:
-            self._timers.cancel(request.queue_alarm)
-            request.queue_alarm = 0
+        if request.queue_timer:
+            self._timers.cancel(request.queue_timer)
+            request.queue_timer = 0
             self.length -= 1
             del self._by_rank[request.rank][request.queue_position]
 
--- a/orchidferry/mesh/dataplane/idle_limit.py
+++ b/orchidferry/mesh/dataplane/idle_limit.py
@@ -20,8 +20,8 @@
 import math
 import re
 
-STATED_SHARE = 0.7  # of the time that a server states: a request that crosses its close ends as a reset
-OBSERVED_SHARE = 0.5  # of the idle time after which a connection was found dead
+STATED_FRACTION = 0.7  # of the time that a server states: a request that crosses its close ends as a reset
+OBSERVED_FRACTION = 0.5  # of the idle time after which a connection was found dead
 MIN_OBSERVED_MS = 250.0  # a connection that died after less did not die of being idle
 OBSERVATION_VALID_MS = 30_000.0
 TIMEOUT = re.compile(rb"(?:^|[\s,;])timeout=([0-9]{1,6})(?![0-9])", re.IGNORECASE)
@@ -57,7 +57,7 @@
             self._keep_alive = header
             match = TIMEOUT.search(header)
             stated_ms = float(match[1]) * 1e3 if match is not None else math.inf
-            self._max_idle_ms = min(self._default_ms, STATED_SHARE * stated_ms)
+            self._max_idle_ms = min(self._default_ms, STATED_FRACTION * stated_ms)
 
     def closed_after(self, idle_ms: float, now_ms: float) -> None:
         """A connection that had been idle for so long was found dead."""
@@ -72,4 +72,4 @@
         """Whether a connection that has been idle for so long may carry a request."""
         if idle_ms > self._max_idle_ms or (at_most_once and idle_ms > self._at_most_once_ms):
             return False
-        return now_ms >= self._observed_until_ms or idle_ms <= OBSERVED_SHARE * self._observed_ms
+        return now_ms >= self._observed_until_ms or idle_ms <= OBSERVED_FRACTION * self._observed_ms
--- a/orchidferry/mesh/dataplane/keyed_requests.py
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -17,7 +17,7 @@
 
 # For claiming a key: so long, or this share of the time left.
 MAX_CLAIM_S = 1.0
-CLAIM_SHARE = 0.4
+CLAIM_FRACTION = 0.4
 NO_MAJORITY_RETRY_AFTER_S = 0.2
 KEY_AT_WORK_RETRY_AFTER_S = 0.1
 
@@ -78,7 +78,7 @@
                 )
 
         remaining_s = (deadline_ms - now_ms()) / 1000.0
-        claim_s = max(0.0, min(MAX_CLAIM_S, CLAIM_SHARE * remaining_s))
+        claim_s = max(0.0, min(MAX_CLAIM_S, CLAIM_FRACTION * remaining_s))
         self._control_client.claim(key, holder, claim_s, claimed)
         return pending
 
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -30,8 +30,8 @@
 if TYPE_CHECKING:
     from orchidferry.mesh.dataplane.service_client import ServiceClient
 
-# By rank: the share of the latency target for which a gate may queue a request.
-QUEUE_TIMEOUT_SHARES = (0.75, 0.75, 0.24)
+# By rank: the fraction of the latency target for which a gate may queue a request.
+QUEUE_TIMEOUT_FRACTIONS = (0.75, 0.75, 0.24)
 
 # Takes the server's response, if there is one, and whether the request may have run.
 OnEnded = Callable[[ServerResponse | None, bool], None]
@@ -44,7 +44,7 @@
         "answer",
         "attempts",
         "awaited",
-        "deadline_alarm",
+        "deadline_timer",
         "deadline_ms",
         "id",
         "may_have_run",
@@ -59,7 +59,6 @@
     def __init__(
         self,
         service: ServiceClient,
-        id: str,
         message: ProxiedRequest,
         route: Route,
         deadline_ms: float,
@@ -67,7 +66,7 @@
         on_ended: OnEnded | None,
     ) -> None:
         self.service = service
-        self.id = id
+        self.id = service.next_request_id()
         self.message = message
         self.route = route
         self.started_ms = now_ms()
@@ -77,7 +76,7 @@
         self.awaited = True  # its caller still waits for the reply
         self.may_have_run = False
         self.attempts = 0  # made so far
-        self.deadline_alarm = 0
+        self.deadline_timer = 0
         self.response: ServerResponse | None = None  # the last one of a server that ran it
 
     def client_disconnected(self) -> None:
@@ -111,8 +110,8 @@
         route = request.route
         now = now_ms()
         remaining_ms = max(1.0, request.deadline_ms - now - TRANSIT_MARGIN_MS)
-        share = QUEUE_TIMEOUT_SHARES[min(route.rank, len(QUEUE_TIMEOUT_SHARES) - 1)]
-        queue_timeout_ms = max(0.0, share * route.aim_ms - (now - request.started_ms))
+        fraction = QUEUE_TIMEOUT_FRACTIONS[min(route.rank, len(QUEUE_TIMEOUT_FRACTIONS) - 1)]
+        queue_timeout_ms = max(0.0, fraction * route.aim_ms - (now - request.started_ms))
         added = [
             (b"Time-Remaining", b"%d" % remaining_ms),
             (b"Target-Instance", self._server_id.encode("latin-1")),
--- a/orchidferry/mesh/dataplane/retry_slack.py
+++ b/orchidferry/mesh/dataplane/retry_slack.py
@@ -7,7 +7,7 @@
 
 from orchidferry.mesh.settings import Bounds
 
-SLACK_SHARE = 0.4  # of the slack, over all nodes
+SLACK_FRACTION = 0.4  # of the slack, over all nodes
 SPARE_NODES = 1.5  # nodes that may have died with what they had spent, over those that live
 
 
@@ -42,7 +42,7 @@
     def retries(self) -> float:
         """Retries that this node may send within the retry window, beyond the ratio."""
         if self._available():
-            return SLACK_SHARE * self._bounds.retry_slack / (SPARE_NODES * max(1, self._nodes))
+            return SLACK_FRACTION * self._bounds.retry_slack / (SPARE_NODES * max(1, self._nodes))
         if not self._timer_set:
             self._timer_set = True
             self._loop.call_later(self._bounds.retry_window_s, self._window_passed)
--- a/orchidferry/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -26,7 +26,7 @@
 MAX_FORMER_INCARNATIONS = 64
 # Intervals after which an incarnation that another one replaced is taken back if the other one is silent:
 # heartbeats come late, and the first that a process hears may be the last one of a server that is gone.
-REPLACEMENT_SILENCE = 1.5
+REPLACEMENT_INTERVALS = 1.5
 
 
 class HeartbeatEffect(Enum):
@@ -113,7 +113,7 @@
         if former is not None:
             newer = not former.deregistered and sequence > former.sequence
             silent_ms = now_ms - self.last_heartbeat_ms
-            if not newer or silent_ms < REPLACEMENT_SILENCE * self._heartbeat_interval_ms:
+            if not newer or silent_ms < REPLACEMENT_INTERVALS * self._heartbeat_interval_ms:
                 return False
             del self._former[id]
         if self.server is not None and self.server.id not in self._former:
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -39,13 +39,13 @@
 from orchidferry.node.frontend import Reply
 from orchidferry.node.timer_queue import TimerQueue
 
-RETRY_RATIO_SHARE = 0.4  # of the retry ratio: a repeated run's own calls are repeats elsewhere
-TARGET_SHARE = 0.6  # of the latency target: gates queue requests for a part of it already
+RETRY_RATIO_FRACTION = 0.4  # of the retry ratio: a repeated run's own calls are repeats elsewhere
+TARGET_FRACTION = 0.6  # of the latency target: gates queue requests for a part of it already
 CONNECT_TIMEOUT_MS = 400.0
 KEEPALIVE_MS = 10_000.0
-RETRY_AFTER_SHARE = 0.2  # of the time left: the longest that a caller is told to wait
+RETRY_AFTER_FRACTION = 0.2  # of the time left: the longest that a caller is told to wait
 MIN_RETRY_AFTER_MS = 20.0
-DEPENDENCY_RETRY_AFTER_SHARE = 0.2  # of the latency target, after being shed for a dependency
+DEPENDENCY_RETRY_AFTER_FRACTION = 0.2  # of the latency target, after being shed for a dependency
 SHORT_RETRY_AFTER_S = 0.05  # where nothing is known to be in the way
 
 
@@ -126,12 +126,12 @@
             list(self._classes.values()),
             tier=1,
             tiers=2,
-            target_share=TARGET_SHARE,
+            target_share=TARGET_FRACTION,
             max_attempts=self._max_attempts,
             can_cancel=True,
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
             keepalive_ms=KEEPALIVE_MS,
-            repeat_ratio=min(1.0, RETRY_RATIO_SHARE * self._bounds.retry_ratio),
+            repeat_ratio=min(1.0, RETRY_RATIO_FRACTION * self._bounds.retry_ratio),
             extra_floor=self._retry_slack.retries(),
             resend_span_ms=self._bounds.retry_window_s * 1000.0,
         )
@@ -162,12 +162,12 @@
         for request in self.pending.values():
             if request.deadline_ms > stop_ms:
                 request.deadline_ms = stop_ms
-                self._timers.cancel(request.deadline_alarm)
-                self._set_deadline_alarm(request)
+                self._timers.cancel(request.deadline_timer)
+                self._set_deadline_timer(request)
 
-    def _set_deadline_alarm(self, request: PendingRequest) -> None:
+    def _set_deadline_timer(self, request: PendingRequest) -> None:
         delay_s = (request.deadline_ms - now_ms()) / 1000.0
-        request.deadline_alarm = self._timers.schedule(delay_s, request.deadline_passed)
+        request.deadline_timer = self._timers.schedule(delay_s, request.deadline_passed)
 
     # Requests
 
@@ -184,18 +184,17 @@
         :param answer: takes the reply, exactly once, now or later.
         :param on_ended: called once no attempt of the request is under way any more.
         """
-        self._last_request += 1
         deadline_ms = min(deadline_ms, self._stop_ms)
-        request = PendingRequest(self, f"{self._last_request}", message, route, deadline_ms, answer, on_ended)
+        request = PendingRequest(self, message, route, deadline_ms, answer, on_ended)
         self.pending[request.id] = request
-        self._set_deadline_alarm(request)
+        self._set_deadline_timer(request)
         name = class_name(route)
         if self._balancer is None or name not in self._balancer.classes:
             refusal = Rejection(RejectionReason.NOT_EXECUTED, "the route has just changed")
             self.finish(request, refusal_reply(message, refusal, SHORT_RETRY_AFTER_S))
             self.attempts_changed(request)
         elif self._rng.random() < self._nested.shed(name, now_ms()):
-            retry_after_ms = self._rng.uniform(0.5, 1.0) * DEPENDENCY_RETRY_AFTER_SHARE * route.aim_ms
+            retry_after_ms = self._rng.uniform(0.5, 1.0) * DEPENDENCY_RETRY_AFTER_FRACTION * route.aim_ms
             self._give_up(request, retry_after_ms)
             self.attempts_changed(request)
         else:
@@ -203,6 +202,11 @@
             self.handle(api.Request(request.id, name, remaining_ms, upload=message.flow is not None))
         return request
 
+    def next_request_id(self) -> str:
+        """An id that the decision module has not seen."""
+        self._last_request += 1
+        return f"{self._last_request}"
+
     def finish(self, request: PendingRequest, reply: Reply) -> None:
         """Answer a request, if it is still awaited."""
         if request.awaited:
@@ -259,7 +263,7 @@
 
     def _withdraw(self, request: PendingRequest) -> None:
         request.awaited = False
-        self._timers.cancel(request.deadline_alarm)
+        self._timers.cancel(request.deadline_timer)
         self.pending.pop(request.id, None)
 
     def _attempts_of(self, request: PendingRequest) -> list[GateAttempt]:
@@ -280,7 +284,7 @@
             )
         now = now_ms()
         self.last_rejected_ms = now
-        longest_ms = max(MIN_RETRY_AFTER_MS, RETRY_AFTER_SHARE * (request.deadline_ms - now))
+        longest_ms = max(MIN_RETRY_AFTER_MS, RETRY_AFTER_FRACTION * (request.deadline_ms - now))
         retry_after_s = min(retry_after_ms, longest_ms) / 1000.0
         self.finish(
             request, refusal_reply(request.message, Rejection(RejectionReason.NOT_EXECUTED), retry_after_s)
--- a/tests/mesh/dataplane/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -180,7 +180,7 @@
 def test_a_drain_is_counted_from_its_first_word_though_another_life_was_heard_of(scene: Scene) -> None:
     scene.beat(1, DRAINING, "j")
     scene.beat(9, IN_SERVICE, "i")  # the last word of a life before it
-    scene.loop.pass_ms(1_600.0)  # over `DRAIN_SHARE` of the time
+    scene.loop.pass_ms(1_600.0)  # over `DRAIN_FRACTION` of the time
     scene.beat(2, DRAINING, "j")
     scene.ask("a", target_instance=b"j")
     assert (scene.state, scene.word("a")) == (DRAINING, b"gone")
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -23,7 +23,6 @@
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.connection_pool import HttpConnectionPool
 from orchidferry.mesh.dataplane.http_connection import HttpConnection
-from orchidferry.mesh.dataplane.idle_limit import IdleLimit
 from orchidferry.node.flow import SHORT_BODY, Flow
 from orchidferry.node.frontend import Reply
 from orchidferry.node.timer_queue import TimerQueue
@@ -330,56 +329,3 @@
         return [result for result, _ in sent.ends]
 
     assert asyncio.run(main()) == [Result.UNREACHABLE]
-
-
-# Kept connections
-
-
-@pytest.mark.parametrize(
-    ("once", "rested_ms", "keep_alive", "kept"),
-    [
-        (False, 6_900.0, b"", True),
-        (False, 7_100.0, b"", False),
-        (True, 400.0, b"", True),
-        (True, 600.0, b"", False),  # one that the server may have forgotten: a loss could not be made good
-        (False, 2_700.0, b"Keep-Alive: timeout=4\r\n", True),
-        (False, 2_900.0, b"Keep-Alive: timeout=4\r\n", False),  # the server may close it as we write
-        (True, 600.0, b"Keep-Alive: timeout=1\r\n", False),
-    ],
-)
-def test_which_kept_connections_are_used(
-    monkeypatch: pytest.MonkeyPatch, once: bool, rested_ms: float, keep_alive: bytes, kept: bool
-) -> None:
-    loop, made = pool()
-    patch_clock(monkeypatch, loop.now_ms)
-    made.send(Sent(proxied_request("t1")))
-    made.peers[0].put(answer("t1", more=keep_alive))
-    made.peers[0].read()
-    loop.now_s += rested_ms / 1e3
-    made.send(Sent(proxied_request("t2"), at_most_once=once))
-    assert (len(made.peers) == 1) is kept and len(made._open) == 1
-    close_all(made)
-
-
-def test_a_server_that_forgets_idle_connections_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    loop, made = pool()
-    patch_clock(monkeypatch, loop.now_ms)
-    for number, rest_ms in enumerate((0.0, 1_000.0, 600.0)):
-        loop.now_s += rest_ms / 1e3
-        sent = Sent(proxied_request(f"t{number}"))
-        made.send(sent)
-        if rest_ms == 1_000.0:  # reset: it was forgotten
-            made.peers[-1].lose(ConnectionResetError())
-            assert sent.ends[0][0] is Result.RESET and len(made.peers) == 1
-            made.send(sent := Sent(proxied_request("again")))
-        made.peers[-1].put(answer(sent.message.id))
-        made.peers[-1].read()
-        assert sent.ends[0][0] is Result.SERVED
-    assert len(made.peers) == 3  # the last one did not trust a rest of 600 ms any more
-    close_all(made)
-
-
-def test_a_young_connection_that_dies_teaches_nothing() -> None:
-    limit = IdleLimit(7_000.0, 500.0)
-    limit.closed_after(10.0, 0.0)
-    assert limit.allows(400.0, True, 0.0) and limit.allows(6_000.0, False, 0.0)
--- /dev/null
+++ b/tests/mesh/dataplane/test_endpoint_table.py
@@ -0,0 +1,96 @@
+"""The servers of a service: their weights, and the connections that are closed as they change."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from orchidferry.balancing import interface as api
+from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, NodeRecord, Server
+from orchidferry.mesh.dataplane.endpoint_table import EndpointTable
+from tests.mesh.fakes import Loop, patch_clock
+
+
+class Connections:
+    """Records which connections are to be closed."""
+
+    def __init__(self) -> None:
+        self.closed: list[tuple[str, int]] = []
+
+    def close_idle(self, server: int) -> None:
+        self.closed.append(("idle", server))
+
+    def server_removed(self, server: int) -> None:
+        self.closed.append(("removed", server))
+
+
+class Scene:
+    """A table of the service `s` on a node of the zone `z`."""
+
+    def __init__(self, patch: pytest.MonkeyPatch) -> None:
+        loop: Any = Loop()
+        self.loop = loop
+        patch_clock(patch, self.loop.now_ms)
+        connections: Any = Connections()
+        self.connections = connections
+        self.published: list[api.ServerEntry] = []
+        self.table = EndpointTable("s", "z", int, loop, connections, self.published.extend)
+
+    def update(self, *servers: Server, boot: int = 1) -> list[tuple[int, api.Health, float]]:
+        """The entries that are published when these are listed."""
+        self.published.clear()
+        self.table.update({s.id: NodeRecord(s.id, boot, 1, s.zone, "127.0.0.1", 1, s) for s in servers})
+        return [(entry.server, entry.health, entry.share) for entry in self.published]
+
+
+def server(
+    id: str, state: str = IN_SERVICE, zone: str = "z", service: str = "s", cold_ms: float = 0.0
+) -> Server:
+    """A server with four slots."""
+    return Server(id, service, zone, state, 4, cold_ms)
+
+
+@pytest.fixture
+def scene(monkeypatch: pytest.MonkeyPatch) -> Scene:
+    return Scene(monkeypatch)
+
+
+def test_only_changes_are_published(scene: Scene) -> None:
+    first = scene.update(server("1"), server("2", zone="y"), server("3", service="t"), server("4", GONE))
+    assert first == [(1, api.Health.IN_SERVICE, 4.0), (2, api.Health.IN_SERVICE, 1.0)]
+    assert scene.update(server("1"), server("2", zone="y")) == []
+    assert scene.update(server("1", DRAINING)) == [
+        (1, api.Health.DRAINING, 4.0),
+        (2, api.Health.GONE, 1.0),
+    ]
+    assert not scene.table.is_ready(1) and scene.table.ready_count == 0
+    assert scene.connections.closed == [("removed", 2)]
+
+
+def test_idle_connections_to_a_gate_that_was_started_anew_are_closed(scene: Scene) -> None:
+    scene.update(server("1"), boot=1)
+    scene.update(server("1"), boot=1)
+    assert scene.connections.closed == []
+    assert scene.update(server("1"), boot=2) == [] and scene.connections.closed == [("idle", 1)]
+    endpoint = scene.table.ready_endpoint(1)
+    assert endpoint is not None and endpoint.gate_boot == 2
+
+
+def test_a_server_that_starts_slowly_has_half_of_its_weight_for_the_time_that_it_states(scene: Scene) -> None:
+    assert scene.update(server("1", cold_ms=100.0)) == [(1, api.Health.IN_SERVICE, 2.0)]
+    scene.loop.pass_ms(105.0)
+    assert [entry.share for entry in scene.published] == [2.0]
+    scene.loop.pass_ms(10.0)
+    assert [entry.share for entry in scene.published] == [2.0, 4.0]
+    endpoint = scene.table.ready_endpoint(1)
+    assert endpoint is not None and endpoint.entry.share == 4.0
+
+
+def test_servers_of_the_zone_lose_weight_as_requests_queue_there(scene: Scene) -> None:
+    scene.update(server("1"), server("2", zone="y"))
+    scene.table.observe_queue(2, 9.0)  # of another zone
+    scene.table.observe_queue(7, 9.0)  # not listed
+    assert len(scene.published) == 2
+    scene.table.observe_queue(1, 9.0)
+    assert [(entry.server, entry.share) for entry in scene.published[2:]] == [(1, 1.0)]
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -81,7 +81,7 @@
 
 
 def rig() -> tuple[Any, Any]:
-    """A loop, and connections whose alarms are on it."""
+    """A loop, and connections whose timers are on it."""
     loop: Any = Loop()
     return loop, FakeConnections(TimerQueue(loop))
 
