--- a/orchidferry/testkit/bench/kit.py
+++ b/orchidferry/testkit/bench/kit.py
@@ -92,17 +92,17 @@
                 "servers": sum(t.servers for t in scenario.tiers),
                 "nodes": scenario.front.nodes + sum(t.servers for t in scenario.tiers[:-1]),
                 "processes": run.processes,
-                "service": verdict.service.whole,
+                "service": verdict.service.overall,
                 "late_p99_ms": verdict.lateness.p99_s * 1000,
                 "stall_ms": verdict.lateness.stall_s * 1000,
                 "starved": verdict.lateness.starved,
                 "void": void,
-                "broken": verdict.broken,
+                "broken": verdict.broken_rules,
             }
             rows.append(row)
             print(
                 f"  {row['rate']:6g}/s, {row['servers']:5} servers, {row['nodes']:4} nodes: "
-                f"service {verdict.service.whole or 0.0:.3f}, late {row['late_p99_ms']:.1f} ms at p99, "
+                f"service {verdict.service.overall or 0.0:.3f}, late {row['late_p99_ms']:.1f} ms at p99, "
                 f"longest stall {row['stall_ms']:.0f} ms, node waited {row['starved']:.0%}"
                 + (f"  VOID: {'; '.join(void)}" if void else ""),
                 flush=True,
@@ -120,10 +120,10 @@
         row: dict[str, Any] = {
             "run": n + 1,
             "complete": run.complete,
-            "service": verdict.service.whole,
+            "service": verdict.service.overall,
             "worst_10s": verdict.service.worst_window,
-            "broken": verdict.broken,
-            "attempts": verdict.per_client_request,
+            "broken": verdict.broken_rules,
+            "attempts": verdict.arrivals_per_client_request,
             "void": verdict.lateness.void,
         }
         rows.append(row)
@@ -156,14 +156,14 @@
         row: dict[str, Any] = {
             "node_attempts": attempts,
             "client_retries": asked_again,
-            "service": statistics.mean(v.service.whole or 0.0 for v in verdicts),
+            "service": statistics.mean(v.service.overall or 0.0 for v in verdicts),
             "worst_10s": statistics.mean(v.service.worst_window or 0.0 for v in verdicts),
-            "attempts": statistics.mean(v.per_client_request for v in verdicts),
+            "attempts": statistics.mean(v.arrivals_per_client_request for v in verdicts),
             "p99_ms": {
                 name: statistics.mean(v.service.classes[name].quantile_ms(99.0) for v in verdicts)
                 for name in verdicts[0].service.classes
             },
-            "broken": sorted({name for v in verdicts for name in v.broken}),
+            "broken": sorted({name for v in verdicts for name in v.broken_rules}),
         }
         rows.append(row)
         print(
--- a/orchidferry/testkit/bench/members.py
+++ b/orchidferry/testkit/bench/members.py
@@ -11,7 +11,7 @@
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.members import Status
 from orchidferry.balancing.fleet.suspicion import Timing, bounds_ms
-from orchidferry.testkit.judge.fleet import quantile
+from orchidferry.testkit.judge.quantiles import quantile
 from orchidferry.testkit.model.fleet import Net
 from orchidferry.testkit.world.links import LinkFault
 
--- a/orchidferry/testkit/bench/mesh_news.py
+++ b/orchidferry/testkit/bench/mesh_news.py
@@ -12,7 +12,7 @@
 
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.control.traffic_counter import TrafficCounter
-from orchidferry.testkit.judge.fleet import quantile
+from orchidferry.testkit.judge.quantiles import quantile
 from orchidferry.testkit.model.relays import BETWEEN_S, EVERYBODY, Node, World
 
 SETTLE_S = 30.0
--- a/orchidferry/testkit/bench/worth.py
+++ b/orchidferry/testkit/bench/worth.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from orchidferry.testkit.bench.kit import played
-from orchidferry.testkit.judge.verdict import as_json
+from orchidferry.testkit.judge.verdict_json import as_json
 from orchidferry.testkit.scenario import ChainSide, Scenario, load_scenario
 
 VARIANTS = {
@@ -66,12 +66,12 @@
                     "service": found["service"],
                     "classes": classes,
                     "attempts": found["attempts"],
-                    "broken": verdict.broken,
+                    "broken": verdict.broken_rules,
                     "void": verdict.lateness.void,
                 }
             )
             told = ", ".join(f"{cls} {value:.2f}" for cls, value in classes.items())
-            bad = "".join(f"; {what}" for what in [*verdict.broken, *verdict.lateness.void])
+            bad = "".join(f"; {what}" for what in [*verdict.broken_rules, *verdict.lateness.void])
             print(
                 f"{name:24} seed {seed}: service {found['service']:.3f} ({told}), "
                 f"{found['attempts']['per_client_request']:.2f} attempts for each{bad}",
--- /dev/null
+++ b/orchidferry/testkit/judge/mesh/shutdown_rules.py
@@ -0,0 +1,165 @@
+"""Rules of the mesh on planned work: servers that leave, shutdowns of processes, configuration changes."""
+
+from __future__ import annotations
+
+import math
+from collections import defaultdict
+from dataclasses import dataclass
+
+from orchidferry.testkit.judge.findings import Finding
+from orchidferry.testkit.judge.mesh.trace import MeshTrace
+from orchidferry.testkit.mesh.facts import Answered, Cut, Process, Sent
+
+CLOSED_UNDER_REQUEST = ("closed", "reset", "broken")
+MISDIRECTED = 421
+OBSERVATION_S = 1.0
+"""How much longer than its bound the effect of planned work is looked for."""
+
+DEADLINE_SLACK_S = 0.01
+MAX_CLOSE_RATIO = 3.0
+"""How many times as many requests as usual may be closed around a change of configuration."""
+
+
+def drained_servers_get_nothing(trace: MeshTrace) -> Finding:
+    """No request reaches a server later than `drain_ms` after its leave was acknowledged."""
+    finding = Finding()
+    drain_s = trace.bounds.drain_ms / 1000.0
+    services = {run.arrived.server: run.arrived.service for run in trace.runs.values()}
+    for server, acknowledged in _leave_times(trace).items():
+        late = acknowledged + drain_s
+        end = trace.server_ends.get(server, math.inf)
+        for run in trace.runs.values():
+            arrived = run.arrived
+            if not late < arrived.t <= end or arrived.service != services.get(server):
+                continue
+            finding.checked += 1  # it went to this server, or to another of the service
+            sent = trace.requests.get(arrived.id)
+            if arrived.server != server or sent is None:
+                continue
+            if run.rejected and run.rejected.status == MISDIRECTED:
+                continue
+            if trace.link_was_faulty(sent.t, arrived.t, sent.machine, arrived.machine):
+                continue
+            if trace.were_connected(sent.t, arrived.t, sent.machine, arrived.machine):
+                problem = f"reached {server} {arrived.t - acknowledged:.3f} s after its leave"
+                trace.report(finding, arrived.t, arrived.id, problem)
+    return finding
+
+
+def _leave_times(trace: MeshTrace) -> dict[str, float]:
+    """When the leave of each server was first acknowledged."""
+    found: dict[str, float] = {}
+    for notice in trace.notices:
+        if notice.acked is not None and notice.state in ("draining", "gone"):
+            found[notice.server] = min(notice.acked, found.get(notice.server, math.inf))
+    return found
+
+
+def planned_work_loses_nothing(trace: MeshTrace) -> Finding:
+    """No request that a process has read is broken off by its shutdown or by a configuration change."""
+    finding = Finding()
+    for shutdown in trace.processes:
+        if shutdown.what == "term" and shutdown.machine in trace.record.services:
+            _check_shutdown(trace, finding, shutdown)
+    _check_configuration_changes(trace, finding)
+    return finding
+
+
+def _check_shutdown(trace: MeshTrace, finding: Finding, shutdown: Process) -> None:
+    """Check all requests at a machine that ended while its process shut down."""
+    grace = trace.bounds.grace_s
+    for request_id, sent in trace.requests.items():
+        end = trace.ends.get(request_id)
+        if sent.machine != shutdown.machine or end is None:
+            continue
+        if not shutdown.t <= end.t <= shutdown.t + grace + OBSERVATION_S:
+            continue
+        if isinstance(end, Cut) and end.how in ("refused", "silent"):
+            continue  # no process read it
+        finding.checked += 1
+        if trace.had_unplanned_event(sent.t, end.t) or _is_excused(
+            trace, sent, end, shutdown.t + grace / 2.0
+        ):
+            continue
+        if isinstance(end, Cut):
+            if _was_read(trace, sent, end):
+                problem = f"closed {end.t - shutdown.t:.3f} s after the SIGTERM"
+                trace.report(finding, end.t, request_id, problem)
+        elif end.status in (500, 502, 504) and not end.seal and _in_progress(trace, request_id, end.t):
+            problem = f"answered {end.status} after the SIGTERM, while it was run"
+            trace.report(finding, end.t, request_id, problem)
+
+
+def _was_read(trace: MeshTrace, sent: Sent, end: Cut) -> bool:
+    """Whether a connection closed under a request that must have been read."""
+    slack = trace.bounds.loss_slack_ms / 1000.0
+    forwarded = any(run.arrived.t <= end.t for run in trace.runs_by_request.get(sent.id, ()))
+    return end.how in CLOSED_UNDER_REQUEST and end.t < sent.ends and (forwarded or end.t - sent.t > slack)
+
+
+def _in_progress(trace: MeshTrace, request_id: str, t: float) -> bool:
+    """Whether a server was at work on a request."""
+    runs = [run for run in trace.executed_runs_of(request_id) if run.began is not None and run.began <= t]
+    return any((run.done is None or run.done.t > t) for run in runs)
+
+
+def _is_excused(trace: MeshTrace, sent: Sent, end: Answered | Cut, half: float) -> bool:
+    """Whether its time was up, or its server still worked in the second half of the grace.
+
+    :param half: when the second half of the grace begins
+    """
+    runs = trace.executed_runs_of(sent.id)
+    at_work = any((run.done.t if run.done else run.dropped or math.inf) > half for run in runs)
+    return end.t >= sent.ends - DEADLINE_SLACK_S or (at_work and end.t >= half)
+
+
+@dataclass(frozen=True, slots=True)
+class _Ended:
+    """A request that ended, and whether its connection closed under it."""
+
+    request: Sent
+    closed: bool
+
+
+def _check_configuration_changes(trace: MeshTrace, finding: Finding) -> None:
+    """Around changes of configuration no more connections close under requests than at other times."""
+    inside: dict[str, list[_Ended]] = defaultdict(list)  # by machine
+    outside: dict[str, list[_Ended]] = defaultdict(list)
+    changes = _change_spans(trace)
+    for request_id, sent in trace.requests.items():
+        end = trace.ends.get(request_id)
+        if end is None or trace.had_unplanned_event(sent.t, end.t):
+            continue
+        if _during_shutdown(trace, sent.machine, end.t):
+            continue  # checked by `_check_shutdown`
+        closed = isinstance(end, Cut) and _was_read(trace, sent, end)
+        in_change = any(low <= end.t <= high for low, high in changes)
+        (inside if in_change else outside)[sent.machine].append(_Ended(sent, closed))
+    for machine, ended in inside.items():
+        finding.checked += len(ended)
+        closed_requests = [one.request for one in ended if one.closed]
+        elsewhere = outside.get(machine, [])
+        baseline = sum(one.closed for one in elsewhere) / max(1, len(elsewhere))
+        if len(closed_requests) > MAX_CLOSE_RATIO * baseline * len(ended):
+            for sent in closed_requests:
+                problem = "closed around a change of configuration"
+                trace.report(finding, trace.end_time(sent.id), sent.id, problem)
+
+
+def _change_spans(trace: MeshTrace) -> list[tuple[float, float]]:
+    """From when each valid version was sent until it must have been applied."""
+    after = trace.bounds.config_apply_ms / 1000.0 + OBSERVATION_S
+    return [
+        (put.t, (put.acked if put.acked is not None else put.until) + after)
+        for put in trace.puts
+        if put.valid
+    ]
+
+
+def _during_shutdown(trace: MeshTrace, machine: str, t: float) -> bool:
+    """Whether a machine's process was shutting down, or had just done so."""
+    return any(
+        fact.t <= t <= fact.t + trace.bounds.grace_s + OBSERVATION_S
+        for fact in trace.processes
+        if fact.what == "term" and fact.machine == machine
+    )
--- /dev/null
+++ b/orchidferry/testkit/judge/trace.py
@@ -0,0 +1,226 @@
+"""The record of a run, indexed by request, server and node for the rules."""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+from dataclasses import dataclass, field, replace
+from typing import NamedTuple
+
+from orchidferry.testkit.record import (
+    Answered,
+    Asked,
+    Began,
+    Cut,
+    Down,
+    Ended,
+    Extra,
+    Fact,
+    Got,
+    Incident,
+    NodeDown,
+    NodePaused,
+    NodeUp,
+    Told,
+    Unanswered,
+    Up,
+    Wanted,
+)
+from orchidferry.testkit.scenario import Class, Scenario
+
+RequesterEvent = Asked | Answered | Cut | Unanswered | Extra
+"""What the side that sends a request records of it."""
+
+MAX_HISTORY_LINES = 24
+
+KILLED = ("killed", "end")
+"""Reasons of `NodeDown` for which the node is not to blame: its callers have to ask again."""
+
+
+class RequestKey(NamedTuple):
+    """Identifies a request: ids are unique within a tier."""
+
+    tier: int
+    id: str
+
+
+@dataclass
+class RunTrace:
+    """The facts of a run, by what they are about. All times are on the record's clock, in seconds."""
+
+    scenario: Scenario
+    start: float  # of the load
+    end: float  # of the record
+    complete: bool  # all clients came to their end
+    classes: dict[str, Class]
+    requester_events: dict[RequestKey, list[RequesterEvent]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    arrivals: dict[RequestKey, list[Got]] = field(default_factory=lambda: defaultdict(list))
+    executions: dict[RequestKey, list[Began]] = field(default_factory=lambda: defaultdict(list))
+    completions: dict[RequestKey, list[Ended]] = field(default_factory=lambda: defaultdict(list))
+    wanted: list[Wanted] = field(default_factory=list)
+    announcements: dict[tuple[str, str], list[Told]] = field(
+        default_factory=lambda: defaultdict(list)
+    )  # by node and server
+    server_starts: list[Up] = field(default_factory=list)
+    server_stops: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    node_stops: dict[str, list[NodeDown]] = field(default_factory=lambda: defaultdict(list))
+    node_starts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    node_pauses: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
+    incidents: list[Incident] = field(default_factory=list)
+    arrivals_by_server: dict[str, list[Got]] = field(default_factory=lambda: defaultdict(list))
+
+    def node_of(self, arrival: Got) -> str | None:
+        """The node that sent a request to a server; None if the record has no sender of it."""
+        for fact in self.requester_events.get(RequestKey(arrival.tier, arrival.id), ()):
+            if isinstance(fact, Asked):
+                return fact.node
+        return None
+
+    def rejected_at(self, arrival: Got) -> float | None:
+        """When its server rejected a request, so that its node could know; None if it may have run."""
+        for fact in self.completions.get(RequestKey(arrival.tier, arrival.id), ()):
+            if fact.server == arrival.server and fact.t >= arrival.t:
+                return fact.t if fact.how == "rejected" else None
+        return None
+
+    def out_of_service_since(self, node: str, server: str, t: float) -> float | None:
+        """Since when a node knows, at `t`, that a server drains or is gone; None if it is in service."""
+        since: float | None = None
+        for fact in self.announcements.get((node, server), ()):
+            if fact.t > t:
+                break
+            if fact.status == "active":
+                since = None
+            elif since is None:
+                since = fact.t
+        return since
+
+    def node_stop_between(self, node: str, after: float, before: float) -> NodeDown | None:
+        """The first end of a node's process within a span of time, if there was one."""
+        for fact in self.node_stops.get(node, ()):
+            if after <= fact.t <= before and fact.why != "term":
+                return fact
+        return None
+
+    def node_was_dead(self, node: str, t: float) -> bool:
+        """Whether a node had been killed by `t`, and was not up again.
+
+        A datagram to a process that has ended is not refused, so its sender can't know.
+        """
+        ends = [fact.t for fact in self.node_stops.get(node, ()) if fact.why in KILLED and fact.t <= t]
+        return bool(ends) and not any(ends[-1] <= up <= t for up in self.node_starts.get(node, ()))
+
+    def was_paused(self, node: str, after: float, before: float) -> bool:
+        """Whether a node's process was stopped by a signal at any time within a span."""
+        return any(start <= before and end >= after for start, end in self.node_pauses.get(node, ()))
+
+    def was_terminated(self, node: str, before: float) -> bool:
+        """Whether a node had been sent SIGTERM before a time."""
+        return any(fact.why == "term" and fact.t <= before for fact in self.node_stops.get(node, ()))
+
+    def requester_died(self, node: str, after: float) -> bool:
+        """Whether the server beside which the node runs went down, and with it the sender of its requests."""
+        server = node.partition("/")[0]
+        return any(t >= after for t in self.server_stops.get(server, ()))
+
+    def elapsed(self, t: float) -> float:
+        """Seconds from the start of the load to `t`."""
+        return t - self.start
+
+    def history(self, request: RequestKey) -> list[str]:
+        """All that the record has of a request, in order of time, as lines of text."""
+        facts: list[Fact] = [
+            *self.requester_events.get(request, ()),
+            *self.arrivals.get(request, ()),
+            *self.executions.get(request, ()),
+            *self.completions.get(request, ()),
+        ]
+        facts.sort(key=lambda fact: fact.t)
+        lines = [f"{self.elapsed(fact.t):9.3f} s  {_describe(fact, self)}" for fact in facts]
+        if len(lines) > MAX_HISTORY_LINES:
+            lines = [*lines[:MAX_HISTORY_LINES], f"and {len(lines) - MAX_HISTORY_LINES} lines more"]
+        return lines
+
+
+def _describe(fact: Fact, trace: RunTrace) -> str:
+    match fact:
+        case Asked():
+            left = fact.ends - fact.t
+            return f"{fact.id} ({fact.cls}) asked of node {fact.node}, {left:.3f} s left"
+        case Answered():
+            remark = "" if fact.sound else ", with a body no server made"
+            return f"node {fact.node} answered {fact.status}{remark}"
+        case Cut():
+            remark = ", reused" if fact.reused else ""
+            return f"the connection to node {fact.node} ended: {fact.how}{remark}"
+        case Unanswered():
+            return "the client left of itself" if fact.left else f"time up, no answer from node {fact.node}"
+        case Extra():
+            return f"node {fact.node} sent bytes that nobody asked for"
+        case Got():
+            first = trace.elapsed(fact.first)
+            return f"server {fact.server} (cell {fact.cell}) had read it, first byte at {first:.3f}"
+        case Began():
+            return f"server {fact.server} began to work on it"
+        case Ended():
+            return f"server {fact.server}: {fact.how}"
+    return fact.tag
+
+
+def build_trace(scenario: Scenario, facts: list[Fact], start: float, end: float, complete: bool) -> RunTrace:
+    """Index the facts of a record.
+
+    :param facts: in order of time
+    :param start: when the load began
+    :param end: when the record ends
+    :param complete: whether all clients came to their end
+    """
+    trace = RunTrace(scenario, start, end, complete, {cls.name: cls for cls in scenario.classes})
+    for fact in facts:
+        if isinstance(fact, NodePaused):
+            trace.node_pauses[fact.node].append((fact.t, fact.until))
+    for fact in facts:
+        _add_fact(trace, fact)
+    return trace
+
+
+def _add_fact(trace: RunTrace, fact: Fact) -> None:
+    match fact:
+        case Asked() | Answered() | Cut() | Unanswered() | Extra():
+            trace.requester_events[RequestKey(fact.tier, fact.id)].append(fact)
+        case Got():
+            trace.arrivals[RequestKey(fact.tier, fact.id)].append(fact)
+            trace.arrivals_by_server[fact.server].append(fact)
+        case Began():
+            trace.executions[RequestKey(fact.tier, fact.id)].append(fact)
+        case Ended():
+            trace.completions[RequestKey(fact.tier, fact.id)].append(fact)
+        case Wanted():
+            trace.wanted.append(fact)
+        case Told():
+            # What is written to a paused node is read only when it goes on.
+            pauses = trace.node_pauses.get(fact.node, ())
+            received = max((end for start, end in pauses if start <= fact.t <= end), default=fact.t)
+            trace.announcements[fact.node, fact.server].append(replace(fact, t=received))
+        case Up():
+            trace.server_starts.append(fact)
+        case Down():
+            trace.server_stops[fact.server].append(fact.t)
+        case NodeUp():
+            trace.node_starts[fact.node].append(fact.t)
+        case NodeDown():
+            trace.node_stops[fact.node].append(fact)
+        case Incident():
+            trace.incidents.append(fact)
+
+
+def arrivals_between(arrivals: list[Got], low: float, high: float) -> list[Got]:
+    """Those arrivals whose time is from `low` to `high`, both included.
+
+    :param arrivals: in order of time
+    """
+    left = bisect.bisect_left(arrivals, low, key=lambda fact: fact.t)
+    right = bisect.bisect_right(arrivals, high, key=lambda fact: fact.t)
+    return arrivals[left:right]
--- a/orchidferry/testkit/mesh/command.py
+++ b/orchidferry/testkit/mesh/command.py
@@ -15,7 +15,8 @@
 from rich.markup import escape
 from rich.table import Table
 
-from orchidferry.testkit.judge.mesh import FORMAT, Verdict, as_json, judge
+from orchidferry.testkit.judge.mesh.verdict import Verdict, judge
+from orchidferry.testkit.judge.mesh.verdict_json import FORMAT, as_json
 from orchidferry.testkit.mesh import seeds
 from orchidferry.testkit.mesh.day import DAYS, Day
 from orchidferry.testkit.mesh.processes import missing
@@ -171,8 +172,8 @@
         f"{max((use[1] for use in played.usage.values()), default=0.0):.0f} MB at most",
         highlight=False,
     )
-    for event in verdict.books.events:
-        console.print(f"{verdict.books.at(event.t):9.1f} s  {event.do}: {event.whom}", highlight=False)
+    for event in verdict.trace.events:
+        console.print(f"{verdict.trace.elapsed(event.t):9.1f} s  {event.do}: {event.whom}", highlight=False)
     for put in mesh["versions"]:
         took = "not acknowledged" if put["acked_ms"] is None else f"acknowledged in {put['acked_ms']:.0f} ms"
         valid = "" if put["valid"] else " (invalid)"
@@ -181,18 +182,21 @@
     for name, justify in (("rule", "left"), ("verdict", "left"), ("checked", "right"), ("breaks", "right")):
         rules.add_column(name, justify=justify)  # type: ignore[arg-type]
     for name, finding in verdict.rules.items():
-        rules.add_row(name, word(finding.held, finding.checked), str(finding.checked), str(finding.count))
+        rules.add_row(
+            name, word(finding.passed, finding.checked), str(finding.checked), str(finding.violation_count)
+        )
     console.print(rules)
     for name, finding in verdict.rules.items():
-        for broken in finding.broken[:MAX_BREAKS]:
+        for violation in finding.violations[:MAX_BREAKS]:
             console.print(
-                f"[bold red]{name}[/]: {broken.request} at {broken.t:.3f} s: {escape(broken.what)}",
+                f"[bold red]{name}[/]: {violation.request} at {violation.t:.3f} s: "
+                f"{escape(violation.description)}",
                 highlight=False,
             )
-            for line in broken.story:
+            for line in violation.history:
                 console.print(f"    {line}", markup=False, highlight=False, soft_wrap=True)
-        if finding.count > MAX_BREAKS:
-            console.print(f"    and {finding.count - MAX_BREAKS} more")
+        if finding.violation_count > MAX_BREAKS:
+            console.print(f"    and {finding.violation_count - MAX_BREAKS} more")
     for note in played.notes[:5]:
         console.print(f"logged at {note}", markup=False, highlight=False)
     if verdict.passed:
--- a/orchidferry/testkit/mesh/facts.py
+++ b/orchidferry/testkit/mesh/facts.py
@@ -207,8 +207,8 @@
 
 
 @dataclass(slots=True)
-class Harm:
-    """Links between machines were harmed; `links`: by direction, who sends and who receives."""
+class LinkFault:
+    """A fault of links between machines; `links`: by direction, who sends and who receives."""
 
     t: float
     until: float
@@ -243,11 +243,20 @@
     | ControlCall
     | Ready
     | Process
-    | Harm
+    | LinkFault
     | Event
 )
 
 
+STORED_NAMES: dict[type, str] = {LinkFault: "Harm"}
+"""The names in records of those facts whose class has another name."""
+
+
+def stored_name(kind: type[Fact]) -> str:
+    """The name of a kind of fact in records."""
+    return STORED_NAMES.get(kind, kind.__name__)
+
+
 @dataclass(slots=True)
 class Record:
     """A run, as the judge takes it."""
@@ -267,6 +276,6 @@
     starved: float = 0.0  # the largest share of a second or two that a process waited for a core
 
     def lines(self) -> str:
-        """As JSON lines, for whoever looks into a run."""
+        """The facts as JSON lines, in order of time."""
         facts = sorted(self.facts, key=lambda fact: fact.t)
-        return "".join(json.dumps({"fact": type(fact).__name__, **asdict(fact)}) + "\n" for fact in facts)
+        return "".join(json.dumps({"fact": stored_name(type(fact)), **asdict(fact)}) + "\n" for fact in facts)
--- a/orchidferry/testkit/mesh/link_deeds.py
+++ b/orchidferry/testkit/mesh/link_deeds.py
@@ -8,7 +8,7 @@
 from orchidferry.testkit import draws
 from orchidferry.testkit.mesh.day import Trouble
 from orchidferry.testkit.mesh.deeds import Deed, choose, live, machine_of
-from orchidferry.testkit.mesh.facts import Harm
+from orchidferry.testkit.mesh.facts import LinkFault
 from orchidferry.testkit.mesh.relay import SOUND, Fault, Pair
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 async def harm(play: Play, what: str, pairs: list[Pair], fault: Fault, for_s: float) -> None:
     """These links are harmed for a while."""
     now = play.scene.now()
-    harm = Harm(now, now + for_s, what, pairs)
+    harm = LinkFault(now, now + for_s, what, pairs)
     play.scene.note(harm)
     play.links.set(pairs, fault)
     try:
@@ -82,7 +82,7 @@
     pairs, words = _links(play, trouble)
     for n in range(RESETS):
         now = play.scene.now()
-        play.scene.note(Harm(now, now, "reset", both(pairs)))
+        play.scene.note(LinkFault(now, now, "reset", both(pairs)))
         play.links.reset(pairs)
         if n < RESETS - 1:
             await asyncio.sleep(RESET_EVERY_S)
--- a/orchidferry/testkit/mesh/seeds.py
+++ b/orchidferry/testkit/mesh/seeds.py
@@ -10,9 +10,10 @@
 
 from rich.console import Console
 
-from orchidferry.testkit.judge.books import Books
-from orchidferry.testkit.judge.control_calls import figures
-from orchidferry.testkit.judge.mesh import Verdict, as_json
+from orchidferry.testkit.judge.mesh.control_call_rules import control_call_statistics
+from orchidferry.testkit.judge.mesh.trace import MeshTrace
+from orchidferry.testkit.judge.mesh.verdict import Verdict
+from orchidferry.testkit.judge.mesh.verdict_json import as_json
 from orchidferry.testkit.mesh.session import Played
 from orchidferry.testkit.report.tables import percent
 
@@ -22,8 +23,8 @@
 
 def word(verdict: Verdict) -> str:
     """How a run ended, in one word or two: a broken rule tells more than a run that is void."""
-    if verdict.broken:
-        return "BROKEN " + " ".join(verdict.broken) + (" (void)" if verdict.void else "")
+    if verdict.broken_rules:
+        return "BROKEN " + " ".join(verdict.broken_rules) + (" (void)" if verdict.void else "")
     if not verdict.record.complete:
         return "cut off"
     if verdict.void:
@@ -46,12 +47,12 @@
 
 def ended(verdict: Verdict) -> Ended:
     checked = {name: finding.checked for name, finding in verdict.rules.items()}
-    deeds = [event.do for event in verdict.books.events]
+    deeds = [event.do for event in verdict.trace.events]
     return Ended(
         verdict.record.seed,
         word(verdict),
         verdict.passed,
-        verdict.broken,
+        verdict.broken_rules,
         verdict.service or 0.0,
         checked,
         deeds,
@@ -61,19 +62,19 @@
 def line(one: Ended, verdict: Verdict) -> str:
     """A run in one line."""
     record = verdict.record
-    puts = verdict.books.puts
+    puts = verdict.trace.puts
     acked = sum(put.acked is not None for put in puts)
     return (
-        f"seed {one.seed}: {one.word}; service {percent(one.service)}, {len(verdict.books.sent)} tries, "
+        f"seed {one.seed}: {one.word}; service {percent(one.service)}, {len(verdict.trace.requests)} tries, "
         f"{acked} of {len(puts)} versions acknowledged, {one.checked['twice']} runs of what may run once, "
-        f"stall {record.stall_s * 1000.0:.0f} ms, starved {record.starved:.2f}{_control(verdict.books)}; "
+        f"stall {record.stall_s * 1000.0:.0f} ms, starved {record.starved:.2f}{_control(verdict.trace)}; "
         f"{', '.join(one.deeds)}"
     )
 
 
-def _control(books: Books) -> str:
+def _control(trace: MeshTrace) -> str:
     """Calls at isolated controllers by their answers, and orders sent again; empty: there were none."""
-    found = figures(books)
+    found = control_call_statistics(trace)
     told = ""
     if found["alone"]:
         answers = ", ".join(f"{count} {name}" for name, count in found["alone_answers"].items())
@@ -119,7 +120,7 @@
         runs.append(one)
         objects.append(as_json(verdict))
         console.print(line(one, verdict), highlight=False, markup=False)
-        if verdict.broken or not verdict.record.complete:
+        if verdict.broken_rules or not verdict.record.complete:
             tell(verdict, played)
         if played.interrupted:
             status = 130
--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -19,7 +19,8 @@
 from rich.console import Console
 
 from orchidferry.testkit.judge.fleet import judge_fleet
-from orchidferry.testkit.judge.verdict import Verdict, as_json, judge
+from orchidferry.testkit.judge.verdict import Verdict, judge
+from orchidferry.testkit.judge.verdict_json import as_json
 from orchidferry.testkit.mesh.command import main as on_mesh
 from orchidferry.testkit.mesh.day import DAYS
 from orchidferry.testkit.record import Lag, Wanted
@@ -79,7 +80,7 @@
     verdict.control = run.control
     if scenario.fleet.on and run.start:
         verdict.fleet, verdict.views = judge_fleet(
-            verdict.books, run.facts, run.journals, run.zero, run.plan.links
+            verdict.trace, run.facts, run.journals, run.zero, run.plan.links
         )
     if preview is not None:
         verdict.traffic = _replayed(preview, run)
--- a/orchidferry/testkit/report/page.py
+++ b/orchidferry/testkit/report/page.py
@@ -9,7 +9,7 @@
 import matplotlib
 from matplotlib.figure import Figure
 
-from orchidferry.testkit.judge.fleet import counted
+from orchidferry.testkit.judge.fleet_views import count_members
 from orchidferry.testkit.judge.verdict import Verdict
 from orchidferry.testkit.report.series import QUANTILES, series
 from orchidferry.testkit.report.tables import CLASS_HEAD, TITLES, class_rows, percent, summary, word
@@ -70,19 +70,19 @@
 
 def _rules(verdict: Verdict) -> str:
     rows = []
-    stories = []
+    histories = []
     for name, finding in verdict.rules.items():
         told = word(finding)
         mark = f"<span class={MARKS[told]}>{told}</span>"
-        rows.append([TITLES[name], mark, str(finding.checked), str(finding.count)])
-        for broken in finding.broken:
-            tier = verdict.scenario.tiers[broken.tier].name
-            story = "\n".join(broken.story)
-            stories.append(
-                f"<p class=fail>{TITLES[name]}: {escape(broken.request)} to {escape(tier)} "
-                f"at {broken.t:.3f} s: {escape(broken.what)}</p><pre>{escape(story)}</pre>"
+        rows.append([TITLES[name], mark, str(finding.checked), str(finding.violation_count)])
+        for violation in finding.violations:
+            tier = verdict.scenario.tiers[violation.tier].name
+            history = "\n".join(violation.history)
+            histories.append(
+                f"<p class=fail>{TITLES[name]}: {escape(violation.request)} to {escape(tier)} "
+                f"at {violation.t:.3f} s: {escape(violation.description)}</p><pre>{escape(history)}</pre>"
             )
-    return _table(["rule", "verdict", "checked", "breaks"], rows) + "".join(stories)
+    return _table(["rule", "verdict", "checked", "breaks"], rows) + "".join(histories)
 
 
 def _classes(verdict: Verdict) -> str:
@@ -115,15 +115,23 @@
     views = verdict.views
     if found is None or views is None:
         return ""
-    times, running, held = counted(views)
+    members = count_members(views)
     with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": "rehearsal", "font.size": 9}):
         drawing = Figure(figsize=(10, 3.2), layout="constrained")
         axis: Any = drawing.subplots()
-        for n, (node, counts) in enumerate(held.items()):
+        for n, (node, counts) in enumerate(members.believed.items()):
             values = [float("nan") if count is None else count + 0.02 * n for count in counts]
-            axis.step(times, values, where="post", linewidth=0.9, label=node)
-        axis.step(times, running, where="post", color="#222", linewidth=2.0, alpha=0.35, label="running")
-        axis.set_ylim(0, len(held) + 1)
+            axis.step(members.times, values, where="post", linewidth=0.9, label=node)
+        axis.step(
+            members.times,
+            members.running,
+            where="post",
+            color="#222",
+            linewidth=2.0,
+            alpha=0.35,
+            label="running",
+        )
+        axis.set_ylim(0, len(members.believed) + 1)
         axis.set_ylabel("nodes held for here")
         axis.set_xlabel("seconds since the load began")
         axis.legend(loc="lower right", fontsize=7, ncols=5, framealpha=0.8)
@@ -141,12 +149,17 @@
 
 
 def _incidents(verdict: Verdict) -> str:
-    books = verdict.books
-    if not books.incidents:
+    trace = verdict.trace
+    if not trace.incidents:
         return "<p>None.</p>"
     rows = [
-        [escape(fact.do), f"{books.at(fact.t):.1f} s", f"{books.at(fact.until):.1f} s", escape(fact.whom)]
-        for fact in books.incidents
+        [
+            escape(fact.do),
+            f"{trace.elapsed(fact.t):.1f} s",
+            f"{trace.elapsed(fact.until):.1f} s",
+            escape(fact.whom),
+        ]
+        for fact in trace.incidents
     ]
     return _table(["what", "from", "to", "whom"], rows, "words")
 
@@ -155,7 +168,7 @@
     """Latency, service, requests in flight and attempts by tier, under a strip that shows the incidents."""
     figures = series(verdict)
     nan = float("nan")
-    rows = max(1, len(verdict.books.incidents))
+    rows = max(1, len(verdict.trace.incidents))
     with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": "rehearsal", "font.size": 9}):
         drawing = Figure(figsize=(10, 10 + 0.2 * rows), layout="constrained")
         heights = [0.35 + 0.2 * rows, 2.4, 2.4, 2.4, 2.4]
@@ -196,14 +209,14 @@
 
 def _mark(verdict: Verdict, strip: Any, axes: Any) -> None:
     """Each incident as a bar with its name, and as a tint and a line over the other plots."""
-    books = verdict.books
-    for n, fact in enumerate(books.incidents):
-        start = books.at(fact.t)
-        end = max(books.at(fact.until), books.at(fact.t) + 0.1)
+    trace = verdict.trace
+    for n, fact in enumerate(trace.incidents):
+        start = trace.elapsed(fact.t)
+        end = max(trace.elapsed(fact.until), trace.elapsed(fact.t) + 0.1)
         colour = FAULT_COLOURS[n % len(FAULT_COLOURS)]
         strip.barh(n, end - start, left=start, height=0.7, color=colour, alpha=0.6)
         strip.text(start, n, f"{fact.do} ", fontsize=8, ha="right", va="center")
-    strip.set_ylim(len(books.incidents) - 0.4, -0.6)
+    strip.set_ylim(len(trace.incidents) - 0.4, -0.6)
     strip.set_yticks([])
     strip.set_frame_on(False)
     strip.set_ylabel("faults")
@@ -212,10 +225,10 @@
 
 def _tint(verdict: Verdict, axes: Any) -> None:
     """Each incident as a tint and a line."""
-    books = verdict.books
-    for n, fact in enumerate(books.incidents):
-        start = books.at(fact.t)
-        end = max(books.at(fact.until), books.at(fact.t) + 0.1)
+    trace = verdict.trace
+    for n, fact in enumerate(trace.incidents):
+        start = trace.elapsed(fact.t)
+        end = max(trace.elapsed(fact.until), trace.elapsed(fact.t) + 0.1)
         colour = FAULT_COLOURS[n % len(FAULT_COLOURS)]
         for axis in axes:
             axis.axvspan(start, end, color=colour, alpha=0.05, linewidth=0)
--- a/orchidferry/testkit/report/series.py
+++ b/orchidferry/testkit/report/series.py
@@ -1,11 +1,11 @@
-"""What reports plot: figures over the time of a run, from the judge's books. Pure."""
+"""What reports plot: statistics over the time of a run."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from orchidferry.testkit.judge.service import First, share
+from orchidferry.testkit.judge.service import ClientRequest, Outcome, service_of
 from orchidferry.testkit.judge.verdict import Verdict
 from orchidferry.testkit.record import Answered, Asked, Cut, Unanswered
 
@@ -35,30 +35,30 @@
 
 def series(verdict: Verdict, step_s: float = 0.5) -> Series:
     """The figures of a run, in steps from the start of the load to the end of the record."""
-    books = verdict.books
-    steps = max(1, int((books.end - books.start) / step_s) + 1)
+    trace = verdict.trace
+    steps = max(1, int((trace.end - trace.start) / step_s) + 1)
 
     def step(t: float) -> int:
-        return min(steps - 1, max(0, int(books.at(t) / step_s)))
+        return min(steps - 1, max(0, int(trace.elapsed(t) / step_s)))
 
     result = Series(step_s, [n * step_s for n in range(steps)])
-    by_step: dict[int, list[First]] = defaultdict(list)
-    for first in verdict.service.firsts:
-        by_step[step(first.t + books.start)].append(first)
+    by_step: dict[int, list[ClientRequest]] = defaultdict(list)
+    for request in verdict.service.requests:
+        by_step[step(request.t + trace.start)].append(request)
     result.latency_ms = {q: [] for q in QUANTILES}
     for n in range(steps):
         some = by_step.get(n, [])
         result.asked.append(len(some) / step_s)
-        result.service.append(share(some))
-        took = sorted(first.took_s * 1000.0 for first in some if first.end == "served")
+        result.service.append(service_of(some))
+        took = sorted(one.took_s * 1000.0 for one in some if one.outcome is Outcome.SERVED)
         for q in QUANTILES:
             result.latency_ms[q].append(quantile(took, q))
     change = [0] * (steps + 1)
-    for (tier, _), seen in books.seen.items():
-        if tier:
+    for key, events in trace.requester_events.items():
+        if key.tier:
             continue
         out_now = False
-        for fact in seen:
+        for fact in events:
             # A close that crossed it, and a refused connection after that, end it once.
             if isinstance(fact, Asked) and not out_now:
                 change[step(fact.t)] += 1
@@ -73,10 +73,10 @@
     tiers = len(verdict.scenario.tiers)
     result.attempts = [[0.0] * steps for _ in range(tiers)]
     result.rejected = [[0.0] * steps for _ in range(tiers)]
-    for attempts in books.got.values():
+    for attempts in trace.arrivals.values():
         for got in attempts:
             result.attempts[got.tier][step(got.t)] += 1.0 / step_s
-    for ends in books.ended.values():
+    for ends in trace.completions.values():
         for ended in ends:
             if ended.how == "rejected":
                 result.rejected[ended.tier][step(ended.t)] += 1.0 / step_s
--- a/orchidferry/testkit/report/tables.py
+++ b/orchidferry/testkit/report/tables.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from orchidferry.testkit.judge.rules import Finding
+from orchidferry.testkit.judge.findings import Finding
 from orchidferry.testkit.judge.verdict import Verdict
 
 TITLES = {
@@ -30,7 +30,7 @@
 
 def word(finding: Finding) -> str:
     """A rule's verdict. One with nothing to check has not been kept, it has not been seen."""
-    if not finding.held:
+    if not finding.passed:
         return "FAIL"
     return "pass" if finding.checked else "nothing to check"
 
@@ -39,10 +39,10 @@
     """A run in a sentence."""
     service = verdict.service
     scenario = verdict.scenario
-    tiers = ", ".join(f"{t.name} {n}" for t, n in zip(scenario.tiers, verdict.attempts, strict=True))
+    tiers = ", ".join(f"{t.name} {n}" for t, n in zip(scenario.tiers, verdict.arrivals_by_tier, strict=True))
     return (
-        f"service {percent(service.whole)}, worst 10 s {percent(service.worst_window)} (from "
+        f"service {percent(service.overall)}, worst 10 s {percent(service.worst_window)} (from "
         f"{service.worst_window_at:g} s), worst class {service.worst_class or '-'}; "
-        f"{verdict.first_tries} first tries, {verdict.tries} with retries, "
-        f"{verdict.per_client_request:.2f} attempts for each ({tiers})"
+        f"{verdict.client_requests} first tries, {verdict.client_attempts} with retries, "
+        f"{verdict.arrivals_per_client_request:.2f} attempts for each ({tiers})"
     )
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from orchidferry.testkit.judge.verdict import Verdict, during_fault, move_of
+from orchidferry.testkit.judge.verdict import Verdict, attempts_during_fault, new_pool_load
 from orchidferry.testkit.report.series import series
 from orchidferry.testkit.report.tables import CLASS_HEAD, TITLES, class_rows, summary, word
 from orchidferry.testkit.scenario import Scenario
@@ -63,27 +63,27 @@
         )
     console.print(_classes(verdict))
     console.print(summary(verdict), highlight=False)
-    if (found := during_fault(verdict)) is not None and found["asked"]:
-        tiers = zip(verdict.scenario.tiers, found["by_tier"], strict=True)
-        shares = ", ".join(f"{tier.name} {count / found['asked']:.2f}" for tier, count in tiers)
+    if (found := attempts_during_fault(verdict)) is not None and found.asked:
+        tiers = zip(verdict.scenario.tiers, found.arrivals_by_tier, strict=True)
+        shares = ", ".join(f"{tier.name} {count / found.asked:.2f}" for tier, count in tiers)
         console.print(
-            f"in the {found['fault']}, from 2 s on: {found['asked']} first tries, "
-            f"{found['per_client_request']:.2f} attempts for each ({shares})",
+            f"in the {found.fault}, from 2 s on: {found.asked} first tries, "
+            f"{found.per_client_request:.2f} attempts for each ({shares})",
             highlight=False,
         )
     console.print()
     _timeline(console, verdict)
     console.print()
     _rules(console, verdict)
-    if verdict.ran_twice:
-        roots = ", ".join(verdict.ran_twice[:5])
+    if verdict.unsafe_duplicates:
+        roots = ", ".join(verdict.unsafe_duplicates[:5])
         console.print(
-            f"{len(verdict.ran_twice)} unsafe first tries ran twice, as their clients asked again after a "
-            f"failure, which no rule forbids: {roots}"
+            f"{len(verdict.unsafe_duplicates)} unsafe first tries ran twice, as their clients asked again "
+            f"after a failure, which no rule forbids: {roots}"
         )
-    if (moved := move_of(verdict)) is not None:
-        last = "never" if moved["last_s"] is None else f"last at {moved['last_s']:.1f} s"
-        console.print(f"the new pool carried {moved['worth']:.2%} of worth, {last}", highlight=False)
+    if (moved := new_pool_load(verdict)) is not None:
+        last = "never" if moved.last_s is None else f"last at {moved.last_s:.1f} s"
+        console.print(f"the new pool carried {moved.value_fraction:.2%} of worth, {last}", highlight=False)
     _control(console, verdict)
     _fleet(console, verdict)
     _traffic(console, verdict)
@@ -161,14 +161,14 @@
 
 def _timeline(console: Console, verdict: Verdict) -> None:
     """Service over time, and under it a bar for each incident."""
-    length = max(verdict.books.end - verdict.books.start, 0.1)
+    length = max(verdict.trace.end - verdict.trace.start, 0.1)
     figures = series(verdict, length / WIDTH)
     bars = "".join(" " if v is None else BLOCKS[round(max(0.0, v) * 8)] for v in figures.service[:WIDTH])
     console.print(f"service   {bars}", highlight=False, markup=False)
-    for fact in verdict.books.incidents:
-        start = verdict.books.at(fact.t)
+    for fact in verdict.trace.incidents:
+        start = verdict.trace.elapsed(fact.t)
         first = min(WIDTH - 1, max(0, int(start / length * WIDTH)))
-        last = min(WIDTH, max(first + 1, round(verdict.books.at(fact.until) / length * WIDTH)))
+        last = min(WIDTH, max(first + 1, round(verdict.trace.elapsed(fact.until) / length * WIDTH)))
         bar = " " * first + "─" * (last - first)
         label = f"{start:g} s {fact.do}: {fact.whom}"
         console.print(f"          {bar:<{WIDTH}}  {label}", highlight=False, markup=False, soft_wrap=True)
@@ -184,17 +184,19 @@
     for name, finding in verdict.rules.items():
         told = word(finding)
         colour = COLOURS[told]
-        table.add_row(TITLES[name], f"[{colour}]{told}[/]", str(finding.checked), str(finding.count))
+        table.add_row(
+            TITLES[name], f"[{colour}]{told}[/]", str(finding.checked), str(finding.violation_count)
+        )
     console.print(table)
     for name, finding in verdict.rules.items():
-        for broken in finding.broken[:MAX_BREAKS]:
-            tier = verdict.scenario.tiers[broken.tier].name
+        for violation in finding.violations[:MAX_BREAKS]:
+            tier = verdict.scenario.tiers[violation.tier].name
             console.print(
-                f"[bold red]{TITLES[name]}[/]: request {escape(broken.request)} to {tier}, at "
-                f"{broken.t:.3f} s: {escape(broken.what)}",
+                f"[bold red]{TITLES[name]}[/]: request {escape(violation.request)} to {tier}, at "
+                f"{violation.t:.3f} s: {escape(violation.description)}",
                 highlight=False,
             )
-            for line in broken.story:
+            for line in violation.history:
                 console.print(f"    {line}", markup=False, highlight=False, soft_wrap=True)
-        if finding.count > MAX_BREAKS:
-            console.print(f"    and {finding.count - MAX_BREAKS} more")
+        if finding.violation_count > MAX_BREAKS:
+            console.print(f"    and {finding.violation_count - MAX_BREAKS} more")
--- a/tests/testkit/test_fleet.py
+++ b/tests/testkit/judge/test_fleet.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from orchidferry.testkit.judge.evidence import index
 from orchidferry.testkit.judge.fleet import judge_fleet
+from orchidferry.testkit.judge.trace import build_trace
 from orchidferry.testkit.record import Fact, LinkBytes, NodeDown, NodePaused, NodeUp
 from orchidferry.testkit.scenario import FleetSide, Scenario, ScenarioError, read_scenario
 from orchidferry.testkit.world.links import LinkFault, Links
@@ -32,8 +32,8 @@
     scenario = Scenario("x", length_s=30.0, fleet=FleetSide(on=True))
     ups: list[Fact] = [NodeUp(-1.0, node, 0) for node in NODES]
     all_ = sorted([*ups, *facts], key=lambda fact: fact.t)
-    books = index(scenario, all_, 0.0, 40.0, True)
-    return judge_fleet(books, all_, journals, 0.0, links)[0]
+    trace = build_trace(scenario, all_, 0.0, 40.0, True)
+    return judge_fleet(trace, all_, journals, 0.0, links)[0]
 
 
 def test_a_death_that_all_learn_of_is_timed_and_a_view_that_stays_wrong_is_a_problem() -> None:
--- a/tests/mesh/test_judge_mesh.py
+++ b/tests/testkit/judge/test_mesh.py
@@ -9,7 +9,8 @@
 import pytest
 from rich.console import Console
 
-from orchidferry.testkit.judge.mesh import RULES, Verdict, as_json, judge
+from orchidferry.testkit.judge.mesh.verdict import RULES, Verdict, judge
+from orchidferry.testkit.judge.mesh.verdict_json import as_json
 from orchidferry.testkit.mesh import seeds
 from orchidferry.testkit.mesh.configuration import Config, build, content, host, prefix, spoil
 from orchidferry.testkit.mesh.day import DAYS, KINDS, names
@@ -23,7 +24,7 @@
     Event,
     Extra,
     Fact,
-    Harm,
+    LinkFault,
     Notice,
     Process,
     Put,
@@ -129,7 +130,7 @@
     run.facts.append(Read(40.0, NEW))
     # Orders call by call; and a controller that is cut off from the two others for 5 s.
     run.facts += [Process(0.0, name, "start") for name in ("core2", "core3")]
-    run.facts.append(Harm(34.5, 39.5, "cut", ALONE))
+    run.facts.append(LinkFault(34.5, 39.5, "cut", ALONE))
     run.facts.append(control_call(20.0, 20.2, "core", 200, NEW))
     run.facts.append(control_call(35.0, 35.1, "core2", 200, NEW))
     run.facts.append(control_call(38.0, 38.1, "core3", 503))
@@ -408,7 +409,7 @@
 def test_a_clean_run_holds_and_each_rule_was_seen() -> None:
     verdict = judge(record(clean()))
     assert verdict.passed
-    assert {name: finding.held for name, finding in verdict.rules.items()} == dict.fromkeys(RULES, True)
+    assert {name: finding.passed for name, finding in verdict.rules.items()} == dict.fromkeys(RULES, True)
     assert all(finding.checked for finding in verdict.rules.values())
     found = as_json(verdict)
     assert found["requests"] == {"asked": 9, "tries": 9}
@@ -421,7 +422,7 @@
     run = clean()
     broken(run)
     verdict = judge(record(run))
-    assert rule in verdict.broken
+    assert rule in verdict.broken_rules
     assert not verdict.passed
     assert as_json(verdict)["rules"][rule]["broken"][0]["what"]
 
@@ -465,7 +466,10 @@
     ("silent, in touch with a majority", [control_call(37.0, 38.0, "core2", 0, how="timeout")]),
     (
         "silent, cut from a node only",
-        [Harm(25.0, 32.0, "cut", [("core2", "m1")]), control_call(30.0, 31.0, "core2", 0, how="timeout")],
+        [
+            LinkFault(25.0, 32.0, "cut", [("core2", "m1")]),
+            control_call(30.0, 31.0, "core2", 0, how="timeout"),
+        ],
     ),
 ]
 
@@ -475,13 +479,13 @@
     run = clean()
     run.facts += facts
     verdict = judge(record(run))
-    assert not verdict.broken
+    assert not verdict.broken_rules
 
 
 def test_the_story_of_an_order_that_was_sent_again() -> None:
     run = clean()
     called(control_call(36.0, 36.1, "core2", 412, NEW))(run)
-    assert judge(record(run)).rules["resent"].broken[0].story == [
+    assert judge(record(run)).rules["resent"].violations[0].history == [
         "   11.000 s  o to core: 200 after 0.200 s",
         "   26.000 s  o to core2: 200 after 0.100 s",
         "   27.000 s  o to core2: 412 after 0.100 s",
@@ -495,25 +499,29 @@
     return [*(Process(0.0, name, "start") for name in CORES[1:]), *facts]
 
 
-HARMS: list[tuple[str, bool, list[Fact]]] = [
-    ("its links to a controller were cut", True, cores(Harm(21.0, 22.4, "cut", [("m2", "core")]))),
-    ("cut one way is cut", True, cores(Harm(21.0, 22.4, "cut", [("core", "m2")]))),
-    ("late is harmed", True, cores(Harm(21.0, 22.4, "slow", [("m2", "m1")]))),
-    ("reset is harmed", True, cores(Harm(22.0, 22.0, "reset", [("m2", "core")]))),
-    ("too long ago", False, cores(Harm(18.0, 19.0, "cut", [("m2", "core")]))),
-    ("another's links", False, cores(Harm(21.0, 22.4, "cut", [("m1", "core")]))),
-    ("cut from a machine that keeps nothing", False, cores(Harm(21.0, 22.4, "cut", [("m2", "m1")]))),
+LINK_FAULTS: list[tuple[str, bool, list[Fact]]] = [
+    ("its links to a controller were cut", True, cores(LinkFault(21.0, 22.4, "cut", [("m2", "core")]))),
+    ("cut one way is cut", True, cores(LinkFault(21.0, 22.4, "cut", [("core", "m2")]))),
+    ("late is harmed", True, cores(LinkFault(21.0, 22.4, "slow", [("m2", "m1")]))),
+    ("reset is harmed", True, cores(LinkFault(22.0, 22.0, "reset", [("m2", "core")]))),
+    ("too long ago", False, cores(LinkFault(18.0, 19.0, "cut", [("m2", "core")]))),
+    ("another's links", False, cores(LinkFault(21.0, 22.4, "cut", [("m1", "core")]))),
+    ("cut from a machine that keeps nothing", False, cores(LinkFault(21.0, 22.4, "cut", [("m2", "m1")]))),
     (
         "a controller that reaches no other binds nobody",
         False,
-        cores(Harm(15.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")])),
+        cores(
+            LinkFault(15.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")])
+        ),
     ),
     (
         "it was cut from the others just now",
         True,
-        cores(Harm(21.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")])),
+        cores(
+            LinkFault(21.0, 24.0, "cut", [("core", name) for name in ("core2", "core3", "m1", "m2", "m3")])
+        ),
     ),
-    ("a slow link of the core", True, cores(Harm(15.0, 24.0, "slow", [("core", "core2")]))),
+    ("a slow link of the core", True, cores(LinkFault(15.0, 24.0, "slow", [("core", "core2")]))),
     ("a controller is down, and has been for long", False, cores(Process(15.0, "core", "killed"))),
     ("two are", True, cores(Process(15.0, "core", "killed"), Process(15.0, "core2", "killed"))),
     (
@@ -543,19 +551,19 @@
 ]
 
 
-@pytest.mark.parametrize(("what", "excused", "facts"), HARMS, ids=[what for what, _, _ in HARMS])
+@pytest.mark.parametrize(("what", "excused", "facts"), LINK_FAULTS, ids=[what for what, _, _ in LINK_FAULTS])
 def test_what_is_out_of_touch_is_not_bound_in_time(what: str, excused: bool, facts: list[Fact]) -> None:
     run = clean()
     old_route("z", 22.5)(run)
     run.facts += facts
-    assert judge(record(run)).rules["config"].held is excused
+    assert judge(record(run)).rules["config"].passed is excused
 
 
 def test_a_late_arrival_over_a_link_that_was_harmed_is_no_break() -> None:
     run = clean()
     turned_late(run)
-    run.facts.append(Harm(31.0, 31.2, "cut", [("m1", "m2")]))
-    assert judge(record(run)).rules["drain"].held
+    run.facts.append(LinkFault(31.0, 31.2, "cut", [("m1", "m2")]))
+    assert judge(record(run)).rules["drain"].passed
 
 
 def test_nothing_seen_is_not_kept() -> None:
--- a/tests/testkit/test_judge.py
+++ b/tests/testkit/judge/test_verdict.py
@@ -7,8 +7,10 @@
 
 import pytest
 
+from orchidferry.testkit.judge.lateness import measure_lateness
 from orchidferry.testkit.judge.rules import RULES
-from orchidferry.testkit.judge.verdict import Verdict, as_json, judge, lateness
+from orchidferry.testkit.judge.verdict import Verdict, judge
+from orchidferry.testkit.judge.verdict_json import as_json
 from orchidferry.testkit.record import (
     Answered,
     Asked,
@@ -113,10 +115,10 @@
 
 def test_a_clean_run_breaks_nothing_and_each_rule_has_something_to_check() -> None:
     verdict = clean().judge()
-    assert {name: f.broken for name, f in verdict.rules.items()} == {name: [] for name in RULES}
+    assert {name: f.violations for name, f in verdict.rules.items()} == {name: [] for name in RULES}
     assert all(finding.checked for finding in verdict.rules.values())
     assert verdict.passed
-    assert verdict.service.whole == 1.0
+    assert verdict.service.overall == 1.0
 
 
 Breaker = Callable[[Recorded], None]
@@ -247,10 +249,10 @@
     run = clean()
     breaker(run)
     verdict = run.judge()
-    assert verdict.broken == ["no_request_lost"]
-    [broken] = verdict.rules["no_request_lost"].broken
-    assert words in broken.what
-    assert broken.story
+    assert verdict.broken_rules == ["no_request_lost"]
+    [broken] = verdict.rules["no_request_lost"].violations
+    assert words in broken.description
+    assert broken.history
     assert not verdict.passed
 
 
@@ -260,7 +262,7 @@
 def test_what_loses_no_request(event: Breaker) -> None:
     run = clean()
     event(run)
-    assert run.judge().broken == []
+    assert run.judge().broken_rules == []
 
 
 def test_what_is_open_when_the_record_ends_is_not_judged() -> None:
@@ -268,10 +270,10 @@
     checked = run.judge().rules["no_request_lost"].checked
     run.ask("x.0", "ler-feed", 59.0, ends=61.0)
     verdict = run.judge(complete=False)
-    assert verdict.broken == []
+    assert verdict.broken_rules == []
     assert verdict.rules["no_request_lost"].checked == checked
     assert verdict.service.classes["ler-feed"].open == 1
-    assert verdict.service.whole == 1.0
+    assert verdict.service.overall == 1.0
 
 
 def resent_unsafe(run: Recorded) -> None:
@@ -339,9 +341,9 @@
     run = clean()
     breaker(run)
     verdict = run.judge()
-    assert verdict.broken == ["no_effect_twice"]
-    [broken] = verdict.rules["no_effect_twice"].broken
-    assert words in broken.what
+    assert verdict.broken_rules == ["no_effect_twice"]
+    [broken] = verdict.rules["no_effect_twice"].violations
+    assert words in broken.description
 
 
 def test_a_client_that_asks_again_after_a_failure_may_have_both_run() -> None:
@@ -353,8 +355,8 @@
     run.attempt("x.1", "repasse-socio", 10.41)
     run.answer("x.1", 10.6)
     verdict = run.judge()
-    assert verdict.broken == []
-    assert verdict.ran_twice == ["x"]
+    assert verdict.broken_rules == []
+    assert verdict.unsafe_duplicates == ["x"]
     assert as_json(verdict)["run"]["unsafe_run_twice_legally"] == ["x"]
 
 
@@ -365,9 +367,9 @@
     run.attempt("x.1", "repasse-socio", 10.41)
     run.answer("x.1", 10.6)
     verdict = run.judge()
-    [broken] = verdict.rules["no_effect_twice"].broken
-    assert "asked again, and x.1 ran too" in broken.what
-    assert verdict.ran_twice == []
+    [broken] = verdict.rules["no_effect_twice"].violations
+    assert "asked again, and x.1 ran too" in broken.description
+    assert verdict.unsafe_duplicates == []
 
 
 def test_a_send_after_the_drains_grace_breaks_rule_3() -> None:
@@ -376,8 +378,8 @@
     run.attempt("x.0", "ler-feed", 9.1, server="d")
     run.answer("x.0", 9.3)
     verdict = run.judge()
-    assert verdict.broken == ["drains_kept"]
-    assert "1.100 s after it was told" in verdict.rules["drains_kept"].broken[0].what
+    assert verdict.broken_rules == ["drains_kept"]
+    assert "1.100 s after it was told" in verdict.rules["drains_kept"].violations[0].description
 
 
 def test_a_drain_counts_from_when_this_node_was_told() -> None:
@@ -386,7 +388,7 @@
     run.ask("x.0", "ler-feed", 30.0)
     run.attempt("x.0", "ler-feed", 30.01, server="a")
     run.answer("x.0", 30.2)
-    assert run.judge().broken == []
+    assert run.judge().broken_rules == []
 
 
 def test_a_server_that_is_back_is_in_service() -> None:
@@ -395,7 +397,7 @@
     run.ask("x.0", "ler-feed", 12.5)
     run.attempt("x.0", "ler-feed", 12.51, server="d")
     run.answer("x.0", 12.7)
-    assert run.judge().broken == []
+    assert run.judge().broken_rules == []
 
 
 def test_left_after_leaving_does_not_begin_the_grace_anew() -> None:
@@ -404,7 +406,7 @@
     run.ask("x.0", "ler-feed", 9.2)
     run.attempt("x.0", "ler-feed", 9.3, server="d")
     run.answer("x.0", 9.5)
-    assert run.judge().broken == ["drains_kept"]
+    assert run.judge().broken_rules == ["drains_kept"]
 
 
 def flood(run: Recorded, told: bool) -> None:
@@ -420,14 +422,14 @@
     run = clean()
     flood(run, told=True)
     verdict = run.judge()
-    assert verdict.broken == ["cold_servers_spared"]
-    assert "within 1 s by 1 nodes" in verdict.rules["cold_servers_spared"].broken[0].what
+    assert verdict.broken_rules == ["cold_servers_spared"]
+    assert "within 1 s by 1 nodes" in verdict.rules["cold_servers_spared"].violations[0].description
 
 
 def test_nodes_that_could_not_know_of_a_cold_start_break_nothing() -> None:
     run = clean()
     flood(run, told=False)
-    assert run.judge().broken == []
+    assert run.judge().broken_rules == []
 
 
 def test_a_rule_with_nothing_to_check_says_so() -> None:
@@ -453,7 +455,7 @@
     run.ask("r1.0", "ler-feed", 1.0)
     run.answer("r1.0", 1.5)
     service = run.judge().service
-    assert service.whole == pytest.approx((0.3 * 8.0 + 1.0) / 9.0)
+    assert service.overall == pytest.approx((0.3 * 8.0 + 1.0) / 9.0)
     row = service.classes["repasse-socio"]
     assert (row.asked, row.served) == (1, 1)
     assert row.quantile_ms(50.0) == pytest.approx(3000.0, rel=0.002)
@@ -466,8 +468,8 @@
     run.put(Asked(1.9, 0, "r0.0", "ler-feed", "n0", "r0", 0, 1.0, 2.5))  # 0.9 s late
     run.answer("r0.0", 2.3)  # 0.4 s after it was sent, 1.3 s after it was meant: past the wanted 1.2 s
     service = run.judge().service
-    assert service.firsts[0].took_s == pytest.approx(1.3)
-    assert service.whole == pytest.approx(0.2)
+    assert service.requests[0].took_s == pytest.approx(1.3)
+    assert service.overall == pytest.approx(0.2)
 
 
 def test_the_worst_10_s_are_found() -> None:
@@ -493,13 +495,13 @@
     verdict = run.judge()
     assert any(words in why for why in verdict.lateness.void)
     assert not verdict.passed
-    assert verdict.broken == []
+    assert verdict.broken_rules == []
 
 
 def test_lateness_counts_those_that_were_in_time() -> None:
     facts: list[Fact] = [Lag(1.0, "clients", "late", 0.1) for _ in range(2)]
-    assert lateness(facts, SCENARIO.limits, 1000).p99_s == 0.0
-    assert lateness(facts, SCENARIO.limits, 100).p99_s == pytest.approx(0.1)
+    assert measure_lateness(facts, SCENARIO.limits, 1000).p99_s == 0.0
+    assert measure_lateness(facts, SCENARIO.limits, 100).p99_s == pytest.approx(0.1)
 
 
 def test_the_json_is_as_agreed() -> None:
--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -22,7 +22,7 @@
 from orchidferry.testkit.scenario import load_scenario, shipped
 from orchidferry.testkit.world.director import Progress
 from tests.balancing.test_wire import ROOT
-from tests.testkit.test_judge import clean, resent_unsafe
+from tests.testkit.judge.test_verdict import clean, resent_unsafe
 
 
 def call(
@@ -215,8 +215,8 @@
 def test_series_add_up_to_what_was_asked_and_sent() -> None:
     verdict = verdict_of()
     figures = series(verdict)
-    assert sum(figures.asked) * figures.step_s == verdict.first_tries
-    assert sum(figures.attempts[0]) * figures.step_s == verdict.attempts[0]
+    assert sum(figures.asked) * figures.step_s == verdict.client_requests
+    assert sum(figures.attempts[0]) * figures.step_s == verdict.arrivals_by_tier[0]
     assert sum(figures.rejected[0]) * figures.step_s == 2
     assert figures.in_flight[-1] == 0.0 and max(figures.in_flight) >= 1.0
 
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -26,12 +26,13 @@
 from orchidferry.node.fleet.shell import FORM as FLEET_STATE
 from orchidferry.node.state_store import StateFileError
 from orchidferry.testkit import record
-from orchidferry.testkit.judge import mesh as mesh_judge
-from orchidferry.testkit.judge import verdict
+from orchidferry.testkit.judge import verdict_json
+from orchidferry.testkit.judge.mesh import verdict as mesh_verdict
+from orchidferry.testkit.judge.mesh import verdict_json as mesh_verdict_json
 from orchidferry.testkit.mesh import facts as mesh_facts
 from orchidferry.testkit.traffic import recording
-from tests.mesh import test_judge_mesh as mesh_runs
-from tests.testkit import test_judge as runs
+from tests.testkit.judge import test_mesh as mesh_runs
+from tests.testkit.judge import test_verdict as runs
 
 HERE = Path(__file__).parent
 ROOT = HERE.parents[1]
@@ -201,7 +202,9 @@
     for line in written:
         assert list(line) == ["fact", *GOLDEN["mesh_facts"][line["fact"]]]
     kinds = get_args(mesh_facts.Fact)
-    names = {kind.__name__: [field.name for field in dataclasses.fields(kind)] for kind in kinds}
+    names = {
+        mesh_facts.stored_name(kind): [field.name for field in dataclasses.fields(kind)] for kind in kinds
+    }
     assert names == GOLDEN["mesh_facts"]
 
 
@@ -218,10 +221,10 @@
 def test_the_verdict_keeps_its_keys() -> None:
     run = runs.clean()
     run.put(record.Incident(3.0, 5.0, "slow", "a"))
-    found = keys_of(verdict.as_json(run.judge()))
+    found = keys_of(verdict_json.as_json(run.judge()))
     assert found == GOLDEN["verdict_keys"] and list(found) == list(GOLDEN["verdict_keys"])
 
 
 def test_the_verdict_of_the_mesh_keeps_its_keys() -> None:
-    found = keys_of(mesh_judge.as_json(mesh_judge.judge(mesh_runs.record(mesh_runs.clean()))))
+    found = keys_of(mesh_verdict_json.as_json(mesh_verdict.judge(mesh_runs.record(mesh_runs.clean()))))
     assert found == GOLDEN["mesh_verdict_keys"] and list(found) == list(GOLDEN["mesh_verdict_keys"])
--- a/tests/testkit/test_run.py
+++ b/tests/testkit/test_run.py
@@ -79,9 +79,9 @@
     )
     run, verdict = play(one)
     assert run.complete, run.why
-    assert verdict.broken == [], [f.broken for f in verdict.rules.values()]
+    assert verdict.broken_rules == [], [f.violations for f in verdict.rules.values()]
     assert all(finding.checked for finding in verdict.rules.values())
-    assert verdict.service.whole is not None and verdict.service.whole > 0.8
+    assert verdict.service.overall is not None and verdict.service.overall > 0.8
 
 
 @pytest.mark.parametrize(
@@ -99,8 +99,8 @@
     one = scenario(*timeline, node=broken(fault), discovery=QUICK, load={"rate": 50})
     run, verdict = play(one)
     assert run.complete, run.why
-    assert rule in verdict.broken
-    assert verdict.rules[rule].broken[0].story
+    assert rule in verdict.broken_rules
+    assert verdict.rules[rule].violations[0].history
     assert not verdict.passed
 
 
@@ -275,7 +275,7 @@
     one = scenario(ERRORS, {"at": "1s", "do": "resets", "tier": "back", "count": 2, "rate": 0.5, "for": "3s"})
     run, verdict = play(one)
     assert run.complete, run.why
-    assert verdict.broken == [], [f.broken for f in verdict.rules.values()]
+    assert verdict.broken_rules == [], [f.violations for f in verdict.rules.values()]
     unsafe = {fact.id for fact in run.facts if isinstance(fact, Got) and fact.cls == "repasse-socio"}
     began: list[Fact] = [f for f in run.facts if isinstance(f, Began) and f.id in unsafe]
     assert len(began) == len({(f.tier, f.id) for f in began if isinstance(f, Began)})
--- a/tests/testkit/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -181,10 +181,12 @@
     scenario, preview = resolve(laid(tmp_path))
     run, verdict = play(scenario)
     assert run.complete, run.why
-    assert not verdict.broken and verdict.first_tries == 120 == sum(preview.sent.values())
+    assert not verdict.broken_rules and verdict.client_requests == 120 == sum(preview.sent.values())
     unsafe = verdict.service.classes["repasse-socio"]
     assert unsafe.asked == 40 and unsafe.served >= 36
-    assert not any("kit-proof" in id for _, id in verdict.books.got)  # proofs are no requests of the run's
+    assert not any(
+        "kit-proof" in id for _, id in verdict.trace.arrivals
+    )  # proofs are no requests of the run's
 
 
 def test_pages_of_a_recording_and_a_replay_tell_what_was_sent(
