--- /dev/null
+++ b/orchidferry/mesh/control/configuration_fetcher.py
@@ -0,0 +1,171 @@
+"""How a node gets configurations: which revision it needs, whom it asks, and when it asks somebody else.
+
+A node that starts first reads the newest revision from a controller that confirms it with a majority, so that
+it does not serve by a configuration that was replaced before. Later revisions are announced in the streams of
+updates, and their texts fetched from whoever has announced them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from orchidferry.mesh.control.configuration_text import expand
+from orchidferry.mesh.control.controller_connection import ControllerConnection
+from orchidferry.mesh.control.update_stream import UpdateStream
+from orchidferry.mesh.wire.framing import Link
+from orchidferry.mesh.wire.messages import ConfigurationFetch, ConfigurationText, Revision, RevisionRead
+
+ANSWER_TIMEOUT_S = 0.4  # for an answer to begin, before another controller is asked
+TRANSFER_TIMEOUT_S = 1.5  # for all of it, while its bytes come
+STALL_S = 0.15  # a link over which nothing has come for so long has stalled
+NO_REVISION = -1
+
+
+@dataclass(frozen=True, slots=True)
+class PendingFetch:
+    """A request that has not been answered.
+
+    :ivar is_read: whether it reads the newest revision's number; else it fetches a text.
+    """
+
+    link: Link
+    sent_s: float
+    is_read: bool
+
+    def timed_out(self, now: float) -> bool:
+        """Whether to ask somebody else: nothing comes, or it takes too long."""
+        stalled = now - self.link.heard_s > STALL_S or not self.link.open
+        return now > self.sent_s + (ANSWER_TIMEOUT_S if stalled else TRANSFER_TIMEOUT_S)
+
+
+class ConfigurationFetcher:
+    """The configuration of one node.
+
+    :ivar revision: the newest that the node has; `NO_REVISION` for none, 0 if none exists.
+    :ivar wanted_revision: the newest that has been announced.
+    :ivar caught_up: whether the node has had a configuration that is as new as any that was acknowledged to
+        an operator before the node's start.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        rng: random.Random,
+        connections: dict[str, ControllerConnection],
+        streams: dict[str, UpdateStream],
+        on_received: Callable[[int, bytes, bytes], None],
+    ) -> None:
+        """Make a fetcher that has nothing.
+
+        :param connections: the node's connections to controllers, by name.
+        :param streams: the node's copies of the controllers' streams, by controller.
+        :param on_received: called with a new configuration's revision, compressed text and text.
+        """
+        self._loop = loop
+        self._rng = rng
+        self._connections = connections
+        self._streams = streams
+        self._on_received = on_received
+        self.revision = NO_REVISION
+        self.wanted_revision = 0
+        self.caught_up = False
+        self._initial_revision: int | None = None  # that was read at the start
+        self._last_request = 0
+        self._pending: dict[int, PendingFetch] = {}  # by request
+
+    def controller_connected(self, link: Link) -> None:
+        """Read the revision over a new link, unless that is done."""
+        if self._initial_revision is None and not self.caught_up:
+            self.read_revision(link)
+
+    def disconnected(self, link: Link) -> None:
+        """Forget what was asked over a link that is closed."""
+        for request in [request for request, fetch in self._pending.items() if fetch.link is link]:
+            del self._pending[request]
+
+    def tick(self, now: float) -> None:
+        """Ask a controller for what is missing, if nothing is pending."""
+        for request in [request for request, fetch in self._pending.items() if fetch.timed_out(now)]:
+            del self._pending[request]
+        if self._pending:
+            return
+        if not self.caught_up and self._initial_revision is None:
+            self._ask_controller(self.read_revision)
+        elif self.wanted_revision > self.revision:
+            self._ask_controller(self._fetch_text)
+
+    def _ask_controller(self, ask: Callable[[Link], None]) -> None:
+        connection = self._choose_controller()
+        if connection is not None and connection.link is not None:
+            ask(connection.link)
+
+    def _choose_controller(self) -> ControllerConnection | None:
+        """A random controller: one that is in contact with a majority and has announced what is wanted, if
+        there is one; else any that is in contact; else any.
+        """
+        now = self._loop.time()
+        connected = [one for one in self._connections.values() if one.open_link is not None]
+        in_contact = [one for one in connected if one.in_contact(now)] or connected
+        informed = [one for one in in_contact if self._has_announced_wanted(one.name)]
+        return self._rng.choice(informed or in_contact) if in_contact else None
+
+    def _has_announced_wanted(self, controller: str) -> bool:
+        stream = self._streams.get(controller)
+        return stream is not None and stream.revision >= self.wanted_revision
+
+    def read_revision(self, link: Link) -> None:
+        """Ask a controller for the number of the newest revision, confirmed by a majority."""
+        link.send(RevisionRead(self._register(link, is_read=True)))
+
+    def _fetch_text(self, link: Link) -> None:
+        link.send(ConfigurationFetch(self._register(link, is_read=False), self.wanted_revision))
+
+    def _register(self, link: Link, is_read: bool) -> int:
+        self._last_request += 1
+        self._pending[self._last_request] = PendingFetch(link, self._loop.time(), is_read)
+        return self._last_request
+
+    def revision_announced(self, revision: int, link: Link) -> None:
+        """Fetch a newly announced configuration over the link by which that was announced."""
+        self.wanted_revision = max(self.wanted_revision, revision)
+        if self.wanted_revision > self.revision and all(fetch.is_read for fetch in self._pending.values()):
+            self._fetch_text(link)
+
+    def revision_received(self, link: Link, message: Revision) -> None:
+        """Take the answer to `read_revision`.
+
+        All controllers are asked; the text is fetched from the one that answers first.
+        """
+        revision = message.revision
+        self._pending.pop(message.request, None)
+        if revision <= NO_REVISION or self._initial_revision is not None:
+            return
+        self._initial_revision = revision
+        self.wanted_revision = max(self.wanted_revision, revision)
+        self._pending = {request: fetch for request, fetch in self._pending.items() if not fetch.is_read}
+        if revision == 0:  # there is no configuration yet
+            self.revision = max(self.revision, revision)
+        self._update_caught_up()
+        if self.wanted_revision > self.revision and not self._pending:
+            self._fetch_text(link)
+
+    def text_received(self, message: ConfigurationText) -> None:
+        """Take the text of a configuration, also if it comes late: what was decided stays decided.
+
+        :raises ValueError: if the text is damaged; it is fetched again then.
+        """
+        self._pending.pop(message.request, None)
+        if message.revision <= max(self.revision, NO_REVISION):
+            return
+        text = expand(message.text)
+        self.revision = message.revision
+        self._update_caught_up()
+        if message.text:
+            self._on_received(message.revision, message.text, text)
+
+    def _update_caught_up(self) -> None:
+        if self._initial_revision is not None and self.revision >= self._initial_revision:
+            self.caught_up = True
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -1,28 +1,27 @@
-"""A node's side of the control state: its lease at the controllers, and the news that comes from them.
+"""A node's client of the controllers: its lease, the member list, configurations and operation keys.
 
-It keeps a link to every controller that it knows of, for its lease and for operation keys, and takes its news
-from another node (`subscriber`) or from the controllers.
+It keeps a link to every controller that it knows of, for its lease and for operation keys, and gets updates
+from another node (`orchidferry.mesh.control.subscriber`) or from the controllers.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
+from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
 from loguru import logger
 
-from orchidferry.mesh.control.configuration_text import expand
-from orchidferry.mesh.control.contact import CONTACT_S
+from orchidferry.mesh.control.configuration_fetcher import ConfigurationFetcher
+from orchidferry.mesh.control.controller_connection import NO_RECORD, ControllerConnection, RecordVersion
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord, merge_member_lists
 from orchidferry.mesh.control.operation_key_client import OnClaimed, OperationKeyClient, ShardGroup
 from orchidferry.mesh.control.subscriber import Subscriber
+from orchidferry.mesh.control.update_stream import NOTHING
 from orchidferry.mesh.settings import Settings
 from orchidferry.mesh.wire.framing import Link, dial
 from orchidferry.mesh.wire.messages import (
-    ConfigurationFetch,
     ConfigurationText,
     GroupAnnouncement,
     KeyGrant,
@@ -32,58 +31,27 @@
     Message,
     NodeHello,
     Revision,
-    RevisionRead,
     Update,
 )
 from orchidferry.mesh.wire.shard_messages import tag_of
 
-RENEW_S = 0.5
-QUIET_S = 1.6  # a controller that answers nothing for so long is not heard
+RENEWAL_INTERVAL_S = 0.5
+SILENCE_TIMEOUT_S = 1.6  # the link to a controller that sends nothing for so long is closed
 TICK_S = 0.1
-ASK_S = 0.4  # for one answer to begin, before another controller is asked
-MAX_ASK_S = 1.5  # for all of it, while its bytes come
-STALLED_S = 0.15  # nothing has come for so long
-FRESH_S = 1.2  # a controller's word of its contact counts for so long
+DIAL_INTERVAL_S = 0.15  # between two attempts to dial one controller
 MAX_CONTROLLERS = 16
+MAX_BOOT_ID = 2**53
 
 Dial = Callable[..., Awaitable[Link | None]]  # called as `framing.dial`
-
-
-@dataclass(slots=True)
-class Controller:
-    """What is known of one controller."""
-
-    name: str
-    link: Link | None = None
-    dialling: bool = False
-    warm: bool = False
-    knows: tuple[int, int] = (0, -1)  # boot and number of the record that it has
-    next_dial_s: float = 0.0
-    next_renew_s: float = 0.0
-    contact_s: float = float("-inf")  # when it was surely in contact with a majority, by its own word
-    told_s: float = float("-inf")  # when it said so
-
-    def in_contact(self, now: float) -> bool:
-        """Whether it has lately said that it is in contact with a majority of controllers."""
-        return now - self.told_s < FRESH_S and self.told_s - self.contact_s < CONTACT_S
-
-
-@dataclass(slots=True)
-class Fetch:
-    """A configuration that was asked for."""
-
-    link: Link
-    asked_s: float
-    read: bool  # with a majority
-
-    def over(self, now: float) -> bool:
-        """Whether to ask somebody else: nothing comes, or it takes too long."""
-        stalled = now - self.link.heard_s > STALLED_S or not self.link.open
-        return now > self.asked_s + (ASK_S if stalled else MAX_ASK_S)
+Receive = Callable[[Link, Message], None]
 
 
 class ControlClient:
-    """All links of one node to the controllers."""
+    """The links of one node to the controllers, to its parent in the fan-out tree, and to its followers.
+
+    :ivar boot_id: drawn at the start of the node's process.
+    :ivar claims: claims of operation keys.
+    """
 
     def __init__(
         self,
@@ -94,339 +62,291 @@
         dial: Dial = dial,
         rng: random.Random | None = None,
     ) -> None:
-        """`dial` and `rng`: handed in by simulations."""
+        """Make a client without links.
+
+        :param on_members: called with each new member list.
+        :param on_configuration: called with the revision and the text of each new configuration.
+        :param dial: opens a link; handed in by simulations.
+        :param rng: handed in by simulations.
+        """
         self._dial_link = dial
         self._settings = settings
         self._loop = loop
         self._on_members = on_members
         self._on_configuration = on_configuration
-        self._rng = rng or random.Random()
-        self.boot_id = self._rng.randrange(1, 2**53)
-        self._controllers: dict[str, Controller] = {name: Controller(name) for name in settings.seeds}
+        rng = rng or random.Random()
+        self.boot_id = rng.randrange(1, MAX_BOOT_ID)
         self._seeds = settings.seeds
+        self._connections = {name: ControllerConnection(name) for name in settings.seeds}
         self.claims = OperationKeyClient(settings.seeds, self._send, settings.bounds.key_window_s)
         self._subscriber = Subscriber(
             NodeIdentity(settings.name, self.boot_id, settings.zone),
             loop,
-            self._rng,
+            rng,
             self._dial_parent,
-            self._look,
-            self._version,
+            self._update_members,
+            lambda revision, link: self._fetcher.revision_announced(revision, link),
+        )
+        self._fetcher = ConfigurationFetcher(
+            loop, rng, self._connections, self._subscriber.streams, self._configuration_received
         )
         self._members: dict[str, NodeRecord] = {}
         self._record: NodeRecord | None = None
-        self._number = 0
-        self._rid = 0
-        self.revision = -1  # the newest that this node has
-        self._fetching: dict[int, Fetch] = {}  # by rid
-        self._first: int | None = None  # a revision as new as any acknowledged at its start, by a majority
-        self.settled = False  # it has that one or a newer one
-        self._tasks: set[asyncio.Task[Any]] = set()
-        self._wanted = 0  # the newest revision that was heard of
-
-    def reseed(self, seeds: tuple[str, ...]) -> None:
-        """These controllers are named from outside now; who is known from the group itself stays."""
+        self._server: asyncio.Server | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    @property
+    def has_initial_configuration(self) -> bool:
+        """Whether the node has had a configuration as new as any that was acknowledged before its start."""
+        return self._fetcher.caught_up
+
+    @property
+    def connected_controllers(self) -> int:
+        """How many controllers there is an open link to."""
+        return sum(connection.open_link is not None for connection in self._connections.values())
+
+    def set_seeds(self, seeds: tuple[str, ...]) -> None:
+        """Take other seeds from the settings; controllers known from the groups themselves stay."""
         self._seeds = seeds
-        for name in seeds[:MAX_CONTROLLERS]:
-            self._controllers.setdefault(name, Controller(name))
+        self._add_controllers(seeds)
+
+    def _add_controllers(self, names: list[str] | tuple[str, ...]) -> None:
+        for name in names[:MAX_CONTROLLERS]:
+            self._connections.setdefault(name, ControllerConnection(name))
 
     def start(self) -> None:
-        """Begin."""
+        """Begin to dial the controllers."""
         self._tick()
 
+    def _tick(self) -> None:
+        self._loop.call_later(TICK_S, self._tick)
+        now = self._loop.time()
+        self._check_links(now)
+        self._renew_due_leases(now)
+        self._subscriber.tick()
+        self._fetcher.tick(now)
+        self.claims.tick(now)
+
     # The node's own record
 
     def publish(self, record: NodeRecord) -> None:
-        """Tell all controllers this of the node, now and with each new link."""
+        """Publish the node's record to all controllers, now and over each new link."""
         self._record = record
-        for controller in self._controllers.values():
-            self._renew(controller)
+        for connection in self._connections.values():
+            self._renew_lease(connection)
+
+    def _renew_due_leases(self, now: float) -> None:
+        """Renew the leases whose turn it is.
 
-    def _renew(self, controller: Controller) -> None:
+        The first renewals are spread over the interval, so that the answers of one controller after the other
+        tell whether an update was missed.
+        """
+        for index, connection in enumerate(self._connections.values()):
+            if now >= connection.next_renewal_s:
+                is_first = not connection.next_renewal_s
+                share = 1.0 - index / len(self._connections) if is_first else 1.0
+                connection.next_renewal_s = now + RENEWAL_INTERVAL_S * share
+                self._renew_lease(connection)
+
+    def _renew_lease(self, connection: ControllerConnection) -> None:
         record = self._record
-        link = controller.link
-        if record is None or link is None or not link.open:
+        link = connection.open_link
+        if record is None or link is None:
             return
-        same = controller.knows == (record.boot, record.number)
-        link.send(LeaseRenewal(record.number, record.name, record.boot, None if same else record))
+        is_known = connection.record_version == (record.boot, record.number)
+        link.send(LeaseRenewal(record.number, record.name, record.boot, None if is_known else record))
 
-    # Links
+    # Links to controllers
 
-    def _tick(self) -> None:
-        self._loop.call_later(TICK_S, self._tick)
-        now = self._loop.time()
-        for controller in list(self._controllers.values()):
-            link = controller.link
-            if link is not None and link.open:
-                if now - link.heard_s > QUIET_S:
-                    logger.info("control_client: controller {} is silent", controller.name)
+    def _check_links(self, now: float) -> None:
+        """Close links that are silent, dial controllers, and forget those that are none any more."""
+        for connection in list(self._connections.values()):
+            link = connection.open_link
+            if link is not None:
+                if now - link.heard_s > SILENCE_TIMEOUT_S:
+                    logger.info("control_client: controller={} closed: it is silent", connection.name)
                     link.close()
-            elif not controller.dialling and now >= controller.next_dial_s:
-                if controller.name not in self.claims.controllers() and controller.name not in self._seeds:
-                    del self._controllers[controller.name]
-                    self._subscriber.remove_controller(controller.name)
+            elif not connection.dialling and now >= connection.next_dial_s:
+                if connection.name not in self.claims.controllers() and connection.name not in self._seeds:
+                    del self._connections[connection.name]
+                    self._subscriber.remove_controller(connection.name)
                     continue
-                controller.dialling = True
-                controller.next_dial_s = now + 0.15
-                task = self._loop.create_task(self._dial(controller))
-                self._tasks.add(task)
-                task.add_done_callback(self._tasks.discard)
-        for at, controller in enumerate(self._controllers.values()):
-            if now >= controller.next_renew_s:  # in turn: the answers tell soon whether news was missed
-                turn = 1.0 if controller.next_renew_s else 1.0 - at / len(self._controllers)
-                controller.next_renew_s = now + RENEW_S * turn
-                self._renew(controller)
-        self._subscriber.tick()
-        for rid in [rid for rid, fetch in self._fetching.items() if fetch.over(now)]:
-            del self._fetching[rid]
-        if not self._fetching and not self.settled and self._first is None:
-            self._fetch(None, read=True)
-        elif not self._fetching and self._wanted > self.revision:
-            self._fetch(None, read=False)
-        self.claims.tick(now)
+                connection.dialling = True
+                connection.next_dial_s = now + DIAL_INTERVAL_S
+                self._start_task(self._dial_controller(connection))
+
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self._loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _dial(
+        self, host: str, on_message: Receive, on_disconnected: Callable[[Link], None]
+    ) -> Link | None:
+        settings = self._settings
+        return await self._dial_link(
+            on_message, on_disconnected, host, settings.internal_port, settings.local_ip
+        )
 
-    async def _dial(self, controller: Controller) -> None:
+    async def _dial_controller(self, connection: ControllerConnection) -> None:
         try:
-            link = await self._dial_link(
-                self._heard,
-                self._lost,
-                controller.name,
-                self._settings.internal_port,
-                self._settings.local_ip,
+            link = await self._dial(
+                connection.name, self._received_from_controller, self._controller_disconnected
             )
             if link is not None:
-                link.peer = controller.name
-                controller.link = link
-                controller.knows = (0, -1)
-                controller.warm = False
+                link.peer = connection.name
+                connection.connected(link)
                 link.send(NodeHello(self._settings.name))
-                self._renew(controller)
-                self._subscriber.controller_connected(controller.name, link)
-                if self._first is None and not self.settled:
-                    self._fetch(controller, read=True)
-                self.claims.link_opened(controller.name, self._loop.time())
+                self._renew_lease(connection)
+                self._subscriber.controller_connected(connection.name, link)
+                self._fetcher.controller_connected(link)
+                self.claims.link_opened(connection.name, self._loop.time())
         finally:
-            controller.dialling = False
-
-    def _lost(self, link: Link) -> None:
-        controller = self._controllers.get(link.peer)
-        if controller is not None and controller.link is link:
-            controller.link = None
-            self._subscriber.controller_disconnected(controller.name)
-            controller.told_s = float("-inf")
-            for rid in [rid for rid, fetch in self._fetching.items() if fetch.link is link]:
-                del self._fetching[rid]
-            self._look()
-
-    def _heard(self, link: Link, message: Message) -> None:
+            connection.dialling = False
+
+    def _controller_disconnected(self, link: Link) -> None:
+        connection = self._connections.get(link.peer)
+        if connection is not None and connection.link is link:
+            connection.disconnected()
+            self._subscriber.controller_disconnected(connection.name)
+            self._fetcher.disconnected(link)
+            self._update_members()
+
+    def _send(self, name: str, message: Message) -> None:
+        connection = self._connections.get(name)
+        if connection is not None and connection.link is not None:
+            connection.link.send(message)
+
+    # Messages of controllers
+
+    def _received_from_controller(self, link: Link, message: Message) -> None:
+        self._receive(self._handle, "controller", link, message)
+
+    def _receive(self, handle: Receive, sender: str, link: Link, message: Message) -> None:
+        """Handle a message; a link over which a malformed one has come is closed.
+
+        :param sender: what the other end of the link is, for the log.
+        """
         try:
-            self._take(link, message)
+            handle(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("control_client: a {} can't be taken: {}", tag_of(message), problem)
+            logger.warning("control_client: a {}'s {} can't be taken: {}", sender, tag_of(message), problem)
             link.close()
 
-    def _take(self, link: Link, message: Message) -> None:
-        controller = self._controllers.get(link.peer)
-        if controller is None or controller.link is not link:
+    def _handle(self, link: Link, message: Message) -> None:
+        connection = self._connections.get(link.peer)
+        if connection is None or connection.link is not link:
             return
         match message:
             case KeyGrant():
-                self.claims.handle_grant(controller.name, message)
+                self.claims.handle_grant(connection.name, message)
             case KeyReleaseAck():
-                self.claims.releases.acknowledge(controller.name, message.number)
+                self.claims.releases.acknowledge(connection.name, message.number)
             case Lease():
-                self._take_lease(controller, message)
+                self._handle_lease(connection, message)
             case Update():
                 self._subscriber.from_controller(link, message)
             case Revision():
-                self._take_revision(link, message)
+                self._fetcher.revision_received(link, message)
             case ConfigurationText():
-                self._take_text(message)
+                self._fetcher.text_received(message)
             case GroupAnnouncement():
-                self._group(message)
+                self._handle_group(message)
 
-    def _take_lease(self, controller: Controller, lease: Lease) -> None:
-        """A controller has renewed the lease."""
-        now = self._loop.time()
-        age_ms = lease.contact_age_ms
-        controller.told_s = now
-        controller.contact_s = now - age_ms / 1e3 if age_ms is not None else float("-inf")
+    def _handle_lease(self, connection: ControllerConnection, lease: Lease) -> None:
+        connection.report_contact(lease.contact_age_ms, self._loop.time())
         if self._record is not None:
-            controller.knows = (self._record.boot, lease.number) if lease.has_record else (0, -1)
+            version = RecordVersion(self._record.boot, lease.number)
+            connection.record_version = version if lease.has_record else NO_RECORD
             if not lease.has_record:
-                self._renew(controller)
-        self._subscriber.lease_renewed(controller.name, lease.incarnation, lease.newest_number)
-        if lease.warmed_up and not controller.warm:
-            controller.warm = True
-            self._look()
-
-    def _group(self, group: GroupAnnouncement) -> None:
-        shard = group.shard
-        epoch = group.epoch
-        names = group.voters
-        owner = group.owner
-        fence = group.fencing_token
-        known = ShardGroup(epoch, tuple(names), owner, fence)
-        if not self.claims.update_group(shard, known, self._loop.time()):
+                self._renew_lease(connection)
+        self._subscriber.lease_renewed(connection.name, lease.incarnation, lease.newest_number)
+        if lease.warmed_up and not connection.warmed_up:
+            connection.warmed_up = True
+            self._update_members()
+
+    def _handle_group(self, group: GroupAnnouncement) -> None:
+        known = ShardGroup(group.epoch, tuple(group.voters), group.owner, group.fencing_token)
+        if not self.claims.update_group(group.shard, known, self._loop.time()):
             return
         logger.info(
-            "control_client: shard {}: epoch {}, controllers {}, owner {} under fence {}",
-            shard,
-            epoch,
-            " ".join(names),
-            owner,
-            fence,
+            "control_client: group changed: shard={} epoch={} controllers={} owner={} fencing_token={}",
+            group.shard,
+            group.epoch,
+            ",".join(group.voters),
+            group.owner,
+            group.fencing_token,
         )
-        for name in names[:MAX_CONTROLLERS]:
-            self._controllers.setdefault(name, Controller(name))
+        self._add_controllers(group.voters)
 
-    def _send(self, name: str, message: Message) -> None:
-        controller = self._controllers.get(name)
-        if controller is not None and controller.link is not None:
-            controller.link.send(message)
-
-    # The tree of relays
+    # The fan-out tree
 
     async def listen(self) -> None:
-        """Let other nodes follow this one; `OSError` if the internal port is taken."""
+        """Accept links of other nodes, which may follow this one.
+
+        :raises OSError: if the internal port is taken.
+        """
         relay = self._subscriber.relay
         self._server = await self._loop.create_server(
-            lambda: Link(self._below, relay.disconnected, relay.connected, accepted=True),
+            lambda: Link(self._received_from_follower, relay.disconnected, relay.connected, accepted=True),
             self._settings.local_ip,
             self._settings.internal_port,
         )
 
-    def _below(self, link: Link, message: Message) -> None:
-        try:
-            self._subscriber.relay.received(link, message)
-        except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("control_client: a follower's {} can't be taken: {}", tag_of(message), problem)
-            link.close()
+    def _received_from_follower(self, link: Link, message: Message) -> None:
+        self._receive(self._subscriber.relay.received, "follower", link, message)
 
-    def _above(self, link: Link, message: Message) -> None:
-        try:
-            if isinstance(message, ConfigurationText):
-                self._take_text(message)
-            else:
-                self._subscriber.from_parent(link, message)
-        except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("control_client: a parent's {} can't be taken: {}", tag_of(message), problem)
-            link.close()
+    def _received_from_parent(self, link: Link, message: Message) -> None:
+        self._receive(self._handle_parent, "parent", link, message)
+
+    def _handle_parent(self, link: Link, message: Message) -> None:
+        if isinstance(message, ConfigurationText):
+            self._fetcher.text_received(message)
+        else:
+            self._subscriber.from_parent(link, message)
 
     def _dial_parent(self, name: str, ip: str) -> None:
-        async def work() -> None:
+        async def dial_parent() -> None:
             link = None
             try:
-                link = await self._dial_link(
-                    self._above,
-                    self._subscriber.parent_disconnected,
-                    ip,
-                    self._settings.internal_port,
-                    self._settings.local_ip,
-                )
+                link = await self._dial(ip, self._received_from_parent, self._subscriber.parent_disconnected)
             finally:
                 self._subscriber.dial_finished(name, link)
 
-        task = self._loop.create_task(work())
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._start_task(dial_parent())
 
-    # Members
+    # Members and configurations
 
-    def _look(self) -> None:
-        """Work out who is there anew.
+    def _update_members(self) -> None:
+        """Merge the controllers' member lists anew.
 
-        A controller that has just started may not know all yet: it adds nodes, and its silence takes none
-        away.
+        A controller that has just started may not know all nodes yet. While no other one is connected, its
+        list adds members and removes none.
         """
-        heard = {
-            k.name
-            for k in self._controllers.values()
-            if k.link is not None and k.link.open and k.warm and self._subscriber.streams[k.name].number >= 0
-        }
-        told = {name: stream.records for name, stream in self._subscriber.streams.items()}
-        members = merge_member_lists(told, {k.name for k in self._controllers.values() if k.link is not None})
-        if not heard:
+        streams = self._subscriber.streams
+        connections = self._connections.values()
+        has_complete_list = any(
+            one.open_link is not None and one.warmed_up and streams[one.name].number > NOTHING
+            for one in connections
+        )
+        reachable = {one.name for one in connections if one.link is not None}
+        members = merge_member_lists({name: s.records for name, s in streams.items()}, reachable)
+        if not has_complete_list:
             members = {**self._members, **members}
         if members != self._members:
             self._members = members
             self._subscriber.set_members(members)
             self._on_members(members)
 
-    @property
-    def heard(self) -> int:
-        """How many controllers are heard."""
-        return sum(k.link is not None and k.link.open for k in self._controllers.values())
-
-    # The configuration
-
-    def _fetch(self, controller: Controller | None, read: bool) -> None:
-        if controller is None:
-            controller = self._pick()
-        if controller is not None and controller.link is not None:
-            self._ask(controller.link, read)
-
-    def _pick(self) -> Controller | None:
-        """Whom to ask: one that is in contact and has told of what is wanted, if there is one; else any that
-        is in contact; else any.
-        """
-        now = self._loop.time()
-        streams = self._subscriber.streams
-        open_ = [k for k in self._controllers.values() if k.link is not None and k.link.open]
-        fresh = [k for k in open_ if k.in_contact(now)] or open_
-        knowing = [k for k in fresh if k.name in streams and streams[k.name].revision >= self._wanted]
-        return self._rng.choice(knowing or fresh) if fresh else None
-
-    def _ask(self, link: Link, read: bool) -> None:
-        """Ask for a configuration, or (`read`) for the number of the newest, confirmed by a majority."""
-        self._rid += 1
-        self._fetching[self._rid] = Fetch(link, self._loop.time(), read)
-        link.send(RevisionRead(self._rid) if read else ConfigurationFetch(self._rid, self._wanted))
-
-    def _version(self, revision: int, link: Link) -> None:
-        """There is a configuration of this number: its text is fetched from whoever told so."""
-        self._wanted = max(self._wanted, revision)
-        if self._wanted > self.revision and all(fetch.read for fetch in self._fetching.values()):
-            self._ask(link, read=False)
-
-    def _take_revision(self, link: Link, message: Revision) -> None:
-        """A controller has read the newest revision, as this node starts. All are asked, and whoever answers
-        first is the one that the text is fetched from.
-        """
-        revision = message.revision
-        self._fetching.pop(message.request, None)
-        if revision < 0 or self._first is not None:
-            return
-        self._first, self._wanted = revision, max(self._wanted, revision)
-        self._fetching = {number: fetch for number, fetch in self._fetching.items() if not fetch.read}
-        if not revision:  # there is none yet
-            self.revision = max(self.revision, revision)
-        self._settle()
-        if self._wanted > self.revision and not self._fetching:
-            self._ask(link, read=False)
-
-    def _settle(self) -> None:
-        self.settled = self.settled or (self._first is not None and self.revision >= self._first)
-
-    def _take_text(self, message: ConfigurationText) -> None:
-        """One that was asked for is here, late perhaps: what was decided is taken whenever it comes."""
-        rid = message.request
-        revision = message.revision
-        raw = message.text
-        self._fetching.pop(rid, None)
-        if revision < 0:
-            return
-        newer = revision > self.revision
-        text = expand(raw) if newer else b""  # before anything is noted: what can't be read is fetched again
-        if newer:
-            self.revision = revision
-            self._settle()
-            if raw:
-                self._subscriber.relay.configuration_received(revision, raw)
-                self._on_configuration(revision, text)
+    def _configuration_received(self, revision: int, raw: bytes, text: bytes) -> None:
+        self._subscriber.relay.configuration_received(revision, raw)
+        self._on_configuration(revision, text)
 
     # Operation keys
 
     def claim(self, key: str, holder: str, timeout_s: float, on_claimed: OnClaimed) -> None:
-        """Claim a key for one try (`OperationKeyClient.claim`)."""
+        """Claim an operation key for one attempt (`OperationKeyClient.claim`).
+
+        :param holder: the attempt.
+        """
         self.claims.claim(key, holder, timeout_s, on_claimed, self._loop.time())
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -186,7 +186,7 @@
 
     def reread(self, settings: Settings) -> None:
         """The settings file has changed: other controllers may be named there, or another service."""
-        self._control_client.reseed(settings.seeds)
+        self._control_client.set_seeds(settings.seeds)
         self._settings = dataclasses.replace(self._settings, service=settings.service)
         for client in self._services.values():
             client.set_caller(settings.service)
@@ -197,7 +197,7 @@
 
     def _readiness(self, call: Call, rest: str, answer: Callable[[Reply], None]) -> None:
         served = any(client.ready for client in self._services.values())
-        configured = self._configuration is not None and self._control_client.settled
+        configured = self._configuration is not None and self._control_client.has_initial_configuration
         ready = configured and served and not self._draining
         answer(Reply(200, b"ready") if ready else Reply(503, b"not ready"))
 
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -134,7 +134,7 @@
     one = Claimer(news)
     tries = 0
     async with asyncio.timeout(LINKED_S):
-        while news.heard < len(where["seeds"]) or not one.said[ClaimOutcome.GRANTED]:
+        while news.connected_controllers < len(where["seeds"]) or not one.said[ClaimOutcome.GRANTED]:
             await one.run(f"try {where['ip']} {tries}", 100.0, 0.2, 1, 1, 0)
             tries += 1
     freeze_startup_objects()
--- a/orchidferry/testkit/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -13,7 +13,7 @@
 
 from msgspec import structs
 
-from orchidferry.mesh.control.control_client import RENEW_S
+from orchidferry.mesh.control.control_client import RENEWAL_INTERVAL_S
 from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.wire.codec import encode
@@ -184,14 +184,14 @@
             raise ValueError(f"{self._lost} links of hollow nodes were ended")
 
     async def _renew_all(self) -> None:
-        """Each link's lease each `RENEW_S`, spread evenly over it."""
+        """Each link's lease each `RENEWAL_INTERVAL_S`, spread evenly over it."""
         loop = asyncio.get_running_loop()
         links = [(node, controller) for node in self.nodes for controller in self._controllers]
         random.shuffle(links)
         done = 0
         began = loop.time()
         while True:
-            due = int((loop.time() - began) / RENEW_S * len(links))
+            due = int((loop.time() - began) / RENEWAL_INTERVAL_S * len(links))
             for at in range(done, min(due, done + len(links))):
                 node, controller = links[at % len(links)]
                 if node.links[controller].open:
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -320,7 +320,7 @@
     @property
     def ready(self) -> bool:
         """Whether it serves."""
-        return bool(self.served_s) and self.client.settled
+        return bool(self.served_s) and self.client.has_initial_configuration
 
     @property
     def followers(self) -> int:
@@ -331,7 +331,7 @@
         self.client._subscriber.relay.connected(end)
 
     def heard(self, end: Any, message: Any) -> None:
-        self.client._below(end, message)
+        self.client._received_from_follower(end, message)
 
     def gone(self, end: Any) -> None:
         self.client._subscriber.relay.disconnected(end)
--- a/orchidferry/testkit/model/relays.py
+++ b/orchidferry/testkit/model/relays.py
@@ -15,7 +15,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidferry.mesh.control.control_client import ASK_S, QUIET_S, RENEW_S, TICK_S
+from orchidferry.mesh.control.configuration_fetcher import ANSWER_TIMEOUT_S
+from orchidferry.mesh.control.control_client import RENEWAL_INTERVAL_S, SILENCE_TIMEOUT_S, TICK_S
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord, merge_member_lists
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.control.publisher import Publisher
@@ -287,14 +288,16 @@
         self.members: dict[str, NodeRecord] = {}
         self.revision = 0
         self.wanted = 0
-        self._asked_s = -ASK_S
+        self._asked_s = -ANSWER_TIMEOUT_S
         self._rid = 0
         self._dial_s = dict.fromkeys(world.controllers, 0.0)
         self._has: dict[str, tuple[int, int]] = {}  # what controllers have of its record, by their own word
         self.call_later(rng.random() * TICK_S, self._tick)
-        phase_s = rng.random() * RENEW_S
+        phase_s = rng.random() * RENEWAL_INTERVAL_S
         for at, controller in enumerate(world.controllers):
-            self.call_later(phase_s + RENEW_S * at / len(world.controllers), self._renew_in_turn, controller)
+            self.call_later(
+                phase_s + RENEWAL_INTERVAL_S * at / len(world.controllers), self._renew_in_turn, controller
+            )
         self.seen: dict[tuple[str, int], int] = {}  # numbers of streams, while the world watches
         if world.lazy and heads < EVERYBODY:
             self.call_later(rng.random() * LAZY_S, self._look_again)
@@ -307,7 +310,7 @@
             self._renew(name)
 
     def _renew_in_turn(self, name: str) -> None:
-        self.call_later(RENEW_S, self._renew_in_turn, name)
+        self.call_later(RENEWAL_INTERVAL_S, self._renew_in_turn, name)
         if name in self.controllers:
             self._renew(name)
 
@@ -323,13 +326,13 @@
         now = self.world.now
         for name, due_s in self._dial_s.items():
             if name in self.controllers:
-                if now - self.controllers[name].heard_s > QUIET_S:
+                if now - self.controllers[name].heard_s > SILENCE_TIMEOUT_S:
                     self.controllers[name].close()
             elif now >= due_s:
                 self._dial_s[name] = now + 1.0
                 self.world.dial(self, name, self._from_controller, self._lost_controller, self._dialled)
         self.subscriber.tick()
-        if self.wanted > self.revision and now - self._asked_s > ASK_S and self.controllers:
+        if self.wanted > self.revision and now - self._asked_s > ANSWER_TIMEOUT_S and self.controllers:
             self._ask(self.rng.choice(list(self.controllers.values())))
 
     def _dialled(self, name: str, link: Any) -> None:
@@ -405,7 +408,7 @@
 
     def _on_revision(self, revision: int, link: Any) -> None:
         self.wanted = max(self.wanted, revision)
-        if self.wanted > self.revision and self.world.now - self._asked_s > ASK_S:
+        if self.wanted > self.revision and self.world.now - self._asked_s > ANSWER_TIMEOUT_S:
             self._ask(link)
 
     def _ask(self, link: End) -> None:
@@ -415,7 +418,7 @@
 
     def _take_text(self, message: ConfigurationText) -> None:
         if message.request == self._rid:
-            self._asked_s = -ASK_S
+            self._asked_s = -ANSWER_TIMEOUT_S
         if message.revision > self.revision:
             self.revision = message.revision
             self.subscriber.relay.configuration_received(message.revision, message.text)
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("configured", "settled", "served", "leaving", "status"),
+    ("configured", "has_initial_configuration", "served", "leaving", "status"),
     [
         (True, True, True, False, 200),
         (False, True, True, False, 503),
@@ -115,7 +115,12 @@
     ],
 )
 def test_when_a_node_is_ready(
-    monkeypatch: pytest.MonkeyPatch, configured: bool, settled: bool, served: bool, leaving: bool, status: int
+    monkeypatch: pytest.MonkeyPatch,
+    configured: bool,
+    has_initial_configuration: bool,
+    served: bool,
+    leaving: bool,
+    status: int,
 ) -> None:
     """`leaving`: from SIGTERM on, while the process lives."""
     scene = Scene(monkeypatch)
@@ -123,7 +128,7 @@
         scene.proxy._configuration = None
     if not served:
         scene.scene.servers()
-    scene.proxy._control_client = SimpleNamespace(settled=settled)
+    scene.proxy._control_client = SimpleNamespace(has_initial_configuration=has_initial_configuration)
     scene.proxy._draining = leaving
     replies: list[Reply] = []
     scene.proxy._readiness(call(b"GET", b"/orchidferry/readiness", {}, b""), "", replies.append)
@@ -137,7 +142,7 @@
     seeds: list[tuple[str, ...]] = []
     scene.proxy._settings, scene.proxy._control_client = (
         parse_settings(BOOT_TABLES),
-        SimpleNamespace(reseed=seeds.append),
+        SimpleNamespace(set_seeds=seeds.append),
     )
     scene.proxy.reread(dataclasses.replace(parse_settings(BOOT_TABLES), service="other", seeds=("10.0.0.9",)))
     scene.ask()
--- a/tests/mesh/test_control_client.py
+++ b/tests/mesh/test_control_client.py
@@ -6,8 +6,9 @@
 
 import pytest
 
+from orchidferry.mesh.control.configuration_fetcher import ANSWER_TIMEOUT_S, TRANSFER_TIMEOUT_S
 from orchidferry.mesh.control.contact import CONTACT_S
-from orchidferry.mesh.control.control_client import ASK_S, MAX_ASK_S, TICK_S, ControlClient
+from orchidferry.mesh.control.control_client import TICK_S, ControlClient
 from orchidferry.mesh.control.endpoints import LEASE_S, NodeRecord
 from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.settings import parse_settings
@@ -55,10 +56,10 @@
         self.node = ControlClient(
             settings, self.loop, lambda members: None, lambda n, raw: self.texts.append((n, raw))
         )
-        self.node._controllers.clear()
-        self.node.reseed(names)
+        self.node._connections.clear()
+        self.node.set_seeds(names)
         self.wires = {name: Wire(self.loop, name) for name in names}
-        for name, controller in self.node._controllers.items():
+        for name, controller in self.node._connections.items():
             wire: Any = self.wires[name]
             controller.link = wire
             self.node._subscriber.controller_connected(name, wire)
@@ -67,7 +68,7 @@
         """A controller's message comes."""
         wire: Any = self.wires[name]
         wire.heard_s = self.loop.time()
-        self.node._take(wire, message)
+        self.node._handle(wire, message)
 
     def lease(self, name: str, age_ms: int | None, revision: int = 0) -> None:
         """A controller answers a renewal, and has told of this revision."""
@@ -89,13 +90,13 @@
             rig.tell(NAMES[0], Revision(asked.request, -1))
         rig.ticks(1)
     assert {type(message) for message in rig.wires[NAMES[0]].asked()} == {RevisionRead}
-    assert not rig.node.settled and not rig.texts
+    assert not rig.node.has_initial_configuration and not rig.texts
 
 
 def read_everywhere(rig: Rig) -> list[int]:
     """What a node asks on each new link at its start; the numbers of its questions."""
-    for controller in rig.node._controllers.values():
-        rig.node._fetch(controller, read=True)
+    for wire in rig.wires.values():
+        rig.node._fetcher.read_revision(cast(Any, wire))
     return [rig.wires[name].asked()[0].request for name in NAMES]
 
 
@@ -110,9 +111,9 @@
         [RevisionRead, ConfigurationFetch],
         [RevisionRead],
     ]
-    assert not rig.node.settled
+    assert not rig.node.has_initial_configuration
     rig.tell(NAMES[1], ConfigurationText(rig.wires[NAMES[1]].asked()[1].request, 5, b"text"))
-    assert rig.node.settled and rig.texts == [(5, b"text")]
+    assert rig.node.has_initial_configuration and rig.texts == [(5, b"text")]
 
 
 def test_a_text_older_than_the_number_read_does_not_settle_a_node() -> None:
@@ -120,8 +121,8 @@
     rig = Rig(NAMES)
     rids = read_everywhere(rig)
     rig.tell(NAMES[0], Revision(rids[0], 5))
-    rig.node._lost(cast(Any, rig.wires[NAMES[0]]))
-    rig.node._controllers[NAMES[0]].dialling = True
+    rig.node._controller_disconnected(cast(Any, rig.wires[NAMES[0]]))
+    rig.node._connections[NAMES[0]].dialling = True
     for name in NAMES[1:]:
         rig.lease(name, 100)
     for revision, settled in ((4, False), (5, True)):
@@ -130,28 +131,28 @@
         fetches = {name: asked for name, asked in last.items() if isinstance(asked, ConfigurationFetch)}
         name = max(fetches, key=lambda name: fetches[name].request)
         rig.tell(name, ConfigurationText(fetches[name].request, revision, b"text"))
-        assert rig.node.settled is settled
+        assert rig.node.has_initial_configuration is settled
 
 
 def test_a_node_of_a_mesh_without_a_configuration_is_settled_by_the_number_alone() -> None:
     rig = Rig(NAMES)
     rids = read_everywhere(rig)
     rig.tell(NAMES[2], Revision(rids[2], 0))
-    assert rig.node.settled and not rig.texts
+    assert rig.node.has_initial_configuration and not rig.texts
     assert all(len(wire.asked()) == 1 for wire in rig.wires.values())
 
 
 @pytest.mark.parametrize("age_ms", [AGE_MS, None])
 def test_a_controller_out_of_contact_is_not_asked_while_another_is_in_contact(age_ms: int | None) -> None:
     rig = Rig(NAMES)
-    rig.node.settled = True
-    rig.node._wanted = 6
+    rig.node._fetcher.caught_up = True
+    rig.node._fetcher.wanted_revision = 6
     for number, name in enumerate(NAMES):
         rig.lease(name, age_ms if not number else 100, 5 + number)
     for _ in range(40):
-        assert rig.node._pick().name in NAMES[1:]  # type: ignore[union-attr]
-    rig.node._wanted = 7  # only the third has told of it
-    assert {rig.node._pick().name for _ in range(40)} == {NAMES[2]}  # type: ignore[union-attr]
+        assert rig.node._fetcher._choose_controller().name in NAMES[1:]  # type: ignore[union-attr]
+    rig.node._fetcher.wanted_revision = 7  # only the third has told of it
+    assert {rig.node._fetcher._choose_controller().name for _ in range(40)} == {NAMES[2]}  # type: ignore[union-attr]
     rig.ticks(1)
     rig.node._tick()
     assert [len(rig.wires[name].asked()) for name in NAMES] == [0, 0, 1]
@@ -160,13 +161,13 @@
 def test_a_text_that_comes_late_is_taken_and_is_not_asked_for_again_while_it_comes() -> None:
     """It was thrown away after 0.4 s and asked for again: over a full link no text ever arrived."""
     rig = Rig(NAMES[:2])
-    rig.node.settled = True
+    rig.node._fetcher.caught_up = True
     first: Any = rig.wires[NAMES[0]]
-    rig.node._version(3, first)
+    rig.node._fetcher.revision_announced(3, first)
     asked = first.asked()
     began_s = rig.loop.time()
     rig.node.start()
-    while rig.loop.time() < began_s + MAX_ASK_S - TICK_S:
+    while rig.loop.time() < began_s + TRANSFER_TIMEOUT_S - TICK_S:
         first.heard_s = rig.loop.time()  # bytes of it
         rig.wires[NAMES[1]].heard_s = rig.loop.time()
         rig.ticks(1)
@@ -179,12 +180,12 @@
 
 def test_one_that_says_nothing_is_not_waited_for() -> None:
     rig = Rig(NAMES[:2])
-    rig.node.settled = True
+    rig.node._fetcher.caught_up = True
     first: Any = rig.wires[NAMES[0]]
     rig.lease(NAMES[1], 100, 3)
-    rig.node._version(3, first)
+    rig.node._fetcher.revision_announced(3, first)
     rig.node.start()
-    for _ in range(round((ASK_S + 2 * TICK_S) / TICK_S)):
+    for _ in range(round((ANSWER_TIMEOUT_S + 2 * TICK_S) / TICK_S)):
         rig.wires[NAMES[1]].heard_s = rig.loop.time()
         rig.ticks(1)
     assert len(rig.wires[NAMES[1]].asked()) == 1
