--- a/tests/mesh/dataplane/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -1,4 +1,4 @@
-"""The gate: who goes in and when, and what is said of whom it turns away."""
+"""The admission gate: what is admitted and when, and the outcomes of what is rejected."""
 
 from __future__ import annotations
 
@@ -17,18 +17,25 @@
     ServerResponse,
 )
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import admission_gate, header, patch_clock, proxied_request, rig, server_response
+from tests.mesh.fakes import (
+    admission_gate,
+    header,
+    loop_and_connections,
+    patch_clock,
+    proxied_request,
+    server_response,
+)
 
 
 class Scene:
-    """A gate with a server of two slots, and what it answered."""
+    """A gate of a server with two slots, and its replies."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        self.loop, self.lines = rig()
+        self.loop, self.connections = loop_and_connections()
         patch_clock(patch, self.loop.now_ms)
         self.changes: list[str] = []
         self.gate = admission_gate(
-            self.lines,
+            self.connections,
             GateHooks(
                 lambda: self.changes.append(self.state),
                 lambda: False,
@@ -42,7 +49,7 @@
     def state(self) -> str:
         return self.gate.server.state if self.gate.server is not None else ""
 
-    def beat(self, sequence: int, state: str = IN_SERVICE, id: str = "i") -> None:
+    def heartbeat(self, sequence: int, state: str = IN_SERVICE, id: str = "i") -> None:
         self.gate.heartbeat(Server(id, "s", "z", state, 1, 0.0), sequence)
 
     def ask(self, id: str, **headers: bytes) -> GateRequest:
@@ -52,11 +59,11 @@
 
         return self.gate.accept(proxied_request(id, **headers), answer)
 
-    def word(self, id: str) -> bytes | None:
+    def outcome(self, id: str) -> bytes | None:
         return header(self.replies[id], GATE_HEADER) if id in self.replies else None
 
-    def inside(self) -> list[str]:
-        return [a.message.id for a in self.lines.sent if not a.over]
+    def in_flight(self) -> list[str]:
+        return [a.message.id for a in self.connections.sent if not a.over]
 
 
 @pytest.fixture
@@ -66,74 +73,77 @@
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 3), st.booleans()), max_size=8))
-def test_the_held_go_in_by_rank(monkeypatch: pytest.MonkeyPatch, held: list[tuple[int, int, bool]]) -> None:
+def test_queued_requests_are_admitted_by_rank(
+    monkeypatch: pytest.MonkeyPatch, arrivals: list[tuple[int, int, bool]]
+) -> None:
     scene = Scene(monkeypatch)
-    scene.beat(1)
+    scene.heartbeat(1)
     scene.ask("x")
     scene.ask("y")
-    wanted = []
-    for n, (rank, patience, gone) in enumerate(held):
-        passing = scene.ask(str(n), orchid_rank=b"%d" % rank, orchid_patience=b"%d" % (100 * patience))
+    expected = []
+    for n, (rank, queue_timeout, gone) in enumerate(arrivals):
+        request = scene.ask(str(n), orchid_rank=b"%d" % rank, orchid_patience=b"%d" % (100 * queue_timeout))
         if gone:
-            passing.client_disconnected()
-        elif patience > 1:
-            wanted.append((rank, n))
+            request.client_disconnected()
+        elif queue_timeout > 1:
+            expected.append((rank, n))
     scene.loop.pass_ms(150.0)
-    late = {str(n) for n, (_, patience, gone) in enumerate(held) if patience <= 1 and not gone}
-    assert {id for id in scene.replies if scene.word(id) == b"unrun"} >= late and scene.inside() == ["x", "y"]
-    for _, n in sorted(wanted):
-        first = next(a for a in scene.lines.sent if not a.over)
+    late = {str(n) for n, (_, queue_timeout, gone) in enumerate(arrivals) if queue_timeout <= 1 and not gone}
+    assert {id for id in scene.replies if scene.outcome(id) == b"unrun"} >= late
+    assert scene.in_flight() == ["x", "y"]
+    for _, n in sorted(expected):
+        first = next(a for a in scene.connections.sent if not a.over)
         first.on_sent()
         first.end(Result.SERVED, server_response(attempt_id=first.message.id.encode()))
-        assert scene.inside()[-1] == str(n)
-    assert len(scene.inside()) == 2 and scene.gate._queue.length == 0
+        assert scene.in_flight()[-1] == str(n)
+    assert len(scene.in_flight()) == 2 and scene.gate._queue.length == 0
 
 
-def test_patience_ends_as_not_run(scene: Scene) -> None:
-    scene.beat(1)
+def test_a_queue_timeout_ends_as_not_run(scene: Scene) -> None:
+    scene.heartbeat(1)
     for id in "abc":
         scene.ask(id, orchid_patience=b"50")
     scene.loop.pass_ms(49.0)
     assert not scene.replies
     scene.loop.pass_ms(2.0)
     assert scene.replies.keys() == {"c"}
-    assert (scene.replies["c"].status, scene.word("c")) == (503, b"unrun")
+    assert (scene.replies["c"].status, scene.outcome("c")) == (503, b"unrun")
 
 
-def test_a_drained_server_is_reached_for_a_while_only(scene: Scene) -> None:
-    scene.beat(1, DRAINING)
+def test_a_draining_server_is_sent_requests_for_a_limited_time(scene: Scene) -> None:
+    scene.heartbeat(1, DRAINING)
     scene.loop.pass_ms(1_400.0)
-    scene.beat(2, DRAINING)  # says so again: the time runs from the first
+    scene.heartbeat(2, DRAINING)  # says so again: the time runs from the first
     scene.ask("a")
-    assert scene.inside() == ["a"]
+    assert scene.in_flight() == ["a"]
     scene.loop.pass_ms(200.0)
     scene.ask("b")
-    assert scene.word("b") == b"gone"
+    assert scene.outcome("b") == b"gone"
 
 
-def test_another_life_is_refused(scene: Scene) -> None:
-    scene.beat(1)
+def test_a_request_for_another_incarnation_is_rejected(scene: Scene) -> None:
+    scene.heartbeat(1)
     scene.ask("a", target_instance=b"j")
     scene.ask("b", target_instance=b"i")
-    assert (scene.word("a"), scene.inside()) == (b"gone", ["b"])
+    assert (scene.outcome("a"), scene.in_flight()) == (b"gone", ["b"])
     scene.ask("c", target_instance=b"i")
     scene.ask("d", target_instance=b"i", orchid_patience=b"500")
-    scene.beat(1, id="j")  # and what was held for the life before it
-    for attempt in list(scene.lines.sent):
+    scene.heartbeat(1, id="j")  # rejects what was queued for the incarnation before it
+    for attempt in list(scene.connections.sent):
         attempt.end(Result.RESET)
-    assert (scene.word("b"), scene.word("d")) == (b"lost", b"gone")
+    assert (scene.outcome("b"), scene.outcome("d")) == (b"lost", b"gone")
 
 
-def test_late_beats_change_nothing(scene: Scene) -> None:
-    scene.beat(5, DRAINING)
-    scene.beat(4)
-    scene.beat(5)
+def test_stale_heartbeats_change_nothing(scene: Scene) -> None:
+    scene.heartbeat(5, DRAINING)
+    scene.heartbeat(4)
+    scene.heartbeat(5)
     assert scene.state == DRAINING
-    scene.beat(1, id="j")
-    scene.beat(6)  # the life before it
+    scene.heartbeat(1, id="j")
+    scene.heartbeat(6)  # the incarnation before it
     assert scene.gate.server is not None and scene.gate.server.id == "j"
     scene.gate.deregister("j")
-    scene.beat(2, id="j")
+    scene.heartbeat(2, id="j")
     assert scene.state == GONE
 
 
@@ -150,7 +160,8 @@
         ),  # signed off with this process before it sent a beat
         ([("i", 1, IN_SERVICE), 900, ("j", 1, IN_SERVICE), 2_000, ("i", 2, IN_SERVICE)], IN_SERVICE, "i"),
         ([("i", 1, IN_SERVICE), 900, ("j", 1, IN_SERVICE), 900, ("i", 2, IN_SERVICE)], IN_SERVICE, "j"),
-        # A process that has just started hears the last beat of a former life after the first of the new one.
+        # A process that has just started hears the last heartbeat of a former incarnation after the first of
+        # the new one.
         (
             [
                 ("j", 4, IN_SERVICE),
@@ -166,75 +177,76 @@
         ([("j", 4, DRAINING), ("i", 9, IN_SERVICE), 2_000, ("j", 5, DRAINING)], DRAINING, "j"),
     ],
 )
-def test_calls_that_come_late(scene: Scene, steps: list[Any], state: str, id: str) -> None:
+def test_calls_that_arrive_out_of_order(scene: Scene, steps: list[Any], state: str, id: str) -> None:
     for step in steps:
         if isinstance(step, int):
             scene.loop.pass_ms(float(step))
         elif step[1] is None:
             scene.gate.deregister(step[0])
         else:
-            scene.beat(step[1], step[2], step[0])
+            scene.heartbeat(step[1], step[2], step[0])
     assert (scene.state, scene.gate.server.id if scene.gate.server is not None else "") == (state, id)
 
 
-def test_a_drain_is_counted_from_its_first_word_though_another_life_was_heard_of(scene: Scene) -> None:
-    scene.beat(1, DRAINING, "j")
-    scene.beat(9, IN_SERVICE, "i")  # the last word of a life before it
+def test_a_drain_counts_from_its_first_acknowledgement_across_incarnations(scene: Scene) -> None:
+    scene.heartbeat(1, DRAINING, "j")
+    scene.heartbeat(9, IN_SERVICE, "i")  # the last heartbeat of an incarnation before it
     scene.loop.pass_ms(1_600.0)  # over `DRAIN_FRACTION` of the time
-    scene.beat(2, DRAINING, "j")
+    scene.heartbeat(2, DRAINING, "j")
     scene.ask("a", target_instance=b"j")
-    assert (scene.state, scene.word("a")) == (DRAINING, b"gone")
+    assert (scene.state, scene.outcome("a")) == (DRAINING, b"gone")
 
 
-def signs_off(gate: AdmissionGate) -> None:
+def deregister(gate: AdmissionGate) -> None:
     """Some do so without ever saying that they drain."""
     gate.deregister("i")
 
 
-def falls_silent(gate: AdmissionGate) -> None:
+def miss_heartbeats(gate: AdmissionGate) -> None:
     gate._registration.last_heartbeat_ms = 0.0
     gate.check_heartbeat()
 
 
-@pytest.mark.parametrize("end", [signs_off, falls_silent])
-def test_a_server_that_is_gone_is_sent_nothing_and_what_is_inside_ends(
+@pytest.mark.parametrize("end", [deregister, miss_heartbeats])
+def test_a_server_that_is_gone_is_sent_nothing_and_requests_in_flight_end(
     scene: Scene, end: Callable[[AdmissionGate], None]
 ) -> None:
-    scene.beat(1)
+    scene.heartbeat(1)
     for id in "ab":
         scene.ask(id)
-    scene.ask("held", orchid_patience=b"9000", time_remaining=b"9000")
+    scene.ask("queued", orchid_patience=b"9000", time_remaining=b"9000")
     end(scene.gate)
     scene.ask("late")
-    assert scene.inside() == ["a", "b"]  # it serves on
-    assert [scene.word(id) for id in ("held", "late")] == [b"gone", b"gone"]
-    for attempt in scene.lines.sent:
+    assert scene.in_flight() == ["a", "b"]  # it serves on
+    assert [scene.outcome(id) for id in ("queued", "late")] == [b"gone", b"gone"]
+    for attempt in scene.connections.sent:
         attempt.on_sent()
         attempt.end(Result.SERVED, server_response(attempt_id=attempt.message.id.encode()))
-    assert [scene.replies[id].status for id in "ab"] == [200, 200] and len(scene.lines.sent) == 2
+    assert [scene.replies[id].status for id in "ab"] == [200, 200] and len(scene.connections.sent) == 2
 
 
-def test_a_beat_brings_back_what_was_taken_for_gone(scene: Scene) -> None:
-    scene.beat(1)
+def test_a_heartbeat_restores_a_server_that_was_marked_gone(scene: Scene) -> None:
+    scene.heartbeat(1)
     scene.loop.pass_ms(3_600.0)
     scene.gate.check_heartbeat()
     scene.ask("a")
-    assert (scene.state, scene.word("a")) == (GONE, b"gone")
-    scene.beat(2)
+    assert (scene.state, scene.outcome("a")) == (GONE, b"gone")
+    scene.heartbeat(2)
     scene.loop.pass_ms(2_000.0)
     scene.ask("b")
-    assert (scene.state, scene.inside(), scene.changes) == (IN_SERVICE, ["b"], [IN_SERVICE, GONE, IN_SERVICE])
+    assert (scene.state, scene.in_flight()) == (IN_SERVICE, ["b"])
+    assert scene.changes == [IN_SERVICE, GONE, IN_SERVICE]
 
 
-def test_what_may_not_run_twice_is_let_run(scene: Scene) -> None:
-    scene.beat(1)
-    for passing in (scene.ask("a", orchid_once=b"1"), scene.ask("b")):
-        assert passing.attempt is not None
-        passing.attempt.on_sent()
-        passing.client_disconnected()
-    assert scene.inside() == ["a"]
+def test_an_at_most_once_request_is_not_cancelled(scene: Scene) -> None:
+    scene.heartbeat(1)
+    for request in (scene.ask("a", orchid_once=b"1"), scene.ask("b")):
+        assert request.attempt is not None
+        request.attempt.on_sent()
+        request.client_disconnected()
+    assert scene.in_flight() == ["a"]
     scene.ask("c", orchid_once=b"1").client_disconnected()  # not written yet: it never ran
-    assert scene.inside() == ["a"] and not scene.replies
+    assert scene.in_flight() == ["a"] and not scene.replies
 
 
 @pytest.mark.parametrize(
@@ -247,20 +259,20 @@
         (0, 2, 0.0, ["later", "later"]),  # it makes room
     ],
 )
-def test_work_for_a_caller_that_has_left_ends(
+def test_work_for_a_disconnected_caller_ends(
     scene: Scene, others: int, later: int, after_ms: float, inside: list[str]
 ) -> None:
-    scene.beat(1)
-    passing = scene.ask("a")
+    scene.heartbeat(1)
+    request = scene.ask("a")
     for n in range(others):
         scene.ask(str(n))
-    assert passing.attempt is not None
-    passing.attempt.on_sent()
-    passing.client_disconnected()
+    assert request.attempt is not None
+    request.attempt.on_sent()
+    request.client_disconnected()
     for _ in range(later):
         scene.ask("later")
     scene.loop.pass_ms(after_ms)
-    assert scene.inside() == inside and not scene.gate._abandoned.keys() - {passing}
+    assert scene.in_flight() == inside and not scene.gate._abandoned.keys() - {request}
     assert scene.gate.in_flight == len(inside) and not scene.replies
 
 
@@ -283,14 +295,14 @@
         ),  # not the server's
     ],
 )
-def test_the_answer_of_a_key_whose_node_is_gone_is_kept(
+def test_the_response_to_an_orphaned_keyed_request_is_stored(
     scene: Scene, headers: dict[str, bytes], gone: bool, answer: ServerResponse, kept: list[tuple[str, int]]
 ) -> None:
     """Else its repeats would be told for the whole window that the first run is at work."""
-    scene.beat(1)
-    passing = scene.ask("t", **headers)
-    scene.lines.sent[0].written = True
+    scene.heartbeat(1)
+    request = scene.ask("t", **headers)
+    scene.connections.sent[0].written = True
     if gone:
-        passing.client_disconnected()
-    scene.lines.sent[0].end(Result.SERVED, answer)
-    assert scene.orphans == kept and not scene.inside()
+        request.client_disconnected()
+    scene.connections.sent[0].end(Result.SERVED, answer)
+    assert scene.orphans == kept and not scene.in_flight()
--- a/tests/mesh/dataplane/test_admission_queue.py
+++ b/tests/mesh/dataplane/test_admission_queue.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from orchidferry.mesh.dataplane.admission_queue import AdmissionQueue, QueuedRequest
-from tests.mesh.fakes import rig
+from tests.mesh.fakes import loop_and_connections
 
 
 def queue_of(
     *ranks: int, timeout_s: float = 1.0
 ) -> tuple[AdmissionQueue[QueuedRequest], list[QueuedRequest]]:
     """A queue, and the requests of these ranks that were added to it in this order."""
-    _, connections = rig()
+    _, connections = loop_and_connections()
     queue: AdmissionQueue[QueuedRequest] = AdmissionQueue(connections.timers)
     requests = [QueuedRequest(rank) for rank in ranks]
     for request in requests:
@@ -40,7 +40,7 @@
 
 
 def test_a_request_that_waits_for_too_long_leaves_the_queue_first() -> None:
-    loop, connections = rig()
+    loop, connections = loop_and_connections()
     queue: AdmissionQueue[QueuedRequest] = AdmissionQueue(connections.timers)
     expired: list[tuple[QueuedRequest, int]] = []
     requests = [QueuedRequest(0) for _ in range(3)]
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -1,4 +1,4 @@
-"""What was sent, drawn at the first byte: a request that may run once has one unproven sending, ever."""
+"""Which requests may have run, drawn at the first byte: an at-most-once request has one unproven sending."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from tests.mesh.fakes import patch_clock, proxied_request, route, service_client
 from tests.mesh.wire_fakes import Peer, Pool, Sent, close_all, pool
 
-HELD_OVER_MS = 1.0  # past a route's guard; the operators pay for 250
-PROMISES = (408, 421, 429, 503)
+DEADLINE_TOLERANCE_MS = 1.0  # past a route's guard; the operators pay for 250
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def answer(id: str, status: bytes = b"200 OK", more: bytes = b"") -> bytes:
@@ -59,7 +59,7 @@
 )
 
 
-class Kernel(Pool):
+class KernelPool(Pool):
     """A pool whose kernel takes as little as it is told, and whose dials fail when told."""
 
     takes: int | None = None
@@ -97,7 +97,7 @@
     def __init__(self, patch: Any, seed: int) -> None:
         patch.setattr(module, "random", SimpleNamespace(Random=lambda: random.Random(seed)))
         self.loop, made = pool()
-        self.pool = Kernel(self.loop, 400.0, 14_000.0, lambda: 99, TimerQueue(self.loop), 500.0)
+        self.pool = KernelPool(self.loop, 400.0, 14_000.0, lambda: 99, TimerQueue(self.loop), 500.0)
         self.pool.peers = made.peers
         patch_clock(patch, self.loop.now_ms)
         self.service = service_client(self.loop, self.pool)
@@ -107,8 +107,8 @@
         self.service.set_routes(self.kinds)
         self.replies: dict[str, list[Reply]] = {}
         self.asked_ms: dict[str, float] = {}
-        self.once: set[str] = set()
-        self.lives: dict[str, Any] = {}
+        self.at_most_once: set[str] = set()
+        self.requests: dict[str, Any] = {}
         self.sendings: list[Sending] = []
         send_attempt = HttpConnection.send_attempt
 
@@ -124,8 +124,8 @@
         self.replies[id] = []
         self.asked_ms[id] = self.loop.now_ms()
         if once:
-            self.once.add(id)
-        self.lives[id] = self.service.take(
+            self.at_most_once.add(id)
+        self.requests[id] = self.service.take(
             proxied_request(id),
             self.kinds[once],
             self.loop.now_ms() + 1_000.0,
@@ -134,10 +134,12 @@
         return id
 
     def answered(self, id: str, reply: Reply) -> None:
-        assert self.loop.now_ms() <= self.asked_ms[id] + 1_000.0 + HELD_OVER_MS, "held past its guard"
+        assert self.loop.now_ms() <= self.asked_ms[id] + 1_000.0 + DEADLINE_TOLERANCE_MS, (
+            "held past its guard"
+        )
         self.replies[id].append(reply)
 
-    def out(self) -> list[Sending]:
+    def open_attempts(self) -> list[Sending]:
         """The last sending on each connection, where its attempt is out."""
         last = {id(sending.peer): sending for sending in self.sendings}
         return [sending for sending in last.values() if sending.peer.connection._attempt is not None]
@@ -147,16 +149,18 @@
             begun = [s for s in self.sendings if s.id == id and s.possibly_sent]
             assert len(begun) <= 3
             unproven = [s for s in begun if not s.proven]
-            if id in self.once:
+            if id in self.at_most_once:
                 assert len(unproven) <= 1, "sent twice without a proof"
                 assert not unproven or begun[-1] is unproven[0], "sent after what may have run"
                 for reply in self.replies[id]:
-                    assert reply.status not in PROMISES or not unproven, "a promise for what may have run"
+                    assert reply.status not in NOT_RUN_STATUSES or not unproven, (
+                        "a promise for what may have run"
+                    )
             assert len(self.replies[id]) <= 1
 
     def step(self, rng: random.Random) -> None:
         dice = rng.random()
-        out = self.out()
+        out = self.open_attempts()
         self.pool.takes, self.pool.refuses = rng.choice((None, None, 0, 9)), rng.random() < 0.2
         if dice < 0.3 or not out:
             self.ask(rng.random() < 0.7)
@@ -165,7 +169,7 @@
         elif dice < 0.95:
             self.loop.pass_ms(rng.choice((1.0, 40.0, 300.0, 1_000.0)))
         else:
-            self.lives[rng.choice(sorted(self.lives))].client_disconnected()
+            self.requests[rng.choice(sorted(self.requests))].client_disconnected()
         self.check()
 
     def act(self, rng: random.Random, sending: Sending) -> None:
@@ -199,14 +203,14 @@
             scene.loop.pass_ms(3_000.0)
             scene.check()
             for id, replies in scene.replies.items():
-                assert len(replies) == 1 or not scene.lives[id].awaited
+                assert len(replies) == 1 or not scene.requests[id].awaited
         finally:
             close_all(scene.pool)
 
 
 @settings(max_examples=150, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.integers(0, 2**40))
-def test_what_may_run_once_is_never_sent_twice_without_a_proof(seed: int) -> None:
+def test_an_at_most_once_request_is_never_sent_twice_without_a_proof(seed: int) -> None:
     play(seed)
 
 
@@ -218,7 +222,7 @@
 
 
 @pytest.mark.parametrize("name", BREAKS)
-def test_a_break_is_seen(name: str) -> None:
+def test_a_break_is_detected(name: str) -> None:
     with pytest.MonkeyPatch.context() as patch:
         for owner, field, broken in BREAKS[name]:
             patch.setattr(owner, field, broken)
@@ -238,7 +242,7 @@
         (0, Result.RESET),  # lost: what was in the buffer can't be told
     ],
 )
-def test_a_reset(taken: int | None, result: Result) -> None:
+def test_a_connection_reset(taken: int | None, result: Result) -> None:
     sent, peer = sending(taken)
     peer.lose(ConnectionResetError())
     assert [r for r, _ in sent.ends] == [result]
@@ -253,7 +257,7 @@
         (0, 1, Result.TIMEOUT),
     ],
 )
-def test_a_silence(taken: int | None, later: int, result: Result) -> None:
+def test_a_timeout(taken: int | None, later: int, result: Result) -> None:
     """Only if the kernel took no byte of it, it is known never to run: its connection is closed with it."""
     sent, peer = sending(taken)
     if later:
@@ -263,7 +267,7 @@
 
 
 @pytest.mark.parametrize("cut", ["head", "body", "nothing"])
-def test_a_connection_that_breaks_within_its_answer(cut: str) -> None:
+def test_a_connection_lost_within_the_response(cut: str) -> None:
     sent, peer = sending(None)
     peer.put({"head": answer("t1")[:30], "body": answer("t1")[:-1], "nothing": b""}[cut])
     peer.read()
@@ -271,7 +275,7 @@
     assert [r for r, _ in sent.ends] == [Result.RESET]
 
 
-def test_a_long_request_has_begun_with_its_head() -> None:
+def test_a_streamed_request_is_possibly_sent_with_its_head() -> None:
     """The node in service would say that it never ran: its last byte is not written."""
     _, made = pool()
     sent = Sent(proxied_request("t1"), at_most_once=True)
@@ -282,7 +286,7 @@
     close_all(made)
 
 
-def test_a_long_request_has_its_time_from_its_last_byte() -> None:
+def test_a_streamed_request_is_timed_from_its_last_byte() -> None:
     """While the body moves only a standstill counts; then the server may work for as long as the rest."""
     loop, made = pool()
     sent = Sent(proxied_request("t1"))
@@ -302,7 +306,7 @@
 
 def sending(taken: int | None) -> tuple[Sent, Peer]:
     _, made = pool()
-    kernel = Kernel(made._loop, 400.0, 14_000.0, lambda: 99, made.timers, 500.0)
+    kernel = KernelPool(made._loop, 400.0, 14_000.0, lambda: 99, made.timers, 500.0)
     kernel.peers = made.peers
     kernel.takes = taken
     sent = Sent(proxied_request("t1"), at_most_once=True)
@@ -318,14 +322,14 @@
         OSError(errno.EHOSTUNREACH, "no way"),
     ],
 )
-def test_a_connection_that_was_never_made_proves_that_nothing_ran(problem: OSError) -> None:
+def test_a_failed_connect_proves_that_nothing_ran(problem: OSError) -> None:
     async def main() -> list[Result]:
         loop = asyncio.get_running_loop()
-        lines = HttpConnectionPool(loop, 400.0, 14_000.0, lambda: 9, TimerQueue(loop), 500.0)
+        connections = HttpConnectionPool(loop, 400.0, 14_000.0, lambda: 9, TimerQueue(loop), 500.0)
         with mock.patch.object(loop, "create_connection", side_effect=problem):
             sent = Sent(proxied_request("t1"), at_most_once=True)
-            lines.send(sent)
-            await asyncio.gather(*lines._dials)
+            connections.send(sent)
+            await asyncio.gather(*connections._dials)
         return [result for result, _ in sent.ends]
 
     assert asyncio.run(main()) == [Result.UNREACHABLE]
--- a/tests/mesh/dataplane/test_http_connection.py
+++ b/tests/mesh/dataplane/test_http_connection.py
@@ -1,4 +1,4 @@
-"""HttpConnectionPool to servers: what each answer means, and whose it is, byte by byte."""
+"""Connections to servers: the result of each response, and the attempt that it belongs to."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     "encoded": (server_response(encoded=True), Result.ERROR),
     "no id": (server_response(attempt_id=None), Result.ERROR),
     "a refusal of the server's own": (server_response(404, sealed=False), Result.SERVED),
-    "another life's": (server_response(421, sealed=False), Result.MOOT),
-    "another life's, that says so twice": (
+    "another incarnation's": (server_response(421, sealed=False), Result.MOOT),
+    "another incarnation's, that says so twice": (
         server_response(421, sealed=False, not_executed=True),
         Result.MOOT,
     ),
@@ -41,26 +41,26 @@
 
 
 @pytest.mark.parametrize("name", ANSWERS)
-def test_what_an_answer_means(name: str) -> None:
+def test_the_result_of_a_response(name: str) -> None:
     answer, result = ANSWERS[name]
     assert attempt_result(answer) is result
 
 
 class Scene:
-    """A line that carries one attempt, with the id t1."""
+    """A connection that carries one attempt, with the id t1."""
 
     def __init__(self, sock: socket.socket) -> None:
-        _, self.lines = pool()
+        _, self.connections = pool()
         transport: Any = Transport(sock)
         self.transport = transport
-        self.line = HttpConnection(self.lines, 1, ("127.0.0.1", 1))
-        self.line.connection_made(self.transport)
+        self.connection = HttpConnection(self.connections, 1, ("127.0.0.1", 1))
+        self.connection.connection_made(self.transport)
         self.sent = Sent(proxied_request())
-        self.line.send_attempt(self.sent)
+        self.connection.send_attempt(self.sent)
 
     @property
     def kept(self) -> bool:
-        return not self.transport.closed and bool(self.lines._idle.get(1))
+        return not self.transport.closed and bool(self.connections._idle.get(1))
 
     def end(self) -> tuple[Result, bytes]:
         [(result, answer)] = self.sent.ends
@@ -84,49 +84,51 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
-def test_a_surplus_answer_is_nobodys(scene: Scene, step: int) -> None:
+def test_a_surplus_response_is_discarded(scene: Scene, step: int) -> None:
     data = wire(b"other's", b"t0") + wire(b"mine")
     for at in range(0, len(data), step):
-        scene.line.data_received(data[at : at + step])
+        scene.connection.data_received(data[at : at + step])
     assert scene.end() == (Result.SERVED, b"mine") and not scene.kept
 
 
-def test_a_surplus_answer_that_ends_with_its_line_is_nobodys(scene: Scene) -> None:
-    scene.line.data_received(
+def test_a_surplus_response_that_ends_with_its_connection_is_discarded(scene: Scene) -> None:
+    scene.connection.data_received(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: t0\r\nServer-Seal: x\r\nConnection: close\r\n\r\nother's"
     )
-    scene.line.connection_lost(None)
+    scene.connection.connection_lost(None)
     assert scene.end()[0] is Result.RESET
 
 
 @pytest.mark.parametrize("cut", [1, 30, 60, 80])
-def test_an_answer_cut_short_is_none(scene: Scene, cut: int) -> None:
-    scene.line.data_received(wire(b"a whole answer")[:cut])
-    scene.line.connection_lost(None)
+def test_a_truncated_response_is_a_reset(scene: Scene, cut: int) -> None:
+    scene.connection.data_received(wire(b"a whole answer")[:cut])
+    scene.connection.connection_lost(None)
     assert scene.end() == (Result.RESET, b"")
 
 
-def test_an_answer_goes_on_with_one_id(scene: Scene) -> None:
-    scene.line.data_received(wire(b"mine", more=b"Kind: a\r\nKind: b\r\n"))
+def test_a_response_is_forwarded_with_one_attempt_id(scene: Scene) -> None:
+    scene.connection.data_received(wire(b"mine", more=b"Kind: a\r\nKind: b\r\n"))
     more = forwarded_reply(scene.sent.ends[0][1]).more
     assert sorted(more) == [(b"Attempt-Id", b"t1"), (b"Kind", b"a"), (b"Kind", b"b"), (b"Server-Seal", b"x")]
 
 
-def test_a_line_is_kept_after_a_whole_answer_and_no_more(scene: Scene) -> None:
-    scene.line.data_received(wire(b"mine"))
+def test_a_connection_is_kept_after_exactly_one_complete_response(scene: Scene) -> None:
+    scene.connection.data_received(wire(b"mine"))
     assert scene.end() == (Result.SERVED, b"mine") and scene.kept
-    scene.line.data_received(b"x")
+    scene.connection.data_received(b"x")
     assert scene.transport.closed and not scene.kept
 
 
 @pytest.mark.parametrize("extra", [b"x", b"HTTP/1.1 200 OK\r\n", wire(b"other's", b"t0")])
-def test_extra_bytes_end_the_line(scene: Scene, extra: bytes) -> None:
-    scene.line.data_received(wire(b"mine") + extra)
+def test_extra_bytes_close_the_connection(scene: Scene, extra: bytes) -> None:
+    scene.connection.data_received(wire(b"mine") + extra)
     assert scene.end() == (Result.SERVED, b"mine") and not scene.kept
 
 
-def test_what_an_interim_answer_says_is_not_the_answers(scene: Scene) -> None:
-    scene.line.data_received(b"HTTP/1.1 103 Early\r\nAttempt-Id: t1\r\nServer-Seal: x\r\nLink: y\r\n\r\n")
-    scene.line.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: t1\r\nContent-Length: 0\r\n\r\n")
+def test_headers_of_an_interim_response_are_not_those_of_the_final_one(scene: Scene) -> None:
+    scene.connection.data_received(
+        b"HTTP/1.1 103 Early\r\nAttempt-Id: t1\r\nServer-Seal: x\r\nLink: y\r\n\r\n"
+    )
+    scene.connection.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: t1\r\nContent-Length: 0\r\n\r\n")
     [(result, answer)] = scene.sent.ends
     assert result is Result.ERROR and answer.attempt_id == b"t1" and not answer.sealed and not answer.headers
--- a/tests/mesh/dataplane/test_http_connection_answers.py
+++ b/tests/mesh/dataplane/test_http_connection_answers.py
@@ -1,4 +1,4 @@
-"""Whose an answer is: answers on kept connections, cut at every byte, among the writes of requests."""
+"""Which attempt a response belongs to: responses on kept connections, split at every byte, among requests."""
 
 from __future__ import annotations
 
@@ -115,8 +115,8 @@
         lambda i, b: answer(i, b).replace(b"\r\n\r\n" + b, b"\r\n\r\n" + b + b"more"), Result.SERVED, False
     ),
     "length too long": Script(lambda i, b: answer(i, b + b"yyyy")[:-4], Result.RESET, False, True),
-    "cut chunks": Script(lambda i, b: chunked(i, b)[:-5], Result.RESET, False, True),
-    "cut trailers": Script(
+    "truncated chunks": Script(lambda i, b: chunked(i, b)[:-5], Result.RESET, False, True),
+    "truncated trailers": Script(
         lambda i, b: chunked(i, b, b"Connection: close\r\nKind: x\r\n")[:-4], Result.RESET, False, True
     ),
     "no id": Script(lambda i, b: NO_ID, Result.ERROR, False),
@@ -140,7 +140,7 @@
 }
 
 
-class Story:
+class Exchange:
     """Requests one after another by the shipping pool, and what a server puts on their connections."""
 
     def __init__(self) -> None:
@@ -149,7 +149,7 @@
         self.unclean: set[int] = set()  # connections, by id, on which anything unclean was put
         self.served: dict[int, Peer] = {}
 
-    def __enter__(self) -> Story:
+    def __enter__(self) -> Exchange:
         return self
 
     def __exit__(self, *what: object) -> None:
@@ -171,14 +171,14 @@
         """An answer reaches the attempt whose id it bears, and that of this very sending, or nobody."""
         for number, attempt in enumerate(self.attempts):
             assert len(attempt.ends) <= 1
-            for result, said in attempt.ends:
-                if isinstance(said, ServerResponse) and result in (
+            for result, response in attempt.ends:
+                if isinstance(response, ServerResponse) and result in (
                     Result.SERVED,
                     Result.REFUSED,
                     Result.MOOT,
                 ):
-                    assert said.attempt_id == attempt.message.id.encode()
-                    assert said.body in (b"", tag(number)), "another's body"
+                    assert response.attempt_id == attempt.message.id.encode()
+                    assert response.body in (b"", tag(number)), "another's body"
 
 
 def id_of(peer: Peer) -> int:
@@ -190,45 +190,45 @@
 
 
 IDS = ("t1", "t2", "t3")
-# when what is left over arrives: after the next request's write, or before it
+# When what is left over arrives: after the next request's write, or before it
 LATER = 0
 UNREAD = 1
 READ = 2
 
 
-def play(story: Story, names: list[str], ids: list[str], cuts: list[int], whens: list[int]) -> None:
+def play(exchange: Exchange, names: list[str], ids: list[str], splits: list[int], timings: list[int]) -> None:
     """Each request in turn is answered by its script, in pieces; what is left over comes at any time."""
     late: list[tuple[Peer, bytes]] = []
     for number, (name, id) in enumerate(zip(names, ids, strict=True)):
         script = SCRIPTS[name]
-        sent, peer = story.ask(id)
+        sent, peer = exchange.ask(id)
         disturbed = False
         for other, data in late:
             other.put(data)
             other.read()
-            story.unclean.add(id_of(other))
+            exchange.unclean.add(id_of(other))
             disturbed = disturbed or other is peer
         late = []
         data = script.make(id.encode(), tag(number))
         at = 0
-        for cut in [*sorted({c % (len(data) + 1) for c in cuts}), len(data)]:
-            piece = data[at:cut]
-            at = cut
-            when = whens[cut % len(whens)]
-            if sent.ends and piece and (when == LATER or late):
-                late.append((peer, piece))
+        for split in [*sorted({c % (len(data) + 1) for c in splits}), len(data)]:
+            chunk = data[at:split]
+            at = split
+            timing = timings[split % len(timings)]
+            if sent.ends and chunk and (timing == LATER or late):
+                late.append((peer, chunk))
                 continue
-            peer.put(piece)
-            if sent.ends and piece:
-                story.unclean.add(id_of(peer))
-            if not sent.ends or when == READ:
+            peer.put(chunk)
+            if sent.ends and chunk:
+                exchange.unclean.add(id_of(peer))
+            if not sent.ends or timing == READ:
                 peer.read()
         if not late:
             if script.ends:
                 peer.lose()
             if not script.clean:
-                story.unclean.add(id_of(peer))
-        story.check()
+                exchange.unclean.add(id_of(peer))
+        exchange.check()
         if not disturbed:
             assert [result for result, _ in sent.ends] == [script.result], name
         elif not sent.ends:
@@ -236,28 +236,28 @@
 
 
 @pytest.mark.parametrize("first", SCRIPTS)
-def test_two_answers_cut_at_every_byte(first: str) -> None:
-    """The first of every kind, the second a plain one, and the first's bytes in two pieces, for all cuts."""
+def test_two_responses_split_at_every_byte(first: str) -> None:
+    """The first of every kind, its bytes in two chunks, for all splits; the second a plain one."""
     size = len(SCRIPTS[first].make(b"t1", tag(0)))
-    for cut in range(size + 1):
-        for when in (LATER, UNREAD, READ):
-            with Story() as story:
-                play(story, [first, "length"], ["t1", "t2"], [cut], [when])
+    for split in range(size + 1):
+        for timing in (LATER, UNREAD, READ):
+            with Exchange() as exchange:
+                play(exchange, [first, "length"], ["t1", "t2"], [split], [timing])
 
 
 class Reader:
     """Takes what flows."""
 
     def __init__(self) -> None:
-        self.said: list[str] = []
+        self.events: list[str] = []
 
     def feed(self, data: bytes) -> None: ...
 
     def end(self) -> None:
-        self.said.append("end")
+        self.events.append("end")
 
     def flow_failed(self) -> None:
-        self.said.append("flow_failed")
+        self.events.append("flow_failed")
 
 
 @settings(max_examples=400, deadline=None)
@@ -266,50 +266,52 @@
     st.lists(st.integers(0, 300), max_size=6),
     st.lists(st.integers(0, 2), min_size=1, max_size=4),
 )
-def test_any_answers_in_any_pieces(told: list[tuple[str, str]], cuts: list[int], whens: list[int]) -> None:
-    with Story() as story:
-        play(story, [name for name, _ in told], [id for _, id in told], cuts, whens)
+def test_any_responses_in_any_chunks(
+    exchanges: list[tuple[str, str]], splits: list[int], timings: list[int]
+) -> None:
+    with Exchange() as exchange:
+        play(exchange, [name for name, _ in exchanges], [id for _, id in exchanges], splits, timings)
 
 
-def test_a_long_answer_whose_reader_holds_it_back_to_the_end_leaves_its_connection_readable() -> None:
-    with Story() as story:
-        sent, peer = story.ask("t1")
+def test_a_streamed_response_with_a_blocked_reader_leaves_its_connection_readable() -> None:
+    with Exchange() as exchange:
+        sent, peer = exchange.ask("t1")
         sent.message.long_answer = True
         body = b"x" * (MAX_BUFFERED_RESPONSE + 1)
         peer.connection.data_received(answer(b"t1", body)[:-1])
-        [(result, said)] = sent.ends
-        assert result is Result.SERVED and said.flow is not None
-        said.flow.attach(Reader())
-        said.flow.block()
+        [(result, response)] = sent.ends
+        assert result is Result.SERVED and response.flow is not None
+        response.flow.attach(Reader())
+        response.flow.block()
         peer.connection.data_received(body[-1:])
-        assert story.ask("t2") and story.attempts[1].ends == []
+        assert exchange.ask("t2") and exchange.attempts[1].ends == []
         peer.put(answer(b"t2", tag(1)))
         peer.read()
-        story.check()
-        assert story.pool.peers == [peer] and story.attempts[1].ends[0][0] is Result.SERVED
+        exchange.check()
+        assert exchange.pool.peers == [peer] and exchange.attempts[1].ends[0][0] is Result.SERVED
 
 
 @pytest.mark.parametrize("make", [answer, chunked])
 @pytest.mark.parametrize("exc", [None, ConnectionResetError()])
-def test_a_long_answer_that_is_cut_is_not_ended(make: Callable[[bytes, bytes], bytes], exc: Any) -> None:
-    with Story() as story:
-        sent, peer = story.ask("t1")
+def test_a_truncated_streamed_response_is_not_ended(make: Callable[[bytes, bytes], bytes], exc: Any) -> None:
+    with Exchange() as exchange:
+        sent, peer = exchange.ask("t1")
         sent.message.long_answer = True
         peer.connection.data_received(make(b"t1", b"x" * (MAX_BUFFERED_RESPONSE + 9))[:-8])
-        reader, [(_, said)] = Reader(), sent.ends
-        said.flow.attach(reader)
+        reader, [(_, response)] = Reader(), sent.ends
+        response.flow.attach(reader)
         peer.lose(exc)
-        assert reader.said == ["flow_failed"]
+        assert reader.events == ["flow_failed"]
 
 
 @pytest.mark.parametrize("said_close", [b"", b"Connection: close\r\n"])
 @pytest.mark.parametrize("size", [3, MAX_BUFFERED_RESPONSE + 9])
 @pytest.mark.parametrize("exc", [None, ConnectionResetError()])
-def test_an_answer_without_length_is_whole_at_a_clean_end_only(
+def test_a_response_without_length_is_complete_only_at_a_clean_close(
     said_close: bytes, size: int, exc: Any
 ) -> None:
-    with Story() as story:
-        sent, peer = story.ask("t1")
+    with Exchange() as exchange:
+        sent, peer = exchange.ask("t1")
         sent.message.long_answer = True
         head = bare(b"t1", b"200 OK").replace(b"\r\n\r\n", b"\r\n%b\r\n" % said_close)
         peer.connection.data_received(head + b"x" * size)
@@ -317,33 +319,33 @@
         if size > MAX_BUFFERED_RESPONSE:
             sent.ends[0][1].flow.attach(reader)
         peer.lose(exc)
-        [(result, said)] = sent.ends
+        [(result, response)] = sent.ends
         if size > MAX_BUFFERED_RESPONSE:
-            assert (result, reader.said) == (Result.SERVED, ["end" if exc is None else "flow_failed"])
+            assert (result, reader.events) == (Result.SERVED, ["end" if exc is None else "flow_failed"])
         elif exc is None:
-            assert (result, said.body) == (Result.SERVED, b"xxx")
+            assert (result, response.body) == (Result.SERVED, b"xxx")
         else:
-            assert (result, said) == (Result.RESET, None)
+            assert (result, response) == (Result.RESET, None)
 
 
-def test_an_early_answer_is_taken_and_its_connection_closed() -> None:
+def test_an_early_response_is_used_and_its_connection_closed() -> None:
     """It comes before the request has gone out whole."""
-    with Story() as story:
+    with Exchange() as exchange:
         sent = Sent(proxied_request("t1"))
         sent.message.flow = Flow(mock.Mock(), None, 0.0)
-        story.pool.send(sent)
-        [peer] = story.pool.peers
+        exchange.pool.send(sent)
+        [peer] = exchange.pool.peers
         peer.connection.data_received(answer(b"t1", b"early"))
         assert sent.ends[0][0] is Result.SERVED and peer.transport.closed
 
 
-def test_head_is_answered_by_a_head_and_its_connection_is_done_with() -> None:
-    with Story() as story:
-        sent, peer = story.ask("t1", b"HEAD")
+def test_a_response_to_head_has_no_body_and_closes_its_connection() -> None:
+    with Exchange() as exchange:
+        sent, peer = exchange.ask("t1", b"HEAD")
         peer.put(answer(b"t1", b"a body that never comes").partition(b"a body")[0])
         peer.read()
         assert [(r, a.body) for r, a in sent.ends] == [(Result.SERVED, b"")]
-        _, other = story.ask("t2")
+        _, other = exchange.ask("t2")
         assert other is not peer
 
 
@@ -391,15 +393,15 @@
 
 
 @pytest.mark.parametrize("name", BREAKS)
-def test_a_break_is_seen(name: str) -> None:
-    owner, method, broken, names, ids, when = BREAKS[name]
-    cut = len(
+def test_a_break_is_detected(name: str) -> None:
+    owner, method, broken, names, ids, timing = BREAKS[name]
+    split = len(
         answer(b"t1", tag(0), b"503 Full", b"Not-Executed: 1\r\n")
         if "refused" in names[0]
         else answer(b"t1", tag(0))
     )
-    cuts = [] if when == READ else [cut]
-    with Story() as story:
-        play(story, names, ids, cuts, [when])
-    with mock.patch.object(owner, method, broken), Story() as story, pytest.raises(AssertionError):
-        play(story, names, ids, cuts, [when])
+    splits = [] if timing == READ else [split]
+    with Exchange() as exchange:
+        play(exchange, names, ids, splits, [timing])
+    with mock.patch.object(owner, method, broken), Exchange() as exchange, pytest.raises(AssertionError):
+        play(exchange, names, ids, splits, [timing])
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections: each request gets its own answer, in order, and nothing else is read as one."""
+"""Caller connections: each request gets its own reply, in order, and nothing else is read as one."""
 
 from __future__ import annotations
 
@@ -65,19 +65,19 @@
     def flow_failed(self) -> None: ...
 
 
-class Owed:
+class AcceptedRequest:
     """A request that the node has."""
 
     def __init__(self, message: Message, answer: Callable[[Reply], None]) -> None:
         assert isinstance(message, ProxiedRequest)
         self.message = message
         self.answer = answer
-        self.gone = False
+        self.disconnected = False
         if message.flow is not None:
             message.flow.attach(Sink())
 
     def client_disconnected(self) -> None:
-        self.gone = True
+        self.disconnected = True
 
     def reply(self, status: int = 200, flow: Flow | None = None) -> None:
         body = b"" if flow is not None else b"to " + self.message.id.encode()
@@ -94,7 +94,7 @@
     def flow_cancelled(self) -> None: ...
 
 
-class Line:
+class CallerHarness:
     """One caller's connection to a node whose answers the test gives."""
 
     def __init__(self, accept: Callable[[Message, Callable[[Reply], None]], Any] | None = None) -> None:
@@ -104,13 +104,13 @@
         self.listener._loop = loop
         self.listener.set_timeouts(5.0, 3.0)
         self.listener._sweep()
-        self.taken: list[Owed] = []
+        self.taken: list[AcceptedRequest] = []
         self.caller = CallerConnection(self.listener)
         self.transport = Transport()
         self.caller.connection_made(self.transport)  # type: ignore[arg-type]
 
-    def _accept(self, message: Message, answer: Callable[[Reply], None]) -> Owed:
-        self.taken.append(Owed(message, answer))
+    def _accept(self, message: Message, answer: Callable[[Reply], None]) -> AcceptedRequest:
+        self.taken.append(AcceptedRequest(message, answer))
         return self.taken[-1]
 
     def send(self, data: bytes) -> None:
@@ -118,7 +118,7 @@
             self.caller.data_received(data)
 
     @property
-    def open(self) -> list[Owed]:
+    def open(self) -> list[AcceptedRequest]:
         return self.taken[-1:] if self.caller._busy else []
 
     def answers(self) -> list[tuple[int, bytes, bool]]:
@@ -164,118 +164,118 @@
 GARBAGE = b"\x00no request\r\n\r\n"
 
 
-def test_what_cannot_be_read_waits_for_the_answers_before_it() -> None:
-    line = Line()
-    line.send(request(b"a") + request(b"b") + GARBAGE)
-    assert line.transport.written == b""
-    line.open[0].reply()
-    line.open[0].reply()
-    assert line.answers() == [(200, b"a", True), (200, b"b", True), (400, b"", True)]
-    assert line.transport.ended
+def test_the_error_for_a_malformed_request_waits_for_earlier_replies() -> None:
+    harness = CallerHarness()
+    harness.send(request(b"a") + request(b"b") + GARBAGE)
+    assert harness.transport.written == b""
+    harness.open[0].reply()
+    harness.open[0].reply()
+    assert harness.answers() == [(200, b"a", True), (200, b"b", True), (400, b"", True)]
+    assert harness.transport.ended
 
 
 @pytest.mark.parametrize("length", [10, None])
-def test_what_cannot_be_read_does_not_get_into_an_answer_that_flows(length: int | None) -> None:
-    line = Line()
-    line.send(request(b"a"))
+def test_the_error_for_a_malformed_request_is_not_written_into_a_streamed_reply(length: int | None) -> None:
+    harness = CallerHarness()
+    harness.send(request(b"a"))
     flow = Flow(Source(), length, 0.0)
-    line.open[0].reply(flow=flow)
+    harness.open[0].reply(flow=flow)
     flow.push(b"12345", 0.0)
-    line.send(GARBAGE)
+    harness.send(GARBAGE)
     flow.push(b"67890", 0.0)
     flow.finish()
-    assert line.answers() == [(200, b"a", True), (400, b"", True)]
+    assert harness.answers() == [(200, b"a", True), (400, b"", True)]
 
 
 @pytest.mark.parametrize("length", [10, None])
-def test_an_answer_that_is_cut_does_not_appear_whole(length: int | None) -> None:
-    line = Line()
-    line.send(request(b"a"))
+def test_a_truncated_reply_does_not_appear_complete(length: int | None) -> None:
+    harness = CallerHarness()
+    harness.send(request(b"a"))
     flow = Flow(Source(), length, 0.0)
-    line.open[0].reply(flow=flow)
+    harness.open[0].reply(flow=flow)
     flow.push(b"12345", 0.0)
     flow.fail()
-    assert line.answers() == [(200, b"a", False)] and line.transport.ended
+    assert harness.answers() == [(200, b"a", False)] and harness.transport.ended
 
 
-def test_a_request_that_stalls_behind_another_does_not_take_its_answer() -> None:
-    line = Line()
-    line.send(request(b"a") + request(b"b", b"POST", b"Content-Length: 9\r\n", b"abc"))
-    line.loop.pass_ms(4_000.0)
-    assert line.transport.written == b"" and [owed.message.id for owed in line.taken] == ["a"]
-    line.open[0].reply()
-    line.loop.pass_ms(4_000.0)
-    assert line.answers() == [(200, b"a", True), (408, b"", True)]
-    assert [owed.message.id for owed in line.taken] == ["a"] and line.transport.ended
+def test_a_stalled_request_does_not_take_the_reply_before_it() -> None:
+    harness = CallerHarness()
+    harness.send(request(b"a") + request(b"b", b"POST", b"Content-Length: 9\r\n", b"abc"))
+    harness.loop.pass_ms(4_000.0)
+    assert harness.transport.written == b"" and [accepted.message.id for accepted in harness.taken] == ["a"]
+    harness.open[0].reply()
+    harness.loop.pass_ms(4_000.0)
+    assert harness.answers() == [(200, b"a", True), (408, b"", True)]
+    assert [accepted.message.id for accepted in harness.taken] == ["a"] and harness.transport.ended
 
 
-def test_a_body_that_goes_on_after_a_refusal_gets_no_second_answer_after_noise() -> None:
-    test_a_body_that_goes_on_after_a_refusal_gets_no_second_answer(GARBAGE)
+def test_noise_after_an_early_reply_gets_no_second_reply() -> None:
+    test_a_body_that_continues_after_an_early_reply_gets_no_second_reply(GARBAGE)
 
 
 @pytest.mark.parametrize("rest", [b"", GARBAGE])
-def test_a_body_that_goes_on_after_a_refusal_gets_no_second_answer(rest: bytes) -> None:
-    line = Line()
-    line.send(
+def test_a_body_that_continues_after_an_early_reply_gets_no_second_reply(rest: bytes) -> None:
+    harness = CallerHarness()
+    harness.send(
         upload(b"a")
         .replace(b"Content-Length: 131081", b"Transfer-Encoding: chunked")
         .replace(b"\r\n\r\n", b"\r\n\r\n%x\r\n" % (2 * SHORT_BODY))
     )
-    line.open[0].reply(404)
-    line.send(rest)
-    line.loop.pass_ms(4_000.0)
-    assert line.answers() == [(404, b"a", True)] and line.transport.ended
+    harness.open[0].reply(404)
+    harness.send(rest)
+    harness.loop.pass_ms(4_000.0)
+    assert harness.answers() == [(404, b"a", True)] and harness.transport.ended
 
 
-def test_an_upload_that_stalls_after_its_beginning_went_out_is_promised_nothing() -> None:
-    line = Line()
-    line.send(upload(b"a"))
-    line.loop.pass_ms(4_000.0)
-    assert [status for status, _, _ in line.answers()] == [502] and line.taken[0].gone
+def test_a_stalled_upload_that_was_partly_sent_gets_no_not_run_status() -> None:
+    harness = CallerHarness()
+    harness.send(upload(b"a"))
+    harness.loop.pass_ms(4_000.0)
+    assert [status for status, _, _ in harness.answers()] == [502] and harness.taken[0].disconnected
 
 
-def test_head_gets_no_body() -> None:
-    line = Line()
-    line.send(request(b"a", b"HEAD"))
-    line.open[0].reply(404)
-    assert line.transport.written.endswith(b"\r\n\r\n") and b"to a" not in line.transport.written
-    line.send(request(b"b"))
-    line.open[0].reply()
-    assert line.answers()[-1] == (200, b"b", True)
+def test_a_reply_to_head_has_no_body() -> None:
+    harness = CallerHarness()
+    harness.send(request(b"a", b"HEAD"))
+    harness.open[0].reply(404)
+    assert harness.transport.written.endswith(b"\r\n\r\n") and b"to a" not in harness.transport.written
+    harness.send(request(b"b"))
+    harness.open[0].reply()
+    assert harness.answers()[-1] == (200, b"b", True)
 
 
-def test_a_caller_may_come_back_until_the_end_of_the_idle_time_that_it_knows() -> None:
-    line = Line()
-    line.listener.set_timeouts(5.0, 3.0)
+def test_a_caller_may_use_the_longest_idle_timeout_that_it_knows() -> None:
+    harness = CallerHarness()
+    harness.listener.set_timeouts(5.0, 3.0)
     for id, wait_ms in ((b"a", 0.0), (b"b", 4_000.0), (b"c", 5_000.0), (b"d", 4_000.0)):
-        line.loop.pass_ms(wait_ms)
+        harness.loop.pass_ms(wait_ms)
         if id == b"d":
-            assert not line.transport.ended
-        line.send(request(id))
-        line.open[0].reply()
+            assert not harness.transport.ended
+        harness.send(request(id))
+        harness.open[0].reply()
         if id == b"c":
-            line.listener.set_timeouts(1.0, 3.0)  # callers hear of a shorter time, or don't
-    assert [id for _, id, _ in line.answers()] == [b"a", b"b", b"c", b"d"]
-    line.loop.pass_ms(6_500.0)
-    assert line.transport.ended and line.listener.limits_s[Stage.IDLE] == 2.0
+            harness.listener.set_timeouts(1.0, 3.0)  # callers hear of a shorter time, or don't
+    assert [id for _, id, _ in harness.answers()] == [b"a", b"b", b"c", b"d"]
+    harness.loop.pass_ms(6_500.0)
+    assert harness.transport.ended and harness.listener.limits_s[Stage.IDLE] == 2.0
 
 
 @pytest.mark.parametrize("limits", [(1.0,), (1.0, 2.0), (1.0, 5.0, 1.0), (2.0, 1.0, 2.0)])
-def test_limits_in_quick_succession_leave_callers_the_longest_that_they_know(
+def test_timeouts_set_in_quick_succession_keep_the_longest_for_callers(
     limits: tuple[float, ...],
 ) -> None:
-    line = Line()  # 5 s
-    line.send(request(b"a"))
-    line.open[0].reply()
+    harness = CallerHarness()  # 5 s
+    harness.send(request(b"a"))
+    harness.open[0].reply()
     for idle_s in limits:
-        line.loop.pass_ms(1_300.0 / len(limits))
-        line.listener.set_timeouts(idle_s, 3.0)
-    line.loop.pass_ms(2_700.0)  # four fifths of 5 s in all
-    line.send(request(b"b"))
-    line.open[0].reply()
-    assert [id for _, id, _ in line.answers()] == [b"a", b"b"]
-    line.loop.pass_ms(8_000.0)
-    assert line.transport.ended and line.listener.limits_s[Stage.IDLE] == limits[-1] + 1.0
+        harness.loop.pass_ms(1_300.0 / len(limits))
+        harness.listener.set_timeouts(idle_s, 3.0)
+    harness.loop.pass_ms(2_700.0)  # four fifths of 5 s in all
+    harness.send(request(b"b"))
+    harness.open[0].reply()
+    assert [id for _, id, _ in harness.answers()] == [b"a", b"b"]
+    harness.loop.pass_ms(8_000.0)
+    assert harness.transport.ended and harness.listener.limits_s[Stage.IDLE] == limits[-1] + 1.0
 
 
 MIB = 1024 * 1024
@@ -292,28 +292,30 @@
         (4_096, MIB, 10, MIB + 1, 413),
     ],
 )
-def test_the_operators_limits_bound_what_a_caller_may_send(
+def test_size_limits_bound_what_a_caller_may_send(
     head: int, body: int, head_size: int, body_size: int, status: int | None
 ) -> None:
     """A request inside them is proper: an error for it would be denied service."""
-    line = Line()
-    line.listener.set_size_limits(head, body)
+    harness = CallerHarness()
+    harness.listener.set_size_limits(head, body)
     more = b"Kind: %b\r\nContent-Length: %d\r\n" % (b"x" * head_size, body_size)
-    line.send(request(b"a", b"POST", more, b"y" * min(body_size, 2 * SHORT_BODY)))
+    harness.send(request(b"a", b"POST", more, b"y" * min(body_size, 2 * SHORT_BODY)))
     if status is None:
-        assert [owed.message.id for owed in line.taken] == ["a"] and line.transport.written == b""
+        assert [accepted.message.id for accepted in harness.taken] == [
+            "a"
+        ] and harness.transport.written == b""
     else:
-        assert [answer[0] for answer in line.answers()] == [status] and not line.taken
+        assert [answer[0] for answer in harness.answers()] == [status] and not harness.taken
 
 
-def test_a_body_of_no_stated_length_is_bounded_too() -> None:
-    line = Line()
-    line.listener.set_size_limits(4_096, 3 * SHORT_BODY)
+def test_size_limits_bound_a_chunked_body() -> None:
+    harness = CallerHarness()
+    harness.listener.set_size_limits(4_096, 3 * SHORT_BODY)
     piece = b"%x\r\n%b\r\n" % (SHORT_BODY, b"y" * SHORT_BODY)
-    line.send(request(b"a", b"POST", b"Transfer-Encoding: chunked\r\n", 3 * piece))
-    assert line.transport.written == b"" and len(line.taken) == 1
-    line.send(piece)
-    assert [answer[0] for answer in line.answers()] == [413] and line.taken[0].gone
+    harness.send(request(b"a", b"POST", b"Transfer-Encoding: chunked\r\n", 3 * piece))
+    assert harness.transport.written == b"" and len(harness.taken) == 1
+    harness.send(piece)
+    assert [answer[0] for answer in harness.answers()] == [413] and harness.taken[0].disconnected
 
 
 KINDS: dict[str, Callable[[bytes], bytes]] = {
@@ -339,9 +341,9 @@
     st.lists(st.integers(0, 400_000), max_size=6),
     st.lists(st.integers(0, 3), min_size=1, max_size=12),
 )
-def test_any_requests_sent_ahead(kinds: list[str], cuts: list[int], acts: list[int]) -> None:
+def test_any_pipelined_requests(kinds: list[str], cuts: list[int], acts: list[int]) -> None:
     """A caller that reads its answers in order takes each for that of the request that it sent."""
-    line = Line()
+    harness = CallerHarness()
     ids = [b"r%d" % n for n in range(len(kinds))]
     data = b"".join(KINDS[kind](id) for kind, id in zip(kinds, ids, strict=True))
     at = 0
@@ -349,40 +351,40 @@
     acts = list(acts)
     for cut in [*sorted({c % (len(data) + 1) for c in cuts}), len(data), None]:
         if cut is not None:
-            line.send(data[at:cut])
+            harness.send(data[at:cut])
             at = cut
         act = acts.pop(0) if acts else 0
         if act == 3:
-            line.loop.pass_ms(4_000.0)
+            harness.loop.pass_ms(4_000.0)
         elif flow is not None:
             if not flow.over:
                 flow.push(b"HTTP/1.1 200 OK\r\n", 0.0)
                 flow.finish() if act else flow.fail()
             flow = None
-        elif line.open and act == 2 and line.open[0].message.method != b"HEAD":
+        elif harness.open and act == 2 and harness.open[0].message.method != b"HEAD":
             flow = Flow(Source(), None, 0.0)
-            line.open[0].reply(flow=flow)
-        elif line.open and act:
-            line.open[0].reply()
+            harness.open[0].reply(flow=flow)
+        elif harness.open and act:
+            harness.open[0].reply()
     if flow is not None and not flow.over:
         flow.finish()
-    while line.open and not line.transport.ended:
-        line.open[0].reply()
-    check_order(line, kinds, ids)
+    while harness.open and not harness.transport.ended:
+        harness.open[0].reply()
+    check_order(harness, kinds, ids)
 
 
-def check_order(line: Line, kinds: list[str], ids: list[bytes]) -> None:
+def check_order(harness: CallerHarness, kinds: list[str], ids: list[bytes]) -> None:
     if "head" in kinds:  # a parser that doesn't know what was asked can't read on
-        answered = [part.partition(b"\r\n")[0] for part in line.transport.written.split(ID + b": ")[1:]]
+        answered = [part.partition(b"\r\n")[0] for part in harness.transport.written.split(ID + b": ")[1:]]
         assert answered == ids[: len(answered)]
         return
-    answers = line.answers()
+    answers = harness.answers()
     for n, (status, id, whole) in enumerate(answers):
         if id:
             assert id == ids[n], "another's answer"
         else:  # the system's own word, on what it could not read: the last of all
-            assert n == len(answers) - 1 and line.transport.ended and status in (400, 408, 502)
-        assert whole or (n == len(answers) - 1 and line.transport.ended)
+            assert n == len(answers) - 1 and harness.transport.ended and status in (400, 408, 502)
+        assert whole or (n == len(answers) - 1 and harness.transport.ended)
 
 
 class Delivery:
@@ -398,32 +400,32 @@
             request: PendingRequest = self.scene.service.take(message, kind, deadline_ms, answer)
             return request
 
-        self.line = Line(accept)
+        self.harness = CallerHarness(accept)
 
     def run(self) -> list[tuple[int, bytes, bool]]:
         """Two requests on one connection; the first's answer comes after its time."""
-        self.line.send(request(b"a"))
-        [attempt] = self.scene.out()
+        self.harness.send(request(b"a"))
+        [attempt] = self.scene.open_attempts()
         attempt.on_sent()
         attempt.extend_timeout(60.0)
         self.scene.loop.pass_ms(501.0)
-        self.line.send(request(b"b"))
+        self.harness.send(request(b"b"))
         attempt.end(Result.SERVED, server_response(attempt_id=b"a"))
-        [second] = self.scene.of("b")
+        [second] = self.scene.attempts_of("b")
         second.on_sent()
         second.end(Result.SERVED, server_response(attempt_id=b"b"))
-        return self.line.answers()
+        return self.harness.answers()
 
 
 def finish_always(self: ServiceClient, live: PendingRequest, reply: Reply) -> None:
     live.answer(reply)
 
 
-def test_a_late_answer_goes_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_late_response_is_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
     assert Delivery(monkeypatch).run() == [(504, b"a", True), (200, b"b", True)]
 
 
-def test_the_break_late_answer_delivered_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_break_late_response_delivered_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     with mock.patch.object(module.ServiceClient, "finish", finish_always):
         assert Delivery(monkeypatch).run() != [(504, b"a", True), (200, b"b", True)]
 
@@ -431,22 +433,22 @@
 @pytest.mark.parametrize(
     "test",
     [
-        test_what_cannot_be_read_waits_for_the_answers_before_it,
-        test_a_body_that_goes_on_after_a_refusal_gets_no_second_answer_after_noise,
-        test_an_upload_that_stalls_after_its_beginning_went_out_is_promised_nothing,
+        test_the_error_for_a_malformed_request_waits_for_earlier_replies,
+        test_noise_after_an_early_reply_gets_no_second_reply,
+        test_a_stalled_upload_that_was_partly_sent_gets_no_not_run_status,
     ],
 )
-def test_the_break_error_out_of_turn_is_seen(test: Callable[[], None]) -> None:
+def test_the_break_error_out_of_order_is_detected(test: Callable[[], None]) -> None:
     seen = pytest.raises((AssertionError, httptools.HttpParserError))
     with mock.patch.object(CallerConnection, "_close_with_error", ClientConnection._close_with_error), seen:
         test()
 
 
-def test_a_caller_that_leaves_is_owed_nothing() -> None:
-    line = Line()
-    line.send(request(b"a") + request(b"b"))
-    line.transport.ended = True
-    line.caller.connection_lost(None)
-    assert line.taken[0].gone and len(line.taken) == 1
-    line.taken[0].reply()
-    assert line.transport.written == b"" and len(line.taken) == 1
+def test_a_disconnected_caller_gets_no_reply() -> None:
+    harness = CallerHarness()
+    harness.send(request(b"a") + request(b"b"))
+    harness.transport.ended = True
+    harness.caller.connection_lost(None)
+    assert harness.taken[0].disconnected and len(harness.taken) == 1
+    harness.taken[0].reply()
+    assert harness.transport.written == b"" and len(harness.taken) == 1
--- a/tests/mesh/dataplane/test_messages.py
+++ b/tests/mesh/dataplane/test_messages.py
@@ -9,9 +9,9 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
-from tests.mesh.dataplane.test_listener import Line
+from tests.mesh.dataplane.test_listener import CallerHarness
 from tests.mesh.dataplane.test_service_client import Scene
-from tests.mesh.fakes import admission_gate, patch_clock, rig, route, server_response
+from tests.mesh.fakes import admission_gate, loop_and_connections, patch_clock, route, server_response
 
 
 class Received:
@@ -42,18 +42,18 @@
         return [value for had, value in self.headers if had == name]
 
 
-class Way:
+class ForwardingPath:
     """A caller's connection to a node, that node's attempt, a connection to the gate, its attempt."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.scene = Scene(patch, route())
         ends_ms = self.scene.loop.now_ms() + 900.0
-        self.caller = Line(lambda message, answer: self._take(message, answer, ends_ms))
-        loop, self.lines = rig()
+        self.caller = CallerHarness(lambda message, answer: self._take(message, answer, ends_ms))
+        loop, self.connections = loop_and_connections()
         patch_clock(patch, loop.now_ms)
-        gate = admission_gate(self.lines)
+        gate = admission_gate(self.connections)
         gate.heartbeat(Server(self.scene_server(), "s", "z", IN_SERVICE, 4, 0.0), 1)
-        self.gate, self.inbound = gate, Line(gate.accept)
+        self.gate, self.inbound = gate, CallerHarness(gate.accept)
 
     def scene_server(self) -> str:
         return "1"
@@ -65,10 +65,10 @@
         """What the server gets of a request."""
         self.scene.servers(self.scene_server())
         self.caller.send(data)
-        [hop] = self.scene.out()
-        self.inbound.send(hop.head_bytes())
-        [visit] = self.lines.sent
-        return Received(visit.head_bytes())
+        [gate_attempt] = self.scene.open_attempts()
+        self.inbound.send(gate_attempt.head_bytes())
+        [server_attempt] = self.connections.sent
+        return Received(server_attempt.head_bytes())
 
 
 PLAIN = b"Host: Shop.example:80\r\nAttempt-Id: 9c41\r\nTime-Remaining: 800\r\n"
@@ -90,7 +90,7 @@
         b"Calling-Service: other\r\nTarget-Instance: i-9\r\nOrchid-Rank: 0\r\nOrchid-Gate: unrun\r\n"
         b"Connection: keep-alive, Hop\r\nHop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\n"
     )
-    got = Way(monkeypatch).send(head + more + b"\r\n" + sent)
+    got = ForwardingPath(monkeypatch).send(head + more + b"\r\n" + sent)
     method, target, _ = head.split(b" ", 2)
     assert (got.method, got.target, got.body, got.whole) == (method, target, body, 1)
     for header, values in {
@@ -110,15 +110,15 @@
 
 
 @pytest.mark.parametrize("status", [200, 206, 302, 404, 500])
-def test_an_answer_returns_unchanged(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
-    way = Way(monkeypatch)
-    way.send(REQUESTS["plain"][0] + b"\r\n")
-    [visit], answer = way.lines.sent, server_response(status, b"9c41")
+def test_a_response_returns_unchanged(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
+    path = ForwardingPath(monkeypatch)
+    path.send(REQUESTS["plain"][0] + b"\r\n")
+    [server_attempt], answer = path.connections.sent, server_response(status, b"9c41")
     answer.headers = [(b"Server-Seal", b"3e1b"), (b"Content-Type", b"a/b"), (b"Kind", b"1"), (b"Kind", b"2")]
     answer.body = b"the server's bytes"
-    visit.on_sent()
-    visit.end(Result.ERROR if status >= 500 else Result.SERVED, answer)
-    written = way.inbound.transport.written
+    server_attempt.on_sent()
+    server_attempt.end(Result.ERROR if status >= 500 else Result.SERVED, answer)
+    written = path.inbound.transport.written
     assert written.startswith(b"HTTP/1.1 %d" % status) and written.endswith(b"\r\n\r\nthe server's bytes")
     for line in (b"Server-Seal: 3e1b", b"Content-Type: a/b", b"Kind: 1\r\nKind: 2", b"Attempt-Id: 9c41"):
         assert written.count(line) == 1
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -1,4 +1,4 @@
-"""What a node answers of itself: readiness, requests that it can't pass on, and when it ends them."""
+"""What a node answers itself: readiness, requests that it can't forward, and those at their deadline."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
     def __init__(self) -> None:
         self.claims = self
 
-    def claim(self, key: str, holder: str, for_s: float, told: Callable[[str, Any], None]) -> None:
+    def claim(self, key: str, holder: str, for_s: float, callback: Callable[[str, Any], None]) -> None:
         self.for_s = for_s
-        self.told = told
+        self.callback = callback
 
 
 class Scene:
@@ -67,24 +67,24 @@
 
 
 @pytest.mark.parametrize("path", [b"/x/1", b"/none/"])
-def test_a_node_without_a_configuration_denies_nothing(monkeypatch: pytest.MonkeyPatch, path: bytes) -> None:
+def test_a_node_without_a_configuration_is_unavailable(monkeypatch: pytest.MonkeyPatch, path: bytes) -> None:
     """401, 403 or 404 for what a configuration that it does not know may allow would be wrong."""
     scene = Scene(monkeypatch)
     scene.proxy._configuration = None
     scene.ask(path)
     [(_, reply)] = scene.replies
-    assert reply.status == 503 and reply.retry_after_s and not scene.scene.lines.sent
+    assert reply.status == 503 and reply.retry_after_s and not scene.scene.connections.sent
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "download", "non_idempotent"])
 @pytest.mark.parametrize(("written", "status"), [(False, 503), (True, 504)])
-def test_a_request_has_its_final_answer_by_the_routes_guard_timer(
+def test_a_request_is_answered_within_the_guard_timer_of_its_route(
     monkeypatch: pytest.MonkeyPatch, kind: str, written: bool, status: int
 ) -> None:
     """Its client would wait for longer; its server says nothing."""
     scene = Scene(monkeypatch, kind)
     scene.ask()
-    [attempt] = scene.scene.out()
+    [attempt] = scene.scene.open_attempts()
     if written:
         attempt.on_sent()
     attempt.extend_timeout(60.0)
@@ -93,19 +93,19 @@
     assert after_ms <= 1_000.5 and reply.status == status
 
 
-def test_a_keyed_request_whose_claim_is_not_answered_is_refused_within_its_time(
+def test_a_keyed_request_whose_claim_times_out_is_refused_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch, "keyed")
     scene.ask(key=b"k")
     assert 0.0 < scene.claims.for_s <= 0.4
-    scene.claims.told(ClaimOutcome.UNDECIDED, None)
+    scene.claims.callback(ClaimOutcome.UNDECIDED, None)
     [(_, reply)] = scene.replies
-    assert reply.status == 503 and not scene.scene.lines.sent
+    assert reply.status == 503 and not scene.scene.connections.sent
 
 
 @pytest.mark.parametrize(
-    ("configured", "has_initial_configuration", "served", "leaving", "status"),
+    ("configured", "initial_configuration", "served", "draining", "status"),
     [
         (True, True, True, False, 200),
         (False, True, True, False, 503),
@@ -114,28 +114,28 @@
         (True, True, True, True, 503),
     ],
 )
-def test_when_a_node_is_ready(
+def test_readiness(
     monkeypatch: pytest.MonkeyPatch,
     configured: bool,
-    has_initial_configuration: bool,
+    initial_configuration: bool,
     served: bool,
-    leaving: bool,
+    draining: bool,
     status: int,
 ) -> None:
-    """`leaving`: from SIGTERM on, while the process lives."""
+    """`draining`: from SIGTERM on, while the process lives."""
     scene = Scene(monkeypatch)
     if not configured:
         scene.proxy._configuration = None
     if not served:
         scene.scene.servers()
-    scene.proxy._control_client = SimpleNamespace(has_initial_configuration=has_initial_configuration)
-    scene.proxy._draining = leaving
+    scene.proxy._control_client = SimpleNamespace(has_initial_configuration=initial_configuration)
+    scene.proxy._draining = draining
     replies: list[Reply] = []
     scene.proxy._readiness(call(b"GET", b"/orchidferry/readiness", {}, b""), "", replies.append)
     assert [reply.status for reply in replies] == [status]
 
 
-def test_settings_that_change_name_controllers_and_the_service(
+def test_changed_settings_apply_to_controllers_and_the_service_name(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch)
@@ -146,11 +146,11 @@
     )
     scene.proxy.reread(dataclasses.replace(parse_settings(BOOT_TABLES), service="other", seeds=("10.0.0.9",)))
     scene.ask()
-    [attempt] = scene.scene.out()
+    [attempt] = scene.scene.open_attempts()
     assert seeds == [("10.0.0.9",)] and b"Calling-Service: other\r\n" in attempt.head_bytes()
 
 
-def test_a_settings_file_that_changes_without_a_signal_is_read_again(
+def test_a_changed_settings_file_is_read_without_a_signal(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Any
 ) -> None:
     """One that can't be used changes nothing, and is read again once it is whole."""
--- a/tests/mesh/dataplane/test_proxy_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -1,4 +1,4 @@
-"""How a node ends: when it says so, until when it takes requests, and when it has answered all."""
+"""How a node drains: when it publishes that, until when it takes requests, and when all are answered."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
         return self.now_s
 
 
-class Door:
-    """Callers that are all gone at a time, if they ever go; notes when it is wound up."""
+class FakeListener:
+    """Callers that are all gone at a time, if they ever go; records when it begins to close."""
 
-    def __init__(self, loop: Clock, gone_s: float) -> None:
+    def __init__(self, loop: Clock, disconnect_s: float) -> None:
         self.loop = loop
-        self.gone_s = gone_s
-        self.wound_s = -1.0
+        self.disconnect_s = disconnect_s
+        self.closing_s = -1.0
 
     def count(self) -> int:
-        return int(self.loop.now_s < self.gone_s)
+        return int(self.loop.now_s < self.disconnect_s)
 
     async def wait_closed(self) -> None:
-        await asyncio.sleep(max(0.0, self.gone_s - self.loop.now_s))
+        await asyncio.sleep(max(0.0, self.disconnect_s - self.loop.now_s))
 
     async def close_gracefully(self) -> None:
-        self.wound_s = self.loop.now_s
+        self.closing_s = self.loop.now_s
         await self.wait_closed()
 
 
@@ -63,7 +63,9 @@
 
 @pytest.mark.parametrize("grace_s", [2.0, 6.0, 30.0])
 @pytest.mark.parametrize("stay_s", [0.1, 1.0, 5.0, 1e6])  # for which callers stay
-def test_a_node_that_is_told_to_end(monkeypatch: pytest.MonkeyPatch, grace_s: float, stay_s: float) -> None:
+def test_a_node_drains_within_its_grace_time(
+    monkeypatch: pytest.MonkeyPatch, grace_s: float, stay_s: float
+) -> None:
     """It says so at once, goes on to take requests while callers hear of it, and is done before the kill."""
     loop = Clock()
     patch_clock(monkeypatch, lambda: loop.now_s * 1e3)
@@ -76,20 +78,22 @@
         )
         proxy: Any = Proxy(boot, loop)
         began = loop.now_s
-        outbound, inbound = Door(loop, began + stay_s), Door(loop, began + stay_s)
+        outbound, inbound = FakeListener(loop, began + stay_s), FakeListener(loop, began + stay_s)
         proxy._outbound = outbound
         proxy._inbound = inbound
-        said: list[float] = []
-        proxy._publish = lambda: said.append(loop.now_s)
+        published_s: list[float] = []
+        proxy._publish = lambda: published_s.append(loop.now_s)
         stop = loop.create_task(proxy._stop())
         await asyncio.sleep(0.01)
-        assert proxy._draining and said == [began] and not proxy._gate.draining and outbound.wound_s < 0
+        assert (
+            proxy._draining and published_s == [began] and not proxy._gate.draining and outbound.closing_s < 0
+        )
         # What is taken from now on is answered, by its deadline, before the end.
         assert proxy._stop_ms / 1e3 <= began + grace_s - module.STOP_MARGIN_S
         await stop
         assert proxy._gate.draining and loop.now_s <= began + grace_s - module.STOP_MARGIN_S + 0.01
-        assert outbound.wound_s - began >= min(stay_s, module.STOP_TAKING_S, grace_s / 2.0) - 0.01
-        assert inbound.wound_s - began == pytest.approx(module.STOP_ADMITTING_S, abs=0.01)
+        assert outbound.closing_s - began >= min(stay_s, module.STOP_TAKING_S, grace_s / 2.0) - 0.01
+        assert inbound.closing_s - began == pytest.approx(module.STOP_ADMITTING_S, abs=0.01)
         if stay_s < grace_s - module.STOP_MARGIN_S:
             assert loop.now_s - began < max(stay_s, module.STOP_ADMITTING_S) + 0.02
 
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -1,4 +1,4 @@
-"""A service: for any order of what happens on lines, each request is answered once, and as what it is."""
+"""A service client: for any order of events on connections, each request is answered once and truthfully."""
 
 from __future__ import annotations
 
@@ -20,20 +20,27 @@
 from orchidferry.mesh.dataplane.retry_slack import SPARE_NODES
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import patch_clock, proxied_request, rig, route, server_response, service_client
+from tests.mesh.fakes import (
+    loop_and_connections,
+    patch_clock,
+    proxied_request,
+    route,
+    server_response,
+    service_client,
+)
 
 
-class Taken:
+class TakenRequest:
     """A request, and what came of it; `keyed`: its end is heard, as repeats are owed its answer."""
 
     def __init__(self, scene: Scene, route: Route, keyed: bool = True) -> None:
         self.route, self.id, self.keyed = route, f"t{len(scene.taken)}", keyed
         self.replies: list[Reply] = []
         self.ends: list[tuple[ServerResponse | None, bool]] = []
-        self.gone = False
+        self.disconnected = False
         scene.taken[self.id] = self
         loop = scene.loop
-        self.live: PendingRequest = scene.service.take(
+        self.pending: PendingRequest = scene.service.take(
             proxied_request(self.id),
             route,
             loop.now_ms() + 1_000.0,
@@ -46,32 +53,32 @@
     """A service of three servers."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *routes: Route) -> None:
-        self.loop, self.lines = rig()
+        self.loop, self.connections = loop_and_connections()
         patch_clock(patch, self.loop.now_ms)
-        self.service = service_client(self.loop, self.lines)
-        self.taken: dict[str, Taken] = {}
+        self.service = service_client(self.loop, self.connections)
+        self.taken: dict[str, TakenRequest] = {}
         self.servers("1", "2", "3")
         self.service.set_routes(list(routes))
 
-    def servers(self, *ids: str, state: str = IN_SERVICE, cold_ms: float = 0.0) -> None:
+    def servers(self, *ids: str, state: str = IN_SERVICE, slow_start_ms: float = 0.0) -> None:
         self.service.update_servers(
             {
-                id: NodeRecord(id, 1, 1, "z", "127.0.0.1", 1, Server(id, "s", "z", state, 4, cold_ms))
+                id: NodeRecord(id, 1, 1, "z", "127.0.0.1", 1, Server(id, "s", "z", state, 4, slow_start_ms))
                 for id in ids
             }
         )
 
-    def out(self) -> list[Any]:
-        return [attempt for attempt in self.lines.sent if not attempt.over]
+    def open_attempts(self) -> list[Any]:
+        return [attempt for attempt in self.connections.sent if not attempt.over]
 
-    def of(self, id: str) -> list[Any]:
-        return [attempt for attempt in self.lines.sent if attempt.message.id == id]
+    def attempts_of(self, id: str) -> list[Any]:
+        return [attempt for attempt in self.connections.sent if attempt.message.id == id]
 
 
 WRITTEN = (Result.SERVED, Result.ERROR, Result.REFUSED, Result.MOOT, Result.RESET, Result.TIMEOUT)
 
 
-def an_answer(result: Result, id: str, dice: float) -> ServerResponse | None:
+def random_response(result: Result, id: str, dice: float) -> ServerResponse | None:
     if result is Result.SERVED:
         return server_response(attempt_id=id.encode())
     if result is Result.REFUSED:
@@ -83,24 +90,24 @@
     return server_response(attempt_id=None)
 
 
-class Watch:
+class Checker:
     """Checks every send and answer against what has happened to the attempts of its request."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene, self.may_have_run, self.sent = scene, set[str](), 0
 
-    def look(self) -> None:
-        for attempt in self.scene.lines.sent[self.sent :]:
+    def check(self) -> None:
+        for attempt in self.scene.connections.sent[self.sent :]:
             assert attempt.message.id not in self.may_have_run, "sent again, though it may have run"
-        self.sent = len(self.scene.lines.sent)
+        self.sent = len(self.scene.connections.sent)
         for id, taken in self.scene.taken.items():
             assert len(taken.replies) <= 1 and len(taken.ends) <= 1
-            assert len(self.scene.of(id)) <= taken.route.attempts
-            if taken.gone and not taken.keyed:
-                assert all(attempt.over for attempt in self.scene.of(id)), "goes on for nobody"
+            assert len(self.scene.attempts_of(id)) <= taken.route.attempts
+            if taken.disconnected and not taken.keyed:
+                assert all(attempt.over for attempt in self.scene.attempts_of(id)), "goes on for nobody"
             if taken.replies and taken.replies[0].status in (503, 429):
                 assert id not in self.may_have_run and not any(
-                    a.written and not a.over for a in self.scene.of(id)
+                    a.written and not a.over for a in self.scene.attempts_of(id)
                 )
 
     def end(self, attempt: Any, result: Result, answer: ServerResponse | None) -> None:
@@ -110,29 +117,29 @@
         attempt.end(result, answer)
 
 
-@pytest.mark.parametrize("leaving", [False, True])
-def test_a_node_that_is_to_end_waits_for_what_a_server_works_on(
-    monkeypatch: pytest.MonkeyPatch, leaving: bool
+@pytest.mark.parametrize("draining", [False, True])
+def test_a_draining_node_waits_for_attempts_at_a_server(
+    monkeypatch: pytest.MonkeyPatch, draining: bool
 ) -> None:
     scene = Scene(monkeypatch, route("idempotent", 1))
-    if leaving:
+    if draining:
         scene.service.drain_until(scene.loop.now_ms() + 5_000.0)
-    taken = Taken(scene, route("idempotent", 1))
-    [attempt] = scene.out()
+    taken = TakenRequest(scene, route("idempotent", 1))
+    [attempt] = scene.open_attempts()
     attempt.written = True
     attempt.on_timeout()  # out of patience, long before the request's end
-    assert attempt.over is bool(taken.replies) is not leaving
+    assert attempt.over is bool(taken.replies) is not draining
     scene.loop.pass_ms(1_000.0)
     assert [reply.status in (502, 504) for reply in taken.replies] == [True] and attempt.over
 
 
-def test_cold_servers_alone_are_sent_to_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_servers_in_slow_start_alone_are_sent_to_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a loss of power all servers are cold, and no answer rate says what they bear."""
     scene = Scene(monkeypatch, route("idempotent", 2))
     scene.servers()
-    scene.servers("7", "8", cold_ms=3_000.0)
-    taken = [Taken(scene, route("idempotent", 2)) for _ in range(4)]
-    assert len(scene.out()) == 4 and not any(one.replies for one in taken)
+    scene.servers("7", "8", slow_start_ms=3_000.0)
+    taken = [TakenRequest(scene, route("idempotent", 2)) for _ in range(4)]
+    assert len(scene.open_attempts()) == 4 and not any(one.replies for one in taken)
 
 
 @settings(max_examples=100, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
@@ -141,66 +148,68 @@
     rng = random.Random(seed)
     kinds = [route("idempotent", 3), route("non_idempotent", 2), route("keyed", 1)]
     scene = Scene(monkeypatch, *kinds)
-    watch = Watch(scene)
+    checker = Checker(scene)
     for _ in range(120):
         dice = rng.random()
-        out = scene.out()
+        out = scene.open_attempts()
         if dice < 0.25:
-            Taken(scene, rng.choice(kinds), keyed=rng.random() < 0.5)
+            TakenRequest(scene, rng.choice(kinds), keyed=rng.random() < 0.5)
         elif dice < 0.85 and out:
             attempt = rng.choice(out)
             if not attempt.written and rng.random() < 0.7:
                 attempt.on_sent()
             elif not attempt.written:
-                watch.end(attempt, rng.choice((Result.UNREACHABLE, Result.MOOT)), None)
+                checker.end(attempt, rng.choice((Result.UNREACHABLE, Result.MOOT)), None)
             else:
                 result = rng.choice(WRITTEN)
-                watch.end(attempt, result, an_answer(result, attempt.message.id, rng.random()))
+                checker.end(attempt, result, random_response(result, attempt.message.id, rng.random()))
         elif dice < 0.92:
             scene.loop.pass_ms(rng.choice((1.0, 30.0, 300.0)))
         elif dice < 0.95 and scene.taken:
             taken = rng.choice(list(scene.taken.values()))
-            taken.gone = True
-            taken.live.client_disconnected()
+            taken.disconnected = True
+            taken.pending.client_disconnected()
         else:
             state = rng.choice((IN_SERVICE, IN_SERVICE, DRAINING))
             scene.servers(*rng.sample("1234", rng.randrange(4)), state=state)
-        watch.look()
+        checker.check()
     scene.loop.pass_ms(3_000.0)
-    for attempt in scene.out():
-        watch.end(attempt, Result.RESET, None)
-    watch.look()
+    for attempt in scene.open_attempts():
+        checker.end(attempt, Result.RESET, None)
+    checker.check()
     assert not scene.service.pending and not scene.service.attempts
     for taken in scene.taken.values():
-        assert len(taken.ends) == taken.keyed and (taken.gone or len(taken.replies) == 1)
+        assert len(taken.ends) == taken.keyed and (taken.disconnected or len(taken.replies) == 1)
         if not taken.keyed:
             continue
         kept, ran = taken.ends[0]
         assert ran or kept is None
-        if taken.replies and kept is not None and not taken.gone:
+        if taken.replies and kept is not None and not taken.disconnected:
             assert taken.replies[0].status == kept.status
 
 
-def test_what_was_not_written_is_refused_and_what_was_is_late(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_at_its_deadline_an_unsent_request_is_refused_and_a_sent_one_is_late(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     scene = Scene(monkeypatch, route("non_idempotent", 2))
-    unwritten, written = (Taken(scene, route("non_idempotent", 2)) for _ in range(2))
-    scene.of(written.id)[0].on_sent()
-    for attempt in scene.out():
+    unwritten, written = (TakenRequest(scene, route("non_idempotent", 2)) for _ in range(2))
+    scene.attempts_of(written.id)[0].on_sent()
+    for attempt in scene.open_attempts():
         attempt.extend_timeout(60.0)  # the line says nothing
     scene.loop.pass_ms(1_001.0)
     assert [t.replies[0].status for t in (unwritten, written)] == [503, 504]
-    scene.of(written.id)[0].end(Result.SERVED, server_response(attempt_id=written.id.encode()))
+    scene.attempts_of(written.id)[0].end(Result.SERVED, server_response(attempt_id=written.id.encode()))
     assert len(written.replies) == 1 and written.ends[0][1]
 
 
-def test_an_error_for_what_is_below_is_not_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_caused_by_a_shed_dependency_is_not_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch, route())
-    taken = Taken(scene, route())
-    attempt = scene.out()[0]
+    taken = TakenRequest(scene, route())
+    attempt = scene.open_attempts()[0]
     attempt.on_sent()
     attempt.end(Result.ERROR, server_response(500, taken.id.encode(), dependency_shed=True))
     scene.loop.pass_ms(900.0)
-    assert len(scene.of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
+    assert len(scene.attempts_of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
 
 
 @pytest.mark.parametrize(
@@ -214,32 +223,34 @@
         ("keyed", True, True, False),
     ],
 )
-def test_what_was_sent_for_a_caller_that_has_left_is_withdrawn(
+def test_attempts_for_a_disconnected_caller_are_cancelled(
     monkeypatch: pytest.MonkeyPatch, kind: str, keyed: bool, written: bool, over: bool
 ) -> None:
     scene = Scene(monkeypatch, route(kind, 2))
-    taken = Taken(scene, route(kind, 2), keyed)
-    [attempt] = scene.out()
+    taken = TakenRequest(scene, route(kind, 2), keyed)
+    [attempt] = scene.open_attempts()
     if written:
         attempt.on_sent()
-    taken.live.client_disconnected()
+    taken.pending.client_disconnected()
     scene.loop.pass_ms(500.0)
-    assert attempt.over is over and scene.of(taken.id) == [attempt] and not taken.replies
+    assert attempt.over is over and scene.attempts_of(taken.id) == [attempt] and not taken.replies
 
 
-def test_the_answer_of_a_key_is_heard_though_its_caller_went(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_response_to_a_keyed_request_is_reported_after_its_caller_left(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     scene = Scene(monkeypatch, route("keyed", 2))
-    taken = Taken(scene, route("keyed", 2))
-    attempt = scene.out()[0]
+    taken = TakenRequest(scene, route("keyed", 2))
+    attempt = scene.open_attempts()[0]
     attempt.on_sent()
-    taken.live.client_disconnected()
+    taken.pending.client_disconnected()
     assert not taken.ends and not attempt.over
     attempt.end(Result.SERVED, server_response(attempt_id=taken.id.encode()))
     assert [(said and said.status, ran) for said, ran in taken.ends] == [(200, True)] and not taken.replies
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_nodes_further_tries_stay_within_its_part_of_the_budget(
+def test_retries_of_a_node_stay_within_its_part_of_the_budget(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     """Most attempts fail or are turned away; each window of the rule's length is looked at."""
@@ -250,16 +261,16 @@
     began_ms = scene.loop.now_ms()
     window_ms = 1e3 * bounds.retry_window_s
     first: list[float] = []
-    further: list[float] = []
+    retries: list[float] = []
     ids: set[str] = set()
     for step in range(1_500):
         if rng.random() < (0.9 if step % 500 < 250 else 0.1):
-            Taken(scene, route("idempotent", 3), keyed=False)
+            TakenRequest(scene, route("idempotent", 3), keyed=False)
         scene.loop.pass_ms(25.0)
-        sent = list(scene.lines.sent)
-        scene.lines.sent[:] = []
+        sent = list(scene.connections.sent)
+        scene.connections.sent[:] = []
         for attempt in sent:
-            (further if attempt.message.id in ids else first).append(scene.loop.now_ms())
+            (retries if attempt.message.id in ids else first).append(scene.loop.now_ms())
             ids.add(attempt.message.id)
         for attempt in sent:
             attempt.on_sent()
@@ -268,9 +279,9 @@
                 server_response(503, attempt.message.id.encode(), gate_outcome=b"unrun") if refused else None
             )
             attempt.end(Result.REFUSED if refused else Result.RESET, answer)
-    assert len(further) > 20
-    for end_ms in further:
-        within = [at for at in further if end_ms - window_ms < at <= end_ms]
+    assert len(retries) > 20
+    for end_ms in retries:
+        within = [at for at in retries if end_ms - window_ms < at <= end_ms]
         asked_for = sum(end_ms - window_ms < at <= end_ms for at in first)
         slack = 0.0 if end_ms < began_ms + window_ms else bounds.retry_slack / SPARE_NODES / 2
         assert len(within) <= 0.4 * (bounds.retry_ratio * asked_for + slack) + 1
@@ -289,7 +300,7 @@
         ("idempotent", False, False, 503),
     ],
 )
-def test_what_a_silent_server_owes_is_answered_before_the_node_ends(
+def test_requests_at_a_silent_server_are_answered_before_the_node_ends(
     monkeypatch: pytest.MonkeyPatch, kind: str, taken_before: bool, written: bool, status: int
 ) -> None:
     """Its deadline lies beyond the end of the process: the connection would close without an answer."""
@@ -297,8 +308,8 @@
     stop_ms = scene.loop.now_ms() + 400.0
     if not taken_before:
         scene.service.drain_until(stop_ms)
-    taken = Taken(scene, route(kind, 1))
-    [attempt] = scene.out()
+    taken = TakenRequest(scene, route(kind, 1))
+    [attempt] = scene.open_attempts()
     if written:
         attempt.on_sent()
     if taken_before:
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -1,4 +1,4 @@
-"""`Time-Remaining`: servers are handed what is left, never more than the client or the route gives."""
+"""`Time-Remaining`: servers receive the time left, never more than the client or the route gives."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.flow import MemoryPool
 from orchidferry.node.frontend import Reply
-from tests.mesh.fakes import admission_gate, patch_clock, rig, route, service_client
+from tests.mesh.fakes import admission_gate, loop_and_connections, patch_clock, route, service_client
 
 ADDRESS = ("127.0.0.1", 1)
 
@@ -25,9 +25,9 @@
     """A node and the gate of a server, up to what each writes."""
 
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
-        self.loop, self.lines = rig()
+        self.loop, self.connections = loop_and_connections()
         patch_clock(patch, self.loop.now_ms)
-        service = service_client(self.loop, self.lines)
+        service = service_client(self.loop, self.connections)
         servers = {n: Server(n, "s", "z", IN_SERVICE, 4, 0.0) for n in ("1", "2")}
         service.update_servers(
             {n: NodeRecord(n, 1, 1, "z", "127.0.0.1", 1, one) for n, one in servers.items()}
@@ -39,7 +39,7 @@
         proxy._services = {"s": service}
         proxy._stop_ms = math.inf
         self.proxy = proxy
-        self.gate = admission_gate(self.lines)
+        self.gate = admission_gate(self.connections)
         self.replies: list[Reply] = []
 
     def ask(self, left: bytes | None) -> None:
@@ -48,9 +48,9 @@
         message = read(headers)
         self.proxy._accept(message, self.replies.append)
 
-    def handed(self) -> list[float]:
+    def remaining(self) -> list[float]:
         """What the attempts so far say is left."""
-        return [left_of(attempt.head_bytes()) for attempt in self.lines.sent]
+        return [left_of(attempt.head_bytes()) for attempt in self.connections.sent]
 
 
 def read(headers: dict[bytes, bytes]) -> ProxiedRequest:
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("left", "most"),
+    ("left", "max_ms"),
     [
         (b"300", 300.0),
         (b"99999", 1_000.0),
@@ -74,41 +74,41 @@
         (b"30.5", 30.5),
     ],
 )
-def test_a_server_is_handed_what_is_left(
-    monkeypatch: pytest.MonkeyPatch, left: bytes | None, most: float
+def test_a_server_receives_the_remaining_time(
+    monkeypatch: pytest.MonkeyPatch, left: bytes | None, max_ms: float
 ) -> None:
     scene = Scene(monkeypatch)
     scene.ask(left)
-    assert 0.0 < most - scene.handed()[0] <= 3 * TRANSIT_MARGIN_MS
+    assert 0.0 < max_ms - scene.remaining()[0] <= 3 * TRANSIT_MARGIN_MS
 
 
-def test_a_client_that_waits_no_longer_is_not_given_the_routes_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_time_left_is_not_replaced_by_the_time_of_the_route(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     scene.ask(b"0")
     scene.loop.pass_ms(1.0)
-    assert all(left <= 1.0 for left in scene.handed()) and [r.status for r in scene.replies] == [503]
+    assert all(left <= 1.0 for left in scene.remaining()) and [r.status for r in scene.replies] == [503]
 
 
-def test_a_later_send_is_handed_what_is_left_then(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_retry_carries_the_time_remaining_then(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     scene.loop.pass_ms(
         1e3 * Bounds().retry_window_s + 1.0
     )  # a node that has just started sends nothing again
     scene.ask(b"900")
     scene.loop.pass_ms(100.0)
-    [first] = scene.lines.sent
+    [first] = scene.connections.sent
     first.end(Result.UNREACHABLE)
     scene.loop.pass_ms(400.0)
-    _, second = scene.handed()  # as its head is written now
+    _, second = scene.remaining()  # as its head is written now
     assert second <= 900.0 - 500.0
 
 
-def test_a_gate_hands_on_what_is_left_after_a_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gate_forwards_the_time_remaining_after_queueing(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     scene.gate.heartbeat(Server("i", "s", "z", IN_SERVICE, 1, 0.0), 1)
     for _ in range(3):
         named = {b"time-remaining": b"700", b"attempt-id": b"t", b"orchid-patience": b"500"}
         scene.gate.accept(read(named), scene.replies.append)
     scene.loop.pass_ms(300.0)
-    scene.lines.sent[0].end(Result.RESET)
-    assert left_of(scene.lines.sent[-1].head_bytes()) <= 400.0
+    scene.connections.sent[0].end(Result.RESET)
+    assert left_of(scene.connections.sent[-1].head_bytes()) <= 400.0
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -80,7 +80,7 @@
     close_idle = server_removed
 
 
-def rig() -> tuple[Any, Any]:
+def loop_and_connections() -> tuple[Any, Any]:
     """A loop, and connections whose timers are on it."""
     loop: Any = Loop()
     return loop, FakeConnections(TimerQueue(loop))
--- a/tests/mesh/test_members_by_service.py
+++ b/tests/mesh/test_members_by_service.py
@@ -23,7 +23,7 @@
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds, parse_settings
 from orchidferry.testkit.model.relays import World
-from tests.mesh.fakes import patch_clock, rig, route, service_client
+from tests.mesh.fakes import loop_and_connections, patch_clock, route, service_client
 from tests.mesh.test_records import BOOT
 
 SERVICES = ("s", "t", "u")
@@ -67,13 +67,13 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_grouped_lists_give_what_whole_lists_gave(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
     rng = random.Random(seed)
-    loop, lines = rig()
+    loop, connections = loop_and_connections()
     patch_clock(monkeypatch, loop.now_ms)
     settings = dataclasses.replace(parse_settings(BOOT), application=("127.0.0.1", 1))
     proxy: Any = Proxy(settings, loop)
     numbers: dict[str, int] = {}
     plain, grouped = (
-        {name: service_client(loop, lines, name, number, Told) for name in SERVICES}
+        {name: service_client(loop, connections, name, number, Told) for name in SERVICES}
         for number in (lambda id: numbers.setdefault(id, len(numbers)), proxy._server_number)
     )
     proxy._services = grouped
@@ -95,9 +95,9 @@
 def test_a_new_service_sets_one_timer_for_its_slack_however_many_nodes_join(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    loop, lines = rig()
+    loop, connections = loop_and_connections()
     patch_clock(monkeypatch, loop.now_ms)
-    client = service_client(loop, lines)
+    client = service_client(loop, connections)
     client.set_routes([route()])
     applied: list[float] = []
     apply = client._retry_slack._on_available
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -14,7 +14,7 @@
     ProxiedRequest,
 )
 from orchidferry.node.upstream import Attempt, UpstreamResponse
-from tests.mesh.fakes import rig
+from tests.mesh.fakes import loop_and_connections
 
 
 class Transport:
@@ -164,7 +164,7 @@
 
 def pool(**more: Any) -> tuple[Any, Pool]:
     """A loop and a pool on it."""
-    loop, connections = rig()
+    loop, connections = loop_and_connections()
     loop.create_task = Task
     made = Pool(
         loop, 400.0, 14_000.0, lambda: 99, connections.timers, **{"at_most_once_idle_ms": 500.0} | more
