--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -159,7 +159,7 @@
     loop: Any = Loop()
     path = tmp_path / "local.toml"
     monkeypatch.setenv("ORCHIDFERRY_BOOT", str(path))
-    monkeypatch.setattr(role_settings, "check_role", lambda role, settings: None)
+    monkeypatch.setattr(role_settings, "validate_role", lambda role, settings: None)
     path.write_text(BOOT % "10.0.0.2")
     program.watch_file(loop, "proxy", one, program.file_mark())
     loop.pass_ms(10_000.0)
