--- a/orchidferry/balancing/register.py
+++ b/orchidferry/balancing/register.py
@@ -5,15 +5,15 @@
 these has accepted, changes that, and has a majority accept the outcome. Whoever dies in between leaves a
 state that the next one finds, or none.
 
-What must be on disk before a message leaves is an action of its own, `Save`, in front of it: saving before
-sending is the caller's visible duty. A voter is its name and its memory: one that has forgotten what it
-promised has another memory, and its word counts for nothing until the voters are changed to name that. A
-change of voters is accepted by a majority of the old ones and of the new ones, so that the next to ask meets
-it whichever of them it knew.
-
-What a voter thinks of an intent, by what it sees itself, it says with its promise, and a change goes on only
-if over half of the voters promised without objecting. Once a state is proposed nobody objects: what some have
-accepted and others would not could neither be undone nor built on.
+What must be on disk before a message leaves is an action of its own, `SaveState`, in front of it: saving
+before sending is the caller's visible duty. A voter is identified by its name and the id of its disk: one
+that has lost its disk, and with it what it promised, has another id, and does not count until the voters are
+changed to name that. A change of voters is accepted by a majority of the old ones and of the new ones, so
+that whoever proposes next meets it whichever of them it knew.
+
+A voter may object to an intent, by what it observes itself: it does so with its promise, and a change goes on
+only if over half of the voters promised without objecting. Once a state is proposed nobody objects: what some
+have accepted and others would not could neither be undone nor built on.
 """
 
 from __future__ import annotations
@@ -24,31 +24,43 @@
 from typing import Any
 
 Ballot = tuple[int, str]  # a counter that only rises, and whose it is
-NONE: Ballot = (0, "")
+NO_BALLOT: Ballot = (0, "")
 
 
 @dataclass(frozen=True, slots=True)
 class Voter:
-    """One whose word counts, as long as it remembers what it gave."""
+    """A replica that votes, as long as its disk holds what it promised.
+
+    :param disk_id: drawn when its disk was first written.
+    """
 
     name: str
-    memory: int  # drawn when its disk was first written
+    disk_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """The state, after so many changes."""
+    """The state of the register.
+
+    :param version: the number of changes that have led to it.
+    :param voters: who votes on the next change.
+    :param body: what the register holds; immutable, compared by value.
+    :param former_voters: who voted before, until the change of voters is known to be decided.
+    """
 
     version: int
     voters: tuple[Voter, ...]
-    body: Any  # immutable, compared by value
-    former: tuple[Voter, ...] = ()  # who voted before, until the change of voters is known to be decided
+    body: Any
+    former_voters: tuple[Voter, ...] = ()
+
 
+def has_majority(voters: Iterable[Voter], given: Iterable[Voter]) -> bool:
+    """Whether a majority of the voters is among these.
 
-def majority(voters: Iterable[Voter], given: Iterable[Voter]) -> bool:
-    """Whether over half of the voters are among these."""
-    all_ = set(voters)
-    return 2 * len(all_ & set(given)) > len(all_)
+    :param given: those that promised, or accepted.
+    """
+    distinct = set(voters)
+    return 2 * len(distinct & set(given)) > len(distinct)
 
 
 # Messages
@@ -56,32 +68,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Promise me to accept nothing below this ballot, and tell me what you have accepted, and think of
-    this.
+    """Asks a voter to promise that it accepts nothing below a ballot, and to report what it has accepted.
+
+    :param intent: what the proposer intends, for voters to object to; None if there is nothing to object to.
+    :param known_ballot: a ballot whose state the proposer has: it needs no copy of that.
     """
 
     ballot: Ballot
     intent: Any = None
-    has: Ballot = NONE  # a ballot whose state the asker has: it needs no copy of that
+    known_ballot: Ballot = NO_BALLOT
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The answer. `promised`: above the ballot asked for, it is a refusal. `value` None with something
-    accepted: the asker has said that it has that ballot's; whoever receives it fills it in.
+    """A voter's answer to `Prepare`.
+
+    :param promised: the highest ballot that it has promised; above `ballot`, this is a refusal.
+    :param accepted: the ballot that it has accepted last.
+    :param value: the state of that ballot; None if it is the proposer's `known_ballot`: the proposer's side
+        fills it in.
+    :param objection: why the voter objects to the intent; "" for no objection.
     """
 
     ballot: Ballot
     voter: Voter
     promised: Ballot
-    accepted: Ballot = NONE
+    accepted: Ballot = NO_BALLOT
     value: Value | None = None
     objection: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Accept this state."""
+    """Asks a voter to accept a state."""
 
     ballot: Ballot
     value: Value
@@ -89,7 +108,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The answer. `promised`: above the ballot asked for, it was not."""
+    """A voter's answer to `Accept`.
+
+    :param promised: the highest ballot that it has promised; above `ballot`, the state was not accepted.
+    """
 
     ballot: Ballot
     voter: Voter
@@ -103,24 +125,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Save:
-    """To be on disk before anything after it leaves."""
+class SaveState:
+    """Have this on disk before carrying out any action after it."""
 
-    kept: Kept
+    state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """To a voter, by name; it may be lost."""
+class SendToVoter:
+    """Send a message to a voter, by name; it may be lost."""
 
     to: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """A change that was asked for here is over. `why`: it was refused; the state stands as it is in
-    `value`.
+class ChangeDecided:
+    """Report the outcome of a change that was proposed here.
+
+    :param value: the decided state.
+    :param why: the reason for which the change was refused, so that `value` is the state as it was; "" if it
+        was not.
     """
 
     id: str
@@ -128,62 +153,75 @@
     why: str = ""
 
 
-Action = Save | Send | Done
+Action = SaveState | SendToVoter | ChangeDecided
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """All that a voter must not forget."""
+class AcceptorState:
+    """All that a voter has to keep on disk.
+
+    :param promised: accepts of lower ballots are refused.
+    :param accepted: the ballot of `value`.
+    """
 
-    memory: int
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
+    disk_id: int
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: Value | None = None
 
 
 def no_objection(intent: Any) -> str:
-    """A voter that sees nothing for itself."""
+    """Object to nothing."""
     return ""
 
 
 class Acceptor:
-    """A voter's half."""
+    """The part of a replica that votes.
+
+    :ivar state: what it has promised and accepted; on disk once the last `SaveState` is carried out.
+    """
 
-    def __init__(self, name: str, kept: Kept, object_to: Callable[[Any], str] = no_objection) -> None:
-        """`object_to`: why this voter, by what it sees itself, does not want a change; "" if it does not
-        mind.
+    def __init__(
+        self, name: str, state: AcceptorState, object_to: Callable[[Any], str] = no_objection
+    ) -> None:
+        """
+        :param state: what the disk holds.
+        :param object_to: given an intent, says why this voter objects to it; "" for no objection.
         """
         self.name = name
-        self.kept = kept
+        self.state = state
         self._object_to = object_to
 
     @property
     def voter(self) -> Voter:
-        """Who it votes as."""
-        return Voter(self.name, self.kept.memory)
+        """The voter that it is."""
+        return Voter(self.name, self.state.disk_id)
 
     def handle(self, message: Prepare | Accept, sender: str) -> list[Action]:
-        """Promise or accept, saved first; a refusal tells the ballot that is in the way."""
-        kept = self.kept
+        """Promise or accept; a refusal names the ballot that was promised.
+
+        :returns: the actions to be carried out: `SaveState` where the vote has changed the state, the answer.
+        """
+        state = self.state
         ballot = message.ballot
         if isinstance(message, Prepare):
-            if ballot < kept.promised:
-                return [Send(sender, Promise(ballot, self.voter, kept.promised))]
-            saved = self._keep(Kept(kept.memory, ballot, kept.accepted, kept.value))
+            if ballot < state.promised:
+                return [SendToVoter(sender, Promise(ballot, self.voter, state.promised))]
+            saved = self._keep(AcceptorState(state.disk_id, ballot, state.accepted, state.value))
             objection = self._object_to(message.intent) if message.intent is not None else ""
-            value = kept.value if kept.accepted != message.has else None
-            promise = Promise(ballot, self.voter, ballot, kept.accepted, value, objection)
-            return [*saved, Send(sender, promise)]
-        if ballot < kept.promised:
-            return [Send(sender, Accepted(ballot, self.voter, kept.promised))]
-        saved = self._keep(Kept(kept.memory, ballot, ballot, message.value))
-        return [*saved, Send(sender, Accepted(ballot, self.voter, ballot))]
-
-    def _keep(self, kept: Kept) -> list[Action]:
-        if kept == self.kept:
+            value = state.value if state.accepted != message.known_ballot else None
+            promise = Promise(ballot, self.voter, ballot, state.accepted, value, objection)
+            return [*saved, SendToVoter(sender, promise)]
+        if ballot < state.promised:
+            return [SendToVoter(sender, Accepted(ballot, self.voter, state.promised))]
+        saved = self._keep(AcceptorState(state.disk_id, ballot, ballot, message.value))
+        return [*saved, SendToVoter(sender, Accepted(ballot, self.voter, ballot))]
+
+    def _keep(self, state: AcceptorState) -> list[Action]:
+        if state == self.state:
             return []
-        self.kept = kept
-        return [Save(kept)]
+        self.state = state
+        return [SaveState(state)]
 
 
 Change = Callable[[Value], "Value | str"]
@@ -218,7 +256,7 @@
 MAX_BACK_OFF_MS = 5_000.0
 BACK_OFF_ANSWERS = 2.0  # it begins with so many times what answers take, if that is more
 MAX_ASKED = 64  # changes that wait at one node
-UNSETTLED = "the voters are changing"  # why another change of them is refused
+VOTERS_CHANGING = "the voters are changing"  # why another change of them is refused
 
 
 class Proposer:
@@ -256,10 +294,16 @@
         return self._again_ms
 
     def ask(self, id: str, change: Change, now: float, for_ms: float, intent: Any = None) -> list[Action]:
-        """Have the state changed. `change` gives the state after it, the very state where it is done already,
-        or why it can't be; it may be called more than once. `intent` is shown to the voters. It is `Done`, or
-        given up on after `for_ms` with no word: then it may still come true, so whoever asks again does so
-        under the same id.
+        """Have the state changed. The outcome is a `ChangeDecided`; there is none if the change is given up:
+        then it may still be made, so whoever asks again does so under the same id.
+
+        :param id: of the change.
+        :param change: given the state, returns the state after the change; the very same state if nothing has
+            to change; or, as a string, why the change is refused. It may be called more than once.
+        :param now: in ms.
+        :param for_ms: after this time the change is given up.
+        :param intent: what the voters may object to; None for nothing.
+        :returns: the actions to be carried out.
         """
         if len(self._waiting) < MAX_ASKED:
             self._waiting.append(_Asked(id, intent, change, now + for_ms))
@@ -295,7 +339,7 @@
             accepted = {voter.name for voter in round_.accepted}
             return [action for action in self._accepts(round_) if action.to not in accepted]
         silent = sorted(round_.asked - {voter.name for voter in round_.promises})
-        again = [Send(name, Prepare(round_.ballot, round_.about.intent)) for name in silent]
+        again = [SendToVoter(name, Prepare(round_.ballot, round_.about.intent)) for name in silent]
         return [*again, *self._prepare(self.known.voters)]
 
     def _put_off(self, round_: _Round, now: float) -> None:
@@ -316,7 +360,7 @@
         for voter in voters:
             if voter.name not in self._round.asked:
                 self._round.asked.add(voter.name)
-                found.append(Send(voter.name, Prepare(self._round.ballot, self._round.about.intent)))
+                found.append(SendToVoter(voter.name, Prepare(self._round.ballot, self._round.about.intent)))
         return found
 
     def handle(self, message: Promise | Accepted, now: float) -> list[Action]:
@@ -336,24 +380,24 @@
 
     def _former(self, value: Value) -> tuple[Voter, ...]:
         """The voters before its own, as long as the change of them is not known to be decided."""
-        return value.former if self.known.version < value.version else ()
+        return value.former_voters if self.known.version < value.version else ()
 
     def _enough(self, value: Value, given: Iterable[Voter]) -> bool:
         """Whether a majority of its voters is among these, and of those before them where that counts."""
         given = set(given)
         former = self._former(value)
-        return majority(value.voters, given) and (not former or majority(former, given))
+        return has_majority(value.voters, given) and (not former or has_majority(former, given))
 
     def _promised(self, round_: _Round, now: float) -> list[Action]:
         newest = max(round_.promises.values(), key=lambda promise: promise.accepted)
         before = newest.value if newest.value is not None else self._first
         # Its voters are those that count: where they are others than were asked, they are asked too.
-        more = self._prepare((*before.voters, *before.former))
+        more = self._prepare((*before.voters, *before.former_voters))
         if not self._enough(before, round_.promises):
             return more
         against = {voter: p.objection for voter, p in round_.promises.items() if p.objection}
         after: Value | str
-        if majority(before.voters, round_.promises.keys() - against.keys()):
+        if has_majority(before.voters, round_.promises.keys() - against.keys()):
             after = round_.about.change(before)
         elif 2 * len(set(before.voters) & against.keys()) >= len(before.voters):
             after = next(iter(against.values()))
@@ -361,9 +405,9 @@
             return more  # too few have said what they think
         settled = not self._former(before)
         if not isinstance(after, str) and after.voters != before.voters:
-            after = replace(after, former=before.voters) if settled else UNSETTLED
+            after = replace(after, former_voters=before.voters) if settled else VOTERS_CHANGING
         elif not isinstance(after, str) and after is not before:
-            after = replace(after, former=() if settled else before.former)
+            after = replace(after, former_voters=() if settled else before.former_voters)
         if isinstance(after, str):
             # Nothing changes; but what was read may be held by few, and must stand before it is told.
             round_.refused = after
@@ -376,26 +420,26 @@
         round_.resends = 0
         return [*more, *self._accepts(round_)]
 
-    def _accepts(self, round_: _Round) -> list[Send]:
+    def _accepts(self, round_: _Round) -> list[SendToVoter]:
         before = round_.before
         after = round_.next
         assert before is not None and after is not None
-        names = dict.fromkeys(voter.name for voter in (*before.voters, *before.former, *after.voters))
-        return [Send(name, Accept(round_.ballot, after)) for name in names]
+        names = dict.fromkeys(voter.name for voter in (*before.voters, *before.former_voters, *after.voters))
+        return [SendToVoter(name, Accept(round_.ballot, after)) for name in names]
 
     def _accepted(self, round_: _Round, now: float) -> list[Action]:
         after = round_.next
         before = round_.before
         if after is None or before is None:
             return []
-        if not (self._enough(before, round_.accepted) and majority(after.voters, round_.accepted)):
+        if not (self._enough(before, round_.accepted) and has_majority(after.voters, round_.accepted)):
             return []
         self._waiting.remove(round_.about)
         self._round = None
         self._tries = 0
         self._again_ms = now
         self.learn(after)
-        return [Done(round_.about.id, after, round_.refused), *self.tick(now)]
+        return [ChangeDecided(round_.about.id, after, round_.refused), *self.tick(now)]
 
     def learn(self, value: Value) -> None:
         """A state that a majority has accepted, from whoever knows."""
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -75,7 +75,7 @@
             elif not shard_state.body(end.value).revision:
                 answer(told(Rejection(RejectionReason.NOT_FOUND, "there is no configuration yet")))
             else:
-                answer(Reply(200, expand(shard_state.body(end.value).raw), JSON))
+                answer(Reply(200, expand(shard_state.body(end.value).compressed_text), JSON))
 
         self._read(got)
 
@@ -98,7 +98,7 @@
                     Rejection(RejectionReason.NOT_READY, "the group of controllers is growing"), RETRY_AFTER_S
                 )
             )
-        change = shard_state.Put(found.raw, found.revision, mark, on)
+        change = shard_state.PutConfiguration(found.raw, found.revision, mark, on)
         self._ask(change, PUT_S, lambda end: answer(_outcome(end, found.revision)))
 
     def _check(self, mark: bytes, text: bytes) -> Checked | Rejection:
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -207,9 +207,9 @@
             new.epoch,
             new.revision,
             new.owner,
-            new.fence,
+            new.fencing_token,
         )
-        if (new.epoch, new.fence) != (old.epoch, old.fence):
+        if (new.epoch, new.fencing_token) != (old.epoch, old.fencing_token):
             self._handlers.send_group(shard)
         if new.revision != old.revision:
             self._publisher.announce_revision(new.revision)
--- a/orchidferry/mesh/control/duties.py
+++ b/orchidferry/mesh/control/duties.py
@@ -31,10 +31,10 @@
 
     def learn(self, before: Body, after: Body, now: float) -> None:
         """A newer state was decided."""
-        if after.fence == before.fence:
+        if after.fencing_token == before.fencing_token:
             return
         self.acknowledged_s.clear()
-        if after.fence != before.fence + 1 or before.owner not in ("", after.owner):
+        if after.fencing_token != before.fencing_token + 1 or before.owner not in ("", after.owner):
             self.from_s = now + TENURE_S
 
     def holds(self, voters: Iterable[Voter], now: float) -> bool:
@@ -57,4 +57,4 @@
         return False
     if owner in names and owner not in alive and not peers.dead(owner, now):
         return False
-    return shard_state.ranked(group.number, sorted(fit))[0] == group.name
+    return shard_state.rank_controllers(group.number, sorted(fit))[0] == group.name
--- a/orchidferry/mesh/control/group_changes.py
+++ b/orchidferry/mesh/control/group_changes.py
@@ -75,7 +75,7 @@
             and self.peers.alive(name, self.now)
             and self.number not in self.peers.learning.get(name, ())
         ]
-        return shard_state.ranked(self.number, able + [self.name] * self.caught_up)
+        return shard_state.rank_controllers(self.number, able + [self.name] * self.caught_up)
 
     def is_turn(self, joiners: Iterable[Voter], since_s: float) -> bool:
         """Whether this voter acts on a newcomer that asks since then: the first that can does at once, the
--- a/orchidferry/mesh/control/heartbeats.py
+++ b/orchidferry/mesh/control/heartbeats.py
@@ -67,7 +67,7 @@
     def receive(self, link: Link, heartbeat: Heartbeat) -> None:
         """Note and acknowledge another controller's heartbeat."""
         self._update_peer(heartbeat)
-        fencing_tokens = [shard.accepted_fence for shard in self._shards.values()]
+        fencing_tokens = [shard.accepted_fencing_token for shard in self._shards.values()]
         link.send(HeartbeatAck(self._name, heartbeat.number, fencing_tokens))
 
     def _update_peer(self, heartbeat: Heartbeat) -> None:
--- a/orchidferry/mesh/control/message_handlers.py
+++ b/orchidferry/mesh/control/message_handlers.py
@@ -151,7 +151,7 @@
 
     def _fetch_configuration(self, link: Link, message: ConfigurationFetch) -> None:
         state = self._runner.configuration_shard.body
-        text = ConfigurationText(message.request, state.revision, state.raw)
+        text = ConfigurationText(message.request, state.revision, state.compressed_text)
         self._publisher.send_configuration(link, text)
 
     def send_group(self, shard: Shard, link: Link | None = None) -> None:
@@ -162,5 +162,5 @@
         state = shard.body
         names = [voter.name for voter in shard.known.voters]
         self._publisher.send_group(
-            GroupAnnouncement(shard.number, state.epoch, names, state.owner, state.fence), link
+            GroupAnnouncement(shard.number, state.epoch, names, state.owner, state.fencing_token), link
         )
--- a/orchidferry/mesh/control/order_book.py
+++ b/orchidferry/mesh/control/order_book.py
@@ -9,7 +9,7 @@
 
 from orchidferry.mesh.control.order_history import OrderHistory, Verdict
 from orchidferry.mesh.control.order_records import record
-from orchidferry.mesh.control.shard_state import WHY_NOT, Body, Put, lists_all
+from orchidferry.mesh.control.shard_state import REFUSALS, Body, PutConfiguration, lists_all_orders
 from orchidferry.mesh.storage.record_format import RecordWrite
 from orchidferry.mesh.wire.shard_messages import Orders, OrdersRequest
 
@@ -23,28 +23,28 @@
 
     shard: int
     history: OrderHistory = field(default_factory=OrderHistory)
-    waiting: dict[str, Put] = field(default_factory=dict)  # by the name of the proposal
+    waiting: dict[str, PutConfiguration] = field(default_factory=dict)  # by the name of the proposal
     asked_s: dict[str, float] = field(default_factory=dict)  # when each replica was asked for older orders
 
     @staticmethod
-    def name(order: Put) -> str:
+    def name(order: PutConfiguration) -> str:
         """The same for all copies of an order."""
         return f"order {order.revision} {order.on} {order.digest.hex()}"
 
-    def verdict(self, order: Put, state: Body) -> Verdict:
+    def verdict(self, order: PutConfiguration, state: Body) -> Verdict:
         """What is to become of an order, as of a decided state."""
         return order.verdict(self.history, state.revision)
 
     def learn(self, state: Body) -> None:
         """A newer state was decided."""
-        self.history.merge(state.taken, lists_all(state))
+        self.history.merge(state.orders, lists_all_orders(state))
 
     def settled(self, state: Body) -> list[tuple[str, str]]:
         """The proposals of which it is known for ever what became of them, and why they were refused, if
         they were.
         """
         found = [(name, self.verdict(order, state)) for name, order in self.waiting.items()]
-        return [(name, WHY_NOT.get(verdict, "")) for name, verdict in found if verdict.final]
+        return [(name, REFUSALS.get(verdict, "")) for name, verdict in found if verdict.is_final]
 
     # On disk
 
@@ -62,7 +62,7 @@
 
     def to_ask(self, names: Iterable[str], now: float) -> str | None:
         """Who of these is asked next for orders older than this one knows; None for nobody."""
-        if self.history.whole:
+        if self.history.is_complete:
             return None
         for name in names:
             if now - self.asked_s.get(name, float("-inf")) > AGAIN_S:
--- a/orchidferry/mesh/control/order_history.py
+++ b/orchidferry/mesh/control/order_history.py
@@ -16,23 +16,23 @@
 MAX_ORDERS = 16_384  # that a replica remembers, some megabytes
 MAX_NUMBER = 2**53 - 1  # of a configuration; the largest that all readers of JSON agree on
 
-Taken = tuple[tuple[int, bytes], ...]  # number and digest of each order, the newest last
+CommittedOrders = tuple[tuple[int, bytes], ...]  # number and digest of each order, the newest last
 
 
 class Verdict(Enum):
     """What is to become of an order. All but `NEW` and `NOT_YET` stay true for ever."""
 
     NEW = "it may be taken now"
-    TAKEN = "it was taken"
+    COMMITTED = "it was taken"
     OTHER_VERSION = "another order was taken in its place"
     OLD_VERSION = "its number is not above the version that it builds on"
     NOT_YET = "it builds on a version that is not there"
     UNKNOWN = "it is older than what is remembered"
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Whether nothing that comes later changes it, so that any decided state may tell it."""
-        return self in (Verdict.TAKEN, Verdict.OTHER_VERSION, Verdict.OLD_VERSION)
+        return self in (Verdict.COMMITTED, Verdict.OTHER_VERSION, Verdict.OLD_VERSION)
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 class OrderHistory:
     """The newest orders that were taken, without a gap from `floor` on."""
 
-    most: int = MAX_ORDERS
+    max_orders: int = MAX_ORDERS
     floor: int = 0  # of orders up to this number it can't tell; 0: it knows them all
     numbers: deque[int] = field(default_factory=deque)  # rising
     entries: dict[int, Entry] = field(default_factory=dict)
@@ -60,9 +60,9 @@
         return self.numbers[-1] if self.numbers else 0
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether there is nothing older to be learned, or no room for it."""
-        return self.floor == 0 or len(self.numbers) >= self.most
+        return self.floor == 0 or len(self.numbers) >= self.max_orders
 
     def verdict(self, number: int, digest: bytes, base: int, current: int) -> Verdict:
         """What is to become of an order while `current` is the newest version."""
@@ -74,9 +74,9 @@
             return Verdict.OTHER_VERSION if base < current else Verdict.NOT_YET
         if number <= self.floor:
             return Verdict.UNKNOWN
-        return Verdict.TAKEN if self.entries.get(number) == Entry(digest, base) else Verdict.OTHER_VERSION
+        return Verdict.COMMITTED if self.entries.get(number) == Entry(digest, base) else Verdict.OTHER_VERSION
 
-    def merge(self, taken: Taken, complete: bool) -> None:
+    def merge(self, taken: CommittedOrders, complete: bool) -> None:
         """Learn the list of a decided state; `complete`: it begins with the first order of all."""
         if self._contradicted_by(taken):  # a group that was begun anew, from an older snapshot
             self._forget()
@@ -93,24 +93,24 @@
                 base = self.newest if self.numbers or not self.floor else -1
                 self._append(number, Entry(digest, base))
 
-    def _contradicted_by(self, taken: Taken) -> bool:
+    def _contradicted_by(self, taken: CommittedOrders) -> bool:
         inside = [(number, digest) for number, digest in taken if self.floor <= number <= self.newest]
         return any(
             number not in self.entries or self.entries[number].digest != digest for number, digest in inside
         )
 
-    def prepend(self, older: Taken, complete: bool) -> None:
+    def prepend(self, older: CommittedOrders, complete: bool) -> None:
         """Learn orders that come right before the floor, from another replica; the last one is the floor's
         own.
         """
-        if self.whole or not older or older[-1] != (self.floor, self.entries[self.floor].digest):
+        if self.is_complete or not older or older[-1] != (self.floor, self.entries[self.floor].digest):
             return
         numbers = [number for number, _ in older]
         bases = [0 if complete else -1, *numbers]
         for at in range(len(older) - 1, -1, -1):
             number, digest = older[at]
             if number != self.floor:
-                if len(self.numbers) >= self.most:
+                if len(self.numbers) >= self.max_orders:
                     return
                 self.numbers.appendleft(number)
             self.entries[number] = Entry(digest, bases[at])
@@ -119,7 +119,7 @@
         if complete:
             self.floor = 0
 
-    def before(self, floor: int, digest: bytes, most: int) -> tuple[Taken, bool] | None:
+    def before(self, floor: int, digest: bytes, most: int) -> tuple[CommittedOrders, bool] | None:
         """What another replica, whose oldest order this is, may learn from this one: orders up to it, and
         whether the first of all is among them. None where it has none.
         """
@@ -139,7 +139,7 @@
         """What its own disk holds, before anything else; what hangs together with the newest is believed."""
         found = dict(rows)
         number = max(found, default=0)
-        while number in found and len(self.numbers) < self.most:
+        while number in found and len(self.numbers) < self.max_orders:
             entry = found.pop(number)
             self.numbers.appendleft(number)
             self.entries[number] = entry
@@ -160,7 +160,7 @@
         self.numbers.append(number)
         self.entries[number] = entry
         self.unsaved.add(number)
-        if len(self.numbers) > self.most:
+        if len(self.numbers) > self.max_orders:
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
--- a/orchidferry/mesh/control/order_requests.py
+++ b/orchidferry/mesh/control/order_requests.py
@@ -25,7 +25,7 @@
         self.register = register
         self.book = book
 
-    def request(self, id: str, order: shard_state.Put, for_s: float) -> None:
+    def request(self, id: str, order: shard_state.PutConfiguration, for_s: float) -> None:
         """Request an order. One whose outcome is known for ever ends at once; copies of an order share one
         proposal.
 
@@ -34,8 +34,8 @@
         """
         state = self.register.known
         verdict = self.book.verdict(order, shard_state.body(state))
-        if state.version and (verdict.final or verdict is Verdict.UNKNOWN):
-            why = shard_state.WHY_NOT.get(verdict, "")
+        if state.version and (verdict.is_final or verdict is Verdict.UNKNOWN):
+            why = shard_state.REFUSALS.get(verdict, "")
             self.context.actions.append(RequestEnded(id, state, why))
             return
         name = self.book.name(order)
@@ -77,5 +77,5 @@
         if self.book.take_page(page):
             order_numbers, puts = self.book.puts()
             self.context.write(puts, OrdersSaved(order_numbers))
-            if not self.book.history.whole:
+            if not self.book.history.is_complete:
                 self.context.reply(sender_link, self.book.older_request())
--- a/orchidferry/mesh/control/quorum_read.py
+++ b/orchidferry/mesh/control/quorum_read.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-from orchidferry.balancing.register import NONE, Ballot, Kept, Value, Voter, majority
+from orchidferry.balancing.register import NO_BALLOT, AcceptorState, Ballot, Value, Voter, has_majority
 
 READ_RETRY_S = 0.1  # for voters to answer, before they are asked again or a round is run
 READ_TIMEOUT_S = 0.8  # for all of it: a caller goes on after a second without an answer
@@ -43,7 +43,7 @@
     """
     for ballot in {report.accepted for report in reports}:
         alike = [report for report in reports if report.accepted == ballot]
-        if ballot == NONE:
+        if ballot == NO_BALLOT:
             value = initial
         elif ballot == own_ballot:
             value = own
@@ -52,7 +52,9 @@
         if value is None:
             continue
         voters = [report.voter for report in alike]
-        if majority(value.voters, voters) and (not value.former or majority(value.former, voters)):
+        if has_majority(value.voters, voters) and (
+            not value.former_voters or has_majority(value.former_voters, voters)
+        ):
             return value
     return None
 
@@ -62,14 +64,14 @@
     """One read: what voters have reported so far.
 
     :param number: tells the reads of one replica apart.
-    :param kept: what the reading replica itself had accepted as the read began.
+    :param own_state: what the reading replica itself had accepted as the read began.
     :param readers: who waits for the outcome: ids of requests, or `INTERNAL_READER`.
     :param until_s: when the read is given up.
     :param retry_s: when the voters are asked again, or a round is run.
     """
 
     number: int
-    kept: Kept
+    own_state: AcceptorState
     readers: list[str]
     until_s: float
     retry_s: float
@@ -86,7 +88,9 @@
 
         :param initial: as for the function of this name.
         """
-        return decided_value(list(self.reports.values()), self.kept.value, self.kept.accepted, initial)
+        return decided_value(
+            list(self.reports.values()), self.own_state.value, self.own_state.accepted, initial
+        )
 
     def needs_round(self, voters: tuple[Voter, ...]) -> bool:
         """Whether so many have reported that only a round of the register can find the state."""
@@ -118,10 +122,10 @@
             dues += [self.current.retry_s, self.current.until_s]
         return min(dues, default=float("inf"))
 
-    def begin(self, kept: Kept, now: float) -> QuorumRead | None:
+    def begin(self, own_state: AcceptorState, now: float) -> QuorumRead | None:
         """Begin the next read.
 
-        :param kept: what this replica has accepted.
+        :param own_state: what this replica has accepted.
         :returns: None if nobody waits for a read.
         """
         readers = self.queued
@@ -130,7 +134,9 @@
         self.busy = bool(readers)
         if readers:
             self.count += 1
-            self.current = QuorumRead(self.count, kept, readers, now + READ_TIMEOUT_S, now + READ_RETRY_S)
+            self.current = QuorumRead(
+                self.count, own_state, readers, now + READ_TIMEOUT_S, now + READ_RETRY_S
+            )
         return self.current
 
     def take_waiting(self, readers: list[str]) -> list[str]:
--- a/orchidferry/mesh/control/register_messages.py
+++ b/orchidferry/mesh/control/register_messages.py
@@ -16,14 +16,14 @@
 
 def pack_voter(voter: Voter) -> PackedVoter:
     """A voter as it travels."""
-    return voter.name, voter.memory
+    return voter.name, voter.disk_id
 
 
 def pack_message(message: Message) -> RegisterBody:
     """A message between voters as it travels, with its whole state."""
     match message:
         case Prepare():
-            return RegisterPrepare(message.ballot, message.intent, message.has)
+            return RegisterPrepare(message.ballot, message.intent, message.known_ballot)
         case Promise():
             return RegisterPromise(
                 message.ballot,
--- a/orchidferry/mesh/control/register_reader.py
+++ b/orchidferry/mesh/control/register_reader.py
@@ -85,7 +85,7 @@
         elif read.retry_s <= now and read.needs_round(self.register.known.voters):
             self.reads.current = None
             self.register.propose(
-                f"read {read.number}", shard_state.read, read.until_s - now, Purpose.READ, read.readers
+                f"read {read.number}", shard_state.no_change, read.until_s - now, Purpose.READ, read.readers
             )
         elif read.retry_s <= now:
             read.retry_s = now + READ_RETRY_S
@@ -94,7 +94,7 @@
     def check_undecided(self) -> None:
         """Read the state if one that was accepted here has not been known to be decided for a while."""
         now = self.context.now
-        value = self.register.acceptor.kept.value
+        value = self.register.acceptor.state.value
         if value is None or value.version <= self.register.known.version:
             self._undecided_since_s = 0.0
         elif not self._undecided_since_s:
@@ -107,10 +107,10 @@
         """Report to another replica what this one has accepted, if that is on disk."""
         if not self.register.vote_on_disk:
             return
-        kept = self.register.acceptor.kept
-        state = None if request.known_ballot == kept.accepted else shard_state.pack_value(kept.value)
+        state = self.register.acceptor.state
+        packed = None if request.known_ballot == state.accepted else shard_state.pack_value(state.value)
         voter = pack_voter(self.register.voter)
-        self.context.reply(sender_link, AcceptedState(request.reading, voter, kept.accepted, state))
+        self.context.reply(sender_link, AcceptedState(request.reading, voter, state.accepted, packed))
 
     def take_report(self, message: AcceptedState) -> None:
         """Take another replica's report."""
@@ -121,18 +121,18 @@
             self._add_report(read, report)
 
     def _begin_next(self) -> None:
-        read = self.reads.begin(self.register.acceptor.kept, self.context.now)
+        read = self.reads.begin(self.register.acceptor.state, self.context.now)
         if read is not None:
             self._ask_voters(read)
 
     def _ask_voters(self, read: QuorumRead) -> None:
         """Ask all voters what they have accepted, this replica among them."""
         for name in self.register.other_controllers():
-            self.context.send(name, AcceptedStateRequest(read.number, read.kept.accepted))
+            self.context.send(name, AcceptedStateRequest(read.number, read.own_state.accepted))
         if self.register.vote_on_disk:
-            kept = self.register.acceptor.kept
-            value = None if kept.accepted == read.kept.accepted else kept.value
-            self._add_report(read, AcceptedReport(self.register.voter, kept.accepted, value))
+            state = self.register.acceptor.state
+            value = None if state.accepted == read.own_state.accepted else state.value
+            self._add_report(read, AcceptedReport(self.register.voter, state.accepted, value))
 
     def _add_report(self, read: QuorumRead, report: AcceptedReport) -> None:
         read.add(report)
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -17,14 +17,14 @@
     Accept,
     Accepted,
     Acceptor,
-    Done,
-    Kept,
+    AcceptorState,
+    ChangeDecided,
     Message,
     Prepare,
     Promise,
     Proposer,
-    Save,
-    Send,
+    SaveState,
+    SendToVoter,
     Value,
     Voter,
 )
@@ -103,21 +103,26 @@
     """
 
     def __init__(
-        self, context: ShardContext, initial: Value, kept: Kept, orders: OrderBook, listener: RegisterListener
+        self,
+        context: ShardContext,
+        initial: Value,
+        state: AcceptorState,
+        orders: OrderBook,
+        listener: RegisterListener,
     ) -> None:
         """
         :param initial: the state that all founders begin with.
-        :param kept: what the acceptor keeps on disk.
+        :param state: what the acceptor keeps on disk.
         :param orders: its unsaved orders are written along with each vote.
         """
         self.context = context
         self.orders = orders
         self.listener = listener
-        self.acceptor = Acceptor(context.name, kept, listener.object_to)
+        self.acceptor = Acceptor(context.name, state, listener.object_to)
         self.incarnation = f"{context.name} {context.rng.randrange(2**53):x}"
         self.proposer = Proposer(self.incarnation, initial, context.rng, RESEND_MS, BACK_OFF_MS)
         self.references = ValueReferences()
-        self.is_founder = kept.memory == shard_state.GENESIS
+        self.is_founder = state.disk_id == shard_state.GENESIS
         self.learned = initial
         self.vote_on_disk = True
         self.proposals: dict[str, Proposal] = {}
@@ -152,7 +157,7 @@
 
     def other_controllers(self) -> list[str]:
         """List the other controllers that this shard concerns: its voters, and all that were heard of."""
-        names = dict.fromkeys([v.name for v in (*self.known.voters, *self.known.former)])
+        names = dict.fromkeys([v.name for v in (*self.known.voters, *self.known.former_voters)])
         return [
             name for name in (names | dict.fromkeys(self.context.peers.heard_s)) if name != self.context.name
         ]
@@ -164,10 +169,10 @@
 
         :param sender_link: takes the answer.
         """
-        kept = self.acceptor.kept
-        message = value_references.unpack(envelope.body, kept)
+        state = self.acceptor.state
+        message = value_references.unpack(envelope.body, state)
         if message is None:
-            refused = value_references.refusal(envelope.body, self.voter, kept)
+            refused = value_references.refusal(envelope.body, self.voter, state)
             if refused is not None and self.vote_on_disk:
                 self._send_vote(sender_link, refused)
             return
@@ -183,7 +188,7 @@
 
     def vote_saved(self, completion: VoteSaved) -> None:
         """A vote is on disk: its replies leave."""
-        self.vote_on_disk = self.vote_on_disk or completion.kept is self.acceptor.kept
+        self.vote_on_disk = self.vote_on_disk or completion.state is self.acceptor.state
         self.orders.history.saved(completion.order_numbers)
         for reply in completion.replies:
             self._send_vote(completion.reply_to, reply)
@@ -200,19 +205,19 @@
         replies: list[Message] = []
         must_save = not self.vote_on_disk
         for action in self.acceptor.handle(message, sender):
-            if isinstance(action, Save):
+            if isinstance(action, SaveState):
                 must_save = True
-            elif isinstance(action, Send):
+            elif isinstance(action, SendToVoter):
                 replies.append(action.message)
         if not must_save:
             for reply in replies:
                 self._send_vote(sender_link, reply)
             return
         self.vote_on_disk = False
-        kept = self.acceptor.kept
+        state = self.acceptor.state
         order_numbers, puts = self.orders.puts()
-        puts.append(self.context.metadata("kept", pack(shard_state.pack_kept(kept))))
-        self.context.write(puts, VoteSaved(sender_link, kept, replies, order_numbers))
+        puts.append(self.context.metadata("kept", pack(shard_state.pack_kept(state))))
+        self.context.write(puts, VoteSaved(sender_link, state, replies, order_numbers))
 
     def _send_vote(self, sender_link: Any, reply: Message) -> None:
         if sender_link is None:
@@ -223,13 +228,13 @@
     def _carry_out(self, actions: list[RegisterAction]) -> None:
         """Carry out what the proposer instructs."""
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendToVoter):
                 if action.to == self.context.name:
                     self._local_messages.append(action.message)
                 else:
-                    body = self.references.pack(action.to, action.message, self.acceptor.kept)
+                    body = self.references.pack(action.to, action.message, self.acceptor.state)
                     self.context.send(action.to, RegisterMessage(self.context.name, body))
-            elif isinstance(action, Done):
+            elif isinstance(action, ChangeDecided):
                 if action.value.version > self.learned.version:  # before anybody is answered
                     self._announce(action.value)
                 self.learn(action.value)
@@ -251,11 +256,11 @@
 
         :param sender_link: takes the request.
         """
-        kept = self.acceptor.kept
+        state = self.acceptor.state
         if decided.version <= self.known.version:
             return
-        if decided.ballot == kept.accepted and kept.value is not None:
-            self.learn(kept.value)
+        if decided.ballot == state.accepted and state.value is not None:
+            self.learn(state.value)
         else:
             self.context.reply(sender_link, DecidedStateRequest(self.known.version))
 
@@ -266,11 +271,11 @@
 
     def _announce(self, value: Value) -> None:
         """Announce a decided state to the others: by its ballot alone, where they were asked to accept it."""
-        kept = self.acceptor.kept
+        state = self.acceptor.state
         complete: DecidedState | None = None
         for name in self.other_controllers():
-            if kept.value == value and self.references.knows_ballot(name, kept.accepted):
-                self.context.send(name, DecidedBallot(kept.accepted, value.version))
+            if state.value == value and self.references.knows_ballot(name, state.accepted):
+                self.context.send(name, DecidedBallot(state.accepted, value.version))
             else:
                 complete = complete or self._decided_state(value)
                 self.context.send(name, complete)
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -15,7 +15,7 @@
 import random
 from typing import Any
 
-from orchidferry.balancing.register import Kept, Value
+from orchidferry.balancing.register import AcceptorState, Value
 from orchidferry.mesh.control import key_transfer, shard_state
 from orchidferry.mesh.control.hinted_handoff import Hints
 from orchidferry.mesh.control.key_transfer import (
@@ -54,7 +54,7 @@
     def __init__(
         self,
         parameters: ShardParameters,
-        kept: Kept,
+        kept: AcceptorState,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
@@ -349,7 +349,7 @@
     return KEYS_DB, key.encode("latin-1"), None
 
 
-def initial_records(number: int, kept: Kept, caught_up: bool) -> list[RecordWrite]:
+def initial_records(number: int, kept: AcceptorState, caught_up: bool) -> list[RecordWrite]:
     """Return what a controller without records of a shard writes first.
 
     :param number: of the shard
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -10,7 +10,7 @@
 import random
 from typing import Any
 
-from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.balancing.register import AcceptorState, Value, Voter
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import Action, RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
@@ -61,7 +61,7 @@
     def __init__(
         self,
         parameters: ShardParameters,
-        kept: Kept,
+        kept: AcceptorState,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
@@ -106,13 +106,15 @@
     @property
     def accepted_value(self) -> Value | None:
         """The state that this voter has accepted last; None for none."""
-        return self.register.acceptor.kept.value
+        return self.register.acceptor.state.value
 
     @property
-    def accepted_fence(self) -> int:
+    def accepted_fencing_token(self) -> int:
         """The highest fencing token that it has voted for."""
         accepted = self.accepted_value
-        return max(self.body.fence, shard_state.body(accepted).fence if accepted is not None else 0)
+        return max(
+            self.body.fencing_token, shard_state.body(accepted).fencing_token if accepted is not None else 0
+        )
 
     def in_contact(self, now: float) -> bool:
         """Whether a majority of the voters has lately acknowledged this controller's heartbeats."""
@@ -128,11 +130,15 @@
         :returns: the fencing token under which it does; None if it doesn't.
         """
         state = self.body
-        if state.owner != self.name or self.accepted_fence != state.fence:
+        if state.owner != self.name or self.accepted_fencing_token != state.fencing_token:
             return None
         if self.voter not in self.known.voters:
             return None
-        return state.fence if self._owner_lease.holds(self.known.voters, now) and self.peers.fit else None
+        return (
+            state.fencing_token
+            if self._owner_lease.holds(self.known.voters, now) and self.peers.fit
+            else None
+        )
 
     @property
     def due_s(self) -> float:
@@ -159,7 +165,7 @@
         self.context.now = now
         if not self.in_contact(now):
             self.context.actions.append(RequestEnded(id, None, OUT_OF_CONTACT))
-        elif isinstance(change, shard_state.Put):
+        elif isinstance(change, shard_state.PutConfiguration):
             self.order_requests.request(id, change, for_s)
         else:
             self.register.propose(f"ask {id}", change, for_s, Purpose.REQUEST, [id])
@@ -181,7 +187,7 @@
         :param fencing_token: the highest that the other controller has voted for.
         """
         self.peers.contact.hear(name, sent_s)
-        if fencing_token <= self.body.fence:
+        if fencing_token <= self.body.fencing_token:
             self._owner_lease.acknowledge(name, sent_s)
 
     def heartbeat_received(self, version: int, name: str) -> list[Action]:
@@ -353,7 +359,7 @@
             return
         if self._group().wanted() and not self.ready:
             return
-        request = JoinRequest(self.name, self.voter.memory, epoch(self.known), self.ready)
+        request = JoinRequest(self.name, self.voter.disk_id, epoch(self.known), self.ready)
         for name in self.register.other_controllers():
             self.context.send(name, request)
 
@@ -377,8 +383,8 @@
         of_whom = f", instead of {replaced}" if replaced else ""
         self.context.log(f"{joiner.name} asks for a place{of_whom}")
         intent = [INTENT_REPLACE, replaced] if replaced and replaced != joiner.name else None
-        change = shard_state.Admit(joiner, replaced, max(self.size, len(group.names)), joiner_epoch)
-        id = f"admit {joiner.name} {joiner.memory} {joiner_epoch}"
+        change = shard_state.AdmitVoter(joiner, replaced, max(self.size, len(group.names)), joiner_epoch)
+        id = f"admit {joiner.name} {joiner.disk_id} {joiner_epoch}"
         self.register.propose(id, change, ADMIT_TIMEOUT_S, Purpose.ADMIT_VOTER, [], intent)
 
     def _end_voter_change(self) -> None:
@@ -387,11 +393,13 @@
         A replica that starts anew has forgotten that the change was decided, and needs the voters before it
         too, of whom another may have lost its disk by then.
         """
-        if not self.known.former or self.voter not in self.known.voters or not self.standing.caught_up:
+        if not self.known.former_voters or self.voter not in self.known.voters or not self.standing.caught_up:
             return
         if self._group().able(self._joiners)[0] == self.name:
             id = f"settle {self.known.version}"
-            self.register.propose(id, shard_state.settle, CHANGE_TIMEOUT_S, Purpose.END_VOTER_CHANGE, [])
+            self.register.propose(
+                id, shard_state.end_voter_change, CHANGE_TIMEOUT_S, Purpose.END_VOTER_CHANGE, []
+            )
 
     # Ownership
 
@@ -403,9 +411,9 @@
         if not self.standing.caught_up or self.register.is_proposing(Purpose.TAKE_OWNERSHIP):
             return
         owner = self.body.owner
-        fencing_token = self.body.fence
+        fencing_token = self.body.fencing_token
         if takes_over(self._group(), owner):
             intent = [INTENT_OWN, owner] if owner and owner != self.name else None
-            change = shard_state.Own(self.name, fencing_token)
+            change = shard_state.TakeOwnership(self.name, fencing_token)
             id = f"own {fencing_token}"
             self.register.propose(id, change, CHANGE_TIMEOUT_S, Purpose.TAKE_OWNERSHIP, [], intent)
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidferry.balancing.register import Kept
+from orchidferry.balancing.register import AcceptorState
 from orchidferry.mesh.control.actions import Action, SendReply
 from orchidferry.mesh.control.operation_keys import ClaimOutcome, ClaimStatus, KeyRecord
 from orchidferry.mesh.control.peers import Peers
@@ -61,7 +61,7 @@
     def __init__(
         self,
         parameters: ShardParameters,
-        kept: Kept,
+        kept: AcceptorState,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
--- a/orchidferry/mesh/control/shard_loading.py
+++ b/orchidferry/mesh/control/shard_loading.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from orchidferry.balancing.register import Kept
+from orchidferry.balancing.register import AcceptorState
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.operation_keys import MAX_KEYS
 from orchidferry.mesh.control.order_records import orders_of
@@ -57,7 +57,7 @@
             kept = shard_state.unpack_kept(unpack(vote))
         else:
             genesis = is_empty and is_founder
-            kept = Kept(shard_state.GENESIS if genesis else rng.randrange(2, MAX_VOTER_MEMORY))
+            kept = AcceptorState(shard_state.GENESIS if genesis else rng.randrange(2, MAX_VOTER_MEMORY))
             puts += initial_records(number, kept, caught_up)
         parameters = ShardParameters(
             number=number,
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from orchidferry.balancing.register import Kept, Value, Voter
-from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
+from orchidferry.balancing.register import AcceptorState, Value, Voter
+from orchidferry.mesh.control.order_history import CommittedOrders, OrderHistory, Verdict
 
 # Orders that each state lists. A list as long as this may be cut: a build with a larger number has to tell
 # by other means which lists are whole.
-MAX_TAKEN = 64
+MAX_LISTED_ORDERS = 64
 GENESIS = 1  # memory of a founder at the very first start
 
 CONFIGURATION = 0  # the shard that holds the configuration
@@ -48,10 +48,10 @@
     return KEY_SHARDS[int.from_bytes(mark, "big") % len(KEY_SHARDS)]
 
 
-def ranked(shard: int, names: list[str]) -> list[str]:
+def rank_controllers(shard: int, names: list[str]) -> list[str]:
     """Who comes first as the owner of a shard: duties spread over the controllers.
 
-    >>> sorted(ranked(1, ["a", "b", "c"]))
+    >>> sorted(rank_controllers(1, ["a", "b", "c"]))
     ['a', 'b', 'c']
     """
     return sorted(names, key=lambda n: hashlib.blake2b(f"{shard} {n}".encode(), digest_size=8).digest())
@@ -63,10 +63,10 @@
 
     epoch: int = 0
     revision: int = 0
-    raw: bytes = b""  # the text, as `configuration_text` keeps it
-    taken: Taken = ()  # the newest orders, `MAX_TAKEN` at most
+    compressed_text: bytes = b""  # the text, as `configuration_text` keeps it
+    orders: CommittedOrders = ()  # the newest orders, `MAX_LISTED_ORDERS` at most
     owner: str = ""  # the controller that does the duties of the shard
-    fence: int = 0  # of that owner; rises with each, and with each change of voters
+    fencing_token: int = 0  # of that owner; rises with each, and with each change of voters
 
 
 Change = Callable[[Value], "Value | str"]
@@ -85,10 +85,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
+class PutConfiguration:
     """Take a configuration on top of version `on`; done already where that very order was taken."""
 
-    raw: bytes
+    compressed_text: bytes
     revision: int
     digest: bytes
     on: int
@@ -96,21 +96,23 @@
     def __call__(self, before: Value) -> Value | str:
         old = body(before)
         history = OrderHistory()
-        history.merge(old.taken, lists_all(old))
+        history.merge(old.orders, lists_all_orders(old))
         verdict = self.verdict(history, old.revision)
-        if verdict is Verdict.TAKEN:
+        if verdict is Verdict.COMMITTED:
             return before
         if verdict is not Verdict.NEW:
-            return WHY_NOT[verdict]
-        taken = (*old.taken, (self.revision, self.digest))[-MAX_TAKEN:]
-        return _next(before, replace(old, revision=self.revision, raw=self.raw, taken=taken))
+            return REFUSALS[verdict]
+        orders = (*old.orders, (self.revision, self.digest))[-MAX_LISTED_ORDERS:]
+        return _next(
+            before, replace(old, revision=self.revision, compressed_text=self.compressed_text, orders=orders)
+        )
 
     def verdict(self, history: OrderHistory, current: int) -> Verdict:
         """What is to become of the order while `current` is the newest version."""
         return history.verdict(self.revision, self.digest, self.on, max(current, history.newest))
 
 
-WHY_NOT = {
+REFUSALS = {
     Verdict.OTHER_VERSION: OTHER_VERSION,
     Verdict.NOT_YET: OTHER_VERSION,
     Verdict.OLD_VERSION: OLD_VERSION,
@@ -118,18 +120,18 @@
 }
 
 
-def lists_all(state: Body) -> bool:
+def lists_all_orders(state: Body) -> bool:
     """Whether a state lists all orders that were ever taken."""
-    return len(state.taken) < MAX_TAKEN
+    return len(state.orders) < MAX_LISTED_ORDERS
 
 
-def read(before: Value) -> Value | str:
+def no_change(before: Value) -> Value | str:
     """Change nothing: the round itself makes sure that what is told is the newest."""
     return before
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
+class AdmitVoter:
     """Take a controller into the group, in the place of another name, or of an older memory of its own, if
     `epoch` is still the group's: a controller asks on top of the last group that it knows, so that it can't
     come back into one without having noticed that it was put out.
@@ -151,27 +153,27 @@
         if len(kept) == len(before.voters) and len(kept) >= self.most:
             return NO_PLACE
         old = body(before)
-        after = replace(old, epoch=old.epoch + 1, fence=old.fence + 1)
+        after = replace(old, epoch=old.epoch + 1, fencing_token=old.fencing_token + 1)
         return replace(_next(before, after), voters=(*kept, joiner))
 
 
-def settle(before: Value) -> Value | str:
+def end_voter_change(before: Value) -> Value | str:
     """Be done with a change of voters: on the next version the ones before it count no more."""
-    return _next(before, body(before)) if before.former else before
+    return _next(before, body(before)) if before.former_voters else before
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class TakeOwnership:
     """Give the duties of the shard to a controller, under the next fence, if `fence` is still the owner's."""
 
     name: str
-    fence: int
+    fencing_token: int
 
     def __call__(self, before: Value) -> Value | str:
         old = body(before)
-        if old.fence != self.fence:
+        if old.fencing_token != self.fencing_token:
             return before if old.owner == self.name else OTHER_FENCE
-        return _next(before, replace(old, owner=self.name, fence=old.fence + 1))
+        return _next(before, replace(old, owner=self.name, fencing_token=old.fencing_token + 1))
 
 
 def _next(before: Value, after: Body) -> Value:
@@ -195,22 +197,22 @@
     if value is None:
         return None
     b = body(value)
-    raw: bytes | None = b.raw
-    taken: list[Any] = [list(t) for t in b.taken]
+    raw: bytes | None = b.compressed_text
+    taken: list[Any] = [list(t) for t in b.orders]
     if base is not None:
-        dropped = _dropped(b.taken, body(base).taken)
-        taken = [dropped, taken[len(body(base).taken) - dropped :]]
-        raw = b.raw if b.raw != body(base).raw else None
+        dropped = _dropped(b.orders, body(base).orders)
+        taken = [dropped, taken[len(body(base).orders) - dropped :]]
+        raw = b.compressed_text if b.compressed_text != body(base).compressed_text else None
     return [
         value.version,
-        [[v.name, v.memory] for v in value.voters],
+        [[v.name, v.disk_id] for v in value.voters],
         b.epoch,
         b.revision,
         raw,
         taken,
-        [[v.name, v.memory] for v in value.former],
+        [[v.name, v.disk_id] for v in value.former_voters],
         b.owner,
-        b.fence,
+        b.fencing_token,
     ]
 
 
@@ -219,11 +221,11 @@
     if packed is None:
         return None
     version, voters, epoch, revision, raw, taken, former, owner, fence = packed
-    before: Taken = ()
+    before: CommittedOrders = ()
     if base is not None:
         dropped, taken = taken
-        before = body(base).taken[dropped:]
-        raw = raw if raw is not None else body(base).raw
+        before = body(base).orders[dropped:]
+        raw = raw if raw is not None else body(base).compressed_text
     return Value(
         version,
         tuple(Voter(name, memory) for name, memory in voters),
@@ -232,17 +234,17 @@
     )
 
 
-def _dropped(taken: Taken, base: Taken) -> int:
+def _dropped(taken: CommittedOrders, base: CommittedOrders) -> int:
     """How many of the oldest of `base` are gone, where `taken` goes on with the rest of it."""
     return next(n for n in range(len(base) + 1) if taken[: len(base) - n] == base[n:])
 
 
-def pack_kept(kept: Kept) -> Any:
+def pack_kept(kept: AcceptorState) -> Any:
     """All that a voter must not forget, as a list."""
-    return [kept.memory, list(kept.promised), list(kept.accepted), pack_value(kept.value)]
+    return [kept.disk_id, list(kept.promised), list(kept.accepted), pack_value(kept.value)]
 
 
-def unpack_kept(packed: Any) -> Kept:
+def unpack_kept(packed: Any) -> AcceptorState:
     """What a voter has not forgotten."""
     memory, promised, accepted, value = packed
-    return Kept(memory, tuple(promised), tuple(accepted), unpack_value(value))
+    return AcceptorState(memory, tuple(promised), tuple(accepted), unpack_value(value))
--- a/orchidferry/mesh/control/value_references.py
+++ b/orchidferry/mesh/control/value_references.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field, replace
 
 from orchidferry.balancing.register import (
-    NONE,
+    NO_BALLOT,
     Accept,
     Accepted,
+    AcceptorState,
     Ballot,
-    Kept,
     Message,
     Prepare,
     Promise,
@@ -31,13 +31,13 @@
 class ValueReferences:
     """What one replica may refer to in the round that it proposes."""
 
-    ballot: Ballot = NONE  # of the round
-    accepted: Ballot = NONE  # that this replica had accepted when the round began, and its state
+    ballot: Ballot = NO_BALLOT  # of the round
+    accepted: Ballot = NO_BALLOT  # that this replica had accepted when the round began, and its state
     value: Value | None = None
     held: dict[str, tuple[Ballot, Value]] = field(default_factory=dict)  # by voter: what it promised with
     asked: set[str] = field(default_factory=set)  # voters that were sent an accept
 
-    def pack(self, to: str, message: Message, kept: Kept) -> RegisterBody:
+    def pack(self, to: str, message: Message, kept: AcceptorState) -> RegisterBody:
         """A message of the register as it goes out; `kept`: what this replica has accepted."""
         if isinstance(message, Prepare):
             if message.ballot != self.ballot:
@@ -46,7 +46,7 @@
                 self.value = kept.value
                 self.held = {}
                 self.asked = set()
-            message = replace(message, has=self.accepted)
+            message = replace(message, known_ballot=self.accepted)
         elif isinstance(message, Accept) and message.ballot == self.ballot:
             self.asked.add(to)
             if to in self.held:
@@ -56,7 +56,7 @@
 
     def resolve(self, sender: str, promise: Promise) -> Promise | None:
         """A promise with its state; None if it is named and not known here."""
-        if promise.ballot != self.ballot or promise.accepted == NONE:
+        if promise.ballot != self.ballot or promise.accepted == NO_BALLOT:
             return promise
         value = promise.value
         if value is None and promise.accepted == self.accepted:
@@ -71,7 +71,7 @@
         return ballot == self.ballot and name in self.asked
 
 
-def unpack(body: RegisterBody, kept: Kept) -> Message | None:
+def unpack(body: RegisterBody, kept: AcceptorState) -> Message | None:
     """A message that came; None for one that builds on a state which this voter has not accepted."""
     if not isinstance(body, RegisterAccept) or body.base is None:
         return unpack_message(body)
@@ -83,6 +83,6 @@
     return Accept(body.ballot, value) if value is not None else None
 
 
-def refusal(body: RegisterBody, voter: Voter, kept: Kept) -> Accepted | None:
+def refusal(body: RegisterBody, voter: Voter, kept: AcceptorState) -> Accepted | None:
     """The answer to an accept that can't be resolved, where its ballot would be refused anyway."""
     return Accepted(body.ballot, voter, kept.promised) if body.ballot < kept.promised else None
--- a/orchidferry/mesh/control/write_completions.py
+++ b/orchidferry/mesh/control/write_completions.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidferry.balancing.register import Kept, Message
+from orchidferry.balancing.register import AcceptorState, Message
 from orchidferry.mesh.control.key_transfer import PageRequest
 from orchidferry.mesh.control.operation_keys import KeyRecord
 
@@ -19,13 +19,13 @@
     """A vote of the register's acceptor.
 
     :param reply_to: who sent the message of the register; None for this replica itself.
-    :param kept: what the acceptor kept in memory when the write was begun.
+    :param state: what the acceptor kept in memory when the write was begun.
     :param replies: leave once the vote is on disk.
     :param order_numbers: orders that were written along with the vote.
     """
 
     reply_to: Any
-    kept: Kept
+    state: AcceptorState
     replies: list[Message]
     order_numbers: list[int]
 
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -10,7 +10,7 @@
 import lmdb
 from cbor2 import CBORDecodeError
 
-from orchidferry.balancing.register import Kept, Value
+from orchidferry.balancing.register import AcceptorState, Value
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import CONTROLLER_DB, KEYS_DB, Databases, used_pages
@@ -47,8 +47,8 @@
     """What a store holds."""
 
     format: int
-    kept: dict[int, Kept]  # by shard; empty: nothing was written yet
-    early: Kept | None  # of a build before the state was cut into shards
+    kept: dict[int, AcceptorState]  # by shard; empty: nothing was written yet
+    early: AcceptorState | None  # of a build before the state was cut into shards
     founders: tuple[str, ...]
     caught_up: frozenset[int]  # shards that it has caught up in
     keys: int
@@ -62,10 +62,12 @@
         found = [f"store: format {self.format}, {self.used_bytes} bytes used of {self.file_bytes}"]
         for number, kept in self.kept.items():
             caught = "caught up" if number in self.caught_up else "not caught up"
-            found.append(f"part {number}: memory {kept.memory}, {caught}, accepted {_value_line(kept.value)}")
+            found.append(
+                f"part {number}: memory {kept.disk_id}, {caught}, accepted {_value_line(kept.value)}"
+            )
         if self.early is not None:
             found.append(
-                f"before parts: memory {self.early.memory}, accepted {_value_line(self.early.value)}"
+                f"before parts: memory {self.early.disk_id}, accepted {_value_line(self.early.value)}"
             )
         return [*found, f"founders: {' '.join(self.founders)}", f"keys: {self.keys}"]
 
@@ -83,7 +85,7 @@
         return "nothing yet"
     body = shard_state.body(value)
     voters = " ".join(v.name for v in value.voters)
-    duties = f"owner {body.owner or 'none'} under fence {body.fence}"
+    duties = f"owner {body.owner or 'none'} under fence {body.fencing_token}"
     return f"version {value.version}, epoch {body.epoch}, revision {body.revision}, {duties}, voters {voters}"
 
 
@@ -191,7 +193,7 @@
         raise CorruptStoreError(f"record {key.decode()!r} of about can't be read: {problem}") from None
 
 
-def _unpack_kept(packed: Any) -> Kept:
+def _unpack_kept(packed: Any) -> AcceptorState:
     memory, promised, accepted, value = packed
     if value is not None and len(value) == FIELDS_BEFORE_OWNERS:
         value = [*value, "", 0]
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -18,7 +18,7 @@
 import lmdb
 from more_itertools import chunked
 
-from orchidferry.balancing.register import Ballot, Kept, Value, Voter
+from orchidferry.balancing.register import AcceptorState, Ballot, Value, Voter
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
@@ -64,7 +64,7 @@
     """What was put back: the snapshot, and what each founder remembers of each shard."""
 
     snapshot: Snapshot
-    kept: dict[int, Kept]
+    kept: dict[int, AcceptorState]
 
 
 def take_snapshot(folder: str, path: str) -> Snapshot:
@@ -137,7 +137,7 @@
     return 2 + int.from_bytes(digest_of_both[:8], "big") % MEMORY_NUMBERS
 
 
-def restored_memories(snapshot: Snapshot, founders: tuple[str, ...]) -> dict[int, Kept]:
+def restored_memories(snapshot: Snapshot, founders: tuple[str, ...]) -> dict[int, AcceptorState]:
     """What each founder remembers of each shard: its state, as one that all of them accepted in one round."""
     memory = memory_number(snapshot.digest, founders)
     voters = tuple(Voter(name, memory) for name in sorted(founders))
@@ -146,9 +146,14 @@
     for number, old in snapshot.states.items():
         body = shard_state.body(old)
         body = replace(
-            body, epoch=body.epoch + EPOCH_OFFSET, owner="", fence=body.fence + FENCING_TOKEN_OFFSET
+            body,
+            epoch=body.epoch + EPOCH_OFFSET,
+            owner="",
+            fencing_token=body.fencing_token + FENCING_TOKEN_OFFSET,
+        )
+        found[number] = AcceptorState(
+            memory, ballot, ballot, Value(old.version + VERSION_OFFSET, voters, body)
         )
-        found[number] = Kept(memory, ballot, ballot, Value(old.version + VERSION_OFFSET, voters, body))
     return found
 
 
@@ -177,7 +182,9 @@
     return RestoredGroup(snapshot, kept)
 
 
-def _write_store(env: lmdb.Environment, path: str, kept: dict[int, Kept], founders: tuple[str, ...]) -> None:
+def _write_store(
+    env: lmdb.Environment, path: str, kept: dict[int, AcceptorState], founders: tuple[str, ...]
+) -> None:
     dbs = {name: env.open_db(name.encode()) for name in DATABASE_NAMES}
     puts: list[RecordWrite] = [(CONTROLLER_DB, b"founders", pack(sorted(founders)))]
     for number, one in kept.items():
@@ -195,7 +202,9 @@
     env.sync(True)
 
 
-def _verify_store(env: lmdb.Environment, part: str, kept: dict[int, Kept], snapshot: Snapshot) -> None:
+def _verify_store(
+    env: lmdb.Environment, part: str, kept: dict[int, AcceptorState], snapshot: Snapshot
+) -> None:
     contents = inspect(env, part, DATABASE_NAMES).contents
     if contents.kept != kept or contents.keys != snapshot.keys:
         raise StoreError("what was written is not what is read")
--- a/orchidferry/mesh/storage/snapshot_command.py
+++ b/orchidferry/mesh/storage/snapshot_command.py
@@ -75,7 +75,7 @@
         raise SnapshotError("--majority-is-gone is missing: two groups at once would both grant keys")
     names = read_founders(founders, settings.ip, settings.machines)
     snapshot, kept = restore_snapshot(folder, file, names)
-    memory = kept[shard_state.CONFIGURATION].memory
+    memory = kept[shard_state.CONFIGURATION].disk_id
     print(f"{folder}: {snapshot.line}; memory {memory}, the same at all of {' '.join(sorted(names))}?")
     return 0
 
--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -64,7 +64,7 @@
     """Sends one order until its answer is clear."""
 
     name: str
-    order: shard_state.Put
+    order: shard_state.PutConfiguration
     at: int  # the controller that is asked next
     tries: int = 0
     waits: str = ""
@@ -217,7 +217,7 @@
             self._at(self.rng.uniform(*self.conditions.killed_s), self._kill, "a")
         for n in range(self.conditions.orders):
             mark = b"0" if self.conditions.same else str(n).encode()
-            order = shard_state.Put(mark, 5 if self.conditions.same else 5 + n // 2, mark, 0)
+            order = shard_state.PutConfiguration(mark, 5 if self.conditions.same else 5 + n // 2, mark, 0)
             at = self.rng.randrange(len(self.controllers))
             if self.conditions.at_owner:
                 at = [c.shard.owns(self.now) is not None for c in self.controllers.values()].index(True)
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -23,7 +23,7 @@
 
 import cbor2
 
-from orchidferry.balancing.register import Kept
+from orchidferry.balancing.register import AcceptorState
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import Action, SendMessage, SendReply, WriteRecords
 from orchidferry.mesh.control.peers import Peers
@@ -140,7 +140,7 @@
         first = shard_state.genesis(self.world.seeds)
         self.shards = dict[int, Shard]()
         for number in shard_state.KEY_SHARDS:
-            kept = Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50))
+            kept = AcceptorState(shard_state.GENESIS if founder else rng.randrange(2, 2**50))
             parameters = ShardParameters(number, self.name, first, len(self.world.seeds), WINDOW_S, MAX_KEYS)
             self.shards[number] = Shard(parameters, kept, founder, self.peers, rng)
             self.jobs.append((self.shards[number], WriteRecords(initial_records(number, kept, founder))))
@@ -243,7 +243,7 @@
                 self.peers.heard_s[sender] = now
                 (self.peers.leaving.add if message.leaving else self.peers.leaving.discard)(sender)
                 self.peers.learning[sender] = tuple(message.missing_shards)
-                fences = [s.accepted_fence for s in self.shards.values()]
+                fences = [s.accepted_fencing_token for s in self.shards.values()]
                 self.send(sender, HeartbeatAck(self.name, message.number, fences))
                 for shard, version in zip(self.shards.values(), message.versions, strict=True):
                     self.do(shard, shard.heartbeat_received(version, sender))
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from orchidferry.balancing.register import Kept
+from orchidferry.balancing.register import AcceptorState
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import (
     Action,
@@ -72,7 +72,7 @@
         self.disk: dict[tuple[str, bytes], bytes] = {}
         self.put(
             initial_records(
-                number, Kept(shard_state.GENESIS if founder else rng.randrange(2, 2**50)), founder
+                number, AcceptorState(shard_state.GENESIS if founder else rng.randrange(2, 2**50)), founder
             )
         )
         self.start()
@@ -103,7 +103,7 @@
     def wipe(self) -> None:
         """An empty disk, with a new memory."""
         self.disk = {}
-        self.put(initial_records(self.number, Kept(self.rng.randrange(2, 2**50)), False))
+        self.put(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), False))
 
     def do(self, actions: list[Action]) -> None:
         """What the shard wants done, in its order."""
@@ -155,7 +155,7 @@
         (self.peers.leaving.add if leaves else self.peers.leaving.discard)(sender)
         self.peers.learning[sender] = () if learned else (self.number,)
         (self.peers.unfit.discard if fit else self.peers.unfit.add)(sender)
-        self.world.send(self.name, sender, "pulse", self.name, number, self.shard.accepted_fence)
+        self.world.send(self.name, sender, "pulse", self.name, number, self.shard.accepted_fencing_token)
         self.do(self.shard.heartbeat_received(version, sender))
 
     def pulse(self, sender: str, number: int, fence: int) -> None:
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -141,9 +141,9 @@
     tries: int = 0
     read: bool = False
 
-    def change(self) -> shard_state.Put:
+    def change(self) -> shard_state.PutConfiguration:
         mark = self.name.encode()
-        return shard_state.Put(mark, self.revision, mark, 0)
+        return shard_state.PutConfiguration(mark, self.revision, mark, 0)
 
 
 class Node:
@@ -559,9 +559,11 @@
         """As the controller does when something changes, and to whoever comes back to it."""
         own = controller.shard.body
         had = self.nodes[node].claims.groups[controller.number]
-        if (own.epoch > had.epoch or own.fence > had.fencing_token) and self._open(controller.name, node):
+        if (own.epoch > had.epoch or own.fencing_token > had.fencing_token) and self._open(
+            controller.name, node
+        ):
             names = tuple(v.name for v in controller.shard.known.voters)
-            message = (controller.number, own.epoch, names, own.owner, own.fence)
+            message = (controller.number, own.epoch, names, own.owner, own.fencing_token)
             self.next.append(Mail(controller.name, node, "group", message, True))
 
     def decided(self, name: str, changed: StateChanged) -> None:
@@ -713,7 +715,7 @@
         ]
         for controller in self.controllers.values():
             shard = controller.shard
-            kept = controller.shard.register.acceptor.kept
+            kept = controller.shard.register.acceptor.state
             references = shard.register.references
             inside = [references if references.ballot == ballot_of_round(shard) else None]
             for part in (shard, shard.register, shard.reader):
@@ -723,7 +725,7 @@
             same = [shard.unsaved_records[key] is records.get(key) for key in shard.unsaved_records]
             for write in controller.writes:
                 match write.completion:
-                    case VoteSaved(kept=of):
+                    case VoteSaved(state=of):
                         same.append(of is kept)
                     case ClaimSaved(record=record) | KeyAnswerSaved(record=record):
                         same.append(any(record is one for one in records.values()))
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from orchidferry.balancing import register
-from orchidferry.balancing.register import Acceptor, Kept, Proposer, Value, Voter
+from orchidferry.balancing.register import Acceptor, AcceptorState, Proposer, Value, Voter
 from orchidferry.mesh.control import duties, quorum_read, shard_state
 from orchidferry.mesh.control.actions import Action, WriteRecords
 from orchidferry.mesh.control.membership import Standing
@@ -22,14 +22,14 @@
 
 
 def _same_memory(self: Controller) -> None:
-    memory = self.shard.voter.memory
+    memory = self.shard.voter.disk_id
     self.disk = {}
-    self.put(initial_records(self.number, Kept(memory), False))
+    self.put(initial_records(self.number, AcceptorState(memory), False))
 
 
 def _full_memory(self: Controller) -> None:
     self.disk = {}
-    self.put(initial_records(self.number, Kept(self.rng.randrange(2, 2**50)), True))
+    self.put(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), True))
 
 
 def _unsynced(self: Controller, actions: list[Action]) -> None:
@@ -42,12 +42,14 @@
 
 
 def _forgets_promise(self: Acceptor, message: Any, sender: str) -> list[register.Action]:
-    self.kept = replace(self.kept, promised=register.NONE)
+    self.state = replace(self.state, promised=register.NO_BALLOT)
     return _handle(self, message, sender)
 
 
 def _not_read(self: Proposer, round_: Any, now: float) -> list[register.Action]:
-    round_.promises = {v: replace(p, accepted=register.NONE, value=None) for v, p in round_.promises.items()}
+    round_.promises = {
+        v: replace(p, accepted=register.NO_BALLOT, value=None) for v, p in round_.promises.items()
+    }
     return _promised(self, round_, now)
 
 
@@ -58,13 +60,17 @@
 def _any_version(self: OrderHistory, number: int, digest: bytes, base: int, current: int) -> Verdict:
     entry = self.entries.get(number)
     if number > current or (entry is not None and entry.digest == digest):
-        return Verdict.NEW if number > current else Verdict.TAKEN
+        return Verdict.NEW if number > current else Verdict.COMMITTED
     return _verdict(self, number, digest, base, current)
 
 
 def _alone(self: Shard, now: float) -> int | None:
     own = self.body
-    return own.fence if own.owner == self.name and self.accepted_fence == own.fence else None
+    return (
+        own.fencing_token
+        if own.owner == self.name and self.accepted_fencing_token == own.fencing_token
+        else None
+    )
 
 
 def _from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
@@ -81,18 +87,20 @@
     return _owns(self, now)
 
 
-def _same_voters_fence(self: shard_state.Admit, before: Value) -> Value | str:
+def _same_voters_fence(self: shard_state.AdmitVoter, before: Value) -> Value | str:
     after = _admit(self, before)
     if isinstance(after, str) or after is before:
         return after
-    return replace(after, body=replace(shard_state.body(after), fence=shard_state.body(before).fence))
+    return replace(
+        after, body=replace(shard_state.body(after), fencing_token=shard_state.body(before).fencing_token)
+    )
 
 
-def _same_fence(self: shard_state.Own, before: Value) -> Value | str:
+def _same_fence(self: shard_state.TakeOwnership, before: Value) -> Value | str:
     after = _own(self, before)
     if isinstance(after, str) or after is before:
         return after
-    return replace(after, body=replace(shard_state.body(after), fence=max(1, self.fence)))
+    return replace(after, body=replace(shard_state.body(after), fencing_token=max(1, self.fencing_token)))
 
 
 def _any_one(self: GrantCount, name: str, epoch_: int, outcome: str, answer: Any) -> ClaimOutcome | None:
@@ -134,13 +142,13 @@
     return _claim(self, *args)
 
 
-_admit = shard_state.Admit.__call__
+_admit = shard_state.AdmitVoter.__call__
 _owns = Shard.owns
 _do = Controller.do
 _handle = Acceptor.handle
 _promised = Proposer._promised
 _verdict = OrderHistory.verdict
-_own = shard_state.Own.__call__
+_own = shard_state.TakeOwnership.__call__
 _pulse = Shard.heartbeat_acknowledged
 _add = GrantCount.add
 _join = Shard._ask_to_join
@@ -187,10 +195,14 @@
         "what was accepted is not taken up", "puts", 0, "", (Proposer, "_promised", _not_read)
     ),
     "any-voter": break_under_faults(
-        "any one voter is enough for a round", "puts", 1, "cut", (register, "majority", _any_majority)
+        "any one voter is enough for a round", "puts", 1, "cut", (register, "has_majority", _any_majority)
     ),
     "any-reading": break_under_faults(
-        "any one voter is enough for a reading", "puts", 1, "cut", (quorum_read, "majority", _any_majority)
+        "any one voter is enough for a reading",
+        "puts",
+        1,
+        "cut",
+        (quorum_read, "has_majority", _any_majority),
     ),
     "any-version": break_under_faults(
         "a configuration is taken on top of any", "puts", 0, "", (OrderHistory, "verdict", _any_version)
@@ -208,10 +220,10 @@
         "apart",
         1,
         "lose",
-        (shard_state.Admit, "__call__", _same_voters_fence),
+        (shard_state.AdmitVoter, "__call__", _same_voters_fence),
     ),
     "same-fence": break_under_faults(
-        "fences do not rise", "duties", 1, "cut", (shard_state.Own, "__call__", _same_fence)
+        "fences do not rise", "duties", 1, "cut", (shard_state.TakeOwnership, "__call__", _same_fence)
     ),
     "any-one": break_under_faults(
         "any one controller grants a key", "answered", 1, "lose", (GrantCount, "add", _any_one)
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -18,7 +18,16 @@
 from unittest import mock
 
 from orchidferry.balancing import register, slots
-from orchidferry.balancing.register import Acceptor, Done, Kept, Proposer, Save, Send, Value, Voter
+from orchidferry.balancing.register import (
+    Acceptor,
+    AcceptorState,
+    ChangeDecided,
+    Proposer,
+    SaveState,
+    SendToVoter,
+    Value,
+    Voter,
+)
 from orchidferry.balancing.slots import Bound, Gate, Place, SaysBack, Table, WantsOut
 from orchidferry.testkit.explore import pure
 from orchidferry.testkit.explore.fleet import Middle
@@ -71,7 +80,7 @@
     now: float = 0.0
     mail: list[Mail] = field(default_factory=list)  # of this step
     next: list[Mail] = field(default_factory=list)  # sent in it
-    disks: dict[str, Kept] = field(default_factory=dict)
+    disks: dict[str, AcceptorState] = field(default_factory=dict)
     cut: dict[str, float] = field(default_factory=dict)
     memories: int = 100
     out: dict[str, str] = field(
@@ -145,7 +154,9 @@
         """A voter's process anew; its asker's half goes on, as another process would on what was agreed."""
         self.memories += 1
         kept = (
-            Kept(self.memories) if forgets else self.disks.get(name, Kept(self.acceptors[name].kept.memory))
+            AcceptorState(self.memories)
+            if forgets
+            else self.disks.get(name, AcceptorState(self.acceptors[name].state.disk_id))
         )
         self.acceptors[name] = Acceptor(name, kept, self.acceptors[name]._object_to)
         if forgets:
@@ -161,7 +172,7 @@
             self._act(mail.to, self.askers[mail.to].proposer.handle(message, self.now))
 
     def _thinks(self, name: str) -> Callable[[Any], str]:
-        kept = self.acceptors[name].kept
+        kept = self.acceptors[name].state
         table = kept.value.body if kept.value is not None else FIRST[self.bound].body
         seen = {place: self.seen(place) for place in table.places}
         return _Opinion(table, seen)
@@ -169,15 +180,15 @@
     def _act(self, name: str, actions: list[register.Action]) -> None:
         for action in actions:
             match action:
-                case Save():
-                    self.disks[name] = action.kept
-                case Send():
+                case SaveState():
+                    self.disks[name] = action.state
+                case SendToVoter():
                     if name not in self.cut and action.to not in self.cut:
                         self.next.append(Mail(name, action.to, action.message))
-                case Done():
+                case ChangeDecided():
                     self._done(self.askers[name], action)
 
-    def _done(self, asker: Asker, done: Done) -> None:
+    def _done(self, asker: Asker, done: ChangeDecided) -> None:
         value = done.value
         table = done.value.body
         known = self.chosen.setdefault(value.version, value)
@@ -272,7 +283,7 @@
             sorted(self.out.items()),
             sorted(self.cut.items()),
             askers,
-            [(name, acceptor.kept) for name, acceptor in self.acceptors.items()],
+            [(name, acceptor.state) for name, acceptor in self.acceptors.items()],
             sorted(self.disks.items()),
             sorted(repr(mail) for mail in self.mail),
             sorted(repr(mail) for mail in self.next),
@@ -324,7 +335,7 @@
 
 def begin(askers: int = 2, faults: int = 2, bound: int = 1, kinds: tuple[str, ...] = KINDS) -> World:
     """Three voters, of which the first few want their places out at once."""
-    acceptors = {voter.name: Acceptor(voter.name, Kept(voter.memory)) for voter in VOTERS}
+    acceptors = {voter.name: Acceptor(voter.name, AcceptorState(voter.disk_id)) for voter in VOTERS}
     wanting = {
         name: Asker(name, PLACES[n], Proposer(name, FIRST[bound], Middle()))
         for n, name in enumerate(NAMES[:askers])
@@ -352,19 +363,19 @@
 
 
 def _forgets_promise(self: Acceptor, message: Any, sender: str) -> list[register.Action]:
-    self.kept = replace(self.kept, promised=register.NONE)
+    self.state = replace(self.state, promised=register.NO_BALLOT)
     return _handle(self, message, sender)
 
 
 def _same_memory(self: World, name: str, forgets: bool) -> None:
-    kept = self.acceptors[name].kept
-    kept = Kept(kept.memory) if forgets else self.disks.get(name, kept)
+    kept = self.acceptors[name].state
+    kept = AcceptorState(kept.disk_id) if forgets else self.disks.get(name, kept)
     self.acceptors[name] = Acceptor(name, kept, self.acceptors[name]._object_to)
 
 
 def _not_read(self: Proposer, round_: Any, now: float) -> list[register.Action]:
     round_.promises = {
-        voter: replace(p, accepted=register.NONE, value=None) for voter, p in round_.promises.items()
+        voter: replace(p, accepted=register.NO_BALLOT, value=None) for voter, p in round_.promises.items()
     }
     return _promised(self, round_, now)
 
@@ -400,7 +411,7 @@
 
 
 def _unsaved(self: World, name: str, actions: list[register.Action]) -> None:
-    _act(self, name, [action for action in actions if not isinstance(action, Save)])
+    _act(self, name, [action for action in actions if not isinstance(action, SaveState)])
 
 
 _handle = Acceptor.handle
@@ -409,7 +420,7 @@
 _go = World._go
 _act = World._act
 BREAKS: dict[str, tuple[str, list[tuple[Any, str, Any]]]] = {
-    "no-majority": ("any one voter is enough", [(register, "majority", _any_majority)]),
+    "no-majority": ("any one voter is enough", [(register, "has_majority", _any_majority)]),
     "promise-forgotten": ("a voter does not keep to its promise", [(Acceptor, "handle", _forgets_promise)]),
     "vote-forgotten": ("a voter without its disk votes as if it had it", [(World, "_restart", _same_memory)]),
     "unsaved": ("a vote is sent that is not on disk", [(World, "_act", _unsaved)]),
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -11,8 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from orchidferry.balancing.register import Accept, Acceptor, Prepare, Promise
-from orchidferry.balancing.register import Send as SendMessage
+from orchidferry.balancing.register import Accept, Acceptor, Prepare, Promise, SendToVoter
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.register_reader import RegisterReader
 from orchidferry.mesh.control.replica import Replica
@@ -46,7 +45,7 @@
             operators.append(Operator("r", [], at, step="read", until_s=self.began_s + since_s))
 
     def do(self, label: str) -> None:
-        with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
+        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
             super(Orders, self).do(label)
 
     def _behind(self) -> str:
@@ -148,7 +147,7 @@
     """The fence on its own disk is enough."""
     value = self.accepted_value
     state = shard_state.body(value) if value is not None else self.body
-    return state.fence if state.owner == self.name else None
+    return state.fencing_token if state.owner == self.name else None
 
 
 def _reads_own(self: RegisterReader, reader: str) -> None:
@@ -165,7 +164,7 @@
         return found
     return [
         replace(one, message=replace(one.message, value=None))
-        if isinstance(one, SendMessage) and isinstance(one.message, Promise)
+        if isinstance(one, SendToVoter) and isinstance(one.message, Promise)
         else one
         for one in found
     ]
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -50,10 +50,10 @@
     outcome: str = ""
     next_s: float = float("inf")  # when it calls again
 
-    def change(self) -> shard_state.Put:
+    def change(self) -> shard_state.PutConfiguration:
         """Its order, the same in every call."""
         mark = self.name.encode()
-        return shard_state.Put(mark, self.revision, mark, 0)
+        return shard_state.PutConfiguration(mark, self.revision, mark, 0)
 
 
 @dataclass
@@ -206,7 +206,7 @@
             self._look_at_refused(value)
 
     def _look_at_refused(self, value: Any) -> None:
-        for mark in self.record.never.intersection(shard_state.body(value).taken):
+        for mark in self.record.never.intersection(shard_state.body(value).orders):
             self.broken(f"refused: {mark[0]} is in force after it was refused")
 
     def _chain(self, value: Any) -> None:
@@ -216,7 +216,7 @@
     def _stored_orders(self, name: str) -> tuple[tuple[int, bytes], ...]:
         packed = self.controllers[name].disk.get(("about", f"kept/{self.number}".encode()))
         kept = shard_state.unpack_kept(unpack(packed)) if packed is not None else None
-        return shard_state.body(kept.value).taken if kept is not None and kept.value is not None else ()
+        return shard_state.body(kept.value).orders if kept is not None and kept.value is not None else ()
 
     # Contact, as it is seen from outside
 
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -15,7 +15,7 @@
 from orchidferry.mesh.control.actions import RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
 from orchidferry.mesh.control.order_book import OrderBook
-from orchidferry.mesh.control.order_history import OrderHistory, Taken, Verdict
+from orchidferry.mesh.control.order_history import CommittedOrders, OrderHistory, Verdict
 from orchidferry.mesh.control.order_requests import OrderRequests
 from orchidferry.testkit.explore.mesh import Break, Scene, World
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
@@ -35,10 +35,10 @@
     content: str
     base: int
 
-    def change(self) -> shard_state.Put:
+    def change(self) -> shard_state.PutConfiguration:
         """It, for a replica."""
         mark = self.content.encode()
-        return shard_state.Put(mark, self.number, mark, self.base)
+        return shard_state.PutConfiguration(mark, self.number, mark, self.base)
 
 
 @dataclass(slots=True)
@@ -91,7 +91,7 @@
         self._turn()
 
     def do(self, label: str) -> None:
-        with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
+        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
             super().do(label)
 
     def _ask(self, asker: Any) -> None:
@@ -112,7 +112,7 @@
         id = f"{operator.name}.{len(operator.told)}.{operator.tries}"
         operator.waits = f"{name} {id}"
         operator.until_s = self.now + SILENCE_S
-        with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
+        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
             if send is not None:
                 controller.do(controller.shard.request_change(id, send.order.change(), 1.2, self.now))
             else:
@@ -141,8 +141,13 @@
 
     def _reads(self, operator: Operator, state: shard_state.Body) -> None:
         self.note(f"{operator.name} reads {state.revision}")
-        if state.revision < operator.newest or self.chain.get(state.revision, "") != state.raw.decode():
-            self.broken(f"read: {state.revision} {state.raw!r}, and {operator.newest} was acknowledged")
+        if (
+            state.revision < operator.newest
+            or self.chain.get(state.revision, "") != state.compressed_text.decode()
+        ):
+            self.broken(
+                f"read: {state.revision} {state.compressed_text!r}, and {operator.newest} was acknowledged"
+            )
         operator.step = "over"
         operator.told.append("read")
 
@@ -179,7 +184,7 @@
         super().decided(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
-            self.chain[state.revision] = state.raw.decode()
+            self.chain[state.revision] = state.compressed_text.decode()
             self._judge_refused()
 
     def print(self) -> bytes:
@@ -304,13 +309,13 @@
 
 def _number_only(self: OrderHistory, number: int, digest: bytes, base: int, current: int) -> Verdict:
     entry = self.entries.get(number)
-    return Verdict.TAKEN if entry is not None else _verdict(self, number, digest, base, current)
+    return Verdict.COMMITTED if entry is not None else _verdict(self, number, digest, base, current)
 
 
 def _any_base(self: OrderHistory, number: int, digest: bytes, base: int, current: int) -> Verdict:
     entry = self.entries.get(number)
     same = entry is not None and entry.digest == digest
-    return Verdict.TAKEN if same else _verdict(self, number, digest, base, current)
+    return Verdict.COMMITTED if same else _verdict(self, number, digest, base, current)
 
 
 def _any_version(self: OrderHistory, number: int, digest: bytes, base: int, current: int) -> Verdict:
@@ -322,7 +327,7 @@
     return Verdict.OTHER_VERSION if verdict is Verdict.UNKNOWN else verdict
 
 
-def _gap_unseen(self: OrderHistory, taken: Taken, complete: bool) -> None:
+def _gap_unseen(self: OrderHistory, taken: CommittedOrders, complete: bool) -> None:
     _merge(self, taken, complete or bool(self.numbers))
 
 
@@ -334,9 +339,11 @@
     return [], []
 
 
-def _told_before_decided(self: OrderRequests, id: str, order: shard_state.Put, for_s: float) -> None:
-    accepted = self.register.acceptor.kept.value
-    if accepted is not None and shard_state.body(accepted).raw == order.raw:
+def _told_before_decided(
+    self: OrderRequests, id: str, order: shard_state.PutConfiguration, for_s: float
+) -> None:
+    accepted = self.register.acceptor.state.value
+    if accepted is not None and shard_state.body(accepted).compressed_text == order.compressed_text:
         self.context.actions.append(RequestEnded(id, accepted))
     else:
         _order(self, id, order, for_s)
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -199,7 +199,7 @@
         """The shard has a newer state."""
         old = shard_state.body(changed.old)
         new = shard_state.body(changed.new)
-        if (new.epoch, new.fence) != (old.epoch, old.fence):
+        if (new.epoch, new.fencing_token) != (old.epoch, old.fencing_token):
             self._tell_group(None)
         if new.revision != old.revision:
             self.publisher.announce_revision(new.revision)
@@ -209,15 +209,15 @@
         names = [voter.name for voter in shard.known.voters]
         for number in shard_state.SHARDS:
             own = shard.body
-            group = GroupAnnouncement(number, own.epoch, names, own.owner, own.fence)
+            group = GroupAnnouncement(number, own.epoch, names, own.owner, own.fencing_token)
             self.publisher.send_group(group, link)
 
-    def order(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
+    def order(self, change: shard_state.PutConfiguration, told: Callable[[RequestEnded], None]) -> None:
         """An operator's order comes: it is checked, then voted on."""
         done_s = self.work(CHECK_S)
         self.world.at(done_s, lambda: self.run(lambda: self._ask(change, told)))
 
-    def _ask(self, change: shard_state.Put, told: Callable[[RequestEnded], None]) -> None:
+    def _ask(self, change: shard_state.PutConfiguration, told: Callable[[RequestEnded], None]) -> None:
         id = self.rollout.wait_for(told)
         self.replica.do(self.replica.shard.request_change(id, change, PUT_S, self.time()))
         self.sync()
@@ -240,7 +240,7 @@
                 self._read_revision(end, message.request)
             case ConfigurationFetch():
                 state = self.replica.shard.body
-                text = ConfigurationText(message.request, state.revision, state.raw)
+                text = ConfigurationText(message.request, state.revision, state.compressed_text)
                 publisher.send_configuration(end, text)
             case LeaseRenewal():
                 publisher.renew_lease(end, message)
@@ -450,7 +450,7 @@
     def _order(self, revision: int) -> None:
         """The operator sends the next version to some controller, and to another if it has no answer."""
         text = mixed(revision) if self.day.mixed_names else example(revision)
-        change = shard_state.Put(compress(text), revision, digest(text), revision - 1)
+        change = shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1)
         next_s = self.now + CHANGE_EVERY_S
 
         def send() -> None:
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -214,7 +214,7 @@
 
     # What is asked
 
-    def put(self, name: str, id: str, change: shard_state.Put, for_s: float = 4.0) -> None:
+    def put(self, name: str, id: str, change: shard_state.PutConfiguration, for_s: float = 4.0) -> None:
         """Ask a controller for a change."""
         controller = self.controllers[name]
         controller.do(controller.shard.request_change(id, change, for_s, self.now))
--- a/tests/balancing/test_slots.py
+++ b/tests/balancing/test_slots.py
@@ -11,7 +11,17 @@
 import pytest
 
 from orchidferry.balancing import register, slots
-from orchidferry.balancing.register import Acceptor, Done, Kept, Proposer, Save, Send, Value, Voter, majority
+from orchidferry.balancing.register import (
+    Acceptor,
+    AcceptorState,
+    ChangeDecided,
+    Proposer,
+    SaveState,
+    SendToVoter,
+    Value,
+    Voter,
+    has_majority,
+)
 from orchidferry.balancing.slots import Bound, Gate, Kind, Place, SaysBack, Table, WantsOut
 from orchidferry.testkit.explore import slots as explore
 
@@ -96,30 +106,30 @@
     """Voters and a proposer with whole links."""
 
     def __init__(self, *voters: Voter) -> None:
-        self.acceptors = {voter.name: Acceptor(voter.name, Kept(voter.memory)) for voter in voters}
+        self.acceptors = {voter.name: Acceptor(voter.name, AcceptorState(voter.disk_id)) for voter in voters}
         self.first = Value(0, voters, TABLE)
         self.down: set[str] = set()
         self.known = self.first  # the newest state that was decided
 
-    def ask(self, change: register.Change, id: str = "x", knows: bool = True) -> Done | None:
+    def ask(self, change: register.Change, id: str = "x", knows: bool = True) -> ChangeDecided | None:
         proposer = Proposer("p", self.first, random.Random(1))
         if knows:
             proposer.learn(self.known)
-        proposer._counter = max(a.kept.promised[0] for a in self.acceptors.values())
+        proposer._counter = max(a.state.promised[0] for a in self.acceptors.values())
         todo = proposer.ask(id, change, 0.0, 400.0)
         done = None
         while todo:
             action = todo.pop(0)
-            if isinstance(action, Done):
+            if isinstance(action, ChangeDecided):
                 done = action
                 self.known = action.value
-            elif isinstance(action, Send) and action.to not in self.down:
+            elif isinstance(action, SendToVoter) and action.to not in self.down:
                 assert isinstance(action.message, register.Prepare | register.Accept)
                 answers = self.acceptors[action.to].handle(action.message, "p")
-                assert not answers or isinstance(answers[-1], Send)
+                assert not answers or isinstance(answers[-1], SendToVoter)
                 for n, answer in enumerate(answers):
-                    if isinstance(answer, Send):
-                        assert n == 0 or isinstance(answers[n - 1], Save)  # saved first
+                    if isinstance(answer, SendToVoter):
+                        assert n == 0 or isinstance(answers[n - 1], SaveState)  # saved first
                         assert isinstance(answer.message, register.Promise | register.Accepted)
                         todo += proposer.handle(answer.message, 1.0)
         return done
@@ -137,7 +147,7 @@
     a, b, c = (Voter(name, n) for n, name in enumerate("abc", 1))
     net = Net(a, b, c)
     assert net.ask(grant_of(NODES[0])) is not None
-    net.acceptors["c"] = Acceptor("c", Kept(9))  # its disk is gone
+    net.acceptors["c"] = Acceptor("c", AcceptorState(9))  # its disk is gone
     net.down = {"b"}
     assert net.ask(grant_of(NODES[3])) is None  # a alone is no majority
     net.down = set()
@@ -156,11 +166,13 @@
     """c was put out for d; a and d have that, b not yet: b and c may still decide something else."""
     a, b, c, d = (Voter(name, n) for n, name in enumerate("abcd", 1))
     net = Net(a, b, c)
-    net.acceptors["d"] = Acceptor("d", Kept(d.memory))
+    net.acceptors["d"] = Acceptor("d", AcceptorState(d.disk_id))
     change = with_voters(a, b, d)(net.first)
     assert isinstance(change, Value)
     for name in "ad":
-        net.acceptors[name].handle(register.Accept((5, "q"), replace(change, former=net.first.voters)), "q")
+        net.acceptors[name].handle(
+            register.Accept((5, "q"), replace(change, former_voters=net.first.voters)), "q"
+        )
     net.down = {"b", "c"}
     assert net.ask(grant_of(NODES[0])) is None
     net.down = {"a", "d"}
@@ -168,7 +180,9 @@
 
 
 def test_a_fleet_of_one_and_of_two() -> None:
-    assert majority([Voter("a", 1)], [Voter("a", 1)]) and not majority([Voter("a", 1)], [Voter("a", 2)])
+    assert has_majority([Voter("a", 1)], [Voter("a", 1)]) and not has_majority(
+        [Voter("a", 1)], [Voter("a", 2)]
+    )
     two = Net(Voter("a", 1), Voter("b", 2))
     two.down = {"b"}
     assert two.ask(grant_of(NODES[0])) is None
--- a/tests/mesh/storage/test_power_loss.py
+++ b/tests/mesh/storage/test_power_loss.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from orchidferry.balancing.register import Kept
+from orchidferry.balancing.register import AcceptorState
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
@@ -147,7 +147,7 @@
     any_loop: Any = loop
     store = Store(str(old), any_loop)
     for number in shard_state.SHARDS:
-        store.write(initial_records(number, Kept(5), True))
+        store.write(initial_records(number, AcceptorState(5), True))
     store.write([("about", b"founders", pack(list(FOUNDERS)))])
     close(store)
     snapshots.take_snapshot(str(old), str(tmp_path / "file"))
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -18,12 +18,12 @@
     Accept,
     Accepted,
     Acceptor,
-    Done,
-    Kept,
+    AcceptorState,
+    ChangeDecided,
     Prepare,
     Promise,
     Proposer,
-    Send,
+    SendToVoter,
     Value,
     Voter,
 )
@@ -45,7 +45,9 @@
 FOUNDERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 BODY = shard_state.Body(3, 7, b"{}", ((7, b"d"),), "10.0.0.2", 4)
 OLD = Value(12, (Voter("10.0.0.1", 5), Voter("10.0.0.2", 6)), BODY)
-KEPT = {n: Kept(5, (9, "x"), (8, "y"), OLD) if n != 2 else Kept(5) for n in shard_state.SHARDS}
+KEPT = {
+    n: AcceptorState(5, (9, "x"), (8, "y"), OLD) if n != 2 else AcceptorState(5) for n in shard_state.SHARDS
+}
 
 
 def fill(folder: Path, keys: int = 300) -> dict[bytes, bytes]:
@@ -233,7 +235,7 @@
         found = await program.controller(boot_of(tmp_path), asyncio.get_running_loop(), asyncio.Event())
         assert found is not None
         close(found._store)
-        return found._runner.configuration_shard.voter.memory
+        return found._runner.configuration_shard.voter.disk_id
 
     first = asyncio.run(start())
     assert first == shard_state.GENESIS
@@ -273,7 +275,7 @@
     with pytest.raises(StoreError, match="by a snapshot"):
         storage_check.prepare_store(str(tmp_path))
     taken = snapshots.take_snapshot(str(tmp_path), str(tmp_path / "s"))
-    assert taken.states[0] == replace(OLD, body=replace(BODY, owner="", fence=0))
+    assert taken.states[0] == replace(OLD, body=replace(BODY, owner="", fencing_token=0))
     snapshots.restore_snapshot(str(tmp_path / "new"), str(tmp_path / "s"), FOUNDERS)
     assert stored(tmp_path / "new") == {b"k": pack(["t", 1, None])}
 
@@ -343,16 +345,20 @@
         storage_check.prepare_store(str(folder))
         assert stored(folder) == rows and not storage_check.has_lost_state(str(folder))
     one = kept[FOUNDERS[0]][shard_state.CONFIGURATION]
-    assert all(k == kept[FOUNDERS[0]] for k in kept.values()) and one.memory not in (1, 5, 6)
-    assert one.value is not None and one.value.version > 12 and one.value.former == ()
+    assert all(k == kept[FOUNDERS[0]] for k in kept.values()) and one.disk_id not in (1, 5, 6)
+    assert one.value is not None and one.value.version > 12 and one.value.former_voters == ()
     body = shard_state.body(one.value)
-    assert body.epoch > 3 and body.fence > 4 and (body.raw, body.taken) == (BODY.raw, BODY.taken)
+    assert (
+        body.epoch > 3
+        and body.fencing_token > 4
+        and (body.compressed_text, body.orders) == (BODY.compressed_text, BODY.orders)
+    )
     assert {n: k.value.version > 2**31 for n, k in kept[FOUNDERS[0]].items() if k.value} == dict.fromkeys(
         shard_state.SHARDS, True
     )
     # Two of them know it decided, with nothing written, and grant keys; a lone one does not.
     voters = {name: Acceptor(name, kept[name][0]) for name in FOUNDERS}
-    seen = [AcceptedReport(v.voter, v.kept.accepted, v.kept.value) for v in voters.values()]
+    seen = [AcceptedReport(v.voter, v.state.accepted, v.state.value) for v in voters.values()]
     known = decided_value(seen[:2], None, (0, ""), None)
     assert known == one.value and decided_value(seen[:1], None, (0, ""), None) is None
     assert Standing(True).grants(shard_state.body(known).epoch, voters[FOUNDERS[0]].voter, known, one.value)
@@ -361,7 +367,7 @@
     assert decided_value([seen[0], survivor], None, (0, ""), None) is None
     # A change builds on it, whoever of them asks, with no more known than the first state.
     proposer = Proposer("10.0.0.3 life", shard_state.genesis(FOUNDERS), random.Random(1))
-    change = shard_state.Put(b"new", 8, b"e", 7)
+    change = shard_state.PutConfiguration(b"new", 8, b"e", 7)
     todo: list[Any] = list(proposer.ask("a", change, 0.0, 1e6))
     now = 0.0
     done = None
@@ -370,14 +376,14 @@
             now += 10_000.0
             todo += proposer.tick(now)
         action = todo.pop(0)
-        if isinstance(action, Done):
+        if isinstance(action, ChangeDecided):
             done = action.value
-        elif isinstance(action, Send) and isinstance(action.message, Prepare | Accept):
+        elif isinstance(action, SendToVoter) and isinstance(action.message, Prepare | Accept):
             answers = voters[action.to].handle(action.message, "p") if action.to != FOUNDERS[1] else []
             for answer in answers:
-                if isinstance(answer, Send) and isinstance(answer.message, Promise | Accepted):
+                if isinstance(answer, SendToVoter) and isinstance(answer.message, Promise | Accepted):
                     todo += proposer.handle(answer.message, now)
-    assert shard_state.body(done).raw == b"new" and done.voters == one.value.voters
+    assert shard_state.body(done).compressed_text == b"new" and done.voters == one.value.voters
 
 
 def test_a_file_or_another_list_makes_other_voters(tmp_path: Path) -> None:
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -88,7 +88,9 @@
     for name in "bc":
         world.controller.pulse(name, 1, 0)
     world.controller.do(shard.request_read("r", world.now))
-    world.controller.do(shard.request_change("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
+    world.controller.do(
+        shard.request_change("p", shard_state.PutConfiguration(b"x", 1, b"x", 0), 4.0, world.now)
+    )
     assert world.ended == [RequestEnded("r", None, OUT_OF_CONTACT), RequestEnded("p", None, OUT_OF_CONTACT)]
     assert not world.readings and not shard.register.proposer.due_ms < float("inf")
     world.controller.beat_to("bc")
@@ -104,7 +106,9 @@
     world.controller.pulse("b", 1, 0)
     world.now += CONTACT_S - 0.3
     world.controller.do(shard.request_read("r", world.now))
-    world.controller.do(shard.request_change("p", shard_state.Put(b"x", 1, b"x", 0), 4.0, world.now))
+    world.controller.do(
+        shard.request_change("p", shard_state.PutConfiguration(b"x", 1, b"x", 0), 4.0, world.now)
+    )
     assert shard.due_s <= 1.0 + CONTACT_S and not world.ended
     world.tick(0.29)
     assert not world.ended
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/test_fanout_tree.py
@@ -385,7 +385,7 @@
         await asyncio.wait_for(formed.wait(), 10.0)
         told = controller._publisher.traffic.messages("text")
         put = controller._runner.configuration_shard.request_change(
-            "", shard_state.Put(b"text", 7, b"mark", 0), 4.0, loop.time()
+            "", shard_state.PutConfiguration(b"text", 7, b"mark", 0), 4.0, loop.time()
         )
         controller._runner.carry_out(controller._runner.configuration_shard, put)
         assert await asyncio.wait_for(asyncio.gather(*texts), 10.0) == [b"text"] * 4
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidferry.balancing.register import Accept, Accepted, Kept, Prepare, Promise, Value, Voter
+from orchidferry.balancing.register import Accept, Accepted, AcceptorState, Prepare, Promise, Value, Voter
 from orchidferry.mesh.control import configuration_text, shard_state
 from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.configuration import digest
@@ -35,10 +35,10 @@
 from tests.mesh.storage.test_store import Loop, close
 
 
-def put_of(revision: int) -> shard_state.Put:
+def put_of(revision: int) -> shard_state.PutConfiguration:
     """The order that follows the revision before."""
     text = example(revision)
-    return shard_state.Put(compress(text), revision, digest(text), revision - 1)
+    return shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1)
 
 
 # The text
@@ -79,7 +79,7 @@
     resource(call(b"GET", b"/", {}, b""), "", replies.append)
     assert [reply.status for reply in replies] == [200, 200] and replies[1].body == text
     body = shard_state.body(state[0])
-    assert len(body.raw) * 10 < len(text) and body.taken == ((1, digest(text)),)
+    assert len(body.compressed_text) * 10 < len(text) and body.orders == ((1, digest(text)),)
 
 
 def test_a_store_and_a_snapshot_of_the_build_before_still_open(
@@ -89,7 +89,7 @@
     folder = str(tmp_path / "data")
     text = example(7)
     body = shard_state.Body(3, 7, text, ((7, digest(text)),), "10.0.0.2", 4)
-    kept = Kept(5, (9, "x"), (8, "y"), Value(12, (Voter("10.0.0.1", 5),), body))
+    kept = AcceptorState(5, (9, "x"), (8, "y"), Value(12, (Voter("10.0.0.1", 5),), body))
     with monkeypatch.context() as before:
         before.setattr(record_format, "STORE_FORMAT", 2)
         before.setattr(snapshot_file, "SNAPSHOT_FORMAT", 1)
@@ -103,9 +103,9 @@
     stock = storage_check.read_contents(folder)
     assert stock is not None and stock.format == STORE_FORMAT == 3
     state = stock.kept[shard_state.CONFIGURATION].value
-    assert state is not None and expand(shard_state.body(state).raw) == text
+    assert state is not None and expand(shard_state.body(state).compressed_text) == text
     old = snapshot_file.read_snapshot(str(tmp_path / "old")).states[shard_state.CONFIGURATION]
-    assert expand(shard_state.body(old).raw) == text
+    assert expand(shard_state.body(old).compressed_text) == text
     snapshots.take_snapshot(folder, str(tmp_path / "new"))
     with monkeypatch.context() as before:
         before.setattr(snapshot_file, "READABLE_FORMATS", (1,))
@@ -138,8 +138,8 @@
 
 
 def test_what_is_named_and_not_known_is_lost_and_never_nothing() -> None:
-    old, new = (Value(n, VOTERS, shard_state.Body(revision=n, raw=b"%d" % n)) for n in (1, 2))
-    own = Kept(1, (3, "p"), (2, "x"), old)
+    old, new = (Value(n, VOTERS, shard_state.Body(revision=n, compressed_text=b"%d" % n)) for n in (1, 2))
+    own = AcceptorState(1, (3, "p"), (2, "x"), old)
     references = ValueReferences()
     asked = unpack(references.pack("b", Prepare((4, "p")), own), own)
     assert asked == Prepare((4, "p"), None, (2, "x"))
@@ -148,13 +148,16 @@
     assert references.resolve("c", Promise((4, "p"), VOTERS[2], (4, "p"), (1, "y"), None)) is None
     small = references.pack("b", Accept((4, "p"), new), own)
     whole = references.pack("c", Accept((4, "p"), new), own)
-    promised = Kept(1, (4, "p"), (2, "x"), old)
-    assert unpack(small, promised) == unpack(whole, Kept(9)) == Accept((4, "p"), new)
-    assert unpack(small, Kept(1, (4, "p"), (4, "p"), new)) == Accept((4, "p"), new)  # sent again
-    for other in (Kept(9), Kept(1, (5, "q"), (5, "q"), old)):  # wiped since; it has accepted another
+    promised = AcceptorState(1, (4, "p"), (2, "x"), old)
+    assert unpack(small, promised) == unpack(whole, AcceptorState(9)) == Accept((4, "p"), new)
+    assert unpack(small, AcceptorState(1, (4, "p"), (4, "p"), new)) == Accept((4, "p"), new)  # sent again
+    for other in (
+        AcceptorState(9),
+        AcceptorState(1, (5, "q"), (5, "q"), old),
+    ):  # wiped since; it has accepted another
         assert unpack(small, other) is None
-    assert refusal(small, VOTERS[1], Kept(1, (5, "q"))) == Accepted((4, "p"), VOTERS[1], (5, "q"))
-    assert refusal(small, VOTERS[1], Kept(9)) is None
+    assert refusal(small, VOTERS[1], AcceptorState(1, (5, "q"))) == Accepted((4, "p"), VOTERS[1], (5, "q"))
+    assert refusal(small, VOTERS[1], AcceptorState(9)) is None
     assert [references.knows_ballot(name, (4, "p")) for name in "abc"] == [False, True, True]
 
 
@@ -195,14 +198,14 @@
     texts = [example(n if different else 1) for n in range(1, 9)]
     for n, text in enumerate(texts):
         number = 1 + n % 2 if different else 1  # some under one number, some under another
-        order = shard_state.Put(compress(text), number, digest(text), 0)
+        order = shard_state.PutConfiguration(compress(text), number, digest(text), 0)
         group.put(group.seeds[n % replicas], str(n), order)
     group.run(4.0)
     ends = [group.ended[str(n)] for n in range(8)]
     taken = [texts[n] for n, (_, end) in enumerate(ends) if end.value is not None and not end.why]
     refused = [end for _, end in ends if end.why == shard_state.OTHER_VERSION]
     assert (len(taken), len(refused)) == ((1, 7) if different else (8, 0)), ends
-    assert all(expand(one.shard.body.raw) == taken[0] for one in group.controllers.values())
+    assert all(expand(one.shard.body.compressed_text) == taken[0] for one in group.controllers.values())
     assert max(at for at, _ in ends) - 5.0 < (2.0 if different else 1.0), [at - 5.0 for at, _ in ends]
 
 
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.balancing.register import AcceptorState, Value, Voter
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.duties import TENURE_S
@@ -164,7 +164,9 @@
         id = str(self.number())
         self.waiting[id] = told
         controller.do(
-            controller.shard.request_change(id, shard_state.Put(digest, revision, digest, on), 3.0, self.now)
+            controller.shard.request_change(
+                id, shard_state.PutConfiguration(digest, revision, digest, on), 3.0, self.now
+            )
         )
 
     def read(self) -> None:
@@ -284,24 +286,24 @@
     a, b, c, d = (Voter(name, shard_state.GENESIS) for name in "abcd")
     first = shard_state.genesis(SEEDS)
     parameters = ShardParameters(1, "a", first, 3, WINDOW_S, 10)
-    shard = Shard(parameters, Kept(shard_state.GENESIS), True, Peers(0.0), random.Random(1))
+    shard = Shard(parameters, AcceptorState(shard_state.GENESIS), True, Peers(0.0), random.Random(1))
 
     def know(value: Value, now: float) -> None:
         shard.receive("b", DecidedState(shard_state.pack_value(value)), now)
 
-    mine = Value(1, (a, b, c), shard_state.Body(0, owner="a", fence=1))
+    mine = Value(1, (a, b, c), shard_state.Body(0, owner="a", fencing_token=1))
     know(mine, 1.0)
     shard.heartbeat_acknowledged("b", 1.0, 1)
     assert shard.owns(1.0) == 1 and shard.owns(1.9) == 1 and shard.owns(1.0 + TENURE_S) is None
-    changed = shard_state.Admit(d, "c", 3, 0)(mine)
-    assert isinstance(changed, Value) and shard_state.body(changed).fence == 2
-    shard.register.acceptor.kept = Kept(shard_state.GENESIS, (5, "b"), (5, "b"), changed)
+    changed = shard_state.AdmitVoter(d, "c", 3, 0)(mine)
+    assert isinstance(changed, Value) and shard_state.body(changed).fencing_token == 2
+    shard.register.acceptor.state = AcceptorState(shard_state.GENESIS, (5, "b"), (5, "b"), changed)
     assert shard.owns(1.5) is None  # who counts may have changed
     know(changed, 1.5)
     shard.heartbeat_acknowledged("b", 1.6, 1)
     assert shard.owns(1.6) == 2  # it was the owner before, too
-    know(Value(3, (a, b, d), shard_state.Body(1, owner="b", fence=3)), 2.0)
-    know(Value(4, (a, b, d), shard_state.Body(1, owner="a", fence=4)), 3.0)
+    know(Value(3, (a, b, d), shard_state.Body(1, owner="b", fencing_token=3)), 2.0)
+    know(Value(4, (a, b, d), shard_state.Body(1, owner="a", fencing_token=4)), 3.0)
     for now in (3.1, 3.9, 4.0):
         shard.heartbeat_acknowledged("b", now, 4)
         assert shard.owns(now) == (4 if now >= 3.0 + TENURE_S else None)
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -64,9 +64,9 @@
         self.size = size
         self.turn_s = size.turn_s
         self.leaving: dict[str, float] = {}  # since when
-        self.orders: list[shard_state.Put] = []
-        self.acknowledged: set[shard_state.Put] = set()
-        self.refused: set[shard_state.Put] = set()
+        self.orders: list[shard_state.PutConfiguration] = []
+        self.acknowledged: set[shard_state.PutConfiguration] = set()
+        self.refused: set[shard_state.PutConfiguration] = set()
         self.counts |= {"wiped": 0, "wiped together": 0, "left": 0, "resent": 0, "confirmed": 0}
 
     # Losses
@@ -80,8 +80,8 @@
         for state in states:
             if state.version >= newest:
                 yield state.voters
-                if state.former:
-                    yield state.former
+                if state.former_voters:
+                    yield state.former_voters
 
     def remembers(self, voter: Voter) -> bool:
         """Whether a voter is not lost."""
@@ -159,7 +159,7 @@
         else:
             on = shard_state.body(controller.shard.known).revision
             digest = str(self.number()).encode()
-            order = shard_state.Put(digest, on + self.rng.randrange(1, 3), digest, on)
+            order = shard_state.PutConfiguration(digest, on + self.rng.randrange(1, 3), digest, on)
             self.orders.append(order)
 
         def told(end: RequestEnded) -> None:
@@ -169,7 +169,7 @@
         self.waiting[id] = told
         controller.do(controller.shard.request_change(id, order, 3.0, self.now))
 
-    def judge(self, order: shard_state.Put, end: RequestEnded) -> None:
+    def judge(self, order: shard_state.PutConfiguration, end: RequestEnded) -> None:
         """An order is acknowledged or refused for ever, and one at most on each version."""
         if end.why in REFUSALS:
             self.refused.add(order)
@@ -192,7 +192,7 @@
 
 def play(seed: int, size: Size, trouble: float) -> LossWorld:
     """A run; whoever breaks a property raises an `AssertionError`."""
-    with mock.patch.object(shard_state, "MAX_TAKEN", LISTED):
+    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
         world = LossWorld(random.Random(seed), size)
         for _ in range(size.steps):
             world.step(trouble)
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -69,7 +69,7 @@
 
     def __init__(self, chain: Chain) -> None:
         self.chain, self.disk, self.upto = chain, dict[bytes, bytes](), 0
-        self.history = OrderHistory(most=12)
+        self.history = OrderHistory(max_orders=12)
 
     def learn(self) -> None:
         orders = self.chain.orders
@@ -89,14 +89,14 @@
                 self.disk[key] = value
 
     def restart(self) -> None:
-        self.history = OrderHistory(most=12)
+        self.history = OrderHistory(max_orders=12)
         self.history.load(orders_of(0, self.disk.items()))
         newest = self.history.newest
         self.upto = [0, *(n for n, _ in self.chain.orders)].index(newest)
 
     def ask(self, other: Kept) -> None:
         floor = self.history.floor
-        if floor and not self.history.whole:
+        if floor and not self.history.is_complete:
             found = other.history.before(floor, self.history.entries[floor].digest, 3)
             if found is not None:
                 self.history.prepend(*found)
@@ -123,9 +123,9 @@
                 elif number <= history.floor:
                     assert verdict is Verdict.UNKNOWN
                 else:
-                    assert verdict is (Verdict.TAKEN if taken else Verdict.OTHER_VERSION)
+                    assert verdict is (Verdict.COMMITTED if taken else Verdict.OTHER_VERSION)
             absent = history.verdict(number - 1, b"x", number - 2, current)
-            assert absent is not Verdict.TAKEN
+            assert absent is not Verdict.COMMITTED
 
 
 EVENTS = st.lists(st.tuples(st.sampled_from("ttttllasrw"), st.integers(0, 2), st.integers(1, 3)), max_size=80)
@@ -181,9 +181,9 @@
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
-        self.sent: list[shard_state.Put] = []
-        self.acknowledged: list[shard_state.Put] = []
-        self.refused: list[shard_state.Put] = []
+        self.sent: list[shard_state.PutConfiguration] = []
+        self.acknowledged: list[shard_state.PutConfiguration] = []
+        self.refused: list[shard_state.PutConfiguration] = []
         self.taken_orders: dict[int, tuple[bytes, int]] = {}  # by version: digest and number, as decided
         self.counts |= {"again": 0, "refused": 0, "unclear": 0}
 
@@ -191,22 +191,22 @@
         super().decided(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
-            known = self.taken_orders.setdefault(state.revision, (state.raw, state.revision))
-            assert known[0] == state.raw, "two contents under one number were taken"
+            known = self.taken_orders.setdefault(state.revision, (state.compressed_text, state.revision))
+            assert known[0] == state.compressed_text, "two contents under one number were taken"
 
-    def _order(self) -> shard_state.Put:
+    def _order(self) -> shard_state.PutConfiguration:
         rng = self.rng
         dice = self.rng.random()
         newest = max(self.taken_orders, default=0)
         if dice < 0.45 or not self.sent:
             mark = str(self.number()).encode()
-            return shard_state.Put(mark, newest + rng.randrange(1, 3), mark, newest)
+            return shard_state.PutConfiguration(mark, newest + rng.randrange(1, 3), mark, newest)
         old = rng.choice(self.sent)
         if dice < 0.8:
             return old
         if dice < 0.9:
             mark = str(self.number()).encode()
-            return replace(old, raw=mark, digest=mark)
+            return replace(old, compressed_text=mark, digest=mark)
         there = [0, *(number for number in self.taken_orders if number < old.revision)]
         return replace(old, on=rng.choice(there))  # operators build on what they have read
 
@@ -242,7 +242,7 @@
 
 def _play(seed: int, trouble: float, steps: int = 2_500) -> Orders:
     world = Orders(random.Random(seed))
-    with mock.patch.object(shard_state, "MAX_TAKEN", 2):  # a state tells of one order
+    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", 2):  # a state tells of one order
         for _ in range(steps):
             world.step(trouble)
             if world.rng.random() < 0.05:
@@ -261,7 +261,7 @@
     "broken",
     [
         lambda verdict: Verdict.OTHER_VERSION if verdict is Verdict.UNKNOWN else verdict,
-        lambda verdict: Verdict.TAKEN if verdict is Verdict.UNKNOWN else verdict,
+        lambda verdict: Verdict.COMMITTED if verdict is Verdict.UNKNOWN else verdict,
     ],
     ids=["short-memory", "believes-all"],
 )
@@ -273,7 +273,7 @@
             _play(seed, 1.0).judge()
 
 
-def _taken(world: Orders, controller: Controller, order: shard_state.Put) -> bool:
+def _taken(world: Orders, controller: Controller, order: shard_state.PutConfiguration) -> bool:
     """What a controller says of an order, with all going well."""
     for _ in range(6):  # beats come by chance: out of contact it is asked the very same again
         ends: list[RequestEnded] = []
@@ -286,9 +286,9 @@
     return False
 
 
-def _put(number: int) -> shard_state.Put:
+def _put(number: int) -> shard_state.PutConfiguration:
     mark = str(number).encode()
-    return shard_state.Put(mark, number, mark, number - 1)
+    return shard_state.PutConfiguration(mark, number, mark, number - 1)
 
 
 def test_an_order_of_long_ago_is_known_after_losses_one_after_the_other() -> None:
@@ -314,12 +314,12 @@
 
 
 def test_a_history_is_bounded_and_its_oldest_orders_leave_the_disk() -> None:
-    history = OrderHistory(most=5)
+    history = OrderHistory(max_orders=5)
     for number in range(1, 9):
         history.merge(tuple((n, b"") for n in range(max(1, number - 3), number + 1)), number < LISTED)
     assert list(history.numbers) == [4, 5, 6, 7, 8] and history.floor == 4 and history.outdated == [1, 2, 3]
     assert history.verdict(4, b"", 3, 8) is Verdict.UNKNOWN
-    assert history.verdict(5, b"", 4, 8) is Verdict.TAKEN
+    assert history.verdict(5, b"", 4, 8) is Verdict.COMMITTED
     assert history.entries[4] == Entry(b"", -1) and order_book.PAGE < order_history.MAX_ORDERS
 
 
@@ -349,7 +349,7 @@
 
     found = asyncio.run(load())
     assert found.entries == history.entries and found.floor == 0
-    assert found.verdict(7, b"7", 6, 199) is Verdict.TAKEN
+    assert found.verdict(7, b"7", 6, 199) is Verdict.COMMITTED
 
 
 # The resource
@@ -428,7 +428,7 @@
     assert resource.put(_content(8), b"7").status == 412  # never taken
     assert resource.put(_content(20), b"19").status == 412  # on a version that is not there
     assert resource.put(_content(2**53), b"9").status == 400 and resource.put(_content(9), b"7").status == 200
-    assert expand(shard_state.body(resource.value).raw) == _content(9)
+    assert expand(shard_state.body(resource.value).compressed_text) == _content(9)
 
 
 def test_copies_of_an_order_are_checked_once() -> None:
@@ -448,7 +448,7 @@
 
 def test_an_order_too_old_to_be_known_has_no_clear_answer() -> None:
     resource = Resource()
-    with mock.patch.object(shard_state, "MAX_TAKEN", 2):
+    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", 2):
         for number in range(1, 5):
             assert resource.put(_content(number), b"%d" % (number - 1)).status == 200
         reply = resource.put(_content(2), b"1")
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -194,13 +194,13 @@
 
 def test_a_configuration_goes_on_top_of_the_current_one_only() -> None:
     first = shard_state.genesis(("a", "b", "c"))
-    taken = shard_state.Put(b"x", 5, b"X", 0)(first)
+    taken = shard_state.PutConfiguration(b"x", 5, b"X", 0)(first)
     assert not isinstance(taken, str) and shard_state.body(taken).revision == 5
-    assert shard_state.Put(b"x", 5, b"X", 0)(taken) is taken  # asked for again
-    assert shard_state.Put(b"y", 6, b"Y", 0)(taken) == shard_state.OTHER_VERSION
+    assert shard_state.PutConfiguration(b"x", 5, b"X", 0)(taken) is taken  # asked for again
+    assert shard_state.PutConfiguration(b"y", 6, b"Y", 0)(taken) == shard_state.OTHER_VERSION
     assert (
-        shard_state.Put(b"y", 5, b"Y", 5)(taken)
-        == shard_state.Put(b"y", 4, b"Y", 5)(taken)
+        shard_state.PutConfiguration(b"y", 5, b"Y", 5)(taken)
+        == shard_state.PutConfiguration(b"y", 4, b"Y", 5)(taken)
         == shard_state.OLD_VERSION
     )
 
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from orchidferry.balancing.register import Kept, Value, Voter
+from orchidferry.balancing.register import AcceptorState, Value, Voter
 from orchidferry.mesh.control import controller as module
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import SendMessage
@@ -30,7 +30,7 @@
 
 
 def shard(name: str, caught_up: bool = True, size: int = 3) -> Shard:
-    kept = Kept(shard_state.GENESIS)
+    kept = AcceptorState(shard_state.GENESIS)
     parameters = ShardParameters(1, name, shard_state.genesis(SEEDS), size, WINDOW_S, 10)
     made = Shard(parameters, kept, caught_up, Peers(0.0), random.Random(1))
     know(made, Value(1, (A, B, C), shard_state.Body(3)))
@@ -42,13 +42,13 @@
 
 
 def proposes(one: Shard, joiner: Voter, under: int, ready: bool, now: float) -> bool:
-    done = one.receive(None, JoinRequest(joiner.name, joiner.memory, under, ready), now)
+    done = one.receive(None, JoinRequest(joiner.name, joiner.disk_id, under, ready), now)
     return any(isinstance(a, SendMessage) and isinstance(a.message.body, RegisterMessage) for a in done)
 
 
 @pytest.mark.parametrize("leaves", [False, True])
 def test_a_place_is_given_to_one_that_is_ready_instead_of_one_that_leaves(leaves: bool) -> None:
-    first = shard_state.ranked(1, ["a", "b", "c"])[0]
+    first = shard_state.rank_controllers(1, ["a", "b", "c"])[0]
     one = shard(first)
     other = next(name for name in "abc" if name != first)
     one.peers.heard_s = dict.fromkeys("abcd", 1.0)
@@ -60,7 +60,7 @@
 
 
 def test_the_others_wait_for_the_first_that_can() -> None:
-    names = shard_state.ranked(1, ["a", "b", "c"])
+    names = shard_state.rank_controllers(1, ["a", "b", "c"])
     one = shard(names[1])
     one.peers.heard_s = dict.fromkeys("abcd", 1.0)
     wiped = Voter(names[2], 77)
@@ -76,10 +76,10 @@
 
 def test_a_place_is_asked_for_on_top_of_the_newest_group_alone() -> None:
     before = Value(4, (A, B, C), shard_state.Body(3))
-    assert shard_state.Admit(D, "c", 3, 2)(before) == shard_state.OTHER_GROUP
-    after = shard_state.Admit(D, "c", 3, 3)(before)
+    assert shard_state.AdmitVoter(D, "c", 3, 2)(before) == shard_state.OTHER_GROUP
+    after = shard_state.AdmitVoter(D, "c", 3, 3)(before)
     assert isinstance(after, Value) and after.voters == (A, B, D)
-    assert shard_state.Admit(D, "c", 3, 3)(after) is after
+    assert shard_state.AdmitVoter(D, "c", 3, 3)(after) is after
 
 
 def test_what_was_told_in_one_epoch_does_not_count_in_the_next() -> None:
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/test_state_teller.py
@@ -23,7 +23,11 @@
     group.dark.add(RETURNS)
     for revision in (1, 2, 3):
         text = example(revision)
-        group.put("a", str(revision), shard_state.Put(compress(text), revision, digest(text), revision - 1))
+        group.put(
+            "a",
+            str(revision),
+            shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1),
+        )
         group.run_until(lambda revision=revision: str(revision) in group.ended, 5.0)  # type: ignore[misc]
     group.run(3.0)
     return group
