--- /dev/null
+++ b/orchidferry/node/attempts.py
@@ -0,0 +1,132 @@
+"""A node's requests that are not answered yet, and the attempts at them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from orchidferry.balancing import interface as api
+from orchidferry.balancing.interface import Result
+from orchidferry.node.address import Address
+from orchidferry.node.clock import now_ms
+from orchidferry.node.frontend import Reply
+from orchidferry.node.request import Message
+from orchidferry.node.upstream import Attempt, UpstreamResponse
+
+if TYPE_CHECKING:
+    from orchidferry.node.node import Node
+
+
+class PendingRequest:
+    """A request that the node has accepted, until its attempts have ended."""
+
+    __slots__ = ("_node", "answer", "attempts", "backstop", "ends_ms", "id", "message", "owed")
+
+    def __init__(
+        self, node: Node, id: str, message: Message, answer: Callable[[Reply], None], ends_ms: float
+    ) -> None:
+        """
+        :param id: the node's own id of the request.
+        :param answer: sends the answer to the client; called at most once.
+        :param ends_ms: when the answer is due at the latest, by the node's clock.
+        """
+        self._node = node
+        self.id = id
+        self.message = message
+        self.answer = answer
+        self.ends_ms = ends_ms
+        self.attempts = 0  # started so far
+        self.owed = True  # whether the client still waits for its answer
+        self.backstop = 0  # id of the timer at `ends_ms`
+
+    def client_disconnected(self) -> None:
+        """Learn that the client waits no more."""
+        self._node.client_disconnected(self)
+
+    def deadline_passed(self) -> None:
+        """Learn that `ends_ms` has passed."""
+        self._node.deadline_passed(self)
+
+
+class RequestAttempt(Attempt):
+    """An attempt at a request, as the balancer ordered it."""
+
+    __slots__ = ("_incarnation", "_node", "_number", "_request", "_sent_ms")
+
+    def __init__(
+        self,
+        node: Node,
+        request: PendingRequest,
+        server: int,
+        address: Address,
+        timeout_ms: float,
+        sent_ms: float,
+    ) -> None:
+        """
+        :param sent_ms: when the balancer ordered it, by the node's clock.
+        """
+        super().__init__(request.message, server, address, timeout_ms)
+        self._node = node
+        self._request = request
+        self._sent_ms = sent_ms
+        self._number = request.attempts
+        self._incarnation = node.servers.incarnation(server)
+        request.attempts += 1
+        node.attempts[request.id, self._number] = self
+
+    def may_send(self) -> bool:
+        flow = self.message.flow
+        replayable = flow is None or flow.can_start()
+        # A server that left the list and came back is another one: cold, and with a budget of its own.
+        servers = self._node.servers
+        same_server = servers.incarnation(self.server) == self._incarnation
+        return replayable and self._request.owed and same_server and self.server in servers.in_service
+
+    def on_sent(self) -> None:
+        self.written = True
+        self._node.metrics.count_attempt(self.message.cls)
+        if self.message.flow is not None:
+            self._node.upload_sent(self)
+
+    def restart_clock(self, left_ms: float, sent_ms: float) -> api.Uploaded:
+        """Measure time from the end of a long upload on, for the attempt as for its request.
+
+        :param left_ms: time until the answer is due.
+        :param sent_ms: when the last byte was sent, by the node's clock.
+        """
+        self._sent_ms = sent_ms
+        self.extend_timeout(max(0.0, min(self.timeout_ms, left_ms)) / 1000.0)
+        return api.Uploaded(self._request.id, self._number, max(0.0, left_ms))
+
+    @property
+    def request(self) -> PendingRequest:
+        """The request that this is an attempt at."""
+        return self._request
+
+    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
+        request = self._request
+        del self._node.attempts[request.id, self._number]
+        report = None
+        if answer is not None:
+            report = answer.report
+            if result is Result.SERVED:
+                self._node.finish(request, Reply(200, answer.body, answer.content_type, flow=answer.flow))
+            if answer.flow is not None and not answer.flow.has_consumer():
+                answer.flow.cancel()
+        flow = self.message.flow
+        links = self._node.links
+        below, used = links.read_answer(answer) if links is not None else (False, 0)
+        self._node.attempt_ended(
+            api.AttemptEnded(
+                request.id,
+                self._number,
+                self.server,
+                result,
+                now_ms() - self._sent_ms,
+                not request.owed,
+                report,
+                flow is not None and (flow.spent or flow.over),
+                below,
+                used,
+            )
+        )
--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -31,10 +31,10 @@
 class Home(Protocol):
     """The node, as far as members matter to it."""
 
-    def listed(self) -> Collection[int]: ...  # the servers that it knows
+    def known_servers(self) -> Collection[int]: ...  # the servers that it knows
     def serves(self, server: int) -> bool: ...  # whether one of them may be sent to
-    def take_settings(self, settings: api.Settings) -> None: ...
-    def take_listing(self, listing: ServerListing, kind: api.ListKind) -> None: ...
+    def apply_settings(self, settings: api.Settings) -> None: ...
+    def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None: ...
     def stop_sending(self, servers: Iterable[int]) -> None: ...
 
 
@@ -61,7 +61,7 @@
         done = self._hold_collections(change, done)
         try:
             if change.settings is not None:
-                self._home.take_settings(change.settings)
+                self._home.apply_settings(change.settings)
             if not change.members:  # the node's own file names none
                 return done("")
             self._begin(change, done)
@@ -93,13 +93,17 @@
         gone, away = change.gone, set(change.away)
         if change.whole:
             mentioned = {row[0] for step in change.rows for row in step}
-            left = [server for server in (self._home.listed() if first else known) if server not in mentioned]
+            left = [
+                server
+                for server in (self._home.known_servers() if first else known)
+                if server not in mentioned
+            ]
             gone = list(steps(left))
             away.update(left)
         stale = [server for server in self._ahead if server not in away]
         self._ahead = away
         self.members = known
-        held = set(self._home.listed()) if first else set()
+        held = set(self._home.known_servers()) if first else set()
         if first:  # whom discovery drains it goes on draining
             self._heard = {s: api.Health.DRAINING for s in held if not self._home.serves(s)}
         self._home.stop_sending(away)
@@ -153,7 +157,7 @@
             self.members.pop(server, None)
             self._ahead.discard(server)
         entries = [api.ServerEntry(server, health=api.Health.GONE) for server in servers]
-        self._home.take_listing(ServerListing(0, False, entries, {}), api.ListKind.CHANGES)
+        self._home.apply_listing(ServerListing(0, False, entries, {}), api.ListKind.CHANGES)
 
     def _take(self, rows: list[Row]) -> None:
         assert self.members is not None
@@ -173,7 +177,7 @@
                 entries[at] = dataclasses.replace(entry, health=api.Health.DRAINING)
         addresses = {member.entry.server: member.address for member in known}
         kind = api.ListKind.FULL if whole else api.ListKind.CHANGES
-        self._home.take_listing(ServerListing(0, whole, entries, addresses), kind)
+        self._home.apply_listing(ServerListing(0, whole, entries, addresses), kind)
 
     def drain(self, servers: list[int]) -> None:
         """Send nothing new to these, before the version that says so is applied."""
--- a/orchidferry/node/main.py
+++ b/orchidferry/node/main.py
@@ -1,6 +1,6 @@
-"""Starts a node from the file that NODE_CONFIG names.
+"""Runs a node with the configuration file that `NODE_CONFIG` names.
 
-SIGHUP has it read that file again; SIGTERM ends it once all that it holds is answered.
+SIGHUP has it read that file again; SIGTERM ends it once all pending requests are answered.
 """
 
 from __future__ import annotations
@@ -10,139 +10,100 @@
 import os
 import signal
 import sys
-from typing import TYPE_CHECKING
 
 import uvloop
 
-from orchidferry.node.config import ConfigError, read_config
+from orchidferry.errors import OrchidferryError
+from orchidferry.node.address import Address
+from orchidferry.node.config import Config, ConfigError, read_config
+from orchidferry.node.extensions import Extensions, read_extensions
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
 
-if TYPE_CHECKING:
-    from orchidferry.balancing.pools import Rules
-    from orchidferry.node.chain.settings import Setup
-    from orchidferry.node.control.settings import Control
-    from orchidferry.node.fleet.shell import Peers
-    from orchidferry.node.h3.settings import Http3
+EXIT_OK = 0
+EXIT_CONFIG = 2  # the configuration or an address can't be used
 
-# how often the event loop's lag is looked at, and what is worth a line
-LAG_EVERY_S = 1.0
-LAG_S = 0.1
+LAG_CHECK_S = 1.0  # how often the event loop's lag is measured
+MAX_LAG_S = 0.1  # without a log line
 
 log = logging.getLogger("orchidferry")
 
 
+class ListenError(OrchidferryError):
+    """A listener can't be opened."""
+
+    def __init__(self, address: Address, problem: OSError) -> None:
+        super().__init__(f"can't listen on {address[0]}:{address[1]}: {problem}")
+
+
 async def run(path: str) -> int:
-    """Serve until SIGTERM; the exit status."""
-    try:
-        config = read_config(path)
-        http3 = read_http3()
-        control = read_control()
-        chain = read_chain()
-        pools = read_pools(tuple(cls.name for cls in config.settings.classes))
-        fleet = read_fleet(config.name, asyncio.get_running_loop())
-    except ConfigError as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
-        return 2
-    logging.basicConfig(
-        stream=sys.stderr, level=logging.INFO, format=f"%(asctime)s {config.name} %(levelname)s %(message)s"
-    )
+    """Serve until SIGTERM.
+
+    :param path: of the configuration file.
+    :returns: the exit status.
+    """
     loop = asyncio.get_running_loop()
-    stopping = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, stopping.set)
     try:
-        node = Node(config, loop, http3, control, chain, pools, [fleet] if fleet is not None else [])
-    except ConfigError as problem:
+        config = read_config(path)
+        extensions = read_extensions(config, loop)
+        _start_log(config.name)
+        stopping = asyncio.Event()
+        loop.add_signal_handler(signal.SIGTERM, stopping.set)
+        node = Node(config, loop, extensions)
+        loop.add_signal_handler(signal.SIGHUP, reload, node, path)
+        listening = await _listen(node, config, extensions)
+    except (ConfigError, ListenError) as problem:
         print(f"orchidferry: {problem}", file=sys.stderr)
-        return 2
-    loop.add_signal_handler(signal.SIGHUP, reload, node, path)
-    where = config.listen
-    try:
-        host, port = await node.frontend.listen(loop, where)
-        if node.h3_front is not None and http3 is not None and http3.front is not None:
-            where = http3.front.listen
-            udp = await node.h3_front.listen(loop)
-            node.frontend.alt_svc = node.h3_front.alt_svc(udp[1])
-        if node.door is not None and config.admin is not None:
-            where = config.admin
-            await node.door.listen(loop, where)
-        if fleet is not None:
-            where = fleet.where
-            await fleet.listen()
-    except OSError as problem:
-        print(f"orchidferry: can't listen on {where[0]}:{where[1]}: {problem}", file=sys.stderr)
-        return 2
+        return EXIT_CONFIG
     node.start()
     freeze_startup_objects()
     watch_lag(loop, loop.time())
-    log.info("started, listening on %s:%d", host, port)
-    if node.h3_front is not None:
-        log.info("HTTP/3 on %s:%d", *udp)
+    for line in listening:
+        log.info("%s", line)
     await stopping.wait()
     log.info("stopping")
     await node.stop()
     log.info("stopped")
-    return 0
-
-
-def read_http3() -> Http3 | None:
-    """What the operator's own file switches on; None where there is none, and nothing of it is imported."""
-    path = os.environ.get("ORCHIDFERRY_HTTP3")
-    if not path:
-        return None
-    try:
-        from orchidferry.node.h3 import settings
-    except ImportError as problem:
-        raise ConfigError(f"ORCHIDFERRY_HTTP3 is set, and {problem.name} is not installed") from None
-    return settings.read_http3(path)
-
-
-def read_control() -> Control | None:
-    """The same for the control channel."""
-    path = os.environ.get("ORCHIDFERRY_CONTROL")
-    if not path:
-        return None
-    try:
-        from orchidferry.node.control import settings
-    except ImportError as problem:
-        raise ConfigError(f"ORCHIDFERRY_CONTROL is set, and {problem.name} is not installed") from None
-    return settings.read_control(path)
+    return EXIT_OK
 
 
-def read_chain() -> Setup | None:
-    """The same for a part in a chain of tiers, which needs no library."""
-    path = os.environ.get("ORCHIDFERRY_CHAIN")
-    if not path:
-        return None
-    from orchidferry.node.chain import settings
-
-    return settings.read_chain(path)
-
-
-def read_pools(classes: tuple[str, ...]) -> Rules | None:
-    """The same for pools of servers."""
-    path = os.environ.get("ORCHIDFERRY_POOLS")
-    if not path:
-        return None
-    from orchidferry.node import pool_settings
+def _start_log(name: str) -> None:
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format=f"%(asctime)s {name} %(levelname)s %(message)s"
+    )
 
-    return pool_settings.read_pools(path, classes)
 
+async def _listen(node: Node, config: Config, extensions: Extensions) -> list[str]:
+    """Open all listeners.
 
-def read_fleet(name: str, loop: asyncio.AbstractEventLoop) -> Peers | None:
-    """The same for a part in a fleet of nodes that know of each other."""
-    path = os.environ.get("ORCHIDFERRY_FLEET")
-    if not path:
-        return None
+    :returns: log lines that name the addresses.
+    :raises ListenError: if one can't be opened.
+    """
+    loop = asyncio.get_running_loop()
+    http3 = extensions.http3
+    fleet = extensions.fleet
+    address = config.listen
     try:
-        from orchidferry.node.fleet import settings, shell
-    except ImportError as problem:
-        raise ConfigError(f"ORCHIDFERRY_FLEET is set, and {problem.name} is not installed") from None
-    return shell.Peers(settings.read_fleet(path, name), loop)
+        host, port = await node.frontend.listen(loop, address)
+        lines = [f"started, listening on {host}:{port}"]
+        if node.h3_front is not None and http3 is not None and http3.front is not None:
+            address = http3.front.listen
+            udp_host, udp_port = await node.h3_front.listen(loop)
+            node.frontend.alt_svc = node.h3_front.alt_svc(udp_port)
+            lines.append(f"HTTP/3 on {udp_host}:{udp_port}")
+        if node.admin_server is not None and config.admin is not None:
+            address = config.admin
+            await node.admin_server.listen(loop, address)
+        if fleet is not None:
+            address = fleet.where
+            await fleet.listen()
+    except OSError as problem:
+        raise ListenError(address, problem) from None
+    return lines
 
 
 def reload(node: Node, path: str) -> None:
-    """Take the file as it is now; one that can't be used changes nothing."""
+    """Read the configuration file again; one that can't be used changes nothing."""
     try:
         config = read_config(path)
     except ConfigError as problem:
@@ -153,21 +114,24 @@
 
 
 def watch_lag(loop: asyncio.AbstractEventLoop, due_s: float) -> None:
-    """Log when the event loop ran late: too little CPU shows here first."""
+    """Log when the event loop ran late, which is the first sign of too little CPU.
+
+    :param due_s: when this call was due, by the loop's clock.
+    """
     late_s = loop.time() - due_s
-    if late_s > LAG_S:
+    if late_s > MAX_LAG_S:
         log.warning("the event loop ran %.0f ms late", late_s * 1000.0)
-    next_s = loop.time() + LAG_EVERY_S
+    next_s = loop.time() + LAG_CHECK_S
     loop.call_at(next_s, watch_lag, loop, next_s)
 
 
 def main() -> int:
-    """Start the node from the file that `NODE_CONFIG` names.
+    """Run the node.
 
     :returns: the exit status: 0 after a stop, 2 for a configuration or an address that can't be used.
     """
     path = os.environ.get("NODE_CONFIG")
     if not path:
         print("orchidferry: NODE_CONFIG must name the configuration file", file=sys.stderr)
-        return 2
+        return EXIT_CONFIG
     return uvloop.run(run(path))
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -1,7 +1,8 @@
-"""The node: turns what happens on sockets into the module's events and does what it answers.
+"""The node: turns what happens on sockets into events for the balancer, and performs its actions.
 
-Only this file calls `Balancer.handle`, one event at a time: an event that an action raises is queued.
-Every request taken is answered exactly once, at the latest by a backstop at its deadline.
+Only this module calls `Balancer.handle`, with one event at a time. Every request that is accepted is answered
+exactly once, at the latest by a backstop at its deadline; every `Send` of the balancer ends in exactly one
+`AttemptEnded`.
 """
 
 from __future__ import annotations
@@ -11,392 +12,332 @@
 import functools
 import logging
 import math
-from collections import deque
-from collections.abc import Callable, Collection, Iterable, Sequence
-from typing import TYPE_CHECKING, Protocol, cast
+from collections.abc import Callable, Collection, Iterable
+from typing import TYPE_CHECKING, cast
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.address import Address
+from orchidferry.node.attempts import PendingRequest, RequestAttempt
 from orchidferry.node.clock import now_ms
 from orchidferry.node.config import Config, ConfigError
 from orchidferry.node.discovery import Discovery
 from orchidferry.node.event_queue import EventQueue
-from orchidferry.node.flow import GRACE_S, LONG_BODY, POOL_MEMORY_FRACTION, SLOWEST_B_S, Flow, MemoryPool
+from orchidferry.node.extensions import Extensions
+from orchidferry.node.flow import (
+    GRACE_S,
+    LONG_BODY,
+    POOL_MEMORY_FRACTION,
+    SLOWEST_B_S,
+    Flow,
+    MemoryPool,
+)
 from orchidferry.node.frontend import Frontend, Reply
+from orchidferry.node.interfaces import FrontendTransport, UpstreamTransport
 from orchidferry.node.metrics import Metrics
 from orchidferry.node.request import Message, RequestError
 from orchidferry.node.server_listing import ServerListing
+from orchidferry.node.server_table import ServerListFeed, ServerTable
 from orchidferry.node.timer_queue import TimerQueue
-from orchidferry.node.upstream import Attempt, Upstream, UpstreamResponse
+from orchidferry.node.upstream import Upstream
 
-MARGIN_MS = 10.0  # of a budget: it ran before the request was read, and the answer takes its time
-# A planned end. Connections go on coming for 0.4 s after SIGTERM at least; SIGKILL follows no sooner than
-# the longest budget of a request, 3 s at most, and 0.7 s more.
-ACCEPT_S = 0.45
-LONGEST_MS = 3_000.0
-KILL_MS = 700.0
-STOP_MARGIN_MS = 200.0  # from the last answer to that kill
-LAST_MS = 800.0  # before the last answer all begins to close: what comes till then has a fair chance
-SPARE_SOCKETS = 24  # of the limit: listener, discovery, event loop, log, and sockets half closed
-CALLERS_SHARE = 0.55  # of the limit: the rest is for attempts, one to each of a third of it, and idle ones
-LIST_STEP = 64  # entries of a list that the module is told in one go: under 1 ms
-FLOW_LOOK_S = 1.0  # how often a flow is looked at that may stand still
-PUSHED_RETRY_S = 0.5  # after a failure of the node's own agent, where lists come unasked
-
-if TYPE_CHECKING:  # a transport is imported only where it is switched on
-    from orchidferry.balancing.pools import Rules
+if TYPE_CHECKING:  # modules of features are imported only where they are switched on
     from orchidferry.node.admin_server import AdminServer, PageHandler
     from orchidferry.node.chain.links import Links
-    from orchidferry.node.chain.settings import Setup
     from orchidferry.node.control.link import Link
-    from orchidferry.node.control.settings import Control
     from orchidferry.node.h3.front import Listener
-    from orchidferry.node.h3.settings import Http3
-
-log = logging.getLogger("orchidferry")
-
-
-def _not_handled(event: api.Event) -> None:
-    log.exception("handling %s", type(event).__name__)
-
-
-class FrontendTransport(Protocol):
-    """A transport's listener and its callers."""
-
-    def count(self) -> int: ...  # sockets in use
-    def set_not_ready(self) -> None: ...
-    def close_listener(self) -> None: ...
-    async def wait_closed(self) -> None: ...
-    async def close_gracefully(self) -> None: ...
-    def abort(self) -> None: ...
-
-
-class UpstreamTransport(Protocol):
-    """The way to servers."""
-
-    def count(self) -> int: ...  # sockets in use
-    def send(self, attempt: Attempt, fresh: bool = False) -> None: ...
-    def close_idle(self, server: int) -> None: ...
-    def server_removed(self, server: int) -> None: ...
-    def close(self) -> None: ...
-
-
-class Subsystem(Protocol):
-    """A subsystem beside the requests, with sockets of its own."""
-
-    def attach(self, ready: Callable[[], bool]) -> None: ...  # before it starts
-    def pages(self) -> dict[bytes, PageHandler]: ...  # at the operators' door, where there is one
-    def start(self) -> None: ...
-    def count(self) -> int: ...  # sockets in use
-    def leaving(self) -> None: ...  # the node was told to end
-    async def close(self) -> None: ...
-
 
-class PendingRequest:
-    """A request that is owed its answer, with its attempts."""
+# Part of a request's budget that is spent before the request is read and while its answer is sent.
+MARGIN_MS = 10.0
 
-    __slots__ = ("_node", "answer", "attempts", "backstop", "ends_ms", "id", "message", "owed")
-
-    def __init__(
-        self, node: Node, id: str, message: Message, answer: Callable[[Reply], None], ends_ms: float
-    ) -> None:
-        self._node = node
-        self.id = id
-        self.message = message
-        self.answer = answer
-        self.ends_ms = ends_ms
-        self.attempts = 0  # begun so far
-        self.owed = True  # the one answer
-        self.backstop = 0  # the alarm at its end
-
-    def client_disconnected(self) -> None:
-        self._node.client_disconnected(self)
+# A planned end: connections still arrive for at least 0.4 s after SIGTERM. SIGKILL follows no sooner than
+# 0.7 s after the longest budget of a request, which is 3 s at most.
+ACCEPT_S = 0.45
+LONGEST_MS = 3_000.0
+KILL_MS = 700.0
+STOP_MARGIN_MS = 200.0  # between the last answer and SIGKILL
+LAST_MS = 800.0  # before the last answer connections are closed: a request until then can still be served
 
-    def overdue(self) -> None:
-        self._node.overdue(self)
+# Shares of the limit of sockets
+SPARE_SOCKETS = 24  # listener, discovery, event loop, log, and sockets half closed
+CALLERS_SHARE = 0.55  # clients; the rest is for attempts and idle connections to servers
 
+FLOW_CHECK_S = 1.0  # how often a flow is checked for a stall
+SUBSCRIBE_RETRY_S = 0.5  # after a failure of the discovery agent, where lists come unasked
 
-class RequestAttempt(Attempt):
-    """An attempt at a request, as the module asked for it."""
+log = logging.getLogger("orchidferry")
 
-    __slots__ = ("_life", "_live", "_node", "_number", "_sent_ms")
 
-    def __init__(
-        self,
-        node: Node,
-        live: PendingRequest,
-        server: int,
-        address: Address,
-        timeout_ms: float,
-        sent_ms: float,
-    ) -> None:
-        super().__init__(live.message, server, address, timeout_ms)
-        self._node = node
-        self._live = live
-        self._sent_ms = sent_ms
-        self._number = live.attempts
-        self._life = node.life(server)
-        live.attempts += 1
-        node.attempts[live.id, self._number] = self
-
-    def may_send(self) -> bool:
-        flow = self.message.flow
-        beginnable = flow is None or flow.can_start()
-        # A server that left and came back meanwhile is another one: cold, and with a budget of its own.
-        same = self._node.life(self.server) == self._life
-        return beginnable and self._live.owed and same and self._node.serves(self.server)
-
-    def on_sent(self) -> None:
-        self.written = True
-        self._node.metrics.count_attempt(self.message.cls)
-        if self.message.flow is not None:
-            self._node.uploaded(self)
-
-    def uploaded(self) -> api.Uploaded:
-        """Time counts from here, for the attempt as for its request."""
-        self._sent_ms = now_ms()
-        left_ms = self._live.ends_ms - MARGIN_MS - self._sent_ms
-        self.extend_timeout(max(0.0, min(self.timeout_ms, left_ms)) / 1000.0)
-        return api.Uploaded(self._live.id, self._number, max(0.0, left_ms))
-
-    def ended(self, result: Result, answer: UpstreamResponse | None) -> None:
-        live = self._live
-        report = None
-        del self._node.attempts[live.id, self._number]
-        if answer is not None:
-            report = answer.report
-            if result is Result.SERVED:
-                self._node.finish(live, Reply(200, answer.body, answer.content_type, flow=answer.flow))
-            if answer.flow is not None and not answer.flow.has_consumer():
-                answer.flow.cancel()
-        flow = self.message.flow
-        spent = flow is not None and (flow.spent or flow.over)
-        links = self._node.links
-        below, used = links.read_answer(answer) if links is not None else (False, 0)
-        self._node.attempt_ended(
-            api.AttemptEnded(
-                live.id,
-                self._number,
-                self.server,
-                result,
-                now_ms() - self._sent_ms,
-                not live.owed,
-                report,
-                spent,
-                below,
-                used,
-            )
-        )
+def _log_unhandled(event: api.Event) -> None:
+    log.exception("handling %s", type(event).__name__)
 
 
 class Node:
     """One balancing node."""
 
     def __init__(
-        self,
-        config: Config,
-        loop: asyncio.AbstractEventLoop,
-        http3: Http3 | None = None,
-        control: Control | None = None,
-        chain: Setup | None = None,
-        pools: Rules | None = None,
-        parts: Sequence[Subsystem] = (),
+        self, config: Config, loop: asyncio.AbstractEventLoop, extensions: Extensions | None = None
     ) -> None:
+        """
+        :param extensions: optional features; None: there are none.
+        :raises ConfigError: if a feature can't be started with its settings.
+        """
+        extensions = extensions or Extensions()
         self._config = config
         self._loop = loop
-        settings = config.settings
         self.links: Links | None = None
-        if chain is not None:
-            from orchidferry.node.chain.links import Links
-
-            self.links = Links(chain, config.seed)
-        budgets = self.links.chain if self.links is not None else None
-        self._balancer = Balancer(settings, config.seed, budgets)
-        if pools is not None:
-            from orchidferry.balancing.pools import Router
-
-            # The same face; each pool has a balancer behind it.
-            self._balancer = cast(Balancer, Router(settings, config.seed, pools, budgets))
-        self._events = EventQueue(self._balancer.handle, self._do, _not_handled)
+        self._balancer = self._make_balancer(extensions)
+        self._events = EventQueue(self._balancer.handle, self._perform, _log_unhandled)
         self.metrics = Metrics(self._balancer.classes)
-        self._flowing = 0  # answers that have begun and go on
-        # Keyed by a serial of the node's own, as is all that the module hears: an attempt may outlast its
-        # request, and a caller's id that came again would mix up their books.
+        self._streaming = 0  # answers whose body is being passed on
+        # Requests are keyed by a serial number, also towards the balancer: an attempt may outlast its
+        # request, and the client may use its id again.
         self._serial = 0
-        self._live: dict[str, PendingRequest] = {}
-        self.attempts: dict[tuple[str, int], RequestAttempt] = {}  # those that are out
-        self._open_ids: set[str] = set()  # the callers' ids of those
-        self._addresses: dict[int, Address] = {}
-        self._in_service: set[int] = set()
-        self._lives: dict[int, int] = {}  # of those that are listed: a number for each time that they came
-        self._came = 0
+        self._pending: dict[str, PendingRequest] = {}
+        self.attempts: dict[tuple[str, int], RequestAttempt] = {}  # in flight
+        self._open_ids: set[str] = set()  # the clients' ids of the pending requests
+        self.servers = ServerTable(lambda server: self._upstream.server_removed(server))
+        self._list_feed = ServerListFeed(loop, self._handle)
         self._timers = TimerQueue(loop)
-        tcp = Upstream(
-            loop, settings.connect_timeout_ms, settings.keepalive_ms, self._free_sockets, self._timers
+        self._longest_ms = 0.0  # the longest budget of a request so far
+        self._stop_ms = math.inf  # when all must be answered, once the node shuts down
+        self._make_upstream(extensions)
+        self.control: Link | None = None
+        if extensions.control is not None:
+            from orchidferry.node.control.link import Link
+
+            self.control = Link(extensions.control, config.settings, self, loop)
+        self._discovery = Discovery(loop, config.discovery, config.known.index, self._on_discovery)
+        self._subsystems = extensions.subsystems
+        self._make_frontends(extensions)
+        self.admin_server = self._make_admin_server()
+        for subsystem in self._subsystems:
+            subsystem.attach(self.ready)
+
+    # Construction
+
+    def _make_balancer(self, extensions: Extensions) -> Balancer:
+        settings = self._config.settings
+        seed = self._config.seed
+        if extensions.chain is not None:
+            from orchidferry.node.chain.links import Links
+
+            self.links = Links(extensions.chain, seed)
+        budgets = self.links.chain if self.links is not None else None
+        balancer = Balancer(settings, seed, budgets)
+        if extensions.pools is None:
+            return balancer
+        from orchidferry.balancing.pools import Router
+
+        # A router has the interface of a balancer, and one balancer for each pool.
+        return cast(Balancer, Router(settings, seed, extensions.pools, budgets))
+
+    def _make_upstream(self, extensions: Extensions) -> None:
+        settings = self._config.settings
+        self._tcp = Upstream(
+            self._loop,
+            settings.connect_timeout_ms,
+            settings.keepalive_ms,
+            self._free_sockets,
+            self._timers,
         )
-        self._upstream: UpstreamTransport = tcp
-        self._tcp = tcp
-        self._h3: dict[int, Address] = {}  # where servers that list it speak HTTP/3
-        self.h3_front: Listener | None = None
+        self._upstream: UpstreamTransport = self._tcp
+        http3 = extensions.http3
         if http3 is not None and http3.servers is not None:
             from orchidferry.node.h3.upstream import Routes
 
             self._upstream = Routes(
-                loop, tcp, http3.servers, settings.keepalive_ms, self._h3.get, config.seed
+                self._loop,
+                self._tcp,
+                http3.servers,
+                settings.keepalive_ms,
+                self.servers.h3_addresses.get,
+                self._config.seed,
             )
-        self.control: Link | None = None
-        if control is not None:
-            from orchidferry.node.control.link import Link
 
-            self.control = Link(control, settings, self, loop)
-        self._discovery = Discovery(loop, config.discovery, config.known.index, self._on_news)
+    def _make_frontends(self, extensions: Extensions) -> None:
+        classes = self._balancer.classes
         self.frontend = Frontend(
-            self._balancer.classes,
+            classes,
             self.accept,
-            lambda: bool(self._in_service),
-            int(CALLERS_SHARE * config.sockets),
-            MemoryPool(int(POOL_MEMORY_FRACTION * config.memory_mb * 1e6)),
+            lambda: bool(self.servers.in_service),
+            int(CALLERS_SHARE * self._config.sockets),
+            MemoryPool(int(POOL_MEMORY_FRACTION * self._config.memory_mb * 1e6)),
         )
+        self._frontends: list[FrontendTransport] = [self.frontend]
+        self.h3_front: Listener | None = None
+        http3 = extensions.http3
         if http3 is not None and http3.front is not None:
             from orchidferry.node.h3.front import Listener
 
-            self.h3_front = Listener(
-                http3.front, self._balancer.classes, self.accept, self.frontend.node_page
-            )
-        self.door: AdminServer | None = None
-        if config.admin is not None:
-            from orchidferry.node.admin_server import AdminServer
-
-            self.door = AdminServer(
-                {
-                    b"/-/ready": lambda: (200, b"ready\n") if self.ready() else (503, b"not ready\n"),
-                    b"/-/metrics": lambda: (200, self.report()),
-                    b"/-/control": self._control_page,
-                    **{path: page for part in parts for path, page in part.pages().items()},
-                }
-            )
-        self._parts = parts
-        for part in parts:
-            part.attach(self.ready)
-        self._fronts: list[FrontendTransport] = [self.frontend, *([self.h3_front] if self.h3_front else [])]
-        self._news: deque[api.ServerList] = deque()  # steps of long lists that the module is still to be told
-        self._telling = False
-        self._longest_ms = 0.0  # the longest budget so far
-        self._stop_ms = math.inf  # when all must be answered, once the node is to end
+            self.h3_front = Listener(http3.front, classes, self.accept, self.frontend.node_page)
+            self._frontends.append(self.h3_front)
+
+    def _make_admin_server(self) -> AdminServer | None:
+        if self._config.admin is None:
+            return None
+        from orchidferry.node.admin_server import AdminServer
+
+        pages: dict[bytes, PageHandler] = {
+            b"/-/ready": lambda: (200, b"ready\n") if self.ready() else (503, b"not ready\n"),
+            b"/-/metrics": lambda: (200, self.render_metrics()),
+            b"/-/control": self._control_page,
+        }
+        for subsystem in self._subsystems:
+            pages |= subsystem.pages()
+        return AdminServer(pages)
+
+    # Pages
 
     def ready(self) -> bool:
-        """Whether requests can be served, and are wanted still."""
-        return bool(self._in_service) and self._stop_ms == math.inf
+        """Return whether requests can be served, and the node does not shut down."""
+        return bool(self.servers.in_service) and self._stop_ms == math.inf
 
-    def report(self) -> bytes:
-        """The figures for operators, as of now."""
+    def render_metrics(self) -> bytes:
+        """Return the metrics as text, as of now."""
         down = self._balancer.avoided(now_ms())
-        return self.metrics.render(len(self._live) + self._flowing, len(self._addresses), down)
+        inflight = len(self._pending) + self._streaming
+        return self.metrics.render(inflight, len(self.servers.addresses), down)
+
+    def _control_page(self) -> tuple[int, bytes]:
+        return (404, b"no control service\n") if self.control is None else (200, self.control.page())
+
+    # Start and end
 
     def start(self) -> None:
-        """Let the module begin, with the list as this node last had it."""
-        self.take_listing(self._config.known, api.ListKind.SAVED)
+        """Start the balancer with the servers of the configuration, and everything beside it."""
+        self.apply_listing(self._config.known, api.ListKind.SAVED)
         self._handle(api.Started())
         if not self._config.settings.follow_list:
             self._discovery.subscribe()
         if self.control is not None:
             self.control.start()
-        for part in self._parts:
-            part.start()
-
-    # Configuration from a control service
-
-    def _control_page(self) -> tuple[int, bytes]:
-        return (404, b"no control service\n") if self.control is None else (200, self.control.page())
-
-    def listed(self) -> Collection[int]:
-        """The servers that the node knows."""
-        return self._addresses.keys()
-
-    def stop_sending(self, servers: Iterable[int]) -> None:
-        """Send nothing new to these from now on, whatever the module still thinks."""
-        self._in_service.difference_update(servers)
-
-    def take_settings(self, settings: api.Settings) -> None:
-        """Go on under these; nothing that is held is disturbed."""
-        self._tcp.configure(settings.connect_timeout_ms, settings.keepalive_ms)
-        self.metrics.add_classes(cls.name for cls in settings.classes)
-        if settings != self._balancer.settings:
-            self._handle(api.NewSettings(settings))
-
-    def reconfigure(self, config: Config) -> None:
-        """Go on under a new configuration: discovery may be elsewhere; all that is held stays."""
-        if (
-            dataclasses.replace(
-                config, discovery=self._config.discovery, known=self._config.known, seed=self._config.seed
-            )
-            != self._config
-        ):
-            log.warning("only a new address of discovery is taken without a restart")
-        self._config = dataclasses.replace(self._config, discovery=config.discovery)
-        self._discovery.move(config.discovery)
-        if self.h3_front is not None:
-            try:
-                self.h3_front.reread()
-            except ConfigError as problem:
-                log.error("the old certificate stays: %s", problem)
+        for subsystem in self._subsystems:
+            subsystem.start()
 
     async def stop(self, accept_s: float = ACCEPT_S) -> None:
-        """Serve on for a while, then finish all that is held and close.
+        """Serve on for a while, then finish all pending requests and close.
+
+        Clients go on using the connections they have, and may have no other node to go to. These are served
+        until just enough time is left to answer before the platform kills the node.
 
-        Callers go on using the connections they have, and may have no other node to go to: these are
-        served until just enough time is left to answer before the platform kills the node.
+        :param accept_s: how long new connections are accepted in any case, in seconds.
         """
-        grace_ms = KILL_MS - STOP_MARGIN_MS + min(LONGEST_MS, self._longest_ms or LONGEST_MS)
-        asked_ms = now_ms()
-        self._stop_ms = now_ms() + grace_ms
-        for live in self._live.values():  # that kill comes first
-            if live.ends_ms > self._stop_ms:
-                live.ends_ms = self._stop_ms
-                self._watch(live)
-        for part in self._parts:
-            part.leaving()
-        for front in self._fronts:
-            front.set_not_ready()
+        began_ms = now_ms()
+        self._begin_stop()
         await asyncio.sleep(accept_s)
-        # The listener stays open as long as connections are served: whoever is refused a new one takes the
-        # node for dead and leaves its open ones too, and where it is the only node has nowhere to go.
+        # The listener stays open as long as connections are served: a client that is refused a new one takes
+        # the node for dead and leaves its open ones too, and may have no other node to go to.
         try:
             async with asyncio.timeout((self._stop_ms - LAST_MS - now_ms()) / 1000.0):
-                await asyncio.gather(*(front.wait_closed() for front in self._fronts))
+                await asyncio.gather(*(front.wait_closed() for front in self._frontends))
         except TimeoutError:
-            log.info("closing connections %.0f ms after the signal", now_ms() - asked_ms)
-        for front in self._fronts:
+            log.info("closing connections %.0f ms after the signal", now_ms() - began_ms)
+        await self._close_frontends()
+        await self._close_rest()
+
+    def _begin_stop(self) -> None:
+        grace_ms = KILL_MS - STOP_MARGIN_MS + min(LONGEST_MS, self._longest_ms or LONGEST_MS)
+        self._stop_ms = now_ms() + grace_ms
+        for request in self._pending.values():
+            if request.ends_ms > self._stop_ms:
+                request.ends_ms = self._stop_ms
+                self._set_backstop(request)
+        for subsystem in self._subsystems:
+            subsystem.leaving()
+        for front in self._frontends:
+            front.set_not_ready()
+
+    async def _close_frontends(self) -> None:
+        for front in self._frontends:
             front.close_listener()
         try:
             async with asyncio.timeout((self._stop_ms + STOP_MARGIN_MS / 2.0 - now_ms()) / 1000.0):
-                await asyncio.gather(*(front.close_gracefully() for front in self._fronts))
+                await asyncio.gather(*(front.close_gracefully() for front in self._frontends))
         except TimeoutError:
-            for front in self._fronts:
-                front.abort()  # all is answered by now; what is left does not read
-        if self.door is not None:
-            self.door.close()
+            for front in self._frontends:
+                front.abort()  # all is answered by now; these clients do not read
+
+    async def _close_rest(self) -> None:
+        if self.admin_server is not None:
+            self.admin_server.close()
         if self.control is not None:
             await self.control.close()
-        for part in self._parts:
-            await part.close()
+        for subsystem in self._subsystems:
+            await subsystem.close()
         self._discovery.close()
         self._upstream.close()
         if self.h3_front is not None:
             self.h3_front.close()
 
+    # Configuration
+
+    def reconfigure(self, config: Config) -> None:
+        """Apply a configuration file that was read again: the address of discovery, and certificates."""
+        old = self._config
+        expected = dataclasses.replace(config, discovery=old.discovery, known=old.known, seed=old.seed)
+        if expected != old:
+            log.warning("only a new address of discovery is taken without a restart")
+        self._config = dataclasses.replace(old, discovery=config.discovery)
+        self._discovery.move(config.discovery)
+        if self.h3_front is not None:
+            try:
+                self.h3_front.reread()
+            except ConfigError as problem:
+                log.error("the old certificate stays: %s", problem)
+
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Apply settings of the control service; pending requests are not affected."""
+        self._tcp.configure(settings.connect_timeout_ms, settings.keepalive_ms)
+        self.metrics.add_classes(cls.name for cls in settings.classes)
+        if settings != self._balancer.settings:
+            self._handle(api.NewSettings(settings))
+
+    # Servers
+
+    def known_servers(self) -> Collection[int]:
+        """Return the servers that are listed."""
+        return self.servers.addresses.keys()
+
+    def serves(self, server: int) -> bool:
+        """Return whether requests may be sent to a server."""
+        return server in self.servers.in_service
+
+    def stop_sending(self, servers: Iterable[int]) -> None:
+        """Send nothing new to these servers, whatever the balancer decides."""
+        self.servers.stop_sending(servers)
+
+    def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
+        """Apply a list of servers at once; the balancer is notified of a long one in several events."""
+        removed = self.servers.apply(listing, kind)
+        self._list_feed.add(listing, kind, removed)
+
+    def _on_discovery(self, listing: ServerListing | None, reason: str) -> None:
+        if listing is not None and self.control is not None and self.control.members.hear(listing):
+            return
+        if listing is not None:
+            self.apply_listing(listing, api.ListKind.FULL if listing.complete else api.ListKind.CHANGES)
+            return
+        log.info("discovery: %s", reason)
+        if self._config.settings.follow_list:
+            self._handle(api.ServerList(api.ListKind.FAILED))
+        else:
+            self._loop.call_later(SUBSCRIBE_RETRY_S, self._discovery.subscribe)
+
     def _free_sockets(self) -> int:
-        fronts = sum(front.count() for front in self._fronts)
-        door = self.door.count() if self.door is not None else 0
-        parts = sum(part.count() for part in self._parts)
-        return self._config.sockets - SPARE_SOCKETS - fronts - door - parts - self._upstream.count()
+        frontends = sum(front.count() for front in self._frontends)
+        admin = self.admin_server.count() if self.admin_server is not None else 0
+        subsystems = sum(subsystem.count() for subsystem in self._subsystems)
+        used = SPARE_SOCKETS + frontends + admin + subsystems + self._upstream.count()
+        return self._config.sockets - used
 
     # Requests
 
     def accept(self, message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
-        """Take a request; from now on it is owed exactly one call of `answer`."""
+        """Accept a request; from now on exactly one call of `answer` is owed.
+
+        :raises RequestError: if a request with the same id is pending.
+        """
         if message.id in self._open_ids:
             raise RequestError("a request with this X-Call-Id is open")
         self._longest_ms = max(self._longest_ms, message.budget_ms)
@@ -405,17 +346,16 @@
         id = str(self._serial)
         flow = message.flow
         ends_ms = now + message.budget_ms
-        coming = flow is not None and not flow.complete
-        if flow is not None and coming:  # until it has come whole it may take as long as a flow may
+        if flow is not None and not flow.complete:  # until its end it may take as long as a flow may
             ends_ms += 1000.0 * ((flow.length or LONG_BODY) / SLOWEST_B_S + GRACE_S)
-        live = PendingRequest(self, id, message, answer, min(ends_ms, self._stop_ms))
+        request = PendingRequest(self, id, message, answer, min(ends_ms, self._stop_ms))
         if flow is not None:
-            flow.on_complete = functools.partial(self._came_whole, live)
-            self._watch_flow(flow)
-        self._live[id] = live
+            flow.on_complete = functools.partial(self._upload_received, request)
+            self._check_flow(flow)
+        self._pending[id] = request
         self._open_ids.add(message.id)
-        self._watch(live)
-        ttl_ms = max(0.0, live.ends_ms - now - MARGIN_MS)
+        self._set_backstop(request)
+        ttl_ms = max(0.0, request.ends_ms - now - MARGIN_MS)
         self._handle(
             api.Request(
                 id,
@@ -428,99 +368,94 @@
                 message.key.decode("latin-1") if message.key is not None else None,
             )
         )
-        return live
-
-    def _watch(self, live: PendingRequest) -> None:
-        """Set the backstop to the request's end, as it is now."""
-        self._timers.cancel(live.backstop)
-        left_s = (live.ends_ms - now_ms()) / 1000.0
-        live.backstop = self._timers.schedule(left_s, live.overdue)
-
-    def client_disconnected(self, live: PendingRequest) -> None:
-        """Nobody waits any more."""
-        if self._drop(live):
-            self._handle(api.ClientGone(live.id))
-
-    def _drop(self, live: PendingRequest) -> bool:
-        """Forget a request, if it is still owed: whoever gets True has its one answer to give."""
-        if not live.owed:
+        return request
+
+    def _set_backstop(self, request: PendingRequest) -> None:
+        """Set the timer at the request's end, as it is now."""
+        self._timers.cancel(request.backstop)
+        left_s = (request.ends_ms - now_ms()) / 1000.0
+        request.backstop = self._timers.schedule(left_s, request.deadline_passed)
+
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """Forget a request whose client waits no more."""
+        if self._remove(request):
+            self._handle(api.ClientGone(request.id))
+
+    def _remove(self, request: PendingRequest) -> bool:
+        """Remove a request if it is pending; whoever gets True must answer it, or knows that nobody waits."""
+        if not request.owed:
             return False
-        live.owed = False
-        del self._live[live.id]
-        self._open_ids.discard(live.message.id)
-        self._timers.cancel(live.backstop)
+        request.owed = False
+        del self._pending[request.id]
+        self._open_ids.discard(request.message.id)
+        self._timers.cancel(request.backstop)
         return True
 
-    def finish(self, live: PendingRequest | None, reply: Reply) -> None:
-        """Answer a request, if it is still owed that."""
-        if live is not None and self._drop(live):
-            if reply.flow is None:
-                self.metrics.count_request(live.message.cls, reply.status)
-            else:  # it ends with its last byte, and only then is known to be whole
-                self._flowing += 1
-                reply.flow.on_over = functools.partial(self._flowed, live.message.cls)
-                self._watch_flow(reply.flow)
-            live.answer(reply)
-
-    def _flowed(self, cls: str, whole: bool) -> None:
-        """An answer that flowed is over."""
-        self._flowing -= 1
-        self.metrics.count_request(cls, 200 if whole else 502)
-
-    def _watch_flow(self, flow: Flow) -> None:
-        """End a flow that stands still or crawls; looked at now and then, as there are few."""
+    def finish(self, request: PendingRequest | None, reply: Reply) -> None:
+        """Answer a request, if it is pending."""
+        if request is None or not self._remove(request):
+            return
+        class_name = request.message.cls
+        if reply.flow is None:
+            self.metrics.count_request(class_name, reply.status)
+        else:  # only its end shows whether it is complete
+            self._streaming += 1
+            reply.flow.on_over = functools.partial(self._stream_ended, class_name)
+            self._check_flow(reply.flow)
+        request.answer(reply)
+
+    def _stream_ended(self, class_name: str, complete: bool) -> None:
+        """Count an answer whose body was passed on."""
+        self._streaming -= 1
+        self.metrics.count_request(class_name, 200 if complete else 502)
+
+    def _check_flow(self, flow: Flow) -> None:
+        """End a flow that has stalled, or check it again later."""
         if flow.is_stalled(self._loop.time()):
             flow.abort()
         elif not flow.over:
-            self._timers.schedule(FLOW_LOOK_S, functools.partial(self._watch_flow, flow))
-
-    def uploaded(self, attempt: RequestAttempt) -> None:
-        """A server has the whole of a long request."""
-        self._handle(attempt.uploaded())
-
-    def _came_whole(self, live: PendingRequest) -> None:
-        """The last byte of a long request has come: its budget counts from here."""
-        if live.owed:
-            live.ends_ms = min(now_ms() + live.message.budget_ms, self._stop_ms)
-            self._watch(live)
-
-    def overdue(self, live: PendingRequest) -> None:
-        """Fail a request that the module has not ended by its deadline, whatever the reason."""
-        left_ms = live.ends_ms - now_ms()
-        if left_ms > 0.0:  # the loop's clock may run ahead: failing early would be a broken promise
-            live.backstop = self._timers.schedule(left_ms / 1000.0 + 0.001, live.overdue)
-        elif self._drop(live):
-            log.warning("request %s was not ended by its deadline", live.message.id)
-            self.metrics.count_request(live.message.cls, 504)
-            live.answer(Reply(504, b"no answer in time"))
-            self._handle(api.ClientGone(live.id))
-
-    # The module
+            self._timers.schedule(FLOW_CHECK_S, functools.partial(self._check_flow, flow))
+
+    def _upload_received(self, request: PendingRequest) -> None:
+        """Start the budget of a long request when its last byte has come."""
+        if request.owed:
+            request.ends_ms = min(now_ms() + request.message.budget_ms, self._stop_ms)
+            self._set_backstop(request)
+
+    def deadline_passed(self, request: PendingRequest) -> None:
+        """Fail a request that the balancer has not ended by its deadline, for whatever reason."""
+        left_ms = request.ends_ms - now_ms()
+        if left_ms > 0.0:  # the loop's clock may run ahead, and a request must not fail early
+            delay_s = left_ms / 1000.0 + 0.001
+            request.backstop = self._timers.schedule(delay_s, request.deadline_passed)
+        elif self._remove(request):
+            log.warning("request %s was not ended by its deadline", request.message.id)
+            self.metrics.count_request(request.message.cls, 504)
+            request.answer(Reply(504, b"no answer in time"))
+            self._handle(api.ClientGone(request.id))
+
+    # The balancer
 
     def _handle(self, event: api.Event) -> None:
-        """Give the module an event and do what it says; events raised meanwhile wait their turn."""
+        """Pass an event to the balancer and perform its actions, after any event before it."""
         self._events.handle(event)
 
-    def _do(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         match action:
             case api.Send():
-                self._send(action)
+                self._start_attempt(action)
             case api.SetTimer():
                 self._loop.call_later(action.delay_ms / 1000.0, self._handle, api.TimerFired(action.token))
             case api.Fail():
                 more = self.links.answer(action) if self.links is not None else ()
-                self.finish(self._live.get(action.id), Reply(502, b"failed", more=more))
+                self.finish(self._pending.get(action.id), Reply(502, b"failed", more=more))
             case api.Refuse():
                 more = self.links.answer(action) if self.links is not None else ()
                 retry_after_s = action.retry_after_ms / 1000.0
                 reply = Reply(503, b"refused", retry_after_s=retry_after_s, more=more)
-                self.finish(self._live.get(action.id), reply)
+                self.finish(self._pending.get(action.id), reply)
             case api.Cancel():
-                # An attempt that was moot before it began has no number here: the module counts it.
-                for number in range(action.attempt, -1, -1):
-                    if (attempt := self.attempts.get((action.id, number))) is not None:
-                        attempt.abort(Result.CANCELLED)
-                        break
+                self._cancel_attempt(action)
             case api.CloseIdle():
                 self._upstream.close_idle(action.server)
             case api.Subscribe():
@@ -530,100 +465,40 @@
 
     # Attempts
 
-    def _send(self, action: api.Send) -> None:
-        live = self._live.get(action.id)
+    def _start_attempt(self, action: api.Send) -> None:
+        request = self._pending.get(action.id)
         server = action.server
         sent_ms = now_ms()
-        if live is None or server not in self._in_service:
-            number = live.attempts if live is not None else 0
-            return self._handle(api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, live is None))
-        flow = live.message.flow
+        if request is None or server not in self.servers.in_service:
+            number = request.attempts if request is not None else 0
+            client_gone = request is None
+            return self._handle(api.AttemptEnded(action.id, number, server, Result.MOOT, 0.0, client_gone))
+        flow = request.message.flow
         if flow is not None and not flow.can_start():
-            event = api.AttemptEnded(live.id, live.attempts, server, Result.MOOT, 0.0, False, spent=True)
-            return self._handle(event)
-        # Cut to what is left: an outcome must come before the answer is due.
-        timeout_ms = max(0.0, min(action.timeout_ms, live.ends_ms - MARGIN_MS - sent_ms))
-        attempt = RequestAttempt(self, live, server, self._addresses[server], timeout_ms, sent_ms)
+            return self._handle(
+                api.AttemptEnded(request.id, request.attempts, server, Result.MOOT, 0.0, False, spent=True)
+            )
+        # At most what is left: an outcome must come before the answer is due.
+        timeout_ms = max(0.0, min(action.timeout_ms, request.ends_ms - MARGIN_MS - sent_ms))
+        address = self.servers.addresses[server]
+        attempt = RequestAttempt(self, request, server, address, timeout_ms, sent_ms)
         if action.carried is not None and self.links is not None:
             attempt.more = self.links.write(action.carried, timeout_ms)
         self._upstream.send(attempt, action.fresh)
 
-    def serves(self, server: int) -> bool:
-        """Whether a server may be sent to now."""
-        return server in self._in_service
+    def _cancel_attempt(self, action: api.Cancel) -> None:
+        # An attempt that was moot before it began has no number here, but the balancer counts it.
+        for number in range(action.attempt, -1, -1):
+            attempt = self.attempts.get((action.id, number))
+            if attempt is not None:
+                return attempt.abort(Result.CANCELLED)
 
-    def life(self, server: int) -> int:
-        """Tells a server's lives in the list apart; 0 for one that is not in it."""
-        return self._lives.get(server, 0)
+    def upload_sent(self, attempt: RequestAttempt) -> None:
+        """Notify the balancer that a server has all of a long request."""
+        sent_ms = now_ms()
+        left_ms = attempt.request.ends_ms - MARGIN_MS - sent_ms
+        self._handle(attempt.restart_clock(left_ms, sent_ms))
 
     def attempt_ended(self, event: api.AttemptEnded) -> None:
-        """One of the module's Sends is over."""
+        """Notify the balancer that one of its attempts has ended."""
         self._handle(event)
-
-    # Discovery
-
-    def _on_news(self, listing: ServerListing | None, why: str) -> None:
-        if listing is not None and self.control is not None and self.control.members.hear(listing):
-            return
-        if listing is not None:
-            self.take_listing(listing, api.ListKind.FULL if listing.complete else api.ListKind.CHANGES)
-            return
-        log.info("discovery: %s", why)
-        if self._config.settings.follow_list:
-            self._handle(api.ServerList(api.ListKind.FAILED))
-        else:
-            self._loop.call_later(PUSHED_RETRY_S, self._discovery.subscribe)
-
-    def take_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
-        """Take news at once; what the module is told of a long list it is told in steps.
-
-        Here all of it counts from now on: what the module sends to a server that has left is sent nowhere.
-        """
-        gone = []
-        if kind is not api.ListKind.CHANGES:
-            gone = [server for server in self._addresses if server not in listing.addresses]
-            for server in gone:
-                self._forget(server)
-        for entry in listing.entries:
-            if entry.health is api.Health.GONE:
-                self._forget(entry.server)
-                continue
-            if entry.server not in self._lives:
-                self._came += 1
-                self._lives[entry.server] = self._came
-            self._addresses[entry.server] = listing.addresses[entry.server]
-            if entry.server in listing.h3_addresses:
-                self._h3[entry.server] = listing.h3_addresses[entry.server]
-            else:
-                self._h3.pop(entry.server, None)
-            if entry.health is api.Health.IN_SERVICE:
-                self._in_service.add(entry.server)
-            else:
-                self._in_service.discard(entry.server)
-        long = kind is not api.ListKind.SAVED and len(listing.entries) > LIST_STEP
-        if not long and not self._news:
-            return self._handle(api.ServerList(kind, listing.index, listing.entries))
-        # What drains or is gone goes first: the rest only adds to what the module may do.
-        entries = [api.ServerEntry(server, health=api.Health.GONE) for server in gone]
-        entries += sorted(listing.entries, key=lambda entry: entry.health is api.Health.IN_SERVICE)
-        for at in range(0, len(entries), LIST_STEP):
-            step = entries[at : at + LIST_STEP]
-            self._news.append(api.ServerList(api.ListKind.CHANGES, listing.index, step))
-        if not self._telling:
-            self._telling = True
-            self._tell_step()
-
-    def _tell_step(self) -> None:
-        """Tell the module the next step of a long list, and let requests come before the one after it."""
-        if self._news:
-            self._handle(self._news.popleft())
-            self._loop.call_soon(self._tell_step)
-        else:
-            self._telling = False
-
-    def _forget(self, server: int) -> None:
-        self._in_service.discard(server)
-        self._addresses.pop(server, None)
-        self._lives.pop(server, None)
-        self._h3.pop(server, None)
-        self._upstream.server_removed(server)
--- a/orchidferry/testkit/explore/breaks.py
+++ b/orchidferry/testkit/explore/breaks.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing import logic, records, slow_start
 from orchidferry.balancing.interface import Result
-from orchidferry.node import frontend, node, timer_queue, upstream
+from orchidferry.node import attempts, frontend, node, timer_queue, upstream
 
 Patch = tuple[Any, str, Any]  # where, what, and what stands there instead
 
@@ -33,7 +33,7 @@
 
     def finish(self: Any, live: Any, reply: Any) -> None:
         if reply.status == 502 and live is not None:
-            self._drop(live)
+            self._remove(live)
         else:
             inner(self, live, reply)
 
@@ -41,19 +41,23 @@
 
 
 def _late_backstop() -> list[Patch]:
-    inner = node.Node._watch
+    inner = node.Node._set_backstop
 
     def watch(self: Any, live: Any) -> None:
         live.ends_ms += 400.0
         inner(self, live)
         live.ends_ms -= 400.0
 
-    def overdue(self: Any, live: Any) -> None:
-        if self._drop(live):
+    def deadline_passed(self: Any, live: Any) -> None:
+        if self._remove(live):
             live.answer(frontend.Reply(504, b"late"))
             self._handle(api.ClientGone(live.id))
 
-    return [(node.Node, "_watch", watch), (node.Node, "overdue", overdue), (node, "MARGIN_MS", -300.0)]
+    return [
+        (node.Node, "_set_backstop", watch),
+        (node.Node, "deadline_passed", deadline_passed),
+        (node, "MARGIN_MS", -300.0),
+    ]
 
 
 def _resend_unsafe() -> list[Patch]:
@@ -83,11 +87,11 @@
 
 
 def _no_late_check() -> list[Patch]:
-    return [(node.RequestAttempt, "may_send", lambda self: True)]
+    return [(attempts.RequestAttempt, "may_send", lambda self: True)]
 
 
 def _ignore_drain() -> list[Patch]:
-    inner = node.Node.take_listing
+    inner = node.Node.apply_listing
 
     def take(self: Any, listing: Any, kind: Any) -> None:
         for entry in listing.entries:
@@ -95,35 +99,35 @@
                 entry.health = api.Health.IN_SERVICE
         inner(self, listing, kind)
 
-    return [(node.Node, "take_listing", take)]
+    return [(node.Node, "apply_listing", take)]
 
 
 def _forget_gone() -> list[Patch]:
-    inner = node.Node.take_listing
+    inner = node.Node.apply_listing
 
     def take(self: Any, listing: Any, kind: Any) -> None:
         listing.entries = [entry for entry in listing.entries if entry.health is not api.Health.GONE]
         inner(self, listing, kind)
 
-    return [(node.Node, "take_listing", take)]
+    return [(node.Node, "apply_listing", take)]
 
 
 def _lose_client_gone() -> list[Patch]:
     def gone(self: Any, live: Any) -> None:
-        self._drop(live)
+        self._remove(live)
 
     return [(node.Node, "client_disconnected", gone)]
 
 
 def _leak_attempt() -> list[Patch]:
-    inner = node.RequestAttempt.ended
+    inner = attempts.RequestAttempt.ended
 
     def ended(self: Any, result: Any, answer: Any) -> None:
         inner(self, result, answer)
         if result is Result.RESET:
-            self._node.attempts[self._live.id, self._number] = self
+            self._node.attempts[self._request.id, self._number] = self
 
-    return [(node.RequestAttempt, "ended", ended)]
+    return [(attempts.RequestAttempt, "ended", ended)]
 
 
 def _swallow_end() -> list[Patch]:
--- a/orchidferry/testkit/explore/world.py
+++ b/orchidferry/testkit/explore/world.py
@@ -230,11 +230,11 @@
         """At rest each thing that is kept has an owner."""
         node = self.node
         balancer = self.node._balancer
-        if balancer._calls.keys() != node._live.keys():
-            odd = sorted(balancer._calls.keys() ^ node._live.keys())
+        if balancer._calls.keys() != node._pending.keys():
+            odd = sorted(balancer._calls.keys() ^ node._pending.keys())
             self._broken("nothing-left", f"node and module do not hold the same requests: {odd}")
-        if len(node._timers) > len(node._live) + len(node.attempts):
-            self._broken("nothing-left", f"{len(node._timers)} time limits for {len(node._live)} requests")
+        if len(node._timers) > len(node._pending) + len(node.attempts):
+            self._broken("nothing-left", f"{len(node._timers)} time limits for {len(node._pending)} requests")
 
     def _look(self) -> bool:
         """Take what came out of the node; whether discovery has made more come."""
@@ -612,7 +612,7 @@
         node = self.node
         balancer = self.node._balancer
         counts = {
-            "requests of the node": len(node._live),
+            "requests of the node": len(node._pending),
             "attempts of the node": len(node.attempts),
             "ids": len(node._open_ids),
             "calls of the module": len(balancer._calls),
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -60,7 +60,7 @@
         self.settings: list[api.Settings] = []
         self.broken: set[int] = set()
 
-    def listed(self) -> Any:
+    def known_servers(self) -> Any:
         return self.known.keys()
 
     def serves(self, server: int) -> bool:
@@ -71,12 +71,12 @@
             if server in self.known:  # nothing new to what is not known either way
                 self.known[server] = False
 
-    def take_settings(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         if self.broken:
             raise RuntimeError("no settings today")
         self.settings.append(settings)
 
-    def take_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
+    def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
         if listing.complete:
             self.known = {s: v for s, v in self.known.items() if s in listing.addresses}
         for entry in listing.entries:
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -24,6 +24,7 @@
 from orchidferry.node.control.messages import pool_message
 from orchidferry.node.control.settings import Control
 from orchidferry.node.control.store import FORM, decode
+from orchidferry.node.extensions import Extensions
 from orchidferry.node.node import Node
 from orchidferry.node.server_listing import server_id
 from orchidferry.testkit.control.service import Service
@@ -187,7 +188,7 @@
         control = Control(
             service.address, "n0", "", (POOL, "other"), "entrada", path / "state" if state else None, 0.1
         )
-        live = made.node = Node(read_config(str(made.path)), loop, None, control)
+        live = made.node = Node(read_config(str(made.path)), loop, Extensions(control=control))
         made.address = await live.frontend.listen(loop, ("127.0.0.1", 0))
         live.start()
         await until(lambda: service.joined == 1 and live.control is not None and bool(live.control._versions))
@@ -243,7 +244,7 @@
             server.gate.set()
             assert (await caller.read()).status == 200
             assert made.node is not None
-            assert b"node.calls.save-new.success=2\n" in made.node.report()
+            assert b"node.calls.save-new.success=2\n" in made.node.render_metrics()
             await until(lambda: made.node is not None and not made.node._balancer.inflight)
 
     run(test())
@@ -262,7 +263,7 @@
             made.registry.tell(two.entry(status="leaving"))
             live = made.node
             assert live is not None
-            await until(lambda: server_id("b") not in live._in_service)
+            await until(lambda: server_id("b") not in live.servers.in_service)
             count = len(two.seen)
             await becomes(
                 service,
@@ -283,7 +284,7 @@
                 assert (await made.ask(f"y{n}")).status == 200
             assert len(two.seen) == count and one.seen == []  # the service has it in service still
             made.registry.tell(two.entry())
-            await until(lambda: server_id("b") in live._in_service)
+            await until(lambda: server_id("b") in live.servers.in_service)
 
     run(test())
 
@@ -299,9 +300,9 @@
             assert live is not None
             assert live.control is not None
             live.control.members.drain([server_id("b")])
-            assert server_id("b") not in live._in_service
+            assert server_id("b") not in live.servers.in_service
             await becomes(service, made, "v2", pool(one, two))
-            await until(lambda: server_id("b") in live._in_service)
+            await until(lambda: server_id("b") in live.servers.in_service)
 
     run(test())
 
--- a/tests/node/h3/scene.py
+++ b/tests/node/h3/scene.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from orchidferry.node.config import read_config
+from orchidferry.node.extensions import Extensions
 from orchidferry.node.h3.settings import Front, Http3, Servers
 from orchidferry.node.node import Node
 from orchidferry.testkit.quic import certs, client, server
@@ -90,7 +91,7 @@
         """Nothing is left in any book."""
         module = self.node._balancer
         return (
-            not self.node._live
+            not self.node._pending
             and not self.node._open_ids
             and not self.node.attempts
             and not module._calls
@@ -134,7 +135,7 @@
             Front(("127.0.0.1", 0), known.certificate, known.key, connections, 60) if front else None,
             Servers(known.ca, certs.NAME, 64),
         )
-        node = made.node = Node(read_config(str(made.path)), loop, http3)
+        node = made.node = Node(read_config(str(made.path)), loop, Extensions(http3=http3))
         made.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
         address = ("", 0)
         if node.h3_front is not None:
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -261,7 +261,7 @@
             stream = begin(caller, "first", "save", body=b"x")
             await until(lambda: len(server.seen) == 1)
             stream.drop()
-            await until(lambda: not made.node._live)
+            await until(lambda: not made.node._pending)
             server.gate.set()
             await until(lambda: made.module_is_clean())
             assert len(server.seen) == 1  # never again on its own
@@ -289,7 +289,7 @@
             await until(lambda: len(server.seen) == 1)
             caller._quic.stop_stream(stream.stream, ErrorCode.H3_REQUEST_CANCELLED)
             caller.transmit()
-            await until(lambda: not made.node._live)
+            await until(lambda: not made.node._pending)
             server.gate.set()
             await until(made.module_is_clean)
             assert len(server.seen) == 1 and (await ask(caller, "two")).status == 200
@@ -309,9 +309,9 @@
             for n in range(50):
                 begin(caller, f"{n}", EFFECTS[n % 5])
             await until(lambda: sum(len(server.seen) for server in servers) == 50)
-            assert len(made.node._live) == 50
+            assert len(made.node._pending) == 50
             caller.drop()
-            await until(lambda: not made.node._live and not listener(made)._connections)
+            await until(lambda: not made.node._pending and not listener(made)._connections)
             for server in servers:
                 server.gate.set()
             await until(made.module_is_clean)
@@ -378,7 +378,7 @@
             streams = [begin(caller, f"{n}") for n in range(8)]
             await until(lambda: len(server.seen) == 3)
             await asyncio.sleep(0.05)
-            assert len(made.node._live) == 3  # the others are still with their caller
+            assert len(made.node._pending) == 3  # the others are still with their caller
             server.gate.set()
             await until(lambda: all(s.waiting is not None and s.waiting.done() for s in streams))
             assert all(s.waiting is not None and s.waiting.result().status == 200 for s in streams)
@@ -667,7 +667,7 @@
             stopping = asyncio.create_task(made.node.stop(0.05))
             await asyncio.sleep(0.1)
             late = begin(caller, "late")  # the node serves on for a while
-            await until(lambda: len(made.node._live) == 2)
+            await until(lambda: len(made.node._pending) == 2)
             await until(lambda: next(iter(listener(made)._connections))._closing)
             refused = begin(caller, "refused")
             assert refused.waiting is not None
--- a/tests/node/h3/test_upstream.py
+++ b/tests/node/h3/test_upstream.py
@@ -30,7 +30,7 @@
 
 
 def state(made: Scene) -> State:
-    return routes(made).transports.state(next(iter(made.node._addresses)))
+    return routes(made).transports.state(next(iter(made.node.servers.addresses)))
 
 
 def results(made: Scene) -> list[Result]:
@@ -301,7 +301,7 @@
             await until(lambda: len(script.seen) == 50)
             await other.start()
             made.world.registry.tell(server.entry(h3=quic["s0"]), other.entry())
-            await until(lambda: len(made.node._in_service) == 2)
+            await until(lambda: len(made.node.servers.in_service) == 2)
             next(iter(script.quic.connections)).close(ErrorCode.H3_INTERNAL_ERROR)
             script.hold.set()
             found = dict(zip(kinds, await asyncio.gather(*asked), strict=True))
@@ -424,7 +424,7 @@
             await until(lambda: len(script.seen) > 0)
             seen = len(script.seen)
             made.world.registry.tell(server.entry(status="left"))
-            await until(lambda: len(made.node._in_service) == 1)
+            await until(lambda: len(made.node.servers.in_service) == 1)
             script.hold.set()
             assert [one.status for one in await asyncio.gather(*asked)] == [200, 200]
             for n in range(4):
--- a/tests/node/peers.py
+++ b/tests/node/peers.py
@@ -17,6 +17,7 @@
 from orchidferry.balancing.pools import Rules
 from orchidferry.node.chain.settings import Setup
 from orchidferry.node.config import read_config
+from orchidferry.node.extensions import Extensions
 from orchidferry.node.node import Node
 from tests.balancing.test_wire import ENV
 
@@ -315,7 +316,7 @@
     scene = World(config, file, registry, list(servers))
     if start:
         loop = asyncio.get_running_loop()
-        node = scene.node = Node(read_config(str(file)), loop, chain=chain, pools=pools)
+        node = scene.node = Node(read_config(str(file)), loop, Extensions(chain=chain, pools=pools))
         scene.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
         node.start()
     try:
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -49,9 +49,9 @@
 
             loop = asyncio.get_running_loop()
             node = scene.node = Node(read_config(str(scene.path)), loop)
-            assert node.door is not None
+            assert node.admin_server is not None
             scene.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
-            at = await node.door.listen(loop, ("127.0.0.1", 0))
+            at = await node.admin_server.listen(loop, ("127.0.0.1", 0))
             node.start()
             await test(scene, at)
 
@@ -163,17 +163,21 @@
     monkeypatch.setattr(admin_module, "REQUEST_TIMEOUT_S", 0.3)
 
     async def test(scene: World, at: tuple[str, int]) -> None:
-        assert scene.node is not None and isinstance(scene.node.door, AdminServer)
+        assert scene.node is not None and isinstance(scene.node.admin_server, AdminServer)
         silent = [await asyncio.open_connection(*at) for _ in range(admin_module.MAX_CONNECTIONS + 8)]
         silent[-1][1].write(b"GET /-/met")
         assert (await get(at, "/-/ready"))[0] == 200  # among them
-        assert scene.node.door.count() <= admin_module.MAX_CONNECTIONS + 1
+        assert scene.node.admin_server.count() <= admin_module.MAX_CONNECTIONS + 1
         ends = [await asyncio.wait_for(reader.read(12), LIMIT_S) for reader, _ in silent[-3:]]
         assert ends == [b"HTTP/1.1 408"] * 3
         for _, writer in silent:
             writer.close()
         await until(
-            lambda: scene.node is not None and scene.node.door is not None and scene.node.door.count() == 1
+            lambda: (
+                scene.node is not None
+                and scene.node.admin_server is not None
+                and scene.node.admin_server.count() == 1
+            )
         )
 
     with_door(tmp_path, test, Server())
--- a/tests/node/test_callers.py
+++ b/tests/node/test_callers.py
@@ -158,7 +158,7 @@
             assert scene.node is not None
             before, during = await scene.caller(), await scene.caller()
             before.write(request("a", "pay", budget="20"))
-            await until(lambda: scene.node is not None and bool(scene.node._live))
+            await until(lambda: scene.node is not None and bool(scene.node._pending))
             stopping = asyncio.ensure_future(scene.node.stop(0.0))
             await asyncio.sleep(0)
             assert (await during.ask("b", "pay", budget="20")).status in (502, 504)
@@ -180,7 +180,7 @@
             await until(lambda: len(server.seen) == 1)
             gone.writer.close()
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await until(lambda: scene.node is not None and not scene.node._pending)
             again = await scene.caller()
             again.write(request("a"))
             await until(lambda: len(server.seen) == 2)
@@ -209,8 +209,13 @@
             await until(lambda: callers(scene) == 0)
             own = scene.node
             module = scene.node._balancer
-            assert not own._live and not own._open_ids and not own.attempts and not own._events._events
-            assert len(own._addresses) == len(own._in_service) == len(module.server_set.servers) == 1
+            assert not own._pending and not own._open_ids and not own.attempts and not own._events._events
+            assert (
+                len(own.servers.addresses)
+                == len(own.servers.in_service)
+                == len(module.server_set.servers)
+                == 1
+            )
             assert not module._calls and not module._timers and not any(module.admission._queues.values())
             assert len(module._recent_requests._times) + len(module._recent_retries._times) <= 2
             assert (
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -122,7 +122,7 @@
 def books_are_even(scene: World) -> bool:
     assert scene.node is not None
     live = scene.node
-    return not live._live and not live.attempts and not live._flowing and not live._balancer.inflight
+    return not live._pending and not live.attempts and not live._streaming and not live._balancer.inflight
 
 
 @pytest.fixture
@@ -176,7 +176,7 @@
             caller.write(request("u", "pay", body=body))
             await until(lambda: bool(server.heads))
             assert scene.node is not None
-            [live] = scene.node._live.values()
+            [live] = scene.node._pending.values()
             flow = live.message.flow
             assert flow is not None
             size = -1
@@ -476,8 +476,8 @@
             assert status == 200 and not whole and LONG.startswith(body)
             await until(lambda: books_are_even(scene))
             assert scene.node is not None
-            assert b"node.calls.read.failure=1\n" in scene.node.report()
-            assert b"node.calls.read.success=0\n" in scene.node.report()
+            assert b"node.calls.read.failure=1\n" in scene.node.render_metrics()
+            assert b"node.calls.read.success=0\n" in scene.node.render_metrics()
             assert (await scene.ask("b")).status == 200
 
     run(test())
@@ -515,7 +515,7 @@
 
 def test_an_answer_that_stands_still_is_ended(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(flow_module, "STALL_S", 0.3)
-    monkeypatch.setattr(node, "FLOW_LOOK_S", 0.05)
+    monkeypatch.setattr(node, "FLOW_CHECK_S", 0.05)
 
     async def test() -> None:
         server = LongServer(answer(200, LONG)[: 2 * MB])  # and nothing after that
@@ -541,7 +541,7 @@
             await until(lambda: bool(server.heads))
             caller.writer.transport.abort()
             assert scene.node is not None
-            await until(lambda: scene.node is not None and not scene.node._live)
+            await until(lambda: scene.node is not None and not scene.node._pending)
             server.gate.set()
             await until(lambda: books_are_even(scene))
             await until(lambda: server.lost == 1)
--- a/tests/node/test_long_lists.py
+++ b/tests/node/test_long_lists.py
@@ -16,7 +16,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node import discovery, node, server_listing
+from orchidferry.node import discovery, server_listing, server_table
 from orchidferry.node.clock import unix_offset_ms
 from orchidferry.node.server_listing import decode_listing, read_listing, server_id
 from tests.node.peers import Server, run, until, world
@@ -55,7 +55,7 @@
     """Steps so small that a list of some dozens is long; what the module is told of lists."""
     monkeypatch.setattr(discovery, "LONG_BODY", 1_000)
     monkeypatch.setattr(server_listing, "ENTRIES_PER_STEP", 5)
-    monkeypatch.setattr(node, "LIST_STEP", 10)
+    monkeypatch.setattr(server_table, "ENTRIES_PER_EVENT", 10)
     told: list[api.ServerList] = []
     handle = Balancer.handle
 
@@ -83,7 +83,7 @@
             await until(lambda: sum(len(news.entries) for news in small_steps) >= 96)
             assert max(len(news.entries) for news in small_steps) <= 10
             assert small_steps[0].entries[0].server == server_id("far-60")  # what leaves comes first
-            await until(lambda: not scene.node._telling if scene.node else False)
+            await until(lambda: not scene.node._list_feed.active if scene.node else False)
             entries = scene.node._balancer.server_set.entries
             assert entries.keys() == {server_id("near"), *(server_id(f"far-{n}") for n in range(95))}
             # And it goes on from there: a short change, and a whole list that takes nearly all away.
@@ -105,9 +105,11 @@
         one, other = Server(name="one"), Server(name="other")
         async with world(tmp_path, one, other) as scene:
             assert scene.node is not None
-            monkeypatch.setattr(node.Node, "_tell_step", lambda self: None)  # the module hears nothing
+            monkeypatch.setattr(
+                server_table.ServerListFeed, "_pass_on_next", lambda self: None
+            )  # the module hears nothing
             scene.registry.tell(one.entry(status="leaving"), other.entry(), *listed(50), snapshot=True)
-            in_service = scene.node._in_service
+            in_service = scene.node.servers.in_service
             await until(lambda: server_id("far-0") in in_service)
             assert server_id("one") not in in_service
             seen = len(one.seen)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -215,7 +215,7 @@
             # The first of these goes to the watch that is lost.
             scene.registry.tell()
             scene.registry.tell(news.entry())
-            await until(lambda: scene.node is not None and len(scene.node._in_service) == 2)
+            await until(lambda: scene.node is not None and len(scene.node.servers.in_service) == 2)
             await news.stop()
 
     run(test())
@@ -301,7 +301,7 @@
             await until(lambda: len(server.seen) == 1)
             caller.writer.close()
             assert scene.node is not None
-            await until(lambda: not scene.node or not scene.node._live)
+            await until(lambda: not scene.node or not scene.node._pending)
             server.gate.set()
             assert (await scene.ask("a")).status == 200  # its id is free again
             assert [seen.id for seen in server.seen] == ["a", "a"]  # and nobody retried for it
@@ -461,7 +461,7 @@
             reply = await caller.read()
             assert reply.status == 400 and reply.headers["connection"] == "close"
             assert await caller.closed()
-            assert scene.node is not None and not scene.node._live and not scene.node._open_ids
+            assert scene.node is not None and not scene.node._pending and not scene.node._open_ids
             server.gate.set()
 
     run(test())
--- a/tests/testkit/broken_node.py
+++ b/tests/testkit/broken_node.py
@@ -11,7 +11,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node import frontend, node
+from orchidferry.node import attempts, frontend, node
 from orchidferry.node import main as program
 from orchidferry.node.server_listing import ServerListing
 
@@ -49,8 +49,8 @@
     """A failure is told as served."""
     finish = node.Node.finish
 
-    def spoilt(self: node.Node, live: node.PendingRequest | None, reply: frontend.Reply) -> None:
-        finish(self, live, frontend.Reply(200, b"all is well") if reply.status == 502 else reply)
+    def spoilt(self: node.Node, request: attempts.PendingRequest | None, reply: frontend.Reply) -> None:
+        finish(self, request, frontend.Reply(200, b"all is well") if reply.status == 502 else reply)
 
     node.Node.finish = spoilt  # type: ignore[method-assign]
 
@@ -69,7 +69,7 @@
 
 def ignores_drains() -> None:
     """Servers that drain stay in service, as do those that are gone."""
-    take = node.Node.take_listing
+    take = node.Node.apply_listing
 
     def spoilt(self: node.Node, listing: ServerListing, kind: api.ListKind) -> None:
         for entry in listing.entries:
@@ -77,25 +77,25 @@
                 entry.health = api.Health.IN_SERVICE
         take(self, listing, kind)
 
-    node.Node.take_listing = spoilt  # type: ignore[method-assign]
+    node.Node.apply_listing = spoilt  # type: ignore[method-assign]
 
 
 def floods_cold() -> None:
     """All goes to a server that has just started, as if it were the only one, and warm."""
-    take = node.Node.take_listing
+    take = node.Node.apply_listing
 
     def spoilt(self: node.Node, listing: ServerListing, kind: api.ListKind) -> None:
         fresh = [entry for entry in listing.entries if entry.started_ms is not None]
         for entry in fresh:
             entry.started_ms = None
         if fresh:
-            others = set(self._addresses) - {entry.server for entry in listing.entries}
+            others = set(self.servers.addresses) - {entry.server for entry in listing.entries}
             for server in others:
                 listing.entries.append(api.ServerEntry(server, health=api.Health.DRAINING))
-                listing.addresses[server] = self._addresses[server]
+                listing.addresses[server] = self.servers.addresses[server]
         take(self, listing, kind)
 
-    node.Node.take_listing = spoilt  # type: ignore[method-assign]
+    node.Node.apply_listing = spoilt  # type: ignore[method-assign]
 
 
 def dies() -> None:
@@ -103,7 +103,7 @@
     accept = node.Node.accept
     count = [0]
 
-    def spoilt(self: node.Node, *args: Any) -> node.PendingRequest:
+    def spoilt(self: node.Node, *args: Any) -> attempts.PendingRequest:
         count[0] += 1
         if count[0] > EVERY:
             sys.stderr.write("ERROR a fault that nobody thought of\n")
