--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -26,8 +26,8 @@
 
 from orchidferry.testkit.mesh.ask import Scene, call
 from orchidferry.testkit.mesh.day import Day, Machine, Ports, machines
+from orchidferry.testkit.mesh.environment import free_ports
 from orchidferry.testkit.mesh.processes import ROOT, Node
-from orchidferry.testkit.mesh.run import free_ports
 from orchidferry.testkit.wire import Outcome, get
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.nodes import in_child
--- a/orchidferry/testkit/judge/mesh/service_rules.py
+++ b/orchidferry/testkit/judge/mesh/service_rules.py
@@ -11,7 +11,7 @@
 from orchidferry.testkit.judge.mesh.trace import MeshTrace
 from orchidferry.testkit.mesh.day import PROBE
 from orchidferry.testkit.mesh.facts import Answered, Sent
-from orchidferry.testkit.mesh.table import CLOSING
+from orchidferry.testkit.mesh.schedule import CLOSING
 
 MIN_SERVED_SHARE = 0.25
 """Of what is asked, that must be served after a closing loss and the time to recover from it."""
--- a/orchidferry/testkit/judge/mesh/trace.py
+++ b/orchidferry/testkit/judge/mesh/trace.py
@@ -34,7 +34,7 @@
     ServerEnd,
     Turned,
 )
-from orchidferry.testkit.mesh.table import UNPLANNED
+from orchidferry.testkit.mesh.schedule import UNPLANNED
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/orchidferry/testkit/mesh/actions/isolation.py
@@ -0,0 +1,209 @@
+"""Actions of the worst days.
+
+A stream of changes, hundreds of them in a row, controllers isolated under it, and connections that break off
+under calls that are not idempotent.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from enum import Enum
+
+from orchidferry.testkit import draws
+from orchidferry.testkit.mesh.actions.links import (
+    LinkSelection,
+    both_ways,
+    impose_fault,
+    reversed_directions,
+)
+from orchidferry.testkit.mesh.actions.targets import Action, choose, live_sidecars
+from orchidferry.testkit.mesh.day import Machine, ScheduledAction
+from orchidferry.testkit.mesh.environment import Environment
+from orchidferry.testkit.mesh.relay import Direction, LinkCondition
+
+ROLLING_RESTART_SHARE = 0.5
+"""Of isolations, those during which all nodes are restarted in turn; else some at any moment."""
+
+ROLLING_PAUSE_S = 0.5
+"""From one node's new start to the next one's end."""
+
+RESTARTS = 3
+"""Nodes that are restarted during an isolation without a rolling restart."""
+
+SIGTERM_SHARE = 0.5
+"""Of restarts, those that begin with SIGTERM in place of a kill."""
+
+CHANGES_IN_A_ROW = 300
+FIRST_BROKEN_CHUNK = 2
+LAST_BROKEN_CHUNK = 4
+
+
+class IsolationWay(Enum):
+    """The directions in which a controller is isolated, in the words of records."""
+
+    BOTH = "both ways"
+    INWARDS = "to it"
+    OUTWARDS = "from it"
+
+
+async def _start_changes(env: Environment, scheduled: ScheduledAction) -> str:
+    """Operators begin to send changes, and go on until the closing loss."""
+    env.changes.start()
+    return ""
+
+
+async def _change_in_a_row(env: Environment, scheduled: ScheduledAction) -> str:
+    """Changes, each once the one before is acknowledged; then some from before them again."""
+    return await env.changes.many(CHANGES_IN_A_ROW, scheduled.for_s)
+
+
+async def _resend_changes(env: Environment, scheduled: ScheduledAction) -> str:
+    """Changes that were acknowledged are sent again."""
+    await env.changes.send_again()
+    return ""
+
+
+def controllers_to_isolate(env: Environment, scheduled: ScheduledAction) -> list[Machine]:
+    """Controllers by the seed, no more than may be lost at once."""
+    if scheduled.target:
+        return [env.nodes[name].machine for name in scheduled.target.split()]
+    count = 1 + int(draws.uniform(env.seed, "isolated", high=env.day.tolerance))
+    return draws.sample(env.cores, count, env.seed, "isolate")
+
+
+def links_to_cut(env: Environment, machines: list[Machine]) -> LinkSelection:
+    """The links that isolate controllers: from the others or from all machines, in a way by the seed."""
+    from_all = draws.uniform(env.seed, "isolate", "far") < 0.5
+    far = [*env.cores, *live_sidecars(env)] if from_all else env.cores
+    directions = [(one.name, other.name) for one in machines for other in far if other is not one]
+    ways = tuple(IsolationWay)
+    way = ways[int(draws.uniform(env.seed, "isolate", "way", high=len(ways)))]
+    if way is IsolationWay.BOTH:
+        directions = both_ways(directions)
+    elif way is IsolationWay.INWARDS:
+        directions = reversed_directions(directions)
+    names = " ".join(machine.name for machine in machines)
+    far_names = "all" if from_all else "the other controllers"
+    return LinkSelection(directions, f"{names} from {far_names}, {way.value}")
+
+
+async def _isolate(env: Environment, scheduled: ScheduledAction) -> str:
+    """Controllers are isolated; meanwhile a service's servers are replaced, and nodes are restarted."""
+    isolated = controllers_to_isolate(env, scheduled)
+    links = links_to_cut(env, isolated)
+    env.changes.isolated = isolated
+    if draws.uniform(env.seed, "rolling") < ROLLING_RESTART_SHARE:
+        work = [_rolling_restart(env, isolated[0], scheduled.for_s)]
+    else:
+        work = [_restart_one(env, isolated[0], number, scheduled.for_s) for number in range(RESTARTS)]
+    work.append(_replace_servers(env, scheduled.for_s))
+    meanwhile = [asyncio.ensure_future(one) for one in work]
+    try:
+        await impose_fault(env, "cut", links.directions, LinkCondition(cut=True), scheduled.for_s)
+    finally:
+        env.changes.isolated = []
+        renewed = await asyncio.gather(*meanwhile)
+    return f"{links.description}; meanwhile new: {', '.join(renewed)}"
+
+
+async def _restart_one(env: Environment, isolated: Machine, number: int, for_s: float) -> str:
+    """Restart a node; every other one has the isolated controller as its first seed.
+
+    :param number: of the restart, from 0
+    :param for_s: how long the isolation lasts
+    """
+    low = (0.1 + 0.25 * number) * for_s
+    await asyncio.sleep(draws.uniform(env.seed, "restart", number, low=low, high=low + 0.15 * for_s))
+    machines = live_sidecars(env)
+    chosen = int(draws.uniform(env.seed, "restarted", number, high=len(machines)))
+    node = env.nodes[machines[chosen].name]
+    node.first_seed = isolated if number % 2 == 0 else None
+    if draws.uniform(env.seed, "told", number) < SIGTERM_SHARE:
+        await node.stop()
+    else:
+        node.kill()
+        await node.gone()
+    await node.start()
+    return node.machine.name + (" (its first seed isolated)" if node.first_seed else "")
+
+
+async def _rolling_restart(env: Environment, isolated: Machine, for_s: float) -> str:
+    """Restart all nodes in turn, while there is time.
+
+    Every other one has the isolated controller as its first seed.
+    """
+    until = env.scene.now() + for_s
+    restarted = 0
+    for number, machine in enumerate(live_sidecars(env)):
+        if env.scene.now() >= until:
+            break
+        node = env.nodes[machine.name]
+        node.first_seed = isolated if number % 2 == 0 else None
+        await node.stop()
+        await node.start()
+        restarted += 1
+        await asyncio.sleep(ROLLING_PAUSE_S)
+    return f"{restarted} nodes in turn"
+
+
+async def _replace_servers(env: Environment, for_s: float) -> str:
+    """Replace the servers of one service one after another, while there is time.
+
+    Each leaves, and another one starts at its address.
+    """
+    until = env.scene.now() + for_s
+    replaced = 0
+    services = list(dict.fromkeys(machine.service for machine in live_sidecars(env)))
+    service = services[int(draws.uniform(env.seed, "release", high=len(services)))]
+    for machine in live_sidecars(env):
+        if machine.service != service or env.scene.now() >= until:
+            continue
+        server = env.servers[machine.name]
+        await server.leave()
+        env.servers[machine.name] = server.successor()
+        await env.servers[machine.name].start()
+        replaced += 1
+    return f"{replaced} servers of {service}"
+
+
+def _links_that_break(env: Environment) -> list[Direction]:
+    """One direction, by the seed, of each link between two nodes.
+
+    Requests break off on the connections that its sender has dialled, answers on the others.
+    """
+    names = [machine.name for machine in live_sidecars(env)]
+    found = []
+    for n, one in enumerate(names):
+        for other in names[n + 1 :]:
+            forth = draws.uniform(env.seed, "broken", one, other) < 0.5
+            found.append((one, other) if forth else (other, one))
+    return found
+
+
+async def _reset_calls(env: Environment, scheduled: ScheduledAction) -> str:
+    """Servers break off calls that are not idempotent.
+
+    In the first half connections between nodes are reset in the middle of what they carry, too.
+    """
+    servers = [server for server in env.servers.values() if not server.closed]
+    chunks = LAST_BROKEN_CHUNK - FIRST_BROKEN_CHUNK + 1
+    chunk = FIRST_BROKEN_CHUNK + choose(env, scheduled, chunks, "chunk")
+    half_s = scheduled.for_s / 2.0
+    for server in servers:
+        server.faulty = True
+    try:
+        await impose_fault(env, "reset", _links_that_break(env), LinkCondition(broken_chunk=chunk), half_s)
+        await asyncio.sleep(half_s)
+    finally:
+        for server in servers:
+            server.faulty = False
+    return f"at {len(servers)} servers; between nodes in chunk {chunk}"
+
+
+ISOLATION_ACTIONS: dict[str, Action] = {
+    "changes": _start_changes,
+    "many-changes": _change_in_a_row,
+    "isolate": _isolate,
+    "reset-calls": _reset_calls,
+    "send-again": _resend_changes,
+}
--- /dev/null
+++ b/orchidferry/testkit/mesh/actions/planned.py
@@ -0,0 +1,72 @@
+"""Planned work: a server leaves, configurations change."""
+
+from __future__ import annotations
+
+import asyncio
+
+from orchidferry.testkit import draws
+from orchidferry.testkit.mesh.actions.targets import Action
+from orchidferry.testkit.mesh.configuration import build, spoil
+from orchidferry.testkit.mesh.day import ScheduledAction
+from orchidferry.testkit.mesh.environment import Environment
+from orchidferry.testkit.mesh.revisions import (
+    FIRST_REVISION,
+    INVALID_REVISION,
+    LOSING_REVISION,
+    SECOND_REVISION,
+)
+from orchidferry.testkit.mesh.servers import Server
+
+CHANGE_LIMIT_S = 8.0
+"""How long a change is sent until it has a clear answer."""
+
+REFUSAL_LIMIT_S = 3.0
+"""The same of a change that must be refused."""
+
+APPLY_MARGIN_S = 0.2
+
+
+def _server_to_drain(env: Environment, scheduled: ScheduledAction) -> Server:
+    """The one that is named, or one of the largest service."""
+    if scheduled.target:
+        return env.servers[scheduled.target]
+    servers = [s for s in env.servers.values() if s.machine.service == env.sidecars[0].service]
+    return servers[int(draws.uniform(env.seed, "drain", high=len(servers)))]
+
+
+async def _drain(env: Environment, scheduled: ScheduledAction) -> str:
+    """A server leaves as planned; its machine's process is terminated after it."""
+    server = _server_to_drain(env, scheduled)
+    await server.leave()
+    node = env.nodes[server.machine.name]
+    await node.stop()
+    env.platform.gone.add(server.machine.name)
+    return server.machine.name
+
+
+async def _change(env: Environment, scheduled: ScheduledAction) -> str:
+    """The configuration changes; another operator builds on the version before it, and comes too late."""
+    apply_s = env.day.bounds.config_apply_ms / 1000.0
+    second = build(env.day, env.seed, SECOND_REVISION, True)
+    put = await env.operator.put(second, FIRST_REVISION, True, CHANGE_LIMIT_S)
+    await env.clients.probes()
+    if put.acked is not None:
+        losing = build(env.day, env.seed, LOSING_REVISION, False)
+        await env.other_operator.put(losing, FIRST_REVISION, True, REFUSAL_LIMIT_S)
+    await asyncio.sleep(apply_s + APPLY_MARGIN_S)
+    await env.clients.probes()
+    return f"{FIRST_REVISION} to {SECOND_REVISION}"
+
+
+async def _invalid_change(env: Environment, scheduled: ScheduledAction) -> str:
+    """An invalid configuration is sent."""
+    invalid = spoil(build(env.day, env.seed, INVALID_REVISION, True), INVALID_REVISION)
+    await env.other_operator.put(invalid, SECOND_REVISION, False, REFUSAL_LIMIT_S)
+    return str(INVALID_REVISION)
+
+
+PLANNED_ACTIONS: dict[str, Action] = {
+    "drain": _drain,
+    "change": _change,
+    "bad-change": _invalid_change,
+}
--- a/orchidferry/testkit/mesh/changes.py
+++ b/orchidferry/testkit/mesh/changes.py
@@ -13,9 +13,9 @@
 from orchidferry.testkit.mesh.clients import Clients
 from orchidferry.testkit.mesh.configuration import Config, build, following, markers
 from orchidferry.testkit.mesh.day import Day, Machine
-from orchidferry.testkit.mesh.deeds import FIRST
 from orchidferry.testkit.mesh.facts import Put
 from orchidferry.testkit.mesh.operator import Operator
+from orchidferry.testkit.mesh.revisions import FIRST_REVISION
 
 PAUSE_S = 0.5, 1.0  # from one change to the next
 READ_EVERY_S = 0.3
@@ -55,8 +55,8 @@
         self._operators = operators
         self._clients = clients
         self._spawn = spawn
-        self._head: Config = build(day, scene.seed, FIRST, False)
-        self._number = FIRST
+        self._head: Config = build(day, scene.seed, FIRST_REVISION, False)
+        self._number = FIRST_REVISION
         self._acked: list[Put] = []
         self._orders: set[asyncio.Task[None]] = set()
         self._going: list[asyncio.Task[None]] = []
--- a/orchidferry/testkit/mesh/day.py
+++ b/orchidferry/testkit/mesh/day.py
@@ -1,6 +1,6 @@
-"""What a day on the mesh is made of: machines, services, kinds of request, and a table of troubles. Pure.
+"""What a day on the mesh is made of: machines, services, kinds of request, and a schedule of actions.
 
-A new scenario is an entry of `DAYS`; `DEEDS` of `run.py` has what a trouble may name.
+A new scenario is an entry of `DAYS`; `actions.ACTIONS` has what a schedule may name.
 """
 
 from __future__ import annotations
@@ -60,12 +60,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """A line of a day's table: at `at` of the traffic (a share), `do` this to `whom`, for so long."""
+class ScheduledAction:
+    """A line of a day's schedule: when to do what, to which machine, and for how long."""
 
-    at: float
-    do: str
-    whom: str = ""  # a machine's name; empty: the deed chooses by the seed
+    at: float  # a fraction of the traffic's time
+    action: str  # a key of `actions.ACTIONS`
+    target: str = ""  # names of machines; empty: the action chooses by the seed
     for_s: float = 0.0
 
 
@@ -76,7 +76,7 @@
     name: str
     about: str
     seconds: float  # of traffic
-    troubles: tuple[Trouble, ...]
+    schedule: tuple[ScheduledAction, ...]
     cores: int = 3
     servers: tuple[int, ...] = (4, 2)  # of each service, one a machine
     slots: tuple[int, ...] = (3, 4)
@@ -84,7 +84,7 @@
     bounds: Bounds = field(default_factory=Bounds)
     beat_ms: int = 1500
     max_connections: int = 130
-    drawn: str = ""  # the table is drawn by the seed, in place of `troubles`: losses or worst
+    drawn: str = ""  # losses or worst: the schedule is drawn by the seed, in place of `schedule`
     again_s: tuple[float, float] = (0.1, 2.5)  # how much later a keyed request is sent once more
     tolerance: int = 1  # controllers that may be lost at once
 
@@ -106,7 +106,11 @@
             "mesh-calm",
             "the mesh on a quiet day: 3 core and 6 sidecar machines, one server leaves, one change",
             24.0,
-            (Trouble(0.25, "drain"), Trouble(0.6, "change"), Trouble(0.85, "bad-change")),
+            (
+                ScheduledAction(0.25, "drain"),
+                ScheduledAction(0.6, "change"),
+                ScheduledAction(0.85, "bad-change"),
+            ),
         ),
         Day(
             "mesh-loss",
--- a/orchidferry/testkit/mesh/links.py
+++ b/orchidferry/testkit/mesh/links.py
@@ -1,92 +1,75 @@
 """Links with faults between the mesh's processes: a relay of the kit's own in front of each machine.
 
 A machine is known by its `ip`, where the relay listens; its process listens at `bind`, and dials from there,
-so that the relay knows by the source who dials. One relayed connection: `relay.py`.
+so that the relay knows by the source who dials.
 """
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 
 from orchidferry.testkit.mesh.day import Machine, Ports
-from orchidferry.testkit.mesh.relay import SOUND, Door, Fault, Line, Pair
-from orchidferry.testkit.mesh.tasks import TaskSet
-
-MAX_LINES = 4_096  # relayed connections, over all machines
+from orchidferry.testkit.mesh.relay import Direction, LinkCondition, RelayListener, RelayState
 
 
 class Links:
-    """All relays of a run, and what ails them: `MAX_LINES` connections, `relay.MAX_HELD` bytes each way."""
+    """All relays of a run. Memory is bounded by `relay.MAX_CONNECTIONS` and `relay.MAX_BUFFERED`."""
 
     def __init__(self, ports: Ports) -> None:
+        """Create links between no machines; must be called in the event loop that carries them.
+
+        :param ports: of every machine
+        """
         self._ports = ports
-        self._loop = asyncio.get_running_loop()
-        self.names: dict[str, str] = {}  # of machines, by the address that they dial from
-        self._doors: dict[str, list[Door]] = {}
-        self.lines: set[Line] = set()
-        self._faults: dict[Pair, Fault] = {}
-        self.tasks = TaskSet()
-
-    def now(self) -> float:
-        """The loop's clock, in seconds."""
-        return self._loop.time()
-
-    def at(self, due: float, then: Callable[[], None]) -> asyncio.TimerHandle:
-        """Have it called at that time of this clock."""
-        return self._loop.call_at(due, then)
-
-    def add(self, machine: Machine) -> None:
+        self._state = RelayState()
+        self._listeners: dict[str, list[RelayListener]] = {}
+
+    @property
+    def connection_count(self) -> int:
+        """How many connections are relayed now."""
+        return len(self._state.connections)
+
+    def add_machine(self, machine: Machine) -> None:
         """Relay to a machine from when its process listens."""
-        self.names[machine.bind] = machine.name
-        ports = (
-            self._ports.internal,
-            self._ports.inbound if machine.role == "sidecar" else self._ports.control,
-        )
-        self._doors[machine.name] = [Door(self, machine, port) for port in ports]
-        for door in self._doors[machine.name]:
-            door.refused()
-
-    def outsider(self, name: str, ip: str) -> str:
-        """Someone who dials from this address, and is not dialled; returns the address."""
-        self.names[ip] = name
+        self.add_dialler(machine.name, machine.bind)
+        served = self._ports.inbound if machine.role == "sidecar" else self._ports.control
+        listeners = [RelayListener(self._state, machine, port) for port in (self._ports.internal, served)]
+        self._listeners[machine.name] = listeners
+        for listener in listeners:
+            listener.refuse()
+
+    def add_dialler(self, name: str, ip: str) -> str:
+        """Know someone by the address that they dial from.
+
+        :returns: the address
+        """
+        self._state.machine_names[ip] = name
         return ip
 
-    def down(self, machine: Machine) -> None:
-        """Its process has ended: it refuses, as a machine without one does."""
-        for door in self._doors.get(machine.name, ()):
-            door.refused()
-
-    @property
-    def full(self) -> bool:
-        """Whether there are more connections than may be relayed."""
-        return len(self.lines) > MAX_LINES
-
-    def fault(self, pair: Pair) -> Fault:
-        return self._faults.get(pair, SOUND)
-
-    def set(self, pairs: Iterable[Pair], fault: Fault) -> None:
-        """What ails these directions from now on; `SOUND`: nothing, and what was held goes on its way."""
-        for pair in pairs:
-            if fault == SOUND:
-                self._faults.pop(pair, None)
-            else:
-                self._faults[pair] = fault
-        for line in list(self.lines):
-            line.go_on()
-
-    def reset(self, pairs: Iterable[Pair]) -> None:
-        """End all connections between these with a reset."""
-        those = {frozenset(pair) for pair in pairs}
-        for line in list(self.lines):
-            if frozenset(line.near.pair) in those:
-                line.end(True)
+    def on_process_ended(self, machine: Machine) -> None:
+        """Refuse connections to a machine, as one without a process does."""
+        for listener in self._listeners.get(machine.name, ()):
+            listener.refuse()
+
+    def set_condition(self, directions: Iterable[Direction], condition: LinkCondition) -> None:
+        """Change the condition of links; where they are healthy again, what was held up goes on."""
+        for direction in directions:
+            self._state.set_condition(direction, condition)
+        for connection in list(self._state.connections):
+            connection.on_condition_changed()
+
+    def reset(self, directions: Iterable[Direction]) -> None:
+        """End all connections between these machines, in either direction, with a reset."""
+        links = {frozenset(direction) for direction in directions}
+        for connection in list(self._state.connections):
+            if frozenset(connection.near.direction) in links:
+                connection.end(reset=True)
 
     def close(self) -> None:
-        """End all of it."""
-        for doors in self._doors.values():
-            for door in doors:
-                door.close()
-        for line in list(self.lines):
-            line.end(False)
-        self.tasks.cancel()
+        """End all listeners and connections."""
+        for listeners in self._listeners.values():
+            for listener in listeners:
+                listener.close()
+        for connection in list(self._state.connections):
+            connection.end(reset=False)
+        self._state.tasks.cancel()
--- a/orchidferry/testkit/mesh/processes.py
+++ b/orchidferry/testkit/mesh/processes.py
@@ -150,10 +150,14 @@
         self._watcher: asyncio.Task[None] | None = None
         self._expected = False
         self.lives = 0
-        self.cpu_s = self.most_mb = 0.0
+        self.cpu_s = 0.0
+        self.peak_memory_mb = 0.0
         self.starved = 0.0  # the share of the last window that it waited for a core
-        self._looked: tuple[float, float] | None = None  # when, and the seconds that it had waited by then
-        self._born = self._past_cpu_s = 0.0
+        self._last_sample: tuple[float, float] | None = (
+            None  # when, and the seconds that it had waited by then
+        )
+        self._started_at = 0.0
+        self._past_cpu_s = 0.0  # of its earlier processes
 
     @property
     def pid(self) -> int | None:
@@ -199,8 +203,8 @@
             )
         self._note("start", again)
         self._past_cpu_s = self.cpu_s
-        self._looked = None  # its first seconds are no measure: it starts, and is not in touch
-        self._born = self._scene.now()
+        self._last_sample = None  # its first seconds are no measure: it starts, and is not in touch
+        self._started_at = self._scene.now()
         self._watcher = asyncio.get_running_loop().create_task(self._watch(self._process))
 
     async def _watch(self, process: Child) -> None:
@@ -211,26 +215,26 @@
         self._note("exit")
         self._died(self, status)
 
-    def look(self) -> None:
-        """Read what it has used, from the kernel's books."""
+    def read_usage(self) -> None:
+        """Read what its process has used, from the kernel's accounting (/proc)."""
         if self.pid is None:
             return
         with contextlib.suppress(OSError, ValueError, IndexError):
             ran, waited, _ = map(int, Path(f"/proc/{self.pid}/schedstat").read_text().split())
             now = self._scene.now()
-            if self._looked is not None and (for_s := now - self._looked[0]) >= WINDOW_S:
-                self.starved = (waited / 1e9 - self._looked[1]) / for_s
-                self._looked = now, waited / 1e9
-            elif self._looked is None and now - self._born >= WINDOW_S:
-                self._looked = now, waited / 1e9
+            if self._last_sample is not None and (for_s := now - self._last_sample[0]) >= WINDOW_S:
+                self.starved = (waited / 1e9 - self._last_sample[1]) / for_s
+                self._last_sample = now, waited / 1e9
+            elif self._last_sample is None and now - self._started_at >= WINDOW_S:
+                self._last_sample = now, waited / 1e9
             self.cpu_s = self._past_cpu_s + ran / 1e9
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
-                    self.most_mb = max(self.most_mb, int(line.split()[1]) / 1024.0)
+                    self.peak_memory_mb = max(self.peak_memory_mb, int(line.split()[1]) / 1024.0)
 
     def kill(self, what: str = "killed") -> None:
         """End it outright, with whatever it started."""
-        self.look()
+        self.read_usage()
         if self.pid is not None:
             self._expected = True
             self._note(what)
@@ -250,7 +254,7 @@
 
     async def stop(self) -> None:
         """SIGTERM, and SIGKILL after its grace."""
-        self.look()
+        self.read_usage()
         process = self._process
         if process is None or self.pid is None:
             return
--- a/orchidferry/testkit/mesh/relay.py
+++ b/orchidferry/testkit/mesh/relay.py
@@ -1,7 +1,7 @@
-"""One relayed connection between two machines of the mesh, and the port where it begins; what ails it.
+"""Relayed connections between two machines of the mesh, and the listeners where they begin.
 
-What a process may not be told of a fault it can't see: a connection that a cut holds up is open at its
-dialler, as the kernel answers for the relay, and silent.
+What a process must not learn of a fault it can't see: a connection that a partition holds up is open at the
+side that dialled, as the kernel answers for the relay, and silent.
 """
 
 from __future__ import annotations
@@ -12,144 +12,219 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, cast
+from typing import cast
 
 from orchidferry.testkit.mesh.day import Machine
+from orchidferry.testkit.mesh.tasks import TaskSet
 from orchidferry.testkit.wire import ABORT
 
-if TYPE_CHECKING:
-    from orchidferry.testkit.mesh.links import Links
+MAX_CONNECTIONS = 4_096
+"""Relayed connections over all machines."""
+
+MAX_BUFFERED = 256 * 1024
+"""Bytes that one direction of a connection buffers; past that its sender is not read."""
+
+MAX_UNWRITTEN = 64 * 1024
+"""Bytes that wait for a receiver that does not read."""
+
+DIAL_TIMEOUT_S = 1.0
+RESET_DELAY_S = 0.005
+"""Seconds from the first half of a chunk to the reset, so that the half arrives."""
+
+LISTENER_PROBE_S = 0.02
+"""How often it is tried whether a port that refused listens again."""
 
-MAX_HELD = 256 * 1024  # bytes that one direction of a connection holds; past that its sender is not read
-CHOKED = 64 * 1024  # and that wait for whoever does not read
-DIAL_S = 1.0
-BROKEN_S = 0.005  # from the first half of a chunk to the reset, so that the half arrives
-PROBE_S = 0.02  # how often a port that refused is looked at
 BACKLOG = 512
 
-Pair = tuple[str, str]  # of machines: who sends, who receives
+Direction = tuple[str, str]
+"""The machine that sends and the one that receives."""
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """What ails one direction of a link."""
+class LinkCondition:
+    """The state of one direction of a link."""
 
     cut: bool = False
     delay_s: float = 0.0
     broken_chunk: int = 0  # of each connection: the one in whose middle it is reset, from 1; 0: none
 
 
-SOUND = Fault()
+HEALTHY = LinkCondition()
+
+
+class RelayState:
+    """What all relays of a run share: conditions of links, open connections, and a clock."""
+
+    def __init__(self) -> None:
+        """Must be called in the event loop that carries the connections."""
+        self._loop = asyncio.get_running_loop()
+        self._conditions: dict[Direction, LinkCondition] = {}
+        self.machine_names: dict[str, str] = {}  # by the address that a machine dials from
+        self.connections: set[RelayedConnection] = set()
+        self.tasks = TaskSet()
+
+    def now(self) -> float:
+        """The event loop's clock, in seconds."""
+        return self._loop.time()
+
+    def call_at(self, due: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        """Have a function called at a time of this clock."""
+        return self._loop.call_at(due, callback)
+
+    @property
+    def full(self) -> bool:
+        """Whether there are more connections than may be relayed."""
+        return len(self.connections) > MAX_CONNECTIONS
+
+    def condition(self, direction: Direction) -> LinkCondition:
+        """The condition of one direction of a link."""
+        return self._conditions.get(direction, HEALTHY)
+
+    def set_condition(self, direction: Direction, condition: LinkCondition) -> None:
+        """Change the condition of one direction of a link; its connections are not told."""
+        if condition == HEALTHY:
+            self._conditions.pop(direction, None)
+        else:
+            self._conditions[direction] = condition
 
 
-class Half(asyncio.Protocol):
-    """One side of a relayed connection, and what was read from it and is not written yet."""
+class RelayEndpoint(asyncio.Protocol):
+    """One side of a relayed connection; buffers what was read from it and is not written yet."""
 
     def __init__(
-        self, links: Links, pair: Pair, lost: Callable[[], None], made: Callable[[str], None] | None = None
+        self,
+        state: RelayState,
+        direction: Direction,
+        on_lost: Callable[[], None],
+        on_connected: Callable[[str], None] | None = None,
     ) -> None:
-        self._links = links
-        self.pair = pair
-        self._lost = lost
-        self._made = made
-        self.other: Half
+        """Create one side; `other` must be set before data arrives.
+
+        :param direction: of the data that is read here
+        :param on_lost: called when this side and the other have ended
+        :param on_connected: called with the peer's address
+        """
+        self._state = state
+        self.direction = direction
+        self._on_lost = on_lost
+        self._on_connected = on_connected
+        self.other: RelayEndpoint
         self._transport: asyncio.Transport | None = None
-        self._held: deque[tuple[float, bytes]] = deque()
-        self._size = 0
-        self._over = self._broke = False  # its peer has ended it; by a reset
-        self._choked = False  # its peer does not read
+        self._buffer: deque[tuple[float, bytes]] = deque()  # when each chunk is due
+        self._buffered = 0
+        self._peer_ended = False
+        self._peer_reset = False
+        self._peer_reads = True
         self._chunks = 0  # read since its direction breaks connections
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See `asyncio.BaseProtocol`."""
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(CHOKED)
+        self._transport.set_write_buffer_limits(MAX_UNWRITTEN)
         self._transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self._made is not None:
-            self._made(self._transport.get_extra_info("peername")[0])
+        if self._on_connected is not None:
+            self._on_connected(self._transport.get_extra_info("peername")[0])
 
     @property
-    def up(self) -> bool:
+    def connected(self) -> bool:
+        """Whether this side has a connection now."""
         return self._transport is not None
 
     def data_received(self, data: bytes) -> None:
-        if broken_chunk := self._links.fault(self.pair).broken_chunk:
+        """See `asyncio.Protocol`."""
+        if broken_chunk := self._state.condition(self.direction).broken_chunk:
             self._chunks += 1
             if self._chunks > broken_chunk:
                 return  # the reset is on its way
             if self._chunks == broken_chunk:
                 data = data[: len(data) // 2]
-                self._links.at(self._links.now() + BROKEN_S, self._reset)
-        self._held.append((self._links.now() + self._links.fault(self.pair).delay_s, data))
-        self._size += len(data)
-        if self._size > MAX_HELD and self._transport is not None:
+                self._state.call_at(self._state.now() + RESET_DELAY_S, self._reset_both)
+        due = self._state.now() + self._state.condition(self.direction).delay_s
+        self._buffer.append((due, data))
+        self._buffered += len(data)
+        if self._buffered > MAX_BUFFERED and self._transport is not None:
             self._transport.pause_reading()
         self.flush()
 
     def pause_writing(self) -> None:
-        self._choked = True
+        """See `asyncio.BaseProtocol`."""
+        self._peer_reads = False
 
     def resume_writing(self) -> None:
-        self._choked = False
+        """See `asyncio.BaseProtocol`."""
+        self._peer_reads = True
         self.other.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """See `asyncio.BaseProtocol`."""
         self._transport = None
-        self._over = True
-        self._broke = exc is not None
-        if self._links.fault(self.pair).cut:  # what a sender that is gone had on its way is lost
-            self._held.clear()
-        self.other.drop_held()
+        self._peer_ended = True
+        self._peer_reset = exc is not None
+        if self._state.condition(self.direction).cut:  # what a sender that is gone had on its way is lost
+            self._buffer.clear()
+        self.other.discard_buffer()
         self.flush()
 
-    def drop_held(self) -> None:
-        """Nobody is left to read it."""
-        self._held.clear()
-        self._size = 0
-        self._ended()
+    def discard_buffer(self) -> None:
+        """Drop what was read here, as nobody is left to receive it."""
+        self._buffer.clear()
+        self._buffered = 0
+        self._check_lost()
 
     def flush(self) -> None:
-        """Pass on what is due, and the end after it."""
-        if self._links.fault(self.pair).cut or not self.other.up:
-            return self._ended()
-        while self._held and not self.other._choked:
-            due, data = self._held[0]
-            if due > self._links.now():
-                return self._wake(due)
-            self._held.popleft()
-            self._size -= len(data)
+        """Write what is due to the other side, and the end after it."""
+        if self._state.condition(self.direction).cut or not self.other.connected:
+            self._check_lost()
+            return
+        if not self._write_due():
+            return
+        if self._peer_ended and not self._buffer and self.other._transport is not None:
+            if self._peer_reset:
+                self.other.end(reset=True)
+                return
+            self.other._transport.close()
+        self._check_lost()
+
+    def _write_due(self) -> bool:
+        """Write chunks in order; False if the next one is not due yet."""
+        while self._buffer and self.other._peer_reads:
+            due, data = self._buffer[0]
+            if due > self._state.now():
+                self._wake_at(due)
+                return False
+            self._buffer.popleft()
+            self._buffered -= len(data)
             assert self.other._transport is not None
             self.other._transport.write(data)
-            if self._transport is not None and self._size <= MAX_HELD // 2:
+            if self._transport is not None and self._buffered <= MAX_BUFFERED // 2:
                 self._transport.resume_reading()
-        if self._over and not self._held and self.other._transport is not None:
-            if self._broke:
-                return self.other.end(True)
-            self.other._transport.close()
-        self._ended()
+        return True
 
-    def _wake(self, due: float) -> None:
+    def _wake_at(self, due: float) -> None:
         if self._timer is None:
-            self._timer = self._links.at(due, self._woken)
+            self._timer = self._state.call_at(due, self._on_timer)
 
-    def _woken(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.flush()
 
-    def _ended(self) -> None:
-        if self._over and not self.other.up:
-            self._lost()
+    def _check_lost(self) -> None:
+        if self._peer_ended and not self.other.connected:
+            self._on_lost()
 
-    def _reset(self) -> None:
-        """Reset both sides."""
-        self.end(True)
-        self.other.end(True)
-        self._lost()
+    def _reset_both(self) -> None:
+        self.end(reset=True)
+        self.other.end(reset=True)
+        self._on_lost()
 
     def end(self, reset: bool) -> None:
-        """End it at once, as a process that dies does or with a reset."""
-        self._over = True
-        self._held.clear()
+        """End this side at once.
+
+        :param reset: with a TCP reset; else as a process that dies does
+        """
+        self._peer_ended = True
+        self._buffer.clear()
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -160,94 +235,108 @@
             self._transport.abort()
 
 
-class Line:
-    """One relayed connection."""
+class RelayedConnection:
+    """One relayed connection: the side that dialled, and the side to the machine's process."""
 
-    def __init__(self, links: Links, door: Door, target: str) -> None:
-        self.links = links
-        self.door = door
-        self.near = Half(links, ("", target), self._lost, self._accepted)
-        self.far = Half(links, (target, ""), self._lost)
-        self.near.other = self.far
-        self.far.other = self.near
+    def __init__(self, state: RelayState, listener: RelayListener, target: str) -> None:
+        """Create a connection that was not accepted yet.
+
+        :param target: the machine that is dialled
+        """
+        self._state = state
+        self._listener = listener
+        self._target = target
+        self.near = RelayEndpoint(state, ("", target), self._on_lost, self._on_accepted)
+        self._far = RelayEndpoint(state, (target, ""), self._on_lost)
+        self.near.other = self._far
+        self._far.other = self.near
         self._dialled = False
 
-    def _accepted(self, ip: str) -> None:
-        """It has come from there."""
-        dialler = self.links.names.get(ip, "")
-        self.near.pair, self.far.pair = (dialler, self.near.pair[1]), (self.far.pair[0], dialler)
-        self.links.lines.add(self)
-        if self.links.full:
-            return self.end(True)
-        self.go_on()
-
-    def go_on(self) -> None:
-        """Whatever the faults were, they may have changed."""
-        if not self._dialled:
-            if not any(self.links.fault(half.pair).cut for half in (self.near, self.far)):
-                self._dialled = True
-                self.links.tasks.spawn(self._dial())
+    def _on_accepted(self, ip: str) -> None:
+        dialler = self._state.machine_names.get(ip, "")
+        self.near.direction = (dialler, self._target)
+        self._far.direction = (self._target, dialler)
+        self._state.connections.add(self)
+        if self._state.full:
+            self.end(reset=True)
             return
-        self.near.flush()
-        self.far.flush()
+        self.on_condition_changed()
+
+    def on_condition_changed(self) -> None:
+        """Go on as the conditions of its link allow now."""
+        if self._dialled:
+            self.near.flush()
+            self._far.flush()
+        elif not any(self._state.condition(side.direction).cut for side in (self.near, self._far)):
+            self._dialled = True
+            self._state.tasks.spawn(self._dial())
 
     async def _dial(self) -> None:
         try:
-            async with asyncio.timeout(DIAL_S):
-                await asyncio.get_running_loop().create_connection(lambda: self.far, *self.door.target)
+            async with asyncio.timeout(DIAL_TIMEOUT_S):
+                loop = asyncio.get_running_loop()
+                await loop.create_connection(lambda: self._far, *self._listener.target)
         except OSError:
-            self.door.refused()
-            return self.end(True)
-        if not self.near.up:
-            return self.end(False)
+            self._listener.refuse()
+            self.end(reset=True)
+            return
+        if not self.near.connected:
+            self.end(reset=False)
+            return
         self.near.flush()
 
     def end(self, reset: bool) -> None:
+        """End both sides at once; see `RelayEndpoint.end`."""
         self.near.end(reset)
-        self.far.end(reset)
-        self._lost()
+        self._far.end(reset)
+        self._on_lost()
 
-    def _lost(self) -> None:
-        self.links.lines.discard(self)
+    def _on_lost(self) -> None:
+        self._state.connections.discard(self)
 
 
-class Door:
+class RelayListener:
     """One port of a machine, at the address by which it is known: listens while the process does."""
 
-    def __init__(self, links: Links, machine: Machine, port: int) -> None:
-        self.links = links
-        self.machine = machine
-        self.address = (machine.ip, port)
+    def __init__(self, state: RelayState, machine: Machine, port: int) -> None:
+        """Create a listener that does not listen yet; `refuse` starts the look-out for its process.
+
+        :param port: the same at the relay and at the process
+        """
+        self._state = state
+        self._machine = machine
+        self._address = (machine.ip, port)
         self.target = (machine.bind, port)
         self._server: asyncio.Server | None = None
         self._probing: asyncio.Task[None] | None = None
         self._closed = False
 
-    def refused(self) -> None:
-        """Nobody listens behind it: callers are refused here too, until somebody does."""
+    def refuse(self) -> None:
+        """Refuse connections, as nobody listens at the process's port, until somebody does."""
         if self._server is not None:
             self._server.close()
             self._server = None
         if not self._closed and (self._probing is None or self._probing.done()):
-            self._probing = self.links.tasks.spawn(self._probe())
+            self._probing = self._state.tasks.spawn(self._listen_once_up())
 
-    async def _probe(self) -> None:
+    async def _listen_once_up(self) -> None:
         loop = asyncio.get_running_loop()
         while not self._closed:
             try:
-                async with asyncio.timeout(DIAL_S):
+                async with asyncio.timeout(DIAL_TIMEOUT_S):
                     transport, _ = await loop.create_connection(asyncio.Protocol, *self.target)
                 transport.abort()
                 break
             except OSError:
-                await asyncio.sleep(PROBE_S)
+                await asyncio.sleep(LISTENER_PROBE_S)
         if not self._closed:
-            self._server = await loop.create_server(self._line, *self.address, backlog=BACKLOG)
+            self._server = await loop.create_server(self._accept, *self._address, backlog=BACKLOG)
 
-    def _line(self) -> asyncio.Protocol:
-        return Line(self.links, self, self.machine.name).near
+    def _accept(self) -> asyncio.Protocol:
+        return RelayedConnection(self._state, self, self._machine.name).near
 
     def close(self) -> None:
+        """Stop listening for good."""
         self._closed = True
         if self._server is not None:
             self._server.close()
--- a/orchidferry/testkit/mesh/table.py
+++ b/orchidferry/testkit/mesh/schedule.py
@@ -1,11 +1,11 @@
-"""The table of a day's troubles: as it is written, or drawn by the seed. Pure."""
+"""The schedule of a day's actions: as it is written, or drawn by the seed."""
 
 from __future__ import annotations
 
 from random import Random
 
 from orchidferry.testkit import draws
-from orchidferry.testkit.mesh.day import Day, Trouble
+from orchidferry.testkit.mesh.day import Day, ScheduledAction
 
 LOSSES = {
     "kill": 1.0,
@@ -22,22 +22,25 @@
 CLOSING = ("after-ack-kill", "after-ack-wipe")
 UNPLANNED = frozenset((*LOSSES, *CLOSING, "isolate", "reset-calls"))
 PLANNED = {"change": 3.5, "drain": 6.0}  # each comes once; how long they take, about
-# of traffic before the first trouble, and from the closing one on
+# of traffic before the first action, and from the closing one on
 BEGIN_S = 1.0
 END_S = 14.0
 START_S = 0.6  # that a process takes to come back, about
 
 
-def table(day: Day, seed: int, seconds: float) -> list[Trouble]:
-    """All troubles of a day, in order. They are played one after another, so times are the earliest ones."""
+def schedule(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
+    """All actions of a day, in order; they run one after another, so their times are the earliest ones.
+
+    :param seconds: of traffic
+    """
     if day.drawn == "worst":
         return _worst(day, seed, seconds)
     if day.drawn:
         return _losses(day, seed, seconds)
-    return sorted(day.troubles, key=lambda one: one.at)
+    return sorted(day.schedule, key=lambda scheduled: scheduled.at)
 
 
-def _losses(day: Day, seed: int, seconds: float) -> list[Trouble]:
+def _losses(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
     """Planned ends and a change among as many losses as have room, each before a calm; a closing loss."""
     rng = Random(draws.number(seed, "table", day.name))
     losses = rng.sample(sorted(LOSSES), len(LOSSES))
@@ -53,9 +56,9 @@
     found = []
     t = BEGIN_S
     for do in order:
-        found.append(Trouble(t / seconds, do, for_s=LOSSES.get(do, 0.0)))
+        found.append(ScheduledAction(t / seconds, do, for_s=LOSSES.get(do, 0.0)))
         t += PLANNED[do] if do in PLANNED else LOSSES[do] + START_S + day.bounds.catch_up_s
-    found.append(Trouble(max(0.0, seconds - END_S) / seconds, rng.choice(CLOSING), for_s=0.5))
+    found.append(ScheduledAction(max(0.0, seconds - END_S) / seconds, rng.choice(CLOSING), for_s=0.5))
     return found
 
 
@@ -64,7 +67,7 @@
 MANY_S = 12.0
 RESET_CALLS_S = 6.0
 WORST_S = {"isolate": ISOLATED_S, "many-changes": MANY_S, "reset-calls": RESET_CALLS_S}
-SHORT_S = 0.5  # of the other troubles
+SHORT_S = 0.5  # of the other actions
 # from the closing loss, from the last resends to the traffic's end
 WORST_END_S = 20.0
 AGAIN_END_S = 6.0
@@ -77,22 +80,22 @@
 )
 
 
-def _worst(day: Day, seed: int, seconds: float) -> list[Trouble]:
+def _worst(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
     """A stream of changes, and under it, in an order of the seed's, an isolation, replacements with a loss
     right after each, hundreds of changes, calls broken off; a closing loss; orders sent again after it.
     """
     rng = Random(draws.number(seed, "table", day.name))
     blocks = rng.sample(WORST_BLOCKS, len(WORST_BLOCKS))
-    found = [Trouble(BEGIN_S / seconds, "changes")]
+    found = [ScheduledAction(BEGIN_S / seconds, "changes")]
     t = BEGIN_S + 0.5
     for block in blocks:
         for do in block:
             for_s = WORST_S.get(do, SHORT_S)
-            # Distinct times tell two troubles of one kind apart, in what they draw.
-            found.append(Trouble(t / seconds, do, for_s=for_s))
+            # Distinct times tell two actions of one kind apart, in what they draw.
+            found.append(ScheduledAction(t / seconds, do, for_s=for_s))
             t += for_s + START_S
             if do != "replace-planned" or rng.random() < 0.5:
                 t += day.bounds.catch_up_s
-    found.append(Trouble((seconds - WORST_END_S) / seconds, rng.choice(CLOSING), for_s=0.5))
-    found.append(Trouble((seconds - AGAIN_END_S) / seconds, "send-again"))
+    found.append(ScheduledAction((seconds - WORST_END_S) / seconds, rng.choice(CLOSING), for_s=0.5))
+    found.append(ScheduledAction((seconds - AGAIN_END_S) / seconds, "send-again"))
     return found
--- a/orchidferry/testkit/mesh/seeds.py
+++ b/orchidferry/testkit/mesh/seeds.py
@@ -42,12 +42,12 @@
     broken: list[str]
     service: float
     checked: dict[str, int]
-    deeds: list[str]
+    actions: list[str]
 
 
 def ended(verdict: Verdict) -> Ended:
     checked = {name: finding.checked for name, finding in verdict.rules.items()}
-    deeds = [event.do for event in verdict.trace.events]
+    actions = [event.do for event in verdict.trace.events]
     return Ended(
         verdict.record.seed,
         word(verdict),
@@ -55,7 +55,7 @@
         verdict.broken_rules,
         verdict.service or 0.0,
         checked,
-        deeds,
+        actions,
     )
 
 
@@ -68,7 +68,7 @@
         f"seed {one.seed}: {one.word}; service {percent(one.service)}, {len(verdict.trace.requests)} tries, "
         f"{acked} of {len(puts)} versions acknowledged, {one.checked['twice']} runs of what may run once, "
         f"stall {record.stall_s * 1000.0:.0f} ms, starved {record.starved:.2f}{_control(verdict.trace)}; "
-        f"{', '.join(one.deeds)}"
+        f"{', '.join(one.actions)}"
     )
 
 
@@ -91,7 +91,7 @@
     words = Counter(one.word.split()[0] for one in runs)
     rules = Counter(name for one in runs for name in one.broken)
     service = sorted(one.service for one in runs)
-    deeds = Counter(deed for one in runs for deed in one.deeds)
+    actions = Counter(action for one in runs for action in one.actions)
     checked = Counter[str]()
     for one in runs:
         checked.update(one.checked)
@@ -100,7 +100,7 @@
         f"{len(runs)} seeds: " + ", ".join(f"{count} {name}" for name, count in sorted(words.items())),
         f"service {percent(service[0])} to {percent(service[-1])}, {middle} in the middle",
         "checked: " + ", ".join(f"{name} {count}" for name, count in checked.items()),
-        "played: " + ", ".join(f"{name} {count}" for name, count in deeds.most_common()),
+        "played: " + ", ".join(f"{name} {count}" for name, count in actions.most_common()),
         "rules broken: " + (", ".join(f"{name} in {n}" for name, n in rules.items()) or "none"),
     ]
 
--- a/orchidferry/testkit/mesh/session.py
+++ b/orchidferry/testkit/mesh/session.py
@@ -13,8 +13,9 @@
 from pathlib import Path
 
 from orchidferry.testkit.mesh.day import Day
+from orchidferry.testkit.mesh.environment import Environment
 from orchidferry.testkit.mesh.facts import Record
-from orchidferry.testkit.mesh.run import Play, Progress, RunAbortedError
+from orchidferry.testkit.mesh.run import DayRun, Progress, RunAbortedError
 from orchidferry.testkit.world.addresses import claim
 
 MORE_S = 45.0  # beyond the traffic: a run that has not ended by then is cut off
@@ -39,23 +40,24 @@
     """Play a day once. SIGINT and SIGTERM end it early; what was seen until then is judged."""
     block, held = claim()
     folder = Path(tempfile.mkdtemp(prefix="orchidferry-mesh-")) if keep is None else keep
-    run: Play | None = None
+    env: Environment | None = None
     try:
-        run = Play(day, seed, seconds, block, folder, progress)
-        with _cut_off_by_signals(run) as caught:
+        env = Environment(day, seed, seconds, block, folder)
+        run = DayRun(env, progress)
+        with _abort_on_signals(env) as caught:
             _collect_seldom()
-            why = await _course(run, seconds + MORE_S)
-            run.record.complete = not why
-            run.record.why = why
+            why = await _play_until(run, seconds + MORE_S)
+            env.record.complete = not why
+            env.record.why = why
             # What the mesh does of being ended is seen, but what clients see of it is not judged.
             await asyncio.wait_for(run.close(), day.bounds.grace_s + CLOSE_S)
         if keep is not None:
-            (keep / "record.jsonl").write_text(run.record.lines())
-        usage = {name: (node.cpu_s, node.most_mb) for name, node in run.nodes.items()}
-        return Played(run.record, bool(caught), usage, _problems_logged(run))
+            (keep / "record.jsonl").write_text(env.record.lines())
+        usage = {name: (node.cpu_s, node.peak_memory_mb) for name, node in env.nodes.items()}
+        return Played(env.record, bool(caught), usage, _problems_logged(env))
     finally:
-        if run is not None:
-            run.kill()
+        if env is not None:
+            env.kill()
         with contextlib.suppress(OSError):
             held.close()
         if keep is None:
@@ -63,14 +65,14 @@
 
 
 @contextlib.contextmanager
-def _cut_off_by_signals(run: Play) -> Iterator[list[int]]:
-    """Have a run cut off by these signals; yields those that came."""
+def _abort_on_signals(env: Environment) -> Iterator[list[int]]:
+    """Abort the run on these signals; yields those that came."""
     loop = asyncio.get_running_loop()
     caught: list[int] = []
 
     def signalled(number: int) -> None:
         caught.append(number)
-        run.cut_off(f"stopped by {signal.Signals(number).name}")
+        env.abort(f"stopped by {signal.Signals(number).name}")
 
     for number in SIGNALS:
         loop.add_signal_handler(number, signalled, number)
@@ -88,17 +90,17 @@
     gc.set_threshold(20_000, 50, 100)
 
 
-async def _course(run: Play, most_s: float) -> str:
-    """Play all of it; why it did not come to its end, or nothing."""
+async def _play_until(run: DayRun, limit_s: float) -> str:
+    """Play the day; returns why it did not come to its end, or an empty text."""
     loop = asyncio.get_running_loop()
-    work: asyncio.Task[object] = loop.create_task(run.whole())
-    cut = loop.create_task(run.until_cut())
-    done, _ = await asyncio.wait([work, cut], timeout=most_s, return_when=asyncio.FIRST_COMPLETED)
-    run.record.end = run.record.end or run.scene.now()
+    work: asyncio.Task[object] = loop.create_task(run.play())
+    aborted: asyncio.Task[object] = loop.create_task(run.env.until_aborted())
+    done, _ = await asyncio.wait([work, aborted], timeout=limit_s, return_when=asyncio.FIRST_COMPLETED)
+    run.env.record.end = run.env.record.end or run.env.scene.now()
     why = "" if work in done else "it did not come to its end"
-    if work not in done and cut in done:
-        why = str(cut.result())
-    cut.cancel()
+    if work not in done and aborted in done:
+        why = str(aborted.result())
+    aborted.cancel()
     work.cancel()
     try:
         await work
@@ -109,11 +111,11 @@
     return why
 
 
-def _problems_logged(run: Play) -> list[str]:
+def _problems_logged(env: Environment) -> list[str]:
     """Lines of processes' logs that tell of an exception."""
     return [
         f"{name}: {line[:MAX_LINE]}"
-        for name, node in run.nodes.items()
+        for name, node in env.nodes.items()
         for line in node.tail(LOG_LINES)
         if "Traceback" in line or "ERROR" in line
     ]
--- a/tests/mesh/test_process_end.py
+++ b/tests/mesh/test_process_end.py
@@ -19,8 +19,8 @@
 from orchidferry.mesh.process_end import EXIT_MARGIN_S
 from orchidferry.mesh.storage.store import CLOSE_TIMEOUT_S
 from orchidferry.testkit.mesh.day import DAYS, Machine, Ports, machines
+from orchidferry.testkit.mesh.environment import free_ports
 from orchidferry.testkit.mesh.processes import COMMANDS, ROOT, settings
-from orchidferry.testkit.mesh.run import free_ports
 from orchidferry.testkit.world.addresses import claim
 
 DAY = DAYS["mesh-calm"]
--- a/tests/mesh/test_links.py
+++ b/tests/testkit/mesh/test_links.py
@@ -1,4 +1,4 @@
-"""Links with faults: one direction beside a plain model, relays on loopback, tables as drawn."""
+"""Links with faults: one direction beside a plain model, relays on loopback, schedules as drawn."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from orchidferry.testkit.mesh.day import DAYS, Machine, Ports, machines
+from orchidferry.testkit.mesh.environment import free_ports
 from orchidferry.testkit.mesh.links import Links
-from orchidferry.testkit.mesh.relay import BROKEN_S, MAX_HELD, SOUND, Fault, Half
-from orchidferry.testkit.mesh.run import free_ports
-from orchidferry.testkit.mesh.table import CLOSING, LOSSES, PLANNED, UNPLANNED, table
+from orchidferry.testkit.mesh.relay import HEALTHY, MAX_BUFFERED, RESET_DELAY_S, LinkCondition, RelayEndpoint
+from orchidferry.testkit.mesh.schedule import CLOSING, LOSSES, PLANNED, UNPLANNED, schedule
 from orchidferry.testkit.world.addresses import claim
 
 
@@ -50,20 +50,20 @@
 
 
 class World:
-    """What a `Half` needs of `Links`, with a clock of its own."""
+    """What a `RelayEndpoint` needs of `RelayState`, with a clock of its own."""
 
     def __init__(self) -> None:
         self.t = 0.0
-        self.ails = SOUND
+        self.link_condition = HEALTHY
         self.timers: list[tuple[float, Callable[[], None]]] = []
 
     def now(self) -> float:
         return self.t
 
-    def fault(self, pair: tuple[str, str]) -> Fault:
-        return self.ails
+    def condition(self, direction: tuple[str, str]) -> LinkCondition:
+        return self.link_condition
 
-    def at(self, due: float, then: Callable[[], None]) -> None:
+    def call_at(self, due: float, then: Callable[[], None]) -> None:
         self.timers.append((due, then))
 
     def pass_on(self, to: float) -> None:
@@ -76,7 +76,7 @@
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("data"), st.sampled_from([1, MAX_HELD // 3, MAX_HELD])),
+        st.tuples(st.just("data"), st.sampled_from([1, MAX_BUFFERED // 3, MAX_BUFFERED])),
         st.tuples(st.sampled_from(["cut", "heal", "choke", "read"]), st.just(0)),
         st.tuples(st.just("late"), st.integers(0, 400)),
         st.tuples(st.just("wait"), st.integers(0, 300)),
@@ -90,7 +90,7 @@
 def test_one_direction_beside_a_plain_model(steps: list[tuple[str, int]]) -> None:
     """All that was sent comes, in order, not before its time, and nothing while the link is cut or choked."""
     world, lost = World(), list[int]()
-    one, other = (Half(world, ("a", "b"), lambda: lost.append(1)) for _ in "ab")  # type: ignore[arg-type]
+    one, other = (RelayEndpoint(world, ("a", "b"), lambda: lost.append(1)) for _ in "ab")  # type: ignore[arg-type]
     one.other = other
     other.other = one
     near, far = Transport(), Transport()
@@ -102,10 +102,10 @@
         if what == "data" and near.reading:
             data = next(count).to_bytes(4, "big") * (amount // 4 + 1)
             sent += data
-            due.append((max([world.t + world.ails.delay_s, *(t for t, _ in due)]), len(sent)))
+            due.append((max([world.t + world.link_condition.delay_s, *(t for t, _ in due)]), len(sent)))
             one.data_received(data)
         elif what in ("cut", "heal", "late"):
-            world.ails = Fault(what == "cut", amount / 1000.0)
+            world.link_condition = LinkCondition(what == "cut", amount / 1000.0)
             one.flush()
         elif what in ("choke", "read"):
             choked = what == "choke"
@@ -113,13 +113,13 @@
         elif what == "wait":
             world.pass_on(world.t + amount / 1000.0)
         ripe = max([size for t, size in due if t <= world.t], default=0)
-        if world.ails.cut or (choked and what != "choke"):
+        if world.link_condition.cut or (choked and what != "choke"):
             assert len(far.written) == before
         elif not choked:
             assert len(far.written) == ripe
-        assert sent.startswith(far.written) and len(sent) - len(far.written) <= 2 * MAX_HELD + 4
-        assert near.reading or len(sent) - len(far.written) > MAX_HELD // 2
-    world.ails = SOUND
+        assert sent.startswith(far.written) and len(sent) - len(far.written) <= 2 * MAX_BUFFERED + 4
+        assert near.reading or len(sent) - len(far.written) > MAX_BUFFERED // 2
+    world.link_condition = HEALTHY
     other.resume_writing()
     one.connection_lost(None)
     world.pass_on(world.t + 1.0)
@@ -130,35 +130,35 @@
 
 def test_what_a_dead_sender_had_on_its_way_over_a_cut_is_lost_and_its_end_comes_after() -> None:
     world = World()
-    one, other = (Half(world, ("a", "b"), lambda: None) for _ in "ab")  # type: ignore[arg-type]
+    one, other = (RelayEndpoint(world, ("a", "b"), lambda: None) for _ in "ab")  # type: ignore[arg-type]
     one.other = other
     other.other = one
     far = Transport()
     one.connection_made(Transport())  # type: ignore[arg-type]
     other.connection_made(far)  # type: ignore[arg-type]
-    world.ails = Fault(cut=True)
+    world.link_condition = LinkCondition(cut=True)
     one.data_received(b"x")
     one.connection_lost(ConnectionResetError())
     assert not far.closed
-    world.ails = SOUND
+    world.link_condition = HEALTHY
     one.flush()
     assert far.closed and not far.written
 
 
 def test_half_of_a_broken_chunk_is_passed_on_and_both_sides_are_reset() -> None:
     world, lost = World(), list[int]()
-    one, other = (Half(world, ("a", "b"), lambda: lost.append(1)) for _ in "ab")  # type: ignore[arg-type]
+    one, other = (RelayEndpoint(world, ("a", "b"), lambda: lost.append(1)) for _ in "ab")  # type: ignore[arg-type]
     one.other = other
     other.other = one
     near, far = Transport(), Transport()
     one.connection_made(near)  # type: ignore[arg-type]
     other.connection_made(far)  # type: ignore[arg-type]
     one.data_received(b"sound ")
-    world.ails = Fault(broken_chunk=2)
+    world.link_condition = LinkCondition(broken_chunk=2)
     for chunk in (b"first ", b"second", b"third "):
         one.data_received(chunk)
     assert far.written == b"sound first sec" and not far.closed
-    world.pass_on(BROKEN_S)
+    world.pass_on(RESET_DELAY_S)
     assert near.closed and far.closed and lost and far.written == b"sound first sec"
 
 
@@ -193,11 +193,11 @@
 
 async def _played(first: Machine, second: Machine, places: Ports) -> None:
     loop, links, port = asyncio.get_running_loop(), Links(places), places.internal
-    links.add(first)
+    links.add_machine(first)
     with pytest.raises(OSError):  # nobody listens behind it
         await asyncio.open_connection(first.ip, port)
     server = await loop.create_server(Echo, first.bind, port)
-    links.add(second)
+    links.add_machine(second)
     reader, writer = await _until_up(links, first, port, second.bind)
     other_reader, other = await _until_up(links, first, port, "127.0.0.1")  # of no machine: nothing ails it
 
@@ -206,7 +206,7 @@
         assert await there.readexactly(len(data)) == data
 
     await echoed(writer, reader, b"one")
-    links.set([(second.name, first.name)], Fault(cut=True))
+    links.set_condition([(second.name, first.name)], LinkCondition(cut=True))
     writer.write(b"two")
     hung_reader, hung = await asyncio.open_connection(first.ip, port, local_addr=(second.bind, 0))
     hung.write(b"three")
@@ -215,23 +215,23 @@
         await echoed(other, other_reader, b"four")
     assert not any(task.done() for task in waiting)
     assert Echo.made == 3  # the relay's look at the port, and two that were let through
-    links.set([(second.name, first.name)], SOUND)
+    links.set_condition([(second.name, first.name)], HEALTHY)
     assert await asyncio.gather(*waiting) == [b"two", b"three"]
     began = loop.time()
-    links.set([(first.name, second.name)], Fault(delay_s=0.05))
+    links.set_condition([(first.name, second.name)], LinkCondition(delay_s=0.05))
     await echoed(writer, reader, b"five")
     assert loop.time() - began >= 0.05
-    links.set([(first.name, second.name)], SOUND)
+    links.set_condition([(first.name, second.name)], HEALTHY)
     links.reset([(first.name, second.name)])
     with pytest.raises(ConnectionResetError):
         await reader.readexactly(1)
     await echoed(other, other_reader, b"six")
     server.close()
-    links.down(first)
+    links.on_process_ended(first)
     with pytest.raises(OSError):
         await asyncio.open_connection(first.ip, port)
     links.close()
-    assert await other_reader.read() == b"" and not links.lines
+    assert await other_reader.read() == b"" and not links.connection_count
 
 
 def test_relays_on_loopback() -> None:
@@ -243,19 +243,19 @@
 
 
 @pytest.mark.parametrize("seconds", [20.0, 60.0, 300.0])
-def test_drawn_tables_lose_one_thing_at_a_time_and_differ(seconds: float) -> None:
+def test_drawn_schedules_lose_one_thing_at_a_time_and_differ(seconds: float) -> None:
     day = DAYS["mesh-loss"]
     drawn = set()
     calm = day.bounds.catch_up_s
     for seed in range(100):
-        found = table(day, seed, seconds)
-        assert found == table(day, seed, seconds)
-        whats = [one.do for one in found]
+        found = schedule(day, seed, seconds)
+        assert found == schedule(day, seed, seconds)
+        whats = [one.action for one in found]
         assert whats[-1] in CLOSING and all(whats.count(what) == 1 for what in PLANNED)
         assert set(whats[:-1]) <= set(LOSSES) | set(PLANNED)
         if seconds > 30.0:
             for one, following in itertools.pairwise(found):
-                if one.do in UNPLANNED:
+                if one.action in UNPLANNED:
                     assert (following.at - one.at) * seconds >= one.for_s + calm
         drawn.add(tuple(whats))
     assert len(drawn) >= (4 if seconds < 30.0 else 90)
--- a/tests/mesh/test_worst_days.py
+++ b/tests/testkit/mesh/test_worst_days.py
@@ -16,19 +16,19 @@
 from orchidferry.mesh.control.configuration import check
 from orchidferry.mesh.settings import parse_settings
 from orchidferry.testkit.mesh import call_faults, servers
+from orchidferry.testkit.mesh.actions.isolation import controllers_to_isolate, links_to_cut
 from orchidferry.testkit.mesh.ask import CALL_S, Scene, message
 from orchidferry.testkit.mesh.call_faults import CallFault
 from orchidferry.testkit.mesh.changes import LONG_AGO, MANY_AGAIN, Changes
 from orchidferry.testkit.mesh.configuration import MARKERS, build, content, following, lookup, markers, prefix
-from orchidferry.testkit.mesh.day import DAYS, KINDS, Day, Trouble, machines, ports
-from orchidferry.testkit.mesh.deeds import FIRST
+from orchidferry.testkit.mesh.day import DAYS, KINDS, Day, ScheduledAction, machines, ports
+from orchidferry.testkit.mesh.environment import free_ports
 from orchidferry.testkit.mesh.facts import Arrived, Began, ControlCall, Dropped, Fact, Put, Sent
 from orchidferry.testkit.mesh.operator import Operator
 from orchidferry.testkit.mesh.processes import SEEDS, settings
-from orchidferry.testkit.mesh.run import free_ports
+from orchidferry.testkit.mesh.revisions import FIRST_REVISION
+from orchidferry.testkit.mesh.schedule import CLOSING, ISOLATED_S, WORST_BLOCKS, schedule
 from orchidferry.testkit.mesh.servers import Server
-from orchidferry.testkit.mesh.table import CLOSING, ISOLATED_S, WORST_BLOCKS, table
-from orchidferry.testkit.mesh.worst_days import _isolated, _pairs
 from orchidferry.testkit.wire import AskerSide, Outcome, Request, ServerSide
 from orchidferry.testkit.world.addresses import claim
 
@@ -36,19 +36,19 @@
 
 
 @pytest.mark.parametrize("day", WORST, ids=[day.name for day in WORST])
-def test_each_table_has_all_its_troubles_and_the_orders_differ(day: Day) -> None:
+def test_each_schedule_has_all_its_actions_and_the_orders_differ(day: Day) -> None:
     drawn = set()
     for seed in range(2400):
-        found = table(day, seed, day.seconds)
-        assert found == table(day, seed, day.seconds)
-        whats = [one.do for one in found]
+        found = schedule(day, seed, day.seconds)
+        assert found == schedule(day, seed, day.seconds)
+        whats = [one.action for one in found]
         assert sorted(whats[1:-2]) == sorted(what for block in WORST_BLOCKS for what in block)
         assert whats[0] == "changes" and whats[-2] in CLOSING and whats[-1] == "send-again"
-        assert {one.for_s for one in found if one.do == "isolate"} == {ISOLATED_S}
+        assert {one.for_s for one in found if one.action == "isolate"} == {ISOLATED_S}
         assert found[-2].at * day.seconds >= found[-3].at * day.seconds + found[-3].for_s
         for one, following_one in itertools.pairwise(found):
             gap_s = (following_one.at - one.at) * day.seconds
-            planned = one.do in ("replace-planned", "changes", *CLOSING)
+            planned = one.action in ("replace-planned", "changes", *CLOSING)
             assert gap_s >= one.for_s + (0.0 if planned else day.bounds.catch_up_s)
         drawn.add(tuple(whats))
     assert len(drawn) == 240  # orders of five blocks, two closing losses
@@ -102,8 +102,9 @@
     for seed in range(100):
         platform = SimpleNamespace(gone=())
         play: Any = SimpleNamespace(seed=seed, day=day, cores=cores, sidecars=sidecars, platform=platform)
-        chosen = _isolated(play, Trouble(0.1, "isolate"))
-        pairs, words = _pairs(play, chosen)
+        chosen = controllers_to_isolate(play, ScheduledAction(0.1, "isolate"))
+        links = links_to_cut(play, chosen)
+        pairs, words = links.directions, links.description
         names = {one.name for one in chosen}
         controllers = {one.name for one in cores}
         assert 1 <= len(names) <= day.tolerance
@@ -178,7 +179,7 @@
         return await changes.many(200, 1.0)
 
     assert asyncio.run(main()) == "200 in a row"
-    assert len(orders) == 200 + MANY_AGAIN and orders[0][0] == FIRST
+    assert len(orders) == 200 + MANY_AGAIN and orders[0][0] == FIRST_REVISION
     assert all(before[1] == after[0] < after[1] for before, after in itertools.pairwise(orders))
     assert {revision for revision, _ in resent} == {revision for _, revision in orders[:MANY_AGAIN]}
     assert len(resent) == len(set(resent)) == MANY_AGAIN * day.cores
