--- a/orchidferry/testkit/explore/command.py
+++ b/orchidferry/testkit/explore/command.py
@@ -16,7 +16,7 @@
 from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.explore import search
 from orchidferry.testkit.explore.breaks import BREAKS
-from orchidferry.testkit.explore.pure import Found
+from orchidferry.testkit.explore.pure import SearchResult
 from orchidferry.testkit.explore.search import Totals
 from orchidferry.testkit.explore.world import PROPERTIES, Small
 
@@ -82,7 +82,7 @@
     with Progress(TextColumn("{task.description}"), console=console, transient=True) as progress:
         task = progress.add_task("exploring", total=None)
 
-        def watch(found: Found) -> None:
+        def watch(found: SearchResult) -> None:
             progress.update(task, description=f"{found.states} states, {found.runs} runs to their end")
 
         if args.of == "fleet":
@@ -99,11 +99,11 @@
                 watch=watch,
                 workers=args.workers,
             )
-    about = f", {found.wished} of them with every slot granted and back" if args.of == "slots" else ""
+    about = f", {found.succeeded} of them with every slot granted and back" if args.of == "slots" else ""
     return _told(console, args, found, about)
 
 
-def _told(console: Console, args: argparse.Namespace, found: Found, about: str) -> int:
+def _told(console: Console, args: argparse.Namespace, found: SearchResult, about: str) -> int:
     """Say what was found; the exit status."""
     if args.json is not None:
         obj = {
@@ -134,11 +134,11 @@
     from orchidferry.testkit.explore import mesh, worst_days
 
     source: Any = worst_days if args.of == "worst-days" else mesh
-    scenes = {name: scene for name, scene in source.SCENES.items() if scene.of == args.of}
+    scenes = {name: scene for name, scene in source.SCENES.items() if scene.command == args.of}
     breaks = {name: one for name, one in source.BREAKS.items() if one.scene in scenes}
     if args.list_scenes or args.list_breaks:
         for name, one in (scenes if args.list_scenes else breaks).items():
-            print(f"{name:26} {one.about}")
+            print(f"{name:26} {one.description}")
         return 0
     broken = breaks.get(args.break_)
     kinds = tuple(args.kinds.split(",")) if args.kinds else broken.kinds if broken else mesh.KINDS
@@ -155,25 +155,25 @@
     if problem:
         print(f"orchidferry explore: {problem}", file=sys.stderr)
         return 2
-    console, total = Console(highlight=False), Found(exhausted=True)
+    console, total = Console(highlight=False), SearchResult(exhausted=True)
     with Progress(TextColumn("{task.description}"), console=console, transient=True) as progress:
         task = progress.add_task("exploring", total=None)
         for name in wanted:
 
-            def watch(found: Found, name: str = name) -> None:
+            def watch(found: SearchResult, name: str = name) -> None:
                 told = f"{name}: {found.states} states, {found.runs} runs to their end"
                 progress.update(task, description=told)
 
             left_s = args.seconds - total.seconds
             found = source.search(name, args.faults, kinds, args.break_, left_s, watch, args.workers)
             console.print(
-                f"{name:12} {found.states} states, {found.runs} runs, {found.wished} of them as wished, "
+                f"{name:12} {found.states} states, {found.runs} runs, {found.succeeded} of them as wished, "
                 f"in {found.seconds:.1f} s{'' if found.exhausted or found.story else ', not exhausted'}"
             )
             total.add(found)
             if found.violations:
                 break
-    return _told(console, args, total, f", {total.wished} of them as wished")
+    return _told(console, args, total, f", {total.succeeded} of them as wished")
 
 
 def _explore(console: Console, small: Small, args: argparse.Namespace) -> Totals:
--- a/orchidferry/testkit/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -27,7 +27,7 @@
 from orchidferry.balancing.fleet.suspicion import Timing
 from orchidferry.balancing.fleet.swim import Fleet, here
 from orchidferry.testkit.explore import pure
-from orchidferry.testkit.explore.pure import Found
+from orchidferry.testkit.explore.pure import SearchResult
 
 TIMING = Timing(interval_ms=500.0, timeout_ms=200.0, gossip_ms=100.0, sync_ms=7_500.0, reach_ms=500.0)
 FAULTS_UNTIL_MS = 700.0  # a round of probes and the beginning of the next
@@ -113,7 +113,7 @@
                     ]
         return found
 
-    def do(self, label: str) -> None:
+    def apply(self, label: str) -> None:
         what, _, about = label.partition(" ")
         n = int(about or 0)
         if what not in ("wait", "deliver"):
@@ -209,7 +209,7 @@
             if self.now >= begin + QUIET_MS:
                 self.violations.append(f"agree: {self._apart()}, 20 s after the last fault")
                 break
-            self.do(self.actions()[0])
+            self.apply(self.actions()[0])
 
     def _apart(self) -> str:
         """Who does not hold just the running nodes for here."""
@@ -239,7 +239,7 @@
                 if self.harmless and me is not None and entry.status is Status.LOST:
                     self.violations.append(f"spared: n{n} holds {name} for lost, by lost messages alone")
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         """What a world holds, without what only counts."""
         out: list[Any] = [
             self.now,
@@ -299,7 +299,7 @@
             )
         return hashlib.blake2b(repr(out).encode(), digest_size=16).digest()
 
-    def ended(self) -> bool:
+    def succeeded(self) -> bool:
         """All agree at the end of each, or it is broken."""
         return not self.violations
 
@@ -332,9 +332,9 @@
     break_: str = "",
     limit_s: float = 600.0,
     kinds: tuple[str, ...] = KINDS,
-    watch: Callable[[Found], None] = lambda _: None,
+    watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
-) -> Found:
+) -> SearchResult:
     """Walk all that a small fleet can do."""
     return pure.search(lambda: begin(nodes, faults, kinds), broken, break_, limit_s, watch, workers)
 
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -1,31 +1,22 @@
-"""Every interleaving of a few controllers of one shard of the mesh's state and those who ask them: the
-shipping `Shard` and `OperationKeyClient`, with faults among them.
+"""Every interleaving of a few controllers of one shard of the mesh's state and their clients, with faults.
 
-Each message takes one step, as does each write to a disk. Of what comes to one process in one step (messages,
-in order on each link, and its disk's word) every order is walked; what comes to different ones commutes. Time
-moves when nothing is under way: to the next grid point, where beats go round and all tick, or to what a shard
-has due sooner. What is judged is what askers were told and what controllers sent, not what they think.
+The world runs the shipping `Shard` and `OperationKeyClient`. Each message takes one step, as does each write
+to a disk. Of what comes to one process in one step (messages, in order on each link, and the result of a
+write) every order is explored; what comes to different processes commutes. Time moves when nothing is under
+way: to the next grid point, where heartbeats are sent and all tick, or to what a shard has due sooner. What
+is judged is what clients were told and what controllers sent, not the controllers' own view.
 """
 
 from __future__ import annotations
 
-import copyreg
-import functools
-import hashlib
-import marshal
 import math
-from collections import deque
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field, fields, is_dataclass, replace
-from itertools import combinations, permutations
-from operator import attrgetter
-from types import NoneType
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
 
 from orchidferry.balancing import register
-from orchidferry.balancing.register import Proposer, Value
+from orchidferry.balancing.register import Value
 from orchidferry.mesh.control import (
     actions,
     operation_key_client,
@@ -38,45 +29,39 @@
 from orchidferry.mesh.control import shard as shard_module
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.membership import epoch
-from orchidferry.mesh.control.operation_key_client import OperationKeyClient, ShardGroup
+from orchidferry.mesh.control.operation_key_client import ShardGroup
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
-from orchidferry.mesh.control.write_completions import ClaimSaved, KeyAnswerSaved, VoteSaved
-from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
-from orchidferry.mesh.wire.shard_messages import KeyPage, tag_of
-from orchidferry.testkit.explore import pure
-from orchidferry.testkit.explore.controller import WINDOW_S, Controller
-from orchidferry.testkit.explore.dead_messages import ballot_of_round, is_dead
-from orchidferry.testkit.explore.fleet import Middle
+from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
+from orchidferry.mesh.wire.shard_messages import KeyPage
+from orchidferry.testkit.explore import mesh_faults, mesh_fingerprint, pure
+from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.dead_messages import is_dead
+from orchidferry.testkit.explore.mesh_actors import (
+    KEY,
+    ConfigurationClient,
+    KeyNode,
+    KeyRequest,
+    MessageInFlight,
+    SequentialRandom,
+)
 from orchidferry.testkit.explore.mesh_breaks import BREAKS, Break, broken
 from orchidferry.testkit.explore.mesh_scenes import KINDS, SCENES, Scene
-from orchidferry.testkit.explore.pure import Found
-
-__all__ = ["BREAKS", "KINDS", "SCENES", "Break", "Scene", "World", "begin", "broken", "search"]
-
-GRID_S = 0.4  # beats, and what a shard does now and then
-MIN_S = 0.02  # that time moves
-KEY = "k"
-# Of a shard and its parts: told by other fields, set by each event, or of use in a round alone.
-NOT_IN_PRINT = (
-    "acceptor",
-    "context",
-    "listener",
-    "order_requests",
-    "peers",
-    "reader",
-    "references",
-    "register",
-)
-
-
-def _fast(kind: Any) -> None:
-    """Have it pickled by its fields, which for slots takes Python a third of the time."""
-    names = [x.name for x in fields(kind)]
-    if len(names) < 2:
-        return
-    fields_of = attrgetter(*names)
-    copyreg.pickle(kind, lambda one: (kind, fields_of(one)))
-
+from orchidferry.testkit.explore.pure import SearchResult
+
+__all__ = ["BREAKS", "KINDS", "SCENES", "Break", "MeshWorld", "Scene", "begin", "broken", "search"]
+
+START_S = 1.0
+GRID_S = 0.4  # between heartbeats, and what a shard does now and then
+MIN_TIME_STEP_S = 0.02
+ROUNDING_S = 1e-6
+CONTROLLER_NAMES = tuple("abcdefghij")
+# Of a client of the configuration
+MAX_TRIES = 8
+MIN_READ_TRIES = 3  # that are left when it begins to read
+CLIENT_TIMEOUT_S = 1.5  # after which it goes on
+CHANGE_TIMEOUT_S = 1.2  # for which a controller tries to have a change decided
+UNREACHABLE_PAUSE_S = 0.3
+STEP_PAUSE_S = 0.01
 
 for _module in (
     register,
@@ -89,717 +74,536 @@
     operation_key_client,
     write_completions,
 ):
-    for _kind in vars(_module).values():
-        if isinstance(_kind, type) and is_dataclass(_kind) and "__slots__" in vars(_kind):
-            _fast(_kind)
-
+    mesh_fingerprint.pickle_by_fields(_module)
 
-class Dice(Middle):
-    """Chance in the middle; what is drawn as a name is another one each time."""
 
-    def __init__(self, count: int = 0) -> None:
-        super().__init__(0)
-        self.count = count
+class MeshWorld:
+    """Controllers, their clients, and what is under way between them.
 
-    def randrange(self, start: int, stop: int | None = None, step: int = 1) -> int:
-        self.count += 1
-        return self.count if stop is None else start + self.count
+    It is a world as `pure.search` walks it, and the host of its controllers (`controller.Around`).
 
-    def __reduce__(self) -> Any:
-        return Dice, (self.count,)
-
-
-@dataclass
-class Mail:
-    """A message under way. `back`: it is an answer, on the link that the other one dialled."""
-
-    sender: str
-    to: str
-    what: str
-    message: tuple[Any, ...]
-    back: bool = False
-    late: bool = False
-
-    @property
-    def told(self) -> str:
-        kind = tag_of(self.message[-1]) if self.what == "heard" else self.what
-        return f"{kind} from {self.sender} to {self.to}"
-
-
-@dataclass
-class Asker:
-    """Puts a configuration on top of version 0, and reads."""
-
-    name: str
-    at: str
-    then: str
-    revision: int
-    step: str = "put"  # put, again, read, over
-    waits: str = ""  # for what it asked for
-    until_s: float = 0.0
-    newest: int = 0  # acknowledged to anybody before it read
-    tries: int = 0
-    read: bool = False
-
-    def change(self) -> shard_state.PutConfiguration:
-        mark = self.name.encode()
-        return shard_state.PutConfiguration(mark, self.revision, mark, 0)
-
-
-class Node:
-    """A node's half of keys."""
-
-    def __init__(self, name: str, world: World) -> None:
-        self.name = name
-        self.world = world
-        self.claims = OperationKeyClient(world.scene.seeds, self.send, WINDOW_S)
-
-    def send(self, to: str, message: Message) -> None:
-        """As the method of a controller that takes it."""
-        world = self.world
-        name = self.name
-        match message:
-            case KeyClaim():
-                world.send(name, to, "claim", name, *msgspec.structs.astuple(message))
-            case KeyAnswer():
-                world.send(name, to, "done", *msgspec.structs.astuple(message))
-            case KeyRelease():
-                world.send(name, to, "drop", name, *msgspec.structs.astuple(message))
-
-
-@dataclass
-class Try:
-    """One request with the key, at some node."""
-
-    world: World = field(repr=False)
-    holder: str
-    node: str
-    due_s: float
-    how: str
-    began: bool = False
-    said: str = ""
-    answer: Any = None
-
-    def begin(self) -> None:
-        self.began = True
-        self.world.note(f"{self.holder} claims at {self.node}")
-        self.world.nodes[self.node].claims.claim(
-            KEY, self.holder, self.world.scene.for_s, self.told, self.world.now
-        )
-
-    def told(self, outcome: ClaimOutcome, answer: Any) -> None:
-        world = self.world
-        self.said = outcome
-        self.answer = answer
-        world.note(f"{self.holder} is told {outcome}{'' if answer is None else f' and the answer {answer}'}")
-        if outcome is ClaimOutcome.GRANTED:
-            world.granted(self)
-            node = world.nodes[self.node].claims
-            if self.how == "done":
-                node.record_answer(KEY, self.holder, self.holder)
-            elif self.how == "drop":
-                world.ran.remove(self.holder)
-                node.release(KEY, self.holder)
-        elif answer is not None and answer != (world.ran[0] if world.ran else None):
-            world.broken(f"answer: {self.holder} is told the answer {answer}, and {world.ran} ran")
-
-
-class World:
-    """Controllers, askers, and what is under way between them."""
+    :ivar messages: that are delivered in this step
+    :ivar next_messages: that were sent in this step, and are delivered in the next
+    :ivar writes_ready: how many writes of each controller were begun before this step
+    :ivar last_receiver: the process that took something last in this step
+    :ivar partitions: when each link, from and to, carries messages again
+    :ivar owner_by_token: the controllers that did the singleton roles, by fencing token
+    :ivar acknowledged_by_base: the client whose change was acknowledged, by the version that it builds on
+    :ivar sources_heard: controllers that have forgotten, and those that sent them all keys since
+    :ivar granted_attempts: attempts that were granted the key and have not released it
+    """
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
+        """Play a scene until a controller does the singleton roles of the shard.
+
+        :param faults: that may come at most, beside those of the scene's script
+        :param kinds: of these faults
+        """
         self.scene = scene
-        self.faults = 0
+        self.faults_left = 0
         self.kinds = kinds
-        self.now = 1.0
+        self.now = START_S
         self.story: list[str] = []
         self.violations: list[str] = []
-        self.mail: list[Mail] = []  # of this step
-        self.next: list[Mail] = []  # sent in it
-        self.ready: dict[str, int] = {}  # writes that were begun before this step
-        self.slow: set[str] = set()  # disks that are late
-        self.touched = ""  # who took something last in this step
-        self.cuts: dict[tuple[str, str], float] = {}  # from, to, until
-        self.frozen: dict[str, float] = {}
-        self.down: dict[str, float] = {}
-        self.grid = 0
-        self.versions: dict[int, Value] = {}
-        self.fences: dict[int, str] = {}
-        self.taken: dict[int, str] = {}  # what was acknowledged on top of each revision
-        self.newest = 0
-        self.learns: dict[str, set[str]] = {}  # controllers that have forgotten, and who told them all since
-        self.ran: list[str] = []  # tries that were granted the key and have not given it back
-        self.askers = [Asker("pq"[n], at, then, 2 - n) for n, (at, then) in enumerate(scene.puts)]
-        self.tries = [Try(self, f"t{n + 1}", *one) for n, one in enumerate(scene.tries)]
-        self.nodes = {node: Node(node, self) for node in dict.fromkeys(one[0] for one in scene.tries)}
-        seeds = scene.seeds
-        names = tuple("abcdefghij"[: len(seeds) + scene.spare])
+        self.messages: list[MessageInFlight] = []
+        self.next_messages: list[MessageInFlight] = []
+        self.writes_ready: dict[str, int] = {}
+        self.slow_disks: set[str] = set()
+        self.last_receiver = ""
+        self.partitions: dict[tuple[str, str], float] = {}
+        self.frozen_until: dict[str, float] = {}
+        self.down_until: dict[str, float] = {}
+        self.grid_index = 0
+        self.decided_states: dict[int, Value] = {}  # by version
+        self.owner_by_token: dict[int, str] = {}
+        self.acknowledged_by_base: dict[int, str] = {}
+        self.newest_acknowledged = 0
+        self.sources_heard: dict[str, set[str]] = {}
+        self.granted_attempts: list[str] = []
+        self.clients = [
+            ConfigurationClient("pq"[n], at, then, 2 - n) for n, (at, then) in enumerate(scene.clients)
+        ]
+        self.key_requests = [KeyRequest(self, f"t{n + 1}", *one) for n, one in enumerate(scene.key_requests)]
+        self.nodes = {
+            name: KeyNode(name, self) for name in dict.fromkeys(one[0] for one in scene.key_requests)
+        }
         self.number = shard_state.shard_of(KEY) if self.nodes else scene.shard
         self.controllers: dict[str, Controller] = {}
-        for n, name in enumerate(names):
-            founder = name in seeds
-            self.controllers[name] = Controller(name, self, founder, self.number, Dice(n * 1_000), seeds)
+        self.script: list[tuple[float, str]] = []
         self.began_s = math.inf  # of the scene
-        self.learns |= {name: set() for name in names if name not in seeds}
-        while not (self.quiet and any(k.shard.owns(self.now) for k in self.controllers.values())):
-            self.do(self.actions()[0])
-        self.faults = faults
+        self._start_controllers()
+        self._run_until_owned()
+        self.faults_left = faults
         self.began_s = self.now
         self.script = list(scene.script)
         self.story.clear()
-        self._askers()
-        self._turn()
+        self._run_clients()
+        self._begin_step()
+
+    def _start_controllers(self) -> None:
+        seeds = self.scene.seeds
+        names = CONTROLLER_NAMES[: len(seeds) + self.scene.spare_controllers]
+        for position, name in enumerate(names):
+            rng = SequentialRandom(position * 1_000)
+            self.controllers[name] = Controller(name, self, name in seeds, self.number, rng, seeds)
+        self.sources_heard |= {name: set() for name in names if name not in seeds}
+
+    def _run_until_owned(self) -> None:
+        while not (self.is_quiet and any(one.shard.owns(self.now) for one in self.controllers.values())):
+            self.apply(self.actions()[0])
 
-    # What it is
+    # State
 
     @property
-    def quiet(self) -> bool:
-        """Nothing is under way."""
-        return not (self.mail or self.next or any(k.writes for k in self.controllers.values()))
+    def is_quiet(self) -> bool:
+        """Whether nothing is under way."""
+        writes = any(controller.writes for controller in self.controllers.values())
+        return not (self.messages or self.next_messages or writes)
 
     @property
     def over(self) -> bool:
-        asked = all(a.step == "over" for a in self.askers) and all(t.said for t in self.tries)
-        return asked and self.now >= self.began_s + self.scene.seconds - 1e-6
+        """Whether all clients are done and the scene has lasted long enough."""
+        done = all(one.step == "over" for one in self.clients)
+        done = done and all(one.outcome for one in self.key_requests)
+        return done and self.now >= self.began_s + self.scene.min_duration_s - ROUNDING_S
 
-    def ended(self) -> bool:
-        """All were served as if nothing had gone wrong."""
-        if self.askers:
-            return all(a.read for a in self.askers) and bool(self.taken)
-        if self.tries:
-            return len(self.ran) == 1 and all(t.said != ClaimOutcome.UNDECIDED for t in self.tries)
-        return sum(k.shard.owns(self.now) is not None for k in self.controllers.values() if k.alive) == 1
+    @property
+    def newest_state(self) -> Value:
+        """The newest state that was decided."""
+        if not self.decided_states:
+            return shard_state.genesis(self.scene.seeds)
+        return self.decided_states[max(self.decided_states)]
+
+    def succeeded(self) -> bool:
+        """Return whether all clients were served as if there had been no fault."""
+        if self.clients:
+            return all(one.read for one in self.clients) and bool(self.acknowledged_by_base)
+        if self.key_requests:
+            decided = all(one.outcome != ClaimOutcome.UNDECIDED for one in self.key_requests)
+            return len(self.granted_attempts) == 1 and decided
+        return len(self._owners()) == 1
 
     def finish(self) -> None:
-        """Nothing comes after the askers' last step."""
-
-    def note(self, told: str) -> None:
-        self.story.append(f"{(self.now - self.began_s) * 1000.0:7.0f} ms  {told}")
-
-    def broken(self, told: str) -> None:
-        self.violations.append(told)
+        """Do nothing: nothing comes after the clients' last step."""
 
-    # What may come
+    def fingerprint(self) -> bytes:
+        """Return the same bytes for worlds that have the same futures."""
+        return mesh_fingerprint.fingerprint_of(self)
 
-    def _items(self) -> tuple[str, list[str]]:
-        """The first process that has something to take, and what may be the first of that."""
-        heads: dict[tuple[str, str, bool], int] = {}
-        for n, mail in enumerate(self.mail):
-            if not mail.late and mail.to not in self.frozen:
-                heads.setdefault((mail.to, mail.sender, mail.back), n)
-        disks = [n for n, many in self.ready.items() if many and n not in self.frozen and n not in self.slow]
-        half = min([to for to, _, _ in heads] + disks, default="")
-        found = [f"deliver {n}" for (to, _, _), n in heads.items() if to == half]
-        return half, found + ([f"disk {half}"] if half in disks else [])
+    def log(self, line: str) -> None:
+        """Add a line to the story of this run."""
+        self.story.append(f"{(self.now - self.began_s) * 1000.0:7.0f} ms  {line}")
 
-    @property
-    def _late(self) -> bool:
-        return any(m.late for m in self.mail) or bool(self.slow)
+    def report_violation(self, line: str) -> None:
+        """Report that a property is broken.
 
-    def actions(self) -> list[str]:
-        """What may come next; the first comes without a fault."""
-        half, found = self._items()
-        late = self._late and not half
-        plain = found or (["wait", "come"] if late else ["wait"])
-        return plain + [one for one in self._faults(half, found) if one.split()[0] in self.kinds]
-
-    def _faults(self, half: str, items: list[str]) -> Iterator[str]:
-        if not self.faults:
-            return
-        for item in items:
-            what, about = item.split()
-            yield f"lose {about}" if what == "deliver" else f"late {about}"
-            if what == "deliver":
-                yield f"late {about}"
-        for name, controller in self.controllers.items():
-            if not controller.alive or half not in ("", name):
-                continue
-            yield f"kill {name}"
-            many = min(3, len(controller.writes))
-            yield from (f"power {name} {mask}" for mask in range(1, 2**many))
-            others = [
-                k
-                for k in self.controllers.values()
-                if k is not controller and k.shard.voter in self._newest.voters
-            ]
-            if self.scene.beyond or all(
-                k.alive and k.name not in self.learns and k.shard.standing.caught_up for k in others
-            ):
-                yield f"wipe {name}"
-            if name not in self.frozen:
-                yield f"freeze {name}"
-            if not half:
-                yield f"unfit {name}"
-        if half == self.touched and half:
-            return
-        if half:
-            yield from (
-                f"beat {name}" for name in self.controllers if any(name in pair for pair in self.cuts)
-            )
-        if not half or half in self.controllers:
-            yield from (f"cut {name}" for name in self.controllers if half in ("", name))
-        for one, other in combinations([*self.controllers, *self.nodes], 2):
-            if half in ("", one, other) and one in self.controllers:
-                yield f"cut {one} {other}"
-        for one, other in permutations(self.controllers, 2):
-            if half in ("", other):
-                yield f"oneway {one} {other}"
+        :param line: the property's name, a colon, and what has happened
+        """
+        self.violations.append(line)
 
-    @property
-    def _newest(self) -> Value:
-        return self.versions[max(self.versions)] if self.versions else shard_state.genesis(self.scene.seeds)
+    # Choices
 
-    # What comes
+    def next_items(self) -> tuple[str, list[str]]:
+        """Return the first process that has something to take, and the choices of what it takes first."""
+        heads: dict[tuple[str, str, bool], int] = {}
+        for position, message in enumerate(self.messages):
+            if not message.late and message.to not in self.frozen_until:
+                heads.setdefault((message.to, message.sender, message.back), position)
+        disks = [
+            name
+            for name, count in self.writes_ready.items()
+            if count and name not in self.frozen_until and name not in self.slow_disks
+        ]
+        receiver = min([to for to, _, _ in heads] + disks, default="")
+        items = [f"deliver {position}" for (to, _, _), position in heads.items() if to == receiver]
+        if receiver in disks:
+            items.append(f"disk {receiver}")
+        return receiver, items
 
-    def do(self, label: str) -> None:
-        what, *about = label.split()
-        match what:
+    def actions(self) -> list[str]:
+        """Return what may come next; the first comes without a fault."""
+        receiver, items = self.next_items()
+        anything_late = any(one.late for one in self.messages) or bool(self.slow_disks)
+        idle = ["wait", "come"] if anything_late and not receiver else ["wait"]
+        faults = mesh_faults.possible_faults(self, receiver, items) if self.faults_left else ()
+        return (items or idle) + [one for one in faults if one.split()[0] in self.kinds]
+
+    def apply(self, label: str) -> None:
+        """Have one of `actions` happen."""
+        kind, *about = label.split()
+        match kind:
             case "deliver":
-                self._deliver(self.mail.pop(int(about[0])))
+                self._deliver(self.messages.pop(int(about[0])))
             case "disk":
-                self._disk(about[0])
+                self._complete_write(about[0])
             case "wait":
-                self._wait()
+                self._advance_time()
             case "come":
-                self._come()
+                self._release_late()
             case _:
-                self.faults -= 1
-                self._fault(what, about)
-        self._drop_dead()
-        self._turn()
-        self._check()
-
-    def _drop_dead(self) -> None:
+                self.faults_left -= 1
+                self._apply_fault(kind, about)
+        self._discard_dead_messages()
+        self._begin_step()
+        self._check_properties()
+
+    def _begin_step(self) -> None:
+        """Begin the next step, where this one is over."""
+        if not self.next_items()[0]:
+            self.messages = self.messages + self.next_messages
+            self.next_messages = []
+            self.last_receiver = ""
+            self.writes_ready = {name: len(one.writes) for name, one in self.controllers.items() if one.alive}
+
+    def _discard_dead_messages(self) -> None:
         """Take messages for delivered that change nothing any more."""
-        self.mail = [mail for mail in self.mail if not self._is_dead(mail)]
-        self.next = [mail for mail in self.next if not self._is_dead(mail)]
-
-    def _is_dead(self, mail: Mail) -> bool:
-        receiver = self.controllers.get(mail.to)
-        return mail.what == "heard" and receiver is not None and is_dead(mail.message[1], receiver.shard)
-
-    def _turn(self) -> None:
-        """Where this step is over, the next one begins."""
-        if not self._items()[0]:
-            self.mail = self.mail + self.next
-            self.next = []
-            self.touched = ""
-            self.ready = {n: len(k.writes) for n, k in self.controllers.items() if k.alive}
-
-    def _come(self) -> None:
-        for mail in self.mail:
-            mail.late = False
-        self.slow.clear()
-
-    def _fault(self, what: str, about: list[str]) -> None:
-        name = about[0]
-        told = " ".join([what, *about])
-        if name.isdigit():
-            told = f"{what}: {self.mail[int(name)].told}"
-        self.note(told)
-        until = self.now + self.scene.hold_s
-        match what:
-            case "lose":
-                self.mail.pop(int(name))
-            case "late" if name.isdigit():
-                self.mail[int(name)].late = True
-            case "late":
-                self.slow.add(name)
-            case "kill" | "power" | "wipe":
-                controller = self.controllers[name]
-                for n, write in enumerate(controller.writes):
-                    if what == "power" and int(about[1]) >> n & 1:
-                        controller.put(write.puts)
-                self._down(name, 0.1)
-                if what == "wipe":
-                    controller.wipe()
-                    self.learns[name] = set()
-            case "freeze":  # what it has just sent is acknowledged, and waits for it
-                self.frozen[name] = until
-                self._beat(name)
-            case "beat":  # no cut holds it any more, and new links bring a beat
-                self.cuts = {pair: end for pair, end in self.cuts.items() if name not in pair}
-                self._beat(name)
-            case "unfit":
-                peers = self.controllers[name].peers
-                peers.fit = not peers.fit
-            case "cut" | "oneway":
-                everybody = [*self.controllers, *self.nodes]
-                pairs = [(name, about[1])] if len(about) > 1 else [(name, n) for n in everybody if n != name]
-                if what == "cut":
-                    pairs += [(b, a) for a, b in pairs]
-                self.cuts |= dict.fromkeys(pairs, until)
-                self.mail = [m for m in self.mail if (m.sender, m.to) not in pairs]
-                self.next = [m for m in self.next if (m.sender, m.to) not in pairs]
-
-    def _down(self, name: str, for_s: float) -> None:
-        """A process ends; what it sent is on its way, what was sent to it is lost."""
+        self.messages = [one for one in self.messages if not self._is_dead(one)]
+        self.next_messages = [one for one in self.next_messages if not self._is_dead(one)]
+
+    def _is_dead(self, message: MessageInFlight) -> bool:
+        receiver = self.controllers.get(message.to)
+        if message.what != "heard" or receiver is None:
+            return False
+        return is_dead(message.message[1], receiver.shard)
+
+    def _release_late(self) -> None:
+        """Let what was late come now."""
+        for message in self.messages:
+            message.late = False
+        self.slow_disks.clear()
+
+    def _apply_fault(self, kind: str, about: list[str]) -> None:
+        """Have a fault happen, and log it."""
+        is_message = about[0].isdigit()
+        self.log(f"{kind}: {self.messages[int(about[0])]}" if is_message else " ".join([kind, *about]))
+        mesh_faults.apply_fault(self, kind, about)
+
+    # Processes
+
+    def stop_process(self, name: str, for_s: float) -> None:
+        """End a controller's process: what it sent is on its way, what was sent to it is lost.
+
+        :param for_s: when it starts again, in seconds from now
+        """
         controller = self.controllers[name]
         controller.alive = False
         controller.writes = []
-        self.down[name] = self.now + for_s
-        self.frozen.pop(name, None)
-        self.slow.discard(name)
-        self.ready.pop(name, None)
-        self.mail = [m for m in self.mail if m.to != name]
-        self.next = [m for m in self.next if m.to != name]
-
-    def _up(self, name: str) -> None:
-        if self.down.pop(name, None) is not None:
+        self.down_until[name] = self.now + for_s
+        self.frozen_until.pop(name, None)
+        self.slow_disks.discard(name)
+        self.writes_ready.pop(name, None)
+        self.messages = [one for one in self.messages if one.to != name]
+        self.next_messages = [one for one in self.next_messages if one.to != name]
+
+    def start_process(self, name: str) -> None:
+        """Start a controller's process that is down."""
+        if self.down_until.pop(name, None) is not None:
             self.controllers[name].start()
 
-    def _deliver(self, mail: Mail) -> None:
-        self.touched = mail.to
-        if mail.to in self.nodes:
-            node = self.nodes[mail.to].claims
-            if mail.what == "grant":
-                node.handle_grant(mail.sender, KeyGrant(*mail.message))
-            elif mail.what == "dropped":
-                node.releases.acknowledge(mail.sender, *mail.message)
-            else:
-                number, under, names, owner, fence = mail.message
-                node.update_group(number, ShardGroup(under, names, owner, fence), self.now)
-            return
-        controller = self.controllers[mail.to]
-        if mail.what == "heard":
-            page = mail.message[1]
-            # What it is told before it has a place does not count.
-            if isinstance(page, KeyPage) and page.last and page.as_voter and mail.to in self.learns:
-                self.learns[mail.to].add(mail.sender)
-        getattr(controller, mail.what)(*mail.message)
-        if mail.what == "claim" and mail.message[2] != controller.shard.body.epoch:
-            self._tell_group(controller, mail.sender)
-
-    def _disk(self, name: str) -> None:
-        self.touched = name
-        self.ready[name] -= 1
-        self.controllers[name].disk_turn()
-
-    def _beat(self, name: str) -> None:
+    def send_heartbeats(self, name: str) -> None:
+        """Have a controller that is alive send its heartbeats."""
         controller = self.controllers[name]
         if controller.alive:
-            controller.beat_to(n for n in self.controllers if n != name)
+            controller.beat_to(other for other in self.controllers if other != name)
 
-    def _wait(self) -> None:
-        """Nothing is under way: time moves."""
-        dues = [
-            1.0 + (self.grid + 1) * GRID_S,
-            *self.cuts.values(),
-            *self.frozen.values(),
-            *self.down.values(),
-        ]
-        for name, controller in self.controllers.items():
-            if controller.alive and name not in self.frozen:
-                dues.append(controller.shard.due_s)
-        if self.began_s < math.inf:
-            dues += [self.began_s + one.due_s for one in self.tries if not one.began]
-            dues += [one.until_s for one in self.askers if one.step != "over"]
-            dues += [self.began_s + at for at, _ in self.script]
-        self.now = max(self.now + MIN_S, math.ceil(min(dues) * 1000.0) / 1000.0)
-        now = self.now
-        self.cuts = {pair: until for pair, until in self.cuts.items() if until > now}
-        self.frozen = {name: until for name, until in self.frozen.items() if until > now}
-        for name in [n for n, until in self.down.items() if until <= now]:
-            self._up(name)
-        for mail in [m for m in self.mail if m.what == "pulse" and m.to not in self.frozen]:
-            self.mail.remove(mail)
-            self.controllers[mail.to].pulse(*mail.message)
-        on_grid = now >= 1.0 + (self.grid + 1) * GRID_S - 1e-6
+    def _complete_write(self, name: str) -> None:
+        self.last_receiver = name
+        self.writes_ready[name] -= 1
+        self.controllers[name].disk_turn()
+
+    def _is_running(self, name: str) -> bool:
+        return self.controllers[name].alive and name not in self.frozen_until
+
+    # Time
+
+    def _advance_time(self) -> None:
+        """Move time, as nothing is under way, and do what is due then."""
+        self.now = max(self.now + MIN_TIME_STEP_S, math.ceil(self._next_due_s() * 1000.0) / 1000.0)
+        self._end_faults()
+        for message in [
+            one for one in self.messages if one.what == "pulse" and one.to not in self.frozen_until
+        ]:
+            self.messages.remove(message)
+            self.controllers[message.to].pulse(*message.message)
+        on_grid = self.now >= self._next_grid_s() - ROUNDING_S
         if on_grid:
-            self.grid += 1
+            self.grid_index += 1
             for name in self.controllers:
-                if name not in self.frozen:
-                    self._beat(name)
+                if name not in self.frozen_until:
+                    self.send_heartbeats(name)
         for name, controller in self.controllers.items():
-            if controller.alive and name not in self.frozen and (on_grid or controller.shard.due_s <= now):
+            if self._is_running(name) and (on_grid or controller.shard.due_s <= self.now):
                 controller.tick()
+        if on_grid:
+            self._tick_nodes()
+        self._run_clients()
+
+    def _next_grid_s(self) -> float:
+        return START_S + (self.grid_index + 1) * GRID_S
+
+    def _next_due_s(self) -> float:
+        """Return when something is due next."""
+        dues = [
+            self._next_grid_s(),
+            *self.partitions.values(),
+            *self.frozen_until.values(),
+            *self.down_until.values(),
+        ]
+        dues += [one.shard.due_s for name, one in self.controllers.items() if self._is_running(name)]
+        if self.began_s < math.inf:
+            dues += [self.began_s + one.due_s for one in self.key_requests if not one.began]
+            dues += [one.until_s for one in self.clients if one.step != "over"]
+            dues += [self.began_s + since_s for since_s, _ in self.script]
+        return min(dues)
+
+    def _end_faults(self) -> None:
+        """End the faults whose time is over."""
+        now = self.now
+        self.partitions = {pair: until_s for pair, until_s in self.partitions.items() if until_s > now}
+        self.frozen_until = {name: until_s for name, until_s in self.frozen_until.items() if until_s > now}
+        for name in [name for name, until_s in self.down_until.items() if until_s <= now]:
+            self.start_process(name)
+
+    def _tick_nodes(self) -> None:
         for node in self.nodes.values():
-            if on_grid:
-                for controller in self.controllers.values():
-                    if controller.alive and controller.name not in self.frozen:
-                        self._tell_group(controller, node.name)
-                node.claims.tick(now)
-        self._askers()
+            for name, controller in self.controllers.items():
+                if self._is_running(name):
+                    self._send_group(controller, node.name)
+            node.claims.tick(self.now)
 
-    # Between them
+    # Messages
 
-    def _open(self, sender: str, to: str) -> bool:
+    def _reaches(self, sender: str, to: str) -> bool:
         controller = self.controllers.get(to)
-        return (sender, to) not in self.cuts and (controller is None or controller.alive)
+        return (sender, to) not in self.partitions and (controller is None or controller.alive)
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """Put a message on its way; beats take no time."""
-        if to not in self.controllers or not self._open(sender, to):
+        """Put a message to a controller on its way; heartbeats take no time.
+
+        :param kind: the method of the controller that takes it
+        """
+        if to not in self.controllers or not self._reaches(sender, to):
             return
-        if kind == "beat" and to in self.frozen:
-            return  # it meets the next one
-        if kind == "beat" or (kind == "pulse" and to not in self.frozen):
+        if kind == "beat" and to in self.frozen_until:
+            return  # it gets the next one
+        if kind == "beat" or (kind == "pulse" and to not in self.frozen_until):
             getattr(self.controllers[to], kind)(*message)
         else:
-            self.next.append(Mail(sender, to, kind, message))
+            self.next_messages.append(MessageInFlight(sender, to, kind, message))
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """A controller answers whoever asked it."""
-        to = answer.to
+        """Put a controller's answer on its way."""
         message = answer.message
-        if isinstance(message, KeyReleaseAck):
-            if self._open(name, to):
-                self.next.append(Mail(name, to, "dropped", (message.number,), True))
-        elif isinstance(message, KeyGrant):
-            if message.outcome == ClaimOutcome.GRANTED and name in self.learns and not self._learned(name):
-                self.broken(
-                    f"abstains: {name} grants a key, and has learned from {sorted(self.learns[name])}"
-                )
-            if self._open(name, to):
-                self.next.append(Mail(name, to, "grant", msgspec.structs.astuple(message), True))
-        elif self._open(name, to):
-            self.next.append(Mail(name, to, "heard", (name, message.body), True))
-
-    def _tell_group(self, controller: Controller, node: str) -> None:
-        """As the controller does when something changes, and to whoever comes back to it."""
-        own = controller.shard.body
-        had = self.nodes[node].claims.groups[controller.number]
-        if (own.epoch > had.epoch or own.fencing_token > had.fencing_token) and self._open(
-            controller.name, node
-        ):
-            names = tuple(v.name for v in controller.shard.known.voters)
-            message = (controller.number, own.epoch, names, own.owner, own.fencing_token)
-            self.next.append(Mail(controller.name, node, "group", message, True))
-
-    def decided(self, name: str, changed: StateChanged) -> None:
-        """The states are one chain: one for each version, and whoever learns one learns the same."""
-        self._chain(changed.new)
-        if epoch(changed.new) > epoch(changed.old):
-            self.note(f"{name} learns of epoch {epoch(changed.new)}")
-            for controller in self.controllers.values():  # whoever is left out misses what is granted
-                if controller.shard.voter not in changed.new.voters and changed.new == self._newest:
-                    self.learns[controller.name] = set()
-        for node in self.nodes:
-            self._tell_group(self.controllers[name], node)
-
-    def _chain(self, value: Value) -> None:
-        if self.versions.setdefault(value.version, value) != value:
-            self.broken(f"chain: two states of version {value.version} were decided")
-
-    # Configurations
+        if isinstance(message, KeyGrant):
+            self._check_grant(name, message)
+        if not self._reaches(name, answer.to):
+            return
+        match message:
+            case KeyReleaseAck():
+                reply = MessageInFlight(name, answer.to, "dropped", (message.number,), True)
+            case KeyGrant():
+                fields = msgspec.structs.astuple(message)
+                reply = MessageInFlight(name, answer.to, "grant", fields, True)
+            case _:
+                reply = MessageInFlight(name, answer.to, "heard", (name, message.body), True)
+        self.next_messages.append(reply)
 
-    def _askers(self) -> None:
+    def _deliver(self, message: MessageInFlight) -> None:
+        self.last_receiver = message.to
+        if message.to in self.nodes:
+            self._deliver_to_node(message)
+            return
+        controller = self.controllers[message.to]
+        if message.what == "heard":
+            self._record_source(message)
+        getattr(controller, message.what)(*message.message)
+        if message.what == "claim" and message.message[2] != controller.shard.body.epoch:
+            self._send_group(controller, message.sender)
+
+    def _deliver_to_node(self, message: MessageInFlight) -> None:
+        claims = self.nodes[message.to].claims
+        match message.what:
+            case "grant":
+                claims.handle_grant(message.sender, KeyGrant(*message.message))
+            case "dropped":
+                claims.releases.acknowledge(message.sender, *message.message)
+            case _:
+                number, group = message.message
+                claims.update_group(number, group, self.now)
+
+    def _record_source(self, message: MessageInFlight) -> None:
+        """Remember who has sent all keys to a controller that forgot, once that is a voter again."""
+        page = message.message[1]
+        sources = self.sources_heard.get(message.to)
+        if sources is not None and isinstance(page, KeyPage) and page.last and page.as_voter:
+            sources.add(message.sender)
+
+    def _send_group(self, controller: Controller, node: str) -> None:
+        """Send a node the shard's group, where the controller knows a newer one."""
+        body = controller.shard.body
+        known = self.nodes[node].claims.groups[controller.number]
+        is_newer = body.epoch > known.epoch or body.fencing_token > known.fencing_token
+        if is_newer and self._reaches(controller.name, node):
+            names = tuple(voter.name for voter in controller.shard.known.voters)
+            group = ShardGroup(body.epoch, names, body.owner, body.fencing_token)
+            message = MessageInFlight(controller.name, node, "group", (controller.number, group), True)
+            self.next_messages.append(message)
+
+    # Clients of the configuration
+
+    def _run_clients(self) -> None:
+        """Do what the script and the clients have due."""
         if self.began_s == math.inf:
             return
-        while self.script and self.script[0][0] <= self.now - self.began_s + 1e-6:
-            what, *about = self.script.pop(0)[1].split()
-            if what == "down":
-                self.note(f"{about[0]} goes away")
-                self._down(about[0], math.inf)
-            elif what == "up":
-                self._up(about[0])
+        due_s = self.now - self.began_s + ROUNDING_S
+        while self.script and self.script[0][0] <= due_s:
+            self._run_script_step(self.script.pop(0)[1])
+        for request in self.key_requests:
+            if not request.began and request.due_s <= due_s:
+                request.begin()
+        for client in self.clients:
+            if client.step == "over" or self.now < client.until_s:
+                continue
+            if client.waits:  # it was not answered
+                self._advance_client(client)
             else:
-                self._fault(what, about)
-        for one in self.tries:
-            if not one.began and one.due_s <= self.now - self.began_s + 1e-6:
-                one.begin()
-        for asker in self.askers:
-            if asker.step != "over" and self.now >= asker.until_s:
-                if asker.waits:  # nothing was heard
-                    self._next(asker)
-                else:
-                    self._ask(asker)
-
-    def _ask(self, asker: Asker) -> None:
-        name = asker.at if asker.step == "put" else asker.then
+                self._send_request(client)
+
+    def _run_script_step(self, step: str) -> None:
+        kind, *about = step.split()
+        match kind:
+            case "down":
+                self.log(f"{about[0]} goes away")
+                self.stop_process(about[0], math.inf)
+            case "up":
+                self.start_process(about[0])
+            case _:
+                self._apply_fault(kind, about)
+
+    def _send_request(self, client: ConfigurationClient) -> None:
+        name = client.at if client.step == "put" else client.then
         controller = self.controllers[name]
-        asker.tries += 1
-        if asker.tries > 8:
-            asker.step = "over"
-        elif not controller.alive or name in self.frozen:
-            asker.until_s = self.now + 0.3
+        client.tries += 1
+        if client.tries > MAX_TRIES:
+            client.step = "over"
+        elif not self._is_running(name):
+            client.until_s = self.now + UNREACHABLE_PAUSE_S
         else:
-            asker.waits = f"{name} {asker.name}{asker.tries}"
-            asker.until_s = self.now + 1.5
-            id = asker.waits.split()[1]
-            if asker.step == "read":
-                asker.newest = self.newest
+            id = f"{client.name}{client.tries}"
+            client.waits = f"{name} {id}"
+            client.until_s = self.now + CLIENT_TIMEOUT_S
+            if client.step == "read":
+                client.newest = self.newest_acknowledged
                 controller.do(controller.shard.request_read(id, self.now))
             else:
-                controller.do(controller.shard.request_change(id, asker.change(), 1.2, self.now))
+                change = client.change()
+                controller.do(controller.shard.request_change(id, change, CHANGE_TIMEOUT_S, self.now))
+
+    def _advance_client(self, client: ConfigurationClient, settled: bool = False) -> None:
+        """Have a client go on with its next step.
 
-    def _next(self, asker: Asker, settled: bool = False) -> None:
-        after = {"put": "read" if settled else "again", "again": "read", "read": "over"}
-        asker.step = after[asker.step]
-        asker.waits = ""
-        asker.until_s = self.now + 0.01
-        if asker.step == "read":
-            asker.tries = min(asker.tries, 5)
+        :param settled: whether it knows what became of its change
+        """
+        next_steps = {"put": "read" if settled else "again", "again": "read", "read": "over"}
+        client.step = next_steps[client.step]
+        client.waits = ""
+        client.until_s = self.now + STEP_PAUSE_S
+        if client.step == "read":
+            client.tries = min(client.tries, MAX_TRIES - MIN_READ_TRIES)
 
     def told(self, name: str, end: RequestEnded) -> None:
-        """What was asked for at a controller is over."""
-        asker = next((a for a in self.askers if a.waits == f"{name} {end.id}"), None)
-        if asker is None:
+        """Take the end of a request that a client made at a controller."""
+        client = next((one for one in self.clients if one.waits == f"{name} {end.id}"), None)
+        if client is None:
             return
         if end.value is not None:
-            self._chain(end.value)
-        if asker.step != "read":
+            self._record_decided(end.value)
+        if client.step != "read":
             if end.value is not None and not end.why:
-                self.note(f"{asker.name} is told that its configuration was taken")
-                if self.taken.setdefault(0, asker.name) != asker.name:
-                    self.broken("two-puts: two changes of one version were acknowledged")
-                self.newest = max(self.newest, asker.revision)
-            self._next(asker, end.value is not None)
+                self._change_acknowledged(client)
+            self._advance_client(client, end.value is not None)
         elif end.value is None:
-            asker.waits = ""
-            asker.until_s = self.now + 0.01
+            client.waits = ""
+            client.until_s = self.now + STEP_PAUSE_S
         else:
-            self.note(f"{asker.name} reads {shard_state.body(end.value).revision}")
-            if shard_state.body(end.value).revision < asker.newest:
-                self.broken(f"older: {asker.newest} was acknowledged before it was read")
-            asker.read = True
-            self._next(asker)
-
-    # Keys
-
-    def granted(self, one: Try) -> None:
-        """A try may run."""
-        if self.ran:
-            self.broken(f"two-tries: the key is {self.ran[0]}'s, and {one.holder}'s")
-        self.ran.append(one.holder)
-
-    # What is judged at each step
-
-    def _check(self) -> None:
-        now = [
-            (k, fence)
-            for k in self.controllers.values()
-            if k.alive and (fence := k.shard.owns(self.now)) is not None
-        ]
-        if len(now) > 1:
-            self.broken(f"two-owners: {' and '.join(k.name for k, _ in now)} do the duties")
-        for controller, fence in now:
-            if self.fences.setdefault(fence, controller.name) != controller.name or fence < max(self.fences):
-                self.broken(f"fence: {controller.name} does the duties under fence {fence}")
-        for name in list(self.learns):
-            if self.controllers[name].shard.standing.caught_up and self._learned(name):
-                del self.learns[name]
-
-    def _learned(self, name: str) -> bool:
-        """Whether one that has forgotten was told all by so many that no majority is missed."""
-        return len(self.learns[name]) >= self.scene.replicas - self.scene.replicas // 2
-
-    def print(self) -> bytes:
-        """All that it holds but its story; times stand in it.
-
-        Equal prints have equal futures, so what decides nothing is left out: the order of messages on
-        different links, who took something last where no item of that process or no fault is left.
-        """
-        half, _ = self._items()
-        touched = bool(self.faults and half and half == self.touched)
-        held: list[Any] = [
-            self.now,
-            self.grid,
-            self.faults,
-            touched,
-            by_link(self.mail),
-            by_link(self.next),
-            self.ready,
-            sorted(self.slow),
-            sorted(self.cuts.items()),
-            sorted(self.frozen.items()),
-            sorted(self.down.items()),
-            self.versions,
-            self.fences,
-            self.taken,
-            self.newest,
-            self.ran,
-            self.askers,
-            [(name, sorted(told)) for name, told in sorted(self.learns.items())],
-            [(t.began, t.said) for t in self.tries],
-        ]
-        for controller in self.controllers.values():
-            shard = controller.shard
-            kept = controller.shard.register.acceptor.state
-            references = shard.register.references
-            inside = [references if references.ballot == ballot_of_round(shard) else None]
-            for part in (shard, shard.register, shard.reader):
-                inside += [v for k, v in vars(part).items() if k not in NOT_IN_PRINT]
-            records = shard.operation_keys.records
-            # Which of two equal ones is meant, where the shard looks at that.
-            same = [shard.unsaved_records[key] is records.get(key) for key in shard.unsaved_records]
-            for write in controller.writes:
-                match write.completion:
-                    case VoteSaved(state=of):
-                        same.append(of is kept)
-                    case ClaimSaved(record=record) | KeyAnswerSaved(record=record):
-                        same.append(any(record is one for one in records.values()))
-            held += [
-                controller.alive,
-                sorted(controller.disk.items()),
-                controller.writes,
-                controller.beats,
-                controller.peers,
-                controller.rng,
-                kept,
-                inside,
-                same,
-            ]
-        for node in self.nodes.values():
-            pending = node.claims._pending.values()
-            releases = node.claims.releases
-            held += [node.claims.groups[self.number], node.claims._last_request]
-            held += [releases._last_number, releases._pending]
-            held += [(c.request, c.holder, c.count, c.deadline_s, c.next_send_s) for c in pending]
-        return hashlib.blake2b(marshal.dumps(_plain(held), 2), digest_size=16).digest()
+            revision = shard_state.body(end.value).revision
+            self.log(f"{client.name} reads {revision}")
+            if revision < client.newest:
+                self.report_violation(f"older: {client.newest} was acknowledged before it was read")
+            client.read = True
+            self._advance_client(client)
+
+    def _change_acknowledged(self, client: ConfigurationClient) -> None:
+        self.log(f"{client.name} is told that its configuration was taken")
+        if self.acknowledged_by_base.setdefault(0, client.name) != client.name:
+            self.report_violation("two-puts: two changes of one version were acknowledged")
+        self.newest_acknowledged = max(self.newest_acknowledged, client.revision)
+
+    # Properties
+
+    def key_granted(self, request: KeyRequest) -> None:
+        """Record that an attempt may run; the key is granted to one at most."""
+        if self.granted_attempts:
+            self.report_violation(
+                f"two-tries: the key is {self.granted_attempts[0]}'s, and {request.holder}'s"
+            )
+        self.granted_attempts.append(request.holder)
+
+    def decided(self, name: str, changed: StateChanged) -> None:
+        """Take a controller's word that it knows a newer state; all states are one chain."""
+        self._record_decided(changed.new)
+        if epoch(changed.new) > epoch(changed.old):
+            self.log(f"{name} learns of epoch {epoch(changed.new)}")
+            for controller in self.controllers.values():  # whoever is left out misses what is granted
+                if controller.shard.voter not in changed.new.voters and changed.new == self.newest_state:
+                    self.sources_heard[controller.name] = set()
+        for node in self.nodes:
+            self._send_group(self.controllers[name], node)
+
+    def _record_decided(self, value: Value) -> None:
+        if self.decided_states.setdefault(value.version, value) != value:
+            self.report_violation(f"chain: two states of version {value.version} were decided")
 
+    def _owners(self) -> list[tuple[Controller, int]]:
+        """Return the controllers that do the singleton roles now, with their fencing tokens."""
+        found: list[tuple[Controller, int]] = []
+        for controller in self.controllers.values():
+            token = controller.shard.owns(self.now) if controller.alive else None
+            if token is not None:
+                found.append((controller, token))
+        return found
+
+    def _check_properties(self) -> None:
+        owners = self._owners()
+        if len(owners) > 1:
+            names = " and ".join(controller.name for controller, _ in owners)
+            self.report_violation(f"two-owners: {names} do the duties")
+        for controller, token in owners:
+            recorded = self.owner_by_token.setdefault(token, controller.name)
+            if recorded != controller.name or token < max(self.owner_by_token):
+                self.report_violation(f"fence: {controller.name} does the duties under fence {token}")
+        for name in list(self.sources_heard):
+            if self.controllers[name].shard.standing.caught_up and self._has_learned(name):
+                del self.sources_heard[name]
+
+    def _check_grant(self, name: str, grant: KeyGrant) -> None:
+        """Check that a controller that has forgotten grants nothing."""
+        if grant.outcome != ClaimOutcome.GRANTED or name not in self.sources_heard:
+            return
+        if not self._has_learned(name):
+            sources = sorted(self.sources_heard[name])
+            self.report_violation(f"abstains: {name} grants a key, and has learned from {sources}")
 
-def by_link(mail: list[Mail]) -> list[Mail]:
-    """Messages in order of their links, those of one link in the order in which they were sent."""
-    return sorted(mail, key=lambda one: (one.to, one.sender, one.back))
+    def _has_learned(self, name: str) -> bool:
+        """Return whether a controller that forgot has heard so many that no majority is missed."""
+        group_size = self.scene.group_size
+        return len(self.sources_heard[name]) >= group_size - group_size // 2
 
 
-def _of_use(part: Any) -> Any:
-    """A part of a proposer without what it does not look at any more: once a round has its state, who was
-    asked to promise and what they said.
-    """
-    if type(part) is register._Round and part.next is not None:
-        return replace(part, promises={}, asked=set())
-    return part
-
-
-_fields: dict[type, tuple[str, ...]] = {}
-
-
-def _plain(one: Any) -> Any:
-    """In tuples, so that equal ones look alike, however they came to be."""
-    kind = type(one)
-    if kind in (str, int, float, bool, bytes, NoneType):
-        return one
-    if kind is Value:
-        return _value(one)
-    if kind in (tuple, list, deque):
-        return tuple([_plain(x) for x in one])
-    if kind is dict:
-        return tuple([(_plain(k), _plain(v)) for k, v in one.items()])
-    if kind is set:
-        return tuple(sorted([_plain(x) for x in one]))
-    names = _fields.get(kind)
-    if names is None:
-        names = tuple(x.name for x in fields(one)) if is_dataclass(one) else ()
-        names = kind.__struct_fields__ if issubclass(kind, msgspec.Struct) else names
-        _fields[kind] = names
-    if not names and kind is Dice:
-        return one.count
-    if not names and kind is Proposer:
-        return tuple([_plain(_of_use(v)) for v in vars(one).values()])
-    return (kind.__name__, *[_plain(getattr(one, x)) for x in names]) if names else repr(one)
-
-
-@functools.lru_cache(1 << 14)
-def _value(one: Value) -> bytes:
-    return hashlib.blake2b(repr(one).encode(), digest_size=16).digest()
-
-
-def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> World:
-    """A scene, as soon as somebody does the duties of the shard."""
+def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> MeshWorld:
+    """Return a scene's world, as soon as a controller does the singleton roles of the shard."""
     one = SCENES[scene]
-    return World(one, faults, tuple(k for k in kinds if k in one.kinds))
+    return MeshWorld(one, faults, tuple(k for k in kinds if k in one.kinds))
 
 
 def search(
@@ -808,8 +612,8 @@
     kinds: tuple[str, ...] = KINDS,
     break_: str = "",
     limit_s: float = 600.0,
-    watch: Callable[[Found], None] = lambda _: None,
+    watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
-) -> Found:
-    """Walk all of a scene."""
+) -> SearchResult:
+    """Explore all of a scene; the parameters are those of `pure.search`."""
     return pure.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -160,7 +160,7 @@
 class Break:
     """A deliberate one. `scene`, `faults`, `kinds`: the small world that catches it."""
 
-    about: str
+    description: str
     scene: str
     faults: int
     kinds: tuple[str, ...]
@@ -168,17 +168,17 @@
 
 
 def break_under_faults(
-    about: str, scene: str, faults: int, kinds: str, *patches: tuple[Any, str, Any]
+    description: str, scene: str, faults: int, kinds: str, *patches: tuple[Any, str, Any]
 ) -> Break:
     """A break that its scene catches with so many faults of these kinds, named in one string."""
-    return Break(about, scene, faults, tuple(kinds.split()), patches)
+    return Break(description, scene, faults, tuple(kinds.split()), patches)
 
 
 def deliberate_break(
-    about: str, scene: str, *patches: tuple[Any, str, Any], faults: int = 0, kinds: str = ""
+    description: str, scene: str, *patches: tuple[Any, str, Any], faults: int = 0, kinds: str = ""
 ) -> Break:
     """A break that its scene catches, as a rule without a fault."""
-    return break_under_faults(about, scene, faults, kinds, *patches)
+    return break_under_faults(description, scene, faults, kinds, *patches)
 
 
 BREAKS = {
--- a/orchidferry/testkit/explore/mesh_scenes.py
+++ b/orchidferry/testkit/explore/mesh_scenes.py
@@ -15,24 +15,24 @@
     node, when, and what becomes of a run (`done`, `broke`, `drop`).
     """
 
-    of: str
-    about: str
-    hold_s: float  # that a cut or a frozen process lasts
-    puts: tuple[tuple[str, str], ...] = ()
-    tries: tuple[tuple[str, float, str], ...] = ()
-    for_s: float = 0.9  # that a node asks for a key
-    seconds: float = 0.0  # it lasts at least
+    command: str
+    description: str
+    fault_duration_s: float  # that a cut or a frozen process lasts
+    clients: tuple[tuple[str, str], ...] = ()
+    key_requests: tuple[tuple[str, float, str], ...] = ()
+    claim_timeout_s: float = 0.9  # that a node asks for a key
+    min_duration_s: float = 0.0  # it lasts at least
     script: tuple[tuple[float, str], ...] = ()  # what happens anyway: a fault, `down` or `up`, and to whom
     shard: int = shard_state.CONFIGURATION  # its number, where no key is tried
-    spare: int = 0  # controllers in no group, named after those of the group
-    beyond: bool = False  # disks are lost whenever, not only while all others remember
+    spare_controllers: int = 0  # controllers in no group, named after those of the group
+    any_disk_loss: bool = False  # disks are lost whenever, not only while all others remember
     kinds: tuple[str, ...] = tuple(k for k in KINDS if k not in ("unfit", "beat"))
-    replicas: int = 3  # of the group at its start, named from a on; a spare one comes after them
+    group_size: int = 3  # of the group at its start, named from a on; a spare one comes after them
 
     @property
     def seeds(self) -> tuple[str, ...]:
         """The founders' names."""
-        return tuple("abcdefghi"[: self.replicas])
+        return tuple("abcdefghi"[: self.group_size])
 
 
 SCENES = {
@@ -40,14 +40,14 @@
         "mesh-shards",
         "two put a configuration on one version at two controllers, and read at others",
         1.0,
-        puts=(("a", "b"), ("b", "c")),
+        clients=(("a", "b"), ("b", "c")),
     ),
-    "duties": Scene("mesh-shards", "the duties of the shard move", 4.2, seconds=6.0, kinds=KINDS),
+    "duties": Scene("mesh-shards", "the duties of the shard move", 4.2, min_duration_s=6.0, kinds=KINDS),
     "unwell": Scene(
         "mesh-shards",
         "an owner can't do its duties for a while",
         1.0,
-        seconds=2.0,
+        min_duration_s=2.0,
         script=((0.1, "unfit b"), (0.5, "unfit b")),
         kinds=KINDS,
     ),
@@ -55,7 +55,7 @@
         "mesh-shards",
         "an owner is cut off, and heard again while another one takes its duties",
         3.4,
-        seconds=4.4,
+        min_duration_s=4.4,
         script=((0.0, "cut a b"), (0.0, "cut b c")),
         kinds=KINDS,
     ),
@@ -64,8 +64,8 @@
         "one is replaced while it is cut off, and is heard again by the owner alone",
         # of this shard a is the owner, and b the next one
         6.2,
-        seconds=8.0,
-        spare=1,
+        min_duration_s=8.0,
+        spare_controllers=1,
         shard=10,
         kinds=KINDS,
         script=(
@@ -82,71 +82,71 @@
         "mesh-shards",
         "one is away, a spare one takes its place, it comes back",
         1.0,
-        puts=(("a", "d"),),
-        seconds=4.8,
+        clients=(("a", "d"),),
+        min_duration_s=4.8,
         script=((0.0, "down c"), (3.6, "up c")),
-        spare=1,
+        spare_controllers=1,
     ),
     "answered": Scene(
         "mesh-keys",
         "two try one key at once, runs are answered, a third one comes later",
         1.0,
-        tries=(("m", 0.0, "done"), ("n", 0.0, "done"), ("m", 2.4, "done")),
+        key_requests=(("m", 0.0, "done"), ("n", 0.0, "done"), ("m", 2.4, "done")),
     ),
     "broken-off": Scene(
         "mesh-keys",
         "a run breaks off, two try its key again",
         1.0,
-        tries=(("m", 0.0, "broke"), ("n", 0.0, "broke"), ("n", 2.4, "broke")),
+        key_requests=(("m", 0.0, "broke"), ("n", 0.0, "broke"), ("n", 2.4, "broke")),
     ),
     "given-back": Scene(
         "mesh-keys",
         "a key is given back unrun, and tried again by two",
         1.0,
-        tries=(("m", 0.0, "drop"), ("m", 0.9, "done"), ("n", 0.9, "done")),
+        key_requests=(("m", 0.0, "drop"), ("m", 0.9, "done"), ("n", 0.9, "done")),
     ),
     "moved": Scene(
         "mesh-keys",
         "one is replaced, a key is claimed, that one comes back, it is tried again",
         1.0,
-        tries=(("m", 3.4, "broke"), ("n", 8.0, "broke")),
-        spare=1,
+        key_requests=(("m", 3.4, "broke"), ("n", 8.0, "broke")),
+        spare_controllers=1,
         script=((0.0, "down c"), (4.0, "up c"), (4.4, "down d")),
     ),
     "missed": Scene(
         "mesh-keys",
         "a controller does not hear of a claim",
         1.0,
-        tries=(("m", 0.0, "broke"), ("n", 1.0, "broke")),
+        key_requests=(("m", 0.0, "broke"), ("n", 1.0, "broke")),
         script=((0.0, "cut m c"),),
     ),
     "slow": Scene(
         "mesh-keys",
         "a controller does not hear of a claim, and the disk of another one is slow",
         1.0,
-        tries=(("m", 0.0, "broke"), ("n", 1.0, "broke")),
+        key_requests=(("m", 0.0, "broke"), ("n", 1.0, "broke")),
         script=((0.0, "cut m c"), (0.0, "late a")),
     ),
     "learning": Scene(
         "mesh-keys",
         "one that granted a key forgets it, and can hear only one that missed it",
         2.0,
-        tries=(("m", 0.0, "broke"), ("n", 1.6, "broke")),
+        key_requests=(("m", 0.0, "broke"), ("n", 1.6, "broke")),
         script=((0.0, "cut m c"), (0.1, "wipe b"), (0.1, "cut a b")),
     ),
     "epochs": Scene(
         "mesh-keys",
         "the group changes while a claim is out",
         1.4,
-        tries=(("m", 0.0, "broke"), ("n", 1.2, "broke")),
-        for_s=2.2,
+        key_requests=(("m", 0.0, "broke"), ("n", 1.2, "broke")),
+        claim_timeout_s=2.2,
         script=((0.0, "cut m a"), (0.0, "cut m b"), (0.05, "cut m c"), (0.1, "wipe c"), (1.2, "cut n a")),
     ),
     "beyond": Scene(
         "mesh-keys",
         "as answered, where any disks may be lost: whoever forgot says nothing",
         1.0,
-        tries=(("m", 0.0, "broke"), ("n", 2.4, "broke")),
-        beyond=True,
+        key_requests=(("m", 0.0, "broke"), ("n", 2.4, "broke")),
+        any_disk_loss=True,
     ),
 }
--- a/orchidferry/testkit/explore/pure.py
+++ b/orchidferry/testkit/explore/pure.py
@@ -18,7 +18,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from orchidferry.testkit.explore.seen import SLOTS, Seen, fingerprint
+from orchidferry.testkit.explore.seen import SLOTS, Seen
+from orchidferry.testkit.explore.seen import fingerprint as state_key
 
 SHARED = 256  # worlds from which on the processes of a search go on by themselves
 
@@ -34,12 +35,12 @@
         """No more choices: the rest is for `finish`."""
 
     def actions(self) -> list[str]: ...
-    def do(self, label: str) -> None: ...
+    def apply(self, label: str) -> None: ...
     def finish(self) -> None: ...
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         """Equal ones have the same futures."""
 
-    def ended(self) -> bool:
+    def succeeded(self) -> bool:
         """Whether it came to the end that one would wish for."""
 
 
@@ -47,22 +48,22 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """What a search has seen."""
 
     states: int = 0
     runs: int = 0  # to their end
-    wished: int = 0  # of these, to the end that one would wish for
+    succeeded: int = 0  # of these, to the end that one would wish for
     exhausted: bool = False
     violations: Counter[str] = field(default_factory=Counter)
     story: list[str] = field(default_factory=list)  # of the first violation
     seconds: float = 0.0
 
-    def add(self, part: Found) -> None:
+    def add(self, part: SearchResult) -> None:
         """What a share of it has seen too."""
         self.states += part.states
         self.runs += part.runs
-        self.wished += part.wished
+        self.succeeded += part.succeeded
         self.violations += part.violations
         self.story = self.story or part.story
         self.exhausted &= part.exhausted
@@ -72,28 +73,28 @@
 _Todo = tuple[bytes, str]  # a world, and what is to come next in it; "" for nothing
 
 
-def _go_on(stack: list[_Todo], found: Found, seen: Seen, until_s: float, many: float) -> list[_Todo]:
+def _go_on(stack: list[_Todo], found: SearchResult, seen: Seen, until_s: float, many: float) -> list[_Todo]:
     """Walk on from these until none or `many` are left, or something is broken; the rest. Depth first, but
     where the rest is to be shared out, what parts early comes first: its stories are the shortest."""
     while stack and len(stack) < many and time.monotonic() < until_s:
         whole, label = stack.pop(0 if many < math.inf else -1)
         world: World = pickle.loads(whole)
         if label:
-            world.do(label)
+            world.apply(label)
         while not world.violations:
-            if not seen.add(fingerprint(world.print())):
+            if not seen.add(state_key(world.fingerprint())):
                 break
             if world.over:
                 world.finish()
                 found.runs += 1
-                found.wished += world.ended()
+                found.succeeded += world.succeeded()
                 break
             found.states += 1
             actions = world.actions()
             if len(actions) > 1:
                 whole = pickle.dumps(world)
                 stack += [(whole, label) for label in actions[1:]]
-            world.do(actions[0])
+            world.apply(actions[0])
         if world.violations:
             found.violations.update(one.partition(":")[0] for one in world.violations)
             found.story = [*world.story, *world.violations]
@@ -104,10 +105,10 @@
 _seen: Seen | None = None  # of the search that this process has a share in
 
 
-def _share(job: tuple[_Todo, Broken, str, float]) -> Found:
+def _share(job: tuple[_Todo, Broken, str, float]) -> SearchResult:
     """One process's part: all that follows from one world, but what any process has walked before."""
     todo, broken, break_, until_s = job
-    found = Found()
+    found = SearchResult()
     assert _seen is not None
     with broken(break_):
         found.exhausted = not _go_on([todo], found, _seen, until_s, math.inf) and not found.violations
@@ -119,13 +120,13 @@
     broken: Broken,
     break_: str = "",
     limit_s: float = 600.0,
-    watch: Callable[[Found], None] = lambda _: None,
+    watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
-) -> Found:
+) -> SearchResult:
     """Walk all that a world can do; ends with the first violation. Processes share the table of states, so
     what two of them reach is walked by the first one."""
     global _seen
-    found, began = Found(), time.monotonic()
+    found, began = SearchResult(), time.monotonic()
     _seen = Seen()
     until_s = began + limit_s
     with broken(break_):
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -31,7 +31,7 @@
 from orchidferry.balancing.slots import Bound, Gate, Place, SaysBack, Table, WantsOut
 from orchidferry.testkit.explore import pure
 from orchidferry.testkit.explore.fleet import Middle
-from orchidferry.testkit.explore.pure import Found
+from orchidferry.testkit.explore.pure import SearchResult
 
 TRIES = 5  # of an asker, for each of its steps and each other one that it may have to wait for
 FOR_MS = 3_000.0
@@ -121,7 +121,7 @@
                 found += [f"{kind} {name}" for kind in ("restart", "forget") if kind in self.kinds]
         return found
 
-    def do(self, label: str) -> None:
+    def apply(self, label: str) -> None:
         what, _, about = label.partition(" ")
         if what not in ("deliver", "wait"):
             self.faults -= 1
@@ -259,7 +259,7 @@
         if len(self.out) > self.bound:
             self.violations.append(f"bound: {sorted(self.out)} are out at once, and {self.bound} may be")
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         """All that it holds but its story; times stand in it."""
         askers = [
             (
@@ -294,7 +294,7 @@
     def finish(self) -> None:
         """Nothing comes after the last step of the askers."""
 
-    def ended(self) -> bool:
+    def succeeded(self) -> bool:
         """Both had their turn, and nobody is out."""
         newest = self.chosen[max(self.chosen)].body if self.chosen else None
         return newest is not None and not newest.slots and newest.token == len(self.askers)
@@ -351,9 +351,9 @@
     break_: str = "",
     limit_s: float = 600.0,
     kinds: tuple[str, ...] = KINDS,
-    watch: Callable[[Found], None] = lambda _: None,
+    watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
-) -> Found:
+) -> SearchResult:
     """Walk all of it."""
     return pure.search(lambda: begin(askers, faults, bound, kinds), broken, break_, limit_s, watch, workers)
 
--- a/orchidferry/testkit/explore/worst_days/__init__.py
+++ b/orchidferry/testkit/explore/worst_days/__init__.py
@@ -11,9 +11,9 @@
 from contextlib import AbstractContextManager
 
 from orchidferry.testkit.explore import pure
-from orchidferry.testkit.explore.mesh import KINDS, Break, World
+from orchidferry.testkit.explore.mesh import KINDS, Break, MeshWorld
 from orchidferry.testkit.explore.mesh_breaks import in_force
-from orchidferry.testkit.explore.pure import Found
+from orchidferry.testkit.explore.pure import SearchResult
 from orchidferry.testkit.explore.worst_days import hundreds, isolated, one_number, second_loss
 from orchidferry.testkit.explore.worst_days.play import Play
 
@@ -23,7 +23,7 @@
 BREAKS: dict[str, Break] = {name: one for module in MODULES for name, one in module.BREAKS.items()}
 
 
-def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> World:
+def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> MeshWorld:
     """A scene, as soon as somebody does the duties of the shard."""
     play = PLAYS[scene]
     return play.world(play.scene, faults, tuple(kind for kind in kinds if kind in play.scene.kinds))
@@ -35,9 +35,9 @@
     kinds: tuple[str, ...] = KINDS,
     break_: str = "",
     limit_s: float = 600.0,
-    watch: Callable[[Found], None] = lambda _: None,
+    watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
-) -> Found:
+) -> SearchResult:
     """Walk all of a scene."""
     return pure.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
 
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -38,19 +38,19 @@
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
         super().__init__(scene, faults, kinds)
-        operators: list[Any] = self.askers
+        operators: list[Any] = self.clients
         operators[0].reads = self.reads
         at, since_s = self.reader
         if at:
             operators.append(Operator("r", [], at, step="read", until_s=self.began_s + since_s))
 
-    def do(self, label: str) -> None:
+    def apply(self, label: str) -> None:
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
-            super(Orders, self).do(label)
+            super(Orders, self).apply(label)
 
     def _behind(self) -> str:
-        newest = self._newest.version
-        voters = self._newest.voters
+        newest = self.newest_state.version
+        voters = self.newest_state.voters
         if self.refused:
             return f"{self.refused} could be taken and were refused"
         holders = [
@@ -69,13 +69,13 @@
         owners = [name for name, shard in alive.items() if shard.owns(self.now) is not None]
         return "" if len(owners) == 1 else f"duties are done by {owners}"
 
-    def ended(self) -> bool:
-        return super().ended() and not self._behind()
+    def succeeded(self) -> bool:
+        return super().succeeded() and not self._behind()
 
     def finish(self) -> None:
         super().finish()
         if self.unharmed and (behind := self._behind()):
-            self.broken(f"behind: {behind}")
+            self.report_violation(f"behind: {behind}")
 
 
 class Dark(Hundreds):
@@ -111,8 +111,8 @@
 _KINDS = ("kill", "power", "wipe", "cut", "oneway", "freeze", "lose", "late")
 
 
-def _scene(about: str, seconds: float, script: tuple[tuple[float, str], ...]) -> Scene:
-    return Scene("worst-days", about, 1.2, seconds=seconds, script=script, kinds=_KINDS)
+def _scene(about: str, min_duration_s: float, script: tuple[tuple[float, str], ...]) -> Scene:
+    return Scene("worst-days", about, 1.2, min_duration_s=min_duration_s, script=script, kinds=_KINDS)
 
 
 SCENES: dict[str, Play] = {
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -18,7 +18,8 @@
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.storage.record_format import unpack
 from orchidferry.testkit.explore.controller import Controller
-from orchidferry.testkit.explore.mesh import Break, Mail, Scene, World
+from orchidferry.testkit.explore.mesh import Break, MeshWorld, Scene
+from orchidferry.testkit.explore.mesh_actors import MessageInFlight
 from orchidferry.testkit.explore.mesh_breaks import break_under_faults
 from orchidferry.testkit.explore.worst_days.play import Play
 
@@ -78,7 +79,7 @@
     thawed: dict[str, float] = field(default_factory=dict)
 
 
-class IsolatedWorld(World):
+class IsolatedWorld(MeshWorld):
     """Operators at controllers that lose contact with the others."""
 
     scene: IsolatedScene
@@ -95,10 +96,10 @@
         owed = any(one.arrived_s < float("inf") for one in self.attempts.values())  # others were lost
         return super().over and asked and not owed
 
-    def ended(self) -> bool:
+    def succeeded(self) -> bool:
         return all(one.outcome in ("confirmed", "refused", "read") for one in self.operators.values())
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         held = (
             sorted(map(repr, self.operators.values())),
             sorted(map(repr, self.attempts.values())),
@@ -107,24 +108,24 @@
             sorted(self.record.thawed.items()),
             [(name, sorted(times.items())) for name, times in sorted(self.record.acknowledged.items())],
         )
-        return hashlib.blake2b(super().print() + repr(held).encode(), digest_size=16).digest()
+        return hashlib.blake2b(super().fingerprint() + repr(held).encode(), digest_size=16).digest()
 
     # Operators
 
-    def _fault(self, what: str, about: list[str]) -> None:
+    def _apply_fault(self, what: str, about: list[str]) -> None:
         if what == "call":
             self.operators[about[0]].next_s = self.now
         else:
-            super()._fault(what, about)
+            super()._apply_fault(what, about)
 
-    def _down(self, name: str, for_s: float) -> None:
-        super()._down(name, for_s)
+    def stop_process(self, name: str, for_s: float) -> None:
+        super().stop_process(name, for_s)
         for attempt in [one for one in self.attempts.values() if one.at == name]:
             del self.attempts[attempt.id]
             self._unclear(self.operators[attempt.operator], attempt)
 
-    def _askers(self) -> None:
-        super()._askers()
+    def _run_clients(self) -> None:
+        super()._run_clients()
         for operator in self.operators.values():
             if not operator.outcome and self.now >= operator.next_s - 1e-6:
                 self._call(operator)
@@ -139,14 +140,14 @@
         else:
             operator.next_s = self.now + SILENCE_S
             id = f"{operator.name}{operator.tries}"
-            self.attempts[id] = Attempt(id, operator.name, at, self.now, self.newest)
-            self.note(f"{operator.name} calls {at}")
-            self.next.append(Mail("operator", at, "call", (id,)))
+            self.attempts[id] = Attempt(id, operator.name, at, self.now, self.newest_acknowledged)
+            self.log(f"{operator.name} calls {at}")
+            self.next_messages.append(MessageInFlight("operator", at, "call", (id,)))
 
-    def _deliver(self, mail: Mail) -> None:
+    def _deliver(self, mail: MessageInFlight) -> None:
         if mail.what != "call":
             return super()._deliver(mail)
-        self.touched = mail.to
+        self.last_receiver = mail.to
         attempt = self.attempts[mail.message[0]]
         attempt.arrived_s = self.now
         operator = self.operators[attempt.operator]
@@ -164,53 +165,59 @@
         operator = self.operators[attempt.operator]
         if end.value is None:
             return self._unclear(operator, attempt)
-        self._chain(end.value)
+        self._record_decided(end.value)
         if self.now - self._contact_s(name) > CONTACT_S + 1e-6:
-            self.broken(f"contact: {name} serves {operator.name}, and was last heard {self._ago(name)} ago")
+            self.report_violation(
+                f"contact: {name} serves {operator.name}, and was last heard {self._ago(name)} ago"
+            )
         if operator.what == "read":
             found = shard_state.body(end.value).revision
-            self.note(f"{operator.name} reads {found} at {name}")
+            self.log(f"{operator.name} reads {found} at {name}")
             if found < attempt.newest:
-                self.broken(f"older: {attempt.newest} was acknowledged before {operator.name} asked")
+                self.report_violation(
+                    f"older: {attempt.newest} was acknowledged before {operator.name} asked"
+                )
             operator.outcome = operator.outcome or "read"
         elif end.why:
-            self.note(f"{operator.name} is refused at {name}: {end.why}")
+            self.log(f"{operator.name} is refused at {name}: {end.why}")
             self._refused(operator)
         else:
-            self.note(f"{operator.name} is confirmed at {name}")
+            self.log(f"{operator.name} is confirmed at {name}")
             self._confirmed(operator)
 
     def _unclear(self, operator: Operator, attempt: Attempt) -> None:
         """It calls the next one, unless it has done so already after a second of silence."""
-        self.note(f"{operator.name} has no clear answer of {attempt.at}")
+        self.log(f"{operator.name} has no clear answer of {attempt.at}")
         if not operator.outcome and attempt.id == f"{operator.name}{operator.tries}":
             operator.next_s = self.now + PAUSE_S
 
     def _confirmed(self, operator: Operator) -> None:
         change = operator.change()
         mark = (change.revision, change.digest)
-        if self.taken.setdefault(0, operator.name) != operator.name:
-            self.broken("two-puts: two changes of one version were acknowledged")
-        voters = {voter.name for voter in self._newest.voters}
+        if self.acknowledged_by_base.setdefault(0, operator.name) != operator.name:
+            self.report_violation("two-puts: two changes of one version were acknowledged")
+        voters = {voter.name for voter in self.newest_state.voters}
         holders = [name for name in voters if mark in self._stored_orders(name)]
         if 2 * len(holders) <= len(voters):
-            self.broken(f"undecided: {operator.name} is confirmed, and only {holders} have it on disk")
-        self.newest = max(self.newest, operator.revision)
+            self.report_violation(
+                f"undecided: {operator.name} is confirmed, and only {holders} have it on disk"
+            )
+        self.newest_acknowledged = max(self.newest_acknowledged, operator.revision)
         operator.outcome = operator.outcome or "confirmed"
 
     def _refused(self, operator: Operator) -> None:
         change = operator.change()
         self.record.never.add((change.revision, change.digest))
         operator.outcome = operator.outcome or "refused"
-        for value in self.versions.values():
+        for value in self.decided_states.values():
             self._look_at_refused(value)
 
     def _look_at_refused(self, value: Any) -> None:
         for mark in self.record.never.intersection(shard_state.body(value).orders):
-            self.broken(f"refused: {mark[0]} is in force after it was refused")
+            self.report_violation(f"refused: {mark[0]} is in force after it was refused")
 
-    def _chain(self, value: Any) -> None:
-        super()._chain(value)
+    def _record_decided(self, value: Any) -> None:
+        super()._record_decided(value)
         self._look_at_refused(value)
 
     def _stored_orders(self, name: str) -> tuple[tuple[int, bytes], ...]:
@@ -226,7 +233,7 @@
             old = [key for key, when in self.record.sent.items() if when < self.now - 10.0]
             for key in old:
                 del self.record.sent[key]
-        elif kind == "pulse" and self._open(sender, to):
+        elif kind == "pulse" and self._reaches(sender, to):
             when = self.record.sent.get((to, message[1]), float("-inf"))
             times = self.record.acknowledged.setdefault(to, {})
             times[sender] = max(when, times.get(sender, when))
@@ -242,33 +249,35 @@
     def _ago(self, name: str) -> str:
         return f"{(self.now - self._contact_s(name)) * 1e3:.0f} ms"
 
-    def _wait(self) -> None:
-        frozen = set(self.frozen)
+    def _advance_time(self) -> None:
+        frozen = set(self.frozen_until)
         before = self.now
-        super()._wait()
-        self.record.thawed |= dict.fromkeys(frozen - set(self.frozen), self.now)
+        super()._advance_time()
+        self.record.thawed |= dict.fromkeys(frozen - set(self.frozen_until), self.now)
         if before > self.began_s:
             self._judge_silence()
 
     def _judge_silence(self) -> None:
         """Whoever has no contact answers at once."""
         for attempt in self.attempts.values():
-            if attempt.at in self.frozen or attempt.arrived_s == float("inf"):
+            if attempt.at in self.frozen_until or attempt.arrived_s == float("inf"):
                 continue
             lost_s = self._contact_s(attempt.at) + CONTACT_S
             since_s = max(lost_s, attempt.arrived_s, self.record.thawed.get(attempt.at, lost_s))
             if self.now - since_s > PROMPT_S + 1e-6:
-                self.broken(f"silent: {attempt.at} owes {attempt.operator} an answer without contact")
+                self.report_violation(
+                    f"silent: {attempt.at} owes {attempt.operator} an answer without contact"
+                )
 
 
-def _scene(about: str, hold_s: float, operators: str, script: str, **more: Any) -> Play:
+def _scene(about: str, fault_duration_s: float, operators: str, script: str, **more: Any) -> Play:
     """`operators`: `name what revision route`, `script`: `seconds what`, each parted by commas."""
     calls = [one.split() for one in operators.split(",")]
     steps = [one.split(maxsplit=1) for one in script.split(",")]
     scene = IsolatedScene(
         "worst-days",
         about,
-        hold_s,
+        fault_duration_s,
         operators=tuple((name, what, int(revision), route) for name, what, revision, route in calls),
         script=tuple((float(at), what) for at, what in steps),
         **more,
@@ -285,7 +294,7 @@
         20.0,
         TWO_ORDERS + ", s read 0 ab",
         "0.0 call p, 0.01 cut a, 0.4 call q, 3.0 call r, 12.0 call s",
-        seconds=21.6,
+        min_duration_s=21.6,
         kinds=("kill", "lose"),
     ),
     "isolated-briefly": _scene(
@@ -293,7 +302,7 @@
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.01 cut a, 0.4 call q, 0.7 call r",
-        seconds=2.4,
+        min_duration_s=2.4,
         kinds=("lose", "kill"),
     ),
     "isolated-at-once": _scene(
@@ -301,7 +310,7 @@
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.0 call r, 1.4 call q",
-        seconds=2.8,
+        min_duration_s=2.8,
         kinds=("cut", "oneway", "beat"),
     ),
     "isolated-unheard": _scene(
@@ -309,7 +318,7 @@
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.0 oneway a b, 0.0 oneway a c, 0.6 call r, 1.6 call q",
-        seconds=2.4,
+        min_duration_s=2.4,
         kinds=("lose", "cut"),
     ),
     "isolated-deaf": _scene(
@@ -317,7 +326,7 @@
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.0 oneway b a, 0.0 oneway c a, 0.6 call r, 1.6 call q",
-        seconds=2.4,
+        min_duration_s=2.4,
         kinds=("lose", "cut"),
     ),
     "frozen": _scene(
@@ -325,7 +334,7 @@
         5.0,
         "p put 2 ab, q put 3 bc, r read 0 a",
         "0.0 call p, 0.0 freeze a, 4.5 call r, 4.5 call q",
-        seconds=5.4,
+        min_duration_s=5.4,
         kinds=("lose", "cut"),
     ),
     "frozen-briefly": _scene(
@@ -333,7 +342,7 @@
         2.0,
         "p put 2 ab, q put 3 bc, r read 0 a",
         "0.0 call p, 0.0 freeze a, 1.5 call r, 1.5 call q",
-        seconds=2.4,
+        min_duration_s=2.4,
         kinds=("lose", "cut"),
     ),
     "halves": _scene(
@@ -341,8 +350,8 @@
         2.0,
         "p put 2 ac, q put 3 cd, r read 0 bd",
         f"0.0 call p, {CUT_FIVE}, 0.4 call q, 1.6 call r",
-        seconds=2.4,
-        replicas=5,
+        min_duration_s=2.4,
+        group_size=5,
         kinds=("lose",),
     ),
 }
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -17,7 +17,7 @@
 from orchidferry.mesh.control.order_book import OrderBook
 from orchidferry.mesh.control.order_history import CommittedOrders, OrderHistory, Verdict
 from orchidferry.mesh.control.order_requests import OrderRequests
-from orchidferry.testkit.explore.mesh import Break, Scene, World
+from orchidferry.testkit.explore.mesh import Break, MeshWorld, Scene
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
 from orchidferry.testkit.explore.worst_days.play import Play
 
@@ -70,7 +70,7 @@
         return self.step == "over" and "unclear" not in self.told
 
 
-class Orders(World):
+class Orders(MeshWorld):
     """Operators whose orders are judged beside the chain of states."""
 
     sends: tuple[tuple[Send, ...], ...] = ()  # by operator
@@ -86,16 +86,16 @@
             Operator(f"o{n}", [replace(one) for one in sends], "cba"[n:] + "cba"[:n])
             for n, sends in enumerate(self.sends)
         ]
-        self.askers = operators  # type: ignore[assignment]
-        self._askers()
-        self._turn()
+        self.clients = operators  # type: ignore[assignment]
+        self._run_clients()
+        self._begin_step()
 
-    def do(self, label: str) -> None:
+    def apply(self, label: str) -> None:
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
-            super().do(label)
+            super().apply(label)
 
-    def _ask(self, asker: Any) -> None:
-        operator: Operator = asker
+    def _send_request(self, client: Any) -> None:
+        operator: Operator = client
         send = operator.sends[0] if operator.sends else None
         if send is not None and self.now < self.began_s + send.not_before_s - 1e-6:
             operator.until_s = self.began_s + send.not_before_s
@@ -106,7 +106,7 @@
         controller = self.controllers[name]
         if operator.tries > TRIES:
             return self._hears(operator, "unclear")
-        if not controller.alive or name in self.frozen:
+        if not controller.alive or name in self.frozen_until:
             operator.until_s = self.now + PAUSE_S
             return
         id = f"{operator.name}.{len(operator.told)}.{operator.tries}"
@@ -119,20 +119,20 @@
                 operator.newest = max((order.number for order in self.acknowledged), default=0)
                 controller.do(controller.shard.request_read(id, self.now))
 
-    def _next(self, asker: Any, settled: bool = False) -> None:
+    def _advance_client(self, client: Any, settled: bool = False) -> None:
         """No answer in time: the same again, to the next controller."""
-        asker.waits = ""
-        asker.until_s = self.now
+        client.waits = ""
+        client.until_s = self.now
 
     def told(self, name: str, end: RequestEnded) -> None:
-        operator: Any = next((o for o in self.askers if o.waits == f"{name} {end.id}"), None)
+        operator: Any = next((o for o in self.clients if o.waits == f"{name} {end.id}"), None)
         if operator is None:
             return
         pause_s = SILENCE_S if end.why == OUT_OF_CONTACT else PAUSE_S  # said at once: the same pace
         operator.waits = ""
         operator.until_s = self.now + pause_s
         if end.value is None or end.why == shard_state.UNKNOWN_ORDER:
-            self.note(f"{operator.name} has no clear answer from {name}")
+            self.log(f"{operator.name} has no clear answer from {name}")
             return
         if operator.step == "read":
             self._reads(operator, shard_state.body(end.value))
@@ -140,12 +140,12 @@
             self._hears(operator, "refused" if end.why else "taken")
 
     def _reads(self, operator: Operator, state: shard_state.Body) -> None:
-        self.note(f"{operator.name} reads {state.revision}")
+        self.log(f"{operator.name} reads {state.revision}")
         if (
             state.revision < operator.newest
             or self.chain.get(state.revision, "") != state.compressed_text.decode()
         ):
-            self.broken(
+            self.report_violation(
                 f"read: {state.revision} {state.compressed_text!r}, and {operator.newest} was acknowledged"
             )
         operator.step = "over"
@@ -160,13 +160,13 @@
             return
         order = operator.sends.pop(0).order
         operator.step = "send" if operator.sends else "read"
-        self.note(f"{operator.name} is told {what}: {order.number} {order.content!r} on {order.base}")
+        self.log(f"{operator.name} is told {what}: {order.number} {order.content!r} on {order.base}")
         if what == "taken":
             if self.chain.get(order.number) != order.content:
-                self.broken(f"not-there: {order} was acknowledged, and was not taken")
+                self.report_violation(f"not-there: {order} was acknowledged, and was not taken")
             for other in self.acknowledged:
                 if other != order and (other.base == order.base or other.number == order.number):
-                    self.broken(f"two-orders: {order} and {other} were acknowledged")
+                    self.report_violation(f"two-orders: {order} and {other} were acknowledged")
             self.acknowledged.append(order)
         elif what == "refused":
             self.refused.append(order)
@@ -178,7 +178,7 @@
             built_on = max((number for number in self.chain if number < order.number), default=0)
             on_that = replace(order, base=built_on)
             if self.chain.get(order.number) == order.content and (on_that == order or on_that not in sent):
-                self.broken(f"refused: {order} was refused, and was taken")
+                self.report_violation(f"refused: {order} was refused, and was taken")
 
     def decided(self, name: str, changed: StateChanged) -> None:
         super().decided(name, changed)
@@ -187,16 +187,16 @@
             self.chain[state.revision] = state.compressed_text.decode()
             self._judge_refused()
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         judged = repr((sorted(self.chain.items()), self.acknowledged, self.refused))
-        return super().print() + judged.encode()
+        return super().fingerprint() + judged.encode()
 
-    def ended(self) -> bool:
-        return all(operator.read for operator in self.askers) and bool(self.acknowledged)
+    def succeeded(self) -> bool:
+        return all(operator.read for operator in self.clients) and bool(self.acknowledged)
 
     def finish(self) -> None:
-        if self.unharmed and self.must_hear and not self.ended():
-            self.broken(f"unclear: {[operator.told for operator in self.askers]}")  # type: ignore[attr-defined]
+        if self.unharmed and self.must_hear and not self.succeeded():
+            self.report_violation(f"unclear: {[operator.told for operator in self.clients]}")  # type: ignore[attr-defined]
 
 
 def _first(content: str, number: int = 1) -> Order:
--- a/orchidferry/testkit/explore/worst_days/play.py
+++ b/orchidferry/testkit/explore/worst_days/play.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from orchidferry.testkit.explore.mesh import Scene, World
+from orchidferry.testkit.explore.mesh import MeshWorld, Scene
 
 
 @dataclass(frozen=True)
@@ -12,4 +12,4 @@
     """A scene, and the world that plays it."""
 
     scene: Scene
-    world: type[World] = World
+    world: type[MeshWorld] = MeshWorld
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -13,8 +13,10 @@
 from orchidferry.mesh.control.operation_keys import UNKNOWN_HOLDER
 from orchidferry.mesh.control.repair import RepairingReplica
 from orchidferry.mesh.control.shard import Shard
-from orchidferry.testkit.explore.mesh import KEY, KINDS, Break, Scene, Try, World, by_link
+from orchidferry.testkit.explore.mesh import KINDS, Break, MeshWorld, Scene
+from orchidferry.testkit.explore.mesh_actors import KEY, KeyRequest
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
+from orchidferry.testkit.explore.mesh_fingerprint import by_link
 from orchidferry.testkit.explore.worst_days.play import Play
 
 # a controller that was told to end stays so long at least, and at most
@@ -23,7 +25,7 @@
 TOLD_ONE = "told-one"  # of a run's answer: the controller that leaves is the only one to hear it
 
 
-class LossWorld(World):
+class LossWorld(MeshWorld):
     """Controllers may be told to end (`leave`). After a day without a fault of its own the group is whole:
     all its voters live and grant, and a majority holds the key.
     """
@@ -35,38 +37,38 @@
         self.leaving: dict[str, float] = {}
         super().__init__(scene, faults, kinds)
 
-    def granted(self, one: Try) -> None:
-        super().granted(one)
+    def key_granted(self, one: KeyRequest) -> None:
+        super().key_granted(one)
         if one.how == TOLD_ONE:
             self.send(one.node, "a", "done", KEY, one.holder, one.holder)
 
-    def _fault(self, what: str, about: list[str]) -> None:
+    def _apply_fault(self, what: str, about: list[str]) -> None:
         if what != "leave":
-            return super()._fault(what, about)
-        self.note(f"{about[0]} is told to end")
+            return super()._apply_fault(what, about)
+        self.log(f"{about[0]} is told to end")
         self.leaving[about[0]] = self.now
         self.controllers[about[0]].peers.stopping = True
-        self._beat(about[0])
+        self.send_heartbeats(about[0])
 
-    def _wait(self) -> None:
-        super()._wait()
+    def _advance_time(self) -> None:
+        super()._advance_time()
         for name, since in list(self.leaving.items()):
             controller = self.controllers[name]
             gone_s = self.now - since
             stays = gone_s < STOP_S or (gone_s < GRACE_S and controller.shard.must_stay(self.now))
             if controller.alive and not stays:
                 del self.leaving[name]
-                self.note(f"{name} ends")
-                self._down(name, math.inf)
+                self.log(f"{name} ends")
+                self.stop_process(name, math.inf)
 
     def _voters(self) -> list[Shard]:
-        return [self.controllers[voter.name].shard for voter in self._newest.voters]
+        return [self.controllers[voter.name].shard for voter in self.newest_state.voters]
 
     def _lacks(self) -> str:
         """What the group lacks of being whole; "" for nothing."""
-        if not self.ran:
+        if not self.granted_attempts:
             return ""
-        for voter in self._newest.voters:
+        for voter in self.newest_state.voters:
             controller = self.controllers[voter.name]
             if not controller.alive or controller.shard.voter != voter:
                 return f"{voter.name} is a voter and gone"
@@ -74,13 +76,15 @@
                 return f"{voter.name} grants nothing"
         holders = [
             voter.name
-            for voter, shard in zip(self._newest.voters, self._voters(), strict=True)
+            for voter, shard in zip(self.newest_state.voters, self._voters(), strict=True)
             if (record := shard.operation_keys.records.get(KEY)) is not None
-            and record.holder in (self.ran[0], UNKNOWN_HOLDER)
+            and record.holder in (self.granted_attempts[0], UNKNOWN_HOLDER)
         ]
-        if len(holders) < (len(self._newest.voters) if self.everybody else len(self._newest.voters) // 2 + 1):
+        if len(holders) < (
+            len(self.newest_state.voters) if self.everybody else len(self.newest_state.voters) // 2 + 1
+        ):
             return f"{' and '.join(holders) or 'nobody'} alone hold the key"
-        if any(one.how == TOLD_ONE for one in self.tries):
+        if any(one.how == TOLD_ONE for one in self.key_requests):
             records = [shard.operation_keys.records.get(KEY) for shard in self._voters()]
             return (
                 ""
@@ -89,16 +93,16 @@
             )
         return ""
 
-    def ended(self) -> bool:
-        return super().ended() and not self._lacks()
+    def succeeded(self) -> bool:
+        return super().succeeded() and not self._lacks()
 
     def finish(self) -> None:
         lacks = self._lacks()
-        if lacks and self.faults == self.allowed:
-            self.broken(f"whole: {lacks}")
+        if lacks and self.faults_left == self.allowed:
+            self.report_violation(f"whole: {lacks}")
 
-    def print(self) -> bytes:
-        return super().print() + repr(sorted(self.leaving.items())).encode()
+    def fingerprint(self) -> bytes:
+        return super().fingerprint() + repr(sorted(self.leaving.items())).encode()
 
 
 class ReturnWorld(LossWorld):
@@ -112,12 +116,12 @@
 
     orders = 2
 
-    def _turn(self) -> None:
-        super()._turn()
-        self.mail = by_link(self.mail)  # so that equal prints have the same two
+    def _begin_step(self) -> None:
+        super()._begin_step()
+        self.messages = by_link(self.messages)  # so that equal prints have the same two
 
-    def _items(self) -> tuple[str, list[str]]:
-        half, found = super()._items()
+    def next_items(self) -> tuple[str, list[str]]:
+        half, found = super().next_items()
         return half, found[: self.orders]
 
 
@@ -132,15 +136,22 @@
     again_s: float,
     *script: tuple[float, str],
     how: tuple[str, str] = ("broke", "broke"),
-    hold_s: float = 0.3,
-    spare: int = 1,
-    replicas: int = 3,
-    world: type[World] = LossWorld,
+    fault_duration_s: float = 0.3,
+    spare_controllers: int = 1,
+    group_size: int = 3,
+    world: type[MeshWorld] = LossWorld,
 ) -> Play:
     """A key is tried at the start, and again after a while."""
     tries = (("m", 0.0, how[0]), ("n", again_s, how[1]))
     scene = Scene(
-        "worst-days", about, hold_s, tries=tries, script=script, kinds=KINDS, spare=spare, replicas=replicas
+        "worst-days",
+        about,
+        fault_duration_s,
+        key_requests=tries,
+        script=script,
+        kinds=KINDS,
+        spare_controllers=spare_controllers,
+        group_size=group_size,
     )
     return Play(scene, world)
 
@@ -161,7 +172,7 @@
         (4.0, "wipe a"),
         (8.0, "down c"),
         (11.6, "wipe d"),
-        spare=2,
+        spare_controllers=2,
     ),
     "only-copy": _scene(
         "one of two that hold a key leaves as planned; the other is wiped catch_up_s after the newcomer came",
@@ -184,8 +195,8 @@
         8.0,
         (0.0, "cut c"),
         (5.8, "wipe a"),
-        hold_s=1.8,
-        spare=0,
+        fault_duration_s=1.8,
+        spare_controllers=0,
         world=ReturnWorld,
     ),
     "two-wiped": _scene(
@@ -196,7 +207,7 @@
         (0.3, "down c"),
         (4.0, "wipe a"),
         (4.0, "wipe b"),
-        replicas=5,
+        group_size=5,
         world=NarrowWorld,
     ),
     "two-wiped-straight": _scene(
@@ -207,7 +218,7 @@
         (0.3, "down c"),
         (4.0, "wipe a"),
         (4.0, "wipe b"),
-        replicas=5,
+        group_size=5,
         world=StraightWorld,
     ),
 }
--- a/tests/balancing/test_slots.py
+++ b/tests/balancing/test_slots.py
@@ -203,15 +203,15 @@
                 break
             actions = world.actions()
             plain = [one for one in actions if one.startswith(("deliver", "wait"))]
-            world.do(rng.choice(actions if rng.random() < 0.2 else plain))
+            world.apply(rng.choice(actions if rng.random() < 0.2 else plain))
             assert not world.violations, world.story
-        ended += world.ended()
+        ended += world.succeeded()
     assert ended > 20  # and most get their turn
 
 
 def test_every_interleaving_of_two_askers_without_a_fault_holds_and_all_get_their_turn() -> None:
     found = explore.search(2, 0, workers=1)
-    assert found.exhausted and found.runs == found.wished > 0
+    assert found.exhausted and found.runs == found.succeeded > 0
 
 
 @pytest.mark.parametrize(
--- a/tests/mesh/control/test_key_releases.py
+++ b/tests/mesh/control/test_key_releases.py
@@ -15,7 +15,7 @@
 from orchidferry.mesh.control.shard_state import shard_of
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, KeyRelease, KeyReleaseAck, Message
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller
-from orchidferry.testkit.explore.mesh import Dice
+from orchidferry.testkit.explore.mesh_actors import SequentialRandom
 
 KEY = "k"
 
@@ -28,7 +28,7 @@
         self.cut: set[tuple[str, str]] = set()  # node, controller
         self.nodes: dict[str, OperationKeyClient] = {}
         number = shard_of(KEY)
-        dice = Dice(1)
+        dice = SequentialRandom(1)
         self.controllers = {name: Controller(name, self, True, number, dice, SEEDS) for name in SEEDS}
         for name in ("m", "n"):
             self.nodes[name] = OperationKeyClient(SEEDS, self._sender(name), WINDOW_S)
--- a/tests/mesh/control/test_retry_quota_allocator.py
+++ b/tests/mesh/control/test_retry_quota_allocator.py
@@ -198,9 +198,7 @@
     seed: int, changes: float, former_owners_speak: bool
 ) -> None:
     world = World(seed)
-    world.former_owners_speak = (
-        former_owners_speak  # owners that are over speak again; then every node hears the one that is
-    )
+    world.former_owners_speak = former_owners_speak  # then every node hears the present owner
     assert world.play(changes) <= TOTAL
 
 
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -18,7 +18,7 @@
 from orchidferry.node.frontend import Reply
 from orchidferry.testkit.explore import worst_days
 from orchidferry.testkit.explore.controller import Controller
-from orchidferry.testkit.explore.mesh import Dice
+from orchidferry.testkit.explore.mesh_actors import SequentialRandom
 
 FIVE = tuple(Voter(name, 1) for name in "abcde")
 
@@ -60,7 +60,7 @@
         self.now = 1.0
         self.ended: list[RequestEnded] = []
         self.readings: list[int] = []
-        self.controller = Controller("a", self, True, 0, Dice())
+        self.controller = Controller("a", self, True, 0, SequentialRandom())
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
         if kind == "heard" and isinstance(message[1], AcceptedStateRequest):
@@ -197,7 +197,7 @@
 def test_an_isolated_controller_in_every_interleaving_without_a_fault(scene: str) -> None:
     found = worst_days.search(scene, 0, workers=1)
     assert found.exhausted and not found.violations, found.story
-    assert found.runs == found.wished > 0
+    assert found.runs == found.succeeded > 0
 
 
 @pytest.mark.parametrize("name", worst_days.isolated.BREAKS)
--- a/tests/testkit/explore/test_hundreds_scenes.py
+++ b/tests/testkit/explore/test_hundreds_scenes.py
@@ -12,7 +12,7 @@
 def test_every_interleaving_without_a_fault_ends_as_wished(scene: str) -> None:
     found = worst_days.search(scene, 0, workers=1)
     assert found.exhausted and not found.violations, found.story
-    assert found.runs == found.wished > 0
+    assert found.runs == found.succeeded > 0
 
 
 @pytest.mark.parametrize("name", hundreds.BREAKS)
--- a/tests/testkit/explore/test_mesh.py
+++ b/tests/testkit/explore/test_mesh.py
@@ -19,8 +19,8 @@
 def test_every_interleaving_without_a_fault_ends_as_wished(scene: str) -> None:
     found = mesh.search(scene, 0, workers=1)
     assert found.exhausted and not found.violations
-    assert found.wished > 0
-    assert found.runs == found.wished or scene == "slow"  # where a disk may say nothing till the end
+    assert found.succeeded > 0
+    assert found.runs == found.succeeded or scene == "slow"  # where a disk may say nothing till the end
 
 
 @pytest.mark.parametrize(
@@ -52,14 +52,14 @@
         world = mesh.begin(scene, 2)
         for _ in range(25):
             copy = pickle.loads(pickle.dumps(world))
-            assert copy.print() == world.print() and copy.actions() == world.actions()
+            assert copy.fingerprint() == world.fingerprint() and copy.actions() == world.actions()
             if world.over:
                 break
             label = rng.choice(world.actions())
-            before = world.print()
-            copy.do(label)
-            world.do(label)
-            assert copy.print() == world.print() != before
+            before = world.fingerprint()
+            copy.apply(label)
+            world.apply(label)
+            assert copy.fingerprint() == world.fingerprint() != before
             assert not world.violations, world.story
 
 
--- a/tests/testkit/explore/test_reductions.py
+++ b/tests/testkit/explore/test_reductions.py
@@ -8,28 +8,29 @@
 
 import pytest
 
-from orchidferry.testkit.explore import mesh, worst_days
-from orchidferry.testkit.explore.mesh import World
+from orchidferry.testkit.explore import mesh_fingerprint, worst_days
+from orchidferry.testkit.explore.mesh import MeshWorld
+from orchidferry.testkit.explore.mesh_actors import MessageInFlight
 from orchidferry.testkit.explore.seen import Seen, fingerprint
 
 STEPS = 400
 
 
-def without(world: World, at: int) -> World:
+def without(world: MeshWorld, at: int) -> MeshWorld:
     """A copy whose message there was never sent."""
-    copy: World = pickle.loads(pickle.dumps(world))
-    del copy.mail[at]
-    copy._turn()
+    copy: MeshWorld = pickle.loads(pickle.dumps(world))
+    del copy.messages[at]
+    copy._begin_step()
     return copy
 
 
-def delivered(world: World, at: int) -> World:
+def delivered(world: MeshWorld, at: int) -> MeshWorld:
     """A copy that has taken the message there."""
-    copy: World = pickle.loads(pickle.dumps(world))
-    touched = copy.touched
-    copy._deliver(copy.mail.pop(at))
-    copy.touched = touched
-    copy._turn()
+    copy: MeshWorld = pickle.loads(pickle.dumps(world))
+    touched = copy.last_receiver
+    copy._deliver(copy.messages.pop(at))
+    copy.last_receiver = touched
+    copy._begin_step()
     return copy
 
 
@@ -46,7 +47,7 @@
 def test_a_dead_message_changes_nothing_and_stays_dead(
     scene: str, kinds: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(World, "_drop_dead", lambda self: None)
+    monkeypatch.setattr(MeshWorld, "_discard_dead_messages", lambda self: None)
     rng = random.Random(scene)
     dead_ever = 0
     for _ in range(3):
@@ -54,30 +55,30 @@
         for _ in range(STEPS):
             if world.over or world.violations:
                 break
-            dead = [at for at, mail in enumerate(world.mail) if world._is_dead(mail)]
+            dead = [at for at, mail in enumerate(world.messages) if world._is_dead(mail)]
             for at in dead:
                 taken = delivered(world, at)
-                assert taken.print() == without(world, at).print() and not taken.violations
-            kept: list[Any] = [world.mail[at] for at in dead]
+                assert taken.fingerprint() == without(world, at).fingerprint() and not taken.violations
+            kept: list[Any] = [world.messages[at] for at in dead]
             dead_ever += len(dead)
             actions = world.actions()
-            world.do(actions[0] if rng.random() < 0.6 else rng.choice(actions))
-            assert all(world._is_dead(mail) for mail in world.mail if any(mail is one for one in kept))
+            world.apply(actions[0] if rng.random() < 0.6 else rng.choice(actions))
+            assert all(world._is_dead(mail) for mail in world.messages if any(mail is one for one in kept))
     assert dead_ever > 10
 
 
 def test_the_order_of_messages_counts_on_one_link_alone() -> None:
     world = worst_days.begin("two-contents", 0)
-    while len({(mail.to, mail.sender) for mail in world.mail}) < 2:
-        world.do(world.actions()[0])
-    before = world.print()
-    world.mail.reverse()
-    assert len(world.mail) < 2 or world.print() == before
-    first = world.mail[0]
-    world.mail[:0] = [mesh.Mail(first.sender, first.to, "heard", ("x", ["know?", 9]), first.back)]
-    ahead = world.print()
-    world.mail[:2] = world.mail[1::-1]
-    assert world.print() != ahead
+    while len({(mail.to, mail.sender) for mail in world.messages}) < 2:
+        world.apply(world.actions()[0])
+    before = world.fingerprint()
+    world.messages.reverse()
+    assert len(world.messages) < 2 or world.fingerprint() == before
+    first = world.messages[0]
+    world.messages[:0] = [MessageInFlight(first.sender, first.to, "heard", ("x", ["know?", 9]), first.back)]
+    ahead = world.fingerprint()
+    world.messages[:2] = world.messages[1::-1]
+    assert world.fingerprint() != ahead
 
 
 def test_the_same_ends_are_reached_with_all_that_is_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -86,7 +87,11 @@
         finish = worst_days.isolated.IsolatedWorld.finish
 
         def note(self: Any) -> None:
-            found.add(repr((self.taken, [(one.name, one.outcome) for one in self.operators.values()])))
+            found.add(
+                repr(
+                    (self.acknowledged_by_base, [(one.name, one.outcome) for one in self.operators.values()])
+                )
+            )
             finish(self)
 
         with pytest.MonkeyPatch.context() as patch:
@@ -96,9 +101,9 @@
         return found, walked.states
 
     reduced, fewer = ends()
-    monkeypatch.setattr(World, "_drop_dead", lambda self: None)
-    monkeypatch.setattr(mesh, "by_link", lambda mail: mail)
-    monkeypatch.setattr(mesh, "_of_use", lambda part: part)
+    monkeypatch.setattr(MeshWorld, "_discard_dead_messages", lambda self: None)
+    monkeypatch.setattr(mesh_fingerprint, "by_link", lambda messages: messages)
+    monkeypatch.setattr(mesh_fingerprint, "_without_finished_round", lambda part: part)
     whole, more = ends()
     assert reduced == whole and fewer < more
 
--- a/tests/testkit/explore/test_second_loss.py
+++ b/tests/testkit/explore/test_second_loss.py
@@ -8,20 +8,20 @@
 from orchidferry.testkit.explore.worst_days.second_loss import BREAKS, SCENES
 
 
-@pytest.mark.parametrize("scene", [name for name, play in SCENES.items() if play.scene.replicas == 3])
+@pytest.mark.parametrize("scene", [name for name, play in SCENES.items() if play.scene.group_size == 3])
 def test_every_interleaving_without_a_fault_leaves_the_group_whole(scene: str) -> None:
     found = worst_days.search(scene, 0, workers=1)
     assert found.exhausted and not found.violations, found.story
-    assert found.runs == found.wished > 0
+    assert found.runs == found.succeeded > 0
 
 
 def test_five_bear_two_losses_right_after_a_replacement() -> None:
     """In one order of what comes; all are walked by `explore --of worst-days --scene two-wiped`."""
     world = worst_days.begin("two-wiped", 0)
     while not world.over:
-        world.do(world.actions()[0])
+        world.apply(world.actions()[0])
     world.finish()
-    assert not world.violations and world.ended(), world.story
+    assert not world.violations and world.succeeded(), world.story
 
 
 @pytest.mark.parametrize("name", BREAKS)
