--- a/orchidferry/balancing/fleet/members.py
+++ b/orchidferry/balancing/fleet/members.py
@@ -1,8 +1,8 @@
-"""What is known of one node of the fleet, and which of two words about it counts. Here stands nothing else.
+"""The record of one node of the fleet, and which of two updates about it wins.
 
-Words about a node are ordered, and the greatest counts: whoever hears the same words, in whatever order and
-however often, holds the same in the end (the merge is a join of a semilattice). A node alone raises its own
-incarnation, so its own word beats all that was said of it before.
+Updates about a node are ordered, and the greatest wins: nodes that receive the same updates, in any order and
+any number of times, end with the same entries (the merge is a join of a semilattice). A node alone raises its
+own incarnation, so its own update wins over all that was said of it before.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-# characters; bytes of the rest
+# In characters, the last in bytes
 MAX_NAME = 64
 MAX_ZONE = 32
 MAX_VERSION = 64
 MAX_HOST = 45
-MAX_MORE = 128
+MAX_UNKNOWN_FIELDS = 128
 # A node raises its incarnation when it refutes, when its phase changes and when it starts: a jump is a lie,
 # and the most leaves room for one each second of a century.
 MAX_INCARNATION = 2**32
@@ -24,7 +24,7 @@
 
 
 class Status(IntEnum):
-    """Of two words of one incarnation the higher counts."""
+    """Of two updates of one incarnation the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1  # a probe of it failed; it may refute that
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A word about a node."""
+    """What is said of a node: an update, when it is sent."""
 
     name: str
     host: str  # where its peers reach it: an IP address
@@ -54,11 +54,11 @@
     zone: str = ""
     version: str = ""  # of program and settings, as its operators name them
     by: str = ""  # who suspects or lost it; not part of the order
-    more: bytes = b""  # fields of later formats, handed on as they came
+    unknown_fields: bytes = b""  # of later formats, passed on as they came
 
     @property
-    def here(self) -> bool:
-        """Whether it counts as a member that may be asked something."""
+    def present(self) -> bool:
+        """Whether it is alive or suspected: it may be sent something."""
         return self.status <= Status.SUSPECT
 
 
@@ -66,10 +66,10 @@
 
 
 def order(entry: Entry) -> Order:
-    """Of two words about one name the greater counts.
+    """The key by which updates about one name are ordered; the greatest wins.
 
-    Beyond incarnation, status and life no two honest words differ; the rest makes the order total, so that
-    even a liar's words end in one view.
+    Beyond incarnation, status and life no two honest updates differ; the rest makes the order total, so that
+    even a liar's updates end in the same entries everywhere.
     """
     return (
         entry.incarnation,
@@ -80,21 +80,21 @@
         entry.phase.value,
         entry.zone,
         entry.version,
-        entry.more,
+        entry.unknown_fields,
     )
 
 
 def problem_of(entry: Entry) -> str:
-    """Why an entry can't be meant, or "". Types are the reader's to check."""
-    for field, text, most in (
+    """Why an entry is invalid, or "". Types are the reader's to check."""
+    for field, text, limit in (
         ("name", entry.name, MAX_NAME),
         ("zone", entry.zone, MAX_ZONE),
         ("version", entry.version, MAX_VERSION),
         ("host", entry.host, MAX_HOST),
         ("by", entry.by, MAX_NAME),
     ):
-        if len(text) > most or not text.isprintable():
-            return f"{field}: {text!r:.40} is over {most} characters or not printable"
+        if len(text) > limit or not text.isprintable():
+            return f"{field}: {text!r:.40} is over {limit} characters or not printable"
     if not entry.name or not entry.host:
         return "name and host must not be empty"
     if not 0 < entry.port < 65536:
@@ -103,8 +103,8 @@
         return f"life: {entry.life} is none"
     if not 0 <= entry.incarnation <= MAX_INCARNATION:
         return f"incarnation: {entry.incarnation} is over {MAX_INCARNATION}"
-    if len(entry.more) > MAX_MORE:
-        return f"{len(entry.more)} bytes of unknown fields, {MAX_MORE} at most"
+    if len(entry.unknown_fields) > MAX_UNKNOWN_FIELDS:
+        return f"{len(entry.unknown_fields)} bytes of unknown fields, {MAX_UNKNOWN_FIELDS} at most"
     return ""
 
 
@@ -114,4 +114,4 @@
 def size_of(entry: Entry) -> int:
     """Bytes of an entry in a message, at most, for text in ASCII."""
     text = len(entry.name) + len(entry.host) + len(entry.zone) + len(entry.version) + len(entry.by)
-    return FIXED_BYTES + text + len(entry.more)
+    return FIXED_BYTES + text + len(entry.unknown_fields)
--- /dev/null
+++ b/orchidferry/balancing/fleet/membership.py
@@ -0,0 +1,527 @@
+"""One node's part in the membership: events in, actions out. Clock and random choices are handed in.
+
+`handle` is called with each event; `due_ms` says when it wants a `Tick`. What it holds is bounded: members by
+`max_nodes`, gossip by `gossip_queue.MAX_QUEUED`, one replay window a member, probes and relays by constants.
+
+Beyond SWIM and Lifeguard:
+
+- Replays. A message names the process it is for (`to_life`) and has a serial: one that was recorded before
+  that process began is for another, and a copy has been counted. Only a PING that knows no process yet is
+  answered without that, by the entry of this node, and nothing that it says is taken.
+- A node that did not run for a while (`_slept`) concludes nothing from the silence of that time: all that it
+  waited for waits that much longer.
+- A loss that is hearsay is taken for a suspicion, unless the suspicion is known already: the node that is
+  said to be lost gets the least time to refute that. So halves that healed do not declare each other lost.
+- A name is taken over only from a process that does not answer (`name_conflict`).
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, replace
+
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet.member_table import MemberTable
+from orchidferry.balancing.fleet.members import MAX_JUMP, Entry, Phase, Status, order
+from orchidferry.balancing.fleet.messages import Address, Kind, LogKind, Message
+from orchidferry.balancing.fleet.name_conflict import NameConflict
+from orchidferry.balancing.fleet.outbox import Outbox
+from orchidferry.balancing.fleet.prober import Prober
+from orchidferry.balancing.fleet.replay_window import ReplayWindow
+from orchidferry.balancing.fleet.suspicion import Suspicion, Timing, bounds_ms
+from orchidferry.balancing.fleet.timers import Timer, TimerKind, Timers
+
+SYNC_SCALED_FROM = 32  # nodes from which exchanges of complete states become rarer
+JOIN_MS = 300.0  # between attempts to reach the seeds until one answers,
+JOIN_AT_ONCE = 3  # so many of them at a time
+LEAVE_TO = 8  # nodes that are told that this one leaves,
+LEAVE_TIMES = 3  # so often,
+LEAVE_MS = 60.0  # with so much time between
+ROUNDING_MS = 0.01  # what a caller's clock loses in other units: a tick that came in time is not too early
+MAX_SAVED_PEERS = 64
+
+
+@dataclass(frozen=True, slots=True)
+class SavedState:
+    """What a later process of this node should know."""
+
+    incarnation: int
+    peers: tuple[Address, ...]
+
+
+class Membership:
+    """A node among its peers."""
+
+    def __init__(
+        self,
+        me: Entry,
+        seeds: Iterable[Address],
+        rng: random.Random,
+        timing: Timing | None = None,
+        max_nodes: int = 1_024,
+    ) -> None:
+        """`seeds`: addresses to begin with; `max_nodes`: members, this one included."""
+        self.timing = timing or Timing()
+        self._rng = rng
+        self._max_nodes = max_nodes
+        self._table = MemberTable([seed for seed in seeds if seed != (me.host, me.port)], rng)
+        self._outbox = Outbox(me, self._table)
+        self._timers = Timers()
+        self._prober = Prober(
+            self._table,
+            self._outbox,
+            self._timers,
+            self.timing,
+            rng,
+            self._on_probe_failed,
+        )
+        self._conflict = NameConflict(self._outbox, self._timers, self.timing)
+        self._reconnects = int(rng.random() * 1_000.0)  # decides which of the gone is asked next
+        self._forgetting: set[str] = set()  # members with a timer to be forgotten
+        self._suspicions: dict[str, Suspicion] = {}
+        self._windows: dict[str, tuple[int, ReplayWindow]] = {}  # by name: of which process, and its serials
+        self._gossiping = False
+        self.joined = False
+        self.left = False
+        self.started = False
+
+    # What others read
+
+    @property
+    def me(self) -> Entry:
+        """This node's own entry."""
+        return self._outbox.me
+
+    @property
+    def members(self) -> dict[str, Entry]:
+        """All other nodes that are known, also lost ones, by name."""
+        return self._table.members
+
+    @property
+    def since(self) -> dict[str, tuple[float, str]]:
+        """When and on whose word each entry became what it is."""
+        return self._table.since
+
+    @property
+    def score(self) -> int:
+        """Lifeguard's local health score, 0 being the best."""
+        return self._prober.score
+
+    @property
+    def contested(self) -> bool:
+        """Whether another living process has this name: this one stays passive."""
+        return self._conflict.contested
+
+    @property
+    def due_ms(self) -> float:
+        """When a `Tick` is wanted; infinite for never."""
+        return self._timers.due_ms
+
+    @property
+    def size(self) -> int:
+        """Nodes that are present, this one included."""
+        return self._table.size
+
+    @property
+    def saved_state(self) -> SavedState:
+        """What to save for a later process."""
+        peers = [(e.host, e.port) for e in self.members.values() if e.present][:MAX_SAVED_PEERS]
+        return SavedState(self.me.incarnation, tuple(sorted(peers)))
+
+    @property
+    def _passive(self) -> bool:
+        return self._conflict.other is not None
+
+    def suspects(self) -> int:
+        """Members that are suspected now."""
+        return len(self._suspicions)
+
+    def present(self) -> Iterator[Entry]:
+        """The nodes that are present in this node's view, itself first."""
+        yield self.me
+        yield from (entry for entry in self.members.values() if entry.present)
+
+    def load(self, entries: Iterable[Entry]) -> None:
+        """Begin with these members, as if they had always been there. For models."""
+        self._table.load(entry for entry in entries if entry.name != self.me.name)
+        self.joined = True
+
+    # Events
+
+    def handle(self, event: api.Event, now: float) -> list[api.Action]:
+        """Take an event at `now` (ms); the actions that follow from it, in order."""
+        self._outbox.actions = []
+        overdue_ms = now - self._timers.due_ms
+        if overdue_ms > self.timing.interval_ms:
+            self._slept(now, overdue_ms)
+        match event:
+            case api.MessageReceived():
+                if self.started and not self.left:
+                    self._on_message(event.message, now)
+            case api.Tick():
+                pass
+            case api.Start():
+                self._start(now)
+            case api.SelfChanged():
+                self._on_self_changed(event, now)
+            case api.Leave():
+                self._leave(now)
+        while self._timers.due_ms <= now + ROUNDING_MS:
+            self._on_timer(self._timers.pop(), now)
+        return self._outbox.actions
+
+    def _on_timer(self, timer: Timer, now: float) -> None:
+        if self.left and timer.kind is not TimerKind.LEAVE:
+            return
+        match timer.kind:
+            case TimerKind.PROBE:
+                self._prober.probe(now, self._passive)
+            case TimerKind.INDIRECT_PROBE:
+                self._prober.ask_others(int(timer.subject))
+            case TimerKind.PROBE_END:
+                self._prober.end_probe(int(timer.subject), now)
+            case TimerKind.RELAY_END:
+                self._prober.end_relay(int(timer.subject))
+            case TimerKind.SUSPICION_END:
+                self._end_suspicion(str(timer.subject), now)
+            case TimerKind.GOSSIP:
+                self._gossip(now)
+            case TimerKind.SYNC:
+                self._timers.set(now, self._sync_ms(), TimerKind.SYNC)
+                self._outbox.request_state(self._table.sample(1), now)
+            case TimerKind.RECONNECT:
+                self._reconnect(now)
+            case TimerKind.FORGET:
+                self._forget(str(timer.subject), now)
+            case TimerKind.NAME_CONFLICT:
+                if (other := self._conflict.check(now)) is not None:
+                    self._change_self(other.incarnation + 1, now)
+            case TimerKind.LEAVE:
+                self._announce_leave(int(timer.subject), now)
+
+    def _sync_ms(self) -> float:
+        """Complete states grow with the fleet, so they are exchanged less often, as in memberlist."""
+        scale = max(1.0, (self.size - 1).bit_length() - SYNC_SCALED_FROM.bit_length() + 2.0)
+        return self.timing.sync_ms * scale * (0.8 + 0.4 * self._rng.random())
+
+    def _slept(self, now: float, gap_ms: float) -> None:
+        """This node did not run for so long: it knows nothing of that time, and goes on where it was."""
+        self._timers.postpone(gap_ms)
+        for suspicion in self._suspicions.values():
+            suspicion.postpone(gap_ms)
+        self._prober.clear()
+        self._prober.worsen(1)
+        if self.started and not self.left and not self._passive:
+            self._outbox.request_state(self._table.sample(1), now)
+        text = f"stood still for {gap_ms / 1000.0:.1f} s: nothing is drawn from that silence"
+        self._outbox.warn(LogKind.SLEPT, text, now)
+
+    # Start, change, leave
+
+    def _start(self, now: float) -> None:
+        if self.started:
+            return
+        self.started = True
+        self._spread(self.me, now)
+        self._timers.set(now, self._rng.random() * self.timing.interval_ms, TimerKind.PROBE)
+        self._timers.set(now, self._rng.random() * self._sync_ms(), TimerKind.SYNC)
+        self._timers.set(now, 0.0 if self._table.seeds else self.timing.reach_ms, TimerKind.RECONNECT)
+        self._outbox.actions.append(api.SaveState())
+
+    def _on_self_changed(self, event: api.SelfChanged, now: float) -> None:
+        me = self.me
+        phase = event.phase if event.phase is not None else me.phase
+        version = event.version if event.version is not None else me.version
+        if (phase, version) != (me.phase, me.version) and not self.left:
+            self._change_self(me.incarnation + 1, now, phase, version)
+
+    def _change_self(
+        self, incarnation: int, now: float, phase: Phase | None = None, version: str | None = None
+    ) -> None:
+        """Raise this node's own incarnation, with a new phase or version if there is one."""
+        me = self.me
+        self._outbox.me = replace(
+            me,
+            incarnation=incarnation,
+            phase=phase or me.phase,
+            version=me.version if version is None else version,
+        )
+        if self.started:
+            self._spread(self.me, now)
+            self._outbox.actions.append(api.SaveState())
+
+    def _leave(self, now: float) -> None:
+        if self.left:
+            return
+        incarnation = self.me.incarnation + 1
+        self._outbox.me = replace(self.me, incarnation=incarnation, status=Status.LEFT, phase=Phase.DRAINING)
+        if self.started and not self._passive:
+            self._announce_leave(LEAVE_TIMES, now)
+        self.left = True
+        self._outbox.actions.append(api.SaveState())
+
+    def _announce_leave(self, times: int, now: float) -> None:
+        for entry in self._table.sample(LEAVE_TO):
+            self._outbox.send(Kind.GOSSIP, entry)
+        if times > 1:
+            self._timers.set(now, LEAVE_MS, TimerKind.LEAVE, times - 1)
+
+    # Gossip
+
+    def _spread(self, entry: Entry, now: float) -> None:
+        self._outbox.gossip.add(entry)
+        if not self._gossiping:
+            self._gossiping = True
+            self._timers.set(now, self.timing.gossip_ms, TimerKind.GOSSIP)
+
+    def _gossip(self, now: float) -> None:
+        updates = self._outbox.gossip
+        if not self._passive:
+            for entry in self._table.sample(self.timing.fanout):
+                if updates:
+                    self._outbox.send(Kind.GOSSIP, entry)
+        self._gossiping = bool(updates) and self._table.present > 0
+        if self._gossiping:
+            self._timers.set(now, self.timing.gossip_ms, TimerKind.GOSSIP)
+
+    # Nodes that are not present
+
+    def _reconnect(self, now: float) -> None:
+        """Ping a lost node, or a seed without a member: so halves that were cut off meet again."""
+        alone = not self.joined
+        table = self._table
+        wait_ms = JOIN_MS if alone and table.seeds else self.timing.reach_ms
+        self._timers.set(now, wait_ms, TimerKind.RECONNECT)
+        if self._passive:
+            return
+        empty = table.empty_seeds()
+        if alone:
+            for seed in self._rng.sample(empty, min(JOIN_AT_ONCE, len(empty))):
+                self._outbox.ping_address(seed)
+            return
+        gone = len(table.lost) + len(empty)
+        if not gone:
+            return
+        # By turns one at random, so that nodes ask different ones, and the next in a row: each is asked.
+        self._reconnects += 1
+        in_turn = self._reconnects % 2
+        index = self._reconnects // 2 % gone if in_turn else int(self._rng.random() * gone)
+        if index >= len(table.lost):
+            self._outbox.ping_address(empty[index - len(table.lost)])
+        else:
+            self._outbox.send(Kind.PING, self.members[list(table.lost)[index]])
+
+    def _forget(self, name: str, now: float) -> None:
+        gone_ms = self._table.gone_ms.get(name)
+        if gone_ms is None:
+            self._forgetting.discard(name)
+        elif now < gone_ms + self.timing.forget_ms:
+            self._timers.set(gone_ms + self.timing.forget_ms, 0.0, TimerKind.FORGET, name)
+        else:
+            self._remove(name)
+
+    def _remove(self, name: str) -> None:
+        entry = self._table.remove(name)
+        self._forgetting.discard(name)
+        self._windows.pop(name, None)
+        self._prober.unproven.pop(name, None)
+        self._outbox.gossip.drop(name)
+        self._outbox.actions.append(api.MemberChanged(entry, None, self.me.name))
+
+    # Messages
+
+    def _on_message(self, message: Message, now: float) -> None:
+        sender = message.sender
+        if sender.name == self.me.name:
+            if sender.life != self.me.life:
+                self._on_namesake(message, now)
+            return
+        if message.to_life != self.me.life:
+            # First contact, or for the process that was here before: it learns who is, and says it again.
+            if message.kind is Kind.PING:
+                self._outbox.greet(sender, message.number, now)
+            return
+        known = self.members.get(sender.name)
+        if known is not None and known.life != sender.life and order(sender) < order(known):
+            # A new process that does not know what is said of the one before it, or a late message.
+            number = message.number if message.kind is Kind.PING else 0
+            return self._outbox.greet(sender, number, now, (known,))
+        if known is None and not self._has_capacity(sender, now):
+            return
+        if not self._is_new(message):
+            return
+        was_gone = known is not None and not known.present
+        self._merge(sender, sender.name, now)
+        self._prober.unproven.pop(sender.name, None)
+        for entry in message.updates:
+            self._merge(entry, sender.name, now)
+        if sender.status is Status.LEFT:
+            return
+        self._answer(message, now)
+        if not self.joined or (was_gone and self.members[sender.name].present):
+            self.joined = True
+            self._outbox.request_state([self.members[sender.name]], now)
+
+    def _is_new(self, message: Message) -> bool:
+        """Whether a message is no copy of one that was received."""
+        sender = message.sender
+        life, window = self._windows.get(sender.name, (0, None))
+        if window is None or life != sender.life:
+            window = ReplayWindow()
+            self._windows[sender.name] = sender.life, window
+        return window.take(message.serial)
+
+    def _answer(self, message: Message, now: float) -> None:
+        sender = message.sender
+        match message.kind:
+            case Kind.PING:
+                self._outbox.send(Kind.ACK, sender, message.number)
+            case Kind.ACK:
+                self._prober.acknowledged(message.number, sender)
+            case Kind.NACK:
+                self._prober.not_acknowledged(message.number)
+            case Kind.PING_REQUEST:
+                if message.target is not None and message.target.name != self.me.name:
+                    self._prober.relay(sender, message.number, message.target, now)
+            case Kind.STATE_REQUEST:
+                self._outbox.reply_state(sender, now)
+            case Kind.GOSSIP | Kind.STATE_REPLY:
+                pass
+
+    # Updates about others
+
+    def _merge(self, entry: Entry, by: str, now: float) -> None:
+        """Take an update about a node if it wins over what is known."""
+        if entry.name == self.me.name:
+            return self._merge_self(entry, by, now)
+        known = self.members.get(entry.name)
+        if known is None:
+            # Those that are gone and were never known are not learned of: they would be spread for ever.
+            if entry.present and self._has_capacity(entry, now):
+                self._set(entry, by, now)
+            return
+        if order(entry) <= order(known):
+            same = (entry.incarnation, entry.life) == (known.incarnation, known.life)
+            if same and entry.status is known.status is Status.SUSPECT:
+                self._confirm(known, entry.by, now)
+            return
+        if entry.incarnation - known.incarnation > MAX_JUMP:
+            text = f"{by} says that {entry.name} is at incarnation {entry.incarnation}"
+            text += f", from {known.incarnation}: not believed"
+            return self._outbox.warn(LogKind.JUMP, text, now)
+        if entry.status is Status.LOST and known.status is Status.ALIVE:
+            entry = replace(entry, status=Status.SUSPECT)
+            if order(entry) <= order(known):
+                return
+        self._set(entry, by, now)
+
+    def _has_capacity(self, entry: Entry, now: float) -> bool:
+        """Whether one more may be known; one that is gone is forgotten for it."""
+        if entry.name in self.members or len(self.members) + 1 < self._max_nodes:
+            return True
+        if gone := self._table.longest_gone():
+            self._remove(gone)
+            return True
+        text = f"{self._max_nodes} nodes are known, the most there may be: {entry.name} is left out"
+        self._outbox.warn(LogKind.FULL, text, now)
+        return False
+
+    def _set(self, entry: Entry, by: str, now: float) -> None:
+        """Set the entry of a member, and spread it."""
+        name = entry.name
+        before = self._table.put(entry, by, now)
+        if before is None:
+            self._prober.consider_hearsay(name, by, len(self._windows))
+        self._suspicions.pop(name, None)
+        if not entry.present:
+            self._prober.unproven.pop(name, None)
+            if name not in self._forgetting:
+                self._forgetting.add(name)
+                self._timers.set(now, self.timing.forget_ms, TimerKind.FORGET, name)
+        if entry.status is Status.SUSPECT:
+            self._begin_suspicion(entry, now)
+        self._spread(entry, now)
+        self._outbox.actions.append(api.MemberChanged(before, entry, by))
+        if before is None or before.present != entry.present:
+            self._outbox.actions.append(api.SaveState())
+
+    def _on_probe_failed(self, entry: Entry, now: float) -> None:
+        self._suspect(entry, now)
+
+    def _suspect(self, entry: Entry, now: float) -> None:
+        """Suspect a member that did not answer this node's probe, or confirm the suspicion of others."""
+        me = self.me.name
+        if entry.status is Status.ALIVE:
+            self._set(replace(entry, status=Status.SUSPECT, by=me), me, now)
+        else:
+            self._confirm(entry, me, now)
+
+    def _begin_suspicion(self, entry: Entry, now: float) -> None:
+        min_ms, max_ms = bounds_ms(self.timing, self.size)
+        wanted = self.timing.confirmations
+        if self.size - 2 < wanted:
+            wanted = 0  # too few that could confirm
+        suspicion = Suspicion(now, min_ms, max_ms, wanted, {entry.by})
+        self._suspicions[entry.name] = suspicion
+        self._timers.set(suspicion.ends_ms(), 0.0, TimerKind.SUSPICION_END, entry.name)
+
+    def _confirm(self, entry: Entry, by: str, now: float) -> None:
+        suspicion = self._suspicions.get(entry.name)
+        if suspicion is not None and by and suspicion.confirm(by):
+            self._timers.set(suspicion.ends_ms(), 0.0, TimerKind.SUSPICION_END, entry.name)
+            self._spread(replace(entry, by=by), now)
+
+    def _end_suspicion(self, name: str, now: float) -> None:
+        """Declare a member lost if it had its time to refute that."""
+        suspicion = self._suspicions.get(name)
+        entry = self.members.get(name)
+        if suspicion is None or entry is None:
+            return
+        # No other timer is set for this end: a tick may be early by one rounding, the end that `postpone`
+        # summed up late by less than another.
+        if now + 2.0 * ROUNDING_MS >= suspicion.ends_ms():
+            self._set(replace(entry, status=Status.LOST, by=self.me.name), self.me.name, now)
+
+    # Updates about this node
+
+    def _merge_self(self, entry: Entry, by: str, now: float) -> None:
+        """Refute what is said of this node, or of a process that had its name."""
+        me = self.me
+        if entry.incarnation - me.incarnation > MAX_JUMP:
+            text = f"{by} says that this node is at incarnation {entry.incarnation}"
+            text += f", from {me.incarnation}: not believed"
+            return self._outbox.warn(LogKind.JUMP, text, now)
+        if entry.life == me.life:
+            if entry.incarnation < me.incarnation or (
+                entry.status is Status.ALIVE and entry.incarnation == me.incarnation
+            ):
+                return
+            self._prober.worsen(1)
+            self._change_self(entry.incarnation + 1, now)
+            self._refute(by)
+        elif order(entry) > order(me):
+            other = self._conflict.other
+            if not entry.present or (entry.host, entry.port) == (me.host, me.port):
+                # The other process is gone.
+                self._conflict.end()
+                self._change_self(entry.incarnation + 1, now)
+                self._refute(by)
+            elif other is None or order(entry) > order(other):
+                self._conflict.begin(entry, now)
+
+    def _refute(self, by: str) -> None:
+        """Send the refutation to the node that spread the claim at once; the others hear of it by gossip."""
+        claimant = self.members.get(by)
+        if claimant is not None and claimant.present and not self._passive:
+            self._outbox.send(Kind.GOSSIP, claimant)
+
+    def _on_namesake(self, message: Message, now: float) -> None:
+        """Another process has this node's name."""
+        if message.to_life != self.me.life:
+            return
+        if message.kind is Kind.PING:
+            self._outbox.greet(message.sender, message.number, now)
+        else:
+            self._conflict.heard_from(message.sender.life)
+        self._merge_self(message.sender, self.me.name, now)
--- a/orchidferry/balancing/fleet/messages.py
+++ b/orchidferry/balancing/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What goes into the membership and what comes out of it: messages between nodes, events and actions."""
+"""What a membership exchanges: messages between nodes, events that it takes and actions that it asks for."""
 
 from __future__ import annotations
 
@@ -11,15 +11,23 @@
 
 
 class Kind(Enum):
-    """Of a message between two nodes."""
+    """Of a message between two nodes; the values are those on the wire."""
 
-    PING = "ping"  # answer me: `number`
-    ACK = "ack"  # I do, or whom you had me ask did
-    NACK = "nack"  # whom you had me ask did not answer me either; but I am here
-    ASK = "ask"  # ping `target` for me
-    NEWS = "news"  # nothing but what rides on it
-    STATE = "state"  # all that I know; tell me what you do
-    WHOLE = "whole"  # the answer to that
+    PING = "ping"  # a probe: acknowledge `number`
+    ACK = "ack"  # the sender acknowledges, or the node that it was asked to probe did
+    NACK = "nack"  # the node that the sender was asked to probe has not acknowledged in time
+    PING_REQUEST = "ask"  # probe `target` for the sender
+    GOSSIP = "news"  # nothing but updates
+    STATE_REQUEST = "state"  # the sender's complete state; reply with yours
+    STATE_REPLY = "whole"
+
+
+class LogKind(Enum):
+    """Warnings of which each kind is logged at a limited rate."""
+
+    FULL = "full"
+    JUMP = "jump"
+    SLEPT = "slept"
 
 
 @dataclass(slots=True)
@@ -32,20 +40,20 @@
     serial: int  # counts all that this process sent: a copy is known by it
     number: int = 0  # of the probe
     target: Entry | None = None
-    news: tuple[Entry, ...] = ()
+    updates: tuple[Entry, ...] = ()
 
 
 # Events
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class Start:
     """Take part from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A message has come, proven to be from one who has the key."""
+class MessageReceived:
+    """A message has come, proven to be from a node that has the key."""
 
     message: Message
 
@@ -56,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class SelfChanged:
     """What this node says of itself has changed."""
 
     phase: Phase | None = None
@@ -65,17 +73,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This node goes on purpose, now."""
+    """This node leaves on purpose, now."""
 
 
-Event = Begin | Heard | Tick | Turned | Leave
+Event = Start | MessageReceived | Tick | SelfChanged | Leave
 
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class Datagram:
+class SendDatagram:
     """Send this, once; it may be lost."""
 
     to: Address
@@ -83,42 +91,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
-    """Connect, send this, and hand in what is answered; it may fail."""
+class ExchangeState:
+    """Connect, send this, and hand in the reply; it may fail."""
 
     to: Address
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Reply:
     """Write this on the connection that the message just handed in came by."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """The view has changed. `before`: None for a node not known till now; `after`: None for a forgotten
-    one.
-    """
+class MemberChanged:
+    """An entry has changed. `before`: None for a new node; `after`: None for a forgotten one."""
 
     before: Entry | None
     after: Entry | None
-    by: str  # whose word it was; this node's own name for what it found itself
+    by: str  # the node on whose word; this node's own name for what it found itself
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """What should outlast this process has changed: `Fleet.lasting` tells it."""
+class SaveState:
+    """What should outlast this process has changed: `Membership.saved_state` gives it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class Log:
     """A line for the operators."""
 
     text: str
     warning: bool = False
 
 
-Action = Datagram | Exchange | Answer | Changed | Keep | Say
+Action = SendDatagram | ExchangeState | Reply | MemberChanged | SaveState | Log
--- /dev/null
+++ b/orchidferry/balancing/fleet/outbox.py
@@ -0,0 +1,86 @@
+"""What a node sends: messages with serials, gossip that rides on them, and lines for the operators."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from orchidferry.balancing.fleet import messages as api
+from orchidferry.balancing.fleet.gossip_queue import GossipQueue
+from orchidferry.balancing.fleet.member_table import MemberTable
+from orchidferry.balancing.fleet.members import Entry, Status, size_of
+from orchidferry.balancing.fleet.messages import Address, Kind, Message
+from orchidferry.balancing.token_bucket import RateLimiter
+
+MAX_UPDATE_BYTES = 1_100  # in a datagram: with all else under the 1,400 that any network carries whole
+HEADER_BYTES = 90  # of a message beside its entries, at most
+LOG_INTERVAL_S = 60.0  # between two lines of one kind
+
+
+class Outbox:
+    """The actions of the event at hand, in order, and the limits on what is sent."""
+
+    def __init__(self, me: Entry, table: MemberTable) -> None:
+        self.me = me  # this node's own entry
+        self.actions: list[api.Action] = []
+        self.gossip = GossipQueue()
+        self._table = table
+        self._serial = 0
+        self._greetings = RateLimiter(50.0, 100.0)
+        self._state_requests = RateLimiter(1.0, 2.0)
+        self._state_replies = RateLimiter(10.0, 20.0)
+        self._lines = {kind: RateLimiter(1.0 / LOG_INTERVAL_S, 1.0) for kind in api.LogKind}
+
+    def _message(
+        self,
+        kind: Kind,
+        to_life: int,
+        number: int = 0,
+        target: Entry | None = None,
+        updates: Iterable[Entry] = (),
+    ) -> Message:
+        self._serial += 1
+        return Message(kind, self.me, to_life, self._serial, number, target, tuple(updates))
+
+    def send(self, kind: Kind, to: Entry, number: int = 0, target: Entry | None = None) -> None:
+        """Send a datagram to a node with the gossip that fits.
+
+        What is held against the receiver comes first, so that it can refute that.
+        """
+        max_bytes = MAX_UPDATE_BYTES - HEADER_BYTES - size_of(self.me)
+        max_bytes -= size_of(target) if target is not None else 0
+        updates: list[Entry] = []
+        known = self._table.members.get(to.name)
+        if known is not None and known.status is not Status.ALIVE:
+            updates.append(known)
+            max_bytes -= size_of(known)
+        updates += self.gossip.take(max_bytes, self._table.size, to.name)
+        message = self._message(kind, to.life, number, target, updates)
+        self.actions.append(api.SendDatagram((to.host, to.port), message))
+
+    def greet(self, to: Entry, number: int, now: float, updates: tuple[Entry, ...] = ()) -> None:
+        """Answer a process that is not, or not yet, the one known; bounded, as anybody may ask for it."""
+        if self._greetings.take(now):
+            message = self._message(Kind.ACK, to.life, number, None, updates)
+            self.actions.append(api.SendDatagram((to.host, to.port), message))
+
+    def ping_address(self, to: Address, to_life: int = 0) -> None:
+        """Ping whoever is at an address."""
+        self.actions.append(api.SendDatagram(to, self._message(Kind.PING, to_life)))
+
+    def request_state(self, members: Iterable[Entry], now: float) -> None:
+        """Exchange complete states with these members."""
+        for entry in members:
+            if self._state_requests.take(now):
+                message = self._message(Kind.STATE_REQUEST, entry.life, updates=self._table.members.values())
+                self.actions.append(api.ExchangeState((entry.host, entry.port), message))
+
+    def reply_state(self, to: Entry, now: float) -> None:
+        """Answer with the complete state."""
+        if self._state_replies.take(now):
+            message = self._message(Kind.STATE_REPLY, to.life, updates=self._table.members.values())
+            self.actions.append(api.Reply(message))
+
+    def warn(self, kind: api.LogKind, text: str, now: float) -> None:
+        """Log a warning, unless one of its kind was logged lately."""
+        if self._lines[kind].take(now):
+            self.actions.append(api.Log(text, True))
--- /dev/null
+++ b/orchidferry/balancing/fleet/timers.py
@@ -0,0 +1,61 @@
+"""The timers of a membership, in one heap: a caller with a single timer serves them all."""
+
+from __future__ import annotations
+
+import heapq
+from dataclasses import dataclass
+from enum import Enum
+
+
+class TimerKind(Enum):
+    """What is due."""
+
+    PROBE = "probe"
+    INDIRECT_PROBE = "ask"
+    PROBE_END = "judge"
+    RELAY_END = "relay"
+    SUSPICION_END = "suspect"
+    GOSSIP = "gossip"
+    SYNC = "sync"
+    RECONNECT = "reach"
+    FORGET = "forget"
+    NAME_CONFLICT = "rival"
+    LEAVE = "leave"
+
+
+@dataclass(frozen=True, slots=True)
+class Timer:
+    """A timer that is due. `subject`: the number of a probe, the name of a member, or how often."""
+
+    kind: TimerKind
+    subject: int | str
+
+
+class Timers:
+    """Timers by time; those of the same time in the order in which they were set."""
+
+    def __init__(self) -> None:
+        self._heap: list[tuple[float, int, Timer]] = []
+        self._serial = 0
+
+    @property
+    def due_ms(self) -> float:
+        """When the next one is due; infinite for never."""
+        return self._heap[0][0] if self._heap else float("inf")
+
+    def set(self, now: float, wait_ms: float, kind: TimerKind, subject: int | str = 0) -> None:
+        """Set a timer `wait_ms` after `now`."""
+        self._serial += 1
+        heapq.heappush(self._heap, (now + wait_ms, self._serial, Timer(kind, subject)))
+
+    def pop(self) -> Timer:
+        """Take the next one off."""
+        return heapq.heappop(self._heap)[2]
+
+    def postpone(self, by_ms: float) -> None:
+        """Let all be due that much later."""
+        self._heap = [(at + by_ms, serial, timer) for at, serial, timer in self._heap]
+
+    def pending(self) -> list[tuple[float, Timer]]:
+        """All timers that are set, in no order."""
+        return [(at, timer) for at, _, timer in self._heap]
--- a/orchidferry/balancing/token_bucket.py
+++ b/orchidferry/balancing/token_bucket.py
@@ -24,3 +24,19 @@
             return False
         self.tokens -= 1.0
         return True
+
+
+class RateLimiter:
+    """A token bucket of fixed rate and capacity, full at first."""
+
+    __slots__ = ("_bucket", "_capacity", "_tokens_per_ms")
+
+    def __init__(self, per_s: float, capacity: float) -> None:
+        """Let through `per_s` a second, and `capacity` at once."""
+        self._tokens_per_ms = per_s / 1000.0
+        self._capacity = capacity
+        self._bucket = TokenBucket(capacity, 0.0)
+
+    def take(self, now: float) -> bool:
+        """Take a token, if there is one."""
+        return self._bucket.take(self._tokens_per_ms, self._capacity, now)
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
+from orchidferry.balancing.fleet.member_table import MAX_SEEDS
 from orchidferry.balancing.fleet.members import MAX_NAME, MAX_VERSION, MAX_ZONE
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.balancing.fleet.swim import MAX_SEEDS
 from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.config import ConfigError, read_toml_file
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -24,9 +24,9 @@
 from typing import Any
 
 from orchidferry.balancing.fleet import messages as api
-from orchidferry.balancing.fleet.fresh import Credit
 from orchidferry.balancing.fleet.members import Entry, Phase
-from orchidferry.balancing.fleet.swim import Fleet, Lasting
+from orchidferry.balancing.fleet.membership import Membership, SavedState
+from orchidferry.balancing.token_bucket import RateLimiter
 from orchidferry.node.address import Address
 from orchidferry.node.admin_server import PageHandler
 from orchidferry.node.clock import now_ms
@@ -61,15 +61,15 @@
 log = logging.getLogger("orchidferry")
 
 
-def _to_json(lasting: Lasting) -> Any:
+def _to_json(lasting: SavedState) -> Any:
     return {"incarnation": lasting.incarnation, "peers": [list(peer) for peer in lasting.peers]}
 
 
-def _from_json(obj: Any) -> Lasting:
+def _from_json(obj: Any) -> SavedState:
     incarnation = obj["incarnation"]
     if type(incarnation) is not int or incarnation < 0:
         raise ValueError(f"incarnation {incarnation!r:.40}")
-    return Lasting(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:MAX_PEERS]))
+    return SavedState(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:MAX_PEERS]))
 
 
 FORM = StateFormat("fleet", "fleet's state", b"orchidferry fleet", 1, 64 * 1024, _to_json, _from_json)
@@ -123,7 +123,7 @@
         self.where = setup.listen
         self._sealer = Sealer(read_key_file(setup.keys))
         self._keys_stamp = self._stamp()
-        self._store: StateStore[Lasting] | None = None
+        self._store: StateStore[SavedState] | None = None
         self._saved = ""
         lasting = self._load()
         self._journal: Journal | None = None
@@ -141,7 +141,9 @@
             version=setup.version,
         )
         seeds = (*setup.seeds, *(lasting.peers if lasting else ()))
-        self.fleet = Fleet(me, seeds, rng or random.Random(secrets.randbits(64)), setup.timing, setup.most)
+        self.fleet = Membership(
+            me, seeds, rng or random.Random(secrets.randbits(64)), setup.timing, setup.most
+        )
         self._ready: Callable[[], bool] = lambda: False
         self._leaving = False
         self._udp: socket.socket | None = None
@@ -151,8 +153,8 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._read_credit = Credit(READ_PER_S, READ_PER_S / 5.0)
-        self._send_credit = Credit(SEND_PER_S, SEND_AT_ONCE)
+        self._read_credit = RateLimiter(READ_PER_S, READ_PER_S / 5.0)
+        self._send_credit = RateLimiter(SEND_PER_S, SEND_AT_ONCE)
         self._key_of: dict[
             Address, bytes
         ] = {}  # which key the peer there used last, where it is not our first
@@ -187,7 +189,7 @@
         """Take part from now on."""
         self._note(None, self.fleet.me, self.fleet.me.name)
         self._read_on()
-        self.handle(api.Begin())
+        self.handle(api.Start())
         self._every("look", LOOK_S, self._look)
         self._every("keys", KEYS_S, self._look_at_keys)
 
@@ -219,7 +221,7 @@
             self._udp.close()
             self._udp = None
         if self._store is not None:
-            if line := self._store.save(self.fleet.lasting):
+            if line := self._store.save(self.fleet.saved_state):
                 log.warning("fleet: %s", line)
             self._store.close()
         if self._journal is not None:
@@ -288,21 +290,21 @@
 
     def _do(self, action: api.Action, answers: list[api.Message] | None) -> None:
         match action:
-            case api.Datagram():
+            case api.SendDatagram():
                 self._send(action)
-            case api.Exchange():
+            case api.ExchangeState():
                 if len(self._tasks) < EXCHANGES:
                     self._spawn(self._exchange(action))
                 else:
                     self.counts["exchanges_put_off"] += 1
-            case api.Answer():
+            case api.Reply():
                 if answers is not None:
                     answers.append(action.message)
-            case api.Changed():
+            case api.MemberChanged():
                 self._note(action.before, action.after, action.by)
-            case api.Keep():
+            case api.SaveState():
                 self._keep_later()
-            case api.Say():
+            case api.Log():
                 log.log(logging.WARNING if action.warning else logging.INFO, "fleet: %s", action.text)
 
     def _note(self, before: Entry | None, after: Entry | None, by: str) -> None:
@@ -313,7 +315,7 @@
             kind = "view" if entry.name != self.fleet.me.name else "self"
             gone = {"status": "forgotten"} if after is None else {}
             self._journal.put(kind=kind, word_of=by, **(told(entry) | gone))
-        if before is not None and after is not None and before.here != after.here:
+        if before is not None and after is not None and before.present != after.present:
             log.info("fleet: %s is %s, says %s", after.name, after.status.name.lower(), by)
 
     # Datagrams
@@ -321,7 +323,7 @@
     def _sealed(self, message: api.Message, to: Address) -> bytes:
         return self._sealer.seal(wire.encode(message), self._key_of.get(to))
 
-    def _send(self, action: api.Datagram) -> None:
+    def _send(self, action: api.SendDatagram) -> None:
         if self._udp is None:
             return
         if not self._send_credit.take(now_ms()):
@@ -368,7 +370,7 @@
         except DatagramError as problem:
             return self._refused(problem)
         self._remember_key(message.sender, key)
-        self.handle(api.Heard(message))
+        self.handle(api.MessageReceived(message))
 
     def _remember_key(self, sender: Entry, key: bytes) -> None:
         """Answer each peer with the key it uses: one that has no new key yet is reached by the old one."""
@@ -391,7 +393,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _exchange(self, action: api.Exchange) -> None:
+    async def _exchange(self, action: api.ExchangeState) -> None:
         """Send this node's view and take the other's; a failure is no news, as probes find out."""
         try:
             async with asyncio.timeout(EXCHANGE_S):
@@ -447,7 +449,7 @@
         body, key = self._sealer.open(data)
         message = await run_cooperatively(wire.decode_in_steps(body))
         self._remember_key(message.sender, key)
-        self.handle(api.Heard(message), answers)
+        self.handle(api.MessageReceived(message), answers)
         return message.sender.host, message.sender.port
 
     # Now and then
@@ -462,7 +464,7 @@
     def _look(self) -> None:
         phase = Phase.DRAINING if self._leaving else Phase.SERVING if self._ready() else Phase.STARTING
         if phase is not self.fleet.me.phase and not self.fleet.left:
-            self.handle(api.Turned(phase))
+            self.handle(api.SelfChanged(phase))
             self._note(None, self.fleet.me, self.fleet.me.name)
 
     def _stamp(self) -> tuple[int, int]:
@@ -487,7 +489,7 @@
 
     # Disk
 
-    def _load(self) -> Lasting | None:
+    def _load(self) -> SavedState | None:
         if self._setup.state is None:
             return None
         try:
@@ -510,7 +512,7 @@
     def _keep(self) -> None:
         del self._timers["keep"]
         if self._store is not None and not self.fleet.left:
-            work = functools.partial(self._store.save, self.fleet.lasting)
+            work = functools.partial(self._store.save, self.fleet.saved_state)
             self._loop.run_in_executor(None, work).add_done_callback(self._kept)
 
     def _kept(self, done: asyncio.Future[str]) -> None:
--- a/orchidferry/node/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -104,8 +104,8 @@
     for key, text in (("z", entry.zone), ("v", entry.version), ("b", entry.by)):
         if text:
             found[key] = text
-    if entry.more:
-        found |= msgpack.unpackb(entry.more)
+    if entry.unknown_fields:
+        found |= msgpack.unpackb(entry.unknown_fields)
     return bytes(msgpack.packb(found))
 
 
@@ -134,9 +134,9 @@
     if message.target is not None:
         parts += [pack("g"), entry_bytes(message.target)]
         count += 1
-    if message.news:
-        parts += [pack("w"), msgpack.Packer().pack_array_header(len(message.news))]
-        parts += [entry_bytes(entry) for entry in message.news]
+    if message.updates:
+        parts += [pack("w"), msgpack.Packer().pack_array_header(len(message.updates))]
+        parts += [entry_bytes(entry) for entry in message.updates]
         count += 1
     parts[0] = msgpack.Packer().pack_map_header(count)
     return b"".join(parts)
@@ -203,7 +203,7 @@
             raise DatagramError("garbled", f"{name}: is missing")
     if len(obj) > len(values):
         unknown = {key: value for key, value in obj.items() if key not in FIELDS}
-        values["more"] = bytes(msgpack.packb(unknown))
+        values["unknown_fields"] = bytes(msgpack.packb(unknown))
     if not 0 <= (status := values.get("status", 0)) <= Status.LEFT:
         raise DatagramError("garbled", f"status: {status} is none")
     values["status"] = Status(status)
--- a/orchidferry/testkit/bench/members.py
+++ b/orchidferry/testkit/bench/members.py
@@ -27,7 +27,7 @@
     suspected = 0
     first = math.inf
 
-    def watch(t: float, observer: str, change: api.Changed) -> None:
+    def watch(t: float, observer: str, change: api.MemberChanged) -> None:
         nonlocal suspected, first
         after = change.after
         if after is None:
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -18,7 +18,7 @@
 
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.members import Entry, Phase
-from orchidferry.balancing.fleet.swim import Fleet
+from orchidferry.balancing.fleet.membership import Membership
 from orchidferry.node.clock import now_ms
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.settings import scaled
@@ -40,17 +40,17 @@
     def __init__(self, count: int, probe_ms: float) -> None:
         self._loop = asyncio.get_running_loop()
         self._sealer = Sealer((("k1", KEY.partition("=")[2].encode()),))
-        self._fleets: list[Fleet] = []
+        self._fleets: list[Membership] = []
         self._udp: list[socket.socket] = []
         self._servers: list[asyncio.Server] = []
         self._timers: dict[int, asyncio.TimerHandle] = {}
         for n in range(count):
             host = f"{NET}.{1 + n // 250}.{1 + n % 250}"
             me = Entry(f"m{n}", host, PORT, 1_000 + n, phase=Phase.SERVING, zone="abc"[n % 3], version="1")
-            self._fleets.append(Fleet(me, [], random.Random(n), scaled(probe_ms), count + 2))
+            self._fleets.append(Membership(me, [], random.Random(n), scaled(probe_ms), count + 2))
         entries = [fleet.me for fleet in self._fleets]
         for n, fleet in enumerate(self._fleets):
-            fleet.know(entries)
+            fleet.load(entries)
             udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             udp.setblocking(False)
             udp.bind((fleet.me.host, PORT))
@@ -64,17 +64,17 @@
                 return self._loop.create_task(self._serve(reader, writer, to))
 
             self._servers.append(await asyncio.start_server(serve, fleet.me.host, PORT))
-            self._hand(n, api.Begin())
-            fleet._rumours.drop(fleet.me.name)
+            self._hand(n, api.Start())
+            fleet._outbox.gossip.drop(fleet.me.name)
 
     def _hand(self, n: int, event: api.Event) -> list[bytes]:
         answers = []
         for action in self._fleets[n].handle(event, now_ms()):
             match action:
-                case api.Datagram():
+                case api.SendDatagram():
                     with contextlib.suppress(OSError):
                         self._udp[n].sendto(self._sealer.seal(wire.encode(action.message)), action.to)
-                case api.Answer():
+                case api.Reply():
                     answers.append(self._sealer.seal(wire.encode(action.message)))
         if n in self._timers:
             self._timers[n].cancel()
@@ -85,13 +85,13 @@
     def _readable(self, n: int) -> None:
         with contextlib.suppress(OSError, DatagramError):
             while data := self._udp[n].recv(4_096):
-                self._hand(n, api.Heard(wire.decode(self._sealer.open(data)[0])))
+                self._hand(n, api.MessageReceived(wire.decode(self._sealer.open(data)[0])))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, n: int) -> None:
         with contextlib.suppress(OSError, DatagramError, asyncio.IncompleteReadError):
             (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
             data = await reader.readexactly(length)
-            for answer in self._hand(n, api.Heard(wire.decode(self._sealer.open(data)[0]))):
+            for answer in self._hand(n, api.MessageReceived(wire.decode(self._sealer.open(data)[0]))):
                 writer.write(LENGTH.pack(len(answer)) + answer)
         writer.close()
 
@@ -154,7 +154,9 @@
             before, _ = _used(process.pid)
             await asyncio.sleep(seconds)
             after, mib = _used(process.pid)
-            known = {fleet.members["measured"].here for fleet in crowd._fleets if "measured" in fleet.members}
+            known = {
+                fleet.members["measured"].present for fleet in crowd._fleets if "measured" in fleet.members
+            }
             return {
                 "peers": peers if on else None,
                 "resident_mib": round(mib, 1),
--- a/orchidferry/testkit/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -20,12 +20,12 @@
 from typing import Any
 from unittest import mock
 
+from orchidferry.balancing.fleet import membership
 from orchidferry.balancing.fleet import messages as api
-from orchidferry.balancing.fleet import swim
 from orchidferry.balancing.fleet.members import Entry, Phase, Status, order
+from orchidferry.balancing.fleet.membership import Membership
 from orchidferry.balancing.fleet.messages import Address, Message
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.balancing.fleet.swim import Fleet, here
 from orchidferry.testkit.explore import pure
 from orchidferry.testkit.explore.pure import SearchResult
 
@@ -69,7 +69,7 @@
 class World:
     """A few nodes that all know all, and what is under way between them."""
 
-    nodes: list[Fleet | None]
+    nodes: list[Membership | None]
     faults: int
     kinds: tuple[str, ...] = KINDS
     now: float = 0.0
@@ -164,7 +164,7 @@
             mail.at = self.paused[mail.to]
             self.mail.append(mail)
             return
-        self._do(mail.to, fleet.handle(api.Heard(mail.message), self.now), mail.message.sender)
+        self._do(mail.to, fleet.handle(api.MessageReceived(mail.message), self.now), mail.message.sender)
 
     def _cut_off(self, mail: Mail) -> bool:
         return mail.to in self.cut or int(mail.message.sender.name[1:]) in self.cut
@@ -172,10 +172,10 @@
     def _do(self, n: int, actions: list[api.Action], sender: Entry | None = None) -> None:
         for action in actions:
             match action:
-                case api.Datagram() | api.Exchange():
+                case api.SendDatagram() | api.ExchangeState():
                     to = _number(action.to)
-                    self.next.append(Mail(to, action.message, isinstance(action, api.Exchange)))
-                case api.Answer():
+                    self.next.append(Mail(to, action.message, isinstance(action, api.ExchangeState)))
+                case api.Reply():
                     assert sender is not None
                     self.next.append(Mail(_number((sender.host, sender.port)), action.message, True))
         if self.cut:
@@ -196,7 +196,7 @@
             self.starts.remove((at, n))
             self.lives += 1
             fleet = self.nodes[n] = _fleet(n, len(self.nodes), 100 * self.lives)
-            self._do(n, fleet.handle(api.Begin(), self.now))
+            self._do(n, fleet.handle(api.Start(), self.now))
         for n, one in enumerate(self.nodes):
             if one is not None and n not in self.paused and one.due_ms <= self.now:
                 self._do(n, one.handle(api.Tick(), self.now))
@@ -216,7 +216,7 @@
         truth = {(fleet.me.name, fleet.me.life) for fleet in self.nodes if fleet is not None}
         for fleet in self.nodes:
             if fleet is not None:
-                view = {(entry.name, entry.life) for entry in here(fleet)}
+                view = {(entry.name, entry.life) for entry in fleet.present()}
                 if view != truth or fleet.suspects():
                     return f"{fleet.me.name} holds {sorted(name for name, _ in view)} for here"
         return ""
@@ -252,8 +252,10 @@
             if fleet is None:
                 out.append(None)
                 continue
-            probes = {number: probe.name for number, probe in fleet._probes.items()}
-            relays = {number: (relay.asker.name, relay.name) for number, relay in fleet._relays.items()}
+            probes = {number: probe.name for number, probe in fleet._prober.probes.items()}
+            relays = {
+                number: (relay.asker.name, relay.name) for number, relay in fleet._prober.relays.items()
+            }
 
             def meant(what: str, about: int | str, probes: Any = probes, relays: Any = relays) -> Any:
                 if what in ("ask", "judge", "relay"):
@@ -263,19 +265,22 @@
             out += [
                 fleet.me,
                 sorted(fleet.members.items()),
-                fleet._at,
-                fleet._reached,
+                fleet._table.ring_position,
+                fleet._reconnects,
                 fleet.score,
                 fleet.joined,
-                fleet._rival,
+                fleet._conflict.other,
                 fleet.contested,
-                fleet._rival_tries,
+                fleet._conflict.attempts,
                 sorted(fleet._suspicions.items(), key=lambda s: s[0]),
-                sorted((at, what, repr(meant(what, about))) for at, _, what, about in fleet._alarms),
-                sorted((name, told[0], told[2]) for name, told in fleet._rumours._told.items()),
-                sorted((probe.name, probe.expected, probe.nacks) for probe in fleet._probes.values()),
+                sorted(
+                    (at, timer.kind.value, repr(meant(timer.kind.value, timer.subject)))
+                    for at, timer in fleet._timers.pending()
+                ),
+                sorted((name, queued[0], queued[2]) for name, queued in fleet._outbox.gossip._queued.items()),
+                sorted((probe.name, probe.expected, probe.nacks) for probe in fleet._prober.probes.values()),
                 sorted(relays.values()),
-                sorted(fleet._unproven.items()),
+                sorted(fleet._prober.unproven.items()),
             ]
         for step in (self.mail, self.next):
             out.append(
@@ -290,7 +295,7 @@
                             m.message.sender,
                             m.message.to_life,
                             m.message.target,
-                            m.message.news,
+                            m.message.updates,
                             m.message.number > 0,
                         )
                     )
@@ -308,9 +313,9 @@
     return int(at[0].rpartition(".")[2])
 
 
-def _fleet(n: int, count: int, life: int) -> Fleet:
+def _fleet(n: int, count: int, life: int) -> Membership:
     me = Entry(f"n{n}", f"10.0.0.{n}", 9100, life + n + 1, phase=Phase.SERVING)
-    return Fleet(me, [(f"10.0.0.{k}", 9100) for k in range(count)], Middle(), TIMING)
+    return Membership(me, [(f"10.0.0.{k}", 9100) for k in range(count)], Middle(), TIMING)
 
 
 def begin(nodes: int = 3, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> World:
@@ -319,8 +324,8 @@
     entries = [fleet.me for fleet in fleets]
     world = World(list(fleets), faults, kinds)
     for n, fleet in enumerate(fleets):
-        fleet.know(entries)
-        world._do(n, fleet.handle(api.Begin(), 0.0))
+        fleet.load(entries)
+        world._do(n, fleet.handle(api.Start(), 0.0))
     world.mail = world.next
     world.next = []
     return world
@@ -339,8 +344,8 @@
     return pure.search(lambda: begin(nodes, faults, kinds), broken, break_, limit_s, watch, workers)
 
 
-def _no_refuting(self: Fleet, entry: Entry, by: str, now: float) -> None:
-    """In place of `_about_me`: what is said of this node does not concern it."""
+def _no_refuting(self: Membership, entry: Entry, by: str, now: float) -> None:
+    """In place of `_merge_self`: what is said of this node does not concern it."""
 
 
 def _no_merge_order(entry: Entry) -> Any:
@@ -348,16 +353,16 @@
     return (0, entry.status, entry.life, entry.host, entry.port, "", "", "", b"")
 
 
-def _dead_at_once(self: Fleet, entry: Entry, by: str, now: float) -> None:
-    self._set(replace(entry, status=Status.LOST, by=by), by, now)
+def _dead_at_once(self: Membership, entry: Entry, now: float) -> None:
+    self._set(replace(entry, status=Status.LOST, by=self.me.name), self.me.name, now)
 
 
 BREAKS: dict[str, tuple[str, Any, str, Any]] = {
-    "no-refuting": ("a node does not refute that it is lost", Fleet, "_about_me", _no_refuting),
-    "no-incarnations": ("words are not ordered by incarnation", swim, "order", _no_merge_order),
-    "dead-at-once": ("a failed probe is a death", Fleet, "_suspect", _dead_at_once),
-    "no-reach": ("nobody asks those that are lost", Fleet, "_reach", lambda self, now: None),
-    "no-end": ("a suspicion never ends", Fleet, "_time_up", lambda self, name, now: None),
+    "no-refuting": ("a node does not refute that it is lost", Membership, "_merge_self", _no_refuting),
+    "no-incarnations": ("words are not ordered by incarnation", membership, "order", _no_merge_order),
+    "dead-at-once": ("a failed probe is a death", Membership, "_suspect", _dead_at_once),
+    "no-reach": ("nobody asks those that are lost", Membership, "_reconnect", lambda self, now: None),
+    "no-end": ("a suspicion never ends", Membership, "_end_suspicion", lambda self, name, now: None),
 }
 
 
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -15,9 +15,10 @@
 
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.members import Entry, Phase, size_of
+from orchidferry.balancing.fleet.membership import Membership
 from orchidferry.balancing.fleet.messages import Address, Message
+from orchidferry.balancing.fleet.outbox import HEADER_BYTES
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.balancing.fleet.swim import HEAD, Fleet, here
 from orchidferry.testkit import draws
 from orchidferry.testkit.world.links import LinkFault, Links
 
@@ -33,7 +34,7 @@
 def size(message: Message) -> int:
     """Bytes of a message on the wire, at most."""
     target = size_of(message.target) if message.target is not None else 0
-    return SEAL + HEAD + size_of(message.sender) + target + sum(map(size_of, message.news))
+    return SEAL + HEADER_BYTES + size_of(message.sender) + target + sum(map(size_of, message.updates))
 
 
 @dataclass(slots=True)
@@ -42,7 +43,7 @@
 
     name: str
     at: Address
-    fleet: Fleet
+    fleet: Membership
     lives: int = 0
     running: bool = True
     paused: bool = False
@@ -52,7 +53,7 @@
     bytes: int = 0
 
 
-Watch = Callable[[float, str, api.Changed], None]
+Watch = Callable[[float, str, api.MemberChanged], None]
 
 
 class Net:
@@ -86,17 +87,17 @@
         if warm:
             known = [node.fleet.me for node in self.nodes.values()]
             for node in self.nodes.values():
-                node.fleet.know(known)
+                node.fleet.load(known)
         for node in self.nodes.values():
-            self._hand(node, api.Begin())
+            self._hand(node, api.Start())
             if warm:
-                node.fleet._rumours.drop(node.name)
+                node.fleet._outbox.gossip.drop(node.name)
 
-    def _fleet(self, name: str, at: Address, life: int, incarnation: int = 0) -> Fleet:
+    def _fleet(self, name: str, at: Address, life: int, incarnation: int = 0) -> Membership:
         drawn = draws.number(self.seed, "life", name, life) | 1
         me = Entry(name, at[0], at[1], drawn, incarnation, phase=Phase.SERVING)
         rng = draws.stream(self.seed, "node", name, life)
-        return Fleet(me, self._seeds, rng, self.timing, self._most)
+        return Membership(me, self._seeds, rng, self.timing, self._most)
 
     def at(self, t: float, do: Callable[..., None], *args: Any) -> None:
         """Do something at a time."""
@@ -134,7 +135,7 @@
         node.due = float("inf")
         node.waiting = []
         self._where[node.at] = node
-        self._hand(node, api.Begin())
+        self._hand(node, api.Start())
 
     def pause(self, name: str, for_s: float) -> None:
         """Stop it for a while; what comes waits."""
@@ -170,14 +171,14 @@
         answers = []
         for action in node.fleet.handle(event, self.now * 1000.0):
             match action:
-                case api.Datagram():
+                case api.SendDatagram():
                     self._send(node, action)
-                case api.Exchange():
+                case api.ExchangeState():
                     self._exchange(node, action)
-                case api.Answer():
+                case api.Reply():
                     answers.append(action.message)
                     node.bytes += size(action.message)
-                case api.Changed():
+                case api.MemberChanged():
                     if self._watch is not None:
                         self._watch(self.now, node.name, action)
         due = node.fleet.due_ms / 1000.0
@@ -186,7 +187,7 @@
             self.at(max(due, self.now), self._tick, node, node.lives, due)
         return answers
 
-    def _send(self, node: Member, action: api.Datagram) -> None:
+    def _send(self, node: Member, action: api.SendDatagram) -> None:
         bytes_ = size(action.message)
         node.sent += 1
         node.bytes += bytes_
@@ -196,9 +197,9 @@
                 self.at(self.now + wait, self._arrive, to, action.message)
 
     def _arrive(self, to: Member, message: Message) -> None:
-        self._hand(to, api.Heard(message))
+        self._hand(to, api.MessageReceived(message))
 
-    def _exchange(self, node: Member, action: api.Exchange) -> None:
+    def _exchange(self, node: Member, action: api.ExchangeState) -> None:
         bytes_ = size(action.message)
         node.sent += 1
         node.bytes += bytes_
@@ -208,7 +209,7 @@
             self.at(self.now + wait, self._asked, node, node.lives, to, action.message)
 
     def _asked(self, node: Member, life: int, to: Member, message: Message) -> None:
-        for answer in self._hand(to, api.Heard(message)):
+        for answer in self._hand(to, api.MessageReceived(message)):
             wait = self.links.stream(to.name, node.name, size(answer), self.now)
             if wait is not None and node.lives == life:
                 self.at(self.now + wait, self._arrive, node, answer)
@@ -221,7 +222,9 @@
 
     def views(self) -> dict[str, frozenset[tuple[str, int]]]:
         """Whom each running node holds for here, by name and life."""
-        return {node.name: frozenset((e.name, e.life) for e in here(node.fleet)) for node in self.running()}
+        return {
+            node.name: frozenset((e.name, e.life) for e in node.fleet.present()) for node in self.running()
+        }
 
     def agree(self) -> bool:
         """Whether each running node holds just the running ones for here, and suspects none."""
--- a/tests/balancing/fleet/test_swim.py
+++ b/tests/balancing/fleet/test_membership.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 
 from orchidferry.balancing.fleet import messages as api
-from orchidferry.balancing.fleet.fresh import Window
+from orchidferry.balancing.fleet.gossip_queue import MAX_QUEUED, GossipQueue, max_transmissions
 from orchidferry.balancing.fleet.members import Entry, Phase, Status, order
+from orchidferry.balancing.fleet.membership import ROUNDING_MS, Membership
 from orchidferry.balancing.fleet.messages import Kind, Message
-from orchidferry.balancing.fleet.rumours import MOST, Rumours, times
+from orchidferry.balancing.fleet.replay_window import ReplayWindow
 from orchidferry.balancing.fleet.suspicion import Suspicion, Timing
-from orchidferry.balancing.fleet.swim import ROUNDING_MS, Fleet
 from orchidferry.testkit.explore import fleet as explore
 from orchidferry.testkit.model.fleet import Net, half
 from orchidferry.testkit.world.links import LinkFault
@@ -86,7 +86,7 @@
     made = net(9, 5, watch=lambda t, n, c: words.append((n, c.after.status.name)) if c.after else None)
     made.pause("n4", 6.0)
     made.run(made.now + 5.9)
-    assert all(not node.fleet.members["n4"].here for node in made.running() if node.name != "n4")
+    assert all(not node.fleet.members["n4"].present for node in made.running() if node.name != "n4")
     words.clear()
     made.run(made.now + 0.2)
     assert made.until_agreed(HEAL_S) is not None
@@ -97,7 +97,7 @@
 def test_a_tick_that_is_early_by_a_rounding_still_ends_a_suspicion(early_ms: float) -> None:
     fleet, _ = begun()
     now = 10_000.0
-    while now < 40_000.0 and fleet.members["peer"].here:
+    while now < 40_000.0 and fleet.members["peer"].present:
         now = max(now, fleet.due_ms - early_ms)
         fleet.handle(api.Tick(), now)
     assert fleet.members["peer"].status is Status.LOST and now < 15_000.0
@@ -141,11 +141,11 @@
 
     def listen(event: api.Event, now: float) -> list[api.Action]:
         actions = handle(event, now)
-        said.extend(action.text for action in actions if isinstance(action, api.Say))
+        said.extend(action.text for action in actions if isinstance(action, api.Log))
         return actions
 
     twin.fleet.handle = listen  # type: ignore[method-assign]
-    made._hand(twin, api.Begin())
+    made._hand(twin, api.Start())
     made.run(made.now + 12.0)
     assert twin.fleet.contested and len(said) == 1 and "another living process" in said[0]
     first = made.nodes["n3"].fleet.me.life
@@ -157,13 +157,17 @@
     assert all(n.fleet.members["n3"].life == twin.fleet.me.life for n in others)
 
 
-def heard(fleet: Fleet, sender: Entry, serial: int, *news: Entry, now: float = 10_000.0) -> list[api.Action]:
-    return fleet.handle(api.Heard(Message(Kind.NEWS, sender, fleet.me.life, serial, news=news)), now)
+def heard(
+    fleet: Membership, sender: Entry, serial: int, *news: Entry, now: float = 10_000.0
+) -> list[api.Action]:
+    return fleet.handle(
+        api.MessageReceived(Message(Kind.GOSSIP, sender, fleet.me.life, serial, updates=news)), now
+    )
 
 
-def begun(most: int = 64) -> tuple[Fleet, Entry]:
-    fleet = Fleet(Entry("me", "10.0.0.1", 9100, 1), [], random.Random(1), FAST, most)
-    fleet.handle(api.Begin(), 9_900.0)
+def begun(most: int = 64) -> tuple[Membership, Entry]:
+    fleet = Membership(Entry("me", "10.0.0.1", 9100, 1), [], random.Random(1), FAST, most)
+    fleet.handle(api.Start(), 9_900.0)
     peer = Entry("peer", "10.0.0.2", 9100, 2, phase=Phase.SERVING)
     heard(fleet, peer, 1)
     return fleet, peer
@@ -174,8 +178,12 @@
     made_up = [Entry(f"x{n}", "10.1.1.1", 1 + n, 9) for n in range(1_000)]
     lines = []
     for serial in range(2, 12):
-        lines += [a for a in heard(fleet, peer, serial, *made_up) if isinstance(a, api.Say)]
-    assert len(fleet.members) == 63 and len(fleet._unproven) <= 63 and len(fleet._rumours) <= MOST
+        lines += [a for a in heard(fleet, peer, serial, *made_up) if isinstance(a, api.Log)]
+    assert (
+        len(fleet.members) == 63
+        and len(fleet._prober.unproven) <= 63
+        and len(fleet._outbox.gossip) <= MAX_QUEUED
+    )
     assert len(lines) == 1 and "the most there may be" in lines[0].text
     heard(fleet, peer, 12, replace(peer, incarnation=2**32), replace(fleet.me, incarnation=2**31))
     assert fleet.members["peer"].incarnation == 0 and fleet.me.incarnation == 0
@@ -184,7 +192,7 @@
 def test_made_up_nodes_are_found_out_side_by_side_not_one_a_probe() -> None:
     made = net()
     liar = made.nodes["n0"].fleet
-    liar._rumours._told.clear()
+    liar._outbox.gossip._queued.clear()
     for n in range(30):
         liar._set(Entry(f"x{n}", "10.1.1.1", 1 + n, 9), "n0", made.now * 1000.0)
     assert made.until_agreed(60.0) is not None
@@ -193,13 +201,17 @@
 def test_what_was_meant_for_an_earlier_process_and_copies_change_nothing() -> None:
     fleet, peer = begun()
     rumour = Entry("other", "10.0.0.3", 9100, 3)
-    old = Message(Kind.NEWS, peer, 999, 2, news=(rumour,))
-    assert fleet.handle(api.Heard(old), 10_000.0) == [] and "other" not in fleet.members
-    again = Message(Kind.NEWS, replace(peer, incarnation=5), fleet.me.life, 1)
-    assert fleet.handle(api.Heard(again), 10_000.0) == [] and fleet.members["peer"].incarnation == 0
+    old = Message(Kind.GOSSIP, peer, 999, 2, updates=(rumour,))
+    assert fleet.handle(api.MessageReceived(old), 10_000.0) == [] and "other" not in fleet.members
+    again = Message(Kind.GOSSIP, replace(peer, incarnation=5), fleet.me.life, 1)
+    assert fleet.handle(api.MessageReceived(again), 10_000.0) == [] and fleet.members["peer"].incarnation == 0
     ping = Message(Kind.PING, peer, 999, 3, number=8)
-    (answer,) = fleet.handle(api.Heard(ping), 10_000.0)
-    assert isinstance(answer, api.Datagram) and answer.message.kind is Kind.ACK and not answer.message.news
+    (answer,) = fleet.handle(api.MessageReceived(ping), 10_000.0)
+    assert (
+        isinstance(answer, api.SendDatagram)
+        and answer.message.kind is Kind.ACK
+        and not answer.message.updates
+    )
 
 
 ENTRIES = st.builds(
@@ -261,7 +273,7 @@
 
 
 def test_windows_take_each_serial_once_in_any_order() -> None:
-    window = Window()
+    window = ReplayWindow()
     serials = [*range(1, 400)] * 2
     random.Random(2).shuffle(serials)
     assert sorted(serial for serial in serials if window.take(serial)) == [*range(1, 400)]
@@ -279,10 +291,10 @@
         and ends[-1] == ends[-2] == 1_000.0
         and ends == sorted(ends, reverse=True)
     )
-    rumours = Rumours()
+    rumours = GossipQueue()
     entry = Entry("a", "10.0.0.1", 1, 1)
     rumours.add(entry)
-    assert sum(bool(rumours.take(1_000, 9)) for _ in range(50)) == times(9)
+    assert sum(bool(rumours.take(1_000, 9)) for _ in range(50)) == max_transmissions(9)
     assert not rumours.take(1_000, 9, "a") and not rumours
 
 
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -172,11 +172,13 @@
 
 
 def test_messages_come_back_whole_and_later_formats_fields_are_handed_on() -> None:
-    message = Message(Kind.ASK, ME, 3, 4, 5, replace(ME, name="t", by=""), (replace(ME, zone=""),) * 3)
+    message = Message(
+        Kind.PING_REQUEST, ME, 3, 4, 5, replace(ME, name="t", by=""), (replace(ME, zone=""),) * 3
+    )
     assert wire.decode(wire.encode(message)) == message
     later = msgpack.unpackb(wire.entry_bytes(ME)) | {"q": [1, 2], "f": "resting"}
     entry = wire.read_entry(later)
-    assert entry.phase is Phase.STARTING and msgpack.unpackb(entry.more) == {"q": [1, 2]}
+    assert entry.phase is Phase.STARTING and msgpack.unpackb(entry.unknown_fields) == {"q": [1, 2]}
     assert msgpack.unpackb(wire.entry_bytes(entry))["q"] == [1, 2]
     older = {key: later[key] for key in wire.NEEDED}
     assert wire.read_entry(older) == Entry("me", "127.0.0.1", 9, 2**63 + 5)
