--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -1,6 +1,7 @@
-"""The operators' resource `/orchidferry/configuration`: reading the newest version and taking the next one.
+"""The operators' resource `/orchidferry/configuration`: reading the current revision and replacing it.
 
-It checks calls and turns outcomes into answers; the state itself is kept by the configuration's shard.
+It validates requests and turns results into HTTP answers; the state itself is held by the configuration's
+shard.
 """
 
 from __future__ import annotations
@@ -14,131 +15,157 @@
 
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import RequestEnded
-from orchidferry.mesh.control.configuration import check, digest
+from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_text import compress, expand
+from orchidferry.mesh.control.configuration_validation import validate
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
-from orchidferry.mesh.control.control_api import JSON, Call, told
+from orchidferry.mesh.control.control_api import (
+    JSON,
+    MAX_QUOTED_PATH,
+    Answer,
+    ControlRequest,
+    rejection_reply,
+)
 from orchidferry.mesh.control.order_history import MAX_NUMBER
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.frontend import Reply
 
-PUT_S = 4.0  # for a change to be decided
+PUT_TIMEOUT_S = 4.0  # for a change to be decided
 RETRY_AFTER_S = 0.2
-MAX_CHECKED = 16  # configurations that were checked and may come again
-VERSION = re.compile(rb'\s*(?:([0-9]{1,16})|"([0-9]{1,16})")\s*')  # of `If-Match`
+MAX_VALIDATED = 16  # configurations whose validation is remembered
+REVISION_TAG = re.compile(rb'\s*(?:([0-9]{1,16})|"([0-9]{1,16})")\s*')  # of `If-Match`
 
-Answer = Callable[[Reply], None]
-AskForChange = Callable[[shard_state.Change, float, Callable[[RequestEnded], None]], None]
-Read = Callable[[Callable[[RequestEnded], None]], None]
+OnEnded = Callable[[RequestEnded], None]
+RequestChange = Callable[[shard_state.Change, float, OnEnded], None]
+RequestRead = Callable[[OnEnded], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
-    """A configuration that was found valid."""
+class ValidConfiguration:
+    """A configuration that was found valid.
+
+    :ivar compressed_text: as the state holds it.
+    """
 
     revision: int
-    raw: bytes  # as the state keeps it
+    compressed_text: bytes
 
 
 class ConfigurationResource:
-    """The handler of one controller."""
+    """The handler of the resource at one controller."""
 
     def __init__(
-        self, ask: AskForChange, read: Read, growing: Callable[[], bool], in_contact: Callable[[], bool]
+        self,
+        request_change: RequestChange,
+        request_read: RequestRead,
+        is_growing: Callable[[], bool],
+        in_contact: Callable[[], bool],
     ) -> None:
-        """`ask`: have the shard changed within some seconds; `read`: its newest state for sure; `growing`:
-        whether the groups are still smaller than the tolerance needs; `in_contact`: whether a majority of
-        the controllers has lately acknowledged this one.
+        """Make the handler.
+
+        :param request_change: proposes a change of the configuration's shard, with a timeout in seconds.
+        :param request_read: reads the shard's newest state, confirmed by a majority.
+        :param is_growing: whether groups still have fewer controllers than the tolerance needs.
+        :param in_contact: whether a majority of the controllers has lately acknowledged this one.
         """
-        self._ask = ask
-        self._read = read
-        self._growing = growing
+        self._request_change = request_change
+        self._request_read = request_read
+        self._is_growing = is_growing
         self._in_contact = in_contact
-        self._checked: dict[bytes, Checked] = {}  # by digest, the newest last
+        self._validated: dict[bytes, ValidConfiguration] = {}  # by digest, the newest last
 
-    def __call__(self, call: Call, rest: str, answer: Answer) -> None:
-        """Handle a call; `rest` is what follows the resource's path."""
+    def __call__(self, request: ControlRequest, rest: str, answer: Answer) -> None:
+        """Handle a request.
+
+        :param rest: of the path, below the resource's own.
+        """
         if rest:
-            return answer(told(Rejection(RejectionReason.NOT_FOUND, rest[:80])))
-        if call.method == b"GET":
+            return _reject(answer, RejectionReason.NOT_FOUND, rest[:MAX_QUOTED_PATH])
+        if request.method == b"GET":
             return self._get(answer)
-        if call.method == b"PUT":
-            return self._put(call, answer)
-        return answer(told(Rejection(RejectionReason.MALFORMED, "PUT or GET")))
+        if request.method == b"PUT":
+            return self._put(request, answer)
+        return _reject(answer, RejectionReason.MALFORMED, "PUT or GET")
 
     def _get(self, answer: Answer) -> None:
-        def got(end: RequestEnded) -> None:
-            if end.value is None:
-                lost = end.why in (OUT_OF_CONTACT, LOST_CONTACT)
-                kind = RejectionReason.OUT_OF_CONTACT if lost else RejectionReason.NO_MAJORITY
-                answer(told(Rejection(kind), RETRY_AFTER_S))
-            elif not shard_state.body(end.value).revision:
-                answer(told(Rejection(RejectionReason.NOT_FOUND, "there is no configuration yet")))
-            else:
-                answer(Reply(200, expand(shard_state.body(end.value).compressed_text), JSON))
-
-        self._read(got)
-
-    def _put(self, call: Call, answer: Answer) -> None:
-        on = base_version(call.headers.get(b"if-match", b""))
-        if on is None:
-            return answer(
-                told(Rejection(RejectionReason.MALFORMED, "If-Match: one version, such as 5, is needed"))
-            )
-        if not self._in_contact():  # before the work of checking it
-            return answer(told(Rejection(RejectionReason.OUT_OF_CONTACT), RETRY_AFTER_S))
-        mark = digest(call.body)
-        found = self._checked.get(mark) or self._check(mark, call.body)
+        def finish(read: RequestEnded) -> None:
+            if read.value is None:
+                out_of_contact = read.why in (OUT_OF_CONTACT, LOST_CONTACT)
+                reason = RejectionReason.OUT_OF_CONTACT if out_of_contact else RejectionReason.NO_MAJORITY
+                return answer(rejection_reply(Rejection(reason), RETRY_AFTER_S))
+            state = shard_state.body(read.value)
+            if not state.revision:
+                return _reject(answer, RejectionReason.NOT_FOUND, "there is no configuration yet")
+            answer(Reply(200, expand(state.compressed_text), JSON))
+
+        self._request_read(finish)
+
+    def _put(self, request: ControlRequest, answer: Answer) -> None:
+        base = base_revision(request.headers.get(b"if-match", b""))
+        if base is None:
+            detail = "If-Match: one version, such as 5, is needed"
+            return _reject(answer, RejectionReason.MALFORMED, detail)
+        if not self._in_contact():  # before the work of validating it
+            return answer(rejection_reply(Rejection(RejectionReason.OUT_OF_CONTACT), RETRY_AFTER_S))
+        key = digest(request.body)
+        found = self._validated.get(key) or self._validate(key, request.body)
         if isinstance(found, Rejection):
-            logger.info("configuration: refused, {}", found.line)
-            return answer(told(found))
-        if self._growing():
-            return answer(
-                told(
-                    Rejection(RejectionReason.NOT_READY, "the group of controllers is growing"), RETRY_AFTER_S
-                )
-            )
-        change = shard_state.PutConfiguration(found.raw, found.revision, mark, on)
-        self._ask(change, PUT_S, lambda end: answer(_outcome(end, found.revision)))
-
-    def _check(self, mark: bytes, text: bytes) -> Checked | Rejection:
-        """Check a configuration whole. One that is valid is not checked again when it is sent again."""
-        found = check(text)
+            logger.info("configuration: rejected: {}", found.line)
+            return answer(rejection_reply(found))
+        if self._is_growing():
+            rejection = Rejection(RejectionReason.NOT_READY, "the group of controllers is growing")
+            return answer(rejection_reply(rejection, RETRY_AFTER_S))
+        change = shard_state.PutConfiguration(found.compressed_text, found.revision, key, base)
+        self._request_change(change, PUT_TIMEOUT_S, lambda ended: answer(_put_reply(ended, found.revision)))
+
+    def _validate(self, key: bytes, text: bytes) -> ValidConfiguration | Rejection:
+        """Validate a configuration; one that is valid is not validated again if it is sent again.
+
+        :param key: the digest of the text.
+        """
+        found = validate(text)
         if isinstance(found, Rejection):
             return found
         if found.revision > MAX_NUMBER:
-            return Rejection(RejectionReason.INVALID, f"configuration: revision_number: {MAX_NUMBER} at most")
-        if len(self._checked) >= MAX_CHECKED:
-            del self._checked[next(iter(self._checked))]
-        self._checked[mark] = Checked(found.revision, compress(text))
-        return self._checked[mark]
+            detail = f"configuration: revision_number: {MAX_NUMBER} at most"
+            return Rejection(RejectionReason.INVALID, detail)
+        if len(self._validated) >= MAX_VALIDATED:
+            del self._validated[next(iter(self._validated))]
+        self._validated[key] = ValidConfiguration(found.revision, compress(text))
+        return self._validated[key]
+
+
+def _reject(answer: Answer, reason: RejectionReason, detail: str) -> None:
+    answer(rejection_reply(Rejection(reason, detail)))
+
 
+def base_revision(if_match: bytes) -> int | None:
+    """The revision that a change is based on, by the header If-Match (RFC 9110, 13.1.1).
 
-def base_version(if_match: bytes) -> int | None:
-    """The version that an order builds on; None if the header names none. A weak tag names no version: it
-    stands for all that mean the same.
+    :returns: None if the header does not name exactly one. A weak tag names none: it stands for all that
+        mean the same.
 
-    >>> base_version(b"5"), base_version(b' "12" '), base_version(b'W/"5"'), base_version(b"5, 6")
+    >>> base_revision(b"5"), base_revision(b' "12" '), base_revision(b'W/"5"'), base_revision(b"5, 6")
     (5, 12, None, None)
     """
-    found = VERSION.fullmatch(if_match)
-    version = int(found[1] or found[2]) if found else MAX_NUMBER + 1
-    return version if version <= MAX_NUMBER else None
-
-
-def _outcome(end: RequestEnded, revision: int) -> Reply:
-    """The answer to an order that is over. One that is unclear may have been taken: never a refusal."""
-    if end.value is None:
-        kind = RejectionReason.OUT_OF_CONTACT if end.why == OUT_OF_CONTACT else RejectionReason.COMMIT_UNKNOWN
-        return told(Rejection(kind), RETRY_AFTER_S)
-    if end.why == shard_state.UNKNOWN_ORDER:
-        older = f"revision {revision} is older than what this controller remembers"
-        return told(Rejection(RejectionReason.HISTORY_EXPIRED, older), RETRY_AFTER_S)
-    if end.why:
-        kind = (
-            RejectionReason.STALE_VERSION
-            if end.why == shard_state.OLD_VERSION
-            else RejectionReason.VERSION_MISMATCH
-        )
-        return told(Rejection(kind, f"{shard_state.body(end.value).revision} is current"))
+    found = REVISION_TAG.fullmatch(if_match)
+    if found is None:
+        return None
+    revision = int(found[1] or found[2])
+    return revision if revision <= MAX_NUMBER else None
+
+
+def _put_reply(ended: RequestEnded, revision: int) -> Reply:
+    """The answer to a change that is over; one whose result is unknown may have been made."""
+    if ended.value is None:
+        out_of_contact = ended.why == OUT_OF_CONTACT
+        reason = RejectionReason.OUT_OF_CONTACT if out_of_contact else RejectionReason.COMMIT_UNKNOWN
+        return rejection_reply(Rejection(reason), RETRY_AFTER_S)
+    if ended.why == shard_state.UNKNOWN_ORDER:
+        detail = f"revision {revision} is older than what this controller remembers"
+        return rejection_reply(Rejection(RejectionReason.HISTORY_EXPIRED, detail), RETRY_AFTER_S)
+    if ended.why:
+        stale = ended.why == shard_state.OLD_VERSION
+        reason = RejectionReason.STALE_VERSION if stale else RejectionReason.VERSION_MISMATCH
+        return rejection_reply(Rejection(reason, f"{shard_state.body(ended.value).revision} is current"))
     return Reply(200, json.dumps({"revision_number": revision}).encode(), JSON)
--- /dev/null
+++ b/orchidferry/mesh/control/configuration_schema.py
@@ -0,0 +1,83 @@
+"""The schema of a configuration's fields, each by itself.
+
+What holds between them is checked in `configuration_validation`.
+
+It is imported at the first validation only: the library takes a while to import on a small machine.
+"""
+
+from __future__ import annotations
+
+from marshmallow import EXCLUDE, Schema, fields, validate
+
+ROUTE_KINDS = ("idempotent", "non_idempotent", "keyed", "download")
+AT_LEAST_ONE = validate.Range(min=1)
+AT_LEAST_ZERO = validate.Range(min=0)
+
+
+class LenientSchema(Schema):
+    """Ignores fields that are not known."""
+
+    class Meta:
+        unknown = EXCLUDE
+
+
+class SplitSchema(LenientSchema):
+    """One service of a weighted split."""
+
+    service_name = fields.String(required=True)
+    share = fields.Float(required=True, validate=AT_LEAST_ZERO)
+
+
+class CriteriaSchema(LenientSchema):
+    """Which requests a rule is for."""
+
+    path_prefix = fields.String(
+        required=True, validate=validate.Regexp(r"\A/", error="must begin with a slash")
+    )
+
+
+class TreatmentSchema(LenientSchema):
+    """How the requests of a rule are treated."""
+
+    service_name = fields.String()
+    weighted_split = fields.List(fields.Nested(SplitSchema), validate=validate.Length(min=1))
+    guard_timer_ms = fields.Float(required=True, validate=validate.Range(min=0, min_inclusive=False))
+    max_attempts = fields.Integer(required=True, validate=AT_LEAST_ONE)
+
+
+class RuleSchema(LenientSchema):
+    """One route."""
+
+    identifier = fields.String(required=True)
+    route_type = fields.String(required=True, validate=validate.OneOf(ROUTE_KINDS))
+    target_ms = fields.Float(required=True, validate=AT_LEAST_ZERO)
+    precedence = fields.Integer(validate=AT_LEAST_ZERO)
+    criteria = fields.Nested(CriteriaSchema, required=True)
+    treatment = fields.Nested(TreatmentSchema, required=True)
+
+
+class AccessPointSchema(LenientSchema):
+    """The routes of one host."""
+
+    host_name = fields.String(required=True)
+    rule_set = fields.List(fields.Nested(RuleSchema), required=True)
+
+
+class TrunkGroupSchema(LenientSchema):
+    """One service."""
+
+    identifier = fields.String(required=True)
+    health_path = fields.String()
+    max_connections = fields.Integer(validate=AT_LEAST_ONE)
+    protocol = fields.String()
+    tls = fields.Boolean()
+    deduplicates = fields.Boolean()
+
+
+class ConfigurationSchema(LenientSchema):
+    """A whole configuration."""
+
+    revision_number = fields.Integer(required=True, strict=True, validate=AT_LEAST_ONE)
+    limit_set = fields.Dict(keys=fields.String(), values=fields.Float(validate=AT_LEAST_ZERO))
+    access_points = fields.List(fields.Nested(AccessPointSchema), required=True)
+    trunk_groups = fields.List(fields.Nested(TrunkGroupSchema), required=True)
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -1,7 +1,7 @@
-"""HTTP of the mesh's own doors: the control calls of servers and operators, and readiness.
+"""The HTTP server for control requests: those of servers, of operators, and readiness probes.
 
-The listener and its callers are those of the node (`orchidferry.node.frontend`); here is one handler object a
-resource, and the table from path to handler.
+The listener and its connections are those of `orchidferry.node.frontend`; here is the table from path to
+handler, one handler a resource.
 """
 
 from __future__ import annotations
@@ -10,7 +10,6 @@
 import json
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from typing import Protocol
 
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.flow import Flow, MemoryPool
@@ -18,57 +17,60 @@
 from orchidferry.node.request import Message
 
 JSON = b"application/json"
-CONTROL_BODY = 8 * 1024 * 1024  # bytes of a control call's body, read whole
-SINGLE = frozenset(
-    (
-        b"host",
-        b"content-length",
-        b"transfer-encoding",
-        b"content-type",
-        b"if-match",
-    )
-)
-MAX_DETAIL = 500  # characters of a fault: callers read 4 KiB at most, and it may quote them
-MAX_OWED_S = 20.0  # a control call that is not answered by then is answered as broken
+MAX_BODY_BYTES = 8 * 1024 * 1024  # of a control request; it is buffered
+UNIQUE_HEADERS = frozenset((b"host", b"content-length", b"transfer-encoding", b"content-type", b"if-match"))
+MAX_DETAIL = 500  # characters of a rejection: clients read 4 KiB at most, and it may quote them
+MAX_QUOTED_PATH = 80  # characters of a path in a rejection
+ANSWER_TIMEOUT_S = 20.0  # a request that its handler has not answered by then is answered with an error
+
+Answer = Callable[[Reply], None]
 
 
 @dataclass(slots=True)
-class Call(Message):
-    """A control call."""
+class ControlRequest(Message):
+    """A control request."""
 
     headers: dict[bytes, bytes] = field(default_factory=dict)
 
 
-def call(method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> Call:
-    """A control call as it came."""
-    return Call(
-        method, target, "", "", 0.0, None, False, None, headers.get(b"content-type"), body, headers=headers
+def control_request(method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> ControlRequest:
+    """Make a control request of what came over a connection."""
+    return ControlRequest(
+        method=method,
+        target=target,
+        id="",
+        cls="",
+        budget_ms=0.0,
+        tenant=None,
+        again=False,
+        key=None,
+        content_type=headers.get(b"content-type"),
+        body=body,
+        headers=headers,
     )
 
 
-class Handler(Protocol):
-    """A resource: takes a call below its path, and answers now or later, once."""
+# Handles a request: takes the rest of its path, below the handler's own, and answers once, now or later.
+Handler = Callable[[ControlRequest, str, Answer], None]
 
-    def __call__(self, call: Call, rest: str, answer: Callable[[Reply], None]) -> None: ...
 
+def rejection_reply(rejection: Rejection, retry_after_s: float | None = None) -> Reply:
+    """The HTTP answer to a request that is rejected."""
+    detail = rejection.line[:MAX_DETAIL]
+    body = json.dumps({"error": rejection.reason.code, "detail": detail}).encode()
+    return Reply(rejection.status, body, JSON, retry_after_s)
 
-def told(refusal: Rejection, retry_after_s: float | None = None) -> Reply:
-    """A fault as an answer."""
-    detail = refusal.line[:MAX_DETAIL]
-    body = json.dumps({"error": refusal.reason.code, "detail": detail}).encode()
-    return Reply(refusal.status, body, JSON, retry_after_s)
 
+class _PendingAnswer:
+    """The answer to one request: the handler's, or a rejection once that is overdue."""
 
-class _Once:
-    """A call that is owed its answer."""
-
-    def __init__(self, door: ControlDoor, answer: Callable[[Reply], None]) -> None:
-        self._answer: Callable[[Reply], None] | None = answer
-        self._timer = asyncio.get_running_loop().call_later(
-            MAX_OWED_S, self, told(Rejection(RejectionReason.TIMEOUT, "no answer in time"))
-        )
+    def __init__(self, answer: Answer) -> None:
+        self._answer: Answer | None = answer
+        timeout = rejection_reply(Rejection(RejectionReason.TIMEOUT, "no answer in time"))
+        self._timer = asyncio.get_running_loop().call_later(ANSWER_TIMEOUT_S, self, timeout)
 
     def __call__(self, reply: Reply) -> None:
+        """Send the answer, unless one was sent before."""
         answer = self._answer
         self._answer = None
         if answer is not None:
@@ -76,37 +78,41 @@
             answer(reply)
 
     def client_disconnected(self) -> None:
+        """Drop the answer."""
         self._answer = None
         self._timer.cancel()
 
 
-class ControlDoor(Frontend):
-    """A listener for control calls."""
+class ControlServer(Frontend):
+    """An HTTP server for control requests."""
 
-    unique_headers = SINGLE
-    max_buffered_body = CONTROL_BODY
+    unique_headers = UNIQUE_HEADERS
+    max_buffered_body = MAX_BODY_BYTES
     limits_s = LIMITS_S | {Stage.IDLE: 30.0, Stage.READING: 10.0, Stage.NEW: 10.0}
 
-    def __init__(self, handlers: Mapping[str, Handler], most: int) -> None:
-        """`handlers` by the path, without its last slash, that begins what they handle."""
-        super().__init__({}, self._take, lambda: True, most, MemoryPool(CONTROL_BODY))
+    def __init__(self, handlers: Mapping[str, Handler], max_connections: int) -> None:
+        """Make a server that does not listen yet.
+
+        :param handlers: by the path, without its last slash, below which each handles all requests.
+        """
+        super().__init__({}, self._handle, lambda: True, max_connections, MemoryPool(MAX_BODY_BYTES))
         self._handlers = handlers
 
     def read(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
     ) -> Message | Reply:
-        """A whole call; one that is too long is turned away."""
+        """A request whose body is complete; one that is too long is rejected."""
         if flow is not None:
             return Reply(413, b"too long for a control call")
-        return call(method, target, headers, body)
+        return control_request(method, target, headers, body)
 
-    def _take(self, message: Message, answer: Callable[[Reply], None]) -> RequestHandle:
-        assert isinstance(message, Call)
-        once = _Once(self, answer)
+    def _handle(self, message: Message, answer: Answer) -> RequestHandle:
+        assert isinstance(message, ControlRequest)
+        pending = _PendingAnswer(answer)
         path = message.target.partition(b"?")[0].decode("latin-1")
         for prefix, handler in self._handlers.items():
             if path == prefix or path.startswith(prefix + "/"):
-                handler(message, path[len(prefix) + 1 :], once)
-                return once
-        once(told(Rejection(RejectionReason.NOT_FOUND, path[:80])))
-        return once
+                handler(message, path[len(prefix) + 1 :], pending)
+                return pending
+        pending(rejection_reply(Rejection(RejectionReason.NOT_FOUND, path[:MAX_QUOTED_PATH])))
+        return pending
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -16,7 +16,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import StateChanged
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
-from orchidferry.mesh.control.control_api import ControlDoor
+from orchidferry.mesh.control.control_api import ControlServer
 from orchidferry.mesh.control.controller_links import ControllerLinks
 from orchidferry.mesh.control.heartbeats import HEARTBEAT_INTERVAL_S, Heartbeats
 from orchidferry.mesh.control.message_handlers import MessageHandlers
@@ -75,7 +75,7 @@
             self._heartbeats,
             loop,
         )
-        self._http_server = ControlDoor(
+        self._http_server = ControlServer(
             {"/orchidferry/configuration": self._configuration_resource()},
             max(MIN_HTTP_CONNECTIONS, settings.descriptors // 4),
         )
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -95,7 +95,7 @@
 
     def __init__(self, request: PendingRequest, server: int, endpoint: Endpoint, timeout_ms: float) -> None:
         super().__init__(
-            request.message, server, endpoint.gate, timeout_ms, at_most_once=not request.route.repeatable
+            request.message, server, endpoint.gate, timeout_ms, at_most_once=not request.route.idempotent
         )
         self._request = request
         self._server_id = endpoint.server_id
@@ -110,13 +110,13 @@
         route = request.route
         now = now_ms()
         remaining_ms = max(1.0, request.deadline_ms - now - TRANSIT_MARGIN_MS)
-        fraction = QUEUE_TIMEOUT_FRACTIONS[min(route.rank, len(QUEUE_TIMEOUT_FRACTIONS) - 1)]
-        queue_timeout_ms = max(0.0, fraction * route.aim_ms - (now - request.started_ms))
+        fraction = QUEUE_TIMEOUT_FRACTIONS[min(route.precedence, len(QUEUE_TIMEOUT_FRACTIONS) - 1)]
+        queue_timeout_ms = max(0.0, fraction * route.latency_target_ms - (now - request.started_ms))
         added = [
             (b"Time-Remaining", b"%d" % remaining_ms),
             (b"Target-Instance", self._server_id.encode("latin-1")),
             (b"Calling-Service", request.service.caller),
-            (RANK_HEADER, b"%d" % route.rank),
+            (RANK_HEADER, b"%d" % route.precedence),
             (QUEUE_TIMEOUT_HEADER, b"%d" % queue_timeout_ms),
         ]
         if self.at_most_once:
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -15,8 +15,8 @@
 from loguru import logger
 from msgspec import structs
 
-from orchidferry.mesh.control.configuration import Configuration, Route, Table, parse
-from orchidferry.mesh.control.control_api import Call, ControlDoor
+from orchidferry.mesh.control.configuration import Configuration, Route, RouteTable, parse
+from orchidferry.mesh.control.control_api import ControlRequest, ControlServer
 from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, NodeRecord, group_by_service
 from orchidferry.mesh.dataplane.admission import AdmissionGate, GateHooks
@@ -83,7 +83,7 @@
         self._last_server_number = 0
         self._services: dict[str, ServiceClient] = {}
         self._configuration: Configuration | None = None
-        self._table = Table([])
+        self._table = RouteTable([])
         self._node_count = 0
         self._records_by_service: dict[str, dict[str, NodeRecord]] = {}  # of nodes with a server
         self._record_number = 0
@@ -119,8 +119,8 @@
         self._inbound = Listener(self._gate.accept, max_callers, body_memory, lambda: True)
         readiness = {"/orchidferry/readiness": self._readiness}
         registration = {REGISTRATION_PATH: RegistrationApi(self._gate).handle}
-        self._readiness_listener = ControlDoor(readiness, CONTROL_CONNECTIONS)
-        self._control_listener = ControlDoor(registration, CONTROL_CONNECTIONS)
+        self._readiness_listener = ControlServer(readiness, CONTROL_CONNECTIONS)
+        self._control_listener = ControlServer(registration, CONTROL_CONNECTIONS)
 
     def _free_sockets(self) -> int:
         return (
@@ -195,7 +195,7 @@
         self._loop.call_later(HEARTBEAT_CHECK_S, self._check_heartbeat)
         self._gate.check_heartbeat()
 
-    def _readiness(self, call: Call, rest: str, answer: Callable[[Reply], None]) -> None:
+    def _readiness(self, call: ControlRequest, rest: str, answer: Callable[[Reply], None]) -> None:
         served = any(client.ready for client in self._services.values())
         configured = self._configuration is not None and self._control_client.has_initial_configuration
         ready = configured and served and not self._draining
@@ -264,7 +264,7 @@
         for name in removed:
             del self._services[name]
         self._configuration = configuration
-        self._table = Table(configuration.routes)
+        self._table = RouteTable(configuration.routes)
         self._apply_limits(configuration.limits)
 
     def _create_client(self, name: str) -> ServiceClient:
@@ -315,8 +315,8 @@
             return NoPendingRequest()
         message.cls = route.id
         message.route = route
-        budget_ms = route.guard_ms if message.without_deadline else message.budget_ms
-        budget_ms = max(0.0, min(budget_ms - TRANSIT_MARGIN_MS, route.guard_ms))
+        budget_ms = route.guard_timer_ms if message.without_deadline else message.budget_ms
+        budget_ms = max(0.0, min(budget_ms - TRANSIT_MARGIN_MS, route.guard_timer_ms))
         deadline_ms = min(now_ms() + budget_ms, self._stop_ms)
         client = self._services[self._pick_service(route)]
         if route.kind == "keyed" and message.key is not None:
--- a/orchidferry/mesh/dataplane/registration_api.py
+++ b/orchidferry/mesh/dataplane/registration_api.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from orchidferry.mesh.control.control_api import JSON, Call, told
+from orchidferry.mesh.control.control_api import JSON, ControlRequest, rejection_reply
 from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.errors import Rejection, RejectionReason
@@ -29,21 +29,21 @@
     def __init__(self, gate: AdmissionGate) -> None:
         self._gate = gate
 
-    def handle(self, call: Call, rest: str, answer: Callable[[Reply], None]) -> None:
+    def handle(self, call: ControlRequest, rest: str, answer: Callable[[Reply], None]) -> None:
         """Answer a call; `rest` is the server's id."""
         answer(self._reply_to(call, rest))
 
-    def _reply_to(self, call: Call, id: str) -> Reply:
+    def _reply_to(self, call: ControlRequest, id: str) -> Reply:
         if not id or "/" in id:
-            return told(Rejection(RejectionReason.NOT_FOUND, f"{PATH}/ID"))
+            return rejection_reply(Rejection(RejectionReason.NOT_FOUND, f"{PATH}/ID"))
         if call.method == b"DELETE":
             self._gate.deregister(id)
             return Reply(200, b"{}", JSON)
         if call.method != b"PUT":
-            return told(Rejection(RejectionReason.MALFORMED, "PUT or DELETE"))
+            return rejection_reply(Rejection(RejectionReason.MALFORMED, "PUT or DELETE"))
         heartbeat = read_heartbeat(id, call.body)
         if isinstance(heartbeat, Rejection):
-            return told(heartbeat)
+            return rejection_reply(heartbeat)
         self._gate.heartbeat(heartbeat.server, heartbeat.sequence)
         return Reply(200, b"{}", JSON)
 
--- a/orchidferry/mesh/dataplane/request_classes.py
+++ b/orchidferry/mesh/dataplane/request_classes.py
@@ -16,16 +16,17 @@
 
     Routes that are alike have one class, so a long table costs the decision module nothing.
     """
-    return f"{route.kind}-{route.aim_ms:g}-{route.guard_ms:g}-{route.rank}-{route.attempts}"
+    timing = f"{route.latency_target_ms:g}-{route.guard_timer_ms:g}"
+    return f"{route.kind}-{timing}-{route.precedence}-{route.max_attempts}"
 
 
 def request_class(route: Route) -> api.RequestClass:
     """The class of a route's requests."""
     return api.RequestClass(
         class_name(route),
-        max(1.0, route.aim_ms),
-        max(1.0, route.guard_ms),
-        HIGHEST_VALUE / 2.0 ** min(route.rank, MAX_VALUED_RANK),
+        max(1.0, route.latency_target_ms),
+        max(1.0, route.guard_timer_ms),
+        HIGHEST_VALUE / 2.0 ** min(route.precedence, MAX_VALUED_RANK),
         LATE_VALUE,
-        Repeat.SAFE if route.repeatable else Repeat.UNSAFE,
+        Repeat.SAFE if route.idempotent else Repeat.UNSAFE,
     )
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -102,7 +102,7 @@
     def set_routes(self, routes: list[Route]) -> None:
         """Serve these routes from now on; requests that were taken keep theirs."""
         self._classes = {class_name(route): request_class(route) for route in routes}
-        self._max_attempts = max((route.attempts for route in routes), default=1)
+        self._max_attempts = max((route.max_attempts for route in routes), default=1)
         self._apply_settings()
 
     def set_node_count(self, count: int) -> None:
@@ -194,7 +194,9 @@
             self.finish(request, refusal_reply(message, refusal, SHORT_RETRY_AFTER_S))
             self.attempts_changed(request)
         elif self._rng.random() < self._nested.shed(name, now_ms()):
-            retry_after_ms = self._rng.uniform(0.5, 1.0) * DEPENDENCY_RETRY_AFTER_FRACTION * route.aim_ms
+            retry_after_ms = (
+                self._rng.uniform(0.5, 1.0) * DEPENDENCY_RETRY_AFTER_FRACTION * route.latency_target_ms
+            )
             self._give_up(request, retry_after_ms)
             self.attempts_changed(request)
         else:
@@ -324,7 +326,8 @@
             attempts = request.attempts if request is not None else 0
             gone = request is None
             return self.handle(api.AttemptEnded(action.id, attempts, number, Result.MOOT, 0.0, gone))
-        if request.attempts >= request.route.attempts:  # the module knows the largest number of all routes
+        # The module knows the largest number of all routes.
+        if request.attempts >= request.route.max_attempts:
             self._give_up(request, 0.0)
             self.handle(api.AttemptEnded(action.id, request.attempts, number, Result.MOOT, 0.0, True))
             return self.attempts_changed(request)
--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -14,7 +14,7 @@
 
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
-from orchidferry.mesh.control.configuration_resource import PUT_S
+from orchidferry.mesh.control.configuration_resource import PUT_TIMEOUT_S
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import RegisterMessage, RegisterPrepare
 from orchidferry.testkit.explore.controller import Controller
@@ -201,7 +201,7 @@
         controller = self.controllers[name]
         if not controller.alive:
             return
-        controller.do(controller.shard.request_change(one.waits, one.order, PUT_S, self.now))
+        controller.do(controller.shard.request_change(one.waits, one.order, PUT_TIMEOUT_S, self.now))
 
     def _silent(self, one: Operator, waits: str) -> None:
         if one.waits == waits:
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -12,8 +12,8 @@
 
 from orchidferry.mesh import __main__ as program
 from orchidferry.mesh import role_settings
-from orchidferry.mesh.control.configuration import Configuration, Table
-from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.configuration import Configuration, RouteTable
+from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.dataplane.keyed_requests import KeyedRequests
 from orchidferry.mesh.dataplane.proxy import Proxy
@@ -49,7 +49,7 @@
         proxy._stop_ms = math.inf
         proxy._draining = False
         proxy._configuration = Configuration(1)
-        proxy._table = Table([route(kind, 1)])
+        proxy._table = RouteTable([route(kind, 1)])
         proxy._control_client = self.claims
         proxy._keyed_requests = KeyedRequests(claims)
         self.proxy = proxy
@@ -131,7 +131,7 @@
     scene.proxy._control_client = SimpleNamespace(has_initial_configuration=initial_configuration)
     scene.proxy._draining = draining
     replies: list[Reply] = []
-    scene.proxy._readiness(call(b"GET", b"/orchidferry/readiness", {}, b""), "", replies.append)
+    scene.proxy._readiness(control_request(b"GET", b"/orchidferry/readiness", {}, b""), "", replies.append)
     assert [reply.status for reply in replies] == [status]
 
 
--- a/tests/mesh/dataplane/test_registration_api.py
+++ b/tests/mesh/dataplane/test_registration_api.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
 from orchidferry.mesh.dataplane.registration_api import PATH, RegistrationApi, read_heartbeat
 from orchidferry.mesh.errors import Rejection, RejectionReason
@@ -85,6 +85,8 @@
 ) -> None:
     gate: Any = Gate()
     replies: list[Reply] = []
-    RegistrationApi(gate).handle(call(method, f"{PATH}/{id}".encode(), {}, body), id, replies.append)
+    RegistrationApi(gate).handle(
+        control_request(method, f"{PATH}/{id}".encode(), {}, body), id, replies.append
+    )
     assert [reply.status for reply in replies] == [status] and len(replies[0].body) < 3_500
     assert gate.calls == calls
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -102,7 +102,7 @@
         self.sent = len(self.scene.connections.sent)
         for id, taken in self.scene.taken.items():
             assert len(taken.replies) <= 1 and len(taken.ends) <= 1
-            assert len(self.scene.attempts_of(id)) <= taken.route.attempts
+            assert len(self.scene.attempts_of(id)) <= taken.route.max_attempts
             if taken.disconnected and not taken.keyed:
                 assert all(attempt.over for attempt in self.scene.attempts_of(id)), "goes on for nobody"
             if taken.replies and taken.replies[0].status in (503, 429):
@@ -112,7 +112,7 @@
 
     def end(self, attempt: Any, result: Result, answer: ServerResponse | None) -> None:
         taken = self.scene.taken[attempt.message.id]
-        if result not in NEVER_RAN and not taken.route.repeatable:
+        if result not in NEVER_RAN and not taken.route.idempotent:
             self.may_have_run.add(taken.id)
         attempt.end(result, answer)
 
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -8,7 +8,7 @@
 import pytest
 
 from orchidferry.balancing.interface import Result
-from orchidferry.mesh.control.configuration import Configuration, Table
+from orchidferry.mesh.control.configuration import Configuration, RouteTable
 from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.dataplane.listener import Listener
 from orchidferry.mesh.dataplane.messages import TRANSIT_MARGIN_MS, ProxiedRequest
@@ -35,7 +35,7 @@
         routes = [route(kind)]  # 1,000 ms
         service.set_routes(routes)
         proxy: Any = Proxy.__new__(Proxy)
-        proxy._configuration, proxy._table = Configuration(1), Table(routes)
+        proxy._configuration, proxy._table = Configuration(1), RouteTable(routes)
         proxy._services = {"s": service}
         proxy._stop_ms = math.inf
         self.proxy = proxy
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.control.actions import RequestEnded, SendReply
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.contact import CONTACT_S, LOST_CONTACT, OUT_OF_CONTACT, Contact
-from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.quorum_read import READ_TIMEOUT_S
 from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
 from orchidferry.node.frontend import Reply
@@ -187,7 +187,7 @@
 
     resource = ConfigurationResource(over, over, lambda: False, lambda: contact)
     told: list[Reply] = []
-    resource(call(method, b"/", {b"if-match": b"0"}, BODY), "", told.append)
+    resource(control_request(method, b"/", {b"if-match": b"0"}, BODY), "", told.append)
     [reply] = told
     assert (reply.status, json.loads(reply.body)["error"]) == (status, error)
     assert reply.retry_after_s is not None or status == 412
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -17,9 +17,9 @@
 from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
-from orchidferry.mesh.control.configuration_text import MAX_TEXT, compress, expand
+from orchidferry.mesh.control.configuration_text import MAX_TEXT_BYTES, compress, expand
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
-from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.control.update_stream import MAX_LOG_CHANGES
 from orchidferry.mesh.control.value_references import ValueReferences, refusal, unpack
@@ -56,9 +56,9 @@
     for wrong in (kept[:-1], kept + b"x", kept[:40] + bytes([kept[40] ^ 1]) + kept[41:]):
         with pytest.raises(ValueError, match="text is"):
             expand(wrong)
-    assert len(expand(zlib.compress(bytes(MAX_TEXT)))) == MAX_TEXT
+    assert len(expand(zlib.compress(bytes(MAX_TEXT_BYTES)))) == MAX_TEXT_BYTES
     with pytest.raises(ValueError, match="more than 8388608 bytes"):
-        expand(zlib.compress(bytes(MAX_TEXT * 8)))
+        expand(zlib.compress(bytes(MAX_TEXT_BYTES * 8)))
 
 
 def test_the_operator_reads_the_very_bytes_that_were_sent() -> None:
@@ -75,8 +75,8 @@
         ask, lambda told: told(RequestEnded("", state[0])), lambda: False, lambda: True
     )
     text = b" \n" + example(1)
-    resource(call(b"PUT", b"/", {b"if-match": b"0"}, text), "", replies.append)
-    resource(call(b"GET", b"/", {}, b""), "", replies.append)
+    resource(control_request(b"PUT", b"/", {b"if-match": b"0"}, text), "", replies.append)
+    resource(control_request(b"GET", b"/", {}, b""), "", replies.append)
     assert [reply.status for reply in replies] == [200, 200] and replies[1].body == text
     body = shard_state.body(state[0])
     assert len(body.compressed_text) * 10 < len(text) and body.orders == ((1, digest(text)),)
@@ -219,7 +219,7 @@
     waits = [group.ended[str(n)][0] - (5.0 + 0.1 * (n - 1)) for n in range(1, 101)]
     assert all(group.ended[str(n)][1].value and not group.ended[str(n)][1].why for n in range(1, 101))
     assert max(waits) < 1.0, max(waits)
-    assert configuration_text.LEVEL == 6
+    assert configuration_text.COMPRESSION_LEVEL == 6
 
 
 # Hundreds of changes, and who missed them
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -20,8 +20,8 @@
 
 from orchidferry.balancing.register import Value
 from orchidferry.mesh.control import (
-    configuration,
     configuration_resource,
+    configuration_validation,
     order_book,
     order_history,
     shard_state,
@@ -30,7 +30,7 @@
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
 from orchidferry.mesh.control.configuration_text import expand
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
-from orchidferry.mesh.control.control_api import call
+from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.order_history import Entry, OrderHistory, Verdict
 from orchidferry.mesh.control.order_records import orders_of, record
 from orchidferry.mesh.storage import storage_check
@@ -376,7 +376,9 @@
     def put(self, body: bytes, if_match: bytes | None) -> Reply:
         headers = {} if if_match is None else {b"if-match": if_match}
         replies: list[Reply] = []
-        self.resource(call(b"PUT", b"/orchidferry/configuration", headers, body), "", replies.append)
+        self.resource(
+            control_request(b"PUT", b"/orchidferry/configuration", headers, body), "", replies.append
+        )
         assert len(replies) == 1
         return replies[0]
 
@@ -433,8 +435,10 @@
 
 def test_copies_of_an_order_are_checked_once() -> None:
     resource = Resource()
-    most = configuration_resource.MAX_CHECKED
-    with mock.patch.object(configuration_resource, "check", wraps=configuration.check) as check:
+    most = configuration_resource.MAX_VALIDATED
+    with mock.patch.object(
+        configuration_resource, "validate", wraps=configuration_validation.validate
+    ) as check:
         for _ in range(5):
             assert resource.put(_content(5), b"0").status == 200
         assert check.call_count == 1
@@ -443,7 +447,7 @@
         assert check.call_count == 3
         for number in range(10, 10 + most):
             assert resource.put(_content(number), b"0").status == 412
-        assert len(resource.resource._checked) == most and check.call_count == 3 + most
+        assert len(resource.resource._validated) == most and check.call_count == 3 + most
 
 
 def test_an_order_too_old_to_be_known_has_no_clear_answer() -> None:
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -16,7 +16,7 @@
 
 import orchidferry.mesh
 from orchidferry.balancing.nested import TARGET, Nested
-from orchidferry.mesh.control import configuration, shard_state
+from orchidferry.mesh.control import configuration, configuration_validation, shard_state
 from orchidferry.mesh.control.endpoints import LEASE_S, MembershipTable, NodeRecord, merge_member_lists
 from orchidferry.mesh.errors import Rejection
 from orchidferry.mesh.settings import MeshSettingsError, parse_settings
@@ -127,13 +127,13 @@
 
 def test_a_valid_configuration_is_taken_whole() -> None:
     raw = json.dumps(example()).encode()
-    found = configuration.check(raw)
+    found = configuration_validation.validate(raw)
     assert found == configuration.parse(raw) and isinstance(found, configuration.Configuration)
     first, second = found.routes
     assert first == configuration.Route(
         "r0", "H.example", "/p0/", "keyed", 300.0, 1, 2_000.0, 2, (("s", 1.0),)
     )
-    assert second.split == (("s", 90.0), ("t", 10.0)) and not second.repeatable
+    assert second.split == (("s", 90.0), ("t", 10.0)) and not second.idempotent
     assert found.services == {
         "s": configuration.Service("s", "/up", 110, True),
         "t": configuration.Service("t"),
@@ -181,14 +181,14 @@
 def test_an_invalid_configuration_is_refused(path: str, value: Any, named: str) -> None:
     data = copy.deepcopy(example())
     spoil(path, value)(data)
-    found = configuration.check(json.dumps(data).encode())
+    found = configuration_validation.validate(json.dumps(data).encode())
     assert isinstance(found, Rejection) and found.status == 400
     assert named in found.line and "\n" not in found.line
 
 
 @pytest.mark.parametrize("raw", [json.dumps(example()).encode()[:-9], b"", b"[]", b"\xff", b"[" * 100_000])
 def test_what_is_no_configuration_is_refused(raw: bytes) -> None:
-    found = configuration.check(raw)
+    found = configuration_validation.validate(raw)
     assert isinstance(found, Rejection) and found.status == 400
 
 
@@ -211,18 +211,18 @@
 @given(st.sets(PATHS.map(lambda path: path if path.endswith("/") else path + "/"), max_size=6), PATHS)
 def test_the_longest_prefix_wins(prefixes: set[str], path: str) -> None:
     routes = [configuration.Route(p, "Host", p, "keyed", 1, 0, 1, 1, (("s", 1),)) for p in prefixes]
-    found = configuration.Table(routes).find("hOST:80", path)
+    found = configuration.RouteTable(routes).find("hOST:80", path)
     wanted = max((p for p in prefixes if path.startswith(p)), key=len, default=None)
     assert (found.id if found is not None else None) == wanted
-    assert configuration.Table(routes).find("other", path) is None
+    assert configuration.RouteTable(routes).find("other", path) is None
 
 
 def test_a_long_configuration() -> None:
     data = example()
     data["access_points"][0]["rule_set"] = [rule(n) for n in range(400)]
-    found = configuration.check(json.dumps(data).encode())
+    found = configuration_validation.validate(json.dumps(data).encode())
     assert isinstance(found, configuration.Configuration) and len(found.routes) == 400
-    route = configuration.Table(found.routes).find("h.example", "/p399/x/y")
+    route = configuration.RouteTable(found.routes).find("h.example", "/p399/x/y")
     assert route is not None and route.id == "r399"
 
 
--- a/tests/testkit/mesh/test_worst_days.py
+++ b/tests/testkit/mesh/test_worst_days.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from orchidferry.mesh.control.configuration import check
+from orchidferry.mesh.control.configuration_validation import validate
 from orchidferry.mesh.settings import parse_settings
 from orchidferry.testkit.mesh import call_faults, servers
 from orchidferry.testkit.mesh.actions.isolation import controllers_to_isolate, links_to_cut
@@ -68,7 +68,7 @@
     for number in range(5, 80, 3):
         versions.append(following(day, 7, number, versions[-1]))
         assert not hasattr(
-            check(str(versions[-1]).replace("'", '"').replace("False", "false").encode()), "line"
+            validate(str(versions[-1]).replace("'", '"').replace("False", "false").encode()), "line"
         )
     for n in range(MARKERS, len(versions)):
         own = markers(versions[n])[0]
