--- a/orchidferry/mesh/__main__.py
+++ b/orchidferry/mesh/__main__.py
@@ -7,6 +7,7 @@
 import os
 import signal
 import sys
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, NoReturn
 
 import uvloop
@@ -50,9 +51,17 @@
 
 example: ORCHIDFERRY_BOOT=/etc/orchidferry/local.toml orchidferry controller --check""",
 }
-HELP_WORDS = (["--help"], ["-h"])
-FILE_S = 3.0  # how often the settings file is looked at
-FileMark = tuple[int, int, int] | None  # when it was written, its size, its number on the disk
+HELP_OPTIONS = (["--help"], ["-h"])
+WATCH_INTERVAL_S = 3.0  # between two looks at the settings file
+
+
+@dataclass(frozen=True, slots=True)
+class FileVersion:
+    """What distinguishes two versions of a file."""
+
+    modified_ns: int
+    size: int
+    inode: int
 
 
 async def serve(role: str, settings: Settings) -> NoReturn:
@@ -66,90 +75,98 @@
 
         server = Proxy(settings, loop)
     else:
-        server = await controller(settings, loop, stopping)
+        server = await start_controller(settings, loop, stopping)
     if server is None:
         logger.info("{}: stopped before it began", role)
         exit_now()
-    loop.add_signal_handler(signal.SIGHUP, reread, role, server)
-    watch_file(loop, role, server, file_mark())
+    loop.add_signal_handler(signal.SIGHUP, reload_settings, role, server)
+    watch_settings_file(loop, role, server, settings_file_version())
     running = server.run(stopping)
     freeze_startup_objects()
     await running
     exit_now()
 
 
-async def controller(
+async def start_controller(
     settings: Settings, loop: asyncio.AbstractEventLoop, stopping: asyncio.Event
 ) -> Controller | None:
-    """A controller, once its store can be used; None if told to stop before."""
+    """Return a controller once its store can be used; None if the process is to end before."""
     from orchidferry.mesh.control.controller import Controller
-    from orchidferry.mesh.storage import storage_check
+    from orchidferry.mesh.storage.quarantine import has_lost_state
+    from orchidferry.mesh.storage.storage_check import RETRY_INTERVAL_S, wait_until_ready
 
     assert settings.data_dir is not None
     last_problem = ""
-    while await storage_check.wait_until_ready(settings.data_dir, stopping):
-        if storage_check.has_lost_state(settings.data_dir):
+    while await wait_until_ready(settings.data_dir, stopping):
+        if has_lost_state(settings.data_dir):
             settings = dataclasses.replace(settings, first_start=False)
         try:
             return Controller(settings, loop)
-        except StoreError as problem:
-            if str(problem) != last_problem:
-                logger.error("store: {}; looked at again", problem)
-            last_problem = str(problem)
-            await asyncio.sleep(storage_check.RETRY_INTERVAL_S)
+        except StoreError as error:
+            if str(error) != last_problem:
+                logger.error("store: {}; looked at again", error)
+            last_problem = str(error)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     return None
 
 
-def check_store(folder: str) -> int:
-    """Print what a controller's store holds, with nothing written; the exit status."""
-    from orchidferry.mesh.storage import storage_check
+def check_store(directory: str) -> int:
+    """Print what a controller's store holds, with nothing written.
+
+    :param directory: the controller's data directory
+    :returns: the exit status: 0, 1 if the store is in use, 2 if it can't be used
+    """
     from orchidferry.mesh.storage.environment import StoreInUseError
+    from orchidferry.mesh.storage.storage_check import read_contents
 
     try:
-        contents = storage_check.read_contents(folder)
-    except StoreInUseError as problem:
-        print(f"store: {problem}; it is not looked at")
+        contents = read_contents(directory)
+    except StoreInUseError as error:
+        print(f"store: {error}; it is not looked at")
         return 1
-    except StoreError as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
+    except StoreError as error:
+        print(f"orchidferry: {error}", file=sys.stderr)
         return 2
     for line in contents.lines() if contents is not None else ["store: none yet"]:
         print(line)
     return 0
 
 
-def reread(role: str, server: Proxy | Controller) -> None:
-    """Use the settings file as it is now; one that can't be used changes nothing."""
+def reload_settings(role: str, server: Proxy | Controller) -> None:
+    """Apply the settings file as it is now; one that can't be used changes nothing."""
     try:
         settings = settings_for(role)
-    except MeshSettingsError as problem:
-        logger.error("{}: the old settings stay: {}", role, problem)
+    except MeshSettingsError as error:
+        logger.error("{}: the old settings stay: {}", role, error)
         return
-    server.reread(settings)
+    server.reload_settings(settings)
     logger.info("{}: settings read again", role)
 
 
-def file_mark() -> FileMark:
-    """What tells the settings file as it is now from what it was; None if there is none."""
+def settings_file_version() -> FileVersion | None:
+    """Return the version of the settings file; None if there is no file."""
     try:
-        found = os.stat(os.environ.get(SETTINGS_VARIABLE, ""))
+        status = os.stat(os.environ.get(SETTINGS_VARIABLE, ""))
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size, found.st_ino
+    return FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
 
 
-def watch_file(
-    loop: asyncio.AbstractEventLoop, role: str, server: Proxy | Controller, seen: FileMark
+def watch_settings_file(
+    loop: asyncio.AbstractEventLoop, role: str, server: Proxy | Controller, last: FileVersion | None
 ) -> None:
-    """Read the settings again whenever their file has changed: there may be no signal."""
-    now = file_mark()
-    if now != seen:
-        reread(role, server)
-    loop.call_later(FILE_S, watch_file, loop, role, server, now)
+    """Reload the settings whenever their file has changed: there may be no signal.
+
+    :param last: version of the file that was applied
+    """
+    current = settings_file_version()
+    if current != last:
+        reload_settings(role, server)
+    loop.call_later(WATCH_INTERVAL_S, watch_settings_file, loop, role, server, current)
 
 
 def check(role: str, settings: Settings) -> int:
-    """Print whether a role could run; the exit status."""
+    """Print whether a role could run; return the exit status."""
     print(f"{settings.name}: {settings.role} in {settings.zone}, settings can be used")
     if role == "controller" and settings.data_dir is not None:
         return check_store(settings.data_dir)
@@ -157,30 +174,34 @@
 
 
 def run(role: str, settings: Settings) -> int:
-    """Run a role; the exit status if it could not begin."""
+    """Run a role; return the exit status if it could not begin."""
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO")
     try:
         uvloop.run(serve(role, settings))
-    except (OSError, StoreError) as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
+    except (OSError, StoreError) as error:
+        print(f"orchidferry: {error}", file=sys.stderr)
         return 1
     return 0
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The program; its exit status."""
+    """Run the program.
+
+    :param arguments: of the command line; None for those of the process
+    :returns: the exit status
+    """
     words = sys.argv[1:] if arguments is None else arguments
     if words[:2] == ["controller", "snapshot"]:
         from orchidferry.mesh.storage.snapshot_command import main as snapshot
 
         return snapshot(words[2:])
-    if words in HELP_WORDS:
+    if words in HELP_OPTIONS:
         print(OVERVIEW)
         return 0
     role = words[0] if words else ""
     options = words[1:]
-    if role in ROLES and options in HELP_WORDS:
+    if role in ROLES and options in HELP_OPTIONS:
         print(HELP[role])
         return 0
     if role not in ROLES or any(option != "--check" for option in options):
@@ -188,8 +209,8 @@
         return 2
     try:
         settings = settings_for(role)
-    except MeshSettingsError as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
+    except MeshSettingsError as error:
+        print(f"orchidferry: {error}", file=sys.stderr)
         return 2
     return check(role, settings) if options else run(role, settings)
 
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -77,7 +77,7 @@
         )
         self._http_server = ControlServer(
             {"/orchidferry/configuration": self._configuration_resource()},
-            max(MIN_HTTP_CONNECTIONS, settings.descriptors // 4),
+            max(MIN_HTTP_CONNECTIONS, settings.max_file_descriptors // 4),
         )
         self._server: asyncio.Server | None = None
         self._size_checked = False
@@ -116,7 +116,7 @@
             self._settings.internal_port,
             backlog=BACKLOG,
         )
-        await self._http_server.listen(self._loop, self._settings.door("control"))
+        await self._http_server.listen(self._loop, self._settings.listen_address("control"))
         for number, shard in self._shards.items():
             logger.info(
                 "controller: listening: shard={} epoch={} version={}",
@@ -174,12 +174,12 @@
         The other controllers learn of a change at once.
         """
         caught_up = all(shard.standing.caught_up for shard in self._shards.values())
-        fit = caught_up and not self._store.ailing and not self._peers.stopping
+        fit = caught_up and not self._store.is_degraded and not self._peers.stopping
         if fit is not self._peers.fit:
             self._peers.fit = fit
             self._heartbeats.send()
 
-    def reread(self, settings: Settings) -> None:
+    def reload_settings(self, settings: Settings) -> None:
         """Take new settings: other controllers may be named there."""
         self._seeds = settings.seeds
 
@@ -233,6 +233,6 @@
             logger.warning(
                 "controller: the group has {} replicas, term_settings.tolerance.machines = {} needs {}",
                 len(shard.known.voters),
-                self._settings.machines,
+                self._settings.tolerated_losses,
                 shard.size,
             )
--- a/orchidferry/mesh/control/message_handlers.py
+++ b/orchidferry/mesh/control/message_handlers.py
@@ -119,7 +119,9 @@
 
     def _claim_key(self, link: Link, claim: KeyClaim) -> None:
         shard = self._runner.shard_of(claim.key)
-        self._runner.carry_out(shard, shard.claim_key(link, claim, self._store.room, self._loop.time()))
+        self._runner.carry_out(
+            shard, shard.claim_key(link, claim, self._store.accepts_new_keys, self._loop.time())
+        )
         if claim.epoch != shard.body.epoch:
             self.send_group(shard, link)
 
--- a/orchidferry/mesh/control/shard_loading.py
+++ b/orchidferry/mesh/control/shard_loading.py
@@ -32,10 +32,10 @@
     :returns: the shards by number.
     """
     shards = _load_replicas(store, settings, peers, rng)
-    for raw, packed in store.all(KEYS_DB):
+    for raw, packed in store.read_all(KEYS_DB):
         key = raw.decode("latin-1")
         shards[shard_state.shard_of(key)].load_key(key, unpack(packed))
-    rows = store.all(CONTROLLER_DB)
+    rows = store.read_all(CONTROLLER_DB)
     for number, shard in shards.items():
         shard.load_orders(orders_of(number, rows))
     return shards
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -75,7 +75,7 @@
         self._loop = loop
         self._rng = random.Random()
         self._timers = TimerQueue(loop)
-        self._max_sockets = max(MIN_SOCKETS, settings.descriptors - RESERVED_SOCKETS)
+        self._max_sockets = max(MIN_SOCKETS, settings.max_file_descriptors - RESERVED_SOCKETS)
         self._gate_connections = self._connection_pool(GATE_KEEPALIVE_MS)
         self._gate_connections.local_ip = settings.bind_ip or None
         self._server_connections = self._connection_pool(SERVER_KEEPALIVE_MS)
@@ -95,7 +95,7 @@
         self._gate = AdmissionGate(
             settings.application,
             settings.bounds,
-            settings.beat_ms,
+            settings.heartbeat_interval_ms,
             self._timers,
             self._server_connections,
             GateHooks(self._publish, self._dependency_shed, self._keyed_requests.store_orphaned),
@@ -147,7 +147,7 @@
             "outbound": self._outbound,
         }
         for name, listener in listeners.items():
-            await listener.listen(self._loop, self._settings.door(name))
+            await listener.listen(self._loop, self._settings.listen_address(name))
         await self._control_client.listen()
         self._control_client.start()
         self._publish()
@@ -184,7 +184,7 @@
             inbound.cancel()
         logger.info("proxy: stopped")
 
-    def reread(self, settings: Settings) -> None:
+    def reload_settings(self, settings: Settings) -> None:
         """The settings file has changed: other controllers may be named there, or another service."""
         self._control_client.set_seeds(settings.seeds)
         self._settings = dataclasses.replace(self._settings, service=settings.service)
--- a/orchidferry/mesh/errors.py
+++ b/orchidferry/mesh/errors.py
@@ -42,7 +42,16 @@
 
 
 class StoreError(OrchidferryError):
-    """A controller's store can't be opened; one line that names the folder."""
+    """A controller's store can't be used; the text is one line.
+
+    :ivar problem: what is wrong
+    :ivar path: the data directory or file that is concerned; empty if it is not known here
+    """
+
+    def __init__(self, problem: str, path: str = "") -> None:
+        super().__init__(f"{path}: {problem}" if path else problem)
+        self.problem = problem
+        self.path = path
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/mesh/process_end.py
+++ b/orchidferry/mesh/process_end.py
@@ -1,7 +1,7 @@
-"""How a process of the mesh ends: at once when its role has ended, in any case before the platform kills it.
+"""How a process of the mesh exits: at once when its role has ended, and before the platform kills it anyway.
 
-A role that has ended owes nothing more: what it had to keep is on disk, and what it had to say is said.
-Taking the event loop and the interpreter down would only be one more thing that can hang or be slow.
+When a role has ended its data is on disk and its messages are sent. Taking down the event loop and the
+interpreter would only be one more thing that can hang or be slow.
 """
 
 from __future__ import annotations
@@ -15,33 +15,41 @@
 
 from loguru import logger
 
-EXIT_MARGIN_S = 0.2  # before the platform kills; a proxy is done 0.2 s earlier
+EXIT_MARGIN_S = 0.2  # before the platform kills the process; a proxy is done 0.2 s earlier
+MIN_EXIT_LIMIT_S = 0.01
 
 
 def stop_on_sigterm(loop: asyncio.AbstractEventLoop, stopping: asyncio.Event, grace_s: float) -> None:
-    """Set `stopping` on SIGTERM. The process has the grace time from then on, and no more.
+    """Set an event on SIGTERM, and give the process the grace time from then on.
 
     Before this is called SIGTERM has its default action, and ends a process that has done nothing yet.
+
+    :param stopping: the event
+    :param grace_s: after it the platform kills the process
     """
 
-    def told() -> None:
+    def on_sigterm() -> None:
         if not stopping.is_set():
             stopping.set()
             exit_within(grace_s - EXIT_MARGIN_S)
 
-    loop.add_signal_handler(signal.SIGTERM, told)
+    loop.add_signal_handler(signal.SIGTERM, on_sigterm)
 
 
 def exit_within(limit_s: float) -> None:
-    """If the process is still there after this time, write the stacks of its threads and end it.
+    """If the process still runs after this time, write the stacks of its threads to stderr and end it.
 
-    The watch is no Python thread: it needs neither the interpreter's lock nor an interpreter that is whole.
+    The watchdog is not a Python thread: it works even if the interpreter's lock is held or the interpreter is
+    being finalized.
     """
-    faulthandler.dump_traceback_later(max(0.01, limit_s), exit=True, file=sys.stderr)
+    faulthandler.dump_traceback_later(max(MIN_EXIT_LIMIT_S, limit_s), exit=True, file=sys.stderr)
 
 
 def exit_now(status: int = 0) -> NoReturn:
-    """End the process without taking anything down."""
+    """End the process without taking anything down.
+
+    :param status: the exit status
+    """
     logger.remove()
     sys.stdout.flush()
     sys.stderr.flush()
--- a/orchidferry/mesh/role_settings.py
+++ b/orchidferry/mesh/role_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a role: where it is, and what the role cannot do without."""
+"""The settings file of a role: where it is, and which fields the role requires."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 SETTINGS_VARIABLE = "ORCHIDFERRY_BOOT"  # of the environment; it names the settings file
 LISTEN_POINTS = {"proxy": ("outbound", "inbound", "ready", "control"), "controller": ("control",)}
 ROLES = tuple(LISTEN_POINTS)
-DATA_DIR_MISSING = "own_node.data_dir: a controller needs one"
 
 
 def settings_path() -> str:
-    """The path of the settings file. `MeshSettingsError` if the environment names none."""
+    """Return the path of the settings file.
+
+    :raises MeshSettingsError: if the environment names none
+    """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise MeshSettingsError(f"{SETTINGS_VARIABLE} must name the settings file")
@@ -21,22 +23,35 @@
 
 
 def settings_for(role: str) -> Settings:
-    """The settings of a role. `MeshSettingsError` names file and field in one line."""
+    """Read the settings of a role.
+
+    :param role: one of `ROLES`
+    :raises MeshSettingsError: if they can't be used; it names the file and the field
+    """
     path = settings_path()
     settings = read_settings(path)
     try:
         validate_role(role, settings)
-    except MeshSettingsError as problem:
-        raise MeshSettingsError(f"{path}: {problem}") from None
+    except MeshSettingsError as error:
+        raise error.in_file(path) from None
     return settings
 
 
 def validate_role(role: str, settings: Settings) -> None:
-    """Check what a role cannot do without. `MeshSettingsError` names the field."""
+    """Check that the fields that a role requires are there.
+
+    :param role: one of `ROLES`
+    :raises MeshSettingsError: if one is missing; it names the field
+    """
     if role == "controller" and settings.data_dir is None:
-        raise MeshSettingsError(DATA_DIR_MISSING)
+        raise data_dir_missing()
     if role == "proxy" and settings.application is None:
-        raise MeshSettingsError("own_node.application: a node needs one")
+        raise MeshSettingsError("a node needs one", "own_node.application")
     for name in LISTEN_POINTS[role]:
         if name not in settings.listen:
-            raise MeshSettingsError(f"network.listen_points.{name}: this role needs one")
+            raise MeshSettingsError("this role needs one", f"network.listen_points.{name}")
+
+
+def data_dir_missing() -> MeshSettingsError:
+    """Return the error of a controller's settings that name no data directory."""
+    return MeshSettingsError("a controller needs one", "own_node.data_dir")
--- a/orchidferry/mesh/settings.py
+++ b/orchidferry/mesh/settings.py
@@ -1,4 +1,4 @@
-"""What a process is told at its start: the file that ORCHIDFERRY_BOOT names, read and checked.
+"""The settings of one process: the TOML file that ORCHIDFERRY_BOOT names, read and checked.
 
 Fields that are not known here are skipped, as the platform may add some.
 """
@@ -13,17 +13,36 @@
 
 from orchidferry.errors import OrchidferryError
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port
 PORT_LIMIT = 65536
+DEFAULT_HEARTBEAT_INTERVAL_MS = 1_500
+DEFAULT_FILE_DESCRIPTORS = 1_024
+DEFAULT_MEMORY_MB = 256
+DEFAULT_TOLERATED_LOSSES = 1
 
 
 class MeshSettingsError(OrchidferryError):
-    """The settings file can't be used; one line that names file and field."""
+    """The settings can't be used; the text is one line.
+
+    :ivar problem: what is wrong
+    :ivar field: path of the field that is at fault, with dots; empty if it is none
+    :ivar path: the settings file; empty if it is not known yet
+    """
+
+    def __init__(self, problem: str, field: str = "", path: str = "") -> None:
+        super().__init__(": ".join(part for part in (path, field, problem) if part))
+        self.problem = problem
+        self.field = field
+        self.path = path
+
+    def in_file(self, path: str) -> MeshSettingsError:
+        """Return the same error with the name of the settings file."""
+        return MeshSettingsError(self.problem, self.field, path)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules, in milliseconds where the name says so."""
+    """The limits that the rules set (`term_settings.bound_set`), in milliseconds where the name says so."""
 
     contact_ms: float = 3_000.0
     ack_ms: float = 5_000.0
@@ -42,47 +61,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """One process's settings."""
+    """One process's settings.
+
+    :ivar name: of the node or controller
+    :ivar role: as the file names it
+    :ivar ip: address by which others know this process
+    :ivar zone: failure domain
+    :ivar first_start: whether a controller without state may act as a founder
+    :ivar listen: addresses of the listen points (outbound, inbound, ready, control) that this role serves
+    :ivar internal_port: for links between processes of the mesh
+    :ivar seeds: IP numbers of controllers
+    :ivar bounds: limits that the rules set
+    :ivar heartbeat_interval_ms: time between two heartbeats of a server
+    :ivar max_file_descriptors: that the process may have open
+    :ivar memory_mb: that the process may use
+    :ivar data_dir: a controller's data directory
+    :ivar application: address of the server beside a node
+    :ivar service: that the server beside a node provides
+    :ivar tolerated_losses: number of controllers whose loss at once must be tolerated
+    :ivar bind_ip: address that sockets are bound to, if others know it by another one; empty for `ip`
+    """
 
     name: str
     role: str
     ip: str
     zone: str
     first_start: bool
-    listen: dict[str, Address]  # outbound, inbound, ready, control: those that this role serves
+    listen: dict[str, Address]
     internal_port: int
-    seeds: tuple[str, ...]  # ip numbers of controllers
+    seeds: tuple[str, ...]
     bounds: Bounds
-    beat_ms: float
-    descriptors: int
+    heartbeat_interval_ms: float
+    max_file_descriptors: int
     memory_mb: float
     data_dir: str | None = None
     application: Address | None = None
     service: str = ""
-    machines: int = 1  # counted machines whose loss at once must be tolerated
-    bind_ip: str = ""  # where it listens and dials from, if others know it by another address; empty: `ip`
+    tolerated_losses: int = DEFAULT_TOLERATED_LOSSES
+    bind_ip: str = ""
 
     @property
     def group_size(self) -> int:
         """How many replicas a shard needs to tolerate the configured losses: 2f + 1."""
-        return 2 * self.machines + 1
+        return 2 * self.tolerated_losses + 1
 
     @property
     def local_ip(self) -> str:
-        """The address that its sockets have."""
+        """The address that sockets are bound to."""
         return self.bind_ip or self.ip
 
-    def door(self, name: str) -> Address:
-        """Where a listen point is bound."""
+    def listen_address(self, name: str) -> Address:
+        """Return the address to which a listen point is bound.
+
+        :param name: of the listen point
+        """
         host, port = self.listen[name]
         return (self.local_ip if host == self.ip else host), port
 
 
 def parse_address(text: Any, field: str) -> Address:
-    """`10.0.0.1:80` as host and port; `MeshSettingsError` names the field."""
+    """Parse an address such as `10.0.0.1:80`.
+
+    :param field: path of the field that holds it, for the error
+    :raises MeshSettingsError: if it is no address
+    """
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not _is_port(int(port)):
-        raise MeshSettingsError(f"{field}: {text!r} is no address")
+        raise MeshSettingsError(f"{text!r} is no address", field)
     return host, int(port)
 
 
@@ -90,91 +135,133 @@
     return isinstance(value, int) and not isinstance(value, bool) and 0 < value < PORT_LIMIT
 
 
-def _table(data: dict[str, Any], name: str) -> dict[str, Any]:
-    value = data.get(name)
-    if not isinstance(value, dict):
-        raise MeshSettingsError(f"{name}: the table is missing")
-    return value
-
-
-def _part(table: dict[str, Any], name: str, where: str) -> dict[str, Any]:
-    value = table.get(name, {})
-    if not isinstance(value, dict):
-        raise MeshSettingsError(f"{where}{name}: {value!r} is no table")
-    return value
-
-
-def _number(table: dict[str, Any], name: str, default: float, where: str) -> float:
-    value = table.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
-        raise MeshSettingsError(f"{where}.{name}: {value!r} is no number of 0 or more")
-    return float(value)
-
-
-def _whole(table: dict[str, Any], name: str, default: int, where: str) -> int:
-    value = _number(table, name, default, where)
-    if not math.isfinite(value):
-        raise MeshSettingsError(f"{where}.{name}: {value!r} is no whole number")
-    return int(value)
+@dataclass(frozen=True, slots=True)
+class _Table:
+    """A table of the file, whose values are checked as they are read."""
+
+    values: dict[str, Any]
+    path: str = ""  # with a dot at the end; empty for the whole file
+
+    def required_table(self, name: str) -> _Table:
+        value = self.values.get(name)
+        if not isinstance(value, dict):
+            raise MeshSettingsError("the table is missing", self.path + name)
+        return _Table(value, f"{self.path}{name}.")
+
+    def table(self, name: str) -> _Table:
+        """Return a table that may be missing: it is empty then."""
+        value = self.values.get(name, {})
+        if not isinstance(value, dict):
+            raise MeshSettingsError(f"{value!r} is no table", self.path + name)
+        return _Table(value, f"{self.path}{name}.")
+
+    def text(self, name: str, default: str | None = None) -> str:
+        """Return a text that is not empty; it must be there if there is no default."""
+        value = self.values.get(name, default)
+        if not isinstance(value, str) or not value:
+            raise MeshSettingsError("a text is needed", self.path + name)
+        return value
+
+    def optional_text(self, name: str) -> str | None:
+        return None if self.values.get(name) is None else self.text(name)
+
+    def number(self, name: str, default: float) -> float:
+        value = self.values.get(name, default)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
+            raise MeshSettingsError(f"{value!r} is no number of 0 or more", self.path + name)
+        return float(value)
+
+    def whole_number(self, name: str, default: int) -> int:
+        value = self.number(name, default)
+        if not math.isfinite(value):
+            raise MeshSettingsError(f"{value!r} is no whole number", self.path + name)
+        return int(value)
+
+    def ports(self, name: str) -> list[int]:
+        value = self.values.get(name)
+        if not isinstance(value, list) or not value or not all(map(_is_port, value)):
+            raise MeshSettingsError("a list of ports is needed", self.path + name)
+        return value
+
+    def address_texts(self, name: str) -> list[Any]:
+        value = self.values.get(name)
+        if not isinstance(value, list):
+            raise MeshSettingsError("a list of addresses is needed", self.path + name)
+        return value
 
 
 def read_settings(path: str) -> Settings:
-    """Read and check the settings file; `MeshSettingsError` says what is wrong in one line."""
+    """Read and check the settings file.
+
+    :raises MeshSettingsError: if it can't be used; it names the file and the field
+    """
     try:
         return parse_settings(tomllib.loads(Path(path).read_text("utf-8")))
-    except OSError as problem:
-        raise MeshSettingsError(f"{path}: {problem.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise MeshSettingsError(f"{path}: {problem}") from None
-    except MeshSettingsError as problem:
-        raise MeshSettingsError(f"{path}: {problem}") from None
+    except OSError as error:
+        raise MeshSettingsError(str(error.strerror), path=path) from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise MeshSettingsError(str(error), path=path) from None
+    except MeshSettingsError as error:
+        raise error.in_file(path) from None
 
 
 def parse_settings(data: dict[str, Any]) -> Settings:
-    """A settings file's tables as typed values."""
-    node = _table(data, "own_node")
-    network = _table(data, "network")
-    terms = _table(data, "term_settings")
-    bounds = _part(terms, "bound_set", "term_settings.")
-    limits = _part(node, "limit_set", "own_node.")
-    losses = _part(terms, "tolerance", "term_settings.")
-    for name in ("node_name", "ip", "zone"):
-        if not isinstance(node.get(name), str) or not node[name]:
-            raise MeshSettingsError(f"own_node.{name}: a text is needed")
-    bind_ip = node.get("bind_ip", node["ip"])
-    if not isinstance(bind_ip, str) or not bind_ip:
-        raise MeshSettingsError("own_node.bind_ip: a text is needed")
-    data_dir = node.get("data_dir")
-    if data_dir is not None and (not isinstance(data_dir, str) or not data_dir):
-        raise MeshSettingsError("own_node.data_dir: a text is needed")
-    ports = network.get("internal_ports")
-    seeds = network.get("seed_nodes")
-    if not isinstance(ports, list) or not ports or not all(map(_is_port, ports)):
-        raise MeshSettingsError("network.internal_ports: a list of ports is needed")
-    if not isinstance(seeds, list):
-        raise MeshSettingsError("network.seed_nodes: a list of addresses is needed")
-    points = _part(network, "listen_points", "network.")
-    platform = _part(data, "platform_settings", "")
-    beat_ms = _number(platform, "beat_interval_ms", 1_500, "platform_settings")
-    if not beat_ms:
-        raise MeshSettingsError("platform_settings.beat_interval_ms: a number above 0 is needed")
-    application = node.get("application")
+    """Check the tables of a settings file.
+
+    :param data: the tables, by name
+    :raises MeshSettingsError: if they can't be used; it names the first field that is wrong
+    """
+    file = _Table(data)
+    node = file.required_table("own_node")
+    network = file.required_table("network")
+    terms = file.required_table("term_settings")
+    bounds = terms.table("bound_set")
+    limits = node.table("limit_set")
+    tolerance = terms.table("tolerance")
+    name = node.text("node_name")
+    ip = node.text("ip")
+    zone = node.text("zone")
+    bind_ip = node.text("bind_ip", default=ip)
+    data_dir = node.optional_text("data_dir")
+    internal_ports = network.ports("internal_ports")
+    seeds = network.address_texts("seed_nodes")
+    listen_points = network.table("listen_points")
+    heartbeat_interval_ms = _heartbeat_interval_ms(file)
     return Settings(
-        name=node["node_name"],
-        role=str(node.get("role", "")),
-        ip=node["ip"],
-        zone=node["zone"],
-        first_start=node.get("first_start") is True,
-        listen={n: parse_address(a, f"network.listen_points.{n}") for n, a in points.items()},
-        internal_port=ports[0],
+        name=name,
+        role=str(node.values.get("role", "")),
+        ip=ip,
+        zone=zone,
+        first_start=node.values.get("first_start") is True,
+        listen=_listen_addresses(listen_points),
+        internal_port=internal_ports[0],
         seeds=tuple(dict.fromkeys(parse_address(seed, "network.seed_nodes")[0] for seed in seeds)),
-        bounds=Bounds(**{n: _number(bounds, n, d, "term_settings.bound_set") for n, d in DEFAULT_BOUNDS}),
-        beat_ms=beat_ms,
-        descriptors=_whole(limits, "file_descriptors", 1_024, "own_node.limit_set"),
-        memory_mb=_number(limits, "memory_mb", 256, "own_node.limit_set"),
+        bounds=Bounds(**{name: bounds.number(name, default) for name, default in DEFAULT_BOUNDS}),
+        heartbeat_interval_ms=heartbeat_interval_ms,
+        max_file_descriptors=limits.whole_number("file_descriptors", DEFAULT_FILE_DESCRIPTORS),
+        memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
         data_dir=data_dir,
-        application=parse_address(application, "own_node.application") if application else None,
-        service=str(node.get("service_name", "")),
-        machines=_whole(losses, "machines", 1, "term_settings.tolerance"),
-        bind_ip="" if bind_ip == node["ip"] else bind_ip,
+        application=_application(node),
+        service=str(node.values.get("service_name", "")),
+        tolerated_losses=tolerance.whole_number("machines", DEFAULT_TOLERATED_LOSSES),
+        bind_ip="" if bind_ip == ip else bind_ip,
     )
+
+
+def _heartbeat_interval_ms(file: _Table) -> float:
+    platform = file.table("platform_settings")
+    interval_ms = platform.number("beat_interval_ms", DEFAULT_HEARTBEAT_INTERVAL_MS)
+    if not interval_ms:
+        raise MeshSettingsError("a number above 0 is needed", "platform_settings.beat_interval_ms")
+    return interval_ms
+
+
+def _listen_addresses(listen_points: _Table) -> dict[str, Address]:
+    return {
+        name: parse_address(text, listen_points.path + name) for name, text in listen_points.values.items()
+    }
+
+
+def _application(node: _Table) -> Address | None:
+    text = node.values.get("application")
+    return parse_address(text, "own_node.application") if text else None
--- a/orchidferry/mesh/storage/disk_health.py
+++ b/orchidferry/mesh/storage/disk_health.py
@@ -6,38 +6,48 @@
 
 from loguru import logger
 
-MAX_WRITE_WAIT_S = 0.6  # a write that has waited for so long: the disk is ailing
-# well again once no write has waited longer than this, for so long
+MAX_WRITE_WAIT_S = 0.6  # the disk is degraded once a write has waited longer
+# healthy again once no write has waited longer than this, for so long
 PROMPT_WRITE_S = 0.3
 RECOVERY_S = 1.0
 
 
 class DiskHealth:
-    """Ailing from a failed or long delayed write on, until writes have been prompt for a while.
+    """Degraded from a failed or long delayed write on, until writes have been prompt for a while.
 
-    Its methods are called on the loop; the store's thread reads `ailing` and is woken when it begins.
+    Its methods are called on the loop; the store's thread reads `is_degraded` and is woken when that becomes
+    true.
+
+    :ivar is_degraded: whether the disk is degraded
+    :ivar failing_since_s: when the disk last began to refuse writes, by the loop's clock; 0 if it does not
     """
 
     def __init__(self, wake: threading.Condition) -> None:
-        self.ailing = False
-        self.failing_since_s = 0.0  # when the disk last began to refuse writes; 0: it does not
+        """
+        :param wake: condition on which the store's thread waits
+        """
+        self.is_degraded = False
+        self.failing_since_s = 0.0
         self._wake = wake
-        self._prompt_since_s: float | None = None  # while ailing: since when all writes were prompt
+        self._prompt_since_s: float | None = None  # while degraded: since when all writes were prompt
 
     def write_failed(self, problem: str, now_s: float) -> None:
-        """A commit has failed."""
+        """Report that a commit has failed."""
         self.failing_since_s = self.failing_since_s or now_s
-        self._begin_ailing(f"the disk refuses writes: {problem}")
+        self._set_degraded(f"the disk refuses writes: {problem}")
 
     def write_waits(self, waited_s: float) -> None:
-        """The oldest write has waited for so long, and still does."""
+        """Report for how long the oldest pending write has waited."""
         if waited_s > MAX_WRITE_WAIT_S:
-            self._begin_ailing(f"a write has waited {waited_s:.1f} s")
+            self._set_degraded(f"a write has waited {waited_s:.1f} s")
 
     def write_done(self, waited_s: float, now_s: float) -> None:
-        """A commit has succeeded; its oldest write had waited for so long."""
+        """Report that a commit has succeeded.
+
+        :param waited_s: for how long the oldest write of the commit had waited
+        """
         self.failing_since_s = 0.0
-        if not self.ailing:
+        if not self.is_degraded:
             self.write_waits(waited_s)
         elif waited_s > PROMPT_WRITE_S:
             self._prompt_since_s = None
@@ -45,14 +55,14 @@
             self._prompt_since_s = now_s
         elif now_s - self._prompt_since_s >= RECOVERY_S:
             logger.info("store: the disk keeps up again")
-            self.ailing = False
+            self.is_degraded = False
             self._prompt_since_s = None
 
-    def _begin_ailing(self, reason: str) -> None:
+    def _set_degraded(self, reason: str) -> None:
         self._prompt_since_s = None
-        if self.ailing:
+        if self.is_degraded:
             return
         logger.warning("store: {}", reason)
         with self._wake:
-            self.ailing = True
+            self.is_degraded = True
             self._wake.notify()
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -1,4 +1,4 @@
-"""What a controller's store holds, and whether it can be trusted: every record is read and verified."""
+"""Reads a controller's whole store and verifies every record: what the store holds, or how it is damaged."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from orchidferry.mesh.storage.environment import CONTROLLER_DB, KEYS_DB, Databases, used_pages
 from orchidferry.mesh.storage.record_format import (
     FORMAT_KEY,
+    MAX_KEY_BYTES_SHOWN,
     SEAL_KEY,
     STORE_FORMAT,
     CorruptStoreError,
@@ -25,7 +26,7 @@
 
 T = TypeVar("T")
 
-DECODE_INTERVAL = 64  # one operation key in so many is unpacked, not only its checksum verified
+DECODE_INTERVAL = 64  # of so many operation keys one is decoded, not only its checksum verified
 FIELDS_BEFORE_OWNERS = 7  # of a packed value
 CORRUPTION_ERRORS = (
     lmdb.CorruptedError,
@@ -44,60 +45,78 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreContents:
-    """What a store holds."""
+    """What a store holds.
+
+    :ivar format: number of its format
+    :ivar acceptor_states: what this controller has voted, by shard; empty if nothing was written yet
+    :ivar unsharded_state: the same of a build before the state was cut into shards
+    :ivar founders: controllers of the first group
+    :ivar caught_up: shards in which this controller has caught up
+    :ivar key_count: number of operation keys
+    :ivar used_bytes: bytes of the pages in use
+    :ivar file_bytes: size of the file
+    """
 
     format: int
-    kept: dict[int, AcceptorState]  # by shard; empty: nothing was written yet
-    early: AcceptorState | None  # of a build before the state was cut into shards
+    acceptor_states: dict[int, AcceptorState]
+    unsharded_state: AcceptorState | None
     founders: tuple[str, ...]
-    caught_up: frozenset[int]  # shards that it has caught up in
-    keys: int
+    caught_up: frozenset[int]
+    key_count: int
     used_bytes: int
     file_bytes: int
 
     def lines(self) -> list[str]:
-        """What it holds, in lines for the operator: one for each shard among them."""
-        if not self.kept and self.early is None:
+        """Return what the store holds as lines for the operator, one for each shard among them."""
+        if not self.acceptor_states and self.unsharded_state is None:
             return [f"store: format {self.format}, empty"]
-        found = [f"store: format {self.format}, {self.used_bytes} bytes used of {self.file_bytes}"]
-        for number, kept in self.kept.items():
-            caught = "caught up" if number in self.caught_up else "not caught up"
-            found.append(
-                f"part {number}: memory {kept.disk_id}, {caught}, accepted {_value_line(kept.value)}"
-            )
-        if self.early is not None:
-            found.append(
-                f"before parts: memory {self.early.disk_id}, accepted {_value_line(self.early.value)}"
-            )
-        return [*found, f"founders: {' '.join(self.founders)}", f"keys: {self.keys}"]
+        lines = [f"store: format {self.format}, {self.used_bytes} bytes used of {self.file_bytes}"]
+        for number, state in self.acceptor_states.items():
+            progress = "caught up" if number in self.caught_up else "not caught up"
+            accepted = _describe_value(state.value)
+            lines.append(f"part {number}: memory {state.disk_id}, {progress}, accepted {accepted}")
+        if self.unsharded_state is not None:
+            accepted = _describe_value(self.unsharded_state.value)
+            lines.append(f"before parts: memory {self.unsharded_state.disk_id}, accepted {accepted}")
+        return [*lines, f"founders: {' '.join(self.founders)}", f"keys: {self.key_count}"]
 
 
 @dataclass(frozen=True, slots=True)
 class Inspection:
-    """A store that was read whole: its contents, and the open databases that it has."""
+    """The result of inspecting a store.
+
+    :ivar contents: what it holds
+    :ivar dbs: its databases, open
+    """
 
     contents: StoreContents
     dbs: Databases
 
 
-def _value_line(value: Value | None) -> str:
+def _describe_value(value: Value | None) -> str:
     if value is None:
         return "nothing yet"
     body = shard_state.body(value)
-    voters = " ".join(v.name for v in value.voters)
-    duties = f"owner {body.owner or 'none'} under fence {body.fencing_token}"
-    return f"version {value.version}, epoch {body.epoch}, revision {body.revision}, {duties}, voters {voters}"
+    voters = " ".join(voter.name for voter in value.voters)
+    ownership = f"owner {body.owner or 'none'} under fence {body.fencing_token}"
+    return (
+        f"version {value.version}, epoch {body.epoch}, revision {body.revision}, {ownership}, voters {voters}"
+    )
 
 
 def inspect(env: lmdb.Environment, file: str, names: Sequence[str]) -> Inspection:
-    """Read the databases of these names, as far as they are there; nothing is written.
+    """Read and verify all records of a store; nothing is written.
 
-    `CorruptStoreError` says what is wrong with it.
+    :param env: the store
+    :param file: its file
+    :param names: names of the databases that are read, as far as they exist
+    :raises CorruptStoreError: if it is damaged
+    :raises StoreError: if a later build wrote it
     """
     try:
         return _inspect(env, file, _existing_databases(env, names))
-    except CORRUPTION_ERRORS as problem:
-        raise CorruptStoreError(str(problem)) from None
+    except CORRUPTION_ERRORS as error:
+        raise CorruptStoreError(str(error)) from None
 
 
 def _existing_databases(env: lmdb.Environment, names: Sequence[str]) -> Databases:
@@ -111,61 +130,90 @@
 
 
 def _inspect(env: lmdb.Environment, file: str, dbs: Databases) -> Inspection:
-    page_bytes = env.stat()["psize"]
     newest_transaction = env.info()["last_txnid"]
     with env.begin() as txn:
-        raws = (
-            {bytes(k): bytes(v) for k, v in txn.cursor(db=dbs[CONTROLLER_DB])} if CONTROLLER_DB in dbs else {}
-        )
-        found_format = _format_of(raws)
-        sealed = found_format > 1
-        records = {
-            key: verify_checksum(CONTROLLER_DB, key, raw) if sealed else raw for key, raw in raws.items()
-        }
-        keys = _verify_keys(txn, dbs[KEYS_DB], sealed) if KEYS_DB in dbs else 0
-        used = used_pages(txn, dbs)
-    seal = _read(records, SEAL_KEY, int) if sealed else newest_transaction
-    if raws and seal != newest_transaction:
-        raise CorruptStoreError(
-            f"the root is that of transaction {seal}, the number beside it {newest_transaction}"
-        )
-    numbers = [n for n in shard_state.SHARDS if _record_key("kept", n) in records]
-    kept = {n: _require(records, _record_key("kept", n), _unpack_kept) for n in numbers}
-    early = _read(records, b"kept", _unpack_kept) if not numbers and not sealed else None
+        raws = _raw_controller_records(txn, dbs)
+        format_number = _format_of(raws)
+        sealed = format_number > 1
+        records = {key: _value_of(CONTROLLER_DB, key, raw, sealed) for key, raw in raws.items()}
+        key_count = _verify_keys(txn, dbs[KEYS_DB], sealed) if KEYS_DB in dbs else 0
+        used_bytes = used_pages(txn, dbs) * env.stat()["psize"]
+    if raws and sealed:
+        _check_seal(records, newest_transaction)
+    acceptor_states = _acceptor_states(records)
+    unsharded_state = None
+    if not acceptor_states and not sealed:
+        unsharded_state = _read(records, b"kept", _unpack_acceptor_state)
     founders = _read(records, b"founders", _unpack_names) or ()
-    if keys and not kept and early is None:
+    if key_count and not acceptor_states and unsharded_state is None:
         raise CorruptStoreError("there are keys, and the records 'kept' of about are missing")
-    caught_up = frozenset(n for n in shard_state.SHARDS if _record_key("caught", n) in records)
-    size = os.stat(file).st_size
-    contents = StoreContents(found_format, kept, early, founders, caught_up, keys, used * page_bytes, size)
+    contents = StoreContents(
+        format_number,
+        acceptor_states,
+        unsharded_state,
+        founders,
+        frozenset(n for n in shard_state.SHARDS if _record_key("caught", n) in records),
+        key_count,
+        used_bytes,
+        os.stat(file).st_size,
+    )
     return Inspection(contents, dbs)
 
 
+def _raw_controller_records(txn: Any, dbs: Databases) -> dict[bytes, bytes]:
+    if CONTROLLER_DB not in dbs:
+        return {}
+    return {bytes(key): bytes(raw) for key, raw in txn.cursor(db=dbs[CONTROLLER_DB])}
+
+
+def _value_of(name: str, key: bytes, raw: bytes, sealed: bool) -> bytes:
+    """Return the value of a record; format 1, which is not sealed, had no checksums."""
+    return verify_checksum(name, key, raw) if sealed else raw
+
+
+def _check_seal(records: dict[bytes, bytes], newest_transaction: int) -> None:
+    seal = _read(records, SEAL_KEY, int)
+    if seal != newest_transaction:
+        raise CorruptStoreError(
+            f"the root is that of transaction {seal}, the number beside it {newest_transaction}"
+        )
+
+
+def _acceptor_states(records: dict[bytes, bytes]) -> dict[int, AcceptorState]:
+    keys = {number: _record_key("kept", number) for number in shard_state.SHARDS}
+    return {
+        number: _require(records, key, _unpack_acceptor_state)
+        for number, key in keys.items()
+        if key in records
+    }
+
+
 def _verify_keys(txn: Any, db: Any, sealed: bool) -> int:
-    """Verify all operation keys; their number."""
-    keys = 0
+    """Verify all operation keys and return their number."""
+    key_count = 0
     for key, raw in txn.cursor(db=db):
-        keys += 1
-        value = verify_checksum(KEYS_DB, bytes(key), bytes(raw)) if sealed else bytes(raw)
-        if not sealed or keys % DECODE_INTERVAL == 1:
+        key_count += 1
+        value = _value_of(KEYS_DB, bytes(key), bytes(raw), sealed)
+        if not sealed or key_count % DECODE_INTERVAL == 1:
             _verify_key(bytes(key), value)
-    counted = txn.stat(db)["entries"]
-    if keys != counted:
-        raise CorruptStoreError(f"{keys} keys were found and {counted} are counted")
-    return keys
+    expected = txn.stat(db)["entries"]
+    if key_count != expected:
+        raise CorruptStoreError(f"{key_count} keys were found and {expected} are counted")
+    return key_count
 
 
 def _verify_key(key: bytes, value: bytes) -> None:
+    shown_key = key[:MAX_KEY_BYTES_SHOWN]
     try:
-        holder, time_slot, _answer = unpack(value)
-    except (CBORDecodeError, ValueError, TypeError) as problem:
-        raise CorruptStoreError(f"key {key[:40]!r} can't be read: {problem}") from None
-    if not isinstance(holder, str) or not isinstance(time_slot, int):
-        raise CorruptStoreError(f"key {key[:40]!r} is none")
+        attempt_id, time_slot, _answer = unpack(value)
+    except (CBORDecodeError, ValueError, TypeError) as error:
+        raise CorruptStoreError(f"key {shown_key!r} can't be read: {error}") from None
+    if not isinstance(attempt_id, str) or not isinstance(time_slot, int):
+        raise CorruptStoreError(f"key {shown_key!r} is none")
 
 
-def _record_key(name: str, number: int) -> bytes:
-    return f"{name}/{number}".encode()
+def _record_key(name: str, shard: int) -> bytes:
+    return f"{name}/{shard}".encode()
 
 
 def _format_of(raws: dict[bytes, bytes]) -> int:
@@ -173,34 +221,35 @@
         return STORE_FORMAT
     if FORMAT_KEY not in raws:
         return 1
-    found = _require(
-        {FORMAT_KEY: verify_checksum(CONTROLLER_DB, FORMAT_KEY, raws[FORMAT_KEY])}, FORMAT_KEY, int
-    )
-    if found > STORE_FORMAT:
-        raise StoreError(f"format {found} is of a later build, {STORE_FORMAT} is the newest known here")
-    return found
+    value = verify_checksum(CONTROLLER_DB, FORMAT_KEY, raws[FORMAT_KEY])
+    format_number = _require({FORMAT_KEY: value}, FORMAT_KEY, int)
+    if format_number > STORE_FORMAT:
+        raise StoreError(
+            f"format {format_number} is of a later build, {STORE_FORMAT} is the newest known here"
+        )
+    return format_number
 
 
-def _read(records: dict[bytes, bytes], key: bytes, check: Callable[[Any], T]) -> T | None:
-    return _require(records, key, check) if key in records else None
+def _read(records: dict[bytes, bytes], key: bytes, convert: Callable[[Any], T]) -> T | None:
+    return _require(records, key, convert) if key in records else None
 
 
-def _require(records: dict[bytes, bytes], key: bytes, check: Callable[[Any], T]) -> T:
-    """A record of `about` that is there, unpacked and checked."""
+def _require(records: dict[bytes, bytes], key: bytes, convert: Callable[[Any], T]) -> T:
+    """Return a record of `CONTROLLER_DB` that must be there, decoded, converted and checked."""
     try:
-        return check(unpack(records[key]))
-    except (CBORDecodeError, ValueError, TypeError, KeyError, IndexError) as problem:
-        raise CorruptStoreError(f"record {key.decode()!r} of about can't be read: {problem}") from None
+        return convert(unpack(records[key]))
+    except (CBORDecodeError, ValueError, TypeError, KeyError, IndexError) as error:
+        raise CorruptStoreError(f"record {key.decode()!r} of about can't be read: {error}") from None
 
 
-def _unpack_kept(packed: Any) -> AcceptorState:
-    memory, promised, accepted, value = packed
+def _unpack_acceptor_state(packed: Any) -> AcceptorState:
+    disk_id, promised, accepted, value = packed
     if value is not None and len(value) == FIELDS_BEFORE_OWNERS:
         value = [*value, "", 0]
-    kept = shard_state.unpack_kept([memory, promised, accepted, value])
-    if not isinstance(memory, int) or len(kept.promised) != 2 or len(kept.accepted) != 2:
+    state = shard_state.unpack_kept([disk_id, promised, accepted, value])
+    if not isinstance(disk_id, int) or len(state.promised) != 2 or len(state.accepted) != 2:
         raise ValueError("it is no voter's memory")
-    return kept
+    return state
 
 
 def _unpack_names(packed: Any) -> tuple[str, ...]:
--- /dev/null
+++ b/orchidferry/mesh/storage/quarantine.py
@@ -0,0 +1,54 @@
+"""The directory to which a damaged store is moved.
+
+Its presence also records that this controller has lost its state: it must not act as a founder again.
+"""
+
+from __future__ import annotations
+
+import os
+
+from loguru import logger
+
+from orchidferry.mesh.storage.environment import STORE_FILE, sync_directory
+
+QUARANTINE_DIRECTORY = "bad"  # in the data directory
+REASON_FILE = "why"  # in the quarantine: why the store was moved there
+MAX_QUARANTINE_BYTES = 64_000_000  # a larger store is deleted instead of kept
+
+
+def has_lost_state(directory: str) -> bool:
+    """Return whether a store was quarantined: the controller is no founder then, whatever its settings say.
+
+    :param directory: the controller's data directory
+    """
+    return os.path.isdir(os.path.join(directory, QUARANTINE_DIRECTORY))
+
+
+def quarantine_store(directory: str, reason: str) -> None:
+    """Move a store to the quarantine, which keeps the latest one unless it is large.
+
+    :param directory: the controller's data directory
+    :param reason: what is wrong with the store
+    :raises OSError: if the disk refuses it
+    """
+    quarantine = os.path.join(directory, QUARANTINE_DIRECTORY)
+    os.makedirs(quarantine, exist_ok=True)
+    with open(os.path.join(quarantine, REASON_FILE), "w", encoding="utf-8") as reason_file:
+        reason_file.write(reason + "\n")
+    sync_directory(directory)  # it is durable that this controller has lost its state, before its store goes
+    kept = os.path.join(quarantine, STORE_FILE)
+    os.replace(os.path.join(directory, STORE_FILE), kept)
+    if os.stat(kept).st_size > MAX_QUARANTINE_BYTES:
+        os.remove(kept)
+    sync_directory(quarantine)
+    sync_directory(directory)
+    logger.error("store: {}: {}; set aside, this controller has forgotten", directory, reason)
+
+
+def quarantined_bytes(directory: str) -> int:
+    """Return the size of the store in the quarantine; 0 if there is none.
+
+    :param directory: the controller's data directory
+    """
+    kept = os.path.join(directory, QUARANTINE_DIRECTORY, STORE_FILE)
+    return os.stat(kept).st_size if os.path.exists(kept) else 0
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -2,7 +2,7 @@
 disks is lost.
 
 Votes are never restored: a controller that voted after its snapshot would break its promise.
-`restore_snapshot` makes another group: voters with memory numbers that nobody ever had, and a state that all
+`restore_snapshot` makes another group: voters with disk ids that nobody ever had, and a state that all
 of them have accepted in one ballot, with numbers above all that the lost group can have reached.
 docs/design/storage.md has the argument.
 """
@@ -51,69 +51,81 @@
     write_header,
 )
 
-# Added to versions, epochs and fences: a group that changes some times a minute never gets so far.
+# Added to versions, epochs and fencing tokens: a group that changes some times a minute never gets so far.
 VERSION_OFFSET = 2**32
 EPOCH_OFFSET = 2**20
 FENCING_TOKEN_OFFSET = 2**20
-BALLOT_COUNTER = 1  # of the ballot in which the state was accepted; its name is nobody else's
-MEMORY_NUMBERS = 2**53 - 2  # that a memory is drawn from; 0 and 1 have meanings of their own
-KEYS_PER_TRANSACTION = 500  # keys in one transaction
+BALLOT_COUNTER = 1  # of the ballot in which the state was accepted; its name is no proposer's
+FIRST_DISK_ID = 2  # 0 and 1 have meanings of their own
+DISK_IDS = 2**53 - FIRST_DISK_ID  # from so many a disk id is derived
+KEYS_PER_TRANSACTION = 500
 
 
 class RestoredGroup(NamedTuple):
-    """What was put back: the snapshot, and what each founder remembers of each shard."""
+    """A group that was restored from a snapshot.
+
+    :ivar snapshot: the snapshot
+    :ivar acceptor_states: what each founder has voted, by shard
+    """
 
     snapshot: Snapshot
-    kept: dict[int, AcceptorState]
+    acceptor_states: dict[int, AcceptorState]
+
 
+def take_snapshot(directory: str, path: str) -> Snapshot:
+    """Write what a store holds to a file.
 
-def take_snapshot(folder: str, path: str) -> Snapshot:
-    """Write what the store of a directory knows to a file. `StoreError`, `SnapshotError`."""
-    file = os.path.join(folder, STORE_FILE)
+    :param directory: the controller's data directory
+    :param path: the file; an existing one is replaced once the new one is complete
+    :raises StoreError: if the store is damaged or in use
+    :raises SnapshotError: if there is no store, or the file can't be written
+    """
+    file = os.path.join(directory, STORE_FILE)
     if not os.path.exists(file):
-        raise SnapshotError(f"{folder}: there is no store")
+        raise SnapshotError("there is no store", directory)
     try:
-        with lock_store(folder):
+        with lock_store(directory):
             env = open_environment(file, file=True, readonly=True)
             try:
-                return _take(env, file, path)
+                return _write_snapshot(env, file, path)
             finally:
                 env.close()
-    except StoreInUseError as problem:
-        raise StoreInUseError(f"{problem}: stop the controller first") from None
-    except StoreError as problem:
-        raise StoreError(f"{folder}: {problem}") from None
-    except (OSError, lmdb.Error) as problem:
-        raise SnapshotError(f"{path}: {problem}") from None
+    except StoreInUseError as error:
+        raise StoreInUseError(f"{error.problem}: stop the controller first", error.path) from None
+    except StoreError as error:
+        raise StoreError(str(error), directory) from None
+    except (OSError, lmdb.Error) as error:
+        raise SnapshotError(str(error), path) from None
 
 
-def _take(env: lmdb.Environment, file: str, path: str) -> Snapshot:
+def _write_snapshot(env: lmdb.Environment, file: str, path: str) -> Snapshot:
     inspection = inspect(env, file, DATABASE_NAMES)
-    states = _states_of(inspection, file)
-    keys = inspection.contents.keys
-    part = path + ".part"
-    with open(part, "wb") as out:
+    states = _shard_states(inspection, file)
+    key_count = inspection.contents.key_count
+    temporary_path = path + ".part"
+    with open(temporary_path, "wb") as out:
         hashed = HashedFile(out)
-        write_header(hashed, states, keys)
+        write_header(hashed, states, key_count)
         _write_rows(env, inspection, hashed)
         out.write(pack(hashed.hash.digest()))
         out.flush()
         os.fsync(out.fileno())
-    os.replace(part, path)
+    os.replace(temporary_path, path)
     sync_directory(os.path.dirname(os.path.abspath(path)))
-    return Snapshot(hashed.hash.digest(), states, keys)
+    return Snapshot(hashed.hash.digest(), states, key_count)
 
 
-def _states_of(inspection: Inspection, file: str) -> dict[int, Value]:
-    """The state of each shard, the first one where nothing was accepted."""
+def _shard_states(inspection: Inspection, file: str) -> dict[int, Value]:
+    """Return the accepted state of each shard, the initial one if nothing was accepted."""
     contents = inspection.contents
-    kept = contents.kept
-    if not kept and contents.early is not None:
-        kept = {shard_state.CONFIGURATION: contents.early}
-    if not kept:
-        raise SnapshotError(f"{file}: nothing was written to it yet")
-    first = shard_state.genesis(contents.founders)
-    return {n: (kept[n].value if n in kept else None) or first for n in shard_state.SHARDS}
+    acceptor_states = contents.acceptor_states
+    if not acceptor_states and contents.unsharded_state is not None:
+        acceptor_states = {shard_state.CONFIGURATION: contents.unsharded_state}
+    if not acceptor_states:
+        raise SnapshotError("nothing was written to it yet", file)
+    initial = shard_state.genesis(contents.founders)
+    accepted = {number: state.value for number, state in acceptor_states.items()}
+    return {number: accepted.get(number) or initial for number in shard_state.SHARDS}
 
 
 def _write_rows(env: lmdb.Environment, inspection: Inspection, out: HashedFile) -> None:
@@ -121,28 +133,31 @@
         return
     sealed = inspection.contents.format > 1
     with env.begin(db=inspection.dbs[KEYS_DB]) as txn:
-        for key, raw in txn.cursor():
-            name = bytes(key)
-            row = bytes(raw)
-            out.write(pack([name, verify_checksum(KEYS_DB, name, row) if sealed else row]))
+        for cursor_key, cursor_raw in txn.cursor():
+            key = bytes(cursor_key)
+            raw = bytes(cursor_raw)
+            out.write(pack([key, verify_checksum(KEYS_DB, key, raw) if sealed else raw]))
+
 
+def restored_disk_id(digest: bytes, founders: tuple[str, ...]) -> int:
+    """Return the disk id of all voters that a snapshot gives these founders.
 
-def memory_number(digest: bytes, founders: tuple[str, ...]) -> int:
-    """The memory of all voters that a file gives these founders; another list gives another memory.
+    :param digest: of the snapshot
+    :param founders: in any order; another list gives another number
 
-    >>> memory_of(b"d", ("a", "b")) == memory_of(b"d", ("a", "c"))
+    >>> restored_disk_id(b"d", ("a", "b")) == restored_disk_id(b"d", ("a", "c"))
     False
     """
     digest_of_both = hashlib.sha256(digest + "\0".join(sorted(founders)).encode()).digest()
-    return 2 + int.from_bytes(digest_of_both[:8], "big") % MEMORY_NUMBERS
+    return FIRST_DISK_ID + int.from_bytes(digest_of_both[:8], "big") % DISK_IDS
 
 
-def restored_memories(snapshot: Snapshot, founders: tuple[str, ...]) -> dict[int, AcceptorState]:
-    """What each founder remembers of each shard: its state, as one that all of them accepted in one round."""
-    memory = memory_number(snapshot.digest, founders)
-    voters = tuple(Voter(name, memory) for name in sorted(founders))
+def restored_acceptor_states(snapshot: Snapshot, founders: tuple[str, ...]) -> dict[int, AcceptorState]:
+    """Return what each founder has voted in each shard: all accepted the snapshot's state in one ballot."""
+    disk_id = restored_disk_id(snapshot.digest, founders)
+    voters = tuple(Voter(name, disk_id) for name in sorted(founders))
     ballot: Ballot = (BALLOT_COUNTER, f"restored {snapshot.digest.hex()[:32]}")
-    found = {}
+    acceptor_states = {}
     for number, old in snapshot.states.items():
         body = shard_state.body(old)
         body = replace(
@@ -151,46 +166,55 @@
             owner="",
             fencing_token=body.fencing_token + FENCING_TOKEN_OFFSET,
         )
-        found[number] = AcceptorState(
-            memory, ballot, ballot, Value(old.version + VERSION_OFFSET, voters, body)
-        )
-    return found
+        value = Value(old.version + VERSION_OFFSET, voters, body)
+        acceptor_states[number] = AcceptorState(disk_id, ballot, ballot, value)
+    return acceptor_states
+
 
+def restore_snapshot(directory: str, path: str, founders: tuple[str, ...]) -> RestoredGroup:
+    """Create a store from a snapshot in an empty directory, completely or not at all.
 
-def restore_snapshot(folder: str, path: str, founders: tuple[str, ...]) -> RestoredGroup:
-    """Make a store of a file in an empty directory, whole or not at all. `SnapshotError`."""
+    :param directory: the controller's data directory; created if it is missing
+    :param path: the snapshot's file
+    :param founders: controllers of the new group
+    :raises SnapshotError: if the snapshot can't be used, or the store can't be written
+    """
     snapshot = read_snapshot(path)
-    kept = restored_memories(snapshot, founders)
+    acceptor_states = restored_acceptor_states(snapshot, founders)
+    temporary_path = os.path.join(directory, TEMPORARY_FILE)
     try:
-        os.makedirs(folder, exist_ok=True)
-        there = sorted(os.listdir(folder))
-        if there:
-            raise SnapshotError(f"{folder}: it is not empty, there is {there[0]!r}")
-        part = os.path.join(folder, TEMPORARY_FILE)
-        env = open_environment(part, file=True)
+        _require_empty(directory)
+        env = open_environment(temporary_path, file=True)
         try:
-            _write_store(env, path, kept, founders)
-            _verify_store(env, part, kept, snapshot)
+            _write_store(env, path, acceptor_states, founders)
+            _verify_store(env, temporary_path, acceptor_states, snapshot)
         finally:
             env.close()
-        os.rename(part, os.path.join(folder, STORE_FILE))
-        sync_directory_and_parent(folder)
-    except (OSError, lmdb.Error, StoreError) as problem:
+        os.rename(temporary_path, os.path.join(directory, STORE_FILE))
+        sync_directory_and_parent(directory)
+    except (OSError, lmdb.Error, StoreError) as error:
         with contextlib.suppress(OSError):
-            os.remove(os.path.join(folder, TEMPORARY_FILE))
-        raise SnapshotError(f"{folder}: {problem}") from None
-    return RestoredGroup(snapshot, kept)
+            os.remove(temporary_path)
+        raise SnapshotError(str(error), directory) from None
+    return RestoredGroup(snapshot, acceptor_states)
+
+
+def _require_empty(directory: str) -> None:
+    os.makedirs(directory, exist_ok=True)
+    present = sorted(os.listdir(directory))
+    if present:
+        raise SnapshotError(f"it is not empty, there is {present[0]!r}", directory)
 
 
 def _write_store(
-    env: lmdb.Environment, path: str, kept: dict[int, AcceptorState], founders: tuple[str, ...]
+    env: lmdb.Environment, path: str, acceptor_states: dict[int, AcceptorState], founders: tuple[str, ...]
 ) -> None:
     dbs = {name: env.open_db(name.encode()) for name in DATABASE_NAMES}
-    puts: list[RecordWrite] = [(CONTROLLER_DB, b"founders", pack(sorted(founders)))]
-    for number, one in kept.items():
-        puts += initial_records(number, one, True)
+    records: list[RecordWrite] = [(CONTROLLER_DB, b"founders", pack(sorted(founders)))]
+    for number, state in acceptor_states.items():
+        records += initial_records(number, state, True)
     with env.begin(write=True) as txn:
-        for name, key, value in puts:
+        for name, key, value in records:
             assert value is not None
             txn.put(key, add_checksum(name, key, value), db=dbs[name])
         write_seal(txn, dbs)
@@ -203,8 +227,8 @@
 
 
 def _verify_store(
-    env: lmdb.Environment, part: str, kept: dict[int, AcceptorState], snapshot: Snapshot
+    env: lmdb.Environment, file: str, acceptor_states: dict[int, AcceptorState], snapshot: Snapshot
 ) -> None:
-    contents = inspect(env, part, DATABASE_NAMES).contents
-    if contents.kept != kept or contents.keys != snapshot.keys:
+    contents = inspect(env, file, DATABASE_NAMES).contents
+    if contents.acceptor_states != acceptor_states or contents.key_count != snapshot.key_count:
         raise StoreError("what was written is not what is read")
--- a/orchidferry/mesh/storage/snapshot_command.py
+++ b/orchidferry/mesh/storage/snapshot_command.py
@@ -1,4 +1,4 @@
-"""`orchidferry controller snapshot take|put`: a lost group of controllers is begun anew from a file."""
+"""`orchidferry controller snapshot take|put`, the command by which a lost group of controllers returns."""
 
 from __future__ import annotations
 
@@ -8,38 +8,47 @@
 
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.errors import StoreError
-from orchidferry.mesh.role_settings import DATA_DIR_MISSING, settings_path
+from orchidferry.mesh.role_settings import data_dir_missing, settings_path
 from orchidferry.mesh.settings import MeshSettingsError, Settings, read_settings
 from orchidferry.mesh.storage.environment import StoreInUseError
 from orchidferry.mesh.storage.snapshot import restore_snapshot, take_snapshot
 from orchidferry.mesh.storage.snapshot_file import SnapshotError
 
 PROGRAM = "orchidferry controller snapshot"
+FOUNDERS_OPTION = "--founders"
 
 
 def read_founders(text: str, own: str, losses: int) -> tuple[str, ...]:
-    """The list as it was given, checked. `SnapshotError`."""
+    """Parse and check the list of founders.
+
+    :param text: IP numbers, separated by commas
+    :param own: IP number of this machine, which must be among them
+    :param losses: how many machines the group must be able to lose
+    :returns: the founders in the given order
+    :raises SnapshotError: if the list can't be used
+    """
     names = tuple(text.split(","))
     for name in names:
         try:
             ipaddress.IPv4Address(name)
         except ValueError:
-            raise SnapshotError(f"--founders: {name!r} is no IP number") from None
+            raise SnapshotError(f"{name!r} is no IP number", FOUNDERS_OPTION) from None
     if len(set(names)) != len(names):
-        raise SnapshotError("--founders: one is named twice")
+        raise SnapshotError("one is named twice", FOUNDERS_OPTION)
     if own not in names:
-        raise SnapshotError(f"--founders: this machine, {own}, is not among them")
+        raise SnapshotError(f"this machine, {own}, is not among them", FOUNDERS_OPTION)
     if len(names) < 2 * losses + 1:
-        raise SnapshotError(f"--founders: {2 * losses + 1} are needed to bear the loss of {losses}")
+        problem = f"{2 * losses + 1} are needed to bear the loss of {losses}"
+        raise SnapshotError(problem, FOUNDERS_OPTION)
     return names
 
 
 def _settings() -> tuple[Settings, str]:
-    """The settings, and the directory that they name for the store."""
+    """Return the settings, and the data directory that they name."""
     path = settings_path()
     settings = read_settings(path)
     if settings.data_dir is None:
-        raise MeshSettingsError(f"{path}: {DATA_DIR_MISSING}")
+        raise data_dir_missing().in_file(path)
     return settings, settings.data_dir
 
 
@@ -50,9 +59,9 @@
 
     :param file: where to; a file of that name is replaced once the new one is whole
     """
-    _, folder = _settings()
-    found = take_snapshot(folder, file)
-    print(f"{file}: {found.line}, digest {found.digest.hex()[:16]}")
+    _, directory = _settings()
+    snapshot = take_snapshot(directory, file)
+    print(f"{file}: {snapshot.summary}, digest {snapshot.digest.hex()[:16]}")
     return 0
 
 
@@ -70,29 +79,34 @@
     :param founders: IP numbers of the controllers of the new group, this one among them
     :param majority_is_gone: say that the old group can't come back
     """
-    settings, folder = _settings()
+    settings, directory = _settings()
     if not majority_is_gone:
         raise SnapshotError("--majority-is-gone is missing: two groups at once would both grant keys")
-    names = read_founders(founders, settings.ip, settings.machines)
-    snapshot, kept = restore_snapshot(folder, file, names)
-    memory = kept[shard_state.CONFIGURATION].disk_id
-    print(f"{folder}: {snapshot.line}; memory {memory}, the same at all of {' '.join(sorted(names))}?")
+    names = read_founders(founders, settings.ip, settings.tolerated_losses)
+    group = restore_snapshot(directory, file, names)
+    disk_id = group.acceptor_states[shard_state.CONFIGURATION].disk_id
+    voters = " ".join(sorted(names))
+    print(f"{directory}: {group.snapshot.summary}; memory {disk_id}, the same at all of {voters}?")
     return 0
 
 
 def main(words: list[str]) -> int:
-    """The command; its exit status: 0, 1 for a store in use, 2 with one line."""
+    """Run the command.
+
+    :param words: of the command line, after `snapshot`
+    :returns: the exit status: 0, 1 if the store is in use, 2 for any other error, which is printed
+    """
     defopt = importlib.import_module("defopt")
-    parser = {"prog": "orchidferry controller snapshot"}
     try:
-        return int(
-            defopt.run([take, put], argv=words, short={}, no_negated_flags=True, argparse_kwargs=parser)
+        status = defopt.run(
+            [take, put], argv=words, short={}, no_negated_flags=True, argparse_kwargs={"prog": PROGRAM}
         )
-    except StoreInUseError as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
+        return int(status)
+    except StoreInUseError as error:
+        print(f"orchidferry: {error}", file=sys.stderr)
         return 1
-    except (SnapshotError, MeshSettingsError, StoreError) as problem:
-        print(f"orchidferry: {problem}", file=sys.stderr)
+    except (SnapshotError, MeshSettingsError, StoreError) as error:
+        print(f"orchidferry: {error}", file=sys.stderr)
         return 2
     except SystemExit as end:  # help, or words that can't be read
         return int(end.code or 0)
--- a/orchidferry/mesh/storage/snapshot_file.py
+++ b/orchidferry/mesh/storage/snapshot_file.py
@@ -1,7 +1,7 @@
-"""The file of a snapshot, and reading it.
+"""The file of a snapshot: writing its header, and reading it.
 
 A file is a header, the states of all shards, the operation keys one after the other, and a digest of all
-that: `cbor2` items in a row.
+that: CBOR items in a row.
 """
 
 from __future__ import annotations
@@ -21,135 +21,156 @@
 
 MAGIC = "orchidferry snapshot"
 SNAPSHOT_FORMAT = 2  # that is written
-READABLE_FORMATS = (
-    1,
-    SNAPSHOT_FORMAT,
-)  # that are read: in format 1 the configuration's text was never compressed
+READABLE_FORMATS = (1, SNAPSHOT_FORMAT)  # in format 1 the configuration's text was never compressed
 NONCE_BYTES = 16
 READ_BYTES = 65_536
 
 
 class SnapshotError(OrchidferryError):
-    """It can't be done; one line that names the file, directory or option."""
+    """A snapshot can't be taken or restored; the text is one line.
+
+    :ivar problem: what is wrong
+    :ivar subject: the file, directory or command line option that is at fault; empty if `problem` names it
+    """
+
+    def __init__(self, problem: str, subject: str = "") -> None:
+        super().__init__(f"{subject}: {problem}" if subject else problem)
+        self.problem = problem
+        self.subject = subject
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What a file holds, without its operation keys."""
+    """What a snapshot's file holds, without its operation keys.
+
+    :ivar digest: SHA-256 of the file's content
+    :ivar states: the state of each shard, by its number
+    :ivar key_count: number of operation keys
+    """
 
     digest: bytes
-    states: dict[int, Value]  # by shard
-    keys: int
+    states: dict[int, Value]
+    key_count: int
 
     @property
-    def line(self) -> str:
-        """A summary for the operator."""
+    def summary(self) -> str:
+        """One line for the operator."""
         body = shard_state.body(self.states[shard_state.CONFIGURATION])
         versions = [value.version for value in self.states.values()]
-        return f"revision {body.revision}, parts at versions {versions}, {self.keys} keys"
+        return f"revision {body.revision}, parts at versions {versions}, {self.key_count} keys"
 
 
 @dataclass(frozen=True, slots=True)
 class _Header:
-    keys: int
+    key_count: int
     states: dict[int, Value]  # by shard
 
 
 class HashedFile:
-    """A file whose bytes are hashed as they are written."""
+    """A file whose bytes are hashed as they are written.
+
+    :ivar hash: SHA-256 of what was written so far
+    """
 
     def __init__(self, file: IO[bytes]) -> None:
-        self.file, self.hash = file, hashlib.sha256()
+        self._file = file
+        self.hash = hashlib.sha256()
 
     def write(self, raw: bytes) -> int:
-        """Write and hash these."""
+        """Write and hash these bytes; return how many were written."""
         self.hash.update(raw)
-        return self.file.write(raw)
+        return self._file.write(raw)
 
 
-def write_header(file: HashedFile, states: dict[int, Value], keys: int) -> None:
-    """Write what stands before the keys. The nonce makes files of the same content differ."""
-    file.write(pack([MAGIC, SNAPSHOT_FORMAT, os.urandom(NONCE_BYTES), keys]))
+def write_header(file: HashedFile, states: dict[int, Value], key_count: int) -> None:
+    """Write what precedes the keys. The nonce makes files of the same content differ."""
+    file.write(pack([MAGIC, SNAPSHOT_FORMAT, os.urandom(NONCE_BYTES), key_count]))
     file.write(pack([[number, shard_state.pack_value(value)] for number, value in states.items()]))
 
 
 def read_snapshot(path: str) -> Snapshot:
-    """Read and check a file whole. `SnapshotError`."""
+    """Read and check a whole file.
+
+    :raises SnapshotError: if it can't be read, or is no complete snapshot
+    """
     digest = _verified_digest(path)
-    with _opened(path) as file:
+    with _open_snapshot(path) as file:
         reader = _Reader(path, file)
         header = _read_header(path, reader)
-        for _ in range(header.keys):
+        for _ in range(header.key_count):
             reader.row()
         if reader.item() != digest:
-            raise SnapshotError(f"{path}: it has more keys than it says")
-    return Snapshot(digest, header.states, header.keys)
+            raise SnapshotError("it has more keys than it says", path)
+    return Snapshot(digest, header.states, header.key_count)
 
 
 def read_rows(path: str) -> Iterator[tuple[bytes, bytes]]:
-    """The operation keys and their records, one by one. `SnapshotError`."""
-    with _opened(path) as file:
+    """Yield the operation keys and their records, one by one.
+
+    :raises SnapshotError: if the file can't be read
+    """
+    with _open_snapshot(path) as file:
         reader = _Reader(path, file)
-        for _ in range(_read_header(path, reader).keys):
+        for _ in range(_read_header(path, reader).key_count):
             yield reader.row()
 
 
 def _verified_digest(path: str) -> bytes:
-    """The digest of all but the digest at the end, where that is the same."""
-    found = hashlib.sha256()
-    with _opened(path) as file:
-        left = os.fstat(file.fileno()).st_size - len(pack(found.digest()))
+    """Compute the digest of the content, and compare it with the one at the end of the file."""
+    digest = hashlib.sha256()
+    with _open_snapshot(path) as file:
+        left = os.fstat(file.fileno()).st_size - len(pack(digest.digest()))
         while left > 0 and (raw := file.read(min(left, READ_BYTES))):
-            found.update(raw)
+            digest.update(raw)
             left -= len(raw)
-        if left or file.read() != pack(found.digest()):
-            raise SnapshotError(
-                f"{path}: it is no snapshot, or not whole: its digest isn't that of its bytes"
-            )
-    return found.digest()
+        if left or file.read() != pack(digest.digest()):
+            raise SnapshotError("it is no snapshot, or not whole: its digest isn't that of its bytes", path)
+    return digest.digest()
 
 
-def _opened(path: str) -> IO[bytes]:
+def _open_snapshot(path: str) -> IO[bytes]:
     try:
         return open(path, "rb")
-    except OSError as problem:
-        raise SnapshotError(f"{path}: {problem.strerror}") from None
+    except OSError as error:
+        raise SnapshotError(str(error.strerror), path) from None
 
 
 class _Reader:
-    """Items in a row."""
+    """Reads the CBOR items of a file in their order."""
 
     def __init__(self, path: str, file: IO[bytes]) -> None:
         self._path = path
         self._decoder = cbor2.CBORDecoder(file)
 
     def item(self) -> Any:
+        """Return the next item."""
         try:
             return self._decoder.decode()
-        except (cbor2.CBORDecodeError, ValueError, TypeError, OSError) as problem:
-            raise SnapshotError(f"{self._path}: it can't be read: {problem}") from None
+        except (cbor2.CBORDecodeError, ValueError, TypeError, OSError) as error:
+            raise SnapshotError(f"it can't be read: {error}", self._path) from None
 
     def row(self) -> tuple[bytes, bytes]:
+        """Return the next operation key and its record."""
         match self.item():
             case [bytes(key), bytes(raw)]:
                 return key, raw
-        raise SnapshotError(f"{self._path}: what should be a key is none")
+        raise SnapshotError("what should be a key is none", self._path)
 
 
 def _read_header(path: str, reader: _Reader) -> _Header:
     match reader.item():
-        case [str(magic), int(format_number), bytes(), int(keys)] if magic == MAGIC and keys >= 0:
+        case [str(magic), int(format_number), bytes(), int(key_count)] if magic == MAGIC and key_count >= 0:
             if format_number not in READABLE_FORMATS:
-                raise SnapshotError(f"{path}: format {format_number} is not known here")
+                raise SnapshotError(f"format {format_number} is not known here", path)
         case _:
-            raise SnapshotError(f"{path}: it is no snapshot")
+            raise SnapshotError("it is no snapshot", path)
     try:
         states = {number: shard_state.unpack_value(packed) for number, packed in reader.item()}
-    except (ValueError, TypeError) as problem:
-        raise SnapshotError(f"{path}: its state can't be read: {problem}") from None
-    known = {number: value for number, value in states.items() if value is not None}
-    if sorted(known) != list(shard_state.SHARDS):
+    except (ValueError, TypeError) as error:
+        raise SnapshotError(f"its state can't be read: {error}", path) from None
+    decided = {number: value for number, value in states.items() if value is not None}
+    if sorted(decided) != list(shard_state.SHARDS):
         raise SnapshotError(
-            f"{path}: it has the parts {sorted(known)}, {list(shard_state.SHARDS)} are needed"
+            f"it has the parts {sorted(decided)}, {list(shard_state.SHARDS)} are needed", path
         )
-    return _Header(keys, known)
+    return _Header(key_count, decided)
--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -1,9 +1,9 @@
-"""Has a controller's store checked before it is used, repaired where that is safe, and compacted.
+"""Checks a controller's store before it is used, repairs it if that is safe, and compacts it.
 
-A store that can't be trusted is moved to `bad`, and the controller goes on as one that has forgotten: a wrong
-memory would break its promises, an end of the process would only repeat itself, and a lost disk is a loss
-that the group survives. What can't be read at the moment, or was written by a later build, is left as it is
-and waited for.
+A store that is damaged is moved to the quarantine, and the controller goes on as one that has lost its state:
+wrong votes would break its promises, an end of the process would only repeat itself, and a lost disk is a
+loss that the group survives. What can't be read at the moment, or was written by a later build, is left as it
+is, and the controller waits for it.
 """
 
 from __future__ import annotations
@@ -18,6 +18,12 @@
 from loguru import logger
 
 from orchidferry.mesh.errors import StoreError
+from orchidferry.mesh.storage.compaction import (
+    finish_replacement,
+    replace_store,
+    should_compact,
+    write_compact_copy,
+)
 from orchidferry.mesh.storage.environment import (
     DATABASE_NAMES,
     LOCK_FILE,
@@ -27,116 +33,111 @@
     StoreInUseError,
     lock_store,
     open_environment,
+    remove_if_exists,
     required_file_bytes,
-    sync_directory,
 )
 from orchidferry.mesh.storage.inspection import CORRUPTION_ERRORS, StoreContents, inspect
-from orchidferry.mesh.storage.record_format import STORE_FORMAT, CorruptStoreError, add_checksum, write_seal
-
-# files of data_dir
-ATTEMPTS_FILE = "opening"
-RENAMED_FILE = "renamed"
-QUARANTINE_DIRECTORY = "bad"  # a directory there
-MAX_DISK_BYTES = 250_000_000  # of a disk of 256 MB
-MAX_QUARANTINE_BYTES = 64_000_000  # bytes; a larger store that was moved to `bad` isn't kept
-MIN_FREE_FRACTION = 0.5  # of the file that must be free for a compact copy
-MIN_COMPACT_BYTES = 16 * 1024 * 1024  # a smaller file isn't worth a copy
-COPY_SIZE_FACTOR = 1.05  # what a compact copy may take beyond the used pages
+from orchidferry.mesh.storage.quarantine import quarantine_store, quarantined_bytes
+from orchidferry.mesh.storage.record_format import (
+    STORE_FORMAT,
+    CorruptStoreError,
+    add_checksum,
+    write_seal,
+)
+
+ATTEMPTS_FILE = "opening"  # of the data directory: one byte for each check that has not come to its end
 MAX_CRASHES = 2  # so often in a row the process ended during the check: the store is the cause
 RETRY_INTERVAL_S = 0.5  # after a store could not be opened
 # lmdb 0.9: its two meta pages, and where the size of the map and the last page's number stand in them
-PAGE = 4096
+PAGE_BYTES = 4096
 META_BYTES = 152
-META_FIELDS = (32, 136)
-FIELD_BYTES = 8
+META_FIELD_OFFSETS = (32, 136)
+META_FIELD_BYTES = 8
 MAX_META_BYTES = 2**32  # above any store's size
 
 # Before a controller starts
 
 
-def has_lost_state(folder: str) -> bool:
-    """Whether a store was moved to `bad` here: the controller is no founder any more, whatever its settings
-    say.
-    """
-    return os.path.isdir(os.path.join(folder, QUARANTINE_DIRECTORY))
-
+def prepare_store(directory: str) -> None:
+    """Leave no store in a directory, or one that can be opened: verified, of this format, not too large.
 
-def prepare_store(folder: str) -> None:
-    """Have no store in a directory, or one that can be opened: verified, of this format, not too large.
-
-    `StoreError` if that can't be done at the moment.
+    :param directory: the controller's data directory; created if it is missing
+    :raises StoreError: if that can't be done at the moment
     """
     try:
-        os.makedirs(folder, exist_ok=True)
-        with lock_store(folder):
-            _prepare(folder)
-    except (OSError, lmdb.Error) as problem:
-        raise StoreError(f"{folder}: {problem}") from None
-
-
-def _prepare(folder: str) -> None:
-    file, part, tries = (os.path.join(folder, name) for name in (STORE_FILE, TEMPORARY_FILE, ATTEMPTS_FILE))
-    _remove(part)
-    if os.path.exists(os.path.join(folder, RENAMED_FILE)):
-        sync_directory(folder)
-        _remove(os.path.join(folder, RENAMED_FILE))
+        os.makedirs(directory, exist_ok=True)
+        with lock_store(directory):
+            _prepare_locked(directory)
+    except (OSError, lmdb.Error) as error:
+        raise StoreError(str(error), directory) from None
+
+
+def _prepare_locked(directory: str) -> None:
+    file = os.path.join(directory, STORE_FILE)
+    copy = os.path.join(directory, TEMPORARY_FILE)
+    attempts = os.path.join(directory, ATTEMPTS_FILE)
+    remove_if_exists(copy)
+    finish_replacement(directory)
     if not os.path.exists(file):
         return
     # lmdb ends the process on some kinds of damage: that must not repeat itself for ever.
-    deaths = os.stat(tries).st_size if os.path.exists(tries) else 0
+    crashes = os.stat(attempts).st_size if os.path.exists(attempts) else 0
     try:
-        if deaths >= MAX_CRASHES:
-            raise CorruptStoreError(f"the process ended {deaths} times while it looked at it")
+        if crashes >= MAX_CRASHES:
+            raise CorruptStoreError(f"the process ended {crashes} times while it looked at it")
         # A disk that refuses this is no reason to wait: its contents can still be read.
-        with contextlib.suppress(OSError), open(tries, "ab") as count:
-            count.write(b"x")
-        _check_file(file, part)
-    except CorruptStoreError as problem:
-        quarantine(folder, str(problem))
-    except StoreError as problem:
-        raise StoreError(f"{folder}: {problem}") from None
+        with contextlib.suppress(OSError), open(attempts, "ab") as attempts_file:
+            attempts_file.write(b"x")
+        _check_file(file, copy)
+    except CorruptStoreError as error:
+        quarantine_store(directory, str(error))
+    except StoreError as error:
+        raise StoreError(str(error), directory) from None
     finally:
-        _remove(tries)
+        remove_if_exists(attempts)
 
 
-def _check_file(file: str, part: str) -> None:
+def _check_file(file: str, copy: str) -> None:
     _check_meta_pages(file)
     try:
         env = open_environment(file, file=True)
-    except CORRUPTION_ERRORS as problem:
-        raise CorruptStoreError(str(problem)) from None
+    except CORRUPTION_ERRORS as error:
+        raise CorruptStoreError(str(error)) from None
     try:
         _extend_to_full_size(env, file)
         inspection = inspect(env, file, DATABASE_NAMES)
         contents = inspection.contents
-        if contents.early is not None:
+        if contents.unsharded_state is not None:
             raise StoreError("it is of a build before parts: carry the group over by a snapshot")
         if contents.format < STORE_FORMAT:
             _migrate(env, inspection.dbs, contents.format)
             logger.info("store: the store was of format {}, it is of {} now", contents.format, STORE_FORMAT)
-        copied = should_compact(contents, _bad_bytes(file)) and _copy(env, part, contents)
+        other_bytes = quarantined_bytes(os.path.dirname(file))
+        copied = should_compact(contents, other_bytes) and write_compact_copy(env, copy, contents)
     finally:
         env.close()
-    if copied and _replace(part, file):
+    if copied and replace_store(copy, file):
         logger.info("store: compact now, {} bytes of {} were used", contents.used_bytes, contents.file_bytes)
 
 
 def _check_meta_pages(file: str) -> None:
     """lmdb maps as much as its meta pages say, and reports a size that is too large as a lack of memory."""
     with open(file, "rb") as raw:
-        pages = raw.read(2 * PAGE)
-    for page in range(0, len(pages) - META_BYTES, PAGE):
-        starts = [page + field for field in META_FIELDS]
-        map_bytes, last = (int.from_bytes(pages[at : at + FIELD_BYTES], sys.byteorder) for at in starts)
-        if map_bytes > MAX_META_BYTES or last * PAGE > MAX_META_BYTES:
+        pages = raw.read(2 * PAGE_BYTES)
+    for page in range(0, len(pages) - META_BYTES, PAGE_BYTES):
+        map_bytes, last_page = (
+            int.from_bytes(pages[page + offset : page + offset + META_FIELD_BYTES], sys.byteorder)
+            for offset in META_FIELD_OFFSETS
+        )
+        if map_bytes > MAX_META_BYTES or last_page * PAGE_BYTES > MAX_META_BYTES:
             raise CorruptStoreError("a root names more pages than a store has")
 
 
 def _extend_to_full_size(env: lmdb.Environment, file: str) -> None:
     """Reading beyond the end of a truncated file would end the process; zeros are detected as damage."""
-    whole = required_file_bytes(env)
-    if os.stat(file).st_size < whole:
-        os.truncate(file, whole)
+    required_bytes = required_file_bytes(env)
+    if os.stat(file).st_size < required_bytes:
+        os.truncate(file, required_bytes)
 
 
 def _migrate(env: lmdb.Environment, dbs: Databases, old_format: int) -> None:
@@ -148,96 +149,18 @@
         write_seal(txn, dbs)
 
 
-def should_compact(contents: StoreContents, other_bytes: int) -> bool:
-    """Whether a compact copy pays, and fits on the disk beside the file and so many other bytes."""
-    free = contents.file_bytes - contents.used_bytes
-    fits = contents.file_bytes + COPY_SIZE_FACTOR * contents.used_bytes + other_bytes <= MAX_DISK_BYTES
-    return (
-        contents.file_bytes >= MIN_COMPACT_BYTES and free > MIN_FREE_FRACTION * contents.file_bytes and fits
-    )
-
+async def wait_until_ready(directory: str, stopping: asyncio.Event) -> bool:
+    """Prepare a store in a thread of its own, as often as it takes.
 
-def _copy(env: lmdb.Environment, part: str, contents: StoreContents) -> bool:
-    """Write a compact copy, sealed, read back and synced; whether that succeeded. The old file stays."""
-    try:
-        with open(part, "wb") as out:
-            env.copyfd(out.fileno(), compact=True)
-        copy = open_environment(part, file=True)
-        try:
-            dbs = {name: copy.open_db(name.encode()) for name in DATABASE_NAMES}
-            with copy.begin(write=True) as txn:
-                write_seal(txn, dbs)
-            _require_same(inspect(copy, part, DATABASE_NAMES).contents, contents)
-            copy.sync(True)
-        finally:
-            copy.close()
-        return True
-    except (OSError, lmdb.Error, StoreError) as problem:
-        logger.warning("store: no compact copy could be made: {}", problem)
-        _remove(part)
-        return False
-
-
-def _require_same(copy: StoreContents, store: StoreContents) -> None:
-    if (copy.kept, copy.keys, copy.caught_up) != (store.kept, store.keys, store.caught_up):
-        raise CorruptStoreError("the copy is not like the store")
-
-
-def _replace(part: str, file: str) -> bool:
-    """Give the copy the store's name durably; False if the old file stays.
-
-    `OSError` if the new name may not be durable: nothing may be written to the file before a later call has
-    synced the directory.
+    :param directory: the controller's data directory
+    :param stopping: set when the process is to end
+    :returns: whether the store is ready; False if the process is to end before
     """
-    folder = os.path.dirname(file)
-    renamed = os.path.join(folder, RENAMED_FILE)
-    try:
-        with open(renamed, "wb"):
-            pass
-        os.rename(part, file)
-    except OSError as problem:
-        logger.warning("store: no compact copy could be made: {}", problem)
-        _remove(part)
-        _remove(renamed)
-        return False
-    sync_directory(folder)
-    _remove(renamed)
-    return True
-
-
-def quarantine(folder: str, why: str) -> None:
-    """Move the store to `bad`, where the latest one is kept, unless it is large. `OSError`."""
-    bad = os.path.join(folder, QUARANTINE_DIRECTORY)
-    os.makedirs(bad, exist_ok=True)
-    with open(os.path.join(bad, "why"), "w", encoding="utf-8") as note:
-        note.write(why + "\n")
-    sync_directory(folder)  # it is durable that this controller has forgotten, before its store goes
-    kept = os.path.join(bad, STORE_FILE)
-    os.replace(os.path.join(folder, STORE_FILE), kept)
-    if os.stat(kept).st_size > MAX_QUARANTINE_BYTES:
-        os.remove(kept)
-    sync_directory(bad)
-    sync_directory(folder)
-    logger.error("store: {}: {}; set aside, this controller has forgotten", folder, why)
-
-
-def _remove(path: str) -> None:
-    if os.path.exists(path):
-        os.remove(path)
-
-
-def _bad_bytes(file: str) -> int:
-    kept = os.path.join(os.path.dirname(file), QUARANTINE_DIRECTORY, STORE_FILE)
-    return os.stat(kept).st_size if os.path.exists(kept) else 0
-
-
-async def wait_until_ready(folder: str, stopping: asyncio.Event) -> bool:
-    """Prepare a store in a thread of its own, for as long as that takes; False if told to stop before."""
     loop = asyncio.get_running_loop()
     last_problem = ""
     while not stopping.is_set():
         done: asyncio.Future[str] = loop.create_future()
-        threading.Thread(target=_prepare_in_thread, args=(folder, loop, done), daemon=True).start()
+        threading.Thread(target=_prepare_in_thread, args=(directory, loop, done), daemon=True).start()
         stop = loop.create_task(stopping.wait())
         await asyncio.wait((done, stop), return_when=asyncio.FIRST_COMPLETED)
         stop.cancel()
@@ -255,12 +178,12 @@
     return False
 
 
-def _prepare_in_thread(folder: str, loop: asyncio.AbstractEventLoop, done: asyncio.Future[str]) -> None:
+def _prepare_in_thread(directory: str, loop: asyncio.AbstractEventLoop, done: asyncio.Future[str]) -> None:
     try:
-        prepare_store(folder)
+        prepare_store(directory)
         problem = ""
-    except StoreError as found:
-        problem = str(found)
+    except StoreError as error:
+        problem = str(error)
     with contextlib.suppress(RuntimeError):  # the loop has ended
         loop.call_soon_threadsafe(_set_result, done, problem)
 
@@ -273,25 +196,35 @@
 # While no controller runs
 
 
-def read_contents(folder: str) -> StoreContents | None:
-    """What the store of a directory holds, with nothing written; None if there is none. `StoreError`."""
-    file = os.path.join(folder, STORE_FILE)
-    locked = os.path.exists(os.path.join(folder, LOCK_FILE))
+def read_contents(directory: str) -> StoreContents | None:
+    """Read and verify the store of a directory, with nothing written.
+
+    :param directory: the controller's data directory
+    :returns: what it holds; None if there is no store
+    :raises StoreInUseError: if a controller has it open
+    :raises StoreError: if it can't be read or is damaged
+    """
+    file = os.path.join(directory, STORE_FILE)
+    has_lock_file = os.path.exists(os.path.join(directory, LOCK_FILE))
     if not os.path.exists(file):
         return None
     try:
-        with lock_store(folder, "rb") if locked else contextlib.nullcontext():
-            _check_meta_pages(file)
-            env = open_environment(file, file=True, readonly=True)
-            try:
-                if os.stat(file).st_size < required_file_bytes(env):
-                    raise CorruptStoreError("the file is shorter than its root says")
-                return inspect(env, file, DATABASE_NAMES).contents
-            finally:
-                env.close()
-    except (OSError, lmdb.Error) as problem:
-        raise StoreError(f"{folder}: {problem}") from None
+        with lock_store(directory, "rb") if has_lock_file else contextlib.nullcontext():
+            return _read_contents_locked(file)
+    except (OSError, lmdb.Error) as error:
+        raise StoreError(str(error), directory) from None
     except StoreInUseError:
         raise
-    except StoreError as problem:
-        raise StoreError(f"{folder}: {problem}") from None
+    except StoreError as error:
+        raise StoreError(str(error), directory) from None
+
+
+def _read_contents_locked(file: str) -> StoreContents:
+    _check_meta_pages(file)
+    env = open_environment(file, file=True, readonly=True)
+    try:
+        if os.stat(file).st_size < required_file_bytes(env):
+            raise CorruptStoreError("the file is shorter than its root says")
+        return inspect(env, file, DATABASE_NAMES).contents
+    finally:
+        env.close()
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -116,8 +116,8 @@
         internal_port=port,
         seeds=tuple(seeds),
         bounds=Bounds(),
-        beat_ms=1_500.0,
-        descriptors=256,
+        heartbeat_interval_ms=1_500.0,
+        max_file_descriptors=256,
         memory_mb=256.0,
     )
 
@@ -156,8 +156,8 @@
 
     commit = Store._commit
 
-    def later(self: Store, jobs: Any) -> list[bool] | None:
-        done = commit(self, jobs)
+    def later(self: Store, writes: Any) -> list[bool] | None:
+        done = commit(self, writes)
         time.sleep(more_s)
         return done
 
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -278,8 +278,8 @@
             internal_port=1,
             seeds=world.seeds,
             bounds=Bounds(),
-            beat_ms=1e3 * SERVER_BEAT_S,
-            descriptors=4_100,
+            heartbeat_interval_ms=1e3 * SERVER_BEAT_S,
+            max_file_descriptors=4_100,
             memory_mb=200.0,
         )
         loop: Any = self
--- a/orchidferry/testkit/model/stored_controller.py
+++ b/orchidferry/testkit/model/stored_controller.py
@@ -78,7 +78,9 @@
         self.close()
         self._open()
         assert self._store is not None
-        self.disk = {(name, key): value for name in DATABASE_NAMES for key, value in self._store.all(name)}
+        self.disk = {
+            (name, key): value for name in DATABASE_NAMES for key, value in self._store.read_all(name)
+        }
         super().start()
 
     def wipe(self) -> None:
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -144,7 +144,9 @@
         parse_settings(BOOT_TABLES),
         SimpleNamespace(set_seeds=seeds.append),
     )
-    scene.proxy.reread(dataclasses.replace(parse_settings(BOOT_TABLES), service="other", seeds=("10.0.0.9",)))
+    scene.proxy.reload_settings(
+        dataclasses.replace(parse_settings(BOOT_TABLES), service="other", seeds=("10.0.0.9",))
+    )
     scene.ask()
     [attempt] = scene.scene.open_attempts()
     assert seeds == [("10.0.0.9",)] and b"Calling-Service: other\r\n" in attempt.head_bytes()
@@ -155,13 +157,13 @@
 ) -> None:
     """One that can't be used changes nothing, and is read again once it is whole."""
     seen: list[tuple[str, ...]] = []
-    one: Any = SimpleNamespace(reread=lambda settings: seen.append(settings.seeds))
+    one: Any = SimpleNamespace(reload_settings=lambda settings: seen.append(settings.seeds))
     loop: Any = Loop()
     path = tmp_path / "local.toml"
     monkeypatch.setenv("ORCHIDFERRY_BOOT", str(path))
     monkeypatch.setattr(role_settings, "validate_role", lambda role, settings: None)
     path.write_text(BOOT % "10.0.0.2")
-    program.watch_file(loop, "proxy", one, program.file_mark())
+    program.watch_settings_file(loop, "proxy", one, program.settings_file_version())
     loop.pass_ms(10_000.0)
     assert seen == []
     for text, wanted in (
@@ -170,7 +172,7 @@
         (BOOT % "10.0.0.4", ["10.0.0.3", "10.0.0.4"]),
     ):
         path.write_text(text)
-        loop.pass_ms(1e3 * program.FILE_S)
+        loop.pass_ms(1e3 * program.WATCH_INTERVAL_S)
         assert [seed for seeds in seen for seed in seeds] == wanted
 
 
--- a/tests/mesh/storage/test_golden_store.py
+++ b/tests/mesh/storage/test_golden_store.py
@@ -173,7 +173,7 @@
         try:
             assert store.read("about", b"nothing of the sort") is None
             assert store.read("about", b"caught/0") == b"1"
-            return {name: dict(store.all(name)) for name in ("about", "slips")}
+            return {name: dict(store.read_all(name)) for name in ("about", "slips")}
         finally:
             store.close()
 
--- a/tests/mesh/storage/test_power_loss.py
+++ b/tests/mesh/storage/test_power_loss.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
-from orchidferry.mesh.storage import environment, storage_check
+from orchidferry.mesh.storage import compaction, environment, quarantine, storage_check
 from orchidferry.mesh.storage import snapshot as snapshots
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.record_format import pack
@@ -42,7 +42,7 @@
             make(tree, self.beside)
             data = self.beside / self.folder
             storage_check.prepare_store(str(data))
-            if storage_check.has_lost_state(str(data)):
+            if quarantine.has_lost_state(str(data)):
                 if not self.may_forget:
                     self.lost.append(f"set aside in {sorted(tree)}")
             elif missing := self.told.items() - read_all(data).items():
@@ -53,7 +53,7 @@
     """The records of a folder that a controller would go by."""
     loop: Any = Loop()
     store = Store(str(folder), loop)
-    found = dict(store.all("about"))
+    found = dict(store.read_all("about"))
     close(store)
     return found
 
@@ -101,11 +101,11 @@
         store.write([("slips", b"k%d" % n, None) for n in range(40)])
         put(store, crashes, b"kept/0", pack([5, [0, ""], [0, ""], None]))
         close(store)
-        monkeypatch.setattr(storage_check, "MIN_COMPACT_BYTES", 4_096)
+        monkeypatch.setattr(compaction, "MIN_COMPACT_BYTES", 4_096)
         size = (folder / "data.mdb").stat().st_size
         if killed:  # right after the rename, and the next life writes
             with monkeypatch.context() as patch:
-                patch.setattr(storage_check, "sync_directory", _end)
+                patch.setattr(compaction, "sync_directory", _end)
                 with pytest.raises(KeyboardInterrupt):
                     storage_check.prepare_store(str(folder))
         storage_check.prepare_store(str(folder))
@@ -136,7 +136,7 @@
         file = folder / "data.mdb"
         file.write_bytes(b"\xff" * file.stat().st_size)
         storage_check.prepare_store(str(folder))
-    assert storage_check.has_lost_state(str(folder)) and not crashes.lost and crashes.looks > 10
+    assert quarantine.has_lost_state(str(folder)) and not crashes.lost and crashes.looks > 10
 
 
 def test_a_snapshot_put_back_outlasts_a_loss_of_power(tmp_path: Path) -> None:
@@ -166,7 +166,7 @@
     elif broken == "parent-not-synced":
         monkeypatch.setattr(snapshots, "sync_directory_and_parent", environment.sync_directory)
     else:
-        monkeypatch.setattr(storage_check, "sync_directory", lambda folder: None)
+        monkeypatch.setattr(quarantine, "sync_directory", lambda folder: None)
     test = {
         "no-names-synced": test_the_first_words_of_a_new_store_outlast_a_loss_of_power,
         "parent-not-synced": test_a_snapshot_put_back_outlasts_a_loss_of_power,
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -33,7 +33,7 @@
 from orchidferry.mesh.control.quorum_read import AcceptedReport, decided_value
 from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.errors import StoreError
-from orchidferry.mesh.storage import inspection, snapshot_file, storage_check
+from orchidferry.mesh.storage import compaction, inspection, quarantine, snapshot_file, storage_check
 from orchidferry.mesh.storage import snapshot as snapshots
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.environment import DATABASE_NAMES, open_environment
@@ -67,7 +67,7 @@
 def stored(folder: Path) -> dict[bytes, bytes]:
     loop: Any = Loop()
     store = Store(str(folder), loop)
-    found = dict(store.all("slips"))
+    found = dict(store.read_all("slips"))
     close(store)
     return found
 
@@ -118,7 +118,7 @@
 def test_what_can_not_be_believed_is_forgotten(tmp_path: Path, change: Any, why: str) -> None:
     rows = fill(tmp_path)
     storage_check.prepare_store(str(tmp_path))
-    assert stored(tmp_path) == rows and not storage_check.has_lost_state(str(tmp_path))
+    assert stored(tmp_path) == rows and not quarantine.has_lost_state(str(tmp_path))
     rewrite(tmp_path, change)
     with pytest.raises(StoreError, match=why):
         storage_check.read_contents(str(tmp_path))
@@ -126,7 +126,7 @@
     storage_check.prepare_store(str(tmp_path))
     assert why in (tmp_path / "bad" / "why").read_text()
     assert (tmp_path / "bad" / "data.mdb").read_bytes() == before
-    assert storage_check.has_lost_state(str(tmp_path)) and stored(tmp_path) == {}
+    assert quarantine.has_lost_state(str(tmp_path)) and stored(tmp_path) == {}
 
 
 @pytest.mark.parametrize("seed", range(9))
@@ -156,19 +156,19 @@
         ends.append(subprocess.run(words, timeout=20.0, capture_output=True).returncode)
     assert not ends[-1]
     found = stored(tmp_path)
-    assert found == ({} if storage_check.has_lost_state(str(tmp_path)) else rows)
+    assert found == ({} if quarantine.has_lost_state(str(tmp_path)) else rows)
 
 
 def test_a_store_that_ends_the_process_is_set_aside(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     fill(tmp_path)
     (tmp_path / "opening").write_bytes(b"x")
     storage_check.prepare_store(str(tmp_path))
-    assert not storage_check.has_lost_state(str(tmp_path)) and not (tmp_path / "opening").exists()
+    assert not quarantine.has_lost_state(str(tmp_path)) and not (tmp_path / "opening").exists()
     (tmp_path / "opening").write_bytes(b"x" * storage_check.MAX_CRASHES)
     storage_check.prepare_store(str(tmp_path))
-    assert storage_check.has_lost_state(str(tmp_path)) and not (tmp_path / "opening").exists()
+    assert quarantine.has_lost_state(str(tmp_path)) and not (tmp_path / "opening").exists()
     fill(tmp_path)  # of two that were set aside the newer is kept, and a large one is not
-    monkeypatch.setattr(storage_check, "MAX_QUARANTINE_BYTES", 1)
+    monkeypatch.setattr(quarantine, "MAX_QUARANTINE_BYTES", 1)
     rewrite(tmp_path, no_memory)
     storage_check.prepare_store(str(tmp_path))
     assert os.listdir(tmp_path / "bad") == ["why"]
@@ -200,16 +200,16 @@
         return await asyncio.wait_for(storage_check.wait_until_ready(str(tmp_path), stopping), 10.0)
 
     assert asyncio.run(opened([OSError(5, "no"), lmdb.Error("Input/output error"), lmdb.DiskError("no")]))
-    assert not storage_check.has_lost_state(str(tmp_path)) and stored(tmp_path) == rows
+    assert not quarantine.has_lost_state(str(tmp_path)) and stored(tmp_path) == rows
 
 
 def test_a_later_builds_database_is_sealed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     rows = fill(tmp_path)
-    for module in (store_module, storage_check):
+    for module in (store_module, storage_check, compaction):
         monkeypatch.setattr(module, "DATABASE_NAMES", (*DATABASE_NAMES, "more"))
     for _ in range(2):
         storage_check.prepare_store(str(tmp_path))
-        assert stored(tmp_path) == rows and not storage_check.has_lost_state(str(tmp_path))
+        assert stored(tmp_path) == rows and not quarantine.has_lost_state(str(tmp_path))
 
 
 def test_a_disk_that_refuses_all_writes_is_no_reason_to_wait(
@@ -232,7 +232,7 @@
 
 def test_one_that_has_forgotten_is_no_founder(tmp_path: Path) -> None:
     async def start() -> int:
-        found = await program.controller(boot_of(tmp_path), asyncio.get_running_loop(), asyncio.Event())
+        found = await program.start_controller(boot_of(tmp_path), asyncio.get_running_loop(), asyncio.Event())
         assert found is not None
         close(found._store)
         return found._runner.configuration_shard.voter.disk_id
@@ -260,7 +260,11 @@
         Store(str(tmp_path), loop)
     storage_check.prepare_store(str(tmp_path))
     stock = storage_check.read_contents(str(tmp_path))
-    assert stock is not None and (stock.format, stock.kept, stock.keys) == (STORE_FORMAT, KEPT, 50)
+    assert stock is not None and (stock.format, stock.acceptor_states, stock.key_count) == (
+        STORE_FORMAT,
+        KEPT,
+        50,
+    )
     assert stored(tmp_path) == rows
 
 
@@ -290,7 +294,7 @@
     store.write([("slips", key, None) for key in gone])
     close(store)
     left, size = {key: raw for key, raw in rows.items() if key not in gone}, file.stat().st_size
-    monkeypatch.setattr(storage_check, "MIN_COMPACT_BYTES", 4_096)
+    monkeypatch.setattr(compaction, "MIN_COMPACT_BYTES", 4_096)
 
     def refuse(*words: Any, **more: Any) -> Any:
         raise OSError(28, "no space")
@@ -304,7 +308,7 @@
             with pytest.raises(StoreError, match="no space"):
                 storage_check.prepare_store(str(tmp_path))
     elif fails == "copy":
-        monkeypatch.setattr(storage_check, "write_seal", refuse)
+        monkeypatch.setattr(compaction, "write_seal", refuse)
         storage_check.prepare_store(str(tmp_path))
     else:
         storage_check.prepare_store(str(tmp_path))
@@ -318,10 +322,10 @@
     def stock(used: int, size: int) -> inspection.StoreContents:
         return inspection.StoreContents(2, {}, None, (), frozenset(), 0, used, size)
 
-    assert storage_check.should_compact(stock(70_000_000, 167_000_000), 0)
-    assert not storage_check.should_compact(stock(70_000_000, 167_000_000), 64_000_000)
-    assert not storage_check.should_compact(stock(100_000_000, 167_000_000), 0)
-    assert not storage_check.should_compact(stock(1_000, 10_000_000), 0)
+    assert compaction.should_compact(stock(70_000_000, 167_000_000), 0)
+    assert not compaction.should_compact(stock(70_000_000, 167_000_000), 64_000_000)
+    assert not compaction.should_compact(stock(100_000_000, 167_000_000), 0)
+    assert not compaction.should_compact(stock(1_000, 10_000_000), 0)
 
 
 # Snapshots
@@ -343,7 +347,7 @@
     }
     for folder in names.values():
         storage_check.prepare_store(str(folder))
-        assert stored(folder) == rows and not storage_check.has_lost_state(str(folder))
+        assert stored(folder) == rows and not quarantine.has_lost_state(str(folder))
     one = kept[FOUNDERS[0]][shard_state.CONFIGURATION]
     assert all(k == kept[FOUNDERS[0]] for k in kept.values()) and one.disk_id not in (1, 5, 6)
     assert one.value is not None and one.value.version > 12 and one.value.former_voters == ()
@@ -389,9 +393,9 @@
 def test_a_file_or_another_list_makes_other_voters(tmp_path: Path) -> None:
     fill(tmp_path / "old")
     digests = [snapshots.take_snapshot(str(tmp_path / "old"), str(tmp_path / "s")).digest for _ in range(2)]
-    memories = {snapshots.memory_number(d, names) for d in digests for names in (FOUNDERS, FOUNDERS[:2])}
+    memories = {snapshots.restored_disk_id(d, names) for d in digests for names in (FOUNDERS, FOUNDERS[:2])}
     assert len(memories) == 4
-    assert snapshots.memory_number(digests[0], FOUNDERS) == snapshots.memory_number(
+    assert snapshots.restored_disk_id(digests[0], FOUNDERS) == snapshots.restored_disk_id(
         digests[0], FOUNDERS[::-1]
     )
 
--- a/tests/mesh/storage/test_store.py
+++ b/tests/mesh/storage/test_store.py
@@ -69,7 +69,7 @@
         model = dict[bytes, bytes]()
         for _ in range(3):
             store = Store(str(tmp_path), asyncio.get_running_loop())
-            assert dict(store.all("slips")) == model
+            assert dict(store.read_all("slips")) == model
             disk: Any = Failing(store._env)
             store._env = disk
             for n in range(6):
@@ -214,25 +214,25 @@
     loop.pass_(0.5)
     if how == "hangs":
         store.write([("slips", b"b", b"1")], told.append)
-        assert store.stuck_s(loop.now) == 0.5 and not store.ailing
+        assert store.longest_wait_s(loop.now) == 0.5 and not store.is_degraded
         loop.pass_(0.2)
-        assert store.stuck_s(loop.now) == pytest.approx(0.7) and store.ailing and len(lines) == 1
+        assert store.longest_wait_s(loop.now) == pytest.approx(0.7) and store.is_degraded and len(lines) == 1
         disk.hung.set()
     loop.step()
     if how != "hangs":
         store._wake.turn()
     loop.step()  # the second write, or the first probe
-    assert store.stuck_s(loop.now) == 0 and store.ailing
+    assert store.longest_wait_s(loop.now) == 0 and store.is_degraded
     assert told == ([True, True] if how == "hangs" else [False])
     since = loop.now
-    while store.ailing:  # with nothing to write the seal alone is tried
+    while store.is_degraded:  # with nothing to write the seal alone is tried
         store._wake.turn()
         loop.step(0.3)
     assert 1.2 <= loop.now - since < 1.6
     store.write([("slips", b"c", b"1")], told.append)
     while len(told) < 2 + (how == "hangs"):
         loop.step()
-    assert told[-1] and not store.ailing and store.read("slips", b"c") == b"1"
+    assert told[-1] and not store.is_degraded and store.read("slips", b"c") == b"1"
     assert [line.partition(" ")[2].split(" ")[0] for line in lines] == [{"hangs": "a"}.get(how, "the"), "the"]
     assert "keeps up again" in lines[1]
 
@@ -247,9 +247,9 @@
         disk.hung.set()
         loop.step()
         loop.pass_(0.06)
-        while store.stuck_s(loop.now):
+        while store.longest_wait_s(loop.now):
             loop.step()
-        assert not store.ailing
+        assert not store.is_degraded
 
 
 def test_what_waits_is_bounded_and_chores_give_way(stage: Any, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -262,15 +262,15 @@
         store.write([("slips", b"gone %d" % n, None)])
         if n % 20 == 0:
             store.write([("slips", b"k%d" % n, b"x" * 1_500)], told.append)
-    assert store._bytes <= 20_000
+    assert store._pending_bytes <= 20_000
     while not loop.told.empty():
         loop.step()
     refused = len(told)
     assert set(told) == {False} and 20 - 13 <= refused < 20  # 12 of them fit beside nothing else
     disk.hung.set()
-    while len(told) < 20 or store._bytes:
+    while len(told) < 20 or store._pending_bytes:
         loop.step()
-    kept = {key for key, _ in store.all("slips")}
+    kept = {key for key, _ in store.read_all("slips")}
     assert told.count(True) == 20 - refused == len(kept) - 1
 
 
@@ -288,7 +288,7 @@
             store.write([("slips", b"%04d" % n, value)], told.append)
         while len(told) < here + 20:
             loop.step()
-    assert not store.room and len(told) < 2_000 and not store.ailing
+    assert not store.accepts_new_keys and len(told) < 2_000 and not store.is_degraded
 
     def put(name: str, key: bytes, value: bytes | None) -> bool:
         asked = len(told)
@@ -306,10 +306,10 @@
         return transact(jobs)
 
     monkeypatch.setattr(store, "_transact", counted)
-    store.write([("slips", key, None) for key, _ in store.all("slips")[::2]])
+    store.write([("slips", key, None) for key, _ in store.read_all("slips")[::2]])
     assert put("about", b"kept", b"w") and len(commits) > 2  # more pages change than are free
-    assert {int(key) % 2 for key, _ in store.all("slips")} == {1} and store.room
-    assert put("slips", b"new", b"x") and not store.ailing
+    assert {int(key) % 2 for key, _ in store.read_all("slips")} == {1} and store.accepts_new_keys
+    assert put("slips", b"new", b"x") and not store.is_degraded
     close(store)
 
 
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -102,7 +102,7 @@
     storage_check.prepare_store(folder)
     stock = storage_check.read_contents(folder)
     assert stock is not None and stock.format == STORE_FORMAT == 3
-    state = stock.kept[shard_state.CONFIGURATION].value
+    state = stock.acceptor_states[shard_state.CONFIGURATION].value
     assert state is not None and expand(shard_state.body(state).compressed_text) == text
     old = snapshot_file.read_snapshot(str(tmp_path / "old")).states[shard_state.CONFIGURATION]
     assert expand(shard_state.body(old).compressed_text) == text
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -33,7 +33,7 @@
 from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.order_history import Entry, OrderHistory, Verdict
 from orchidferry.mesh.control.order_records import orders_of, record
-from orchidferry.mesh.storage import storage_check
+from orchidferry.mesh.storage import quarantine, storage_check
 from orchidferry.mesh.storage.store import Store
 from orchidferry.node.frontend import Reply
 from orchidferry.testkit.explore.controller import Controller
@@ -340,7 +340,7 @@
     store.write([record(shard_state.CONFIGURATION, n, history.entries[n]) for n in history.numbers])
     close(store)
     storage_check.prepare_store(str(tmp_path))
-    assert not storage_check.has_lost_state(str(tmp_path))
+    assert not quarantine.has_lost_state(str(tmp_path))
 
     async def load() -> OrderHistory:
         controller = a_controller(tmp_path)
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -244,7 +244,11 @@
 def test_settings_are_read_and_unknown_fields_skipped() -> None:
     boot = parse_settings(BOOT)
     assert (boot.name, boot.seeds, boot.listen) == ("n", ("10.0.0.2",), {"control": ("10.0.0.1", 80)})
-    assert (boot.bounds.drain_ms, boot.bounds.key_window_s, boot.descriptors) == (1_500.0, 60.0, 1_024)
+    assert (boot.bounds.drain_ms, boot.bounds.key_window_s, boot.max_file_descriptors) == (
+        1_500.0,
+        60.0,
+        1_024,
+    )
 
 
 @pytest.mark.parametrize(
@@ -263,7 +267,11 @@
     if bind is not None:
         data["own_node"]["bind_ip"] = bind
     boot = parse_settings(data)
-    assert (boot.ip, boot.local_ip, boot.door("control")) == ("10.0.0.1", bind or "10.0.0.1", (bound, 80))
+    assert (boot.ip, boot.local_ip, boot.listen_address("control")) == (
+        "10.0.0.1",
+        bind or "10.0.0.1",
+        (bound, 80),
+    )
 
 
 @pytest.mark.parametrize(
