--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -17,7 +17,7 @@
 from orchidferry.mesh.control.configuration_resource import PUT_TIMEOUT_S
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import RegisterMessage, RegisterPrepare
-from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.controller import Controller, ControllerCall
 
 ACK_MS = 5_000.0  # the bound that deployments give
 TICK_S = 0.05  # as at the controller's process
@@ -129,7 +129,7 @@
     def _beat(self, name: str) -> None:
         if not self.controllers[name].alive:
             return
-        self.controllers[name].beat_to(n for n in self.controllers if n != name)
+        self.controllers[name].send_heartbeats(n for n in self.controllers if n != name)
         self._at(BEAT_S, self._beat, name)
 
     def _mind_disks(self) -> None:
@@ -145,7 +145,7 @@
         if not self.controllers[name].alive:
             return
         for _ in range(writes):
-            self.controllers[name].disk_turn()
+            self.controllers[name].complete_write()
 
     # What a controller's process meets
 
@@ -153,7 +153,7 @@
         """Messages of a link stay in their order."""
         if to not in self.controllers:
             return
-        if kind == "heard" and isinstance(message[1], RegisterMessage):
+        if kind == ControllerCall.RECEIVE and isinstance(message[1], RegisterMessage):
             body = message[1].body
             if isinstance(body, RegisterPrepare):
                 self.ballots.add(body.ballot)
@@ -169,12 +169,12 @@
     def answer(self, name: str, answer: SendReply) -> None:
         """A controller answers another one."""
         assert isinstance(answer.message, ShardMessage)
-        self.send(name, answer.to, "heard", name, answer.message.body)
+        self.send(name, answer.to, ControllerCall.RECEIVE, name, answer.message.body)
 
-    def decided(self, name: str, changed: StateChanged) -> None:
+    def state_changed(self, name: str, changed: StateChanged) -> None:
         """Nothing here hangs on it."""
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         """An operator has an answer."""
         for one in self.operators:
             if one.waits == end.id:
@@ -201,7 +201,7 @@
         controller = self.controllers[name]
         if not controller.alive:
             return
-        controller.do(controller.shard.request_change(one.waits, one.order, PUT_TIMEOUT_S, self.now))
+        controller.execute(controller.shard.request_change(one.waits, one.order, PUT_TIMEOUT_S, self.now))
 
     def _silent(self, one: Operator, waits: str) -> None:
         if one.waits == waits:
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -1,12 +1,14 @@
-"""A controller's process with its disk in memory, round one shipping `shard.Shard`: it does what the
-shard wants as `Controller` does, and leaves clock, chance and the way between processes to the world that
-it stands in.
+"""A controller's process with its disk in memory, around one shipping `Shard`.
+
+It carries out the shard's actions as `orchidferry.mesh.control.controller.Controller` does, and leaves the
+clock, the random generator and the way between processes to its host.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterable
+from enum import StrEnum
 from typing import Any, Protocol
 
 from orchidferry.balancing.register import AcceptorState
@@ -30,55 +32,77 @@
 WINDOW_S = 60.0
 MAX_KEYS = 1_000
 SEEDS = ("a", "b", "c")
-MAX_BEATS = 16  # that may be acknowledged yet, as at `Controller`
+MAX_BEATS = 16  # heartbeats that may be acknowledged yet
+
+
+class ControllerCall(StrEnum):
+    """The methods of a `Controller` that take messages, by which these are sent."""
+
+    RECEIVE = "receive"
+    HEARTBEAT = "receive_heartbeat"
+    HEARTBEAT_ACK = "receive_heartbeat_ack"
+    CLAIM_KEY = "claim_key"
+    RECORD_ANSWER = "record_answer"
+    RELEASE_KEY = "release_key"
 
 
-class Around(Protocol):
-    """What a controller's process meets."""
+class ControllerHost(Protocol):
+    """The world in which a controller's process runs."""
 
     now: float
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """Have a controller's method of that name called, later or never."""
+        """Have a controller's method called, later or never.
+
+        :param kind: a `ControllerCall`
+        :param message: its arguments
+        """
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """A controller answers."""
+        """Have a controller's answer sent."""
 
-    def decided(self, name: str, changed: StateChanged) -> None:
-        """A controller has learned a newer state."""
+    def state_changed(self, name: str, changed: StateChanged) -> None:
+        """Take note that a controller knows a newer state."""
 
-    def told(self, name: str, end: RequestEnded) -> None:
-        """What was asked for at a controller is over."""
+    def request_ended(self, name: str, end: RequestEnded) -> None:
+        """Take the end of a request that was made at a controller."""
 
 
 class Controller:
-    """A process with its disk, which writes when it is told to (`disk_turn`)."""
+    """A process with its disk, which writes when it is told to.
+
+    :ivar disk: the records on disk, by database and key
+    :ivar writes: that are pending, the oldest first
+    :ivar beats: when the heartbeats were sent that may be acknowledged yet, by number
+    """
 
     def __init__(
         self,
         name: str,
-        world: Around,
+        world: ControllerHost,
         founder: bool,
         number: int,
         rng: random.Random,
         seeds: tuple[str, ...] = SEEDS,
     ) -> None:
-        """`number`: of the shard; `seeds`: the founders, as many as the group should have."""
+        """Start with an empty disk.
+
+        :param founder: whether it is of the group at the very first start
+        :param number: of the shard
+        :param seeds: the founders, as many as the group should have
+        """
         self.name = name
         self.world = world
         self.number = number
         self.rng = rng
         self.seeds = seeds
         self.disk: dict[tuple[str, bytes], bytes] = {}
-        self.put(
-            initial_records(
-                number, AcceptorState(shard_state.GENESIS if founder else rng.randrange(2, 2**50)), founder
-            )
-        )
+        disk_id = shard_state.GENESIS if founder else rng.randrange(2, 2**50)
+        self.write_to_disk(initial_records(number, AcceptorState(disk_id), founder))
         self.start()
 
-    def put(self, puts: list[RecordWrite]) -> None:
-        """Have these on disk."""
+    def write_to_disk(self, puts: list[RecordWrite]) -> None:
+        """Have records on disk at once."""
         for name, key, value in puts:
             if value is None:
                 self.disk.pop((name, key), None)
@@ -86,9 +110,12 @@
                 self.disk[name, key] = value
 
     def start(self) -> None:
-        """A new life, with what is on the disk."""
-        self.alive, self.writes = True, list[WriteRecords]()
-        self.peers, self.beats, self.count = Peers(self.world.now), dict[int, float](), 0
+        """Start the process, with what is on disk."""
+        self.alive = True
+        self.writes: list[WriteRecords] = []
+        self.peers = Peers(self.world.now)
+        self.beats: dict[int, float] = {}
+        self.count = 0  # number of the heartbeat that was sent last
         kept = shard_state.unpack_kept(unpack(self.disk["about", f"kept/{self.number}".encode()]))
         caught = ("about", f"caught/{self.number}".encode()) in self.disk
         first = shard_state.genesis(self.seeds)
@@ -101,38 +128,40 @@
         self.shard.load_orders(orders_of(self.number, rows))
 
     def wipe(self) -> None:
-        """An empty disk, with a new memory."""
+        """Empty the disk, and begin a new one."""
         self.disk = {}
-        self.put(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), False))
+        disk_id = self.rng.randrange(2, 2**50)
+        self.write_to_disk(initial_records(self.number, AcceptorState(disk_id), False))
 
-    def do(self, actions: list[Action]) -> None:
-        """What the shard wants done, in its order."""
+    def execute(self, actions: list[Action]) -> None:
+        """Carry out the shard's actions, in their order."""
         for action in actions:
             match action:
                 case SendMessage():
-                    self.world.send(self.name, action.to, "heard", self.name, action.message.body)
+                    message = action.message.body
+                    self.world.send(self.name, action.to, ControllerCall.RECEIVE, self.name, message)
                 case SendReply():
                     self.world.answer(self.name, action)
                 case WriteRecords():
                     self.writes.append(action)
                 case StateChanged():
-                    self.world.decided(self.name, action)
+                    self.world.state_changed(self.name, action)
                 case RequestEnded():
-                    self.world.told(self.name, action)
+                    self.world.request_ended(self.name, action)
 
-    def disk_turn(self) -> None:
-        """The oldest write reaches the disk."""
+    def complete_write(self) -> None:
+        """Have the oldest pending write reach the disk."""
         write = self.writes.pop(0)
-        self.put(write.puts)
+        self.write_to_disk(write.puts)
         if write.completion is not None:
-            self.do(self.shard.write_finished(write.completion, True, self.world.now))
+            self.execute(self.shard.write_finished(write.completion, True, self.world.now))
 
     def tick(self) -> None:
-        """Let time pass."""
-        self.do(self.shard.tick(self.world.now))
+        """Do what is due."""
+        self.execute(self.shard.tick(self.world.now))
 
-    def beat_to(self, names: Iterable[str]) -> None:
-        """Tell others that this one lives."""
+    def send_heartbeats(self, names: Iterable[str]) -> None:
+        """Send a heartbeat to other controllers."""
         self.count += 1
         self.beats[self.count] = self.world.now
         if len(self.beats) > MAX_BEATS:
@@ -141,36 +170,40 @@
             known = self.shard.known.version
             learned = self.shard.has_learned(self.world.now)
             own = (self.peers.fit, known, self.peers.stopping, learned)
-            self.world.send(self.name, name, "beat", self.name, self.count, *own)
+            self.world.send(self.name, name, ControllerCall.HEARTBEAT, self.name, self.count, *own)
 
-    # What comes
+    # Messages
 
-    def heard(self, sender: str, message: ShardBody) -> None:
-        """A message of another controller."""
-        self.do(self.shard.receive(sender, message, self.world.now))
+    def receive(self, sender: str, message: ShardBody) -> None:
+        """Take a message of another controller's shard."""
+        self.execute(self.shard.receive(sender, message, self.world.now))
 
-    def beat(self, sender: str, number: int, fit: bool, version: int, leaves: bool, learned: bool) -> None:
-        """Another one lives."""
+    def receive_heartbeat(
+        self, sender: str, number: int, fit: bool, version: int, leaves: bool, learned: bool
+    ) -> None:
+        """Take a heartbeat, and acknowledge it."""
         self.peers.heard_s[sender] = self.world.now
         (self.peers.leaving.add if leaves else self.peers.leaving.discard)(sender)
         self.peers.learning[sender] = () if learned else (self.number,)
         (self.peers.unfit.discard if fit else self.peers.unfit.add)(sender)
-        self.world.send(self.name, sender, "pulse", self.name, number, self.shard.accepted_fencing_token)
-        self.do(self.shard.heartbeat_received(version, sender))
+        token = self.shard.accepted_fencing_token
+        self.world.send(self.name, sender, ControllerCall.HEARTBEAT_ACK, self.name, number, token)
+        self.execute(self.shard.heartbeat_received(version, sender))
 
-    def pulse(self, sender: str, number: int, fence: int) -> None:
-        """A beat was heard."""
+    def receive_heartbeat_ack(self, sender: str, number: int, fencing_token: int) -> None:
+        """Take the acknowledgement of a heartbeat."""
         if number in self.beats:
-            self.shard.heartbeat_acknowledged(sender, self.beats[number], fence)
+            self.shard.heartbeat_acknowledged(sender, self.beats[number], fencing_token)
 
-    def claim(self, who: Any, rid: int, under: int, key: str, holder: str) -> None:
-        """A try wants a key."""
-        self.do(self.shard.claim_key(who, KeyClaim(rid, under, key, holder), True, self.world.now))
+    def claim_key(self, reply_to: Any, request: int, epoch: int, key: str, holder: str) -> None:
+        """Take a node's claim of an operation key."""
+        claim = KeyClaim(request, epoch, key, holder)
+        self.execute(self.shard.claim_key(reply_to, claim, True, self.world.now))
 
-    def done(self, key: str, holder: str, answer: Any) -> None:
-        """A key's run was answered."""
-        self.do(self.shard.record_answer(KeyAnswer(key, holder, answer), self.world.now))
+    def record_answer(self, key: str, holder: str, answer: Any) -> None:
+        """Take the answer of a key's first run."""
+        self.execute(self.shard.record_answer(KeyAnswer(key, holder, answer), self.world.now))
 
-    def drop(self, who: Any, give_back: int, key: str, holder: str) -> None:
-        """A key is given back."""
-        self.do(self.shard.release_key(who, KeyRelease(give_back, key, holder), self.world.now))
+    def release_key(self, reply_to: Any, number: int, key: str, holder: str) -> None:
+        """Take a node's release of an operation key."""
+        self.execute(self.shard.release_key(reply_to, KeyRelease(number, key, holder), self.world.now))
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -34,7 +34,7 @@
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import KeyPage
 from orchidferry.testkit.explore import mesh_faults, mesh_fingerprint, pure
-from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.explore.dead_messages import is_dead
 from orchidferry.testkit.explore.mesh_actors import (
     KEY,
@@ -262,7 +262,7 @@
 
     def _is_dead(self, message: MessageInFlight) -> bool:
         receiver = self.controllers.get(message.to)
-        if message.what != "heard" or receiver is None:
+        if message.what != ControllerCall.RECEIVE or receiver is None:
             return False
         return is_dead(message.message[1], receiver.shard)
 
@@ -304,12 +304,12 @@
         """Have a controller that is alive send its heartbeats."""
         controller = self.controllers[name]
         if controller.alive:
-            controller.beat_to(other for other in self.controllers if other != name)
+            controller.send_heartbeats(other for other in self.controllers if other != name)
 
     def _complete_write(self, name: str) -> None:
         self.last_receiver = name
         self.writes_ready[name] -= 1
-        self.controllers[name].disk_turn()
+        self.controllers[name].complete_write()
 
     def _is_running(self, name: str) -> bool:
         return self.controllers[name].alive and name not in self.frozen_until
@@ -321,10 +321,12 @@
         self.now = max(self.now + MIN_TIME_STEP_S, math.ceil(self._next_due_s() * 1000.0) / 1000.0)
         self._end_faults()
         for message in [
-            one for one in self.messages if one.what == "pulse" and one.to not in self.frozen_until
+            one
+            for one in self.messages
+            if one.what == ControllerCall.HEARTBEAT_ACK and one.to not in self.frozen_until
         ]:
             self.messages.remove(message)
-            self.controllers[message.to].pulse(*message.message)
+            self.controllers[message.to].receive_heartbeat_ack(*message.message)
         on_grid = self.now >= self._next_grid_s() - ROUNDING_S
         if on_grid:
             self.grid_index += 1
@@ -384,9 +386,11 @@
         """
         if to not in self.controllers or not self._reaches(sender, to):
             return
-        if kind == "beat" and to in self.frozen_until:
+        if kind == ControllerCall.HEARTBEAT and to in self.frozen_until:
             return  # it gets the next one
-        if kind == "beat" or (kind == "pulse" and to not in self.frozen_until):
+        if kind == ControllerCall.HEARTBEAT or (
+            kind == ControllerCall.HEARTBEAT_ACK and to not in self.frozen_until
+        ):
             getattr(self.controllers[to], kind)(*message)
         else:
             self.next_messages.append(MessageInFlight(sender, to, kind, message))
@@ -405,7 +409,7 @@
                 fields = msgspec.structs.astuple(message)
                 reply = MessageInFlight(name, answer.to, "grant", fields, True)
             case _:
-                reply = MessageInFlight(name, answer.to, "heard", (name, message.body), True)
+                reply = MessageInFlight(name, answer.to, ControllerCall.RECEIVE, (name, message.body), True)
         self.next_messages.append(reply)
 
     def _deliver(self, message: MessageInFlight) -> None:
@@ -414,10 +418,10 @@
             self._deliver_to_node(message)
             return
         controller = self.controllers[message.to]
-        if message.what == "heard":
+        if message.what == ControllerCall.RECEIVE:
             self._record_source(message)
         getattr(controller, message.what)(*message.message)
-        if message.what == "claim" and message.message[2] != controller.shard.body.epoch:
+        if message.what == ControllerCall.CLAIM_KEY and message.message[2] != controller.shard.body.epoch:
             self._send_group(controller, message.sender)
 
     def _deliver_to_node(self, message: MessageInFlight) -> None:
@@ -494,10 +498,10 @@
             client.until_s = self.now + CLIENT_TIMEOUT_S
             if client.step == "read":
                 client.newest = self.newest_acknowledged
-                controller.do(controller.shard.request_read(id, self.now))
+                controller.execute(controller.shard.request_read(id, self.now))
             else:
                 change = client.change()
-                controller.do(controller.shard.request_change(id, change, CHANGE_TIMEOUT_S, self.now))
+                controller.execute(controller.shard.request_change(id, change, CHANGE_TIMEOUT_S, self.now))
 
     def _advance_client(self, client: ConfigurationClient, settled: bool = False) -> None:
         """Have a client go on with its next step.
@@ -511,7 +515,7 @@
         if client.step == "read":
             client.tries = min(client.tries, MAX_TRIES - MIN_READ_TRIES)
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         """Take the end of a request that a client made at a controller."""
         client = next((one for one in self.clients if one.waits == f"{name} {end.id}"), None)
         if client is None:
@@ -549,7 +553,7 @@
             )
         self.granted_attempts.append(request.holder)
 
-    def decided(self, name: str, changed: StateChanged) -> None:
+    def state_changed(self, name: str, changed: StateChanged) -> None:
         """Take a controller's word that it knows a newer state; all states are one chain."""
         self._record_decided(changed.new)
         if epoch(changed.new) > epoch(changed.old):
--- a/orchidferry/testkit/explore/mesh_actors.py
+++ b/orchidferry/testkit/explore/mesh_actors.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyRelease, Message
 from orchidferry.mesh.wire.shard_messages import tag_of
-from orchidferry.testkit.explore.controller import WINDOW_S
+from orchidferry.testkit.explore.controller import WINDOW_S, ControllerCall
 from orchidferry.testkit.explore.fleet import Middle
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
 
     def __str__(self) -> str:
         """Return the message's kind, sender and receiver."""
-        kind = tag_of(self.message[-1]) if self.what == "heard" else self.what
+        kind = tag_of(self.message[-1]) if self.what == ControllerCall.RECEIVE else self.what
         return f"{kind} from {self.sender} to {self.to}"
 
 
@@ -101,11 +101,17 @@
         """Send a message to a controller, as the method that takes it."""
         match message:
             case KeyClaim():
-                self.world.send(self.name, to, "claim", self.name, *msgspec.structs.astuple(message))
+                self.world.send(
+                    self.name, to, ControllerCall.CLAIM_KEY, self.name, *msgspec.structs.astuple(message)
+                )
             case KeyAnswer():
-                self.world.send(self.name, to, "done", *msgspec.structs.astuple(message))
+                self.world.send(
+                    self.name, to, ControllerCall.RECORD_ANSWER, *msgspec.structs.astuple(message)
+                )
             case KeyRelease():
-                self.world.send(self.name, to, "drop", self.name, *msgspec.structs.astuple(message))
+                self.world.send(
+                    self.name, to, ControllerCall.RELEASE_KEY, self.name, *msgspec.structs.astuple(message)
+                )
 
 
 @dataclass
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -24,19 +24,19 @@
 def _same_memory(self: Controller) -> None:
     memory = self.shard.voter.disk_id
     self.disk = {}
-    self.put(initial_records(self.number, AcceptorState(memory), False))
+    self.write_to_disk(initial_records(self.number, AcceptorState(memory), False))
 
 
 def _full_memory(self: Controller) -> None:
     self.disk = {}
-    self.put(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), True))
+    self.write_to_disk(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), True))
 
 
 def _unsynced(self: Controller, actions: list[Action]) -> None:
     for action in actions:
         if isinstance(action, WriteRecords) and action.completion is not None:
             _do(self, [WriteRecords(action.puts)])
-            self.do(self.shard.write_finished(action.completion, True, self.world.now))
+            self.execute(self.shard.write_finished(action.completion, True, self.world.now))
         else:
             _do(self, [action])
 
@@ -144,7 +144,7 @@
 
 _admit = shard_state.AdmitVoter.__call__
 _owns = Shard.owns
-_do = Controller.do
+_do = Controller.execute
 _handle = Acceptor.handle
 _promised = Proposer._promised
 _verdict = OrderHistory.verdict
@@ -186,7 +186,7 @@
         "an empty disk votes as before", "puts", 2, "wipe lose", (Controller, "wipe", _same_memory)
     ),
     "unsynced": break_under_faults(
-        "promises leave before they are on disk", "puts", 2, "kill lose", (Controller, "do", _unsynced)
+        "promises leave before they are on disk", "puts", 2, "kill lose", (Controller, "execute", _unsynced)
     ),
     "promise-forgotten": break_under_faults(
         "promises are not kept", "puts", 0, "", (Acceptor, "handle", _forgets_promise)
@@ -209,7 +209,11 @@
     ),
     "alone": break_under_faults("an owner asks nobody", "duties", 1, "cut", (Shard, "owns", _alone)),
     "from-arrival": break_under_faults(
-        "a lease runs from when a pulse came", "duties", 1, "freeze", (Controller, "pulse", _from_arrival)
+        "a lease runs from when a pulse came",
+        "duties",
+        1,
+        "freeze",
+        (Controller, "receive_heartbeat_ack", _from_arrival),
     ),
     "long-lease": break_under_faults(
         "a lease is longer than the next one waits", "duties", 1, "cut", (Shard, "owns", _long_lease)
@@ -264,7 +268,7 @@
         "a grant leaves before its record is written", "slow", 1, "kill", (Shard, "claim_key", _at_its_word)
     ),
     "unsynced-keys": break_under_faults(
-        "a grant leaves before it is on disk", "missed", 1, "kill", (Controller, "do", _unsynced)
+        "a grant leaves before it is on disk", "missed", 1, "kill", (Controller, "execute", _unsynced)
     ),
 }
 
--- a/orchidferry/testkit/explore/mesh_faults.py
+++ b/orchidferry/testkit/explore/mesh_faults.py
@@ -130,7 +130,7 @@
     controller = world.controllers[name]
     for position, write in enumerate(controller.writes):
         if written_mask >> position & 1:
-            controller.put(write.puts)
+            controller.write_to_disk(write.puts)
     world.stop_process(name, RESTART_S)
 
 
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -17,7 +17,7 @@
 from orchidferry.mesh.control.replica import Replica
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.storage.record_format import unpack
-from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.explore.mesh import Break, MeshWorld, Scene
 from orchidferry.testkit.explore.mesh_actors import MessageInFlight
 from orchidferry.testkit.explore.mesh_breaks import break_under_faults
@@ -156,9 +156,9 @@
             actions = shard.request_read(attempt.id, self.now)
         else:
             actions = shard.request_change(attempt.id, operator.change(), 4.0, self.now)
-        self.controllers[attempt.at].do(actions)
+        self.controllers[attempt.at].execute(actions)
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         attempt = self.attempts.pop(end.id, None)
         if attempt is None:
             return
@@ -228,12 +228,12 @@
     # Contact, as it is seen from outside
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        if kind == "beat":
+        if kind == ControllerCall.HEARTBEAT:
             self.record.sent[sender, message[1]] = self.now
             old = [key for key, when in self.record.sent.items() if when < self.now - 10.0]
             for key in old:
                 del self.record.sent[key]
-        elif kind == "pulse" and self._reaches(sender, to):
+        elif kind == ControllerCall.HEARTBEAT_ACK and self._reaches(sender, to):
             when = self.record.sent.get((to, message[1]), float("-inf"))
             times = self.record.acknowledged.setdefault(to, {})
             times[sender] = max(when, times.get(sender, when))
@@ -410,7 +410,7 @@
         "frozen",
         0,
         "",
-        (Controller, "pulse", _from_arrival),
+        (Controller, "receive_heartbeat_ack", _from_arrival),
     ),
     "silent-wait": break_under_faults(
         "who waits is not told that contact is lost",
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -114,17 +114,17 @@
         operator.until_s = self.now + SILENCE_S
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
             if send is not None:
-                controller.do(controller.shard.request_change(id, send.order.change(), 1.2, self.now))
+                controller.execute(controller.shard.request_change(id, send.order.change(), 1.2, self.now))
             else:
                 operator.newest = max((order.number for order in self.acknowledged), default=0)
-                controller.do(controller.shard.request_read(id, self.now))
+                controller.execute(controller.shard.request_read(id, self.now))
 
     def _advance_client(self, client: Any, settled: bool = False) -> None:
         """No answer in time: the same again, to the next controller."""
         client.waits = ""
         client.until_s = self.now
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         operator: Any = next((o for o in self.clients if o.waits == f"{name} {end.id}"), None)
         if operator is None:
             return
@@ -180,8 +180,8 @@
             if self.chain.get(order.number) == order.content and (on_that == order or on_that not in sent):
                 self.report_violation(f"refused: {order} was refused, and was taken")
 
-    def decided(self, name: str, changed: StateChanged) -> None:
-        super().decided(name, changed)
+    def state_changed(self, name: str, changed: StateChanged) -> None:
+        super().state_changed(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
             self.chain[state.revision] = state.compressed_text.decode()
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -13,6 +13,7 @@
 from orchidferry.mesh.control.operation_keys import UNKNOWN_HOLDER
 from orchidferry.mesh.control.repair import RepairingReplica
 from orchidferry.mesh.control.shard import Shard
+from orchidferry.testkit.explore.controller import ControllerCall
 from orchidferry.testkit.explore.mesh import KINDS, Break, MeshWorld, Scene
 from orchidferry.testkit.explore.mesh_actors import KEY, KeyRequest
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
@@ -40,7 +41,7 @@
     def key_granted(self, one: KeyRequest) -> None:
         super().key_granted(one)
         if one.how == TOLD_ONE:
-            self.send(one.node, "a", "done", KEY, one.holder, one.holder)
+            self.send(one.node, "a", ControllerCall.RECORD_ANSWER, KEY, one.holder, one.holder)
 
     def _apply_fault(self, what: str, about: list[str]) -> None:
         if what != "leave":
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -39,6 +39,7 @@
     UpdateUnsubscription,
 )
 from orchidferry.testkit.explore.controller import Controller as Replica
+from orchidferry.testkit.explore.controller import ControllerCall
 from orchidferry.testkit.model.relays import Machine, Process, World
 from orchidferry.testkit.model.replica_group import BEAT_S, SYNC_S, TICK_S, encoded, example
 
@@ -179,7 +180,7 @@
 
     def _beat(self) -> None:
         self.call_later(BEAT_S, self._beat)
-        self.replica.beat_to(name for name in self.rollout.controllers if name != self.name)
+        self.replica.send_heartbeats(name for name in self.rollout.controllers if name != self.name)
         self.sync()
 
     def sync(self) -> None:
@@ -189,7 +190,7 @@
         def written() -> None:
             for write in waiting:
                 if write in self.replica.writes:
-                    self.replica.disk_turn()
+                    self.replica.complete_write()
             self.sync()
 
         if waiting:
@@ -219,7 +220,7 @@
 
     def _ask(self, change: shard_state.PutConfiguration, told: Callable[[RequestEnded], None]) -> None:
         id = self.rollout.wait_for(told)
-        self.replica.do(self.replica.shard.request_change(id, change, PUT_S, self.time()))
+        self.replica.execute(self.replica.shard.request_change(id, change, PUT_S, self.time()))
         self.sync()
 
     @property
@@ -256,7 +257,7 @@
             self.publisher.send_revision(end, Revision(request, newest_revision(ended)))
 
         id = self.rollout.wait_for(tell)
-        self.replica.do(self.replica.shard.request_read(id, self.time()))
+        self.replica.execute(self.replica.shard.request_read(id, self.time()))
         self.sync()
 
 
@@ -387,13 +388,13 @@
     def answer(self, name: str, answer: SendReply) -> None:
         """A replica's answer, on the link of whoever asked."""
         assert isinstance(answer.message, ShardMessage)
-        self.send(name, str(answer.to), "heard", name, answer.message.body)
+        self.send(name, str(answer.to), ControllerCall.RECEIVE, name, answer.message.body)
 
-    def decided(self, name: str, changed: StateChanged) -> None:
+    def state_changed(self, name: str, changed: StateChanged) -> None:
         """A replica has learned a newer state."""
         self.controllers[name].learned(changed)
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         """A change or a reading is over."""
         self._waiting.pop(end.id)(end)
 
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck, Message, ShardMessage
 from orchidferry.mesh.wire.shard_messages import tag_of
-from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.model.stored_controller import StoredController
 
 BEAT_S = 0.4
@@ -58,11 +58,11 @@
     """The bytes of a message between replicas."""
     found: Message
     match kind:
-        case "beat":
+        case ControllerCall.HEARTBEAT:
             name, number, fit, version, leaving, learned = message
             learning = [] if learned else [shard_state.CONFIGURATION]
             found = Heartbeat(name, number, fit, [version], leaving, learning)
-        case "pulse":
+        case ControllerCall.HEARTBEAT_ACK:
             name, number, fence = message
             found = HeartbeatAck(name, number, [fence])
         case _:
@@ -134,7 +134,7 @@
     def _beat(self, name: str) -> None:
         self.at(self.now + BEAT_S, lambda: self._beat(name))
         if self.controllers[name].alive:
-            self.controllers[name].beat_to(n for n in self.controllers if n != name)
+            self.controllers[name].send_heartbeats(n for n in self.controllers if n != name)
             self._sync(name)
 
     def _tick(self, name: str) -> None:
@@ -173,7 +173,7 @@
         def written() -> None:
             for write in waiting:
                 if controller.alive and write in controller.writes:
-                    controller.disk_turn()
+                    controller.complete_write()
             self._sync(name)
 
         if waiting:
@@ -184,7 +184,7 @@
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
         """A message between replicas."""
         size = len(encoded(kind, message))
-        self.bytes[tag_of(message[1]) if kind == "heard" else kind] += size
+        self.bytes[tag_of(message[1]) if kind == ControllerCall.RECEIVE else kind] += size
         self.link_bytes[sender, to] += size
         if not self._alive(sender) or not self._alive(to):
             return
@@ -202,13 +202,13 @@
     def answer(self, name: str, answer: SendReply) -> None:
         """An answer, on the link of whoever asked."""
         assert isinstance(answer.message, ShardMessage)
-        self.send(name, str(answer.to), "heard", name, answer.message.body)
+        self.send(name, str(answer.to), ControllerCall.RECEIVE, name, answer.message.body)
 
-    def decided(self, name: str, changed: StateChanged) -> None:
+    def state_changed(self, name: str, changed: StateChanged) -> None:
         """Whoever learns a version learns the same."""
         assert self._states.setdefault(changed.new.version, changed.new) == changed.new
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         """A change or a reading is over."""
         self.ended[end.id] = (self.now, end)
 
@@ -217,11 +217,11 @@
     def put(self, name: str, id: str, change: shard_state.PutConfiguration, for_s: float = 4.0) -> None:
         """Ask a controller for a change."""
         controller = self.controllers[name]
-        controller.do(controller.shard.request_change(id, change, for_s, self.now))
+        controller.execute(controller.shard.request_change(id, change, for_s, self.now))
         self._sync(name)
 
     def read(self, name: str, id: str) -> None:
         """Ask a controller for the newest state."""
         controller = self.controllers[name]
-        controller.do(controller.shard.request_read(id, self.now))
+        controller.execute(controller.shard.request_read(id, self.now))
         self._sync(name)
--- a/orchidferry/testkit/model/stored_controller.py
+++ b/orchidferry/testkit/model/stored_controller.py
@@ -63,9 +63,9 @@
         self._store = Store(str(self.folder), self._loop)
         self.opened_s = time.perf_counter() - began
 
-    def put(self, puts: list[RecordWrite]) -> None:
+    def write_to_disk(self, puts: list[RecordWrite]) -> None:
         """Have these in the store, synced."""
-        super().put(puts)
+        super().write_to_disk(puts)
         told: list[bool] = []
         assert self._store is not None
         self._store.write(puts, told.append)
--- a/tests/mesh/control/test_key_releases.py
+++ b/tests/mesh/control/test_key_releases.py
@@ -40,13 +40,13 @@
                 controller = self.controllers[to]
                 match message:
                     case KeyClaim():
-                        controller.claim(node, *astuple(message))
+                        controller.claim_key(node, *astuple(message))
                     case KeyRelease():
-                        controller.drop(node, *astuple(message))
+                        controller.release_key(node, *astuple(message))
                     case KeyAnswer():
-                        controller.done(*astuple(message))
+                        controller.record_answer(*astuple(message))
                 while controller.writes:
-                    controller.disk_turn()
+                    controller.complete_write()
 
         return send
 
@@ -64,7 +64,7 @@
     def send(self, *message: Any) -> None:
         """Controllers say nothing to each other here."""
 
-    decided = told = send
+    state_changed = request_ended = send
 
     def claim(self, node: str, holder: str) -> ClaimOutcome:
         """What a claim ends with at once."""
@@ -108,10 +108,10 @@
 def test_a_release_that_is_not_acknowledged_goes_out_again_on_the_same_link(group: Group) -> None:
     assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     refused = group.controllers["a"]
-    refused.disk_turn, written = lambda: refused.writes.clear(), refused.disk_turn  # type: ignore[method-assign]
+    refused.complete_write, written = lambda: refused.writes.clear(), refused.complete_write  # type: ignore[method-assign]
     group.nodes["m"].release(KEY, "t1")
     assert len(group.nodes["m"].releases) == 1
-    refused.disk_turn = written  # type: ignore[method-assign]
+    refused.complete_write = written  # type: ignore[method-assign]
     group.pass_s(RETRY_INTERVAL_S + 0.2)
     assert not group.nodes["m"].releases
     refused.start()  # and it is off the disk
@@ -134,7 +134,7 @@
     """It waited in the buffers of an earlier link, or came with another controller's keys."""
     group.nodes["m"].release(KEY, "t1")
     for controller in group.controllers.values():
-        controller.claim("m", 99, 0, KEY, "t1")
+        controller.claim_key("m", 99, 0, KEY, "t1")
         controller.shard.load_key(KEY, ["t1", 0, None])
     assert not group.holders() and group.claim("n", "t2") == ClaimOutcome.GRANTED
 
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -17,7 +17,7 @@
 from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
 from orchidferry.node.frontend import Reply
 from orchidferry.testkit.explore import worst_days
-from orchidferry.testkit.explore.controller import Controller
+from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.explore.mesh_actors import SequentialRandom
 
 FIVE = tuple(Voter(name, 1) for name in "abcde")
@@ -63,16 +63,16 @@
         self.controller = Controller("a", self, True, 0, SequentialRandom())
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        if kind == "heard" and isinstance(message[1], AcceptedStateRequest):
+        if kind == ControllerCall.RECEIVE and isinstance(message[1], AcceptedStateRequest):
             self.readings.append(message[1].reading)
 
     def answer(self, name: str, answer: SendReply) -> None:
         pass
 
-    def decided(self, name: str, changed: Any) -> None:
+    def state_changed(self, name: str, changed: Any) -> None:
         pass
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         self.ended.append(end)
 
     def tick(self, seconds: float) -> None:
@@ -83,30 +83,30 @@
 def test_a_process_that_wakes_serves_nothing_on_contact_from_before() -> None:
     world = Alone()
     shard = world.controller.shard
-    world.controller.beat_to("bc")
+    world.controller.send_heartbeats("bc")
     world.now += 5.0  # frozen; the acknowledgements of that beat are in its buffers
     for name in "bc":
-        world.controller.pulse(name, 1, 0)
-    world.controller.do(shard.request_read("r", world.now))
-    world.controller.do(
+        world.controller.receive_heartbeat_ack(name, 1, 0)
+    world.controller.execute(shard.request_read("r", world.now))
+    world.controller.execute(
         shard.request_change("p", shard_state.PutConfiguration(b"x", 1, b"x", 0), 4.0, world.now)
     )
     assert world.ended == [RequestEnded("r", None, OUT_OF_CONTACT), RequestEnded("p", None, OUT_OF_CONTACT)]
     assert not world.readings and not shard.register.proposer.due_ms < float("inf")
-    world.controller.beat_to("bc")
-    world.controller.pulse("b", 2, 0)
-    world.controller.do(shard.request_read("r2", world.now))
+    world.controller.send_heartbeats("bc")
+    world.controller.receive_heartbeat_ack("b", 2, 0)
+    world.controller.execute(shard.request_read("r2", world.now))
     assert len(world.ended) == 2 and world.readings
 
 
 def test_who_waits_is_told_as_soon_as_contact_is_lost() -> None:
     world = Alone()
     shard = world.controller.shard
-    world.controller.beat_to("bc")
-    world.controller.pulse("b", 1, 0)
+    world.controller.send_heartbeats("bc")
+    world.controller.receive_heartbeat_ack("b", 1, 0)
     world.now += CONTACT_S - 0.3
-    world.controller.do(shard.request_read("r", world.now))
-    world.controller.do(
+    world.controller.execute(shard.request_read("r", world.now))
+    world.controller.execute(
         shard.request_change("p", shard_state.PutConfiguration(b"x", 1, b"x", 0), 4.0, world.now)
     )
     assert shard.due_s <= 1.0 + CONTACT_S and not world.ended
@@ -126,29 +126,29 @@
     shard = world.controller.shard
 
     def beat() -> None:
-        world.controller.beat_to("bc")
-        world.controller.pulse("b", world.controller.count, 0)
+        world.controller.send_heartbeats("bc")
+        world.controller.receive_heartbeat_ack("b", world.controller.count, 0)
 
     beat()
-    world.controller.do(shard.request_read("r", world.now))
+    world.controller.execute(shard.request_read("r", world.now))
     for _ in range(4):
         world.tick(0.1)
         beat()
     assert len(world.readings) > 2 and not world.ended
     answer = AcceptedState(world.readings[0], ("b", shard_state.GENESIS), (0, ""), None)
-    world.controller.heard("b", answer)
+    world.controller.receive("b", answer)
     assert [(end.id, end.value) for end in world.ended] == [("r", shard.known)]
 
 
 def test_a_reading_in_contact_that_is_not_settled_ends_in_time() -> None:
     world = Alone()
     shard = world.controller.shard
-    world.controller.do([])
+    world.controller.execute([])
     for _ in range(9):
-        world.controller.beat_to("bc")
-        world.controller.pulse("b", world.controller.count, 0)
+        world.controller.send_heartbeats("bc")
+        world.controller.receive_heartbeat_ack("b", world.controller.count, 0)
         if not world.controller.count > 1:
-            world.controller.do(shard.request_read("r", world.now))
+            world.controller.execute(shard.request_read("r", world.now))
         assert not world.ended or world.now - 1.0 > READ_TIMEOUT_S - 1e-6
         world.tick(0.1)
     assert world.ended == [RequestEnded("r", None, "")]
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -27,7 +27,7 @@
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import DecidedState
-from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller
+from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S, Controller, ControllerCall
 
 
 class Try:
@@ -81,13 +81,13 @@
             said = (answer.to, name, message.epoch, message.outcome, message.answer)
             self.wires.append(("", "said", said))
         else:
-            self.send(name, answer.to, "heard", name, message.body)
+            self.send(name, answer.to, ControllerCall.RECEIVE, name, message.body)
 
-    def told(self, name: str, end: RequestEnded) -> None:
+    def request_ended(self, name: str, end: RequestEnded) -> None:
         if end.id in self.waiting:
             self.waiting.pop(end.id)(end)
 
-    def decided(self, name: str, changed: StateChanged) -> None:
+    def state_changed(self, name: str, changed: StateChanged) -> None:
         """The states are one chain: one for each version, and whoever learns one learns the same."""
         value = changed.new
         assert self.versions.setdefault(value.version, value) == value
@@ -118,7 +118,9 @@
     def ask(self, try_: Try) -> None:
         for name in try_.count.group:
             if try_.count.awaits(name):
-                self.send("", name, "claim", try_, 0, try_.count.epoch, try_.key, try_.holder)
+                self.send(
+                    "", name, ControllerCall.CLAIM_KEY, try_, 0, try_.count.epoch, try_.key, try_.holder
+                )
 
     def said(self, try_: Try, name: str, under: int, what: str, answer: Any) -> None:
         end = try_.count.add(name, under, what, answer) if try_.open else None
@@ -129,10 +131,10 @@
             self.counts["granted"] += 1
             how = self.rng.random()
             if how < 0.5:
-                self.tell_all(try_, "done", try_.key, try_.holder, try_.holder)
+                self.tell_all(try_, ControllerCall.RECORD_ANSWER, try_.key, try_.holder, try_.holder)
             elif how < 0.7:  # it never ran after all
                 self.granted[try_.key].remove(try_)
-                self.tell_all(try_, "drop", try_, 0, try_.key, try_.holder)
+                self.tell_all(try_, ControllerCall.RELEASE_KEY, try_, 0, try_.key, try_.holder)
             try_.open = False
         elif end:
             answers = [t.holder for t in self.granted.get(try_.key, [])]
@@ -142,7 +144,7 @@
     def give_up(self, try_: Try) -> None:
         if try_.open:
             try_.open = False
-            self.tell_all(try_, "drop", try_, 0, try_.key, try_.holder)
+            self.tell_all(try_, ControllerCall.RELEASE_KEY, try_, 0, try_.key, try_.holder)
 
     def tell_all(self, try_: Try, *message: Any) -> None:
         for name in try_.count.group:
@@ -163,7 +165,7 @@
 
         id = str(self.number())
         self.waiting[id] = told
-        controller.do(
+        controller.execute(
             controller.shard.request_change(
                 id, shard_state.PutConfiguration(digest, revision, digest, on), 3.0, self.now
             )
@@ -181,7 +183,7 @@
 
         id = str(self.number())
         self.waiting[id] = told
-        controller.do(controller.shard.request_read(id, self.now))
+        controller.execute(controller.shard.request_read(id, self.now))
 
     def play(self, seconds: float, until: Callable[[], bool] = lambda: False) -> None:
         """All goes well: what is sent arrives, and disks take what is written."""
@@ -197,7 +199,7 @@
                     return self.wires.clear()
                 for controller in self.controllers.values():
                     while controller.writes:
-                        controller.disk_turn()
+                        controller.complete_write()
 
     def pass_time(self, s: float) -> None:
         for try_ in self.tries:
@@ -220,7 +222,7 @@
             controller.wipe()
 
     def tick(self, controller: Controller) -> None:
-        controller.beat_to(
+        controller.send_heartbeats(
             n for n in self.controllers if n != controller.name and self.rng.random() < self.beats
         )
         controller.tick()
@@ -245,7 +247,7 @@
         if controller is not None and dice < 0.92:
             if controller.writes and rng.random() < 0.9:
                 while controller.writes and rng.random() < 0.7:
-                    controller.disk_turn()
+                    controller.complete_write()
                 return
             self.now += rng.random() * self.turn_s
             if rng.random() < 0.02 * trouble:
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/test_membership_losses.py
@@ -167,7 +167,7 @@
 
         id = str(self.number())
         self.waiting[id] = told
-        controller.do(controller.shard.request_change(id, order, 3.0, self.now))
+        controller.execute(controller.shard.request_change(id, order, 3.0, self.now))
 
     def judge(self, order: shard_state.PutConfiguration, end: RequestEnded) -> None:
         """An order is acknowledged or refused for ever, and one at most on each version."""
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -187,8 +187,8 @@
         self.taken_orders: dict[int, tuple[bytes, int]] = {}  # by version: digest and number, as decided
         self.counts |= {"again": 0, "refused": 0, "unclear": 0}
 
-    def decided(self, name: str, changed: StateChanged) -> None:
-        super().decided(name, changed)
+    def state_changed(self, name: str, changed: StateChanged) -> None:
+        super().state_changed(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
             known = self.taken_orders.setdefault(state.revision, (state.compressed_text, state.revision))
@@ -228,7 +228,7 @@
                 self.acknowledged.append(order)
 
         self.waiting[id] = told
-        controller.do(controller.shard.request_change(id, order, 3.0, self.now))
+        controller.execute(controller.shard.request_change(id, order, 3.0, self.now))
 
     def judge(self) -> None:
         """Beside the plain list of all orders that were taken."""
@@ -279,7 +279,7 @@
         ends: list[RequestEnded] = []
         id = str(world.number())
         world.waiting[id] = ends.append
-        controller.do(controller.shard.request_change(id, order, 3.0, world.now))
+        controller.execute(controller.shard.request_change(id, order, 3.0, world.now))
         world.play(1.0)
         if not ends or ends[0].why not in (OUT_OF_CONTACT, LOST_CONTACT):
             return bool(ends) and ends[0].value is not None and not ends[0].why
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/test_state_teller.py
@@ -11,6 +11,7 @@
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import DecidedState, tag_of
+from orchidferry.testkit.explore.controller import ControllerCall
 from orchidferry.testkit.model.replica_group import BEAT_S, ReplicaGroup, example
 
 RETURNS = "e"
@@ -56,7 +57,7 @@
     send, silent = group.send, list[str]()
 
     def lossy(sender: str, to: str, kind: str, *message: object) -> None:
-        if to == RETURNS and kind == "heard" and isinstance(message[1], DecidedState):
+        if to == RETURNS and kind == ControllerCall.RECEIVE and isinstance(message[1], DecidedState):
             silent.append(sender)
             if sender == silent[0]:
                 return
--- a/tests/testkit/explore/test_reductions.py
+++ b/tests/testkit/explore/test_reductions.py
@@ -9,6 +9,7 @@
 import pytest
 
 from orchidferry.testkit.explore import mesh_fingerprint, worst_days
+from orchidferry.testkit.explore.controller import ControllerCall
 from orchidferry.testkit.explore.mesh import MeshWorld
 from orchidferry.testkit.explore.mesh_actors import MessageInFlight
 from orchidferry.testkit.explore.seen import Seen, fingerprint
@@ -75,7 +76,9 @@
     world.messages.reverse()
     assert len(world.messages) < 2 or world.fingerprint() == before
     first = world.messages[0]
-    world.messages[:0] = [MessageInFlight(first.sender, first.to, "heard", ("x", ["know?", 9]), first.back)]
+    world.messages[:0] = [
+        MessageInFlight(first.sender, first.to, ControllerCall.RECEIVE, ("x", ["know?", 9]), first.back)
+    ]
     ahead = world.fingerprint()
     world.messages[:2] = world.messages[1::-1]
     assert world.fingerprint() != ahead
