--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -14,8 +14,9 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing import versions as v
-from orchidferry.balancing.versions import Configuration, Part, Versions
+from orchidferry.balancing import version_events as events
+from orchidferry.balancing.configuration import Configuration, NodeSettings, Part, Pools
+from orchidferry.balancing.versions import Versions
 from orchidferry.node.clock import now_ms
 from orchidferry.node.control.channel import Channel
 from orchidferry.node.control.settings import Control
@@ -29,7 +30,7 @@
 
 def own_file(control: Control, settings: api.Settings) -> Configuration:
     """What the node's own file says: no pool, as discovery has the say until one comes."""
-    return Configuration(v.Pools({}), v.NodeSettings(control.pools[0], settings))
+    return Configuration(Pools({}), NodeSettings(control.pools[0], settings))
 
 
 class Agent:
@@ -58,7 +59,7 @@
         self.channel = Channel(control, self._hear, self._stream, rng)
         self._store = store
         self._timers: set[asyncio.TimerHandle] = set()
-        self._applying: v.Apply | None = None  # what is being applied
+        self._applying: events.Apply | None = None  # what is being applied
         self._unsaved: Configuration | None = None  # the newest that waits to be written
         self._saving: asyncio.Task[None] | None = None
         self.refused_save = ""  # why the last good one could not be written, the last time
@@ -70,7 +71,7 @@
             saved, line = self._store.load()
             if line:
                 log.error("%s", line)
-        self._handle(v.Began(self._file, self._held or saved))
+        self._handle(events.Started(self._file, self._held or saved))
         self.channel.start()
 
     async def close(self) -> None:
@@ -94,50 +95,50 @@
         found["saved"] = "off" if self._store is None else self.refused_save or "yes"
         return found
 
-    def _hear(self, offer: v.Offered) -> None:
+    def _hear(self, offer: events.Offered) -> None:
         self._handle(offer)
 
     def _stream(self, up: bool) -> None:
-        self._handle(v.Stream(up))
+        self._handle(events.StreamChanged(up))
 
-    def _handle(self, event: v.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         pending = [event]
         while pending:
             for action in self.versions.handle(pending.pop(0), now_ms()):
                 match action:
-                    case v.Apply():
+                    case events.Apply():
                         self._applying = action
                         problem = self._apply(action)
                         if problem is not None:
                             pending.append(self._applied(problem))
-                    case v.Answer():
+                    case events.Answer():
                         self.channel.answer(action)
-                    case v.Drain():
+                    case events.Drain():
                         self._do_drain(action.servers)
-                    case v.Save():
+                    case events.SaveLastGood():
                         self._save(action.configuration)
-                    case v.Wake():
+                    case events.SetTimer():
                         self._wake(action.delay_ms)
-                    case v.Log():
+                    case events.Log():
                         log.warning("control: %s", action.text)
         self._said()
 
-    def _apply(self, action: v.Apply) -> str | None:
+    def _apply(self, action: events.Apply) -> str | None:
         try:
             return self._do_apply(action.configuration, action.changed)
         except Exception as broken:  # whatever is in it, the node serves on
             log.exception("applying a configuration")
             return f"{type(broken).__name__}: {broken}"
 
-    def _applied(self, problem: str) -> v.Applied:
+    def _applied(self, problem: str) -> events.Applied:
         action = self._applying
         self._applying = None
         if not problem and action is not None:
-            versions = ", ".join(
+            applied = ", ".join(
                 f"{part.value} {text!r}" for part, text in action.configuration.versions.items()
             )
-            log.info("control: applied %s, from %s", versions, action.source.value)
-        return v.Applied(problem)
+            log.info("control: applied %s, from %s", applied, action.source.value)
+        return events.Applied(problem)
 
     def node_applied(self, problem: str) -> None:
         """How applying went, where `apply` did not say; nothing if none is out."""
@@ -163,7 +164,7 @@
     def _wake(self, delay_ms: float) -> None:
         def due() -> None:
             self._timers.discard(timer)
-            self._handle(v.Woken())
+            self._handle(events.TimerFired())
 
         timer = asyncio.get_running_loop().call_later(delay_ms / 1000.0, due)
         self._timers.add(timer)
--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -19,7 +19,8 @@
 import grpc
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
-from orchidferry.balancing.versions import Answer, Content, Offered, Part, Pools
+from orchidferry.balancing.configuration import Content, Part, Pools
+from orchidferry.balancing.version_events import Answer, Offered
 from orchidferry.node.control.messages import PARTS, TYPES, ResourceDecodeError, read_node, read_pool
 from orchidferry.node.control.settings import Control, read_tls
 
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.balancing.versions import Configuration
+from orchidferry.balancing.configuration import Configuration
 from orchidferry.node.control.agent import Agent, own_file
 from orchidferry.node.control.pipe import MAX_LINE, Held, PipeDecodeError, Row, Teller, line, read_line
 from orchidferry.node.control.plain import MALFORMED_JSON_ERRORS, settings_from
--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -17,7 +17,8 @@
 from typing import Protocol
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import Member, merged
+from orchidferry.balancing.configuration import Member
+from orchidferry.balancing.configuration_checks import merged
 from orchidferry.node.control.pipe import STEP, Change, Row, steps
 from orchidferry.node.control.plain import member_from, member_row
 from orchidferry.node.server_listing import ServerListing
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -23,8 +23,8 @@
 from xds.type.v3 import typed_struct_pb2
 
 from orchidferry.balancing import interface as api
+from orchidferry.balancing.configuration import Member, NodeSettings, Part
 from orchidferry.balancing.settings import SettingsFormatError, get, read_settings
-from orchidferry.balancing.versions import Member, NodeSettings, Part
 from orchidferry.errors import OrchidferryError
 from orchidferry.node.clock import unix_offset_ms
 from orchidferry.node.server_listing import server_id
--- a/orchidferry/node/control/pipe.py
+++ b/orchidferry/node/control/pipe.py
@@ -18,7 +18,8 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import MAX_MEMBERS, Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.balancing.configuration_checks import MAX_MEMBERS
 from orchidferry.errors import OrchidferryError
 from orchidferry.node.control.plain import (
     MALFORMED_JSON_ERRORS,
--- a/orchidferry/node/control/plain.py
+++ b/orchidferry/node/control/plain.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import Member
+from orchidferry.balancing.configuration import Member
 from orchidferry.node.state_store import MALFORMED_JSON_ERRORS as MALFORMED_JSON_ERRORS
 
 HEALTHS = {health.value: health for health in api.Health}
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node import state_store
 from orchidferry.node.control.plain import made, plain, settings_from
 from orchidferry.node.state_store import FileSystem, StateFileError, StateFormat, StateLockedError
--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
+from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.balancing.settings import read_settings
-from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node.config import Config
 from orchidferry.node.control.link import Link
 from orchidferry.node.control.messages import node_message, pool_message
--- a/orchidferry/testkit/control/files.py
+++ b/orchidferry/testkit/control/files.py
@@ -23,7 +23,8 @@
 
 from google.protobuf.any_pb2 import Any as AnyMessage
 
-from orchidferry.balancing import versions as v
+from orchidferry.balancing.configuration import Configuration, Member, Part, Pools, VersionError
+from orchidferry.balancing.configuration_checks import check_members, check_parts_match
 from orchidferry.balancing.settings import Json, SettingsFormatError, get
 from orchidferry.errors import OrchidferryError
 from orchidferry.node.address import parse_address
@@ -37,7 +38,7 @@
 from orchidferry.node.control.store import StateFileError, decode
 from orchidferry.node.control.store import to_json as stored
 
-Key = tuple[v.Part, str]  # a resource: its part and name
+Key = tuple[Part, str]  # a resource: its part and name
 MOST = 64 * 1024 * 1024  # bytes of a file
 
 
@@ -57,7 +58,7 @@
         """The file's form again."""
         found: Json = {"version": self.version, "pools": {}, "settings": {}}
         for (part, name), spec in self.content.items():
-            found["pools" if part is v.Part.MEMBERS else "settings"][name] = spec
+            found["pools" if part is Part.MEMBERS else "settings"][name] = spec
         return found
 
 
@@ -100,15 +101,15 @@
         raise VersionFileError("'version' must have 1 to 256 characters")
     content: dict[Key, Any] = {}
     packed: dict[Key, AnyMessage] = {}
-    pools: dict[str, tuple[v.Member, ...]] = {}
+    pools: dict[str, tuple[Member, ...]] = {}
     try:
         for name, endpoints in get(obj, "pools", dict).items():
-            key = v.Part.MEMBERS, name
+            key = Part.MEMBERS, name
             content[key], packed[key] = endpoints, _pool(name, endpoints)
             pools[name] = read_pool(name, packed[key])
-        v.check_members(v.Pools(pools))
+        check_members(Pools(pools))
         for name, spec in get(obj, "settings", dict).items():
-            key = v.Part.SETTINGS, name
+            key = Part.SETTINGS, name
             where = f"settings.{name}"
             if not isinstance(spec, dict):
                 raise VersionFileError(f"{where}: must be a table")
@@ -119,10 +120,10 @@
             content[key] = spec
             node = read_node(name, packed[key])
             try:
-                v.check_whole(v.Configuration(v.Pools(pools), node))
-            except v.VersionError as problem:
+                check_parts_match(Configuration(Pools(pools), node))
+            except VersionError as problem:
                 raise VersionFileError(f"{where}: {problem}") from None
-    except (ResourceDecodeError, v.VersionError) as problem:
+    except (ResourceDecodeError, VersionError) as problem:
         raise VersionFileError(str(problem)) from None
     except (ValueError, TypeError) as problem:  # what a message can't hold
         raise VersionFileError(f"can't be made a message: {problem!s:.200}") from None
--- a/orchidferry/testkit/control/script.py
+++ b/orchidferry/testkit/control/script.py
@@ -13,7 +13,7 @@
 
 from google.protobuf.any_pb2 import Any as AnyMessage
 
-from orchidferry.balancing.versions import Part
+from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import EDS, TYPES, node_message, pool_message
 from orchidferry.testkit import draws
 from orchidferry.testkit.control.service import Service, Word
--- a/orchidferry/testkit/control/service.py
+++ b/orchidferry/testkit/control/service.py
@@ -17,7 +17,7 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from google.protobuf.any_pb2 import Any as AnyMessage
 
-from orchidferry.balancing.versions import Part
+from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import TYPES
 
 Held = dict[str, dict[str, tuple[str, AnyMessage]]]  # by type and name: version and message
--- a/orchidferry/testkit/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.balancing.versions import Part
+from orchidferry.balancing.configuration import Part
 from orchidferry.testkit.control.script import Control
 from orchidferry.testkit.process import TICK_S, Order, Say, Script, monotonic_at, work
 from orchidferry.testkit.record import Recorder, Told
--- a/tests/balancing/test_versions.py
+++ b/tests/balancing/test_versions.py
@@ -9,37 +9,40 @@
 import pytest
 from hypothesis import given, settings, strategies
 
+from orchidferry.balancing import configuration_checks
 from orchidferry.balancing import interface as api
 from orchidferry.balancing import versions as module
-from orchidferry.balancing.versions import (
-    APPLY_BURST,
-    APPLY_PER_S,
-    FIRST_MS,
-    REFUSALS_KEPT,
-    Action,
-    Answer,
-    Applied,
-    Apply,
-    Began,
+from orchidferry.balancing.configuration import (
     Configuration,
     Content,
-    Drain,
-    Log,
     Member,
     NodeSettings,
-    Offered,
     Part,
     Pools,
-    Save,
     Source,
-    Stream,
+)
+from orchidferry.balancing.configuration_checks import check_members, check_parts_match, drained, merged
+from orchidferry.balancing.version_events import (
+    Action,
+    Answer,
+    Applied,
+    Apply,
+    Drain,
+    Event,
+    Log,
+    Offered,
+    SaveLastGood,
+    SetTimer,
+    Started,
+    StreamChanged,
+    TimerFired,
+)
+from orchidferry.balancing.versions import (
+    APPLY_BURST,
+    APPLY_PER_S,
+    FIRST_VERSION_TIMEOUT_MS,
+    MAX_REFUSALS,
     Versions,
-    Wake,
-    Woken,
-    check_members,
-    check_whole,
-    drained,
-    merged,
 )
 from tests.balancing import helpers
 
@@ -72,17 +75,17 @@
         self.log: list[Action] = []
         self.woken_ms: list[float] = []
         self.node: Configuration | None = None
-        self.do(Began(FILE, saved))
-        self.do(Stream(True))
+        self.do(Started(FILE, saved))
+        self.do(StreamChanged(True))
         if first:
-            self.pass_ms(FIRST_MS)
+            self.pass_ms(FIRST_VERSION_TIMEOUT_MS)
             self.log.clear()
 
-    def do(self, event: module.Event) -> list[Action]:
+    def do(self, event: Event) -> list[Action]:
         actions = self.versions.handle(event, self.now)
         self.log += actions
         for action in actions:
-            if isinstance(action, Wake):
+            if isinstance(action, SetTimer):
                 self.woken_ms.append(self.now + action.delay_ms)
             if isinstance(action, Apply) and self.applies:
                 self.node = action.configuration
@@ -102,12 +105,12 @@
         while self.woken_ms and min(self.woken_ms) <= end:
             self.now = min(self.woken_ms)
             self.woken_ms.remove(self.now)
-            self.do(Woken())
+            self.do(TimerFired())
         self.now = end
 
     def held(self, part: Part = Part.MEMBERS) -> str:
-        assert self.versions.held is not None
-        return self.versions.held.versions[part]
+        assert self.versions.applied is not None
+        return self.versions.applied.versions[part]
 
 
 def only(actions: list[Action], kind: type) -> list[Any]:
@@ -121,20 +124,20 @@
     for saved, source in ((None, Source.FILE), (Configuration(pools(7), node()), Source.SAVED)):
         service = Service(saved, first=False)
         assert not only(service.log, Apply)
-        service.pass_ms(FIRST_MS - 1.0)
+        service.pass_ms(FIRST_VERSION_TIMEOUT_MS - 1.0)
         assert not only(service.log, Apply)
         service.pass_ms(1.0)
         [apply] = only(service.log, Apply)
         assert (apply.source, apply.configuration) == (source, saved or FILE)
         assert apply.changed == frozenset(Part)
-        assert not only(service.log, Save)  # it is on disk, or in the file
+        assert not only(service.log, SaveLastGood)  # it is on disk, or in the file
 
 
 def test_a_first_version_in_time_is_taken_at_once_and_the_wait_ends_with_nothing() -> None:
     service = Service(Configuration(pools(7), node()), first=False)
     [apply] = only(service.offer(pools(3), "1"), Apply)
     assert apply.source is Source.CONTROL and apply.changed == frozenset(Part)
-    service.pass_ms(FIRST_MS)
+    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
     assert len(only(service.log, Apply)) == 1 and service.held() == "1"
 
 
@@ -150,7 +153,7 @@
     saved: Configuration, words: str
 ) -> None:
     service = Service(saved, first=False)
-    service.pass_ms(FIRST_MS)
+    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
     assert service.node == FILE
     assert any(words in log.text for log in only(service.log, Log))
 
@@ -168,7 +171,7 @@
     service = Service(first=False)
     [answer] = only(service.offer(pools(), "1"), Answer)
     assert answer.version == "" and "no live server" in answer.reason
-    service.pass_ms(FIRST_MS)
+    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
     assert service.node == FILE
 
 
@@ -205,13 +208,13 @@
 ) -> None:
     service = Service()
     service.offer(pools(1, 2, 3), "good")
-    before = service.versions.held
+    before = service.versions.applied
     actions = service.offer(content, "bad", problem="endpoints[3]: no address", nonce="bad-nonce")
     [answer] = only(actions, Answer)
     assert words in answer.reason and answer.nonce == "bad-nonce"
     assert answer.version == ("good" if answer.part is Part.MEMBERS else "")
-    assert not only(actions, Apply) and not only(actions, Save)
-    assert service.versions.held is before and service.node is before
+    assert not only(actions, Apply) and not only(actions, SaveLastGood)
+    assert service.versions.applied is before and service.node is before
     [refused] = service.versions.status()["refused"]
     assert (refused["version"], refused["reason"]) == ("bad", answer.reason)
 
@@ -227,11 +230,11 @@
 
 
 def test_bounds_on_how_much_a_version_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MAX_MEMBERS", 3)
-    monkeypatch.setattr(module, "MAX_POOLS", 2)
-    monkeypatch.setattr(module, "MAX_CLASSES", 4)
-    monkeypatch.setattr(module, "MAX_TENANTS", 1)
-    monkeypatch.setattr(module, "MAX_NAMES", 5)
+    monkeypatch.setattr(configuration_checks, "MAX_MEMBERS", 3)
+    monkeypatch.setattr(configuration_checks, "MAX_POOLS", 2)
+    monkeypatch.setattr(configuration_checks, "MAX_CLASSES", 4)
+    monkeypatch.setattr(configuration_checks, "MAX_TENANTS", 1)
+    monkeypatch.setattr(configuration_checks, "MAX_NAMES", 5)
     service = Service()
 
     def reason(content: Content) -> str:
@@ -263,11 +266,11 @@
         service.offer(pools(), "same")
     assert [r["times"] for r in service.versions.status()["refused"]] == [3]
     assert len(only(service.log, Log)) == 1
-    for n in range(2 * REFUSALS_KEPT):
+    for n in range(2 * MAX_REFUSALS):
         service.offer(None, f"v{n}", problem="x" * 5000)
     kept = service.versions.status()["refused"]
-    assert len(kept) == REFUSALS_KEPT and kept[-1]["version"] == f"v{2 * REFUSALS_KEPT - 1}"
-    assert max(len(r["reason"]) for r in kept) <= module.MAX_REASON
+    assert len(kept) == MAX_REFUSALS and kept[-1]["version"] == f"v{2 * MAX_REFUSALS - 1}"
+    assert max(len(r["reason"]) for r in kept) <= module.MAX_REASON_LENGTH
 
 
 # Whole, or not at all
@@ -287,8 +290,8 @@
 def test_a_part_refused_on_an_old_stream_is_not_put_together_with_a_new_one() -> None:
     service = Service()
     service.offer(pools(5, name="new"), "a")
-    service.do(Stream(False))
-    service.do(Stream(True))
+    service.do(StreamChanged(False))
+    service.do(StreamChanged(True))
     [answer] = only(service.offer(node("new"), "b"), Answer)
     assert "is none of catalogo" in answer.reason
 
@@ -306,7 +309,7 @@
     assert back.configuration.members() == (member(1), member(2), member(3))
     since = service.versions.since_ms
     service.now += 100.0
-    assert not only(service.do(Applied()), Save)
+    assert not only(service.do(Applied()), SaveLastGood)
     assert service.held() == "good" and service.versions.since_ms == since
 
 
@@ -326,14 +329,14 @@
 def test_applied_out_of_turn_changes_nothing() -> None:
     service = Service()
     assert service.do(Applied()) == [] and service.do(Applied("x")) == []
-    assert service.versions.held == FILE
+    assert service.versions.applied == FILE
 
 
 def test_a_file_that_cannot_be_applied_is_said_and_held_all_the_same() -> None:
     service = Service(applies=False, first=False)
-    service.pass_ms(FIRST_MS)
+    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
     [log] = only(service.do(Applied("no pool")), Log)
-    assert "no pool" in log.text and service.versions.held == FILE
+    assert "no pool" in log.text and service.versions.applied == FILE
 
 
 # A stream that misbehaves
@@ -343,8 +346,8 @@
     service = Service()
     assert only(service.offer(pools(3), "1", nonce="n"), Answer)
     assert service.offer(pools(4), "2", nonce="n") == []
-    service.do(Stream(False))
-    service.do(Stream(True))
+    service.do(StreamChanged(False))
+    service.do(StreamChanged(True))
     assert only(service.offer(pools(4), "2", nonce="n"), Answer)  # another stream, another nonce
 
 
@@ -401,7 +404,7 @@
     service.applies = False
     service.offer(pools(6), "2")
     service.offer(pools(7), "3")
-    service.do(Stream(False))
+    service.do(StreamChanged(False))
     service.applies = True
     service.do(Applied())
     service.pass_ms(60_000.0)
@@ -413,8 +416,8 @@
     service = Service()
     for n in ("1", "2", "3"):
         service.offer(pools(int(n)), n)
-    service.do(Stream(False))
-    service.do(Stream(True))
+    service.do(StreamChanged(False))
+    service.do(StreamChanged(True))
     service.offer(pools(2), "2")
     assert service.held() == "2" and service.node is not None and service.node.members() == (member(2),)
 
@@ -422,8 +425,8 @@
 def test_a_service_that_comes_back_empty_drains_nobody() -> None:
     service = Service()
     service.offer(pools(5, 6), "1")
-    service.do(Stream(False))
-    service.do(Stream(True))
+    service.do(StreamChanged(False))
+    service.do(StreamChanged(True))
     actions = service.offer(Pools({}), "2") + service.offer(None, "3", problem="no settings")
     assert not only(actions, Apply) and not only(actions, Drain)
     assert service.held() == "1"
@@ -492,7 +495,7 @@
             actions = service.do(Applied("broken" if step == "failed" else ""))
             out -= 1 if out else 0
         elif step == "lost":
-            actions = service.do(Stream(False)) + service.do(Stream(True))
+            actions = service.do(StreamChanged(False)) + service.do(StreamChanged(True))
         elif step == "wait":
             mark = len(service.log)
             service.pass_ms(700.0)
@@ -504,11 +507,11 @@
         out += len(only(actions, Apply))
         assert out <= 1  # one at a time
         answered += [(a.part, a.nonce, bool(a.reason)) for a in only(actions, Answer)]
-        held = service.versions.held
+        held = service.versions.applied
         if held is not None:
             check_members(held.pools)
-            check_whole(held)
-        for save in only(actions, Save):
+            check_parts_match(held)
+        for save in only(actions, SaveLastGood):
             assert save.configuration == held
     taken = [a for a in answered if not a[2]]
     assert len(set(taken)) == len(taken)  # none is acknowledged twice
--- a/tests/node/control/scene.py
+++ b/tests/node/control/scene.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
+from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.balancing.settings import read_settings
-from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node.control.agent import Agent
 from orchidferry.node.control.messages import node_message, pool_message
 from orchidferry.node.control.settings import Control
@@ -76,7 +76,7 @@
         return self.problem
 
     def held(self, part: Part = Part.MEMBERS) -> str:
-        return self.versions.held.versions[part] if self.versions.held is not None else ""
+        return self.versions.applied.versions[part] if self.versions.applied is not None else ""
 
     def servers(self) -> list[Member]:
         return list(self.applied[-1].members())
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -13,7 +13,8 @@
 from google.protobuf.any_pb2 import Any as AnyMessage
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import Answer, Part
+from orchidferry.balancing.configuration import Part
+from orchidferry.balancing.version_events import Answer
 from orchidferry.node.config import ConfigError
 from orchidferry.node.control import channel as channel_module
 from orchidferry.node.control.channel import MAX_BACK_OFF_S, Channel, Resources, back_off_s
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -14,8 +14,8 @@
 from hypothesis import Phase, given, settings, strategies
 
 from orchidferry.balancing import interface as api
+from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.balancing.settings import read_settings
-from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node.config import ConfigError
 from orchidferry.node.control import helper as helper_module
 from orchidferry.node.control import link as link_module
@@ -262,8 +262,8 @@
         helper = Helper(control, before.node.settings, before, None, out)  # type: ignore[arg-type]
         helper.agent.start()
         await until(lambda: any(line["do"] == "commit" for line in out.lines))
-        assert helper.agent.versions.held is None  # it may be half in place
-        await until(lambda: helper.agent.versions.held is not None)
+        assert helper.agent.versions.applied is None  # it may be half in place
+        await until(lambda: helper.agent.versions.applied is not None)
         with pytest.raises(PipeDecodeError):
             helper.hear({"do": "what"})
         helper.hear({"do": "applied", "n": 1, "problem": ""})  # too late
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -19,7 +19,7 @@
 from hypothesis import settings as hypothesis_settings
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import Part
+from orchidferry.balancing.configuration import Part
 from orchidferry.node.config import read_config
 from orchidferry.node.control.messages import pool_message
 from orchidferry.node.control.settings import Control
@@ -354,7 +354,8 @@
     code = (
         "import sys, orchidferry.__main__, orchidferry.node.node; "
         "bad = [m for m in sys.modules if m.split('.')[0] in ('grpc', 'google', 'envoy', 'xds') "
-        "or m.startswith('orchidferry.node.control') or m == 'orchidferry.balancing.versions']; "
+        "or m.startswith(('orchidferry.node.control', 'orchidferry.balancing.version', "
+        "'orchidferry.balancing.configuration'))]; "
         "print(bad); sys.exit(bool(bad))"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -13,8 +13,8 @@
 
 import pytest
 
+from orchidferry.balancing.configuration import Part
 from orchidferry.balancing.settings import Json
-from orchidferry.balancing.versions import Part
 from orchidferry.node.admin_server import AdminServer
 from orchidferry.node.control.store import Store
 from orchidferry.testkit.control import rollout_service
--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from orchidferry.balancing.versions import Part
+from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import EDS, TYPES
 from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
 from orchidferry.testkit.control.service import Word
--- a/tests/node/control/test_store.py
+++ b/tests/node/control/test_store.py
@@ -13,7 +13,7 @@
 from hypothesis import HealthCheck, given, settings, strategies
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.versions import Configuration, Member, NodeSettings, Part, Pools
+from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node.control import store as module
 from orchidferry.node.control.store import (
     FORM,
