--- /dev/null
+++ b/tests/mesh/control/fakes.py
@@ -0,0 +1,65 @@
+"""Stand-ins shared by the tests of the control modules."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord
+from orchidferry.mesh.control.subscriber import Subscriber
+from orchidferry.mesh.control.update_stream import StreamChange
+from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
+from orchidferry.mesh.wire.messages import (
+    Message,
+    Update,
+)
+from orchidferry.testkit.model.relays import World
+
+
+def record(name: str, number: int = 1, zone: str = "z", boot: int = 1) -> NodeRecord:
+    return NodeRecord(name, boot, number, zone, "10.0.0.1", 1, None)
+
+
+def decoded(change: StreamChange) -> StreamChange:
+    news = decode(encode(Update(change))[LENGTH_BYTES:])
+    assert isinstance(news, Update)
+    return news.change
+
+
+class RecordingLink:
+    """One end of a link, which notes what is sent."""
+
+    def __init__(self) -> None:
+        self.sent: list[Message] = []
+        self.closed = False
+        self.choked = 0
+        self.peer = ""
+
+    def send(self, message: Message) -> None:
+        self.sent.append(message)
+
+    def send_packed(self, data: bytes) -> None:
+        self.sent.append(decode(data[LENGTH_BYTES:]))
+
+    def kinds(self) -> list[type[Message]]:
+        """Of all that was sent."""
+        return [type(message) for message in self.sent]
+
+    def close(self) -> None:
+        self.closed = True
+
+
+def make_subscriber(name: str, boot: int) -> tuple[Any, list[str]]:
+    """One subscriber, with a controller, and whom it dials."""
+    loop: Any = World(1, 1).start("loop", 0)
+    dialled: list[str] = []
+    subscriber: Any = Subscriber(
+        NodeIdentity(name, boot, "z"),
+        loop,
+        random.Random(1),
+        lambda name, ip: dialled.append(name),
+        lambda: None,
+        lambda revision, link: None,
+    )
+    subscriber.controller_connected("k", RecordingLink())
+    return subscriber, dialled
--- a/tests/mesh/test_control_client.py
+++ b/tests/mesh/control/test_control_client.py
@@ -9,14 +9,11 @@
 from orchidferry.mesh.control.configuration_fetcher import ANSWER_TIMEOUT_S, TRANSFER_TIMEOUT_S
 from orchidferry.mesh.control.contact import CONTACT_S
 from orchidferry.mesh.control.control_client import TICK_S, ControlClient
-from orchidferry.mesh.control.endpoints import LEASE_S, NodeRecord
-from orchidferry.mesh.control.publisher import Publisher
 from orchidferry.mesh.settings import parse_settings
 from orchidferry.mesh.wire.messages import (
     ConfigurationFetch,
     ConfigurationText,
     Lease,
-    LeaseRenewal,
     Message,
     Revision,
     RevisionRead,
@@ -25,6 +22,8 @@
 from tests.mesh.test_records import BOOT
 
 NAMES = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
+
+
 AGE_MS = round(1e3 * CONTACT_S)
 
 
@@ -81,7 +80,7 @@
             self.loop.pass_ms(1e3 * TICK_S)
 
 
-def test_a_node_that_reaches_only_an_isolated_controller_is_not_settled() -> None:
+def test_a_node_that_reaches_only_an_isolated_controller_gets_no_configuration() -> None:
     rig = Rig(NAMES[:1])
     rig.node.start()
     for _ in range(100):
@@ -100,7 +99,7 @@
     return [rig.wires[name].asked()[0].request for name in NAMES]
 
 
-def test_a_node_that_starts_asks_all_for_the_number_and_one_for_the_text() -> None:
+def test_a_starting_node_reads_the_revision_everywhere_and_fetches_the_text_once() -> None:
     """Each of the controllers sent it the whole text."""
     rig = Rig(NAMES)
     rids = read_everywhere(rig)
@@ -116,7 +115,7 @@
     assert rig.node.has_initial_configuration and rig.texts == [(5, b"text")]
 
 
-def test_a_text_older_than_the_number_read_does_not_settle_a_node() -> None:
+def test_a_text_older_than_the_revision_read_is_not_enough() -> None:
     """The controller that told the number is gone, and another one has not heard of that revision."""
     rig = Rig(NAMES)
     rids = read_everywhere(rig)
@@ -134,7 +133,7 @@
         assert rig.node.has_initial_configuration is settled
 
 
-def test_a_node_of_a_mesh_without_a_configuration_is_settled_by_the_number_alone() -> None:
+def test_without_a_configuration_the_revision_alone_is_enough() -> None:
     rig = Rig(NAMES)
     rids = read_everywhere(rig)
     rig.tell(NAMES[2], Revision(rids[2], 0))
@@ -158,7 +157,7 @@
     assert [len(rig.wires[name].asked()) for name in NAMES] == [0, 0, 1]
 
 
-def test_a_text_that_comes_late_is_taken_and_is_not_asked_for_again_while_it_comes() -> None:
+def test_a_late_text_is_taken_and_not_fetched_again_while_it_arrives() -> None:
     """It was thrown away after 0.4 s and asked for again: over a full link no text ever arrived."""
     rig = Rig(NAMES[:2])
     rig.node._fetcher.caught_up = True
@@ -178,7 +177,7 @@
     assert rig.texts == [(3, b"text")]
 
 
-def test_one_that_says_nothing_is_not_waited_for() -> None:
+def test_a_silent_controller_is_not_waited_for() -> None:
     rig = Rig(NAMES[:2])
     rig.node._fetcher.caught_up = True
     first: Any = rig.wires[NAMES[0]]
@@ -189,22 +188,3 @@
         rig.wires[NAMES[1]].heard_s = rig.loop.time()
         rig.ticks(1)
     assert len(rig.wires[NAMES[1]].asked()) == 1
-
-
-def test_an_isolated_controller_keeps_no_dead_node_listed() -> None:
-    """Leases are cut by its own steady clock, whether it hears other controllers or not."""
-    loop: Any = Loop()
-    publisher = Publisher("k", "z", 7, loop, lambda: None)
-
-    class Link:
-        def send_packed(self, data: bytes) -> None:
-            """To nobody."""
-
-    link: Any = Link()
-    dead, live = (NodeRecord(name, 1, 1, "z", "", 0, None) for name in ("dead", "live"))
-    publisher.renew_lease(link, LeaseRenewal(1, "dead", 1, dead))
-    for _ in range(round(LEASE_S / 0.5) + 1):
-        publisher.renew_lease(link, LeaseRenewal(1, "live", 1, live))
-        loop.pass_ms(500.0)
-        publisher.tick()
-    assert [record.name for record in publisher._members.records()] == ["live"]
--- a/tests/mesh/test_fanout_tree.py
+++ b/tests/mesh/control/test_subscriber.py
@@ -1,6 +1,6 @@
-"""News down the tree of relays, beside a plain model: what each node last said of itself, known to all.
+"""Subscriptions down the fan-out tree, beside a plain model: what each node last announced, known to all.
 
-The controllers' desks and the nodes' branches are the shipping ones, in virtual time
+Controllers' publishers and nodes' subscribers are the shipping ones, in virtual time
 (`orchidferry.testkit.model.relays`).
 """
 
@@ -12,7 +12,6 @@
 import socket
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 import pytest
 from hypothesis import given, settings
@@ -24,35 +23,24 @@
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord
 from orchidferry.mesh.control.fanout_tree import FANOUT, HEADS, MAX_FOLLOWERS, parent_candidates, tree_rank
 from orchidferry.mesh.control.subscriber import CATCH_UP_DELAY_S, MAX_GAPS, Backoff, Subscriber
-from orchidferry.mesh.control.update_stream import MAX_LOG_CHANGES, Followers, StreamChange, UpdateStream
-from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
+from orchidferry.mesh.control.update_stream import StreamChange
 from orchidferry.mesh.wire.messages import (
     Message,
     RelayAccepted,
     RelayAlive,
     RelayFull,
-    RelaySubscription,
     Update,
     UpdateRequest,
     UpdateSubscription,
     UpdateUnsubscription,
 )
 from orchidferry.testkit.model.relays import BETWEEN_S, Node, World
-from tests.mesh.storage.test_store import a_controller as real_keeper
+from tests.mesh.control.fakes import RecordingLink, make_subscriber, record
+from tests.mesh.storage.test_store import a_controller
 
 RENEWED_S = 0.5 + CATCH_UP_DELAY_S + 0.02  # a renewal, the wait, and the ways
 
 
-def record(name: str, number: int = 1, zone: str = "z", boot: int = 1) -> NodeRecord:
-    return NodeRecord(name, boot, number, zone, "10.0.0.1", 1, None)
-
-
-def travelled(change: StreamChange) -> StreamChange:
-    news = decode(encode(Update(change))[LENGTH_BYTES:])
-    assert isinstance(news, Update)
-    return news.change
-
-
 def fleet(seed: int, nodes: int, zones: int, settle_s: float = 25.0) -> World:
     world = World(seed, zones)
     for n in range(nodes):
@@ -83,7 +71,7 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 2**40), st.lists(st.sampled_from(STEPS), max_size=30))
-def test_any_order_of_events(seed: int, steps: list[str]) -> None:
+def test_all_nodes_agree_after_any_order_of_faults(seed: int, steps: list[str]) -> None:
     world = fleet(seed, 14, 2, 10.0)
     rng = random.Random(seed)
     revision = 0
@@ -122,7 +110,7 @@
 
 @pytest.mark.parametrize("trouble", ["freeze", "kill", "mute", "deaf"])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_relay_in_trouble_costs_one_renewal(seed: int, trouble: str) -> None:
+def test_a_faulty_relay_delays_updates_by_one_renewal(seed: int, trouble: str) -> None:
     """The bound in virtual time, with half of the relays frozen, dead, silent or deaf to the controllers."""
     world = fleet(seed, 60, 2)
     some = relays(world)
@@ -154,7 +142,7 @@
         assert trouble != "freeze" or not hit & left  # after one gap, as it does not answer
 
 
-def test_news_comes_down_the_tree_and_the_keepers_tell_heads_only() -> None:
+def test_controllers_send_updates_to_heads_only() -> None:
     world = fleet(1, 60, 2)
     followed = [len(controller.publisher._followers.positions) for controller in world.controllers.values()]
     assert followed == [HEADS * 2] * 3
@@ -180,124 +168,21 @@
     assert hops < 5 * BETWEEN_S
 
 
-@pytest.mark.parametrize(
-    ("n", "heads", "fanout"), [(1, 1, 2), (2, 1, 1), (40, 2, 8), (100, 1, 3), (333, 2, 8)]
-)
-def test_parents(n: int, heads: int, fanout: int) -> None:
-    """Of every node: first the one at (i - heads) // fanout of its zone's row, and so on up to a head."""
-    row = sorted((record(f"n{i}", boot=i) for i in range(n)), key=lambda r: tree_rank(r.name, r.boot))
-    stale = [record(r.name, boot=r.boot + 1) for r in row[:1]]  # a node is never its own parent
-    children: dict[str, int] = {}
-    for at, one in enumerate(row):
-        others = [*row[:at], *row[at + 1 :], *stale[: at == 0], record("far", zone="y")]
-        chain = parent_candidates(others, NodeIdentity(one.name, one.boot, "z"), heads, fanout)
-        places = [row.index(above) for above in chain]
-        assert (not places) is (at < heads)
-        for below, above in zip([at, *places], places, strict=False):
-            assert above == (below - heads) // fanout
-        if places:
-            assert places[-1] < heads
-            children[chain[0].name] = children.get(chain[0].name, 0) + 1
-    assert max(children.values(), default=0) <= fanout
-
-
-def test_a_follower_is_told_of_a_life_that_it_has_named() -> None:
-    stream = UpdateStream("k", 7, 0)
-    followers = Followers[str]()
-    assert followers.add("a", [("k", 6, 0)]) and followers.add("b", [("k", 7, 0)])
-    for name in "xy":
-        stream.append([record(name)])
-    [(change, links)] = followers.advance(stream)
-    assert links == ["b"] and (change.since, change.number) == (0, 2) and not followers.advance(stream)
-    followers.add("a", [("k", 7, -1)])
-    [(change, links)] = followers.advance(stream)
-    assert links == ["a"] and change.since == -1 and len(change.updated) == 2
-
-
-class Wire:
-    """One end of a link, which notes what is sent."""
-
-    def __init__(self) -> None:
-        self.sent: list[Message] = []
-        self.closed = False
-        self.choked = 0
-        self.peer = ""
-
-    def send(self, message: Message) -> None:
-        self.sent.append(message)
-
-    def send_packed(self, data: bytes) -> None:
-        self.sent.append(decode(data[LENGTH_BYTES:]))
-
-    def kinds(self) -> list[type[Message]]:
-        """Of all that was sent."""
-        return [type(message) for message in self.sent]
-
-    def close(self) -> None:
-        self.closed = True
-
-
-def lone(name: str, boot: int) -> tuple[Any, list[str]]:
-    """One subscriber, with a controller, and whom it dials."""
-    loop: Any = World(1, 1).start("loop", 0)
-    dialled: list[str] = []
-    subscriber: Any = Subscriber(
-        NodeIdentity(name, boot, "z"),
-        loop,
-        random.Random(1),
-        lambda name, ip: dialled.append(name),
-        lambda: None,
-        lambda revision, link: None,
-    )
-    subscriber.controller_connected("k", Wire())
-    return subscriber, dialled
-
-
-def test_two_that_would_follow_each_other() -> None:
-    """Each may take the other's older process for its parent, but only one of them comes first."""
-    answers = []
-    for one, other in (("a", "b"), ("b", "a")):
-        subscriber, _ = lone(one, 1)
-        link = Wire()
-        subscriber.relay.connected(link)
-        subscriber.relay.received(link, RelaySubscription(other, 1, "z", []))
-        answers.append(link.sent[0])
-    assert RelayAccepted() in answers and RelayFull() in answers
-
-
-def test_a_full_relay_sends_others_elsewhere() -> None:
-    subscriber, _ = lone("a", 1)
-    below = [f"n{n}" for n in range(200) if tree_rank(f"n{n}", 1) > tree_rank("a", 1)][: MAX_FOLLOWERS + 2]
-    links = [Wire() for _ in below]
-    for name, link in zip(below, links, strict=True):
-        subscriber.relay.connected(link)
-        subscriber.relay.received(link, RelaySubscription(name, 1, "z", []))
-    assert [link.sent[0] for link in links] == [RelayAccepted()] * MAX_FOLLOWERS + [RelayFull()] * 2
-    subscriber._loop.world.run(5.0)
-    subscriber.tick()
-    assert [link.closed for link in links] == [False] * MAX_FOLLOWERS + [True] * 2
-    subscriber.relay.disconnected(links[0])
-    again = Wire()
-    subscriber.relay.connected(again)
-    subscriber.relay.received(again, RelaySubscription(below[-1], 1, "z", []))
-    assert again.sent[0] == RelayAccepted()
-
-
-def test_a_node_that_is_turned_away_goes_up_and_comes_back() -> None:
+def test_a_rejected_node_tries_the_next_ancestor_and_returns_later() -> None:
     """The nearest that is not backed off; controllers are followed while there is none."""
     row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
     me = row[HEADS + HEADS * FANOUT + 3]
-    subscriber, dialled = lone(me.name, 1)
+    subscriber, dialled = make_subscriber(me.name, 1)
     controller = subscriber._controllers["k"]
     assert controller.kinds() == [UpdateSubscription]
     subscriber.set_members({r.name: r for r in row})
     first, second = [r.name for r in parent_candidates(row, NodeIdentity(me.name, 1, "z"))]
 
-    def ask(name: str, answer: Message) -> Wire:
+    def ask(name: str, answer: Message) -> RecordingLink:
         subscriber._loop.world.run(16.0)
         subscriber.tick()
         assert dialled[-1] == name
-        link = Wire()
+        link = RecordingLink()
         subscriber.dial_finished(name, link)
         subscriber.from_parent(link, answer)
         return link
@@ -317,15 +202,15 @@
 
 
 @pytest.mark.parametrize("useful", [False, True])
-def test_a_parent_without_news_is_left_after_three_gaps(useful: bool) -> None:
+def test_a_parent_that_sends_no_updates_is_dropped_after_three_gaps(useful: bool) -> None:
     """Though it answers; one that has brought something meanwhile stays."""
     row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
     me = row[HEADS + 3]
-    subscriber, _ = lone(me.name, 1)
+    subscriber, _ = make_subscriber(me.name, 1)
     subscriber.set_members({r.name: r for r in row})
     subscriber._loop.world.run(3.0)
     subscriber.tick()
-    link = Wire()
+    link = RecordingLink()
     subscriber.dial_finished(subscriber._candidate.record.name, link)
     subscriber.from_parent(link, RelayAccepted())
     controller = subscriber._controllers["k"]
@@ -346,9 +231,7 @@
     assert controller.kinds()[-1] is (UpdateRequest if useful else UpdateSubscription)
 
 
-def test_a_configuration_comes_down_the_tree_over_sockets(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_configuration_is_relayed_over_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """One controller, four nodes of a zone: two follow it, and the text comes to the others from those."""
     monkeypatch.setattr(subscriber_module, "FIRST_REVIEW_S", 0.02)
     monkeypatch.setattr(subscriber_module, "REVIEW_INTERVAL_S", (0.02, 0.05))
@@ -361,7 +244,7 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
-        controller = real_keeper(tmp_path, port)
+        controller = a_controller(tmp_path, port)
         serving = loop.create_task(controller.run(stopping))
         texts: list[asyncio.Future[bytes]] = []
         nodes: list[ControlClient] = []
@@ -398,37 +281,14 @@
     asyncio.run(main())
 
 
-@settings(max_examples=60, deadline=None)
-@given(st.data())
-def test_differences_and_whole_lists_come_to_the_same(data: Any) -> None:
-    """Whoever takes what came after its place has the sender's list, however long it was away."""
-    stream = UpdateStream("k", 7, 0)
-    copies = [UpdateStream("k", 7, 0) for _ in range(3)]
-    truth: dict[str, NodeRecord] = {}
-    names = st.sampled_from("abcdef")
-    for number in range(data.draw(st.integers(0, 20))):
-        name = data.draw(names)
-        gone = data.draw(st.booleans())
-        times = data.draw(st.sampled_from((1, 1, 1, MAX_LOG_CHANGES)))
-        for again in range(times):
-            if gone:
-                truth.pop(name, None)
-                stream.append(removed=[name])
-            else:
-                truth[name] = record(name, number * MAX_LOG_CHANGES + again)
-                stream.append([truth[name]])
-        copy = data.draw(st.sampled_from(copies))
-        source = data.draw(st.sampled_from([stream, *copies]))
-        change = source.changes_since(copy.incarnation, copy.number)
-        if change is not None:
-            far = source is stream and stream.number - copy.number > MAX_LOG_CHANGES
-            assert change.since == (-1 if far else copy.number) or source is not stream
-            assert copy.apply(travelled(change))
-            assert copy.records == source.records and copy.number == source.number
-        assert source.changes_since(source.incarnation, source.number) is None
-    assert stream.records == truth
-    whole = stream.changes_since(8, 3)  # of another life: all
-    assert whole is not None and whole.since == -1
-    assert not copies[0].apply(StreamChange("k", 8, -1, 5, [], [], 0))
-    number = copies[0].number
-    assert not copies[0].apply(StreamChange("k", 7, number + 1, number + 2, [], [], 0))  # a step is missing
+def test_a_node_keeps_one_copy_of_a_record_that_all_controllers_list() -> None:
+    world = World(1, 2)
+    for n in range(4):
+        world.start(f"n{n}", n % 2)
+    world.run(5.0)
+    world.nodes["n1"].publish()
+    world.run(5.0)
+    for node in world.nodes.values():
+        for name in world.nodes:
+            copies = [stream.records[name] for stream in node.subscriber.streams.values()]
+            assert len(copies) == 3 and len({id(record) for record in copies}) == 1
--- a/tests/mesh/dataplane/test_registration_api.py
+++ b/tests/mesh/dataplane/test_registration_api.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.dataplane.registration_api import PATH, RegistrationApi, read_heartbeat
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.frontend import Reply
-from tests.mesh.test_records import spoil
+from tests.mesh.control.examples import spoil
 
 HEARTBEAT = {
     "information": {"service_name": "s", "capacity": 4, "odd": 1},
--- a/tests/mesh/test_members_by_service.py
+++ b/tests/mesh/test_members_by_service.py
@@ -7,7 +7,6 @@
 from collections.abc import Mapping
 from typing import Any
 
-import msgspec
 import pytest
 
 from orchidferry.mesh.control.configuration import Route
@@ -17,12 +16,10 @@
     IN_SERVICE,
     NodeRecord,
     Server,
-    merge_member_lists,
 )
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds, parse_settings
-from orchidferry.testkit.model.relays import World
 from tests.mesh.fakes import loop_and_connections, patch_clock, route, service_client
 from tests.mesh.test_records import BOOT
 
@@ -118,45 +115,3 @@
     assert client._retry_slack.retries() == pytest.approx(0.4 * Bounds().retry_slack / (1.5 * 699))
     client.set_node_count(1_000)
     assert client._retry_slack.retries() == pytest.approx(0.4 * Bounds().retry_slack / (1.5 * 1_000))
-
-
-def plainly(told: dict[str, dict[str, NodeRecord]], heard: set[str]) -> dict[str, NodeRecord]:
-    """`merge_member_lists` without its short cuts."""
-    found: dict[str, NodeRecord] = {}
-    for controller, mine in told.items():
-        for name, record in mine.items() if not heard or controller in heard else ():
-            had = found.get(name)
-            if had is None or (had.boot == record.boot and had.number < record.number):
-                found[name] = record
-    return found
-
-
-@pytest.mark.parametrize("seed", range(40))
-def test_everyone_is_what_the_plain_walk_finds(seed: int) -> None:
-    rng = random.Random(seed)
-    records = [
-        NodeRecord(f"n{n}", boot, number, "z", "", 1, None)
-        for n in range(4)
-        for boot in (1, 2)
-        for number in (1, 2)
-    ]
-    for _ in range(50):
-        told = {f"k{k}": {r.name: r for r in rng.sample(records, rng.randrange(6))} for k in range(3)}
-        if rng.random() < 0.5:  # other objects, the same records
-            told["k2"] = {name: msgspec.structs.replace(record) for name, record in told["k0"].items()}
-        heard = set(rng.sample(sorted(told), rng.randrange(4)))
-        assert merge_member_lists(told, heard) == plainly(told, heard)
-        assert list(merge_member_lists(told, heard)) == list(plainly(told, heard))
-
-
-def test_a_node_keeps_one_copy_of_a_record_that_all_controllers_tell_of() -> None:
-    world = World(1, 2)
-    for n in range(4):
-        world.start(f"n{n}", n % 2)
-    world.run(5.0)
-    world.nodes["n1"].publish()
-    world.run(5.0)
-    for node in world.nodes.values():
-        for name in world.nodes:
-            copies = [stream.records[name] for stream in node.subscriber.streams.values()]
-            assert len(copies) == 3 and len({id(record) for record in copies}) == 1
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -37,9 +37,9 @@
 from orchidferry.mesh.storage.store import Store
 from orchidferry.node.frontend import Reply
 from orchidferry.testkit.explore.controller import Controller
+from tests.mesh.control.examples import example
 from tests.mesh.storage.test_store import Loop, a_controller, close
 from tests.mesh.test_membership import World
-from tests.mesh.test_records import example
 
 LISTED = 4  # orders that a state lists here
 
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/test_second_loss.py
@@ -4,27 +4,21 @@
 
 from __future__ import annotations
 
-import asyncio
 import random
-from typing import Any
 
 import pytest
 
 from orchidferry.balancing.register import AcceptorState, Value, Voter
-from orchidferry.mesh.control import controller as module
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import SendMessage
-from orchidferry.mesh.control.controller import Controller
 from orchidferry.mesh.control.key_transfer import Cursor
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.control.shard_parameters import ShardParameters
 from orchidferry.mesh.control.write_completions import CaughtUpSaved
-from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState, JoinRequest, RegisterMessage
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S
-from tests.mesh.dataplane.test_proxy_stop import Clock, played
 
 A, B, C, D = (Voter(name, shard_state.GENESIS) for name in "abcd")
 
@@ -119,24 +113,3 @@
     assert not one.must_stay(1.1)
     one.hints.mark_silent("c", 1.0)
     assert one.must_stay(1.1)
-
-
-@pytest.mark.parametrize(("needed_s", "ends_s"), [(0.0, 1.0), (2.5, 2.5), (1e6, 5.0)])
-def test_a_controller_that_is_told_to_end(monkeypatch: Any, needed_s: float, ends_s: float) -> None:
-    """1 s at least, 1 s before the platform's kill at most, and between as long as it is needed."""
-    loop = Clock()
-    began_s = loop.now_s
-
-    class Needed:
-        def must_stay(self, now: float) -> bool:
-            return now < began_s + needed_s
-
-    async def turn(self: Any, stopping: asyncio.Event, until_s: float) -> None:
-        await asyncio.sleep(until_s - loop.time())
-
-    monkeypatch.setattr(module.Controller, "_run_until", turn)
-    leaving: Any = Controller.__new__(Controller)
-    leaving._loop, leaving._shards = loop, {1: Needed()}
-    leaving._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
-    played(loop, leaving._hand_over())
-    assert loop.now_s - began_s == pytest.approx(ends_s, abs=0.12)
