--- a/orchidferry/balancing/register.py
+++ b/orchidferry/balancing/register.py
@@ -18,9 +18,8 @@
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass
 from typing import Any
 
 Ballot = tuple[int, str]  # a counter that only rises, and whose it is
@@ -63,9 +62,6 @@
     return 2 * len(distinct & set(given)) > len(distinct)
 
 
-# Messages
-
-
 @dataclass(frozen=True, slots=True)
 class Prepare:
     """Asks a voter to promise that it accepts nothing below a ballot, and to report what it has accepted.
@@ -121,9 +117,6 @@
 Message = Prepare | Promise | Accept | Accepted
 
 
-# Actions
-
-
 @dataclass(frozen=True, slots=True)
 class SaveState:
     """Have this on disk before carrying out any action after it."""
@@ -222,226 +215,3 @@
             return []
         self.state = state
         return [SaveState(state)]
-
-
-Change = Callable[[Value], "Value | str"]
-
-
-@dataclass(slots=True)
-class _Asked:
-    id: str
-    intent: Any
-    change: Change
-    until_ms: float
-
-
-@dataclass(slots=True)
-class _Round:
-    ballot: Ballot
-    about: _Asked
-    began_ms: float  # of its phase: since when promises or accepts are out
-    due_ms: float  # what was not answered by then is sent again
-    resends: int = 0
-    promises: dict[Voter, Promise] = field(default_factory=dict)
-    asked: set[str] = field(default_factory=set)  # names
-    next: Value | None = None  # once accepts are out
-    before: Value | None = None
-    accepted: set[Voter] = field(default_factory=set)
-    refused: str = ""  # why nothing changes
-
-
-RESEND_MS = 500.0  # for voters to answer, before they are asked again; doubled each time, to
-MAX_RESEND_MS = 4_000.0
-BACK_OFF_MS = 400.0  # full jitter, doubled with each round that another one was in the way of, to
-MAX_BACK_OFF_MS = 5_000.0
-BACK_OFF_ANSWERS = 2.0  # it begins with so many times what answers take, if that is more
-MAX_ASKED = 64  # changes that wait at one node
-VOTERS_CHANGING = "the voters are changing"  # why another change of them is refused
-
-
-class Proposer:
-    """One node's half that asks for changes, one at a time."""
-
-    def __init__(
-        self,
-        name: str,
-        first: Value,
-        rng: random.Random,
-        resend_ms: float = RESEND_MS,
-        back_off_ms: float = BACK_OFF_MS,
-    ) -> None:
-        """`first`: the state that the register begins with, the same at all; its voters are asked first."""
-        self._resend_ms = resend_ms
-        self._back_off_ms = back_off_ms
-        self._answer_ms = 0.0  # how long the voters take to answer, of late
-        self.name = name
-        self.known = first
-        self._first = first
-        self._rng = rng
-        self._counter = 0  # of the highest ballot seen
-        self._waiting: list[_Asked] = []
-        self._round: _Round | None = None
-        self._again_ms = 0.0
-        self._tries = 0
-
-    @property
-    def due_ms(self) -> float:
-        """When `tick` is wanted; infinite for never."""
-        if not self._waiting:
-            return float("inf")
-        if self._round is not None:
-            return self._round.due_ms
-        return self._again_ms
-
-    def ask(self, id: str, change: Change, now: float, for_ms: float, intent: Any = None) -> list[Action]:
-        """Have the state changed. The outcome is a `ChangeDecided`; there is none if the change is given up:
-        then it may still be made, so whoever asks again does so under the same id.
-
-        :param id: of the change.
-        :param change: given the state, returns the state after the change; the very same state if nothing has
-            to change; or, as a string, why the change is refused. It may be called more than once.
-        :param now: in ms.
-        :param for_ms: after this time the change is given up.
-        :param intent: what the voters may object to; None for nothing.
-        :returns: the actions to be carried out.
-        """
-        if len(self._waiting) < MAX_ASKED:
-            self._waiting.append(_Asked(id, intent, change, now + for_ms))
-        return self.tick(now)
-
-    def withdraw(self, id: str) -> None:
-        """No longer ask for a change: what it would bring about is known already, or can't be any more."""
-        self._waiting = [asked for asked in self._waiting if asked.id != id]
-        if self._round is not None and self._round.about.id == id:
-            self._round = None
-
-    def tick(self, now: float) -> list[Action]:
-        """Begin a round where one is due; give up on what waited too long."""
-        self._waiting = [asked for asked in self._waiting if asked.until_ms > now]
-        if self._round is not None and self._round.about not in self._waiting:
-            self._round = None
-        if not self._waiting:
-            return []
-        if self._round is not None:
-            return self._resend(self._round, now) if now >= self._round.due_ms else []
-        if now < self._again_ms:
-            return []
-        self._counter += 1
-        ballot = (self._counter, self.name)
-        self._round = _Round(ballot, self._waiting[0], now, now + self._resend_ms)
-        return self._prepare(self.known.voters)
-
-    def _resend(self, round_: _Round, now: float) -> list[Action]:
-        """Ask those again that have not answered, under the same ballot: what comes late still counts."""
-        round_.resends += 1
-        round_.due_ms = now + min(MAX_RESEND_MS, self._resend_ms * 2.0 ** min(round_.resends, 10))
-        if round_.next is not None:
-            accepted = {voter.name for voter in round_.accepted}
-            return [action for action in self._accepts(round_) if action.to not in accepted]
-        silent = sorted(round_.asked - {voter.name for voter in round_.promises})
-        again = [SendToVoter(name, Prepare(round_.ballot, round_.about.intent)) for name in silent]
-        return [*again, *self._prepare(self.known.voters)]
-
-    def _put_off(self, round_: _Round, now: float) -> None:
-        """Another one is ahead: leave it the time that its phase takes, and some more, drawn at random."""
-        self._note_answer(now - round_.began_ms)
-        self._round = None
-        self._tries += 1
-        least = max(self._back_off_ms, BACK_OFF_ANSWERS * self._answer_ms)
-        wait = min(MAX_BACK_OFF_MS, least * 2.0 ** min(self._tries, 10))
-        self._again_ms = now + min(self._answer_ms, MAX_BACK_OFF_MS) + wait * self._rng.random()
-
-    def _note_answer(self, took_ms: float) -> None:
-        self._answer_ms = max(took_ms, 0.5 * (self._answer_ms + took_ms))
-
-    def _prepare(self, voters: Iterable[Voter]) -> list[Action]:
-        assert self._round is not None
-        found: list[Action] = []
-        for voter in voters:
-            if voter.name not in self._round.asked:
-                self._round.asked.add(voter.name)
-                found.append(SendToVoter(voter.name, Prepare(self._round.ballot, self._round.about.intent)))
-        return found
-
-    def handle(self, message: Promise | Accepted, now: float) -> list[Action]:
-        """A voter's answer."""
-        round_ = self._round
-        if round_ is None or message.ballot != round_.ballot:
-            return []
-        if message.promised > round_.ballot:  # another one is ahead: let it be done first
-            self._counter = max(self._counter, message.promised[0])
-            self._put_off(round_, now)
-            return []
-        if isinstance(message, Promise):
-            round_.promises[message.voter] = message
-            return self._promised(round_, now) if round_.next is None else []
-        round_.accepted.add(message.voter)
-        return self._accepted(round_, now)
-
-    def _former(self, value: Value) -> tuple[Voter, ...]:
-        """The voters before its own, as long as the change of them is not known to be decided."""
-        return value.former_voters if self.known.version < value.version else ()
-
-    def _enough(self, value: Value, given: Iterable[Voter]) -> bool:
-        """Whether a majority of its voters is among these, and of those before them where that counts."""
-        given = set(given)
-        former = self._former(value)
-        return has_majority(value.voters, given) and (not former or has_majority(former, given))
-
-    def _promised(self, round_: _Round, now: float) -> list[Action]:
-        newest = max(round_.promises.values(), key=lambda promise: promise.accepted)
-        before = newest.value if newest.value is not None else self._first
-        # Its voters are those that count: where they are others than were asked, they are asked too.
-        more = self._prepare((*before.voters, *before.former_voters))
-        if not self._enough(before, round_.promises):
-            return more
-        against = {voter: p.objection for voter, p in round_.promises.items() if p.objection}
-        after: Value | str
-        if has_majority(before.voters, round_.promises.keys() - against.keys()):
-            after = round_.about.change(before)
-        elif 2 * len(set(before.voters) & against.keys()) >= len(before.voters):
-            after = next(iter(against.values()))
-        else:
-            return more  # too few have said what they think
-        settled = not self._former(before)
-        if not isinstance(after, str) and after.voters != before.voters:
-            after = replace(after, former_voters=before.voters) if settled else VOTERS_CHANGING
-        elif not isinstance(after, str) and after is not before:
-            after = replace(after, former_voters=() if settled else before.former_voters)
-        if isinstance(after, str):
-            # Nothing changes; but what was read may be held by few, and must stand before it is told.
-            round_.refused = after
-            after = before
-        round_.before = before
-        round_.next = after
-        self._note_answer(now - round_.began_ms)
-        round_.began_ms = now
-        round_.due_ms = now + self._resend_ms
-        round_.resends = 0
-        return [*more, *self._accepts(round_)]
-
-    def _accepts(self, round_: _Round) -> list[SendToVoter]:
-        before = round_.before
-        after = round_.next
-        assert before is not None and after is not None
-        names = dict.fromkeys(voter.name for voter in (*before.voters, *before.former_voters, *after.voters))
-        return [SendToVoter(name, Accept(round_.ballot, after)) for name in names]
-
-    def _accepted(self, round_: _Round, now: float) -> list[Action]:
-        after = round_.next
-        before = round_.before
-        if after is None or before is None:
-            return []
-        if not (self._enough(before, round_.accepted) and has_majority(after.voters, round_.accepted)):
-            return []
-        self._waiting.remove(round_.about)
-        self._round = None
-        self._tries = 0
-        self._again_ms = now
-        self.learn(after)
-        return [ChangeDecided(round_.about.id, after, round_.refused), *self.tick(now)]
-
-    def learn(self, value: Value) -> None:
-        """A state that a majority has accepted, from whoever knows."""
-        if value.version > self.known.version:
-            self.known = value
--- a/orchidferry/balancing/slots.py
+++ b/orchidferry/balancing/slots.py
@@ -196,7 +196,7 @@
 
 
 def changed(value: Value, table: Table | str) -> Value | str:
-    """The state with another table, for `register.Proposer.ask`."""
+    """The state with another table, for `proposer.Proposer.ask`."""
     if isinstance(table, str) or table is value.body:
         return table if isinstance(table, str) else value
     return replace(value, version=value.version + 1, body=table)
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -13,6 +13,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
+from orchidferry.balancing.proposer import Proposer
 from orchidferry.balancing.register import (
     Accept,
     Accepted,
@@ -22,7 +23,6 @@
     Message,
     Prepare,
     Promise,
-    Proposer,
     SaveState,
     SendToVoter,
     Value,
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from orchidferry.balancing import register
+from orchidferry.balancing import proposer, register
 from orchidferry.balancing.register import Value
 from orchidferry.mesh.control import (
     actions,
@@ -64,6 +64,7 @@
 STEP_PAUSE_S = 0.01
 
 for _module in (
+    proposer,
     register,
     shard_state,
     actions,
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -9,8 +9,9 @@
 from typing import Any
 from unittest import mock
 
-from orchidferry.balancing import register
-from orchidferry.balancing.register import Acceptor, AcceptorState, Proposer, Value, Voter
+from orchidferry.balancing import proposer, register
+from orchidferry.balancing.proposer import Proposer
+from orchidferry.balancing.register import Acceptor, AcceptorState, Value, Voter
 from orchidferry.mesh.control import duties, quorum_read, shard_state
 from orchidferry.mesh.control.actions import Action, WriteRecords
 from orchidferry.mesh.control.membership import Standing
@@ -195,7 +196,7 @@
         "what was accepted is not taken up", "puts", 0, "", (Proposer, "_promised", _not_read)
     ),
     "any-voter": break_under_faults(
-        "any one voter is enough for a round", "puts", 1, "cut", (register, "has_majority", _any_majority)
+        "any one voter is enough for a round", "puts", 1, "cut", (proposer, "has_majority", _any_majority)
     ),
     "any-reading": break_under_faults(
         "any one voter is enough for a reading",
--- a/orchidferry/testkit/explore/mesh_fingerprint.py
+++ b/orchidferry/testkit/explore/mesh_fingerprint.py
@@ -18,8 +18,9 @@
 
 import msgspec
 
-from orchidferry.balancing import register
-from orchidferry.balancing.register import Proposer, Value
+from orchidferry.balancing import proposer
+from orchidferry.balancing.proposer import Proposer
+from orchidferry.balancing.register import Value
 from orchidferry.mesh.control.write_completions import ClaimSaved, KeyAnswerSaved, VoteSaved
 from orchidferry.testkit.explore.controller import Controller
 from orchidferry.testkit.explore.dead_messages import ballot_of_round
@@ -150,7 +151,7 @@
     """Return a part of a proposer without what it does not look at any more: once a round has its state, who
     was asked to promise and what they answered.
     """
-    if type(part) is register._Round and part.next is not None:
+    if type(part) is proposer._Round and part.after is not None:
         return replace(part, promises={}, asked=set())
     return part
 
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -17,12 +17,12 @@
 from typing import Any
 from unittest import mock
 
-from orchidferry.balancing import register, slots
+from orchidferry.balancing import proposer, register, slots
+from orchidferry.balancing.proposer import Proposer
 from orchidferry.balancing.register import (
     Acceptor,
     AcceptorState,
     ChangeDecided,
-    Proposer,
     SaveState,
     SendToVoter,
     Value,
@@ -227,7 +227,7 @@
         asker.due = self.now + FOR_MS
         place = asker.place
         if asker.step == "ask":
-            change: register.Change = _Wants(place, asker.name)
+            change: proposer.Change = _Wants(place, asker.name)
             intent: Any = WantsOut(place)
         else:
             change = _Back(asker.token)
@@ -270,10 +270,10 @@
                 a.waits,
                 a.proposer.known,
                 a.proposer._counter,
-                a.proposer._again_ms,
-                a.proposer._tries,
+                a.proposer._next_round_ms,
+                a.proposer._preempted_rounds,
                 a.proposer._round,
-                [w.id for w in a.proposer._waiting],
+                [w.id for w in a.proposer._pending],
             )
             for a in self.askers.values()
         ]
@@ -420,7 +420,7 @@
 _go = World._go
 _act = World._act
 BREAKS: dict[str, tuple[str, list[tuple[Any, str, Any]]]] = {
-    "no-majority": ("any one voter is enough", [(register, "has_majority", _any_majority)]),
+    "no-majority": ("any one voter is enough", [(proposer, "has_majority", _any_majority)]),
     "promise-forgotten": ("a voter does not keep to its promise", [(Acceptor, "handle", _forgets_promise)]),
     "vote-forgotten": ("a voter without its disk votes as if it had it", [(World, "_restart", _same_memory)]),
     "unsaved": ("a vote is sent that is not on disk", [(World, "_act", _unsaved)]),
--- a/tests/balancing/test_slots.py
+++ b/tests/balancing/test_slots.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from orchidferry.balancing import register, slots
+from orchidferry.balancing import proposer, register, slots
+from orchidferry.balancing.proposer import Proposer
 from orchidferry.balancing.register import (
     Acceptor,
     AcceptorState,
     ChangeDecided,
-    Proposer,
     SaveState,
     SendToVoter,
     Value,
@@ -111,7 +111,7 @@
         self.down: set[str] = set()
         self.known = self.first  # the newest state that was decided
 
-    def ask(self, change: register.Change, id: str = "x", knows: bool = True) -> ChangeDecided | None:
+    def ask(self, change: proposer.Change, id: str = "x", knows: bool = True) -> ChangeDecided | None:
         proposer = Proposer("p", self.first, random.Random(1))
         if knows:
             proposer.learn(self.known)
@@ -135,11 +135,11 @@
         return done
 
 
-def grant_of(place: Place) -> register.Change:
+def grant_of(place: Place) -> proposer.Change:
     return lambda value: slots.changed(value, slots.grant(value.body, place, "p", place.name))
 
 
-def with_voters(*voters: Voter) -> register.Change:
+def with_voters(*voters: Voter) -> proposer.Change:
     return lambda value: replace(value, version=value.version + 1, voters=voters)
 
 
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -14,6 +14,7 @@
 import lmdb
 import pytest
 
+from orchidferry.balancing.proposer import Proposer
 from orchidferry.balancing.register import (
     Accept,
     Accepted,
@@ -22,7 +23,6 @@
     ChangeDecided,
     Prepare,
     Promise,
-    Proposer,
     SendToVoter,
     Value,
     Voter,
--- a/tests/testkit/explore/test_one_number.py
+++ b/tests/testkit/explore/test_one_number.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from orchidferry.balancing.register import Proposer
+from orchidferry.balancing.proposer import Proposer
 from orchidferry.testkit.bench import order_duels
 from orchidferry.testkit.explore import worst_days
 from orchidferry.testkit.explore.worst_days import one_number
@@ -51,7 +51,7 @@
 
     def give_up(self: Any, round_: Any, now: float) -> list[Any]:
         resend(self, round_, now)
-        self._put_off(round_, now)
+        self._back_off(round_, now)
         return []
 
     monkeypatch.setattr(Proposer, "_resend", give_up)
