--- a/orchidferry/mesh/control/configuration_fetcher.py
+++ b/orchidferry/mesh/control/configuration_fetcher.py
@@ -37,7 +37,7 @@
 
     def timed_out(self, now: float) -> bool:
         """Whether to ask somebody else: nothing comes, or it takes too long."""
-        stalled = now - self.link.heard_s > STALL_S or not self.link.open
+        stalled = now - self.link.last_received_s > STALL_S or not self.link.open
         return now > self.sent_s + (ANSWER_TIMEOUT_S if stalled else TRANSFER_TIMEOUT_S)
 
 
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -163,7 +163,7 @@
         for connection in list(self._connections.values()):
             link = connection.open_link
             if link is not None:
-                if now - link.heard_s > SILENCE_TIMEOUT_S:
+                if now - link.last_received_s > SILENCE_TIMEOUT_S:
                     logger.info("control_client: controller={} closed: it is silent", connection.name)
                     link.close()
             elif not connection.dialling and now >= connection.next_dial_s:
--- a/orchidferry/mesh/control/heartbeats.py
+++ b/orchidferry/mesh/control/heartbeats.py
@@ -59,7 +59,7 @@
             missing_shards=[n for n in shard_state.SHARDS if not self._shards[n].has_learned(now)],
         )
         for link in self._links.open_links():
-            if now - link.heard_s > DEAD_S:
+            if now - link.last_received_s > DEAD_S:
                 link.close()
             else:
                 link.send(heartbeat)
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -173,4 +173,4 @@
     def _send_encoded(self, kind: str, link: Link, data: bytes) -> None:
         lease = self._members.leases.get(self._nodes.get(link, ""))
         self.traffic.add(kind, lease is not None and lease.record.zone == self._zone, len(data))
-        link.send_packed(data)
+        link.send_encoded(data)
--- a/orchidferry/mesh/control/relay.py
+++ b/orchidferry/mesh/control/relay.py
@@ -127,7 +127,7 @@
         if not precedes or not self._has_controllers() or not self.followers.add(link, positions):
             return self._send("tree", link, RelayFull())
         del self._subscribe_due_s[link]
-        link.choked = MAX_PENDING_BYTES
+        link.max_unsent_bytes = MAX_PENDING_BYTES
         self._send("tree", link, RelayAccepted())
         self.forward(self._streams.values())
 
@@ -149,4 +149,4 @@
 
     def _send_encoded(self, kind: str, link: Link, data: bytes) -> None:
         self.traffic.add(kind, self._same_zone.get(link, False), len(data))
-        link.send_packed(data)
+        link.send_encoded(data)
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -1,8 +1,8 @@
-"""Links between the system's own processes: messages with a length in front over TCP, on an internal port.
+"""Links between the mesh's own processes: messages with their length in front over TCP, on an internal port.
 
-The first message of a link, from whoever dialled, names the number of the protocol: processes of builds
-that differ in it do not talk. A message that can't be read closes its link. Links are kept; one that is
-silent is ended by whoever keeps it, as each side sends something at least every `QUIET_S`.
+The first message of a link, from the side that dialled, names the number of the protocol: builds that differ
+in it do not talk to each other. A message that can't be decoded closes its link. Links are long-lived; their
+users close those on which nothing was received for too long.
 """
 
 from __future__ import annotations
@@ -17,130 +17,156 @@
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, MessageDecodeError, decode, encode, greeting_protocol
 from orchidferry.mesh.wire.messages import Greeting, Message
 
-MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # bytes of one message
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes that may wait for a peer that does not read
-USER_TIMEOUT_MS = 2_000
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # without the length
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # that may wait for a peer that does not read
+USER_TIMEOUT_MS = 2_000  # after which sent bytes without acknowledgement end a connection (RFC 5482)
+DIAL_TIMEOUT_S = 1.0
 PROTOCOL = 4  # rises with each change that an earlier build would misread
 
 
 class Link(asyncio.Protocol):
-    """One connection between two processes of the system."""
+    """One connection between two processes of the mesh.
+
+    :ivar peer: name of the other process; set by the link's user
+    :ivar max_unsent_bytes: that may wait for the peer; the link is closed if there are more
+    :ivar last_received_s: when bytes were received last, by the loop's clock
+    """
 
     def __init__(
         self,
-        heard: Callable[[Link, Message], None],
-        lost: Callable[[Link], None],
-        made: Callable[[Link], None] | None = None,
+        on_message: Callable[[Link, Message], None],
+        on_closed: Callable[[Link], None],
+        on_opened: Callable[[Link], None] | None = None,
         accepted: bool = False,
     ) -> None:
-        """`accepted`: the other side dialled, so that its first message is to name the protocol."""
-        self._heard = heard
-        self._lost = lost
-        self._made = made
+        """
+        :param on_message: called with each message, except the greeting
+        :param on_closed: called once when the connection has ended
+        :param on_opened: called once when the connection is established
+        :param accepted: whether the other side dialled, so that its first message must be the greeting
+        """
+        self._on_message = on_message
+        self._on_closed = on_closed
+        self._on_opened = on_opened
         self._awaits_greeting = accepted
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
-        self.peer: Any = None  # whoever keeps the link notes here who it is
-        self.choked = MAX_UNSENT_BYTES
-        self.heard_s = 0.0  # when something came last
+        self.peer: Any = None
+        self.max_unsent_bytes = MAX_UNSENT_BYTES
+        self.last_received_s = 0.0
         self._clock = asyncio.get_running_loop().time
 
     @property
     def open(self) -> bool:
-        """Whether something may be sent."""
+        """Whether messages can be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set up the socket (called by asyncio)."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(MAX_UNSENT_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.heard_s = self._clock()
-        if self._made is not None:
-            self._made(self)
+        self.last_received_s = self._clock()
+        if self._on_opened is not None:
+            self._on_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_s = self._clock()
+        """Cut the stream into messages (called by asyncio)."""
+        self.last_received_s = self._clock()
         buffer = self._buffer
         buffer += data
-        at = 0
-        while len(buffer) - at >= LENGTH_BYTES:
-            begin = at + LENGTH_BYTES
-            size = int.from_bytes(buffer[at:begin], "big")
+        position = 0
+        while len(buffer) - position >= LENGTH_BYTES:
+            begin = position + LENGTH_BYTES
+            size = int.from_bytes(buffer[position:begin], "big")
             if size > MAX_MESSAGE_BYTES:
                 return self.close()
             if len(buffer) - begin < size:
                 break
-            at = begin + size
-            self._take(bytes(buffer[begin:at]))
+            position = begin + size
+            self._handle_body(bytes(buffer[begin:position]))
             if not self.open:
                 return
-        del buffer[:at]
+        del buffer[:position]
 
-    def _take(self, body: bytes) -> None:
+    def _handle_body(self, body: bytes) -> None:
         if self._awaits_greeting:
-            return self._greeted(body)
+            return self._check_greeting(body)
         try:
             message = decode(body)
-        except MessageDecodeError as problem:
-            logger.warning("link: a message of {} can't be read: {}", self._peer_address(), problem)
+        except MessageDecodeError as error:
+            logger.warning("link: a message of {} can't be read: {}", self._peer_address(), error)
             return self.close()
-        self._heard(self, message)
+        self._on_message(self, message)
 
-    def _greeted(self, body: bytes) -> None:
+    def _check_greeting(self, body: bytes) -> None:
         self._awaits_greeting = False
-        spoken = greeting_protocol(body)
-        if spoken != PROTOCOL:
+        protocol = greeting_protocol(body)
+        if protocol != PROTOCOL:
             logger.warning(
                 "link: {} speaks protocol {!s:.20}, {} is needed: it is of another build",
                 self._peer_address(),
-                "none" if spoken is None else spoken,
+                "none" if protocol is None else protocol,
                 PROTOCOL,
             )
             self.close()
 
     def _peer_address(self) -> str:
-        name = self._transport.get_extra_info("peername") if self._transport is not None else None
-        return str(name[0]) if name else "a peer"
+        address = self._transport.get_extra_info("peername") if self._transport is not None else None
+        return str(address[0]) if address else "a peer"
 
     def send(self, message: Message) -> None:
-        """Send a message; nothing if the link is down."""
+        """Send a message; does nothing if the link is closed."""
         if self.open:
-            self.send_packed(encode(message))
+            self.send_encoded(encode(message))
+
+    def send_encoded(self, data: bytes) -> None:
+        """Send a message that was encoded once for many links; does nothing if the link is closed.
 
-    def send_packed(self, data: bytes) -> None:
-        """The same for one that was encoded once for many."""
+        :param data: the message with its length, as `codec.encode` returns it
+        """
         if self._transport is not None and self.open:
-            if self._transport.get_write_buffer_size() > self.choked:
+            if self._transport.get_write_buffer_size() > self.max_unsent_bytes:
                 return self.close()
             self._transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report that the connection has ended (called by asyncio)."""
         self._transport = None
-        self._lost(self)
+        self._on_closed(self)
 
     def close(self) -> None:
-        """End it now."""
+        """Close the link at once; what was not sent yet is dropped."""
         if self._transport is not None:
             self._transport.abort()
 
 
 async def dial(
-    heard: Callable[[Link, Message], None],
-    lost: Callable[[Link], None],
+    on_message: Callable[[Link, Message], None],
+    on_closed: Callable[[Link], None],
     host: str,
     port: int,
-    own_ip: str,
-    wait_s: float = 1.0,
+    local_ip: str,
+    timeout_s: float = DIAL_TIMEOUT_S,
 ) -> Link | None:
-    """A new link; None if there is none within the time."""
+    """Open a link to another process and send the greeting.
+
+    :param on_message: called with each message
+    :param on_closed: called once when the connection has ended
+    :param host: address of the other process
+    :param port: its internal port
+    :param local_ip: address to dial from
+    :param timeout_s: for the connection to be established
+    :returns: the link; None if there is none within the time
+    """
     loop = asyncio.get_running_loop()
-    link = Link(heard, lost)
+    link = Link(on_message, on_closed)
     try:
-        async with asyncio.timeout(wait_s):
-            await loop.create_connection(lambda: link, host, port, local_addr=(own_ip, 0))
+        async with asyncio.timeout(timeout_s):
+            await loop.create_connection(lambda: link, host, port, local_addr=(local_ip, 0))
     except OSError:
         link.close()
         return None
--- a/orchidferry/testkit/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -86,7 +86,7 @@
         data = encode(message)
         self._crowd.traffic.up[tag_of(message)] += len(data)
         self._crowd.traffic.up_messages += 1
-        link.send_packed(data)
+        link.send_encoded(data)
 
     def heard(self, link: Link, message: Message) -> None:
         """A controller's message."""
--- a/orchidferry/testkit/model/relays.py
+++ b/orchidferry/testkit/model/relays.py
@@ -156,8 +156,8 @@
         self._lost = lost
         self.open = True
         self.peer = ""
-        self.choked = 0
-        self.heard_s = owner.world.now
+        self.max_unsent_bytes = 0
+        self.last_received_s = owner.world.now
         self.other: End
         self._stuck_s = 0.0  # since when nothing gets through
         # On their way: when, the message (None for the end), and its bytes.
@@ -166,9 +166,9 @@
 
     def send(self, message: Message) -> None:
         if self.open:
-            self.send_packed(encode(message))
+            self.send_encoded(encode(message))
 
-    def send_packed(self, data: bytes) -> None:
+    def send_encoded(self, data: bytes) -> None:
         owner = self.owner
         world = self.owner.world
         if not self.open:
@@ -204,7 +204,7 @@
         if message is None:
             self._end()
         elif self.open:
-            self.heard_s = self.owner.world.now
+            self.last_received_s = self.owner.world.now
             self._heard(self, message)
 
     def _end(self) -> None:
@@ -326,7 +326,7 @@
         now = self.world.now
         for name, due_s in self._dial_s.items():
             if name in self.controllers:
-                if now - self.controllers[name].heard_s > SILENCE_TIMEOUT_S:
+                if now - self.controllers[name].last_received_s > SILENCE_TIMEOUT_S:
                     self.controllers[name].close()
             elif now >= due_s:
                 self._dial_s[name] = now + 1.0
--- a/tests/mesh/control/fakes.py
+++ b/tests/mesh/control/fakes.py
@@ -32,13 +32,13 @@
     def __init__(self) -> None:
         self.sent: list[Message] = []
         self.closed = False
-        self.choked = 0
+        self.max_unsent_bytes = 0
         self.peer = ""
 
     def send(self, message: Message) -> None:
         self.sent.append(message)
 
-    def send_packed(self, data: bytes) -> None:
+    def send_encoded(self, data: bytes) -> None:
         self.sent.append(decode(data[LENGTH_BYTES:]))
 
     def kinds(self) -> list[type[Message]]:
--- a/tests/mesh/control/test_control_client.py
+++ b/tests/mesh/control/test_control_client.py
@@ -31,7 +31,7 @@
     """A node's end of a link to a controller; notes what is sent."""
 
     def __init__(self, loop: Any, peer: str) -> None:
-        self.loop, self.peer, self.open, self.heard_s = loop, peer, True, loop.time()
+        self.loop, self.peer, self.open, self.last_received_s = loop, peer, True, loop.time()
         self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
@@ -66,7 +66,7 @@
     def tell(self, name: str, message: Message) -> None:
         """A controller's message comes."""
         wire: Any = self.wires[name]
-        wire.heard_s = self.loop.time()
+        wire.last_received_s = self.loop.time()
         self.node._handle(wire, message)
 
     def lease(self, name: str, age_ms: int | None, revision: int = 0) -> None:
@@ -167,8 +167,8 @@
     began_s = rig.loop.time()
     rig.node.start()
     while rig.loop.time() < began_s + TRANSFER_TIMEOUT_S - TICK_S:
-        first.heard_s = rig.loop.time()  # bytes of it
-        rig.wires[NAMES[1]].heard_s = rig.loop.time()
+        first.last_received_s = rig.loop.time()  # bytes of it
+        rig.wires[NAMES[1]].last_received_s = rig.loop.time()
         rig.ticks(1)
         assert first.asked() == asked and not rig.wires[NAMES[1]].asked()
     rig.ticks(3)
@@ -185,6 +185,6 @@
     rig.node._fetcher.revision_announced(3, first)
     rig.node.start()
     for _ in range(round((ANSWER_TIMEOUT_S + 2 * TICK_S) / TICK_S)):
-        rig.wires[NAMES[1]].heard_s = rig.loop.time()
+        rig.wires[NAMES[1]].last_received_s = rig.loop.time()
         rig.ticks(1)
     assert len(rig.wires[NAMES[1]].asked()) == 1
--- a/tests/mesh/control/test_publisher.py
+++ b/tests/mesh/control/test_publisher.py
@@ -18,7 +18,7 @@
     publisher = Publisher("k", "z", 7, loop, lambda: None)
 
     class Link:
-        def send_packed(self, data: bytes) -> None:
+        def send_encoded(self, data: bytes) -> None:
             """To nobody."""
 
     link: Any = Link()
