--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -14,16 +14,15 @@
 import sys
 import tempfile
 import time
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
 from pathlib import Path
 from types import TracebackType
-from typing import Any, NamedTuple
-
-import cbor2
+from typing import Any
 
+from orchidferry.testkit.bench.counting_relay import CountingRelay
+from orchidferry.testkit.bench.process_usage import CpuMeter, peak_memory_mb
 from orchidferry.testkit.mesh.ask import Scene, call
 from orchidferry.testkit.mesh.day import Day, Machine, Ports, machines
 from orchidferry.testkit.mesh.environment import free_ports
@@ -36,7 +35,7 @@
 HOST = "api.internal"
 READY_S = 20.0
 END_S = 10.0
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 SLOTS = 64  # of each server: a gate is not to hold anything here
 DESCRIPTORS = 4_096
 # A folder in memory, if there is one: other work on this machine's disk is no part of what a mesh costs.
@@ -49,46 +48,6 @@
 Route = tuple[str, str, str]  # prefix, service, type
 
 
-class Used(NamedTuple):
-    """Seconds."""
-
-    cpu: float
-    waited: float  # ready to run, with no core free
-
-
-def used(pid: int) -> Used:
-    """What a process has used so far, by all its threads: a controller's disk has one of its own."""
-    books = [text.read_text().split() for text in Path(f"/proc/{pid}/task").glob("*/schedstat")]
-    return Used(*(sum(int(book[n]) for book in books) / 1e9 for n in (0, 1)))
-
-
-class Meter:
-    """What some processes use from now on."""
-
-    def __init__(self, pids: list[int]) -> None:
-        self._pids, self._began_s = pids, time.monotonic()
-        self._before = [used(pid) for pid in pids]
-
-    def read(self) -> tuple[list[float], float]:
-        """CPU seconds of each, and the largest share of the time that one of them waited for a core."""
-        now = [used(pid) for pid in self._pids]
-        for_s = time.monotonic() - self._began_s
-        both = list(zip(now, self._before, strict=True))
-        return [n.cpu - was.cpu for n, was in both], max(n.waited - was.waited for n, was in both) / for_s
-
-
-def peak_mb(pid: int) -> float:
-    """The most memory that a process has had."""
-    status = Path(f"/proc/{pid}/status").read_text()
-    return int(next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1]) / 1024.0
-
-
-def written_bytes(pid: int) -> int:
-    """What it has caused to be written to disk."""
-    io = Path(f"/proc/{pid}/io").read_text().splitlines()
-    return int(next(line for line in io if line.startswith("write_bytes")).split()[1])
-
-
 def configuration(revision: int, routes: list[Route], services: list[str]) -> dict[str, Any]:
     """A configuration with these routes of one host."""
     rules = [
@@ -110,48 +69,6 @@
     }
 
 
-class Counting:
-    """Counts what nodes and one controller say to each other, and hands it on."""
-
-    def __init__(self) -> None:
-        self.up, self.down = Counter[str](), Counter[str]()  # bytes by kind of message
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._server: asyncio.Server | None = None
-
-    async def start(self, listen: tuple[str, int], controller: tuple[str, int]) -> None:
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            try:
-                far_reader, far_writer = await asyncio.open_connection(*controller)
-            except OSError:
-                return writer.transport.abort()
-            for source, sink, counts in ((reader, far_writer, self.up), (far_reader, writer, self.down)):
-                task = asyncio.get_running_loop().create_task(pump(source, sink, counts))
-                self._tasks.add(task)
-                task.add_done_callback(self._tasks.discard)
-
-        self._server = await asyncio.start_server(serve, *listen)
-
-    def close(self) -> None:
-        if self._server is not None:
-            self._server.close()
-        for task in set(self._tasks):
-            task.cancel()
-
-
-async def pump(source: asyncio.StreamReader, sink: asyncio.StreamWriter, counts: Counter[str]) -> None:
-    """Hand messages on one by one, counted by kind with the four bytes of their length."""
-    try:
-        while True:
-            length = await source.readexactly(4)
-            body = await source.readexactly(int.from_bytes(length, "big"))
-            counts[str(cbor2.loads(body)[0])] += 4 + len(body)
-            sink.write(length + body)
-    except (asyncio.IncompleteReadError, OSError):
-        pass
-    finally:
-        sink.transport.abort()
-
-
 class Fleet:
     """An asynchronous context: the processes are there within it, and gone after it, come what may."""
 
@@ -177,9 +94,9 @@
         self._others: list[asyncio.subprocess.Process] = []
         self._sequence = 0
         self._died = ""
-        self.relays: list[Counting] = []
+        self.relays: list[CountingRelay] = []
         self.nodes: dict[str, Node] = {}
-        self.lives: dict[str, tuple[str, str]] = {}  # id and state of each machine's server
+        self.servers: dict[str, tuple[str, str]] = {}  # id and state of each machine's server
         self.revision = 0
 
     async def __aenter__(self) -> Fleet:
@@ -208,7 +125,7 @@
         through = Scene(SEED, relayed if self._relay else self.ports, lambda _: None, self.scene.zero)
         if self._relay:
             for controller in self.cores:
-                self.relays.append(Counting())
+                self.relays.append(CountingRelay())
                 await self.relays[-1].start(
                     (controller.ip, relayed.internal), (controller.ip, self.ports.internal)
                 )
@@ -231,7 +148,7 @@
         if self.sidecars:
             addresses = [f"{m.ip}:{self.ports.application}" for m in self.sidecars]
             await self._other("servers", *addresses)
-            self.lives = {m.name: (f"i-{m.number}-0", "in_service") for m in self.sidecars}
+            self.servers = {m.name: (f"i-{m.number}-0", "in_service") for m in self.sidecars}
             await self._until_ready()
 
     def _ended(self, node: Node, status: int) -> None:
@@ -287,10 +204,10 @@
 
     # Servers and configurations
 
-    async def say(self, machine: Machine) -> bool:
+    async def send_heartbeat(self, machine: Machine) -> bool:
         """A server's word at its machine's node; whether it was acknowledged."""
         self._sequence += 1
-        id, state = self.lives[machine.name]
+        id, state = self.servers[machine.name]
         payload = {
             "address": f"{machine.ip}:{self.ports.application}",
             "information": {"service_name": machine.service, "zone": machine.zone, "capacity": SLOTS},
@@ -301,11 +218,11 @@
         outcome, _ = await call(self.scene.pool(machine), where, "PUT", path, payload)
         return outcome.how == "answer" and outcome.status == 200
 
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for machine in self.sidecars:
-                await self.say(machine)
-            await asyncio.sleep(BEAT_S)
+                await self.send_heartbeat(machine)
+            await asyncio.sleep(HEARTBEAT_S)
 
     async def put(self, routes: list[Route]) -> float:
         """Have a configuration taken; when that was acknowledged."""
@@ -330,7 +247,7 @@
         return [(FEED, first, "idempotent"), (SAVE, first, KEYED)]
 
     async def _until_ready(self) -> None:
-        self.spawn(self._beats())
+        self.spawn(self._send_heartbeats())
         await self.put(self.routes())
         until = time.monotonic() + READY_S
         waiting = list(self.sidecars)
@@ -358,13 +275,13 @@
         self.check()
         return [pid for m in some if (pid := self.nodes[m.name].pid) is not None]
 
-    def meter(self, some: list[Machine]) -> Meter:
+    def meter(self, some: list[Machine]) -> CpuMeter:
         """What their processes use from now on."""
-        return Meter(self.pids(some))
+        return CpuMeter(self.pids(some))
 
     def peaks(self, some: list[Machine]) -> list[float]:
         """The most memory of each, MB."""
-        return [peak_mb(pid) for pid in self.pids(some)]
+        return [peak_memory_mb(pid) for pid in self.pids(some)]
 
     def stored(self) -> list[int]:
         """Bytes that each controller's files take on disk."""
@@ -394,15 +311,3 @@
             self.scene.close()
         self._held.close()
         shutil.rmtree(self.folder, ignore_errors=True)
-
-
-def disk_sync_ms(folder: str, count: int = 40) -> list[float]:
-    """How long one write of 4 KiB and its sync take here."""
-    took = []
-    with tempfile.TemporaryFile(dir=folder) as file:
-        for _ in range(count):
-            began = time.monotonic()
-            os.write(file.fileno(), b"x" * 4096)
-            os.fdatasync(file.fileno())
-            took.append((time.monotonic() - began) * 1e3)
-    return took
--- /dev/null
+++ b/orchidferry/testkit/bench/mesh_resources.py
@@ -0,0 +1,94 @@
+"""`bench mesh`, memory and bytes: what nodes and controllers need, and what they send while idle."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+from orchidferry.testkit.bench.forward import ask_all
+from orchidferry.testkit.bench.mesh_claims import MAX_CONCURRENT, SYNC_MS
+from orchidferry.testkit.bench.mesh_fleet import Fleet
+from orchidferry.testkit.bench.mesh_requests import RATE, READS, SAVES
+from orchidferry.testkit.bench.mesh_rows import Row, figure_row
+
+KEYS = 50_000  # claimed for the memory row
+CLAIM_S = 28.0  # for all of them
+SETTLE_S = 2.5  # after the start, before a mesh is idle
+# Servers of the two services, one a node.
+SMALL_FLEET = (3, 3)
+LARGE_FLEET = (6, 6)
+
+
+async def measure_memory(seconds: float, turns: int) -> list[Row]:
+    """Peak memory of a node and a controller, idle and after load: one fleet, over its processes."""
+    async with Fleet(3, (1, 1)) as fleet:
+        claimer = await fleet.claimer()
+        await asyncio.sleep(SETTLE_S)
+        rows = await _idle_rows(fleet, seconds)
+        for machine in fleet.sidecars:
+            address = (machine.ip, fleet.ports.outbound)
+            await ask_all(address, 2.0 * RATE, seconds, False, f"r{machine.name}-", write=READS)
+            await ask_all(address, RATE, seconds, False, f"k{machine.name}-", write=SAVES)
+        name = f"proxy, after {2 * RATE:g}/s reads, {RATE:g}/s keyed: most"
+        rows.append(figure_row("memory", name, "MB", fleet.peaks(fleet.sidecars)))
+        rows += await _claimed_rows(fleet, claimer)
+        return rows
+
+
+async def _idle_rows(fleet: Fleet, seconds: float) -> list[Row]:
+    roles = (("controller", fleet.cores), ("proxy", fleet.sidecars))
+    meters = [fleet.meter(machines) for _, machines in roles]
+    await asyncio.sleep(seconds)
+    rows = []
+    for (role, machines), meter in zip(roles, meters, strict=True):
+        percent = [100.0 * cpu_s / seconds for cpu_s in meter.read().cpu_s]
+        rows.append(figure_row("memory", f"{role}, idle: CPU", "% of a core", percent))
+        rows.append(figure_row("memory", f"{role}, idle: most", "MB", fleet.peaks(machines)))
+    return rows
+
+
+async def _claimed_rows(fleet: Fleet, claimer: asyncio.subprocess.Process) -> list[Row]:
+    stored_before = fleet.stored()
+    answer = await fleet.load(
+        claimer, tag="memory", rate=0.0, seconds=CLAIM_S, at_once=MAX_CONCURRENT, count=KEYS, answer=0
+    )
+    granted = answer["granted"]
+    details = {"broken": True} if granted < KEYS else {}
+    name = f"controller, after {granted:,} keys"
+    peaks = figure_row("memory", f"{name}: most", "MB", fleet.peaks(fleet.cores), **details)
+    pairs = zip(fleet.stored(), stored_before, strict=True)
+    stored = [(after - before) / max(1, granted) for after, before in pairs]
+    return [peaks, figure_row("memory", f"{name}: kept on disk", "bytes a claim", stored)]
+
+
+async def measure_idle_traffic(seconds: float, turns: int) -> list[Row]:
+    """Bytes that nodes and controllers exchange while nothing happens, counted by a relay between them."""
+    rows = []
+    for servers in (SMALL_FLEET, LARGE_FLEET):
+        async with Fleet(3, servers, SYNC_MS, relay=True) as fleet:
+            rows += await _idle_traffic_rows(fleet, seconds, turns)
+    return rows
+
+
+async def _idle_traffic_rows(fleet: Fleet, seconds: float, turns: int) -> list[Row]:
+    nodes = len(fleet.sidecars)
+    up: list[float] = []
+    down: list[float] = []
+    kinds: set[str] = set()
+    await asyncio.sleep(SETTLE_S)
+    for _ in range(turns):
+        for relay in fleet.relays:
+            relay.clear()
+        started_s = time.monotonic()
+        await asyncio.sleep(seconds)
+        node_seconds = (time.monotonic() - started_s) * nodes
+        up.append(sum(relay.up.total() for relay in fleet.relays) / node_seconds)
+        down.append(sum(relay.down.total() for relay in fleet.relays) / node_seconds)
+        kinds.update(kind for relay in fleet.relays for kind in (*relay.up, *relay.down))
+    fleet.check()
+    name = f"3 controllers, {nodes} nodes, idle"
+    unit = "bytes a node a second"
+    return [
+        figure_row("bytes", f"{name}: to the controllers", unit, up, kinds=" ".join(sorted(kinds))),
+        figure_row("bytes", f"{name}: from the controllers", unit, down),
+    ]
--- a/orchidferry/testkit/capacity/calls.py
+++ b/orchidferry/testkit/capacity/calls.py
@@ -17,8 +17,9 @@
 
 from orchidferry.testkit.bench import forward
 from orchidferry.testkit.bench.forward import ask_all
-from orchidferry.testkit.bench.mesh import READS, SAVES
-from orchidferry.testkit.bench.mesh_fleet import Fleet, Meter
+from orchidferry.testkit.bench.mesh_fleet import Fleet
+from orchidferry.testkit.bench.mesh_requests import READS, SAVES
+from orchidferry.testkit.bench.process_usage import CpuMeter
 from orchidferry.testkit.capacity.figures import BY_CALLS, Figure
 from orchidferry.testkit.capacity.hops import ACCEPT, ANSWER, GATE, KEY, PICK, WRITE, shares
 from orchidferry.testkit.capacity.reference import Speed
@@ -126,11 +127,11 @@
         self._serial += 1
         await ask_all(way.address, rate, WARM_S, False, f"w{self._serial}-", write=way.write)
         self._speed.slowness()
-        meter = Meter(way.pids) if way.pids else None
-        controllers = Meter(self._fleet.pids(self._fleet.cores))
+        meter = CpuMeter(way.pids) if way.pids else None
+        controllers = CpuMeter(self._fleet.pids(self._fleet.cores))
         found = await ask_all(way.address, rate, self._seconds, False, f"m{self._serial}-", write=way.write)
-        spent_s = sum(meter.read()[0]) if meter is not None else 0.0
-        controllers_s = controllers.read()[0]
+        spent_s = sum(meter.read().cpu_s) if meter is not None else 0.0
+        controllers_s = controllers.read().cpu_s
         slowness = self._speed.slowness()
         if found["p50_ms"] is None:
             raise ValueError(f"no call to {way.address} was answered: {found['why']}")
--- a/orchidferry/testkit/capacity/claims.py
+++ b/orchidferry/testkit/capacity/claims.py
@@ -50,7 +50,7 @@
     speed.slowness()
     meter = fleet.meter(fleet.cores)
     await asyncio.sleep(seconds)
-    return statistics.fmean(meter.read()[0]) / speed.slowness() / seconds
+    return statistics.fmean(meter.read().cpu_s) / speed.slowness() / seconds
 
 
 async def _round(
@@ -73,7 +73,7 @@
         count=round(load.rate * load.seconds),
         answer=0,
     )
-    spent_s = statistics.fmean(meter.read()[0]) / speed.slowness()
+    spent_s = statistics.fmean(meter.read().cpu_s) / speed.slowness()
     claims_s = spent_s - idle * found["seconds"]
     share = 100.0 * claims_s / found["asked"] * load.rate
     rounds.add("controller", "claims: CPU of each controller", "% of a core", share)
--- a/orchidferry/testkit/capacity/fleets.py
+++ b/orchidferry/testkit/capacity/fleets.py
@@ -15,7 +15,7 @@
 
 from loguru import logger
 
-from orchidferry.testkit.bench.mesh import quantile
+from orchidferry.testkit.bench.mesh_rows import quantile
 from orchidferry.testkit.capacity.figures import BY_NODES, VIRTUAL, Figure
 from orchidferry.testkit.capacity.reference import Speed
 from orchidferry.testkit.capacity.regions import FAR, REGION, ZONE, Fleet, MeteredNode, Use
--- a/orchidferry/testkit/capacity/processes.py
+++ b/orchidferry/testkit/capacity/processes.py
@@ -11,7 +11,8 @@
 import statistics
 import time
 
-from orchidferry.testkit.bench.mesh_fleet import HOST, READY_S, Fleet, Meter
+from orchidferry.testkit.bench.mesh_fleet import HOST, READY_S, Fleet
+from orchidferry.testkit.bench.process_usage import CpuMeter
 from orchidferry.testkit.capacity.figures import BY_NODES, BY_SERVICES, Figure
 from orchidferry.testkit.capacity.hollow import Hollow, Traffic
 from orchidferry.testkit.capacity.plan import services_of
@@ -76,14 +77,14 @@
             self._hollow.close()
         return self._rounds.figures(self._axis, self._at)
 
-    def _begin(self) -> list[tuple[str, Meter]]:
+    def _begin(self) -> list[tuple[str, CpuMeter]]:
         """Meters of all roles, beside a new look at the machine's speed."""
         self._speed.slowness()
         return [(role, self._fleet.meter(machines)) for role, machines in self._roles]
 
-    def _used(self, meters: list[tuple[str, Meter]]) -> dict[str, list[float]]:
+    def _used(self, meters: list[tuple[str, CpuMeter]]) -> dict[str, list[float]]:
         """CPU seconds of each process by role, at the reference's speed."""
-        used = {role: meter.read()[0] for role, meter in meters}
+        used = {role: meter.read().cpu_s for role, meter in meters}
         slowness = self._speed.slowness()
         return {role: [cpu_s / slowness for cpu_s in some] for role, some in used.items()}
 
@@ -127,7 +128,7 @@
         self._changes("record change", meters, count, idle, time.monotonic() - began)
 
     def _changes(
-        self, what: str, meters: list[tuple[str, Meter]], count: int, idle: dict[str, float], passed: float
+        self, what: str, meters: list[tuple[str, CpuMeter]], count: int, idle: dict[str, float], passed: float
     ) -> None:
         """What one change costs, over what goes on without it."""
         for role, used in self._used(meters).items():
