--- /dev/null
+++ b/tests/mesh/control/shards.py
@@ -0,0 +1,29 @@
+"""A shard at one of three controllers, for tests of its parts."""
+
+from __future__ import annotations
+
+import random
+
+from orchidferry.balancing.register import AcceptorState, Value, Voter
+from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control.peers import Peers
+from orchidferry.mesh.control.shard import Shard
+from orchidferry.mesh.control.shard_parameters import ShardParameters
+from orchidferry.mesh.wire.shard_messages import DecidedState
+from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S
+
+A, B, C, D = (Voter(name, shard_state.GENESIS) for name in "abcd")
+
+
+def make_shard(name: str, caught_up: bool = True, size: int = 3) -> Shard:
+    """Return shard 1 at a controller that knows the group a, b and c in epoch 3."""
+    parameters = ShardParameters(1, name, shard_state.genesis(SEEDS), size, WINDOW_S, 10)
+    state = AcceptorState(shard_state.GENESIS)
+    shard = Shard(parameters, state, caught_up, Peers(0.0), random.Random(1))
+    learn_state(shard, Value(1, (A, B, C), shard_state.Body(3)))
+    return shard
+
+
+def learn_state(shard: Shard, value: Value, now: float = 1.0) -> None:
+    """Tell a shard of a decided state."""
+    shard.receive(None, DecidedState(shard_state.pack_value(value)), now)
