--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -28,7 +28,7 @@
 )
 from orchidferry.mesh.control.order_history import MAX_NUMBER
 from orchidferry.mesh.errors import Rejection, RejectionReason
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 
 PUT_TIMEOUT_S = 4.0  # for a change to be decided
 RETRY_AFTER_S = 0.2
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -12,8 +12,10 @@
 from dataclasses import dataclass, field
 
 from orchidferry.mesh.errors import Rejection, RejectionReason
+from orchidferry.node.client_connection import LIMITS_S, RequestHandle, Stage
 from orchidferry.node.flow import Flow, MemoryPool
-from orchidferry.node.frontend import LIMITS_S, Frontend, Reply, RequestHandle, Stage
+from orchidferry.node.frontend import Frontend
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
 
 JSON = b"application/json"
--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -35,11 +35,11 @@
 from orchidferry.mesh.dataplane.server_registration import HeartbeatEffect, ServerRegistration
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Address, Bounds
+from orchidferry.node.attempt import UpstreamResponse
 from orchidferry.node.clock import now_ms
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
 from orchidferry.node.timer_queue import TimerQueue
-from orchidferry.node.upstream import UpstreamResponse
 
 EXTRA_SLOTS = 1  # requests beyond its slots that a server is given, so that none of these is idle
 DEFAULT_SLOTS = 4  # slots of a server that has sent no heartbeat yet
--- a/orchidferry/mesh/dataplane/attempt.py
+++ b/orchidferry/mesh/dataplane/attempt.py
@@ -11,8 +11,8 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.node.address import Address
+from orchidferry.node.attempt import Attempt, UpstreamResponse
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import Attempt, UpstreamResponse
 
 
 class TrackedAttempt(Attempt):
--- a/orchidferry/mesh/dataplane/connection_pool.py
+++ b/orchidferry/mesh/dataplane/connection_pool.py
@@ -9,9 +9,11 @@
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.http_connection import HttpConnection
 from orchidferry.mesh.dataplane.idle_limit import IdleLimit
+from orchidferry.node.attempt import Attempt
 from orchidferry.node.clock import now_ms
 from orchidferry.node.timer_queue import TimerQueue
-from orchidferry.node.upstream import UPLOAD_STALL_S, Attempt, Upstream
+from orchidferry.node.upstream import Upstream
+from orchidferry.node.upstream_connection import UPLOAD_STALL_S
 
 
 class HttpConnectionPool(Upstream):
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -23,9 +23,10 @@
 )
 from orchidferry.mesh.dataplane.response_parser import LINE_END, ResponseParser
 from orchidferry.node.address import Address
+from orchidferry.node.attempt import Attempt, UpstreamResponse
 from orchidferry.node.clock import now_ms
 from orchidferry.node.flow import Flow
-from orchidferry.node.upstream import Attempt, Connection, UpstreamResponse
+from orchidferry.node.upstream_connection import Connection
 
 if TYPE_CHECKING:
     from orchidferry.mesh.dataplane.connection_pool import HttpConnectionPool
--- a/orchidferry/mesh/dataplane/keyed_requests.py
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.clock import now_ms
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 
 # For claiming a key: so long, or this share of the time left.
 MAX_CLAIM_S = 1.0
--- a/orchidferry/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -13,8 +13,10 @@
 
 from orchidferry.mesh.dataplane.messages import MILLISECONDS, PRIVATE_HEADER_PREFIX, ProxiedRequest
 from orchidferry.mesh.errors import Rejection, RejectionReason
+from orchidferry.node.client_connection import LIMITS_S, Accept, ClientConnection, Stage
 from orchidferry.node.flow import Flow, MemoryPool
-from orchidferry.node.frontend import LIMITS_S, Accept, ClientConnection, Frontend, Reply, Stage
+from orchidferry.node.frontend import Frontend
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message, RequestError
 
 HOP_BY_HOP_HEADERS = frozenset(
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -13,9 +13,10 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.configuration import Route
 from orchidferry.mesh.errors import Rejection
-from orchidferry.node.frontend import Reply
+from orchidferry.node.attempt import UpstreamResponse
+from orchidferry.node.http1 import framing
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import UpstreamResponse, framing
 
 TRANSIT_MARGIN_MS = 4.0  # of the time that a sender has, for the way there and back
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -23,9 +23,9 @@
     forwarded_reply,
     request_bytes,
 )
+from orchidferry.node.attempt import UpstreamResponse
 from orchidferry.node.clock import now_ms
-from orchidferry.node.frontend import Reply
-from orchidferry.node.upstream import UpstreamResponse
+from orchidferry.node.reply import Reply
 
 if TYPE_CHECKING:
     from orchidferry.mesh.dataplane.service_client import ServiceClient
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -29,12 +29,13 @@
 from orchidferry.mesh.dataplane.service_client import ClientContext, ServiceClient
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.mesh.settings import Settings
+from orchidferry.node.client_connection import RequestHandle
 from orchidferry.node.clock import now_ms
 from orchidferry.node.flow import LONG_BODY, MemoryPool
-from orchidferry.node.frontend import Reply, RequestHandle
+from orchidferry.node.http1 import MAX_HEAD
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
 from orchidferry.node.timer_queue import TimerQueue
-from orchidferry.node.upstream import MAX_HEAD
 
 CONNECT_TIMEOUT_MS = 400.0
 # Half of this a connection may be idle.
--- a/orchidferry/mesh/dataplane/registration_api.py
+++ b/orchidferry/mesh/dataplane/registration_api.py
@@ -10,7 +10,7 @@
 from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
 from orchidferry.mesh.dataplane.admission import AdmissionGate
 from orchidferry.mesh.errors import Rejection, RejectionReason
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 
 PATH = "/orchidferry/instances"
 
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -36,7 +36,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.clock import now_ms
 from orchidferry.node.event_queue import EventQueue
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from orchidferry.node.timer_queue import TimerQueue
 
 RETRY_RATIO_FRACTION = 0.4  # of the retry ratio: a repeated run's own calls are repeats elsewhere
--- a/orchidferry/node/admin_server.py
+++ b/orchidferry/node/admin_server.py
@@ -1,7 +1,7 @@
-"""The operators' door: a second listener that tells whether the node is ready, and its figures.
+"""The admin server: a second listener for operators, with readiness, metrics and other pages.
 
-HTTP/1.1, one call a connection, GET only. Whoever sends nothing, half a call or too much is answered or
-closed within `REQUEST_TIMEOUT_S`; of more than `MAX_CONNECTIONS` callers the longest there goes.
+HTTP/1.1, one GET request a connection. A client that sends nothing, too little or too much is answered or
+closed within `REQUEST_TIMEOUT_S`; beyond `MAX_CONNECTIONS` the oldest connection is closed.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 from orchidferry.node.address import Address
 
-MAX_CONNECTIONS = 16  # callers at once: a few watchers, and some that say nothing
-MAX_REQUEST_BYTES = 4 * 1024  # of a call, head and body
-REQUEST_TIMEOUT_S = 2.0  # for a call to come whole, and for its answer to be read
-BACKLOG = 64
+MAX_CONNECTIONS = 16  # a few monitoring systems, and some clients that send nothing
+MAX_REQUEST_BYTES = 4 * 1024  # of headers and body
+REQUEST_TIMEOUT_S = 2.0  # for a request to arrive, and again for its answer to be read
+BACKLOG = 64  # connections that the kernel holds until they are accepted
 
 PHRASES = {
     200: b"OK",
@@ -30,24 +30,24 @@
     503: b"Service Unavailable",
 }
 
-PageHandler = Callable[[], tuple[int, bytes]]  # status and text of one path, made when it is asked for
+PageHandler = Callable[[], tuple[int, bytes]]  # makes a page: its status and text
 
 
 class AdminConnection(asyncio.Protocol):
-    """One caller and its one call."""
+    """One client and its one request."""
 
-    def __init__(self, door: AdminServer) -> None:
-        self._door = door
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
-        self._size = 0
+        self._size = 0  # bytes of the request so far
         self._answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._limit = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._late)
-        self._door.opened(self)
+        self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._on_timeout)
+        self._server.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         if self._answered:
@@ -61,8 +61,8 @@
             self._answer(413, b"a call holds 4 KiB at most\n")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._limit.cancel()
-        self._door.closed(self)
+        self._timer.cancel()
+        self._server.connection_closed(self)
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -70,10 +70,10 @@
     def on_message_complete(self) -> None:
         if self._parser.get_method() != b"GET":
             return self._answer(405, b"only GET\n")
-        page = self._door.pages.get(self._target.partition(b"?")[0])
-        if page is None:
+        handler = self._server.pages.get(self._target.partition(b"?")[0])
+        if handler is None:
             return self._answer(404, b"no such path\n")
-        self._answer(*page())
+        self._answer(*handler())
 
     def _answer(self, status: int, text: bytes) -> None:
         if self._answered or self._transport is None:
@@ -85,31 +85,38 @@
         )
         self._transport.close()
 
-    def _late(self) -> None:
-        """Its time is up: say so if nothing was said, and be rid of one that does not read."""
+    def _on_timeout(self) -> None:
+        """Answer a client that did not send a request in time; close one that does not read its answer."""
         if self._answered:
             self.abort()
         else:
             self._answer(408, b"the call took too long to come\n")
-            self._limit = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self.abort)
+            self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self.abort)
 
     def abort(self) -> None:
-        """End it at once."""
+        """Close now."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class AdminServer:
-    """The listener, and those who call there."""
+    """The listener, and the connections to it."""
 
     def __init__(self, pages: dict[bytes, PageHandler]) -> None:
+        """
+        :param pages: by path.
+        """
         self.pages = pages
-        self._calls: dict[AdminConnection, None] = {}  # the longest there first
+        self._connections: dict[AdminConnection, None] = {}  # the one open for the longest time first
         self._server: asyncio.Server | None = None
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: Address) -> Address:
-        """Take calls from now on; the address, with the port that 0 stands for. `OSError` if it can't."""
-        # An old process may stand at the address still, if operators give the new one the same.
+        """Accept connections from now on.
+
+        :returns: the address, with the port that was chosen for port 0.
+        :raises OSError: if the address can't be used.
+        """
+        # A process that shuts down may still use the address, if operators give it to the next one.
         self._server = await loop.create_server(
             lambda: AdminConnection(self),
             *address,
@@ -120,23 +127,23 @@
         return host, port
 
     def count(self) -> int:
-        """Sockets in use."""
-        return len(self._calls) + (self._server is not None)
+        """Return the number of sockets in use."""
+        return len(self._connections) + (self._server is not None)
 
-    def opened(self, call: AdminConnection) -> None:
-        """Count a caller in; at the most there may be, the one that has waited longest goes."""
-        self._calls[call] = None
-        if len(self._calls) > MAX_CONNECTIONS:
-            next(iter(self._calls)).abort()
+    def connection_opened(self, connection: AdminConnection) -> None:
+        """Add a connection; beyond the limit the one open for the longest time is closed."""
+        self._connections[connection] = None
+        if len(self._connections) > MAX_CONNECTIONS:
+            next(iter(self._connections)).abort()
 
-    def closed(self, call: AdminConnection) -> None:
-        """Count a caller out."""
-        self._calls.pop(call, None)
+    def connection_closed(self, connection: AdminConnection) -> None:
+        """Remove a connection."""
+        self._connections.pop(connection, None)
 
     def close(self) -> None:
-        """Take no more calls, and end those there are."""
+        """Accept no more connections, and close those that are open."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for call in list(self._calls):
-            call.abort()
+        for connection in list(self._connections):
+            connection.abort()
--- a/orchidferry/node/chain/links.py
+++ b/orchidferry/node/chain/links.py
@@ -12,8 +12,8 @@
 from orchidferry.node.chain.wire import Headers, Wire, read_answer, write_answer
 
 if TYPE_CHECKING:
+    from orchidferry.node.attempt import UpstreamResponse
     from orchidferry.node.request import Message
-    from orchidferry.node.upstream import UpstreamResponse
 
 TELL_S = 10.0  # a loop is told of so often at most: a misrouted list makes one of each request
 log = logging.getLogger("orchidferry")
--- /dev/null
+++ b/orchidferry/node/client_connection.py
@@ -0,0 +1,474 @@
+"""A client's connection in HTTP/1.1, and the limits of what it may wait for.
+
+Whatever a client sends, only its own connection is affected. Requests that can't be served are answered here
+with errors, never with refusals (429, 503): those are the balancer's to give.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from enum import Enum
+from typing import TYPE_CHECKING, Protocol, cast
+
+import httptools
+
+from orchidferry.node.flow import BodyTooLongError, Flow
+from orchidferry.node.http1 import LAST_CHUNK, chunk
+from orchidferry.node.reply import Reply, render
+from orchidferry.node.request import Message, RequestError, check_framing
+
+if TYPE_CHECKING:
+    from orchidferry.node.frontend import Frontend
+
+MAX_PIPELINED = 8  # requests sent ahead on one connection; the protocol sets no limit
+PROGRESS = 32 * 1024  # bytes of a body after which the time of its stage begins anew
+TOO_LONG = "the body is too long"
+
+
+class Stage(Enum):
+    """What a client's connection waits for."""
+
+    NEW = "its first request, complete"
+    READING = "the rest of a request"
+    SERVING = "an answer from the node"
+    FLOWING = "the rest of a long answer, or the client to read it"
+    IDLE = "the next request"
+    BLOCKED = "the client to read what it was sent"
+    LEAVING = "the client to read the last that it was sent"
+
+
+# How long a stage may last, in seconds. SERVING and FLOWING have no limit of their own: requests end at their
+# deadline, and flows when they stall.
+LIMITS_S = {
+    # A silent or slow client is owed an error or a close within 3 s of connecting. A sound one may take 2 s
+    # for the headers, and then sends at 64 kB/s at least: each `PROGRESS` of a body restarts the time.
+    Stage.NEW: 2.6,
+    Stage.READING: 2.6,
+    Stage.IDLE: 10.0,  # many clients ask once and stay; a reconnect costs one that asks again little
+    Stage.BLOCKED: 8.0,  # some clients take seconds to read
+    Stage.LEAVING: 2.0,
+}
+
+
+class RequestHandle(Protocol):
+    """A request that the node has accepted, as its client's connection knows it."""
+
+    def client_disconnected(self) -> None:
+        """Learn that nobody waits for the answer."""
+
+
+Accept = Callable[[Message, Callable[[Reply], None]], RequestHandle]  # raises `RequestError`
+
+
+class ClientConnection(asyncio.Protocol):
+    """A client's connection in HTTP/1.1; answers are sent in the order of the requests, one at a time.
+
+    It is a `Source` of a long request's body and a `Sink` of a long answer's. It waits for one thing at a
+    time, its stage, which the frontend limits.
+    """
+
+    def __init__(self, frontend: Frontend) -> None:
+        self.stage: Stage | None = None  # None: it is not open
+        self._frontend = frontend
+        self._transport: asyncio.Transport
+        self._parser = httptools.HttpRequestParser(self)
+        self._queue: deque[Message | Reply] = deque()  # read, and not passed to the node yet
+        self._pending: RequestHandle | None = None  # the request that the node has
+        self._error_reply: Reply | None = None  # for input that can't be read; nothing is read after it
+        self._busy = False  # whether the node has a request, or its answer is being sent
+        self._closing = False  # whether it closes after the last answer
+        self._input_closed = False  # whether input is ignored from now on
+        self._finished = False  # whether it closes now, after what was written
+        self._write_paused = False  # whether the client does not read
+        self._reading = False  # whether a request has begun and its end has not come
+        self._completed = False  # whether the last input ended a request
+        self._has_requested = False  # whether the node has had a request of it
+        self._source_paused = False  # whether a long request waits for its sink
+        self._request_flow: Flow | None = None  # the body of a long request
+        self._response_flow: Flow | None = None  # the body of a long answer
+        self._body_progress = 0  # bytes of a body since its stage was restarted
+        self._start_message()
+
+    def _start_message(self) -> None:
+        self._target = b""
+        self._headers: dict[bytes, bytes] = {}
+        self._body: list[bytes] = []
+        self._head = 0  # bytes that came before all headers were complete
+        self._fields = 0  # bytes of the headers' names and values
+        self._size = 0  # bytes of the body
+        self._headers_done = False
+
+    # The socket
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self._frontend.connection_opened(self)
+
+    def data_received(self, data: bytes) -> None:
+        if self._input_closed:
+            return
+        self._completed = False
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self._reject(400, "upgrades are not supported")
+        except httptools.HttpParserError:
+            self._reject(400, "malformed HTTP")
+        # The parser passes on a header when it is complete: one without end shows only in the input's size.
+        if not self._headers_done and not self._completed:
+            self._head += len(data)
+            if self._head > self._frontend.max_header_bytes:
+                self._reject(431, "headers too large")
+        if self._error_reply is not None:
+            self._close_with_error(self._error_reply)
+        else:
+            self._serve_next()
+        self._update_stage()
+
+    def eof_received(self) -> None:
+        # The transport closes after what was written: a client that ends its sending has left.
+        self._input_closed = True
+        self._closing = True
+        self._finished = True
+        self._update_stage()
+
+    def pause_writing(self) -> None:
+        """Read nothing more from a client that does not read itself, and limit the time of that."""
+        self._write_paused = True
+        self._transport.pause_reading()
+        if self._response_flow is not None:
+            self._response_flow.block()
+        self._update_stage()
+
+    def resume_writing(self) -> None:
+        self._write_paused = False
+        if self._response_flow is not None:
+            self._response_flow.unblock(self._frontend.now_s())
+        if not self._finished and not self._transport.is_closing():
+            if not self._source_paused:
+                self._transport.resume_reading()
+            self._serve_next()
+            self._update_stage()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self._input_closed = True
+        self._queue.clear()
+        self._frontend.connection_closed(self)
+        self._release_request()
+
+    def _release_request(self) -> None:
+        """Notify the node that nobody waits for the request it has, and end both flows."""
+        pending = self._pending
+        self._pending = None
+        self._busy = False
+        if pending is not None:
+            pending.client_disconnected()
+        flow = self._request_flow
+        self._request_flow = None
+        if flow is not None:
+            flow.fail()
+        flow = self._response_flow
+        self._response_flow = None
+        if flow is not None:
+            flow.cancel()
+
+    # The source of a long request's body
+
+    def pause(self) -> None:
+        self._source_paused = True
+        if not self._transport.is_closing():
+            self._transport.pause_reading()
+            self._update_stage()
+
+    def resume(self) -> None:
+        self._source_paused = False
+        if not self._write_paused and not self._finished and not self._transport.is_closing():
+            self._transport.resume_reading()
+            self._update_stage()
+
+    def flow_cancelled(self) -> None:
+        """Drop what still comes, so that the client gets to read why."""
+
+    # The sink of a long answer's body
+
+    def feed(self, data: bytes) -> None:
+        if self._response_flow is not None and not self._transport.is_closing():
+            self._transport.write(data if self._response_flow.length is not None else chunk(data))
+
+    def end(self) -> None:
+        flow = self._response_flow
+        self._response_flow = None
+        self._busy = False
+        if flow is None or self._transport.is_closing():
+            return
+        if flow.length is None:
+            self._transport.write(LAST_CHUNK)
+        flow.delivered()
+        if self._closing and not self._queue and not self._reading:
+            self._transport.close()
+        self._serve_next()
+        self._update_stage()
+
+    def flow_failed(self) -> None:
+        """Close, so that the client learns that the answer is not complete."""
+        self._response_flow = None
+        self._input_closed = True
+        self._closing = True
+        self._finished = True
+        self._queue.clear()
+        self._release_request()
+        self._transport.close()
+        self._update_stage()
+
+    # Stages and the end
+
+    def _update_stage(self) -> None:
+        """Report to the frontend what the connection waits for now."""
+        if self._response_flow is not None and not self._finished and not self._transport.is_closing():
+            stage = Stage.FLOWING
+        elif self._finished or self._transport.is_closing():
+            stage = Stage.LEAVING
+        elif self._write_paused:
+            stage = Stage.BLOCKED
+        elif self._source_paused:
+            stage = Stage.SERVING  # it waits for the node to take more
+        elif self._request_flow is not None:
+            stage = Stage.READING
+        elif self._busy or self._queue:
+            stage = Stage.SERVING
+        elif not self._has_requested:
+            stage = Stage.NEW
+        else:
+            stage = Stage.READING if self._reading else Stage.IDLE
+        self._frontend.set_stage(self, stage)
+
+    def close_gracefully(self) -> None:
+        """Close after the requests at hand; now if there are none."""
+        self._closing = True
+        if not self._busy and not self._reading and not self._queue:
+            self._transport.close()
+            self._update_stage()
+
+    def on_stage_timeout(self) -> None:
+        """End the connection, as its stage has lasted too long."""
+        if self.stage is Stage.LEAVING or self.stage is Stage.BLOCKED:
+            self.abort()
+        elif self._reading:
+            self._close_with_error(Reply(408, b"the request took too long to come"))
+        else:
+            self._closing = True
+            self._transport.close()
+            self._update_stage()
+
+    def abort(self) -> None:
+        """Close now, whatever it carries."""
+        self._input_closed = True
+        self._finished = True
+        self._frontend.connection_closed(self)  # now: its socket counts as free
+        self._transport.abort()
+
+    # The parser's calls. An exception in one of them would count as malformed HTTP.
+
+    def on_message_begin(self) -> None:
+        self._reading = True
+        self._start_message()
+
+    def on_url(self, url: bytes) -> None:
+        self._target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        name = name.lower()
+        self._fields += len(name) + len(value)
+        if self._fields > self._frontend.max_header_bytes:
+            self._reject(431, "headers too large")
+        elif self._headers_done:
+            return  # a trailer (RFC 9110, section 6.5) must not count as a header
+        elif name in self._frontend.unique_headers and name in self._headers:
+            self._reject(400, "a header came twice")
+        elif not self._input_closed:
+            self._headers[name] = value.strip()
+
+    def on_headers_complete(self) -> None:
+        self._headers_done = True
+        if len(self._target) > self._frontend.max_header_bytes:
+            self._reject(431, "target too long")
+        if b"transfer-encoding" in self._headers:
+            try:
+                check_framing(self._headers, self._parser.get_http_version())
+            except RequestError as problem:
+                self._reject(400, str(problem))
+        length = self._headers.get(b"content-length")
+        if length is not None and length.isdigit() and int(length[:12]) > self._frontend.body_limit:
+            self._reject(413, TOO_LONG)
+        elif self._headers.get(b"expect", b"").lower() == b"100-continue" and not self._input_closed:
+            self._send_continue()
+        self._frontend.restart_stage(self)
+
+    def on_body(self, body: bytes) -> None:
+        self._size += len(body)
+        self._body_progress += len(body)
+        if self._body_progress >= PROGRESS:
+            self._body_progress = 0
+            self._frontend.restart_stage(self)
+        if self._input_closed:
+            return
+        if self._request_flow is not None:
+            try:
+                self._request_flow.push(body, self._frontend.now_s())
+            except BodyTooLongError:
+                self._reject(413, TOO_LONG)
+            return
+        self._body.append(body)
+        if self._size > self._frontend.max_buffered_body:
+            self._start_request_flow()
+
+    def _send_continue(self) -> None:
+        """Let a client that waits for it send its body (RFC 9110, section 10.1.1)."""
+        if not self._busy and not self._queue and self._parser.get_http_version() != "1.0":
+            self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def _start_request_flow(self) -> None:
+        """Pass on a request whose body is too long to buffer; the rest of the body follows as it comes."""
+        length = self._headers.get(b"content-length")
+        flow = Flow(
+            self,
+            int(length) if length is not None else None,
+            self._frontend.now_s(),
+            self._frontend.pool,
+            self._frontend.body_limit,
+        )
+        chunks = self._body
+        self._body = []
+        if len(self._queue) >= MAX_PIPELINED:
+            return self._reject(400, "too many requests sent ahead")
+        try:
+            message = self._build_message(flow)
+            for data in chunks:
+                flow.push(data, self._frontend.now_s())
+        except RequestError as problem:
+            return self._reject(400, str(problem))
+        except BodyTooLongError:
+            return self._reject(413, TOO_LONG)
+        self._request_flow = flow
+        self._queue.append(message)
+        self._serve_next()
+
+    def on_message_complete(self) -> None:
+        if self._input_closed:
+            return
+        self._reading = False
+        self._completed = True
+        if self._request_flow is not None:
+            return self._finish_request_flow(self._request_flow)
+        if len(self._queue) >= MAX_PIPELINED:
+            return self._reject(400, "too many requests sent ahead")
+        if not self._parser.should_keep_alive():
+            self._closing = True
+            self._input_closed = True
+        try:
+            self._queue.append(self._build_message())
+        except RequestError as problem:
+            self._reject(400, str(problem))
+
+    def _finish_request_flow(self, flow: Flow) -> None:
+        self._request_flow = None
+        if not self._parser.should_keep_alive():
+            self._closing = True
+            self._input_closed = True
+        flow.finish()
+        if self._closing and not self._busy and not self._queue:  # it was answered before
+            self._input_closed = True
+            self._transport.close()
+
+    # Requests and answers
+
+    def _build_message(self, flow: Flow | None = None) -> Message | Reply:
+        method = self._parser.get_method()
+        body = b"".join(self._body)
+        message = self._frontend.read(method, self._target, self._headers, body, flow)
+        if isinstance(message, Reply):
+            return message
+        message.long_answer = self._parser.get_http_version() != "1.0"
+        return message
+
+    def _reject(self, status: int, reason: str) -> None:
+        """Keep an error for the client; the first one counts, and nothing after it is read."""
+        if self._error_reply is None:
+            self._input_closed = True
+            self._error_reply = Reply(status, reason.encode())
+
+    def _close_with_error(self, reply: Reply) -> None:
+        """Send an error and close.
+
+        All other requests of the connection end with it: what the client sends next can't be understood any
+        more, and it need not wait for earlier answers to learn that.
+        """
+        self._input_closed = True
+        self._closing = True
+        self._finished = True
+        self._queue.clear()
+        self._release_request()
+        if self._transport.is_closing():
+            return
+        self._transport.write(render(reply, close=True))
+        if self._reading and not self._completed:
+            # Closing now would reset the connection, and the error might never be read.
+            self._transport.pause_reading()
+            self._transport.write_eof()
+        else:
+            self._transport.close()
+        self._update_stage()
+
+    def _serve_next(self) -> None:
+        while self._queue and not self._busy and not self._write_paused and not self._transport.is_closing():
+            item = self._queue.popleft()
+            if isinstance(item, Message):
+                self._start_request(item)
+            else:
+                self._write_reply(item)
+
+    def _start_request(self, message: Message) -> None:
+        self._busy = True
+        try:
+            pending = self._frontend.accept(message, self._on_reply)
+        except RequestError as problem:
+            self._busy = False
+            return self._close_with_error(Reply(400, str(problem).encode()))
+        self._has_requested = True
+        if self._busy:  # it may have been answered at once
+            self._pending = pending
+
+    def _on_reply(self, reply: Reply) -> None:
+        """Send the node's answer to the request it has."""
+        self._pending = None
+        self._busy = False
+        if reply.flow is not None:
+            return self._start_streaming(reply, reply.flow)
+        if self._request_flow is not None:  # what still comes is dropped, and the connection ends with it
+            self._closing = True
+            self._request_flow.fail()
+            self.resume()
+        if not self._transport.is_closing():
+            self._write_reply(reply)
+            self._serve_next()
+            self._update_stage()
+
+    def _start_streaming(self, reply: Reply, flow: Flow) -> None:
+        """Send the head of a long answer, and its body as it comes."""
+        if self._transport.is_closing():
+            return flow.cancel()
+        self._busy = True
+        self._response_flow = flow
+        close = self._closing and not self._queue and not self._reading
+        self._transport.write(render(reply, close, self._frontend.alt_svc))
+        flow.attach(self)
+        self._update_stage()
+
+    def _write_reply(self, reply: Reply) -> None:
+        early = self._request_flow is not None  # what still comes is dropped first
+        close = self._closing and not self._queue and (early or not self._reading)
+        self._transport.write(render(reply, close, self._frontend.alt_svc))
+        if close and not early:
+            self._transport.close()
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -47,9 +47,10 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.floods import First, FirstPackets, Patience, Strays
 from orchidferry.node.address import Address
+from orchidferry.node.client_connection import LIMITS_S, Accept, RequestHandle, Stage
 from orchidferry.node.clock import now_ms
 from orchidferry.node.config import ConfigError
-from orchidferry.node.frontend import LIMITS_S, NODE_PATHS, Accept, Reply, RequestHandle, Stage
+from orchidferry.node.frontend import NODE_PATHS
 from orchidferry.node.h3 import settings
 from orchidferry.node.h3.session import (
     LAST_STREAM,
@@ -70,8 +71,9 @@
     is_over,
     reset_token,
 )
+from orchidferry.node.http1 import MAX_BODY, MAX_HEAD
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import SINGLE, RequestError, read_message
-from orchidferry.node.upstream import MAX_BODY, MAX_HEAD
 
 HANDSHAKE_S = LIMITS_S[Stage.NEW]  # the same limits as over HTTP/1.1
 READ_S = LIMITS_S[Stage.READING]
--- a/orchidferry/node/h3/session.py
+++ b/orchidferry/node/h3/session.py
@@ -25,7 +25,7 @@
 from aioquic.quic.connection import QuicConnection, stream_is_unidirectional
 from aioquic.quic.events import QuicEvent, StreamDataReceived, StreamReset
 
-from orchidferry.node.upstream import MAX_HEAD
+from orchidferry.node.http1 import MAX_HEAD
 
 LAST_STREAM = (1 << 62) - 4  # the greatest id that a request can have: GOAWAY with it turns nothing away yet
 MAX_DEAD = 1_024  # streams that ended badly and whose rest is still to come
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -39,6 +39,7 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.transports import By, Transports
 from orchidferry.node.address import Address
+from orchidferry.node.attempt import Attempt, UpstreamResponse
 from orchidferry.node.clock import now_ms
 from orchidferry.node.h3 import settings
 from orchidferry.node.h3.session import DataReceived, ErrorCode, GoAway, HeadersReceived, Malformed, Session
@@ -55,16 +56,9 @@
     sent_whole,
     streams_left,
 )
+from orchidferry.node.http1 import MAX_BODY, classify_response, read_report
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import (
-    IDLE_LIMIT_FRACTION,
-    MAX_BODY,
-    Attempt,
-    Upstream,
-    UpstreamResponse,
-    classify_response,
-    read_report,
-)
+from orchidferry.node.upstream import IDLE_LIMIT_FRACTION, Upstream
 
 HANDSHAKE_S = 2.0  # beside the requests, which go by TCP meanwhile
 SWEEP_S = 0.5
--- a/orchidferry/node/interfaces.py
+++ b/orchidferry/node/interfaces.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from orchidferry.node.upstream import Attempt
+from orchidferry.node.attempt import Attempt
 
 if TYPE_CHECKING:
     from orchidferry.node.admin_server import PageHandler
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -18,7 +18,6 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node.attempts import PendingRequest, RequestAttempt
 from orchidferry.node.clock import now_ms
 from orchidferry.node.config import Config, ConfigError
 from orchidferry.node.discovery import Discovery
@@ -32,9 +31,11 @@
     Flow,
     MemoryPool,
 )
-from orchidferry.node.frontend import Frontend, Reply
+from orchidferry.node.frontend import Frontend
 from orchidferry.node.interfaces import FrontendTransport, UpstreamTransport
 from orchidferry.node.metrics import Metrics
+from orchidferry.node.pending_request import PendingRequest, RequestAttempt
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message, RequestError
 from orchidferry.node.server_listing import ServerListing
 from orchidferry.node.server_table import ServerListFeed, ServerTable
--- a/orchidferry/node/attempts.py
+++ b/orchidferry/node/pending_request.py
@@ -8,10 +8,10 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.node.address import Address
+from orchidferry.node.attempt import Attempt, UpstreamResponse
 from orchidferry.node.clock import now_ms
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
-from orchidferry.node.upstream import Attempt, UpstreamResponse
 
 if TYPE_CHECKING:
     from orchidferry.node.node import Node
--- a/orchidferry/testkit/capacity/hops.py
+++ b/orchidferry/testkit/capacity/hops.py
@@ -23,14 +23,14 @@
 Function = tuple[str, int, str]  # file, line, name
 
 FUNCTIONS = {  # where one module does the work of two hops
-    ("orchidferry/node/frontend.py", "_write_reply"): ANSWER,
-    ("orchidferry/node/frontend.py", "_on_reply"): ANSWER,
-    ("orchidferry/node/frontend.py", "_start_streaming"): ANSWER,
-    ("orchidferry/node/frontend.py", "render"): ANSWER,
-    ("orchidferry/node/frontend.py", "_update_stage"): ANSWER,
-    ("orchidferry/node/upstream.py", "data_received"): ANSWER,
-    ("orchidferry/node/upstream.py", "on_header"): ANSWER,
-    ("orchidferry/node/upstream.py", "on_message_complete"): ANSWER,
+    ("orchidferry/node/client_connection.py", "_write_reply"): ANSWER,
+    ("orchidferry/node/client_connection.py", "_on_reply"): ANSWER,
+    ("orchidferry/node/client_connection.py", "_start_streaming"): ANSWER,
+    ("orchidferry/node/reply.py", "render"): ANSWER,
+    ("orchidferry/node/client_connection.py", "_update_stage"): ANSWER,
+    ("orchidferry/node/upstream_connection.py", "data_received"): ANSWER,
+    ("orchidferry/node/upstream_connection.py", "on_header"): ANSWER,
+    ("orchidferry/node/upstream_connection.py", "on_message_complete"): ANSWER,
     ("dataplane/response_parser.py", "feed_data"): ANSWER,
     ("dataplane/http_connection.py", "before_parsing"): ANSWER,
     ("dataplane/http_connection.py", "on_header"): ANSWER,
@@ -45,6 +45,7 @@
     ("control/control_client.py", "claim"): KEY,
 }
 MODULES = (
+    ("orchidferry/node/client_connection.py", ACCEPT),
     ("orchidferry/node/frontend.py", ACCEPT),
     ("orchidferry/node/request.py", ACCEPT),
     ("dataplane/listener.py", ACCEPT),
@@ -61,7 +62,10 @@
     ("orchidferry/node/timer_queue.py", PICK),
     ("dataplane/admission", GATE),
     ("dataplane/", WRITE),
+    ("orchidferry/node/attempt.py", WRITE),
+    ("orchidferry/node/http1.py", WRITE),
     ("orchidferry/node/upstream.py", WRITE),
+    ("orchidferry/node/upstream_connection.py", WRITE),
     ("control/operation_key_client.py", KEY),
     ("control/shard_state.py", KEY),
     ("wire/framing.py", KEY),
@@ -72,7 +76,7 @@
 def hop_of(function: Function) -> str:
     """The hop that a function of the program works for.
 
-    >>> hop_of(("orchidferry/node/frontend.py", 1, "_write_reply"))
+    >>> hop_of(("orchidferry/node/client_connection.py", 1, "_write_reply"))
     'answer'
     >>> hop_of(("orchidferry/mesh/dataplane/proxy.py", 1, "_accept"))
     'route'
--- a/orchidferry/testkit/explore/breaks.py
+++ b/orchidferry/testkit/explore/breaks.py
@@ -12,20 +12,21 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing import logic, records, slow_start
 from orchidferry.balancing.interface import Result
-from orchidferry.node import attempts, frontend, node, timer_queue, upstream
+from orchidferry.node import client_connection, node, pending_request, timer_queue, upstream_connection
+from orchidferry.node import reply as reply_module
 
 Patch = tuple[Any, str, Any]  # where, what, and what stands there instead
 
 
 def _answer_twice() -> list[Patch]:
-    inner = frontend.ClientConnection._write_reply
+    inner = client_connection.ClientConnection._write_reply
 
     def write(self: Any, reply: Any) -> None:
         inner(self, reply)
         if reply.status == 200 and not self._transport.is_closing():
-            self._transport.write(frontend.render(reply, False))
+            self._transport.write(reply_module.render(reply, False))
 
-    return [(frontend.ClientConnection, "_write_reply", write)]
+    return [(client_connection.ClientConnection, "_write_reply", write)]
 
 
 def _lose_answer() -> list[Patch]:
@@ -50,7 +51,7 @@
 
     def deadline_passed(self: Any, live: Any) -> None:
         if self._remove(live):
-            live.answer(frontend.Reply(504, b"late"))
+            live.answer(reply_module.Reply(504, b"late"))
             self._handle(api.ClientGone(live.id))
 
     return [
@@ -68,12 +69,12 @@
     """What broke after the last byte counts as if it had not run."""
     return [
         (logic, "NEVER_RAN", frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT, Result.RESET))),
-        (upstream.Connection, "connection_lost", _lost_as_unreachable()),
+        (upstream_connection.Connection, "connection_lost", _lost_as_unreachable()),
     ]
 
 
 def _lost_as_unreachable() -> Callable[..., None]:
-    inner = upstream.Connection.connection_lost
+    inner = upstream_connection.Connection.connection_lost
 
     def lost(self: Any, exc: Exception | None) -> None:
         if self._attempt is not None:
@@ -87,7 +88,7 @@
 
 
 def _no_late_check() -> list[Patch]:
-    return [(attempts.RequestAttempt, "may_send", lambda self: True)]
+    return [(pending_request.RequestAttempt, "may_send", lambda self: True)]
 
 
 def _ignore_drain() -> list[Patch]:
@@ -120,14 +121,14 @@
 
 
 def _leak_attempt() -> list[Patch]:
-    inner = attempts.RequestAttempt.ended
+    inner = pending_request.RequestAttempt.ended
 
     def ended(self: Any, result: Any, answer: Any) -> None:
         inner(self, result, answer)
         if result is Result.RESET:
             self._node.attempts[self._request.id, self._number] = self
 
-    return [(attempts.RequestAttempt, "ended", ended)]
+    return [(pending_request.RequestAttempt, "ended", ended)]
 
 
 def _swallow_end() -> list[Patch]:
@@ -153,7 +154,7 @@
 
 def _reuse_unread() -> list[Patch]:
     """A connection is used again whatever has come on it, and its loss then counts as nothing sent."""
-    return [(upstream.Connection, "is_reusable", lambda self: True)]
+    return [(upstream_connection.Connection, "is_reusable", lambda self: True)]
 
 
 def _refuse_what_may_have_run() -> list[Patch]:
--- a/tests/mesh/dataplane/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -16,7 +16,7 @@
     GATE_HEADER,
     ServerResponse,
 )
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.fakes import (
     admission_gate,
     header,
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -24,7 +24,7 @@
 from orchidferry.mesh.dataplane.connection_pool import HttpConnectionPool
 from orchidferry.mesh.dataplane.http_connection import HttpConnection
 from orchidferry.node.flow import SHORT_BODY, Flow
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from orchidferry.node.timer_queue import TimerQueue
 from tests.mesh.fakes import patch_clock, proxied_request, route, service_client
 from tests.mesh.wire_fakes import Peer, Pool, Sent, close_all, pool
--- a/tests/mesh/dataplane/test_http_connection_answers.py
+++ b/tests/mesh/dataplane/test_http_connection_answers.py
@@ -16,8 +16,9 @@
 from orchidferry.mesh.dataplane.messages import (
     ServerResponse,
 )
+from orchidferry.node.attempt import UpstreamResponse
 from orchidferry.node.flow import Flow
-from orchidferry.node.upstream import Connection, UpstreamResponse
+from orchidferry.node.upstream_connection import Connection
 from tests.mesh.fakes import proxied_request
 from tests.mesh.wire_fakes import Peer, Sent, close_all, pool
 
--- a/tests/mesh/dataplane/test_incarnations.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -9,7 +9,7 @@
 
 from orchidferry.mesh.control.endpoints import IN_SERVICE, NodeRecord, Server
 from orchidferry.mesh.dataplane.admission import AdmissionGate
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.dataplane.test_http_connection_answers import answer
 from tests.mesh.fakes import admission_gate, patch_clock, proxied_request, route, service_client
 from tests.mesh.wire_fakes import Pool, close_all, pool
--- a/tests/mesh/dataplane/test_keyed_requests.py
+++ b/tests/mesh/dataplane/test_keyed_requests.py
@@ -14,7 +14,7 @@
 from orchidferry.mesh.dataplane.messages import (
     stored_answer,
 )
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.fakes import (
     header,
     loop_and_connections,
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -19,8 +19,9 @@
 )
 from orchidferry.mesh.dataplane.pending_request import PendingRequest
 from orchidferry.mesh.dataplane.service_client import ServiceClient
+from orchidferry.node.client_connection import ClientConnection, Stage
 from orchidferry.node.flow import SHORT_BODY, Flow, MemoryPool
-from orchidferry.node.frontend import ClientConnection, Reply, Stage
+from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
 from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
 from tests.mesh.fakes import Loop, route, server_response
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -18,7 +18,7 @@
 from orchidferry.mesh.dataplane.keyed_requests import KeyedRequests
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import parse_settings
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
 from tests.mesh.fakes import Loop, patch_clock, proxied_request, route
 from tests.mesh.test_records import BOOT as BOOT_TABLES
--- a/tests/mesh/dataplane/test_registration_api.py
+++ b/tests/mesh/dataplane/test_registration_api.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
 from orchidferry.mesh.dataplane.registration_api import PATH, RegistrationApi, read_heartbeat
 from orchidferry.mesh.errors import Rejection, RejectionReason
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.control.examples import spoil
 
 HEARTBEAT = {
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.dataplane.pending_request import PendingRequest
 from orchidferry.mesh.dataplane.retry_slack import SPARE_NODES
 from orchidferry.mesh.settings import Bounds
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.fakes import (
     loop_and_connections,
     patch_clock,
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -15,7 +15,7 @@
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node.flow import MemoryPool
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from tests.mesh.fakes import admission_gate, loop_and_connections, patch_clock, route, service_client
 
 ADDRESS = ("127.0.0.1", 1)
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -17,9 +17,9 @@
 from orchidferry.mesh.dataplane.service_client import ClientContext, ServiceClient
 from orchidferry.mesh.settings import Bounds
 from orchidferry.node import upstream
-from orchidferry.node.frontend import Reply
+from orchidferry.node.attempt import Attempt
+from orchidferry.node.reply import Reply
 from orchidferry.node.timer_queue import TimerQueue
-from orchidferry.node.upstream import Attempt
 
 
 class Timer:
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -15,7 +15,7 @@
 from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.quorum_read import READ_TIMEOUT_S
 from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from orchidferry.testkit.explore import worst_days
 from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.explore.mesh_actors import SequentialRandom
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -35,7 +35,7 @@
 from orchidferry.mesh.control.order_records import orders_of, record
 from orchidferry.mesh.storage import quarantine, storage_check
 from orchidferry.mesh.storage.store import Store
-from orchidferry.node.frontend import Reply
+from orchidferry.node.reply import Reply
 from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.control.examples import example
 from tests.mesh.storage.test_store import Loop, a_controller, close
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.dataplane.messages import (
     ProxiedRequest,
 )
-from orchidferry.node.upstream import Attempt, UpstreamResponse
+from orchidferry.node.attempt import Attempt, UpstreamResponse
 from tests.mesh.fakes import loop_and_connections
 
 
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -15,7 +15,7 @@
 from aioquic.tls import Epoch, SessionTicket
 
 from orchidferry.balancing import floods
-from orchidferry.node.frontend import Stage
+from orchidferry.node.client_connection import Stage
 from orchidferry.node.h3 import front
 from orchidferry.node.h3.front import Listener
 from orchidferry.node.h3.shell import reset_token
@@ -818,7 +818,7 @@
 
 
 def test_http1_limits_and_these_are_the_same() -> None:
-    from orchidferry.node.frontend import LIMITS_S
+    from orchidferry.node.client_connection import LIMITS_S
 
     assert (LIMITS_S[Stage.NEW], LIMITS_S[Stage.READING]) == (front.HANDSHAKE_S, front.READ_S)
     assert (LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]) == (front.WRITE_S, front.IDLE_S)
--- a/tests/node/h3/test_upstream.py
+++ b/tests/node/h3/test_upstream.py
@@ -284,7 +284,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Ten of each kind of effect, all running at one server; the other one is of another cell."""
-    monkeypatch.setattr(logic, "PATIENT_MS", 20_000.0)  # none is cut for being slower than those before
+    monkeypatch.setattr(logic, "MIN_TIMEOUT_MS", 20_000.0)  # none is cut for being slower than those before
 
     async def test() -> None:
         server, other, script = Server(name="s0"), Server(name="s1", group=1), Script()
--- a/tests/node/test_callers.py
+++ b/tests/node/test_callers.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from orchidferry.node import frontend, node
-from orchidferry.node.frontend import Stage
+from orchidferry.node import client_connection, frontend, node
+from orchidferry.node.client_connection import Stage
 from orchidferry.node.upstream import Upstream
 from tests.node.peers import HANG, LIMIT_S, Server, World, answer, request, run, until, world
 
@@ -19,8 +19,8 @@
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """Limits that a test can wait for."""
     monkeypatch.setattr(frontend, "SWEEP_S", 0.02)
-    for stage in frontend.LIMITS_S:
-        monkeypatch.setitem(frontend.LIMITS_S, stage, 0.2)
+    for stage in client_connection.LIMITS_S:
+        monkeypatch.setitem(client_connection.LIMITS_S, stage, 0.2)
 
 
 def callers(scene: World) -> int:
@@ -107,8 +107,8 @@
 def test_a_planned_end_does_not_wait_for_callers_that_neither_ask_nor_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for stage in frontend.LIMITS_S:
-        monkeypatch.setitem(frontend.LIMITS_S, stage, 1000.0)
+    for stage in client_connection.LIMITS_S:
+        monkeypatch.setitem(client_connection.LIMITS_S, stage, 1000.0)
     monkeypatch.setattr(node, "LONGEST_MS", 300.0)
     monkeypatch.setattr(node, "LAST_MS", 100.0)
 
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -11,9 +11,9 @@
 import pytest
 
 from orchidferry.balancing.interface import Result
+from orchidferry.node import client_connection, frontend, node, upstream, upstream_connection
 from orchidferry.node import flow as flow_module
-from orchidferry.node import frontend, node, upstream
-from orchidferry.node.upstream import Attempt
+from orchidferry.node.attempt import Attempt
 from tests.node.peers import LIMIT_S, Caller, Server, World, answer, request, run, until, world
 
 MB = 1024 * 1024
@@ -291,8 +291,8 @@
     how: str, tmp_path: Path, results: list[Result], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(frontend, "SWEEP_S", 0.02)
-    monkeypatch.setitem(frontend.LIMITS_S, frontend.Stage.READING, 0.3)
-    monkeypatch.setitem(frontend.LIMITS_S, frontend.Stage.NEW, 0.3)
+    monkeypatch.setitem(client_connection.LIMITS_S, client_connection.Stage.READING, 0.3)
+    monkeypatch.setitem(client_connection.LIMITS_S, client_connection.Stage.NEW, 0.3)
 
     async def test() -> None:
         server = LongServer()
@@ -316,7 +316,8 @@
 def test_a_server_that_takes_nothing_more_is_given_up(
     tmp_path: Path, results: list[Result], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "UPLOAD_STALL_S", 0.4)
+    for module in (upstream, upstream_connection):
+        monkeypatch.setattr(module, "UPLOAD_STALL_S", 0.4)
 
     async def test() -> None:
         server = LongServer()
--- a/tests/node/test_long_lists.py
+++ b/tests/node/test_long_lists.py
@@ -149,8 +149,8 @@
             finder = scene.node._discovery
             await until(lambda: bool(scene.registry.seen))
             finder._end_call()
-            finder._asking = finder._loop.create_task(
-                finder._read(
+            finder._call = finder._loop.create_task(
+                finder._read_in_steps(
                     json.dumps({"index": 9, "snapshot": True, "endpoints": listed(200)}).encode(), True
                 )
             )
--- a/tests/node/test_outcomes.py
+++ b/tests/node/test_outcomes.py
@@ -18,9 +18,12 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
 from orchidferry.node.address import Address
+from orchidferry.node.attempt import Attempt, UpstreamResponse
+from orchidferry.node.http1 import read_report
 from orchidferry.node.request import Message
 from orchidferry.node.timer_queue import TimerQueue
-from orchidferry.node.upstream import Attempt, Connection, Upstream, UpstreamResponse, read_report
+from orchidferry.node.upstream import Upstream
+from orchidferry.node.upstream_connection import Connection
 from tests.node.peers import CLOSE, HANG, LIMIT_S, RESET, Server, answer, run, until, world
 
 NOISE = b"\x00\xff not HTTP at all\r\n\r\n"
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -112,13 +112,13 @@
             async with world(tmp_path, server) as scene:
                 assert scene.node is not None
                 failed: list[str] = []
-                on_news = scene.node._discovery._news
+                on_news = scene.node._discovery._on_update
 
                 def note(news: ServerListing | None, why: str) -> None:
                     failed.append(why)
                     on_news(news, why)
 
-                scene.node._discovery._news = note
+                scene.node._discovery._on_update = note
                 scene.node._discovery.move(hung.getsockname())
                 await until(lambda: sum("can't connect" in why for why in failed) >= 2)
                 assert (await scene.ask("a")).status == 200
--- a/tests/testkit/broken_node.py
+++ b/tests/testkit/broken_node.py
@@ -11,8 +11,9 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
-from orchidferry.node import attempts, frontend, node
+from orchidferry.node import client_connection, node, pending_request
 from orchidferry.node import main as program
+from orchidferry.node import reply as reply_module
 from orchidferry.node.server_listing import ServerListing
 
 EVERY = 20  # of what can be spoilt, so often: most must go well for the run to go on
@@ -20,37 +21,39 @@
 
 def answers_twice() -> None:
     """Every so often an answer goes out twice."""
-    write = frontend.ClientConnection._write_reply
+    write = client_connection.ClientConnection._write_reply
     count = [0]
 
-    def spoilt(self: frontend.ClientConnection, reply: frontend.Reply) -> None:
+    def spoilt(self: client_connection.ClientConnection, reply: reply_module.Reply) -> None:
         count[0] += reply.status == 200
         if reply.status == 200 and count[0] % EVERY == 0:
-            self._transport.write(frontend.render(reply, False))
+            self._transport.write(reply_module.render(reply, False))
         write(self, reply)
 
-    frontend.ClientConnection._write_reply = spoilt  # type: ignore[method-assign]
+    client_connection.ClientConnection._write_reply = spoilt  # type: ignore[method-assign]
 
 
 def loses_answers() -> None:
     """Every so often an answer is not given at all."""
-    answer = frontend.ClientConnection._on_reply
+    answer = client_connection.ClientConnection._on_reply
     count = [0]
 
-    def spoilt(self: frontend.ClientConnection, reply: frontend.Reply) -> None:
+    def spoilt(self: client_connection.ClientConnection, reply: reply_module.Reply) -> None:
         count[0] += 1
         if count[0] % EVERY:
             answer(self, reply)
 
-    frontend.ClientConnection._on_reply = spoilt  # type: ignore[method-assign]
+    client_connection.ClientConnection._on_reply = spoilt  # type: ignore[method-assign]
 
 
 def makes_up_answers() -> None:
     """A failure is told as served."""
     finish = node.Node.finish
 
-    def spoilt(self: node.Node, request: attempts.PendingRequest | None, reply: frontend.Reply) -> None:
-        finish(self, request, frontend.Reply(200, b"all is well") if reply.status == 502 else reply)
+    def spoilt(
+        self: node.Node, request: pending_request.PendingRequest | None, reply: reply_module.Reply
+    ) -> None:
+        finish(self, request, reply_module.Reply(200, b"all is well") if reply.status == 502 else reply)
 
     node.Node.finish = spoilt  # type: ignore[method-assign]
 
@@ -103,7 +106,7 @@
     accept = node.Node.accept
     count = [0]
 
-    def spoilt(self: node.Node, *args: Any) -> attempts.PendingRequest:
+    def spoilt(self: node.Node, *args: Any) -> pending_request.PendingRequest:
         count[0] += 1
         if count[0] > EVERY:
             sys.stderr.write("ERROR a fault that nobody thought of\n")
