--- a/orchidferry/balancing/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -1,16 +1,15 @@
-"""How a version of the configuration is taken to a fleet: some nodes first, then more, or back. No I/O.
+"""How a version of the configuration is rolled out: to some nodes first, then to more, or back. No I/O.
 
     offering -> watching -> (offering the next wave ...) -> done
-        any of these -> undoing -> undone
+        any of these -> rolling back -> rolled back
 
-A wave is offered the version and must acknowledge it; then its nodes are watched beside those that have not
-got it. A refusal, a node that stays away or is not ready, or answers that fail more often than elsewhere
-take the version back from every node that was offered it. Evidence is counted, not assumed: with too few
-answers a wave waits, and goes back when its patience is up.
+A wave of nodes is offered the version and must acknowledge it; then its answers are compared with those of
+the nodes that do not have it. A refusal, a node that is unavailable, or answers that fail more often than
+elsewhere roll the version back on every node that was offered it. With too few answers a wave waits, and is
+rolled back after `MAX_WATCH_FACTOR` times the time to watch.
 
-The bound of Wilson (1927, "Probable inference, the law of succession, and statistical inference") is looked
-at again and again, so its level is set at 3.3 standard deviations: within some hundred looks at equal nodes
-one in twenty is wrong at the most, and one look in a thousand.
+The interval of `proportions` is tested again and again, so its level is 3.3 standard deviations: within some
+hundred tests of equal nodes at most one in twenty is wrong, and one test in a thousand.
 """
 
 from __future__ import annotations
@@ -19,36 +18,44 @@
 import math
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
-from enum import Enum
 
-LEVEL = 3.3  # standard deviations of the bounds
-MARGIN = 0.01  # a share of failures that is worse by less than this is let pass
-ACK_MS = 15_000.0  # for a node to acknowledge: applying takes milliseconds, a stream's way back up to 30 s
-AWAY_MS = 15_000.0  # that a node may be without a stream, or its door silent, before that counts against it
-PATIENCE = 3.0  # times the watch: how long too few answers are waited for
-LOOK_MS = 500.0
-
-
-class State(Enum):
-    """Where a rollout is."""
-
-    OFFERING = "offering"
-    WATCHING = "watching"
-    DONE = "done"
-    UNDOING = "undoing"
-    UNDONE = "undone"
+from orchidferry.balancing.proportions import is_worse
+from orchidferry.balancing.rollout_events import (
+    Abort,
+    Accept,
+    Action,
+    Event,
+    NodeAnswered,
+    NodeMetrics,
+    NodeObserved,
+    Offer,
+    Report,
+    Start,
+    State,
+    StreamsChanged,
+    Tick,
+    Withdraw,
+)
+
+ACKNOWLEDGE_TIMEOUT_MS = 15_000.0  # applying takes milliseconds, opening a stream again up to 30 s
+UNAVAILABLE_TIMEOUT_MS = 15_000.0  # that a node may be without a stream or not ready
+MAX_WATCH_FACTOR = 3.0  # times the time to watch: how long too few answers are waited for
+TICK_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What the operator asks for. `ValueError` names the field that can't be."""
+    """What the operator asks for.
+
+    :raises ValueError: a value is out of range; the text names it
+    """
 
     version: str
     first: int  # nodes of the first wave
-    widen: float = 4.0  # each wave has so many times the nodes of all before it
+    widen: float = 4.0  # each wave has so many times the nodes of all waves before it
     watch_ms: float = 10_000.0  # each wave is watched for so long at least
-    least: int = 20  # answers of a wave, at least, before it says anything; 0: none are needed
-    doors: bool = True  # whether nodes' figures can be had; without them only acknowledgements count
+    min_answers: int = 20  # of a wave before its failures are judged; 0: none are needed
+    has_metrics: bool = True  # whether nodes' metrics are known; without them only acknowledgements count
 
     def __post_init__(self) -> None:
         if self.first < 1:
@@ -57,128 +64,19 @@
             raise ValueError(f"widen {self.widen:g}: not within 1 and 1000000")
         if not 0.0 <= self.watch_ms <= 86_400_000.0:
             raise ValueError(f"watch {self.watch_ms / 1000.0:g} s: not within 0 and 86400")
-        if self.least < 0:
-            raise ValueError(f"least {self.least}: is negative")
-
-
-@dataclass(frozen=True, slots=True)
-class Reading:
-    """A node's figures: whether it is ready, and all answers since its start, as its door tells them."""
-
-    ready: bool
-    good: int
-    failed: int
+        if self.min_answers < 0:
+            raise ValueError(f"least {self.min_answers}: is negative")
 
 
-# Events
-
-
-@dataclass(frozen=True, slots=True)
-class Begin:
-    """Go; with the nodes that have a stream."""
-
-    nodes: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Said:
-    """A node's word of a version: '' for an acknowledgement, else why it refused."""
-
-    node: str
-    version: str
-    reason: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Streams:
-    """The nodes that have a stream now."""
-
-    nodes: frozenset[str]
-
-
-@dataclass(frozen=True, slots=True)
-class Seen:
-    """What a node's door said; None: nothing."""
-
-    node: str
-    reading: Reading | None
-
-
-@dataclass(frozen=True, slots=True)
-class Look:
-    """Some time has passed."""
-
-
-@dataclass(frozen=True, slots=True)
-class GoBack:
-    """Whoever pushed wants it back, or has gone."""
-
-    reason: str
-
-
-Event = Begin | Said | Streams | Seen | Look | GoBack
-
-
-# Actions
-
-
-@dataclass(frozen=True, slots=True)
-class Offer:
-    """Give these nodes the version."""
-
-    nodes: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Accept:
-    """It is every node's from now on, those included that come later."""
-
-
-@dataclass(frozen=True, slots=True)
-class Withdraw:
-    """Give these nodes back what they had."""
-
-    nodes: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Report:
-    """A line for whoever pushed."""
-
-    state: State
-    text: str
-
-
-Action = Offer | Accept | Withdraw | Report
-
-
-def bounds(failed: int, total: int, level: float = LEVEL) -> tuple[float, float]:
-    """Wilson's interval of a share, in [0, 1]; (0, 1) without any evidence."""
-    if total <= 0:
-        return 0.0, 1.0
-    p = failed / total
-    z2 = level * level
-    middle = p + z2 / (2.0 * total)
-    half = level * math.sqrt(p * (1.0 - p) / total + z2 / (4.0 * total**2))
-    low = (middle - half) / (1.0 + z2 / total)
-    high = (middle + half) / (1.0 + z2 / total)
-    return max(0.0, min(low, p)), min(1.0, max(high, p))  # rounding aside
-
-
-def worse(here: tuple[int, int], there: tuple[int, int]) -> bool:
-    """Whether (failed, total) here is surely a larger share than there, by more than `MARGIN`."""
-    return bounds(*here)[0] > bounds(*there)[1] + MARGIN
-
-
-def order(nodes: Iterable[str], version: str) -> list[str]:
-    """The nodes in the order in which they get a version: each version has one of its own."""
+def node_order(nodes: Iterable[str], version: str) -> list[str]:
+    """The nodes in the order in which they get a version; each version has an order of its own."""
     return sorted(
         nodes, key=lambda node: hashlib.blake2b(f"{version}\0{node}".encode(), digest_size=8).digest()
     )
 
 
-def waves(count: int, plan: Plan) -> list[int]:
-    """How many nodes each wave adds, of so many in all."""
+def wave_sizes(count: int, plan: Plan) -> list[int]:
+    """How many nodes each wave adds, of `count` in all."""
     sizes = []
     done = 0
     while done < count:
@@ -193,224 +91,240 @@
 class _Node:
     offered: bool = False
     acknowledged: bool = False
-    back: bool = False  # has acknowledged what it had before, after a withdrawal
-    lost_ms: float | None = None  # since when it has no stream
-    silent_ms: float | None = None  # since when its door says nothing, or that it is not ready
-    newest: Reading | None = None
-    base: Reading | None = None  # when its wave was begun to be watched, or at its restart since
-    counted: list[int] = field(default_factory=lambda: [0, 0])  # failed, all: of before a restart
+    restored: bool = False  # has acknowledged the version before, after a withdrawal
+    disconnected_ms: float | None = None  # since when it has no stream
+    not_ready_ms: float | None = None  # since when it is not ready, or its metrics can't be had
+    latest: NodeMetrics | None = None
+    baseline: NodeMetrics | None = None  # at the begin of the watch, or at its restart since
+    before_restart: list[int] = field(default_factory=lambda: [0, 0])  # failed, all: of before a restart
 
 
 class Rollout:
-    """One version's way; feed it events, do what it says."""
+    """One rollout: hand in events, carry out the actions that it returns."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.state = State.OFFERING
-        self.reason = ""  # why it was taken back
+        self.reason = ""  # why it was rolled back
         self._nodes: dict[str, _Node] = {}
-        self._left: list[str] = []  # in their order, those that no wave has reached
-        self._sizes: list[int] = []
+        self._remaining: list[str] = []  # nodes that no wave has reached, in order
+        self._wave_sizes: list[int] = []
         self._wave: tuple[str, ...] = ()
-        self._number = 0
-        self._since_ms = 0.0  # this state's begin
+        self._wave_number = 0
+        self._state_since_ms = 0.0  # this state's begin
         self._history = (0, 0)  # failed, all: the whole fleet's before the first wave
         self._actions: list[Action] = []
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more is to be done."""
-        return self.state in (State.DONE, State.UNDONE)
+    def ended(self) -> bool:
+        """Whether it is done or rolled back."""
+        return self.state in (State.DONE, State.ROLLED_BACK)
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take one event; what to do about it."""
+        """Take one event; the actions that follow from it, in order."""
         self._actions = []
-        if self.over:
+        if self.ended:
             return []
         match event:
-            case Begin():
-                self._on_begin(event, now_ms)
-            case Said():
-                self._on_said(event, now_ms)
-            case Streams():
-                self._on_streams(event, now_ms)
-            case Seen():
-                self._on_seen(event, now_ms)
-            case Look():
-                self._look(now_ms)
-            case GoBack():
-                self._go_back(event.reason, now_ms)
+            case Start():
+                self._on_start(event, now_ms)
+            case NodeAnswered():
+                self._on_answer(event, now_ms)
+            case StreamsChanged():
+                self._on_streams_changed(event, now_ms)
+            case NodeObserved():
+                self._on_observed(event, now_ms)
+            case Tick():
+                self._check(now_ms)
+            case Abort():
+                self._roll_back(event.reason, now_ms)
         return self._actions
 
     def status(self) -> dict[str, object]:
-        """For operators."""
+        """The state for operators."""
         offered = [name for name, node in self._nodes.items() if node.offered]
         return {
             "version": self.plan.version,
             "state": self.state.value,
             "reason": self.reason,
-            "wave": self._number,
-            "waves": len(self._sizes),
+            "wave": self._wave_number,
+            "wave_sizes": len(self._wave_sizes),
             "offered": sorted(offered),
             "acknowledged": sorted(name for name in offered if self._nodes[name].acknowledged),
-            "waiting": len(self._left),
+            "waiting": len(self._remaining),
         }
 
     def _report(self, text: str) -> None:
         self._actions.append(Report(self.state, text))
 
-    def _on_begin(self, event: Begin, now: float) -> None:
-        self._left = order(event.nodes, self.plan.version)
-        for name in self._left:
+    def _on_start(self, event: Start, now: float) -> None:
+        self._remaining = node_order(event.nodes, self.plan.version)
+        for name in self._remaining:
             self._nodes.setdefault(name, _Node())
-        self._sizes = waves(len(self._left), self.plan)
-        if not self._left:
-            return self._go_back("no node has a stream", now)
-        readings = [node.newest for node in self._nodes.values() if node.newest is not None]
-        self._history = sum(r.failed for r in readings), sum(r.good + r.failed for r in readings)
-        if not self.plan.doors:
+        self._wave_sizes = wave_sizes(len(self._remaining), self.plan)
+        if not self._remaining:
+            return self._roll_back("no node has a stream", now)
+        all_metrics = [node.latest for node in self._nodes.values() if node.latest is not None]
+        self._history = sum(r.failed for r in all_metrics), sum(r.good + r.failed for r in all_metrics)
+        if not self.plan.has_metrics:
             self._report("no doors are given: only acknowledgements and streams are looked at")
         self._next_wave(now)
 
     def _next_wave(self, now: float) -> None:
-        if not self._left:
+        if not self._remaining:
             self.state = State.DONE
             self._actions.append(Accept())
             return self._report(f"{self.plan.version} is on all {len(self._nodes)} nodes")
-        size = self._sizes[self._number]
-        self._wave = tuple(self._left[:size])
-        self._left = self._left[size:]
-        self._number += 1
+        size = self._wave_sizes[self._wave_number]
+        self._wave = tuple(self._remaining[:size])
+        self._remaining = self._remaining[size:]
+        self._wave_number += 1
         self.state = State.OFFERING
-        self._since_ms = now
+        self._state_since_ms = now
         for name in self._wave:
             self._nodes[name].offered = True
         self._actions.append(Offer(self._wave))
         self._report(
-            f"wave {self._number} of {len(self._sizes)}: offered to {len(self._wave)} nodes "
+            f"wave {self._wave_number} of {len(self._wave_sizes)}: offered to {len(self._wave)} nodes "
             f"({', '.join(self._wave[:5])}{', ...' if len(self._wave) > 5 else ''})"
         )
 
-    def _on_said(self, event: Said, now: float) -> None:
+    def _on_answer(self, event: NodeAnswered, now: float) -> None:
         node = self._nodes.get(event.node)
         if node is None or not node.offered:
             return
-        if self.state is State.UNDOING:
+        if self.state is State.ROLLING_BACK:
             if event.version != self.plan.version:
-                node.back = True
-                self._look_undone(now)
+                node.restored = True
+                self._check_rolled_back(now)
             return
         if event.version != self.plan.version:
             return
         if event.reason:
-            return self._go_back(f"{event.node} refused it: {event.reason}", now)
+            return self._roll_back(f"{event.node} refused it: {event.reason}", now)
         node.acknowledged = True
-        self._look(now)
+        self._check(now)
 
-    def _on_streams(self, event: Streams, now: float) -> None:
+    def _on_streams_changed(self, event: StreamsChanged, now: float) -> None:
         for name, node in self._nodes.items():
             if name in event.nodes:
-                node.lost_ms = None
-            elif node.lost_ms is None:
-                node.lost_ms = now
+                node.disconnected_ms = None
+            elif node.disconnected_ms is None:
+                node.disconnected_ms = now
 
-    def _on_seen(self, event: Seen, now: float) -> None:
+    def _on_observed(self, event: NodeObserved, now: float) -> None:
         node = self._nodes.setdefault(event.node, _Node())
-        reading = event.reading
-        if reading is None or not reading.ready:
-            node.silent_ms = now if node.silent_ms is None else node.silent_ms
+        metrics = event.metrics
+        if metrics is None or not metrics.ready:
+            node.not_ready_ms = now if node.not_ready_ms is None else node.not_ready_ms
         else:
-            node.silent_ms = None
-        if reading is None:
+            node.not_ready_ms = None
+        if metrics is None:
             return
-        last = node.newest
-        if last is not None and reading.good + reading.failed < last.good + last.failed and node.base:
-            node.counted[0] += last.failed - node.base.failed  # it was started again, and counts from 0
-            node.counted[1] += last.good + last.failed - node.base.good - node.base.failed
-            node.base = Reading(True, 0, 0)
-        node.newest = reading
-
-    def _since(self, names: Iterable[str]) -> tuple[int, int]:
-        """Failed and all answers of these nodes since the wave is watched."""
+        previous = node.latest
+        if (
+            previous is not None
+            and metrics.good + metrics.failed < previous.good + previous.failed
+            and node.baseline
+        ):
+            node.before_restart[0] += (
+                previous.failed - node.baseline.failed
+            )  # it was restarted: its counts begin at 0
+            node.before_restart[1] += (
+                previous.good + previous.failed - node.baseline.good - node.baseline.failed
+            )
+            node.baseline = NodeMetrics(True, 0, 0)
+        node.latest = metrics
+
+    def _answers_since(self, names: Iterable[str]) -> tuple[int, int]:
+        """Failed and all answers of these nodes since the begin of the watch."""
         failed = total = 0
         for name in names:
             node = self._nodes[name]
-            failed = failed + node.counted[0]
-            total = total + node.counted[1]
-            if node.newest is not None and node.base is not None:
-                failed += node.newest.failed - node.base.failed
-                total += node.newest.good + node.newest.failed - node.base.good - node.base.failed
+            failed = failed + node.before_restart[0]
+            total = total + node.before_restart[1]
+            if node.latest is not None and node.baseline is not None:
+                failed += node.latest.failed - node.baseline.failed
+                total += node.latest.good + node.latest.failed - node.baseline.good - node.baseline.failed
         return failed, total
 
-    def _look(self, now: float) -> None:
-        if self.state is State.UNDOING:
-            return self._look_undone(now)
+    def _check(self, now: float) -> None:
+        if self.state is State.ROLLING_BACK:
+            return self._check_rolled_back(now)
         offered = [name for name, node in self._nodes.items() if node.offered]
+        if reason := self._unavailable(offered, now):
+            return self._roll_back(reason, now)
+        if self.state is State.WATCHING:
+            return self._watch(offered, now)
+        unacknowledged = [name for name in self._wave if not self._nodes[name].acknowledged]
+        if not unacknowledged:
+            return self._start_watching(now)
+        if now - self._state_since_ms >= ACKNOWLEDGE_TIMEOUT_MS:
+            limit_s = ACKNOWLEDGE_TIMEOUT_MS / 1000.0
+            self._roll_back(f"{unacknowledged[0]} said nothing of it within {limit_s:g} s", now)
+
+    def _unavailable(self, offered: Sequence[str], now: float) -> str:
+        """Which node has been without a stream or not ready for too long, or ""."""
         for name in offered:
             node = self._nodes[name]
-            if node.lost_ms is not None and now - node.lost_ms >= AWAY_MS:
-                return self._go_back(f"{name} has had no stream for {AWAY_MS / 1000.0:g} s", now)
-            late = node.silent_ms is not None and now - node.silent_ms >= AWAY_MS
-            if self.plan.doors and node.acknowledged and late:
-                return self._go_back(f"{name} is not ready, or its door silent", now)
-        if self.state is State.OFFERING:
-            missing = [name for name in self._wave if not self._nodes[name].acknowledged]
-            if not missing:
-                return self._begin_watch(now)
-            if now - self._since_ms >= ACK_MS:
-                self._go_back(f"{missing[0]} said nothing of it within {ACK_MS / 1000.0:g} s", now)
-            return
-        self._watch(offered, now)
-
-    def _begin_watch(self, now: float) -> None:
+            if node.disconnected_ms is not None and now - node.disconnected_ms >= UNAVAILABLE_TIMEOUT_MS:
+                return f"{name} has had no stream for {UNAVAILABLE_TIMEOUT_MS / 1000.0:g} s"
+            late = node.not_ready_ms is not None and now - node.not_ready_ms >= UNAVAILABLE_TIMEOUT_MS
+            if self.plan.has_metrics and node.acknowledged and late:
+                return f"{name} is not ready, or its door silent"
+        return ""
+
+    def _start_watching(self, now: float) -> None:
         self.state = State.WATCHING
-        self._since_ms = now
+        self._state_since_ms = now
         for node in self._nodes.values():
-            node.base = node.newest
-            node.counted = [0, 0]
-        self._report(f"wave {self._number}: acknowledged, watched for {self.plan.watch_ms / 1000.0:g} s")
+            node.baseline = node.latest
+            node.before_restart = [0, 0]
+        self._report(f"wave {self._wave_number}: acknowledged, watched for {self.plan.watch_ms / 1000.0:g} s")
         self._watch([name for name, node in self._nodes.items() if node.offered], now)
 
     def _watch(self, offered: Sequence[str], now: float) -> None:
-        passed = now - self._since_ms
-        if self.plan.doors:
-            for name in offered:  # a door that could first be heard after the watch had begun
+        passed = now - self._state_since_ms
+        if self.plan.has_metrics:
+            for name in offered:  # its metrics were first had after the watch began
                 node = self._nodes[name]
-                if node.base is None:
-                    node.base = node.newest
-            here = self._since(offered)
+                if node.baseline is None:
+                    node.baseline = node.latest
+            offered_answers = self._answers_since(offered)
             others = [name for name, node in self._nodes.items() if not node.offered]
-            there = self._since(others) if others else self._history
-            # Elsewhere nothing is known: what is usual there is then what the fleet had before.
-            if there[1] < max(1, self.plan.least):
-                there = self._history
-            if there[1] and worse(here, there):
-                return self._go_back(
-                    f"{here[0]} of {here[1]} answers failed, and {there[0]} of {there[1]} without it", now
-                )
-            if here[1] < self.plan.least:
-                if passed >= max(self.plan.watch_ms, LOOK_MS) * PATIENCE:
-                    self._go_back(f"too few answers to tell: {here[1]} of {self.plan.least}", now)
+            other_answers = self._answers_since(others) if others else self._history
+            # Of the others nothing is known: the baseline is what the fleet had before.
+            if other_answers[1] < max(1, self.plan.min_answers):
+                other_answers = self._history
+            if other_answers[1] and is_worse(offered_answers, other_answers):
+                reason = f"{offered_answers[0]} of {offered_answers[1]} answers failed"
+                reason += f", and {other_answers[0]} of {other_answers[1]} without it"
+                return self._roll_back(reason, now)
+            if offered_answers[1] < self.plan.min_answers:
+                if passed >= max(self.plan.watch_ms, TICK_MS) * MAX_WATCH_FACTOR:
+                    self._roll_back(
+                        f"too few answers to tell: {offered_answers[1]} of {self.plan.min_answers}", now
+                    )
                 return
         if passed >= self.plan.watch_ms:
             self._next_wave(now)
 
-    def _go_back(self, reason: str, now: float) -> None:
-        if self.state is State.UNDOING:
+    def _roll_back(self, reason: str, now: float) -> None:
+        if self.state is State.ROLLING_BACK:
             return
         self.reason = reason
-        self.state = State.UNDOING
-        self._since_ms = now
+        self.state = State.ROLLING_BACK
+        self._state_since_ms = now
         offered = tuple(name for name, node in self._nodes.items() if node.offered)
         self._report(f"taken back: {reason}")
         if offered:
             self._actions.append(Withdraw(offered))
-        self._look_undone(now)
+        self._check_rolled_back(now)
 
-    def _look_undone(self, now: float) -> None:
-        out = [name for name, node in self._nodes.items() if node.offered and not node.back]
-        if out and now - self._since_ms < ACK_MS:
+    def _check_rolled_back(self, now: float) -> None:
+        missing = [name for name, node in self._nodes.items() if node.offered and not node.restored]
+        if missing and now - self._state_since_ms < ACKNOWLEDGE_TIMEOUT_MS:
             return
-        self.state = State.UNDONE
-        away = f"; {len(out)} did not say so yet, such as {out[0]}" if out else ""
-        self._report(f"all nodes were given back what they had{away}")
+        self.state = State.ROLLED_BACK
+        suffix = f"; {len(missing)} did not say so yet, such as {missing[0]}" if missing else ""
+        self._report(f"all nodes were given back what they had{suffix}")
--- a/orchidferry/balancing/settings.py
+++ b/orchidferry/balancing/settings.py
@@ -1,6 +1,6 @@
-"""Reading settings: JSON objects checked field by field, and the start-up settings in full.
+"""Reading settings: checked access to JSON objects, and the start-up settings of a node.
 
-Shared by the simulator's adapter and the real node, which find the same object in different places.
+Used by the simulator's adapter and by the node in service, which find the same object in different places.
 """
 
 from __future__ import annotations
@@ -28,10 +28,14 @@
 
 
 class SettingsFormatError(OrchidferryError):
-    """Input that does not follow the wire."""
+    """Input that does not follow its format; the text names the key."""
 
 
 def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
+    """A value of a type that must be there, finite if it is a number.
+
+    :raises SettingsFormatError: it is missing or of another type
+    """
     try:
         value = obj[key]
     except KeyError:
@@ -44,10 +48,12 @@
 
 
 def opt(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
+    """A value of a type, or the default where it is missing or null."""
     return default if obj.get(key) is None else get(obj, key, kind)
 
 
 def word(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
+    """What one of some fixed values stands for."""
     value = get(obj, key, kind)
     if value not in words:
         raise SettingsFormatError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
@@ -55,33 +61,23 @@
 
 
 def objects(obj: Json, key: str) -> list[Json]:
+    """An array of objects that must be there."""
     values: list[Json] = get(obj, key, list)
-    for n, value in enumerate(values):
+    for index, value in enumerate(values):
         if not isinstance(value, dict):
-            raise SettingsFormatError(f"{key}[{n}] must be an object, not {value!r:.60}")
+            raise SettingsFormatError(f"{key}[{index}] must be an object, not {value!r:.60}")
     return values
 
 
 def read_settings(env: Json) -> api.Settings:
-    """Turn the wire's start-up settings into the module's; unknown keys are ignored."""
-    classes = [
-        api.RequestClass(
-            name=get(c, "name", str),
-            aim_ms=get(c, "objective_ms", NUMBER),
-            deadline_ms=get(c, "give_up_ms", NUMBER),
-            worth=opt(c, "importance", NUMBER, 1.0),
-            late_worth=opt(c, "late_worth", NUMBER, 0.0),
-            repeat=word(c, "semantics", REPEATS),
-            group=word(c, "dedup_scope", GROUPS) if c.get("semantics") == "dedup" else api.Group.ALL,
-            window_ms=get(c, "window_ms", NUMBER) if c.get("semantics") == "dedup" else 0.0,
-        )
-        for c in objects(env, "classes")
-    ]
-    tenants = [
-        api.Tenant(get(t, "name", str), opt(t, "fraction", NUMBER, 0.0), opt(t, "quota_per_s", NUMBER, 0.0))
-        for t in (objects(env, "tenants") if env.get("tenants") else [])
-    ]
-    allow = get(env, "permissions", dict)
+    """Translate the start-up settings of the wire; unknown keys are ignored.
+
+    :raises SettingsFormatError: a key is missing or has a value of another type
+    :raises ValueError: a value is out of range
+    """
+    classes = [_read_class(obj) for obj in objects(env, "classes")]
+    tenants = [_read_tenant(obj) for obj in (objects(env, "tenants") if env.get("tenants") else [])]
+    permissions = get(env, "permissions", dict)
     rules = get(env, "rules", dict)
     prices = opt(env, "prices", dict, {})
     worst = opt(opt(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
@@ -98,25 +94,60 @@
         passes_deadline=opt(opt(env, "family_info", dict, {}), "passes_deadline", bool, False),
         follow_list=get(env, "membership_mode", str) == "on_request",
         ask_every_ms=get(rules, "ask_every_ms", NUMBER),
-        max_attempts=get(allow, "max_attempts", int),
-        parallel_attempts=opt(allow, "parallel_tries", bool, False),
-        can_cancel=opt(allow, "may_cancel", bool, False),
-        max_retry_after_ms=(
-            opt(allow, "max_retry_after_ms", NUMBER, 0.0) if opt(allow, "retry_after", bool, False) else 0.0
-        ),
-        connect_timeout_ms=get(allow, "connect_timeout_ms", NUMBER),
-        keepalive_ms=opt(allow, "keepalive_ms", NUMBER, 30_000.0),
+        **_read_permissions(permissions),
         tick_ms=opt(env, "quantum_ms", NUMBER, 0.0),
-        answer_slack_ms=opt(rules, "answer_slack_ms", NUMBER, 0.0),
-        drain_grace_ms=get(rules, "stop_sending_within_ms", NUMBER),
-        start_capacity=get(rules, "start_capacity", NUMBER),
-        ramp_time_ms=get(rules, "ramp_time_ms", NUMBER),
-        overload_factor=get(rules, "overload_factor", NUMBER),
-        overload_for_ms=get(rules, "overload_for_ms", NUMBER),
-        repeat_ratio=opt(rules, "repeat_ratio", NUMBER, None),
-        extra_floor=opt(rules, "extra_floor", NUMBER, 0.0),
-        resend_span_ms=opt(rules, "resend_span_ms", NUMBER, 0.0),
-        full_may_have_run=opt(rules, "full_may_have_run", bool, False),
+        **_read_rules(rules),
         cross_zone_price=opt(prices, "cross_zone", NUMBER, 0.0),
         handshake_price=opt(prices, "handshake", NUMBER, 0.0),
     )
+
+
+def _read_class(obj: Json) -> api.RequestClass:
+    keyed = obj.get("semantics") == "dedup"
+    return api.RequestClass(
+        name=get(obj, "name", str),
+        aim_ms=get(obj, "objective_ms", NUMBER),
+        deadline_ms=get(obj, "give_up_ms", NUMBER),
+        worth=opt(obj, "importance", NUMBER, 1.0),
+        late_worth=opt(obj, "late_worth", NUMBER, 0.0),
+        repeat=word(obj, "semantics", REPEATS),
+        group=word(obj, "dedup_scope", GROUPS) if keyed else api.Group.ALL,
+        window_ms=get(obj, "window_ms", NUMBER) if keyed else 0.0,
+    )
+
+
+def _read_tenant(obj: Json) -> api.Tenant:
+    name = get(obj, "name", str)
+    return api.Tenant(name, opt(obj, "fraction", NUMBER, 0.0), opt(obj, "quota_per_s", NUMBER, 0.0))
+
+
+def _read_permissions(permissions: Json) -> Json:
+    """The fields of the settings that say what a node may do."""
+    return {
+        "max_attempts": get(permissions, "max_attempts", int),
+        "parallel_attempts": opt(permissions, "parallel_tries", bool, False),
+        "can_cancel": opt(permissions, "may_cancel", bool, False),
+        "max_retry_after_ms": (
+            opt(permissions, "max_retry_after_ms", NUMBER, 0.0)
+            if opt(permissions, "retry_after", bool, False)
+            else 0.0
+        ),
+        "connect_timeout_ms": get(permissions, "connect_timeout_ms", NUMBER),
+        "keepalive_ms": opt(permissions, "keepalive_ms", NUMBER, 30_000.0),
+    }
+
+
+def _read_rules(rules: Json) -> Json:
+    """The fields of the settings that say what a node must keep to."""
+    return {
+        "answer_slack_ms": opt(rules, "answer_slack_ms", NUMBER, 0.0),
+        "drain_grace_ms": get(rules, "stop_sending_within_ms", NUMBER),
+        "start_capacity": get(rules, "start_capacity", NUMBER),
+        "ramp_time_ms": get(rules, "ramp_time_ms", NUMBER),
+        "overload_factor": get(rules, "overload_factor", NUMBER),
+        "overload_for_ms": get(rules, "overload_for_ms", NUMBER),
+        "repeat_ratio": opt(rules, "repeat_ratio", NUMBER, None),
+        "extra_floor": opt(rules, "extra_floor", NUMBER, 0.0),
+        "resend_span_ms": opt(rules, "resend_span_ms", NUMBER, 0.0),
+        "full_may_have_run": opt(rules, "full_may_have_run", bool, False),
+    }
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -16,21 +16,19 @@
 
 import grpc
 
-from orchidferry.balancing.rollout import (
-    LOOK_MS,
+from orchidferry.balancing.rollout import TICK_MS, Plan, Rollout
+from orchidferry.balancing.rollout_events import (
+    Abort,
     Accept,
-    Begin,
-    GoBack,
-    Look,
+    NodeAnswered,
+    NodeMetrics,
+    NodeObserved,
     Offer,
-    Plan,
-    Reading,
     Report,
-    Rollout,
-    Said,
-    Seen,
+    Start,
     State,
-    Streams,
+    StreamsChanged,
+    Tick,
     Withdraw,
 )
 from orchidferry.balancing.settings import SettingsFormatError, get, opt
@@ -70,7 +68,7 @@
     return found
 
 
-async def read_door(where: Address) -> tuple[str, Reading | None]:
+async def read_door(where: Address) -> tuple[str, NodeMetrics | None]:
     """A node's name and figures, as its door tells them; ('', None) if it says nothing that can be read."""
 
     async def page(target: str) -> tuple[int, bytes]:
@@ -92,7 +90,7 @@
         if key.startswith("node.calls.") and value.isdigit():
             good += int(value) if key.endswith(".success") else 0
             failed += int(value) if key.endswith((".failure", ".busy")) else 0
-    return name, Reading(ready == 200, good, failed)
+    return name, NodeMetrics(ready == 200, good, failed)
 
 
 class RolloutService:
@@ -132,7 +130,7 @@
         except (VersionFileError, SettingsFormatError, ValueError, AttributeError, TypeError) as problem:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(problem)[:500])
             return
-        if self.rollout is not None and not self.rollout.over:
+        if self.rollout is not None and not self.rollout.ended:
             busy = f"a push of {self.rollout.plan.version} is on"
             await context.abort(grpc.StatusCode.FAILED_PRECONDITION, busy)
         rollout = self.rollout = Rollout(plan)
@@ -140,11 +138,11 @@
         self._lines = asyncio.Queue(MAX_LINES)
         looking = asyncio.get_running_loop().create_task(self._look(rollout, doors))
         try:
-            while not rollout.over or not self._lines.empty():
+            while not rollout.ended or not self._lines.empty():
                 yield await self._lines.get()
         finally:
-            if not rollout.over:  # whoever pushed has gone: nobody would see how it goes on
-                self._do(rollout, GoBack("whoever pushed it has gone"))
+            if not rollout.ended:  # whoever pushed has gone: nobody would see how it goes on
+                self._do(rollout, Abort("whoever pushed it has gone"))
             else:
                 looking.cancel()
 
@@ -187,22 +185,22 @@
                 name, reading = await read_door(where)
             names[where] = name or names.get(where, "")
             if names[where]:
-                self._do(rollout, Seen(names[where], reading))
+                self._do(rollout, NodeObserved(names[where], reading))
 
         await asyncio.gather(*(read(where) for where in doors))
         unknown = [f"{at[0]}:{at[1]}" for at in doors if not names.get(at)]
         if unknown:
             self._tell(rollout.state, f"{len(unknown)} doors say nothing, such as {unknown[0]}")
-        self._do(rollout, Begin(self._affected()))
-        while not rollout.over:
-            await asyncio.sleep(LOOK_MS / 1000.0)
-            self._do(rollout, Streams(frozenset(line.node for line in self._service.lines)))
+        self._do(rollout, Start(self._affected()))
+        while not rollout.ended:
+            await asyncio.sleep(TICK_MS / 1000.0)
+            self._do(rollout, StreamsChanged(frozenset(line.node for line in self._service.lines)))
             await asyncio.gather(*(read(where) for where in doors))
-            self._do(rollout, Look())
+            self._do(rollout, Tick())
 
     def _on_word(self, word: Word) -> None:
         if self.rollout is not None and word.label:
-            self._do(self.rollout, Said(word.node, word.label, word.reason))
+            self._do(self.rollout, NodeAnswered(word.node, word.label, word.reason))
 
     def _tell(self, state: State, text: str) -> None:
         with contextlib.suppress(asyncio.QueueFull):  # nobody reads any more
--- a/tests/balancing/test_rollout.py
+++ b/tests/balancing/test_rollout.py
@@ -8,8 +8,11 @@
 import pytest
 from hypothesis import given, settings, strategies
 
+from orchidferry.balancing import proportions
 from orchidferry.balancing import rollout as r
-from orchidferry.balancing.rollout import Accept, Offer, Plan, Reading, Report, Rollout, State, Withdraw
+from orchidferry.balancing import rollout_events as events
+from orchidferry.balancing.rollout import Plan, Rollout
+from orchidferry.balancing.rollout_events import Accept, NodeMetrics, Offer, Report, State, Withdraw
 
 NODES = tuple(f"n{at}" for at in range(10))
 
@@ -30,9 +33,9 @@
         self.reports: list[str] = []
         self.totals = {node: list(self.history) for node in NODES}
         self.see()
-        self.do(r.Begin(NODES))
+        self.do(events.Start(NODES))
 
-    def do(self, event: r.Event, after_ms: float = 0.0) -> None:
+    def do(self, event: events.Event, after_ms: float = 0.0) -> None:
         self.now += after_ms
         for action in self.rollout.handle(event, self.now):
             match action:
@@ -47,11 +50,11 @@
 
     def see(self, ready: bool = True, silent: tuple[str, ...] = ()) -> None:
         for node, (good, failed) in self.totals.items():
-            self.do(r.Seen(node, None if node in silent else Reading(ready, good, failed)))
+            self.do(events.NodeObserved(node, None if node in silent else NodeMetrics(ready, good, failed)))
 
     def say(self, *nodes: str, version: str = "v2", reason: str = "") -> None:
         for node in nodes:
-            self.do(r.Said(node, version, reason))
+            self.do(events.NodeAnswered(node, version, reason))
 
     def serve(self, nodes: Any, good: int, failed: int) -> None:
         for node in nodes:
@@ -63,20 +66,20 @@
         """Acknowledged and watched, with such answers everywhere."""
         self.say(*self.offered)
         self.serve(NODES, good, failed)
-        self.do(r.Look(), 1000.0)
+        self.do(events.Tick(), 1000.0)
 
 
 def test_a_sound_version_goes_on_in_waves_to_every_node() -> None:
     scene = Scene()
     sizes = []
-    while not scene.rollout.over:
+    while not scene.rollout.ended:
         sizes.append(len(scene.offered))
         scene.wave()
     assert sizes == [1, 5, 10] and sorted(scene.offered) == sorted(NODES)
     assert (scene.rollout.state, scene.accepted, scene.back) == (State.DONE, 1, [])
-    assert r.waves(1000, Plan("v", 3, widen=9.0)) == [3, 27, 270, 700]
-    assert r.order(NODES, "v2") == r.order(reversed(NODES), "v2") != r.order(NODES, "v3")
-    assert scene.rollout.handle(r.Said(NODES[0], "v2", "too late"), 0.0) == []
+    assert r.wave_sizes(1000, Plan("v", 3, widen=9.0)) == [3, 27, 270, 700]
+    assert r.node_order(NODES, "v2") == r.node_order(reversed(NODES), "v2") != r.node_order(NODES, "v3")
+    assert scene.rollout.handle(events.NodeAnswered(NODES[0], "v2", "too late"), 0.0) == []
 
 
 def refused(s: Scene) -> None:
@@ -89,32 +92,32 @@
 
 
 def never_acknowledged(s: Scene) -> None:
-    s.do(r.Look(), r.ACK_MS)
+    s.do(events.Tick(), r.ACKNOWLEDGE_TIMEOUT_MS)
 
 
 def stream_lost(s: Scene) -> None:
     s.say(*s.offered)
-    s.do(r.Streams(frozenset(NODES) - set(s.offered)))
-    s.do(r.Look(), r.AWAY_MS)
+    s.do(events.StreamsChanged(frozenset(NODES) - set(s.offered)))
+    s.do(events.Tick(), r.UNAVAILABLE_TIMEOUT_MS)
 
 
 def not_ready(s: Scene) -> None:
     s.say(*s.offered)
     s.see(ready=False)
-    s.do(r.Look(), r.AWAY_MS)
+    s.do(events.Tick(), r.UNAVAILABLE_TIMEOUT_MS)
 
 
 def door_silent(s: Scene) -> None:
     s.say(*s.offered)
     s.see(silent=tuple(s.offered))
-    s.do(r.Look(), r.AWAY_MS)
+    s.do(events.Tick(), r.UNAVAILABLE_TIMEOUT_MS)
 
 
 def fails_more(s: Scene) -> None:
     s.say(*s.offered)
     s.serve(s.offered, 30, 20)
     s.serve(set(NODES) - set(s.offered), 50, 0)
-    s.do(r.Look(), 10.0)
+    s.do(events.Tick(), 10.0)
 
 
 def fails_more_after_a_restart(s: Scene) -> None:
@@ -122,7 +125,7 @@
     s.serve(s.offered, 0, 30)
     s.totals[s.offered[0]] = [0, 0]  # it counts from 0, and what it failed before counts still
     s.serve(s.offered, 10, 0)
-    s.do(r.Look(), 10.0)
+    s.do(events.Tick(), 10.0)
 
 
 def fails_in_the_last_wave(s: Scene) -> None:
@@ -130,18 +133,18 @@
     s.wave()
     s.say(*s.offered)
     s.serve(NODES, 30, 20)  # nobody is without it: what was usual before is what counts
-    s.do(r.Look(), 10.0)
+    s.do(events.Tick(), 10.0)
 
 
 def says_nothing(s: Scene) -> None:
     s.say(*s.offered)
     s.serve(s.offered, 3, 0)
     for _ in range(3):
-        s.do(r.Look(), 1000.0)
+        s.do(events.Tick(), 1000.0)
 
 
 def given_up(s: Scene) -> None:
-    s.do(r.GoBack("whoever pushed it has gone"))
+    s.do(events.Abort("whoever pushed it has gone"))
 
 
 BACK = {
@@ -163,12 +166,12 @@
 def test_what_is_wrong_takes_it_back_from_every_node_that_was_offered_it(cause: Any) -> None:
     scene = Scene()
     cause(scene)
-    assert scene.rollout.state is State.UNDOING and not scene.accepted
+    assert scene.rollout.state is State.ROLLING_BACK and not scene.accepted
     assert BACK[cause] in scene.rollout.reason and BACK[cause] in scene.reports[-1]
     assert sorted(scene.back) == sorted(scene.offered)
-    scene.do(r.GoBack("again"))
+    scene.do(events.Abort("again"))
     scene.say(*scene.offered[1:], version="v1")
-    assert not scene.rollout.over
+    assert not scene.rollout.ended
     scene.say(scene.offered[0], version="v1")
     assert scene.rollout.status()["state"] == "undone" and sorted(scene.back) == sorted(scene.offered)
     assert scene.reports[-1] == "all nodes were given back what they had"
@@ -179,71 +182,75 @@
     scene.say(NODES[0], NODES[1], "stranger", version="v9", reason="of another")
     scene.say(*scene.offered)
     scene.serve(NODES, 30, 20)  # an incident everywhere
-    scene.do(r.Streams(frozenset()))
-    scene.do(r.Streams(frozenset(NODES)), r.AWAY_MS - 1.0)
-    scene.do(r.Look(), 1.0)
+    scene.do(events.StreamsChanged(frozenset()))
+    scene.do(events.StreamsChanged(frozenset(NODES)), r.UNAVAILABLE_TIMEOUT_MS - 1.0)
+    scene.do(events.Tick(), 1.0)
     assert len(scene.offered) == 5 and not scene.back
 
 
 def test_a_node_that_never_says_that_it_went_back_is_named_and_holds_nothing_up() -> None:
     scene = Scene()
     refused(scene)
-    scene.do(r.Look(), r.ACK_MS - 1.0)
-    assert not scene.rollout.over
-    scene.do(r.Look(), 1.0)
-    assert scene.rollout.over and f"such as {scene.offered[0]}" in scene.reports[-1]
+    scene.do(events.Tick(), r.ACKNOWLEDGE_TIMEOUT_MS - 1.0)
+    assert not scene.rollout.ended
+    scene.do(events.Tick(), 1.0)
+    assert scene.rollout.ended and f"such as {scene.offered[0]}" in scene.reports[-1]
 
 
 def test_without_doors_only_words_and_streams_count_and_it_says_so() -> None:
-    scene = Scene(Plan("v2", 10, watch_ms=0.0, doors=False), history=(0, 0))
+    scene = Scene(Plan("v2", 10, watch_ms=0.0, has_metrics=False), history=(0, 0))
     assert "no doors are given" in scene.reports[0]
     scene.say(*NODES)
     assert scene.rollout.state is State.DONE
     empty = Rollout(scene.plan)
-    actions = empty.handle(r.Begin(()), 0.0)
-    assert empty.state is State.UNDONE and isinstance(actions[0], Report)
+    actions = empty.handle(events.Start(()), 0.0)
+    assert empty.state is State.ROLLED_BACK and isinstance(actions[0], Report)
 
 
-@pytest.mark.parametrize("bad", [{"first": 0}, {"widen": 0.5}, {"watch_ms": -1.0}, {"least": -1}])
+@pytest.mark.parametrize("bad", [{"first": 0}, {"widen": 0.5}, {"watch_ms": -1.0}, {"min_answers": -1}])
 def test_a_plan_that_cannot_be_is_refused(bad: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         Plan("v", **({"first": 1} | bad))
 
 
 def test_bounds_hold_what_they_promise() -> None:
-    assert r.bounds(0, 0) == (0.0, 1.0)
+    assert proportions.wilson_interval(0, 0) == (0.0, 1.0)
     for failed, total in ((0, 10), (5, 10), (10, 10), (1, 1000)):
-        low, high = r.bounds(failed, total)
+        low, high = proportions.wilson_interval(failed, total)
         assert 0.0 <= low <= failed / total <= high <= 1.0
-    assert r.bounds(50, 100, 1.96) == pytest.approx((0.4038, 0.5962), abs=1e-4)  # a table's value
+    assert proportions.wilson_interval(50, 100, 1.96) == pytest.approx(
+        (0.4038, 0.5962), abs=1e-4
+    )  # a table's value
 
 
 EVENTS = strategies.one_of(
     strategies.builds(
-        r.Said,
+        events.NodeAnswered,
         strategies.sampled_from([*NODES, "x"]),
         strategies.sampled_from(["v1", "v2"]),
         strategies.sampled_from(["", "", "", "no"]),
     ),
-    strategies.builds(r.Streams, strategies.frozensets(strategies.sampled_from(NODES), min_size=5)),
     strategies.builds(
-        r.Seen,
+        events.StreamsChanged, strategies.frozensets(strategies.sampled_from(NODES), min_size=5)
+    ),
+    strategies.builds(
+        events.NodeObserved,
         strategies.sampled_from(NODES),
         strategies.one_of(
             strategies.none(),
             strategies.builds(
-                Reading, strategies.booleans(), strategies.integers(0, 2000), strategies.integers(0, 5)
+                NodeMetrics, strategies.booleans(), strategies.integers(0, 2000), strategies.integers(0, 5)
             ),
         ),
     ),
-    strategies.just(r.Look()),
+    strategies.just(events.Tick()),
 )
 
 
 @settings(max_examples=200, deadline=None)
 @given(strategies.lists(strategies.tuples(EVENTS, strategies.floats(0.0, 5000.0)), max_size=80))
 def test_in_any_order_nothing_is_accepted_that_was_withdrawn_and_all_comes_to_an_end(
-    script: list[tuple[r.Event, float]],
+    script: list[tuple[events.Event, float]],
 ) -> None:
     scene = Scene()
     for event, after_ms in script:
@@ -251,9 +258,9 @@
         assert len(set(scene.offered)) == len(scene.offered)
         assert not (scene.accepted and scene.back) and scene.accepted <= 1
     for _ in range(400):  # whatever happened, time alone ends it
-        scene.do(r.Look(), 1000.0)
-    assert scene.rollout.over
-    if scene.rollout.state is State.UNDONE:
+        scene.do(events.Tick(), 1000.0)
+    assert scene.rollout.ended
+    if scene.rollout.state is State.ROLLED_BACK:
         assert sorted(scene.back) == sorted(scene.offered)
     else:
         assert sorted(scene.offered) == sorted(NODES)
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -37,7 +37,7 @@
 
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rollout_service, "LOOK_MS", 20.0)
+    monkeypatch.setattr(rollout_service, "TICK_MS", 20.0)
 
 
 def form(version: str, *numbers: int, **changes: Any) -> Json:
@@ -181,7 +181,9 @@
             assert code == 1 and "refused it: it could not be applied: no room" in text
             for agent in made.agents:
                 agent.problem = ""
-            assert not made.service.views and made.rollouts.rollout is not None and made.rollouts.rollout.over
+            assert (
+                not made.service.views and made.rollouts.rollout is not None and made.rollouts.rollout.ended
+            )
 
     run(test())
 
