--- a/orchidferry/mesh/control/configuration.py
+++ b/orchidferry/mesh/control/configuration.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 IDEMPOTENT_KINDS = frozenset(("idempotent", "download"))
+NO_REVISION = -1  # of a configuration that is unknown
 DIGEST_BYTES = 16
 DEFAULT_HEALTH_PATH = "/health"
 DEFAULT_MAX_CONNECTIONS = 100
@@ -30,7 +31,7 @@
     :ivar precedence: 0 is the highest.
     :ivar guard_timer_ms: the longest that a request may take.
     :ivar max_attempts: of one request.
-    :ivar split: services, and the share of the requests that each gets.
+    :ivar split: services, and the weight of each in the split of the requests.
     """
 
     id: str
--- a/orchidferry/mesh/control/configuration_fetcher.py
+++ b/orchidferry/mesh/control/configuration_fetcher.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from orchidferry.mesh.control.configuration import NO_REVISION
 from orchidferry.mesh.control.configuration_text import expand
 from orchidferry.mesh.control.controller_connection import ControllerConnection
 from orchidferry.mesh.control.update_stream import UpdateStream
@@ -21,7 +22,6 @@
 ANSWER_TIMEOUT_S = 0.4  # for an answer to begin, before another controller is asked
 TRANSFER_TIMEOUT_S = 1.5  # for all of it, while its bytes come
 STALL_S = 0.15  # a link over which nothing has come for so long has stalled
-NO_REVISION = -1
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/mesh/control/configuration_schema.py
+++ b/orchidferry/mesh/control/configuration_schema.py
@@ -10,8 +10,8 @@
 from marshmallow import EXCLUDE, Schema, fields, validate
 
 ROUTE_KINDS = ("idempotent", "non_idempotent", "keyed", "download")
-AT_LEAST_ONE = validate.Range(min=1)
-AT_LEAST_ZERO = validate.Range(min=0)
+POSITIVE = validate.Range(min=1)
+NON_NEGATIVE = validate.Range(min=0)
 
 
 class LenientSchema(Schema):
@@ -25,7 +25,7 @@
     """One service of a weighted split."""
 
     service_name = fields.String(required=True)
-    share = fields.Float(required=True, validate=AT_LEAST_ZERO)
+    share = fields.Float(required=True, validate=NON_NEGATIVE)
 
 
 class CriteriaSchema(LenientSchema):
@@ -42,7 +42,7 @@
     service_name = fields.String()
     weighted_split = fields.List(fields.Nested(SplitSchema), validate=validate.Length(min=1))
     guard_timer_ms = fields.Float(required=True, validate=validate.Range(min=0, min_inclusive=False))
-    max_attempts = fields.Integer(required=True, validate=AT_LEAST_ONE)
+    max_attempts = fields.Integer(required=True, validate=POSITIVE)
 
 
 class RuleSchema(LenientSchema):
@@ -50,8 +50,8 @@
 
     identifier = fields.String(required=True)
     route_type = fields.String(required=True, validate=validate.OneOf(ROUTE_KINDS))
-    target_ms = fields.Float(required=True, validate=AT_LEAST_ZERO)
-    precedence = fields.Integer(validate=AT_LEAST_ZERO)
+    target_ms = fields.Float(required=True, validate=NON_NEGATIVE)
+    precedence = fields.Integer(validate=NON_NEGATIVE)
     criteria = fields.Nested(CriteriaSchema, required=True)
     treatment = fields.Nested(TreatmentSchema, required=True)
 
@@ -68,7 +68,7 @@
 
     identifier = fields.String(required=True)
     health_path = fields.String()
-    max_connections = fields.Integer(validate=AT_LEAST_ONE)
+    max_connections = fields.Integer(validate=POSITIVE)
     protocol = fields.String()
     tls = fields.Boolean()
     deduplicates = fields.Boolean()
@@ -77,7 +77,7 @@
 class ConfigurationSchema(LenientSchema):
     """A whole configuration."""
 
-    revision_number = fields.Integer(required=True, strict=True, validate=AT_LEAST_ONE)
-    limit_set = fields.Dict(keys=fields.String(), values=fields.Float(validate=AT_LEAST_ZERO))
+    revision_number = fields.Integer(required=True, strict=True, validate=POSITIVE)
+    limit_set = fields.Dict(keys=fields.String(), values=fields.Float(validate=NON_NEGATIVE))
     access_points = fields.List(fields.Nested(AccessPointSchema), required=True)
     trunk_groups = fields.List(fields.Nested(TrunkGroupSchema), required=True)
--- a/orchidferry/mesh/control/configuration_validation.py
+++ b/orchidferry/mesh/control/configuration_validation.py
@@ -67,7 +67,7 @@
         for service, _ in route.split:
             if service not in configuration.services:
                 return f"{where}: service {service} is not in trunk_groups"
-        if sum(share for _, share in route.split) <= 0:
+        if sum(weight for _, weight in route.split) <= 0:
             return f"{where}: weighted_split has no share above 0"
         host_and_prefix = (route.host.lower(), route.prefix)
         if host_and_prefix in hosts_and_prefixes:
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -36,7 +36,7 @@
 from orchidferry.mesh.wire.shard_messages import tag_of
 
 RENEWAL_INTERVAL_S = 0.5
-SILENCE_TIMEOUT_S = 1.6  # the link to a controller that sends nothing for so long is closed
+IDLE_TIMEOUT_S = 1.6  # the link to a controller that sends nothing for so long is closed
 TICK_S = 0.1
 DIAL_INTERVAL_S = 0.15  # between two attempts to dial one controller
 MAX_CONTROLLERS = 16
@@ -144,8 +144,8 @@
         for index, connection in enumerate(self._connections.values()):
             if now >= connection.next_renewal_s:
                 is_first = not connection.next_renewal_s
-                share = 1.0 - index / len(self._connections) if is_first else 1.0
-                connection.next_renewal_s = now + RENEWAL_INTERVAL_S * share
+                fraction = 1.0 - index / len(self._connections) if is_first else 1.0
+                connection.next_renewal_s = now + RENEWAL_INTERVAL_S * fraction
                 self._renew_lease(connection)
 
     def _renew_lease(self, connection: ControllerConnection) -> None:
@@ -163,7 +163,7 @@
         for connection in list(self._connections.values()):
             link = connection.open_link
             if link is not None:
-                if now - link.last_received_s > SILENCE_TIMEOUT_S:
+                if now - link.last_received_s > IDLE_TIMEOUT_S:
                     logger.info("control_client: controller={} closed: it is silent", connection.name)
                     link.close()
             elif not connection.dialling and now >= connection.next_dial_s:
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -70,7 +70,7 @@
             self._runner,
             self._store,
             self._publisher,
-            RetryQuotaAllocators(bounds.retry_slack, bounds.retry_window_s, self._owner_fence),
+            RetryQuotaAllocators(bounds.retry_slack, bounds.retry_window_s, self._owner_fencing_token),
             self._links,
             self._heartbeats,
             loop,
@@ -90,7 +90,7 @@
             self._in_contact,
         )
 
-    def _owner_fence(self, service: str, now: float) -> int | None:
+    def _owner_fencing_token(self, service: str, now: float) -> int | None:
         """The fencing token under which this controller owns the duties for a service; None if it doesn't."""
         return self._runner.shard_of(service).owns(now)
 
--- a/orchidferry/mesh/control/endpoints.py
+++ b/orchidferry/mesh/control/endpoints.py
@@ -28,7 +28,7 @@
     zone: str
     state: str
     capacity: int
-    cold_left_ms: float  # of the server's warm-up
+    warmup_left_ms: float  # of the server's warm-up
     version: str = ""
 
 
--- a/orchidferry/mesh/control/message_handlers.py
+++ b/orchidferry/mesh/control/message_handlers.py
@@ -10,6 +10,7 @@
 
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import RequestEnded
+from orchidferry.mesh.control.configuration import NO_REVISION
 from orchidferry.mesh.control.controller_links import ControllerLinks
 from orchidferry.mesh.control.heartbeats import Heartbeats
 from orchidferry.mesh.control.publisher import Publisher
@@ -41,8 +42,6 @@
 )
 from orchidferry.mesh.wire.shard_messages import tag_of
 
-NO_REVISION = -1  # in a `Revision`: nothing could be read
-
 
 def newest_revision(read: RequestEnded) -> int:
     """The configuration's revision by a read that has ended.
--- a/orchidferry/mesh/control/relay.py
+++ b/orchidferry/mesh/control/relay.py
@@ -8,6 +8,7 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
+from orchidferry.mesh.control.configuration import NO_REVISION
 from orchidferry.mesh.control.endpoints import NodeIdentity
 from orchidferry.mesh.control.fanout_tree import MAX_FOLLOWERS, tree_rank
 from orchidferry.mesh.control.traffic_counter import TrafficCounter
@@ -61,7 +62,7 @@
         self.traffic = TrafficCounter()
         self._subscribe_due_s: dict[Link, float] = {}  # of links that have not subscribed yet
         self._same_zone: dict[Link, bool] = {}
-        self._revision = -1  # of the newest configuration that has come
+        self._revision = NO_REVISION  # of the newest configuration that has come
         self._configuration: bytes | None = None  # its text, while there are followers
         self._pending_fetches: dict[Link, ConfigurationFetch] = {}
 
@@ -139,7 +140,7 @@
                 continue
             del self._pending_fetches[link]
             if self._configuration is None or self._revision < fetch.revision:
-                answer = ConfigurationText(fetch.request, -1, b"")
+                answer = ConfigurationText(fetch.request, NO_REVISION, b"")
             else:
                 answer = ConfigurationText(fetch.request, self._revision, self._configuration)
             self._send("text", link, answer)
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -155,16 +155,16 @@
 
     # Operation keys
 
-    def claim_key(self, sender: Any, claim: KeyClaim, has_room: bool, now: float) -> list[Action]:
+    def claim_key(self, sender: Any, claim: KeyClaim, has_capacity: bool, now: float) -> list[Action]:
         """Grant or refuse an operation key to an attempt.
 
         :param sender: the link over which the answer is sent, once the grant is on disk.
-        :param has_room: whether the disk has room for another record.
+        :param has_capacity: whether the disk has room for another record.
         :param now: seconds on the clock of the event loop.
         """
         self.context.now = now
         key = claim.key
-        if not self.grants(claim.epoch) or (not has_room and key not in self.operation_keys.records):
+        if not self.grants(claim.epoch) or (not has_capacity and key not in self.operation_keys.records):
             return self._answer_claim(sender, claim, ClaimOutcome.RETRY)
         result = self.operation_keys.claim(key, claim.attempt_id)
         record = result.record
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -186,7 +186,7 @@
         self._apply(link, update, from_controller=True)
 
     def _apply(self, link: Link, update: Update, from_controller: bool) -> None:
-        change = self._share_records(update.change)
+        change = self._intern_records(update.change)
         stream = self.streams.get(change.controller)
         if stream is None:
             return
@@ -202,7 +202,7 @@
             self._on_revision(stream.revision, link)
         self._on_update()
 
-    def _share_records(self, change: StreamChange) -> StreamChange:
+    def _intern_records(self, change: StreamChange) -> StreamChange:
         """The change with equal records replaced by those of other streams: one copy in memory for all."""
         others = [s.records for s in self.streams.values() if s.controller != change.controller]
 
--- a/orchidferry/mesh/dataplane/endpoint_table.py
+++ b/orchidferry/mesh/dataplane/endpoint_table.py
@@ -107,9 +107,9 @@
             self._publish_weights()
 
     def _endpoint(self, number: int, record: NodeRecord, server: Server) -> Endpoint:
-        if number not in self._endpoints and server.cold_left_ms > 0:
+        if number not in self._endpoints and server.warmup_left_ms > 0:
             self._slow_start.add(number)
-            delay_s = server.cold_left_ms / 1000.0 + SLOW_START_MARGIN_S
+            delay_s = server.warmup_left_ms / 1000.0 + SLOW_START_MARGIN_S
             self._loop.call_later(delay_s, self._end_slow_start, number)
         same_zone = server.zone == self._zone
         health = api.Health.IN_SERVICE if server.state == IN_SERVICE else api.Health.DRAINING
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -209,7 +209,7 @@
         self._record_number += 1
         server = self._gate.server
         if server is not None and self._draining and server.state == IN_SERVICE:
-            server = structs.replace(server, state=DRAINING, cold_left_ms=0.0)
+            server = structs.replace(server, state=DRAINING, warmup_left_ms=0.0)
         settings = self._settings
         self._control_client.publish(
             NodeRecord(
--- a/orchidferry/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -96,7 +96,7 @@
     def mark_gone(self) -> None:
         """The server has deregistered, is silent, or is unreachable; only the first is final."""
         assert self.server is not None
-        self.server = structs.replace(self.server, state=GONE, cold_left_ms=0.0)
+        self.server = structs.replace(self.server, state=GONE, warmup_left_ms=0.0)
 
     def heartbeat_overdue(self, now_ms: float) -> bool:
         """Whether a server that is not gone yet has been silent for too long."""
--- a/orchidferry/testkit/model/relays.py
+++ b/orchidferry/testkit/model/relays.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from orchidferry.mesh.control.configuration_fetcher import ANSWER_TIMEOUT_S
-from orchidferry.mesh.control.control_client import RENEWAL_INTERVAL_S, SILENCE_TIMEOUT_S, TICK_S
+from orchidferry.mesh.control.control_client import IDLE_TIMEOUT_S, RENEWAL_INTERVAL_S, TICK_S
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord, merge_member_lists
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.control.publisher import Publisher
@@ -326,7 +326,7 @@
         now = self.world.now
         for name, due_s in self._dial_s.items():
             if name in self.controllers:
-                if now - self.controllers[name].last_received_s > SILENCE_TIMEOUT_S:
+                if now - self.controllers[name].last_received_s > IDLE_TIMEOUT_S:
                     self.controllers[name].close()
             elif now >= due_s:
                 self._dial_s[name] = now + 1.0
