--- a/orchidferry/mesh/control/register_messages.py
+++ b/orchidferry/mesh/control/register_messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from orchidferry.balancing.register import Accept, Accepted, Message, Prepare, Promise, Voter
-from orchidferry.mesh.control.shard_state import pack_value, unpack_value
+from orchidferry.mesh.control.shard_state_codec import pack_value, unpack_value
 from orchidferry.mesh.wire.shard_messages import (
     PackedVoter,
     RegisterAccept,
--- a/orchidferry/mesh/control/register_reader.py
+++ b/orchidferry/mesh/control/register_reader.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from orchidferry.balancing.register import Value, Voter
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.contact import LOST_CONTACT
 from orchidferry.mesh.control.quorum_read import (
@@ -108,13 +108,13 @@
         if not self.register.vote_on_disk:
             return
         state = self.register.acceptor.state
-        packed = None if request.known_ballot == state.accepted else shard_state.pack_value(state.value)
+        packed = None if request.known_ballot == state.accepted else shard_state_codec.pack_value(state.value)
         voter = pack_voter(self.register.voter)
         self.context.reply(sender_link, AcceptedState(request.reading, voter, state.accepted, packed))
 
     def take_report(self, message: AcceptedState) -> None:
         """Take another replica's report."""
-        value = shard_state.unpack_value(message.state)
+        value = shard_state_codec.unpack_value(message.state)
         report = AcceptedReport(Voter(*message.voter), message.accepted, value)
         read = self.reads.current
         if read is not None and read.number == message.reading:
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -29,7 +29,7 @@
     Voter,
 )
 from orchidferry.balancing.register import Action as RegisterAction
-from orchidferry.mesh.control import shard_state, value_references
+from orchidferry.mesh.control import shard_state, shard_state_codec, value_references
 from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.contact import LOST_CONTACT
 from orchidferry.mesh.control.order_book import OrderBook
@@ -216,7 +216,7 @@
         self.vote_on_disk = False
         state = self.acceptor.state
         order_numbers, puts = self.orders.puts()
-        puts.append(self.context.metadata("kept", pack(shard_state.pack_kept(state))))
+        puts.append(self.context.metadata("kept", pack(shard_state_codec.pack_acceptor_state(state))))
         self.context.write(puts, VoteSaved(sender_link, state, replies, order_numbers))
 
     def _send_vote(self, sender_link: Any, reply: Message) -> None:
@@ -282,7 +282,7 @@
 
     @staticmethod
     def _decided_state(value: Value) -> DecidedState:
-        return DecidedState(shard_state.pack_value(value))
+        return DecidedState(shard_state_codec.pack_value(value))
 
     # Proposals
 
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from orchidferry.balancing.register import AcceptorState, Value
-from orchidferry.mesh.control import key_transfer, shard_state
+from orchidferry.mesh.control import key_transfer, shard_state_codec
 from orchidferry.mesh.control.hinted_handoff import Hints
 from orchidferry.mesh.control.key_transfer import (
     NO_CURSOR,
@@ -356,7 +356,9 @@
     :param kept: what the register's acceptor starts with
     :param caught_up: whether there is nothing that it would have to learn
     """
-    puts: list[RecordWrite] = [("about", f"kept/{number}".encode(), pack(shard_state.pack_kept(kept)))]
+    puts: list[RecordWrite] = [
+        ("about", f"kept/{number}".encode(), pack(shard_state_codec.pack_acceptor_state(kept)))
+    ]
     if caught_up:
         puts.append(("about", f"caught/{number}".encode(), b"1"))
     return puts
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from orchidferry.balancing.register import AcceptorState, Value, Voter
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import Action, RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
 from orchidferry.mesh.control.duties import OwnerLease, takes_over
@@ -238,7 +238,7 @@
             case RegisterMessage():
                 self.register.receive(message, sender_link)
             case DecidedState():
-                value = shard_state.unpack_value(message.state)
+                value = shard_state_codec.unpack_value(message.state)
                 if value is not None:
                     self.register.learn(value)
             case DecidedBallot():
--- a/orchidferry/mesh/control/shard_loading.py
+++ b/orchidferry/mesh/control/shard_loading.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from orchidferry.balancing.register import AcceptorState
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.operation_keys import MAX_KEYS
 from orchidferry.mesh.control.order_records import orders_of
 from orchidferry.mesh.control.peers import Peers
@@ -54,7 +54,7 @@
             is_founder if is_empty else store.read(CONTROLLER_DB, f"caught/{number}".encode()) is not None
         )
         if vote is not None:
-            kept = shard_state.unpack_kept(unpack(vote))
+            kept = shard_state_codec.unpack_acceptor_state(unpack(vote))
         else:
             genesis = is_empty and is_founder
             kept = AcceptorState(shard_state.GENESIS if genesis else rng.randrange(2, MAX_VOTER_MEMORY))
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -13,9 +13,8 @@
 import hashlib
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any
 
-from orchidferry.balancing.register import AcceptorState, Value, Voter
+from orchidferry.balancing.register import Value, Voter
 from orchidferry.mesh.control.order_history import CommittedOrders, OrderHistory, Verdict
 
 # Orders that each state lists. A list as long as this may be cut: a build with a larger number has to tell
@@ -187,64 +186,3 @@
     (2, 3)
     """
     return voters - voters // 2
-
-
-# Over the wire and on disk
-
-
-def pack_value(value: Value | None, base: Value | None = None) -> Any:
-    """A value as a list; of what is large, only what `base` has not, which the reader must have then."""
-    if value is None:
-        return None
-    b = body(value)
-    raw: bytes | None = b.compressed_text
-    taken: list[Any] = [list(t) for t in b.orders]
-    if base is not None:
-        dropped = _dropped(b.orders, body(base).orders)
-        taken = [dropped, taken[len(body(base).orders) - dropped :]]
-        raw = b.compressed_text if b.compressed_text != body(base).compressed_text else None
-    return [
-        value.version,
-        [[v.name, v.disk_id] for v in value.voters],
-        b.epoch,
-        b.revision,
-        raw,
-        taken,
-        [[v.name, v.disk_id] for v in value.former_voters],
-        b.owner,
-        b.fencing_token,
-    ]
-
-
-def unpack_value(packed: Any, base: Value | None = None) -> Value | None:
-    """The value in a list; `base` as it was packed on."""
-    if packed is None:
-        return None
-    version, voters, epoch, revision, raw, taken, former, owner, fence = packed
-    before: CommittedOrders = ()
-    if base is not None:
-        dropped, taken = taken
-        before = body(base).orders[dropped:]
-        raw = raw if raw is not None else body(base).compressed_text
-    return Value(
-        version,
-        tuple(Voter(name, memory) for name, memory in voters),
-        Body(epoch, revision, raw, (*before, *((number, digest) for number, digest in taken)), owner, fence),
-        tuple(Voter(name, memory) for name, memory in former),
-    )
-
-
-def _dropped(taken: CommittedOrders, base: CommittedOrders) -> int:
-    """How many of the oldest of `base` are gone, where `taken` goes on with the rest of it."""
-    return next(n for n in range(len(base) + 1) if taken[: len(base) - n] == base[n:])
-
-
-def pack_kept(kept: AcceptorState) -> Any:
-    """All that a voter must not forget, as a list."""
-    return [kept.disk_id, list(kept.promised), list(kept.accepted), pack_value(kept.value)]
-
-
-def unpack_kept(packed: Any) -> AcceptorState:
-    """What a voter has not forgotten."""
-    memory, promised, accepted, value = packed
-    return AcceptorState(memory, tuple(promised), tuple(accepted), unpack_value(value))
--- a/orchidferry/mesh/control/value_references.py
+++ b/orchidferry/mesh/control/value_references.py
@@ -23,7 +23,7 @@
     Voter,
 )
 from orchidferry.mesh.control.register_messages import pack_message, unpack_message
-from orchidferry.mesh.control.shard_state import pack_value, unpack_value
+from orchidferry.mesh.control.shard_state_codec import pack_value, unpack_value
 from orchidferry.mesh.wire.shard_messages import RegisterAccept, RegisterBody
 
 
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -11,7 +11,7 @@
 from cbor2 import CBORDecodeError
 
 from orchidferry.balancing.register import AcceptorState, Value
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.errors import StoreError
 from orchidferry.mesh.storage.environment import CONTROLLER_DB, KEYS_DB, Databases, used_pages
 from orchidferry.mesh.storage.record_format import (
@@ -246,7 +246,7 @@
     disk_id, promised, accepted, value = packed
     if value is not None and len(value) == FIELDS_BEFORE_OWNERS:
         value = [*value, "", 0]
-    state = shard_state.unpack_kept([disk_id, promised, accepted, value])
+    state = shard_state_codec.unpack_acceptor_state([disk_id, promised, accepted, value])
     if not isinstance(disk_id, int) or len(state.promised) != 2 or len(state.accepted) != 2:
         raise ValueError("it is no voter's memory")
     return state
--- a/orchidferry/mesh/storage/snapshot_file.py
+++ b/orchidferry/mesh/storage/snapshot_file.py
@@ -16,7 +16,7 @@
 
 from orchidferry.balancing.register import Value
 from orchidferry.errors import OrchidferryError
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.storage.record_format import pack
 
 MAGIC = "orchidferry snapshot"
@@ -85,7 +85,7 @@
 def write_header(file: HashedFile, states: dict[int, Value], key_count: int) -> None:
     """Write what precedes the keys. The nonce makes files of the same content differ."""
     file.write(pack([MAGIC, SNAPSHOT_FORMAT, os.urandom(NONCE_BYTES), key_count]))
-    file.write(pack([[number, shard_state.pack_value(value)] for number, value in states.items()]))
+    file.write(pack([[number, shard_state_codec.pack_value(value)] for number, value in states.items()]))
 
 
 def read_snapshot(path: str) -> Snapshot:
@@ -165,7 +165,7 @@
         case _:
             raise SnapshotError("it is no snapshot", path)
     try:
-        states = {number: shard_state.unpack_value(packed) for number, packed in reader.item()}
+        states = {number: shard_state_codec.unpack_value(packed) for number, packed in reader.item()}
     except (ValueError, TypeError) as error:
         raise SnapshotError(f"its state can't be read: {error}", path) from None
     decided = {number: value for number, value in states.items() if value is not None}
--- a/orchidferry/mesh/wire/shard_messages.py
+++ b/orchidferry/mesh/wire/shard_messages.py
@@ -1,6 +1,6 @@
 """The messages between the replicas of one shard, one type each: they are sent inside a `ShardMessage`.
 
-A state is sent as the list that `shard_state.pack_value` makes; on disk it has the same form.
+A state is sent as the list that `shard_state_codec.pack_value` makes; on disk it has the same form.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 Ballot = tuple[int, str]  # counter and name of the proposer
 PackedVoter = tuple[str, int]  # name and memory number
-PackedState = list[Any] | None  # as `shard_state.pack_value` makes it
+PackedState = list[Any] | None  # as `shard_state_codec.pack_value` makes it
 KeyRow = tuple[str, tuple[str, int, Any], bool]  # key; attempt id, time slot, answer; whether it is answered
 
 
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from orchidferry.balancing.register import AcceptorState
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import (
     Action,
     RequestEnded,
@@ -116,7 +116,9 @@
         self.peers = Peers(self.world.now)
         self.beats: dict[int, float] = {}
         self.count = 0  # number of the heartbeat that was sent last
-        kept = shard_state.unpack_kept(unpack(self.disk["about", f"kept/{self.number}".encode()]))
+        kept = shard_state_codec.unpack_acceptor_state(
+            unpack(self.disk["about", f"kept/{self.number}".encode()])
+        )
         caught = ("about", f"caught/{self.number}".encode()) in self.disk
         first = shard_state.genesis(self.seeds)
         parameters = ShardParameters(self.number, self.name, first, len(self.seeds), WINDOW_S, MAX_KEYS)
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import Action, RequestEnded
 from orchidferry.mesh.control.contact import CONTACT_S, Contact
 from orchidferry.mesh.control.register_replica import Purpose
@@ -222,7 +222,7 @@
 
     def _stored_orders(self, name: str) -> tuple[tuple[int, bytes], ...]:
         packed = self.controllers[name].disk.get(("about", f"kept/{self.number}".encode()))
-        kept = shard_state.unpack_kept(unpack(packed)) if packed is not None else None
+        kept = shard_state_codec.unpack_acceptor_state(unpack(packed)) if packed is not None else None
         return shard_state.body(kept.value).orders if kept is not None and kept.value is not None else ()
 
     # Contact, as it is seen from outside
--- a/tests/mesh/control/shards.py
+++ b/tests/mesh/control/shards.py
@@ -5,7 +5,7 @@
 import random
 
 from orchidferry.balancing.register import AcceptorState, Value, Voter
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.control.shard_parameters import ShardParameters
@@ -26,4 +26,4 @@
 
 def learn_state(shard: Shard, value: Value, now: float = 1.0) -> None:
     """Tell a shard of a decided state."""
-    shard.receive(None, DecidedState(shard_state.pack_value(value)), now)
+    shard.receive(None, DecidedState(shard_state_codec.pack_value(value)), now)
--- a/tests/mesh/storage/test_golden_store.py
+++ b/tests/mesh/storage/test_golden_store.py
@@ -30,7 +30,7 @@
 import lmdb
 import pytest
 
-from orchidferry.mesh.control import order_records, shard_state
+from orchidferry.mesh.control import order_records, shard_state_codec
 from orchidferry.mesh.control.operation_keys import KeyRecord
 from orchidferry.mesh.storage.record_format import pack, unpack
 from orchidferry.mesh.storage.store import Store
@@ -196,7 +196,13 @@
     if database == "slips":
         return database, key, pack(KeyRecord(*unpack(value)).packed())
     if key.startswith(b"kept/"):
-        return database, key, pack(shard_state.pack_kept(shard_state.unpack_kept(unpack(value))))
+        return (
+            database,
+            key,
+            pack(
+                shard_state_codec.pack_acceptor_state(shard_state_codec.unpack_acceptor_state(unpack(value)))
+            ),
+        )
     if key.startswith(b"order/"):
         ((number, entry),) = order_records.orders_of(0, [(key, value)])
         return order_records.record(0, number, entry)
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -28,7 +28,7 @@
     Voter,
 )
 from orchidferry.mesh import __main__ as program
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.quorum_read import AcceptedReport, decided_value
 from orchidferry.mesh.control.shard import initial_records
@@ -270,7 +270,7 @@
 
 def test_a_store_from_before_parts_is_carried_over_by_a_snapshot(tmp_path: Path) -> None:
     def early(txn: Any, dbs: Any) -> None:
-        value = shard_state.pack_value(OLD)[:7]
+        value = shard_state_codec.pack_value(OLD)[:7]
         for key, record in ((b"kept", [5, [9, "x"], [8, "y"], value]), (b"founders", list(FOUNDERS))):
             txn.put(key, pack(record), db=dbs["about"])
         txn.put(b"k", pack(["t", 1, None]), db=dbs["slips"])
--- a/tests/mesh/storage/test_store.py
+++ b/tests/mesh/storage/test_store.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from orchidferry.balancing.register import Value, Voter
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.controller import Controller
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
@@ -350,7 +350,7 @@
         shard = controller._shards[1]
         assert shard.grants(0)
         state = Value(1, (Voter("127.0.0.2", 1),), shard_state.Body(1))
-        known = DecidedState(shard_state.pack_value(state))
+        known = DecidedState(shard_state_codec.pack_value(state))
         controller._runner.carry_out(shard, shard.receive(None, known, 0.0))
         controller._runner.carry_out(shard, shard.tick(10.0))
         assert await write(controller._store, [])  # and so is what was written before
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from orchidferry.balancing.register import Accept, Accepted, AcceptorState, Prepare, Promise, Value, Voter
-from orchidferry.mesh.control import configuration_text, shard_state
+from orchidferry.mesh.control import configuration_text, shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_resource import ConfigurationResource
@@ -133,8 +133,8 @@
 def test_a_state_packed_on_any_other_is_read_as_it_was(new: shard_state.Body, old: shard_state.Body) -> None:
     value = Value(2, VOTERS, new)
     base = Value(1, VOTERS, old)
-    assert shard_state.unpack_value(shard_state.pack_value(value, base), base) == value
-    assert shard_state.unpack_value(shard_state.pack_value(value)) == value
+    assert shard_state_codec.unpack_value(shard_state_codec.pack_value(value, base), base) == value
+    assert shard_state_codec.unpack_value(shard_state_codec.pack_value(value)) == value
 
 
 def test_what_is_named_and_not_known_is_lost_and_never_nothing() -> None:
@@ -265,7 +265,7 @@
             group.read(last, "back")
             before, newest = heard(), group.controllers["a"].shard.known.version
             caught_s = group.run_until(partial(knows, away, newest), 1.0)
-            state = len(pack(shard_state.pack_value(away.shard.known)))
+            state = len(pack(shard_state_codec.pack_value(away.shard.known)))
             assert caught_s < 0.5 and heard() - before < (replicas - 1) * 1.1 * state < replicas * 10_000
             # Nobody had acknowledged it yet as it was asked: that is said at once.
             assert group.ended["back"][1].why == OUT_OF_CONTACT
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from orchidferry.balancing.register import AcceptorState, Value, Voter
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
 from orchidferry.mesh.control.duties import TENURE_S
 from orchidferry.mesh.control.membership import Standing, epoch
@@ -291,7 +291,7 @@
     shard = Shard(parameters, AcceptorState(shard_state.GENESIS), True, Peers(0.0), random.Random(1))
 
     def know(value: Value, now: float) -> None:
-        shard.receive("b", DecidedState(shard_state.pack_value(value)), now)
+        shard.receive("b", DecidedState(shard_state_codec.pack_value(value)), now)
 
     mine = Value(1, (a, b, c), shard_state.Body(0, owner="a", fencing_token=1))
     know(mine, 1.0)
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/test_state_teller.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from orchidferry.mesh.control import shard_state
+from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.configuration import digest
 from orchidferry.mesh.control.configuration_text import compress
 from orchidferry.mesh.control.state_request import STATE_TIMEOUT_S
@@ -43,7 +43,7 @@
 def test_one_replica_tells_it_all(replicas: int) -> None:
     """Each of the others did."""
     group = missed_changes(replicas)
-    state = DecidedState(shard_state.pack_value(group.controllers["a"].shard.known))
+    state = DecidedState(shard_state_codec.pack_value(group.controllers["a"].shard.known))
     whole = len(encode(ShardMessage(0, state)))
     before = group.bytes[tag_of(DecidedState)]
     group.dark.clear()
