--- a/orchidferry/testkit/explore/command.py
+++ b/orchidferry/testkit/explore/command.py
@@ -16,9 +16,9 @@
 from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.explore import search
 from orchidferry.testkit.explore.breaks import BREAKS
-from orchidferry.testkit.explore.pure import SearchResult
 from orchidferry.testkit.explore.search import Totals
 from orchidferry.testkit.explore.world import PROPERTIES, Small
+from orchidferry.testkit.explore.world_search import SearchResult
 
 
 class _UsageError(OrchidferryError):
--- a/orchidferry/testkit/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -26,8 +26,8 @@
 from orchidferry.balancing.fleet.membership import Membership
 from orchidferry.balancing.fleet.messages import Address, Message
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.testkit.explore import pure
-from orchidferry.testkit.explore.pure import SearchResult
+from orchidferry.testkit.explore import world_search
+from orchidferry.testkit.explore.world_search import SearchResult
 
 TIMING = Timing(interval_ms=500.0, timeout_ms=200.0, gossip_ms=100.0, sync_ms=7_500.0, reach_ms=500.0)
 FAULTS_UNTIL_MS = 700.0  # a round of probes and the beginning of the next
@@ -341,7 +341,7 @@
     workers: int = 0,
 ) -> SearchResult:
     """Walk all that a small fleet can do."""
-    return pure.search(lambda: begin(nodes, faults, kinds), broken, break_, limit_s, watch, workers)
+    return world_search.search(lambda: begin(nodes, faults, kinds), broken, break_, limit_s, watch, workers)
 
 
 def _no_refuting(self: Membership, entry: Entry, by: str, now: float) -> None:
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -33,7 +33,7 @@
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.wire.messages import KeyGrant, KeyReleaseAck
 from orchidferry.mesh.wire.shard_messages import KeyPage
-from orchidferry.testkit.explore import mesh_faults, mesh_fingerprint, pure
+from orchidferry.testkit.explore import mesh_faults, mesh_fingerprint, world_search
 from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.explore.dead_messages import is_dead
 from orchidferry.testkit.explore.mesh_actors import (
@@ -46,7 +46,7 @@
 )
 from orchidferry.testkit.explore.mesh_breaks import BREAKS, Break, broken
 from orchidferry.testkit.explore.mesh_scenes import KINDS, SCENES, Scene
-from orchidferry.testkit.explore.pure import SearchResult
+from orchidferry.testkit.explore.world_search import SearchResult
 
 __all__ = ["BREAKS", "KINDS", "SCENES", "Break", "MeshWorld", "Scene", "begin", "broken", "search"]
 
@@ -81,7 +81,7 @@
 class MeshWorld:
     """Controllers, their clients, and what is under way between them.
 
-    It is a world as `pure.search` walks it, and the host of its controllers (`controller.Around`).
+    It is a world that `world_search` explores, and the host of its controllers (`ControllerHost`).
 
     :ivar messages: that are delivered in this step
     :ivar next_messages: that were sent in this step, and are delivered in the next
@@ -620,5 +620,5 @@
     watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
 ) -> SearchResult:
-    """Explore all of a scene; the parameters are those of `pure.search`."""
-    return pure.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
+    """Explore all of a scene; the parameters are those of `world_search.search`."""
+    return world_search.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
--- a/orchidferry/testkit/explore/search.py
+++ b/orchidferry/testkit/explore/search.py
@@ -24,8 +24,8 @@
 
 from orchidferry.testkit.explore.breaks import broken
 from orchidferry.testkit.explore.loop import LoopNeverRestsError
-from orchidferry.testkit.explore.seen import SLOTS, Seen
 from orchidferry.testkit.explore.state import fingerprint
+from orchidferry.testkit.explore.state_table import SLOTS, StateTable
 from orchidferry.testkit.explore.world import Small, Violation, World
 
 MAX_DEPTH = 60
@@ -89,7 +89,7 @@
 
 
 def walk(
-    small: Small, prefix: list[str], seen: Seen | None, totals: Totals, break_: str, first_only: bool
+    small: Small, prefix: list[str], seen: StateTable | None, totals: Totals, break_: str, first_only: bool
 ) -> list[list[str]]:
     """One run from a prefix on to an end or a state that was seen; the paths that it leaves for later."""
     later: list[list[str]] = []
@@ -134,7 +134,7 @@
 
 def _work(
     small: Small,
-    seen: Seen | None,
+    seen: StateTable | None,
     break_: str,
     first_only: bool,
     until_s: float,
@@ -197,7 +197,7 @@
     """
     workers = workers or len(os.sched_getaffinity(0))
     began = time.monotonic()
-    seen = Seen(slots) if merge else None
+    seen = StateTable(slots) if merge else None
     total, first = Totals(), list[list[str]]([[]])
     if keep is not None and keep.exists():
         total, first = _load(keep, small, seen)
@@ -239,7 +239,7 @@
     return total
 
 
-def _keep(path: Path, small: Small, seen: Seen | None, total: Totals) -> None:
+def _keep(path: Path, small: Small, seen: StateTable | None, total: Totals) -> None:
     """Leave a cut search for the next one; a whole one leaves nothing."""
     if not total.rest or total.counterexample is not None:
         path.unlink(missing_ok=True)
@@ -251,14 +251,14 @@
         "outcomes": sorted(total.outcomes),
         **{name: getattr(total, name) for name in COUNTED},
     }
-    states = np.array(list(seen.held()) if seen is not None else [], np.uint64)
+    states = np.array(list(seen.keys()) if seen is not None else [], np.uint64)
     part = path.with_name(path.name + ".part")
     with part.open("wb") as out:
         np.savez_compressed(out, head=np.array(json.dumps(head)), states=states)
     part.replace(path)
 
 
-def _load(path: Path, small: Small, seen: Seen | None) -> tuple[Totals, list[list[str]]]:
+def _load(path: Path, small: Small, seen: StateTable | None) -> tuple[Totals, list[list[str]]]:
     """`ValueError` if it is another world's, or none."""
     try:
         with np.load(path) as data:
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -29,9 +29,9 @@
     Voter,
 )
 from orchidferry.balancing.slots import Bound, Gate, Place, SaysBack, Table, WantsOut
-from orchidferry.testkit.explore import pure
+from orchidferry.testkit.explore import world_search
 from orchidferry.testkit.explore.fleet import Middle
-from orchidferry.testkit.explore.pure import SearchResult
+from orchidferry.testkit.explore.world_search import SearchResult
 
 TRIES = 5  # of an asker, for each of its steps and each other one that it may have to wait for
 FOR_MS = 3_000.0
@@ -355,7 +355,9 @@
     workers: int = 0,
 ) -> SearchResult:
     """Walk all of it."""
-    return pure.search(lambda: begin(askers, faults, bound, kinds), broken, break_, limit_s, watch, workers)
+    return world_search.search(
+        lambda: begin(askers, faults, bound, kinds), broken, break_, limit_s, watch, workers
+    )
 
 
 def _any_majority(voters: Any, given: Any) -> bool:
--- /dev/null
+++ b/orchidferry/testkit/explore/state_table.py
@@ -0,0 +1,56 @@
+"""The states that a search has explored, in memory that its processes share."""
+
+from __future__ import annotations
+
+import hashlib
+import mmap
+from collections.abc import Iterator
+
+import numpy as np
+
+SLOTS = 1 << 24  # 128 MB, filled by a half at most
+SLOT_BYTES = 8
+EMPTY_SLOT = 0
+MAX_PROBES = 64  # slots that are looked at for one state
+
+
+def state_key(fingerprint: bytes) -> int:
+    """Return the key of a state in the table, which is never that of an empty slot."""
+    digest = hashlib.blake2b(fingerprint, digest_size=SLOT_BYTES).digest()
+    return int.from_bytes(digest, "little") or 1
+
+
+class StateTable:
+    """Keys of states, in a hash table with open addressing and without locks.
+
+    Processes that are forked share it. Two of them that write one slot at the same moment lose one entry, and
+    one state is explored twice.
+    """
+
+    def __init__(self, slots: int = SLOTS) -> None:
+        """
+        :param slots: a power of two; memory is taken as it is filled
+        """
+        self._table = np.frombuffer(mmap.mmap(-1, slots * SLOT_BYTES), np.uint64)
+        self._mask = slots - 1
+
+    def add(self, key: int) -> bool:
+        """Add a state.
+
+        :returns: whether it is new; a full table says so of every state
+        """
+        table = self._table
+        position = key & self._mask
+        for _ in range(MAX_PROBES):
+            stored = int(table[position])
+            if stored == key:
+                return False
+            if stored == EMPTY_SLOT:
+                table[position] = key
+                return True
+            position = (position + 1) & self._mask
+        return True
+
+    def keys(self) -> Iterator[int]:
+        """Yield the keys of all states."""
+        yield from self._table[self._table != EMPTY_SLOT].tolist()
--- a/orchidferry/testkit/explore/worst_days/__init__.py
+++ b/orchidferry/testkit/explore/worst_days/__init__.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from contextlib import AbstractContextManager
 
-from orchidferry.testkit.explore import pure
+from orchidferry.testkit.explore import world_search
 from orchidferry.testkit.explore.mesh import KINDS, Break, MeshWorld
 from orchidferry.testkit.explore.mesh_breaks import in_force
-from orchidferry.testkit.explore.pure import SearchResult
+from orchidferry.testkit.explore.world_search import SearchResult
 from orchidferry.testkit.explore.worst_days import hundreds, isolated, one_number, second_loss
 from orchidferry.testkit.explore.worst_days.play import Play
 
@@ -39,7 +39,7 @@
     workers: int = 0,
 ) -> SearchResult:
     """Walk all of a scene."""
-    return pure.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
+    return world_search.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
 
 
 def broken(name: str) -> AbstractContextManager[None]:
--- a/tests/testkit/explore/test_explore.py
+++ b/tests/testkit/explore/test_explore.py
@@ -15,8 +15,8 @@
 from orchidferry.testkit.cli import main
 from orchidferry.testkit.explore.breaks import BREAKS, broken
 from orchidferry.testkit.explore.search import play, search, shrink, wander
-from orchidferry.testkit.explore.seen import Seen
 from orchidferry.testkit.explore.state import fingerprint
+from orchidferry.testkit.explore.state_table import StateTable
 from orchidferry.testkit.explore.world import Small, World
 
 SMALL = Small(events=1)
@@ -88,8 +88,8 @@
 
 
 def test_a_full_table_of_states_says_so() -> None:
-    seen = Seen(1 << 6)
-    assert seen.add(7) and not seen.add(7) and set(seen.held()) == {7}
+    seen = StateTable(1 << 6)
+    assert seen.add(7) and not seen.add(7) and set(seen.keys()) == {7}
     # Few states told apart: the whole tree is walked, and that must be a small one.
     cut = search(Small(events=0), workers=1, slots=1 << 4, limit_s=60.0)
     assert cut.states > 1 << 4 and not cut.exhausted and "table" in cut.why
--- a/tests/testkit/explore/test_reductions.py
+++ b/tests/testkit/explore/test_reductions.py
@@ -12,7 +12,7 @@
 from orchidferry.testkit.explore.controller import ControllerCall
 from orchidferry.testkit.explore.mesh import MeshWorld
 from orchidferry.testkit.explore.mesh_actors import MessageInFlight
-from orchidferry.testkit.explore.seen import Seen, fingerprint
+from orchidferry.testkit.explore.state_table import StateTable, state_key
 
 STEPS = 400
 
@@ -112,7 +112,7 @@
 
 
 def test_a_state_is_new_once_to_all_that_share_the_table() -> None:
-    seen = Seen(1 << 10)
-    prints = [fingerprint(b"%d" % n) for n in range(300)]
+    seen = StateTable(1 << 10)
+    prints = [state_key(b"%d" % n) for n in range(300)]
     assert all(seen.add(one) for one in prints) and not any(seen.add(one) for one in prints)
-    assert sorted(seen.held()) == sorted(prints) and fingerprint(b"a") != fingerprint(b"b")
+    assert sorted(seen.keys()) == sorted(prints) and state_key(b"a") != state_key(b"b")
