--- a/tests/mesh/control/fakes.py
+++ b/tests/mesh/control/fakes.py
@@ -2,18 +2,24 @@
 
 from __future__ import annotations
 
+import asyncio
+import dataclasses
 import random
+from pathlib import Path
 from typing import Any
 
+from orchidferry.mesh.control.controller import Controller
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord
 from orchidferry.mesh.control.subscriber import Subscriber
 from orchidferry.mesh.control.update_stream import StreamChange
+from orchidferry.mesh.settings import Settings, parse_settings
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, decode, encode
 from orchidferry.mesh.wire.messages import (
     Message,
     Update,
 )
 from orchidferry.testkit.model.relays import World
+from tests.mesh.test_records import BOOT
 
 
 def record(name: str, number: int = 1, zone: str = "z", boot: int = 1) -> NodeRecord:
@@ -32,6 +38,7 @@
     def __init__(self) -> None:
         self.sent: list[Message] = []
         self.closed = False
+        self.open = True
         self.max_unsent_bytes = 0
         self.peer = ""
 
@@ -47,6 +54,7 @@
 
     def close(self) -> None:
         self.closed = True
+        self.open = False
 
 
 def make_subscriber(name: str, boot: int) -> tuple[Any, list[str]]:
@@ -63,3 +71,19 @@
     )
     subscriber.controller_connected("k", RecordingLink())
     return subscriber, dialled
+
+
+def make_controller(folder: Path, port: int = 1) -> Controller:
+    return Controller(controller_settings(folder, port), asyncio.get_running_loop())
+
+
+def controller_settings(folder: Path, port: int = 1) -> Settings:
+    return dataclasses.replace(
+        parse_settings(BOOT),
+        ip="127.0.0.1",
+        seeds=("127.0.0.1",),
+        first_start=True,
+        internal_port=port,
+        listen={"control": ("127.0.0.1", 0)},
+        data_dir=str(folder),
+    )
--- a/tests/mesh/control/test_controller.py
+++ b/tests/mesh/control/test_controller.py
@@ -1,16 +1,25 @@
-"""How a controller ends."""
+"""A controller that starts again, is removed from a group, grants keys over sockets, and ends."""
 
 from __future__ import annotations
 
 import asyncio
+import socket
+from pathlib import Path
 from typing import Any
 
 import pytest
 
+from orchidferry.balancing.register import Value, Voter
 from orchidferry.mesh.control import controller as module
+from orchidferry.mesh.control import shard_state, shard_state_codec
+from orchidferry.mesh.control.control_client import ControlClient
 from orchidferry.mesh.control.controller import Controller
+from orchidferry.mesh.control.operation_keys import ClaimOutcome
 from orchidferry.mesh.settings import Bounds
+from orchidferry.mesh.wire.shard_messages import DecidedState
+from tests.mesh.control.fakes import make_controller
 from tests.mesh.dataplane.test_proxy_stop import Clock, played
+from tests.mesh.storage.test_store import close, write
 
 
 @pytest.mark.parametrize(("needed_s", "ends_s"), [(0.0, 1.0), (2.5, 2.5), (1e6, 5.0)])
@@ -34,3 +43,62 @@
     leaving._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
     played(loop, leaving._hand_over())
     assert loop.now_s - began_s == pytest.approx(ends_s, abs=0.12)
+
+
+def test_incarnations_of_a_controller_have_one_memory_and_different_ballots(tmp_path: Path) -> None:
+    """Proposals of two incarnations under one ballot would pass for one state."""
+
+    async def main() -> None:
+        incarnations = []
+        for _ in range(2):
+            controller = make_controller(tmp_path)
+            shard = controller._runner.configuration_shard
+            incarnations.append((shard.voter, shard.register.proposer.name))
+            close(controller._store)
+        assert incarnations[0][0] == incarnations[1][0] and incarnations[0][1] != incarnations[1][1]
+
+    asyncio.run(main())
+
+
+def test_a_controller_removed_from_a_group_is_not_caught_up(tmp_path: Path) -> None:
+    async def main() -> None:
+        controller = make_controller(tmp_path)
+        shard = controller._shards[1]
+        assert shard.grants(0)
+        state = Value(1, (Voter("127.0.0.2", 1),), shard_state.Body(1))
+        known = DecidedState(shard_state_codec.pack_value(state))
+        controller._runner.carry_out(shard, shard.receive(None, known, 0.0))
+        controller._runner.carry_out(shard, shard.tick(10.0))
+        assert await write(controller._store, [])  # and so is what was written before
+        assert not shard.standing.caught_up and controller._store.read("about", b"caught/1") is None
+        assert controller._shards[2].standing.caught_up
+        close(controller._store)
+
+    asyncio.run(main())
+
+
+def test_a_key_is_granted_once_over_sockets(tmp_path: Path) -> None:
+    async def main() -> None:
+        loop, stopping = asyncio.get_running_loop(), asyncio.Event()
+        with socket.socket() as free:
+            free.bind(("127.0.0.1", 0))
+            port = free.getsockname()[1]
+        controller = make_controller(tmp_path, port)
+        serving = loop.create_task(controller.run(stopping))
+        client = ControlClient(controller._settings, loop, lambda members: None, lambda revision, raw: None)
+        client.start()
+
+        async def claim(holder: str) -> tuple[ClaimOutcome, Any]:
+            told = loop.create_future()
+            client.claim("k", holder, 8.0, lambda what, answer: told.set_result((what, answer)))
+            return await asyncio.wait_for(told, 10.0)
+
+        assert await claim("t1") == (ClaimOutcome.GRANTED, None)
+        assert await claim("t2") == (ClaimOutcome.HELD_BY_OTHER, None)
+        client.claims.record_answer("k", "t1", [200, b"x", []])
+        assert await claim("t3") == (ClaimOutcome.HELD_BY_OTHER, [200, b"x", []])
+        stopping.set()
+        await asyncio.wait_for(serving, 10.0)
+        controller._store._env.close()
+
+    asyncio.run(main())
--- a/tests/mesh/control/test_subscriber.py
+++ b/tests/mesh/control/test_subscriber.py
@@ -35,8 +35,7 @@
     UpdateUnsubscription,
 )
 from orchidferry.testkit.model.relays import BETWEEN_S, Node, World
-from tests.mesh.control.fakes import RecordingLink, make_subscriber, record
-from tests.mesh.storage.test_store import a_controller
+from tests.mesh.control.fakes import RecordingLink, make_controller, make_subscriber, record
 
 RENEWED_S = 0.5 + CATCH_UP_DELAY_S + 0.02  # a renewal, the wait, and the ways
 
@@ -244,7 +243,7 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
-        controller = a_controller(tmp_path, port)
+        controller = make_controller(tmp_path, port)
         serving = loop.create_task(controller.run(stopping))
         texts: list[asyncio.Future[bytes]] = []
         nodes: list[ControlClient] = []
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -40,7 +40,8 @@
 from orchidferry.mesh.storage.record_format import FORMAT_KEY, STORE_FORMAT, add_checksum, pack, write_seal
 from orchidferry.mesh.storage.snapshot_file import SnapshotError
 from orchidferry.mesh.storage.store import Store
-from tests.mesh.storage.test_store import Loop, boot_of, close
+from tests.mesh.control.fakes import controller_settings
+from tests.mesh.storage.test_store import Loop, close
 
 FOUNDERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 BODY = shard_state.Body(3, 7, b"{}", ((7, b"d"),), "10.0.0.2", 4)
@@ -232,7 +233,8 @@
 
 def test_one_that_has_forgotten_is_no_founder(tmp_path: Path) -> None:
     async def start() -> int:
-        found = await program.start_controller(boot_of(tmp_path), asyncio.get_running_loop(), asyncio.Event())
+        settings = controller_settings(tmp_path)
+        found = await program.start_controller(settings, asyncio.get_running_loop(), asyncio.Event())
         assert found is not None
         close(found._store)
         return found._runner.configuration_shard.voter.disk_id
--- a/tests/mesh/storage/test_store.py
+++ b/tests/mesh/storage/test_store.py
@@ -3,10 +3,8 @@
 from __future__ import annotations
 
 import asyncio
-import dataclasses
 import queue
 import random
-import socket
 import threading
 from collections.abc import Callable, Iterator
 from pathlib import Path
@@ -16,17 +14,9 @@
 import pytest
 from loguru import logger
 
-from orchidferry.balancing.register import Value, Voter
-from orchidferry.mesh.control import shard_state, shard_state_codec
-from orchidferry.mesh.control.control_client import ControlClient
-from orchidferry.mesh.control.controller import Controller
-from orchidferry.mesh.control.operation_keys import ClaimOutcome
-from orchidferry.mesh.settings import Settings, parse_settings
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.record_format import RecordWrite
 from orchidferry.mesh.storage.store import Store
-from orchidferry.mesh.wire.shard_messages import DecidedState
-from tests.mesh.test_records import BOOT
 
 
 async def write(store: Store, puts: list[RecordWrite]) -> bool:
@@ -311,78 +301,3 @@
     assert {int(key) % 2 for key, _ in store.read_all("slips")} == {1} and store.accepts_new_keys
     assert put("slips", b"new", b"x") and not store.is_degraded
     close(store)
-
-
-def a_controller(folder: Path, port: int = 1) -> Controller:
-    return Controller(boot_of(folder, port), asyncio.get_running_loop())
-
-
-def boot_of(folder: Path, port: int = 1) -> Settings:
-    return dataclasses.replace(
-        parse_settings(BOOT),
-        ip="127.0.0.1",
-        seeds=("127.0.0.1",),
-        first_start=True,
-        internal_port=port,
-        listen={"control": ("127.0.0.1", 0)},
-        data_dir=str(folder),
-    )
-
-
-def test_a_keepers_lives_have_one_memory_and_ballots_of_their_own(tmp_path: Path) -> None:
-    """Proposals of two lives under one ballot would pass for one state."""
-
-    async def main() -> None:
-        lives = []
-        for _ in range(2):
-            controller = a_controller(tmp_path)
-            shard = controller._runner.configuration_shard
-            lives.append((shard.voter, shard.register.proposer.name))
-            close(controller._store)
-        assert lives[0][0] == lives[1][0] and lives[0][1] != lives[1][1]
-
-    asyncio.run(main())
-
-
-def test_a_keeper_that_was_put_out_forgets_that_it_had_caught_up(tmp_path: Path) -> None:
-    async def main() -> None:
-        controller = a_controller(tmp_path)
-        shard = controller._shards[1]
-        assert shard.grants(0)
-        state = Value(1, (Voter("127.0.0.2", 1),), shard_state.Body(1))
-        known = DecidedState(shard_state_codec.pack_value(state))
-        controller._runner.carry_out(shard, shard.receive(None, known, 0.0))
-        controller._runner.carry_out(shard, shard.tick(10.0))
-        assert await write(controller._store, [])  # and so is what was written before
-        assert not shard.standing.caught_up and controller._store.read("about", b"caught/1") is None
-        assert controller._shards[2].standing.caught_up
-        close(controller._store)
-
-    asyncio.run(main())
-
-
-def test_a_key_is_granted_once_over_the_wire(tmp_path: Path) -> None:
-    async def main() -> None:
-        loop, stopping = asyncio.get_running_loop(), asyncio.Event()
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            port = free.getsockname()[1]
-        controller = a_controller(tmp_path, port)
-        serving = loop.create_task(controller.run(stopping))
-        news = ControlClient(controller._settings, loop, lambda members: None, lambda revision, raw: None)
-        news.start()
-
-        async def claim(holder: str) -> tuple[ClaimOutcome, Any]:
-            told = loop.create_future()
-            news.claim("k", holder, 8.0, lambda what, answer: told.set_result((what, answer)))
-            return await asyncio.wait_for(told, 10.0)
-
-        assert await claim("t1") == (ClaimOutcome.GRANTED, None)
-        assert await claim("t2") == (ClaimOutcome.HELD_BY_OTHER, None)
-        news.claims.record_answer("k", "t1", [200, b"x", []])
-        assert await claim("t3") == (ClaimOutcome.HELD_BY_OTHER, [200, b"x", []])
-        stopping.set()
-        await asyncio.wait_for(serving, 10.0)
-        controller._store._env.close()
-
-    asyncio.run(main())
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -38,7 +38,8 @@
 from orchidferry.node.reply import Reply
 from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.control.examples import example
-from tests.mesh.storage.test_store import Loop, a_controller, close
+from tests.mesh.control.fakes import make_controller
+from tests.mesh.storage.test_store import Loop, close
 from tests.mesh.test_membership import World
 
 LISTED = 4  # orders that a state lists here
@@ -343,7 +344,7 @@
     assert not quarantine.has_lost_state(str(tmp_path))
 
     async def load() -> OrderHistory:
-        controller = a_controller(tmp_path)
+        controller = make_controller(tmp_path)
         controller._store.close()
         return controller._runner.configuration_shard.orders.history
 
