--- a/orchidferry/mesh/control/group_changes.py
+++ b/orchidferry/mesh/control/group_changes.py
@@ -1,4 +1,4 @@
-"""Who may come into a shard's group, in whose place, and which voter sees to it. Pure."""
+"""Who may be admitted to a shard's group, whom it replaces, and which voter proposes it. Free of I/O."""
 
 from __future__ import annotations
 
@@ -10,67 +10,82 @@
 from orchidferry.mesh.control.membership import epoch
 from orchidferry.mesh.control.peers import Peers
 
-STAGGER_S = 0.5  # a voter acts on a newcomer's asking so much later for each that comes before it
+STAGGER_S = 0.5  # a voter proposes a newcomer so much later for each voter that ranks before it
 ROUNDING_S = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
-    """A shard's group as one controller sees it at one moment."""
+    """A shard's group as one controller observes it at one moment.
 
-    number: int  # of the shard
-    name: str  # of the controller
-    size: int  # voters that the group should have
-    known: Value  # the newest state that is known to be decided
+    :param number: of the shard.
+    :param name: of the controller.
+    :param size: voters that the group should have.
+    :param known: the newest state that is known to be decided.
+    :param caught_up: whether the controller has learned all keys that were granted.
+    """
+
+    number: int
+    name: str
+    size: int
+    known: Value
     peers: Peers
-    caught_up: bool  # whether this controller has learned all that was granted
+    caught_up: bool
     now: float
 
     @property
     def names(self) -> list[str]:
-        """The voters' names, in their order."""
+        """The names of the voters, in their order."""
         return [voter.name for voter in self.known.voters]
 
     def leaves(self, name: str) -> bool:
-        """Whether a controller was told to end, this one among them."""
+        """Whether a controller was told to end; it may be this one."""
         return self.peers.stopping if name == self.name else name in self.peers.leaving
 
-    def vacant(self) -> str:
-        """The voter in whose place another may come, the dead before those that leave; "" for none."""
+    def replaceable(self) -> str:
+        """Find the voter that may be replaced, the dead before those that leave.
+
+        :returns: its name; "" for none.
+        """
         names = self.names
         dead = [name for name in names if name != self.name and self.peers.dead(name, self.now)]
         leaving = [name for name in names if self.leaves(name)]
         return next(iter(dead + leaving), "")
 
-    def wanted(self) -> bool:
-        """Whether this controller, which has no place, should get ready for one of another's."""
+    def wants_newcomer(self) -> bool:
+        """Whether this controller, which is no voter, should get ready to become one."""
         if self.name in self.names or self.peers.stopping:
             return False
-        return len(self.names) < self.size or bool(self.vacant())
+        return len(self.names) < self.size or bool(self.replaceable())
 
-    def place_for(self, joiner: Voter, under: int, ready: bool) -> str | None:
-        """In whose place a newcomer may come, "" for one of its own; None if it may not. `under`: the last
-        epoch that it knows; `ready`: whether it has learned what it can without a place.
+    def replaced_by(self, joiner: Voter, joiner_epoch: int, ready: bool) -> str | None:
+        """Find the voter that a newcomer may replace.
+
+        :param joiner_epoch: of the last group that the newcomer knows.
+        :param ready: whether it has learned what it can before it is admitted.
+        :returns: the voter's name; "" if the group has room for another; None if it may not be admitted.
         """
-        if joiner in self.known.voters or under != epoch(self.known):
+        if joiner in self.known.voters or joiner_epoch != epoch(self.known):
             return None
-        # Its own older memory can't vote, so it makes way at once; others only for one that has learned.
+        # Its own voter of before it lost its disk can't vote any more, so it is replaced at once; others only
+        # by a newcomer that has learned.
         if joiner.name in self.names:
             return joiner.name
-        instead = self.vacant()
-        if not ready or (not instead and len(self.names) >= self.size):
+        replaced = self.replaceable()
+        if not ready or (not replaced and len(self.names) >= self.size):
             return None
-        return instead
+        return replaced
+
+    def able_voters(self, joiners: Iterable[Voter]) -> list[str]:
+        """List the voters that can maintain the group, by rank: they are alive and have caught up.
 
-    def able(self, joiners: Iterable[Voter]) -> list[str]:
-        """The voters that can look after the group, in their order: they live, remember and have learned.
-        `joiners`: those that ask for a place, and so have forgotten.
+        :param joiners: those that ask to join, and so have lost their disks.
         """
-        forgot = {voter.name for voter in joiners}
+        joining = {voter.name for voter in joiners}
         able = [
             name
             for name in self.names
-            if name not in forgot
+            if name not in joining
             and name != self.name
             and self.peers.alive(name, self.now)
             and self.number not in self.peers.learning.get(name, ())
@@ -78,9 +93,10 @@
         return shard_state.rank_controllers(self.number, able + [self.name] * self.caught_up)
 
     def is_turn(self, joiners: Iterable[Voter], since_s: float) -> bool:
-        """Whether this voter acts on a newcomer that asks since then: the first that can does at once, the
-        others if that does not help.
+        """Whether this voter proposes a newcomer: the first that can does at once, the others if it doesn't.
+
+        :param since_s: since when the newcomer has asked to join.
         """
-        able = self.able(joiners)
-        place = able.index(self.name) if self.name in able else len(able)
-        return self.now - since_s >= place * STAGGER_S - ROUNDING_S
+        able = self.able_voters(joiners)
+        rank = able.index(self.name) if self.name in able else len(able)
+        return self.now - since_s >= rank * STAGGER_S - ROUNDING_S
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -77,7 +77,7 @@
         """Whether it has learned what it can before it is a voter: all of enough voters, or of all that are
         alive and able to send their keys.
         """
-        if self.standing.enough(self.known):
+        if self.standing.has_enough_sources(self.known):
             return True
         alive = [v.name for v in self.known.voters if self.peers.alive(v.name, self.context.now)]
         return bool(alive) and all(
@@ -107,7 +107,7 @@
     def _group_changed(self, value: Value) -> None:
         super()._group_changed(value)
         self.hints.retain({voter.name for voter in value.voters})
-        self.standing.regrouped()
+        self.standing.forget_sources()
         self.learner.reset_requests()
         self.source.transfers.clear()
 
@@ -133,15 +133,15 @@
             self._request_page(name, False)
         if self.standing.caught_up:
             return
-        if not as_voter and not self._group().wanted():
-            return self.standing.regrouped()  # what it has copied grows old
-        if self.standing.enough(self.known):
+        if not as_voter and not self._group().wants_newcomer():
+            return self.standing.forget_sources()  # what it has copied grows old
+        if self.standing.has_enough_sources(self.known):
             return
         leaving = self.peers.leaving
         cursors = self.learner.cursors
         # Controllers that leave come first, then those that are being copied from.
         names = sorted(
-            self.standing.to_ask(self.voter, self.known),
+            self.standing.missing_sources(self.voter, self.known),
             key=lambda name: (name not in leaving, name not in cursors),
         )
         for name in names:
@@ -220,7 +220,7 @@
         if self.standing.caught_up or self._saving_caught_up:
             return
         as_voter = self.standing.counts(self.voter, self.known, self.accepted_value)
-        if as_voter and self.standing.enough(self.known):
+        if as_voter and self.standing.has_enough_sources(self.known):
             self._saving_caught_up = True
             self.context.write([self.context.metadata("caught", b"1")], CaughtUpSaved(epoch(self.known)))
 
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -14,12 +14,12 @@
 from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import Action, RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
-from orchidferry.mesh.control.duties import OwnerLease, takes_over
 from orchidferry.mesh.control.group_changes import GroupView
 from orchidferry.mesh.control.membership import Standing, epoch
 from orchidferry.mesh.control.order_book import OrderBook
 from orchidferry.mesh.control.order_history import Entry
 from orchidferry.mesh.control.order_requests import OrderRequests
+from orchidferry.mesh.control.owner_lease import OwnerLease, takes_over
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.quorum_read import INTERNAL_READER
 from orchidferry.mesh.control.register_reader import RegisterReader
@@ -186,7 +186,7 @@
         :param sent_s: when the heartbeat was sent.
         :param fencing_token: the highest that the other controller has voted for.
         """
-        self.peers.contact.hear(name, sent_s)
+        self.peers.contact.acknowledge(name, sent_s)
         if fencing_token <= self.body.fencing_token:
             self._owner_lease.acknowledge(name, sent_s)
 
@@ -354,10 +354,10 @@
         if self.voter in self.known.voters or (self.peers.stopping and not self.standing.caught_up):
             return
         if self.standing.caught_up:  # it missed what was granted without it, and must not say otherwise
-            if self.standing.put_out(self.voter, self.known, self.accepted_value):
+            if self.standing.is_removed(self.voter, self.known, self.accepted_value):
                 self.context.write([self.context.metadata("caught", None)], RemovalSaved())
             return
-        if self._group().wanted() and not self.ready:
+        if self._group().wants_newcomer() and not self.ready:
             return
         request = JoinRequest(self.name, self.voter.disk_id, epoch(self.known), self.ready)
         for name in self.register.other_controllers():
@@ -374,7 +374,7 @@
         if self.register.is_proposing(Purpose.ADMIT_VOTER):
             return
         group = self._group()
-        replaced = group.place_for(joiner, joiner_epoch, ready)
+        replaced = group.replaced_by(joiner, joiner_epoch, ready)
         if replaced is None:
             return
         since_s = self._joiners.setdefault(joiner, self.context.now)
@@ -395,7 +395,7 @@
         """
         if not self.known.former_voters or self.voter not in self.known.voters or not self.standing.caught_up:
             return
-        if self._group().able(self._joiners)[0] == self.name:
+        if self._group().able_voters(self._joiners)[0] == self.name:
             id = f"settle {self.known.version}"
             self.register.propose(
                 id, shard_state.end_voter_change, CHANGE_TIMEOUT_S, Purpose.END_VOTER_CHANGE, []
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing import proposer, register
 from orchidferry.balancing.proposer import Proposer
 from orchidferry.balancing.register import Acceptor, AcceptorState, Value, Voter
-from orchidferry.mesh.control import duties, quorum_read, shard_state
+from orchidferry.mesh.control import owner_lease, quorum_read, shard_state
 from orchidferry.mesh.control.actions import Action, WriteRecords
 from orchidferry.mesh.control.membership import Standing
 from orchidferry.mesh.control.operation_key_client import GrantCount
@@ -79,7 +79,7 @@
 
 
 def _long_lease(self: Shard, now: float) -> int | None:
-    with mock.patch.object(duties, "TENURE_S", 5.0):
+    with mock.patch.object(owner_lease, "LEASE_S", 5.0):
         return _owns(self, now)
 
 
@@ -247,7 +247,7 @@
         1,
         "wipe",
         (Controller, "wipe", _full_memory),
-        (Standing, "put_out", _not_put_out),
+        (Standing, "is_removed", _not_put_out),
         (Shard, "_ask_to_join", _joins),
     ),
     "one-source": break_under_faults(
@@ -258,7 +258,7 @@
         "moved",
         0,
         "",
-        (Standing, "put_out", _not_put_out),
+        (Standing, "is_removed", _not_put_out),
         (Shard, "_ask_to_join", _joins),
         (Shard, "ready", True),
     ),
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -251,7 +251,7 @@
 
 
 def _without_leavers(self: Standing, voter: Voter, known: Value) -> list[str]:
-    return [name for name in _to_ask(self, voter, known) if name != "a"]
+    return [name for name in _missing_sources(self, voter, known) if name != "a"]
 
 
 def _dead_only(self: GroupView, name: str) -> bool:
@@ -259,7 +259,7 @@
 
 
 _group_changed = RepairingReplica._group_changed
-_to_ask = Standing.to_ask
+_missing_sources = Standing.missing_sources
 
 
 BREAKS: dict[str, Break] = {
@@ -285,7 +285,7 @@
     "leaver-not-asked": deliberate_break(
         "newcomers learn from those that stay alone",
         "only-answer",
-        (Standing, "to_ask", _without_leavers),
+        (Standing, "missing_sources", _without_leavers),
         (RepairingReplica, "_leaving_sources", _not_the_leaver),
     ),
 }
--- a/tests/mesh/control/test_repair.py
+++ b/tests/mesh/control/test_repair.py
@@ -15,12 +15,12 @@
     one = make_shard("a", caught_up=False)
     one.standing.sources |= {"b": True, "c": True}
     one.learner.cursors["b"] = Cursor("life", 9)
-    assert one.standing.enough(one.known)
+    assert one.standing.has_enough_sources(one.known)
     learn_state(one, Value(2, (B, C, D), shard_state.Body(4)))
     learn_state(one, Value(3, (A, B, D), shard_state.Body(5)))
-    assert not one.standing.enough(one.known) and one.learner.cursors
+    assert not one.standing.has_enough_sources(one.known) and one.learner.cursors
     standing = Standing(False, {"x": True, "b": True})
-    assert standing.told_all(one.known) == 1  # only voters count
+    assert standing.count_sources(one.known) == 1  # only voters count
 
 
 def test_catching_up_is_void_if_the_group_changed_meanwhile() -> None:
--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/test_contact.py
@@ -48,8 +48,8 @@
 
 def test_an_old_acknowledgement_takes_nothing_back_and_gives_nothing() -> None:
     contact = Contact()
-    contact.hear("b", 10.0)
-    contact.hear("b", 9.0)
+    contact.acknowledge("b", 10.0)
+    contact.acknowledge("b", 9.0)
     assert contact.since_s(FIVE[:3], FIVE[0]) == 10.0
 
 
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/test_membership.py
@@ -18,10 +18,10 @@
 from orchidferry.balancing.register import AcceptorState, Value, Voter
 from orchidferry.mesh.control import shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import RequestEnded, SendReply, StateChanged
-from orchidferry.mesh.control.duties import TENURE_S
 from orchidferry.mesh.control.membership import Standing, epoch
 from orchidferry.mesh.control.operation_key_client import GrantCount
 from orchidferry.mesh.control.operation_keys import ClaimOutcome
+from orchidferry.mesh.control.owner_lease import LEASE_S
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.shard import Shard
 from orchidferry.mesh.control.shard_parameters import ShardParameters
@@ -296,7 +296,7 @@
     mine = Value(1, (a, b, c), shard_state.Body(0, owner="a", fencing_token=1))
     know(mine, 1.0)
     shard.heartbeat_acknowledged("b", 1.0, 1)
-    assert shard.owns(1.0) == 1 and shard.owns(1.9) == 1 and shard.owns(1.0 + TENURE_S) is None
+    assert shard.owns(1.0) == 1 and shard.owns(1.9) == 1 and shard.owns(1.0 + LEASE_S) is None
     changed = shard_state.AdmitVoter(d, "c", 3, 0)(mine)
     assert isinstance(changed, Value) and shard_state.body(changed).fencing_token == 2
     shard.register.acceptor.state = AcceptorState(shard_state.GENESIS, (5, "b"), (5, "b"), changed)
@@ -308,7 +308,7 @@
     know(Value(4, (a, b, d), shard_state.Body(1, owner="a", fencing_token=4)), 3.0)
     for now in (3.1, 3.9, 4.0):
         shard.heartbeat_acknowledged("b", now, 4)
-        assert shard.owns(now) == (4 if now >= 3.0 + TENURE_S else None)
+        assert shard.owns(now) == (4 if now >= 3.0 + LEASE_S else None)
 
 
 def test_one_that_was_put_out_learns_anew() -> None:
@@ -317,12 +317,12 @@
     first = Value(1, (a, b, c), shard_state.Body(0, 1))
     without = Value(2, (a, b, d), shard_state.Body(1, 1))
     standing = Standing(True)
-    assert not standing.put_out(c, first, None) and not standing.put_out(c, first, first)
-    assert not standing.put_out(d, first, without)  # hears of its own place late
+    assert not standing.is_removed(c, first, None) and not standing.is_removed(c, first, first)
+    assert not standing.is_removed(d, first, without)  # hears of its own place late
     assert standing.grants(1, a, without, without) and standing.grants(0, a, first, first)
     assert not standing.grants(1, a, without, first)  # what it accepted last is of the group before
     assert not standing.grants(0, a, first, without) and not Standing(False).grants(1, a, without, without)
-    assert standing.put_out(c, without, first) and not standing.grants(1, c, without, first)
+    assert standing.is_removed(c, without, first) and not standing.grants(1, c, without, first)
 
 
 def test_a_disk_lost_long_after_another_at_a_restart_of_all() -> None:
