--- a/orchidferry/balancing/settings.py
+++ b/orchidferry/balancing/settings.py
@@ -47,20 +47,20 @@
     return value
 
 
-def opt(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
+def get_optional(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
     """A value of a type, or the default where it is missing or null."""
     return default if obj.get(key) is None else get(obj, key, kind)
 
 
-def word(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
-    """What one of some fixed values stands for."""
+def get_choice(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
+    """What a value that must be one of the keys of `words` stands for."""
     value = get(obj, key, kind)
     if value not in words:
         raise SettingsFormatError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
     return words[value]
 
 
-def objects(obj: Json, key: str) -> list[Json]:
+def get_objects(obj: Json, key: str) -> list[Json]:
     """An array of objects that must be there."""
     values: list[Json] = get(obj, key, list)
     for index, value in enumerate(values):
@@ -75,30 +75,32 @@
     :raises SettingsFormatError: a key is missing or has a value of another type
     :raises ValueError: a value is out of range
     """
-    classes = [_read_class(obj) for obj in objects(env, "classes")]
-    tenants = [_read_tenant(obj) for obj in (objects(env, "tenants") if env.get("tenants") else [])]
+    classes = [_read_class(obj) for obj in get_objects(env, "classes")]
+    tenants = [_read_tenant(obj) for obj in (get_objects(env, "tenants") if env.get("tenants") else [])]
     permissions = get(env, "permissions", dict)
     rules = get(env, "rules", dict)
-    prices = opt(env, "prices", dict, {})
-    worst = opt(opt(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
+    prices = get_optional(env, "prices", dict, {})
+    worst = get_optional(get_optional(env, "score_parts", dict, {}), "worst_class", NUMBER, 0.0)
     return api.Settings(
         classes=classes,
         tenants=tenants,
-        over_share_worth=opt(env, "over_share_worth", NUMBER, 1.0),
+        over_share_worth=get_optional(env, "over_share_worth", NUMBER, 1.0),
         worst_class=worst / (1.0 - worst) if 0.0 <= worst < 1.0 else 0.0,
-        zone=opt(env, "locality", str, ""),
+        zone=get_optional(env, "locality", str, ""),
         nodes=max(1, get(env, "siblings", int)),
-        number=opt(env, "my_number", int, 0),
-        tier=opt(env, "tier", int, 0),
-        tiers=max(1, len(opt(env, "stages", list, []))),
-        passes_deadline=opt(opt(env, "family_info", dict, {}), "passes_deadline", bool, False),
+        number=get_optional(env, "my_number", int, 0),
+        tier=get_optional(env, "tier", int, 0),
+        tiers=max(1, len(get_optional(env, "stages", list, []))),
+        passes_deadline=get_optional(
+            get_optional(env, "family_info", dict, {}), "passes_deadline", bool, False
+        ),
         follow_list=get(env, "membership_mode", str) == "on_request",
         ask_every_ms=get(rules, "ask_every_ms", NUMBER),
         **_read_permissions(permissions),
-        tick_ms=opt(env, "quantum_ms", NUMBER, 0.0),
+        tick_ms=get_optional(env, "quantum_ms", NUMBER, 0.0),
         **_read_rules(rules),
-        cross_zone_price=opt(prices, "cross_zone", NUMBER, 0.0),
-        handshake_price=opt(prices, "handshake", NUMBER, 0.0),
+        cross_zone_price=get_optional(prices, "cross_zone", NUMBER, 0.0),
+        handshake_price=get_optional(prices, "handshake", NUMBER, 0.0),
     )
 
 
@@ -108,46 +110,48 @@
         name=get(obj, "name", str),
         aim_ms=get(obj, "objective_ms", NUMBER),
         deadline_ms=get(obj, "give_up_ms", NUMBER),
-        worth=opt(obj, "importance", NUMBER, 1.0),
-        late_worth=opt(obj, "late_worth", NUMBER, 0.0),
-        repeat=word(obj, "semantics", REPEATS),
-        group=word(obj, "dedup_scope", GROUPS) if keyed else api.Group.ALL,
+        worth=get_optional(obj, "importance", NUMBER, 1.0),
+        late_worth=get_optional(obj, "late_worth", NUMBER, 0.0),
+        repeat=get_choice(obj, "semantics", REPEATS),
+        group=get_choice(obj, "dedup_scope", GROUPS) if keyed else api.Group.ALL,
         window_ms=get(obj, "window_ms", NUMBER) if keyed else 0.0,
     )
 
 
 def _read_tenant(obj: Json) -> api.Tenant:
     name = get(obj, "name", str)
-    return api.Tenant(name, opt(obj, "fraction", NUMBER, 0.0), opt(obj, "quota_per_s", NUMBER, 0.0))
+    return api.Tenant(
+        name, get_optional(obj, "fraction", NUMBER, 0.0), get_optional(obj, "quota_per_s", NUMBER, 0.0)
+    )
 
 
 def _read_permissions(permissions: Json) -> Json:
     """The fields of the settings that say what a node may do."""
     return {
         "max_attempts": get(permissions, "max_attempts", int),
-        "parallel_attempts": opt(permissions, "parallel_tries", bool, False),
-        "can_cancel": opt(permissions, "may_cancel", bool, False),
+        "parallel_attempts": get_optional(permissions, "parallel_tries", bool, False),
+        "can_cancel": get_optional(permissions, "may_cancel", bool, False),
         "max_retry_after_ms": (
-            opt(permissions, "max_retry_after_ms", NUMBER, 0.0)
-            if opt(permissions, "retry_after", bool, False)
+            get_optional(permissions, "max_retry_after_ms", NUMBER, 0.0)
+            if get_optional(permissions, "retry_after", bool, False)
             else 0.0
         ),
         "connect_timeout_ms": get(permissions, "connect_timeout_ms", NUMBER),
-        "keepalive_ms": opt(permissions, "keepalive_ms", NUMBER, 30_000.0),
+        "keepalive_ms": get_optional(permissions, "keepalive_ms", NUMBER, 30_000.0),
     }
 
 
 def _read_rules(rules: Json) -> Json:
     """The fields of the settings that say what a node must keep to."""
     return {
-        "answer_slack_ms": opt(rules, "answer_slack_ms", NUMBER, 0.0),
+        "answer_slack_ms": get_optional(rules, "answer_slack_ms", NUMBER, 0.0),
         "drain_grace_ms": get(rules, "stop_sending_within_ms", NUMBER),
         "start_capacity": get(rules, "start_capacity", NUMBER),
         "ramp_time_ms": get(rules, "ramp_time_ms", NUMBER),
         "overload_factor": get(rules, "overload_factor", NUMBER),
         "overload_for_ms": get(rules, "overload_for_ms", NUMBER),
-        "repeat_ratio": opt(rules, "repeat_ratio", NUMBER, None),
-        "extra_floor": opt(rules, "extra_floor", NUMBER, 0.0),
-        "resend_span_ms": opt(rules, "resend_span_ms", NUMBER, 0.0),
-        "full_may_have_run": opt(rules, "full_may_have_run", bool, False),
+        "repeat_ratio": get_optional(rules, "repeat_ratio", NUMBER, None),
+        "extra_floor": get_optional(rules, "extra_floor", NUMBER, 0.0),
+        "resend_span_ms": get_optional(rules, "resend_span_ms", NUMBER, 0.0),
+        "full_may_have_run": get_optional(rules, "full_may_have_run", bool, False),
     }
--- a/orchidferry/balancing/wirehost.py
+++ b/orchidferry/balancing/wirehost.py
@@ -18,10 +18,10 @@
     Json,
     SettingsFormatError,
     get,
-    objects,
-    opt,
+    get_choice,
+    get_objects,
+    get_optional,
     read_settings,
-    word,
 )
 
 HEALTH = {
@@ -51,14 +51,14 @@
     return [
         api.ServerEntry(
             server=get(e, "server", int),
-            zone=opt(e, "failure_domain", str, ""),
-            kind=opt(e, "sku", str, ""),
-            cell=opt(e, "group", int, 0),
-            health=word(e, "health", HEALTH),
-            share=opt(e, "share", NUMBER, 1.0),
-            started_ms=opt(e, "boot_time_ms", NUMBER, 0.0) or None,
+            zone=get_optional(e, "failure_domain", str, ""),
+            kind=get_optional(e, "sku", str, ""),
+            cell=get_optional(e, "group", int, 0),
+            health=get_choice(e, "health", HEALTH),
+            share=get_optional(e, "share", NUMBER, 1.0),
+            started_ms=get_optional(e, "boot_time_ms", NUMBER, 0.0) or None,
         )
-        for e in objects(item, "elements")
+        for e in get_objects(item, "elements")
     ]
 
 
@@ -67,14 +67,14 @@
         get(item, "request_id", str),
         get(item, "type", str),
         get(item, "ttl_ms", NUMBER),
-        None if item.get("owner") == 0 else opt(item, "owner", str, None),  # 0: no tenants here
-        opt(item, "again_by_client", bool, False),
+        None if item.get("owner") == 0 else get_optional(item, "owner", str, None),  # 0: no tenants here
+        get_optional(item, "again_by_client", bool, False),
     )
 
 
 def _report(item: Json) -> dict[str, float] | None:
     """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
-    report = opt(item, "report", dict, None)
+    report = get_optional(item, "report", dict, None)
     if report is None:
         return None
     return {name: max(0.0, get(report, name, NUMBER)) for name, value in report.items() if value is not None}
@@ -85,7 +85,7 @@
         get(item, "request_id", str),
         get(item, "send_no", int),
         get(item, "server", int),
-        word(item, "disposition", RESULTS, int),
+        get_choice(item, "disposition", RESULTS, int),
         get(item, "duration_ms", NUMBER),
         get(item, "settled", bool),
         _report(item),
@@ -151,7 +151,7 @@
         now: float = get(message, "ts_ms", NUMBER)
         number = get(message, "round", int)
         actions: list[Json] = []
-        for n, item in enumerate(objects(message, "items")):
+        for n, item in enumerate(get_objects(message, "items")):
             try:
                 self._item(item, now, actions)
             except SettingsFormatError as problem:
@@ -190,7 +190,7 @@
             actions.append(_write(name, action))
 
     def _view(self, item: Json) -> api.Event:
-        form = word(item, "form", FORMS)
+        form = get_choice(item, "form", FORMS)
         if form is api.ListKind.FAILED:
             return api.ServerList(form)
         bank = get(item, "bank", int)
--- a/orchidferry/node/chain/settings.py
+++ b/orchidferry/node/chain/settings.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from orchidferry.balancing import chain
-from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, get_optional
 from orchidferry.node.config import read_toml_file
 from orchidferry.node.shared_keys import parse_keys
 
@@ -38,4 +38,4 @@
     values |= {name: get(obj, name, int) for name in ("extra", "nodes") if name in obj}
     values |= {name: get(obj, name, bool) for name in ("shed",) if name in obj}
     limits = chain.Limits(**values)
-    return Setup(limits, parse_keys(opt(obj, "keys", list, []), MAX_KEYS))
+    return Setup(limits, parse_keys(get_optional(obj, "keys", list, []), MAX_KEYS))
--- a/orchidferry/node/config.py
+++ b/orchidferry/node/config.py
@@ -10,7 +10,7 @@
 from typing import TypeVar
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt, read_settings
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, get_optional, read_settings
 from orchidferry.errors import OrchidferryError
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.server_listing import ServerListing, read_listing
@@ -61,15 +61,15 @@
 
 
 def _decode_config(obj: Json) -> Config:
-    limits = opt(obj, "limits", dict, {})
+    limits = get_optional(obj, "limits", dict, {})
     return Config(
         name=get(obj, "name", str),
         listen=parse_address(get(obj, "listen", str)),
         discovery=parse_address(get(obj, "discovery", str)),
         seed=_parse_hex(get(obj, "seed", str)),
-        sockets=opt(limits, "sockets", int, DEFAULT_SOCKETS),
-        memory_mb=opt(limits, "memory_mb", NUMBER, DEFAULT_MEMORY_MB),
-        known=read_listing(opt(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})),
+        sockets=get_optional(limits, "sockets", int, DEFAULT_SOCKETS),
+        memory_mb=get_optional(limits, "memory_mb", NUMBER, DEFAULT_MEMORY_MB),
+        known=read_listing(get_optional(obj, "known", dict, {"index": 0, "snapshot": True, "endpoints": []})),
         settings=read_settings(get(obj, "settings", dict)),
         admin=_admin_address(obj),
     )
@@ -83,7 +83,7 @@
 
 def _admin_address(obj: Json) -> Address | None:
     """Return where the admin server listens: the field `admin_addr`, else `NODE_ADMIN_ADDR`."""
-    text = opt(obj, "admin_addr", str, "")
+    text = get_optional(obj, "admin_addr", str, "")
     if text:
         return parse_address(text)
     text = os.environ.get("NODE_ADMIN_ADDR", "")
--- a/orchidferry/node/control/settings.py
+++ b/orchidferry/node/control/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, get_optional
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.config import ConfigError, read_toml_file
 
@@ -53,10 +53,10 @@
         raise SettingsFormatError("'pools' must name at least one pool")
 
     def file(name: str) -> Path | None:
-        text = opt(obj, name, str, "")
+        text = get_optional(obj, name, str, "")
         return folder / text if text else None
 
-    wait_s = float(opt(obj, "first_wait_s", NUMBER, 5.0))
+    wait_s = float(get_optional(obj, "first_wait_s", NUMBER, 5.0))
     if not 0.0 < wait_s <= MAX_WAIT_S:
         raise SettingsFormatError(
             f"'first_wait_s' must be above 0 and at most {MAX_WAIT_S:g}, not {wait_s:g}"
@@ -64,7 +64,7 @@
     made = Control(
         parse_address(get(obj, "service", str)),
         get(obj, "node", str),
-        opt(obj, "cluster", str, ""),
+        get_optional(obj, "cluster", str, ""),
         tuple(pools),
         get(obj, "settings", str),
         file("state"),
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -9,7 +9,7 @@
 from orchidferry.balancing.fleet.member_table import MAX_SEEDS
 from orchidferry.balancing.fleet.members import MAX_NAME, MAX_VERSION, MAX_ZONE
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, opt
+from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, get_optional
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.config import ConfigError, read_toml_file
 from orchidferry.node.shared_keys import Keys, parse_keys
@@ -70,11 +70,11 @@
         raise SettingsFormatError(f"{unknown[0]!r} is not known")
 
     def file(field: str) -> Path | None:
-        text = opt(obj, field, str, "")
+        text = get_optional(obj, field, str, "")
         return folder / text if text else None
 
     def text(field: str, default: str, most: int) -> str:
-        value: str = opt(obj, field, str, default)
+        value: str = get_optional(obj, field, str, default)
         if len(value) > most or not value.isprintable():
             raise SettingsFormatError(
                 f"{field!r} must be {most} printable characters at most, not {value!r:.40}"
@@ -87,16 +87,16 @@
         raise SettingsFormatError(
             "'advertise' must say where peers reach this node: an address and a port, not 0"
         )
-    seeds = opt(obj, "seeds", list, [])
+    seeds = get_optional(obj, "seeds", list, [])
     if len(seeds) > MAX_SEEDS:
         raise SettingsFormatError(f"seeds: {len(seeds)}, {MAX_SEEDS} at most")
     keys = file("keys")
     if keys is None:
         raise SettingsFormatError("'keys' is missing: the file with the fleet's keys")
-    probe_ms = float(opt(obj, "probe_ms", NUMBER, 1_000.0))
+    probe_ms = float(get_optional(obj, "probe_ms", NUMBER, 1_000.0))
     if not PROBE_MS[0] <= probe_ms <= PROBE_MS[1]:
         raise SettingsFormatError(f"'probe_ms' must be {PROBE_MS[0]:g} to {PROBE_MS[1]:g}, not {probe_ms:g}")
-    most = opt(obj, "most", int, 1_024)
+    most = get_optional(obj, "most", int, 1_024)
     if not MOST[0] <= most <= MOST[1]:
         raise SettingsFormatError(f"'most' must be {MOST[0]} to {MOST[1]} nodes, not {most}")
     own = text("name", name, MAX_NAME)
--- a/orchidferry/node/pool_settings.py
+++ b/orchidferry/node/pool_settings.py
@@ -3,7 +3,15 @@
 from __future__ import annotations
 
 from orchidferry.balancing import moves, pools
-from orchidferry.balancing.settings import NUMBER, Json, SettingsFormatError, get, objects, opt, word
+from orchidferry.balancing.settings import (
+    NUMBER,
+    Json,
+    SettingsFormatError,
+    get,
+    get_choice,
+    get_objects,
+    get_optional,
+)
 from orchidferry.node.config import read_toml_file
 
 POOL_KEYS = {"name", "kinds", "groups"}
@@ -23,10 +31,10 @@
 def _decode_rules(obj: Json, classes: tuple[str, ...]) -> pools.Rules:
     if unknown := sorted(obj.keys() - {"pool", "move"}):
         raise SettingsFormatError(f"{unknown[0]!r} is not known")
-    rules = tuple(_decode_pool(item) for item in objects(obj, "pool"))
+    rules = tuple(_decode_pool(item) for item in get_objects(obj, "pool"))
     if len(rules) > MAX_POOLS:
         raise SettingsFormatError(f"pool: {len(rules)} of them, {MAX_POOLS} at most")
-    move = opt(obj, "move", dict, None)
+    move = get_optional(obj, "move", dict, None)
     if move is None:
         return pools.Rules(rules)
     plan = _decode_move(move, classes)
@@ -37,20 +45,20 @@
     if unknown := sorted(move.keys() - {"to", "steps", "rare", *MOVE_NUMBERS}):
         raise SettingsFormatError(f"move: {unknown[0]!r} is not known")
     values = {name: float(get(move, name, NUMBER)) for name in MOVE_NUMBERS if name in move}
-    steps = opt(move, "steps", list, list(moves.STEPS))
+    steps = get_optional(move, "steps", list, list(moves.STEPS))
     if not all(isinstance(step, int | float) and not isinstance(step, bool) for step in steps):
         raise SettingsFormatError("move: 'steps' must be numbers")
     rare = moves.Rare.HOLD
     if "rare" in move:
-        rare = word(move, "rare", {kind.value: kind for kind in moves.Rare})
+        rare = get_choice(move, "rare", {kind.value: kind for kind in moves.Rare})
     return moves.Plan(classes, tuple(map(float, steps)), rare=rare, **values)
 
 
 def _decode_pool(item: Json) -> pools.PoolRule:
     if unknown := sorted(item.keys() - POOL_KEYS):
         raise SettingsFormatError(f"pool: {unknown[0]!r} is not known")
-    kinds = opt(item, "kinds", list, [])
-    groups = opt(item, "groups", list, [])
+    kinds = get_optional(item, "kinds", list, [])
+    groups = get_optional(item, "groups", list, [])
     if not all(isinstance(kind, str) for kind in kinds) or not all(type(group) is int for group in groups):
         raise SettingsFormatError("pool: 'kinds' must be texts, 'groups' whole numbers")
     return pools.PoolRule(get(item, "name", str), frozenset(kinds), frozenset(groups))
--- a/orchidferry/node/server_listing.py
+++ b/orchidferry/node/server_listing.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.settings import NUMBER, Json, get, objects, opt, word
+from orchidferry.balancing.settings import NUMBER, Json, get, get_choice, get_objects, get_optional
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.clock import unix_offset_ms
 from orchidferry.node.incremental import run_to_completion
@@ -68,7 +68,7 @@
     """
     offset_ms = unix_offset_ms()
     listing = ServerListing(0, False, [], {})
-    for number, item in enumerate(objects(obj, "endpoints"), 1):
+    for number, item in enumerate(get_objects(obj, "endpoints"), 1):
         server = server_id(get(item, "name", str))
         listing.entries.append(_decode_entry(server, item, offset_ms))
         listing.addresses[server] = parse_address(get(item, "address", str))
@@ -82,14 +82,14 @@
 
 
 def _decode_entry(server: int, item: Json, offset_ms: float) -> api.ServerEntry:
-    since_ms = opt(item, "since_ms", NUMBER, 0)
+    since_ms = get_optional(item, "since_ms", NUMBER, 0)
     return api.ServerEntry(
         server=server,
-        zone=sys.intern(opt(item, "zone", str, "")),
-        kind=sys.intern(opt(item, "type", str, "")),
-        cell=opt(item, "group", int, 0),
-        health=word(item, "status", STATUSES),
-        share=opt(item, "weight", NUMBER, 1.0),
+        zone=sys.intern(get_optional(item, "zone", str, "")),
+        kind=sys.intern(get_optional(item, "type", str, "")),
+        cell=get_optional(item, "group", int, 0),
+        health=get_choice(item, "status", STATUSES),
+        share=get_optional(item, "weight", NUMBER, 1.0),
         started_ms=since_ms + offset_ms if since_ms > 0 else None,
     )
 
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -31,7 +31,7 @@
     Tick,
     Withdraw,
 )
-from orchidferry.balancing.settings import SettingsFormatError, get, opt
+from orchidferry.balancing.settings import SettingsFormatError, get, get_optional
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.control.messages import TYPES
 from orchidferry.testkit.control.files import Version, VersionFileError, from_form
@@ -150,7 +150,7 @@
         new = from_form(get(request, "file", dict))
         if new.version == self.base.version:
             raise VersionFileError(f"'version': {new.version!r} is what the service holds")
-        doors = [parse_address(one) for one in opt(request, "doors", list, [])]
+        doors = [parse_address(one) for one in get_optional(request, "doors", list, [])]
         if len(doors) > MAX_DOORS:
             raise VersionFileError(f"{len(doors)} doors, {MAX_DOORS} at most")
         plan = Plan(
