--- a/orchidferry/balancing/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -148,7 +148,7 @@
             "state": self.state.value,
             "reason": self.reason,
             "wave": self._wave_number,
-            "wave_sizes": len(self._wave_sizes),
+            "waves": len(self._wave_sizes),
             "offered": sorted(offered),
             "acknowledged": sorted(name for name in offered if self._nodes[name].acknowledged),
             "waiting": len(self._remaining),
--- a/tests/balancing/test_rollout.py
+++ b/tests/balancing/test_rollout.py
@@ -264,3 +264,18 @@
         assert sorted(scene.back) == sorted(scene.offered)
     else:
         assert sorted(scene.offered) == sorted(NODES)
+
+
+def test_the_status_keeps_its_keys() -> None:
+    """Operators' programs read them."""
+    status = r.Rollout(Plan("v2", 1)).status()
+    assert list(status) == [
+        "version",
+        "state",
+        "reason",
+        "wave",
+        "waves",
+        "offered",
+        "acknowledged",
+        "waiting",
+    ]
