--- a/orchidferry/balancing/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -1,11 +1,11 @@
-"""Servers in pools, and which pool a request goes to. No I/O.
+"""Pools of servers, and which pool a request goes to. No I/O.
 
-Each pool has a `Balancer` of its own, so that within it nothing is otherwise than in a node without pools;
-this stands in front of them with the same face, and decides only which of them has a request. Servers belong
-to the first pool that their kind, or their group, is listed in; what is in none is in the first pool.
+Each pool has a `Balancer` of its own, which works as in a node without pools; the `Router` has the same
+interface and decides only which of them gets a request. A server belongs to the first pool that lists its
+kind or its group; one that no pool lists is in the first.
 
 - A request stays in its pool, with all of its attempts. A key stays in the pool that it went to first for
-  `KEY_MS` behind its last use, also over an undo: pools that drop repeats apart never share one.
+  `KEY_AFFINITY_MS` behind its last use, also over an undo: pools that drop repeats apart never share one.
 - A move (`orchidferry.balancing.moves`) gives the share of a class that goes to another pool. What has a key
   is dealt by it, so that the same client does not flap between versions; the rest in turn.
 - Panic: a pool of which less than `MIN_LIVE` of what it had is in service gets nothing beyond its
@@ -26,23 +26,24 @@
 from orchidferry.balancing.moves import Move, Plan, State
 
 # how long a key is kept to its pool; and how many are
-KEY_MS = 6_000.0
+KEY_AFFINITY_MS = 6_000.0
 MAX_KEYS = 100_000
 MIN_LIVE = 0.5  # of a pool's servers that must be in service for its whole share
-OWN_TOKENS = 4  # timers of the nodes' own stay what they are
+RESERVED_TOKENS = 4  # tokens below this are the first pool's own
 TICK_MS = 250.0  # how often a move is looked at
-SAYS_NOTHING = frozenset((api.Result.MOOT, api.Result.CANCELLED))  # of the server
+UNINFORMATIVE = frozenset((api.Result.MOOT, api.Result.CANCELLED))  # of the server
 
 
 @dataclass(frozen=True, slots=True)
 class PoolRule:
-    """One pool: which servers are in it."""
+    """One pool: which servers belong to it."""
 
     name: str
     kinds: frozenset[str] = frozenset()
     groups: frozenset[int] = frozenset()
 
-    def has(self, entry: api.ServerEntry) -> bool:
+    def matches(self, entry: api.ServerEntry) -> bool:
+        """Whether a server belongs to it."""
         return entry.kind in self.kinds or entry.cell in self.groups
 
 
@@ -55,7 +56,10 @@
     plan: Plan | None = None
 
     def __post_init__(self) -> None:
-        """Refuse what can't be meant."""
+        """Reject rules that contradict each other.
+
+        :raises ValueError: its text says which
+        """
         names = [pool.name for pool in self.pools]
         if not names or len(set(names)) < len(names):
             raise ValueError("pools: at least one, each with a name of its own")
@@ -68,8 +72,8 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """A request that is in a pool."""
+class _RoutedRequest:
+    """A request that was sent to a pool."""
 
     pool: int
     cls: str
@@ -78,36 +82,38 @@
 @dataclass(slots=True)
 class _Pool:
     balancer: Balancer
-    live: set[int] = field(default_factory=set)  # servers in service; kept, as each event asks how many
-    most: int = 0  # so many of them at once
+    live: set[int] = field(default_factory=set)  # servers in service
+    max_live: int = 0  # the most there were
 
 
 class Router:
-    """Pools behind the face of one `Balancer`."""
+    """Pools behind the interface of one `Balancer`."""
 
     def __init__(self, settings: api.Settings, salt: int, rules: Rules, chain: Chain | None = None) -> None:
         self.rules = rules
         self.chain = chain
         self._pools = [_Pool(Balancer(settings, salt + n, chain)) for n in range(len(rules.pools))]
-        self._requests: dict[str, _Held] = {}
+        self._requests: dict[str, _RoutedRequest] = {}
         self._keys: OrderedDict[str, tuple[float, int]] = OrderedDict()  # when last used, and the pool
-        self._home: dict[int, int] = {}  # pool of each server that is known
-        self._dealt: dict[str, float] = {}  # share owed to the new pool, by class
+        self._pool_of_server: dict[int, int] = {}  # pool of each server that is known
+        self._owed: dict[str, float] = {}  # fraction of a request owed to the new pool, by class
         names = [pool.name for pool in rules.pools]
-        self._to = names.index(rules.to) if rules.to else 0
+        self._new_pool = names.index(rules.to) if rules.to else 0
         plan = rules.plan or Plan(tuple(cls.name for cls in settings.classes))
         self.move: Move | None = Move(plan) if rules.to else None
         self._ticking = False
-        self._told = 0  # lines of the move's story that the log has
+        self._logged = 0  # entries of the move's history that were logged
 
-    # What a node reads
+    # Read by the node
 
     @property
     def settings(self) -> api.Settings:
+        """The settings of all pools."""
         return self._pools[0].balancer.settings
 
     @property
     def classes(self) -> dict[str, api.RequestClass]:
+        """The request classes by name."""
         return self._pools[0].balancer.classes
 
     def avoided(self, now: float) -> int:
@@ -117,17 +123,21 @@
     # Events
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Take one event; what to do about it."""
+        """Take one event; the actions that follow from it, in order."""
         actions: list[api.Action] = []
         match event:
             case api.Request():
                 actions += self._request(event, now)
             case api.AttemptEnded() | api.Uploaded() | api.StreamStarted() | api.ClientGone():
-                held = self._requests.get(event.id)
-                pool = held.pool if held is not None else self._home.get(getattr(event, "server", -1), 0)
-                if isinstance(event, api.AttemptEnded) and held is not None:
-                    self._tell(held, event, now)
-                actions += self._say(pool, event, now)
+                routed = self._requests.get(event.id)
+                pool = (
+                    routed.pool
+                    if routed is not None
+                    else self._pool_of_server.get(getattr(event, "server", -1), 0)
+                )
+                if isinstance(event, api.AttemptEnded) and routed is not None:
+                    self._record_outcome(routed, event, now)
+                actions += self._forward(pool, event, now)
                 if isinstance(event, api.ClientGone) or (
                     isinstance(event, api.AttemptEnded) and event.settled
                 ):
@@ -138,22 +148,22 @@
                 actions += self._list(event, now)
             case _:
                 for number in range(len(self._pools)):
-                    actions += self._say(number, event, now)
+                    actions += self._forward(number, event, now)
         if self.move is not None:
-            if self.move.state is State.PLANNED and self._pools[0].live and self._pools[self._to].live:
-                self.move.start(now)  # there is something to move, and something to compare it with
-            actions += self._look(now)
+            if self.move.state is State.PLANNED and self._pools[0].live and self._pools[self._new_pool].live:
+                self.move.start(now)  # both pools have servers
+            actions += self._update_move(now)
         return actions
 
-    def _say(self, pool: int, event: api.Event, now: float) -> list[api.Action]:
-        """Tell one pool; its timers come back with its number in them."""
+    def _forward(self, pool: int, event: api.Event, now: float) -> list[api.Action]:
+        """Hand an event to one pool; its timers are given tokens that bear its number."""
         found: list[api.Action] = []
         for action in self._pools[pool].balancer.handle(event, now):
             match action:
                 case api.SetTimer():
                     token = action.token
-                    if pool or token >= OWN_TOKENS:
-                        token = OWN_TOKENS + token * len(self._pools) + pool
+                    if pool or token >= RESERVED_TOKENS:
+                        token = RESERVED_TOKENS + token * len(self._pools) + pool
                     found.append(api.SetTimer(token, action.delay_ms))
                 case api.Subscribe() if pool:
                     pass  # one subscription is enough
@@ -168,21 +178,21 @@
         if event.token < 0:
             self._ticking = False
             return []
-        if event.token < OWN_TOKENS:
-            return self._say(0, event, now)
-        token, pool = divmod(event.token - OWN_TOKENS, len(self._pools))
-        return self._say(pool, api.TimerFired(token), now)
+        if event.token < RESERVED_TOKENS:
+            return self._forward(0, event, now)
+        token, pool = divmod(event.token - RESERVED_TOKENS, len(self._pools))
+        return self._forward(pool, api.TimerFired(token), now)
 
-    def _look(self, now: float) -> list[api.Action]:
+    def _update_move(self, now: float) -> list[api.Action]:
         move = self.move
         assert move is not None
-        new = len(self._pools[self._to].live)
+        new = len(self._pools[self._new_pool].live)
         move.tick(now, new, sum(len(pool.live) for pool in self._pools) - new)
         found: list[api.Action] = [
-            api.Log(f"move to {self.rules.to}: {text}") for _, text in move.story[self._told :]
+            api.Log(f"move to {self.rules.to}: {text}") for _, text in move.history[self._logged :]
         ]
-        self._told = len(move.story)
-        if not self._ticking and move.state in (State.SHIFTING, State.HOLDING, State.UNDOING):
+        self._logged = len(move.history)
+        if not self._ticking and move.state in (State.SHIFTING, State.PAUSED, State.ROLLING_BACK):
             self._ticking = True
             found.append(api.SetTimer(-1, TICK_MS))
         return found
@@ -190,85 +200,85 @@
     # Requests
 
     def _request(self, event: api.Request, now: float) -> list[api.Action]:
-        pool = self._choose(event, now)
-        self._requests[event.id] = _Held(pool, event.cls)
-        return self._say(pool, event, now)
+        pool = self._choose_pool(event, now)
+        self._requests[event.id] = _RoutedRequest(pool, event.cls)
+        return self._forward(pool, event, now)
 
-    def _choose(self, event: api.Request, now: float) -> int:
+    def _choose_pool(self, event: api.Request, now: float) -> int:
         if event.key is not None:
             known = self._keys.pop(event.key, None)
-            if known is not None and now - known[0] <= KEY_MS:
+            if known is not None and now - known[0] <= KEY_AFFINITY_MS:
                 self._keys[event.key] = now, known[1]
                 return known[1]
-        pool = self._to if self._to and self._goes(event) else 0
+        pool = self._new_pool if self._new_pool and self._goes_to_new_pool(event) else 0
         if event.key is not None:
             while self._keys and (
-                len(self._keys) >= MAX_KEYS or now - next(iter(self._keys.values()))[0] > KEY_MS
+                len(self._keys) >= MAX_KEYS or now - next(iter(self._keys.values()))[0] > KEY_AFFINITY_MS
             ):
                 self._keys.popitem(last=False)
             self._keys[event.key] = now, pool
         return pool
 
-    def _goes(self, event: api.Request) -> bool:
-        """Whether the move's share has this one."""
+    def _goes_to_new_pool(self, event: api.Request) -> bool:
+        """Whether this request is in the share that the move sends to the new pool."""
         assert self.move is not None
-        there = self._pools[self._to]
-        here = self._pools[0]
-        live = len(there.live)
+        target = self._pools[self._new_pool]
+        old_pool = self._pools[0]
+        live = len(target.live)
         if not live:
             return False
         share = self.move.share(event.cls)
-        if share >= 1.0 or not here.live:
-            return share > 0.0 or not here.live
-        if live < MIN_LIVE * there.most:
-            share *= live / there.most
+        if share >= 1.0 or not old_pool.live:
+            return share > 0.0 or not old_pool.live
+        if live < MIN_LIVE * target.max_live:
+            share *= live / target.max_live
         if event.key is not None:
             digest = hashlib.blake2b(event.key.encode(), digest_size=8).digest()
             return int.from_bytes(digest, "big") < share * 2.0**64
-        owed = self._dealt.get(event.cls, 0.0) + share
-        self._dealt[event.cls] = owed - (owed >= 1.0)
+        owed = self._owed.get(event.cls, 0.0) + share
+        self._owed[event.cls] = owed - (owed >= 1.0)
         return owed >= 1.0
 
-    def _tell(self, held: _Held, event: api.AttemptEnded, now: float) -> None:
-        """The move is told of attempts, not of requests: a retry that helps would hide a pool that fails."""
-        if self.move is not None and event.result not in SAYS_NOTHING:
+    def _record_outcome(self, routed: _RoutedRequest, event: api.AttemptEnded, now: float) -> None:
+        """Hand attempts to the move, not requests: a retry that succeeds would hide a pool that fails."""
+        if self.move is not None and event.result not in UNINFORMATIVE:
             failed = event.result is not api.Result.SERVED
-            self.move.ended(held.cls, held.pool == self._to, failed, event.duration_ms, now)
+            self.move.ended(routed.cls, routed.pool == self._new_pool, failed, event.duration_ms, now)
 
     # Servers
 
     def _pool_of(self, entry: api.ServerEntry) -> int:
-        return next((n for n, rule in enumerate(self.rules.pools) if rule.has(entry)), 0)
+        return next((n for n, rule in enumerate(self.rules.pools) if rule.matches(entry)), 0)
 
     def _list(self, event: api.ServerList, now: float) -> list[api.Action]:
         if event.kind is ListKind.FAILED:
-            return self._say(0, event, now)
+            return self._forward(0, event, now)
         parts: list[list[api.ServerEntry]] = [[] for _ in self._pools]
         for entry in event.entries:
             gone = entry.health is Health.GONE
-            home = self._home.get(entry.server, 0) if gone else self._pool_of(entry)
-            before = self._home.get(entry.server)
-            if before is not None and before != home:  # it was renamed into another pool
+            home = self._pool_of_server.get(entry.server, 0) if gone else self._pool_of(entry)
+            before = self._pool_of_server.get(entry.server)
+            if before is not None and before != home:  # its kind or group has changed
                 parts[before].append(replace(entry, health=Health.GONE))
                 self._pools[before].live.discard(entry.server)
             parts[home].append(entry)
             if gone:
-                self._home.pop(entry.server, None)
+                self._pool_of_server.pop(entry.server, None)
             else:
-                self._home[entry.server] = home
+                self._pool_of_server[entry.server] = home
             live = self._pools[home].live
             (live.add if entry.health is Health.IN_SERVICE else live.discard)(entry.server)
         if event.kind is not ListKind.CHANGES:
-            self._forget_all_but({entry.server for entry in event.entries})
+            self._keep_only({entry.server for entry in event.entries})
         found: list[api.Action] = []
         for number, part in enumerate(parts):
             pool = self._pools[number]
-            pool.most = max(pool.most, len(pool.live))
+            pool.max_live = max(pool.max_live, len(pool.live))
             if part or event.kind is not ListKind.CHANGES:
-                found += self._say(number, api.ServerList(event.kind, event.version, part), now)
+                found += self._forward(number, api.ServerList(event.kind, event.version, part), now)
         return found
 
-    def _forget_all_but(self, listed: Iterable[int]) -> None:
+    def _keep_only(self, listed: Iterable[int]) -> None:
         listed = set(listed)
-        for server in [server for server in self._home if server not in listed]:
-            self._pools[self._home.pop(server)].live.discard(server)
+        for server in [server for server in self._pool_of_server if server not in listed]:
+            self._pools[self._pool_of_server.pop(server)].live.discard(server)
--- a/orchidferry/node/pool_settings.py
+++ b/orchidferry/node/pool_settings.py
@@ -48,9 +48,9 @@
     steps = get_optional(move, "steps", list, list(moves.STEPS))
     if not all(isinstance(step, int | float) and not isinstance(step, bool) for step in steps):
         raise SettingsFormatError("move: 'steps' must be numbers")
-    rare = moves.Rare.HOLD
+    rare = moves.RareClasses.HOLD
     if "rare" in move:
-        rare = get_choice(move, "rare", {kind.value: kind for kind in moves.Rare})
+        rare = get_choice(move, "rare", {kind.value: kind for kind in moves.RareClasses})
     return moves.Plan(classes, tuple(map(float, steps)), rare=rare, **values)
 
 
--- a/orchidferry/testkit/bench/moves.py
+++ b/orchidferry/testkit/bench/moves.py
@@ -15,7 +15,7 @@
 from orchidferry.balancing.pools import PoolRule, Router, Rules
 from orchidferry.testkit.model.moves import Outcome, Pool, World, run
 
-UNDONE = (State.UNDOING, State.FAILED)
+UNDONE = (State.ROLLING_BACK, State.FAILED)
 SHAPES: dict[str, dict[str, Any]] = {
     "equal, bursts and an incident in both": {"incident_s": (60.0, 90.0)},
     "all fails": {"new": Pool(fails=1.0)},
--- a/orchidferry/testkit/model/moves.py
+++ b/orchidferry/testkit/model/moves.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass, field
 
-from orchidferry.balancing.moves import Move, Plan, Rare, State
+from orchidferry.balancing.moves import Move, Plan, RareClasses, State
 
 SHARES = {"ler-feed": 0.80, "salvar-episodio": 0.17, "repasse-socio": 0.03}
 WORTH = {"ler-feed": 1.0, "salvar-episodio": 2.0, "repasse-socio": 8.0}
@@ -57,7 +57,7 @@
 
 def run(world: World, plan: Plan | None = None) -> Outcome:
     """One move from its start to its end, or to the end of the time."""
-    plan = plan or Plan(tuple(SHARES), rare=Rare.LAST)
+    plan = plan or Plan(tuple(SHARES), rare=RareClasses.LAST)
     move = Move(plan)
     rng = random.Random(world.seed)
     classes = list(SHARES)
@@ -77,7 +77,7 @@
             if t >= move_from:
                 move.start(t * 1000.0)
             move.tick(t * 1000.0)
-        if move.state in (State.DONE, State.FAILED, State.UNDOING):
+        if move.state in (State.DONE, State.FAILED, State.ROLLING_BACK):
             break
         cls = rng.choices(classes, weights)[0]
         worth += WORTH[cls]
@@ -102,4 +102,4 @@
             harm += WORTH[cls] * failed
         move.ended(cls, new, failed, took, t * 1000.0)
     all_worth = mean * world.rate * world.length_s
-    return Outcome(move.state, move.why, t, carried / all_worth, carried / max(worth, 1e-9), harm)
+    return Outcome(move.state, move.reason, t, carried / all_worth, carried / max(worth, 1e-9), harm)
--- a/tests/balancing/test_moves.py
+++ b/tests/balancing/test_moves.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from orchidferry.balancing.moves import Move, NoWorse, Plan, Rare, State, Worse
+from orchidferry.balancing.moves import Move, Plan, RareClasses, State
+from orchidferry.balancing.sequential_tests import NonInferiorityTest, WorseTest
 from orchidferry.testkit.model.moves import Pool, World, run
 
 PLAN = Plan(("a", "b"), steps=(0.05, 0.5, 1.0), step_ms=1_000.0, rare_ms=10_000.0)
@@ -18,11 +19,11 @@
     rng = random.Random(5)
     alarms = 0
     for _ in range(200):
-        worse = Worse()
+        worse = WorseTest()
         for _ in range(1_000):
             bad = rng.random() < rate
-            (worse.new if rng.random() < share else worse.old)(bad)
-        alarms += worse.most >= math.log(20.0)
+            (worse.record_new if rng.random() < share else worse.record_old)(bad)
+        alarms += worse.max_value >= math.log(20.0)
     assert alarms <= 200 * 0.05 * 1.8  # of 5 %: three sigma of a binomial above
 
 
@@ -31,10 +32,10 @@
     rng = random.Random(6)
     count = 0
     for _ in range(100):
-        test = NoWorse()
+        test = NonInferiorityTest()
         for _ in range(400):
-            test.new(rng.random() < rate, 0.1)
-        count += test.most >= math.log(20.0)
+            test.record_new(rng.random() < rate, 0.1)
+        count += test.max_value >= math.log(20.0)
     assert count >= 95 if shown else count <= 9
 
 
@@ -63,43 +64,43 @@
     move, now = started()
     feed(move, 300.0, now)
     assert move.state is State.DONE and move.share("a") == 1.0 and move.share("other") == 1.0
-    assert move.story[0][1].endswith("5.0% of worth")
+    assert move.history[0][1].endswith("5.0% of worth")
 
 
 def test_a_failing_class_behind_a_sound_one_undoes_it_and_an_undo_has_an_end() -> None:
     move, now = started()
     now = feed(move, 60.0, now, {"b": 0.8})
-    assert move.state in (State.UNDOING, State.FAILED) and "more failures" in move.why
+    assert move.state in (State.ROLLING_BACK, State.FAILED) and "more failures" in move.reason
     assert move.share("a") == move.share("b") == 0.0
     move.tick(now + 60_000.0)
     assert move.state is State.FAILED
-    move.undo(now)
+    move.roll_back(now)
     move.start(now)
     assert move.state is State.FAILED
 
 
 def test_words_of_operators_and_pools_without_servers() -> None:
     move, now = started()
-    move.hold(now)
-    assert move.state is State.HOLDING and move.share("a") == 0.05
+    move.pause(now)
+    assert move.state is State.PAUSED and move.share("a") == 0.05
     feed(move, 60.0, now)
-    assert move.state is State.HOLDING and move.share("a") == 0.05
-    move.go_on(now + 60_000.0)
+    assert move.state is State.PAUSED and move.share("a") == 0.05
+    move.resume(now + 60_000.0)
     move.tick(now + 60_000.0, live_new=3, live_old=0)
-    assert (move.state.value, "old pool" in move.why) == ("holding", True)
-    move.go_on(now + 61_000.0)
+    assert (move.state.value, "old pool" in move.reason) == ("holding", True)
+    move.resume(now + 61_000.0)
     move.tick(now + 61_000.0, live_new=0)
-    assert (move.state.value, "no live server" in move.why) == ("undoing", True)
+    assert (move.state.value, "no live server" in move.reason) == ("undoing", True)
 
 
-@pytest.mark.parametrize("rare", Rare)
-def test_a_class_that_never_comes_holds_the_move_or_is_moved_last(rare: Rare) -> None:
+@pytest.mark.parametrize("rare", RareClasses)
+def test_a_class_that_never_comes_holds_the_move_or_is_moved_last(rare: RareClasses) -> None:
     plan = Plan(("a", "b", "never"), steps=PLAN.steps, step_ms=1_000.0, rare_ms=150_000.0, rare=rare)
     move = Move(plan)
     move.start(0.0)
     feed(move, 300.0, 0.0)
     assert move.state is State.SHIFTING
-    assert move.share("a") == (0.05 if rare is Rare.HOLD else 1.0) and move.share("never") == 0.05
+    assert move.share("a") == (0.05 if rare is RareClasses.HOLD else 1.0) and move.share("never") == 0.05
 
 
 @pytest.mark.parametrize(
@@ -115,7 +116,7 @@
 def test_shapes_of_pools(new: Pool, undone: bool) -> None:
     for seed in range(2):
         found = run(World(new=new, seed=seed, length_s=200.0, incident_s=(60.0, 80.0)))
-        assert (found.state in (State.UNDOING, State.FAILED)) is undone, found
+        assert (found.state in (State.ROLLING_BACK, State.FAILED)) is undone, found
         assert not undone or found.carried_then < 0.05
 
 
--- a/tests/node/test_pool_settings.py
+++ b/tests/node/test_pool_settings.py
@@ -10,7 +10,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Health, ListKind, Repeat, Result
 from orchidferry.balancing.moves import Plan, State
-from orchidferry.balancing.pools import KEY_MS, PoolRule, Router, Rules
+from orchidferry.balancing.pools import KEY_AFFINITY_MS, PoolRule, Router, Rules
 from orchidferry.node.config import ConfigError
 from orchidferry.node.pool_settings import read_pools
 from tests.node.peers import Server, answer, run, until, world
@@ -105,7 +105,7 @@
     for n in range(600):
         scene.ask(("read", "save", "pay")[n % 3], f"k{n}" if n % 3 == 1 else None)
     move = scene.router.move
-    assert move is not None and move.state in (State.UNDOING, State.FAILED)
+    assert move is not None and move.state in (State.ROLLING_BACK, State.FAILED)
     assert not any(scene.pools(len(scene.sent) - 100))
     # A request stays in its pool with all its attempts, and an unsafe one has one.
     by_id: dict[str, list[int]] = {}
@@ -123,10 +123,10 @@
     went = {key: dict(scene.sent)[id] >= 100 for key, id in first.items()}
     assert 0.08 < sum(went.values()) / 100 < 0.35
     assert scene.router.move is not None
-    scene.router.move.undo(scene.now)
+    scene.router.move.roll_back(scene.now)
     again = {key: scene.ask("save", key) for key in keys}
     assert {key: dict(scene.sent)[id] >= 100 for key, id in again.items()} == went
-    scene.wait(KEY_MS + 1.0)
+    scene.wait(KEY_AFFINITY_MS + 1.0)
     since = len(scene.sent)
     for key in keys:
         scene.ask("save", key)
@@ -154,7 +154,7 @@
     scene.news(api.ServerEntry(0, kind="v2", health=Health.GONE), kind=ListKind.CHANGES)
     since = len(scene.sent)
     scene.ask()
-    assert 0 not in {server for _, server in scene.sent[since:]} and 0 not in scene.router._home
+    assert 0 not in {server for _, server in scene.sent[since:]} and 0 not in scene.router._pool_of_server
 
 
 def test_a_node_with_pools_moves_and_takes_back(tmp_path: Path) -> None:
