--- a/tests/mesh/control/fakes.py
+++ b/tests/mesh/control/fakes.py
@@ -19,7 +19,7 @@
     Update,
 )
 from orchidferry.testkit.model.relays import World
-from tests.mesh.test_records import BOOT
+from tests.mesh.examples import SETTINGS_TABLES
 
 
 def record(name: str, number: int = 1, zone: str = "z", boot: int = 1) -> NodeRecord:
@@ -79,7 +79,7 @@
 
 def controller_settings(folder: Path, port: int = 1) -> Settings:
     return dataclasses.replace(
-        parse_settings(BOOT),
+        parse_settings(SETTINGS_TABLES),
         ip="127.0.0.1",
         seeds=("127.0.0.1",),
         first_start=True,
--- a/tests/mesh/control/test_control_client.py
+++ b/tests/mesh/control/test_control_client.py
@@ -18,8 +18,8 @@
     Revision,
     RevisionRead,
 )
+from tests.mesh.examples import SETTINGS_TABLES
 from tests.mesh.fakes import Loop
-from tests.mesh.test_records import BOOT
 
 NAMES = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
@@ -51,7 +51,7 @@
     def __init__(self, names: tuple[str, ...]) -> None:
         self.loop = cast(Any, Loop())
         self.texts: list[tuple[int, bytes]] = []
-        settings = parse_settings(BOOT)
+        settings = parse_settings(SETTINGS_TABLES)
         self.node = ControlClient(
             settings, self.loop, lambda members: None, lambda n, raw: self.texts.append((n, raw))
         )
--- a/tests/mesh/control/test_controller.py
+++ b/tests/mesh/control/test_controller.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.wire.shard_messages import DecidedState
 from tests.mesh.control.fakes import make_controller
 from tests.mesh.dataplane.test_proxy_stop import Clock, played
-from tests.mesh.storage.test_store import close, write
+from tests.mesh.storage.fakes import close, write
 
 
 @pytest.mark.parametrize(("needed_s", "ends_s"), [(0.0, 1.0), (2.5, 2.5), (1e6, 5.0)])
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -20,8 +20,8 @@
 from orchidferry.mesh.settings import parse_settings
 from orchidferry.node.reply import Reply
 from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
+from tests.mesh.examples import SETTINGS_TABLES as BOOT_TABLES
 from tests.mesh.fakes import Loop, patch_clock, proxied_request, route
-from tests.mesh.test_records import BOOT as BOOT_TABLES
 
 
 class Claims:
--- a/tests/mesh/dataplane/test_proxy_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -13,8 +13,8 @@
 from orchidferry.mesh.dataplane import proxy as module
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import Bounds, parse_settings
+from tests.mesh.examples import SETTINGS_TABLES
 from tests.mesh.fakes import patch_clock
-from tests.mesh.test_records import BOOT
 
 
 class Clock(asyncio.SelectorEventLoop):
@@ -74,7 +74,7 @@
         node = ("127.0.0.1", 1)
         point = {"inbound": ("127.0.0.1", 2)}
         boot = dataclasses.replace(
-            parse_settings(BOOT), application=node, listen=point, bounds=Bounds(grace_s=grace_s)
+            parse_settings(SETTINGS_TABLES), application=node, listen=point, bounds=Bounds(grace_s=grace_s)
         )
         proxy: Any = Proxy(boot, loop)
         began = loop.now_s
--- a/tests/mesh/storage/test_power_loss.py
+++ b/tests/mesh/storage/test_power_loss.py
@@ -19,7 +19,7 @@
 from orchidferry.mesh.storage.record_format import pack
 from orchidferry.mesh.storage.store import Store
 from orchidferry.testkit.model.lost_names import Names, NamesDisk, make
-from tests.mesh.storage.test_store import Loop, close
+from tests.mesh.storage.fakes import Loop, close
 
 FOUNDERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
@@ -69,7 +69,7 @@
     crashes.told[key] = value
 
 
-def test_the_first_words_of_a_new_store_outlast_a_loss_of_power(tmp_path: Path) -> None:
+def test_the_first_writes_of_a_new_store_survive_a_power_loss(tmp_path: Path) -> None:
     top = tmp_path / "disk"
     top.mkdir()
     crashes = Crashes(top)
@@ -86,7 +86,9 @@
 
 
 @pytest.mark.parametrize("killed", [False, True])
-def test_a_compaction_loses_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, killed: bool) -> None:
+def test_a_compaction_survives_a_power_loss(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, killed: bool
+) -> None:
     top = tmp_path / "disk"
     top.mkdir()
     crashes = Crashes(top)
@@ -121,7 +123,7 @@
     raise KeyboardInterrupt
 
 
-def test_what_is_set_aside_is_not_forgotten_twice(tmp_path: Path) -> None:
+def test_a_quarantined_store_survives_a_power_loss(tmp_path: Path) -> None:
     top = tmp_path / "disk"
     top.mkdir()
     crashes = Crashes(top)
@@ -139,7 +141,7 @@
     assert quarantine.has_lost_state(str(folder)) and not crashes.lost and crashes.looks > 10
 
 
-def test_a_snapshot_put_back_outlasts_a_loss_of_power(tmp_path: Path) -> None:
+def test_a_restored_snapshot_survives_a_power_loss(tmp_path: Path) -> None:
     old = tmp_path / "old"
     top = tmp_path / "disk"
     loop = Loop()
@@ -160,7 +162,7 @@
 
 
 @pytest.mark.parametrize("broken", ["no-names-synced", "parent-not-synced", "bad-not-synced"])
-def test_a_missing_sync_is_found_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, broken: str) -> None:
+def test_a_missing_sync_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, broken: str) -> None:
     if broken == "no-names-synced":
         monkeypatch.setattr(store_module, "sync_directory_and_parent", lambda folder: None)
     elif broken == "parent-not-synced":
@@ -168,9 +170,9 @@
     else:
         monkeypatch.setattr(quarantine, "sync_directory", lambda folder: None)
     test = {
-        "no-names-synced": test_the_first_words_of_a_new_store_outlast_a_loss_of_power,
-        "parent-not-synced": test_a_snapshot_put_back_outlasts_a_loss_of_power,
-        "bad-not-synced": test_what_is_set_aside_is_not_forgotten_twice,
+        "no-names-synced": test_the_first_writes_of_a_new_store_survive_a_power_loss,
+        "parent-not-synced": test_a_restored_snapshot_survives_a_power_loss,
+        "bad-not-synced": test_a_quarantined_store_survives_a_power_loss,
     }[broken]
     with pytest.raises(AssertionError):
         test(tmp_path)
@@ -179,7 +181,9 @@
 # A full disk from the very first write on
 
 
-def test_a_controller_without_a_store_waits_for_room(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_controller_without_a_store_waits_for_space(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def refuse(*words: Any, **more: Any) -> Any:
         raise OSError(errno.ENOSPC, "no space")
 
--- a/tests/mesh/storage/test_store.py
+++ b/tests/mesh/storage/test_store.py
@@ -1,12 +1,11 @@
-"""The controller's disk: what was told as written is there after it, whatever failed in between."""
+"""A controller's disk: what was acknowledged as written is there afterwards, whatever failed in between."""
 
 from __future__ import annotations
 
 import asyncio
-import queue
 import random
 import threading
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -17,43 +16,16 @@
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.record_format import RecordWrite
 from orchidferry.mesh.storage.store import Store
+from tests.mesh.storage.fakes import (
+    Failing,
+    Loop,
+    Turns,
+    close,
+    write,
+)
 
 
-async def write(store: Store, puts: list[RecordWrite]) -> bool:
-    told = asyncio.get_running_loop().create_future()
-    store.write(puts, told.set_result)
-    return await asyncio.wait_for(told, 10.0)
-
-
-def close(store: Store) -> None:
-    store.close()
-    store._env.close()
-
-
-class Failing:
-    """A disk that refuses or hangs for a while."""
-
-    def __init__(self, env: Any) -> None:
-        self.env = env
-        self.times = 0
-        self.error: Exception = lmdb.DiskError("refused")
-        self.hung, self.reached = threading.Event(), threading.Event()
-        self.hung.set()
-
-    def begin(self, **options: Any) -> Any:
-        if options.get("write") and "parent" not in options:
-            self.reached.set()
-            assert self.hung.wait(10.0)
-            if self.times:
-                self.times -= 1
-                raise self.error
-        return self.env.begin(**options)
-
-    def close(self) -> None:
-        self.env.close()
-
-
-def test_what_was_told_as_written_is_there(tmp_path: Path) -> None:
+def test_acknowledged_writes_are_on_disk(tmp_path: Path) -> None:
     async def main() -> None:
         rng = random.Random(5)
         model = dict[bytes, bytes]()
@@ -82,7 +54,7 @@
     asyncio.run(main())
 
 
-def test_writes_are_told_in_order_and_failed_ones_change_nothing(tmp_path: Path) -> None:
+def test_writes_are_acknowledged_in_order_and_failed_ones_change_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         store = Store(str(tmp_path), asyncio.get_running_loop())
         disk: Any = Failing(store._env)
@@ -101,42 +73,6 @@
     asyncio.run(main())
 
 
-class Loop:
-    """What a store needs of a loop, with the clock in the test's hands."""
-
-    def __init__(self) -> None:
-        self.now = 100.0
-        self.told: queue.Queue[Callable[[], None]] = queue.Queue()
-        self.timer: tuple[float, Callable[[], None]] | None = None
-
-    def time(self) -> float:
-        return self.now
-
-    def call_soon_threadsafe(self, call: Callable[..., None], *words: Any) -> None:
-        self.told.put(lambda: call(*words))
-
-    call_soon = call_soon_threadsafe
-
-    def call_later(self, after_s: float, call: Callable[[], None]) -> Any:
-        self.timer = (self.now + after_s, call)
-        return self
-
-    def cancel(self) -> None:
-        self.timer = None
-
-    def step(self, by_s: float = 0.0) -> None:
-        """The next word of the thread, `by_s` later."""
-        self.told.get(timeout=10.0)()
-        self.pass_(by_s)
-
-    def pass_(self, by_s: float) -> None:
-        self.now += by_s
-        while self.timer is not None and self.timer[0] <= self.now:
-            due = self.timer
-            self.timer = None
-            due[1]()
-
-
 @pytest.fixture
 def stage(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[Loop, Any, Any]]:
     monkeypatch.setattr(store_module, "PROBE_INTERVAL_S", 0.001)
@@ -150,31 +86,6 @@
     close(store)
 
 
-class Turns(threading.Condition):
-    """A condition whose timed waits run out when the test says so, not by real time."""
-
-    over = 0  # timed waits that may run out
-
-    def wait(self, timeout: float | None = None) -> bool:
-        if timeout is not None and self.over:
-            self.over -= 1
-            return False
-        super().wait()
-        if timeout is not None and self.over:
-            self.over -= 1
-            return False
-        return True
-
-    def wait_for(self, predicate: Callable[[], Any], timeout: float | None = None) -> Any:
-        return predicate()
-
-    def turn(self) -> None:
-        """Let one timed wait run out."""
-        with self:
-            self.over += 1
-            self.notify()
-
-
 @pytest.fixture
 def lockstep(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[Loop, Any, Any]]:
     """A stage whose thread tries the disk once for each `turn` of `store._wake`."""
@@ -190,7 +101,7 @@
 
 
 @pytest.mark.parametrize("how", ["hangs", "refuses", "panics"])
-def test_an_ailing_disk_is_told_once_and_until_it_keeps_up(lockstep: Any, how: str) -> None:
+def test_a_degraded_disk_is_logged_once_and_again_when_it_recovers(lockstep: Any, how: str) -> None:
     loop, store, disk = lockstep
     lines: list[str] = []
     logger.add(lines.append, format="{message}")
@@ -227,7 +138,7 @@
     assert "keeps up again" in lines[1]
 
 
-def test_a_disk_that_crawls_is_not_ailing(stage: Any) -> None:
+def test_a_slow_disk_is_not_degraded(stage: Any) -> None:
     loop, store, disk = stage
     for n in range(60):
         disk.hung.clear()
@@ -242,7 +153,9 @@
         assert not store.is_degraded
 
 
-def test_what_waits_is_bounded_and_chores_give_way(stage: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_queue_is_bounded_and_unawaited_deletes_give_way(
+    stage: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     loop, store, disk = stage
     monkeypatch.setattr(store_module, "MAX_PENDING_BYTES", 20_000)
     disk.hung.clear()
@@ -264,7 +177,7 @@
     assert told.count(True) == 20 - refused == len(kept) - 1
 
 
-def test_a_full_map_takes_votes_and_deletes_of_all_at_once(
+def test_a_full_map_accepts_votes_and_a_delete_of_everything(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(store_module, "MAP_BYTES", 2 * 1024 * 1024)
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -32,7 +32,7 @@
 from orchidferry.testkit.model.relays import World
 from orchidferry.testkit.model.replica_group import ReplicaGroup, example
 from orchidferry.testkit.model.stored_controller import StoredController
-from tests.mesh.storage.test_store import Loop, close
+from tests.mesh.storage.fakes import Loop, close
 
 
 def put_of(revision: int) -> shard_state.PutConfiguration:
--- a/tests/mesh/test_command_line.py
+++ b/tests/mesh/test_main.py
@@ -72,3 +72,20 @@
     assert program.main([*words, "--help"]) == 0
     out, _ = capsys.readouterr()
     assert out.startswith(" ".join(["usage: orchidferry", *words]))
+
+
+def test_the_roles_are_subcommands_of_the_one_program(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    from orchidferry.testkit import cli
+
+    monkeypatch.delenv("ORCHIDFERRY_BOOT", raising=False)
+    for words, status, said in (
+        (["proxy", "--help"], 0, "example:"),
+        (["controller", "--check"], 2, "ORCHIDFERRY_BOOT must name"),
+        (["controller", "--no"], 2, "usage:"),
+    ):
+        monkeypatch.setattr("sys.argv", ["orchidferry", *words])
+        assert cli.main() == status
+        out, err = capsys.readouterr()
+        assert said in out + err and err.count("\n") == (status == 2)
--- a/tests/mesh/test_members_by_service.py
+++ b/tests/mesh/test_members_by_service.py
@@ -20,8 +20,8 @@
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.mesh.settings import Bounds, parse_settings
+from tests.mesh.examples import SETTINGS_TABLES
 from tests.mesh.fakes import loop_and_connections, patch_clock, route, service_client
-from tests.mesh.test_records import BOOT
 
 SERVICES = ("s", "t", "u")
 
@@ -66,7 +66,7 @@
     rng = random.Random(seed)
     loop, connections = loop_and_connections()
     patch_clock(monkeypatch, loop.now_ms)
-    settings = dataclasses.replace(parse_settings(BOOT), application=("127.0.0.1", 1))
+    settings = dataclasses.replace(parse_settings(SETTINGS_TABLES), application=("127.0.0.1", 1))
     proxy: Any = Proxy(settings, loop)
     numbers: dict[str, int] = {}
     plain, grouped = (
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -39,7 +39,7 @@
 from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.control.examples import example
 from tests.mesh.control.fakes import make_controller
-from tests.mesh.storage.test_store import Loop, close
+from tests.mesh.storage.fakes import Loop, close
 from tests.mesh.test_membership import World
 
 LISTED = 4  # orders that a state lists here
--- a/tests/mesh/test_process_end.py
+++ b/tests/mesh/test_process_end.py
@@ -1,4 +1,4 @@
-"""Real processes of both roles that are told to end at awkward moments, and the watch over their end."""
+"""Real processes of both roles that get SIGTERM at awkward moments, and the watchdog over their exit."""
 
 from __future__ import annotations
 
@@ -114,20 +114,20 @@
             one.kill()
 
 
-def test_told_before_the_program_runs(process: Process) -> None:
+def test_sigterm_before_the_program_runs(process: Process) -> None:
     """The default action ends it: nothing was begun."""
     process.signal(signal.SIGTERM)
     assert process.ended()[0] == -signal.SIGTERM
 
 
-def test_told_while_it_is_imported(process: Process) -> None:
+def test_sigterm_while_it_is_imported(process: Process) -> None:
     maps = Path(f"/proc/{process._child.pid}/maps")
     process.until(lambda: "/uvloop/" in maps.read_text() or process.catches_sigterm())
     process.signal(signal.SIGTERM)
     assert process.ended()[0] in (-signal.SIGTERM, 0)
 
 
-def test_told_as_soon_as_it_listens_to_signals(process: Process) -> None:
+def test_sigterm_as_soon_as_it_listens_to_signals(process: Process) -> None:
     process.until(process.catches_sigterm)
     process.signal(signal.SIGTERM)
     assert process.ended()[0] == 0
@@ -144,7 +144,7 @@
     ],
     ids=["once", "three times", "between SIGHUPs", "while frozen"],
 )
-def test_told_while_it_serves(process: Process, numbers: tuple[int, ...]) -> None:
+def test_sigterm_while_it_serves(process: Process, numbers: tuple[int, ...]) -> None:
     process.until(process.serves)
     process.signal(*numbers)
     status, _ = process.ended()
@@ -152,7 +152,7 @@
     assert STOPPED in process.log() and b"Traceback" not in process.log()
 
 
-def test_told_again_while_it_stops(process: Process) -> None:
+def test_sigterm_again_while_it_stops(process: Process) -> None:
     process.until(process.serves)
     process.signal(signal.SIGTERM)
     process.until(process.stops)
@@ -160,7 +160,7 @@
     assert process.ended()[0] == 0
 
 
-def test_told_while_callers_stay(process: Process) -> None:
+def test_sigterm_while_callers_stay(process: Process) -> None:
     """Connections that nobody closes, with nothing on them or half a request, hold up nothing."""
     process.until(process.serves)
     name = "outbound" if process.machine.role == "sidecar" else "control"
@@ -173,7 +173,7 @@
         assert process.ended()[0] == 0
 
 
-def test_told_on_a_slow_processor_while_callers_stay(process: Process) -> None:
+def test_sigterm_on_a_slow_processor_while_callers_stay(process: Process) -> None:
     """With a tenth of a core for itself it is done before the kill."""
     process.until(process.serves)
     name = "outbound" if process.machine.role == "sidecar" else "control"
@@ -200,7 +200,7 @@
         one.kill()
 
 
-def test_told_while_another_process_has_its_store(controller: Process) -> None:
+def test_sigterm_while_another_process_has_its_store(controller: Process) -> None:
     """A controller waits for its store, and ends when it is told to."""
     with (controller.data / "lock").open("ab") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
@@ -210,7 +210,7 @@
         assert controller.ended()[0] == 0
 
 
-def test_told_while_its_disk_hangs(controller: Process) -> None:
+def test_sigterm_while_its_disk_hangs(controller: Process) -> None:
     """What waits for the disk is not waited for beyond the grace; nothing of it was acknowledged."""
     controller.start((sys.executable, "-B", "-m", "orchidferry.testkit.bench.mesh_load", "slow", "60000"))
     controller.until(controller.serves)
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("what", HELD_UP)
-def test_whatever_holds_it_up_it_ends_and_tells_where_it_stood(what: str) -> None:
+def test_a_process_that_hangs_ends_and_prints_its_stacks(what: str) -> None:
     program = (
         f"import sys\nfrom orchidferry.mesh.process_end import exit_within\nexit_within(0.3)\n{HELD_UP[what]}"
     )
@@ -251,7 +251,7 @@
 
 
 @pytest.mark.parametrize("what", [what for what in HELD_UP if what != LOCK])  # that one holds up the role
-def test_a_role_that_has_ended_takes_nothing_down(what: str) -> None:
+def test_exit_now_takes_nothing_down(what: str) -> None:
     """What would hold up the interpreter's end is not waited for."""
     program = f"import sys\nfrom orchidferry.mesh.process_end import exit_now\n{HELD_UP[what]}\nexit_now()"
     done = subprocess.run(
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -2,19 +2,15 @@
 
 from __future__ import annotations
 
-import copy
 import doctest
 import importlib
 import pkgutil
-from typing import Any
 
 import pytest
 
 import orchidferry.mesh
 from orchidferry.balancing.nested import TARGET, Nested
 from orchidferry.mesh.control import shard_state
-from orchidferry.mesh.settings import MeshSettingsError, parse_settings
-from tests.mesh.control.examples import spoil
 
 MODULES = [
     found.name
@@ -41,90 +37,6 @@
     )
 
 
-# Settings and beats
-
-BOOT: dict[str, Any] = {
-    "own_node": {"node_name": "n", "ip": "10.0.0.1", "zone": "z", "data_dir": "d", "limit_set": {"odd": 1}},
-    "network": {
-        "internal_ports": [7_000],
-        "seed_nodes": ["10.0.0.2:7000", "10.0.0.2:7001"],
-        "listen_points": {"control": "10.0.0.1:80"},
-    },
-    "term_settings": {"bound_set": {"drain_ms": 1_500, "odd": "x"}, "tolerance": {"machines": 1}},
-    "platform_settings": {"beat_interval_ms": 1_500, "entry": "odd"},
-    "odd": 3,
-}
-
-
-def test_settings_are_read_and_unknown_fields_skipped() -> None:
-    boot = parse_settings(BOOT)
-    assert (boot.name, boot.seeds, boot.listen) == ("n", ("10.0.0.2",), {"control": ("10.0.0.1", 80)})
-    assert (boot.bounds.drain_ms, boot.bounds.key_window_s, boot.max_file_descriptors) == (
-        1_500.0,
-        60.0,
-        1_024,
-    )
-
-
-@pytest.mark.parametrize(
-    ("bind", "point", "bound"),
-    [
-        (None, "10.0.0.1", "10.0.0.1"),
-        ("127.0.0.9", "10.0.0.1", "127.0.0.9"),
-        ("127.0.0.9", "10.0.0.7", "10.0.0.7"),
-    ],
-)
-def test_an_address_may_be_bound_that_is_not_the_one_it_is_known_by(
-    bind: str | None, point: str, bound: str
-) -> None:
-    data = copy.deepcopy(BOOT)
-    data["network"]["listen_points"]["control"] = f"{point}:80"
-    if bind is not None:
-        data["own_node"]["bind_ip"] = bind
-    boot = parse_settings(data)
-    assert (boot.ip, boot.local_ip, boot.listen_address("control")) == (
-        "10.0.0.1",
-        bind or "10.0.0.1",
-        (bound, 80),
-    )
-
-
-@pytest.mark.parametrize(
-    ("path", "value"),
-    [
-        ("own_node", 3),
-        ("own_node/bind_ip", ""),
-        ("own_node/bind_ip", 4),
-        ("network", None),
-        ("own_node/node_name", ""),
-        ("own_node/ip", 4),
-        ("own_node/application", "10.0.0.1"),
-        ("own_node/limit_set", []),
-        ("own_node/limit_set/memory_mb", "x"),
-        ("network/internal_ports", []),
-        ("network/internal_ports", [0]),
-        ("network/internal_ports", [True]),
-        ("platform_settings/beat_interval_ms", 0),
-        ("network/seed_nodes", "a"),
-        ("network/seed_nodes", ["a"]),
-        ("network/listen_points", []),
-        ("network/listen_points/control", "10.0.0.1:²"),
-        ("network/listen_points/control", "10.0.0.1:70000"),
-        ("term_settings/bound_set", [1]),
-        ("term_settings/bound_set/drain_ms", True),
-        ("term_settings/bound_set/drain_ms", float("nan")),
-        ("term_settings/tolerance", "x"),
-        ("platform_settings", 4),
-    ],
-)
-def test_bad_settings_are_named_in_one_line(path: str, value: Any) -> None:
-    data = copy.deepcopy(BOOT)
-    spoil(path, value)(data)
-    with pytest.raises(MeshSettingsError) as problem:
-        parse_settings(data)
-    assert path.replace("/", ".") in str(problem.value) and "\n" not in str(problem.value)
-
-
 # Parents of calls that are turned away
 
 
@@ -157,20 +69,3 @@
         assert nested.shed("parents", now) == 0.0
     assert nested.shed("others", now) == 0.0
     assert nested.shed("parents", now + 20_000.0) < 0.01
-
-
-def test_the_roles_are_subcommands_of_the_one_program(
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
-    from orchidferry.testkit import cli
-
-    monkeypatch.delenv("ORCHIDFERRY_BOOT", raising=False)
-    for words, status, said in (
-        (["proxy", "--help"], 0, "example:"),
-        (["controller", "--check"], 2, "ORCHIDFERRY_BOOT must name"),
-        (["controller", "--no"], 2, "usage:"),
-    ):
-        monkeypatch.setattr("sys.argv", ["orchidferry", *words])
-        assert cli.main() == status
-        out, err = capsys.readouterr()
-        assert said in out + err and err.count("\n") == (status == 2)
