--- a/orchidferry/testkit/bench/mesh_claims.py
+++ b/orchidferry/testkit/bench/mesh_claims.py
@@ -7,8 +7,8 @@
 import tempfile
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any
 
+from orchidferry.testkit.bench.claim_load import ClaimLoad, ClaimReport
 from orchidferry.testkit.bench.mesh_fleet import Fleet
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row, quantile
 from orchidferry.testkit.bench.process_usage import CpuMeter, disk_sync_ms, written_bytes
@@ -36,14 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What came of one load."""
-
-    asked: int
-    granted: int
-    seconds: float
-    took_s: list[float]  # of each claim that was granted, from when it was due
-    late_s: list[float]  # by which each claim was made too late
-    claimer_cpu_s: float
+    """What came of one load, and what it cost the controllers."""
+
+    report: ClaimReport
     controller_us: list[float]  # CPU a claim, of each controller
     controller_busy: list[float]  # fraction of a core, of each controller
     waited: float  # fraction of the time that a controller waited for a core
@@ -110,7 +105,7 @@
         for load in options.loads(own_disk):
             result = await _offer(fleet, claimer, load, seconds)
             results.setdefault(f"{group}, {disk}, {load.name}", []).append(result)
-            granted += result.granted
+            granted += result.report.granted
             if not load.rate:
                 pairs = zip(fleet.stored(), stored_before, strict=True)
                 stored += [(after - before) / granted for after, before in pairs]
@@ -121,26 +116,16 @@
     pids = fleet.pids(fleet.cores)
     meter = CpuMeter(pids)
     written_before = [written_bytes(pid) for pid in pids]
-    answer: dict[str, Any] = await fleet.load(
+    report = await fleet.load(
         claimer,
-        tag=load.name,
-        rate=load.rate,
-        seconds=seconds,
-        at_once=MAX_CONCURRENT,
-        count=MAX_CLAIMS,
-        answer=load.stored_bytes,
+        ClaimLoad(load.name, load.rate, seconds, MAX_CONCURRENT, MAX_CLAIMS, load.stored_bytes),
     )
     usage = meter.read()
-    claims = max(1, answer["granted"])
+    claims = max(1, report.granted)
     return LoadResult(
-        answer["asked"],
-        answer["granted"],
-        answer["seconds"],
-        answer["took"],
-        answer["late"],
-        answer["cpu_s"],
+        report,
         [cpu_s / claims * 1e6 for cpu_s in usage.cpu_s],
-        [cpu_s / answer["seconds"] for cpu_s in usage.cpu_s],
+        [cpu_s / report.seconds for cpu_s in usage.cpu_s],
         usage.waited,
         [(written_bytes(pid) - before) / claims for pid, before in zip(pids, written_before, strict=True)],
     )
@@ -148,23 +133,24 @@
 
 def claim_rows(name: str, results: list[LoadResult]) -> list[Row]:
     """The rows of one load from its repeats; broken if too few claims were granted."""
-    asked = sum(result.asked for result in results)
-    granted = sum(result.granted for result in results)
+    reports = [result.report for result in results]
+    asked = sum(report.asked for report in reports)
+    granted = sum(report.granted for report in reports)
     lost: Row = {"ungranted": asked - granted} if granted < asked else {}
     if granted < MIN_GRANTED * asked:
         lost["broken"] = True
     cpu_us = [cpu_us for result in results for cpu_us in result.controller_us]
     max_rate = CORE_MACHINE_CPU / statistics.median(cpu_us) * 1e6
-    took_ms = [[took_s * 1e3 for took_s in result.took_s] for result in results if result.took_s]
-    late_ms = max(quantile(result.late_s, 0.99) for result in results) * 1e3
+    took_ms = [[took_s * 1e3 for took_s in report.took_s] for report in reports if report.took_s]
+    late_ms = max(quantile(report.late_s, 0.99) for report in reports) * 1e3
     rows = [
         figure_row(
             "claims",
             f"{name}: granted",
             "a second",
-            [result.granted / result.seconds for result in results],
+            [report.granted / report.seconds for report in reports],
             controller_busy=f"{max(busy for result in results for busy in result.controller_busy):.0%}",
-            claimer_busy=f"{max(result.claimer_cpu_s / result.seconds for result in results):.0%}",
+            claimer_busy=f"{max(report.claimer_cpu_s / report.seconds for report in reports):.0%}",
             waited_for_a_core=f"{max(result.waited for result in results):.0%}",
             **lost,
         ),
--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -1,7 +1,7 @@
 """A mesh for the bench: controllers and nodes as processes on loopback, stand-in servers, all ended with it.
 
-What it tells of a process comes from the kernel's books. What nodes and controllers say to each other can be
-counted by a relay between them: the nodes' settings then name its port as the internal one.
+What nodes and controllers send each other can be counted by a relay between them: the nodes' settings then
+name its port as the internal one.
 """
 
 from __future__ import annotations
@@ -21,6 +21,7 @@
 from types import TracebackType
 from typing import Any
 
+from orchidferry.testkit.bench.claim_load import ClaimerSetup, ClaimLoad, ClaimReport, encode_line
 from orchidferry.testkit.bench.counting_relay import CountingRelay
 from orchidferry.testkit.bench.process_usage import CpuMeter, peak_memory_mb
 from orchidferry.testkit.mesh.context import RunContext
@@ -41,8 +42,9 @@
 DESCRIPTORS = 4_096
 # A folder in memory, if there is one: other work on this machine's disk is no part of what a mesh costs.
 DISK = os.environ.get("ORCHIDFERRY_BENCH_DISK", "")
-RELAY = 20  # the relay's port is so far above a machine's first one
-# classes of the forwarding bench, as routes
+RELAY_PORT_OFFSET = 20  # of the relay's port from that of a machine's readiness listener
+LOAD_MODULE = "orchidferry.testkit.bench.mesh_load"
+# Classes of the forwarding bench, as routes.
 FEED = "/ler-feed/"
 SAVE = "/salvar-episodio/"
 KEYED = "keyed"
@@ -71,7 +73,7 @@
 
 
 class Fleet:
-    """An asynchronous context: the processes are there within it, and gone after it, come what may."""
+    """An asynchronous context: the processes run within it, and are ended after it in any case."""
 
     def __init__(
         self,
@@ -82,26 +84,32 @@
         relay: bool = False,
         proxy_command: Callable[[Path, str], tuple[str, ...]] | None = None,
     ) -> None:
-        """`sync_ms`: how much longer a controller's commit takes; `disk`: where its files are, if not where
-        `ORCHIDFERRY_BENCH_DISK` says; `proxy_command`: a proxy's, by the fleet's folder and its machine.
+        """Nothing is started before the context is entered.
+
+        :param cores: controllers.
+        :param servers: how many servers each of the two services has, one beside each proxy.
+        :param sync_ms: how much longer a controller's commit takes.
+        :param disk: the folder of their files, if not the one that `ORCHIDFERRY_BENCH_DISK` names.
+        :param relay: whether relays count what controllers and proxies send each other.
+        :param proxy_command: the command of a proxy, by the fleet's folder and the name of its machine.
         """
         self._day = Day("bench", "", 0.0, (), cores=cores, servers=servers)
         self._sync_ms = sync_ms
         self._relay = relay
         self._proxy_command = proxy_command
         self._disk = DISK if disk is None and DISK and Path(DISK).is_dir() else disk
-        self._held: Any = None
+        self._address_claim: Any = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._others: list[asyncio.subprocess.Process] = []
+        self._own_processes: list[asyncio.subprocess.Process] = []
         self._sequence = 0
-        self._died = ""
+        self._failure = ""
         self.relays: list[CountingRelay] = []
         self.nodes: dict[str, Node] = {}
         self.servers: dict[str, tuple[str, str]] = {}  # id and state of each machine's server
         self.revision = 0
 
     async def __aenter__(self) -> Fleet:
-        self.block, self._held = claim()
+        self.block, self._address_claim = claim()
         self.folder = Path(tempfile.mkdtemp(prefix="orchidferry-bench-mesh-", dir=self._disk))
         try:
             await self._start()
@@ -121,92 +129,92 @@
         self.cores = [replace(machine, bind=machine.ip) for machine in cores]
         self.sidecars = [replace(machine, bind=machine.ip) for machine in sidecars]
         self.ports: Ports = free_ports([m.ip for m in (*self.cores, *self.sidecars)])
-        relayed = self.ports._replace(internal=self.ports.ready + RELAY)
         self.scene = RunContext(SEED, self.ports, lambda _: None, time.monotonic())
-        through = RunContext(SEED, relayed if self._relay else self.ports, lambda _: None, self.scene.zero)
-        if self._relay:
-            for controller in self.cores:
-                self.relays.append(CountingRelay())
-                await self.relays[-1].start(
-                    (controller.ip, relayed.internal), (controller.ip, self.ports.internal)
-                )
+        proxy_context = await self._start_relays() if self._relay else self.scene
         for machine in (*self.cores, *self.sidecars):
-            scene = self.scene if machine.role == "core" else through
-            node = Node(scene, self._day, machine, self.cores[:3], self.folder, self._ended, lambda _: None)
+            context = self.scene if machine.role == "core" else proxy_context
+            node = Node(context, self._day, machine, self.cores[:3], self.folder, self._ended, lambda _: None)
             if machine.role == "core" and self._sync_ms:
-                node.command = (
-                    sys.executable,
-                    "-B",
-                    "-m",
-                    "orchidferry.testkit.bench.mesh_load",
-                    "slow",
-                    str(self._sync_ms),
-                )
+                node.command = (sys.executable, "-B", "-m", LOAD_MODULE, "slow", str(self._sync_ms))
             if machine.role == "sidecar" and self._proxy_command is not None:
                 node.command = self._proxy_command(self.folder, machine.name)
             self.nodes[machine.name] = node
         await asyncio.gather(*(node.start() for node in self.nodes.values()))
         if self.sidecars:
             addresses = [f"{m.ip}:{self.ports.application}" for m in self.sidecars]
-            await self._other("servers", *addresses)
+            await self._start_own_process("servers", *addresses)
             self.servers = {m.name: (f"i-{m.number}-0", "in_service") for m in self.sidecars}
             await self._until_ready()
 
+    async def _start_relays(self) -> RunContext:
+        """Start a relay before each controller; the context of the nodes that use them."""
+        relayed = self.ports._replace(internal=self.ports.ready + RELAY_PORT_OFFSET)
+        for controller in self.cores:
+            relay = CountingRelay()
+            self.relays.append(relay)
+            await relay.start((controller.ip, relayed.internal), (controller.ip, self.ports.internal))
+        return RunContext(SEED, relayed, lambda _: None, self.scene.zero)
+
     def _ended(self, node: Node, status: int) -> None:
-        self._died = f"{node.machine.name} ended by itself (status {status}): {' | '.join(node.tail(2))}"
+        self._failure = f"{node.machine.name} ended by itself (status {status}): {' | '.join(node.tail(2))}"
 
     def check(self) -> None:
-        """`ValueError` if one of the mesh's processes has ended."""
-        if self._died:
-            raise ValueError(self._died)
+        """Check that all processes of the mesh run.
+
+        :raises ValueError: names one that has ended.
+        """
+        if self._failure:
+            raise ValueError(self._failure)
 
-    async def _other(self, *words: str, first: str = "") -> asyncio.subprocess.Process:
-        """Start a process of the bench's own; it has said that it is ready."""
+    async def _start_own_process(
+        self, *arguments: str, first_input: bytes = b""
+    ) -> asyncio.subprocess.Process:
+        """Start a process of `mesh_load`, and wait until it says that it is ready."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "orchidferry.testkit.bench.mesh_load",
-            *words,
+            LOAD_MODULE,
+            *arguments,
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             limit=2**24,
-            stderr=(self.folder / "others.log").open("ab"),
+            stderr=(self.folder / "bench.log").open("ab"),
             start_new_session=True,
             preexec_fn=partial(in_child, DESCRIPTORS),
         )
-        self._others.append(process)
+        self._own_processes.append(process)
         assert process.stdin is not None and process.stdout is not None
-        process.stdin.write(first.encode())
+        process.stdin.write(first_input)
         if not await asyncio.wait_for(process.stdout.readline(), READY_S):
-            tail = (self.folder / "others.log").read_text("utf-8", "replace").splitlines()[-1:]
-            raise ValueError(f"{words[0]} did not start: {' '.join(tail)}")
+            tail = (self.folder / "bench.log").read_text("utf-8", "replace").splitlines()[-1:]
+            raise ValueError(f"{arguments[0]} did not start: {' '.join(tail)}")
         return process
 
     async def claimer(self, number: int = 0) -> asyncio.subprocess.Process:
         """Start a claimer of keys; `load` then gives it loads."""
-        where = {
-            "seeds": [m.ip for m in self.cores],
-            "port": self.ports.internal,
-            "ip": f"127.{self.block.number}.30.{number + 1}",
-        }
-        return await self._other("claims", first=json.dumps(where) + "\n")
+        controllers = [machine.ip for machine in self.cores]
+        ip = f"127.{self.block.number}.30.{number + 1}"
+        setup = ClaimerSetup(controllers, self.ports.internal, ip)
+        return await self._start_own_process("claims", first_input=encode_line(setup))
+
+    async def load(self, claimer: asyncio.subprocess.Process, load: ClaimLoad) -> ClaimReport:
+        """Have a claimer make the claims of a load.
 
-    async def load(self, claimer: asyncio.subprocess.Process, **load: Any) -> dict[str, Any]:
-        """What came of a claimer's load (`mesh_load.Claimer.run`)."""
+        :raises ValueError: if a process of the mesh, or the claimer, has ended.
+        """
         assert claimer.stdin is not None and claimer.stdout is not None
-        claimer.stdin.write(json.dumps(load).encode() + b"\n")
-        line = await asyncio.wait_for(claimer.stdout.readline(), load["seconds"] + READY_S)
+        claimer.stdin.write(encode_line(load))
+        line = await asyncio.wait_for(claimer.stdout.readline(), load.seconds + READY_S)
         self.check()
         if not line:
             raise ValueError("a claimer ended by itself")
-        found: dict[str, Any] = json.loads(line)
-        return found
+        return ClaimReport(**json.loads(line))
 
     # Servers and configurations
 
     async def send_heartbeat(self, machine: Machine) -> bool:
-        """A server's word at its machine's node; whether it was acknowledged."""
+        """Send a heartbeat of a machine's server to its node; whether it was acknowledged."""
         self._sequence += 1
         id, state = self.servers[machine.name]
         payload = {
@@ -226,7 +234,7 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     async def put(self, routes: list[Route]) -> float:
-        """Have a configuration taken; when that was acknowledged."""
+        """Put a configuration with these routes in force; when that was acknowledged."""
         base = self.revision
         self.revision = self.revision + 1
         services = sorted({m.service for m in self.sidecars})
@@ -243,7 +251,7 @@
         raise ValueError(f"no configuration was taken: {last.status} {last.body[:200]!r}")
 
     def routes(self) -> list[Route]:
-        """Of each service, reads and keyed requests: `FEED` and `SAVE` lead to the first."""
+        """The usual routes: reads (`FEED`) and keyed requests (`SAVE`) of the first service."""
         first = self.sidecars[0].service
         return [(FEED, first, "idempotent"), (SAVE, first, KEYED)]
 
@@ -263,25 +271,25 @@
                 await asyncio.sleep(0.05)
 
     def spawn(self, work: Any) -> asyncio.Task[None]:
-        """Have something done until the fleet's end at most."""
+        """Run a coroutine until the fleet's end at most."""
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # What it uses
+    # Resources that it uses
 
     def pids(self, some: list[Machine]) -> list[int]:
-        """Of these machines' processes."""
+        """The ids of these machines' processes."""
         self.check()
         return [pid for m in some if (pid := self.nodes[m.name].pid) is not None]
 
     def meter(self, some: list[Machine]) -> CpuMeter:
-        """What their processes use from now on."""
+        """A meter of what these machines' processes use from now on."""
         return CpuMeter(self.pids(some))
 
     def peaks(self, some: list[Machine]) -> list[float]:
-        """The most memory of each, MB."""
+        """The peak memory of each machine's process, MB."""
         return [peak_memory_mb(pid) for pid in self.pids(some)]
 
     def stored(self) -> list[int]:
@@ -290,12 +298,12 @@
         return [sum(f.stat().st_blocks * 512 for f in one.rglob("*") if f.is_file()) for one in folders]
 
     async def close(self) -> None:
-        """End all of it."""
+        """End all processes, and remove their files."""
         for task in set(self._tasks):
             task.cancel()
         for node in self.nodes.values():
             node.kill()
-        for process in self._others:
+        for process in self._own_processes:
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
                     process.kill()
@@ -303,12 +311,12 @@
             relay.close()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(END_S):
-                for process in self._others:
+                for process in self._own_processes:
                     await process.wait()
                 for node in self.nodes.values():
                     while node.pid is not None:
                         await asyncio.sleep(0.01)
         if hasattr(self, "scene"):
             self.scene.close()
-        self._held.close()
+        self._address_claim.close()
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -1,5 +1,4 @@
-"""The bench's own processes: stand-in servers, a claimer of operation keys, a controller whose syncs take
-longer.
+"""The bench's own processes: stand-in servers, a claimer of operation keys, a controller with slower commits.
 
 `python -m orchidferry.testkit.bench.mesh_load servers HOST:PORT...|claims|slow MS`
 """
@@ -23,98 +22,95 @@
 from orchidferry.mesh.settings import Bounds, Settings
 from orchidferry.mesh.storage.store import Store
 from orchidferry.node.garbage_collector import freeze_startup_objects
+from orchidferry.testkit.bench.claim_load import ClaimerSetup, ClaimLoad, ClaimReport, encode_line
 
-CLAIM_S = 1.0  # for one key
-MAX_S = 30.0  # of one load
-LINKED_S = 10.0  # until all controllers are heard and grant a key
+CLAIM_TIMEOUT_S = 1.0  # for one key
+MAX_LOAD_S = 30.0
+CONNECTED_S = 10.0  # until all controllers are connected and grant a key
 TICK_S = 0.001
+ZONE = "sala-a"
 
 
 def key_of(tag: str, number: int) -> str:
-    """Keys come in no order, as clients draw them."""
+    """A key of a load; keys come in no order, as clients draw them."""
     return hashlib.blake2b(f"{tag} {number}".encode(), digest_size=16).hexdigest()
 
 
-def nothing() -> None:
-    """Nothing is to follow."""
+def _do_nothing() -> None:
+    """No claim is to follow."""
 
 
 class Claimer:
     """One node's claims, with nothing else of a node."""
 
-    def __init__(self, news: ControlClient) -> None:
-        self._news = news
-        self._out = 0
-        self._then: Callable[[], None] = nothing  # once one is told
-        self.took: list[float] = []
-        self.said: Counter[str] = Counter()
-        self.late: list[float] = []
-
-    def _claim(self, key: str, due: float, answer: bytes) -> None:
-        self._out += 1
-        self.late.append(max(0.0, time.monotonic() - due))
-
-        def told(outcome: ClaimOutcome, _: Any) -> None:
-            self._out -= 1
-            self.said[outcome] += 1
-            if outcome is ClaimOutcome.GRANTED:
-                self.took.append(time.monotonic() - due)
-                if answer:
-                    self._news.claims.record_answer(key, key, [200, answer, []])
-            self._then()
-
-        self._news.claim(key, key, CLAIM_S, told)
-
-    async def run(
-        self, tag: str, rate: float, seconds: float, at_once: int, count: int, answer: int
-    ) -> dict[str, Any]:
-        """At `rate` a second, timed from when each was due; with a rate of 0, `at_once` are always out."""
-        self.took = []
-        self.said = Counter()
-        self.late = []
-        kept, began, cpu = b"a" * answer, time.monotonic(), time.process_time()
-        ends = began + min(seconds, MAX_S)
-        number = 0
-
-        def due() -> None:
-            nonlocal number
+    def __init__(self, control_client: ControlClient) -> None:
+        self._control_client = control_client
+        self._in_flight = 0
+        self._on_outcome: Callable[[], None] = _do_nothing
+        self.outcomes: Counter[ClaimOutcome] = Counter()
+        self._took_s: list[float] = []
+        self._late_s: list[float] = []
+
+    async def run(self, load: ClaimLoad) -> ClaimReport:
+        """Make the claims of a load, each timed from when it was due, and wait for all outcomes."""
+        self._took_s = []
+        self._late_s = []
+        self.outcomes = Counter()
+        body = b"a" * load.stored_bytes
+        started_s = time.monotonic()
+        cpu_s = time.process_time()
+        end_s = started_s + min(load.seconds, MAX_LOAD_S)
+        made = 0
+
+        def claim_due() -> None:
+            nonlocal made
             now = time.monotonic()
-            while now < ends and number < count:
-                at = began + number / rate if rate else now
-                if at > now or (not rate and self._out >= at_once):
+            while now < end_s and made < load.max_claims:
+                due_s = started_s + made / load.rate if load.rate else now
+                if due_s > now or (not load.rate and self._in_flight >= load.max_concurrent):
                     break
-                number += 1
-                self._claim(key_of(tag, number), at, kept)
+                made += 1
+                self._claim(key_of(load.tag, made), due_s, body)
 
-        self._then = nothing if rate else due
-        while time.monotonic() < ends and (number < count or self._out):
-            due()
+        self._on_outcome = _do_nothing if load.rate else claim_due
+        while time.monotonic() < end_s and (made < load.max_claims or self._in_flight):
+            claim_due()
             await asyncio.sleep(TICK_S)
-        self._then = nothing
-        spent = time.monotonic() - began
-        while self._out:
+        self._on_outcome = _do_nothing
+        seconds = time.monotonic() - started_s
+        while self._in_flight:
             await asyncio.sleep(TICK_S)
-        return {
-            "asked": number,
-            "granted": self.said[ClaimOutcome.GRANTED],
-            "seconds": spent,
-            "took": self.took,
-            "late": self.late,
-            "cpu_s": time.process_time() - cpu,
-        }
-
-
-def claimer_boot(seeds: list[str], port: int, ip: str) -> Settings:
-    """As much of a node's settings as its links to controllers ask for."""
+        granted = self.outcomes[ClaimOutcome.GRANTED]
+        cpu_s = time.process_time() - cpu_s
+        return ClaimReport(made, granted, seconds, self._took_s, self._late_s, cpu_s)
+
+    def _claim(self, key: str, due_s: float, body: bytes) -> None:
+        self._in_flight += 1
+        self._late_s.append(max(0.0, time.monotonic() - due_s))
+
+        def on_outcome(outcome: ClaimOutcome, _: Any) -> None:
+            self._in_flight -= 1
+            self.outcomes[outcome] += 1
+            if outcome is ClaimOutcome.GRANTED:
+                self._took_s.append(time.monotonic() - due_s)
+                if body:
+                    self._control_client.claims.record_answer(key, key, [200, body, []])
+            self._on_outcome()
+
+        self._control_client.claim(key, key, CLAIM_TIMEOUT_S, on_outcome)
+
+
+def claimer_settings(setup: ClaimerSetup) -> Settings:
+    """As much of a node's settings as its links to controllers need."""
     return Settings(
-        name=f"claimer-{ip}",
+        name=f"claimer-{setup.ip}",
         role="proxy",
-        ip=ip,
-        zone="sala-a",
+        ip=setup.ip,
+        zone=ZONE,
         first_start=False,
         listen={},
-        internal_port=port,
-        seeds=tuple(seeds),
+        internal_port=setup.port,
+        seeds=tuple(setup.seeds),
         bounds=Bounds(),
         heartbeat_interval_ms=1_500.0,
         max_file_descriptors=256,
@@ -122,55 +118,63 @@
     )
 
 
-async def claims() -> None:
-    """Where the controllers are comes on the first line of the standard input; then one load a line."""
+async def run_claimer() -> None:
+    """Read the setup from the first line of the standard input, then run one load a line."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    where = json.loads(await reader.readline())
-    news = ControlClient(claimer_boot(**where), loop, lambda _: None, lambda *_: None)
-    news.start()
-    news.publish(NodeRecord(f"claimer-{where['ip']}", news.boot_id, 1, "sala-a", where["ip"], 1, None))
-    one = Claimer(news)
-    tries = 0
-    async with asyncio.timeout(LINKED_S):
-        while news.connected_controllers < len(where["seeds"]) or not one.said[ClaimOutcome.GRANTED]:
-            await one.run(f"try {where['ip']} {tries}", 100.0, 0.2, 1, 1, 0)
-            tries += 1
+    setup = ClaimerSetup(**json.loads(await reader.readline()))
+    settings = claimer_settings(setup)
+    client = ControlClient(settings, loop, lambda _: None, lambda *_: None)
+    client.start()
+    client.publish(NodeRecord(settings.name, client.boot_id, 1, ZONE, setup.ip, 1, None))
+    claimer = Claimer(client)
+    attempts = 0
+    async with asyncio.timeout(CONNECTED_S):
+        while client.connected_controllers < len(setup.seeds) or not claimer.outcomes[ClaimOutcome.GRANTED]:
+            await claimer.run(ClaimLoad(f"try {setup.ip} {attempts}", 100.0, 0.2, 1, 1))
+            attempts += 1
     freeze_startup_objects()
     print("ready", flush=True)
     while line := await reader.readline():
-        print(json.dumps(await one.run(**json.loads(line))), flush=True)
+        report = await claimer.run(ClaimLoad(**json.loads(line)))
+        print(encode_line(report).decode(), end="", flush=True)
 
 
-async def servers(addresses: list[tuple[str, int]]) -> None:
+async def run_servers(addresses: list[tuple[str, int]]) -> None:
     """Answer at once, until the standard input ends."""
     from orchidferry.testkit.bench.forward import serve
 
     await serve(addresses)
 
 
-def slow(more_s: float) -> int:
-    """A controller each of whose commits takes so much longer, in the thread of its disk as a sync does."""
+def run_slow_controller(extra_s: float) -> int:
+    """Run a controller whose commits take so much longer, in the thread of its disk as a sync does."""
     from orchidferry.mesh.__main__ import main
 
     commit = Store._commit
 
-    def later(self: Store, writes: Any) -> list[bool] | None:
+    def slow_commit(self: Store, writes: Any) -> list[bool] | None:
         done = commit(self, writes)
-        time.sleep(more_s)
+        time.sleep(extra_s)
         return done
 
-    Store._commit = later  # type: ignore[method-assign]
+    Store._commit = slow_commit  # type: ignore[method-assign]
     return main(["controller"])
 
 
+def main(arguments: list[str]) -> int:
+    """Run the process that the first argument names; its exit status."""
+    what, *rest = arguments
+    if what == "servers":
+        addresses = [(host, int(port)) for host, _, port in (text.rpartition(":") for text in rest)]
+        uvloop.run(run_servers(addresses))
+        return 0
+    if what == "claims":
+        uvloop.run(run_claimer())
+        return 0
+    return run_slow_controller(float(rest[0]) / 1000.0)
+
+
 if __name__ == "__main__":
-    if sys.argv[1] == "servers":
-        uvloop.run(
-            servers([(host, int(port)) for host, _, port in (a.rpartition(":") for a in sys.argv[2:])])
-        )
-    elif sys.argv[1] == "claims":
-        uvloop.run(claims())
-    else:
-        sys.exit(slow(float(sys.argv[2]) / 1000.0))
+    sys.exit(main(sys.argv[1:]))
--- a/orchidferry/testkit/bench/mesh_resources.py
+++ b/orchidferry/testkit/bench/mesh_resources.py
@@ -5,6 +5,7 @@
 import asyncio
 import time
 
+from orchidferry.testkit.bench.claim_load import ClaimLoad
 from orchidferry.testkit.bench.forward import ask_all
 from orchidferry.testkit.bench.mesh_claims import MAX_CONCURRENT, SYNC_MS
 from orchidferry.testkit.bench.mesh_fleet import Fleet
@@ -49,10 +50,8 @@
 
 async def _claimed_rows(fleet: Fleet, claimer: asyncio.subprocess.Process) -> list[Row]:
     stored_before = fleet.stored()
-    answer = await fleet.load(
-        claimer, tag="memory", rate=0.0, seconds=CLAIM_S, at_once=MAX_CONCURRENT, count=KEYS, answer=0
-    )
-    granted = answer["granted"]
+    report = await fleet.load(claimer, ClaimLoad("memory", 0.0, CLAIM_S, MAX_CONCURRENT, KEYS))
+    granted = report.granted
     details = {"broken": True} if granted < KEYS else {}
     name = f"controller, after {granted:,} keys"
     peaks = figure_row("memory", f"{name}: most", "MB", fleet.peaks(fleet.cores), **details)
--- a/orchidferry/testkit/capacity/claims.py
+++ b/orchidferry/testkit/capacity/claims.py
@@ -6,6 +6,7 @@
 import statistics
 from dataclasses import dataclass
 
+from orchidferry.testkit.bench.claim_load import ClaimLoad
 from orchidferry.testkit.bench.mesh_fleet import Fleet
 from orchidferry.testkit.capacity.figures import BY_CLAIMS, Figure
 from orchidferry.testkit.capacity.reference import Speed
@@ -64,19 +65,12 @@
     """One load; what it cost over a controller's own beats."""
     speed.slowness()
     meter = fleet.meter(fleet.cores)
-    found = await fleet.load(
-        claimer,
-        tag=load.tag,
-        rate=load.rate,
-        seconds=load.seconds,
-        at_once=MAX_AT_ONCE,
-        count=round(load.rate * load.seconds),
-        answer=0,
-    )
+    claims = round(load.rate * load.seconds)
+    report = await fleet.load(claimer, ClaimLoad(load.tag, load.rate, load.seconds, MAX_AT_ONCE, claims))
     spent_s = statistics.fmean(meter.read().cpu_s) / speed.slowness()
-    claims_s = spent_s - idle * found["seconds"]
-    share = 100.0 * claims_s / found["asked"] * load.rate
+    claims_s = spent_s - idle * report.seconds
+    share = 100.0 * claims_s / report.asked * load.rate
     rounds.add("controller", "claims: CPU of each controller", "% of a core", share)
-    took = sorted(found["took"])
+    took = sorted(report.took_s)
     rounds.add("controller", "claims: to the answer, p50", "ms", 1e3 * took[len(took) // 2])
-    rounds.add("controller", "claims: not granted", "%", 100.0 * (1.0 - found["granted"] / found["asked"]))
+    rounds.add("controller", "claims: not granted", "%", 100.0 * (1.0 - report.granted / report.asked))
--- a/tests/testkit/bench/test_mesh_claims.py
+++ b/tests/testkit/bench/test_mesh_claims.py
@@ -4,6 +4,7 @@
 
 import asyncio
 
+from orchidferry.testkit.bench.claim_load import ClaimReport
 from orchidferry.testkit.bench.mesh_claims import (
     MEMORY_DISK,
     LoadResult,
@@ -15,13 +16,9 @@
 
 def result(asked: int, granted: int) -> LoadResult:
     """A load of two seconds, of whose claims the n-th took n milliseconds."""
+    took_s = [0.001 * n for n in range(1, granted + 1)]
     return LoadResult(
-        asked=asked,
-        granted=granted,
-        seconds=2.0,
-        took_s=[0.001 * n for n in range(1, granted + 1)],
-        late_s=[0.0],
-        claimer_cpu_s=0.1,
+        ClaimReport(asked, granted, seconds=2.0, took_s=took_s, late_s=[0.0], claimer_cpu_s=0.1),
         controller_us=[100.0, 200.0, 300.0],
         controller_busy=[0.1],
         waited=0.0,
