--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -1,8 +1,6 @@
-"""The channel, the versions and the store together: what the node is told of its configuration.
+"""The agent: keeps a node's configuration up to date with the channel, the version rules and the store.
 
-Two calls are given to it: `apply` makes a configuration the one that counts ('' or a problem, or None where
-`node_applied` will say so), `drain` sends nothing new to some servers. Everything is decided in
-`orchidferry.balancing.versions`; here its actions are done.
+Everything is decided in `orchidferry.balancing.versions`; here its actions are performed.
 """
 
 from __future__ import annotations
@@ -11,6 +9,7 @@
 import logging
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from orchidferry.balancing import interface as api
@@ -24,12 +23,24 @@
 
 log = logging.getLogger("orchidferry")
 
-ApplyCall = Callable[[Configuration, frozenset[Part]], str | None]
-DrainCall = Callable[[tuple[int, ...]], None]
 
+def _ignore() -> None:
+    pass
 
-def own_file(control: Control, settings: api.Settings) -> Configuration:
-    """What the node's own file says: no pool, as discovery has the say until one comes."""
+
+@dataclass(frozen=True, slots=True)
+class NodeCalls:
+    """What the agent calls at its node."""
+
+    # Applies a configuration, of which some parts have changed. Returns an empty text, or what went wrong;
+    # None if `Agent.node_applied` will be called with that.
+    apply: Callable[[Configuration, frozenset[Part]], str | None]
+    drain: Callable[[tuple[int, ...]], None]  # sends nothing new to some servers
+    after_event: Callable[[], None] = _ignore  # called when the status may have changed
+
+
+def file_configuration(control: Control, settings: api.Settings) -> Configuration:
+    """Return the configuration in the node's own file, which has no pool: discovery names the servers."""
     return Configuration(Pools({}), NodeSettings(control.pools[0], settings))
 
 
@@ -40,42 +51,41 @@
         self,
         control: Control,
         file: Configuration,
-        apply: ApplyCall,
-        drain: DrainCall,
+        node: NodeCalls,
         rng: random.Random | None = None,
         store: Store | None = None,
-        held: Configuration | None = None,
-        said: Callable[[], None] = lambda: None,
+        applied: Configuration | None = None,
     ) -> None:
-        """`ConfigError` if a certificate can't be read. `held`: what the node holds already, before any that
-        is saved; `said` is called after each event."""
+        """
+        :param file: the configuration in the node's own file.
+        :param applied: the configuration that the node has; it goes before one in the store.
+        :raises ConfigError: if a certificate can't be read.
+        """
         self._control = control
         self._file = file
-        self._do_apply = apply
-        self._do_drain = drain
-        self._held = held
-        self._said = said
+        self._node = node
+        self._already_applied = applied
         self.versions = Versions(control.first_wait_s * 1000.0)
-        self.channel = Channel(control, self._hear, self._stream, rng)
+        self.channel = Channel(control, self._on_offer, self._on_stream, rng)
         self._store = store
         self._timers: set[asyncio.TimerHandle] = set()
-        self._applying: events.Apply | None = None  # what is being applied
-        self._unsaved: Configuration | None = None  # the newest that waits to be written
+        self._applying: events.Apply | None = None
+        self._unsaved: Configuration | None = None  # the newest one that waits to be saved
         self._saving: asyncio.Task[None] | None = None
-        self.refused_save = ""  # why the last good one could not be written, the last time
+        self._save_problem = ""  # why the last good one could not be saved the last time
 
     def start(self) -> None:
-        """Begin: open the stream, and wait so long for a first version."""
+        """Open the stream, and wait for a first version."""
         saved = None
         if self._store is not None:
             saved, line = self._store.load()
             if line:
                 log.error("%s", line)
-        self._handle(events.Started(self._file, self._held or saved))
+        self._handle(events.Started(self._file, self._already_applied or saved))
         self.channel.start()
 
     async def close(self) -> None:
-        """Stop; what is applied stays so."""
+        """Close the stream and the store; what is applied stays so."""
         await self.channel.close()
         if self._saving is not None:
             await self._saving
@@ -85,80 +95,87 @@
             self._store.close()
 
     def status(self) -> dict[str, Any]:
-        """What `control status` shows of this node."""
-        found = self.versions.status()
-        found |= {
+        """Return what `control status` shows of this node."""
+        status = self.versions.status()
+        status |= {
             "node": self._control.node,
             "stream": "up" if self.channel.up else "down",
             "now_ms": now_ms(),
         }
-        found["saved"] = "off" if self._store is None else self.refused_save or "yes"
-        return found
+        status["saved"] = "off" if self._store is None else self._save_problem or "yes"
+        return status
 
-    def _hear(self, offer: events.Offered) -> None:
+    def _on_offer(self, offer: events.Offered) -> None:
         self._handle(offer)
 
-    def _stream(self, up: bool) -> None:
+    def _on_stream(self, up: bool) -> None:
         self._handle(events.StreamChanged(up))
 
     def _handle(self, event: events.Event) -> None:
         pending = [event]
         while pending:
             for action in self.versions.handle(pending.pop(0), now_ms()):
-                match action:
-                    case events.Apply():
-                        self._applying = action
-                        problem = self._apply(action)
-                        if problem is not None:
-                            pending.append(self._applied(problem))
-                    case events.Answer():
-                        self.channel.answer(action)
-                    case events.Drain():
-                        self._do_drain(action.servers)
-                    case events.SaveLastGood():
-                        self._save(action.configuration)
-                    case events.SetTimer():
-                        self._wake(action.delay_ms)
-                    case events.Log():
-                        log.warning("control: %s", action.text)
-        self._said()
+                raised = self._perform(action)
+                if raised is not None:
+                    pending.append(raised)
+        self._node.after_event()
+
+    def _perform(self, action: events.Action) -> events.Event | None:
+        """Perform an action; return the event that it leads to, if there is one at once."""
+        match action:
+            case events.Apply():
+                self._applying = action
+                problem = self._apply(action)
+                if problem is not None:
+                    return self._applied(problem)
+            case events.Answer():
+                self.channel.answer(action)
+            case events.Drain():
+                self._node.drain(action.servers)
+            case events.SaveLastGood():
+                self._save(action.configuration)
+            case events.SetTimer():
+                self._wake(action.delay_ms)
+            case events.Log():
+                log.warning("control: %s", action.text)
+        return None
 
     def _apply(self, action: events.Apply) -> str | None:
         try:
-            return self._do_apply(action.configuration, action.changed)
-        except Exception as broken:  # whatever is in it, the node serves on
+            return self._node.apply(action.configuration, action.changed)
+        except Exception as problem:  # whatever is in it, the node serves on
             log.exception("applying a configuration")
-            return f"{type(broken).__name__}: {broken}"
+            return f"{type(problem).__name__}: {problem}"
 
     def _applied(self, problem: str) -> events.Applied:
         action = self._applying
         self._applying = None
         if not problem and action is not None:
-            applied = ", ".join(
+            versions = ", ".join(
                 f"{part.value} {text!r}" for part, text in action.configuration.versions.items()
             )
-            log.info("control: applied %s, from %s", applied, action.source.value)
+            log.info("control: applied %s, from %s", versions, action.source.value)
         return events.Applied(problem)
 
     def node_applied(self, problem: str) -> None:
-        """How applying went, where `apply` did not say; nothing if none is out."""
+        """Learn how applying went, where `NodeCalls.apply` did not say; no effect if none is in progress."""
         if self._applying is not None:
             self._handle(self._applied(problem))
 
-    def _save(self, whole: Configuration) -> None:
-        """Have it written, in a thread: a disk may take its time, and requests don't wait for it."""
-        self._unsaved = whole
+    def _save(self, configuration: Configuration) -> None:
+        """Save it in a thread: a disk may be slow, and nothing waits for it."""
+        self._unsaved = configuration
         if self._store is not None and self._saving is None:
             self._saving = asyncio.get_running_loop().create_task(self._write(self._store))
 
     async def _write(self, store: Store) -> None:
         while self._unsaved is not None:
-            whole = self._unsaved
+            configuration = self._unsaved
             self._unsaved = None
-            line = await asyncio.to_thread(store.save, whole)
-            if line and line != self.refused_save:
-                log.error("%s", line)
-            self.refused_save = line
+            problem = await asyncio.to_thread(store.save, configuration)
+            if problem and problem != self._save_problem:
+                log.error("%s", problem)
+            self._save_problem = problem
         self._saving = None
 
     def _wake(self, delay_ms: float) -> None:
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -1,9 +1,8 @@
-"""The helper of a node with a control service: `python -m orchidferry.node.control.helper`, started by
-`link.py`.
+"""The control helper of a node: `python -m orchidferry.node.control.helper`, started by `link.py`.
 
-It holds the stream, checks versions, and keeps the last good one; what is to be applied it tells the node,
-a line of JSON at a time (`pipe.py`). Standard input and output are the node's; its end is the end of input.
-A signal to the whole group is the node's to deal with.
+It holds the stream, checks versions and saves the last good one; what is to be applied it sends to the node
+(see `pipe.py`). Standard input and output are the pipe; it ends when its input does. Signals to the whole
+process group are left to the node.
 """
 
 from __future__ import annotations
@@ -14,97 +13,124 @@
 import os
 import signal
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+from orchidferry.balancing import interface as api
 from orchidferry.balancing.configuration import Configuration
-from orchidferry.node.control.agent import Agent, own_file
-from orchidferry.node.control.pipe import MAX_LINE, Held, PipeDecodeError, Row, Teller, line, read_line
+from orchidferry.node.control.agent import Agent, NodeCalls, file_configuration
+from orchidferry.node.control.pipe import (
+    MAX_LINE,
+    AppliedState,
+    ChangeWriter,
+    PipeDecodeError,
+    Row,
+    decode_line,
+    encode_line,
+)
 from orchidferry.node.control.plain import MALFORMED_JSON_ERRORS, settings_from
 from orchidferry.node.control.settings import Control
 from orchidferry.node.control.store import StateLockedError, Store
 
-NICE = 5  # beside the node on one core, requests come first
-APPLY_S = 30.0  # for the node's word of a change; past that nothing is known of the node any more
-STATUS_S = 0.05  # changes of the status within that time are told as one
-# for the helper of a node that was killed to let the folder go
-TAKEN_S = 3.0
-TAKEN_STEP_S = 0.05
-BEGIN_S = 10.0  # for the node to say what it holds
-MAX_OUT = 64 * 1024  # bytes that wait to be read before more of a change is made
+EXIT_OK = 0
+EXIT_USAGE = 2
+
+NICE = 5  # on one core with the node, requests come first
+APPLY_S = 30.0  # for the node to confirm a change; after that it is not known what the node has
+STATUS_S = 0.05  # changes of the status within that time are sent as one
+BEGIN_S = 10.0  # for the node to send what it has
+MAX_UNSENT = 64 * 1024  # bytes that wait in the pipe before more of a change is written
+
+# For the helper of a node that was killed to unlock the directory
+LOCK_WAIT_S = 3.0
+LOCK_RETRY_S = 0.05
 
 log = logging.getLogger("orchidferry")
 
 
 class Helper:
-    """An agent, and the node at the other end of the pipe."""
+    """An agent, whose node is at the other end of the pipe."""
 
     def __init__(
         self,
         control: Control,
-        own: Any,
-        held: Configuration | None,
+        own: api.Settings,
+        applied: Configuration | None,
         store: Store | None,
         out: asyncio.StreamWriter,
     ) -> None:
-        self._out, self._teller = out, Teller()
-        self.agent = Agent(
-            control, own_file(control, own), self._apply, self._drain, store=store, held=held, said=self._note
-        )
-        self._telling: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self._noting: asyncio.TimerHandle | None = None
-
-    def _apply(self, whole: Configuration, _: Any) -> None:
-        """Have it applied; `agent.node_applied` says how that went."""
+        """
+        :param own: settings in the node's own file.
+        :param applied: the configuration that the node has; None: that of its own file.
+        :param out: to the node.
+        """
+        self._out = out
+        self._writer = ChangeWriter()
+        calls = NodeCalls(self._apply, self._drain, self._schedule_status)
+        self.agent = Agent(control, file_configuration(control, own), calls, store=store, applied=applied)
+        self._sending: asyncio.Task[None] | None = None
+        self._apply_timer: asyncio.TimerHandle | None = None
+        self._status_timer: asyncio.TimerHandle | None = None
+
+    def _apply(self, configuration: Configuration, _: Any) -> None:
+        """Send it to the node; `agent.node_applied` is called with its answer."""
         loop = asyncio.get_running_loop()
-        self._telling = loop.create_task(self._tell(whole))
-        self._timer = loop.call_later(APPLY_S, self._late)
+        self._sending = loop.create_task(self._send(configuration))
+        self._apply_timer = loop.call_later(APPLY_S, self._on_apply_timeout)
 
-    async def _tell(self, whole: Configuration) -> None:
-        for data in self._teller.change(whole):
+    async def _send(self, configuration: Configuration) -> None:
+        for data in self._writer.change(configuration):
             self._out.write(data)
-            if self._out.transport.get_write_buffer_size() > MAX_OUT:
+            if self._out.transport.get_write_buffer_size() > MAX_UNSENT:
                 await self._out.drain()
 
-    def _late(self) -> None:
-        self._teller.give_up()
+    def _on_apply_timeout(self) -> None:
+        self._writer.give_up()
         self.agent.node_applied(f"the node did not say within {APPLY_S:g} s")
 
     def _drain(self, servers: tuple[int, ...]) -> None:
-        self._out.write(self._teller.drain(servers))
+        self._out.write(self._writer.drain(servers))
+
+    def _schedule_status(self) -> None:
+        if self._status_timer is None:
+            loop = asyncio.get_running_loop()
+            self._status_timer = loop.call_later(STATUS_S, self._send_status)
 
-    def _note(self) -> None:
-        """Something has happened: tell the status soon."""
-        if self._noting is None:
-            self._noting = asyncio.get_running_loop().call_later(STATUS_S, self._tell_status)
+    def _send_status(self) -> None:
+        self._status_timer = None
+        self._out.write(encode_line("status", status=self.agent.status()))
 
-    def _tell_status(self) -> None:
-        self._noting = None
-        self._out.write(line("status", status=self.agent.status()))
+    def receive(self, message: dict[str, Any]) -> None:
+        """Take a message of the node.
 
-    def hear(self, found: dict[str, Any]) -> None:
-        """The node's word."""
-        if found["do"] != "applied":
-            raise PipeDecodeError(f"{found['do']!r} is none of the node's")
-        if self._teller.applied(found["n"], str(found["problem"])):
-            if self._timer is not None:
-                self._timer.cancel()
-            self.agent.node_applied(str(found["problem"]))
+        :raises PipeDecodeError: if it is none.
+        """
+        if message["do"] != "applied":
+            raise PipeDecodeError(f"{message['do']!r} is none of the node's")
+        problem = str(message["problem"])
+        if self._writer.applied(message["n"], problem):
+            if self._apply_timer is not None:
+                self._apply_timer.cancel()
+            self.agent.node_applied(problem)
 
 
-async def open_store(folder: Path | None, wait_s: float = TAKEN_S) -> Store | None:
-    """The folder; one that is another's is waited for, as that may be about to end."""
+async def open_store(folder: Path | None, wait_s: float = LOCK_WAIT_S) -> Store | None:
+    """Open the directory of the last good configuration.
+
+    :param wait_s: for a process that has locked it, and may be about to end.
+    :returns: None if there is no directory, or it can't be used; that is logged.
+    """
     if folder is None:
         return None
     loop = asyncio.get_running_loop()
-    until = loop.time() + wait_s
+    until_s = loop.time() + wait_s
     while True:
         try:
             return Store(folder)
         except StateLockedError as problem:
-            if loop.time() < until:
-                await asyncio.sleep(TAKEN_STEP_S)
+            if loop.time() < until_s:
+                await asyncio.sleep(LOCK_RETRY_S)
                 continue
             log.error("the last good configuration is not kept: %s", problem)
         except OSError as problem:
@@ -112,60 +138,82 @@
         return None
 
 
-def control_from(found: dict[str, Any]) -> Control:
-    """The operator's file, from what the node says of it."""
-    fields = dict(found)
+def control_from(values: dict[str, Any]) -> Control:
+    """Return the settings that `link.plain_control` was given."""
+    fields = dict(values)
     for name in ("state", "ca", "certificate", "key"):
         fields[name] = Path(fields[name]) if fields[name] is not None else None
     host, port = fields["service"]
     return Control(**fields | {"service": (str(host), int(port)), "pools": tuple(fields["pools"])})
 
 
-async def _read_begin(reader: asyncio.StreamReader) -> tuple[Control, Any, Configuration | None]:
-    begin = read_line(await reader.readline())
+@dataclass(frozen=True, slots=True)
+class _Beginning:
+    """What the node sends first."""
+
+    control: Control
+    own: api.Settings  # in the node's own file
+    applied: Configuration | None
+
+
+async def _read_beginning(reader: asyncio.StreamReader) -> _Beginning:
+    begin = decode_line(await reader.readline())
     rows = list[Row]()
-    while (found := read_line(await reader.readline()))["do"] == "rows":
-        rows += found["rows"]
+    while (message := decode_line(await reader.readline()))["do"] == "rows":
+        rows += message["rows"]
     control = control_from(begin["control"])
     held = begin["held"]
-    whole = None
-    if held is not None and rows:  # without members discovery had the say, and nothing is to be kept
-        whole = Held(held["pool"], held["versions"], settings_from(held["settings"])).configuration(rows)
-    return control, settings_from(begin["own"]), whole
+    applied = None
+    if held is not None and rows:  # without members discovery named the servers, and nothing is to be kept
+        state = AppliedState(held["pool"], held["versions"], settings_from(held["settings"]))
+        applied = state.configuration(rows)
+    return _Beginning(control, settings_from(begin["own"]), applied)
 
 
-async def run() -> int:
-    """Serve the node until it is gone."""
+async def _open_pipe() -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        loop.add_signal_handler(number, lambda: None)
     reader = asyncio.StreamReader(limit=MAX_LINE)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, sys.stdout)
-    out = asyncio.StreamWriter(transport, protocol, None, loop)
+    return reader, asyncio.StreamWriter(transport, protocol, None, loop)
+
+
+async def run() -> int:
+    """Serve the node until it ends.
+
+    :returns: the exit status.
+    """
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        loop.add_signal_handler(number, lambda: None)
+    reader, out = await _open_pipe()
     try:
         async with asyncio.timeout(BEGIN_S):
-            control, own, held = await _read_begin(reader)
+            begin = await _read_beginning(reader)
     except (*MALFORMED_JSON_ERRORS, PipeDecodeError, TimeoutError) as problem:
         if reader.at_eof():
-            return 0  # the node has gone again
+            return EXIT_OK  # the node has ended
         print(f"orchidferry: the helper was told nothing that it can use: {problem}", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
+    name = begin.control.node
     logging.basicConfig(
-        stream=sys.stderr, level=logging.INFO, format=f"%(asctime)s {control.node} %(levelname)s %(message)s"
+        stream=sys.stderr, level=logging.INFO, format=f"%(asctime)s {name} %(levelname)s %(message)s"
     )
-    store = await open_store(control.state)
-    helper = Helper(control, own, held, store, out)
+    store = await open_store(begin.control.state)
+    helper = Helper(begin.control, begin.own, begin.applied, store, out)
     helper.agent.start()
     with contextlib.suppress(ConnectionError):
         while data := await reader.readline():
-            helper.hear(read_line(data))
+            helper.receive(decode_line(data))
     await helper.agent.close()
-    return 0
+    return EXIT_OK
 
 
 def main() -> int:
-    """The program."""
+    """Run the helper.
+
+    :returns: the exit status: 0 when the node ends, 2 if its first messages can't be used.
+    """
     with contextlib.suppress(OSError):
         os.nice(NICE)
     return asyncio.run(run())
--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -1,15 +1,16 @@
-"""Members as the control service has them, in a node that serves.
+"""The members of a node's pool, as the control service names them, applied to a node that serves.
 
-A change counts in two moments. At once: the settings, and that nothing new goes to what drains, is gone or
-is not there any more. Then, in steps of under a millisecond with requests between them, the rest: it only
-adds to what the module may choose from. Drains told ahead of a version, and discovery's word of a process,
-hold through all of it.
+A change has two phases. At once: the settings are applied, and nothing new is sent to servers that drain or
+are gone. Then, in steps of under a millisecond with requests between them, the rest, which only adds to the
+servers that may be chosen. Drains announced ahead of a version, and the state that discovery reports of a
+process, hold through both.
 """
 
 from __future__ import annotations
 
 import asyncio
 import dataclasses
+import functools
 import gc
 import logging
 from collections import deque
@@ -19,199 +20,234 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.configuration import Member
 from orchidferry.balancing.configuration_checks import merged
-from orchidferry.node.control.pipe import STEP, Change, Row, steps
+from orchidferry.node.control.pipe import BATCH_SIZE, Change, Row, batches
 from orchidferry.node.control.plain import member_from, member_row
 from orchidferry.node.server_listing import ServerListing
 
 IN_SERVICE = api.Health.IN_SERVICE
-LONG = 1_000  # rows of a change: a collection of what fewer make takes under 1 ms
+LONG_CHANGE = 1_000  # rows; a garbage collection of what a shorter change makes takes under 1 ms
 
 log = logging.getLogger("orchidferry")
 
 
-class Home(Protocol):
-    """The node, as far as members matter to it."""
+class NodeInterface(Protocol):
+    """What is asked of the node."""
 
-    def known_servers(self) -> Collection[int]: ...  # the servers that it knows
-    def serves(self, server: int) -> bool: ...  # whether one of them may be sent to
-    def apply_settings(self, settings: api.Settings) -> None: ...
-    def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None: ...
-    def stop_sending(self, servers: Iterable[int]) -> None: ...
+    def known_servers(self) -> Collection[int]:
+        """Return the servers that are listed."""
+
+    def serves(self, server: int) -> bool:
+        """Return whether requests may be sent to a server."""
+
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Apply settings."""
+
+    def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
+        """Apply a list of servers."""
+
+    def stop_sending(self, servers: Iterable[int]) -> None:
+        """Send nothing new to these servers."""
 
 
 class Members:
-    """The members of a node's pool, and what is still to be told of them."""
+    """The members of a node's pool, and the steps of changes that are not applied yet."""
 
-    def __init__(self, home: Home, loop: asyncio.AbstractEventLoop) -> None:
-        self._home = home
+    def __init__(self, node: NodeInterface, loop: asyncio.AbstractEventLoop) -> None:
+        self._node = node
         self._loop = loop
-        self.members: dict[int, Member] | None = None  # None: discovery has the say
-        self._heard: dict[int, api.Health] = {}  # discovery's word, also of those that may be members later
-        self._ahead: set[int] = set()  # get nothing new, by a version that is not (wholly) listed yet
-        self._work: deque[Callable[[], None]] = deque()  # steps that are still to be done
-        self._pumping = False
-        self.idle = asyncio.Event()  # whether nothing is left to be done
+        self.members: dict[int, Member] | None = None  # None: discovery names the servers
+        self._discovered: dict[int, api.Health] = {}  # by discovery, also of servers that are no members yet
+        self._draining: set[int] = set()  # get nothing new, by a version that is not completely applied
+        self._steps: deque[Callable[[], None]] = deque()
+        self._running = False  # whether a timer for the next step is set
+        self.idle = asyncio.Event()  # set while there are no steps
         self.idle.set()
 
     def rows(self) -> Iterable[list[Row]]:
-        """All members, in steps."""
-        return steps(map(member_row, list((self.members or {}).values())))
+        """Return all members, in batches."""
+        return batches(map(member_row, list((self.members or {}).values())))
 
     def apply(self, change: Change, done: Callable[[str], None]) -> None:
-        """Make this change; `done` gets a problem, or '' once all of it counts."""
-        done = self._hold_collections(change, done)
+        """Apply a change.
+
+        :param done: called with an empty text when all of it is applied, or with what went wrong.
+        """
+        done = self._without_collections(change, done)
         try:
             if change.settings is not None:
-                self._home.apply_settings(change.settings)
+                self._node.apply_settings(change.settings)
             if not change.members:  # the node's own file names none
                 return done("")
             self._begin(change, done)
-        except Exception as broken:  # whatever is in it, the node serves on
+        except Exception as problem:  # whatever is in the change, the node serves on
             log.exception("applying a configuration")
-            done(f"{type(broken).__name__}: {broken}")
+            done(f"{type(problem).__name__}: {problem}")
+
+    def _without_collections(self, change: Change, done: Callable[[str], None]) -> Callable[[str], None]:
+        """Disable garbage collection during a long change, and exclude what it makes from later ones.
 
-    def _hold_collections(self, change: Change, done: Callable[[str], None]) -> Callable[[str], None]:
-        """Keep the collector from looking at what a long list makes, now and in each later full collection.
+        Members live until a version drops them, and are in no reference cycles. Objects of requests that are
+        in a cycle at that moment are kept forever too: a few for each long change.
 
-        Members live until a version drops them, and hold no cycles. What happens to be in one just then, of
-        requests under way, is kept for good: some objects a long list.
+        :returns: what to call in place of `done`.
         """
-        if sum(map(len, change.rows)) < LONG:
+        if sum(map(len, change.rows)) < LONG_CHANGE:
             return done
         gc.disable()
 
-        def end(problem: str) -> None:
+        def enable(problem: str) -> None:
             gc.freeze()
             gc.enable()
             done(problem)
 
-        return end
+        return enable
 
     def _begin(self, change: Change, done: Callable[[str], None]) -> None:
-        problems: list[str] = []
+        """Perform the first phase of a change, and queue the steps of the second."""
         first = self.members is None
-        known = self.members or {}
-        gone, away = change.gone, set(change.away)
-        if change.whole:
-            mentioned = {row[0] for step in change.rows for row in step}
-            left = [
-                server
-                for server in (self._home.known_servers() if first else known)
-                if server not in mentioned
-            ]
-            gone = list(steps(left))
-            away.update(left)
-        stale = [server for server in self._ahead if server not in away]
-        self._ahead = away
-        self.members = known
-        held = set(self._home.known_servers()) if first else set()
-        if first:  # whom discovery drains it goes on draining
-            self._heard = {s: api.Health.DRAINING for s in held if not self._home.serves(s)}
-        self._home.stop_sending(away)
-        if first:  # the module learns that from here on all lists are of what it knows now
-            rows = [row for step in change.rows for row in step if row[0] in held]
-            self.members = {row[0]: member_from(row) for row in rows}
-            self._list(list(self.members), whole=True)
-
-        def guarded(step: Callable[[], None]) -> Callable[[], None]:
-            def work() -> None:
-                if problems:
-                    return
-                try:
-                    step()
-                except Exception as broken:
-                    log.exception("applying a configuration")
-                    problems.append(f"{type(broken).__name__}: {broken}")
-
-            return work
-
-        for servers in gone:
-            self._work.append(guarded(lambda servers=servers: self._remove(servers)))  # type: ignore[misc]
-        for rows in change.rows:
-            self._work.append(guarded(lambda rows=rows: self._take(rows)))  # type: ignore[misc]
-        for servers in steps(stale):  # a drain whose version never came to be applied
-            self._work.append(guarded(lambda servers=servers: self._list(servers)))  # type: ignore[misc]
-        self._work.append(lambda: done(problems[0] if problems else ""))
-        self._pump()
-
-    def _pump(self) -> None:
-        if not self._pumping:
-            self._pumping = True
+        removed = change.gone
+        stopped = set(change.away)
+        if change.complete:
+            left = self._not_in(change)
+            removed = list(batches(left))
+            stopped.update(left)
+        stale = [server for server in self._draining if server not in stopped]
+        self._draining = stopped
+        if first:
+            self._take_over(change, stopped)
+        else:
+            self._node.stop_sending(stopped)
+        self._queue_steps(change, removed, stale, done)
+
+    def _not_in(self, change: Change) -> list[int]:
+        """Return the servers that are known and that a complete change does not have."""
+        known = self._node.known_servers() if self.members is None else self.members
+        listed = {row[0] for batch in change.rows for row in batch}
+        return [server for server in known if server not in listed]
+
+    def _take_over(self, change: Change, stopped: set[int]) -> None:
+        """Name the servers from now on, which discovery did before."""
+        known = set(self._node.known_servers())
+        self._discovered = {s: api.Health.DRAINING for s in known if not self._node.serves(s)}
+        self._node.stop_sending(stopped)
+        # With a complete list the balancer learns that all later lists are about the servers known now.
+        rows = [row for batch in change.rows for row in batch if row[0] in known]
+        self.members = {row[0]: member_from(row) for row in rows}
+        self._list(list(self.members), complete=True)
+
+    def _queue_steps(
+        self, change: Change, removed: list[list[int]], stale: list[int], done: Callable[[str], None]
+    ) -> None:
+        """Queue the second phase.
+
+        :param removed: servers that are no members any more, in batches.
+        :param stale: servers whose announced drain was not confirmed by a version.
+        """
+        problems: list[str] = []
+        steps: list[Callable[[], None]] = []
+        steps += [functools.partial(self._remove, servers) for servers in removed]
+        steps += [functools.partial(self._update, rows) for rows in change.rows]
+        steps += [functools.partial(self._list, servers) for servers in batches(stale)]
+        self._steps.extend(functools.partial(_run_guarded, step, problems) for step in steps)
+        self._steps.append(lambda: done(problems[0] if problems else ""))
+        self._run_steps()
+
+    def _run_steps(self) -> None:
+        if not self._running:
+            self._running = True
             self.idle.clear()
-            self._loop.call_later(0.0, self._step)
+            self._loop.call_later(0.0, self._run_next_step)
 
-    def _step(self) -> None:
-        if self._work:
+    def _run_next_step(self) -> None:
+        if self._steps:
             try:
-                self._work.popleft()()
-            except Exception:  # what comes after it is done all the same
+                self._steps.popleft()()
+            except Exception:  # the steps after it are run all the same
                 log.exception("listing members")
-        if self._work:  # a timer, not call_soon: what has come on sockets meanwhile goes first
-            self._loop.call_later(0.0, self._step)
+        if self._steps:  # a timer, not call_soon: what has come on sockets meanwhile is handled first
+            self._loop.call_later(0.0, self._run_next_step)
         else:
-            self._pumping = False
+            self._running = False
             self.idle.set()
 
     def _remove(self, servers: list[int]) -> None:
         assert self.members is not None
         for server in servers:
             self.members.pop(server, None)
-            self._ahead.discard(server)
+            self._draining.discard(server)
         entries = [api.ServerEntry(server, health=api.Health.GONE) for server in servers]
-        self._home.apply_listing(ServerListing(0, False, entries, {}), api.ListKind.CHANGES)
+        self._node.apply_listing(ServerListing(0, False, entries, {}), api.ListKind.CHANGES)
 
-    def _take(self, rows: list[Row]) -> None:
+    def _update(self, rows: list[Row]) -> None:
         assert self.members is not None
         members = [member_from(row) for row in rows]
         for member in members:
             self.members[member.entry.server] = member
-            self._ahead.discard(member.entry.server)
+            self._draining.discard(member.entry.server)
         self._list([member.entry.server for member in members])
 
-    def _list(self, servers: list[int], whole: bool = False) -> None:
-        """List these members as they are now by service and discovery; `whole`: and no others."""
+    def _list(self, servers: list[int], complete: bool = False) -> None:
+        """List these members for the node, in the state that the service and discovery give them.
+
+        :param complete: whether all other servers are gone.
+        """
         members = self.members or {}
         known = [members[server] for server in servers if server in members]
-        entries = merged(known, self._heard)
-        for at, entry in enumerate(entries):
-            if entry.server in self._ahead and entry.health is IN_SERVICE:
-                entries[at] = dataclasses.replace(entry, health=api.Health.DRAINING)
+        entries = merged(known, self._discovered)
+        for index, entry in enumerate(entries):
+            if entry.server in self._draining and entry.health is IN_SERVICE:
+                entries[index] = dataclasses.replace(entry, health=api.Health.DRAINING)
         addresses = {member.entry.server: member.address for member in known}
-        kind = api.ListKind.FULL if whole else api.ListKind.CHANGES
-        self._home.apply_listing(ServerListing(0, whole, entries, addresses), kind)
+        kind = api.ListKind.FULL if complete else api.ListKind.CHANGES
+        self._node.apply_listing(ServerListing(0, complete, entries, addresses), kind)
 
     def drain(self, servers: list[int]) -> None:
-        """Send nothing new to these, before the version that says so is applied."""
+        """Send nothing new to these servers, ahead of the version that drains them."""
         if self.members is None:
-            return  # nothing is drained that the service has not named
-        self._ahead.update(servers)
-        self._home.stop_sending(servers)
-        self._relist(servers)
+            return  # the service drains only servers that it has named
+        self._draining.update(servers)
+        self._node.stop_sending(servers)
+        self._list_later(servers)
 
     def hear(self, listing: ServerListing) -> bool:
-        """Discovery's word of processes; False if members are its to name."""
+        """Take the state of processes from discovery.
+
+        :returns: False if discovery names the servers itself.
+        """
         if self.members is None:
             return False
         members = self.members
-        told = {entry.server: entry.health for entry in listing.entries}
+        reported = {entry.server: entry.health for entry in listing.entries}
         if listing.complete:
-            changed = [s for s in members if self._heard.get(s) != told.get(s)]
-            self._heard = told
+            changed = [s for s in members if self._discovered.get(s) != reported.get(s)]
+            self._discovered = reported
         else:
-            changed = [s for s, health in told.items() if s in members and self._heard.get(s) != health]
-            self._heard |= told
-            for entry in listing.entries:  # of those that are neither's any more nothing is kept
+            changed = [
+                s for s, health in reported.items() if s in members and self._discovered.get(s) != health
+            ]
+            self._discovered |= reported
+            for entry in listing.entries:  # servers that are gone from both lists are forgotten
                 if entry.health is api.Health.GONE and entry.server not in members:
-                    del self._heard[entry.server]
-        self._home.stop_sending(s for s in changed if told.get(s, IN_SERVICE) is not IN_SERVICE)
-        self._relist(changed)
+                    del self._discovered[entry.server]
+        self._node.stop_sending(s for s in changed if reported.get(s, IN_SERVICE) is not IN_SERVICE)
+        self._list_later(changed)
         return True
 
-    def _relist(self, servers: Iterable[int]) -> None:
-        for some in steps(servers):
-            self._work.append(lambda some=some: self._list(some))  # type: ignore[misc]
-        if self._work:
-            self._pump()
+    def _list_later(self, servers: Iterable[int]) -> None:
+        self._steps.extend(functools.partial(self._list, batch) for batch in batches(servers))
+        if self._steps:
+            self._run_steps()
+
+
+def _run_guarded(step: Callable[[], None], problems: list[str]) -> None:
+    """Run a step unless one before it failed; a failure is added to the problems."""
+    if problems:
+        return
+    try:
+        step()
+    except Exception as problem:
+        log.exception("applying a configuration")
+        problems.append(f"{type(problem).__name__}: {problem}")
 
 
-__all__ = ["STEP", "Home", "Members"]
+__all__ = ["BATCH_SIZE", "Members", "NodeInterface"]
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -1,11 +1,10 @@
-"""xDS messages as the module's values: EDS pools and the node's settings.
+"""xDS resources as the balancer's values: pools (EDS) and the node's settings (ECDS).
 
-Published messages only (`xds-protos`). What can't be used raises `ResourceDecodeError` with the resource and
-field that is at fault. Field meanings are xDS v3's; what it has no field for stands in an endpoint's metadata
-under `orchidferry`:
+Only published messages are used (`xds-protos`), with the meaning that xDS v3 gives their fields. What has no
+field there stands in an endpoint's metadata under `orchidferry`:
 
 - `endpoint.hostname`, or else the address, is the server's name; its locality's zone is its zone;
-- `load_balancing_weight` 100 is a whole share; `metadata.orchidferry` may hold `type`, `group`, `since_ms`;
+- `load_balancing_weight` 100 is a full share; `metadata.orchidferry` may hold `type`, `group`, `since_ms`;
 - HEALTHY, UNKNOWN and DEGRADED are in service; DRAINING, UNHEALTHY and TIMEOUT get nothing new.
 """
 
@@ -36,7 +35,8 @@
 TYPES = {Part.MEMBERS: EDS, Part.SETTINGS: ECDS}
 PARTS = {url: part for part, url in TYPES.items()}
 METADATA = "orchidferry"
-WHOLE_WEIGHT = 100.0  # a `load_balancing_weight` that is a whole share
+FULL_WEIGHT = 100.0  # a `load_balancing_weight` that is a full share
+MAX_PORT = 65535
 MAX_TEXT = 256  # characters of a name, zone or kind
 
 HEALTH = {
@@ -73,64 +73,82 @@
 
 
 def read_pool(name: str, packed: AnyMessage, known: tuple[Member, ...] = ()) -> tuple[Member, ...]:
-    """One pool's members; one that is as it was in `known` is that very object."""
+    """Return the members of a pool.
+
+    :param name: of the resource.
+    :param known: the pool's members so far; one that has not changed is that very object in the result.
+    :raises ResourceDecodeError: if the resource can't be used.
+    """
     before = {member.entry.server: member for member in known}
     where = f"pool {name!r}"
-    found = _unpack(packed, EDS, endpoint_pb2.ClusterLoadAssignment(), where)
-    if found.cluster_name != name:
-        raise ResourceDecodeError(f"{where}: cluster_name is {found.cluster_name[:MAX_TEXT]!r}")
+    assignment = _unpack(packed, EDS, endpoint_pb2.ClusterLoadAssignment(), where)
+    if assignment.cluster_name != name:
+        raise ResourceDecodeError(f"{where}: cluster_name is {assignment.cluster_name[:MAX_TEXT]!r}")
     offset_ms = unix_offset_ms()
     members = []
-    for group_at, group in enumerate(found.endpoints):
+    for group_index, group in enumerate(assignment.endpoints):
         zone = sys.intern(group.locality.zone)
-        for at, one in enumerate(group.lb_endpoints):
-            at_field = f"{where}: endpoints[{group_at}].lb_endpoints[{at}]"
-            address = one.endpoint.address.socket_address
-            if not address.address or not 0 < address.port_value < 65536:
-                raise ResourceDecodeError(f"{at_field}: no address of host and port")
-            if len(one.endpoint.hostname) > MAX_TEXT or len(address.address) > MAX_TEXT:
-                raise ResourceDecodeError(f"{at_field}: a name of more than {MAX_TEXT} characters")
-            if one.health_status not in HEALTH:
-                raise ResourceDecodeError(f"{at_field}: health_status {one.health_status} is not known")
-            more = one.metadata.filter_metadata.get(METADATA)
-            kind = ""
-            cell = 0
-            since_ms = 0.0
-            if more is not None:
-                kind = more.fields["type"].string_value if "type" in more.fields else ""
-                cell = int(_number(more, "group", at_field))
-                since_ms = _number(more, "since_ms", at_field)
-            weight = (
-                one.load_balancing_weight.value if one.HasField("load_balancing_weight") else WHOLE_WEIGHT
-            )
-            entry = api.ServerEntry(
-                server_id(one.endpoint.hostname or f"{address.address}:{address.port_value}"),
-                zone,
-                sys.intern(kind),
-                cell,
-                HEALTH[one.health_status],
-                weight / WHOLE_WEIGHT,
-                since_ms + offset_ms if since_ms > 0 else None,
-            )
-            member = Member(entry, (address.address, address.port_value))
-            same = before.get(entry.server)
+        for index, endpoint in enumerate(group.lb_endpoints):
+            field = f"{where}: endpoints[{group_index}].lb_endpoints[{index}]"
+            member = _read_member(endpoint, zone, offset_ms, field)
+            same = before.get(member.entry.server)
             members.append(same if same == member else member)
     return tuple(members)
 
 
-def _whole_numbers(value: Any) -> Any:
-    """Struct knows one kind of number: what is whole was meant as such."""
+def _read_member(lb_endpoint: Any, zone: str, offset_ms: float, where: str) -> Member:
+    """
+    :param offset_ms: from Unix time to the node's clock.
+    :param where: names the endpoint in error texts.
+    """
+    endpoint = lb_endpoint.endpoint
+    address = endpoint.address.socket_address
+    if not address.address or not 0 < address.port_value <= MAX_PORT:
+        raise ResourceDecodeError(f"{where}: no address of host and port")
+    if len(endpoint.hostname) > MAX_TEXT or len(address.address) > MAX_TEXT:
+        raise ResourceDecodeError(f"{where}: a name of more than {MAX_TEXT} characters")
+    if lb_endpoint.health_status not in HEALTH:
+        raise ResourceDecodeError(f"{where}: health_status {lb_endpoint.health_status} is not known")
+    kind = ""
+    cell = 0
+    since_ms = 0.0
+    metadata = lb_endpoint.metadata.filter_metadata.get(METADATA)
+    if metadata is not None:
+        kind = metadata.fields["type"].string_value if "type" in metadata.fields else ""
+        cell = int(_number(metadata, "group", where))
+        since_ms = _number(metadata, "since_ms", where)
+    weight = FULL_WEIGHT
+    if lb_endpoint.HasField("load_balancing_weight"):
+        weight = lb_endpoint.load_balancing_weight.value
+    entry = api.ServerEntry(
+        server_id(endpoint.hostname or f"{address.address}:{address.port_value}"),
+        zone,
+        sys.intern(kind),
+        cell,
+        HEALTH[lb_endpoint.health_status],
+        weight / FULL_WEIGHT,
+        since_ms + offset_ms if since_ms > 0 else None,
+    )
+    return Member(entry, (address.address, address.port_value))
+
+
+def _restore_integers(value: Any) -> Any:
+    """Return a value with integers restored: `Struct` has floating-point numbers only."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if isinstance(value, dict):
-        return {key: _whole_numbers(one) for key, one in value.items()}
+        return {key: _restore_integers(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [_whole_numbers(one) for one in value]
+        return [_restore_integers(item) for item in value]
     return value
 
 
 def read_node(name: str, packed: AnyMessage) -> NodeSettings:
-    """The node's settings."""
+    """Return the node's settings.
+
+    :param name: of the resource.
+    :raises ResourceDecodeError: if the resource can't be used.
+    """
     where = f"settings {name!r}"
     outer = _unpack(packed, ECDS, extension_pb2.TypedExtensionConfig(), where)
     inner = _unpack(
@@ -139,44 +157,47 @@
     if inner.type_url != NODE_SETTINGS:
         raise ResourceDecodeError(f"{where}: holds a {inner.type_url[:MAX_TEXT]!r}, not a {NODE_SETTINGS!r}")
     try:
-        value = _whole_numbers(json_format.MessageToDict(inner.value))
+        value = _restore_integers(json_format.MessageToDict(inner.value))
         return NodeSettings(get(value, "pool", str), read_settings(get(value, "settings", dict)))
-    except (
-        SettingsFormatError,
-        ValueError,
-        RecursionError,
-    ) as problem:  # what settings can't be is a ValueError
+    except (SettingsFormatError, ValueError, RecursionError) as problem:
         raise ResourceDecodeError(f"{where}: {problem!s:.200}") from None
 
 
 def pool_message(name: str, endpoints: Iterable[dict[str, Any]]) -> AnyMessage:
-    """A pool as a service would send it, from discovery's form of endpoints."""
-    found = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
+    """Return a pool as a control service sends it.
+
+    :param endpoints: as discovery writes them.
+    """
+    assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
     statuses = {"active": health_check_pb2.HEALTHY, "leaving": health_check_pb2.DRAINING}
     zones: dict[str, Any] = {}
-    for one in endpoints:
-        zone = one.get("zone", "")
+    for endpoint in endpoints:
+        zone = endpoint.get("zone", "")
         if zone not in zones:
-            zones[zone] = found.endpoints.add()
+            zones[zone] = assignment.endpoints.add()
             zones[zone].locality.zone = zone
         added = zones[zone].lb_endpoints.add()
-        host, _, port = one["address"].rpartition(":")
+        host, _, port = endpoint["address"].rpartition(":")
         added.endpoint.address.socket_address.address = host
         added.endpoint.address.socket_address.port_value = int(port)
-        added.endpoint.hostname = one["name"]
-        added.health_status = statuses[one.get("status", "active")]
-        added.load_balancing_weight.value = round(one.get("weight", 1.0) * WHOLE_WEIGHT)
-        more = added.metadata.filter_metadata[METADATA]
-        more.update(
-            {"type": one.get("type", ""), "group": one.get("group", 0), "since_ms": one.get("since_ms", 0)}
+        added.endpoint.hostname = endpoint["name"]
+        added.health_status = statuses[endpoint.get("status", "active")]
+        added.load_balancing_weight.value = round(endpoint.get("weight", 1.0) * FULL_WEIGHT)
+        metadata = added.metadata.filter_metadata[METADATA]
+        metadata.update(
+            {
+                "type": endpoint.get("type", ""),
+                "group": endpoint.get("group", 0),
+                "since_ms": endpoint.get("since_ms", 0),
+            }
         )
     packed = AnyMessage()
-    packed.Pack(found)
+    packed.Pack(assignment)
     return packed
 
 
 def node_message(name: str, pool: str, settings: dict[str, Any]) -> AnyMessage:
-    """The node's settings as a service would send them."""
+    """Return the node's settings as a control service sends them."""
     inner = typed_struct_pb2.TypedStruct(type_url=NODE_SETTINGS)
     inner.value.update({"pool": pool, "settings": settings})
     outer = extension_pb2.TypedExtensionConfig(name=name)
--- a/orchidferry/node/control/plain.py
+++ b/orchidferry/node/control/plain.py
@@ -1,4 +1,4 @@
-"""The configuration as plain values that JSON holds, and back: for the disk, and between helper and node."""
+"""Configurations as plain values, which JSON can hold: for the disk, and between helper and node."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def plain(value: Any) -> Any:
-    """Dataclasses as objects, enums as their values."""
+    """Return a value with dataclasses as objects and enums as their values.
+
+    The names of dataclass fields are stored on disk this way.
+    """
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, str | int | float) or value is None:
@@ -23,34 +26,44 @@
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {f.name: plain(getattr(value, f.name)) for f in dataclasses.fields(value)}
     if isinstance(value, list):
-        return [plain(one) for one in value]
+        return [plain(item) for item in value]
     return value
 
 
-def made(cls: type[Any], obj: Any, enums: dict[str, type[Enum]]) -> Any:
-    """A dataclass of flat fields from its object; one of `MALFORMED_JSON_ERRORS` if it doesn't fit."""
+def dataclass_from(cls: type[Any], obj: Any, enums: dict[str, type[Enum]]) -> Any:
+    """Return a dataclass without nested ones from its object.
+
+    :param enums: the fields that are enums.
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` if the object does not fit.
+    """
     if not isinstance(obj, dict):
         raise TypeError(f"{cls.__name__} must be an object")
     return cls(**{name: enums[name](value) if name in enums else value for name, value in obj.items()})
 
 
 def settings_from(obj: Any) -> api.Settings:
-    """Settings from what `plain` made of them; one of `MALFORMED_JSON_ERRORS` if it is not that."""
+    """Return the settings that `plain` was given.
+
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` for any other value.
+    """
     fields = dict(obj)
-    kinds: dict[str, type[Enum]] = {"repeat": api.Repeat, "group": api.Group}
-    fields["classes"] = [made(api.RequestClass, one, kinds) for one in fields["classes"]]
-    fields["tenants"] = [made(api.Tenant, one, {}) for one in fields["tenants"]]
+    enums: dict[str, type[Enum]] = {"repeat": api.Repeat, "group": api.Group}
+    fields["classes"] = [dataclass_from(api.RequestClass, item, enums) for item in fields["classes"]]
+    fields["tenants"] = [dataclass_from(api.Tenant, item, {}) for item in fields["tenants"]]
     return api.Settings(**fields)
 
 
 def member_row(member: Member) -> list[Any]:
-    """A member as a row of values: shorter than an object, and read in a third of the time."""
+    """Return a member as a row of values: shorter than an object, and read in a third of the time."""
     e = member.entry
     return [e.server, e.zone, e.kind, e.cell, e.health.value, e.share, e.started_ms, *member.address]
 
 
 def member_from(row: Sequence[Any]) -> Member:
-    """A member from its row; one of `MALFORMED_JSON_ERRORS` if it is none."""
+    """Return the member in a row.
+
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` if there is none.
+    """
     server, zone, kind, cell, health, share, started_ms, host, port = row
     entry = api.ServerEntry(server, zone, kind, cell, HEALTHS[health], share, started_ms)
     return Member(entry, (host, port))
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -1,4 +1,4 @@
-"""The last good configuration on disk, in a `Store`: what stands in its file."""
+"""The last good configuration on disk."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.node import state_store
-from orchidferry.node.control.plain import made, plain, settings_from
+from orchidferry.node.control.plain import dataclass_from, plain, settings_from
 from orchidferry.node.state_store import FileSystem, StateFileError, StateFormat, StateLockedError
 
 __all__ = [
@@ -24,64 +24,79 @@
     "to_json",
 ]
 
+MAX_FILE_BYTES = 64 * 1024 * 1024  # 40,000 members take some 12 MB
 
-def to_json(whole: Configuration) -> dict[str, Any]:
-    """A configuration as JSON; without `started_ms`, as its clock does not outlast the process."""
+
+def to_json(configuration: Configuration) -> dict[str, Any]:
+    """Return a configuration as JSON values.
+
+    `started_ms` of members is left out, as its clock ends with the process.
+    """
     pools = {
-        name: [
-            plain(dataclasses.replace(member.entry, started_ms=None)) | {"address": list(member.address)}
-            for member in members
-        ]
-        for name, members in whole.pools.members.items()
+        name: [_member_to_json(member) for member in members]
+        for name, members in configuration.pools.members.items()
     }
     return {
-        "versions": {part.value: version for part, version in whole.versions.items()},
-        "pool": whole.node.pool,
-        "settings": plain(whole.node.settings),
+        "versions": {part.value: version for part, version in configuration.versions.items()},
+        "pool": configuration.node.pool,
+        "settings": plain(configuration.node.settings),
         "pools": pools,
     }
 
 
+def _member_to_json(member: Member) -> dict[str, Any]:
+    entry: dict[str, Any] = plain(dataclasses.replace(member.entry, started_ms=None))
+    return entry | {"address": list(member.address)}
+
+
 def from_json(obj: Any) -> Configuration:
-    """What `to_json` made; one of `MALFORMED_JSON_ERRORS` if it is not."""
+    """Return the configuration that `to_json` was given.
+
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` for any other value.
+    """
     settings = settings_from(obj["settings"])
-    pools = {}
-    for name, members in obj["pools"].items():
-        found = []
-        for one in members:
-            fields = dict(one)
-            host, port = fields.pop("address")
-            found.append(
-                Member(made(api.ServerEntry, fields, {"health": api.Health}), (str(host), int(port)))
-            )
-        pools[name] = tuple(found)
+    pools = {name: tuple(map(_member_from_json, members)) for name, members in obj["pools"].items()}
     versions = {part: str(obj["versions"][part.value]) for part in Part}
     return Configuration(Pools(pools), NodeSettings(str(obj["pool"]), settings), versions)
 
 
+def _member_from_json(obj: Any) -> Member:
+    fields = dict(obj)
+    host, port = fields.pop("address")
+    entry = dataclass_from(api.ServerEntry, fields, {"health": api.Health})
+    return Member(entry, (str(host), int(port)))
+
+
 FORM = StateFormat(
-    "last-good",
-    "last good configuration",
-    b"orchidferry last-good",
-    1,
-    64 * 1024 * 1024,  # 40,000 members take some 12 MB
-    to_json,
-    from_json,
+    file_name="last-good",
+    description="last good configuration",
+    magic=b"orchidferry last-good",
+    version=1,
+    max_bytes=MAX_FILE_BYTES,
+    to_json=to_json,
+    from_json=from_json,
 )
 
 
-def encode(whole: Configuration) -> bytes:
-    """The file's bytes."""
-    return FORM.encode(whole)
+def encode(configuration: Configuration) -> bytes:
+    """Return the content of the file."""
+    return FORM.encode(configuration)
 
 
 def decode(data: bytes) -> Configuration:
-    """The configuration in a file's bytes; `StateFileError` if there is none that this program can read."""
+    """Return the configuration in a file's content.
+
+    :raises StateFileError: if this program can't read it.
+    """
     return FORM.decode(data)
 
 
 class Store(state_store.StateStore[Configuration]):
-    """The folder of one node. `StateLockedError` if another holds it, `OSError` if there can't be one."""
+    """The directory of one node."""
 
     def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
+        """
+        :raises StateLockedError: if another process has locked the directory.
+        :raises OSError: if it can't be created.
+        """
         super().__init__(folder, FORM, files)
--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -21,7 +21,7 @@
 from orchidferry.node.config import Config
 from orchidferry.node.control.link import Link
 from orchidferry.node.control.messages import node_message, pool_message
-from orchidferry.node.control.pipe import Teller
+from orchidferry.node.control.pipe import ChangeWriter
 from orchidferry.node.control.settings import Control
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
@@ -176,7 +176,7 @@
     )
     node = Node(config, loop)
     control = Control(("127.0.0.1", 1), "n0", "", (POOL,), "n0", None, 1.0)
-    link, teller, rows = Link(control, config.settings, node, loop), Teller(), []
+    link, teller, rows = Link(control, config.settings, node, loop), ChangeWriter(), []
     node.control = link
     node._handle(api.Started())
     last = versions(count, 0)
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -264,7 +264,7 @@
         for agent in (told, bare, plain):
             agent.start()
         await until(lambda: told.held() == "v1")
-        await until(lambda: bare.channel.tries > 2 and plain.channel.tries > 2)
+        await until(lambda: bare.channel.failures > 2 and plain.channel.failures > 2)
         assert not bare.applied and not plain.applied
         assert {line.node for line in service.lines} == {"n0"}
         for agent in (told, bare, plain):
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -21,16 +21,16 @@
 from orchidferry.node.control import link as link_module
 from orchidferry.node.control.helper import Helper, control_from
 from orchidferry.node.control.link import Link, plain_control
-from orchidferry.node.control.members import LONG, Members
+from orchidferry.node.control.members import LONG_CHANGE, Members
 from orchidferry.node.control.pipe import (
     MAX_LINE,
+    AppliedState,
     Change,
-    Held,
+    ChangeReader,
+    ChangeWriter,
     PipeDecodeError,
-    Taker,
-    Teller,
-    read_line,
-    steps,
+    batches,
+    decode_line,
 )
 from orchidferry.node.control.plain import member_row
 from orchidferry.node.control.settings import Control
@@ -88,12 +88,12 @@
                 self.known[entry.server] = entry.health is api.Health.IN_SERVICE
 
 
-def changes(teller: Teller, configuration: Configuration) -> Change:
-    taker = Taker()
+def changes(teller: ChangeWriter, configuration: Configuration) -> Change:
+    taker = ChangeReader()
     found = None
     for data in teller.change(configuration):
         assert found is None and len(data) < MAX_LINE
-        found = taker.take(read_line(data))
+        found = taker.read(decode_line(data))
     assert found is not None
     return found
 
@@ -127,13 +127,13 @@
 ) -> None:
     async def test() -> None:
         home = Home({3: True, 4: False, 20: True})
-        teller = Teller()
+        teller = ChangeWriter()
         members = Members(home, asyncio.get_running_loop())
         held: dict[int, Member] = {}
         for at, fleet in enumerate(fleets):
             if at in drained:  # told ahead of a version that never comes, or of this one
                 told = (min(fleet),)
-                read_line(teller.drain(told))
+                decode_line(teller.drain(told))
                 members.drain(list(told))
                 assert members.members is None or not any(home.known.get(s) for s in told)
             made = [held.get(n) or member(n, *how) for n, how in fleet.items()]
@@ -164,16 +164,16 @@
 def test_nothing_new_goes_to_what_leaves_from_the_moment_of_the_change_on() -> None:
     async def test() -> None:
         home = Home()
-        teller = Teller()
+        teller = ChangeWriter()
         members = Members(home, asyncio.get_running_loop())
-        many = [member(n) for n in range(LONG + 10)]
+        many = [member(n) for n in range(LONG_CHANGE + 10)]
         before = changes(teller, whole(*many))
         assert await applied(members, before) == "" and teller.applied(before.number, "")
         assert members.hear(ServerListing(0, False, [api.ServerEntry(7, health=api.Health.DRAINING)], {}))
         assert not home.known[7]
         leaving = [member(n, api.Health.DRAINING) for n in range(5)]
         change = changes(teller, whole(*leaving, *many[100:]))
-        assert not change.whole and len(change.away) == 100 and len(change.rows) == 1
+        assert not change.complete and len(change.away) == 100 and len(change.rows) == 1
         said: list[str] = []
         members.apply(change, said.append)
         assert not said and not any(home.known[n] for n in range(100)) and home.known[100]
@@ -181,7 +181,7 @@
             ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {})
         )  # as discovery sees it
         await members.idle.wait()
-        assert said == [""] and sorted(home.known) == [*range(5), *range(100, LONG + 10)]
+        assert said == [""] and sorted(home.known) == [*range(5), *range(100, LONG_CHANGE + 10)]
         assert not any(home.known[n] for n in range(5)) and gc.isenabled()
 
     asyncio.run(test())
@@ -190,10 +190,10 @@
 def test_settings_that_break_the_node_are_a_problem_and_leave_the_collector_on() -> None:
     async def test() -> None:
         home = Home()
-        teller = Teller()
+        teller = ChangeWriter()
         members = Members(home, asyncio.get_running_loop())
         home.broken = {-1}
-        change = changes(teller, whole(*(member(n) for n in range(LONG))))
+        change = changes(teller, whole(*(member(n) for n in range(LONG_CHANGE))))
         assert "no settings today" in await applied(members, change) and gc.isenabled()
         home.broken = set()
         assert teller.applied(change.number, "no settings today")
@@ -220,19 +220,19 @@
     ],
 )
 def test_lines_that_cannot_be_meant_are_told_as_such(lines: list[Any]) -> None:
-    taker = Taker()
-    first = next(Teller().change(whole(member(1))))
+    taker = ChangeReader()
+    first = next(ChangeWriter().change(whole(member(1))))
     with pytest.raises(PipeDecodeError):
         for data in lines:
-            taker.take(read_line(first if data == "apply" else data))
+            taker.read(decode_line(first if data == "apply" else data))
 
 
 def test_what_a_node_holds_is_whole_again_in_a_new_helper() -> None:
     before = whole(member(1), member(2, api.Health.DRAINING, 0.5))
-    held = Held(POOL, {part.value: "v" for part in Part}, before.node.settings)
+    held = AppliedState(POOL, {part.value: "v" for part in Part}, before.node.settings)
     assert held.configuration(map(member_row, before.members())) == before
     assert control_from(plain_control(CONTROL)) == CONTROL
-    assert [len(step) for step in steps(range(70))] == [32, 32, 6]
+    assert [len(step) for step in batches(range(70))] == [32, 32, 6]
 
 
 class Out:
@@ -243,7 +243,7 @@
         self.transport = self
 
     def write(self, data: bytes) -> None:
-        self.lines.append(read_line(data))
+        self.lines.append(decode_line(data))
 
     def get_write_buffer_size(self) -> int:
         return 10**9
@@ -265,9 +265,9 @@
         assert helper.agent.versions.applied is None  # it may be half in place
         await until(lambda: helper.agent.versions.applied is not None)
         with pytest.raises(PipeDecodeError):
-            helper.hear({"do": "what"})
-        helper.hear({"do": "applied", "n": 1, "problem": ""})  # too late
-        assert helper._teller._has is None and next(helper._teller.change(before)).count(b'"whole":true')
+            helper.receive({"do": "what"})
+        helper.receive({"do": "applied", "n": 1, "problem": ""})  # too late
+        assert helper._writer._members is None and next(helper._writer.change(before)).count(b'"whole":true')
         await helper.agent.close()
 
     run(test())
