--- a/orchidferry/mesh/settings.py
+++ b/orchidferry/mesh/settings.py
@@ -137,12 +137,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Table:
-    """A table of the file, whose values are checked as they are read."""
+    """A table of the file, whose values are checked as they are read.
+
+    Its methods raise `MeshSettingsError` with the path of the field that is wrong.
+    """
 
     values: dict[str, Any]
-    path: str = ""  # with a dot at the end; empty for the whole file
+    path: str = ""  # with a dot at the end; empty for the top level
 
     def required_table(self, name: str) -> _Table:
+        """Return a table that must be there."""
         value = self.values.get(name)
         if not isinstance(value, dict):
             raise MeshSettingsError("the table is missing", self.path + name)
@@ -163,27 +167,32 @@
         return value
 
     def optional_text(self, name: str) -> str | None:
+        """Return a text that is not empty; None if there is none."""
         return None if self.values.get(name) is None else self.text(name)
 
     def number(self, name: str, default: float) -> float:
+        """Return a number of 0 or more."""
         value = self.values.get(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
             raise MeshSettingsError(f"{value!r} is no number of 0 or more", self.path + name)
         return float(value)
 
-    def whole_number(self, name: str, default: int) -> int:
+    def integer(self, name: str, default: int) -> int:
+        """Return the integer part of a finite number of 0 or more."""
         value = self.number(name, default)
         if not math.isfinite(value):
             raise MeshSettingsError(f"{value!r} is no whole number", self.path + name)
         return int(value)
 
     def ports(self, name: str) -> list[int]:
+        """Return a list of ports that is not empty."""
         value = self.values.get(name)
         if not isinstance(value, list) or not value or not all(map(_is_port, value)):
             raise MeshSettingsError("a list of ports is needed", self.path + name)
         return value
 
     def address_texts(self, name: str) -> list[Any]:
+        """Return a list of what should be addresses; they are not checked yet."""
         value = self.values.get(name)
         if not isinstance(value, list):
             raise MeshSettingsError("a list of addresses is needed", self.path + name)
@@ -226,7 +235,7 @@
     internal_ports = network.ports("internal_ports")
     seeds = network.address_texts("seed_nodes")
     listen_points = network.table("listen_points")
-    heartbeat_interval_ms = _heartbeat_interval_ms(file)
+    interval_ms = _heartbeat_interval_ms(file)
     return Settings(
         name=name,
         role=str(node.values.get("role", "")),
@@ -235,15 +244,15 @@
         first_start=node.values.get("first_start") is True,
         listen=_listen_addresses(listen_points),
         internal_port=internal_ports[0],
-        seeds=tuple(dict.fromkeys(parse_address(seed, "network.seed_nodes")[0] for seed in seeds)),
+        seeds=_seed_ips(seeds),
         bounds=Bounds(**{name: bounds.number(name, default) for name, default in DEFAULT_BOUNDS}),
-        heartbeat_interval_ms=heartbeat_interval_ms,
-        max_file_descriptors=limits.whole_number("file_descriptors", DEFAULT_FILE_DESCRIPTORS),
+        heartbeat_interval_ms=interval_ms,
+        max_file_descriptors=limits.integer("file_descriptors", DEFAULT_FILE_DESCRIPTORS),
         memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
         data_dir=data_dir,
         application=_application(node),
         service=str(node.values.get("service_name", "")),
-        tolerated_losses=tolerance.whole_number("machines", DEFAULT_TOLERATED_LOSSES),
+        tolerated_losses=tolerance.integer("machines", DEFAULT_TOLERATED_LOSSES),
         bind_ip="" if bind_ip == ip else bind_ip,
     )
 
@@ -262,6 +271,11 @@
     }
 
 
+def _seed_ips(seeds: list[Any]) -> tuple[str, ...]:
+    """Return the distinct IP numbers of addresses, in their order."""
+    return tuple(dict.fromkeys(parse_address(seed, "network.seed_nodes")[0] for seed in seeds))
+
+
 def _application(node: _Table) -> Address | None:
     text = node.values.get("application")
     return parse_address(text, "own_node.application") if text else None
