--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -22,13 +22,13 @@
 from orchidferry.testkit.explore.controller import Controller
 
 
-def _same_memory(self: Controller) -> None:
+def _same_disk_id(self: Controller) -> None:
     memory = self.shard.voter.disk_id
     self.disk = {}
     self.write_to_disk(initial_records(self.number, AcceptorState(memory), False))
 
 
-def _full_memory(self: Controller) -> None:
+def _caught_up_after_wipe(self: Controller) -> None:
     self.disk = {}
     self.write_to_disk(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), True))
 
@@ -65,7 +65,7 @@
     return _verdict(self, number, digest, base, current)
 
 
-def _alone(self: Shard, now: float) -> int | None:
+def _owns_without_lease(self: Shard, now: float) -> int | None:
     own = self.body
     return (
         own.fencing_token
@@ -74,7 +74,7 @@
     )
 
 
-def _from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
+def _lease_from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
     self.shard.heartbeat_acknowledged(sender, self.world.now, fence)
 
 
@@ -83,12 +83,12 @@
         return _owns(self, now)
 
 
-def _at_once(self: Shard, now: float) -> int | None:
+def _owns_at_once(self: Shard, now: float) -> int | None:
     self._owner_lease.from_s = -math.inf
     return _owns(self, now)
 
 
-def _same_voters_fence(self: shard_state.AdmitVoter, before: Value) -> Value | str:
+def _voters_without_new_token(self: shard_state.AdmitVoter, before: Value) -> Value | str:
     after = _admit(self, before)
     if isinstance(after, str) or after is before:
         return after
@@ -97,23 +97,27 @@
     )
 
 
-def _same_fence(self: shard_state.TakeOwnership, before: Value) -> Value | str:
+def _same_token(self: shard_state.TakeOwnership, before: Value) -> Value | str:
     after = _own(self, before)
     if isinstance(after, str) or after is before:
         return after
     return replace(after, body=replace(shard_state.body(after), fencing_token=max(1, self.fencing_token)))
 
 
-def _any_one(self: GrantCount, name: str, epoch_: int, outcome: str, answer: Any) -> ClaimOutcome | None:
+def _granted_by_one(
+    self: GrantCount, controller: str, epoch_: int, outcome: str, answer: Any
+) -> ClaimOutcome | None:
     granted = ClaimOutcome.GRANTED
-    return granted if outcome == granted else _add(self, name, epoch_, outcome, answer)
+    return granted if outcome == granted else _add(self, controller, epoch_, outcome, answer)
 
 
-def _mixed(self: GrantCount, name: str, epoch_: int, outcome: str, answer: Any) -> ClaimOutcome | None:
-    return _add(self, name, self.epoch, outcome, answer)
+def _counts_any_epoch(
+    self: GrantCount, controller: str, epoch_: int, outcome: str, answer: Any
+) -> ClaimOutcome | None:
+    return _add(self, controller, self.epoch, outcome, answer)
 
 
-def _counts_on(self: GrantCount, epoch_: int, group: tuple[str, ...]) -> None:
+def _keeps_counting(self: GrantCount, epoch_: int, group: tuple[str, ...]) -> None:
     self.epoch = epoch_
     self.group = group
 
@@ -122,11 +126,11 @@
     return 1
 
 
-def _not_put_out(self: Standing, voter: Voter, known: Value, accepted: Value | None) -> bool:
+def _never_removed(self: Standing, voter: Voter, known: Value, accepted: Value | None) -> bool:
     return False
 
 
-def _joins(self: Shard) -> None:
+def _joins_as_before(self: Shard) -> None:
     caught = self.standing.caught_up
     self.standing.caught_up = False
     _join(self)
@@ -138,7 +142,7 @@
     return _release(self, key, had.holder if had is not None else holder)
 
 
-def _at_its_word(self: Shard, *args: Any) -> list[Action]:
+def _grants_before_write(self: Shard, *args: Any) -> list[Action]:
     self.unsaved_records.clear()
     return _claim(self, *args)
 
@@ -150,139 +154,174 @@
 _promised = Proposer._promised
 _verdict = OrderHistory.verdict
 _own = shard_state.TakeOwnership.__call__
-_pulse = Shard.heartbeat_acknowledged
 _add = GrantCount.add
 _join = Shard._ask_to_join
 _release = OperationKeys.release
 _claim = Shard.claim_key
 
 
+Patch = tuple[Any, str, Any]  # the owner of an attribute, its name, and what takes its place
+
+
 @dataclass(frozen=True)
 class Break:
-    """A deliberate one. `scene`, `faults`, `kinds`: the small world that catches it."""
+    """A deliberate break of the shipping code, and the small world that catches it.
+
+    :param faults: that the world has at most
+    :param kinds: of these faults
+    """
 
     description: str
     scene: str
     faults: int
     kinds: tuple[str, ...]
-    patches: tuple[tuple[Any, str, Any], ...]
-
-
-def break_under_faults(
-    description: str, scene: str, faults: int, kinds: str, *patches: tuple[Any, str, Any]
-) -> Break:
-    """A break that its scene catches with so many faults of these kinds, named in one string."""
-    return Break(description, scene, faults, tuple(kinds.split()), patches)
+    patches: tuple[Patch, ...]
 
 
 def deliberate_break(
-    description: str, scene: str, *patches: tuple[Any, str, Any], faults: int = 0, kinds: str = ""
+    description: str, scene: str, *patches: Patch, faults: int = 0, kinds: str = ""
 ) -> Break:
-    """A break that its scene catches, as a rule without a fault."""
-    return break_under_faults(description, scene, faults, kinds, *patches)
+    """Return a break that its scene catches.
+
+    :param faults: that it takes, as a rule none
+    :param kinds: of these faults, parted by blanks
+    """
+    return Break(description, scene, faults, tuple(kinds.split()), patches)
 
 
 BREAKS = {
-    "vote-forgotten": break_under_faults(
-        "an empty disk votes as before", "puts", 2, "wipe lose", (Controller, "wipe", _same_memory)
+    "vote-forgotten": deliberate_break(
+        "an empty disk votes as before",
+        "puts",
+        (Controller, "wipe", _same_disk_id),
+        faults=2,
+        kinds="wipe lose",
     ),
-    "unsynced": break_under_faults(
-        "promises leave before they are on disk", "puts", 2, "kill lose", (Controller, "execute", _unsynced)
+    "unsynced": deliberate_break(
+        "promises leave before they are on disk",
+        "puts",
+        (Controller, "execute", _unsynced),
+        faults=2,
+        kinds="kill lose",
     ),
-    "promise-forgotten": break_under_faults(
-        "promises are not kept", "puts", 0, "", (Acceptor, "handle", _forgets_promise)
+    "promise-forgotten": deliberate_break(
+        "promises are not kept", "puts", (Acceptor, "handle", _forgets_promise)
     ),
-    "not-read": break_under_faults(
-        "what was accepted is not taken up", "puts", 0, "", (Proposer, "_promised", _not_read)
+    "not-read": deliberate_break(
+        "what was accepted is not taken up", "puts", (Proposer, "_promised", _not_read)
     ),
-    "any-voter": break_under_faults(
-        "any one voter is enough for a round", "puts", 1, "cut", (proposer, "has_majority", _any_majority)
+    "any-voter": deliberate_break(
+        "any one voter is enough for a round",
+        "puts",
+        (proposer, "has_majority", _any_majority),
+        faults=1,
+        kinds="cut",
     ),
-    "any-reading": break_under_faults(
+    "any-reading": deliberate_break(
         "any one voter is enough for a reading",
         "puts",
-        1,
-        "cut",
         (quorum_read, "has_majority", _any_majority),
+        faults=1,
+        kinds="cut",
+    ),
+    "any-version": deliberate_break(
+        "a configuration is taken on top of any", "puts", (OrderHistory, "verdict", _any_version)
     ),
-    "any-version": break_under_faults(
-        "a configuration is taken on top of any", "puts", 0, "", (OrderHistory, "verdict", _any_version)
+    "alone": deliberate_break(
+        "an owner asks nobody", "duties", (Shard, "owns", _owns_without_lease), faults=1, kinds="cut"
     ),
-    "alone": break_under_faults("an owner asks nobody", "duties", 1, "cut", (Shard, "owns", _alone)),
-    "from-arrival": break_under_faults(
+    "from-arrival": deliberate_break(
         "a lease runs from when a pulse came",
         "duties",
-        1,
-        "freeze",
-        (Controller, "receive_heartbeat_ack", _from_arrival),
+        (Controller, "receive_heartbeat_ack", _lease_from_arrival),
+        faults=1,
+        kinds="freeze",
     ),
-    "long-lease": break_under_faults(
-        "a lease is longer than the next one waits", "duties", 1, "cut", (Shard, "owns", _long_lease)
+    "long-lease": deliberate_break(
+        "a lease is longer than the next one waits",
+        "duties",
+        (Shard, "owns", _long_lease),
+        faults=1,
+        kinds="cut",
+    ),
+    "at-once": deliberate_break(
+        "a new owner does not wait", "unwell", (Shard, "owns", _owns_at_once), faults=1, kinds="cut"
     ),
-    "at-once": break_under_faults("a new owner does not wait", "unwell", 1, "cut", (Shard, "owns", _at_once)),
-    "voters-unfenced": break_under_faults(
+    "voters-unfenced": deliberate_break(
         "a change of voters leaves the fence",
         "apart",
-        1,
-        "lose",
-        (shard_state.AdmitVoter, "__call__", _same_voters_fence),
+        (shard_state.AdmitVoter, "__call__", _voters_without_new_token),
+        faults=1,
+        kinds="lose",
     ),
-    "same-fence": break_under_faults(
-        "fences do not rise", "duties", 1, "cut", (shard_state.TakeOwnership, "__call__", _same_fence)
+    "same-fence": deliberate_break(
+        "fences do not rise",
+        "duties",
+        (shard_state.TakeOwnership, "__call__", _same_token),
+        faults=1,
+        kinds="cut",
     ),
-    "any-one": break_under_faults(
-        "any one controller grants a key", "answered", 1, "lose", (GrantCount, "add", _any_one)
+    "any-one": deliberate_break(
+        "any one controller grants a key",
+        "answered",
+        (GrantCount, "add", _granted_by_one),
+        faults=1,
+        kinds="lose",
     ),
-    "mixed": break_under_faults(
+    "mixed": deliberate_break(
         "words of two epochs count together",
         "epochs",
-        0,
-        "",
-        (GrantCount, "add", _mixed),
-        (GrantCount, "restart", _counts_on),
+        (GrantCount, "add", _counts_any_epoch),
+        (GrantCount, "restart", _keeps_counting),
     ),
-    "remembers": break_under_faults(
+    "remembers": deliberate_break(
         "an empty disk counts as caught up",
         "answered",
-        1,
-        "wipe",
-        (Controller, "wipe", _full_memory),
-        (Standing, "is_removed", _not_put_out),
-        (Shard, "_ask_to_join", _joins),
+        (Controller, "wipe", _caught_up_after_wipe),
+        (Standing, "is_removed", _never_removed),
+        (Shard, "_ask_to_join", _joins_as_before),
+        faults=1,
+        kinds="wipe",
     ),
-    "one-source": break_under_faults(
-        "one other is enough to learn from", "learning", 0, "", (shard_state, "sources_needed", _one_source)
+    "one-source": deliberate_break(
+        "one other is enough to learn from", "learning", (shard_state, "sources_needed", _one_source)
     ),
-    "back-as-before": break_under_faults(
+    "back-as-before": deliberate_break(
         "one that was put out comes back as caught up",
         "moved",
-        0,
-        "",
-        (Standing, "is_removed", _not_put_out),
-        (Shard, "_ask_to_join", _joins),
+        (Standing, "is_removed", _never_removed),
+        (Shard, "_ask_to_join", _joins_as_before),
         (Shard, "ready", True),
     ),
-    "drops-any": break_under_faults(
-        "any try may give a key back", "broken-off", 0, "", (OperationKeys, "release", _releases_any)
+    "drops-any": deliberate_break(
+        "any try may give a key back", "broken-off", (OperationKeys, "release", _releases_any)
     ),
-    "at-its-word": break_under_faults(
-        "a grant leaves before its record is written", "slow", 1, "kill", (Shard, "claim_key", _at_its_word)
+    "at-its-word": deliberate_break(
+        "a grant leaves before its record is written",
+        "slow",
+        (Shard, "claim_key", _grants_before_write),
+        faults=1,
+        kinds="kill",
     ),
-    "unsynced-keys": break_under_faults(
-        "a grant leaves before it is on disk", "missed", 1, "kill", (Controller, "execute", _unsynced)
+    "unsynced-keys": deliberate_break(
+        "a grant leaves before it is on disk",
+        "missed",
+        (Controller, "execute", _unsynced),
+        faults=1,
+        kinds="kill",
     ),
 }
 
 
 @contextlib.contextmanager
-def in_force(one: Break | None) -> Iterator[None]:
-    """With a deliberate break in force; None: with none."""
+def in_force(broken_by: Break | None) -> Iterator[None]:
+    """Have a deliberate break in force; None for none."""
     with contextlib.ExitStack() as stack:
-        for where, attribute, value in one.patches if one is not None else ():
-            stack.enter_context(mock.patch.object(where, attribute, value))
+        for owner, attribute, replacement in broken_by.patches if broken_by is not None else ():
+            stack.enter_context(mock.patch.object(owner, attribute, replacement))
         yield
 
 
 def broken(name: str) -> contextlib.AbstractContextManager[None]:
-    """With one of `BREAKS` in force; "" for none."""
+    """Have one of `BREAKS` in force; "" for none."""
     return in_force(BREAKS[name] if name else None)
--- a/orchidferry/testkit/explore/mesh_scenes.py
+++ b/orchidferry/testkit/explore/mesh_scenes.py
@@ -11,23 +11,36 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """What is played. `puts`: who puts a configuration where, and reads where; `tries`: of one key, at which
-    node, when, and what becomes of a run (`done`, `broke`, `drop`).
+    """A small world that is explored, with what its clients do.
+
+    :param command: the value of `--of` that explores it
+    :param fault_duration_s: how long a partition or a frozen process lasts
+    :param clients: of the configuration: the controller at which each puts, and that at which it reads
+    :param key_requests: with one key: the node, when it claims, and what becomes of the run (`done`, `broke`,
+        `drop`)
+    :param claim_timeout_s: for which a node claims the key
+    :param min_duration_s: how long the scene lasts at least
+    :param script: what happens in any case, and when: a fault, or `down` or `up` with a controller
+    :param shard: its number, where there is no key request
+    :param spare_controllers: that are in no group, named after those of the group
+    :param any_disk_loss: whether a disk may be lost at any time, not only while all others remember
+    :param kinds: of the faults that may come
+    :param group_size: of the group at its start, whose controllers are named from a on
     """
 
     command: str
     description: str
-    fault_duration_s: float  # that a cut or a frozen process lasts
+    fault_duration_s: float
     clients: tuple[tuple[str, str], ...] = ()
     key_requests: tuple[tuple[str, float, str], ...] = ()
-    claim_timeout_s: float = 0.9  # that a node asks for a key
-    min_duration_s: float = 0.0  # it lasts at least
-    script: tuple[tuple[float, str], ...] = ()  # what happens anyway: a fault, `down` or `up`, and to whom
-    shard: int = shard_state.CONFIGURATION  # its number, where no key is tried
-    spare_controllers: int = 0  # controllers in no group, named after those of the group
-    any_disk_loss: bool = False  # disks are lost whenever, not only while all others remember
-    kinds: tuple[str, ...] = tuple(k for k in KINDS if k not in ("unfit", "beat"))
-    group_size: int = 3  # of the group at its start, named from a on; a spare one comes after them
+    claim_timeout_s: float = 0.9
+    min_duration_s: float = 0.0
+    script: tuple[tuple[float, str], ...] = ()
+    shard: int = shard_state.CONFIGURATION
+    spare_controllers: int = 0
+    any_disk_loss: bool = False
+    kinds: tuple[str, ...] = tuple(kind for kind in KINDS if kind not in ("unfit", "beat"))
+    group_size: int = 3
 
     @property
     def seeds(self) -> tuple[str, ...]:
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -20,7 +20,7 @@
 from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.explore.mesh import Break, MeshWorld, Scene
 from orchidferry.testkit.explore.mesh_actors import MessageInFlight
-from orchidferry.testkit.explore.mesh_breaks import break_under_faults
+from orchidferry.testkit.explore.mesh_breaks import deliberate_break
 from orchidferry.testkit.explore.worst_days.play import Play
 
 SILENCE_S = 1.0  # after which a caller goes on to another controller
@@ -402,45 +402,33 @@
 
 
 BREAKS: dict[str, Break] = {
-    "serves-without-contact": break_under_faults(
-        "contact is not asked for", "isolated", 0, "", (Contact, "holds", _always)
+    "serves-without-contact": deliberate_break(
+        "contact is not asked for", "isolated", (Contact, "holds", _always)
     ),
-    "contact-from-arrival": break_under_faults(
+    "contact-from-arrival": deliberate_break(
         "contact runs from when an acknowledgement came",
         "frozen",
-        0,
-        "",
         (Controller, "receive_heartbeat_ack", _from_arrival),
     ),
-    "silent-wait": break_under_faults(
-        "who waits is not told that contact is lost",
-        "isolated",
-        0,
-        "",
-        (Replica, "_end_requests", _keeps_waiting),
+    "silent-wait": deliberate_break(
+        "who waits is not told that contact is lost", "isolated", (Replica, "_end_requests", _keeps_waiting)
     ),
-    "contact-with-one": break_under_faults(
-        "one other is enough for contact", "halves", 0, "", (Contact, "since_s", _any_one)
+    "contact-with-one": deliberate_break(
+        "one other is enough for contact", "halves", (Contact, "since_s", _any_one)
     ),
-    "reads-by-contact": break_under_faults(
-        "a reading is answered by contact alone",
-        "isolated-briefly",
-        0,
-        "",
-        (Shard, "request_read", _local_read),
+    "reads-by-contact": deliberate_break(
+        "a reading is answered by contact alone", "isolated-briefly", (Shard, "request_read", _local_read)
     ),
-    "confirms-by-contact": break_under_faults(
+    "confirms-by-contact": deliberate_break(
         "an order is confirmed by contact alone",
         "isolated-briefly",
-        0,
-        "",
         (Shard, "request_change", _confirms_early),
     ),
-    "unclear-as-refused": break_under_faults(
+    "unclear-as-refused": deliberate_break(
         "what is unclear is told as refused",
         "isolated-at-once",
-        1,
-        "cut oneway",
         (Replica, "_end_requests", _says_refused),
+        faults=1,
+        kinds="cut oneway",
     ),
 }
