--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -12,7 +12,7 @@
 import sys
 from collections.abc import Iterator
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.pacer import Pacer
 from orchidferry.testkit.clients.schedule import Arrival, arrivals, leaves_after
 from orchidferry.testkit.exchange import HOST, Ask, Exchanges, message
@@ -127,7 +127,7 @@
         """One try at a node that the front deals."""
         if not self._nodes:
             return Outcome("refused", 0.0)
-        dealt = draws.uniform(self._scenario.seed, "deal", ask.id, high=len(self._nodes))
+        dealt = seeded_random.uniform(self._scenario.seed, "deal", ask.id, high=len(self._nodes))
         node = self._nodes[int(dealt)]
         key, body = f"k-{arrival.root}", b"x" * self._scenario.clients.body
         host = HOST
--- a/orchidferry/testkit/clients/schedule.py
+++ b/orchidferry/testkit/clients/schedule.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.scenario import Class, Clients
 from orchidferry.testkit.world.plan import Plan
 
@@ -55,7 +55,7 @@
     length_s = plan.scenario.length_s
     factor = math.prod(max(1.0, burst[2]) for burst in plan.bursts)
     most = load.rate * (1.0 + load.swing) * factor
-    rng = draws.stream(plan.scenario.seed, "arrivals")
+    rng = seeded_random.generator(plan.scenario.seed, "arrivals")
     t = owed = 0.0
     while True:
         if load.arrivals == "even":
@@ -84,9 +84,9 @@
     result = []
     for number, t in enumerate(times(plan)):
         root = f"r{number}"
-        point = draws.uniform(seed, "class", number, high=bounds[-1])
+        point = seeded_random.uniform(seed, "class", number, high=bounds[-1])
         cls = classes[min(bisect.bisect_right(bounds, point), len(classes) - 1)]
-        obj = bisect.bisect_right(weights, draws.uniform(seed, "object", number, high=weights[-1]))
+        obj = bisect.bisect_right(weights, seeded_random.uniform(seed, "object", number, high=weights[-1]))
         low, high = clients.try_share
         result.append(
             Arrival(
@@ -94,9 +94,9 @@
                 root=root,
                 cls=cls,
                 object=min(obj, len(weights) - 1),
-                try_s=cls.gives_up_s * draws.uniform(seed, "try", number, low=low, high=high),
-                honours=draws.uniform(seed, "honours", number) < clients.honour,
-                again=draws.uniform(seed, "again", number) < clients.unsafe_again,
+                try_s=cls.gives_up_s * seeded_random.uniform(seed, "try", number, low=low, high=high),
+                honours=seeded_random.uniform(seed, "honours", number) < clients.honour,
+                again=seeded_random.uniform(seed, "again", number) < clients.unsafe_again,
             )
         )
     return result
@@ -104,6 +104,6 @@
 
 def leaves_after(clients: Clients, seed: int, id: str, try_s: float) -> float | None:
     """When an impatient client leaves a try, or None if it waits."""
-    if draws.uniform(seed, "impatient", id) >= clients.impatient:
+    if seeded_random.uniform(seed, "impatient", id) >= clients.impatient:
         return None
-    return try_s * draws.uniform(seed, "leaves", id, low=0.02, high=0.6)
+    return try_s * seeded_random.uniform(seed, "leaves", id, low=0.02, high=0.6)
--- a/orchidferry/testkit/control/script.py
+++ b/orchidferry/testkit/control/script.py
@@ -15,7 +15,7 @@
 
 from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import EDS, TYPES, node_message, pool_message
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.control.service import Service, Word
 from orchidferry.testkit.scenario import Scenario
 
@@ -58,12 +58,12 @@
         return []
     span = scenario.length_s * (TO - FROM)
     gap = span / side.versions
-    bad = set(draws.sample(range(side.versions - 1), side.bad, seed, "bad versions"))
+    bad = set(seeded_random.sample(range(side.versions - 1), side.bad, seed, "bad versions"))
     pushes = []
     ways = 0
     good = 0
     for n in range(side.versions):
-        shift = draws.uniform(seed, "version", n, low=-JITTER, high=JITTER) * gap
+        shift = seeded_random.uniform(seed, "version", n, low=-JITTER, high=JITTER) * gap
         t = scenario.length_s * FROM + (n + 0.5) * gap + shift
         label = f"v{n + 1:03}"
         last = n == side.versions - 1
@@ -90,7 +90,7 @@
     seed = scenario.seed
     low = scenario.length_s * FROM
     high = scenario.length_s * TO
-    return sorted(draws.uniform(seed, "cut", n, low=low, high=high) for n in range(side.cuts))
+    return sorted(seeded_random.uniform(seed, "cut", n, low=low, high=high) for n in range(side.cuts))
 
 
 @dataclass
--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from orchidferry.errors import OrchidferryError
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Recorder, Unanswered
 from orchidferry.testkit.scenario import Class, Scenario
 from orchidferry.testkit.traffic.guard import MARK, PROOF_CLASS, new_nonce, proven
@@ -24,7 +24,7 @@
 
 def body_of(seed: int, id: str) -> bytes:
     """What a server answers to this request, and no other: an answer mixed up or made up shows."""
-    return f"{id} {draws.number(seed, 'body', id):016x}\n".encode()
+    return f"{id} {seeded_random.integer(seed, 'body', id):016x}\n".encode()
 
 
 def root_of(id: str) -> str:
@@ -130,7 +130,7 @@
         from orchidferry.testkit.quic.pool import H3Pool
 
         assert self._files is not None
-        seed = draws.number(self.scenario.seed, "path", node, self.recorder.path.stem)
+        seed = seeded_random.integer(self.scenario.seed, "path", node, self.recorder.path.stem)
         return H3Pool(extra, str(self._files.ca), trouble_of(self.scenario), seed)
 
     async def ask(
--- a/orchidferry/testkit/mesh/actions/closing.py
+++ b/orchidferry/testkit/mesh/actions/closing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.actions.processes import kill_and_restart
 from orchidferry.testkit.mesh.actions.targets import Action, choose, controllers_to_lose, live_sidecars
 from orchidferry.testkit.mesh.configuration import build_configuration
@@ -44,7 +44,7 @@
     """Controllers lose their disks; by the seed all others are killed too."""
     acknowledged = await _last_change_acknowledged(env)
     wiped = controllers_to_lose(env, scheduled)
-    alone = draws.uniform(env.seed, "alone") < WIPED_ALONE_SHARE
+    alone = seeded_random.uniform(env.seed, "alone") < WIPED_ALONE_SHARE
     nodes = wiped if alone else [env.nodes[machine.name] for machine in env.cores]
     done = await kill_and_restart(nodes, scheduled.for_s, wiped)
     return done if acknowledged else done + NOT_ACKNOWLEDGED
--- a/orchidferry/testkit/mesh/actions/isolation.py
+++ b/orchidferry/testkit/mesh/actions/isolation.py
@@ -9,7 +9,7 @@
 import asyncio
 from enum import Enum
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.actions.links import (
     LinkSelection,
     both_ways,
@@ -67,17 +67,17 @@
     """Controllers by the seed, no more than may be lost at once."""
     if scheduled.target:
         return [env.nodes[name].machine for name in scheduled.target.split()]
-    count = 1 + int(draws.uniform(env.seed, "isolated", high=env.day.tolerance))
-    return draws.sample(env.cores, count, env.seed, "isolate")
+    count = 1 + int(seeded_random.uniform(env.seed, "isolated", high=env.day.tolerance))
+    return seeded_random.sample(env.cores, count, env.seed, "isolate")
 
 
 def links_to_cut(env: Environment, machines: list[Machine]) -> LinkSelection:
     """The links that isolate controllers: from the others or from all machines, in a way by the seed."""
-    from_all = draws.uniform(env.seed, "isolate", "far") < 0.5
+    from_all = seeded_random.uniform(env.seed, "isolate", "far") < 0.5
     far = [*env.cores, *live_sidecars(env)] if from_all else env.cores
     directions = [(one.name, other.name) for one in machines for other in far if other is not one]
     ways = tuple(IsolationWay)
-    way = ways[int(draws.uniform(env.seed, "isolate", "way", high=len(ways)))]
+    way = ways[int(seeded_random.uniform(env.seed, "isolate", "way", high=len(ways)))]
     if way is IsolationWay.BOTH:
         directions = both_ways(directions)
     elif way is IsolationWay.INWARDS:
@@ -92,7 +92,7 @@
     isolated = controllers_to_isolate(env, scheduled)
     links = links_to_cut(env, isolated)
     env.changes.isolated = isolated
-    if draws.uniform(env.seed, "rolling") < ROLLING_RESTART_SHARE:
+    if seeded_random.uniform(env.seed, "rolling") < ROLLING_RESTART_SHARE:
         work = [_rolling_restart(env, isolated[0], scheduled.for_s)]
     else:
         work = [_restart_one(env, isolated[0], number, scheduled.for_s) for number in range(RESTARTS)]
@@ -113,12 +113,12 @@
     :param for_s: how long the isolation lasts
     """
     low = (0.1 + 0.25 * number) * for_s
-    await asyncio.sleep(draws.uniform(env.seed, "restart", number, low=low, high=low + 0.15 * for_s))
+    await asyncio.sleep(seeded_random.uniform(env.seed, "restart", number, low=low, high=low + 0.15 * for_s))
     machines = live_sidecars(env)
-    chosen = int(draws.uniform(env.seed, "restarted", number, high=len(machines)))
+    chosen = int(seeded_random.uniform(env.seed, "restarted", number, high=len(machines)))
     node = env.nodes[machines[chosen].name]
     node.first_seed = isolated if number % 2 == 0 else None
-    if draws.uniform(env.seed, "told", number) < SIGTERM_SHARE:
+    if seeded_random.uniform(env.seed, "told", number) < SIGTERM_SHARE:
         await node.stop()
     else:
         node.kill()
@@ -154,7 +154,7 @@
     until = env.context.now() + for_s
     replaced = 0
     services = list(dict.fromkeys(machine.service for machine in live_sidecars(env)))
-    service = services[int(draws.uniform(env.seed, "release", high=len(services)))]
+    service = services[int(seeded_random.uniform(env.seed, "release", high=len(services)))]
     for machine in live_sidecars(env):
         if machine.service != service or env.context.now() >= until:
             continue
@@ -175,7 +175,7 @@
     found = []
     for n, one in enumerate(names):
         for other in names[n + 1 :]:
-            forth = draws.uniform(env.seed, "broken", one, other) < 0.5
+            forth = seeded_random.uniform(env.seed, "broken", one, other) < 0.5
             found.append((one, other) if forth else (other, one))
     return found
 
--- a/orchidferry/testkit/mesh/actions/links.py
+++ b/orchidferry/testkit/mesh/actions/links.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.actions.targets import Action, any_machine, choose, live_sidecars
 from orchidferry.testkit.mesh.day import ScheduledAction
 from orchidferry.testkit.mesh.environment import Environment
@@ -91,7 +91,8 @@
 async def _slow_links(env: Environment, scheduled: ScheduledAction) -> str:
     """Links are slow, each way."""
     links = _links_of_one_machine(env, scheduled)
-    delay_s = draws.uniform(env.seed, "late", f"{scheduled.at:.4f}", low=MIN_DELAY_S, high=MAX_DELAY_S)
+    time = f"{scheduled.at:.4f}"
+    delay_s = seeded_random.uniform(env.seed, "late", time, low=MIN_DELAY_S, high=MAX_DELAY_S)
     condition = LinkCondition(delay_s=delay_s)
     await impose_fault(env, "slow", both_ways(links.directions), condition, scheduled.for_s)
     return f"{links.description}, {delay_s * 1000.0:.0f} ms"
--- a/orchidferry/testkit/mesh/actions/planned.py
+++ b/orchidferry/testkit/mesh/actions/planned.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.actions.targets import Action
 from orchidferry.testkit.mesh.configuration import build_configuration, make_invalid
 from orchidferry.testkit.mesh.day import ScheduledAction
@@ -31,7 +31,7 @@
     if scheduled.target:
         return env.servers[scheduled.target]
     servers = [s for s in env.servers.values() if s.machine.service == env.sidecars[0].service]
-    return servers[int(draws.uniform(env.seed, "drain", high=len(servers)))]
+    return servers[int(seeded_random.uniform(env.seed, "drain", high=len(servers)))]
 
 
 async def _drain(env: Environment, scheduled: ScheduledAction) -> str:
--- a/orchidferry/testkit/mesh/actions/targets.py
+++ b/orchidferry/testkit/mesh/actions/targets.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Awaitable, Callable
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.day import Machine, ScheduledAction
 from orchidferry.testkit.mesh.environment import Environment
 from orchidferry.testkit.mesh.processes import Node
@@ -15,7 +15,7 @@
 def choose(env: Environment, scheduled: ScheduledAction, count: int, *purpose: str) -> int:
     """A number below `count` by the seed, the action and its time."""
     time = f"{scheduled.at:.4f}"
-    return int(draws.uniform(env.seed, "whom", scheduled.action, time, *purpose, high=count))
+    return int(seeded_random.uniform(env.seed, "whom", scheduled.action, time, *purpose, high=count))
 
 
 def live_sidecars(env: Environment) -> list[Machine]:
--- a/orchidferry/testkit/mesh/call_faults.py
+++ b/orchidferry/testkit/mesh/call_faults.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 
 FAULTY_SHARE = 0.3
 """Of the calls that reach a faulty server, those that are struck."""
@@ -25,6 +25,6 @@
 
 def call_fault(seed: int, request_id: str) -> CallFault | None:
     """What a faulty server does to a call; None if it serves it."""
-    if draws.uniform(seed, "call-fault", request_id) >= FAULTY_SHARE:
+    if seeded_random.uniform(seed, "call-fault", request_id) >= FAULTY_SHARE:
         return None
-    return _FAULTS[int(draws.uniform(seed, "which-call-fault", request_id, high=len(_FAULTS)))]
+    return _FAULTS[int(seeded_random.uniform(seed, "which-call-fault", request_id, high=len(_FAULTS)))]
--- a/orchidferry/testkit/mesh/changes.py
+++ b/orchidferry/testkit/mesh/changes.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.clients import Clients
 from orchidferry.testkit.mesh.configuration import Config, build_configuration, next_version, version_routes
 from orchidferry.testkit.mesh.context import RunContext
@@ -140,7 +140,7 @@
             await asyncio.wait(set(self._in_flight))
 
     def _uniform(self, *purpose: object, high: float = 1.0) -> float:
-        return draws.uniform(self._context.seed, "changes", *purpose, high=high)
+        return seeded_random.uniform(self._context.seed, "changes", *purpose, high=high)
 
     def _first_controller(self, *purpose: object) -> Machine | None:
         """An isolated controller for some changes, while there is one; None: any."""
--- a/orchidferry/testkit/mesh/clients.py
+++ b/orchidferry/testkit/mesh/clients.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.configuration import (
     ADDED_PATH,
     RETIRED_PATH,
@@ -97,7 +97,7 @@
     """
     found: list[tuple[float, Kind]] = []
     for kind in KINDS:
-        rng = draws.stream(seed, "arrivals", kind.name)
+        rng = seeded_random.generator(seed, "arrivals", kind.name)
         t = 0.0
         while kind.rate:
             t += rng.expovariate(kind.rate)
@@ -165,22 +165,22 @@
         machines = [m for m in available if other_than is None or m.name != other_than.name]
         if not machines:
             return None
-        return machines[int(draws.uniform(self._context.seed, "machine", name, high=len(machines)))]
+        return machines[int(seeded_random.uniform(self._context.seed, "machine", name, high=len(machines)))]
 
     async def _request(self, arrival: Arrival, due: float) -> None:
         """Make a request with its retries, and for some keyed ones a repeat after a success."""
         seed = self._context.seed
         kind = arrival.kind
         root = f"r{arrival.number}"
-        key = f"k-{draws.number(seed, 'key', root):016x}" if kind.route_type == "keyed" else ""
+        key = f"k-{seeded_random.integer(seed, 'key', root):016x}" if kind.route_type == "keyed" else ""
         deadline_s = kind.deadline_ms / 1000.0
         self.counts["asked"] += 1
         request = ClientRequest(kind, root, root, key, due, due + deadline_s, True)
         machine, served = await self._attempts(request)
         self.counts["served"] += served
-        if key and served and draws.uniform(seed, "again", root) < REPEAT_SHARE:
+        if key and served and seeded_random.uniform(seed, "again", root) < REPEAT_SHARE:
             low, high = self._repeat_after_s
-            await asyncio.sleep(draws.uniform(seed, "later", root, low=low, high=high))
+            await asyncio.sleep(seeded_random.uniform(seed, "later", root, low=low, high=high))
             now = self._context.now()
             repeat = ClientRequest(kind, f"{root}x", root, key, now, now + deadline_s, False)
             await self._attempts(repeat, other_than=machine)
@@ -197,7 +197,7 @@
         machine = self._any_machine(request.root, other_than)
         backoff = MIN_RETRY_BACKOFF_S
         body = b"" if kind.repeatable else self._body(request.subject)
-        chunked = draws.uniform(context.seed, "chunks", request.root) < CHUNKED_SHARE
+        chunked = seeded_random.uniform(context.seed, "chunks", request.root) < CHUNKED_SHARE
         for number in range(1 + kind.repeats):
             if machine is None or request.ends - context.now() < MIN_REMAINING_S:
                 break
@@ -220,10 +220,10 @@
     def _attempt(self, request: ClientRequest, number: int, machine: Machine, body: bytes) -> Sent:
         seed = self._context.seed
         kind = request.kind
-        query = f"of={draws.number(seed, 'of', request.subject):x}"
+        query = f"of={seeded_random.integer(seed, 'of', request.subject):x}"
         return Sent(
             self._context.now(),
-            f"{draws.number(seed, 'id', request.root, number):016x}",
+            f"{seeded_random.integer(seed, 'id', request.root, number):016x}",
             kind.name,
             machine.name,
             host_name(seed),
@@ -239,7 +239,7 @@
         )
 
     def _body(self, name: str) -> bytes:
-        rng = Random(draws.number(self._context.seed, "body", name))
+        rng = Random(seeded_random.integer(self._context.seed, "body", name))
         return rng.randbytes(rng.randint(MIN_BODY_BYTES, MAX_BODY_BYTES))
 
     async def probe_routes(self, paths: tuple[str, ...] = (RETIRED_PATH, ADDED_PATH, UNROUTED_PATH)) -> None:
@@ -252,7 +252,7 @@
                 now = context.now()
                 sent = Sent(
                     now,
-                    f"{draws.number(context.seed, 'id', root):016x}",
+                    f"{seeded_random.integer(context.seed, 'id', root):016x}",
                     PROBE,
                     machine.name,
                     host_name(context.seed),
--- a/orchidferry/testkit/mesh/configuration.py
+++ b/orchidferry/testkit/mesh/configuration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.day import KINDS, Day, Kind, service_names
 
 Config = dict[str, Any]
@@ -30,12 +30,12 @@
 
 def host_name(seed: int) -> str:
     """The host that all requests of a run name."""
-    return f"h{draws.number(seed, 'host_name') & 0xFFFFFF:06x}.example"
+    return f"h{seeded_random.integer(seed, 'host_name') & 0xFFFFFF:06x}.example"
 
 
 def path_prefix(seed: int, kind: str) -> str:
     """The prefix of the paths of a kind of request."""
-    return f"/p{draws.number(seed, 'path', kind) & 0xFFFFFF:06x}/"
+    return f"/p{seeded_random.integer(seed, 'path', kind) & 0xFFFFFF:06x}/"
 
 
 def _route(path: str, kind: Kind, to: dict[str, Any]) -> dict[str, Any]:
--- a/orchidferry/testkit/mesh/day.py
+++ b/orchidferry/testkit/mesh/day.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 
 ZONES = ("sala-a", "sala-b", "sala-c")
 REGION = "sul"
@@ -194,7 +194,8 @@
 
 def service_names(day: Day, seed: int) -> list[str]:
     """The services' names, which differ by the seed."""
-    return [f"{name}-{draws.number(seed, 'service', name) & 0xFFFF:04x}" for name in day.service_base_names]
+    hashes = {name: seeded_random.integer(seed, "service", name) & 0xFFFF for name in day.service_base_names}
+    return [f"{name}-{hashed:04x}" for name, hashed in hashes.items()]
 
 
 class Ports(NamedTuple):
--- a/orchidferry/testkit/mesh/operator.py
+++ b/orchidferry/testkit/mesh/operator.py
@@ -6,7 +6,7 @@
 import contextlib
 import json
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.configuration import Config, content_digest
 from orchidferry.testkit.mesh.context import RunContext
 from orchidferry.testkit.mesh.control_api import CALL_TIMEOUT_S, call
@@ -61,7 +61,7 @@
         self._calls += 1
         if controller is None:
             seed = self._context.seed
-            chosen = draws.uniform(seed, "controller", self.name, self._calls, high=len(self._cores))
+            chosen = seeded_random.uniform(seed, "controller", self.name, self._calls, high=len(self._cores))
             controller = self._cores[int(chosen)]
         return controller.ip, self._context.ports.control
 
--- a/orchidferry/testkit/mesh/schedule.py
+++ b/orchidferry/testkit/mesh/schedule.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.day import Day, ScheduledAction
 
 FAULT_DURATIONS_S = {
@@ -49,7 +49,7 @@
 
 def _with_faults(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
     """Planned work among as many faults as there is time for, each before a calm; a closing fault."""
-    rng = Random(draws.number(seed, "table", day.name))
+    rng = Random(seeded_random.integer(seed, "table", day.name))
     faults = rng.sample(sorted(FAULT_DURATIONS_S), len(FAULT_DURATIONS_S))
     remaining_s = seconds - CLOSING_BEFORE_END_S - FIRST_ACTION_S - sum(PLANNED_DURATIONS_S.values())
     chosen: list[str] = []
@@ -107,7 +107,7 @@
     That is an isolation, replacements with a loss right after each, hundreds of changes, calls broken off.
     Then comes a closing fault, and changes are sent again after it.
     """
-    rng = Random(draws.number(seed, "table", day.name))
+    rng = Random(seeded_random.integer(seed, "table", day.name))
     blocks = rng.sample(WORST_BLOCKS, len(WORST_BLOCKS))
     found = [ScheduledAction(FIRST_ACTION_S / seconds, "changes")]
     t = FIRST_ACTION_S + 0.5
--- a/orchidferry/testkit/mesh/servers.py
+++ b/orchidferry/testkit/mesh/servers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.call_faults import CallFault, call_fault
 from orchidferry.testkit.mesh.configuration import host_name, path_prefix
 from orchidferry.testkit.mesh.context import MIN_REMAINING_S, RunContext
@@ -77,10 +77,11 @@
         self.machine = machine
         self._incarnation = incarnation
         name = machine.name if incarnation == 0 else f"{machine.name}, life {incarnation}"
-        self.id = f"i-{draws.number(context.seed, 'server', name) & 0xFFFFFFFF:08x}"
+        self.id = f"i-{seeded_random.integer(context.seed, 'server', name) & 0xFFFFFFFF:08x}"
         self.address: Address = (machine.ip, context.ports.application)
         self._slots = day.slots[day.service_base_names.index(machine.service.rpartition("-")[0])]
-        self._speed = draws.uniform(context.seed, "speed", machine.name, low=MIN_SPEED, high=MAX_SPEED)
+        seed = context.seed
+        self._speed = seeded_random.uniform(seed, "speed", machine.name, low=MIN_SPEED, high=MAX_SPEED)
         self._registration = Registration(context, day, machine, self.id, self.address, self._slots)
         self.faulty = False  # calls that are not idempotent break off here, see `call_faults`
         self.closed = False
@@ -251,7 +252,7 @@
     def _work_s(self, job: _Job) -> float:
         """How long a request is executed."""
         mean = job.kind.work_ms / 1000.0
-        work = draws.log_normal(mean, WORK_VARIATION, self._context.seed, "work", job.id)
+        work = seeded_random.log_normal(mean, WORK_VARIATION, self._context.seed, "work", job.id)
         factor = COLD_FACTOR if self._registration.cold_remaining_s else 1.0
         return work * factor / self._speed
 
@@ -261,7 +262,7 @@
         context.record(Began(context.now(), job.number))
         status = 200
         half_s = self._work_s(job) / 2.0
-        calls = job.kind.calls and draws.uniform(context.seed, "calls", job.id) < job.kind.calls_share
+        calls = job.kind.calls and seeded_random.uniform(context.seed, "calls", job.id) < job.kind.calls_share
         await asyncio.sleep(max(0.0, min(half_s, job.ends - context.now())))
         if calls and context.now() < job.ends:
             served = await self._call_service(job, KINDS_BY_NAME[job.kind.calls])
@@ -292,7 +293,7 @@
         root = f"c{job.number}"
         sent = Sent(
             now,
-            f"{draws.number(context.seed, 'id', root):016x}",
+            f"{seeded_random.integer(context.seed, 'id', root):016x}",
             kind.name,
             self.machine.name,
             host_name(context.seed),
@@ -313,16 +314,16 @@
 
     def _answer(self, job: _Job, status: int) -> None:
         context = self._context
-        factor = draws.uniform(context.seed, "size", job.id, low=0.8, high=1.2)
+        factor = seeded_random.uniform(context.seed, "size", job.id, low=0.8, high=1.2)
         size = round(factor * job.kind.size)
         body = Random(job.number).randbytes(size if status == 200 else ERROR_BODY_BYTES)
-        seal = f"{job.number:x}.{draws.number(context.seed, 'seal', job.number):016x}"
+        seal = f"{job.number:x}.{seeded_random.integer(context.seed, 'seal', job.number):016x}"
         context.record(Done(context.now(), job.number, status, seal, digest(body)))
-        closes = not self.in_service or draws.uniform(context.seed, "closes", job.id) < CLOSE_SHARE
+        closes = not self.in_service or seeded_random.uniform(context.seed, "closes", job.id) < CLOSE_SHARE
         headers = f"Attempt-Id: {job.id}\r\nServer-Seal: {seal}\r\n"
         headers += "Connection: close\r\n" if closes else f"Keep-Alive: timeout={IDLE_TIMEOUT_S}\r\n"
         download = job.kind.route_type == "download"
-        if download and draws.uniform(context.seed, "chunked", job.id) < CHUNKED_SHARE:
+        if download and seeded_random.uniform(context.seed, "chunked", job.id) < CHUNKED_SHARE:
             self._answer_chunked(job, status, headers, body)
         else:
             job.connection.answer(status, body, headers)
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -19,7 +19,7 @@
 from orchidferry.balancing.fleet.messages import Address, Message
 from orchidferry.balancing.fleet.outbox import HEADER_BYTES
 from orchidferry.balancing.fleet.suspicion import Timing
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.world.links import LinkFault, Links
 
 PORT = 9100
@@ -94,9 +94,9 @@
                 node.fleet._outbox.gossip.drop(node.name)
 
     def _fleet(self, name: str, at: Address, life: int, incarnation: int = 0) -> Membership:
-        drawn = draws.number(self.seed, "life", name, life) | 1
+        drawn = seeded_random.integer(self.seed, "life", name, life) | 1
         me = Entry(name, at[0], at[1], drawn, incarnation, phase=Phase.SERVING)
-        rng = draws.stream(self.seed, "node", name, life)
+        rng = seeded_random.generator(self.seed, "node", name, life)
         return Membership(me, self._seeds, rng, self.timing, self._most)
 
     def at(self, t: float, do: Callable[..., None], *args: Any) -> None:
--- a/orchidferry/testkit/traffic/generate.py
+++ b/orchidferry/testkit/traffic/generate.py
@@ -17,7 +17,7 @@
 from datetime import UTC, datetime
 from random import Random
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 
 CLASSES = """
 [[class]]
@@ -94,7 +94,7 @@
     rate: float, seconds: float, seed: int, clients: int = 5_000, objects: int = 2_000
 ) -> Iterator[Truth]:
     """All requests in order of their start. First tries are a Poisson process by thinning."""
-    rng = draws.stream(seed, "traffic")
+    rng = seeded_random.generator(seed, "traffic")
     popular = list(itertools.accumulate((n + 1) ** -0.9 for n in range(objects)))
     classes = list(itertools.accumulate(share for _, share in SHARES))
     later: list[tuple[float, int, Truth]] = []  # retries that are still to come
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -23,7 +23,7 @@
 
 import numpy as np
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.schedule import Arrival
 from orchidferry.testkit.scenario import Class, Scenario, ScenarioError, Traffic
 from orchidferry.testkit.traffic.classes import Classes, ClassesFileError, mix
@@ -122,7 +122,7 @@
             if scenario.guard.may(row["name"], row.get("repeat", "unsafe")) is May.LEFT_OUT
         )
         names = [row["name"] for row in header.classes]
-        found.append(Choice(laid, names, left_out, draws.number(scenario.seed, "sample", number)))
+        found.append(Choice(laid, names, left_out, seeded_random.integer(scenario.seed, "sample", number)))
     return found
 
 
@@ -163,9 +163,9 @@
             root=f"r{number}",
             cls=cls,
             object=obj,
-            try_s=cls.gives_up_s * draws.uniform(seed, "try", who, low=low, high=high),
-            honours=draws.uniform(seed, "honours", who) < clients.honour,
-            again=cls.repeat != "unsafe" and draws.uniform(seed, "again", who) < clients.unsafe_again,
+            try_s=cls.gives_up_s * seeded_random.uniform(seed, "try", who, low=low, high=high),
+            honours=seeded_random.uniform(seed, "honours", who) < clients.honour,
+            again=cls.repeat != "unsafe" and seeded_random.uniform(seed, "again", who) < clients.unsafe_again,
         )
 
 
--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.world.addresses import Block
@@ -209,4 +209,4 @@
 
     def delay(self, between: tuple[float, float], *name: str) -> float:
         """A delay that is drawn for this name."""
-        return draws.uniform(self.scenario.seed, "delay", *name, low=between[0], high=between[1])
+        return seeded_random.uniform(self.scenario.seed, "delay", *name, low=between[0], high=between[1])
--- a/orchidferry/testkit/world/links.py
+++ b/orchidferry/testkit/world/links.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.quic.faults import PathFaults, Trouble
 
 # of a healthy link
@@ -80,7 +80,7 @@
     def _path(self, sender: str, to: str) -> tuple[PathFaults, random.Random]:
         path = self._paths.get((sender, to))
         if path is None:
-            seed = draws.number(self._seed, "link", sender, to)
+            seed = seeded_random.integer(self._seed, "link", sender, to)
             path = PathFaults(seed, Trouble(delay_s=DELAY_S, jitter_s=JITTER_S)), random.Random(seed ^ 1)
             self._paths[sender, to] = path
         return path
--- a/orchidferry/testkit/world/machine.py
+++ b/orchidferry/testkit/world/machine.py
@@ -1,7 +1,7 @@
 """A server's inside, free of I/O: cores, slots, a waiting room, cold starts, keys, troubles.
 
 `handle(event, now)` takes what came and gives what follows, in order; `now` is seconds on any monotonic
-clock. The same events give the same actions: chance is drawn by names (`orchidferry.testkit.draws`).
+clock. The same events give the same actions: chance is drawn by names (`orchidferry.testkit.seeded_random`).
 
 The model: a request takes a slot, or waits in the room, or is turned away. Its work is cut into as many
 parts as it makes calls to the next tier, and one more; a part takes a core from its beginning to its end,
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.scenario import Class, Rules, Tier
 
 REPEAT_WORK_S = 0.002  # to find that a key has been seen
@@ -143,7 +143,7 @@
 
 def work_of(seed: int, cls: Class, tier: Tier, root: str) -> float:
     """Core-seconds of one visit to a tier."""
-    return draws.log_normal(cls.work_s * tier.work, cls.spread, seed, "work", tier.name, root)
+    return seeded_random.log_normal(cls.work_s * tier.work, cls.spread, seed, "work", tier.name, root)
 
 
 def calls_of(seed: int, tier: Tier, root: str, last: bool) -> int:
@@ -151,7 +151,7 @@
     if last:
         return 0
     whole = int(tier.calls)
-    return whole + (draws.uniform(seed, "calls", tier.name, root) < tier.calls - whole)
+    return whole + (seeded_random.uniform(seed, "calls", tier.name, root) < tier.calls - whole)
 
 
 @dataclass(slots=True)
@@ -256,7 +256,7 @@
             return
         calls = calls_of(figures.seed, figures.tier, event.root, figures.last)
         job = Job(event.id, cls, event.key, event.ends, work / (calls + 1), calls)
-        if draws.uniform(figures.seed, "fails", figures.name, event.id) < figures.troubles.fails:
+        if seeded_random.uniform(figures.seed, "fails", figures.name, event.id) < figures.troubles.fails:
             job.fails = True
             job.part_s = FAIL_S
         if len(self.jobs) < figures.tier.slots:
--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.record import Lag, NodeDown, NodePaused, NodeUp, Recorder
 from orchidferry.testkit.scenario import Class, Scenario
 from orchidferry.testkit.traffic.guard import PROOF_CLASS
@@ -127,7 +127,7 @@
 def chain_text(scenario: Scenario, name: str, tier: int, siblings: int) -> str:
     """The operator's file that has a node take part in a chain; one key for all, as their operators share."""
     side = scenario.chain
-    key = "".join(f"{draws.number(scenario.seed, 'chain', n):016x}" for n in range(2))
+    key = "".join(f"{seeded_random.integer(scenario.seed, 'chain', n):016x}" for n in range(2))
     return (
         f'tier = "{scenario.tiers[tier].name}"\nnode = "{name.replace("/", ".")}"\n'
         f"first = {str(tier == 0).lower()}\nextra = {side.extra}\nshare = {side.share}\n"
@@ -199,7 +199,7 @@
             "name": self.name,
             "listen": listen,
             "discovery": discovery,
-            "seed": f"{draws.number(self._scenario.seed, 'node', self.name, self.lives):016x}",
+            "seed": f"{seeded_random.integer(self._scenario.seed, 'node', self.name, self.lives):016x}",
             "limits": {
                 "cores": 1.0,
                 "memory_mb": self._scenario.node.memory_mb,
@@ -236,7 +236,7 @@
             fleet = self._home / "fleet.toml"
             keys = self._home / "fleet.keys"
             keys.touch(mode=0o600)
-            keys.write_text(f"k1={draws.number(self._scenario.seed, 'fleet'):032x}\n")
+            keys.write_text(f"k1={seeded_random.integer(self._scenario.seed, 'fleet'):032x}\n")
             fleet.write_text(self.fleet())
             env["ORCHIDFERRY_FLEET"] = str(fleet)
         if self._scenario.chain.on:
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass, field
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.scenario import FAULTS, MAX_SERVERS, Scenario
 from orchidferry.testkit.scenario import Step as Entry
 from orchidferry.testkit.world.links import LinkFault
@@ -89,7 +89,7 @@
     def add_server(self, tier: int, place: int, name: str, start: bool) -> Server:
         figures = self.scenario.tiers[tier]
         low, high = figures.speed
-        speed = draws.uniform(self.scenario.seed, "speed", tier, place, low=low, high=high)
+        speed = seeded_random.uniform(self.scenario.seed, "speed", tier, place, low=low, high=high)
         cells = max(1, round(figures.servers / figures.cell))
         number = self.numbers.setdefault((tier, place), len(self.numbers))
         server = Server(name, tier, place % cells, speed, place, number, start)
@@ -106,7 +106,7 @@
 
 def server_name(seed: int, tier: str, place: int, life: int) -> str:
     """Opaque at the end, as names tell nothing, and readable at the front for reports."""
-    return f"{tier}-{place}-{draws.number(seed, 'name', tier, place, life) & 0xFFFF:04x}"
+    return f"{tier}-{place}-{seeded_random.integer(seed, 'name', tier, place, life) & 0xFFFF:04x}"
 
 
 def draw(scenario: Scenario) -> Plan:
@@ -151,7 +151,7 @@
         return _add(drawing, entry, tier)
     everybody = len(present)
     default = everybody if entry.do in ("stall", "rolling-restart") else 1
-    struck = draws.sample(
+    struck = seeded_random.sample(
         present, _struck(entry, everybody, default), scenario.seed, "struck", number, entry.do
     )
     whom = (
@@ -185,7 +185,7 @@
         case "silent":
             trouble("silent", 1.0)
         case "pauses":
-            rng = draws.stream(drawing.scenario.seed, "pauses", number, name)
+            rng = seeded_random.generator(drawing.scenario.seed, "pauses", number, name)
             t = at + rng.uniform(0.0, entry.every_s)
             while t < end:
                 act(t, "freeze", name, 1.0, number)
@@ -232,7 +232,8 @@
 
 
 def _on_nodes(drawing: _Drawing, number: int, entry: Entry, nodes: tuple[str, ...]) -> None:
-    struck = draws.sample(nodes, _struck(entry, len(nodes), 1), drawing.scenario.seed, "nodes", number)
+    count = _struck(entry, len(nodes), 1)
+    struck = seeded_random.sample(nodes, count, drawing.scenario.seed, "nodes", number)
     if entry.do == "node-paused":
         for node in struck:
             drawing.act(entry.at_s, "pause", node, entry.for_s)
@@ -260,11 +261,11 @@
         struck = [node for n, node in enumerate(nodes) if zone_of(scenario, n) == entry.zone]
     else:
         count = 1 if entry.pair else _struck(entry, len(nodes), len(nodes))
-        struck = draws.sample(nodes, count, scenario.seed, "links", number)
+        struck = seeded_random.sample(nodes, count, scenario.seed, "links", number)
     if len(struck) < len(nodes):
         rest = [node for node in nodes if node not in struck]
     if entry.pair:
-        rest = draws.sample(rest, 1, scenario.seed, "pair", number)
+        rest = seeded_random.sample(rest, 1, scenario.seed, "pair", number)
     end = entry.at_s + entry.for_s
     figures = {
         "link-cut": {"cut": True},
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.exchange import Ask, Exchanges, body_of, message, root_of, trouble_of
 from orchidferry.testkit.record import Began, Down, Ended, Got, Recorder, Up
 from orchidferry.testkit.scenario import Class, Scenario
@@ -90,7 +90,7 @@
         if self._files is not None:
             from orchidferry.testkit.quic.server import H3Server
 
-            seed = draws.number(self._scenario.seed, "path", self.server.name)
+            seed = seeded_random.integer(self._scenario.seed, "path", self.server.name)
             self._quic = H3Server(
                 self._files, self._requested, self._lost, self._made, trouble_of(self._scenario), seed
             )
@@ -198,9 +198,9 @@
         )
         if self._now("silent"):
             return
-        if draws.uniform(self._scenario.seed, "reset", server.name, id) < self._now("resets"):
+        if seeded_random.uniform(self._scenario.seed, "reset", server.name, id) < self._now("resets"):
             connection.reset()
-            if draws.uniform(self._scenario.seed, "lost", server.name, id) >= RUNS_ALL_THE_SAME:
+            if seeded_random.uniform(self._scenario.seed, "lost", server.name, id) >= RUNS_ALL_THE_SAME:
                 return
         if id in self._held:  # a second copy while the first is here
             self._recorder.put(Ended(self._recorder.now(), server.tier, server.name, id, "rejected"))
--- a/tests/testkit/test_plan.py
+++ b/tests/testkit/test_plan.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from orchidferry.testkit import draws
+from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.schedule import arrivals, leaves_after, rate_at
 from orchidferry.testkit.scenario import Scenario, load_scenario, read_scenario, shipped
 from orchidferry.testkit.world.machine import calls_of, work_of
@@ -67,7 +67,7 @@
 
 
 def test_work_is_log_normal_with_the_mean_and_spread_given() -> None:
-    sample = [draws.log_normal(0.1, 0.5, 7, "work", n) for n in range(20_000)]
+    sample = [seeded_random.log_normal(0.1, 0.5, 7, "work", n) for n in range(20_000)]
     assert statistics.mean(sample) == pytest.approx(0.1, rel=0.02)
     assert statistics.stdev(sample) == pytest.approx(0.05, rel=0.05)
 
