--- a/orchidferry/testkit/bench/mesh_rows.py
+++ b/orchidferry/testkit/bench/mesh_rows.py
@@ -6,6 +6,8 @@
 from collections.abc import Sequence
 from typing import Any
 
+from orchidferry.testkit.judge.quantiles import quantile as nearest_rank
+
 Row = dict[str, Any]  # an object of `--json`
 
 
@@ -15,8 +17,9 @@
     >>> quantile([3, 1, 2, 4], 0.5), quantile([5], 0.99), quantile(range(1, 101), 0.99)
     (2, 5, 99)
     """
-    ordered = sorted(values)
-    return ordered[max(0, -int(-q * len(ordered) // 1) - 1)]
+    found = nearest_rank(sorted(values), q)
+    assert found is not None, "there are no values"
+    return found
 
 
 def figure_row(what: str, name: str, unit: str, values: Sequence[float], **details: Any) -> Row:
