--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -30,6 +30,7 @@
 from orchidferry.mesh.errors import Rejection, RejectionReason
 from orchidferry.node.reply import Reply
 
+CONFIGURATION_PATH = "/orchidferry/configuration"
 PUT_TIMEOUT_S = 4.0  # for a change to be decided
 RETRY_AFTER_S = 0.2
 MAX_VALIDATED = 16  # configurations whose validation is remembered
--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -79,13 +79,9 @@
         self._seeds = settings.seeds
         self._connections = {name: ControllerConnection(name) for name in settings.seeds}
         self.claims = OperationKeyClient(settings.seeds, self._send, settings.bounds.key_window_s)
+        node = NodeIdentity(settings.name, self.boot_id, settings.zone)
         self._subscriber = Subscriber(
-            NodeIdentity(settings.name, self.boot_id, settings.zone),
-            loop,
-            rng,
-            self._dial_parent,
-            self._update_members,
-            lambda revision, link: self._fetcher.revision_announced(revision, link),
+            node, loop, rng, self._dial_parent, self._update_members, self._revision_announced
         )
         self._fetcher = ConfigurationFetcher(
             loop, rng, self._connections, self._subscriber.streams, self._configuration_received
@@ -338,6 +334,9 @@
             self._subscriber.set_members(members)
             self._on_members(members)
 
+    def _revision_announced(self, revision: int, link: Link) -> None:
+        self._fetcher.revision_announced(revision, link)
+
     def _configuration_received(self, revision: int, raw: bytes, text: bytes) -> None:
         self._subscriber.relay.configuration_received(revision, raw)
         self._on_configuration(revision, text)
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -9,13 +9,14 @@
 from __future__ import annotations
 
 import asyncio
+import math
 import random
 
 from loguru import logger
 
 from orchidferry.mesh.control import shard_state
 from orchidferry.mesh.control.actions import StateChanged
-from orchidferry.mesh.control.configuration_resource import ConfigurationResource
+from orchidferry.mesh.control.configuration_resource import CONFIGURATION_PATH, ConfigurationResource
 from orchidferry.mesh.control.control_api import ControlServer
 from orchidferry.mesh.control.controller_links import ControllerLinks
 from orchidferry.mesh.control.heartbeats import HEARTBEAT_INTERVAL_S, Heartbeats
@@ -31,6 +32,7 @@
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import Message
 
+MAX_INCARNATION = 2**53  # of the stream of updates: drawn below this at each start
 BACKLOG = 512  # connections that may wait to be accepted
 MIN_HTTP_CONNECTIONS = 64
 GROWTH_WAIT_S = 5.0  # after the first start the first configuration waits so long for the groups to grow
@@ -58,7 +60,7 @@
         self._peers = Peers(self._started_s)
         self._shards = load_shards(self._store, settings, self._peers, rng)
         self._publisher = Publisher(
-            settings.ip, settings.zone, rng.randrange(1, 2**53), loop, self._contact_age_ms
+            settings.ip, settings.zone, rng.randrange(1, MAX_INCARNATION), loop, self._contact_age_ms
         )
         self._links = ControllerLinks(
             settings, loop, self._received, self._disconnected, lambda: self._heartbeats.send()
@@ -76,7 +78,7 @@
             loop,
         )
         self._http_server = ControlServer(
-            {"/orchidferry/configuration": self._configuration_resource()},
+            {CONFIGURATION_PATH: self._configuration_resource()},
             max(MIN_HTTP_CONNECTIONS, settings.max_file_descriptors // 4),
         )
         self._server: asyncio.Server | None = None
@@ -102,9 +104,11 @@
         """How long ago the newest heartbeat was sent that a majority has acknowledged; None for never."""
         shard = self._runner.configuration_shard
         since_s = self._peers.contact.since_s(shard.known.voters, shard.voter)
-        if since_s == float("-inf"):
+        if since_s == -math.inf:
             return None
-        return max(0, round(1e3 * (self._loop.time() - since_s))) if since_s < float("inf") else 0
+        if since_s == math.inf:  # this controller is the only voter
+            return 0
+        return max(0, round(1e3 * (self._loop.time() - since_s)))
 
     # Start and end
 
@@ -125,7 +129,7 @@
                 shard.known.version,
             )
         self._update_fitness()
-        await self._run_until(stopping, float("inf"))
+        await self._run_until(stopping, math.inf)
         logger.info("controller: stopping")
         ends_s = self._loop.time() + self._settings.bounds.grace_s - STOP_MARGIN_S
         self._http_server.close_listener()
--- a/orchidferry/mesh/control/update_stream.py
+++ b/orchidferry/mesh/control/update_stream.py
@@ -24,8 +24,8 @@
 LinkT = TypeVar("LinkT")
 
 
-class StreamPosition(NamedTuple):
-    """How much of one controller's stream somebody has."""
+class LogPosition(NamedTuple):
+    """How much of one controller's stream a follower has."""
 
     incarnation: int
     number: int
@@ -167,7 +167,7 @@
 
     def __init__(self, max_followers: int = MAX_FOLLOWERS) -> None:
         self._max_followers = max_followers
-        self.positions: dict[LinkT, dict[str, StreamPosition]] = {}
+        self.positions: dict[LinkT, dict[str, LogPosition]] = {}
 
     def add(self, link: LinkT, positions: Iterable[tuple[str, int, int]]) -> bool:
         """Add a follower, or replace its positions.
@@ -178,7 +178,7 @@
         if link not in self.positions and len(self.positions) >= self._max_followers:
             return False
         self.positions[link] = {
-            controller: StreamPosition(incarnation, number) for controller, incarnation, number in positions
+            controller: LogPosition(incarnation, number) for controller, incarnation, number in positions
         }
         return True
 
@@ -195,12 +195,12 @@
         :returns: the changes that are to be sent now, and to whom.
         """
         links_by_number: dict[int, list[LinkT]] = {}
-        unknown = StreamPosition(0, 0)
+        unknown = LogPosition(0, 0)
         for link, positions in self.positions.items():
             position = positions.get(stream.controller, unknown)
             if position.incarnation == stream.incarnation and position.number < stream.number:
                 links_by_number.setdefault(position.number, []).append(link)
-                positions[stream.controller] = StreamPosition(stream.incarnation, stream.number)
+                positions[stream.controller] = LogPosition(stream.incarnation, stream.number)
         changes = [
             (stream.changes_since(stream.incarnation, number), links)
             for number, links in links_by_number.items()
