--- a/orchidferry/mesh/control/order_history.py
+++ b/orchidferry/mesh/control/order_history.py
@@ -1,9 +1,9 @@
-"""The operators' orders that were taken, and what that says of an order that comes now. Pure.
+"""The operators' orders that were committed, and what follows for an order that comes now. Free of I/O.
 
-An order is one configuration under one number, on top of one version. Each that was taken was built on the
-one taken before it, so a list of numbers and digests tells of every order above its oldest entry whether it
-was taken. Numbers only rise: what was taken stays taken, and an order that another one was taken in place of
-never will be. Below its oldest entry a list can't tell, and must not guess.
+An order is one configuration under one number, on top of one version. Each order that was committed builds on
+the one committed before it, so a list of numbers and digests tells of every order above its oldest entry
+whether it was committed. Numbers only rise: a committed order stays committed, and an order in whose place
+another one was committed never will be. Of an order below its oldest entry a list can't tell.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_ORDERS = 16_384  # that a replica remembers, some megabytes
+MAX_ORDERS = 16_384  # that a replica keeps, some megabytes
 MAX_NUMBER = 2**53 - 1  # of a configuration; the largest that all readers of JSON agree on
 
 CommittedOrders = tuple[tuple[int, bytes], ...]  # number and digest of each order, the newest last
 
 
 class Verdict(Enum):
-    """What is to become of an order. All but `NEW` and `NOT_YET` stay true for ever."""
+    """What is to become of an order. All verdicts but `NEW` and `NOT_YET` stay true for ever."""
 
     NEW = "it may be taken now"
     COMMITTED = "it was taken"
@@ -31,13 +31,16 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing that comes later changes it, so that any decided state may tell it."""
+        """Whether no later state changes it, so that it follows from any decided state."""
         return self in (Verdict.COMMITTED, Verdict.OTHER_VERSION, Verdict.OLD_VERSION)
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An order that was taken. `base`: the version it builds on; -1 where that is not known."""
+    """An order that was committed.
+
+    :param base: the version that it builds on; -1 where that is not known.
+    """
 
     digest: bytes
     base: int
@@ -45,27 +48,39 @@
 
 @dataclass
 class OrderHistory:
-    """The newest orders that were taken, without a gap from `floor` on."""
+    """The newest orders that were committed, without a gap from `floor` on.
+
+    :param floor: the number of the oldest order that is known; 0 if all are known.
+    :param numbers: of the orders, ascending.
+    :param entries: the orders, by number.
+    :param unsaved: numbers of orders that may not be on disk.
+    :param outdated: numbers of orders that are on disk, and no longer needed.
+    """
 
     max_orders: int = MAX_ORDERS
-    floor: int = 0  # of orders up to this number it can't tell; 0: it knows them all
-    numbers: deque[int] = field(default_factory=deque)  # rising
+    floor: int = 0
+    numbers: deque[int] = field(default_factory=deque)
     entries: dict[int, Entry] = field(default_factory=dict)
-    unsaved: set[int] = field(default_factory=set)  # not surely on disk
-    outdated: list[int] = field(default_factory=list)  # on disk, and no longer needed
+    unsaved: set[int] = field(default_factory=set)
+    outdated: list[int] = field(default_factory=list)
 
     @property
     def newest(self) -> int:
-        """The number of the newest order."""
+        """The number of the newest order; 0 for none."""
         return self.numbers[-1] if self.numbers else 0
 
     @property
     def is_complete(self) -> bool:
-        """Whether there is nothing older to be learned, or no room for it."""
+        """Whether there are no older orders to be learned, or no room for them."""
         return self.floor == 0 or len(self.numbers) >= self.max_orders
 
     def verdict(self, number: int, digest: bytes, base: int, current: int) -> Verdict:
-        """What is to become of an order while `current` is the newest version."""
+        """Tell what is to become of an order.
+
+        :param number: of the order.
+        :param base: the version that the order builds on.
+        :param current: the newest version.
+        """
         if number <= base:
             return Verdict.OLD_VERSION
         if number > current:
@@ -76,32 +91,37 @@
             return Verdict.UNKNOWN
         return Verdict.COMMITTED if self.entries.get(number) == Entry(digest, base) else Verdict.OTHER_VERSION
 
-    def merge(self, taken: CommittedOrders, complete: bool) -> None:
-        """Learn the list of a decided state; `complete`: it begins with the first order of all."""
-        if self._contradicted_by(taken):  # a group that was begun anew, from an older snapshot
+    def merge(self, orders: CommittedOrders, complete: bool) -> None:
+        """Learn the list of a decided state.
+
+        :param complete: whether the list begins with the first order of all.
+        """
+        if self._contradicted_by(orders):  # a group that was begun anew, from an older snapshot
             self._forget()
         known = self.newest
-        if not taken or taken[-1][0] <= known:
+        if not orders or orders[-1][0] <= known:
             return
-        numbers = [number for number, _ in taken]
-        if known and known not in numbers:  # it missed more than the list holds
+        numbers = [number for number, _ in orders]
+        if known and known not in numbers:  # it has missed more than the list holds
             self._forget()
         if not self.numbers and not complete:
             self.floor = numbers[0]
-        for number, digest in taken:
+        for number, digest in orders:
             if number > self.newest:
                 base = self.newest if self.numbers or not self.floor else -1
                 self._append(number, Entry(digest, base))
 
-    def _contradicted_by(self, taken: CommittedOrders) -> bool:
-        inside = [(number, digest) for number, digest in taken if self.floor <= number <= self.newest]
+    def _contradicted_by(self, orders: CommittedOrders) -> bool:
+        inside = [(number, digest) for number, digest in orders if self.floor <= number <= self.newest]
         return any(
             number not in self.entries or self.entries[number].digest != digest for number, digest in inside
         )
 
     def prepend(self, older: CommittedOrders, complete: bool) -> None:
-        """Learn orders that come right before the floor, from another replica; the last one is the floor's
-        own.
+        """Learn orders that come right before the floor, from another replica.
+
+        :param older: the last one is the floor's own.
+        :param complete: whether they begin with the first order of all.
         """
         if self.is_complete or not older or older[-1] != (self.floor, self.entries[self.floor].digest):
             return
@@ -119,24 +139,25 @@
         if complete:
             self.floor = 0
 
-    def before(self, floor: int, digest: bytes, most: int) -> tuple[CommittedOrders, bool] | None:
-        """What another replica, whose oldest order this is, may learn from this one: orders up to it, and
-        whether the first of all is among them. None where it has none.
+    def older_than(self, floor: int, digest: bytes, max_orders: int) -> tuple[CommittedOrders, bool] | None:
+        """List the orders that another replica can learn from this one.
+
+        :param floor: the number of the oldest order that the other knows.
+        :param digest: of that order.
+        :returns: orders up to that one, and whether the first of all is among them; None if there are none.
         """
         entry = self.entries.get(floor)
         if entry is None or entry.digest != digest or entry.base < 0:
             return None
         rows = [(floor, digest)]
-        while len(rows) <= most and entry.base in self.entries:
+        while len(rows) <= max_orders and entry.base in self.entries:
             number = entry.base
             entry = self.entries[number]
             rows.append((number, entry.digest))
         return tuple(reversed(rows)), entry.base == 0
 
-    # On disk
-
     def load(self, rows: Iterable[tuple[int, Entry]]) -> None:
-        """What its own disk holds, before anything else; what hangs together with the newest is believed."""
+        """Load the orders on disk, before any other call: those that form one history with the newest."""
         found = dict(rows)
         number = max(found, default=0)
         while number in found and len(self.numbers) < self.max_orders:
@@ -150,12 +171,10 @@
             self.entries[self.floor] = Entry(digest, -1)
         self.outdated = sorted(found)
 
-    def saved(self, numbers: Iterable[int]) -> None:
-        """These are on disk."""
+    def mark_saved(self, numbers: Iterable[int]) -> None:
+        """Orders are on disk."""
         self.unsaved.difference_update(numbers)
 
-    # Its ends
-
     def _append(self, number: int, entry: Entry) -> None:
         self.numbers.append(number)
         self.entries[number] = entry
--- a/orchidferry/mesh/control/order_records.py
+++ b/orchidferry/mesh/control/order_records.py
@@ -1,6 +1,7 @@
-"""Orders that were taken, as records of a controller's store: one small record an order, in `about`.
+"""Committed orders as records of a controller's store: one small record for each order, in `about`.
 
-A record names the order before it, so that those which hang together can be told from what a loss left over.
+A record names the order on which its order builds, so that those which form one history can be told from what
+a loss has left over.
 """
 
 from __future__ import annotations
@@ -15,7 +16,11 @@
 
 
 def record(shard: int, number: int, entry: Entry | None) -> RecordWrite:
-    """What puts an order on disk, or takes it away (None)."""
+    """Return what puts an order on disk.
+
+    :param number: of the order.
+    :param entry: the order; None to delete its record.
+    """
     key = PREFIX + f"{shard}/{number:016d}".encode()
     if entry is None:
         return "about", key, None
@@ -23,7 +28,11 @@
 
 
 def orders_of(shard: int, rows: Iterable[tuple[bytes, bytes]]) -> list[tuple[int, Entry]]:
-    """The orders among the records of `about`."""
+    """Read the orders of a shard.
+
+    :param rows: all records of `about`.
+    :returns: the orders with their numbers.
+    """
     prefix = PREFIX + f"{shard}/".encode()
     return [(int(key[len(prefix) :]), _entry(value)) for key, value in rows if key.startswith(prefix)]
 
--- a/orchidferry/mesh/control/order_requests.py
+++ b/orchidferry/mesh/control/order_requests.py
@@ -48,7 +48,7 @@
     def end_settled(self) -> None:
         """End the orders whose outcome a newly learned state settles for ever."""
         state = self.register.known
-        for name, why in self.book.settled(shard_state.body(state)):
+        for name, why in self.book.settled_orders(shard_state.body(state)):
             self.register.proposer.withdraw(name)
             self.register.end_proposal(name, state, why)
 
@@ -56,7 +56,7 @@
         """Ask another replica for orders older than this one knows."""
         now = self.context.now
         alive = [name for name in self.register.other_controllers() if self.context.peers.alive(name, now)]
-        name = self.book.to_ask(alive, now)
+        name = self.book.next_source(alive, now)
         if name is not None:
             self.context.send(name, self.book.older_request())
 
@@ -65,7 +65,7 @@
 
         :param sender_link: takes the answer.
         """
-        page = self.book.page(request)
+        page = self.book.older_orders(request)
         if page is not None:
             self.context.reply(sender_link, page)
 
@@ -74,8 +74,8 @@
 
         :param sender_link: takes the next request.
         """
-        if self.book.take_page(page):
-            order_numbers, puts = self.book.puts()
+        if self.book.add_older(page):
+            order_numbers, puts = self.book.take_unsaved()
             self.context.write(puts, OrdersSaved(order_numbers))
             if not self.book.history.is_complete:
                 self.context.reply(sender_link, self.book.older_request())
--- a/orchidferry/mesh/control/register_messages.py
+++ b/orchidferry/mesh/control/register_messages.py
@@ -1,4 +1,4 @@
-"""The messages between a shard's voters as they travel, and back. Pure."""
+"""Conversion of the register's messages to their wire form and back. Free of I/O."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def pack_voter(voter: Voter) -> PackedVoter:
-    """A voter as it travels."""
+    """Return the wire form of a voter."""
     return voter.name, voter.disk_id
 
 
 def pack_message(message: Message) -> RegisterBody:
-    """A message between voters as it travels, with its whole state."""
+    """Return the wire form of a message, with its complete state."""
     match message:
         case Prepare():
             return RegisterPrepare(message.ballot, message.intent, message.known_ballot)
@@ -40,7 +40,10 @@
 
 
 def unpack_message(body: RegisterBody) -> Message:
-    """The message that travelled; `ValueError` for one without its state."""
+    """Return the message of a wire form.
+
+    :raises ValueError: for an `Accept` without a state.
+    """
     match body:
         case RegisterPrepare():
             return Prepare(body.ballot, body.intent, body.known_ballot)
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -189,7 +189,7 @@
     def vote_saved(self, completion: VoteSaved) -> None:
         """A vote is on disk: its replies leave."""
         self.vote_on_disk = self.vote_on_disk or completion.state is self.acceptor.state
-        self.orders.history.saved(completion.order_numbers)
+        self.orders.history.mark_saved(completion.order_numbers)
         for reply in completion.replies:
             self._send_vote(completion.reply_to, reply)
 
@@ -215,7 +215,7 @@
             return
         self.vote_on_disk = False
         state = self.acceptor.state
-        order_numbers, puts = self.orders.puts()
+        order_numbers, puts = self.orders.take_unsaved()
         puts.append(self.context.metadata("kept", pack(shard_state_codec.pack_acceptor_state(state))))
         self.context.write(puts, VoteSaved(sender_link, state, replies, order_numbers))
 
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -262,7 +262,7 @@
             case VoteSaved() if ok:
                 self.register.vote_saved(completion)
             case OrdersSaved(order_numbers) if ok:
-                self.orders.history.saved(order_numbers)
+                self.orders.history.mark_saved(order_numbers)
             case RemovalSaved() if ok:
                 self.standing = Standing(False)
                 self.abstains_s = self.context.now
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -1,11 +1,10 @@
-"""The shards that the state is cut into, each with a group of controllers: what may become of one, how it
-travels.
-
-Shard 0 holds the configuration, the others operation keys, by a hash of the key; what is kept for a service
-goes by a hash of its name. The state of each is the body of a `register.Value` (a register that a majority
-agrees on, no log): the epoch of the group, which rises with every change of its voters, who owns the duties
-of the shard, under a fence that rises with every owner and every change of voters, and in shard 0 the newest
-configuration. Everything here is pure; changes are data, so that a world that holds them can be copied.
+"""The shards into which the control state is divided, and the changes that can be made to the state of one.
+
+Shard 0 holds the configuration, the others hold operation keys, by a hash of the key; what is kept for a
+service goes by a hash of its name. The state of a shard is the body of a `register.Value`, a register that a
+majority agrees on, without a log: the epoch of the group, which rises with every change of its voters; the
+owner of the shard, under a fencing token that rises with every owner and every change of voters; and in
+shard 0 the newest configuration. Nothing here does I/O; changes are data, so that they can be copied.
 """
 
 from __future__ import annotations
@@ -17,10 +16,10 @@
 from orchidferry.balancing.register import Value, Voter
 from orchidferry.mesh.control.order_history import CommittedOrders, OrderHistory, Verdict
 
-# Orders that each state lists. A list as long as this may be cut: a build with a larger number has to tell
-# by other means which lists are whole.
+# Orders that each state lists. A list as long as this may be truncated: a build with a larger number has to
+# find out by other means which lists are complete.
 MAX_LISTED_ORDERS = 64
-GENESIS = 1  # memory of a founder at the very first start
+GENESIS = 1  # the disk id of a founder at the very first start
 
 CONFIGURATION = 0  # the shard that holds the configuration
 KEY_SHARDS = (1, 2, 3)
@@ -36,19 +35,19 @@
 
 
 def shard_of(name: str) -> int:
-    """The shard of an operation key, or of a service by its name.
+    """Find the shard of an operation key, or of a service by its name.
 
-    A key goes by itself, not by its service: a route may be split or moved while its keys live on.
+    A key is hashed by itself, not by its service: a route may be split or moved while its keys live on.
 
     >>> {shard_of(f"k{n}") for n in range(40)} == set(KEY_SHARDS)
     True
     """
-    mark = hashlib.blake2b(name.encode("utf-8", "surrogateescape"), digest_size=8).digest()
-    return KEY_SHARDS[int.from_bytes(mark, "big") % len(KEY_SHARDS)]
+    digest = hashlib.blake2b(name.encode("utf-8", "surrogateescape"), digest_size=8).digest()
+    return KEY_SHARDS[int.from_bytes(digest, "big") % len(KEY_SHARDS)]
 
 
 def rank_controllers(shard: int, names: list[str]) -> list[str]:
-    """Who comes first as the owner of a shard: duties spread over the controllers.
+    """Rank controllers as owners of a shard: by hash, so that ownership spreads over the controllers.
 
     >>> sorted(rank_controllers(1, ["a", "b", "c"]))
     ['a', 'b', 'c']
@@ -58,26 +57,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Body:
-    """The state of the shard."""
+    """The state of a shard.
+
+    :param epoch: of the group; rises with each change of its voters.
+    :param revision: of the configuration.
+    :param compressed_text: of the configuration, as `configuration_text` compresses it.
+    :param orders: the newest committed orders, `MAX_LISTED_ORDERS` at most.
+    :param owner: the controller that does the singleton roles of the shard; "" for none.
+    :param fencing_token: of the owner; rises with each owner, and with each change of voters.
+    """
 
     epoch: int = 0
     revision: int = 0
-    compressed_text: bytes = b""  # the text, as `configuration_text` keeps it
-    orders: CommittedOrders = ()  # the newest orders, `MAX_LISTED_ORDERS` at most
-    owner: str = ""  # the controller that does the duties of the shard
-    fencing_token: int = 0  # of that owner; rises with each, and with each change of voters
+    compressed_text: bytes = b""
+    orders: CommittedOrders = ()
+    owner: str = ""
+    fencing_token: int = 0
 
 
 Change = Callable[[Value], "Value | str"]
 
 
 def genesis(seeds: tuple[str, ...]) -> Value:
-    """The state that all begin with at the very first start."""
+    """Return the state that all founders begin with at the very first start."""
     return Value(0, tuple(Voter(name, GENESIS) for name in sorted(seeds)), Body())
 
 
 def body(value: Value) -> Body:
-    """The state in a value."""
+    """Return the state in a value of the register."""
     found = value.body
     assert isinstance(found, Body)
     return found
@@ -85,7 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """Take a configuration on top of version `on`; done already where that very order was taken."""
+    """An order: commit a configuration on top of a version, unless that very order was committed before.
+
+    :param compressed_text: of the configuration.
+    :param revision: of the configuration; the number of the order.
+    :param digest: of the text.
+    :param on: the version on top of which it is committed.
+    """
 
     compressed_text: bytes
     revision: int
@@ -107,7 +120,10 @@
         )
 
     def verdict(self, history: OrderHistory, current: int) -> Verdict:
-        """What is to become of the order while `current` is the newest version."""
+        """Tell what is to become of the order.
+
+        :param current: the newest version.
+        """
         return history.verdict(self.revision, self.digest, self.on, max(current, history.newest))
 
 
@@ -120,25 +136,30 @@
 
 
 def lists_all_orders(state: Body) -> bool:
-    """Whether a state lists all orders that were ever taken."""
+    """Whether a state lists all orders that were ever committed."""
     return len(state.orders) < MAX_LISTED_ORDERS
 
 
 def no_change(before: Value) -> Value | str:
-    """Change nothing: the round itself makes sure that what is told is the newest."""
+    """Change nothing: the round itself makes sure that its outcome is the newest state."""
     return before
 
 
 @dataclass(frozen=True, slots=True)
 class AdmitVoter:
-    """Take a controller into the group, in the place of another name, or of an older memory of its own, if
-    `epoch` is still the group's: a controller asks on top of the last group that it knows, so that it can't
-    come back into one without having noticed that it was put out.
+    """Admit a controller to the group, where it replaces another, or itself with an older disk.
+
+    A controller asks on top of the last group that it knows, so that it can't come back into a group without
+    having noticed that it was removed.
+
+    :param instead_of: the name of the voter that it replaces; "" for none.
+    :param max_voters: voters that the group may have.
+    :param epoch: the change is refused in any other epoch.
     """
 
     joiner: Voter
     instead_of: str
-    most: int
+    max_voters: int
     epoch: int
 
     def __call__(self, before: Value) -> Value | str:
@@ -147,23 +168,27 @@
             return before
         if body(before).epoch != self.epoch:
             return OTHER_GROUP
-        gone = joiner.name if any(v.name == joiner.name for v in before.voters) else self.instead_of
-        kept = tuple(v for v in before.voters if v.name != gone)
-        if len(kept) == len(before.voters) and len(kept) >= self.most:
+        replaced = joiner.name if any(v.name == joiner.name for v in before.voters) else self.instead_of
+        remaining = tuple(v for v in before.voters if v.name != replaced)
+        if len(remaining) == len(before.voters) and len(remaining) >= self.max_voters:
             return NO_PLACE
         old = body(before)
         after = replace(old, epoch=old.epoch + 1, fencing_token=old.fencing_token + 1)
-        return replace(_next(before, after), voters=(*kept, joiner))
+        return replace(_next(before, after), voters=(*remaining, joiner))
 
 
 def end_voter_change(before: Value) -> Value | str:
-    """Be done with a change of voters: on the next version the ones before it count no more."""
+    """End a change of voters: from the next version on, the voters before it do not count any more."""
     return _next(before, body(before)) if before.former_voters else before
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOwnership:
-    """Give the duties of the shard to a controller, under the next fence, if `fence` is still the owner's."""
+    """Make a controller the owner of the shard, under the next fencing token.
+
+    :param name: of the controller.
+    :param fencing_token: the change is refused if the shard's token is another one.
+    """
 
     name: str
     fencing_token: int
--- a/orchidferry/mesh/control/value_references.py
+++ b/orchidferry/mesh/control/value_references.py
@@ -1,9 +1,10 @@
-"""States that a message names by their ballot, because the receiver has them.
+"""States that a message names by their ballot, because the receiver has them. Free of I/O.
 
-One ballot proposes one state, so whoever has accepted a ballot has its state. A proposer says with `Prepare`
-which ballot it has accepted itself, and gets no copy of that state; an `Accept` to a voter that promised with
-some state carries what differs from it; whoever was asked to accept a ballot is told of its decision by the
-ballot alone. What can't be resolved is never taken for "no state": it is dropped, as if it were lost. Pure.
+One ballot proposes one state, so a replica that has accepted a ballot has its state. A proposer says with
+`Prepare` which ballot it has accepted itself, and gets no copy of that state; an `Accept` to a voter that
+promised with some state carries the difference to it; a replica that was asked to accept a ballot is notified
+of its decision by the ballot alone. What can't be resolved is never taken for "no state": it is dropped, as
+if it were lost.
 """
 
 from __future__ import annotations
@@ -29,33 +30,44 @@
 
 @dataclass(slots=True)
 class ValueReferences:
-    """What one replica may refer to in the round that it proposes."""
+    """What one replica may refer to in the round that it proposes.
 
-    ballot: Ballot = NO_BALLOT  # of the round
-    accepted: Ballot = NO_BALLOT  # that this replica had accepted when the round began, and its state
+    :param ballot: of the round.
+    :param accepted: the ballot that this replica had accepted when the round began.
+    :param value: the state of that ballot.
+    :param promised: by voter: the ballot that it had accepted as it promised, and its state.
+    :param asked: voters that were sent an `Accept`.
+    """
+
+    ballot: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: Value | None = None
-    held: dict[str, tuple[Ballot, Value]] = field(default_factory=dict)  # by voter: what it promised with
-    asked: set[str] = field(default_factory=set)  # voters that were sent an accept
+    promised: dict[str, tuple[Ballot, Value]] = field(default_factory=dict)
+    asked: set[str] = field(default_factory=set)
+
+    def pack(self, to: str, message: Message, state: AcceptorState) -> RegisterBody:
+        """Pack a message of the register.
 
-    def pack(self, to: str, message: Message, kept: AcceptorState) -> RegisterBody:
-        """A message of the register as it goes out; `kept`: what this replica has accepted."""
+        :param to: the name of the receiver.
+        :param state: what this replica has accepted.
+        """
         if isinstance(message, Prepare):
             if message.ballot != self.ballot:
                 self.ballot = message.ballot
-                self.accepted = kept.accepted
-                self.value = kept.value
-                self.held = {}
+                self.accepted = state.accepted
+                self.value = state.value
+                self.promised = {}
                 self.asked = set()
             message = replace(message, known_ballot=self.accepted)
         elif isinstance(message, Accept) and message.ballot == self.ballot:
             self.asked.add(to)
-            if to in self.held:
-                base, value = self.held[to]
+            if to in self.promised:
+                base, value = self.promised[to]
                 return RegisterAccept(message.ballot, pack_value(message.value, value), base)
         return pack_message(message)
 
     def resolve(self, sender: str, promise: Promise) -> Promise | None:
-        """A promise with its state; None if it is named and not known here."""
+        """Complete a promise with its state; None if the state is named and not known here."""
         if promise.ballot != self.ballot or promise.accepted == NO_BALLOT:
             return promise
         value = promise.value
@@ -63,26 +75,33 @@
             value = self.value
         if value is None:
             return None
-        self.held[sender] = (promise.accepted, value)
+        self.promised[sender] = (promise.accepted, value)
         return replace(promise, value=value)
 
     def knows_ballot(self, name: str, ballot: Ballot) -> bool:
-        """Whether a voter was asked to accept this ballot, in this replica's newest round."""
+        """Whether a voter was asked to accept a ballot, in this replica's newest round."""
         return ballot == self.ballot and name in self.asked
 
 
-def unpack(body: RegisterBody, kept: AcceptorState) -> Message | None:
-    """A message that came; None for one that builds on a state which this voter has not accepted."""
+def unpack(body: RegisterBody, state: AcceptorState) -> Message | None:
+    """Unpack a message of the register.
+
+    :param state: what this voter has accepted.
+    :returns: None for a message that builds on a state which this voter has not accepted.
+    """
     if not isinstance(body, RegisterAccept) or body.base is None:
         return unpack_message(body)
-    if body.ballot == kept.accepted and kept.value is not None:  # sent again
-        return Accept(kept.accepted, kept.value)
-    if body.base != kept.accepted:
+    if body.ballot == state.accepted and state.value is not None:  # sent again
+        return Accept(state.accepted, state.value)
+    if body.base != state.accepted:
         return None
-    value = unpack_value(body.state, kept.value)
+    value = unpack_value(body.state, state.value)
     return Accept(body.ballot, value) if value is not None else None
 
 
-def refusal(body: RegisterBody, voter: Voter, kept: AcceptorState) -> Accepted | None:
-    """The answer to an accept that can't be resolved, where its ballot would be refused anyway."""
-    return Accepted(body.ballot, voter, kept.promised) if body.ballot < kept.promised else None
+def refusal(body: RegisterBody, voter: Voter, state: AcceptorState) -> Accepted | None:
+    """Refuse an `Accept` that can't be resolved, if its ballot would be refused anyway.
+
+    :returns: the refusal; None if the message has to be dropped.
+    """
+    return Accepted(body.ballot, voter, state.promised) if body.ballot < state.promised else None
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -377,7 +377,7 @@
         "a replica that forgot asks nobody", "wiped-replica", (OrderRequests, "ask_for_older", _never)
     ),
     "not-saved": deliberate_break(
-        "orders are not put on disk", "all-killed", (OrderBook, "puts", _nothing_saved)
+        "orders are not put on disk", "all-killed", (OrderBook, "take_unsaved", _nothing_saved)
     ),
     "told-early": deliberate_break(
         "an order counts as taken once its replica has accepted it",
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/test_one_number.py
@@ -83,7 +83,7 @@
         puts = [record(0, n, history.entries[n]) for n in history.unsaved]
         puts += [record(0, n, None) for n in history.outdated if n not in history.entries]
         history.outdated.clear()
-        history.saved(list(history.unsaved))
+        history.mark_saved(list(history.unsaved))
         for _, key, value in puts:
             self.disk.pop(key, None)
             if value is not None:
@@ -98,7 +98,7 @@
     def ask(self, other: Kept) -> None:
         floor = self.history.floor
         if floor and not self.history.is_complete:
-            found = other.history.before(floor, self.history.entries[floor].digest, 3)
+            found = other.history.older_than(floor, self.history.entries[floor].digest, 3)
             if found is not None:
                 self.history.prepend(*found)
 
@@ -168,7 +168,7 @@
     wiped.merge(tuple(chain.orders[-LISTED:]), orders < LISTED)
     for _ in range(orders):
         if wiped.floor:
-            found = kept.before(wiped.floor, wiped.entries[wiped.floor].digest, page)
+            found = kept.older_than(wiped.floor, wiped.entries[wiped.floor].digest, page)
             assert found is not None and len(found[0]) <= page + 1
             wiped.prepend(*found)
     assert (wiped.floor, wiped.entries) == (0, kept.entries)
@@ -321,7 +321,7 @@
     assert list(history.numbers) == [4, 5, 6, 7, 8] and history.floor == 4 and history.outdated == [1, 2, 3]
     assert history.verdict(4, b"", 3, 8) is Verdict.UNKNOWN
     assert history.verdict(5, b"", 4, 8) is Verdict.COMMITTED
-    assert history.entries[4] == Entry(b"", -1) and order_book.PAGE < order_history.MAX_ORDERS
+    assert history.entries[4] == Entry(b"", -1) and order_book.PAGE_ORDERS < order_history.MAX_ORDERS
 
 
 def test_a_group_that_was_begun_anew_is_believed_and_not_the_disk() -> None:
