--- a/orchidferry/mesh/control/configuration.py
+++ b/orchidferry/mesh/control/configuration.py
@@ -24,14 +24,14 @@
 class Route:
     """Where requests of a host and a path go, and how they are treated.
 
-    :ivar id: the operator's name of the route.
-    :ivar prefix: of the path; it begins and ends with a slash.
-    :ivar kind: one of `configuration_schema.ROUTE_KINDS`.
-    :ivar latency_target_ms: an answer within this has its full value.
-    :ivar precedence: 0 is the highest.
-    :ivar guard_timer_ms: the longest that a request may take.
-    :ivar max_attempts: of one request.
-    :ivar split: services, and the weight of each in the split of the requests.
+    :param id: the operator's name of the route.
+    :param prefix: of the path; it begins and ends with a slash.
+    :param kind: one of `configuration_schema.ROUTE_KINDS`.
+    :param latency_target_ms: an answer within this has its full value.
+    :param precedence: 0 is the highest.
+    :param guard_timer_ms: the longest that a request may take.
+    :param max_attempts: of one request.
+    :param split: services, and the weight of each in the split of the requests.
     """
 
     id: str
@@ -54,8 +54,8 @@
 class Service:
     """What the operator has configured of a service.
 
-    :ivar max_connections: to one server, from all nodes.
-    :ivar deduplicates: whether its servers recognise a key that they have run before.
+    :param max_connections: to one server, from all nodes.
+    :param deduplicates: whether its servers recognise a key that they have run before.
     """
 
     name: str
@@ -68,8 +68,8 @@
 class Configuration:
     """One revision of the configuration.
 
-    :ivar services: by name.
-    :ivar limits: by the name of the limit.
+    :param services: by name.
+    :param limits: by the name of the limit.
     """
 
     revision: int
--- a/orchidferry/mesh/control/configuration_fetcher.py
+++ b/orchidferry/mesh/control/configuration_fetcher.py
@@ -28,7 +28,7 @@
 class PendingFetch:
     """A request that has not been answered.
 
-    :ivar is_read: whether it reads the newest revision's number; else it fetches a text.
+    :param is_read: whether it reads the newest revision's number; else it fetches a text.
     """
 
     link: Link
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -45,7 +45,7 @@
 class ValidConfiguration:
     """A configuration that was found valid.
 
-    :ivar compressed_text: as the state holds it.
+    :param compressed_text: as the state holds it.
     """
 
     revision: int
--- a/orchidferry/mesh/control/controller_connection.py
+++ b/orchidferry/mesh/control/controller_connection.py
@@ -15,8 +15,8 @@
 class RecordVersion(NamedTuple):
     """Which record of a node a controller has.
 
-    :ivar boot: of the node's process.
-    :ivar number: of the record.
+    :param boot: of the node's process.
+    :param number: of the record.
     """
 
     boot: int
@@ -30,11 +30,11 @@
 class ControllerConnection:
     """One controller, as a node knows it.
 
-    :ivar link: None while there is none.
-    :ivar warmed_up: whether all live nodes have had the time to reconnect to it.
-    :ivar record_version: of the node's record that it has.
-    :ivar contact_s: when it was surely in contact with a majority of controllers, by its own report.
-    :ivar reported_s: when that report came.
+    :param link: None while there is none.
+    :param warmed_up: whether all live nodes have had the time to reconnect to it.
+    :param record_version: of the node's record that it has.
+    :param contact_s: when it was surely in contact with a majority of controllers, by its own report.
+    :param reported_s: when that report came.
     """
 
     name: str
--- a/orchidferry/mesh/control/endpoints.py
+++ b/orchidferry/mesh/control/endpoints.py
@@ -48,7 +48,7 @@
 class NodeIdentity:
     """One process of a node, and where it runs.
 
-    :ivar boot: the number drawn at the start of the process.
+    :param boot: the number drawn at the start of the process.
     """
 
     name: str
@@ -66,8 +66,8 @@
 class MembershipTable:
     """The members that one controller knows, each while its lease lasts.
 
-    :ivar lease_s: how long a lease lasts.
-    :ivar leases: by node name.
+    :param lease_s: how long a lease lasts.
+    :param leases: by node name.
     """
 
     lease_s: float = LEASE_S
--- a/orchidferry/mesh/control/shard_parameters.py
+++ b/orchidferry/mesh/control/shard_parameters.py
@@ -11,12 +11,12 @@
 class ShardParameters:
     """Parameters of a `Shard`, the same for as long as its process runs.
 
-    :ivar number: of the shard.
-    :ivar name: of the controller.
-    :ivar genesis: the state that all founders begin with.
-    :ivar group_size: how many voters the group should have.
-    :ivar key_window_s: how long operation keys are kept at least, in seconds.
-    :ivar max_keys: how many operation keys the shard may hold.
+    :param number: of the shard.
+    :param name: of the controller.
+    :param genesis: the state that all founders begin with.
+    :param group_size: how many voters the group should have.
+    :param key_window_s: how long operation keys are kept at least, in seconds.
+    :param max_keys: how many operation keys the shard may hold.
     """
 
     number: int
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -53,8 +53,8 @@
 class Parent:
     """A node that this one follows, or asks to.
 
-    :ivar answer_due_s: when it must have answered; infinite if nothing is asked of it.
-    :ivar gaps: how many times in a row updates had to be requested from the controllers.
+    :param answer_due_s: when it must have answered; infinite if nothing is asked of it.
+    :param gaps: how many times in a row updates had to be requested from the controllers.
     """
 
     record: NodeRecord
--- a/orchidferry/mesh/control/traffic_counter.py
+++ b/orchidferry/mesh/control/traffic_counter.py
@@ -9,7 +9,7 @@
 class TrafficCounter:
     """Messages and bytes sent since the start.
 
-    :ivar sent: messages and bytes, by kind and by whether the receiver is in the sender's zone.
+    :param sent: messages and bytes, by kind and by whether the receiver is in the sender's zone.
     """
 
     sent: dict[tuple[str, bool], list[int]] = field(default_factory=dict)
