--- a/orchidferry/testkit/model/stored_controller.py
+++ b/orchidferry/testkit/model/stored_controller.py
@@ -1,4 +1,4 @@
-"""A controller's process in virtual time whose disk is the shipping store, in a folder."""
+"""A controller in virtual time whose disk is the real store, in a directory."""
 
 from __future__ import annotations
 
@@ -15,66 +15,74 @@
 from orchidferry.mesh.storage.store import Store
 from orchidferry.testkit.explore.controller import Controller
 
-WAIT_S = 10.0  # of real time, for the store's thread
+STORE_TIMEOUT_S = 10.0  # of real time, for the store's thread
 
 
 class StoreLoop:
-    """As much of a loop as the store asks for; its clock stands still."""
+    """As much of an event loop as the store needs; its clock stands still."""
 
     def __init__(self) -> None:
         self._calls: queue.SimpleQueue[Callable[[], object]] = queue.SimpleQueue()
 
     def time(self) -> float:
-        """Now."""
+        """Return the time, which never changes."""
         return 0.0
 
     def call_soon(self, call: Callable[..., object], *args: Any) -> None:
-        """Have something called by `step`."""
+        """Queue a call for `step`."""
         self._calls.put(lambda: call(*args))
 
     call_soon_threadsafe = call_soon
 
     def call_later(self, delay_s: float, call: Callable[..., object], *args: Any) -> Any:
-        """Timers never run out here."""
+        """Return a timer that never fires."""
         return self
 
     def cancel(self) -> None:
-        """A timer's end."""
+        """Cancel a timer: it does nothing here."""
 
     def step(self) -> None:
-        """Wait for the next call and make it."""
-        self._calls.get(timeout=WAIT_S)()
+        """Wait for the next queued call and run it."""
+        self._calls.get(timeout=STORE_TIMEOUT_S)()
 
 
 class StoredController(Controller):
-    """Writes go to the store at once; a new life looks through the folder as the program does."""
-
-    def __init__(self, folder: Path, *args: Any) -> None:
-        self.folder = folder
+    """A controller that writes to a real store at once, and checks it at each start as the program does.
+
+    :ivar directory: the data directory
+    :ivar opening_s: real time that the last check and opening of the store took
+    """
+
+    def __init__(self, directory: Path, *args: Any) -> None:
+        """
+        :param directory: the data directory
+        :param args: of `Controller`
+        """
+        self.directory = directory
         self._loop: Any = StoreLoop()
         self._store: Store | None = None
-        self.opened_s = 0.0  # real time of the last look through and opening
+        self.opening_s = 0.0
         self._open()
         super().__init__(*args)
 
     def _open(self) -> None:
-        began = time.perf_counter()
-        storage_check.prepare_store(str(self.folder))
-        self._store = Store(str(self.folder), self._loop)
-        self.opened_s = time.perf_counter() - began
+        began_s = time.perf_counter()
+        storage_check.prepare_store(str(self.directory))
+        self._store = Store(str(self.directory), self._loop)
+        self.opening_s = time.perf_counter() - began_s
 
     def write_to_disk(self, puts: list[RecordWrite]) -> None:
-        """Have these in the store, synced."""
+        """Write these records to the store and wait until they are synced."""
         super().write_to_disk(puts)
-        told: list[bool] = []
+        results: list[bool] = []
         assert self._store is not None
-        self._store.write(puts, told.append)
-        while not told:
+        self._store.write(puts, results.append)
+        while not results:
             self._loop.step()
-        assert told == [True]
+        assert results == [True]
 
     def start(self) -> None:
-        """A new life, with what the store has."""
+        """Start a new incarnation with what the store holds."""
         self.close()
         self._open()
         assert self._store is not None
@@ -84,14 +92,14 @@
         super().start()
 
     def wipe(self) -> None:
-        """An empty folder, with a new memory."""
+        """Start over with an empty directory and a new disk id."""
         self.close()
-        shutil.rmtree(self.folder)
+        shutil.rmtree(self.directory)
         self._open()
         super().wipe()
 
     def close(self) -> None:
-        """Let the folder go."""
+        """Close the store."""
         if self._store is not None:
             self._store.close()
             self._store._env.close()
@@ -100,4 +108,4 @@
     @property
     def file_bytes(self) -> int:
         """The size of the store's file."""
-        return (self.folder / STORE_FILE).stat().st_size
+        return (self.directory / STORE_FILE).stat().st_size
--- a/tests/mesh/storage/test_power_loss.py
+++ b/tests/mesh/storage/test_power_loss.py
@@ -1,5 +1,5 @@
-"""A loss of power at each change of names in a controller's folder: what was told as written is there after
-it, or the controller knows that it has forgotten."""
+"""A loss of power at each change of names in a data directory: acknowledged writes are there after it, or the
+controller knows that it has lost its state."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from orchidferry.mesh.storage import store as store_module
 from orchidferry.mesh.storage.record_format import pack
 from orchidferry.mesh.storage.store import Store
-from orchidferry.testkit.model.lost_names import Names, NamesDisk, make
+from orchidferry.testkit.model.power_loss import FileTree, PowerLossDisk, write_tree
 from tests.mesh.storage.fakes import Loop, close
 
 FOUNDERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
 
-class Crashes:
-    """Looks at all that a loss of power may leave, each time as a controller that starts again does."""
+class PowerLossCheck:
+    """Checks all that a loss of power could leave, each time as a controller that starts again does."""
 
     def __init__(self, top: Path, folder: str = "data") -> None:
         self.top = top
         self.folder = folder
-        self.beside = top.parent / "left"
-        self.told: dict[bytes, bytes] = {}  # what was told as written
-        self.may_forget = False
-        self.looks = 0
+        self.restart_directory = top.parent / "left"
+        self.acknowledged: dict[bytes, bytes] = {}  # records that were acknowledged as written
+        self.may_lose_state = False
+        self.check_count = 0
         self.lost: list[str] = []
 
-    def __call__(self, trees: list[Names]) -> None:
+    def __call__(self, trees: list[FileTree]) -> None:
         for tree in trees:
-            self.looks += 1
-            make(tree, self.beside)
-            data = self.beside / self.folder
+            self.check_count += 1
+            write_tree(tree, self.restart_directory)
+            data = self.restart_directory / self.folder
             storage_check.prepare_store(str(data))
             if quarantine.has_lost_state(str(data)):
-                if not self.may_forget:
+                if not self.may_lose_state:
                     self.lost.append(f"set aside in {sorted(tree)}")
-            elif missing := self.told.items() - read_all(data).items():
+            elif missing := self.acknowledged.items() - read_all(data).items():
                 self.lost.append(f"{sorted(missing)} in {sorted(tree)}")
 
 
@@ -58,31 +58,31 @@
     return found
 
 
-def put(store: Store, crashes: Crashes, key: bytes, value: bytes) -> None:
-    """Write a record, with a loss of power right after it was told."""
+def put(store: Store, check: PowerLossCheck, key: bytes, value: bytes) -> None:
+    """Write a record, with a loss of power right after its acknowledgement."""
     told: list[bool] = []
     store.write([("about", key, value)], told.append)
     loop: Any = store._loop
     while not told:
         loop.step()
     assert told == [True]
-    crashes.told[key] = value
+    check.acknowledged[key] = value
 
 
 def test_the_first_writes_of_a_new_store_survive_a_power_loss(tmp_path: Path) -> None:
     top = tmp_path / "disk"
     top.mkdir()
-    crashes = Crashes(top)
-    with NamesDisk(top, crashes) as disk:
+    check = PowerLossCheck(top)
+    with PowerLossDisk(top, check) as disk:
         for n in range(2):  # the second life finds the file as the first one left it
             loop: Any = Loop()
             storage_check.prepare_store(str(top / "data"))
             store = Store(str(top / "data"), loop)
             for key in (b"first", b"second"):
-                put(store, crashes, key, b"promised %d" % n)
-                disk.crash()
+                put(store, check, key, b"promised %d" % n)
+                disk.lose_power()
             close(store)
-    assert not crashes.lost and crashes.looks > 10
+    assert not check.lost and check.check_count > 10
 
 
 @pytest.mark.parametrize("killed", [False, True])
@@ -91,17 +91,17 @@
 ) -> None:
     top = tmp_path / "disk"
     top.mkdir()
-    crashes = Crashes(top)
+    check = PowerLossCheck(top)
     loop = Loop()
     folder = top / "data"
     any_loop = loop
-    with NamesDisk(top, crashes) as disk:
+    with PowerLossDisk(top, check) as disk:
         store = Store(str(folder), any_loop)  # type: ignore[arg-type]
         for n in range(40):
             store.write([("slips", b"k%d" % n, b"x" * 4_000)])
-        put(store, crashes, b"kept/0", b"first")
+        put(store, check, b"kept/0", b"first")
         store.write([("slips", b"k%d" % n, None) for n in range(40)])
-        put(store, crashes, b"kept/0", pack([5, [0, ""], [0, ""], None]))
+        put(store, check, b"kept/0", pack([5, [0, ""], [0, ""], None]))
         close(store)
         monkeypatch.setattr(compaction, "MIN_COMPACT_BYTES", 4_096)
         size = (folder / "data.mdb").stat().st_size
@@ -113,10 +113,10 @@
         storage_check.prepare_store(str(folder))
         assert (folder / "data.mdb").stat().st_size < size
         store = Store(str(folder), any_loop)  # type: ignore[arg-type]
-        put(store, crashes, b"later", b"word")
-        disk.crash()
+        put(store, check, b"later", b"word")
+        disk.lose_power()
         close(store)
-    assert not crashes.lost and crashes.looks > 10
+    assert not check.lost and check.check_count > 10
 
 
 def _end(folder: str) -> None:
@@ -126,19 +126,19 @@
 def test_a_quarantined_store_survives_a_power_loss(tmp_path: Path) -> None:
     top = tmp_path / "disk"
     top.mkdir()
-    crashes = Crashes(top)
+    check = PowerLossCheck(top)
     loop = Loop()
     folder = top / "data"
     any_loop = loop
-    with NamesDisk(top, crashes):
+    with PowerLossDisk(top, check):
         store = Store(str(folder), any_loop)  # type: ignore[arg-type]
-        put(store, crashes, b"kept/0", pack([5, [0, ""], [0, ""], None]))
+        put(store, check, b"kept/0", pack([5, [0, ""], [0, ""], None]))
         close(store)
-        crashes.may_forget = True
+        check.may_lose_state = True
         file = folder / "data.mdb"
         file.write_bytes(b"\xff" * file.stat().st_size)
         storage_check.prepare_store(str(folder))
-    assert quarantine.has_lost_state(str(folder)) and not crashes.lost and crashes.looks > 10
+    assert quarantine.has_lost_state(str(folder)) and not check.lost and check.check_count > 10
 
 
 def test_a_restored_snapshot_survives_a_power_loss(tmp_path: Path) -> None:
@@ -153,12 +153,12 @@
     store.write([("about", b"founders", pack(list(FOUNDERS)))])
     close(store)
     snapshots.take_snapshot(str(old), str(tmp_path / "file"))
-    crashes = Crashes(top)
-    with NamesDisk(top, crashes) as disk:
+    check = PowerLossCheck(top)
+    with PowerLossDisk(top, check) as disk:
         snapshots.restore_snapshot(str(top / "data"), str(tmp_path / "file"), FOUNDERS)
-        crashes.told = {b"founders": pack(sorted(FOUNDERS))}
-        disk.crash()
-    assert not crashes.lost and crashes.looks > 3
+        check.acknowledged = {b"founders": pack(sorted(FOUNDERS))}
+        disk.lose_power()
+    assert not check.lost and check.check_count > 3
 
 
 @pytest.mark.parametrize("broken", ["no-names-synced", "parent-not-synced", "bad-not-synced"])
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -290,7 +290,7 @@
     assert away.file_bytes < 200_000  # of 50 MB that were taken
     group.kill(last)
     group.run(1.0)
-    assert away.opened_s < 2.0 and away.shard.body.revision == 600
+    assert away.opening_s < 2.0 and away.shard.body.revision == 600
     away.close()
 
 
