--- a/orchidferry/testkit/bench/worth.py
+++ b/orchidferry/testkit/bench/worth.py
@@ -12,14 +12,14 @@
 
 from orchidferry.testkit.bench.kit import played
 from orchidferry.testkit.judge.verdict_json import as_json
-from orchidferry.testkit.scenario import ChainSide, Scenario, load_scenario
+from orchidferry.testkit.scenario import ChainSettings, Scenario, load_scenario, override
 
 VARIANTS = {
-    "off, worth known below": ChainSide(on=False),
-    "off, worth not known": ChainSide(on=False, knows=False),
-    "on, nothing shed below": ChainSide(on=True, knows=False, shed=False),
-    "on, shed, not carried": ChainSide(on=True, knows=False, passes=False),
-    "on, shed, worth carried": ChainSide(on=True, knows=False),
+    "off, worth known below": ChainSettings(on=False),
+    "off, worth not known": ChainSettings(on=False, knows=False),
+    "on, nothing shed below": ChainSettings(on=True, knows=False, shed=False),
+    "on, shed, not carried": ChainSettings(on=True, knows=False, passes=False),
+    "on, shed, worth carried": ChainSettings(on=True, knows=False),
 }
 
 
@@ -55,7 +55,7 @@
     rows: list[dict[str, Any]] = [{"what": "best", "service": most, "classes": shares}]
     for seed in range(1, args.runs + 1):
         for name, side in VARIANTS.items():
-            scenario = replace(base.altered(seed, None), chain=side)
+            scenario = replace(override(base, seed), chain=side)
             _, verdict = played(scenario)
             found = as_json(verdict)
             classes = {cls: row["service"] for cls, row in found["classes"].items()}
--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -26,14 +26,15 @@
 from orchidferry.testkit.record import Lag, Wanted
 from orchidferry.testkit.report import terminal
 from orchidferry.testkit.scenario import (
-    FAULTS,
+    FAULT_TYPES,
     MAX_SECONDS,
-    FleetSide,
+    FleetSettings,
     Scenario,
     ScenarioError,
     Tier,
     Traffic,
     load_scenario,
+    override,
     read_traffic,
     shipped,
 )
@@ -137,10 +138,10 @@
         raise UsageError(f"--seconds {args.seconds:g}: not within {MIN_SECONDS:g} to {MAX_SECONDS:g}")
     if args.loss is not None and not 0.0 <= args.loss <= 0.5:
         raise UsageError(f"--loss {args.loss:g}: not within 0 to 0.5")
-    scenario = scenario.altered(args.seed, args.seconds, args.protocol, args.loss)
+    scenario = override(scenario, args.seed, args.seconds, args.protocol, args.loss)
     if getattr(args, "no_fleet", False):
-        steps = tuple(step for step in scenario.timeline if FAULTS[step.do].on != "links")
-        scenario = replace(scenario, fleet=FleetSide(), timeline=steps)
+        steps = tuple(step for step in scenario.timeline if FAULT_TYPES[step.do].on != "links")
+        scenario = replace(scenario, fleet=FleetSettings(), timeline=steps)
     preview: Preview | None = None
     if scenario.traffic or scenario.name == "replay":
         scenario, preview = _resolved(scenario, args)
--- a/orchidferry/testkit/scenario/checks.py
+++ b/orchidferry/testkit/scenario/checks.py
@@ -1,28 +1,26 @@
-"""What must hold between the fields of a scenario; no single field shows it."""
+"""Checks of what must hold between the fields of a scenario, which no single field shows."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-from orchidferry.errors import OrchidferryError
+from orchidferry.testkit.scenario.errors import ScenarioValueError
+from orchidferry.testkit.scenario.model import Scenario
 from orchidferry.testkit.scenario.tables import MAX_NODES, MAX_SERVERS
-from orchidferry.testkit.scenario.timeline import FAULTS, Step
-from orchidferry.testkit.scenario.values import ScenarioValueError, shown
-
-if TYPE_CHECKING:
-    from orchidferry.testkit.scenario.model import Scenario
+from orchidferry.testkit.scenario.timeline import FAULT_TYPES, TimelineEntry
+from orchidferry.testkit.scenario.values import shown
 
 MAX_SECONDS = 3_600.0
-MAX_RECORDINGS = 8  # laid over each other
-SHARES_TOLERANCE = 0.01
+MAX_RECORDINGS = 8
+"""Recordings that are laid over each other."""
 
-
-class ScenarioError(OrchidferryError):
-    """A scenario that can't be played; the text names file and field."""
+SHARES_TOLERANCE = 0.01
+"""How far the sum of the classes' shares may be from 1."""
 
 
 def check_scenario(scenario: Scenario) -> None:
-    """Check a whole scenario. `ScenarioValueError` names the field."""
+    """Check that the fields of a scenario fit together.
+
+    :raises ScenarioValueError: naming the field that does not fit
+    """
     if not scenario.tiers:
         raise ScenarioValueError("tier: at least one is needed")
     _check_control(scenario)
@@ -98,8 +96,8 @@
             raise ScenarioValueError("timeline: new = true is for the first tier of a scenario with pools")
 
 
-def _check_step(scenario: Scenario, step: Step, where: str, zones: set[str]) -> None:
-    target = FAULTS[step.do].on
+def _check_step(scenario: Scenario, step: TimelineEntry, where: str, zones: set[str]) -> None:
+    target = FAULT_TYPES[step.do].on
     if target == "links" and not scenario.fleet.on:
         raise ScenarioValueError(f"{where}.do: {step.do!r} strikes links, and [fleet] is not on")
     if step.zone and step.zone not in zones:
--- a/orchidferry/testkit/scenario/model.py
+++ b/orchidferry/testkit/scenario/model.py
@@ -2,30 +2,28 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 
-from orchidferry.testkit.scenario.checks import ScenarioError, check_scenario
 from orchidferry.testkit.scenario.tables import (
-    ChainSide,
+    ChainSettings,
     Class,
     Clients,
-    ControlSide,
-    DiscoverySide,
-    FleetSide,
+    ControlSettings,
+    DiscoverySettings,
+    FleetSettings,
     Front,
     Limits,
     Load,
     Network,
-    NodeSide,
-    PoolSide,
+    NodeSettings,
+    PoolSettings,
     Rules,
     Tier,
     Traffic,
 )
-from orchidferry.testkit.scenario.timeline import Step
+from orchidferry.testkit.scenario.timeline import TimelineEntry
 from orchidferry.testkit.scenario.values import (
     POSITIVE_S,
-    ScenarioValueError,
     integer,
     line_of_text,
     setting,
@@ -52,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """All of a scenario."""
+    """A scenario: topology, load, timeline, and all else that is set for a run."""
 
     name: str = setting(short_name)
     about: str = setting(line_of_text, "a scenario of one's own")
@@ -66,15 +64,15 @@
     clients: Clients = field(default_factory=Clients)
     front: Front = field(default_factory=Front)
     network: Network = field(default_factory=Network)
-    discovery: DiscoverySide = field(default_factory=DiscoverySide)
-    control: ControlSide = field(default_factory=ControlSide)
-    chain: ChainSide = field(default_factory=ChainSide)
-    pools: PoolSide = field(default_factory=PoolSide)
-    fleet: FleetSide = field(default_factory=FleetSide)
+    discovery: DiscoverySettings = field(default_factory=DiscoverySettings)
+    control: ControlSettings = field(default_factory=ControlSettings)
+    chain: ChainSettings = field(default_factory=ChainSettings)
+    pools: PoolSettings = field(default_factory=PoolSettings)
+    fleet: FleetSettings = field(default_factory=FleetSettings)
     rules: Rules = field(default_factory=Rules)
-    node: NodeSide = field(default_factory=NodeSide)
+    node: NodeSettings = field(default_factory=NodeSettings)
     limits: Limits = field(default_factory=Limits)
-    timeline: tuple[Step, ...] = ()
+    timeline: tuple[TimelineEntry, ...] = ()
     traffic: tuple[Traffic, ...] = ()
     # From the command line alone: where recorded traffic may go, methods and paths there, the run's id.
     guard: Guard = field(default_factory=Guard)
@@ -84,27 +82,10 @@
 
     @property
     def new_from(self) -> int:
-        """The first place of the first tier that is of the new pool; behind the last where there is none."""
+        """The index of the first tier's first server of the new pool; behind the last if there is none."""
         servers = self.tiers[0].servers
         return servers - round(self.pools.share * servers) if self.pools.on else servers
 
     def tier_number(self, name: str) -> int:
-        """The place of the tier of that name."""
+        """The index of the tier of that name."""
         return next(n for n, tier in enumerate(self.tiers) if tier.name == name)
-
-    def altered(
-        self, seed: int | None, length_s: float | None, protocol: str | None = None, loss: float | None = None
-    ) -> Scenario:
-        """With another seed, length, protocol or loss; `ScenarioError` if its timeline does not fit."""
-        changed = self if seed is None else replace(self, seed=seed)
-        if protocol is not None:
-            changed = replace(changed, network=replace(changed.network, protocol=protocol))
-        if loss is not None:
-            changed = replace(changed, network=replace(changed.network, loss=loss))
-        if length_s is not None:
-            changed = replace(changed, length_s=length_s)
-        try:
-            check_scenario(changed)
-        except ScenarioValueError as problem:
-            raise ScenarioError(f"{self.name}: {problem}") from None
-        return changed
--- a/orchidferry/testkit/scenario/reading.py
+++ b/orchidferry/testkit/scenario/reading.py
@@ -7,49 +7,53 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-from orchidferry.testkit.scenario.checks import ScenarioError, check_scenario
+from orchidferry.testkit.scenario.checks import check_scenario
+from orchidferry.testkit.scenario.errors import ScenarioError, ScenarioValueError
 from orchidferry.testkit.scenario.model import Scenario
 from orchidferry.testkit.scenario.tables import (
-    ChainSide,
+    ChainSettings,
     Class,
     Clients,
-    ControlSide,
-    DiscoverySide,
-    FleetSide,
+    ControlSettings,
+    DiscoverySettings,
+    FleetSettings,
     Front,
     Limits,
     Load,
     Network,
-    NodeSide,
-    PoolSide,
+    NodeSettings,
+    PoolSettings,
     Rules,
     Tier,
     Traffic,
 )
-from orchidferry.testkit.scenario.timeline import FAULTS, Step
-from orchidferry.testkit.scenario.values import ScenarioValueError, shown
+from orchidferry.testkit.scenario.timeline import FAULT_TYPES, TimelineEntry
+from orchidferry.testkit.scenario.values import shown
 
 T = TypeVar("T")
 Table = dict[str, Any]
 
-MAX_FILE = 256 * 1024  # bytes: a scenario is a page; anything larger is another file
+MAX_FILE = 256 * 1024
+"""Bytes: a scenario is a page; anything larger is another file."""
+
 MAX_STEPS = 1_000
 SHIPPED = Path(__file__).parents[1] / "scenarios"
 
-TABLES: dict[str, type[Any]] = {  # by name in the file, which is the attribute's
+TABLES: dict[str, type[Any]] = {
     "load": Load,
     "clients": Clients,
     "front": Front,
     "network": Network,
-    "discovery": DiscoverySide,
-    "control": ControlSide,
+    "discovery": DiscoverySettings,
+    "control": ControlSettings,
     "rules": Rules,
-    "node": NodeSide,
+    "node": NodeSettings,
     "limits": Limits,
-    "chain": ChainSide,
-    "pools": PoolSide,
-    "fleet": FleetSide,
+    "chain": ChainSettings,
+    "pools": PoolSettings,
+    "fleet": FleetSettings,
 }
+"""Tables by their name in the file, which is the attribute's."""
 
 
 class TableList(NamedTuple):
@@ -64,7 +68,8 @@
     "tier": TableList("tiers", Tier),
     "traffic": TableList("traffic", Traffic),
 }
-TIMELINE = "timeline"  # a list too, read once the tiers are known
+TIMELINE = "timeline"
+"""A list too, which is read once the tiers are known."""
 
 
 def _read_table(kind: type[T], table: object, where: str) -> tuple[T, frozenset[str]]:
@@ -86,12 +91,12 @@
     return kind(**values), frozenset(table)
 
 
-def _read_step(table: object, where: str, tiers: tuple[Tier, ...]) -> Step:
-    step, given = _read_table(Step, table, where)
-    fault = FAULTS.get(step.do)
+def _read_step(table: object, where: str, tiers: tuple[Tier, ...]) -> TimelineEntry:
+    step, given = _read_table(TimelineEntry, table, where)
+    fault = FAULT_TYPES.get(step.do)
     if fault is None:
         raise ScenarioValueError(
-            f"{where}.do: no such fault {shown(step.do)}; there are {', '.join(sorted(FAULTS))}"
+            f"{where}.do: no such fault {shown(step.do)}; there are {', '.join(sorted(FAULT_TYPES))}"
         )
     for missing in sorted(fault.needs - given):
         raise ScenarioValueError(f"{where}.{missing}: is missing; {step.do!r} needs it")
@@ -109,7 +114,11 @@
 
 
 def read_scenario(obj: Table, where: str) -> Scenario:
-    """A scenario from TOML's tables; `where` is what the file is called in errors."""
+    """Read a scenario from the tables of a TOML file.
+
+    :param where: what the file is called in errors
+    :raises ScenarioError: if it can't be played
+    """
     try:
         scenario = replace(_read_top_level(obj), **_read_parts(obj))
         scenario = replace(scenario, timeline=_read_timeline(obj, scenario.tiers))
@@ -140,7 +149,7 @@
     return parts
 
 
-def _read_timeline(obj: Table, tiers: tuple[Tier, ...]) -> tuple[Step, ...]:
+def _read_timeline(obj: Table, tiers: tuple[Tier, ...]) -> tuple[TimelineEntry, ...]:
     steps = _list_of_tables(obj.get(TIMELINE, []), TIMELINE)
     if len(steps) > MAX_STEPS:
         raise ScenarioValueError(f"timeline: {len(steps)} entries; {MAX_STEPS} at most")
@@ -148,7 +157,11 @@
 
 
 def read_traffic(table: Table, where: str) -> Traffic:
-    """One entry of `[[traffic]]`, from wherever; `ScenarioError` names the field."""
+    """Read one entry of `[[traffic]]`, from a file or the command line.
+
+    :param where: what the entry is called in errors
+    :raises ScenarioError: naming the field that is wrong
+    """
     try:
         return _read_table(Traffic, table, where)[0]
     except ScenarioValueError as problem:
@@ -167,7 +180,10 @@
 
 
 def load_scenario(wanted: str) -> Scenario:
-    """The shipped scenario of that name, or the one in the file; `ScenarioError` if it can't be played."""
+    """Load a shipped scenario by its name, or one by its path.
+
+    :raises ScenarioError: if there is none, or it can't be played
+    """
     path = shipped().get(wanted)
     if path is None:
         if not wanted.endswith(".toml"):
--- a/orchidferry/testkit/scenario/tables.py
+++ b/orchidferry/testkit/scenario/tables.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """First tries of clients: an open loop, whatever becomes of them."""
+    """First attempts of clients, as an open loop."""
 
     rate: float = setting(number(0.01, MAX_RATE), 40.0)  # a second, on average
     shape: str = setting(one_of("steady", "bursty", "ramp"), "steady")
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Front:
-    """The layer that deals clients' connections over the first tier's nodes."""
+    """The layer that spreads clients' connections over the first tier's nodes."""
 
     nodes: int = setting(integer(1, MAX_NODES), 2)
     notice: tuple[float, float] = setting(duration_range, (1.2, 3.2))  # until it notices that a node has died
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """What clients and servers speak, and what their datagrams meet on the way (HTTP/3 alone)."""
+    """The protocol of clients and servers, and faults of their datagrams (HTTP/3 alone)."""
 
     protocol: str = setting(one_of("h1", "h3"), "h1")
     loss: float = setting(number(0.0, 0.5), 0.0)  # shares of datagrams, each way
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiscoverySide:
+class DiscoverySettings:
     """How late the list of servers is, drawn for each change."""
 
     notice: tuple[float, float] = setting(duration_range, (0.5, 2.0))  # a server that drains, stops or dies
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ControlSide:
+class ControlSettings:
     """A control service that sends the first tier's nodes their configuration in versions."""
 
     service: bool = setting(boolean, False)  # there is one; it sends a first version at the start
@@ -142,8 +142,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChainSide:
-    """Budgets and worth down the chain, as the nodes are told them."""
+class ChainSettings:
+    """Retry budgets and the value of requests down the chain of tiers, as the nodes are set."""
 
     on: bool = setting(boolean, False)
     extra: int = setting(integer(0, 8), 1)  # attempts beyond the first, over the whole chain
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolSide:
+class PoolSettings:
     """Two pools in the first tier, and a move from the old one to the new one."""
 
     on: bool = setting(boolean, False)
@@ -166,7 +166,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetSide:
+class FleetSettings:
     """The first tier's nodes know of each other, over links that the kit carries."""
 
     on: bool = setting(boolean, False)
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the four rules, as the nodes are told them."""
+    """The bounds of the four rules, which the nodes are given too."""
 
     drain_grace_s: float = setting(duration, 1.0, file_key="drain_grace")
     overload_factor: float = setting(number(1.0, 100.0), 3.0)
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSide:
+class NodeSettings:
     """The real nodes."""
 
     command: tuple[str, ...] = setting(command_line, ())  # another build; by default this one
@@ -204,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """When a run says nothing of the nodes, as the machine was too slow for it."""
+    """Limits of the kit's own lag, past which a run says nothing of the nodes."""
 
     lag_p99_s: float = setting(POSITIVE_S, 0.025, file_key="lag_p99")  # clients behind their own schedule,
     lag_most_s: float = setting(POSITIVE_S, 0.4, file_key="lag_most")
--- a/orchidferry/testkit/scenario/timeline.py
+++ b/orchidferry/testkit/scenario/timeline.py
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """One entry of the timeline. Which of the fields an entry may have depends on `do`."""
+class TimelineEntry:
+    """One entry of the timeline. Which of the fields it may have depends on `do`."""
 
     at_s: float = setting(duration, file_key="at")
     do: str = setting(line_of_text)
@@ -45,26 +45,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """What a `do` means, what it needs and what it may have."""
+class FaultType:
+    """What a `do` means, which fields an entry of it needs and may have."""
 
     about: str
     needs: frozenset[str] = frozenset()
     may: frozenset[str] = frozenset()
-    on: str = "servers"  # whom it strikes: servers, nodes, links between nodes, or all
+    on: str = "servers"  # its targets: servers, nodes, links between nodes, or all
 
 
-def _fault(about: str, needs: str = "", may: str = "", on: str = "servers") -> Fault:
-    who = {
+def _fault(about: str, needs: str = "", may: str = "", on: str = "servers") -> FaultType:
+    target_fields = {
         "servers": "tier share count new",
         "nodes": "share count",
         "all": "",
         "links": "share count zone pair one_way every",
     }[on]
-    return Fault(about, frozenset(needs.split()), frozenset(f"{may} {who}".split()), on)
+    return FaultType(about, frozenset(needs.split()), frozenset(f"{may} {target_fields}".split()), on)
 
 
-FAULTS: dict[str, Fault] = {
+FAULT_TYPES: dict[str, FaultType] = {
     "slow": _fault("work takes `factor` times as long", "factor for"),
     "errors": _fault("a share `rate` of requests fails at once with 500", "for", "rate"),
     "pauses": _fault("stands still for `length` every `every`", "every length for"),
--- a/orchidferry/testkit/scenario/values.py
+++ b/orchidferry/testkit/scenario/values.py
@@ -11,21 +11,18 @@
 from dataclasses import MISSING, field
 from typing import Any
 
-from orchidferry.errors import OrchidferryError
+from orchidferry.testkit.scenario.errors import ScenarioValueError
 
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 DURATION = re.compile(r"([0-9]{1,7}(?:\.[0-9]{1,6})?)(ms|s|m|h)")
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3_600.0}
-# characters
 MAX_SHOWN = 40
+"""Characters of a value that an error quotes."""
+
 MAX_TEXT = 200
 MAX_PATH = 4_096
 
 
-class ScenarioValueError(OrchidferryError):
-    """What is wrong with a value; whoever reads the table adds the field."""
-
-
 def shown(value: object) -> str:
     """A value as an error quotes it."""
     text = repr(value)
@@ -159,7 +156,11 @@
 
 
 def setting(reader: Callable[[object], Any], default: Any = MISSING, file_key: str = "") -> Any:
-    """A dataclass field that is read from a file; `file_key` where the name differs there."""
+    """A dataclass field that is read from a file.
+
+    :param reader: reads its value
+    :param file_key: its name in files, where that differs from the attribute's
+    """
     metadata = {"reader": reader, "file_key": file_key}
     if default is MISSING:
         return field(metadata=metadata)
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -25,7 +25,7 @@
 
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.schedule import Arrival
-from orchidferry.testkit.scenario import Class, Scenario, ScenarioError, Traffic
+from orchidferry.testkit.scenario import Class, Scenario, ScenarioError, Traffic, override
 from orchidferry.testkit.traffic.classes import Classes, ClassesFileError, mix
 from orchidferry.testkit.traffic.guard import May
 from orchidferry.testkit.traffic.recording import NO_TIME, Header, Reader, Rows, ahead
@@ -295,7 +295,7 @@
         raise ScenarioError(f"{scenario.name}: nothing is left to send; left out: {dict(preview.skipped)}")
     used = tuple(replace(c, share=preview.sent[c.name] / total) for c in classes.values())
     load = replace(scenario.load, rate=total / scenario.length_s)
-    return replace(scenario, classes=used, load=load).altered(None, None), preview
+    return override(replace(scenario, classes=used, load=load)), preview
 
 
 def measure(preview: Preview, sent: Counter[str], lags_s: Any, at_s: Any, not_sent: int) -> dict[str, Any]:
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -1,7 +1,7 @@
 """Draws a scenario: which servers there are, and what strikes whom when. Free of I/O.
 
 Everything here follows from the scenario and its seed alone, before anything starts, so that two runs of
-one seed play the same script; `Step`s are in order of time.
+one seed play the same script. Its acts are in order of time.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 from dataclasses import dataclass, field
 
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.scenario import FAULTS, MAX_SERVERS, Scenario
-from orchidferry.testkit.scenario import Step as Entry
+from orchidferry.testkit.scenario import FAULT_TYPES, MAX_SERVERS, Scenario, TimelineEntry
 from orchidferry.testkit.world.links import LinkFault
 
 LEAVE_BACK_S = 1.0  # from a server's stop to its start, where a scenario says nothing else
@@ -117,11 +116,11 @@
             drawing.add_server(number, place, server_name(scenario.seed, tier.name, place, 0), False)
     nodes = tuple(f"n{n}" for n in range(scenario.front.nodes))
     for number, entry in enumerate(scenario.timeline):
-        if FAULTS[entry.do].on == "servers":
+        if FAULT_TYPES[entry.do].on == "servers":
             _on_servers(drawing, number, entry)
-        elif FAULTS[entry.do].on == "nodes":
+        elif FAULT_TYPES[entry.do].on == "nodes":
             _on_nodes(drawing, number, entry, nodes)
-        elif FAULTS[entry.do].on == "links":
+        elif FAULT_TYPES[entry.do].on == "links":
             _on_links(drawing, number, entry, nodes)
         else:
             _on_all(drawing, entry)
@@ -134,14 +133,14 @@
     return Plan(scenario, tuple(drawing.servers), nodes, acts, shown, tuple(drawing.bursts), links)
 
 
-def _struck(entry: Entry, count: int, default: int) -> int:
+def _struck(entry: TimelineEntry, count: int, default: int) -> int:
     """How many of so many an entry strikes: at least one."""
     if entry.count:
         return min(entry.count, count)
     return max(1, min(count, round(entry.share * count))) if entry.share > 0 else min(count, default)
 
 
-def _on_servers(drawing: _Drawing, number: int, entry: Entry) -> None:
+def _on_servers(drawing: _Drawing, number: int, entry: TimelineEntry) -> None:
     scenario = drawing.scenario
     tier = drawing.scenario.tier_number(entry.tier)
     present = [s for s in drawing.servers if s.tier == tier and not s.start and s.name not in drawing.gone]
@@ -165,7 +164,7 @@
     drawing.shown.append(Shown(entry.at_s, end, entry.do, whom))
 
 
-def _strike(drawing: _Drawing, number: int, entry: Entry, server: Server, place: int) -> None:
+def _strike(drawing: _Drawing, number: int, entry: TimelineEntry, server: Server, place: int) -> None:
     at = entry.at_s
     end = entry.at_s + entry.for_s
     name = server.name
@@ -209,7 +208,7 @@
             _come_back(drawing, entry, server, start + entry.after_s + (entry.back_s or LEAVE_BACK_S))
 
 
-def _come_back(drawing: _Drawing, entry: Entry, server: Server, t: float) -> None:
+def _come_back(drawing: _Drawing, entry: TimelineEntry, server: Server, t: float) -> None:
     """It starts again, cold, at its address: under its name, or under a new one."""
     name = server.name
     if entry.renamed:
@@ -221,7 +220,7 @@
     drawing.act(t, "up", name)
 
 
-def _add(drawing: _Drawing, entry: Entry, tier: int) -> None:
+def _add(drawing: _Drawing, entry: TimelineEntry, tier: int) -> None:
     places = 1 + max(s.place for s in drawing.servers if s.tier == tier)
     figures = drawing.scenario.tiers[tier]
     for n in range(entry.count):
@@ -231,7 +230,7 @@
     drawing.shown.append(Shown(entry.at_s, entry.at_s, entry.do, f"{entry.count} new {figures.name}"))
 
 
-def _on_nodes(drawing: _Drawing, number: int, entry: Entry, nodes: tuple[str, ...]) -> None:
+def _on_nodes(drawing: _Drawing, number: int, entry: TimelineEntry, nodes: tuple[str, ...]) -> None:
     count = _struck(entry, len(nodes), 1)
     struck = seeded_random.sample(nodes, count, drawing.scenario.seed, "nodes", number)
     if entry.do == "node-paused":
@@ -254,7 +253,7 @@
     return chr(ord("a") + number % scenario.fleet.zones)
 
 
-def _on_links(drawing: _Drawing, number: int, entry: Entry, nodes: tuple[str, ...]) -> None:
+def _on_links(drawing: _Drawing, number: int, entry: TimelineEntry, nodes: tuple[str, ...]) -> None:
     scenario = drawing.scenario
     rest: list[str] = list(nodes)
     if entry.zone:
@@ -290,7 +289,7 @@
     drawing.shown.append(Shown(entry.at_s, end, entry.do, whom))
 
 
-def _on_all(drawing: _Drawing, entry: Entry) -> None:
+def _on_all(drawing: _Drawing, entry: TimelineEntry) -> None:
     end = entry.at_s + entry.for_s
     if entry.do == "burst":
         drawing.bursts.append((entry.at_s, end, entry.factor))
--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -14,7 +14,7 @@
 from orchidferry.node.control.messages import EDS, TYPES
 from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
 from orchidferry.testkit.control.service import Word
-from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, read_scenario
+from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, override, read_scenario
 from tests.balancing.test_wire import ROOT
 
 HUNDRED = load_scenario("hundred-versions")
@@ -23,7 +23,7 @@
 def test_a_script_is_its_seeds_and_bad_in_every_way() -> None:
     pushes = draw_pushes(HUNDRED)
     assert pushes == draw_pushes(HUNDRED) and draw_cuts(HUNDRED) == draw_cuts(HUNDRED)
-    other = HUNDRED.altered(99, None, None, None)
+    other = override(HUNDRED, 99)
     assert pushes != draw_pushes(other) and draw_cuts(HUNDRED) != draw_cuts(other)
     assert len(pushes) == 100 and [p.t for p in pushes] == sorted(p.t for p in pushes)
     assert Counter(p.bad for p in pushes if p.bad) == Counter(BAD)
--- a/tests/testkit/judge/test_fleet.py
+++ b/tests/testkit/judge/test_fleet.py
@@ -10,7 +10,7 @@
 from orchidferry.testkit.judge.fleet import judge_fleet
 from orchidferry.testkit.judge.trace import build_trace
 from orchidferry.testkit.record import Fact, LinkBytes, NodeDown, NodePaused, NodeUp
-from orchidferry.testkit.scenario import FleetSide, Scenario, ScenarioError, read_scenario
+from orchidferry.testkit.scenario import FleetSettings, Scenario, ScenarioError, read_scenario
 from orchidferry.testkit.world.links import LinkFault, Links
 from orchidferry.testkit.world.plan import draw
 
@@ -29,7 +29,7 @@
 
 
 def judged(journals: dict[str, list[str]], *facts: Fact, links: tuple[LinkFault, ...] = ()) -> dict[str, Any]:
-    scenario = Scenario("x", length_s=30.0, fleet=FleetSide(on=True))
+    scenario = Scenario("x", length_s=30.0, fleet=FleetSettings(on=True))
     ups: list[Fact] = [NodeUp(-1.0, node, 0) for node in NODES]
     all_ = sorted([*ups, *facts], key=lambda fact: fact.t)
     trace = build_trace(scenario, all_, 0.0, 40.0, True)
--- a/tests/testkit/test_scenario.py
+++ b/tests/testkit/scenario/test_reading.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from orchidferry.testkit.scenario import (
-    FAULTS,
+    FAULT_TYPES,
     MAX_FILE,
     ScenarioError,
     load_scenario,
@@ -113,4 +113,4 @@
         assert scenario.name == name
         draw(scenario)
         used |= {step.do for step in scenario.timeline}
-    assert used == set(FAULTS)
+    assert used == set(FAULT_TYPES)
--- a/tests/testkit/test_plan.py
+++ b/tests/testkit/test_plan.py
@@ -11,7 +11,7 @@
 
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.schedule import arrivals, leaves_after, rate_at
-from orchidferry.testkit.scenario import Scenario, load_scenario, read_scenario, shipped
+from orchidferry.testkit.scenario import Scenario, load_scenario, override, read_scenario, shipped
 from orchidferry.testkit.world.machine import calls_of, work_of
 from orchidferry.testkit.world.plan import draw
 
@@ -26,7 +26,7 @@
     plan = draw(one)
     assert plan == draw(one)
     assert arrivals(plan) == arrivals(draw(one))
-    other = draw(one.altered(one.seed + 1, None))
+    other = draw(override(one, one.seed + 1))
     assert [s.speed for s in other.servers] != [s.speed for s in plan.servers]
     assert arrivals(other) != arrivals(plan)
 
