--- a/orchidferry/balancing/slots.py
+++ b/orchidferry/balancing/slots.py
@@ -1,39 +1,41 @@
-"""Who may be out: places, bounds, and slots that are granted by a majority and come back on evidence alone.
-
-The table is the body of a `register.Value`: pure data, changed by the functions here, each of which gives the
-table after it, the very table where it is done already, or a line that says why not. Safety before progress:
-
-- a slot counts from the moment in which it is granted until it is given back, whatever is or isn't heard of
-  its holder: no time ends it;
-- it is given back only where its place is seen serving again, by another process than the one that went out,
-  by a majority of the voters (each says so itself, see `objection`), or by an operator, who is told what that
-  risks;
-- what is out by itself counts against the same bounds, by what each voter sees;
-- each grant has a token that only rises, and whoever acts on one compares it (`Gate`).
+"""Disruption budgets: which members may be out of service at once, by slots that a majority grants.
+
+The table is the body of a `register.Value`: immutable data, changed by the functions here, each of which
+returns the table after the change, the very same table if there is nothing to change, or, as a string, why
+the change is refused. Safety before progress:
+
+- a slot counts from the moment in which it is granted until it is released, whatever is heard of its holder:
+  it does not expire;
+- it is released only if its member is observed serving again, by another process than the one that went out,
+  by a majority of the voters (each says so itself, see `objection`), or by an operator, who is warned of the
+  risk;
+- a member that is out without a slot counts against the same budgets, by what each voter observes;
+- each grant has a fencing token, and whoever acts on a grant compares it (`FencingGate`).
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 from enum import Enum
 
 from orchidferry.balancing.register import Value
 
-MAX_IDS = 256  # of changes done, that are known again if they are asked for again
+ROUNDING = 1e-9  # of a share
+MAX_IDS = 256  # of finished changes, which are recognised if they are asked for again
 
 
 class Kind(Enum):
-    """What may be out."""
+    """What kind of member may be out."""
 
     NODE = "node"
     SERVER = "server"
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Something that serves, whichever process of it."""
+class Member:
+    """A member that serves, whichever process runs it."""
 
     kind: Kind
     name: str
@@ -43,32 +45,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
-    """So many of those that fit may be out at once. Empty fields fit all."""
+class DisruptionBudget:
+    """How many of the members that match may be out at once. Empty fields match all.
+
+    :param max_out: the count; None for no limit by count.
+    :param max_share: of the members that match, rounded down, one at least; None for no limit by share.
+    """
 
     kind: Kind
     tier: str = ""
     zone: str = ""
     pool: str = ""
-    most: int | None = None
-    share: float | None = None  # of those that fit, rounded down, one at least
-
-    def fits(self, place: Place) -> bool:
-        return place.kind is self.kind and all(
-            wanted in ("", has)
-            for wanted, has in (
-                (self.tier, place.tier),
-                (self.zone, place.zone),
-                (self.pool, place.pool),
+    max_out: int | None = None
+    max_share: float | None = None
+
+    def matches(self, member: Member) -> bool:
+        """Whether a member counts against this budget."""
+        return member.kind is self.kind and all(
+            expected in ("", actual)
+            for expected, actual in (
+                (self.tier, member.tier),
+                (self.zone, member.zone),
+                (self.pool, member.pool),
             )
         )
 
-    def limit(self, places: Iterable[Place]) -> int:
-        """How many that comes to; the stricter of count and share."""
-        limits = [self.most] if self.most is not None else []
-        if self.share is not None:
-            count = sum(self.fits(place) for place in places)
-            limits.append(max(1, math.floor(self.share * count + 1e-9)))
+    def limit(self, members: Iterable[Member]) -> int:
+        """Return how many members may be out; the stricter of count and share.
+
+        :param members: all members.
+        """
+        limits = [self.max_out] if self.max_out is not None else []
+        if self.max_share is not None:
+            count = sum(self.matches(member) for member in members)
+            limits.append(max(1, math.floor(self.max_share * count + ROUNDING)))
         return min(limits, default=0)
 
     def __str__(self) -> str:
@@ -78,139 +88,174 @@
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """A place that may be out, or may have been for all that is known."""
+    """A member that may be out, or may have been for all that is known.
+
+    :param token: the fencing token of the grant.
+    :param holder: who asked for the slot, and acts on it.
+    :param id: of the request.
+    :param process: the process that went out, as its peers know it: another one has to come back.
+    """
 
     token: int
-    place: Place
-    holder: str  # who asked, and acts
-    id: str  # of its asking
-    was: str = ""  # the process that went out, as its peers know it: another one has to come back
+    member: Member
+    holder: str
+    id: str
+    process: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
-    """What is agreed. `places`: all that there are, declared."""
+class SlotTable:
+    """What the voters have agreed on.
 
-    places: tuple[Place, ...]
-    bounds: tuple[Bound, ...]
+    :param members: all members, as they are declared.
+    :param token: the last fencing token that was granted.
+    :param done: ids of the last changes.
+    :param forced: the last slots that operators released, and who did.
+    """
+
+    members: tuple[Member, ...]
+    budgets: tuple[DisruptionBudget, ...]
     slots: tuple[Slot, ...] = ()
-    token: int = 0  # the last that was given
-    done: tuple[str, ...] = field(default=())  # ids of the last changes
-    forced: tuple[str, ...] = field(default=())  # what operators gave back, and who
+    token: int = 0
+    done: tuple[str, ...] = ()
+    forced: tuple[str, ...] = ()
+
+    def slot(self, member: Member) -> Slot | None:
+        """Return the slot of a member; None if it has none."""
+        return next((slot for slot in self.slots if slot.member == member), None)
 
-    def slot(self, place: Place) -> Slot | None:
-        return next((slot for slot in self.slots if slot.place == place), None)
 
+def exceeded_budget(table: SlotTable, out: Iterable[Member], candidate: Member) -> str:
+    """Find the budget that a candidate would exceed. Members of two zones are never out at once.
 
-def over(table: Table, out: Iterable[Place], more: Place) -> str:
-    """Which bound `more` would break beside those that are out, or "". Two zones are never out at once."""
-    gone = {*out, *(slot.place for slot in table.slots)} - {more}
-    for bound in table.bounds:
-        if not bound.fits(more):
+    :param out: the members that are out without a slot.
+    :returns: the reason for which the candidate may not go out; "" if it may.
+    """
+    gone = {*out, *(slot.member for slot in table.slots)} - {candidate}
+    for budget in table.budgets:
+        if not budget.matches(candidate):
             continue
-        there = sum(bound.fits(place) for place in gone)
-        limit = bound.limit(table.places)
-        if there + 1 > limit:
-            return f"{there} of {limit} {bound} are out already"
-    zones = {place.zone for place in gone if place.kind is more.kind and place.tier == more.tier}
-    if more.zone and (others := zones - {more.zone, ""}):
-        return f"{more.kind.value}s of zone {sorted(others)[0]} are out already, and this is zone {more.zone}"
+        count = sum(budget.matches(member) for member in gone)
+        limit = budget.limit(table.members)
+        if count + 1 > limit:
+            return f"{count} of {limit} {budget} are out already"
+    zones = {
+        member.zone for member in gone if member.kind is candidate.kind and member.tier == candidate.tier
+    }
+    if candidate.zone and (others := zones - {candidate.zone, ""}):
+        kind = candidate.kind.value
+        return f"{kind}s of zone {sorted(others)[0]} are out already, and this is zone {candidate.zone}"
     return ""
 
 
 def grant(
-    table: Table, place: Place, holder: str, id: str, was: str = "", out: Iterable[Place] = ()
-) -> Table | str:
-    """Give a slot, with the next token; the same table if that id has it already."""
-    held = table.slot(place)
-    if held is not None:
-        if held.id == id:
+    table: SlotTable, member: Member, holder: str, id: str, process: str = "", out: Iterable[Member] = ()
+) -> SlotTable | str:
+    """Grant a slot, with the next fencing token; nothing changes if the request with that id has it already.
+
+    :param holder: who asks, and acts.
+    :param id: of the request.
+    :param process: the process that goes out.
+    :param out: the members that are out without a slot.
+    """
+    granted = table.slot(member)
+    if granted is not None:
+        if granted.id == id:
             return table
-        return f"{place.name} is out already, by {held.holder}"
+        return f"{member.name} is out already, by {granted.holder}"
     if id in table.done:
         return "that slot was given back since"
-    if place not in table.places:
-        return f"{place.name} is no declared place"
-    if why := over(table, out, place):
+    if member not in table.members:
+        return f"{member.name} is no declared place"
+    if why := exceeded_budget(table, out, member):
         return why
-    slot = Slot(table.token + 1, place, holder, id, was)
+    slot = Slot(table.token + 1, member, holder, id, process)
     return replace(table, slots=(*table.slots, slot), token=slot.token)
 
 
-def give_back(table: Table, token: int) -> Table | str:
-    """End a slot; whether there is evidence enough, the voters say."""
+def release(table: SlotTable, token: int) -> SlotTable | str:
+    """Release a slot. Whether there is enough evidence for it, the voters say (see `objection`)."""
     slot = next((slot for slot in table.slots if slot.token == token), None)
     if slot is None:
         return table if 0 < token <= table.token else f"no token {token} was ever given"
-    left = tuple(one for one in table.slots if one.token != token)
-    return replace(table, slots=left, done=(*table.done, slot.id)[-MAX_IDS:])
+    remaining = tuple(other for other in table.slots if other.token != token)
+    return replace(table, slots=remaining, done=(*table.done, slot.id)[-MAX_IDS:])
 
 
-def force(table: Table, token: int, who: str, id: str) -> Table | str:
-    """An operator's word in place of evidence: kept, and shown."""
+def force_release(table: SlotTable, token: int, operator: str, id: str) -> SlotTable | str:
+    """Release a slot on an operator's word, without evidence; the table lists it.
+
+    :param id: of the request.
+    """
     if id in table.done:
         return table
-    after = give_back(table, token)
-    if isinstance(after, str) or after is table:
-        return after if isinstance(after, str) else f"token {token} is given back already"
-    note = f"{who} gave back token {token}"
-    return replace(after, forced=(*after.forced, note)[-MAX_IDS:], done=(*after.done, id)[-MAX_IDS:])
-
-
-# Intents, that voters are asked about
+    after = release(table, token)
+    if isinstance(after, str):
+        return after
+    if after is table:
+        return f"token {token} is given back already"
+    line = f"{operator} gave back token {token}"
+    return replace(after, forced=(*after.forced, line)[-MAX_IDS:], done=(*after.done, id)[-MAX_IDS:])
 
 
 @dataclass(frozen=True, slots=True)
-class WantsOut:
-    """A place is to go out."""
+class OutageIntent:
+    """Asks the voters whether a member may go out."""
 
-    place: Place
+    member: Member
 
 
 @dataclass(frozen=True, slots=True)
-class SaysBack:
-    """A slot's place is said to serve again."""
+class ReturnIntent:
+    """Asks the voters whether the member of a slot serves again.
+
+    :param token: of the slot.
+    :param process: the process that went out.
+    """
 
     token: int
-    place: Place
-    was: str
+    member: Member
+    process: str
 
 
-Seen = Callable[[Place], str]  # the process that is seen serving there, as its peers know it; "" for none
+ObservedProcess = Callable[[Member], str]  # the process that serves as a member, as observed; "" for none
 
 
-def objection(table: Table, intent: WantsOut | SaysBack, seen: Seen) -> str:
-    """What one voter thinks of an intent, by what it sees itself."""
+def objection(table: SlotTable, intent: OutageIntent | ReturnIntent, observed: ObservedProcess) -> str:
+    """Say why one voter objects to an intent, by what it observes itself; "" if it does not."""
     match intent:
-        case WantsOut():
-            out = [place for place in table.places if place != intent.place and not seen(place)]
-            why = over(table, out, intent.place)
+        case OutageIntent():
+            out = [member for member in table.members if member != intent.member and not observed(member)]
+            why = exceeded_budget(table, out, intent.member)
             return f"by what it sees, {why}" if why else ""
-        case SaysBack():
-            now = seen(intent.place)
-            if not now:
-                return f"{intent.place.name} is not seen serving"
-            if now == intent.was:
-                return f"{intent.place.name} is still the process that was to go out"
+        case ReturnIntent():
+            process = observed(intent.member)
+            if not process:
+                return f"{intent.member.name} is not seen serving"
+            if process == intent.process:
+                return f"{intent.member.name} is still the process that was to go out"
             return ""
 
 
-def changed(value: Value, table: Table | str) -> Value | str:
-    """The state with another table, for `proposer.Proposer.ask`."""
+def with_table(value: Value, table: SlotTable | str) -> Value | str:
+    """Return the state with another table, for a change of `proposer.Proposer.ask`."""
     if isinstance(table, str) or table is value.body:
         return table if isinstance(table, str) else value
     return replace(value, version=value.version + 1, body=table)
 
 
-class Gate:
-    """Where a token is acted on: an older one than was seen is refused there, whoever brings it."""
+class FencingGate:
+    """Checks fencing tokens where a grant is acted on: one older than was seen before is refused."""
 
     def __init__(self) -> None:
         self._highest: dict[tuple[Kind, str], int] = {}
 
-    def may(self, place: Place, token: int) -> str:
-        """Why not, or ""."""
-        key = place.kind, place.name
+    def check(self, member: Member, token: int) -> str:
+        """Check a token.
+
+        :returns: why it is refused; "" if it is not.
+        """
+        key = (member.kind, member.name)
         if token < self._highest.get(key, 0):
             return f"token {token} is older than {self._highest[key]}, which was seen here"
         self._highest[key] = token
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -28,7 +28,14 @@
     Value,
     Voter,
 )
-from orchidferry.balancing.slots import Bound, Gate, Place, SaysBack, Table, WantsOut
+from orchidferry.balancing.slots import (
+    DisruptionBudget,
+    FencingGate,
+    Member,
+    OutageIntent,
+    ReturnIntent,
+    SlotTable,
+)
 from orchidferry.testkit.explore import world_search
 from orchidferry.testkit.explore.fleet import Middle
 from orchidferry.testkit.explore.world_search import SearchResult
@@ -44,7 +51,7 @@
     """One that wants its place out, and back."""
 
     name: str
-    place: Place
+    place: Member
     proposer: Proposer
     step: str = "ask"  # ask, out, back, over
     token: int = 0
@@ -89,11 +96,11 @@
     lives: dict[str, int] = field(default_factory=dict)  # processes that each place has had
     chosen: dict[int, Value] = field(default_factory=dict)
     tokens: dict[int, str] = field(default_factory=dict)
-    gate: Gate = field(default_factory=Gate)
+    gate: FencingGate = field(default_factory=FencingGate)
     story: list[str] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
-    def seen(self, place: Place) -> str:
+    def seen(self, place: Member) -> str:
         """The process that serves there now; voters see it as it is."""
         return "" if place.name in self.out else f"{place.name}/{self.lives[place.name]}"
 
@@ -174,7 +181,7 @@
     def _thinks(self, name: str) -> Callable[[Any], str]:
         kept = self.acceptors[name].state
         table = kept.value.body if kept.value is not None else FIRST[self.bound].body
-        seen = {place: self.seen(place) for place in table.places}
+        seen = {place: self.seen(place) for place in table.members}
         return _Opinion(table, seen)
 
     def _act(self, name: str, actions: list[register.Action]) -> None:
@@ -200,7 +207,7 @@
             asker.token = slot.token
             if self.tokens.setdefault(slot.token, asker.name) != asker.name:
                 self.violations.append(f"tokens: {slot.token} was given to two")
-            if self.gate.may(asker.place, slot.token):
+            if self.gate.check(asker.place, slot.token):
                 return
             self.story.append(f"{self.now:7.0f} ms  {asker.name} goes out with token {slot.token}")
             self.out[asker.place.name] = str(slot.token)
@@ -228,10 +235,10 @@
         place = asker.place
         if asker.step == "ask":
             change: proposer.Change = _Wants(place, asker.name)
-            intent: Any = WantsOut(place)
+            intent: Any = OutageIntent(place)
         else:
             change = _Back(asker.token)
-            intent = SaysBack(asker.token, place, f"{place.name}/0")
+            intent = ReturnIntent(asker.token, place, f"{place.name}/0")
         actions = asker.proposer.ask(f"{asker.name}-{asker.step}", change, self.now, FOR_MS - 1.0, intent)
         self._act(asker.name, actions)
 
@@ -302,12 +309,12 @@
 
 @dataclass(frozen=True)
 class _Wants:
-    place: Place
+    place: Member
     name: str
 
     def __call__(self, value: Value) -> Value | str:
         wants = slots.grant(value.body, self.place, self.name, f"{self.name}-out", f"{self.place.name}/0")
-        return slots.changed(value, wants)
+        return slots.with_table(value, wants)
 
 
 @dataclass(frozen=True)
@@ -315,22 +322,25 @@
     token: int
 
     def __call__(self, value: Value) -> Value | str:
-        return slots.changed(value, slots.give_back(value.body, self.token))
+        return slots.with_table(value, slots.release(value.body, self.token))
 
 
 @dataclass(frozen=True)
 class _Opinion:
-    table: Table
-    seen: dict[Place, str]
+    table: SlotTable
+    seen: dict[Member, str]
 
     def __call__(self, intent: Any) -> str:
         return slots.objection(self.table, intent, self.seen.__getitem__)
 
 
 NAMES = ("a", "b", "c")
-PLACES = tuple(Place(slots.Kind.NODE, f"p{name}") for name in NAMES)
+PLACES = tuple(Member(slots.Kind.NODE, f"p{name}") for name in NAMES)
 VOTERS = tuple(Voter(name, n + 1) for n, name in enumerate(NAMES))
-FIRST = {bound: Value(0, VOTERS, Table(PLACES, (Bound(slots.Kind.NODE, most=bound),))) for bound in (1, 2)}
+FIRST = {
+    bound: Value(0, VOTERS, SlotTable(PLACES, (DisruptionBudget(slots.Kind.NODE, max_out=bound),)))
+    for bound in (1, 2)
+}
 
 
 def begin(askers: int = 2, faults: int = 2, bound: int = 1, kinds: tuple[str, ...] = KINDS) -> World:
@@ -382,11 +392,11 @@
     return _promised(self, round_, now)
 
 
-def _no_count(table: Table, out: Any, more: Place) -> str:
+def _no_count(table: SlotTable, out: Any, more: Member) -> str:
     return ""
 
 
-def _on_silence(table: Table, place: Place, holder: str, id: str, was: str = "", out: Any = ()) -> Any:
+def _on_silence(table: SlotTable, place: Member, holder: str, id: str, was: str = "", out: Any = ()) -> Any:
     """A slot whose holder asks for nothing more counts as given back."""
     return _grant(replace(table, slots=()), place, holder, id, was, out)
 
@@ -400,11 +410,11 @@
     _go(self, asker)
 
 
-def _no_objection(table: Table, intent: Any, seen: Any) -> str:
+def _no_objection(table: SlotTable, intent: Any, seen: Any) -> str:
     return ""
 
 
-def _no_tokens(table: Table, place: Place, holder: str, id: str, was: str = "", out: Any = ()) -> Any:
+def _no_tokens(table: SlotTable, place: Member, holder: str, id: str, was: str = "", out: Any = ()) -> Any:
     after = _grant(table, place, holder, id, was, out)
     if isinstance(after, str) or after is table:
         return after
@@ -427,7 +437,7 @@
     "vote-forgotten": ("a voter without its disk votes as if it had it", [(World, "_restart", _same_memory)]),
     "unsaved": ("a vote is sent that is not on disk", [(World, "_act", _unsaved)]),
     "not-read": ("a proposer does not take up what was accepted", [(Proposer, "_promised", _not_read)]),
-    "not-counted": ("bounds are not looked at", [(slots, "over", _no_count)]),
+    "not-counted": ("bounds are not looked at", [(slots, "exceeded_budget", _no_count)]),
     "on-silence": ("a slot comes back on silence", [(slots, "grant", _on_silence)]),
     "on-a-word": (
         "a slot comes back on its holder's word",
--- a/tests/balancing/test_slots.py
+++ b/tests/balancing/test_slots.py
@@ -22,44 +22,56 @@
     Voter,
     has_majority,
 )
-from orchidferry.balancing.slots import Bound, Gate, Kind, Place, SaysBack, Table, WantsOut
+from orchidferry.balancing.slots import (
+    DisruptionBudget,
+    FencingGate,
+    Kind,
+    Member,
+    OutageIntent,
+    ReturnIntent,
+    SlotTable,
+)
 from orchidferry.testkit.explore import slots as explore
 
-NODES = tuple(Place(Kind.NODE, f"n{n}", "entrada", "abc"[n % 3]) for n in range(9))
+NODES = tuple(Member(Kind.NODE, f"n{n}", "entrada", "abc"[n % 3]) for n in range(9))
 SERVERS = tuple(
-    Place(Kind.SERVER, f"s{n}", "catalogo", "abc"[n % 3], "new" if n < 4 else "") for n in range(12)
+    Member(Kind.SERVER, f"s{n}", "catalogo", "abc"[n % 3], "new" if n < 4 else "") for n in range(12)
 )
-TABLE = Table(
+TABLE = SlotTable(
     (*NODES, *SERVERS),
-    (Bound(Kind.NODE, share=0.25), Bound(Kind.SERVER, share=0.3), Bound(Kind.SERVER, pool="new", most=1)),
+    (
+        DisruptionBudget(Kind.NODE, max_share=0.25),
+        DisruptionBudget(Kind.SERVER, max_share=0.3),
+        DisruptionBudget(Kind.SERVER, pool="new", max_out=1),
+    ),
 )
 
 
-def given(table: Table, place: Place, id: str = "", **more: Any) -> Table:
+def given(table: SlotTable, place: Member, id: str = "", **more: Any) -> SlotTable:
     after = slots.grant(table, place, "driver", id or place.name, **more)
-    assert isinstance(after, Table), after
+    assert isinstance(after, SlotTable), after
     return after
 
 
-def refused(table: Table, place: Place, **more: Any) -> str:
+def refused(table: SlotTable, place: Member, **more: Any) -> str:
     after = slots.grant(table, place, "driver", "x", **more)
     assert isinstance(after, str)
     return after
 
 
 def test_bounds_are_counts_and_shares_by_place_and_never_two_zones() -> None:
-    one = given(TABLE, NODES[0], was="n0/1")
-    assert (one.token, one.slots[0].was) == (1, "n0/1")
+    one = given(TABLE, NODES[0], process="n0/1")
+    assert (one.token, one.slots[0].process) == (1, "n0/1")
     two = given(one, NODES[3])
     assert "2 of 2 nodes are out" in refused(two, NODES[6])  # a quarter of nine, rounded down
     assert "nodes of zone a are out already, and this is zone b" in refused(one, NODES[1])
     assert "1 of 1 servers of new" in refused(given(TABLE, SERVERS[0]), SERVERS[3])
     assert given(two, SERVERS[1]).token == 3  # another kind, another bound and zone
     assert "2 of 2 nodes are out" in refused(one, NODES[6], out=[NODES[3]])  # lost by itself
-    assert "no declared place" in refused(TABLE, Place(Kind.NODE, "stranger"))
+    assert "no declared place" in refused(TABLE, Member(Kind.NODE, "stranger"))
     assert (
-        Bound(Kind.NODE, share=0.01).limit(NODES) == 1
-        and Bound(Kind.NODE, most=4, share=0.25).limit(NODES) == 2
+        DisruptionBudget(Kind.NODE, max_share=0.01).limit(NODES) == 1
+        and DisruptionBudget(Kind.NODE, max_out=4, max_share=0.25).limit(NODES) == 2
     )
 
 
@@ -67,39 +79,39 @@
     one = given(TABLE, NODES[0], "a")
     assert slots.grant(one, NODES[0], "driver", "a") is one
     assert "out already, by driver" in refused(one, NODES[0])
-    back = slots.give_back(one, 1)
-    assert isinstance(back, Table) and not back.slots and slots.give_back(back, 1) is back
+    back = slots.release(one, 1)
+    assert isinstance(back, SlotTable) and not back.slots and slots.release(back, 1) is back
     assert slots.grant(back, NODES[0], "driver", "a") == "that slot was given back since"  # a late copy
-    assert slots.give_back(back, 2) == "no token 2 was ever given"
+    assert slots.release(back, 2) == "no token 2 was ever given"
     assert given(back, NODES[0], "b").token == 2
-    forced = slots.force(one, 1, "ana", "f1")
-    assert isinstance(forced, Table) and forced.forced == ("ana gave back token 1",) and not forced.slots
-    assert slots.force(forced, 1, "ana", "f1") is forced
+    forced = slots.force_release(one, 1, "ana", "f1")
+    assert isinstance(forced, SlotTable) and forced.forced == ("ana gave back token 1",) and not forced.slots
+    assert slots.force_release(forced, 1, "ana", "f1") is forced
 
 
 def test_voters_object_by_what_they_see() -> None:
-    seen = {place: f"{place.name}/1" for place in TABLE.places}
-    table = given(TABLE, NODES[0], was="n0/1")
+    seen = {place: f"{place.name}/1" for place in TABLE.members}
+    table = given(TABLE, NODES[0], process="n0/1")
 
-    def thinks(intent: WantsOut | SaysBack, **changes: str) -> str:
-        now = seen | {place: changes[place.name] for place in TABLE.places if place.name in changes}
+    def thinks(intent: OutageIntent | ReturnIntent, **changes: str) -> str:
+        now = seen | {place: changes[place.name] for place in TABLE.members if place.name in changes}
         return slots.objection(table, intent, now.__getitem__)
 
-    assert thinks(WantsOut(NODES[3])) == ""
-    assert "2 of 2 nodes are out" in thinks(WantsOut(NODES[3]), n6="")
-    assert "2 of 2 nodes are out" in thinks(WantsOut(NODES[3]), n1="")
+    assert thinks(OutageIntent(NODES[3])) == ""
+    assert "2 of 2 nodes are out" in thinks(OutageIntent(NODES[3]), n6="")
+    assert "2 of 2 nodes are out" in thinks(OutageIntent(NODES[3]), n1="")
     assert "zone b are out" in slots.objection(
-        TABLE, WantsOut(NODES[3]), lambda place: "" if place is NODES[1] else "up"
+        TABLE, OutageIntent(NODES[3]), lambda place: "" if place is NODES[1] else "up"
     )
-    back = SaysBack(1, NODES[0], "n0/1")
+    back = ReturnIntent(1, NODES[0], "n0/1")
     assert "not seen serving" in thinks(back, n0="") and "still the process" in thinks(back)
     assert thinks(back, n0="n0/2") == ""
 
 
 def test_an_old_token_is_refused_where_it_is_acted_on() -> None:
-    gate = Gate()
-    assert gate.may(NODES[0], 4) == "" and gate.may(NODES[0], 4) == "" and gate.may(NODES[1], 2) == ""
-    assert "older than 4" in gate.may(NODES[0], 3) and gate.may(NODES[0], 5) == ""
+    gate = FencingGate()
+    assert gate.check(NODES[0], 4) == "" and gate.check(NODES[0], 4) == "" and gate.check(NODES[1], 2) == ""
+    assert "older than 4" in gate.check(NODES[0], 3) and gate.check(NODES[0], 5) == ""
 
 
 class Net:
@@ -135,8 +147,8 @@
         return done
 
 
-def grant_of(place: Place) -> proposer.Change:
-    return lambda value: slots.changed(value, slots.grant(value.body, place, "p", place.name))
+def grant_of(place: Member) -> proposer.Change:
+    return lambda value: slots.with_table(value, slots.grant(value.body, place, "p", place.name))
 
 
 def with_voters(*voters: Voter) -> proposer.Change:
