--- a/orchidferry/testkit/explore/mesh_faults.py
+++ b/orchidferry/testkit/explore/mesh_faults.py
@@ -11,13 +11,13 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.explore.mesh import MeshWorld
+    from orchidferry.testkit.explore.mesh_world import ControllersWorld
 
 RESTART_S = 0.1  # for which a process that was killed is down
 MAX_PARTIAL_WRITES = 3  # pending writes of which any part may reach the disk at a power loss
 
 
-def possible_faults(world: MeshWorld, receiver: str, items: list[str]) -> Iterator[str]:
+def possible_faults(world: ControllersWorld, receiver: str, items: list[str]) -> Iterator[str]:
     """Yield the faults that may come now, of all kinds.
 
     :param receiver: the process that takes something next; "" if nothing is under way
@@ -38,7 +38,7 @@
         yield f"late {about}"
 
 
-def _process_faults(world: MeshWorld, receiver: str) -> Iterator[str]:
+def _process_faults(world: ControllersWorld, receiver: str) -> Iterator[str]:
     for name, controller in world.controllers.items():
         if not controller.alive or receiver not in ("", name):
             continue
@@ -53,7 +53,7 @@
             yield f"unfit {name}"
 
 
-def _others_remember(world: MeshWorld, name: str) -> bool:
+def _others_remember(world: ControllersWorld, name: str) -> bool:
     """Return whether all voters but one are alive and have forgotten nothing."""
     voters = world.newest_state.voters
     return all(
@@ -65,7 +65,7 @@
     )
 
 
-def _link_faults(world: MeshWorld, receiver: str) -> Iterator[str]:
+def _link_faults(world: ControllersWorld, receiver: str) -> Iterator[str]:
     if receiver:
         for name in world.controllers:
             if any(name in pair for pair in world.partitions):
@@ -80,7 +80,7 @@
             yield f"oneway {one} {other}"
 
 
-def apply_fault(world: MeshWorld, kind: str, about: list[str]) -> None:
+def apply_fault(world: ControllersWorld, kind: str, about: list[str]) -> None:
     """Have a fault happen.
 
     :param about: a message's position, or a process's name, with what else belongs to the kind
@@ -114,7 +114,7 @@
             _partition(world, _pairs(world, about), until_s)
 
 
-def _kill(world: MeshWorld, name: str, wipe: bool) -> None:
+def _kill(world: ControllersWorld, name: str, wipe: bool) -> None:
     """End a controller's process, which starts again soon; `wipe`: with an empty disk."""
     world.stop_process(name, RESTART_S)
     if wipe:
@@ -122,7 +122,7 @@
         world.sources_heard[name] = set()
 
 
-def _lose_power(world: MeshWorld, name: str, written_mask: int) -> None:
+def _lose_power(world: ControllersWorld, name: str, written_mask: int) -> None:
     """End a controller's process while some of its pending writes reach the disk.
 
     :param written_mask: a bit for each of them, the first one's the lowest
@@ -134,14 +134,14 @@
     world.stop_process(name, RESTART_S)
 
 
-def _pairs(world: MeshWorld, about: list[str]) -> list[tuple[str, str]]:
+def _pairs(world: ControllersWorld, about: list[str]) -> list[tuple[str, str]]:
     """Return the links, from and to, that a partition is about."""
     if len(about) > 1:
         return [(about[0], about[1])]
     return [(about[0], other) for other in (*world.controllers, *world.nodes) if other != about[0]]
 
 
-def _partition(world: MeshWorld, pairs: list[tuple[str, str]], until_s: float) -> None:
+def _partition(world: ControllersWorld, pairs: list[tuple[str, str]], until_s: float) -> None:
     """Cut links for a time; what is in flight on them is lost."""
     world.partitions |= dict.fromkeys(pairs, until_s)
     world.messages = [one for one in world.messages if (one.sender, one.to) not in pairs]
