--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -41,7 +41,13 @@
 from orchidferry.testkit.explore.controller import Controller as Replica
 from orchidferry.testkit.explore.controller import ControllerCall
 from orchidferry.testkit.model.relays import Machine, Process, World
-from orchidferry.testkit.model.replica_group import BEAT_S, SYNC_S, TICK_S, encoded, example
+from orchidferry.testkit.model.replica_group import (
+    DISK_SYNC_S,
+    HEARTBEAT_INTERVAL_S,
+    TICK_INTERVAL_S,
+    encode_call,
+    example_configuration,
+)
 
 ZONES = 3
 NODES = 74
@@ -68,9 +74,9 @@
 
 
 def mixed(revision: int) -> bytes:
-    """An example whose names and paths are drawn at random, the same for each revision."""
+    """An example_configuration whose names and paths are drawn at random, the same for each revision."""
     rng = random.Random(1)
-    whole = json.loads(example(revision))
+    whole = json.loads(example_configuration(revision))
     for rule in whole["access_points"][0]["rule_set"]:
         rule["identifier"] = f"{rng.randrange(16**12):012x}"
         rule["criteria"]["path_prefix"] = f"/x/{rng.randrange(16**16):016x}/"
@@ -164,8 +170,8 @@
         self.replica = Replica(
             name, world, founder, shard_state.CONFIGURATION, random.Random(world.rng.random()), world.voters
         )
-        self.call_later(TICK_S * world.rng.random(), self._tick)
-        self.call_later(BEAT_S * world.rng.random(), self._beat)
+        self.call_later(TICK_INTERVAL_S * world.rng.random(), self._tick)
+        self.call_later(HEARTBEAT_INTERVAL_S * world.rng.random(), self._beat)
 
     def _contact_age_ms(self) -> int | None:
         shard = self.replica.shard
@@ -173,13 +179,13 @@
         return None if since_s == float("-inf") else max(0, round(1e3 * (self.time() - since_s)))
 
     def _tick(self) -> None:
-        self.call_later(TICK_S, self._tick)
+        self.call_later(TICK_INTERVAL_S, self._tick)
         self.publisher.tick()
         self.replica.tick()
         self.sync()
 
     def _beat(self) -> None:
-        self.call_later(BEAT_S, self._beat)
+        self.call_later(HEARTBEAT_INTERVAL_S, self._beat)
         self.replica.send_heartbeats(name for name in self.rollout.controllers if name != self.name)
         self.sync()
 
@@ -194,7 +200,7 @@
             self.sync()
 
         if waiting:
-            self.call_later(SYNC_S, written)
+            self.call_later(DISK_SYNC_S, written)
 
     def learned(self, changed: StateChanged) -> None:
         """The shard has a newer state."""
@@ -377,7 +383,7 @@
         other = self.controllers[to]
         if (sender, to) in self.cuts:
             return
-        size = len(encoded(kind, message))
+        size = len(encode_call(kind, message))
 
         def handle() -> None:
             getattr(other.replica, kind)(*message)
@@ -450,7 +456,7 @@
 
     def _order(self, revision: int) -> None:
         """The operator sends the next version to some controller, and to another if it has no answer."""
-        text = mixed(revision) if self.day.mixed_names else example(revision)
+        text = mixed(revision) if self.day.mixed_names else example_configuration(revision)
         change = shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1)
         next_s = self.now + CHANGE_EVERY_S
 
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -1,7 +1,7 @@
 """Replicas of one shard in virtual time, with every byte between them counted.
 
-Shipping `Shard`s round disks in memory (`orchidferry.testkit.explore.controller`); each machine sends its
-messages in order, at the rate of its link and after a delay, and each disk answers a write after one sync.
+Real `Shard`s on disks in memory (`orchidferry.testkit.explore.controller`); each machine sends its messages
+in order, at the rate of its link and after a delay, and each disk completes a write after one sync.
 """
 
 from __future__ import annotations
@@ -22,14 +22,20 @@
 from orchidferry.testkit.explore.controller import Controller, ControllerCall
 from orchidferry.testkit.model.stored_controller import StoredController
 
-BEAT_S = 0.4
-TICK_S = 0.05
-SYNC_S = 0.001
-DELAY_S = 0.002
+HEARTBEAT_INTERVAL_S = 0.4
+TICK_INTERVAL_S = 0.05
+DISK_SYNC_S = 0.001
+LINK_DELAY_S = 0.002
+RUN_STEP_S = 0.01  # between two checks of a condition
 
 
-def example(revision: int, routes: int = 350, services: int = 40) -> bytes:
-    """A configuration as an operator's tool writes it, of some 200 bytes a route."""
+def example_configuration(revision: int, routes: int = 350, services: int = 40) -> bytes:
+    """Return a configuration as an operator's tool writes it, of some 200 bytes a route.
+
+    :param revision: its number; one route in 50 changes with it
+    :param routes: number of routes
+    :param services: number of services
+    """
     rules = [
         {
             "identifier": f"route-{n}-{(n * 2_654_435_761) % 65_536:04x}",
@@ -45,55 +51,76 @@
         }
         for n in range(routes)
     ]
-    whole = {
+    configuration = {
         "revision_number": revision,
         "limit_set": {"max_header_bytes": 16_384, "header_timer_ms": 3_000, "idle_timer_ms": 15_000},
         "access_points": [{"host_name": "feeds.example", "rule_set": rules}],
         "trunk_groups": [{"identifier": f"service-{n}", "max_connections": 500} for n in range(services)],
     }
-    return json.dumps(whole).encode()
+    return json.dumps(configuration).encode()
+
 
+def encode_call(call: str, arguments: tuple[Any, ...]) -> bytes:
+    """Return a message between replicas as it is sent.
 
-def encoded(kind: str, message: tuple[Any, ...]) -> bytes:
-    """The bytes of a message between replicas."""
-    found: Message
-    match kind:
+    :param call: the `ControllerCall` that it makes at its receiver
+    :param arguments: of that call
+    """
+    message: Message
+    match call:
         case ControllerCall.HEARTBEAT:
-            name, number, fit, version, leaving, learned = message
-            learning = [] if learned else [shard_state.CONFIGURATION]
-            found = Heartbeat(name, number, fit, [version], leaving, learning)
+            name, number, eligible, version, leaving, learned = arguments
+            missing_shards = [] if learned else [shard_state.CONFIGURATION]
+            message = Heartbeat(name, number, eligible, [version], leaving, missing_shards)
         case ControllerCall.HEARTBEAT_ACK:
-            name, number, fence = message
-            found = HeartbeatAck(name, number, [fence])
+            name, number, fencing_token = arguments
+            message = HeartbeatAck(name, number, [fencing_token])
         case _:
-            found = ShardMessage(shard_state.CONFIGURATION, message[1])
-    return encode(found)
+            message = ShardMessage(shard_state.CONFIGURATION, arguments[1])
+    return encode(message)
 
 
 class ReplicaGroup:
-    """So many founders, and a clock that `run` moves."""
+    """Founders of a group, and a clock that `run` moves.
+
+    :ivar now: virtual time, in seconds
+    :ivar seeds: names of the controllers
+    :ivar bytes_by_type: bytes sent between replicas, by type of message
+    :ivar bytes_by_link: the same by sender and receiver
+    :ivar ended_requests: when each request ended, and how, by its id
+    :ivar isolated: names of controllers that exchange no messages with others
+    :ivar ownerships: fencing tokens and owners, in their order
+    :ivar controllers: by name
+    """
 
     def __init__(
-        self, replicas: int, bits_per_s: float = float("inf"), seed: int = 1, folder: Path | None = None
+        self, replicas: int, bits_per_s: float = float("inf"), seed: int = 1, directory: Path | None = None
     ) -> None:
-        """`folder`: where the last replica has a real store; None: all disks are in memory."""
-        self.now, self.bits_per_s, self.rng = 1.0, bits_per_s, random.Random(seed)
+        """
+        :param replicas: number of controllers
+        :param bits_per_s: rate of each machine's link
+        :param seed: of the random choices
+        :param directory: data directory of the last replica's real store; None if all disks are in memory
+        """
+        self.now = 1.0
+        self.bits_per_s = bits_per_s
+        self.rng = random.Random(seed)
         self.seeds = tuple("abcdefghijk"[:replicas])
-        self.bytes = Counter[str]()  # sent between replicas, by kind of message
-        self.link_bytes = Counter[tuple[str, str]]()
-        self.ended: dict[str, tuple[float, RequestEnded]] = {}
-        self.dark: set[str] = set()  # that hear nobody and are heard by nobody
-        self.owners: list[tuple[int, str]] = []  # fences under which duties were done, in their order
-        self._free_s: dict[str, float] = {}  # when each machine has sent what it has
+        self.bytes_by_type = Counter[str]()
+        self.bytes_by_link = Counter[tuple[str, str]]()
+        self.ended_requests: dict[str, tuple[float, RequestEnded]] = {}
+        self.isolated: set[str] = set()
+        self.ownerships: list[tuple[int, str]] = []
+        self._link_free_s: dict[str, float] = {}  # when each machine will have sent all that it has to send
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
-        self._states: dict[int, Any] = {}  # decided, by version
+        self._event_count = 0
+        self._decided_states: dict[int, Any] = {}  # by version
         self.controllers: dict[str, Controller] = {name: self._controller(name) for name in self.seeds}
-        if folder is not None:
+        if directory is not None:
             last = self.seeds[-1]
-            self.controllers[last] = StoredController(folder, *self._arguments(last))
+            self.controllers[last] = StoredController(directory, *self._arguments(last))
         for name in self.seeds:
-            self._beat(name)
+            self._heartbeat(name)
             self._tick(name)
 
     def _arguments(self, name: str) -> tuple[Any, ...]:
@@ -104,124 +131,152 @@
 
     # Time
 
-    def at(self, when_s: float, call: Callable[[], None]) -> None:
-        """Have something done then."""
-        self._count += 1
-        heapq.heappush(self._events, (when_s, self._count, call))
+    def schedule(self, time_s: float, call: Callable[[], None]) -> None:
+        """Schedule a call.
+
+        :param time_s: virtual time of the call
+        """
+        self._event_count += 1
+        heapq.heappush(self._events, (time_s, self._event_count, call))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
             call()
         self.now = until
 
-    def run_until(self, over: Callable[[], bool], most_s: float) -> float:
-        """Let time pass until this holds, and tell how much; `TimeoutError` after `most_s`."""
-        began = self.now
-        while not over():
-            if self.now - began > most_s:
-                raise TimeoutError(f"not within {most_s} s")
-            self.run(0.01)
-        return self.now - began
+    def run_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
+        """Let virtual time pass until a condition holds.
+
+        :returns: the time that it took
+        :raises TimeoutError: if it does not hold within the time
+        """
+        began_s = self.now
+        while not condition():
+            if self.now - began_s > timeout_s:
+                raise TimeoutError(f"not within {timeout_s} s")
+            self.run(RUN_STEP_S)
+        return self.now - began_s
 
     # Processes
 
     def _alive(self, name: str) -> bool:
-        return self.controllers[name].alive and name not in self.dark
+        return self.controllers[name].alive and name not in self.isolated
 
-    def _beat(self, name: str) -> None:
-        self.at(self.now + BEAT_S, lambda: self._beat(name))
+    def _heartbeat(self, name: str) -> None:
+        self.schedule(self.now + HEARTBEAT_INTERVAL_S, lambda: self._heartbeat(name))
         if self.controllers[name].alive:
             self.controllers[name].send_heartbeats(n for n in self.controllers if n != name)
             self._sync(name)
 
     def _tick(self, name: str) -> None:
-        self.at(self.now + TICK_S, lambda: self._tick(name))
+        self.schedule(self.now + TICK_INTERVAL_S, lambda: self._tick(name))
         if self.controllers[name].alive:
             self.controllers[name].tick()
             self._sync(name)
-        self._judge()
-
-    def _judge(self) -> None:
-        """One owner at a time, and fences only rise."""
-        now = [
-            (fence, name)
-            for name, one in self.controllers.items()
-            if one.alive and (fence := one.shard.owns(self.now)) is not None
+        self._check_ownership()
+
+    def _check_ownership(self) -> None:
+        """Check that there is one owner at a time, and that fencing tokens only rise."""
+        current = [
+            (fencing_token, name)
+            for name, controller in self.controllers.items()
+            if controller.alive and (fencing_token := controller.shard.owns(self.now)) is not None
         ]
-        assert len(now) < 2, now
-        if now and now[0] not in self.owners[-1:]:
-            assert not self.owners or now[0][0] > self.owners[-1][0], (self.owners, now)
-            self.owners += now
-
-    def kill(self, name: str, for_s: float = 0.1, wipe: bool = False) -> None:
-        """End a process; it begins anew later, its disk kept or empty."""
+        assert len(current) < 2, current
+        if current and current[0] not in self.ownerships[-1:]:
+            last = self.ownerships[-1:]
+            assert not last or current[0][0] > last[0][0], (self.ownerships, current)
+            self.ownerships += current
+
+    def restart(self, name: str, downtime_s: float = 0.1, wipe: bool = False) -> None:
+        """End a process and start it again later.
+
+        :param name: of the controller
+        :param downtime_s: between end and start
+        :param wipe: whether its disk is emptied
+        """
         controller = self.controllers[name]
         controller.alive = False
         controller.writes = []
         if wipe:
             controller.wipe()
-        self.at(self.now + for_s, controller.start)
+        self.schedule(self.now + downtime_s, controller.start)
 
     def _sync(self, name: str) -> None:
-        """Have the writes that wait reach the disk."""
+        """Complete the pending writes of a disk after one sync."""
         controller = self.controllers[name]
-        waiting = list(controller.writes)
+        pending = list(controller.writes)
 
         def written() -> None:
-            for write in waiting:
+            for write in pending:
                 if controller.alive and write in controller.writes:
                     controller.complete_write()
             self._sync(name)
 
-        if waiting:
-            self.at(self.now + SYNC_S, written)
+        if pending:
+            self.schedule(self.now + DISK_SYNC_S, written)
 
-    # Between them
+    # Messages, and what controllers report
 
-    def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """A message between replicas."""
-        size = len(encoded(kind, message))
-        self.bytes[tag_of(message[1]) if kind == ControllerCall.RECEIVE else kind] += size
-        self.link_bytes[sender, to] += size
+    def send(self, sender: str, to: str, call: str, *arguments: Any) -> None:
+        """Send a message between replicas.
+
+        :param call: the `ControllerCall` that it makes at its receiver
+        :param arguments: of that call
+        """
+        size = len(encode_call(call, arguments))
+        message_type = tag_of(arguments[1]) if call == ControllerCall.RECEIVE else call
+        self.bytes_by_type[message_type] += size
+        self.bytes_by_link[sender, to] += size
         if not self._alive(sender) or not self._alive(to):
             return
-        free = max(self.now, self._free_s.get(sender, 0.0)) + 8 * size / self.bits_per_s
-        self._free_s[sender] = free
-        life = self.controllers[to].shard
-        self.at(free + DELAY_S, lambda: self._deliver(to, life, kind, message))
+        free_s = max(self.now, self._link_free_s.get(sender, 0.0)) + 8 * size / self.bits_per_s
+        self._link_free_s[sender] = free_s
+        incarnation = self.controllers[to].shard
+        self.schedule(free_s + LINK_DELAY_S, lambda: self._deliver(to, incarnation, call, arguments))
 
-    def _deliver(self, to: str, life: Any, kind: str, message: tuple[Any, ...]) -> None:
+    def _deliver(self, to: str, incarnation: Any, call: str, arguments: tuple[Any, ...]) -> None:
         controller = self.controllers[to]
-        if self._alive(to) and controller.shard is life:
-            getattr(controller, kind)(*message)
+        if self._alive(to) and controller.shard is incarnation:
+            getattr(controller, call)(*arguments)
             self._sync(to)
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """An answer, on the link of whoever asked."""
+        """Send an answer to the controller that asked."""
         assert isinstance(answer.message, ShardMessage)
         self.send(name, str(answer.to), ControllerCall.RECEIVE, name, answer.message.body)
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """Whoever learns a version learns the same."""
-        assert self._states.setdefault(changed.new.version, changed.new) == changed.new
+        """Check that all controllers learn the same state for a version."""
+        assert self._decided_states.setdefault(changed.new.version, changed.new) == changed.new
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """A change or a reading is over."""
-        self.ended[end.id] = (self.now, end)
+        """Record the end of a change or a read."""
+        self.ended_requests[end.id] = (self.now, end)
+
+    # Requests
 
-    # What is asked
+    def request_change(
+        self, name: str, id: str, change: shard_state.PutConfiguration, timeout_s: float = 4.0
+    ) -> None:
+        """Request a change from a controller.
 
-    def put(self, name: str, id: str, change: shard_state.PutConfiguration, for_s: float = 4.0) -> None:
-        """Ask a controller for a change."""
+        :param name: of the controller
+        :param id: of the request
+        """
         controller = self.controllers[name]
-        controller.execute(controller.shard.request_change(id, change, for_s, self.now))
+        controller.execute(controller.shard.request_change(id, change, timeout_s, self.now))
         self._sync(name)
 
-    def read(self, name: str, id: str) -> None:
-        """Ask a controller for the newest state."""
+    def request_read(self, name: str, id: str) -> None:
+        """Request the newest state from a controller.
+
+        :param name: of the controller
+        :param id: of the request
+        """
         controller = self.controllers[name]
         controller.execute(controller.shard.request_read(id, self.now))
         self._sync(name)
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/test_hundreds.py
@@ -30,14 +30,14 @@
 from orchidferry.mesh.wire.messages import ConfigurationText
 from orchidferry.testkit.explore.controller import Controller
 from orchidferry.testkit.model.relays import World
-from orchidferry.testkit.model.replica_group import ReplicaGroup, example
+from orchidferry.testkit.model.replica_group import ReplicaGroup, example_configuration
 from orchidferry.testkit.model.stored_controller import StoredController
 from tests.mesh.storage.fakes import Loop, close
 
 
 def put_of(revision: int) -> shard_state.PutConfiguration:
     """The order that follows the revision before."""
-    text = example(revision)
+    text = example_configuration(revision)
     return shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1)
 
 
@@ -52,7 +52,7 @@
 
 
 def test_a_text_that_is_damaged_or_grows_beyond_any_order_is_refused() -> None:
-    kept = compress(example(1))
+    kept = compress(example_configuration(1))
     for wrong in (kept[:-1], kept + b"x", kept[:40] + bytes([kept[40] ^ 1]) + kept[41:]):
         with pytest.raises(ValueError, match="text is"):
             expand(wrong)
@@ -74,7 +74,7 @@
     resource = ConfigurationResource(
         ask, lambda told: told(RequestEnded("", state[0])), lambda: False, lambda: True
     )
-    text = b" \n" + example(1)
+    text = b" \n" + example_configuration(1)
     resource(control_request(b"PUT", b"/", {b"if-match": b"0"}, text), "", replies.append)
     resource(control_request(b"GET", b"/", {}, b""), "", replies.append)
     assert [reply.status for reply in replies] == [200, 200] and replies[1].body == text
@@ -87,7 +87,7 @@
 ) -> None:
     loop: Any = Loop()
     folder = str(tmp_path / "data")
-    text = example(7)
+    text = example_configuration(7)
     body = shard_state.Body(3, 7, text, ((7, digest(text)),), "10.0.0.2", 4)
     kept = AcceptorState(5, (9, "x"), (8, "y"), Value(12, (Voter("10.0.0.1", 5),), body))
     with monkeypatch.context() as before:
@@ -164,13 +164,13 @@
 def test_a_voter_that_lost_the_accept_asks_for_the_state_of_the_ballot() -> None:
     group = ReplicaGroup(3)
     group.run(4.05)  # the next beats are far
-    group.put("b", "1", put_of(1))
+    group.request_change("b", "1", put_of(1))
     group.run(0.0045)  # all have promised
-    group.dark.add("c")
+    group.isolated.add("c")
     group.run(0.0045)
-    group.dark.clear()
+    group.isolated.clear()
     group.run(0.011)
-    assert group.controllers["c"].shard.body.revision == 1 and group.bytes["decided_state_request"]
+    assert group.controllers["c"].shard.body.revision == 1 and group.bytes_by_type["decided_state_request"]
     assert shard_state.body(group.controllers["c"].shard.accepted_value or VALUE).revision == 0
 
 
@@ -181,12 +181,12 @@
 def test_bytes_of_one_change(replicas: int, most: int) -> None:
     group = ReplicaGroup(replicas)
     group.run(4.0)
-    group.bytes.clear()
+    group.bytes_by_type.clear()
     for revision in range(1, 6):
-        group.put("a", str(revision), put_of(revision))
+        group.request_change("a", str(revision), put_of(revision))
         group.run(0.2)
-        assert group.ended[str(revision)][1].value and not group.ended[str(revision)][1].why
-    assert sum(group.bytes.values()) < 5 * most, group.bytes
+        assert group.ended_requests[str(revision)][1].value and not group.ended_requests[str(revision)][1].why
+    assert sum(group.bytes_by_type.values()) < 5 * most, group.bytes_by_type
 
 
 @pytest.mark.parametrize("replicas", [3, 5])
@@ -195,13 +195,13 @@
     """Copies of one order are all acknowledged; of different ones one is, and the others are refused."""
     group = ReplicaGroup(replicas, bits_per_s=3.5e6)
     group.run(4.0)
-    texts = [example(n if different else 1) for n in range(1, 9)]
+    texts = [example_configuration(n if different else 1) for n in range(1, 9)]
     for n, text in enumerate(texts):
         number = 1 + n % 2 if different else 1  # some under one number, some under another
         order = shard_state.PutConfiguration(compress(text), number, digest(text), 0)
-        group.put(group.seeds[n % replicas], str(n), order)
+        group.request_change(group.seeds[n % replicas], str(n), order)
     group.run(4.0)
-    ends = [group.ended[str(n)] for n in range(8)]
+    ends = [group.ended_requests[str(n)] for n in range(8)]
     taken = [texts[n] for n, (_, end) in enumerate(ends) if end.value is not None and not end.why]
     refused = [end for _, end in ends if end.why == shard_state.OTHER_VERSION]
     assert (len(taken), len(refused)) == ((1, 7) if different else (8, 0)), ends
@@ -213,11 +213,14 @@
     group = ReplicaGroup(3, bits_per_s=3.5e6)
     group.run(4.0)
     for revision in range(1, 101):
-        group.put("abc"[revision % 3], str(revision), put_of(revision))
+        group.request_change("abc"[revision % 3], str(revision), put_of(revision))
         group.run(0.1)
     group.run(2.0)
-    waits = [group.ended[str(n)][0] - (5.0 + 0.1 * (n - 1)) for n in range(1, 101)]
-    assert all(group.ended[str(n)][1].value and not group.ended[str(n)][1].why for n in range(1, 101))
+    waits = [group.ended_requests[str(n)][0] - (5.0 + 0.1 * (n - 1)) for n in range(1, 101)]
+    assert all(
+        group.ended_requests[str(n)][1].value and not group.ended_requests[str(n)][1].why
+        for n in range(1, 101)
+    )
     assert max(waits) < 1.0, max(waits)
     assert configuration_text.COMPRESSION_LEVEL == 6
 
@@ -234,61 +237,61 @@
     """Have a revision taken, at the pace of ten a second; the seconds until it was."""
     id = f"put {revision} {group.now}"
     began = group.now
-    group.put(asker, id, put_of(revision))
+    group.request_change(asker, id, put_of(revision))
     group.run(0.1)
-    group.run_until(lambda: id in group.ended, 5.0)
-    at, end = group.ended[id]
+    group.run_until(lambda: id in group.ended_requests, 5.0)
+    at, end = group.ended_requests[id]
     assert end.value is not None and not end.why, (revision, end)
     return at - began
 
 
 @pytest.mark.parametrize("replicas", [3, 5])
 def test_a_day_of_600_changes_with_a_dark_a_wiped_and_a_killed_replica(replicas: int, tmp_path: Path) -> None:
-    group = ReplicaGroup(replicas, bits_per_s=3.5e6, folder=tmp_path / "data")
+    group = ReplicaGroup(replicas, bits_per_s=3.5e6, directory=tmp_path / "data")
     group.run(4.0)
     last = group.seeds[-1]
     away = group.controllers[last]
     assert isinstance(away, StoredController)
 
     def heard() -> int:
-        return sum(size for (_, to), size in group.link_bytes.items() if to == last)
+        return sum(size for (_, to), size in group.bytes_by_link.items() if to == last)
 
     slowest = 0.0
     for revision in range(1, 601):
         if revision == 50:
-            group.dark.add(last)
+            group.isolated.add(last)
         elif revision == 300:
-            group.read(last, "dark")  # has no answer of what it knows
+            group.request_read(last, "dark")  # has no answer of what it knows
         elif revision == 550:
-            assert group.ended["dark"][1].value is None and away.shard.body.revision == 49
-            group.dark.clear()
-            group.read(last, "back")
+            assert group.ended_requests["dark"][1].value is None and away.shard.body.revision == 49
+            group.isolated.clear()
+            group.request_read(last, "back")
             before, newest = heard(), group.controllers["a"].shard.known.version
             caught_s = group.run_until(partial(knows, away, newest), 1.0)
             state = len(pack(shard_state_codec.pack_value(away.shard.known)))
             assert caught_s < 0.5 and heard() - before < (replicas - 1) * 1.1 * state < replicas * 10_000
             # Nobody had acknowledged it yet as it was asked: that is said at once.
-            assert group.ended["back"][1].why == OUT_OF_CONTACT
-            group.read(last, "again")
-            group.run_until(lambda: "again" in group.ended, 3.0)
-            found = group.ended["again"][1].value
+            assert group.ended_requests["back"][1].why == OUT_OF_CONTACT
+            group.request_read(last, "again")
+            group.run_until(lambda: "again" in group.ended_requests, 3.0)
+            found = group.ended_requests["again"][1].value
             assert found is not None and shard_state.body(found).revision == 549
         elif revision == 560:
-            group.kill(last, wipe=True)
+            group.restart(last, wipe=True)
         elif revision == 570:
-            fence, owner = group.owners[-1]
+            fence, owner = group.ownerships[-1]
             assert away.shard.voter in away.shard.known.voters  # it has a place again
-            group.kill(owner, for_s=4.0)
-        alive = [name for name in group.seeds if name not in group.dark and group.controllers[name].alive]
+            group.restart(owner, downtime_s=4.0)
+        alive = [name for name in group.seeds if name not in group.isolated and group.controllers[name].alive]
         slowest = max(slowest, acknowledged(group, alive[revision % 2], revision))
     group.run(5.0)
     assert slowest < 2.0, slowest
-    assert [fence for fence, _ in group.owners] == sorted({fence for fence, _ in group.owners})
-    assert group.owners[-1][0] > fence and all(
+    assert [fence for fence, _ in group.ownerships] == sorted({fence for fence, _ in group.ownerships})
+    assert group.ownerships[-1][0] > fence and all(
         one.shard.body.revision == 600 and one.shard.standing.caught_up for one in group.controllers.values()
     )
     assert away.file_bytes < 200_000  # of 50 MB that were taken
-    group.kill(last)
+    group.restart(last)
     group.run(1.0)
     assert away.opening_s < 2.0 and away.shard.body.revision == 600
     away.close()
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/test_state_teller.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.wire.messages import ShardMessage
 from orchidferry.mesh.wire.shard_messages import DecidedState, tag_of
 from orchidferry.testkit.explore.controller import ControllerCall
-from orchidferry.testkit.model.replica_group import BEAT_S, ReplicaGroup, example
+from orchidferry.testkit.model.replica_group import HEARTBEAT_INTERVAL_S, ReplicaGroup, example_configuration
 
 RETURNS = "e"
 
@@ -21,15 +21,15 @@
     """A group of which one replica is dark through three changes."""
     group = ReplicaGroup(replicas)
     group.run(3.0)
-    group.dark.add(RETURNS)
+    group.isolated.add(RETURNS)
     for revision in (1, 2, 3):
-        text = example(revision)
-        group.put(
+        text = example_configuration(revision)
+        group.request_change(
             "a",
             str(revision),
             shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1),
         )
-        group.run_until(lambda revision=revision: str(revision) in group.ended, 5.0)  # type: ignore[misc]
+        group.run_until(lambda revision=revision: str(revision) in group.ended_requests, 5.0)  # type: ignore[misc]
     group.run(3.0)
     return group
 
@@ -45,11 +45,11 @@
     group = missed_changes(replicas)
     state = DecidedState(shard_state_codec.pack_value(group.controllers["a"].shard.known))
     whole = len(encode(ShardMessage(0, state)))
-    before = group.bytes[tag_of(DecidedState)]
-    group.dark.clear()
-    group.run_until(lambda: returned(group), BEAT_S + 0.1)
+    before = group.bytes_by_type[tag_of(DecidedState)]
+    group.isolated.clear()
+    group.run_until(lambda: returned(group), HEARTBEAT_INTERVAL_S + 0.1)
     group.run(3.0)
-    assert group.bytes[tag_of(DecidedState)] - before < 1.5 * whole
+    assert group.bytes_by_type[tag_of(DecidedState)] - before < 1.5 * whole
 
 
 def test_another_one_tells_it_where_the_first_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -64,6 +64,6 @@
         send(sender, to, kind, *message)
 
     monkeypatch.setattr(group, "send", lossy)
-    group.dark.clear()
+    group.isolated.clear()
     took_s = group.run_until(lambda: returned(group), 3.0)
-    assert len(set(silent)) == 2 and took_s < STATE_TIMEOUT_S + 2.0 * BEAT_S
+    assert len(set(silent)) == 2 and took_s < STATE_TIMEOUT_S + 2.0 * HEARTBEAT_INTERVAL_S
