--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -1,12 +1,8 @@
-"""The callers' side over QUIC: requests on streams as `Message`, exactly one answer to each.
+"""The listener for clients in HTTP/3: one UDP socket, and what is kept for the connections on it.
 
-As with HTTP/1.1 a caller's bad input is its own matter, and requests that can't be served get errors, never
-refusals. What is kept, and how it ends:
-
-- a connection: at most `connections` of them; one for which there is no room takes the place of the one
-  that has been idle longest. It has `HANDSHAKE_S` to come up and ends after `IDLE_S` without a packet.
-- a request: at most `MAX_STREAMS` a connection, by the transport's limit; the rest wait at their caller.
-  It has `READ_S` to come, its class's deadline to be answered, and `WRITE_S` to be read by its caller.
+- connections: at most `connections` of them; at the limit a new one replaces the one that is idle for the
+  longest time. One has `HANDSHAKE_S` for its handshake and ends after `IDLE_S` without a packet.
+- requests: at most `MAX_STREAMS` a connection, by the transport's limit; the others wait at the client.
 - session tickets: `MAX_TICKETS`, each good for one resumption, so that early data can't be replayed here.
 """
 
@@ -14,27 +10,14 @@
 
 import asyncio
 import hmac
-import logging
 import os
 import time
 from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from enum import Enum
 from typing import Any, cast
 
 from aioquic.buffer import Buffer
 from aioquic.quic.configuration import SMALLEST_MAX_DATAGRAM_SIZE, QuicConfiguration
-from aioquic.quic.events import (
-    ConnectionIdIssued,
-    ConnectionIdRetired,
-    ConnectionTerminated,
-    HandshakeCompleted,
-    QuicEvent,
-    StopSendingReceived,
-    StreamDataReceived,
-    StreamReset,
-)
 from aioquic.quic.packet import (
     QuicPacketType,
     encode_quic_retry,
@@ -45,336 +28,41 @@
 from aioquic.tls import SessionTicket
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.floods import First, FirstPackets, Patience, Strays
+from orchidferry.balancing.floods import First, FirstPackets, Strays
 from orchidferry.node.address import Address
-from orchidferry.node.client_connection import LIMITS_S, Accept, RequestHandle, Stage
+from orchidferry.node.client_connection import Accept
 from orchidferry.node.clock import now_ms
 from orchidferry.node.config import ConfigError
-from orchidferry.node.frontend import NODE_PATHS
 from orchidferry.node.h3 import settings
-from orchidferry.node.h3.session import (
-    LAST_STREAM,
-    DataReceived,
-    ErrorCode,
-    HeadersReceived,
-    Malformed,
-    Session,
-)
-from orchidferry.node.h3.shell import (
+from orchidferry.node.h3.client_connection import IDLE_S, MAX_STREAMS, Connection
+from orchidferry.node.h3.quic_transport import (
     ALPN,
     CID_LENGTH,
+    RESET_TOKEN_BYTES,
+    ConnectionIdTable,
     Endpoint,
-    Ids,
-    OwnTokens,
-    Shell,
-    closed_by,
-    is_over,
+    ServerQuicConnection,
     reset_token,
 )
-from orchidferry.node.http1 import MAX_BODY, MAX_HEAD
+from orchidferry.node.h3.session import (
+    ErrorCode,
+)
 from orchidferry.node.reply import Reply
-from orchidferry.node.request import SINGLE, RequestError, read_message
-
-HANDSHAKE_S = LIMITS_S[Stage.NEW]  # the same limits as over HTTP/1.1
-READ_S = LIMITS_S[Stage.READING]
-WRITE_S = LIMITS_S[Stage.LEAVING]
-IDLE_S = LIMITS_S[Stage.IDLE]
-SWEEP_S = 0.2
-MAX_STREAMS = 100  # requests of one connection that are open
+
+SWEEP_S = 0.2  # how often time limits are checked
 MAX_TICKETS = 4_096
-# flow control: a body, its frames and some air
+
+# Flow control, in bytes: a body, its frames and a reserve
 WINDOW = 512 * 1024
 STREAM_WINDOW = 128 * 1024
-MIN_RESET = 43  # bytes of a stray packet that is answered: its reset has to be shorter, and look like one
-TOO_EARLY = 425  # RFC 8470
-
-log = logging.getLogger("orchidferry")
-
-
-class Step(Enum):
-    """What a request's stream waits for."""
-
-    READING = "the rest of the request"
-    SERVING = "an answer from the node"
-    WRITING = "the caller, to take the answer"
-
-
-@dataclass(slots=True, eq=False)
-class Exchange:
-    """One request's stream, until all of its answer is acknowledged."""
-
-    connection: Connection
-    id: int
-    since: float  # when its step began
-    early: bool  # it began before the handshake was done: it may be a replay
-    step: Step = Step.READING
-    target: bytes = b""
-    method: bytes = b""
-    headers: dict[bytes, bytes] = field(default_factory=dict)
-    body: list[bytes] = field(default_factory=list)
-    size: int = 0
-    headed: bool = False
-    owed: RequestHandle | None = None
-
-    def answer(self, reply: Reply) -> None:
-        """The node's one answer."""
-        self.owed = None
-        self.connection.answered(self, reply)
-
-
-class Connection:
-    """A caller's connection."""
-
-    def __init__(self, listener: Listener, quic: OwnTokens) -> None:
-        self.listener = listener
-        self.quic = quic
-        self.began = self.heard = time.monotonic()
-        self.up = self.over = False
-        self.cids: set[bytes] = set()  # that lead to it: some ten
-        self.exchanges: dict[int, Exchange] = {}
-        self._patience = Patience(now_ms())
-        self._closing = False
-        self._next = 0  # the least id that is greater than those seen
-        self.shell = Shell(quic, listener.loop, listener.sendto, self._event, self._flushed, self._terminated)
-        self._session: Session | None = None
-
-    def receive(self, data: bytes, peer: Endpoint) -> None:
-        self.heard = time.monotonic()
-        self.shell.receive(data, peer)
-        if not self.over and closed_by(self.quic) is not None:
-            self._terminated()  # nobody waits any more: what it asked is not held for the close's after-time
-
-    def _event(self, event: QuicEvent) -> None:
-        match event:
-            case StreamDataReceived():
-                self._data(event)
-            case StreamReset():
-                self._http(event)
-                self._taken_back(event.stream_id)
-            case StopSendingReceived():
-                self._taken_back(event.stream_id)
-            case ConnectionIdIssued():
-                self.listener.ids.add(event.connection_id, self)
-            case ConnectionIdRetired():
-                self.listener.ids.retire(event.connection_id, self)
-            case HandshakeCompleted():
-                self.up = True
-                if self._session is None:
-                    self._session = Session(self.quic)  # with it go the settings
-                self.listener.came_up(self)
-            case ConnectionTerminated():
-                self._terminated()
-
-    def _http(self, event: QuicEvent) -> list[Any]:
-        if self._session is None:
-            self._session = Session(self.quic)
-        return self._session.take(event)
-
-    def _data(self, event: StreamDataReceived) -> None:
-        id = event.stream_id
-        if id % 4 == 0 and id not in self.exchanges and not self._is_dead(id):
-            self._next = max(self._next, id + 4)  # streams may come out of their order
-            if self._closing or len(self.exchanges) >= MAX_STREAMS:
-                return self._reject(id, event.end_stream)
-            self.exchanges[id] = Exchange(self, id, time.monotonic(), not self.up)
-        for found in self._http(event):
-            exchange = self.exchanges.get(getattr(found, "stream_id", -1))
-            if exchange is None or exchange.step is not Step.READING:
-                continue
-            match found:
-                case HeadersReceived():
-                    self._headers(exchange, found)
-                case DataReceived():
-                    exchange.size += len(found.data)
-                    if exchange.size > MAX_BODY:
-                        self._reject_request(exchange, 413, "body over 64 KiB")
-                    else:
-                        exchange.body.append(found.data)
-                case Malformed():
-                    if not self._patience.malformed(now_ms()):
-                        return self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
-                    self._reject_request(exchange, found.status, found.why)
-            if getattr(found, "stream_ended", False) and exchange.step is Step.READING:
-                self._complete(exchange)
-
-    def _is_dead(self, id: int) -> bool:
-        return self._session is not None and self._session.is_dead(id)
-
-    def _reject(self, id: int, ended: bool) -> None:
-        """It is not looked at, so the caller can send it elsewhere (RFC 9114, section 4.1.1)."""
-        if self._session is None:
-            self._session = Session(self.quic)
-        self._session.ignore(id, ended)
-        if not ended:
-            self.quic.stop_stream(id, ErrorCode.H3_REQUEST_REJECTED)
-        self.quic.reset_stream(id, ErrorCode.H3_REQUEST_REJECTED)
-        if not self._closing and not self._patience.reset(now_ms()):
-            self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
-
-    # Requests
-
-    def _headers(self, exchange: Exchange, found: HeadersReceived) -> None:
-        if exchange.headed:
-            return  # trailers: nothing here asks for them
-        exchange.headed = True
-        size = 0
-        for name, value in found.headers:
-            size += len(name) + len(value)
-            if name == b":method":
-                exchange.method = value
-            elif name == b":path":
-                exchange.target = value
-            elif name[:1] != b":":
-                if name in SINGLE and name in exchange.headers:
-                    return self._reject_request(exchange, 400, "a header came twice")
-                exchange.headers[name] = value.strip()
-        if size > MAX_HEAD:
-            return self._reject_request(exchange, 431, "headers too large")
-        if not exchange.target:
-            return self._reject_request(exchange, 400, "no :path")
-        length = exchange.headers.get(b"content-length", b"0")
-        if not length.isdigit():
-            self._reject_request(exchange, 400, "content-length is no number")
-        elif int(length[:12]) > MAX_BODY:
-            self._reject_request(exchange, 413, "body over 64 KiB")
-
-    def _complete(self, exchange: Exchange) -> None:
-        """The whole request has come."""
-        listener = self.listener
-        if exchange.target.startswith(NODE_PATHS):
-            return self.answered(exchange, listener.node_page(exchange.target.partition(b"?")[0]))
-        body = b"".join(exchange.body)
-        exchange.body = []
-        try:
-            message = read_message(listener.classes, exchange.method, exchange.target, exchange.headers, body)
-            if exchange.early and listener.classes[message.cls].repeat is not api.Repeat.SAFE:
-                return self.answered(exchange, Reply(TOO_EARLY, b"ask again once the handshake is done"))
-            self._step(exchange, Step.SERVING)
-            owed = listener.accept(message, exchange.answer)
-        except RequestError as problem:
-            return self._reject_request(exchange, 400, str(problem))
-        if exchange.step is Step.SERVING:  # it may have been answered at once
-            exchange.owed = owed
-
-    def answered(self, exchange: Exchange, reply: Reply) -> None:
-        """Write an answer, whole; the node's, or one of this file's own."""
-        if self.exchanges.get(exchange.id) is not exchange or self._session is None:
-            return  # its caller took it back, or the connection is over
-        self._step(exchange, Step.WRITING)
-        headers = [(b":status", b"%d" % reply.status)]
-        if reply.content_type is not None:
-            headers.append((b"content-type", reply.content_type))
-        if reply.retry_after_s is not None:
-            headers.append((b"retry-after", b"%.3f" % reply.retry_after_s))
-        headers.extend(reply.more)
-        headers.append((b"content-length", b"%d" % len(reply.body)))
-        try:
-            self._session.send_headers(exchange.id, headers, end_stream=not reply.body)
-            if reply.body:
-                self._session.send_data(exchange.id, reply.body, end_stream=True)
-        except Exception:  # the stream can't carry it any more
-            log.exception("answering a request over QUIC")
-            self._drop(exchange, ErrorCode.H3_INTERNAL_ERROR)
-        self.shell.flush_soon()
-
-    def _reject_request(self, exchange: Exchange, status: int, why: str) -> None:
-        """Answer a request that can't be read, and read no more of it (RFC 9114, section 4.1.1)."""
-        if self._session is not None and not is_over(self.quic, exchange.id):
-            self._session.ignore(exchange.id, False)
-            self.quic.stop_stream(exchange.id, ErrorCode.H3_NO_ERROR)
-        exchange.body.clear()
-        self.answered(exchange, Reply(status, why.encode()))
-
-    def _taken_back(self, id: int) -> None:
-        """The caller wants no answer any more. What the node has sent on goes its way."""
-        exchange = self.exchanges.get(id)
-        if exchange is None:
-            return
-        unanswered = exchange.step is not Step.WRITING
-        self._drop(exchange, ErrorCode.H3_REQUEST_CANCELLED)
-        if unanswered and not self._patience.reset(now_ms()):
-            log.warning("a caller took back too many requests; its connection is closed")
-            self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
-
-    def _drop(self, exchange: Exchange, code: int) -> None:
-        """Forget a request; whoever has it is told that nobody waits."""
-        if self.exchanges.pop(exchange.id, None) is None:
-            return
-        if not self.over and not is_over(self.quic, exchange.id):
-            self.quic.reset_stream(exchange.id, code)
-        if self._session is not None:
-            self._session.done_with(exchange.id)
-            if not self.over and not is_over(self.quic, exchange.id):
-                self._session.ignore(exchange.id, False)
-        owed = exchange.owed
-        exchange.owed = None
-        if owed is not None:
-            owed.client_disconnected()
-
-    def _step(self, exchange: Exchange, step: Step) -> None:
-        exchange.step, exchange.since = step, time.monotonic()
-
-    # Its life
-
-    def _flushed(self) -> None:
-        """After each flush: requests whose answer is acknowledged are done with."""
-        done = [x for x in self.exchanges.values() if x.step is Step.WRITING and is_over(self.quic, x.id)]
-        for exchange in done:
-            del self.exchanges[exchange.id]
-        if self._closing and not self.exchanges and not self.over:
-            self.quic.close(error_code=ErrorCode.H3_NO_ERROR)
-            self._closing = False  # said once
-            self.shell.flush_soon()
-
-    def sweep(self, now: float) -> None:
-        """End what has waited too long."""
-        if not self.up and now - self.began > HANDSHAKE_S:
-            return self.abort(ErrorCode.H3_NO_ERROR)
-        if self.up and not self.exchanges and now - self.heard > IDLE_S:
-            return self.abort(ErrorCode.H3_NO_ERROR)
-        for exchange in list(self.exchanges.values()):
-            waited = now - exchange.since
-            if exchange.step is Step.READING and waited > READ_S:
-                self._reject_request(exchange, 408, "the request took too long to come")
-            elif exchange.step is Step.WRITING and waited > WRITE_S:
-                self._drop(exchange, ErrorCode.H3_INTERNAL_ERROR)
-                self.shell.flush_soon()
 
-    def set_not_ready(self) -> None:
-        """Say that the node is going; requests are still taken (RFC 9114, section 5.2)."""
-        if self._session is not None and not self.over:
-            self._session.say_goaway(LAST_STREAM)
-            self.shell.flush_soon()
-
-    def close_gracefully(self) -> None:
-        """Take no new requests; close once those there are have been answered."""
-        if not self.over and not self._closing:
-            self._closing = True
-            if self._session is not None:
-                self._session.say_goaway(self._next)
-            self.shell.flush_soon()
-
-    def abort(self, code: int) -> None:
-        """End it now, whatever is on it."""
-        if not self.over:
-            self.quic.close(error_code=code)
-            self.shell.flush()
-            self._terminated()
-
-    def _terminated(self) -> None:
-        if self.over:
-            return
-        self.over = True
-        for exchange in list(self.exchanges.values()):
-            self._drop(exchange, ErrorCode.H3_REQUEST_CANCELLED)
-        self.listener.closed(self)
-        # Within the library it goes on for a while, to answer late packets with its close; here they are
-        # strays.
-        self.shell.end()
+MIN_RESET = (
+    43  # bytes of a stray packet that is answered: its reset has to be shorter, and look like a packet
+)
 
 
 class Listener(asyncio.DatagramProtocol):
-    """The UDP socket and all callers' connections: a front beside the HTTP/1.1 one."""
+    """The UDP socket and all clients' connections; a `FrontendTransport` beside that of HTTP/1.1."""
 
     def __init__(
         self,
@@ -389,21 +77,23 @@
         self._front = front
         self.loop: asyncio.AbstractEventLoop
         self._transport: asyncio.DatagramTransport | None = None
-        self.ids: Ids[Connection] = Ids()
+        self.ids: ConnectionIdTable[Connection] = ConnectionIdTable()
         self._connections: dict[Connection, None] = {}
         self._half_open: dict[Connection, None] = {}
-        self._first, self._strays = FirstPackets(now_ms()), Strays(now_ms())
+        self._first = FirstPackets(now_ms())
+        self._strays = Strays(now_ms())
         self._retry = QuicRetryTokenHandler()
-        self._reset_key = self._made_reset_key()
+        self._reset_key = self._derive_reset_key()
         self._tickets: OrderedDict[bytes, SessionTicket] = OrderedDict()
-        self._taking_none = False
+        self._not_accepting = False
         self._empty = asyncio.Event()
-        self._configuration = self._configured()
+        self._configuration = self._load_configuration()
 
-    def _made_reset_key(self) -> bytes:
-        """From the private key and the address: a node that starts again can reset what its last life had.
+    def _derive_reset_key(self) -> bytes:
+        """Derive the key of stateless resets from the private key and the address.
 
-        (RFC 9000, section 10.3.2: one static key. Nodes at other addresses have others.)
+        A node that starts again can so reset the connections of its last incarnation (RFC 9000, section
+        10.3.2: one static key). Nodes at other addresses have other keys.
         """
         try:
             secret = self._front.key.read_bytes()
@@ -411,9 +101,12 @@
             raise ConfigError(f"front.key: can't be read: {problem.strerror}") from None
         return hmac.digest(secret, f"stateless reset {self._front.listen}".encode(), "sha256")
 
-    def _configured(self) -> QuicConfiguration:
-        """The library's settings, with the certificate as it is now; `ConfigError` if it can't be used."""
-        made = QuicConfiguration(
+    def _load_configuration(self) -> QuicConfiguration:
+        """Return the library's settings, with the certificate as it is now.
+
+        :raises ConfigError: if it can't be used.
+        """
+        configuration = QuicConfiguration(
             is_client=False,
             alpn_protocols=[ALPN],
             idle_timeout=IDLE_S + 2.0,
@@ -422,14 +115,18 @@
             connection_id_length=CID_LENGTH,
         )
         try:
-            made.load_cert_chain(str(self._front.certificate), str(self._front.key))
-        except Exception as problem:  # the library lets through whatever its parsers raise
-            why = f"{type(problem).__name__}: {problem}".splitlines()[0][:120]
-            raise ConfigError(f"front.certificate, front.key: can't be used: {why}") from None
-        return made
+            configuration.load_cert_chain(str(self._front.certificate), str(self._front.key))
+        except Exception as problem:  # the library passes on whatever its parsers raise
+            reason = f"{type(problem).__name__}: {problem}".splitlines()[0][:120]
+            raise ConfigError(f"front.certificate, front.key: can't be used: {reason}") from None
+        return configuration
 
     async def listen(self, loop: asyncio.AbstractEventLoop) -> Address:
-        """Take datagrams from now on; the address, with the port that port 0 stands for."""
+        """Receive datagrams from now on.
+
+        :returns: the address, with the port that was chosen for port 0.
+        :raises OSError: if the address can't be used.
+        """
         self.loop = loop
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self._front.listen)
         self._sweep()
@@ -437,13 +134,14 @@
         return host, port
 
     def reread(self) -> None:
-        """Take the certificate as it is on disk now, for new connections; `ConfigError` leaves the old
-        one.
+        """Use the certificate as it is on disk now for new connections.
+
+        :raises ConfigError: if it can't be used; the old one is kept.
         """
-        self._configuration = self._configured()
+        self._configuration = self._load_configuration()
 
     def alt_svc(self, port: int) -> bytes | None:
-        """What HTTP/1.1 answers tell callers of this listener (RFC 7838; RFC 9114, section 3.1.1)."""
+        """Return the header by which answers in HTTP/1.1 announce this listener (RFC 7838), if they do."""
         return b'h3=":%d"; ma=%d' % (port, self._front.alt_svc_s) if self._front.alt_svc_s else None
 
     # Datagrams
@@ -452,11 +150,12 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def sendto(self, data: bytes, peer: Endpoint) -> None:
+        """Send a datagram."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(data, peer)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed, or the like: its connection ends by its own time limits."""
+        """Ignore that a peer can't be reached: its connection ends by its own time limits."""
 
     def datagram_received(self, data: bytes, peer: Endpoint) -> None:
         try:
@@ -468,70 +167,52 @@
             return connection.receive(data, peer)
         now = now_ms()
         if header.version is None:  # short header: a connection that ended, or was another process's
-            if len(data) >= MIN_RESET and self._strays.answered(now):
-                noise = bytearray(os.urandom(min(len(data) - 1, MIN_RESET - 1) - 16))
-                noise[0] = noise[0] & 0x3F | 0x40
-                self.sendto(bytes(noise) + reset_token(self._reset_key, header.destination_cid), peer)
-            return
+            return self._answer_stray(header, len(data), peer, now)
         if header.packet_type is QuicPacketType.VERSION_NEGOTIATION or len(data) < SMALLEST_MAX_DATAGRAM_SIZE:
             return
         if header.version not in self._configuration.supported_versions:
-            if self._strays.answered(now):
-                self.sendto(
-                    encode_quic_version_negotiation(
-                        source_cid=header.destination_cid,
-                        destination_cid=header.source_cid,
-                        supported_versions=self._configuration.supported_versions,
-                    ),
-                    peer,
-                )
-            return
-        if header.packet_type is QuicPacketType.INITIAL and not self._taking_none:
+            return self._send_versions(header, peer, now)
+        if header.packet_type is QuicPacketType.INITIAL and not self._not_accepting:
             self._first_packet(header, data, peer, now)
 
+    def _answer_stray(self, header: Any, size: int, peer: Endpoint, now: float) -> None:
+        """Send a stateless reset (RFC 9000, section 10.3).
+
+        :param size: of the datagram, in bytes; the reset is shorter, so that two ends never answer forever.
+        """
+        if size >= MIN_RESET and self._strays.answered(now):
+            noise = bytearray(os.urandom(min(size - 1, MIN_RESET - 1) - RESET_TOKEN_BYTES))
+            noise[0] = noise[0] & 0x3F | 0x40
+            self.sendto(bytes(noise) + reset_token(self._reset_key, header.destination_cid), peer)
+
+    def _send_versions(self, header: Any, peer: Endpoint, now: float) -> None:
+        """Answer a packet of an unknown version with the supported ones (RFC 9000, section 6)."""
+        if self._strays.answered(now):
+            self.sendto(
+                encode_quic_version_negotiation(
+                    source_cid=header.destination_cid,
+                    destination_cid=header.source_cid,
+                    supported_versions=self._configuration.supported_versions,
+                ),
+                peer,
+            )
+
     def _first_packet(self, header: Any, data: bytes, peer: Endpoint, now: float) -> None:
-        original = header.destination_cid
-        retried = None
-        if header.token:
-            try:
-                original = self._retry.validate_token(
-                    address=peer,
-                    destination_cid=header.destination_cid,
-                    token=header.token,
-                    now=time.monotonic(),
-                )
-                retried = header.destination_cid
-            except ValueError:
-                pass  # an old one, or from elsewhere: no proof
-        match self._first.decide(len(self._half_open), retried is not None, now):
+        """Handle the first packet of a connection: open it, have its address validated, or drop it."""
+        original = self._validated_id(header, peer)
+        match self._first.decide(len(self._half_open), original is not None, now):
             case First.VALIDATE:
-                cid = os.urandom(CID_LENGTH)
-                token = self._retry.create_token(
-                    address=peer,
-                    original_destination_connection_id=header.destination_cid,
-                    retry_source_connection_id=cid,
-                    now=time.monotonic(),
-                )
-                return self.sendto(
-                    encode_quic_retry(
-                        version=header.version,
-                        source_cid=cid,
-                        destination_cid=header.source_cid,
-                        original_destination_cid=header.destination_cid,
-                        retry_token=token,
-                    ),
-                    peer,
-                )
+                return self._send_retry(header, peer)
             case First.DROP:
                 return
-        if len(self._connections) >= self._front.connections and not self._make_room():
+        if len(self._connections) >= self._front.connections and not self._evict_idle():
             return
-        quic = OwnTokens(
+        quic = ServerQuicConnection(
             self._reset_key,
             MAX_STREAMS,
             configuration=self._configuration,
-            original_destination_connection_id=original,
-            retry_source_connection_id=retried,
+            original_destination_connection_id=original or header.destination_cid,
+            retry_source_connection_id=header.destination_cid if original is not None else None,
             session_ticket_fetcher=self._fetch_ticket,
             session_ticket_handler=self._keep_ticket,
         )
@@ -542,11 +223,49 @@
         self.ids.add(quic.host_cid, connection)
         connection.receive(data, peer)
 
-    def _make_room(self) -> bool:
-        """End the connection that has been idle longest, if any is idle."""
-        idle = [c for c in self._connections if c.up and not c.exchanges]
+    def _validated_id(self, header: Any, peer: Endpoint) -> bytes | None:
+        """Check the token of a Retry packet (RFC 9000, section 8.1.2).
+
+        :returns: the id that the client used before the retry; None without a valid token.
+        """
+        if not header.token:
+            return None
+        try:
+            original: bytes = self._retry.validate_token(
+                address=peer,
+                destination_cid=header.destination_cid,
+                token=header.token,
+                now=time.monotonic(),
+            )
+        except ValueError:  # an old one, or one from elsewhere
+            return None
+        return original
+
+    def _send_retry(self, header: Any, peer: Endpoint) -> None:
+        """Have a client prove its address."""
+        cid = os.urandom(CID_LENGTH)
+        token = self._retry.create_token(
+            address=peer,
+            original_destination_connection_id=header.destination_cid,
+            retry_source_connection_id=cid,
+            now=time.monotonic(),
+        )
+        self.sendto(
+            encode_quic_retry(
+                version=header.version,
+                source_cid=cid,
+                destination_cid=header.source_cid,
+                original_destination_cid=header.destination_cid,
+                retry_token=token,
+            ),
+            peer,
+        )
+
+    def _evict_idle(self) -> bool:
+        """Close the connection that is idle for the longest time; return whether there was one."""
+        idle = [c for c in self._connections if c.up and not c.streams]
         if idle:
-            min(idle, key=lambda c: c.heard).abort(ErrorCode.H3_NO_ERROR)
+            min(idle, key=lambda c: c.last_received_s).abort(ErrorCode.H3_NO_ERROR)
         return bool(idle)
 
     # Tickets, for resumption and early data
@@ -557,16 +276,18 @@
             self._tickets.popitem(last=False)
 
     def _fetch_ticket(self, label: bytes) -> SessionTicket | None:
-        return self._tickets.pop(label, None)  # once: a replay finds none, and its early data is not read
+        return self._tickets.pop(label, None)  # once, so that replayed early data is not read
 
     # Connections
 
-    def came_up(self, connection: Connection) -> None:
+    def handshake_completed(self, connection: Connection) -> None:
+        """Learn that a connection's handshake is done."""
         self._half_open.pop(connection, None)
-        # The id that the caller made up for its first packets is of no more use.
+        # The id that the client chose for its first packets is not used any more.
         self.ids.retire(connection.quic.original_destination_connection_id, connection)
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
+        """Forget a connection."""
         self._connections.pop(connection, None)
         self._half_open.pop(connection, None)
         self.ids.end(connection)
@@ -579,40 +300,40 @@
         for connection in list(self._connections):
             connection.sweep(now)
 
-    # What the node asks of a front
+    # For the node
 
     def count(self) -> int:
-        """Sockets in use: one, whatever the number of callers."""
+        """Return the number of sockets in use: one, for any number of clients."""
         return 1 if self._transport is not None else 0
 
     def set_not_ready(self) -> None:
-        """Tell callers to go elsewhere when they can."""
+        """Announce the node's end to all clients."""
         for connection in list(self._connections):
             connection.set_not_ready()
 
     def close_listener(self) -> None:
-        """Take no new connections; go on with those there are."""
-        self._taking_none = True
+        """Accept no more connections."""
+        self._not_accepting = True
 
     async def close_gracefully(self) -> None:
-        """Answer all that is owed, take nothing new, and close."""
+        """Answer the open requests, accept no more, and close."""
         for connection in list(self._connections):
             connection.close_gracefully()
         await self.wait_closed()
 
     async def wait_closed(self) -> None:
-        """Wait until no caller is left."""
+        """Wait until no client is connected."""
         while self._connections:
             self._empty.clear()
             await self._empty.wait()
 
     def abort(self) -> None:
-        """End all that is left."""
+        """Close all connections."""
         for connection in list(self._connections):
             connection.abort(ErrorCode.H3_NO_ERROR)
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Close all connections and the socket."""
         self.abort()
         if self._transport is not None:
             self._timer.cancel()
--- a/orchidferry/node/h3/shell.py
+++ b/orchidferry/node/h3/quic_transport.py
@@ -1,6 +1,7 @@
-"""A QUIC connection's thin shell: datagrams in and out, one timer. The library's core has no sockets.
+"""The I/O of a QUIC connection: datagrams in and out, and one timer. The library (aioquic) itself has none.
 
-Time is `time.monotonic()`, as uvloop's own clock stands still within a turn and counts whole milliseconds.
+Time is `time.monotonic()`, as uvloop's clock stands still within an iteration and counts full milliseconds.
+What is used of the library's private attributes stands here and in `session.py`.
 """
 
 from __future__ import annotations
@@ -19,26 +20,31 @@
 Endpoint = tuple[Any, ...]  # a UDP peer, as the socket names it
 
 log = logging.getLogger("orchidferry")
-# The library says a line or two about each connection.
+# The library logs a line or two for each connection.
 logging.getLogger("quic").setLevel(logging.WARNING)
 
 ALPN = "h3"
 CID_LENGTH = 8  # bytes of the connection ids that this side makes
-SIGNATURE = 16  # bytes of a stateless reset token
+RESET_TOKEN_BYTES = 16  # bytes of a stateless reset token
 
 
 def reset_token(key: bytes, cid: bytes) -> bytes:
-    """The token that a connection id's stateless reset bears (RFC 9000, section 10.3.2)."""
-    return hmac.digest(key, cid, hashlib.sha256)[:SIGNATURE]
+    """Return the token of a connection id's stateless reset (RFC 9000, section 10.3.2)."""
+    return hmac.digest(key, cid, hashlib.sha256)[:RESET_TOKEN_BYTES]
 
 
-class OwnTokens(QuicConnection):
-    """A server's connection whose stateless reset tokens follow from its ids, so that none need be kept."""
+class ServerQuicConnection(QuicConnection):
+    """A server's connection whose stateless reset tokens are derived from its ids, so that none is kept."""
 
     def __init__(self, key: bytes, streams: int, **rest: Any) -> None:
+        """
+        :param key: for the tokens.
+        :param streams: requests that may be open at once.
+        :param rest: for the library.
+        """
         self._key = key
         super().__init__(**rest)
-        # So many requests may be open at once; each that is done with makes room for another.
+        # Each request that ends permits another one.
         self._local_max_streams_bidi.value = self._local_max_streams_bidi.sent = streams
         self._host_cids[0].stateless_reset_token = reset_token(key, self.host_cid)
 
@@ -49,14 +55,14 @@
             id.stateless_reset_token = reset_token(self._key, id.cid)
 
 
-def peer_tokens(quic: QuicConnection) -> list[bytes]:
-    """The stateless reset tokens that the peer has told."""
+def peer_reset_tokens(quic: QuicConnection) -> list[bytes]:
+    """Return the stateless reset tokens that the peer has sent."""
     ids: list[QuicConnectionId] = [quic._peer_cid, *quic._peer_cid_available]
     return [id.stateless_reset_token for id in ids if id.stateless_reset_token]
 
 
-def sent_whole(quic: QuicConnection, stream_id: int) -> bool:
-    """Whether the last byte of a stream, with its end, has gone out at least once."""
+def is_sent(quic: QuicConnection, stream_id: int) -> bool:
+    """Return whether the last byte of a stream, with its end, was sent at least once."""
     stream = quic._streams.get(stream_id)
     if stream is None:
         return True  # all of it was acknowledged
@@ -65,38 +71,38 @@
 
 
 def is_over(quic: QuicConnection, stream_id: int) -> bool:
-    """Whether both ends of a stream are done with, and all that was sent on it was acknowledged."""
+    """Return whether both directions of a stream have ended and all that was sent is acknowledged."""
     return stream_id not in quic._streams
 
 
-def closed_by(quic: QuicConnection) -> int | None:
-    """The code of the peer's close, once it has come; the library tells of it some time later."""
+def peer_close_code(quic: QuicConnection) -> int | None:
+    """Return the code of the peer's close, once it has come; the library's event follows some time later."""
     if quic._state is not QuicConnectionState.DRAINING or quic._close_event is None:
         return None
     return int(quic._close_event.error_code)
 
 
 def streams_left(quic: QuicConnection) -> int:
-    """How many requests the peer lets this side open yet."""
+    """Return how many more requests the peer permits now."""
     return int(quic._remote_max_streams_bidi - quic._local_next_stream_id_bidi // 4)
 
 
 def new_stream(quic: QuicConnection) -> int:
-    """The id of the next request."""
+    """Return the stream id of the next request."""
     return int(quic.get_next_available_stream_id())
 
 
-class HasIds(Protocol):
-    """Whatever connection ids lead to."""
+class HasConnectionIds(Protocol):
+    """A connection in a `ConnectionIdTable`."""
 
     cids: set[bytes]
 
 
-Owner = TypeVar("Owner", bound=HasIds)
+Owner = TypeVar("Owner", bound=HasConnectionIds)
 
 
-class Ids(Generic[Owner]):
-    """Which connection each id leads to. An id ends when it is retired, or with its connection."""
+class ConnectionIdTable(Generic[Owner]):
+    """Connections by id; an id is valid until it is retired, or its connection ends."""
 
     def __init__(self) -> None:
         self._owners: dict[bytes, Owner] = {}
@@ -105,26 +111,29 @@
         return len(self._owners)
 
     def get(self, cid: bytes) -> Owner | None:
+        """Return the connection of an id."""
         return self._owners.get(cid)
 
     def add(self, cid: bytes, owner: Owner) -> None:
+        """Add an id of a connection."""
         self._owners[cid] = owner
         owner.cids.add(cid)
 
     def retire(self, cid: bytes, owner: Owner) -> None:
+        """Remove an id of a connection."""
         if cid in owner.cids:
             owner.cids.discard(cid)
             del self._owners[cid]
 
     def end(self, owner: Owner) -> None:
-        """None leads to it any more."""
+        """Remove all ids of a connection."""
         for cid in owner.cids:
             self._owners.pop(cid, None)
         owner.cids.clear()
 
 
-class Shell:
-    """Feeds a connection its datagrams and its time, and sends what it has to say."""
+class QuicTransport:
+    """Passes datagrams and time to a connection, and sends its datagrams."""
 
     def __init__(
         self,
@@ -133,40 +142,40 @@
         sendto: Callable[[bytes, Endpoint], None],
         on_event: Callable[[QuicEvent], None],
         on_flushed: Callable[[], None],
-        on_broken: Callable[[], None],
+        on_failure: Callable[[], None],
     ) -> None:
         self.quic = quic
         self._loop = loop
         self._sendto = sendto
         self._on_event = on_event
         self._on_flushed = on_flushed
-        self._on_broken = on_broken
+        self._on_failure = on_failure
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0.0
-        self._soon: asyncio.Handle | None = None
-        self._ended = False
+        self._due_s = 0.0
+        self._flush_handle: asyncio.Handle | None = None
+        self._closed = False
 
     def receive(self, data: bytes, peer: Endpoint) -> None:
-        """A datagram came. What it raises, inside the library too, is this connection's end and no more."""
+        """Handle a datagram; an exception, also one inside the library, ends only this connection."""
         try:
             self.quic.receive_datagram(data, peer, now=time.monotonic())
-            self._events()
+            self._handle_events()
         except Exception:
             log.exception("a QUIC connection, at a datagram")
-            return self._on_broken()
+            return self._on_failure()
         self.flush_soon()
 
     def flush_soon(self) -> None:
-        """Send what there is to send, once this turn of the loop is over."""
-        if self._soon is None and not self._ended:
-            self._soon = self._loop.call_soon(self.flush)
+        """Send what there is to send, at the end of this iteration of the event loop."""
+        if self._flush_handle is None and not self._closed:
+            self._flush_handle = self._loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Send it now."""
-        if self._soon is not None:
-            self._soon.cancel()
-            self._soon = None
-        if self._ended:
+        """Send what there is to send now."""
+        if self._flush_handle is not None:
+            self._flush_handle.cancel()
+            self._flush_handle = None
+        if self._closed:
             return
         try:
             for data, peer in self.quic.datagrams_to_send(now=time.monotonic()):
@@ -174,37 +183,37 @@
             self._on_flushed()
         except Exception:
             log.exception("a QUIC connection, sending")
-            return self._on_broken()
-        if not self._ended:
-            self._arm()
+            return self._on_failure()
+        if not self._closed:
+            self._set_timer()
 
-    def _arm(self) -> None:
-        due = self.quic.get_timer()
-        if self._timer is not None and due != self._due:
+    def _set_timer(self) -> None:
+        due_s = self.quic.get_timer()
+        if self._timer is not None and due_s != self._due_s:
             self._timer.cancel()
             self._timer = None
-        if self._timer is None and due is not None:
-            self._timer = self._loop.call_later(max(0.0, due - time.monotonic()), self._ring)
-        self._due = due if due is not None else 0.0
+        if self._timer is None and due_s is not None:
+            self._timer = self._loop.call_later(max(0.0, due_s - time.monotonic()), self._on_timer)
+        self._due_s = due_s if due_s is not None else 0.0
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         try:
-            self.quic.handle_timer(now=max(self._due, time.monotonic()))
-            self._events()
+            self.quic.handle_timer(now=max(self._due_s, time.monotonic()))
+            self._handle_events()
         except Exception:
             log.exception("a QUIC connection, at its timer")
-            return self._on_broken()
+            return self._on_failure()
         self.flush()
 
-    def _events(self) -> None:
+    def _handle_events(self) -> None:
         while (event := self.quic.next_event()) is not None:
             self._on_event(event)
 
     def end(self) -> None:
-        """No timer of its own is left after this, and nothing is sent."""
-        self._ended = True
-        for handle in (self._timer, self._soon):
+        """Cancel its timer, and send nothing more."""
+        self._closed = True
+        for handle in (self._timer, self._flush_handle):
             if handle is not None:
                 handle.cancel()
-        self._timer = self._soon = None
+        self._timer = self._flush_handle = None
--- a/orchidferry/node/h3/session.py
+++ b/orchidferry/node/h3/session.py
@@ -1,10 +1,10 @@
-"""HTTP/3 on one QUIC connection: the library's framing, with what it leaves out.
+"""HTTP/3 on one QUIC connection: the library's framing, with what it lacks.
 
-The library (aioquic) ends the whole connection for one malformed message, passes over GOAWAY, and takes
-header blocks of any size. Here a malformed message is its stream's matter (RFC 9114, section 4.1.2), GOAWAY
-is read and sent (5.2), and a block may have `MAX_HEAD` bytes. The QPACK table is kept at 0: with a table of
-4 KB, 16 KB of references make 60 MB of headers. What is used of the library's inside stands in this file
-and in `shell.py`.
+The library (aioquic) ends a connection for one malformed message, ignores GOAWAY, and accepts header blocks
+of any size. Here a malformed message affects only its stream (RFC 9114, section 4.1.2), GOAWAY is read and
+sent (5.2), and a block may have `MAX_HEAD` bytes. The QPACK table has no entries: with one of 4 KB, 16 KB of
+references would make 60 MB of headers. What is used of the library's private attributes stands here and in
+`quic_transport.py`.
 """
 
 from __future__ import annotations
@@ -27,45 +27,46 @@
 
 from orchidferry.node.http1 import MAX_HEAD
 
-LAST_STREAM = (1 << 62) - 4  # the greatest id that a request can have: GOAWAY with it turns nothing away yet
-MAX_DEAD = 1_024  # streams that ended badly and whose rest is still to come
+LAST_STREAM = (1 << 62) - 4  # the greatest id of a request: a GOAWAY with it excludes none
+MAX_IGNORED = 1_024  # streams whose rest is ignored
 
 __all__ = ["DataReceived", "ErrorCode", "GoAway", "HeadersReceived", "Malformed", "Session"]
 
 
 @dataclass(slots=True)
 class Malformed(H3Event):
-    """A message that breaks the rules; `status` is what to answer a request with."""
+    """A malformed message; a request is answered with `status`."""
 
     stream_id: int
     status: int
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
 class GoAway(H3Event):
-    """The peer will take no request on this stream, nor on later ones."""
+    """The peer accepts no request on this stream and later ones."""
 
     stream_id: int
 
 
 class _ControlTap:
-    """Reads GOAWAY out of a peer's control stream, and holds some 16 bytes at most."""
+    """Finds GOAWAY frames in a peer's control stream; buffers some 16 bytes at most."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._unparsed = b""
         self._skip = 0
         self._typed = False
-        self.other = False  # it is another kind of stream
+        self.other = False  # whether it is another kind of stream
 
     def feed(self, data: bytes) -> list[int]:
-        found = []
-        data = self._held + data
+        """Read data; return the stream ids of GOAWAY frames."""
+        events = []
+        data = self._unparsed + data
         while data and not self.other:
             if self._skip:
-                cut = min(self._skip, len(data))
-                data = data[cut:]
-                self._skip = self._skip - cut
+                skipped = min(self._skip, len(data))
+                data = data[skipped:]
+                self._skip = self._skip - skipped
                 continue
             buf = Buffer(data=data)
             try:
@@ -77,28 +78,28 @@
                     length = buf.pull_uint_var()
                     begun = buf.tell()
                     if length <= 8:
-                        found.append(buf.pull_uint_var())
+                        events.append(buf.pull_uint_var())
                     data = data[begun:]
                     self._skip = length
                     continue
                 else:
                     self._skip = buf.pull_uint_var()
             except BufferReadError:
-                break  # the rest of a number is still to come
+                break  # a number is not complete
             data = data[buf.tell() :]
-        self._held = data if not self.other else b""
-        return found
+        self._unparsed = data if not self.other else b""
+        return events
 
 
 class Session(H3Connection):
-    """The HTTP/3 side of one connection. `take` turns QUIC events into HTTP ones."""
+    """The HTTP/3 layer of one connection: `take` turns QUIC events into those of HTTP."""
 
     def __init__(self, quic: QuicConnection) -> None:
-        self._taps: dict[int, _ControlTap] = {}
-        self._dead: set[int] = set()
+        self._control_readers: dict[int, _ControlTap] = {}
+        self._ignored: set[int] = set()
         super().__init__(quic)
 
-    # The library sets these two for itself.
+    # The library sets these two.
     @property
     def _max_table_capacity(self) -> int:
         return 0
@@ -116,25 +117,25 @@
         pass
 
     def take(self, event: QuicEvent) -> list[H3Event]:
-        """HTTP events; a break of the protocol as a whole closes the connection, and gives none."""
+        """Return the HTTP events of a QUIC event; none if that is an error that closes the connection."""
         if not isinstance(event, StreamDataReceived):
             if isinstance(event, StreamReset):
-                self._dead.discard(event.stream_id)
+                self._ignored.discard(event.stream_id)
             return self.handle_event(event)
         id = event.stream_id
         if self._is_done:
             return []
-        if id in self._dead:
+        if id in self._ignored:
             if event.end_stream:
-                self._dead.discard(id)
+                self._ignored.discard(id)
             return []
-        found: list[H3Event] = []
+        events: list[H3Event] = []
         if stream_is_unidirectional(id):
-            found += self._tapped(id, event.data)
+            events += self._read_control(id, event.data)
         try:
-            found += self._receive_stream_data(event)
+            events += self._receive_stream_data(event)
         except MessageError as problem:
-            return [*found, self._spoilt(event, 400, problem.reason_phrase or "malformed message")]
+            return [*events, self._malformed(event, 400, problem.reason_phrase or "malformed message")]
         except ProtocolError as problem:
             self._is_done = True
             self._quic.close(error_code=problem.error_code, reason_phrase=problem.reason_phrase)
@@ -142,44 +143,47 @@
         stream = self._stream.get(id)
         if stream is not None and stream.frame_type == FrameType.HEADERS:
             if (stream.frame_size or 0) > MAX_HEAD:
-                return [*found, self._spoilt(event, 431, "headers too large")]
+                return [*events, self._malformed(event, 431, "headers too large")]
         elif stream is not None and len(stream.buffer) > MAX_HEAD:
-            return [*found, self._spoilt(event, 431, "headers too large")]
-        return found
+            return [*events, self._malformed(event, 431, "headers too large")]
+        return events
 
-    def _tapped(self, id: int, data: bytes) -> list[H3Event]:
-        tap = self._taps.setdefault(id, _ControlTap())
-        if tap.other:
+    def _read_control(self, id: int, data: bytes) -> list[H3Event]:
+        reader = self._control_readers.setdefault(id, _ControlTap())
+        if reader.other:
             return []
-        return [GoAway(stream) for stream in tap.feed(data)]
+        return [GoAway(stream) for stream in reader.feed(data)]
 
-    def _spoilt(self, event: StreamDataReceived, status: int, why: str) -> Malformed:
-        """Read no more of a stream; it can still be answered."""
+    def _malformed(self, event: StreamDataReceived, status: int, reason: str) -> Malformed:
+        """Read no more of a stream; a request on it can still be answered."""
         stream = self._stream.get(event.stream_id)
         if stream is not None:
             stream.receiving_ended = True
             stream.buffer = b""
         self.ignore(event.stream_id, event.end_stream)
-        return Malformed(event.stream_id, status, why)
+        return Malformed(event.stream_id, status, reason)
 
     def ignore(self, id: int, ended: bool) -> None:
-        """What comes on a stream from now on is dropped."""
+        """Ignore what comes on a stream from now on.
+
+        :param ended: whether nothing can come any more.
+        """
         if not ended:
-            if len(self._dead) >= MAX_DEAD:
-                self._dead.clear()  # what comes of them then is malformed once more
-            self._dead.add(id)
+            if len(self._ignored) >= MAX_IGNORED:
+                self._ignored.clear()  # what comes on them counts as malformed again
+            self._ignored.add(id)
 
-    def is_dead(self, id: int) -> bool:
-        """Whether what comes on a stream is dropped."""
-        return id in self._dead
+    def is_ignored(self, id: int) -> bool:
+        """Return whether what comes on a stream is ignored."""
+        return id in self._ignored
 
-    def done_with(self, id: int) -> None:
-        """Nothing more is to be said on a stream, which was ended without an end of its own."""
-        self._dead.discard(id)
+    def forget(self, id: int) -> None:
+        """Forget a stream that was reset."""
+        self._ignored.discard(id)
         self._stream.pop(id, None)
 
-    def say_goaway(self, stream_id: int) -> None:
-        """Tell the peer that requests from this stream on are not taken (RFC 9114, section 5.2)."""
+    def send_goaway(self, stream_id: int) -> None:
+        """Announce that requests from this stream id on are not accepted (RFC 9114, section 5.2)."""
         assert self._local_control_stream_id is not None
         frame = encode_frame(FrameType.GOAWAY, encode_uint_var(stream_id))
         self._quic.send_stream_data(self._local_control_stream_id, frame)
--- a/orchidferry/testkit/quic/server.py
+++ b/orchidferry/testkit/quic/server.py
@@ -143,7 +143,7 @@
         if stream_id in self._quic._streams and not self._quic._streams[stream_id].receiver.is_finished:
             self._quic.stop_stream(stream_id, code)
 
-    def say_goaway(self, stream_id: int) -> None:
+    def send_goaway(self, stream_id: int) -> None:
         """GOAWAY, which the library does not send (RFC 9114, section 5.2)."""
         assert self.http is not None and self.http._local_control_stream_id is not None
         payload = (stream_id | 3 << 62).to_bytes(8, "big")
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -16,9 +16,9 @@
 
 from orchidferry.balancing import floods
 from orchidferry.node.client_connection import Stage
-from orchidferry.node.h3 import front
+from orchidferry.node.h3 import client_connection, front
 from orchidferry.node.h3.front import Listener
-from orchidferry.node.h3.shell import reset_token
+from orchidferry.node.h3.quic_transport import reset_token
 from orchidferry.testkit.quic import client
 from orchidferry.testkit.quic.faults import Trouble
 from tests.node.h3.scene import Scene, ask, begin, files, scene
@@ -85,7 +85,7 @@
                 assert (found.status, found.body) == (200, b"done")
             assert [len(seen.body) for seen in server.seen] == [0, 40_000, 40_000]
             assert made.module_is_clean()
-            await until(lambda: not any(c.exchanges for c in listener(made)._connections))
+            await until(lambda: not any(c.streams for c in listener(made)._connections))
 
     run(test())
 
@@ -368,7 +368,8 @@
 def test_more_requests_than_may_be_open_wait_at_their_caller_and_who_sends_them_all_the_same_is_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(front, "MAX_STREAMS", 3)
+    for module in (front, client_connection):
+        monkeypatch.setattr(module, "MAX_STREAMS", 3)
 
     async def test() -> None:
         server = Server(name="s0")
@@ -440,7 +441,8 @@
     """Limits that a test can wait for."""
     monkeypatch.setattr(front, "SWEEP_S", 0.02)
     for name in ("HANDSHAKE_S", "READ_S", "WRITE_S", "IDLE_S"):
-        monkeypatch.setattr(front, name, 0.3)
+        monkeypatch.setattr(client_connection, name, 0.3)
+    monkeypatch.setattr(front, "IDLE_S", 0.3)
 
 
 @pytest.mark.usefixtures("soon")
@@ -466,7 +468,7 @@
             stream = begin(caller, "slow")
             assert stream.waiting is not None
             assert (await asyncio.wait_for(stream.waiting, LIMIT_S)).how == "reset"
-            await until(lambda: not any(c.exchanges for c in listener(made)._connections))
+            await until(lambda: not any(c.streams for c in listener(made)._connections))
             assert made.module_is_clean()
 
     run(test())
@@ -575,7 +577,7 @@
             caller = await made.connect()
             assert (await ask(caller, "first")).status == 200
             connection = next(iter(listener(made)._connections))
-            connection._terminated()  # as a process that is killed: without a word
+            connection._on_terminated()  # as a process that is killed: without a word
             lost = begin(caller, "second")
             assert lost.waiting is not None
             found = await asyncio.wait_for(lost.waiting, LIMIT_S)
@@ -820,6 +822,12 @@
 def test_http1_limits_and_these_are_the_same() -> None:
     from orchidferry.node.client_connection import LIMITS_S
 
-    assert (LIMITS_S[Stage.NEW], LIMITS_S[Stage.READING]) == (front.HANDSHAKE_S, front.READ_S)
-    assert (LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]) == (front.WRITE_S, front.IDLE_S)
+    assert (LIMITS_S[Stage.NEW], LIMITS_S[Stage.READING]) == (
+        client_connection.HANDSHAKE_S,
+        client_connection.READ_S,
+    )
+    assert (LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]) == (
+        client_connection.WRITE_S,
+        client_connection.IDLE_S,
+    )
     assert files().ca.is_file()
--- a/tests/node/h3/test_upstream.py
+++ b/tests/node/h3/test_upstream.py
@@ -13,7 +13,8 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.transports import State
 from orchidferry.node.h3 import upstream
-from orchidferry.node.h3.upstream import Link, Routes
+from orchidferry.node.h3.server_connection import ServerConnection
+from orchidferry.node.h3.upstream import Routes
 from orchidferry.testkit.quic.faults import Trouble
 from tests.node.h3.scene import Scene, Script, files, scene
 from tests.node.peers import EFFECTS, Server, effects, patient, run, until
@@ -25,8 +26,8 @@
     return found
 
 
-def link(made: Scene) -> Link:
-    return next(iter(routes(made)._links.values()))
+def link(made: Scene) -> ServerConnection:
+    return next(iter(routes(made)._connections.values()))
 
 
 def state(made: Scene) -> State:
@@ -91,7 +92,7 @@
                 await asyncio.sleep(0.05)
             await until(lambda: state(made) is State.RESTING)
             lost = script.quic.from_askers.lost
-            assert lost > 0 and not routes(made)._links and not routes(made).ids
+            assert lost > 0 and not routes(made)._connections and not routes(made).ids
             script.quic.from_askers.black_hole = False
             tries = 0
             while state(made) is not State.UP:
@@ -223,7 +224,7 @@
             script.answers = [act]
             assert (await made.world.ask("pay", "pay")).status == 502
             assert ended == [result]
-            await until(lambda: not link(made).flights if routes(made)._links else True)
+            await until(lambda: not link(made).attempts if routes(made)._connections else True)
             assert (await made.world.ask("after")).status == 200 and made.module_is_clean()
         script.stop()
 
@@ -264,7 +265,7 @@
             second = asyncio.create_task(made.world.ask("second", "pay"))
             await until(lambda: len(script.seen) == 2)
             stream = script.seen[1][0]
-            stream.connection.say_goaway(stream.id)
+            stream.connection.send_goaway(stream.id)
             assert (await second).body == b"done"  # at once, by TCP
             assert ended == [Result.MOOT, Result.SERVED]
             script.hold.set()
@@ -418,7 +419,7 @@
         async with scene(tmp_path, server, other, quic={"s0": await script.start()}) as made:
             for n in range(4):
                 await made.world.ask(f"w{n}")
-            await until(lambda: len(routes(made)._links) == 1 and link(made).up)
+            await until(lambda: len(routes(made)._connections) == 1 and link(made).up)
             script.hold.clear()
             asked = [asyncio.create_task(made.world.ask(f"h{n}", "pay")) for n in range(2)]
             await until(lambda: len(script.seen) > 0)
@@ -430,7 +431,7 @@
             for n in range(4):
                 assert (await made.world.ask(f"l{n}")).body == b"done"
             assert len(script.seen) == seen
-            await until(lambda: not routes(made)._links and not routes(made)._leaving)
+            await until(lambda: not routes(made)._connections and not routes(made)._leaving)
             assert len(routes(made).transports) == 0
         script.stop()
 
@@ -464,9 +465,9 @@
             tmp_path, server, quic={"s0": await script.start()}, permissions=permissions
         ) as made:
             await warm(made)
-            await until(lambda: not routes(made)._links)
+            await until(lambda: not routes(made)._connections)
             assert (await made.world.ask("one")).status == 200
-            await until(lambda: bool(routes(made)._links) and link(made).up)
+            await until(lambda: bool(routes(made)._connections) and link(made).up)
             assert (await made.world.ask("two")).body == b"by quic"
         script.stop()
 
