--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from orchidferry.balancing.register import AcceptorState, Value, Voter
-from orchidferry.mesh.control import shard_state, shard_state_codec
+from orchidferry.mesh.control import change_intents, shard_state, shard_state_codec
 from orchidferry.mesh.control.actions import Action, RequestEnded, StateChanged
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
 from orchidferry.mesh.control.group_changes import GroupView
@@ -46,10 +46,6 @@
 CHANGE_TIMEOUT_S = 1.5  # for other changes that a replica proposes by itself
 MAINTENANCE_S = 0.4  # between two looks at membership and ownership
 
-# What an intent asks the voters about, on the wire: a list of one of these and a controller's name.
-INTENT_REPLACE = "replace"
-INTENT_OWN = "own"
-
 
 class Replica:
     """One controller in the group of one shard.
@@ -61,13 +57,13 @@
     def __init__(
         self,
         parameters: ShardParameters,
-        kept: AcceptorState,
+        state: AcceptorState,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
     ) -> None:
         """
-        :param kept: what the register's acceptor keeps on disk.
+        :param state: what the register's acceptor keeps on disk.
         :param caught_up: whether it has all operation keys that were granted.
         :param peers: what is known of the other controllers, shared by all shards.
         :param rng: the source of all random choices.
@@ -78,7 +74,7 @@
         self.peers = peers
         self.size = parameters.group_size
         self.orders = OrderBook(parameters.number)
-        self.register = RegisterReplica(self.context, parameters.genesis, kept, self.orders, self)
+        self.register = RegisterReplica(self.context, parameters.genesis, state, self.orders, self)
         self.reader = RegisterReader(self.context, self.register)
         self.order_requests = OrderRequests(self.context, self.register, self.orders)
         self.standing = Standing(caught_up)
@@ -271,20 +267,8 @@
     # The listener of the register
 
     def object_to(self, intent: Any) -> str:
-        """Object to a change that removes a controller which is alive as far as this one observes: from the
-        group, unless it is leaving, or from ownership.
-
-        :param intent: a list of what is asked and the name of the controller concerned.
-        :returns: the objection; "" for none.
-        """
-        if not isinstance(intent, list) or len(intent) != 2:
-            return ""
-        asked, name = intent
-        alive = self.peers.alive(name, self.context.now) if name != self.name else True
-        if asked == INTENT_OWN:
-            fit = self.peers.fit if name == self.name else name not in self.peers.unfit
-            return shard_state.ALIVE if alive and fit else ""
-        return shard_state.ALIVE if alive and not self._group().leaves(name) else ""
+        """Object to a change that removes a controller which is alive, as far as this one observes."""
+        return change_intents.objection(intent, self._group())
 
     def state_learned(self, old: Value, new: Value) -> None:
         """A newer state is known to be decided."""
@@ -382,7 +366,7 @@
             return
         of_whom = f", instead of {replaced}" if replaced else ""
         self.context.log(f"{joiner.name} asks for a place{of_whom}")
-        intent = [INTENT_REPLACE, replaced] if replaced and replaced != joiner.name else None
+        intent = change_intents.replace_intent(replaced) if replaced and replaced != joiner.name else None
         change = shard_state.AdmitVoter(joiner, replaced, max(self.size, len(group.names)), joiner_epoch)
         id = f"admit {joiner.name} {joiner.disk_id} {joiner_epoch}"
         self.register.propose(id, change, ADMIT_TIMEOUT_S, Purpose.ADMIT_VOTER, [], intent)
@@ -397,23 +381,23 @@
             return
         if self._group().able_voters(self._joiners)[0] == self.name:
             id = f"settle {self.known.version}"
-            self.register.propose(
-                id, shard_state.end_voter_change, CHANGE_TIMEOUT_S, Purpose.END_VOTER_CHANGE, []
-            )
+            change = shard_state.end_voter_change
+            self.register.propose(id, change, CHANGE_TIMEOUT_S, Purpose.END_VOTER_CHANGE, [])
 
     # Ownership
 
     def _take_ownership(self) -> None:
         """Propose to own the shard, if its owner is gone or unfit and this controller comes first."""
-        started_s = self.peers.began_s
-        if self.voter not in self.known.voters or self.context.now - started_s < OWNERSHIP_START_S:
+        if self.voter not in self.known.voters:
+            return
+        if self.context.now - self.peers.began_s < OWNERSHIP_START_S:
             return
         if not self.standing.caught_up or self.register.is_proposing(Purpose.TAKE_OWNERSHIP):
             return
         owner = self.body.owner
         fencing_token = self.body.fencing_token
         if takes_over(self._group(), owner):
-            intent = [INTENT_OWN, owner] if owner and owner != self.name else None
+            intent = change_intents.take_ownership_intent(owner) if owner and owner != self.name else None
             change = shard_state.TakeOwnership(self.name, fencing_token)
             id = f"own {fencing_token}"
             self.register.propose(id, change, CHANGE_TIMEOUT_S, Purpose.TAKE_OWNERSHIP, [], intent)
