--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -17,7 +17,7 @@
 from orchidferry.testkit.clients.schedule import Arrival, arrivals, leaves_after
 from orchidferry.testkit.exchange import HOST, Ask, Exchanges, message
 from orchidferry.testkit.process import Order, Say, Script, work
-from orchidferry.testkit.record import Lag, Recorder, Wanted
+from orchidferry.testkit.record import Lag, Recorder, RequestScheduled
 from orchidferry.testkit.traffic.guard import May
 from orchidferry.testkit.wire import Address, Outcome
 from orchidferry.testkit.world.addresses import Block
@@ -76,7 +76,7 @@
             if at - due >= keep:
                 self._recorder.put(Lag(at, "clients", "late", at - due))
             self._asked += 1
-            self._recorder.put(Wanted(due, arrival.root, arrival.cls.name))
+            self._recorder.put(RequestScheduled(due, arrival.root, arrival.cls.name))
             if len(self._open) >= MAX_OPEN:
                 self._recorder.put(Lag(now(), "clients", "late", self._scenario.limits.lag_most_s * 2.0))
                 continue
--- a/orchidferry/testkit/control/status.py
+++ b/orchidferry/testkit/control/status.py
@@ -14,7 +14,7 @@
 
 from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.address import parse_address
-from orchidferry.testkit import door
+from orchidferry.testkit import admin_client
 
 AT_ONCE = 64
 HEAD = ("node", "members", "settings", "from", "since", "stream", "last refusal, or what is wrong")
@@ -22,7 +22,7 @@
 
 async def ask(where: str) -> dict[str, Any]:
     """One node's word, or `error` with why there is none."""
-    return await door.ask(parse_address(where), "/-/control", "has no control service")
+    return await admin_client.fetch_state(parse_address(where), "/-/control", "has no control service")
 
 
 async def ask_all(nodes: list[str]) -> list[dict[str, Any]]:
--- a/orchidferry/testkit/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.configuration import Part
 from orchidferry.testkit.control.script import Control
 from orchidferry.testkit.process import TICK_S, Order, Say, Script, monotonic_at, work
-from orchidferry.testkit.record import Recorder, Told
+from orchidferry.testkit.record import Recorder, StatusAnnounced
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.director import RESULT
 from orchidferry.testkit.world.nodes import settings
@@ -74,7 +74,7 @@
             control.push(push, number, self._endpoints)
 
     def _put(self, node: str, server: str, status: str) -> None:
-        self._recorder.put(Told(self._recorder.now(), node, server, status, 0.0, False))
+        self._recorder.put(StatusAnnounced(self._recorder.now(), node, server, status, 0.0, False))
 
     def _note_drains(self) -> None:
         """A node that acknowledged a version that drains a server was told of it by then."""
--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -10,7 +10,14 @@
 
 from orchidferry.errors import OrchidferryError
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Recorder, Unanswered
+from orchidferry.testkit.record import (
+    ConnectionClosed,
+    ExtraBytes,
+    Recorder,
+    RequestSent,
+    RequestTimedOut,
+    ResponseReceived,
+)
 from orchidferry.testkit.scenario import Class, Scenario
 from orchidferry.testkit.traffic.guard import MARK, PROOF_CLASS, new_nonce, proven
 from orchidferry.testkit.wire import Address, AskerSide, Outcome, Pool
@@ -120,7 +127,7 @@
 
     def _pool(self, node: str, tier: int) -> Pool | H3Pool:
         def extra(id: str) -> None:
-            self.recorder.put(Extra(self.recorder.now(), tier, id, node))
+            self.recorder.put(ExtraBytes(self.recorder.now(), tier, id, node))
 
         if node not in self._pools:
             self._pools[node] = Pool(extra) if self._files is None else self._h3_pool(extra, node)
@@ -142,15 +149,15 @@
         now = self.recorder.now
         connection = await pool.connection(address, fresh)
         if isinstance(connection, Outcome):
-            put(Cut(now(), ask.tier, ask.id, node, connection.how, False))
+            put(ConnectionClosed(now(), ask.tier, ask.id, node, connection.how, False))
             return connection
         if not await self._prove(connection, ask):
             connection.drop()
-            put(Cut(now(), ask.tier, ask.id, node, "silent", False))
+            put(ConnectionClosed(now(), ask.tier, ask.id, node, "silent", False))
             return Outcome("silent", time.monotonic())
         waiting = connection.ask(ask.id, make(ask.ends - now()))
         put(
-            Asked(
+            RequestSent(
                 now(),
                 ask.tier,
                 ask.id,
@@ -167,7 +174,7 @@
         if not waiting.done():
             if until < ask.ends:
                 connection.drop()
-                put(Unanswered(now(), ask.tier, ask.id, node, True))
+                put(RequestTimedOut(now(), ask.tier, ask.id, node, True))
             else:
                 self._linger(self._last(waiting, connection.drop, ask, node))
             return Outcome("timeout", time.monotonic())
@@ -216,9 +223,9 @@
                 or self.scenario.guard.target is not None
                 or outcome.body == body_of(self.scenario.seed, ask.id)
             )
-            self.recorder.put(Answered(t, ask.tier, ask.id, node, outcome.status, sound))
+            self.recorder.put(ResponseReceived(t, ask.tier, ask.id, node, outcome.status, sound))
         else:
-            self.recorder.put(Cut(t, ask.tier, ask.id, node, outcome.how, outcome.reused))
+            self.recorder.put(ConnectionClosed(t, ask.tier, ask.id, node, outcome.how, outcome.reused))
 
     def _linger(self, rest: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(rest)
@@ -233,7 +240,7 @@
         if waiting.done():
             self._book(waiting.result(), ask, node)
         else:
-            self.recorder.put(Unanswered(self.recorder.now(), ask.tier, ask.id, node, False))
+            self.recorder.put(RequestTimedOut(self.recorder.now(), ask.tier, ask.id, node, False))
         drop()
 
     def sweep(self) -> None:
--- a/orchidferry/testkit/fleet/status.py
+++ b/orchidferry/testkit/fleet/status.py
@@ -13,14 +13,14 @@
 
 from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.address import Address, parse_address
-from orchidferry.testkit import door
+from orchidferry.testkit import admin_client
 
 HEAD = ("node", "status", "phase", "zone", "version", "address", "incarnation", "for", "by the word of")
 
 
 async def ask(where: Address) -> dict[str, Any]:
     """What a node says of its fleet, or `error` with why there is nothing."""
-    return await door.ask(where, "/-/fleet", "takes no part in a fleet")
+    return await admin_client.fetch_state(where, "/-/fleet", "takes no part in a fleet")
 
 
 def row(member: dict[str, Any]) -> list[str]:
--- a/orchidferry/testkit/judge/rules.py
+++ b/orchidferry/testkit/judge/rules.py
@@ -12,7 +12,15 @@
 
 from orchidferry.testkit.judge.findings import Finding
 from orchidferry.testkit.judge.trace import KILLED, RequesterEvent, RequestKey, RunTrace, arrivals_between
-from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Got, Unanswered, Up
+from orchidferry.testkit.record import (
+    ConnectionClosed,
+    ExtraBytes,
+    RequestReceived,
+    RequestSent,
+    RequestTimedOut,
+    ResponseReceived,
+    ServerUp,
+)
 from orchidferry.testkit.scenario import Class
 
 REFUSALS = (429, 503)
@@ -44,12 +52,12 @@
     rules = trace.scenario.rules
     slack = rules.answer_slack_s + rules.slack_s
     for request, events in trace.requester_events.items():
-        sends = [fact for fact in events if isinstance(fact, Asked)]
+        sends = [fact for fact in events if isinstance(fact, RequestSent)]
         if not sends:
             continue  # no node took it
         _check_single_answer(finding, trace, request, sends, events)
         deadline = sends[0].ends + slack
-        answer = next((fact for fact in events if isinstance(fact, Answered)), None)
+        answer = next((fact for fact in events if isinstance(fact, ResponseReceived)), None)
         if answer is not None:
             finding.checked += 1
             _check_answer(finding, trace, request, sends[0], answer, deadline)
@@ -64,7 +72,11 @@
 
 
 def _check_single_answer(
-    finding: Finding, trace: RunTrace, request: RequestKey, sends: list[Asked], events: list[RequesterEvent]
+    finding: Finding,
+    trace: RunTrace,
+    request: RequestKey,
+    sends: list[RequestSent],
+    events: list[RequesterEvent],
 ) -> None:
     """No connection closes under a request that was forwarded, and nothing follows its answer."""
     close = _close_after_forwarding(trace, request, sends, events)
@@ -72,15 +84,20 @@
         what = f"node {close.node} sent it on and closed with no answer"
         _report(finding, trace, close.t, request, what)
     for fact in events:
-        if isinstance(fact, Extra):
+        if isinstance(fact, ExtraBytes):
             _report(finding, trace, fact.t, request, "bytes came after its answer: a second one")
-    answers = [fact for fact in events if isinstance(fact, Answered)]
+    answers = [fact for fact in events if isinstance(fact, ResponseReceived)]
     if len(answers) > 1:
         _report(finding, trace, answers[1].t, request, f"answered {len(answers)} times")
 
 
 def _check_answer(
-    finding: Finding, trace: RunTrace, request: RequestKey, first: Asked, answer: Answered, deadline: float
+    finding: Finding,
+    trace: RunTrace,
+    request: RequestKey,
+    first: RequestSent,
+    answer: ResponseReceived,
+    deadline: float,
 ) -> None:
     if answer.t > deadline and not trace.was_paused(answer.node, first.t, answer.t):
         late_ms = (answer.t - first.ends) * 1000.0
@@ -90,15 +107,15 @@
 
 
 def _close_after_forwarding(
-    trace: RunTrace, request: RequestKey, sends: list[Asked], events: list[RequesterEvent]
-) -> Cut | None:
+    trace: RunTrace, request: RequestKey, sends: list[RequestSent], events: list[RequesterEvent]
+) -> ConnectionClosed | None:
     """A close after which the request had to be sent once more, though a server had it by then.
 
     A node may close a persistent connection between requests. If the close crosses a request that the node
     has not read, the requester sends it again; one that it has read and forwarded must be answered.
     """
     for fact in events:
-        if isinstance(fact, Cut) and fact.t < sends[-1].t:
+        if isinstance(fact, ConnectionClosed) and fact.t < sends[-1].t:
             stop = trace.node_stop_between(fact.node, fact.t - NODE_STOP_SLACK_S, fact.t + NODE_STOP_SLACK_S)
             if stop is not None and stop.why in KILLED:
                 continue
@@ -110,7 +127,7 @@
 def _loss(
     trace: RunTrace,
     request: RequestKey,
-    sends: list[Asked],
+    sends: list[RequestSent],
     events: list[RequesterEvent],
     deadline: float,
 ) -> str | None:
@@ -120,8 +137,8 @@
     """
     last = sends[-1]
     node = last.node
-    closes = [fact for fact in events if isinstance(fact, Cut) and fact.t >= last.t]
-    timeouts = [fact for fact in events if isinstance(fact, Unanswered)]
+    closes = [fact for fact in events if isinstance(fact, ConnectionClosed) and fact.t >= last.t]
+    timeouts = [fact for fact in events if isinstance(fact, RequestTimedOut)]
     over = closes[0].t if closes else timeouts[0].t if timeouts else trace.end
     stop = trace.node_stop_between(node, sends[0].t - NODE_STOP_SLACK_S, over + NODE_STOP_SLACK_S)
     if stop is not None and stop.why in KILLED:
@@ -139,7 +156,7 @@
     return f"node {node} took it, and the record has no end of it"
 
 
-def _loss_by_close(trace: RunTrace, request: RequestKey, node: str, close: Cut) -> str | None:
+def _loss_by_close(trace: RunTrace, request: RequestKey, node: str, close: ConnectionClosed) -> str | None:
     """As `_loss`, for a request whose last connection closed."""
     if close.how in ("refused", "silent"):
         return None  # the second attempt after a close that crossed the first: no node took it
@@ -165,7 +182,7 @@
         if cls.repeat == "keyed" and cls.group == "all":
             continue
         for fact in trace.requester_events.get(request, ()):
-            if isinstance(fact, Answered) and fact.status in REFUSALS:
+            if isinstance(fact, ResponseReceived) and fact.status in REFUSALS:
                 executed = [one for one in arrivals if not _was_rejected(trace, one, fact.t)]
                 if executed:
                     description = _refused_after_execution(trace, request, fact, executed[0])
@@ -173,13 +190,15 @@
     return finding
 
 
-def _was_rejected(trace: RunTrace, arrival: Got, t: float) -> bool:
+def _was_rejected(trace: RunTrace, arrival: RequestReceived, t: float) -> bool:
     """Whether it was known at a time that an arrival was never executed."""
     rejected = trace.rejected_at(arrival)
     return rejected is not None and rejected <= t
 
 
-def _illegal_repeats(trace: RunTrace, cls: Class, arrivals: list[Got]) -> Iterator[tuple[float, str]]:
+def _illegal_repeats(
+    trace: RunTrace, cls: Class, arrivals: list[RequestReceived]
+) -> Iterator[tuple[float, str]]:
     """Arrivals that repeat an earlier one against the rules of their class: when, and in words."""
     for n, later in enumerate(arrivals):
         for earlier in arrivals[:n]:
@@ -191,7 +210,7 @@
                 break
 
 
-def _repeat_problem(trace: RunTrace, cls: Class, earlier: Got, later: Got) -> str:
+def _repeat_problem(trace: RunTrace, cls: Class, earlier: RequestReceived, later: RequestReceived) -> str:
     """Why one arrival must not follow another that may have been executed; empty if it may."""
     if cls.repeat == "unsafe":
         return f"sent to {later.server} after {earlier.server} had it, where it may have run"
@@ -211,7 +230,9 @@
     return request_id.partition(".")[0]
 
 
-def _refused_after_execution(trace: RunTrace, request: RequestKey, answer: Answered, arrival: Got) -> str:
+def _refused_after_execution(
+    trace: RunTrace, request: RequestKey, answer: ResponseReceived, arrival: RequestReceived
+) -> str:
     """A refusal tells the client that a retry is harmless; here it was not."""
     text = f"refused ({answer.status}) though {arrival.server} had it and it may have run"
     if request.tier == 0 and trace.executions.get(request):
@@ -237,7 +258,7 @@
     refused = {
         request.id
         for request, events in trace.requester_events.items()
-        if request.tier == 0 and any(isinstance(f, Answered) and f.status in REFUSALS for f in events)
+        if request.tier == 0 and any(isinstance(f, ResponseReceived) and f.status in REFUSALS for f in events)
     }
     executed: dict[str, list[str]] = defaultdict(list)
     for request in trace.executions:
@@ -297,7 +318,9 @@
     return finding
 
 
-def _check_cold_start(finding: Finding, trace: RunTrace, start: Up, arrivals: list[Got]) -> None:
+def _check_cold_start(
+    finding: Finding, trace: RunTrace, start: ServerUp, arrivals: list[RequestReceived]
+) -> None:
     """Report the first arrival at which a cold server was over its budget; after it, it may have failed."""
     rules = trace.scenario.rules
     for n, arrival in enumerate(arrivals):
@@ -321,7 +344,7 @@
         break
 
 
-def _was_informed(trace: RunTrace, start: Up, arrival: Got) -> bool:
+def _was_informed(trace: RunTrace, start: ServerUp, arrival: RequestReceived) -> bool:
     """Whether the node that sent a request had been told of this start of the server."""
     node = trace.node_of(arrival)
     return node is not None and any(
--- a/orchidferry/testkit/judge/service.py
+++ b/orchidferry/testkit/judge/service.py
@@ -15,7 +15,7 @@
 
 from orchidferry.testkit.judge.rules import REFUSALS
 from orchidferry.testkit.judge.trace import RequesterEvent, RequestKey, RunTrace
-from orchidferry.testkit.record import Answered, Asked, Unanswered
+from orchidferry.testkit.record import RequestSent, RequestTimedOut, ResponseReceived
 from orchidferry.testkit.scenario import Class
 
 WINDOW_S = 10.0
@@ -139,11 +139,11 @@
 
 def _outcome(event: RequesterEvent) -> Outcome:
     """The outcome of a request if this event were the last of it."""
-    if isinstance(event, Answered):
+    if isinstance(event, ResponseReceived):
         if event.status == 200 and event.sound:
             return Outcome.SERVED
         return Outcome.REFUSED if event.status in REFUSALS else Outcome.FAILED
-    return Outcome.UNANSWERED if isinstance(event, Asked | Unanswered) else Outcome.FAILED
+    return Outcome.UNANSWERED if isinstance(event, RequestSent | RequestTimedOut) else Outcome.FAILED
 
 
 def service_of(requests: list[ClientRequest]) -> float | None:
--- a/orchidferry/testkit/judge/trace.py
+++ b/orchidferry/testkit/judge/trace.py
@@ -8,27 +8,27 @@
 from typing import NamedTuple
 
 from orchidferry.testkit.record import (
-    Answered,
-    Asked,
-    Began,
-    Cut,
-    Down,
-    Ended,
-    Extra,
+    ConnectionClosed,
+    ExecutionEnded,
+    ExecutionStarted,
+    ExtraBytes,
     Fact,
-    Got,
     Incident,
     NodeDown,
     NodePaused,
     NodeUp,
-    Told,
-    Unanswered,
-    Up,
-    Wanted,
+    RequestReceived,
+    RequestScheduled,
+    RequestSent,
+    RequestTimedOut,
+    ResponseReceived,
+    ServerDown,
+    ServerUp,
+    StatusAnnounced,
 )
 from orchidferry.testkit.scenario import Class, Scenario
 
-RequesterEvent = Asked | Answered | Cut | Unanswered | Extra
+RequesterEvent = RequestSent | ResponseReceived | ConnectionClosed | RequestTimedOut | ExtraBytes
 """What the side that sends a request records of it."""
 
 MAX_HISTORY_LINES = 24
@@ -56,29 +56,29 @@
     requester_events: dict[RequestKey, list[RequesterEvent]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    arrivals: dict[RequestKey, list[Got]] = field(default_factory=lambda: defaultdict(list))
-    executions: dict[RequestKey, list[Began]] = field(default_factory=lambda: defaultdict(list))
-    completions: dict[RequestKey, list[Ended]] = field(default_factory=lambda: defaultdict(list))
-    wanted: list[Wanted] = field(default_factory=list)
-    announcements: dict[tuple[str, str], list[Told]] = field(
+    arrivals: dict[RequestKey, list[RequestReceived]] = field(default_factory=lambda: defaultdict(list))
+    executions: dict[RequestKey, list[ExecutionStarted]] = field(default_factory=lambda: defaultdict(list))
+    completions: dict[RequestKey, list[ExecutionEnded]] = field(default_factory=lambda: defaultdict(list))
+    wanted: list[RequestScheduled] = field(default_factory=list)
+    announcements: dict[tuple[str, str], list[StatusAnnounced]] = field(
         default_factory=lambda: defaultdict(list)
     )  # by node and server
-    server_starts: list[Up] = field(default_factory=list)
+    server_starts: list[ServerUp] = field(default_factory=list)
     server_stops: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     node_stops: dict[str, list[NodeDown]] = field(default_factory=lambda: defaultdict(list))
     node_starts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     node_pauses: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     incidents: list[Incident] = field(default_factory=list)
-    arrivals_by_server: dict[str, list[Got]] = field(default_factory=lambda: defaultdict(list))
+    arrivals_by_server: dict[str, list[RequestReceived]] = field(default_factory=lambda: defaultdict(list))
 
-    def node_of(self, arrival: Got) -> str | None:
+    def node_of(self, arrival: RequestReceived) -> str | None:
         """The node that sent a request to a server; None if the record has no sender of it."""
         for fact in self.requester_events.get(RequestKey(arrival.tier, arrival.id), ()):
-            if isinstance(fact, Asked):
+            if isinstance(fact, RequestSent):
                 return fact.node
         return None
 
-    def rejected_at(self, arrival: Got) -> float | None:
+    def rejected_at(self, arrival: RequestReceived) -> float | None:
         """When its server rejected a request, so that its node could know; None if it may have run."""
         for fact in self.completions.get(RequestKey(arrival.tier, arrival.id), ()):
             if fact.server == arrival.server and fact.t >= arrival.t:
@@ -146,25 +146,25 @@
 
 def _describe(fact: Fact, trace: RunTrace) -> str:
     match fact:
-        case Asked():
+        case RequestSent():
             left = fact.ends - fact.t
             return f"{fact.id} ({fact.cls}) asked of node {fact.node}, {left:.3f} s left"
-        case Answered():
+        case ResponseReceived():
             remark = "" if fact.sound else ", with a body no server made"
             return f"node {fact.node} answered {fact.status}{remark}"
-        case Cut():
+        case ConnectionClosed():
             remark = ", reused" if fact.reused else ""
             return f"the connection to node {fact.node} ended: {fact.how}{remark}"
-        case Unanswered():
+        case RequestTimedOut():
             return "the client left of itself" if fact.left else f"time up, no answer from node {fact.node}"
-        case Extra():
+        case ExtraBytes():
             return f"node {fact.node} sent bytes that nobody asked for"
-        case Got():
+        case RequestReceived():
             first = trace.elapsed(fact.first)
             return f"server {fact.server} (cell {fact.cell}) had read it, first byte at {first:.3f}"
-        case Began():
+        case ExecutionStarted():
             return f"server {fact.server} began to work on it"
-        case Ended():
+        case ExecutionEnded():
             return f"server {fact.server}: {fact.how}"
     return fact.tag
 
@@ -188,25 +188,25 @@
 
 def _add_fact(trace: RunTrace, fact: Fact) -> None:
     match fact:
-        case Asked() | Answered() | Cut() | Unanswered() | Extra():
+        case RequestSent() | ResponseReceived() | ConnectionClosed() | RequestTimedOut() | ExtraBytes():
             trace.requester_events[RequestKey(fact.tier, fact.id)].append(fact)
-        case Got():
+        case RequestReceived():
             trace.arrivals[RequestKey(fact.tier, fact.id)].append(fact)
             trace.arrivals_by_server[fact.server].append(fact)
-        case Began():
+        case ExecutionStarted():
             trace.executions[RequestKey(fact.tier, fact.id)].append(fact)
-        case Ended():
+        case ExecutionEnded():
             trace.completions[RequestKey(fact.tier, fact.id)].append(fact)
-        case Wanted():
+        case RequestScheduled():
             trace.wanted.append(fact)
-        case Told():
+        case StatusAnnounced():
             # What is written to a paused node is read only when it goes on.
             pauses = trace.node_pauses.get(fact.node, ())
             received = max((end for start, end in pauses if start <= fact.t <= end), default=fact.t)
             trace.announcements[fact.node, fact.server].append(replace(fact, t=received))
-        case Up():
+        case ServerUp():
             trace.server_starts.append(fact)
-        case Down():
+        case ServerDown():
             trace.server_stops[fact.server].append(fact.t)
         case NodeUp():
             trace.node_starts[fact.node].append(fact.t)
@@ -216,7 +216,7 @@
             trace.incidents.append(fact)
 
 
-def arrivals_between(arrivals: list[Got], low: float, high: float) -> list[Got]:
+def arrivals_between(arrivals: list[RequestReceived], low: float, high: float) -> list[RequestReceived]:
     """Those arrivals whose time is from `low` to `high`, both included.
 
     :param arrivals: in order of time
--- a/orchidferry/testkit/judge/verdict.py
+++ b/orchidferry/testkit/judge/verdict.py
@@ -12,7 +12,7 @@
 from orchidferry.testkit.judge.rules import RULES, unsafe_duplicates
 from orchidferry.testkit.judge.service import Service, measure
 from orchidferry.testkit.judge.trace import RunTrace, build_trace
-from orchidferry.testkit.record import Asked, Fact
+from orchidferry.testkit.record import Fact, RequestSent
 from orchidferry.testkit.scenario import Scenario
 
 FAULT_ONSET_S = 2.0
@@ -77,7 +77,7 @@
     attempts = sum(
         1
         for request, events in trace.requester_events.items()
-        if request.tier == 0 and isinstance(events[0], Asked)
+        if request.tier == 0 and isinstance(events[0], RequestSent)
     )
     return Verdict(
         scenario,
--- a/orchidferry/testkit/record.py
+++ b/orchidferry/testkit/record.py
@@ -1,9 +1,9 @@
-"""A run's record: what clients sent and got, what servers received and did, what discovery told whom.
+"""A run's record: what clients sent and received, what servers did, and what discovery announced to whom.
 
-One line a fact, a JSON array that opens with the fact's tag. Each process writes a file of its own, as
-lines that are whole or missing, so that one which is killed loses the last moment only. Times are
-seconds since the run's zero on CLOCK_MONOTONIC, which all processes of a machine share. The judge reads
-nothing else; no fact here is the word of a node.
+Each fact is a line, a JSON array that begins with the fact's tag. Each process writes a file of its own, in
+complete lines, so that one which is killed loses the last moment only. Times are seconds since the run's zero
+on CLOCK_MONOTONIC, which all processes of a machine share. The judge reads nothing else; no fact is the
+statement of a node.
 """
 
 from __future__ import annotations
@@ -17,12 +17,13 @@
 
 from orchidferry.errors import OrchidferryError
 
-FLUSH_S = 0.25  # the owner of a recorder writes out so often
+FLUSH_S = 0.25
+"""How often the owner of a recorder flushes it."""
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request was written, whole, to a connection that a node had accepted."""
+class RequestSent:
+    """A request was written completely to a connection that a node had accepted."""
 
     tag: ClassVar[str] = "asked"
     t: float
@@ -37,8 +38,8 @@
 
 
 @dataclass(slots=True)
-class Answered:
-    """The last byte of an answer came."""
+class ResponseReceived:
+    """The last byte of a response came."""
 
     tag: ClassVar[str] = "answered"
     t: float
@@ -50,8 +51,8 @@
 
 
 @dataclass(slots=True)
-class Cut:
-    """A connection ended with no whole answer on it, or never came up (`how`: refused, silent)."""
+class ConnectionClosed:
+    """A connection ended without a complete response, or was never accepted (`how`: refused, silent)."""
 
     tag: ClassVar[str] = "cut"
     t: float
@@ -63,8 +64,8 @@
 
 
 @dataclass(slots=True)
-class Unanswered:
-    """The asker's time was up; it closed its connection. `left`: it went before that, of itself."""
+class RequestTimedOut:
+    """The deadline passed and the requester closed its connection. `left`: it gave up before the deadline."""
 
     tag: ClassVar[str] = "unanswered"
     t: float
@@ -75,8 +76,8 @@
 
 
 @dataclass(slots=True)
-class Extra:
-    """Bytes came that no open request asked for, after the answer to this one."""
+class ExtraBytes:
+    """Bytes came that no open request waited for, after the response to this one."""
 
     tag: ClassVar[str] = "extra"
     t: float
@@ -86,8 +87,8 @@
 
 
 @dataclass(slots=True)
-class Wanted:
-    """A client's first try: what the measure of service is over."""
+class RequestScheduled:
+    """A client's request was due; the measure of service counts these."""
 
     tag: ClassVar[str] = "wanted"
     t: float  # when it should have been sent
@@ -96,7 +97,7 @@
 
 
 @dataclass(slots=True)
-class Got:
+class RequestReceived:
     """A server has read the last byte of a request."""
 
     tag: ClassVar[str] = "got"
@@ -112,8 +113,8 @@
 
 
 @dataclass(slots=True)
-class Began:
-    """A server has begun to work on a request: from now on its effect may be there."""
+class ExecutionStarted:
+    """A server has begun to execute a request: from now on it may have had its effect."""
 
     tag: ClassVar[str] = "began"
     t: float
@@ -123,8 +124,8 @@
 
 
 @dataclass(slots=True)
-class Ended:
-    """A server is done with a request: served, repeat (dropped by its key), error, rejected, lost."""
+class ExecutionEnded:
+    """A server has ended a request: served, repeat (dropped by its key), error, rejected, lost."""
 
     tag: ClassVar[str] = "ended"
     t: float
@@ -135,8 +136,8 @@
 
 
 @dataclass(slots=True)
-class Up:
-    """A server serves from now on. `cold`: with `cold_from` of its `capacity` (cores) at first."""
+class ServerUp:
+    """A server serves from now on. `cold`: at first with `cold_from` of its `capacity` (in cores)."""
 
     tag: ClassVar[str] = "up"
     t: float
@@ -149,8 +150,8 @@
 
 
 @dataclass(slots=True)
-class Down:
-    """A server serves no more: stopped, crashed, fell (pushed over while cold)."""
+class ServerDown:
+    """A server serves no more: stopped, crashed, fell (overloaded while cold)."""
 
     tag: ClassVar[str] = "down"
     t: float
@@ -160,8 +161,8 @@
 
 
 @dataclass(slots=True)
-class Told:
-    """Discovery has written this to a node, or it counts as told (`deemed`)."""
+class StatusAnnounced:
+    """Discovery has written a server's status to a node, or that counts as done (`deemed`)."""
 
     tag: ClassVar[str] = "told"
     t: float
@@ -226,7 +227,7 @@
 
 @dataclass(slots=True)
 class Lag:
-    """What held somebody up: late (a client), stall (a loop), in seconds; starved (share of a window)."""
+    """A lag of the kit: late (a client), stall (an event loop), in seconds; starved, as a fraction."""
 
     tag: ClassVar[str] = "lag"
     t: float
@@ -236,18 +237,18 @@
 
 
 Fact = (
-    Asked
-    | Answered
-    | Cut
-    | Unanswered
-    | Extra
-    | Wanted
-    | Got
-    | Began
-    | Ended
-    | Up
-    | Down
-    | Told
+    RequestSent
+    | ResponseReceived
+    | ConnectionClosed
+    | RequestTimedOut
+    | ExtraBytes
+    | RequestScheduled
+    | RequestReceived
+    | ExecutionStarted
+    | ExecutionEnded
+    | ServerUp
+    | ServerDown
+    | StatusAnnounced
     | NodeUp
     | NodeDown
     | NodePaused
@@ -255,11 +256,11 @@
     | Incident
     | Lag
 )
-KINDS: dict[str, type[Any]] = {kind.tag: kind for kind in Fact.__args__}
+FACT_KINDS: dict[str, type[Any]] = {kind.tag: kind for kind in Fact.__args__}
 
 
-def line(fact: Fact) -> str:
-    """A fact as it stands in a file."""
+def encode_fact(fact: Fact) -> str:
+    """The line of a fact in a file, without its end."""
     return json.dumps([fact.tag, *astuple(fact)], separators=(",", ":"))
 
 
@@ -267,6 +268,10 @@
     """Appends facts to a file; its owner calls `flush` every `FLUSH_S` and `close` at the end."""
 
     def __init__(self, path: Path, zero: float) -> None:
+        """Open a file for appending.
+
+        :param zero: the run's zero on the monotonic clock, in seconds
+        """
         self.zero = zero
         self.path = path
         self.facts = 0
@@ -278,16 +283,19 @@
         return time.monotonic() - self.zero
 
     def put(self, fact: Fact) -> None:
+        """Add a fact; it is written with the next flush."""
         self.facts += 1
-        self._pending.append(line(fact))
+        self._pending.append(encode_fact(fact))
 
     def flush(self) -> None:
+        """Write what is pending."""
         if self._pending:
             self._file.write("\n".join(self._pending) + "\n")
             self._file.flush()
             self._pending.clear()
 
     def close(self) -> None:
+        """Write what is pending, and close the file."""
         self.flush()
         self._file.close()
 
@@ -296,23 +304,30 @@
     """A record that can't be read; the text names file and line."""
 
 
-def read_lines(lines: Iterable[str], where: str) -> Iterator[Fact]:
-    """The facts of a file. Half a last line is what a killed process leaves, and is passed over."""
+def read_facts(lines: Iterable[str], where: str) -> Iterator[Fact]:
+    """Read the facts of a file; an incomplete last line, which a killed process leaves, is skipped.
+
+    :param where: what the file is called in errors
+    :raises RecordError: if a line can't be read
+    """
     for number, text in enumerate(lines, 1):
         if not text.endswith("\n"):
             return
         try:
             tag, *values = json.loads(text)
-            yield KINDS[tag](*values)
+            yield FACT_KINDS[tag](*values)
         except (ValueError, KeyError, TypeError) as problem:
             raise RecordError(f"{where}:{number}: {problem!r:.100}") from None
 
 
 def read_folder(folder: Path) -> list[Fact]:
-    """All facts of a run, in order of time."""
+    """Read all facts of a run, in order of time.
+
+    :raises RecordError: if a line can't be read
+    """
     facts: list[Fact] = []
     for path in sorted(folder.glob("*.facts")):
         with path.open(encoding="utf-8") as file:
-            facts += read_lines(file, path.name)
+            facts += read_facts(file, path.name)
     facts.sort(key=lambda fact: fact.t)
     return facts
--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -23,7 +23,7 @@
 from orchidferry.testkit.judge.verdict_json import as_json
 from orchidferry.testkit.mesh.command import main as on_mesh
 from orchidferry.testkit.mesh.day import DAYS
-from orchidferry.testkit.record import Lag, Wanted
+from orchidferry.testkit.record import Lag, RequestScheduled
 from orchidferry.testkit.report import terminal
 from orchidferry.testkit.scenario import (
     FAULT_TYPES,
@@ -106,7 +106,7 @@
     """What the clients sent, from the run's record."""
     from orchidferry.testkit.traffic.replay import measure
 
-    sent = Counter(fact.cls for fact in run.facts if isinstance(fact, Wanted))
+    sent = Counter(fact.cls for fact in run.facts if isinstance(fact, RequestScheduled))
     lags = [fact for fact in run.facts if isinstance(fact, Lag) and fact.kind == "late"]
     left = sum(preview.sent.values()) - sum(sent.values())
     return measure(preview, sent, [lag.amount for lag in lags], [lag.t for lag in lags], left)
--- a/orchidferry/testkit/report/series.py
+++ b/orchidferry/testkit/report/series.py
@@ -7,7 +7,7 @@
 
 from orchidferry.testkit.judge.service import ClientRequest, Outcome, service_of
 from orchidferry.testkit.judge.verdict import Verdict
-from orchidferry.testkit.record import Answered, Asked, Cut, Unanswered
+from orchidferry.testkit.record import ConnectionClosed, RequestSent, RequestTimedOut, ResponseReceived
 
 QUANTILES = (0.5, 0.9, 0.99)
 
@@ -60,10 +60,10 @@
         out_now = False
         for fact in events:
             # A close that crossed it, and a refused connection after that, end it once.
-            if isinstance(fact, Asked) and not out_now:
+            if isinstance(fact, RequestSent) and not out_now:
                 change[step(fact.t)] += 1
                 out_now = True
-            elif isinstance(fact, Answered | Cut | Unanswered) and out_now:
+            elif isinstance(fact, ResponseReceived | ConnectionClosed | RequestTimedOut) and out_now:
                 change[step(fact.t)] -= 1
                 out_now = False
     out = 0
--- a/orchidferry/testkit/world/discovery.py
+++ b/orchidferry/testkit/world/discovery.py
@@ -12,7 +12,7 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from orchidferry.testkit.record import Recorder, Told
+from orchidferry.testkit.record import Recorder, StatusAnnounced
 from orchidferry.testkit.wire import Address, Request, ServerSide
 
 MAX_WAIT_MS = 60_000
@@ -249,7 +249,7 @@
         for name, (status, since) in news.items():
             if asker.told.get(name) != (status, since):
                 asker.told[name] = (status, since)
-                self._recorder.put(Told(now, asker.name, name, status, since, deemed))
+                self._recorder.put(StatusAnnounced(now, asker.name, name, status, since, deemed))
 
     def close(self) -> None:
         for asker in self._askers.values():
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -10,7 +10,14 @@
 
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.exchange import Ask, Exchanges, body_of, message, root_of, trouble_of
-from orchidferry.testkit.record import Began, Down, Ended, Got, Recorder, Up
+from orchidferry.testkit.record import (
+    ExecutionEnded,
+    ExecutionStarted,
+    Recorder,
+    RequestReceived,
+    ServerDown,
+    ServerUp,
+)
 from orchidferry.testkit.scenario import Class, Scenario
 from orchidferry.testkit.traffic.guard import PROOF_CLASS, proof
 from orchidferry.testkit.wire import Address, Request, ServerSide
@@ -110,7 +117,7 @@
         self.open = True
         capacity = tier.cores * self.server.speed
         self._recorder.put(
-            Up(now, self.server.tier, self.server.name, cold, capacity, tier.cold_from, tier.cold_for_s)
+            ServerUp(now, self.server.tier, self.server.name, cold, capacity, tier.cold_from, tier.cold_for_s)
         )
 
     def down(self, why: str) -> None:
@@ -127,11 +134,13 @@
         for connection in list(self._connections):
             connection.reset()
         for id in list(self._held):
-            self._recorder.put(Ended(self._recorder.now(), self.server.tier, self.server.name, id, "lost"))
+            self._recorder.put(
+                ExecutionEnded(self._recorder.now(), self.server.tier, self.server.name, id, "lost")
+            )
         self._held.clear()
         for task in self._tasks:
             task.cancel()
-        self._recorder.put(Down(self._recorder.now(), self.server.tier, self.server.name, why))
+        self._recorder.put(ServerDown(self._recorder.now(), self.server.tier, self.server.name, why))
 
     def trouble(self, do: str, value: float, entry: int) -> None:
         """One kind of trouble begins (value above 0) or ends."""
@@ -194,7 +203,9 @@
         came = request.last - zero
         work = inside.work_of(self._scenario.seed, cls, tier, root)
         self._recorder.put(
-            Got(came, request.first - zero, server.tier, server.name, server.cell, id, cls.name, key, work)
+            RequestReceived(
+                came, request.first - zero, server.tier, server.name, server.cell, id, cls.name, key, work
+            )
         )
         if self._now("silent"):
             return
@@ -203,7 +214,7 @@
             if seeded_random.uniform(self._scenario.seed, "lost", server.name, id) >= RUNS_ALL_THE_SAME:
                 return
         if id in self._held:  # a second copy while the first is here
-            self._recorder.put(Ended(self._recorder.now(), server.tier, server.name, id, "rejected"))
+            self._recorder.put(ExecutionEnded(self._recorder.now(), server.tier, server.name, id, "rejected"))
             return connection.answer(503, b"", REJECTED)
         if not connection.transport.is_closing():  # else it runs on, though nobody hears of it
             self._connections.get(connection, set()).add(id)
@@ -226,7 +237,7 @@
             match action:
                 case inside.Begin():
                     self._recorder.put(
-                        Began(self._recorder.now(), self.server.tier, self.server.name, action.id)
+                        ExecutionStarted(self._recorder.now(), self.server.tier, self.server.name, action.id)
                     )
                 case inside.Finish():
                     self._finish(action.id, action.how)
@@ -252,7 +263,7 @@
         if how == "rejected" and not heard:
             how = "lost"  # nobody is told, so it proves nothing to a node
         # First the record: a node may act on the answer before this process runs again.
-        self._recorder.put(Ended(self._recorder.now(), self.server.tier, self.server.name, id, how))
+        self._recorder.put(ExecutionEnded(self._recorder.now(), self.server.tier, self.server.name, id, how))
         if not heard:
             return
         self._connections.get(held.connection, set()).discard(id)
--- a/tests/node/h3/test_rules.py
+++ b/tests/node/h3/test_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from orchidferry.testkit.record import Answered, Asked, Got
+from orchidferry.testkit.record import RequestReceived, RequestSent, ResponseReceived
 from tests.testkit.test_run import ADD, DRAIN, ERRORS, QUICK, play, scenario
 
 NETWORKS: dict[str, dict[str, Any]] = {
@@ -35,8 +35,8 @@
     assert by_name["no_request_lost"].checked > 100 and by_name["no_effect_twice"].checked > 20
     if incident[0]["do"] == "drain":
         assert by_name["drains_kept"].checked > 0 and by_name["cold_servers_spared"].checked > 0
-    asked = [fact.id for fact in run.facts if isinstance(fact, Asked) and fact.tier == 0]
-    answered = [fact.id for fact in run.facts if isinstance(fact, Answered) and fact.tier == 0]
+    asked = [fact.id for fact in run.facts if isinstance(fact, RequestSent) and fact.tier == 0]
+    answered = [fact.id for fact in run.facts if isinstance(fact, ResponseReceived) and fact.tier == 0]
     assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
     assert len(answered) > 0.9 * len(asked) > 90
-    assert any(isinstance(fact, Got) for fact in run.facts)
+    assert any(isinstance(fact, RequestReceived) for fact in run.facts)
--- a/tests/testkit/judge/test_verdict.py
+++ b/tests/testkit/judge/test_verdict.py
@@ -12,22 +12,22 @@
 from orchidferry.testkit.judge.verdict import Verdict, judge
 from orchidferry.testkit.judge.verdict_json import as_json
 from orchidferry.testkit.record import (
-    Answered,
-    Asked,
-    Began,
-    Cut,
-    Ended,
-    Extra,
+    ConnectionClosed,
+    ExecutionEnded,
+    ExecutionStarted,
+    ExtraBytes,
     Fact,
-    Got,
     Incident,
     Lag,
     NodeDown,
     NodeUp,
-    Told,
-    Unanswered,
-    Up,
-    Wanted,
+    RequestReceived,
+    RequestScheduled,
+    RequestSent,
+    RequestTimedOut,
+    ResponseReceived,
+    ServerUp,
+    StatusAnnounced,
 )
 from orchidferry.testkit.scenario import Scenario, read_scenario
 
@@ -47,9 +47,9 @@
     def ask(self, id: str, cls: str, t: float, ends: float | None = None, tier: int = 0) -> None:
         root = id.partition(".")[0]
         if tier == 0 and id.endswith(".0"):
-            self.put(Wanted(t, root, cls))
+            self.put(RequestScheduled(t, root, cls))
         ends = t + 2.0 if ends is None else ends
-        self.put(Asked(t, tier, id, cls, "n0", root, int(id[-1]), t, ends))
+        self.put(RequestSent(t, tier, id, cls, "n0", root, int(id[-1]), t, ends))
 
     def attempt(
         self,
@@ -62,14 +62,14 @@
         tier: int = 0,
         work: float = 0.05,
     ) -> None:
-        self.put(Got(t, t - 0.0002, tier, server, cell, id, cls, f"k-{id}", work))
+        self.put(RequestReceived(t, t - 0.0002, tier, server, cell, id, cls, f"k-{id}", work))
         if how in ("served", "error", "lost"):
-            self.put(Began(t + 0.001, tier, server, id))
+            self.put(ExecutionStarted(t + 0.001, tier, server, id))
         if how is not None:
-            self.put(Ended(t + 0.05, tier, server, id, how))
+            self.put(ExecutionEnded(t + 0.05, tier, server, id, how))
 
     def answer(self, id: str, t: float, status: int = 200, sound: bool = True, tier: int = 0) -> None:
-        self.put(Answered(t, tier, id, "n0", status, sound))
+        self.put(ResponseReceived(t, tier, id, "n0", status, sound))
 
     def judge(self, complete: bool = True) -> Verdict:
         return judge(SCENARIO, sorted(self.facts, key=lambda fact: fact.t), 0.0, END, complete)
@@ -99,13 +99,18 @@
     run.ask("r5.1", "repasse-socio", 7.4)
     run.attempt("r5.1", "repasse-socio", 7.41)
     run.answer("r5.1", 7.6)
-    run.put(Told(0.5, "n0", "a", "active", 0.0, False), Told(0.5, "n0", "d", "active", 0.0, False))
-    run.put(Told(8.0, "n0", "d", "leaving", 0.0, False))
+    run.put(
+        StatusAnnounced(0.5, "n0", "a", "active", 0.0, False),
+        StatusAnnounced(0.5, "n0", "d", "active", 0.0, False),
+    )
+    run.put(StatusAnnounced(8.0, "n0", "d", "leaving", 0.0, False))
     run.ask("r6.0", "ler-feed", 8.5)
     run.attempt("r6.0", "ler-feed", 8.51, server="d")  # within the grace
     run.answer("r6.0", 8.6)
     # A cold start: 0.34 of a core at first, so that it may get 1.02 core-seconds within 1 s.
-    run.put(Up(20.0, 0, "e", True, 1.0, 0.34, 8.5), Told(20.5, "n0", "e", "active", 20.0, False))
+    run.put(
+        ServerUp(20.0, 0, "e", True, 1.0, 0.34, 8.5), StatusAnnounced(20.5, "n0", "e", "active", 20.0, False)
+    )
     for n in range(10):
         run.ask(f"c{n}.0", "ler-feed", 21.0 + n * 0.01)
         run.attempt(f"c{n}.0", "ler-feed", 21.001 + n * 0.01, server="e", work=0.05)
@@ -138,12 +143,12 @@
 
 def never(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0, ends=11.0)
-    run.put(Unanswered(11.07, 0, "x.0", "n0", False))
+    run.put(RequestTimedOut(11.07, 0, "x.0", "n0", False))
 
 
 def went_away(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0, ends=11.0)
-    run.put(Unanswered(10.2, 0, "x.0", "n0", True))
+    run.put(RequestTimedOut(10.2, 0, "x.0", "n0", True))
 
 
 def no_end(run: Recorded) -> None:
@@ -152,34 +157,34 @@
 
 def closed(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Cut(10.1, 0, "x.0", "n0", "closed", False))
+    run.put(ConnectionClosed(10.1, 0, "x.0", "n0", "closed", False))
 
 
 def half(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Cut(10.1, 0, "x.0", "n0", "broken", False))
+    run.put(ConnectionClosed(10.1, 0, "x.0", "n0", "broken", False))
 
 
 def died_with_its_node(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Cut(10.1, 0, "x.0", "n0", "reset", False), NodeDown(10.102, "n0", "killed"))
+    run.put(ConnectionClosed(10.1, 0, "x.0", "n0", "reset", False), NodeDown(10.102, "n0", "killed"))
 
 
 def died_of_itself(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Cut(10.1, 0, "x.0", "n0", "reset", False), NodeDown(10.102, "n0", "exit 1"))
+    run.put(ConnectionClosed(10.1, 0, "x.0", "n0", "reset", False), NodeDown(10.102, "n0", "exit 1"))
 
 
 def dropped_at_a_planned_end(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
     run.attempt("x.0", "ler-feed", 10.01)
-    run.put(NodeDown(9.0, "n0", "term"), Cut(10.1, 0, "x.0", "n0", "closed", False))
+    run.put(NodeDown(9.0, "n0", "term"), ConnectionClosed(10.1, 0, "x.0", "n0", "closed", False))
 
 
 def crossed_a_close(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Cut(10.001, 0, "x.0", "n0", "closed", True))
-    run.put(Asked(10.002, 0, "x.0", "ler-feed", "n0", "x", 0, 10.0, 12.0))
+    run.put(ConnectionClosed(10.001, 0, "x.0", "n0", "closed", True))
+    run.put(RequestSent(10.002, 0, "x.0", "ler-feed", "n0", "x", 0, 10.0, 12.0))
     run.attempt("x.0", "ler-feed", 10.01)
     run.answer("x.0", 10.2)
 
@@ -187,8 +192,8 @@
 def closed_on_what_it_had_sent_on(run: Recorded) -> None:
     run.ask("x.0", "ler-feed", 10.0)
     run.attempt("x.0", "ler-feed", 10.0005)
-    run.put(Cut(10.001, 0, "x.0", "n0", "closed", True))
-    run.put(Asked(10.002, 0, "x.0", "ler-feed", "n0", "x", 0, 10.0, 12.0))
+    run.put(ConnectionClosed(10.001, 0, "x.0", "n0", "closed", True))
+    run.put(RequestSent(10.002, 0, "x.0", "ler-feed", "n0", "x", 0, 10.0, 12.0))
     run.answer("x.0", 10.2)
 
 
@@ -197,7 +202,7 @@
 
 
 def extra(run: Recorded) -> None:
-    run.put(Extra(1.3, 0, "r0.0", "n0"))
+    run.put(ExtraBytes(1.3, 0, "r0.0", "n0"))
 
 
 def made_up(run: Recorded) -> None:
@@ -208,23 +213,23 @@
 
 def lost_below(run: Recorded) -> None:
     run.ask("x-0.a.1", "ler-feed", 10.0, ends=11.0, tier=1)
-    run.put(Unanswered(11.07, 1, "x-0.a.1", "n0", False))
+    run.put(RequestTimedOut(11.07, 1, "x-0.a.1", "n0", False))
 
 
 def sent_to_a_dead_node(run: Recorded) -> None:
     run.put(NodeDown(9.0, "n0", "killed"), NodeUp(14.0, "n0", 0))
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Unanswered(12.07, 0, "x.0", "n0", False))
+    run.put(RequestTimedOut(12.07, 0, "x.0", "n0", False))
 
 
 def sent_to_one_that_is_back(run: Recorded) -> None:
     run.put(NodeDown(8.0, "n0", "killed"), NodeUp(9.0, "n0", 0))
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Unanswered(12.07, 0, "x.0", "n0", False))
+    run.put(RequestTimedOut(12.07, 0, "x.0", "n0", False))
 
 
 def never_taken(run: Recorded) -> None:
-    run.put(Wanted(10.0, "x", "ler-feed"), Cut(10.0, 0, "x.0", "n0", "refused", False))
+    run.put(RequestScheduled(10.0, "x", "ler-feed"), ConnectionClosed(10.0, 0, "x.0", "n0", "refused", False))
 
 
 @pytest.mark.parametrize(
@@ -384,7 +389,7 @@
 
 def test_a_drain_counts_from_when_this_node_was_told() -> None:
     run = clean()
-    run.put(Told(8.0, "n1", "a", "leaving", 0.0, False))  # n0 asked, and was not told
+    run.put(StatusAnnounced(8.0, "n1", "a", "leaving", 0.0, False))  # n0 asked, and was not told
     run.ask("x.0", "ler-feed", 30.0)
     run.attempt("x.0", "ler-feed", 30.01, server="a")
     run.answer("x.0", 30.2)
@@ -393,7 +398,10 @@
 
 def test_a_server_that_is_back_is_in_service() -> None:
     run = clean()
-    run.put(Told(9.5, "n0", "d", "left", 0.0, False), Told(12.0, "n0", "d", "active", 11.0, False))
+    run.put(
+        StatusAnnounced(9.5, "n0", "d", "left", 0.0, False),
+        StatusAnnounced(12.0, "n0", "d", "active", 11.0, False),
+    )
     run.ask("x.0", "ler-feed", 12.5)
     run.attempt("x.0", "ler-feed", 12.51, server="d")
     run.answer("x.0", 12.7)
@@ -402,7 +410,7 @@
 
 def test_left_after_leaving_does_not_begin_the_grace_anew() -> None:
     run = clean()
-    run.put(Told(8.9, "n0", "d", "left", 0.0, False))
+    run.put(StatusAnnounced(8.9, "n0", "d", "left", 0.0, False))
     run.ask("x.0", "ler-feed", 9.2)
     run.attempt("x.0", "ler-feed", 9.3, server="d")
     run.answer("x.0", 9.5)
@@ -415,7 +423,7 @@
         run.attempt(f"f{n}.0", "ler-feed", 21.201 + n * 0.01, server="e", work=0.1)
         run.answer(f"f{n}.0", 21.9 + n * 0.01)
     if not told:
-        run.facts = [f for f in run.facts if not (isinstance(f, Told) and f.server == "e")]
+        run.facts = [f for f in run.facts if not (isinstance(f, StatusAnnounced) and f.server == "e")]
 
 
 def test_more_than_a_cold_servers_budget_breaks_rule_4() -> None:
@@ -449,7 +457,7 @@
 def test_service_counts_late_worth_and_ties_retries_to_their_first_try() -> None:
     run = Recorded()
     run.ask("r0.0", "repasse-socio", 1.0, ends=3.0)
-    run.put(Unanswered(3.07, 0, "r0.0", "n0", False))
+    run.put(RequestTimedOut(3.07, 0, "r0.0", "n0", False))
     run.ask("r0.1", "repasse-socio", 3.3, ends=6.0)
     run.answer("r0.1", 4.0)  # 3 s after the first try: late, worth 0.3 of 8
     run.ask("r1.0", "ler-feed", 1.0)
@@ -464,8 +472,8 @@
 
 def test_time_counts_from_when_a_late_client_should_have_asked() -> None:
     run = Recorded()
-    run.put(Wanted(1.0, "r0", "ler-feed"))
-    run.put(Asked(1.9, 0, "r0.0", "ler-feed", "n0", "r0", 0, 1.0, 2.5))  # 0.9 s late
+    run.put(RequestScheduled(1.0, "r0", "ler-feed"))
+    run.put(RequestSent(1.9, 0, "r0.0", "ler-feed", "n0", "r0", 0, 1.0, 2.5))  # 0.9 s late
     run.answer("r0.0", 2.3)  # 0.4 s after it was sent, 1.3 s after it was meant: past the wanted 1.2 s
     service = run.judge().service
     assert service.requests[0].took_s == pytest.approx(1.3)
@@ -540,7 +548,7 @@
 def test_a_class_that_is_only_ever_refused_earns_nothing() -> None:
     run = clean()
     run.facts = [
-        replace(f, status=503) if isinstance(f, Answered) and f.id == "r0.0" else f for f in run.facts
+        replace(f, status=503) if isinstance(f, ResponseReceived) and f.id == "r0.0" else f for f in run.facts
     ]
     row = run.judge().service.classes["ler-feed"]
     assert (row.refused, row.served) == (1, row.asked - 1)
--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -15,7 +15,7 @@
 from orchidferry.testkit.bench import decisions, kit
 from orchidferry.testkit.judge.verdict import Verdict
 from orchidferry.testkit.mesh.day import DAYS
-from orchidferry.testkit.record import Cut, Incident
+from orchidferry.testkit.record import ConnectionClosed, Incident
 from orchidferry.testkit.report import terminal
 from orchidferry.testkit.report.page import page
 from orchidferry.testkit.report.series import series
@@ -224,7 +224,10 @@
 def test_a_request_that_is_cut_twice_is_in_flight_once() -> None:
     run = clean()
     run.ask("x.0", "ler-feed", 10.0)
-    run.put(Cut(10.1, 0, "x.0", "n0", "reset", True), Cut(10.1, 0, "x.0", "n0", "refused", False))
+    run.put(
+        ConnectionClosed(10.1, 0, "x.0", "n0", "reset", True),
+        ConnectionClosed(10.1, 0, "x.0", "n0", "refused", False),
+    )
     assert min(series(run.judge()).in_flight) == 0.0
 
 
--- a/tests/testkit/test_exchange.py
+++ b/tests/testkit/test_exchange.py
@@ -8,7 +8,16 @@
 from typing import Any
 
 from orchidferry.testkit.exchange import Ask, Exchanges, body_of, message
-from orchidferry.testkit.record import Answered, Asked, Cut, Extra, Fact, Recorder, Unanswered, read_folder
+from orchidferry.testkit.record import (
+    ConnectionClosed,
+    ExtraBytes,
+    Fact,
+    Recorder,
+    RequestSent,
+    RequestTimedOut,
+    ResponseReceived,
+    read_folder,
+)
 from orchidferry.testkit.scenario import read_scenario
 from orchidferry.testkit.wire import Address, Outcome
 from tests.node.peers import CLOSE, HANG, RESET, Peer, Seen, answer, run, until
@@ -68,7 +77,7 @@
         assert (await ask("b")).status == 200
 
     facts = play(tmp_path, Scripted(SOUND, answer(200, b"made up")), work)
-    assert [fact.sound for fact in facts if isinstance(fact, Answered)] == [True, False]
+    assert [fact.sound for fact in facts if isinstance(fact, ResponseReceived)] == [True, False]
 
 
 def test_connections_are_kept_and_used_again(tmp_path: Path) -> None:
@@ -102,7 +111,7 @@
         assert (await ask("b")).how == "reset"
 
     facts = play(tmp_path, Scripted(CLOSE, RESET), work)
-    assert [fact.how for fact in facts if isinstance(fact, Cut)] == ["closed", "reset"]
+    assert [fact.how for fact in facts if isinstance(fact, ConnectionClosed)] == ["closed", "reset"]
 
 
 def test_half_an_answer_is_told_from_a_whole_one(tmp_path: Path) -> None:
@@ -110,7 +119,7 @@
         assert (await ask("a")).how == "broken"
 
     facts = play(tmp_path, Scripted(answer(200, b"long")[:-2] + CLOSE), work)
-    assert [fact.how for fact in facts if isinstance(fact, Cut)] == ["broken"]
+    assert [fact.how for fact in facts if isinstance(fact, ConnectionClosed)] == ["broken"]
 
 
 def test_what_comes_after_the_answer_is_booked_once_and_the_connection_dropped(tmp_path: Path) -> None:
@@ -122,7 +131,7 @@
         await ask("b")
 
     facts = play(tmp_path, peer, work)
-    assert [fact.id for fact in facts if isinstance(fact, Extra)] == ["a"]
+    assert [fact.id for fact in facts if isinstance(fact, ExtraBytes)] == ["a"]
     assert peer.connections == 2
 
 
@@ -137,7 +146,7 @@
         assert (await ask("a", ends_s=0.1)).how == "timeout"
 
     facts = play(tmp_path, Late(), work)
-    assert len([f for f in facts if isinstance(f, Answered | Unanswered)]) == 1
+    assert len([f for f in facts if isinstance(f, ResponseReceived | RequestTimedOut)]) == 1
 
 
 def test_silence_until_the_time_is_up_is_booked_as_unanswered(tmp_path: Path) -> None:
@@ -149,7 +158,7 @@
         await until(lambda: peer.lost == 2)  # it gave up both connections
 
     facts = play(tmp_path, peer, work)
-    booked = {fact.id: fact.left for fact in facts if isinstance(fact, Unanswered)}
+    booked = {fact.id: fact.left for fact in facts if isinstance(fact, RequestTimedOut)}
     assert booked == {"a": False, "b": True}
 
 
@@ -161,14 +170,14 @@
         assert (await ask("a")).how == "refused"
 
     facts = play(tmp_path, peer, work)
-    assert not any(isinstance(fact, Asked) for fact in facts)
-    assert [fact.how for fact in facts if isinstance(fact, Cut)] == ["refused"]
+    assert not any(isinstance(fact, RequestSent) for fact in facts)
+    assert [fact.how for fact in facts if isinstance(fact, ConnectionClosed)] == ["refused"]
 
 
 def test_a_record_cut_in_the_middle_of_a_line_keeps_the_rest(tmp_path: Path) -> None:
     recorder = Recorder(tmp_path / "x.facts", 0.0)
-    recorder.put(Cut(1.0, 0, "a", "n0", "closed", False))
-    recorder.put(Cut(2.0, 0, "b", "n0", "closed", False))
+    recorder.put(ConnectionClosed(1.0, 0, "a", "n0", "closed", False))
+    recorder.put(ConnectionClosed(2.0, 0, "b", "n0", "closed", False))
     recorder.close()
     path = tmp_path / "x.facts"
     path.write_text(path.read_text()[:-5])
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -190,9 +190,9 @@
 
 def test_facts_of_a_rehearsal_are_read_and_written_the_same() -> None:
     lines = GOLDEN["facts"]
-    found = record.read_lines([line + "\n" for line in lines], "golden")
-    assert [record.line(fact) for fact in found] == lines
-    assert [json.loads(line)[0] for line in lines] == list(record.KINDS)
+    found = record.read_facts([line + "\n" for line in lines], "golden")
+    assert [record.encode_fact(fact) for fact in found] == lines
+    assert [json.loads(line)[0] for line in lines] == list(record.FACT_KINDS)
 
 
 def test_facts_of_the_mesh_keep_their_names_in_a_record() -> None:
--- a/tests/testkit/test_run.py
+++ b/tests/testkit/test_run.py
@@ -14,7 +14,15 @@
 import pytest
 
 from orchidferry.testkit.judge.verdict import Verdict, judge
-from orchidferry.testkit.record import Asked, Began, Fact, Got, Incident, Up, Wanted
+from orchidferry.testkit.record import (
+    ExecutionStarted,
+    Fact,
+    Incident,
+    RequestReceived,
+    RequestScheduled,
+    RequestSent,
+    ServerUp,
+)
 from orchidferry.testkit.scenario import Scenario, load_scenario, read_scenario
 from orchidferry.testkit.world.director import Progress, Run, rehearse
 from tests.balancing.test_wire import ROOT
@@ -114,15 +122,15 @@
         kinds: dict[str, Any] = {"wanted": [], "incidents": [], "work": {}, "speeds": {}, "tries": {}}
         for fact in run.facts:
             match fact:
-                case Wanted():
+                case RequestScheduled():
                     kinds["wanted"].append((round(fact.t - run.start, 6), fact.root, fact.cls))
                 case Incident():
                     kinds["incidents"].append((round(fact.t - run.start, 6), fact.do, fact.whom))
-                case Got():
+                case RequestReceived():
                     kinds["work"][fact.tier, fact.id.partition(".")[0]] = fact.work
-                case Up():
+                case ServerUp():
                     kinds["speeds"][fact.server] = fact.capacity
-                case Asked() if fact.tier == 0 and fact.number == 0:
+                case RequestSent() if fact.tier == 0 and fact.number == 0:
                     kinds["tries"][fact.id] = (fact.cls, round(fact.ends - fact.intended, 6))
         return kinds
 
@@ -276,9 +284,11 @@
     run, verdict = play(one)
     assert run.complete, run.why
     assert verdict.broken_rules == [], [f.violations for f in verdict.rules.values()]
-    unsafe = {fact.id for fact in run.facts if isinstance(fact, Got) and fact.cls == "repasse-socio"}
-    began: list[Fact] = [f for f in run.facts if isinstance(f, Began) and f.id in unsafe]
-    assert len(began) == len({(f.tier, f.id) for f in began if isinstance(f, Began)})
+    unsafe = {
+        fact.id for fact in run.facts if isinstance(fact, RequestReceived) and fact.cls == "repasse-socio"
+    }
+    began: list[Fact] = [f for f in run.facts if isinstance(f, ExecutionStarted) and f.id in unsafe]
+    assert len(began) == len({(f.tier, f.id) for f in began if isinstance(f, ExecutionStarted)})
     assert verdict.service.classes["repasse-socio"].failed > 0
 
 
--- a/tests/testkit/test_world.py
+++ b/tests/testkit/test_world.py
@@ -12,7 +12,17 @@
 import pytest
 
 from orchidferry.testkit.exchange import Exchanges, body_of, message
-from orchidferry.testkit.record import Began, Down, Ended, Fact, Got, Recorder, Told, Up, read_folder
+from orchidferry.testkit.record import (
+    ExecutionEnded,
+    ExecutionStarted,
+    Fact,
+    Recorder,
+    RequestReceived,
+    ServerDown,
+    ServerUp,
+    StatusAnnounced,
+    read_folder,
+)
 from orchidferry.testkit.scenario import Scenario, read_scenario
 from orchidferry.testkit.wire import Address, AskerSide, Outcome, Pool, get
 from orchidferry.testkit.world.addresses import Block, claim
@@ -87,7 +97,7 @@
 
     facts = play(tmp_path, work)
     assert [fact.tag for fact in facts] == ["up", "got", "began", "ended", "down"]
-    [got] = [fact for fact in facts if isinstance(fact, Got)]
+    [got] = [fact for fact in facts if isinstance(fact, RequestReceived)]
     assert got.cls == "ler-feed"
     assert got.work == pytest.approx(0.01)
 
@@ -110,7 +120,7 @@
         assert (await connection.ask("a", data)).status == status
         connection.drop()
 
-    assert not any(isinstance(fact, Got) for fact in play(tmp_path, work))
+    assert not any(isinstance(fact, RequestReceived) for fact in play(tmp_path, work))
 
 
 def test_a_silent_server_reads_and_never_answers_and_resets_when_it_is_back(tmp_path: Path) -> None:
@@ -124,8 +134,8 @@
         assert (await stage.ask("r3.0")).status == 200
 
     facts = play(tmp_path, work)
-    assert [fact.id for fact in facts if isinstance(fact, Got)] == ["r1.0", "r2.0", "r3.0"]
-    assert [fact.id for fact in facts if isinstance(fact, Began)] == ["r3.0"]
+    assert [fact.id for fact in facts if isinstance(fact, RequestReceived)] == ["r1.0", "r2.0", "r3.0"]
+    assert [fact.id for fact in facts if isinstance(fact, ExecutionStarted)] == ["r3.0"]
 
 
 def test_a_refusal_that_nobody_hears_is_no_proof(tmp_path: Path) -> None:
@@ -140,7 +150,10 @@
         assert (await first).how == "reset"
 
     facts = play(tmp_path, work, tiny)
-    assert [(f.id, f.how) for f in facts if isinstance(f, Ended)] == [("r2.0", "rejected"), ("r1.0", "lost")]
+    assert [(f.id, f.how) for f in facts if isinstance(f, ExecutionEnded)] == [
+        ("r2.0", "rejected"),
+        ("r1.0", "lost"),
+    ]
 
 
 def test_a_resetting_server_resets_and_some_of_what_it_reset_has_run(tmp_path: Path) -> None:
@@ -151,8 +164,8 @@
         await until(lambda: not stage.standin._held)
 
     facts = play(tmp_path, work)
-    assert sum(isinstance(fact, Got) for fact in facts) == 30
-    assert 5 < sum(isinstance(fact, Began) for fact in facts) < 25
+    assert sum(isinstance(fact, RequestReceived) for fact in facts) == 30
+    assert 5 < sum(isinstance(fact, ExecutionStarted) for fact in facts) < 25
 
 
 def test_troubles_of_one_kind_lie_over_each_other(tmp_path: Path) -> None:
@@ -174,8 +187,8 @@
         assert (again.status, again.body) == (200, body_of(ALONE.seed, "r1.1"))
 
     facts = play(tmp_path, work)
-    assert [fact.how for fact in facts if isinstance(fact, Ended)] == ["served", "repeat"]
-    assert [fact.id for fact in facts if isinstance(fact, Began)] == ["r1.0"]
+    assert [fact.how for fact in facts if isinstance(fact, ExecutionEnded)] == ["served", "repeat"]
+    assert [fact.id for fact in facts if isinstance(fact, ExecutionStarted)] == ["r1.0"]
 
 
 def test_a_cold_server_that_is_rushed_falls_and_refuses_from_then_on(tmp_path: Path) -> None:
@@ -188,8 +201,8 @@
         assert isinstance(await Pool(lambda _: None).connection(stage.address), Outcome)
 
     facts = play(tmp_path, work, heavy, cold=True)
-    assert [fact.cold for fact in facts if isinstance(fact, Up)] == [True]
-    assert [fact.why for fact in facts if isinstance(fact, Down)] == ["fell"]
+    assert [fact.cold for fact in facts if isinstance(fact, ServerUp)] == [True]
+    assert [fact.why for fact in facts if isinstance(fact, ServerDown)] == ["fell"]
 
 
 @pytest.mark.parametrize(("status", "end"), [(200, 200), (502, 500), (503, 500)])
@@ -270,7 +283,7 @@
         held.close()
 
     run(test())
-    told = [(f.node, f.server, f.status) for f in read_folder(tmp_path) if isinstance(f, Told)]
+    told = [(f.node, f.server, f.status) for f in read_folder(tmp_path) if isinstance(f, StatusAnnounced)]
     assert told == [("n0", "a", "active"), ("n0", "a", "leaving")]  # n1 has never been told
 
 
@@ -293,7 +306,7 @@
         held.close()
 
     run(test())
-    assert [(f.status, f.deemed) for f in read_folder(tmp_path) if isinstance(f, Told)] == [
+    assert [(f.status, f.deemed) for f in read_folder(tmp_path) if isinstance(f, StatusAnnounced)] == [
         ("active", False),
         ("leaving", True),
     ]
--- a/tests/testkit/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -17,7 +17,7 @@
 from orchidferry.testkit.bench.replay import RUN
 from orchidferry.testkit.cli import main
 from orchidferry.testkit.judge.verdict import judge
-from orchidferry.testkit.record import Wanted
+from orchidferry.testkit.record import RequestScheduled
 from orchidferry.testkit.report.page import page as replay_page
 from orchidferry.testkit.scenario import Scenario, ScenarioError, read_scenario, read_traffic
 from orchidferry.testkit.traffic.classes import read_classes
@@ -201,7 +201,9 @@
     text = page.read_text()
     assert all(kind["name"] in text for kind in KINDS) and "200 requests over 4 s" in text and "<svg" in text
     scenario, preview = resolve(laid(tmp_path))
-    verdict = judge(scenario, [Wanted(1.0, "r0", "ler-feed"), Wanted(2.0, "r1", "ler-feed")], 0.0, 3.0)
+    verdict = judge(
+        scenario, [RequestScheduled(1.0, "r0", "ler-feed"), RequestScheduled(2.0, "r1", "ler-feed")], 0.0, 3.0
+    )
     verdict.traffic = measure(preview, Counter({"ler-feed": 2}), [0.001, 0.003], [1.0, 2.0], 148)
     text = replay_page(verdict)
     assert "50 left out: retries" in text and "148 left out: cut off" in text and "1000.00" in text
