--- a/orchidferry/testkit/explore/worst_days/__init__.py
+++ b/orchidferry/testkit/explore/worst_days/__init__.py
@@ -1,4 +1,4 @@
-"""Scenes of the days that break control planes, walked on the shipping code: `explore --of worst-days`.
+"""Scenes of the days that break control planes, explored on the shipping code: `explore --of worst-days`.
 
 Each module here has the scenes of one concern, with the worlds that play them and the deliberate breaks that
 they catch: `SCENES` and `BREAKS`. This package joins them and offers what `orchidferry.testkit.explore.mesh`
@@ -24,7 +24,7 @@
 
 
 def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> MeshWorld:
-    """A scene, as soon as somebody does the duties of the shard."""
+    """Return a scene's world, as soon as a controller does the singleton roles of the shard."""
     play = PLAYS[scene]
     return play.world(play.scene, faults, tuple(kind for kind in kinds if kind in play.scene.kinds))
 
@@ -38,10 +38,10 @@
     watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
 ) -> SearchResult:
-    """Walk all of a scene."""
+    """Explore all of a scene; the parameters are those of `world_search.search`."""
     return world_search.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
 
 
 def broken(name: str) -> AbstractContextManager[None]:
-    """With one of `BREAKS` in force; "" for none."""
+    """Have one of `BREAKS` in force; "" for none."""
     return in_force(BREAKS[name] if name else None)
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -20,53 +20,54 @@
 from orchidferry.testkit.explore.mesh_fingerprint import by_link
 from orchidferry.testkit.explore.worst_days.play import Play
 
-# a controller that was told to end stays so long at least, and at most
-STOP_S = 1.0
-GRACE_S = 5.0
-TOLD_ONE = "told-one"  # of a run's answer: the controller that leaves is the only one to hear it
+STOP_S = 1.0  # for which a controller that was told to end stays at least
+GRACE_S = 5.0  # for which it stays at most
+ANSWER_AT_ONE = "told-one"  # what becomes of a run: only the controller that leaves learns its answer
 
 
 class LossWorld(MeshWorld):
-    """Controllers may be told to end (`leave`). After a day without a fault of its own the group is whole:
-    all its voters live and grant, and a majority holds the key.
+    """A world whose controllers may be told to end (`leave`).
+
+    After a run without a fault but those of the script the group is complete: all its voters are alive and
+    grant, and a majority holds the key.
     """
 
-    everybody = False  # every voter is to hold the key, not only a majority
+    all_voters_hold = False  # whether every voter has to hold the key, not only a majority
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
-        self.allowed = faults
-        self.leaving: dict[str, float] = {}
+        self.faults_allowed = faults
+        self.ending_since: dict[str, float] = {}
         super().__init__(scene, faults, kinds)
 
     def key_granted(self, one: KeyRequest) -> None:
         super().key_granted(one)
-        if one.how == TOLD_ONE:
+        if one.how == ANSWER_AT_ONE:
             self.send(one.node, "a", ControllerCall.RECORD_ANSWER, KEY, one.holder, one.holder)
 
     def _apply_fault(self, what: str, about: list[str]) -> None:
         if what != "leave":
             return super()._apply_fault(what, about)
         self.log(f"{about[0]} is told to end")
-        self.leaving[about[0]] = self.now
+        self.ending_since[about[0]] = self.now
         self.controllers[about[0]].peers.stopping = True
         self.send_heartbeats(about[0])
 
     def _advance_time(self) -> None:
         super()._advance_time()
-        for name, since in list(self.leaving.items()):
+        for name, since in list(self.ending_since.items()):
             controller = self.controllers[name]
-            gone_s = self.now - since
-            stays = gone_s < STOP_S or (gone_s < GRACE_S and controller.shard.must_stay(self.now))
+            ending_for_s = self.now - since
+            stays = ending_for_s < STOP_S or (ending_for_s < GRACE_S and controller.shard.must_stay(self.now))
             if controller.alive and not stays:
-                del self.leaving[name]
+                del self.ending_since[name]
                 self.log(f"{name} ends")
                 self.stop_process(name, math.inf)
 
     def _voters(self) -> list[Shard]:
         return [self.controllers[voter.name].shard for voter in self.newest_state.voters]
 
-    def _lacks(self) -> str:
-        """What the group lacks of being whole; "" for nothing."""
+    def _missing(self) -> str:
+        """Return what the group lacks to be complete; "" for nothing."""
         if not self.granted_attempts:
             return ""
         for voter in self.newest_state.voters:
@@ -82,10 +83,10 @@
             and record.holder in (self.granted_attempts[0], UNKNOWN_HOLDER)
         ]
         if len(holders) < (
-            len(self.newest_state.voters) if self.everybody else len(self.newest_state.voters) // 2 + 1
+            len(self.newest_state.voters) if self.all_voters_hold else len(self.newest_state.voters) // 2 + 1
         ):
             return f"{' and '.join(holders) or 'nobody'} alone hold the key"
-        if any(one.how == TOLD_ONE for one in self.key_requests):
+        if any(one.how == ANSWER_AT_ONE for one in self.key_requests):
             records = [shard.operation_keys.records.get(KEY) for shard in self._voters()]
             return (
                 ""
@@ -95,41 +96,41 @@
         return ""
 
     def succeeded(self) -> bool:
-        return super().succeeded() and not self._lacks()
+        return super().succeeded() and not self._missing()
 
     def finish(self) -> None:
-        lacks = self._lacks()
-        if lacks and self.faults_left == self.allowed:
-            self.report_violation(f"whole: {lacks}")
+        missing = self._missing()
+        if missing and self.faults_left == self.faults_allowed:
+            self.report_violation(f"whole: {missing}")
 
     def fingerprint(self) -> bytes:
-        return super().fingerprint() + repr(sorted(self.leaving.items())).encode()
+        return super().fingerprint() + repr(sorted(self.ending_since.items())).encode()
 
 
 class ReturnWorld(LossWorld):
-    """Whoever was away has all that it missed handed over."""
+    """A world in which a controller that was away is handed all that it missed."""
 
-    everybody = True
+    all_voters_hold = True
 
 
 class NarrowWorld(LossWorld):
-    """Of all that may come first to a process, two are walked: six controllers send too much for more."""
+    """A world that explores two choices of what a process takes: six controllers send too much for more."""
 
-    orders = 2
+    max_choices = 2
 
     def _begin_step(self) -> None:
         super()._begin_step()
-        self.messages = by_link(self.messages)  # so that equal prints have the same two
+        self.messages = by_link(self.messages)  # so that equal fingerprints have the same choices
 
     def next_items(self) -> tuple[str, list[str]]:
-        half, found = super().next_items()
-        return half, found[: self.orders]
+        receiver, items = super().next_items()
+        return receiver, items[: self.max_choices]
 
 
 class StraightWorld(NarrowWorld):
-    """One order of all that comes to a process; with faults at every moment of that."""
+    """A world that explores one order of what comes to a process, with faults at every moment of it."""
 
-    orders = 1
+    max_choices = 1
 
 
 def _scene(
@@ -142,7 +143,11 @@
     group_size: int = 3,
     world: type[MeshWorld] = LossWorld,
 ) -> Play:
-    """A key is tried at the start, and again after a while."""
+    """Return a scene in which a key is claimed at the start, and again after a while.
+
+    :param again_s: when it is claimed again
+    :param how: what becomes of the two runs
+    """
     tries = (("m", 0.0, how[0]), ("n", again_s, how[1]))
     scene = Scene(
         "worst-days",
@@ -189,7 +194,7 @@
         7.0,
         (0.3, "leave a"),
         (4.3, "wipe b"),
-        how=(TOLD_ONE, "broke"),
+        how=(ANSWER_AT_ONE, "broke"),
     ),
     "returned": _scene(
         "one is cut off while a key is claimed and comes back; another one is wiped catch_up_s later",
@@ -246,15 +251,15 @@
     return None
 
 
-def _not_the_leaver(self: RepairingReplica, now: float) -> list[str]:
+def _no_leaving_sources(self: RepairingReplica, now: float) -> list[str]:
     return []
 
 
-def _without_leavers(self: Standing, voter: Voter, known: Value) -> list[str]:
+def _asks_voters_but_a(self: Standing, voter: Voter, known: Value) -> list[str]:
     return [name for name in _missing_sources(self, voter, known) if name != "a"]
 
 
-def _dead_only(self: GroupView, name: str) -> bool:
+def _never_leaves(self: GroupView, name: str) -> bool:
     return False
 
 
@@ -279,13 +284,13 @@
         "who is told to end does not wait, and nobody takes its place while it lives",
         "only-copy",
         (RepairingReplica, "must_stay", _never_stays),
-        (GroupView, "leaves", _dead_only),
+        (GroupView, "leaves", _never_leaves),
     ),
     "hints-dropped": deliberate_break("nothing is handed over", "returned", (Hints, "next_page", _no_page)),
     "leaver-not-asked": deliberate_break(
         "newcomers learn from those that stay alone",
         "only-answer",
-        (Standing, "missing_sources", _without_leavers),
-        (RepairingReplica, "_leaving_sources", _not_the_leaver),
+        (Standing, "missing_sources", _asks_voters_but_a),
+        (RepairingReplica, "_leaving_sources", _no_leaving_sources),
     ),
 }
