--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -12,6 +12,7 @@
 import asyncio
 import tempfile
 import time
+from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
@@ -26,7 +27,8 @@
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
 from orchidferry.node.server_listing import ServerListing
-from orchidferry.testkit.bench.forward import Bench, ask_all, cpu_s, rss_kb, scenario
+from orchidferry.testkit.bench.forward import Bench, cpu_s, rss_kb
+from orchidferry.testkit.bench.open_loop import offer_load, scenario
 from orchidferry.testkit.control.service import Service
 from orchidferry.testkit.world.addresses import claim
 from orchidferry.testkit.world.nodes import settings
@@ -91,7 +93,7 @@
             usual = settings(scenario(), 0, 1, 0)
             service.push("v0", (Part.MEMBERS, POOL, pool_message(POOL, endpoints(bench, REAL, 0))))
             await acknowledged(service, "v0")
-            await ask_all(address, RATE, 2.0, False, "w")
+            await offer_load(address, RATE, 2.0, "w")
             versions: list[tuple[str, list[tuple[Part, str, Any]]]] = [
                 ("nothing", []),
                 ("a whole pool", [(Part.MEMBERS, POOL, pool_message(POOL, endpoints(bench, count, 0)))]),
@@ -100,7 +102,7 @@
                 ("settings", [(Part.SETTINGS, "n0", node_message("n0", POOL, usual))]),
             ]
             for n, (what, changes) in enumerate(versions, 1):
-                asking = asyncio.ensure_future(bench.ask_elsewhere(address, RATE, LOOK_S, f"m{n}-"))
+                asking = asyncio.ensure_future(bench.offer_elsewhere(address, RATE, LOOK_S, f"m{n}-"))
                 await asyncio.sleep(1.5)  # a second and more to start in
                 before = cpu_s(process.pid)
                 began = time.monotonic()
@@ -109,8 +111,7 @@
                     service.push(f"v{n}", *changes)
                     took = await acknowledged(service, f"v{n}") - began
                 cpu = cpu_s(process.pid) - before
-                row = await asking
-                row |= {
+                row = asdict(await asking) | {
                     "what": what,
                     "members": count,
                     "saved": keep,
--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -15,17 +15,15 @@
 import sys
 import tempfile
 import time
-from collections import Counter
-from collections.abc import Callable
+from dataclasses import asdict
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 import uvloop
 
-from orchidferry.testkit.exchange import body_of, message
-from orchidferry.testkit.process import monotonic_at
-from orchidferry.testkit.scenario import Scenario, read_scenario
-from orchidferry.testkit.wire import Address, Outcome, Pool, Request, ServerSide, get
+from orchidferry.testkit.bench.open_loop import LoadReport, offer_load, request_writer, scenario
+from orchidferry.testkit.exchange import body_of
+from orchidferry.testkit.wire import Address, Request, ServerSide, get
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.nodes import http3_text, settings
 
@@ -36,13 +34,6 @@
 WARM_S = 2.0  # of load before what counts: connections come up, the node learns
 LATE_MS = 20.0  # an asker that was later than this at p99 measured itself
 READY_S = 20.0
-BUDGET_S = 2.0
-CLASSES = (("ler-feed", 6), ("salvar-episodio", 3), ("repasse-socio", 1))  # in ten requests, of the usual mix
-
-
-def scenario() -> Scenario:
-    """Its classes, rules and settings are the rehearsals' usual ones."""
-    return read_scenario({"name": "forward"}, "forward")
 
 
 async def serve(addresses: list[Address], files: Files | None = None) -> None:
@@ -80,79 +71,6 @@
     return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
 
 
-def writer(mix: bool) -> Callable[[int, str], bytes]:
-    """How a request is written, by its number and id."""
-    classes = {cls.name: cls for cls in scenario().classes}
-    names = [name for name, count in CLASSES for _ in range(count)] if mix else ["ler-feed"]
-
-    def write(number: int, id: str) -> bytes:
-        cls = classes[names[number % len(names)]]
-        return message(cls, id, f"k-{id}", number, BUDGET_S, False, b"x" * 100)
-
-    return write
-
-
-async def ask_all(
-    address: Address,
-    rate: float,
-    seconds: float,
-    mix: bool,
-    tag: str,
-    pool: Any = None,
-    write: Callable[[int, str], bytes] | None = None,
-) -> dict[str, Any]:
-    """An open loop at one rate; what came back, and how late the asking was. `write`: instead of the mix."""
-    one = scenario()
-    pool = Pool(lambda _: None) if pool is None else pool
-    write = writer(mix) if write is None else write
-    took: list[float] = []
-    late: list[float] = []
-    failed: Counter[str] = Counter()  # by status, or by how it ended
-
-    async def ask(number: int) -> None:
-        id = f"{tag}{number}.0"
-        began = time.monotonic()
-        connection = await pool.connection(address)
-        if isinstance(connection, Outcome):
-            failed[connection.how] += 1
-            return
-        waiting = connection.ask(id, write(number, id))
-        await asyncio.wait({waiting}, timeout=BUDGET_S + 0.5)
-        outcome = waiting.result() if waiting.done() else Outcome("timeout", 0.0)
-        if outcome.status == 200 and outcome.body == body_of(one.seed, id):
-            took.append(time.monotonic() - began)
-            pool.put_back(address, connection)
-        else:
-            failed[str(outcome.status or outcome.how)] += 1
-            connection.drop()
-
-    zero = time.monotonic()
-    tasks: set[asyncio.Task[None]] = set()
-    total = int(rate * seconds)
-    for number in range(total):
-        wait = monotonic_at(zero, number / rate)
-        if wait > 0:
-            await asyncio.sleep(wait)
-        late.append(max(0.0, -monotonic_at(zero, number / rate)))
-        task = asyncio.create_task(ask(number))
-        tasks.add(task)
-        task.add_done_callback(tasks.discard)
-    while tasks:
-        await asyncio.wait(set(tasks))
-    pool.close()
-    late.sort()
-    took.sort()
-    return {
-        "asked": total,
-        "failed": failed.total(),
-        "why": dict(failed),
-        "late_p99_ms": late[int(0.99 * len(late))] * 1e3,
-        "p50_ms": took[len(took) // 2] * 1e3 if took else None,
-        "p99_ms": took[int(0.99 * len(took))] * 1e3 if took else None,
-        "most_ms": took[-1] * 1e3 if took else None,
-    }
-
-
 class Bench:
     """The processes of one size: servers, and in turn the node and the bare forwarder."""
 
@@ -258,8 +176,8 @@
             "settings": settings(scenario(), 0, 1, 0),
         }
 
-    async def ask_elsewhere(self, address: Address, rate: float, seconds: float, tag: str) -> dict[str, Any]:
-        """The same as `ask_all`, for reads, in a process of its own."""
+    async def offer_elsewhere(self, address: Address, rate: float, seconds: float, tag: str) -> LoadReport:
+        """Offer a load of reads from a process of its own."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -275,8 +193,7 @@
         self._running.append(process)
         out, _ = await process.communicate()
         self._running.remove(process)
-        found: dict[str, Any] = json.loads(out)
-        return found
+        return LoadReport(**json.loads(out))
 
     async def stop(self, process: asyncio.subprocess.Process) -> None:
         if process.returncode is None:
@@ -294,15 +211,16 @@
 ) -> dict[str, Any]:
     """One turn of one of them."""
     process, address = await bench.start(what, path)
-    await ask_all(address, rate, WARM_S, mix, "w")
+    write = request_writer(mix)
+    await offer_load(address, rate, WARM_S, "w", write)
     before = cpu_s(process.pid)
     began = time.monotonic()
-    result = await ask_all(address, rate, seconds, mix, "m")
+    report = await offer_load(address, rate, seconds, "m", write)
     spent = cpu_s(process.pid) - before
-    result |= {
+    result = asdict(report) | {
         "what": what,
         "rate": rate,
-        "cpu_us": spent / result["asked"] * 1e6,
+        "cpu_us": spent / report.asked * 1e6,
         "cpu_share": spent / (time.monotonic() - began),
         "rss_kb": rss_kb(process.pid),
     }
@@ -388,4 +306,5 @@
         uvloop.run(serve([claimed.server(n) for n in range(int(sys.argv[3]))], known))
     else:
         host, port, rate, seconds, tag = sys.argv[2:7]
-        print(json.dumps(uvloop.run(ask_all((host, int(port)), float(rate), float(seconds), False, tag))))
+        load = offer_load((host, int(port)), float(rate), float(seconds), tag)
+        print(json.dumps(asdict(uvloop.run(load))))
--- a/orchidferry/testkit/bench/lists.py
+++ b/orchidferry/testkit/bench/lists.py
@@ -11,12 +11,14 @@
 import asyncio
 import tempfile
 import time
+from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
 import uvloop
 
-from orchidferry.testkit.bench.forward import Bench, ask_all, rss_kb
+from orchidferry.testkit.bench.forward import Bench, rss_kb
+from orchidferry.testkit.bench.open_loop import offer_load
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.discovery import DiscoveryService, Listed
@@ -51,9 +53,9 @@
             registry.servers = {entry.name: entry for entry in entries(bench, REAL, 0)}
             await service.attach("n0", 0, Block.discovery_for(address))
             process, address = await bench.start("node", discovery=Block.discovery_for(address))
-            await ask_all(address, RATE, 2.0, False, "w")
+            await offer_load(address, RATE, 2.0, "w")
             for n, what in enumerate(("before", "the whole list", "every entry changes")):
-                asking = asyncio.ensure_future(bench.ask_elsewhere(address, RATE, LOOK_S, f"m{n}-"))
+                asking = asyncio.ensure_future(bench.offer_elsewhere(address, RATE, LOOK_S, f"m{n}-"))
                 await asyncio.sleep(1.0)  # a second to start in
                 if what == "the whole list":
                     registry.index += 1
@@ -64,8 +66,8 @@
                     for entry in entries(bench, count, 1):
                         registry.change(entry)
                     service.tell_now(0)
-                row = await asking
-                row |= {"what": what, "servers": count, "rss_kb": rss_kb(process.pid)}
+                report = await asking
+                row = asdict(report) | {"what": what, "servers": count, "rss_kb": rss_kb(process.pid)}
                 rows.append(row)
                 print(
                     f"{count:6} servers, {what:20} p50 {row['p50_ms']:.2f} ms, p99 {row['p99_ms']:.2f} ms, "
--- a/orchidferry/testkit/bench/mesh_requests.py
+++ b/orchidferry/testkit/bench/mesh_requests.py
@@ -4,15 +4,13 @@
 
 import statistics
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from orchidferry.testkit.bench import forward
-from orchidferry.testkit.bench.forward import ask_all
 from orchidferry.testkit.bench.mesh_claims import MIN_GRANTED, SYNC_MS
 from orchidferry.testkit.bench.mesh_fleet import FEED, HOST, SAVE, Fleet
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row
+from orchidferry.testkit.bench.open_loop import BODY, BUDGET_S, LoadReport, WriteRequest, offer_load, scenario
 from orchidferry.testkit.bench.process_usage import CpuMeter
 from orchidferry.testkit.exchange import message
 from orchidferry.testkit.wire import Address
@@ -20,23 +18,19 @@
 RATE = 300.0  # requests a second offered to a forwarder
 WARM_UP_S = 0.6
 REPORTED_WAIT = 0.02  # fraction of the time that a process waited for a core, beyond which a row says so
-BODY = b"x" * 100
 BASELINE = "bare forwarder, reads"  # what others are compared with
 
-WriteRequest = Callable[[int, str], bytes]  # renders the request of a number, with an id
-
 
 def request_writer(class_name: str, prefix: str, keyed: bool) -> WriteRequest:
     """Requests that the present node and the mesh both read: the same bytes go to all."""
-    cls = next(cls for cls in forward.scenario().classes if cls.name == class_name)
+    cls = next(cls for cls in scenario().classes if cls.name == class_name)
 
     def write(number: int, id: str) -> bytes:
-        headers = [f"Attempt-Id: {id}", f"Time-Remaining: {forward.BUDGET_S * 1e3:.0f}"]
+        headers = [f"Attempt-Id: {id}", f"Time-Remaining: {BUDGET_S * 1e3:.0f}"]
         if keyed:
             headers.append(f"Operation-Key: k-{id}")
         target = f"{prefix}x?obj={number:x}"
-        budget_s = forward.BUDGET_S
-        return message(cls, id, f"k-{id}", number, budget_s, False, BODY, HOST, target, more=headers)
+        return message(cls, id, f"k-{id}", number, BUDGET_S, False, BODY, HOST, target, more=headers)
 
     return write
 
@@ -47,14 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What came of one load of requests."""
-
-    asked: int
-    failed: int
-    failures: dict[str, int]  # by status, or by how it ended
-    late_p99_ms: float  # by which requests were sent too late
-    p50_ms: float
-    p99_ms: float
+    """What came of one load of requests, and what it cost."""
+
+    report: LoadReport
     cpu_us: list[float]  # a request, of each process on the way
     controller_us: list[float]  # a request, of each controller
     waited: float  # fraction of the time that a process waited for a core
@@ -72,23 +61,15 @@
     async def offer(self, name: str, address: Address, pids: list[int], write: WriteRequest) -> None:
         """Offer a load at an address, after a warm-up; `pids` are the processes on the way."""
         self._loads += 1
-        await ask_all(address, RATE, WARM_UP_S, False, f"w{self._loads}-", write=write)
+        await offer_load(address, RATE, WARM_UP_S, f"w{self._loads}-", write)
         controllers = self._fleet.meter(self._fleet.cores)
         meter = CpuMeter(pids)
-        answer: dict[str, Any] = await ask_all(
-            address, RATE, self._seconds, False, f"m{self._loads}-", write=write
-        )
+        report = await offer_load(address, RATE, self._seconds, f"m{self._loads}-", write)
         usage = meter.read()
-        asked = answer["asked"]
         result = LoadResult(
-            asked,
-            answer["failed"],
-            answer["why"],
-            answer["late_p99_ms"],
-            answer["p50_ms"] or 0.0,
-            answer["p99_ms"] or 0.0,
-            [cpu_s / asked * 1e6 for cpu_s in usage.cpu_s],
-            [cpu_s / asked * 1e6 for cpu_s in controllers.read().cpu_s],
+            report,
+            [cpu_s / report.asked * 1e6 for cpu_s in usage.cpu_s],
+            [cpu_s / report.asked * 1e6 for cpu_s in controllers.read().cpu_s],
             usage.waited,
         )
         self.results.setdefault(name, []).append(result)
@@ -138,17 +119,21 @@
         ratio = round(statistics.median(total_us) / baseline_us, 2)
         details = _details(name, some)
         rows.append(figure_row("requests", f"{name}: CPU", "us a request", total_us, ratio=ratio, **details))
-        rows.append(figure_row("requests", f"{name}: p50", "ms", [result.p50_ms for result in some]))
-        rows.append(figure_row("requests", f"{name}: p99", "ms", [result.p99_ms for result in some]))
+        rows.append(
+            figure_row("requests", f"{name}: p50", "ms", [result.report.p50_ms or 0.0 for result in some])
+        )
+        rows.append(
+            figure_row("requests", f"{name}: p99", "ms", [result.report.p99_ms or 0.0 for result in some])
+        )
     return rows
 
 
 def _details(name: str, results: list[LoadResult]) -> Row:
     details: Row = {}
-    failed = sum(result.failed for result in results)
+    failed = sum(result.report.failed for result in results)
     if failed:
-        asked = sum(result.asked for result in results)
-        failures = sum((Counter(result.failures) for result in results), Counter[str]())
+        asked = sum(result.report.asked for result in results)
+        failures = sum((Counter(result.report.why) for result in results), Counter[str]())
         details = {"failed": f"{failed} of {asked}", "why": " ".join(sorted(failures))}
         if failed > (1.0 - MIN_GRANTED) * asked:
             details["broken"] = True
@@ -156,7 +141,7 @@
     cpu_us = [statistics.median(result.cpu_us[process] for result in results) for process in processes]
     if len(cpu_us) > 1:
         details["outbound_us"], details["inbound_us"] = (round(us, 1) for us in cpu_us)
-    late_ms = max(result.late_p99_ms for result in results)
+    late_ms = max(result.report.late_p99_ms for result in results)
     if late_ms > forward.LATE_MS:
         details["asked_late_p99_ms"] = round(late_ms, 1)
     waited = max(result.waited for result in results)
--- a/orchidferry/testkit/bench/mesh_resources.py
+++ b/orchidferry/testkit/bench/mesh_resources.py
@@ -6,11 +6,11 @@
 import time
 
 from orchidferry.testkit.bench.claim_load import ClaimLoad
-from orchidferry.testkit.bench.forward import ask_all
 from orchidferry.testkit.bench.mesh_claims import MAX_CONCURRENT, SYNC_MS
 from orchidferry.testkit.bench.mesh_fleet import Fleet
 from orchidferry.testkit.bench.mesh_requests import RATE, READS, SAVES
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row
+from orchidferry.testkit.bench.open_loop import offer_load
 
 KEYS = 50_000  # claimed for the memory row
 CLAIM_S = 28.0  # for all of them
@@ -28,8 +28,8 @@
         rows = await _idle_rows(fleet, seconds)
         for machine in fleet.sidecars:
             address = (machine.ip, fleet.ports.outbound)
-            await ask_all(address, 2.0 * RATE, seconds, False, f"r{machine.name}-", write=READS)
-            await ask_all(address, RATE, seconds, False, f"k{machine.name}-", write=SAVES)
+            await offer_load(address, 2.0 * RATE, seconds, f"r{machine.name}-", READS)
+            await offer_load(address, RATE, seconds, f"k{machine.name}-", SAVES)
         name = f"proxy, after {2 * RATE:g}/s reads, {RATE:g}/s keyed: most"
         rows.append(figure_row("memory", name, "MB", fleet.peaks(fleet.sidecars)))
         rows += await _claimed_rows(fleet, claimer)
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -15,22 +15,14 @@
 import tempfile
 import time
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
 import uvloop
 
-from orchidferry.testkit.bench.forward import (
-    BUDGET_S,
-    LATE_MS,
-    WARM_S,
-    Bench,
-    ask_all,
-    cpu_s,
-    rss_kb,
-    scenario,
-)
+from orchidferry.testkit.bench.forward import LATE_MS, WARM_S, Bench, cpu_s, rss_kb
+from orchidferry.testkit.bench.open_loop import BUDGET_S, offer_load, scenario
 from orchidferry.testkit.exchange import body_of, message
 from orchidferry.testkit.quic import certs
 from orchidferry.testkit.quic.client import AskerConnection, AskerStream, connect
@@ -76,11 +68,11 @@
 async def _turn(bench: Bench, files: certs.Files, way: Way, rate: float, seconds: float) -> dict[str, Any]:
     process, address = await bench.start("node", files=files, servers_h3=way.servers_h3)
     ca = str(files.ca)
-    await ask_all(address, rate, WARM_S, False, "w", way.pool(ca))
+    await offer_load(address, rate, WARM_S, "w", pool=way.pool(ca))
     before = cpu_s(process.pid)
-    result = await ask_all(address, rate, seconds, False, "m", way.pool(ca))
-    result["cpu_us"] = (cpu_s(process.pid) - before) / result["asked"] * 1e6
-    result["rss_kb"] = rss_kb(process.pid)
+    report = await offer_load(address, rate, seconds, "m", pool=way.pool(ca))
+    cpu_us = (cpu_s(process.pid) - before) / report.asked * 1e6
+    result = asdict(report) | {"cpu_us": cpu_us, "rss_kb": rss_kb(process.pid)}
     await bench.stop(process)
     return result
 
--- a/orchidferry/testkit/capacity/calls.py
+++ b/orchidferry/testkit/capacity/calls.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 
 from orchidferry.testkit.bench import forward
-from orchidferry.testkit.bench.forward import ask_all
 from orchidferry.testkit.bench.mesh_fleet import Fleet
 from orchidferry.testkit.bench.mesh_requests import READS, SAVES
+from orchidferry.testkit.bench.open_loop import offer_load
 from orchidferry.testkit.bench.process_usage import CpuMeter
 from orchidferry.testkit.capacity.figures import BY_CALLS, Figure
 from orchidferry.testkit.capacity.hops import ACCEPT, ANSWER, GATE, KEY, PICK, WRITE, shares
@@ -125,23 +125,23 @@
 
     async def _ask(self, way: Way, rate: float) -> Asked:
         self._serial += 1
-        await ask_all(way.address, rate, WARM_S, False, f"w{self._serial}-", write=way.write)
+        await offer_load(way.address, rate, WARM_S, f"w{self._serial}-", way.write)
         self._speed.slowness()
         meter = CpuMeter(way.pids) if way.pids else None
         controllers = CpuMeter(self._fleet.pids(self._fleet.cores))
-        found = await ask_all(way.address, rate, self._seconds, False, f"m{self._serial}-", write=way.write)
+        report = await offer_load(way.address, rate, self._seconds, f"m{self._serial}-", way.write)
         spent_s = sum(meter.read().cpu_s) if meter is not None else 0.0
         controllers_s = controllers.read().cpu_s
         slowness = self._speed.slowness()
-        if found["p50_ms"] is None:
-            raise ValueError(f"no call to {way.address} was answered: {found['why']}")
+        if report.p50_ms is None or report.p99_ms is None:
+            raise ValueError(f"no call to {way.address} was answered: {report.why}")
         return Asked(
-            found["p50_ms"],
-            found["p99_ms"],
+            report.p50_ms,
+            report.p99_ms,
             spent_s / slowness,
             statistics.fmean(controllers_s) / slowness,
-            found["asked"],
-            found["failed"],
+            report.asked,
+            report.failed,
         )
 
 
@@ -164,7 +164,7 @@
     async with fleet:
         address = (fleet.sidecars[1].ip, fleet.ports.outbound)
         for kind, write in (("reads", READS), ("keyed", SAVES)):
-            await ask_all(address, PROFILED_RATE, WARM_S, False, f"w{kind}-", write=write)
+            await offer_load(address, PROFILED_RATE, WARM_S, f"w{kind}-", write)
             for number in range(PROFILES):
                 tag = f"m{kind}-{number}-"
                 outbound, inbound = await _profile_once(fleet, address, seconds, tag, write)
@@ -182,7 +182,7 @@
     pids = fleet.pids([far, near])
     for pid in pids:
         os.kill(pid, signal.SIGUSR1)
-    await ask_all(address, PROFILED_RATE, seconds, False, tag, write=write)
+    await offer_load(address, PROFILED_RATE, seconds, tag, write)
     for pid in pids:
         os.kill(pid, signal.SIGUSR1)
     found = []
--- a/tests/testkit/bench/test_mesh_requests.py
+++ b/tests/testkit/bench/test_mesh_requests.py
@@ -5,25 +5,18 @@
 from dataclasses import replace
 
 from orchidferry.testkit.bench.mesh_requests import LoadResult, request_rows
+from orchidferry.testkit.bench.open_loop import LoadReport
 
 
 def result(*cpu_us: float) -> LoadResult:
     """A hundred requests without a failure, by processes that used so much CPU for each."""
-    return LoadResult(
-        asked=100,
-        failed=0,
-        failures={},
-        late_p99_ms=1.0,
-        p50_ms=1.0,
-        p99_ms=2.0,
-        cpu_us=list(cpu_us),
-        controller_us=[7.0],
-        waited=0.0,
-    )
+    report = LoadReport(asked=100, failed=0, why={}, late_p99_ms=1.0, p50_ms=1.0, p99_ms=2.0, most_ms=3.0)
+    return LoadResult(report, list(cpu_us), controller_us=[7.0], waited=0.0)
 
 
 def test_rows_of_requests_add_machines_and_compare_with_the_bare_forwarder() -> None:
-    two_machines = replace(result(300.0, 200.0), failed=2, failures={"503": 2})
+    two_machines = result(300.0, 200.0)
+    two_machines = replace(two_machines, report=replace(two_machines.report, failed=2, why={"503": 2}))
     results = {
         "bare forwarder, reads": [result(cpu_us) for cpu_us in (80.0, 100.0, 900.0)],
         "proxy, two machines, keyed": [two_machines],
