--- a/orchidferry/node/chain/__init__.py
+++ b/orchidferry/node/chain/__init__.py
@@ -1,3 +1,1 @@
-"""A node's part in a chain of tiers (`ORCHIDFERRY_CHAIN`); its decisions are
-`orchidferry.balancing.chain`'s.
-"""
+"""A node's tier in a chain of tiers (`ORCHIDFERRY_CHAIN`); decisions are made in `balancing.chain`."""
--- a/orchidferry/node/chain/settings.py
+++ b/orchidferry/node/chain/settings.py
@@ -1,4 +1,4 @@
-"""The operator's own file for chains (`ORCHIDFERRY_CHAIN`), as typed values."""
+"""The operators' file for chains of tiers (`ORCHIDFERRY_CHAIN`), as typed values."""
 
 from __future__ import annotations
 
@@ -11,31 +11,40 @@
 from orchidferry.node.shared_keys import parse_keys
 
 MAX_KEYS = 8  # that are valid at once
-NAMES = ("tier", "node")
+
+# Keys of the file, by the type of their value
+REQUIRED_TEXTS = ("tier", "node")
 NUMBERS = ("share", "floor_per_s")
+INTEGERS = ("extra", "nodes")
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """What a node needs to take part."""
+    """The settings of a node in a chain."""
 
     limits: chain.Limits
-    keys: tuple[tuple[str, bytes], ...]  # name and secret; the first signs, all are believed
+    keys: tuple[
+        tuple[str, bytes], ...
+    ]  # name and secret; the first signs, and tags made with any are accepted
 
 
 def read_chain(path: str) -> Setup:
-    """Read the file; `ConfigError` names it and what is wrong."""
-    return read_toml_file("ORCHIDFERRY_CHAIN", path, _read)
+    """Read the file.
+
+    :raises ConfigError: names the file and what is wrong with it.
+    """
+    return read_toml_file("ORCHIDFERRY_CHAIN", path, _decode)
 
 
-def _read(obj: Json) -> Setup:
+def _decode(obj: Json) -> Setup:
     known = {field.name for field in fields(chain.Limits)}
     if unknown := sorted(obj.keys() - known - {"keys"}):
         raise SettingsFormatError(f"{unknown[0]!r} is not known")
-    values: dict[str, Any] = {name: get(obj, name, str) for name in NAMES}
+    values: dict[str, Any] = {name: get(obj, name, str) for name in REQUIRED_TEXTS}
     values["first"] = get(obj, "first", bool)
     values |= {name: float(get(obj, name, NUMBER)) for name in NUMBERS if name in obj}
-    values |= {name: get(obj, name, int) for name in ("extra", "nodes") if name in obj}
-    values |= {name: get(obj, name, bool) for name in ("shed",) if name in obj}
+    values |= {name: get(obj, name, int) for name in INTEGERS if name in obj}
+    if "shed" in obj:
+        values["shed"] = get(obj, "shed", bool)
     limits = chain.Limits(**values)
     return Setup(limits, parse_keys(get_optional(obj, "keys", list, []), MAX_KEYS))
--- a/orchidferry/node/extensions.py
+++ b/orchidferry/node/extensions.py
@@ -16,7 +16,7 @@
     from orchidferry.balancing.pools import Rules
     from orchidferry.node.chain.settings import Setup
     from orchidferry.node.control.settings import Control
-    from orchidferry.node.fleet.shell import Peers
+    from orchidferry.node.fleet.shell import FleetMember
     from orchidferry.node.h3.settings import Http3
     from orchidferry.node.interfaces import Subsystem
 
@@ -29,7 +29,7 @@
     control: Control | None = None  # configuration from a control service
     chain: Setup | None = None  # the node's tier in a chain of tiers
     pools: Rules | None = None  # pools of servers
-    fleet: Peers | None = None  # membership among the nodes
+    fleet: FleetMember | None = None  # membership among the nodes
 
     @property
     def subsystems(self) -> tuple[Subsystem, ...]:
@@ -95,7 +95,7 @@
     return pool_settings.read_pools(path, classes)
 
 
-def _read_fleet(name: str, loop: asyncio.AbstractEventLoop) -> Peers | None:
+def _read_fleet(name: str, loop: asyncio.AbstractEventLoop) -> FleetMember | None:
     path = os.environ.get("ORCHIDFERRY_FLEET")
     if not path:
         return None
@@ -103,4 +103,4 @@
         from orchidferry.node.fleet import settings, shell
     except ImportError as problem:
         raise _missing("ORCHIDFERRY_FLEET", problem) from None
-    return shell.Peers(settings.read_fleet(path, name), loop)
+    return shell.FleetMember(settings.read_fleet(path, name), loop)
--- /dev/null
+++ b/orchidferry/node/fleet/saved_state.py
@@ -0,0 +1,25 @@
+"""The state of a fleet's member that lasts: its incarnation, and the peers that it knew."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from orchidferry.balancing.fleet.membership import SavedState
+from orchidferry.node.state_store import StateFormat
+
+MAX_PEERS = 256  # that are read from the disk
+MAX_FILE_BYTES = 64 * 1024
+
+
+def _to_json(state: SavedState) -> Any:
+    return {"incarnation": state.incarnation, "peers": [list(peer) for peer in state.peers]}
+
+
+def _from_json(obj: Any) -> SavedState:
+    incarnation = obj["incarnation"]
+    if type(incarnation) is not int or incarnation < 0:
+        raise ValueError(f"incarnation {incarnation!r:.40}")
+    return SavedState(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:MAX_PEERS]))
+
+
+FORM = StateFormat("fleet", "fleet's state", b"orchidferry fleet", 1, MAX_FILE_BYTES, _to_json, _from_json)
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The operator's own file for a fleet (`ORCHIDFERRY_FLEET`), as typed values."""
+"""The operators' file for a fleet of nodes (`ORCHIDFERRY_FLEET`), as typed values."""
 
 from __future__ import annotations
 
@@ -27,35 +27,41 @@
     "probe_ms",
     "most",
 }
-MAX_KEYS = 2  # at a time: the one that goes out and the one that comes in
-PROBE_MS = (50.0, 60_000.0)
-MOST = (2, 10_000)
+MAX_KEYS = 2  # at a time: the old one and the new one during a rotation
+DEFAULT_PROBE_MS = 1_000.0
+PROBE_RANGE_MS = (50.0, 60_000.0)
+DEFAULT_MAX_NODES = 1_024
+MAX_NODES_RANGE = (2, 10_000)
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """What a node needs to take part."""
+    """The settings of a member of the fleet."""
 
     name: str
     listen: Address  # UDP and TCP
-    advertise: Address  # where its peers reach that
+    advertise: Address  # where peers reach it
     zone: str
     version: str
     seeds: tuple[Address, ...]
     keys: Path
-    state: Path | None  # folder; None: no disk lasts here
-    journal: Path | None  # a line for each change of the view
+    state: Path | None  # directory of the state; None: it is not saved
+    journal: Path | None  # see `journal`
     timing: Timing
-    most: int  # nodes
+    max_nodes: int
 
 
 def read_fleet(path: str, name: str) -> Setup:
-    """Read the file; `ConfigError` names it and what is wrong. `name`: the node's own, where it says none."""
-    return read_toml_file("ORCHIDFERRY_FLEET", path, lambda obj: _read(obj, Path(path).parent, name))
+    """Read the file.
+
+    :param name: of the member, if the file has none.
+    :raises ConfigError: names the file and what is wrong with it.
+    """
+    return read_toml_file("ORCHIDFERRY_FLEET", path, lambda obj: _decode(obj, Path(path).parent, name))
 
 
-def _where(field: str, value: object) -> Address:
-    """An address with a number for its host: peers are reached without a name service."""
+def _ip_address(field: str, value: object) -> Address:
+    """Parse an address whose host is a number: peers are reached without a name service."""
     if not isinstance(value, str):
         raise SettingsFormatError(f"{field}: must be host:port")
     host, port = parse_address(value)
@@ -65,24 +71,15 @@
         raise SettingsFormatError(f"{field}: {host!r:.60} is no IP address") from None
 
 
-def _read(obj: Json, folder: Path, name: str) -> Setup:
+def _decode(obj: Json, folder: Path, name: str) -> Setup:
+    """
+    :param folder: what paths in the file are relative to.
+    :param name: the node's own, if the file has none.
+    """
     if unknown := sorted(obj.keys() - KNOWN):
         raise SettingsFormatError(f"{unknown[0]!r} is not known")
-
-    def file(field: str) -> Path | None:
-        text = get_optional(obj, field, str, "")
-        return folder / text if text else None
-
-    def text(field: str, default: str, most: int) -> str:
-        value: str = get_optional(obj, field, str, default)
-        if len(value) > most or not value.isprintable():
-            raise SettingsFormatError(
-                f"{field!r} must be {most} printable characters at most, not {value!r:.40}"
-            )
-        return value
-
-    listen = _where("listen", get(obj, "listen", str))
-    advertise = _where("advertise", obj["advertise"]) if "advertise" in obj else listen
+    listen = _ip_address("listen", get(obj, "listen", str))
+    advertise = _ip_address("advertise", obj["advertise"]) if "advertise" in obj else listen
     if ipaddress.ip_address(advertise[0]).is_unspecified or not advertise[1]:
         raise SettingsFormatError(
             "'advertise' must say where peers reach this node: an address and a port, not 0"
@@ -90,50 +87,80 @@
     seeds = get_optional(obj, "seeds", list, [])
     if len(seeds) > MAX_SEEDS:
         raise SettingsFormatError(f"seeds: {len(seeds)}, {MAX_SEEDS} at most")
-    keys = file("keys")
+    keys = _path(obj, "keys", folder)
     if keys is None:
         raise SettingsFormatError("'keys' is missing: the file with the fleet's keys")
-    probe_ms = float(get_optional(obj, "probe_ms", NUMBER, 1_000.0))
-    if not PROBE_MS[0] <= probe_ms <= PROBE_MS[1]:
-        raise SettingsFormatError(f"'probe_ms' must be {PROBE_MS[0]:g} to {PROBE_MS[1]:g}, not {probe_ms:g}")
-    most = get_optional(obj, "most", int, 1_024)
-    if not MOST[0] <= most <= MOST[1]:
-        raise SettingsFormatError(f"'most' must be {MOST[0]} to {MOST[1]} nodes, not {most}")
-    own = text("name", name, MAX_NAME)
-    if not own:
+    timing = scaled(_probe_interval_ms(obj))
+    max_nodes = _max_nodes(obj)
+    own_name = _text(obj, "name", name, MAX_NAME)
+    if not own_name:
         raise SettingsFormatError("'name' must not be empty")
     return Setup(
-        own,
+        own_name,
         listen,
         advertise,
-        text("zone", "", MAX_ZONE),
-        text("version", "", MAX_VERSION),
-        tuple(_where(f"seeds[{n}]", one) for n, one in enumerate(seeds)),
+        _text(obj, "zone", "", MAX_ZONE),
+        _text(obj, "version", "", MAX_VERSION),
+        tuple(_ip_address(f"seeds[{index}]", seed) for index, seed in enumerate(seeds)),
         keys,
-        file("state"),
-        file("journal"),
-        scaled(probe_ms),
-        most,
+        _path(obj, "state", folder),
+        _path(obj, "journal", folder),
+        timing,
+        max_nodes,
     )
 
 
+def _path(obj: Json, field: str, folder: Path) -> Path | None:
+    text = get_optional(obj, field, str, "")
+    return folder / text if text else None
+
+
+def _text(obj: Json, field: str, default: str, max_length: int) -> str:
+    value: str = get_optional(obj, field, str, default)
+    if len(value) > max_length or not value.isprintable():
+        raise SettingsFormatError(
+            f"{field!r} must be {max_length} printable characters at most, not {value!r:.40}"
+        )
+    return value
+
+
+def _probe_interval_ms(obj: Json) -> float:
+    interval_ms = float(get_optional(obj, "probe_ms", NUMBER, DEFAULT_PROBE_MS))
+    minimum, maximum = PROBE_RANGE_MS
+    if not minimum <= interval_ms <= maximum:
+        raise SettingsFormatError(f"'probe_ms' must be {minimum:g} to {maximum:g}, not {interval_ms:g}")
+    return interval_ms
+
+
+def _max_nodes(obj: Json) -> int:
+    max_nodes: int = get_optional(obj, "most", int, DEFAULT_MAX_NODES)
+    minimum, maximum = MAX_NODES_RANGE
+    if not minimum <= max_nodes <= maximum:
+        raise SettingsFormatError(f"'most' must be {minimum} to {maximum} nodes, not {max_nodes}")
+    return max_nodes
+
+
 def scaled(probe_ms: float) -> Timing:
-    """All times in proportion to that between two probes, but what is kept of those that are gone."""
+    """Return all times in proportion to the probe interval, except how long members that left are kept.
+
+    :param probe_ms: time between two probes.
+    """
     timing = Timing()
-    by = probe_ms / Timing().interval_ms
+    factor = probe_ms / timing.interval_ms
     return replace(
         timing,
         interval_ms=probe_ms,
-        timeout_ms=timing.timeout_ms * by,
-        gossip_ms=timing.gossip_ms * by,
-        sync_ms=timing.sync_ms * by,
-        reach_ms=timing.reach_ms * by,
+        timeout_ms=timing.timeout_ms * factor,
+        gossip_ms=timing.gossip_ms * factor,
+        sync_ms=timing.sync_ms * factor,
+        reach_ms=timing.reach_ms * factor,
     )
 
 
 def read_key_file(path: Path) -> Keys:
-    """NAME=SECRET a line; the first signs, both are believed. `ConfigError` says what is wrong, never a
-    secret.
+    """Read a file of keys, one `NAME=SECRET` a line; the first signs, all are accepted.
+
+    :raises ConfigError: says what is wrong, and never contains a secret.
     """
     try:
         if path.stat().st_mode & 0o077:
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -26,7 +26,7 @@
 from orchidferry.node.config import ConfigError
 from orchidferry.node.fleet import shell, wire
 from orchidferry.node.fleet.settings import read_fleet, read_key_file
-from orchidferry.node.fleet.shell import Peers
+from orchidferry.node.fleet.shell import FleetMember
 from orchidferry.testkit.fleet import status
 from tests.balancing.test_wire import ROOT
 from tests.node.peers import LIMIT_S, Server, run, until, world
@@ -62,12 +62,12 @@
 
 
 @asynccontextmanager
-async def peers(folder: Path, count: int, *keys: str, **more: Any) -> AsyncIterator[list[Peers]]:
+async def peers(folder: Path, count: int, *keys: str, **more: Any) -> AsyncIterator[list[FleetMember]]:
     ports = [free_port() for _ in range(count)]
     made = []
     for n, port in enumerate(ports):
         file = lay(folder, f"n{n}", port, ports, *keys, **more)
-        made.append(Peers(read_fleet(str(file), "x"), asyncio.get_running_loop()))
+        made.append(FleetMember(read_fleet(str(file), "x"), asyncio.get_running_loop()))
         made[-1].attach(lambda: True)
         await made[-1].listen()
         made[-1].start()
@@ -77,16 +77,16 @@
         await asyncio.gather(*(one.close() for one in made if one._udp is not None))
 
 
-def all_know(made: list[Peers], count: int) -> bool:
+def all_know(made: list[FleetMember], count: int) -> bool:
     return all(one.fleet.size == count and not one.fleet.suspects() for one in made)
 
 
-def send(to: Peers, data: bytes) -> None:
+def send(to: FleetMember, data: bytes) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
         udp.sendto(data, to._setup.listen)
 
 
-def kill(one: Peers) -> None:
+def kill(one: FleetMember) -> None:
     """End a node without a word: sockets are closed, timers and tasks called off, as after SIGKILL."""
     assert one._udp is not None and one._server is not None and one._store is not None
     one.fleet.left = True  # an exchange that is under way is not answered any more
@@ -113,7 +113,7 @@
             await until(lambda: all(one.fleet.members["n2"].status is Status.LEFT for one in made[:2]))
             page = json.loads(made[0].page()[1])
             assert page["state"] == "joined" and page["members"][1]["status"] == "left"
-            again = Peers(made[2]._setup, asyncio.get_running_loop())
+            again = FleetMember(made[2]._setup, asyncio.get_running_loop())
             assert again.fleet.me.incarnation > made[2].fleet.me.incarnation  # from its disk
             await again.listen()
             again.start()
@@ -131,7 +131,7 @@
             (tmp_path / "n0" / "keys").write_text(f"{K3}\n{K1}")  # the new one first, the old still valid
             (tmp_path / "n1" / "keys").write_text("k1=short")
             for one in made:
-                one._look_at_keys()
+                one._check_keys()
             assert made[0]._sealer.names == ["k3", "k1"] and made[1]._sealer.names == ["k1", "k2"]
             got = [one.counts["got"] for one in made]
             await until(lambda: all(one.counts["got"] > n + 12 for one, n in zip(made, got, strict=True)))
@@ -180,7 +180,7 @@
     entry = wire.read_entry(later)
     assert entry.phase is Phase.STARTING and msgpack.unpackb(entry.unknown_fields) == {"q": [1, 2]}
     assert msgpack.unpackb(wire.entry_bytes(entry))["q"] == [1, 2]
-    older = {key: later[key] for key in wire.NEEDED}
+    older = {key: later[key] for key in wire.REQUIRED}
     assert wire.read_entry(older) == Entry("me", "127.0.0.1", 9, 2**63 + 5)
     body = msgpack.unpackb(wire.encode(message))
     assert wire.decode(msgpack.packb(body | {"v": 9, "new": 1})) == message
