--- a/orchidferry/balancing/floods.py
+++ b/orchidferry/balancing/floods.py
@@ -1,4 +1,4 @@
-"""What a peer may cost before it is turned away: first packets, and requests taken back. No I/O, no clock.
+"""Limits on what peers may cost: handshakes, stray packets, reset and malformed requests. No I/O, no clock.
 
 RFC 9000 section 8.1 (address validation), 21.1 (handshake denial of service); CVE-2023-44487 (rapid reset).
 """
@@ -9,67 +9,75 @@
 
 from orchidferry.balancing.token_bucket import TokenBucket
 
-HALF_OPEN_FREE = 32  # handshakes under way up to which an address is believed without proof
-MAX_HALF_OPEN = 512  # and past which first packets are dropped, proof or not
-# handshakes a second that are begun without proof, and so many at once
-PER_S = 200.0
-BURST = 64.0
-# requests that a connection may take back unanswered
+UNVALIDATED_HALF_OPEN = 32  # handshakes under way up to which an address need not be validated
+MAX_HALF_OPEN = 512  # and from which first packets are dropped in any case
+# Handshakes that are begun without a validated address
+HANDSHAKES_PER_S = 200.0
+HANDSHAKE_BURST = 64.0
+# Requests that a connection may reset before they are answered
 RESETS_PER_S = 20.0
 RESETS_BURST = 100.0
-# and that may be malformed
+# Malformed requests of a connection
 MALFORMED_PER_S = 5.0
 MALFORMED_BURST = 20.0
-# answers to packets that belong to no connection
+# Answers to packets that belong to no connection
 STRAY_PER_S = 100.0
 STRAY_BURST = 100.0
 
 
-class First(Enum):
-    """What becomes of a first packet."""
+class FirstPacketDecision(Enum):
+    """What to do with the first packet of a connection."""
 
-    TAKE = "begin the handshake"
+    ACCEPT = "begin the handshake"
     VALIDATE = "send a Retry: its sender has to show that the address is its own"
     DROP = "say nothing"
 
 
-class FirstPackets:
-    """Whether handshakes are begun. A handshake costs a signature; whoever can't be reached gets none."""
+class FirstPacketLimiter:
+    """Decides which handshakes are begun: each costs a signature, so a forged address must get none."""
 
     def __init__(self, now: float) -> None:
-        self._bucket = TokenBucket(BURST, now)
+        self._bucket = TokenBucket(HANDSHAKE_BURST, now)
 
-    def decide(self, half_open: int, validated: bool, now: float) -> First:
-        """For a first packet, with so many handshakes under way; `validated`: it bears a good token."""
+    def decide(self, half_open: int, validated: bool, now: float) -> FirstPacketDecision:
+        """What to do with a first packet.
+
+        :param half_open: handshakes under way
+        :param validated: the packet bears a valid token of a Retry
+        """
         if half_open >= MAX_HALF_OPEN:
-            return First.DROP
+            return FirstPacketDecision.DROP
         if validated:
-            return First.TAKE
-        if half_open >= HALF_OPEN_FREE or not self._bucket.take(PER_S / 1000.0, BURST, now):
-            return First.VALIDATE
-        return First.TAKE
+            return FirstPacketDecision.ACCEPT
+        if half_open >= UNVALIDATED_HALF_OPEN or not self._bucket.take(
+            HANDSHAKES_PER_S / 1000.0, HANDSHAKE_BURST, now
+        ):
+            return FirstPacketDecision.VALIDATE
+        return FirstPacketDecision.ACCEPT
 
 
-class Strays:
-    """Whether a packet of no connection is answered (a stateless reset, a version negotiation)."""
+class StrayPacketLimiter:
+    """Limits answers to packets of no connection: stateless resets and version negotiations."""
 
     def __init__(self, now: float) -> None:
         self._bucket = TokenBucket(STRAY_BURST, now)
 
-    def answered(self, now: float) -> bool:
+    def allows_answer(self, now: float) -> bool:
+        """Count an answer; whether it is within the limit."""
         return self._bucket.take(STRAY_PER_S / 1000.0, STRAY_BURST, now)
 
 
-class Patience:
-    """What one connection may do to waste work; False once it has done so too often."""
+class ConnectionLimits:
+    """What one connection may do to waste work."""
 
     def __init__(self, now: float) -> None:
-        self._resets, self._malformed = TokenBucket(RESETS_BURST, now), TokenBucket(MALFORMED_BURST, now)
+        self._resets = TokenBucket(RESETS_BURST, now)
+        self._malformed = TokenBucket(MALFORMED_BURST, now)
 
-    def reset(self, now: float) -> bool:
-        """It took back a request that was not answered."""
+    def allows_reset(self, now: float) -> bool:
+        """Count a request that was reset unanswered; whether that is within the limit."""
         return self._resets.take(RESETS_PER_S / 1000.0, RESETS_BURST, now)
 
-    def malformed(self, now: float) -> bool:
-        """It sent one that can't be read."""
+    def allows_malformed(self, now: float) -> bool:
+        """Count a malformed request; whether that is within the limit."""
         return self._malformed.take(MALFORMED_PER_S / 1000.0, MALFORMED_BURST, now)
--- a/orchidferry/balancing/schedule.py
+++ b/orchidferry/balancing/schedule.py
@@ -1,13 +1,12 @@
 """Smooth weighted rotation as a schedule kept in order: a pick costs O(log n), and so does any change.
 
-Here stand data structures only; who may be picked, and what a weight is, `orchidferry.balancing.picker`
-decides.
+A data structure only: `orchidferry.balancing.picker` decides who may be picked, and what a weight is.
 
 The rotation is worst-case fair weighted queueing (WF2Q+, Bennett and Zhang 1997; the same rule is EEVDF's,
 Stoica and Abdel-Wahab 1995). Virtual time runs by 1 / total weight a pick. A member of weight w owns turns of
 length 1 / w, each taken between its start and its deadline; of those whose turn has started, the one with
 the earliest deadline is picked. So each member's picks stay within one of its share.
-Members that can't be picked now are lifted out and keep how far they are through their turn.
+Members that can't be picked now are removed and keep the part of their turn that is left.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 class RotationState(Enum):
-    """Where a member stands."""
+    """Whether a member may be picked."""
 
     REMOVED = "lifted out"
     ACTIVE = "in the rotation"
@@ -33,18 +32,17 @@
 
 
 class Member(Generic[T]):
-    """Something to be picked in turn, and how far it is through its turn."""
+    """Something to be picked in turn; `order` breaks ties, so that the same calls give the same picks."""
 
     __slots__ = ("deadline", "item", "state", "order", "version", "weight")
 
     def __init__(self, item: T, order: int) -> None:
-        # it breaks ties, so that the same calls give the same picks
         self.item = item
         self.order = order
         self.weight = 0.0
         self.state = RotationState.REMOVED
         self.deadline = (
-            0.0  # deadline of its turn: in its heap's virtual time, or in turns from now while OFF
+            0.0  # deadline of its turn: in its heap's virtual time, or in turns from now while REMOVED
         )
         self.version = 0  # entries of heaps that bear another are dead
 
@@ -53,7 +51,7 @@
 
 
 def _sweep_heap(heap: list[Entry[T]], position: int) -> int:
-    """Take the dead of the next `SWEEP_STEP` entries out of a heap; where to go on."""
+    """Remove the dead of the next `SWEEP_STEP` entries of a heap; the position to go on from."""
     for _ in range(SWEEP_STEP):
         if position >= len(heap):
             position = 0
@@ -69,7 +67,7 @@
 
 
 def _replace_entry(heap: list[Entry[T]], position: int, entry: Entry[T]) -> None:
-    """Put an entry in another's place in a heap, up or down to where it belongs."""
+    """Replace the entry at a position of a heap, and restore the heap's order."""
     while position and entry < heap[parent := (position - 1) >> 1]:
         heap[position] = heap[parent]
         position = parent
@@ -84,7 +82,7 @@
 
 
 class Schedule(Generic[T]):
-    """All members. A member of weight 0 is never ON: its turn would never end."""
+    """The rotation. A member of weight 0 is never ACTIVE: its turn would never end."""
 
     def __init__(self) -> None:
         self._waiting: list[Entry[T]] = []  # by the start of their turn
@@ -92,11 +90,11 @@
         self._fallback: list[Entry[T]] = []  # by deadline, in a virtual time of their own
         self._virtual_time = self._fallback_time = 0.0
         self.active_count = self.fallback_count = 0
-        self._sweep_positions = [0, 0, 0]  # how far each heap was looked through: waiting, started, aside
-        self.total_weight = 0.0  # weight of those that are ON
+        self._sweep_positions = [0, 0, 0]  # in each heap: waiting, started, fallback
+        self.total_weight = 0.0  # weight of those that are ACTIVE
 
     def set_state(self, member: Member[T], state: RotationState) -> None:
-        """Move a member: into the rotation, aside, or out of both. It keeps its place in its turn."""
+        """Move a member into the rotation, the fallback or neither; it keeps what is left of its turn."""
         if member.state is not RotationState.REMOVED:
             self._remove(member)
         if state is RotationState.REMOVED or (state is RotationState.ACTIVE and member.weight <= 0.0):
@@ -122,7 +120,7 @@
             heapq.heappush(self._waiting, (start, member.order, member.version, member))
 
     def _remove(self, member: Member[T]) -> None:
-        """Out of its heap; its deadline becomes the part of its turn that is left."""
+        """Remove a member from its heap; its deadline becomes the part of its turn that is left."""
         weight = member.weight if member.weight > 0.0 else 1.0
         if member.state is RotationState.ACTIVE:
             self.active_count -= 1
@@ -136,9 +134,9 @@
         self._sweep_dead_entries()
 
     def _sweep_dead_entries(self) -> None:
-        """Drop some dead entries once there are many: a pick's cost stays that of the living.
+        """Drop some dead entries once there are many.
 
-        Some at a time: making a heap of 10,000 anew takes as long as a hundred requests.
+        Some at a time: rebuilding a heap of 10,000 takes as long as a hundred requests.
         """
         if len(self._started) + len(self._waiting) > 1.5 * self.active_count + MAX_DEAD_ENTRIES:
             self._sweep_positions[0] = _sweep_heap(self._waiting, self._sweep_positions[0])
@@ -147,7 +145,7 @@
             self._sweep_positions[2] = _sweep_heap(self._fallback, self._sweep_positions[2])
 
     def set_weight(self, member: Member[T], weight: float) -> None:
-        """Give a member another weight from now on; what is left of its turn keeps its proportion."""
+        """Change the weight of a member; what is left of its turn keeps its proportion."""
         state = member.state
         if state is not RotationState.REMOVED:
             self._remove(member)
@@ -156,7 +154,7 @@
             self.set_state(member, state)
 
     def peek(self) -> Member[T] | None:
-        """Whose turn it is; None if nobody is in the rotation."""
+        """The member whose turn it is; None if the rotation is empty."""
         started = self._started
         waiting = self._waiting
         while True:
@@ -170,19 +168,17 @@
                 return started[0][3]
             if not waiting:
                 return None
-            self._virtual_time = waiting[0][
-                0
-            ]  # nobody's turn has started: time goes on to the first that does
+            self._virtual_time = waiting[0][0]  # no turn has started: time advances to the first start
 
     def peek_fallback(self) -> Member[T] | None:
-        """Who is next of those that are aside."""
+        """The next member of the fallback; None if there is none."""
         fallback = self._fallback
         while fallback and fallback[0][2] != fallback[0][3].version:
             heapq.heappop(fallback)
         return fallback[0][3] if fallback else None
 
     def advance(self, member: Member[T]) -> None:
-        """It was picked: its next turn begins where this one was to end."""
+        """A member was picked: its next turn begins where this one was to end."""
         if member.state is RotationState.ACTIVE:
             self._virtual_time += 1.0 / self.total_weight
             if self._started and self._started[0][3] is member and self._started[0][2] == member.version:
@@ -190,7 +186,7 @@
             else:
                 member.version += 1  # it was not the first; its old entry is dead
             member.deadline += 1.0 / member.weight
-            # A turn may start a rounding's breadth after the clock that it should start with.
+            # By rounding a turn may start slightly after the virtual time that it should start at.
             if member.deadline - (1.0 - ROUNDING_SLACK) / member.weight <= self._virtual_time:
                 heapq.heappush(self._started, (member.deadline, member.order, member.version, member))
             else:
--- a/orchidferry/balancing/transports.py
+++ b/orchidferry/balancing/transports.py
@@ -1,13 +1,11 @@
-"""Which transport an attempt goes by: a QUIC connection that is known to work, else TCP. No I/O, no clock.
+"""Which transport an attempt takes: a QUIC connection that is known to work, else TCP. No I/O, no clock.
 
-A server that lists both is spoken to over TCP until a QUIC connection to it has come up beside the
-requests, so that no request waits for a handshake that UDP may never carry. One that does not come up, or
-breaks, rests for a time that doubles, with jitter (so that copies don't try in step). One that has gone
-silent is doubted: requests take TCP at once, a ping goes out, and the first datagram that comes back ends
-the doubt.
+Requests to a server that lists both take TCP until a QUIC connection has been established beside them, so
+that no request waits for a handshake that UDP may never carry. A connection that fails is tried again after a
+backoff that doubles, with jitter. One that has become silent is suspect: requests take TCP at once, a ping is
+sent, and the first datagram that comes back ends the suspicion.
 
-Every state belongs to a server; `forget` ends it. So many servers as `most` may have one that is up or
-coming up.
+At most `max_connections` servers have a connection that is established or being established.
 """
 
 from __future__ import annotations
@@ -16,25 +14,25 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# after a failure: 1 s, at most 64 s
-REST_MS = 1_000.0
-REST_DOUBLINGS = 6
-DOUBT_MS = 3_000.0  # a doubted connection that says nothing for so long is given up
-QUIET_MS = 1_000.0  # what must not be lost goes out only where something was heard within this
+# After a failure: 1 s, at most 64 s
+BASE_BACKOFF_MS = 1_000.0
+MAX_BACKOFF_DOUBLINGS = 6
+SUSPECT_TIMEOUT_MS = 3_000.0  # a suspect connection that is silent for so long is closed
+MAX_QUIET_MS = 1_000.0  # what must not be lost is sent only where something was received within this time
 
 
 class State(Enum):
-    """Where the QUIC connection to a server stands."""
+    """The state of the QUIC connection to a server."""
 
     UNTRIED = "nothing was tried"
-    COMING = "a handshake is under way"
+    CONNECTING = "a handshake is under way"
     UP = "it works as far as is known"
-    DOUBTED = "it is open, and silent"
-    RESTING = "it did not come up, or broke: tried again later"
+    SUSPECT = "it is open, and silent"
+    BACKING_OFF = "it did not come up, or broke: tried again later"
 
 
-class By(Enum):
-    """What an attempt goes by."""
+class Transport(Enum):
+    """The transport of an attempt."""
 
     TCP = "tcp"
     QUIC = "quic"
@@ -42,108 +40,114 @@
 
 @dataclass(slots=True)
 class Choice:
-    """What to do for an attempt: the transport, and whether to begin a handshake beside it."""
+    """The transport of an attempt, and whether to begin a QUIC handshake beside it."""
 
-    by: By
-    dial: bool = False
+    transport: Transport
+    connect: bool = False
 
 
 @dataclass(slots=True)
-class Known:
-    """What is known of one server's QUIC."""
+class QuicState:
+    """What is known of the QUIC connection to one server."""
 
     state: State = State.UNTRIED
-    until_ms: float = 0.0  # the end of its rest, or of the doubt
+    until_ms: float = 0.0  # the end of the backoff, or of the suspicion
     failures: int = 0  # in a row
-    heard_ms: float = float("-inf")
+    received_ms: float = float("-inf")
 
 
 class Transports:
-    """All servers' states. Times are milliseconds of one monotonic clock."""
+    """The connections to all servers. Times are milliseconds of one monotonic clock."""
 
-    def __init__(self, rng: random.Random, most: int) -> None:
+    def __init__(self, rng: random.Random, max_connections: int) -> None:
         self._rng = rng
-        self._most = most
-        self._known: dict[int, Known] = {}
-        self._open = 0  # that are up, doubted, or coming up
+        self._max_connections = max_connections
+        self._by_server: dict[int, QuicState] = {}
+        self._open = 0  # connections that are up, suspect, or connecting
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._by_server)
 
     def state(self, server: int) -> State:
-        """Where it stands."""
-        known = self._known.get(server)
-        return known.state if known is not None else State.UNTRIED
-
-    def choose(self, server: int, now: float, careful: bool = False) -> Choice:
-        """How an attempt to a server that lists QUIC goes out. `careful`: its loss could not be made good."""
-        known = self._known.get(server)
-        if known is None:
-            known = self._known[server] = Known()
-        if known.state is State.UP:
-            quiet = careful and now - known.heard_ms > QUIET_MS
-            return Choice(By.TCP if quiet else By.QUIC)
-        waits = known.state is State.UNTRIED or (known.state is State.RESTING and now >= known.until_ms)
-        return Choice(By.TCP, dial=waits and self._open < self._most)
-
-    def dialled(self, server: int) -> None:
+        """The state of the connection to a server."""
+        quic = self._by_server.get(server)
+        return quic.state if quic is not None else State.UNTRIED
+
+    def choose(self, server: int, now: float, unrepeatable: bool = False) -> Choice:
+        """Choose the transport of an attempt to a server that lists QUIC.
+
+        :param unrepeatable: the attempt could not be repeated if it were lost
+        """
+        quic = self._by_server.get(server)
+        if quic is None:
+            quic = self._by_server[server] = QuicState()
+        if quic.state is State.UP:
+            quiet = unrepeatable and now - quic.received_ms > MAX_QUIET_MS
+            return Choice(Transport.TCP if quiet else Transport.QUIC)
+        waits = quic.state is State.UNTRIED or (quic.state is State.BACKING_OFF and now >= quic.until_ms)
+        return Choice(Transport.TCP, connect=waits and self._open < self._max_connections)
+
+    def connecting(self, server: int) -> None:
         """A handshake has begun."""
-        self._move(server, State.COMING)
-
-    def came_up(self, server: int, now: float) -> None:
-        """It is done."""
-        known = self._move(server, State.UP)
-        known.failures = 0
-        known.heard_ms = now
-
-    def heard(self, server: int, now: float) -> None:
-        """Something came on an open connection."""
-        known = self._known.get(server)
-        if known is not None and known.state in (State.UP, State.DOUBTED):
-            known.heard_ms = now
-            if known.state is State.DOUBTED:
-                known.state = State.UP
-
-    def silent(self, server: int, sent_ms: float, now: float) -> bool:
+        self._set_state(server, State.CONNECTING)
+
+    def connected(self, server: int, now: float) -> None:
+        """The handshake is complete."""
+        quic = self._set_state(server, State.UP)
+        quic.failures = 0
+        quic.received_ms = now
+
+    def received(self, server: int, now: float) -> None:
+        """Something was received on an open connection."""
+        quic = self._by_server.get(server)
+        if quic is not None and quic.state in (State.UP, State.SUSPECT):
+            quic.received_ms = now
+            if quic.state is State.SUSPECT:
+                quic.state = State.UP
+
+    def timed_out(self, server: int, sent_ms: float, now: float) -> bool:
         """An attempt sent at `sent_ms` timed out; whether to ping, as nothing was heard since."""
-        known = self._known.get(server)
-        if known is None or known.state is not State.UP or known.heard_ms >= sent_ms:
+        quic = self._by_server.get(server)
+        if quic is None or quic.state is not State.UP or quic.received_ms >= sent_ms:
             return False
-        known.state = State.DOUBTED
-        known.until_ms = now + DOUBT_MS
+        quic.state = State.SUSPECT
+        quic.until_ms = now + SUSPECT_TIMEOUT_MS
         return True
 
-    def doubt(self, server: int, now: float) -> bool:
-        """Connections that idle are not trusted any more; whether to ping."""
-        known = self._known.get(server)
-        return known is not None and self.silent(server, known.heard_ms + 1.0, now)
+    def idle_distrusted(self, server: int, now: float) -> bool:
+        """Idle connections are not trusted any more; whether to ping."""
+        quic = self._by_server.get(server)
+        return quic is not None and self.timed_out(server, quic.received_ms + 1.0, now)
 
-    def given_up(self, server: int, now: float) -> bool:
-        """Whether a doubted connection has been silent for too long, and is to be closed."""
-        known = self._known.get(server)
-        return known is not None and known.state is State.DOUBTED and now >= known.until_ms
+    def is_dead(self, server: int, now: float) -> bool:
+        """Whether a suspect connection has been silent for too long, and is to be closed."""
+        quic = self._by_server.get(server)
+        return quic is not None and quic.state is State.SUSPECT and now >= quic.until_ms
 
-    def lost(self, server: int, now: float, orderly: bool = False) -> None:
-        """It did not come up, or is over. `orderly`: the server said that it goes, or it idled out."""
-        if server not in self._known:
+    def closed(self, server: int, now: float, orderly: bool = False) -> None:
+        """The handshake failed, or the connection is closed.
+
+        :param orderly: the server closed it, or it was idle for too long: there is no backoff
+        """
+        if server not in self._by_server:
             return
-        known = self._move(server, State.RESTING)
+        quic = self._set_state(server, State.BACKING_OFF)
         if orderly:
-            known.until_ms = now
+            quic.until_ms = now
         else:
-            wait = REST_MS * 2.0 ** min(known.failures, REST_DOUBLINGS)
-            known.until_ms = now + wait * (0.5 + 0.5 * self._rng.random())
-            known.failures += 1
+            wait = BASE_BACKOFF_MS * 2.0 ** min(quic.failures, MAX_BACKOFF_DOUBLINGS)
+            quic.until_ms = now + wait * (0.5 + 0.5 * self._rng.random())
+            quic.failures += 1
 
     def forget(self, server: int) -> None:
-        """The server is listed no more."""
-        if server in self._known:
-            self._move(server, State.UNTRIED)
-            del self._known[server]
-
-    def _move(self, server: int, state: State) -> Known:
-        known = self._known.setdefault(server, Known())
-        open = (State.COMING, State.UP, State.DOUBTED)
-        self._open += (state in open) - (known.state in open)
-        known.state = state
-        return known
+        """The server is not listed any more."""
+        if server in self._by_server:
+            self._set_state(server, State.UNTRIED)
+            del self._by_server[server]
+
+    def _set_state(self, server: int, state: State) -> QuicState:
+        quic = self._by_server.setdefault(server, QuicState())
+        open_states = (State.CONNECTING, State.UP, State.SUSPECT)
+        self._open += (state in open_states) - (quic.state in open_states)
+        quic.state = state
+        return quic
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -193,7 +193,7 @@
             refusal = Rejection(RejectionReason.NOT_EXECUTED, "the route has just changed")
             self.finish(request, refusal_reply(message, refusal, SHORT_RETRY_AFTER_S))
             self.attempts_changed(request)
-        elif self._rng.random() < self._nested.shed(name, now_ms()):
+        elif self._rng.random() < self._nested.shed_share(name, now_ms()):
             retry_after_ms = (
                 self._rng.uniform(0.5, 1.0) * DEPENDENCY_RETRY_AFTER_FRACTION * route.latency_target_ms
             )
@@ -217,7 +217,7 @@
 
     def server_answered(self, request: PendingRequest, dependency_shed: bool) -> None:
         """A server has answered; `dependency_shed`: with an error, as calls of its own were rejected."""
-        self._nested.outcome(class_name(request.route), dependency_shed, now_ms())
+        self._nested.record_outcome(class_name(request.route), dependency_shed, now_ms())
         if dependency_shed:  # a retry elsewhere would only add to the load of the dependency
             self._give_up(request, 0.0)
 
--- a/orchidferry/node/h3/client_connection.py
+++ b/orchidferry/node/h3/client_connection.py
@@ -25,7 +25,7 @@
 )
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.floods import Patience
+from orchidferry.balancing.floods import ConnectionLimits
 from orchidferry.node.client_connection import LIMITS_S, RequestHandle, Stage
 from orchidferry.node.clock import now_ms
 from orchidferry.node.frontend import NODE_PATHS
@@ -106,7 +106,7 @@
         self.over = False
         self.cids: set[bytes] = set()  # some ten connection ids that lead to it
         self.streams: dict[int, RequestStream] = {}
-        self._abuse_limit = Patience(now_ms())
+        self._abuse_limit = ConnectionLimits(now_ms())
         self._closing = False
         self._next = 0  # the smallest stream id that is greater than those seen
         self.transport = QuicTransport(
@@ -168,7 +168,7 @@
                     else:
                         stream.body.append(found.data)
                 case Malformed():
-                    if not self._abuse_limit.malformed(now_ms()):
+                    if not self._abuse_limit.allows_malformed(now_ms()):
                         return self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
                     self._reject_request(stream, found.status, found.reason)
             if getattr(found, "stream_ended", False) and stream.state is StreamState.READING:
@@ -185,7 +185,7 @@
         if not ended:
             self.quic.stop_stream(id, ErrorCode.H3_REQUEST_REJECTED)
         self.quic.reset_stream(id, ErrorCode.H3_REQUEST_REJECTED)
-        if not self._closing and not self._abuse_limit.reset(now_ms()):
+        if not self._closing and not self._abuse_limit.allows_reset(now_ms()):
             self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
 
     # Requests
@@ -269,7 +269,7 @@
             return
         unanswered = stream.state is not StreamState.WRITING
         self._drop(stream, ErrorCode.H3_REQUEST_CANCELLED)
-        if unanswered and not self._abuse_limit.reset(now_ms()):
+        if unanswered and not self._abuse_limit.allows_reset(now_ms()):
             log.warning("a caller took back too many requests; its connection is closed")
             self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
 
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -28,7 +28,7 @@
 from aioquic.tls import SessionTicket
 
 from orchidferry.balancing import interface as api
-from orchidferry.balancing.floods import First, FirstPackets, Strays
+from orchidferry.balancing.floods import FirstPacketDecision, FirstPacketLimiter, StrayPacketLimiter
 from orchidferry.node.address import Address
 from orchidferry.node.client_connection import Accept
 from orchidferry.node.clock import now_ms
@@ -80,8 +80,8 @@
         self.ids: ConnectionIdTable[Connection] = ConnectionIdTable()
         self._connections: dict[Connection, None] = {}
         self._half_open: dict[Connection, None] = {}
-        self._first = FirstPackets(now_ms())
-        self._strays = Strays(now_ms())
+        self._first = FirstPacketLimiter(now_ms())
+        self._strays = StrayPacketLimiter(now_ms())
         self._retry = QuicRetryTokenHandler()
         self._reset_key = self._derive_reset_key()
         self._tickets: OrderedDict[bytes, SessionTicket] = OrderedDict()
@@ -180,14 +180,14 @@
 
         :param size: of the datagram, in bytes; the reset is shorter, so that two ends never answer forever.
         """
-        if size >= MIN_RESET and self._strays.answered(now):
+        if size >= MIN_RESET and self._strays.allows_answer(now):
             noise = bytearray(os.urandom(min(size - 1, MIN_RESET - 1) - RESET_TOKEN_BYTES))
             noise[0] = noise[0] & 0x3F | 0x40
             self.sendto(bytes(noise) + reset_token(self._reset_key, header.destination_cid), peer)
 
     def _send_versions(self, header: Any, peer: Endpoint, now: float) -> None:
         """Answer a packet of an unknown version with the supported ones (RFC 9000, section 6)."""
-        if self._strays.answered(now):
+        if self._strays.allows_answer(now):
             self.sendto(
                 encode_quic_version_negotiation(
                     source_cid=header.destination_cid,
@@ -201,9 +201,9 @@
         """Handle the first packet of a connection: open it, have its address validated, or drop it."""
         original = self._validated_id(header, peer)
         match self._first.decide(len(self._half_open), original is not None, now):
-            case First.VALIDATE:
+            case FirstPacketDecision.VALIDATE:
                 return self._send_retry(header, peer)
-            case First.DROP:
+            case FirstPacketDecision.DROP:
                 return
         if len(self._connections) >= self._front.connections and not self._evict_idle():
             return
--- a/orchidferry/node/h3/server_connection.py
+++ b/orchidferry/node/h3/server_connection.py
@@ -131,7 +131,7 @@
     def receive(self, data: bytes) -> None:
         """Handle a datagram."""
         self.last_received_s = time.monotonic()
-        self.routes.transports.heard(self.server, now_ms())
+        self.routes.transports.received(self.server, now_ms())
         self.transport.receive(data, self.peer)
         if not self.over and (code := peer_close_code(self.quic)) is not None:
             self._on_terminated(
@@ -163,7 +163,7 @@
         """End the stream of an attempt that was given up; the connection stays open."""
         if self._remove(sent.stream) is None:
             return
-        if self.routes.transports.silent(self.server, sent.sent_ms, now_ms()):
+        if self.routes.transports.timed_out(self.server, sent.sent_ms, now_ms()):
             self.quic.send_ping(0)
         self._reset(sent.stream)
         self.transport.flush_soon()
@@ -202,7 +202,7 @@
             case HandshakeCompleted():
                 self.up = True
                 self._session = Session(self.quic)
-                self.routes.transports.came_up(self.server, now_ms())
+                self.routes.transports.connected(self.server, now_ms())
             case ConnectionIdIssued():
                 self.routes.ids.add(event.connection_id, self)
             case ConnectionIdRetired():
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -20,7 +20,7 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.packet import pull_quic_header
 
-from orchidferry.balancing.transports import By, Transports
+from orchidferry.balancing.transports import Transport, Transports
 from orchidferry.node.address import Address
 from orchidferry.node.attempt import Attempt
 from orchidferry.node.clock import now_ms
@@ -99,12 +99,12 @@
         address = self._h3_address(attempt.server)
         if address is None or attempt.message.flow is not None:  # long bodies are sent over TCP only
             return self._tcp.send(attempt, fresh)
-        choice = self.transports.choose(server, now_ms(), careful=fresh)
-        if choice.dial:
+        choice = self.transports.choose(server, now_ms(), unrepeatable=fresh)
+        if choice.connect:
             self._dial(server, address)
         connection = self._connections.get(server)
         if (
-            choice.by is By.TCP
+            choice.transport is Transport.TCP
             or connection is None
             or connection.address != address
             or not connection.can_send()
@@ -122,7 +122,7 @@
         """Close idle connections over TCP, and check one over QUIC with a ping."""
         self._tcp.close_idle(server)
         connection = self._connections.get(server)
-        if connection is not None and self.transports.doubt(server, now_ms()):
+        if connection is not None and self.transports.idle_distrusted(server, now_ms()):
             connection.quic.send_ping(0)
             connection.transport.flush_soon()
 
@@ -150,11 +150,11 @@
             connection = ServerConnection(self, server, address, peer)
         except Exception as problem:  # a CA file that can't be read, no socket left
             log.warning("QUIC to servers: %s", problem)
-            self.transports.lost(server, now_ms())
+            self.transports.closed(server, now_ms())
             return
         self._connections[server] = connection
         self._by_peer.setdefault(peer, {})[connection] = None
-        self.transports.dialled(server)
+        self.transports.connecting(server)
         connection.connect()
 
     def _socket(self, peer: Endpoint) -> socket.socket:
@@ -199,7 +199,7 @@
         if self._connections.get(connection.server) is connection:
             del self._connections[connection.server]
             self._leaving[connection] = None
-            self.transports.lost(connection.server, now_ms(), orderly=True)
+            self.transports.closed(connection.server, now_ms(), orderly=True)
 
     def connection_closed(self, connection: ServerConnection, orderly: bool) -> None:
         """Forget a connection.
@@ -214,7 +214,7 @@
         self._leaving.pop(connection, None)
         if self._connections.get(connection.server) is connection:
             del self._connections[connection.server]
-            self.transports.lost(connection.server, now_ms(), orderly)
+            self.transports.closed(connection.server, now_ms(), orderly)
 
     def _sweep(self) -> None:
         self._timer = self.loop.call_later(SWEEP_S, self._sweep)
@@ -224,7 +224,7 @@
                 connection.end(orderly=False)
             elif connection.up and not connection.attempts and now - connection.last_sent_s > self._idle_s:
                 connection.end()
-            elif self.transports.given_up(connection.server, now_ms()) and connection not in self._leaving:
+            elif self.transports.is_dead(connection.server, now_ms()) and connection not in self._leaving:
                 connection.end(orderly=False)
 
     def close(self) -> None:
--- a/tests/balancing/test_subset.py
+++ b/tests/balancing/test_subset.py
@@ -66,7 +66,7 @@
             changed = one.change(id, share)
             parts |= changed
             agrees(one, shares, number % nodes, nodes, slices)
-            told = {m: part for m, part in parts.items() if part > subset.LEAST}
+            told = {m: part for m, part in parts.items() if part > subset.MIN_PART}
             assert told == pytest.approx(one.parts, abs=1e-6)  # what is told adds up to what is held
     finally:
         small.undo()
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -9,7 +9,7 @@
 import pytest
 
 import orchidferry.mesh
-from orchidferry.balancing.nested import TARGET, Nested
+from orchidferry.balancing.nested import TARGET_FAILURE_SHARE, Nested
 from orchidferry.mesh.control import shard_state
 
 MODULES = [
@@ -51,21 +51,23 @@
     owed = 0.0
     for step in range(400):
         now += 100.0
-        first = 20.0 * (1.0 - nested.shed("parents", now))
+        first = 20.0 * (1.0 - nested.shed_share("parents", now))
         share = 1.0 - min(1.0, capacity / 10.0 / (2.0 * first)) ** 2
         due += first
         while due >= 1.0:  # evenly mixed
             due -= 1.0
             owed += share
-            nested.outcome("parents", owed >= 1.0, now)
+            nested.record_outcome("parents", owed >= 1.0, now)
             owed -= owed >= 1.0
-            nested.outcome("others", False, now)
+            nested.record_outcome("others", False, now)
         if step >= 200:
             admitted = admitted + first
             failed = failed + first * share
     if capacity < 400.0:
-        assert abs(failed / admitted - TARGET) < 0.03 and nested.shed("parents", now) > 0.3
+        assert (
+            abs(failed / admitted - TARGET_FAILURE_SHARE) < 0.03 and nested.shed_share("parents", now) > 0.3
+        )
     else:
-        assert nested.shed("parents", now) == 0.0
-    assert nested.shed("others", now) == 0.0
-    assert nested.shed("parents", now + 20_000.0) < 0.01
+        assert nested.shed_share("parents", now) == 0.0
+    assert nested.shed_share("others", now) == 0.0
+    assert nested.shed_share("parents", now + 20_000.0) < 0.01
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -27,7 +27,7 @@
 )
 from orchidferry.testkit.control.rollout_service import RolloutService, read_door
 from orchidferry.testkit.control.service import Service
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 from tests.node import peers
 from tests.node.control.scene import POOL, Told, endpoint, file, run
 from tests.node.peers import LIMIT_S, until
--- a/tests/node/control/test_status.py
+++ b/tests/node/control/test_status.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from orchidferry.node.admin_server import AdminServer
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 from tests.node.control.scene import members, node, run, scene
 from tests.node.peers import LIMIT_S, until
 
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -28,7 +28,7 @@
 from orchidferry.node.fleet.settings import read_fleet, read_key_file
 from orchidferry.node.fleet.shell import FleetMember
 from orchidferry.testkit.fleet import status
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 from tests.node.peers import LIMIT_S, Server, run, until, world
 from tests.node.test_node import Program
 
--- a/tests/node/h3/test_decisions.py
+++ b/tests/node/h3/test_decisions.py
@@ -11,16 +11,23 @@
 from hypothesis import strategies as st
 
 from orchidferry.balancing.floods import (
-    HALF_OPEN_FREE,
     MALFORMED_BURST,
     MAX_HALF_OPEN,
     RESETS_BURST,
-    First,
-    FirstPackets,
-    Patience,
-    Strays,
+    UNVALIDATED_HALF_OPEN,
+    ConnectionLimits,
+    FirstPacketDecision,
+    FirstPacketLimiter,
+    StrayPacketLimiter,
+)
+from orchidferry.balancing.transports import (
+    BASE_BACKOFF_MS,
+    MAX_BACKOFF_DOUBLINGS,
+    SUSPECT_TIMEOUT_MS,
+    State,
+    Transport,
+    Transports,
 )
-from orchidferry.balancing.transports import DOUBT_MS, REST_DOUBLINGS, REST_MS, By, State, Transports
 from orchidferry.node.config import ConfigError
 from orchidferry.node.h3.settings import read_http3
 from orchidferry.testkit.quic import certs
@@ -32,82 +39,82 @@
 
 
 def up(ways: Transports, server: int, now: float) -> None:
-    assert ways.choose(server, now).dial
-    ways.dialled(server)
-    ways.came_up(server, now)
+    assert ways.choose(server, now).connect
+    ways.connecting(server)
+    ways.connected(server, now)
 
 
 def test_a_server_is_spoken_to_by_tcp_until_quic_is_up() -> None:
     ways = made()
     first = ways.choose(1, 0.0)
-    assert (first.by, first.dial) == (By.TCP, True)
-    ways.dialled(1)
-    assert ways.choose(1, 1.0) == type(first)(By.TCP, False)  # one handshake at a time
-    ways.came_up(1, 2.0)
-    assert ways.choose(1, 3.0) == type(first)(By.QUIC, False)
+    assert (first.transport, first.connect) == (Transport.TCP, True)
+    ways.connecting(1)
+    assert ways.choose(1, 1.0) == type(first)(Transport.TCP, False)  # one handshake at a time
+    ways.connected(1, 2.0)
+    assert ways.choose(1, 3.0) == type(first)(Transport.QUIC, False)
 
 
 def test_what_must_not_be_lost_goes_only_where_something_was_heard_of_late() -> None:
     ways = made()
     up(ways, 1, 0.0)
-    assert ways.choose(1, 900.0, careful=True).by is By.QUIC
-    assert ways.choose(1, 1_100.0, careful=True).by is By.TCP
-    assert ways.choose(1, 1_100.0).by is By.QUIC
-    ways.heard(1, 1_200.0)
-    assert ways.choose(1, 1_300.0, careful=True).by is By.QUIC
+    assert ways.choose(1, 900.0, unrepeatable=True).transport is Transport.QUIC
+    assert ways.choose(1, 1_100.0, unrepeatable=True).transport is Transport.TCP
+    assert ways.choose(1, 1_100.0).transport is Transport.QUIC
+    ways.received(1, 1_200.0)
+    assert ways.choose(1, 1_300.0, unrepeatable=True).transport is Transport.QUIC
 
 
 def test_failures_rest_longer_each_time_with_jitter_and_success_begins_anew() -> None:
     ways = made()
     now = 0.0
     waits = []
-    for _ in range(REST_DOUBLINGS + 3):
-        assert ways.choose(1, now).dial
-        ways.dialled(1)
-        ways.lost(1, now)
-        assert not ways.choose(1, now + 1.0).dial
+    for _ in range(MAX_BACKOFF_DOUBLINGS + 3):
+        assert ways.choose(1, now).connect
+        ways.connecting(1)
+        ways.closed(1, now)
+        assert not ways.choose(1, now + 1.0).connect
         step = now
-        while not ways.choose(1, step).dial:
+        while not ways.choose(1, step).connect:
             step += 10.0
         waits.append(step - now)
         now = step
     for n, wait in enumerate(waits):
-        most = REST_MS * 2.0 ** min(n, REST_DOUBLINGS)
+        most = BASE_BACKOFF_MS * 2.0 ** min(n, MAX_BACKOFF_DOUBLINGS)
         assert most / 2.0 <= wait <= most + 10.0
     up(ways, 1, now)
-    ways.lost(1, now)
-    assert not ways.choose(1, now + 1.0).dial and ways.choose(1, now + REST_MS).dial
+    ways.closed(1, now)
+    assert not ways.choose(1, now + 1.0).connect and ways.choose(1, now + BASE_BACKOFF_MS).connect
 
 
 def test_an_orderly_end_needs_no_rest() -> None:
     ways = made()
     up(ways, 1, 0.0)
-    ways.lost(1, 5.0, orderly=True)
-    assert ways.choose(1, 5.0).dial
+    ways.closed(1, 5.0, orderly=True)
+    assert ways.choose(1, 5.0).connect
 
 
 def test_silence_is_doubt_a_datagram_ends_it_and_too_long_a_silence_the_connection() -> None:
     ways = made()
     up(ways, 1, 0.0)
-    ways.heard(1, 50.0)
-    assert not ways.silent(1, 40.0, 100.0)  # something came since it was sent
-    assert ways.silent(1, 60.0, 100.0) and ways.state(1) is State.DOUBTED
-    assert not ways.silent(1, 60.0, 101.0)  # one ping is enough
-    assert ways.choose(1, 102.0).by is By.TCP and not ways.given_up(1, 102.0)
-    ways.heard(1, 103.0)
-    assert ways.choose(1, 104.0).by is By.QUIC
-    assert ways.doubt(1, 110.0) and not ways.doubt(1, 111.0)
-    assert ways.given_up(1, 110.0 + DOUBT_MS)
-    assert not ways.doubt(2, 110.0) and not ways.silent(2, 0.0, 1.0) and not ways.given_up(2, 1e9)
+    ways.received(1, 50.0)
+    assert not ways.timed_out(1, 40.0, 100.0)  # something came since it was sent
+    assert ways.timed_out(1, 60.0, 100.0) and ways.state(1) is State.SUSPECT
+    assert not ways.timed_out(1, 60.0, 101.0)  # one ping is enough
+    assert ways.choose(1, 102.0).transport is Transport.TCP and not ways.is_dead(1, 102.0)
+    ways.received(1, 103.0)
+    assert ways.choose(1, 104.0).transport is Transport.QUIC
+    assert ways.idle_distrusted(1, 110.0) and not ways.idle_distrusted(1, 111.0)
+    assert ways.is_dead(1, 110.0 + SUSPECT_TIMEOUT_MS)
+    assert not ways.idle_distrusted(2, 110.0) and not ways.timed_out(2, 0.0, 1.0) and not ways.is_dead(2, 1e9)
 
 
 def test_only_so_many_servers_have_a_connection_and_one_that_goes_makes_room() -> None:
     ways = made(2)
     up(ways, 1, 0.0)
     up(ways, 2, 0.0)
-    assert not ways.choose(3, 0.0).dial
+    assert not ways.choose(3, 0.0).connect
     ways.forget(1)
-    assert ways.choose(3, 0.0).dial and len(ways) == 2
+    assert ways.choose(3, 0.0).connect and len(ways) == 2
 
 
 @given(st.lists(st.tuples(st.sampled_from("dulshfgo"), st.integers(1, 4)), max_size=80), st.integers(1, 3))
@@ -120,45 +127,51 @@
     for what, server in steps:
         now += 700.0
         if what in "du":
-            if ways.choose(server, now).dial:
-                ways.dialled(server)
+            if ways.choose(server, now).connect:
+                ways.connecting(server)
                 if what == "u":
-                    ways.came_up(server, now)
+                    ways.connected(server, now)
         elif what == "l":
-            ways.lost(server, now)
+            ways.closed(server, now)
         elif what == "s":
-            ways.silent(server, now - 1.0, now)
+            ways.timed_out(server, now - 1.0, now)
         elif what == "h":
-            ways.heard(server, now)
+            ways.received(server, now)
         elif what == "f":
             ways.forget(server)
         elif what == "o":
-            ways.lost(server, now, orderly=True)
-        open = [s for s in range(1, 5) if ways.state(s) in (State.COMING, State.UP, State.DOUBTED)]
+            ways.closed(server, now, orderly=True)
+        open = [s for s in range(1, 5) if ways.state(s) in (State.CONNECTING, State.UP, State.SUSPECT)]
         assert len(open) == ways._open <= most
         for one in range(1, 5):
             if ways.state(one) is not State.UP:
-                assert ways.choose(one, now).by is By.TCP
+                assert ways.choose(one, now).transport is Transport.TCP
 
 
 def test_first_packets_are_believed_then_proven_then_dropped() -> None:
-    guard = FirstPackets(0.0)
-    assert guard.decide(0, False, 0.0) is First.TAKE
-    assert guard.decide(HALF_OPEN_FREE, False, 0.0) is First.VALIDATE
-    assert guard.decide(HALF_OPEN_FREE, True, 0.0) is First.TAKE
-    assert guard.decide(MAX_HALF_OPEN, True, 0.0) is First.DROP
+    guard = FirstPacketLimiter(0.0)
+    assert guard.decide(0, False, 0.0) is FirstPacketDecision.ACCEPT
+    assert guard.decide(UNVALIDATED_HALF_OPEN, False, 0.0) is FirstPacketDecision.VALIDATE
+    assert guard.decide(UNVALIDATED_HALF_OPEN, True, 0.0) is FirstPacketDecision.ACCEPT
+    assert guard.decide(MAX_HALF_OPEN, True, 0.0) is FirstPacketDecision.DROP
     taken = [guard.decide(0, False, 1.0) for _ in range(200)]
-    assert First.VALIDATE in taken and taken[0] is First.TAKE  # by their rate, too
-    assert guard.decide(0, False, 2_000.0) is First.TAKE  # it comes back
+    assert (
+        FirstPacketDecision.VALIDATE in taken and taken[0] is FirstPacketDecision.ACCEPT
+    )  # by their rate, too
+    assert guard.decide(0, False, 2_000.0) is FirstPacketDecision.ACCEPT  # it comes back
 
 
 def test_patience_runs_out_and_comes_back() -> None:
-    patience = Patience(0.0)
-    assert all(patience.reset(0.0) for _ in range(int(RESETS_BURST))) and not patience.reset(0.0)
-    assert all(patience.malformed(0.0) for _ in range(int(MALFORMED_BURST))) and not patience.malformed(0.0)
-    assert patience.reset(1_000.0) and patience.malformed(1_000.0)
-    strays = Strays(0.0)
-    assert sum(strays.answered(0.0) for _ in range(1_000)) == 100 and strays.answered(10.0)
+    patience = ConnectionLimits(0.0)
+    assert all(patience.allows_reset(0.0) for _ in range(int(RESETS_BURST))) and not patience.allows_reset(
+        0.0
+    )
+    assert all(
+        patience.allows_malformed(0.0) for _ in range(int(MALFORMED_BURST))
+    ) and not patience.allows_malformed(0.0)
+    assert patience.allows_reset(1_000.0) and patience.allows_malformed(1_000.0)
+    strays = StrayPacketLimiter(0.0)
+    assert sum(strays.allows_answer(0.0) for _ in range(1_000)) == 100 and strays.allows_answer(10.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -591,7 +591,7 @@
 def test_under_a_flood_of_first_packets_addresses_must_be_proven_and_callers_still_come_in(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(floods, "HALF_OPEN_FREE", 4)
+    monkeypatch.setattr(floods, "UNVALIDATED_HALF_OPEN", 4)
 
     async def test() -> None:
         async with scene(tmp_path, Server(name="s0")) as made:
--- a/tests/node/h3/test_upstream.py
+++ b/tests/node/h3/test_upstream.py
@@ -77,7 +77,7 @@
 ) -> None:
     monkeypatch.setattr(upstream, "HANDSHAKE_S", 0.2)
     monkeypatch.setattr(upstream, "SWEEP_S", 0.02)
-    monkeypatch.setattr(transports, "REST_MS", 200.0)
+    monkeypatch.setattr(transports, "BASE_BACKOFF_MS", 200.0)
 
     async def test() -> None:
         server, script = Server(name="s0"), Script()
@@ -90,7 +90,7 @@
                 assert (await made.world.ask(f"{n}")).body == b"done"
                 assert loop.time() - began < 0.2  # the handshake's time-out was not waited for
                 await asyncio.sleep(0.05)
-            await until(lambda: state(made) is State.RESTING)
+            await until(lambda: state(made) is State.BACKING_OFF)
             lost = script.quic.from_askers.lost
             assert lost > 0 and not routes(made)._connections and not routes(made).ids
             script.quic.from_askers.black_hole = False
@@ -109,7 +109,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "SWEEP_S", 0.02)
-    monkeypatch.setattr(transports, "DOUBT_MS", 300.0)
+    monkeypatch.setattr(transports, "SUSPECT_TIMEOUT_MS", 300.0)
 
     async def test() -> None:
         server, script = Server(name="s0"), Script()
@@ -123,7 +123,7 @@
             assert ended[0] is Result.TIMEOUT and ended[-1] is Result.SERVED
             assert state(made) is not State.UP
             assert (await made.world.ask("next")).body == b"done"
-            await until(lambda: state(made) is State.RESTING)
+            await until(lambda: state(made) is State.BACKING_OFF)
             assert made.module_is_clean()
         script.stop()
 
@@ -138,7 +138,7 @@
             assert (await made.world.ask("one")).body == b"by quic"
             ready = routes(made)
             ready.close_idle(link(made).server)  # as the module says where idle connections were lost
-            assert state(made) is State.DOUBTED
+            assert state(made) is State.SUSPECT
             await until(lambda: state(made) is State.UP)  # the ping was answered
             assert (await made.world.ask("two")).body == b"by quic"
         script.stop()
@@ -370,7 +370,7 @@
             assert not ended and link(made).up
             transport.sendto(b"\x41" + b"n" * 30 + token, peer)
             assert (await asked).status == 502 and ended == [Result.RESET]
-            assert state(made) is State.RESTING and not routes(made).ids
+            assert state(made) is State.BACKING_OFF and not routes(made).ids
             assert (await made.world.ask("next")).body == b"done"
         script.stop()
 
@@ -446,7 +446,7 @@
         script.quic._files = certs.make(tmp_path / "stranger")
         async with scene(tmp_path, server, quic={"s0": await script.start()}) as made:
             assert (await made.world.ask("one")).body == b"done"
-            await until(lambda: state(made) is State.RESTING)
+            await until(lambda: state(made) is State.BACKING_OFF)
             assert (await made.world.ask("two")).body == b"done" and files().ca.is_file()
         script.stop()
 
--- a/tests/node/peers.py
+++ b/tests/node/peers.py
@@ -19,7 +19,7 @@
 from orchidferry.node.config import read_config
 from orchidferry.node.extensions import Extensions
 from orchidferry.node.node import Node
-from tests.balancing.test_wire import ENV
+from tests.balancing.test_wirehost import ENV
 
 LIMIT_S = 30.0  # for what a test waits for: generous, as a busy machine must not change the verdict
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -19,7 +19,7 @@
 from orchidferry.balancing.logic import Balancer
 from orchidferry.node.address import parse_address
 from orchidferry.node.server_listing import server_id
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 from tests.node.peers import (
     CLOSE,
     HANG,
--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -21,7 +21,7 @@
 from orchidferry.testkit.report.series import series
 from orchidferry.testkit.scenario import load_scenario, shipped
 from orchidferry.testkit.world.director import Progress
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 from tests.testkit.judge.test_verdict import clean, resent_unsafe
 
 
--- a/tests/testkit/test_run.py
+++ b/tests/testkit/test_run.py
@@ -25,7 +25,7 @@
 )
 from orchidferry.testkit.scenario import Scenario, load_scenario, read_scenario
 from orchidferry.testkit.world.director import Progress, Run, rehearse
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 from tests.node.peers import LIMIT_S
 
 TIERS = [
