--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -15,7 +15,7 @@
 from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
 from orchidferry.testkit.control.service import Word
 from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, override, read_scenario
-from tests.balancing.test_wire import ROOT
+from tests.balancing.test_wirehost import ROOT
 
 HUNDRED = load_scenario("hundred-versions")
 
