--- a/orchidferry/testkit/bench/moves.py
+++ b/orchidferry/testkit/bench/moves.py
@@ -13,38 +13,41 @@
 from orchidferry.balancing.logic import Balancer
 from orchidferry.balancing.moves import State
 from orchidferry.balancing.pools import PoolRule, Router, Rules
-from orchidferry.testkit.model.moves import Outcome, Pool, World, run
+from orchidferry.testkit.model.moves import MOVE_START_S, Outcome, PoolBehaviour, Scenario, simulate_move
 
 UNDONE = (State.ROLLING_BACK, State.FAILED)
 SHAPES: dict[str, dict[str, Any]] = {
     "equal, bursts and an incident in both": {"incident_s": (60.0, 90.0)},
-    "all fails": {"new": Pool(fails=1.0)},
-    "20 % fails": {"new": Pool(fails=0.2)},
-    "5 % fails (0.5 % in the old)": {"new": Pool(fails=0.05)},
-    "half of salvar-episodio fails": {"new": Pool(fails_of={"salvar-episodio": 0.5})},
-    "half of repasse-socio fails": {"new": Pool(fails_of={"repasse-socio": 0.5})},
-    "30 % fails at once": {"new": Pool(fails=0.3, quick_errors=True)},
-    "chokes from 40 % on": {"new": Pool(chokes_at=0.4)},
-    "twice as slow": {"new": Pool(factor=2.0)},
-    "1.3 times as slow": {"new": Pool(factor=1.3)},
-    "slow for 30 s, cold": {"new": Pool(cold_s=30.0)},
+    "all fails": {"new_pool": PoolBehaviour(failure_rate=1.0)},
+    "20 % fails": {"new_pool": PoolBehaviour(failure_rate=0.2)},
+    "5 % fails (0.5 % in the old)": {"new_pool": PoolBehaviour(failure_rate=0.05)},
+    "half of salvar-episodio fails": {"new_pool": PoolBehaviour(failure_rates={"salvar-episodio": 0.5})},
+    "half of repasse-socio fails": {"new_pool": PoolBehaviour(failure_rates={"repasse-socio": 0.5})},
+    "30 % fails at once": {"new_pool": PoolBehaviour(failure_rate=0.3, fast_failures=True)},
+    "chokes from 40 % on": {"new_pool": PoolBehaviour(overload_share=0.4)},
+    "twice as slow": {"new_pool": PoolBehaviour(time_factor=2.0)},
+    "1.3 times as slow": {"new_pool": PoolBehaviour(time_factor=1.3)},
+    "slow for 30 s, cold": {"new_pool": PoolBehaviour(warmup_s=30.0)},
 }
 REQUESTS = 5_000
 
 
 def _one(task: tuple[str, int]) -> Outcome:
-    return run(World(seed=task[1], **SHAPES[task[0]]))
+    return simulate_move(Scenario(seed=task[1], **SHAPES[task[0]]))
 
 
 def _shape(name: str, seeds: int, pool: concurrent.futures.ProcessPoolExecutor) -> dict[str, Any]:
     found = list(pool.map(_one, [(name, seed) for seed in range(seeds)], chunksize=4))
-    undone = sorted((o for o in found if o.state in UNDONE), key=lambda o: o.at_s)
+    undone = sorted((o for o in found if o.state in UNDONE), key=lambda o: o.ended_s)
     states = Counter("undone" if o.state in UNDONE else o.state.value for o in found)
     row: dict[str, Any] = {"what": name, "seeds": seeds, **states}
     if undone:
-        carried = sorted(o.carried_then for o in undone)
+        carried = sorted(o.moved_fraction_until_end for o in undone)
         row |= {
-            "undone_after_s": [undone[len(undone) // 2].at_s - 20.0, undone[-1].at_s - 20.0],
+            "undone_after_s": [
+                undone[len(undone) // 2].ended_s - MOVE_START_S,
+                undone[-1].ended_s - MOVE_START_S,
+            ],
             "carried": [carried[len(carried) // 2], carried[-1]],
         }
     told = ", ".join(f"{state} {count}" for state, count in sorted(states.items()))
--- a/orchidferry/testkit/model/moves.py
+++ b/orchidferry/testkit/model/moves.py
@@ -1,7 +1,8 @@
-"""Moves between two pools in virtual time: how often a sound one is undone, how soon a broken one.
+"""Moves between two pools in virtual time: how often a sound move is undone, and how soon a broken one.
 
-A stream of requests of some classes; each goes to the new pool with the move's share, and has a failure or a
-time by what its pool is. Bursts double the rate and the times for a while; an incident strikes both pools.
+A stream of requests of some classes; each goes to the new pool with the probability that the move sets, and
+fails or takes its time as that pool behaves. Bursts double the rate and lengthen the times for a while; an
+incident strikes both pools.
 """
 
 from __future__ import annotations
@@ -12,94 +13,194 @@
 
 from orchidferry.balancing.moves import Move, Plan, RareClasses, State
 
-SHARES = {"ler-feed": 0.80, "salvar-episodio": 0.17, "repasse-socio": 0.03}
-WORTH = {"ler-feed": 1.0, "salvar-episodio": 2.0, "repasse-socio": 8.0}
-MEAN_MS = {"ler-feed": 60.0, "salvar-episodio": 120.0, "repasse-socio": 200.0}
-SIGMA = 0.6  # of the logarithm of times
+# of each class of requests
+CLASS_PROPORTIONS = {"ler-feed": 0.80, "salvar-episodio": 0.17, "repasse-socio": 0.03}
+CLASS_VALUES = {"ler-feed": 1.0, "salvar-episodio": 2.0, "repasse-socio": 8.0}
+CLASS_MEDIAN_MS = {"ler-feed": 60.0, "salvar-episodio": 120.0, "repasse-socio": 200.0}
+TIME_SIGMA = 0.6  # standard deviation of the logarithm of times
+MOVE_START_S = 20.0  # the old pool has a history by then
+TICK_INTERVAL_S = 0.25
+BURST_DELAY_S = (0.0, 60.0)  # range of the first burst's begin
+BURST_LENGTH_S = (5.0, 20.0)  # range of a burst's length
+BURST_MEAN_INTERVAL_S = 120.0  # from the end of a burst to the next
+BURST_RATE_FACTOR = 2.0
+BURST_TIME_FACTOR = 1.5
+WARMUP_TIME_FACTOR = 4.0
+INCIDENT_FAILURE_RATE = 0.33
+OVERLOAD_FAILURE_RATE = 0.5
+FAST_FAILURE_MS = 1.0
+FINAL_STATES = (State.DONE, State.FAILED, State.ROLLING_BACK)
 
 
 @dataclass(frozen=True, slots=True)
-class Pool:
-    """How a pool behaves, by class where that is not all the same."""
+class PoolBehaviour:
+    """How a pool behaves.
 
-    fails: float = 0.005
-    factor: float = 1.0  # on times
-    fails_of: dict[str, float] = field(default_factory=dict)
-    chokes_at: float = 2.0  # share from which it fails half
-    quick_errors: bool = False
-    cold_s: float = 0.0  # slower by four times for so long after it got its first request
+    :ivar failure_rate: of requests whose class has no rate of its own
+    :ivar time_factor: by which its times are longer
+    :ivar failure_rates: by class
+    :ivar overload_share: share of the requests from which on half of them fail
+    :ivar fast_failures: whether failures come at once
+    :ivar warmup_s: for so long after its first request it is slower
+    """
 
+    failure_rate: float = 0.005
+    time_factor: float = 1.0
+    failure_rates: dict[str, float] = field(default_factory=dict)
+    overload_share: float = 2.0
+    fast_failures: bool = False
+    warmup_s: float = 0.0
 
-@dataclass(frozen=True, slots=True)
-class World:
-    """A move under load."""
 
-    new: Pool = Pool()
-    old: Pool = Pool()
-    rate: float = 100.0  # requests a second at one node
-    length_s: float = 1_800.0
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """A move under load.
+
+    :ivar requests_per_s: at one node
+    :ivar duration_s: after which the simulation ends, whatever the move does
+    :ivar bursts: whether there are any
+    :ivar incident_s: begin and end of an incident, in which a third fails in both pools
+    :ivar seed: of the random choices
+    """
+
+    new_pool: PoolBehaviour = PoolBehaviour()
+    old_pool: PoolBehaviour = PoolBehaviour()
+    requests_per_s: float = 100.0
+    duration_s: float = 1_800.0
     bursts: bool = True
-    incident_s: tuple[float, float] | None = None  # in both: a third fails
+    incident_s: tuple[float, float] | None = None
     seed: int = 1
 
 
-@dataclass
+@dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of a move."""
+    """The end of a move.
+
+    :ivar state: of the move
+    :ivar reason: why it is in this state
+    :ivar ended_s: when it was done or undone
+    :ivar moved_fraction: value of the requests that the new pool got until then, relative to the value of
+        all requests of the whole duration
+    :ivar moved_fraction_until_end: the same relative to the value of all requests until then
+    :ivar failed_value: value of the requests that failed in the new pool
+    """
 
     state: State
-    why: str
-    at_s: float  # when it ended, or was undone
-    carried: float  # worth that went to the new pool until then, over all worth of the whole time
-    carried_then: float  # over all worth until then
-    harm: float  # worth that failed there
-
-
-def run(world: World, plan: Plan | None = None) -> Outcome:
-    """One move from its start to its end, or to the end of the time."""
-    plan = plan or Plan(tuple(SHARES), rare=RareClasses.LAST)
-    move = Move(plan)
-    rng = random.Random(world.seed)
-    classes = list(SHARES)
-    weights = list(SHARES.values())
-    t = next_tick = carried = worth = harm = 0.0
-    began_s: float | None = None
-    burst = (rng.uniform(0, 60), rng.uniform(5, 20)) if world.bursts else (math.inf, 0.0)
-    mean = sum(SHARES[name] * WORTH[name] for name in classes)
-    move_from = 20.0  # the old pool has a past by then
-    while t < world.length_s:
-        bursting = burst[0] <= t < burst[0] + burst[1]
-        if t >= burst[0] + burst[1]:
-            burst = (t + rng.expovariate(1 / 120.0), rng.uniform(5, 20))
-        t += rng.expovariate(world.rate * (2.0 if bursting else 1.0))
-        if t >= next_tick:
-            next_tick = t + 0.25
-            if t >= move_from:
-                move.start(t * 1000.0)
-            move.tick(t * 1000.0)
-        if move.state in (State.DONE, State.FAILED, State.ROLLING_BACK):
-            break
-        cls = rng.choices(classes, weights)[0]
-        worth += WORTH[cls]
-        share = move.share(cls)
-        new = rng.random() < share
-        pool = world.new if new else world.old
-        if new and began_s is None:
-            began_s = t
-        fails = pool.fails_of.get(cls, pool.fails)
-        if world.incident_s is not None and world.incident_s[0] <= t < world.incident_s[1]:
-            fails = max(fails, 0.33)
-        if new and share >= pool.chokes_at:
-            fails = max(fails, 0.5)
-        failed = rng.random() < fails
-        cold = new and began_s is not None and t - began_s < pool.cold_s
-        took = MEAN_MS[cls] * pool.factor * (4.0 if cold else 1.0) * (1.5 if bursting else 1.0)
-        took *= math.exp(rng.gauss(0.0, SIGMA))
-        if failed and pool.quick_errors:
-            took = 1.0
-        if new:
-            carried += WORTH[cls]
-            harm += WORTH[cls] * failed
-        move.ended(cls, new, failed, took, t * 1000.0)
-    all_worth = mean * world.rate * world.length_s
-    return Outcome(move.state, move.reason, t, carried / all_worth, carried / max(worth, 1e-9), harm)
+    reason: str
+    ended_s: float
+    moved_fraction: float
+    moved_fraction_until_end: float
+    failed_value: float
+
+
+class _Bursts:
+    """Random periods of a higher rate and longer times."""
+
+    def __init__(self, rng: random.Random, enabled: bool) -> None:
+        self._rng = rng
+        self._begin_s = rng.uniform(*BURST_DELAY_S) if enabled else math.inf
+        self._end_s = self._begin_s + (rng.uniform(*BURST_LENGTH_S) if enabled else 0.0)
+
+    def active(self, now_s: float) -> bool:
+        """Return whether there is a burst; draw the next one once this one is over."""
+        active = self._begin_s <= now_s < self._end_s
+        if now_s >= self._end_s:
+            self._begin_s = now_s + self._rng.expovariate(1 / BURST_MEAN_INTERVAL_S)
+            self._end_s = self._begin_s + self._rng.uniform(*BURST_LENGTH_S)
+        return active
+
+
+class _Simulation:
+    """One move under load, request by request."""
+
+    def __init__(self, scenario: Scenario, plan: Plan) -> None:
+        self._scenario = scenario
+        self._move = Move(plan)
+        self._rng = random.Random(scenario.seed)
+        self._bursts = _Bursts(self._rng, scenario.bursts)
+        self._now_s = 0.0
+        self._next_tick_s = 0.0
+        self._first_moved_s: float | None = None  # when the new pool got its first request
+        self._value = 0.0  # of all requests until now
+        self._moved_value = 0.0
+        self._failed_value = 0.0
+
+    def run(self) -> Outcome:
+        """Run until the move has ended, or the time is over."""
+        classes = list(CLASS_PROPORTIONS)
+        weights = list(CLASS_PROPORTIONS.values())
+        while self._now_s < self._scenario.duration_s:
+            burst = self._bursts.active(self._now_s)
+            rate_factor = BURST_RATE_FACTOR if burst else 1.0
+            self._now_s += self._rng.expovariate(self._scenario.requests_per_s * rate_factor)
+            self._tick()
+            if self._move.state in FINAL_STATES:
+                break
+            self._request(self._rng.choices(classes, weights)[0], burst)
+        return self._outcome()
+
+    def _tick(self) -> None:
+        if self._now_s < self._next_tick_s:
+            return
+        self._next_tick_s = self._now_s + TICK_INTERVAL_S
+        if self._now_s >= MOVE_START_S:
+            self._move.start(self._now_s * 1000.0)
+        self._move.tick(self._now_s * 1000.0)
+
+    def _request(self, class_name: str, burst: bool) -> None:
+        value = CLASS_VALUES[class_name]
+        self._value += value
+        share = self._move.share(class_name)
+        moved = self._rng.random() < share
+        pool = self._scenario.new_pool if moved else self._scenario.old_pool
+        if moved and self._first_moved_s is None:
+            self._first_moved_s = self._now_s
+        failed = self._rng.random() < self._failure_rate(pool, class_name, share if moved else None)
+        time_ms = self._time_ms(pool, class_name, moved, burst)
+        if failed and pool.fast_failures:
+            time_ms = FAST_FAILURE_MS
+        if moved:
+            self._moved_value += value
+            self._failed_value += value * failed
+        self._move.ended(class_name, moved, failed, time_ms, self._now_s * 1000.0)
+
+    def _failure_rate(self, pool: PoolBehaviour, class_name: str, share: float | None) -> float:
+        """Return the failure rate of a pool now.
+
+        :param share: of the requests that the new pool gets; None for the old pool
+        """
+        rate = pool.failure_rates.get(class_name, pool.failure_rate)
+        incident_s = self._scenario.incident_s
+        if incident_s is not None and incident_s[0] <= self._now_s < incident_s[1]:
+            rate = max(rate, INCIDENT_FAILURE_RATE)
+        if share is not None and share >= pool.overload_share:
+            rate = max(rate, OVERLOAD_FAILURE_RATE)
+        return rate
+
+    def _time_ms(self, pool: PoolBehaviour, class_name: str, moved: bool, burst: bool) -> float:
+        begin_s = self._first_moved_s
+        warming_up = moved and begin_s is not None and self._now_s - begin_s < pool.warmup_s
+        time_ms = CLASS_MEDIAN_MS[class_name] * pool.time_factor
+        time_ms *= WARMUP_TIME_FACTOR if warming_up else 1.0
+        time_ms *= BURST_TIME_FACTOR if burst else 1.0
+        return time_ms * math.exp(self._rng.gauss(0.0, TIME_SIGMA))
+
+    def _outcome(self) -> Outcome:
+        mean_value = sum(CLASS_PROPORTIONS[name] * CLASS_VALUES[name] for name in CLASS_PROPORTIONS)
+        expected_value = mean_value * self._scenario.requests_per_s * self._scenario.duration_s
+        return Outcome(
+            self._move.state,
+            self._move.reason,
+            self._now_s,
+            self._moved_value / expected_value,
+            self._moved_value / max(self._value, 1e-9),
+            self._failed_value,
+        )
+
+
+def simulate_move(scenario: Scenario, plan: Plan | None = None) -> Outcome:
+    """Simulate one move from its start to its end, or to the end of the scenario.
+
+    :param plan: of the move; None for one of all classes, the rare ones last
+    """
+    return _Simulation(scenario, plan or Plan(tuple(CLASS_PROPORTIONS), rare=RareClasses.LAST)).run()
--- a/tests/balancing/test_moves.py
+++ b/tests/balancing/test_moves.py
@@ -9,7 +9,7 @@
 
 from orchidferry.balancing.moves import Move, Plan, RareClasses, State
 from orchidferry.balancing.sequential_tests import NonInferiorityTest, WorseTest
-from orchidferry.testkit.model.moves import Pool, World, run
+from orchidferry.testkit.model.moves import PoolBehaviour, Scenario, simulate_move
 
 PLAN = Plan(("a", "b"), steps=(0.05, 0.5, 1.0), step_ms=1_000.0, rare_ms=10_000.0)
 
@@ -106,18 +106,18 @@
 @pytest.mark.parametrize(
     ("new", "undone"),
     [
-        (Pool(), False),
-        (Pool(fails=1.0), True),
-        (Pool(fails=0.3, quick_errors=True), True),
-        (Pool(fails_of={"salvar-episodio": 0.5}), True),
-        (Pool(factor=2.0), True),
+        (PoolBehaviour(), False),
+        (PoolBehaviour(failure_rate=1.0), True),
+        (PoolBehaviour(failure_rate=0.3, fast_failures=True), True),
+        (PoolBehaviour(failure_rates={"salvar-episodio": 0.5}), True),
+        (PoolBehaviour(time_factor=2.0), True),
     ],
 )
-def test_shapes_of_pools(new: Pool, undone: bool) -> None:
+def test_shapes_of_pools(new: PoolBehaviour, undone: bool) -> None:
     for seed in range(2):
-        found = run(World(new=new, seed=seed, length_s=200.0, incident_s=(60.0, 80.0)))
+        found = simulate_move(Scenario(new_pool=new, seed=seed, duration_s=200.0, incident_s=(60.0, 80.0)))
         assert (found.state in (State.ROLLING_BACK, State.FAILED)) is undone, found
-        assert not undone or found.carried_then < 0.05
+        assert not undone or found.moved_fraction_until_end < 0.05
 
 
 @pytest.mark.parametrize(
