--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from orchidferry.testkit.bench.open_loop import LoadReport, offer_load, request_writer, scenario
-from orchidferry.testkit.exchange import body_of
+from orchidferry.testkit.exchange import expected_body
 from orchidferry.testkit.wire import Address, Request, ServerSide, get
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.nodes import http3_text, settings
@@ -44,7 +44,7 @@
     def requested(connection: Any, request: Request) -> None:
         id = request.headers.get("attempt-id")
         more = f"Attempt-Id: {id}\r\nServer-Seal: {id}\r\n" if id is not None else ""  # a mesh wants both
-        connection.answer(200, body_of(seed, request.headers.get("x-call-id", "")), more)
+        connection.answer(200, expected_body(seed, request.headers.get("x-call-id", "")), more)
 
     for host, port in addresses:
         await loop.create_server(
--- a/orchidferry/testkit/bench/mesh_requests.py
+++ b/orchidferry/testkit/bench/mesh_requests.py
@@ -12,7 +12,7 @@
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row
 from orchidferry.testkit.bench.open_loop import BODY, BUDGET_S, LoadReport, WriteRequest, offer_load, scenario
 from orchidferry.testkit.bench.process_usage import CpuMeter
-from orchidferry.testkit.exchange import message
+from orchidferry.testkit.exchange import RequestOptions, encode_request
 from orchidferry.testkit.wire import Address
 
 RATE = 300.0  # requests a second offered to a forwarder
@@ -30,7 +30,16 @@
         if keyed:
             headers.append(f"Operation-Key: k-{id}")
         target = f"{prefix}x?obj={number:x}"
-        return message(cls, id, f"k-{id}", number, BUDGET_S, False, BODY, HOST, target, more=headers)
+        return encode_request(
+            cls,
+            id,
+            f"k-{id}",
+            number,
+            BUDGET_S,
+            False,
+            BODY,
+            RequestOptions(HOST, target, extra_headers=headers),
+        )
 
     return write
 
--- a/orchidferry/testkit/bench/open_loop.py
+++ b/orchidferry/testkit/bench/open_loop.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidferry.testkit.exchange import body_of, message
+from orchidferry.testkit.exchange import encode_request, expected_body
 from orchidferry.testkit.process import monotonic_at
 from orchidferry.testkit.scenario import Scenario, read_scenario
 from orchidferry.testkit.wire import Address, Outcome, Pool
@@ -51,7 +51,7 @@
 
     def write(number: int, id: str) -> bytes:
         cls = classes[names[number % len(names)]]
-        return message(cls, id, f"k-{id}", number, BUDGET_S, False, BODY)
+        return encode_request(cls, id, f"k-{id}", number, BUDGET_S, False, BODY)
 
     return write
 
@@ -117,7 +117,7 @@
         answer = connection.ask(id, self._write(number, id))
         await asyncio.wait({answer}, timeout=BUDGET_S + GRACE_S)
         outcome = answer.result() if answer.done() else Outcome("timeout", 0.0)
-        if outcome.status == 200 and outcome.body == body_of(self._seed, id):
+        if outcome.status == 200 and outcome.body == expected_body(self._seed, id):
             self._took_s.append(time.monotonic() - started_s)
             self._pool.put_back(self._address, connection)
         else:
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -23,7 +23,7 @@
 
 from orchidferry.testkit.bench.forward import LATE_MS, WARM_S, Bench, cpu_s, rss_kb
 from orchidferry.testkit.bench.open_loop import BUDGET_S, offer_load, scenario
-from orchidferry.testkit.exchange import body_of, message
+from orchidferry.testkit.exchange import encode_request, expected_body
 from orchidferry.testkit.quic import certs
 from orchidferry.testkit.quic.client import AskerConnection, AskerStream, connect
 from orchidferry.testkit.quic.pool import H3Pool
@@ -140,7 +140,7 @@
     connection = await pool.connection(address)
     if isinstance(connection, Outcome):
         return connection
-    waiting = connection.ask(id, message(cls, f"{id}.0", "k", 1, BUDGET_S, False, b""))
+    waiting = connection.ask(id, encode_request(cls, f"{id}.0", "k", 1, BUDGET_S, False, b""))
     await asyncio.wait({waiting}, timeout=BUDGET_S)
     if not waiting.done():
         return Outcome("timeout", time.monotonic())
@@ -186,7 +186,7 @@
                 if caller.http is None:
                     break
                 stream = AskerStream(caller)
-                stream.ask("", message(cls, f"f{sent}.0", "k", 1, BUDGET_S, False, b""))
+                stream.ask("", encode_request(cls, f"f{sent}.0", "k", 1, BUDGET_S, False, b""))
                 stream.drop()
                 sent += 1
             await asyncio.sleep(0.005)
@@ -212,7 +212,7 @@
         nonlocal good
         began = time.monotonic()
         outcome = await ask_once(pool, address, f"o{number}")
-        sound = outcome.status == 200 and outcome.body == body_of(one.seed, f"o{number}.0")
+        sound = outcome.status == 200 and outcome.body == expected_body(one.seed, f"o{number}.0")
         good += sound and time.monotonic() - began <= GOOD_S
 
     while time.monotonic() < until:
--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -15,7 +15,7 @@
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.pacer import Pacer
 from orchidferry.testkit.clients.schedule import Arrival, arrivals, leaves_after
-from orchidferry.testkit.exchange import HOST, Ask, Exchanges, message
+from orchidferry.testkit.exchange import HOST, Attempt, RequestOptions, RequestSender, encode_request
 from orchidferry.testkit.process import Order, Say, Script, work
 from orchidferry.testkit.record import Lag, Recorder, RequestScheduled
 from orchidferry.testkit.traffic.guard import May
@@ -38,7 +38,7 @@
         self._arrivals = (
             self._from_recordings(index) if self._scenario.traffic else self._drawn(script, index)
         )
-        self._exchanges = Exchanges(self._scenario, recorder, script.files, script.proof_key)
+        self._exchanges = RequestSender(self._scenario, recorder, script.files, script.proof_key)
         self._guard, self._paths = self._scenario.guard, dict(self._scenario.paths)
         self._nodes: list[str] = []  # that the front deals to
         self._numbers = {name: n for n, name in enumerate(script.plan.nodes)}
@@ -115,7 +115,7 @@
             id = f"{arrival.root}.{number}"
             ends = min(intended + arrival.try_s, gives_up)
             leaves = leaves_after(clients, scenario.seed, id, arrival.try_s)
-            ask = Ask(0, id, cls, number, intended, ends, None if leaves is None else intended + leaves)
+            ask = Attempt(0, id, cls, number, intended, ends, None if leaves is None else intended + leaves)
             outcome = await self._try(ask, arrival)
             self._served += outcome.how == "answer" and outcome.status == 200
             again = self._again(arrival, outcome, leaves is not None)
@@ -123,7 +123,7 @@
                 return
             intended = now() + again
 
-    async def _try(self, ask: Ask, arrival: Arrival) -> Outcome:
+    async def _try(self, ask: Attempt, arrival: Arrival) -> Outcome:
         """One try at a node that the front deals."""
         if not self._nodes:
             return Outcome("refused", 0.0)
@@ -144,12 +144,12 @@
             method, target = self._paths.get(ask.cls.name, ("", ""))
             target = target.replace("*", f"{arrival.object:x}")
 
+        options = RequestOptions(host, target, method, mark)
+
         def make(left: float) -> bytes:
-            return message(
-                ask.cls, ask.id, key, arrival.object, left, ask.number > 0, body, host, target, method, mark
-            )
+            return encode_request(ask.cls, ask.id, key, arrival.object, left, ask.number > 0, body, options)
 
-        return await self._exchanges.ask(ask, node, self._address(node), make)
+        return await self._exchanges.send(ask, node, self._address(node), make)
 
     def _again(self, arrival: Arrival, outcome: Outcome, left: bool) -> float | None:
         """How long a client waits before it asks again; None if it does not.
--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a node, with all of it in the record: what clients and stand-in servers share."""
+"""Requests to nodes, with all that happens in the record: what clients and stand-in servers share."""
 
 from __future__ import annotations
 
@@ -29,96 +29,124 @@
     from orchidferry.testkit.quic.pool import H3Pool
 
 
-def body_of(seed: int, id: str) -> bytes:
-    """What a server answers to this request, and no other: an answer mixed up or made up shows."""
-    return f"{id} {seeded_random.integer(seed, 'body', id):016x}\n".encode()
+HOST = "api.internal"
+PROOF_TIMEOUT_S = 2.0
+"""For the answer to a nonce."""
+
+MIN_BUDGET_S = 0.001
+CLOSE_SLACK_S = 1.0
+PROOF_UNAVAILABLE = (429, 500, 503, 504)
+"""Answers to a nonce that a node of the kit may give while it is overloaded or has no server."""
+
+
+class UnknownPeerError(OrchidferryError):
+    """What answers at an address of the kit's is not the kit's own."""
+
 
+def expected_body(seed: int, request_id: str) -> bytes:
+    """What a server answers to this request and to no other, so that mixed up answers show."""
+    return f"{request_id} {seeded_random.integer(seed, 'body', request_id):016x}\n".encode()
 
-def root_of(id: str) -> str:
-    """What the draws of a request are named by: the same for every attempt at it and every retry."""
-    return id.partition(".")[0]
+
+def request_root(request_id: str) -> str:
+    """The name for random choices of a request: the same for all its attempts and retries."""
+    return request_id.partition(".")[0]
 
 
 def client_root(root: str) -> str:
-    """The client's first try that a request of any tier belongs to."""
+    """The client's request that a request of any tier belongs to."""
     return root.partition("-")[0]
 
 
-HOST = "api.internal"
-PROOF_S = 2.0  # for the answer to a nonce
+@dataclass(frozen=True, slots=True)
+class RequestOptions:
+    """What a request has beside what its class says."""
 
+    host: str = HOST
+    target: str = ""  # empty: by the class and the object
+    method: str = ""  # empty: the class's
+    mark: str = ""  # for a target that the kit did not start
+    extra_headers: Sequence[str] = ()
 
-class UnknownPeerError(OrchidferryError):
-    """What answers at an address of the kit's is not the kit's own."""
 
+DEFAULT_OPTIONS = RequestOptions()
 
-def message(
+
+def encode_request(
     cls: Class,
-    id: str,
+    request_id: str,
     key: str,
-    object: int,
+    object_number: int,
     budget_s: float,
     again: bool,
     body: bytes,
-    host: str = HOST,
-    target: str = "",
-    method: str = "",
-    mark: str = "",
-    more: Sequence[str] = (),
+    options: RequestOptions = DEFAULT_OPTIONS,
 ) -> bytes:
-    """A request as callers write it; `target` and `method` where they are not the class's own."""
-    method = method or ("GET" if cls.repeat == "safe" else "POST")
+    """The bytes of a request as clients and servers write it.
+
+    :param key: the idempotency key, for keyed classes
+    :param object_number: of the object that the request is about
+    :param budget_s: the time that remains
+    :param again: it is a retry
+    :param body: sent where the method has one
+    """
+    method = options.method or ("GET" if cls.repeat == "safe" else "POST")
     lines = [
-        f"{method} {target or f'/{cls.name}?obj={object:x}'} HTTP/1.1",
-        f"Host: {host}",
-        f"X-Call-Id: {id}",
-        f"X-Budget: {max(budget_s, 0.001):.3f}",
-        *more,
+        f"{method} {options.target or f'/{cls.name}?obj={object_number:x}'} HTTP/1.1",
+        f"Host: {options.host}",
+        f"X-Call-Id: {request_id}",
+        f"X-Budget: {max(budget_s, MIN_BUDGET_S):.3f}",
+        *options.extra_headers,
     ]
-    if mark:
-        lines.append(f"{MARK}: {mark}")
+    if options.mark:
+        lines.append(f"{MARK}: {options.mark}")
     if cls.repeat == "keyed":
         lines.append(f"Idempotency-Key: {key}")
     if again:
         lines.append("X-Again: 1")
-    bodied = method not in ("GET", "HEAD")
-    if bodied:
+    has_body = method not in ("GET", "HEAD")
+    if has_body:
         lines.append(f"Content-Length: {len(body)}")
     head = "\r\n".join(lines) + "\r\n\r\n"
-    return head.encode() + (body if bodied else b"")
+    return head.encode() + (body if has_body else b"")
 
 
 @dataclass(slots=True)
-class Ask:
-    """What is asked of a node."""
+class Attempt:
+    """One attempt of a request at a node. Times are seconds since the run's zero."""
 
     tier: int
     id: str
     cls: Class
     number: int
-    intended: float  # seconds since the run's zero, as is `ends`
-    ends: float
-    leaves: float | None = None  # an impatient client goes then
+    intended: float  # when it should be sent
+    ends: float  # nobody waits any more
+    leaves: float | None = None  # when an impatient client gives up, before that
 
 
-def trouble_of(scenario: Scenario) -> Trouble:
-    """What datagrams meet on every path of a scenario."""
+def path_conditions(scenario: Scenario) -> Trouble:
+    """The conditions that datagrams meet on every path of a scenario."""
     from orchidferry.testkit.quic.faults import Trouble
 
     network = scenario.network
     return Trouble(network.loss, network.reorder, network.duplicate, network.delay_s)
 
 
-class Exchanges:
-    """Asks nodes and records what comes. Its owner sweeps and closes it."""
+class RequestSender:
+    """Sends requests to nodes, and records what comes. Its owner sweeps and closes it."""
 
     def __init__(
         self, scenario: Scenario, recorder: Recorder, files: Files | None = None, proof_key: str = ""
     ) -> None:
+        """Create a sender without connections.
+
+        :param files: certificates, with HTTP/3
+        :param proof_key: if set, unsafe requests go only over connections to peers that are proven the kit's
+        """
         self.scenario = scenario
         self.recorder = recorder
         self._files = files
-        self._proof_key = proof_key  # set: unsafe requests go over proven connections alone
+        self._proof_key = proof_key
         self._proofs = 0
         self._pools: dict[str, Pool | H3Pool] = {}
         self._lingering: set[asyncio.Task[None]] = set()
@@ -126,131 +154,150 @@
         self.linger_s = scenario.rules.answer_slack_s + scenario.rules.slack_s
 
     def _pool(self, node: str, tier: int) -> Pool | H3Pool:
-        def extra(id: str) -> None:
-            self.recorder.put(ExtraBytes(self.recorder.now(), tier, id, node))
+        def on_extra_bytes(request_id: str) -> None:
+            self.recorder.put(ExtraBytes(self.recorder.now(), tier, request_id, node))
 
         if node not in self._pools:
-            self._pools[node] = Pool(extra) if self._files is None else self._h3_pool(extra, node)
+            self._pools[node] = (
+                Pool(on_extra_bytes) if self._files is None else self._h3_pool(on_extra_bytes, node)
+            )
         return self._pools[node]
 
-    def _h3_pool(self, extra: Callable[[str], None], node: str) -> H3Pool:
+    def _h3_pool(self, on_extra_bytes: Callable[[str], None], node: str) -> H3Pool:
         from orchidferry.testkit.quic.pool import H3Pool
 
         assert self._files is not None
         seed = seeded_random.integer(self.scenario.seed, "path", node, self.recorder.path.stem)
-        return H3Pool(extra, str(self._files.ca), trouble_of(self.scenario), seed)
-
-    async def ask(
-        self, ask: Ask, node: str, address: Address, make: Callable[[float], bytes], fresh: bool = False
+        return H3Pool(on_extra_bytes, str(self._files.ca), path_conditions(self.scenario), seed)
+
+    async def send(
+        self,
+        attempt: Attempt,
+        node: str,
+        address: Address,
+        encode: Callable[[float], bytes],
+        fresh: bool = False,
     ) -> Outcome:
-        """Ask once; its outcome, `timeout` when the time was up. `make` gets the time left, in seconds."""
-        pool = self._pool(node, ask.tier)
+        """Make one attempt, on a new connection if need be.
+
+        :param encode: makes the request's bytes from the time that remains, in seconds
+        :param fresh: on a new connection in any case
+        :returns: what came of it; `timeout` if the time was up
+        :raises UnknownPeerError: if something else than the kit answers at the address
+        """
+        pool = self._pool(node, attempt.tier)
         put = self.recorder.put
         now = self.recorder.now
         connection = await pool.connection(address, fresh)
         if isinstance(connection, Outcome):
-            put(ConnectionClosed(now(), ask.tier, ask.id, node, connection.how, False))
+            put(ConnectionClosed(now(), attempt.tier, attempt.id, node, connection.how, False))
             return connection
-        if not await self._prove(connection, ask):
+        if not await self._prove(connection, attempt):
             connection.drop()
-            put(ConnectionClosed(now(), ask.tier, ask.id, node, "silent", False))
+            put(ConnectionClosed(now(), attempt.tier, attempt.id, node, "silent", False))
             return Outcome("silent", time.monotonic())
-        waiting = connection.ask(ask.id, make(ask.ends - now()))
-        put(
-            RequestSent(
-                now(),
-                ask.tier,
-                ask.id,
-                ask.cls.name,
-                node,
-                client_root(root_of(ask.id)),
-                ask.number,
-                ask.intended,
-                ask.ends,
-            )
-        )
-        until = ask.ends if ask.leaves is None else min(ask.ends, ask.leaves)
+        waiting = connection.ask(attempt.id, encode(attempt.ends - now()))
+        self._record_sent(attempt, node)
+        until = attempt.ends if attempt.leaves is None else min(attempt.ends, attempt.leaves)
         await asyncio.wait({waiting}, timeout=max(0.0, until - now()))
         if not waiting.done():
-            if until < ask.ends:
+            if until < attempt.ends:
                 connection.drop()
-                put(RequestTimedOut(now(), ask.tier, ask.id, node, True))
+                put(RequestTimedOut(now(), attempt.tier, attempt.id, node, True))
             else:
-                self._linger(self._last(waiting, connection.drop, ask, node))
+                self._linger(self._wait_out_slack(waiting, connection.drop, attempt, node))
             return Outcome("timeout", time.monotonic())
         outcome = waiting.result()
-        self._book(outcome, ask, node)
+        self._record_outcome(outcome, attempt, node)
         if outcome.how == "answer":
             pool.put_back(address, connection)  # type: ignore[arg-type]  # each pool's own kind
         elif outcome.how in ("closed", "reset") and outcome.reused:
             # The node may have closed it before it read this: the request goes once more, on a new one.
-            return await self.ask(ask, node, address, make, fresh=True)
+            return await self.send(attempt, node, address, encode, fresh=True)
         return outcome
 
-    async def _prove(self, connection: AskerSide | AskerStream, ask: Ask) -> bool:
-        """Whether this may go over that connection. `UnknownPeerError` if something else answers at its end.
+    def _record_sent(self, attempt: Attempt, node: str) -> None:
+        self.recorder.put(
+            RequestSent(
+                self.recorder.now(),
+                attempt.tier,
+                attempt.id,
+                attempt.cls.name,
+                node,
+                client_root(request_root(attempt.id)),
+                attempt.number,
+                attempt.intended,
+                attempt.ends,
+            )
+        )
+
+    async def _prove(self, connection: AskerSide | AskerStream, attempt: Attempt) -> bool:
+        """Whether an attempt may go over a connection; its peer may have to prove that it is the kit's.
 
         With HTTP/3 the certificate has proven it: it is of an authority that lives as long as the run.
         """
-        if not self._proof_key or ask.cls.repeat in ("safe", "keyed"):
+        if not self._proof_key or attempt.cls.repeat in ("safe", "keyed"):
             return True
         if not isinstance(connection, AskerSide) or connection.proven:
             return True
         nonce = new_nonce()
-        left = ask.ends - self.recorder.now()
+        left = attempt.ends - self.recorder.now()
         self._proofs += 1
         id = f"proof{self._proofs}-{nonce[:8]}.0"
         text = (
             f"GET /{PROOF_CLASS}?nonce={nonce} HTTP/1.1\r\nHost: {HOST}\r\nX-Call-Id: {id}\r\n"
-            f"X-Budget: {min(max(left, 0.001), PROOF_S):.3f}\r\n\r\n"
+            f"X-Budget: {min(max(left, MIN_BUDGET_S), PROOF_TIMEOUT_S):.3f}\r\n\r\n"
         )
         waiting = connection.ask(id, text.encode())
-        until = min(ask.ends, ask.leaves or ask.ends) - self.recorder.now()
-        await asyncio.wait({waiting}, timeout=max(0.0, min(until, PROOF_S)))
+        until = min(attempt.ends, attempt.leaves or attempt.ends) - self.recorder.now()
+        await asyncio.wait({waiting}, timeout=max(0.0, min(until, PROOF_TIMEOUT_S)))
         if not waiting.done() or waiting.result().how != "answer" or not connection.alive:
             return False
         outcome = waiting.result()
         connection.proven = outcome.status == 200 and proven(self._proof_key, nonce, outcome.body)
-        if not connection.proven and outcome.status not in (429, 500, 503, 504):
+        if not connection.proven and outcome.status not in PROOF_UNAVAILABLE:
             raise UnknownPeerError(f"what answers at a node's address is not the kit's own: {outcome.status}")
         return connection.proven
 
-    def _book(self, outcome: Outcome, ask: Ask, node: str) -> None:
+    def _record_outcome(self, outcome: Outcome, attempt: Attempt, node: str) -> None:
         t = outcome.t - self.recorder.zero
         if outcome.how == "answer":
             sound = (
                 outcome.status != 200
                 or self.scenario.guard.target is not None
-                or outcome.body == body_of(self.scenario.seed, ask.id)
+                or outcome.body == expected_body(self.scenario.seed, attempt.id)
             )
-            self.recorder.put(ResponseReceived(t, ask.tier, ask.id, node, outcome.status, sound))
+            self.recorder.put(ResponseReceived(t, attempt.tier, attempt.id, node, outcome.status, sound))
         else:
-            self.recorder.put(ConnectionClosed(t, ask.tier, ask.id, node, outcome.how, outcome.reused))
+            self.recorder.put(
+                ConnectionClosed(t, attempt.tier, attempt.id, node, outcome.how, outcome.reused)
+            )
 
     def _linger(self, rest: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(rest)
         self._lingering.add(task)
         task.add_done_callback(self._lingering.discard)
 
-    async def _last(
-        self, waiting: asyncio.Future[Outcome], drop: Callable[[], None], ask: Ask, node: str
+    async def _wait_out_slack(
+        self, waiting: asyncio.Future[Outcome], drop: Callable[[], None], attempt: Attempt, node: str
     ) -> None:
         """Wait out the slack for an answer that may still come in time."""
-        await asyncio.wait({waiting}, timeout=max(0.0, ask.ends + self.linger_s - self.recorder.now()))
+        await asyncio.wait({waiting}, timeout=max(0.0, attempt.ends + self.linger_s - self.recorder.now()))
         if waiting.done():
-            self._book(waiting.result(), ask, node)
+            self._record_outcome(waiting.result(), attempt, node)
         else:
-            self.recorder.put(RequestTimedOut(self.recorder.now(), ask.tier, ask.id, node, False))
+            self.recorder.put(RequestTimedOut(self.recorder.now(), attempt.tier, attempt.id, node, False))
         drop()
 
     def sweep(self) -> None:
+        """Close connections that have idled for too long."""
         for pool in self._pools.values():
             pool.sweep()
 
     async def close(self) -> None:
-        """End what still lingers, and all connections."""
+        """Wait for answers that may still come in time, and close all connections."""
         if self._lingering:
-            await asyncio.wait(set(self._lingering), timeout=self.linger_s + 1.0)
+            await asyncio.wait(set(self._lingering), timeout=self.linger_s + CLOSE_SLACK_S)
         for task in set(self._lingering):
             task.cancel()
         for pool in self._pools.values():
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -9,7 +9,15 @@
 from typing import TYPE_CHECKING
 
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.exchange import Ask, Exchanges, body_of, message, root_of, trouble_of
+from orchidferry.testkit.exchange import (
+    Attempt,
+    RequestOptions,
+    RequestSender,
+    encode_request,
+    expected_body,
+    path_conditions,
+    request_root,
+)
 from orchidferry.testkit.record import (
     ExecutionEnded,
     ExecutionStarted,
@@ -57,7 +65,7 @@
         server: Server,
         scenario: Scenario,
         recorder: Recorder,
-        exchanges: Exchanges,
+        exchanges: RequestSender,
         scope: Callable[[Class], inside.Keys],
         node: tuple[str, Address] | None,
         fell: Callable[[str], None],
@@ -99,7 +107,7 @@
 
             seed = seeded_random.integer(self._scenario.seed, "path", self.server.name)
             self._quic = H3Server(
-                self._files, self._requested, self._lost, self._made, trouble_of(self._scenario), seed
+                self._files, self._requested, self._lost, self._made, path_conditions(self._scenario), seed
             )
             await self._quic.start(address)
         now = self._recorder.now()
@@ -199,7 +207,7 @@
         zero = self._recorder.zero
         server = self.server
         tier = self._scenario.tiers[server.tier]
-        root = root_of(id)
+        root = request_root(id)
         came = request.last - zero
         work = inside.work_of(self._scenario.seed, cls, tier, root)
         self._recorder.put(
@@ -268,7 +276,7 @@
             return
         self._connections.get(held.connection, set()).discard(id)
         if how in ("served", "repeat"):
-            held.connection.answer(200, body_of(self._scenario.seed, id))
+            held.connection.answer(200, expected_body(self._scenario.seed, id))
         elif how == "rejected":
             held.connection.answer(503, b"", REJECTED)
         else:
@@ -292,13 +300,15 @@
         ends = now + cls.gives_up_s
         if self._scenario.node.passes_deadline:
             ends = min(ends, held.came + cls.gives_up_s)
-        ask = Ask(self.server.tier + 1, call, cls, number, now, ends)
+        ask = Attempt(self.server.tier + 1, call, cls, number, now, ends)
 
         def make(left: float) -> bytes:
             thing = int(held.object or "0", 16)
-            return message(cls, call, f"k-{call}", thing, left, False, b"x", more=held.down)
+            return encode_request(
+                cls, call, f"k-{call}", thing, left, False, b"x", RequestOptions(extra_headers=held.down)
+            )
 
-        outcome = await self._exchanges.ask(ask, node, address, make)
+        outcome = await self._exchanges.send(ask, node, address, make)
         if self._scenario.chain.passes and (found := UP.fullmatch(outcome.headers.get("x-chain", ""))):
             held.below |= found[1] == "below"
             held.used += int(found[2])
--- a/orchidferry/testkit/world/worker.py
+++ b/orchidferry/testkit/world/worker.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from orchidferry.testkit.exchange import Exchanges
+from orchidferry.testkit.exchange import RequestSender
 from orchidferry.testkit.process import Order, Say, Script, work
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.scenario import Class, Scenario
@@ -37,7 +37,7 @@
         self._recorder = recorder
         self._say = say
         scenario = script.plan.scenario
-        self._exchanges = Exchanges(scenario, recorder, script.files, script.proof_key)
+        self._exchanges = RequestSender(scenario, recorder, script.files, script.proof_key)
         self._servers = {s.name: s for s in script.plan.servers if home(scenario, s) == index}
         self._running: dict[str, StandIn] = {}
         self._keys: dict[tuple[int, str, int], Keys] = {}
--- a/tests/testkit/bench/test_open_loop.py
+++ b/tests/testkit/bench/test_open_loop.py
@@ -8,7 +8,7 @@
 import pytest
 
 from orchidferry.testkit.bench.open_loop import LoadReport, offer_load, request_writer, scenario
-from orchidferry.testkit.exchange import body_of
+from orchidferry.testkit.exchange import expected_body
 from orchidferry.testkit.wire import Outcome
 
 ADDRESS = ("127.0.0.1", 1)
@@ -34,7 +34,7 @@
         status = self.statuses[len(self.ids)]
         self.ids.append(id)
         answer: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        body = body_of(scenario().seed, id if status == 200 else "other")
+        body = expected_body(scenario().seed, id if status == 200 else "other")
         answer.set_result(Outcome("answer", 0.0, status, body=body))
         return answer
 
--- a/tests/testkit/test_exchange.py
+++ b/tests/testkit/test_exchange.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.testkit.exchange import Ask, Exchanges, body_of, message
+from orchidferry.testkit.exchange import Attempt, RequestSender, encode_request, expected_body
 from orchidferry.testkit.record import (
     ConnectionClosed,
     ExtraBytes,
@@ -33,9 +33,9 @@
         super().__init__()
         self.left = list(script)
 
-    async def script(self, message: Seen) -> bytes:
+    async def script(self, encode_request: Seen) -> bytes:
         data = self.left.pop(0) if self.left else SOUND
-        return data.replace(SOUND, answer(200, body_of(SCENARIO.seed, message.id)))
+        return data.replace(SOUND, answer(200, expected_body(SCENARIO.seed, encode_request.id)))
 
 
 SOUND = b"SOUND"
@@ -48,14 +48,14 @@
         host, _, port = peer.address.partition(":")
         address: Address = (host, int(port))
         recorder = Recorder(tmp_path / "x.facts", 0.0)
-        exchanges = Exchanges(SCENARIO, recorder)
+        exchanges = RequestSender(SCENARIO, recorder)
 
         async def ask(id: str, ends_s: float = 20.0, leaves_s: float | None = None) -> Outcome:
             now = recorder.now()
             leaves = None if leaves_s is None else now + leaves_s
-            one = Ask(0, id, SAFE, 0, now, now + ends_s, leaves)
-            return await exchanges.ask(
-                one, "n0", address, lambda left: message(SAFE, id, "", 1, left, False, b"")
+            one = Attempt(0, id, SAFE, 0, now, now + ends_s, leaves)
+            return await exchanges.send(
+                one, "n0", address, lambda left: encode_request(SAFE, id, "", 1, left, False, b"")
             )
 
         await work(ask)
@@ -137,9 +137,9 @@
 
 def test_an_answer_within_the_slack_after_the_time_is_up_is_still_seen(tmp_path: Path) -> None:
     class Late(Scripted):
-        async def script(self, message: Seen) -> bytes:
+        async def script(self, encode_request: Seen) -> bytes:
             await asyncio.sleep(0.12)
-            return await super().script(message)
+            return await super().script(encode_request)
 
     async def work(ask: Asker) -> None:
         # The slack is 70 ms: whichever way a busy machine decides, it is booked once.
--- a/tests/testkit/test_world.py
+++ b/tests/testkit/test_world.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from orchidferry.testkit.exchange import Exchanges, body_of, message
+from orchidferry.testkit.exchange import RequestSender, encode_request, expected_body
 from orchidferry.testkit.record import (
     ExecutionEnded,
     ExecutionStarted,
@@ -44,7 +44,7 @@
     def __init__(self, tmp_path: Path, scenario: Scenario, below: Address | None = None) -> None:
         self.scenario = scenario
         self.recorder = Recorder(tmp_path / "x.facts", 0.0)
-        self.exchanges = Exchanges(scenario, self.recorder)
+        self.exchanges = RequestSender(scenario, self.recorder)
         self.fallen: list[str] = []
         keys = Keys()
         node = None if below is None else ("s/node", below)
@@ -63,7 +63,7 @@
         connection = await Pool(lambda _: None).connection(self.address)
         assert isinstance(connection, AskerSide)
         try:
-            data = message(cls, id, key or f"k-{id}", 1, 2.0, False, b"x")
+            data = encode_request(cls, id, key or f"k-{id}", 1, 2.0, False, b"x")
             return await asyncio.wait_for(connection.ask(id, data), limit_s)
         except TimeoutError:
             return Outcome("timeout", 0.0)
@@ -93,7 +93,7 @@
 def test_a_served_request_is_read_begun_and_ended_in_the_record(tmp_path: Path) -> None:
     async def work(stage: Stage) -> None:
         outcome = await stage.ask("r1.0")
-        assert (outcome.status, outcome.body) == (200, body_of(ALONE.seed, "r1.0"))
+        assert (outcome.status, outcome.body) == (200, expected_body(ALONE.seed, "r1.0"))
 
     facts = play(tmp_path, work)
     assert [fact.tag for fact in facts] == ["up", "got", "began", "ended", "down"]
@@ -184,7 +184,7 @@
     async def work(stage: Stage) -> None:
         assert (await stage.ask("r1.0", KEYED, "k")).status == 200
         again = await stage.ask("r1.1", KEYED, "k")
-        assert (again.status, again.body) == (200, body_of(ALONE.seed, "r1.1"))
+        assert (again.status, again.body) == (200, expected_body(ALONE.seed, "r1.1"))
 
     facts = play(tmp_path, work)
     assert [fact.how for fact in facts if isinstance(fact, ExecutionEnded)] == ["served", "repeat"]
@@ -208,8 +208,8 @@
 @pytest.mark.parametrize(("status", "end"), [(200, 200), (502, 500), (503, 500)])
 def test_a_call_to_the_tier_below_decides_how_the_request_ends(tmp_path: Path, status: int, end: int) -> None:
     class Node(Peer):
-        async def script(self, message: Seen) -> bytes:
-            return answer(status, body_of(QUICK.seed, message.id) if status == 200 else b"")
+        async def script(self, encode_request: Seen) -> bytes:
+            return answer(status, expected_body(QUICK.seed, encode_request.id) if status == 200 else b"")
 
     async def test() -> None:
         node = Node()
--- a/tests/testkit/traffic/test_guard.py
+++ b/tests/testkit/traffic/test_guard.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidferry.testkit.exchange import Ask, Exchanges, UnknownPeerError, message
+from orchidferry.testkit.exchange import Attempt, RequestSender, UnknownPeerError, encode_request
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.traffic.guard import (
@@ -158,20 +158,20 @@
 UNSAFE = SCENARIO.classes[2]
 
 
-async def ask(exchanges: Exchanges, peer: Peer, number: int, limit_s: float = 0.4) -> Outcome:
+async def ask(exchanges: RequestSender, peer: Peer, number: int, limit_s: float = 0.4) -> Outcome:
     now = exchanges.recorder.now()
-    one = Ask(0, f"r{number}.0", UNSAFE, 0, now, now + limit_s)
-    text = message(UNSAFE, one.id, "", 1, limit_s, False, b"pay")
-    return await exchanges.ask(one, "n0", peer.address, lambda _: text)
+    one = Attempt(0, f"r{number}.0", UNSAFE, 0, now, now + limit_s)
+    text = encode_request(UNSAFE, one.id, "", 1, limit_s, False, b"pay")
+    return await exchanges.send(one, "n0", peer.address, lambda _: text)
 
 
 def run(
-    work: Callable[[Exchanges], Coroutine[Any, Any, None]], folder: Path, guard: Guard | None = None
+    work: Callable[[RequestSender], Coroutine[Any, Any, None]], folder: Path, guard: Guard | None = None
 ) -> None:
     async def whole() -> None:
         recorder = Recorder(folder / "a.facts", 0.0)
         scenario = replace(SCENARIO, guard=guard or Guard())
-        exchanges = Exchanges(scenario, recorder, None, "" if guard else KEY)
+        exchanges = RequestSender(scenario, recorder, None, "" if guard else KEY)
         try:
             async with asyncio.timeout(10.0):
                 await work(exchanges)
@@ -187,7 +187,7 @@
 
 
 def test_the_kits_own_proves_itself_once_for_each_connection(tmp_path: Path) -> None:
-    async def work(exchanges: Exchanges) -> None:
+    async def work(exchanges: RequestSender) -> None:
         peer = await Peer(holder).up()
         for number in range(3):
             assert (await ask(exchanges, peer, number)).status == 200
@@ -216,7 +216,7 @@
 def test_a_stranger_at_a_nodes_address_sees_no_unsafe_request(
     answer: Any, outcome: Any, tmp_path: Path
 ) -> None:
-    async def work(exchanges: Exchanges) -> None:
+    async def work(exchanges: RequestSender) -> None:
         peer = await Peer(answer).up()
         if outcome is UnknownPeerError:
             with pytest.raises(UnknownPeerError, match="is not the kit's own"):
@@ -230,7 +230,7 @@
 
 
 def test_who_takes_over_an_address_must_prove_it_anew(tmp_path: Path) -> None:
-    async def work(exchanges: Exchanges) -> None:
+    async def work(exchanges: RequestSender) -> None:
         peer = await Peer(holder).up()
         assert (await ask(exchanges, peer, 0)).status == 200
         await peer.down()
@@ -246,7 +246,7 @@
 def test_a_redirect_is_an_answer_and_a_proxy_is_not_asked(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def work(exchanges: Exchanges) -> None:
+    async def work(exchanges: RequestSender) -> None:
         other = await Peer(lambda _: (200, b"", "")).up()
         where = f"http://127.0.0.1:{other.address[1]}"
         for name in ("HTTP_PROXY", "http_proxy", "ALL_PROXY", "all_proxy"):
