--- a/orchidferry/testkit/bench/members.py
+++ b/orchidferry/testkit/bench/members.py
@@ -12,7 +12,7 @@
 from orchidferry.balancing.fleet.members import Status
 from orchidferry.balancing.fleet.suspicion import Timing, bounds_ms
 from orchidferry.testkit.judge.quantiles import quantile
-from orchidferry.testkit.model.fleet import Net
+from orchidferry.testkit.model.fleet import SimulatedFleet
 from orchidferry.testkit.world.links import LinkFault
 
 DEATH_S = 3.0  # of the run, when the node dies
@@ -47,8 +47,8 @@
         every = frozenset(f"n{n}" for n in range(nodes))
         faults.append(LinkFault(0.0, math.inf, every, every, loss=loss))
     began = time.monotonic()
-    net = Net(nodes, seed, faults, Timing(), warm=True, watch=watch)
-    net.at(DEATH_S, net.kill, dead)
+    net = SimulatedFleet(nodes, seed, faults, Timing(), warm=True, on_change=watch)
+    net.schedule(DEATH_S, net.kill, dead)
     net.run(DEATH_S + seconds)
     took = sorted(known.values())
     node_s = (DEATH_S + seconds) * nodes
@@ -69,8 +69,8 @@
         "known_last_s": at(1.0),
         "false_deaths_a_node_hour": round(len(false) / node_s * 3600.0, 3),
         "suspicions_seen_a_node_hour": round(suspected / node_s * 3600.0, 1),
-        "messages_a_node_s": round(sum(node.sent for node in net.nodes.values()) / node_s, 2),
-        "bytes_a_node_s": round(sum(node.bytes for node in net.nodes.values()) / node_s, 1),
+        "messages_a_node_s": round(sum(node.sent_messages for node in net.nodes.values()) / node_s, 2),
+        "bytes_a_node_s": round(sum(node.sent_bytes for node in net.nodes.values()) / node_s, 1),
         "wall_s": round(time.monotonic() - began, 1),
     }
 
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -1,8 +1,7 @@
-"""A fleet in virtual time: the shipping membership of each node, and a network between them that loses and
-cuts.
+"""A fleet in virtual time: the real membership of each node, and a network between them with faults.
 
-Discrete events on a heap; one seed gives one run. A message takes as long as its link says; nodes take none
-of the clock. Sizes are `size_of`'s upper bounds, not encoded bytes.
+Discrete events on a heap; one seed gives one run. A message takes as long as its link says; nodes take no
+time. Sizes are `size_of`'s upper bounds, not encoded bytes.
 """
 
 from __future__ import annotations
@@ -23,41 +22,66 @@
 from orchidferry.testkit.world.links import LinkFault, Links
 
 PORT = 9100
-SEAL = 24  # bytes of key and tag round each message
+LEAVE_DELAY_S = 0.2  # from a node's announcement that it leaves to its end
+SEAL_BYTES = 24  # of key id and authentication tag round each message
 
 
 def address(number: int) -> Address:
-    """Where node `number` of a model is."""
+    """Return the address of a node.
+
+    :param number: of the node
+    """
     return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", PORT
 
 
-def size(message: Message) -> int:
-    """Bytes of a message on the wire, at most."""
+def max_bytes(message: Message) -> int:
+    """Return the most bytes that a message takes on the wire."""
     target = size_of(message.target) if message.target is not None else 0
-    return SEAL + HEADER_BYTES + size_of(message.sender) + target + sum(map(size_of, message.updates))
+    return SEAL_BYTES + HEADER_BYTES + size_of(message.sender) + target + sum(map(size_of, message.updates))
 
 
 @dataclass(slots=True)
-class Member:
-    """One node, over all its lives."""
+class SimulatedNode:
+    """One node, over all its incarnations.
+
+    :ivar name: of the node
+    :ivar address: its host and port
+    :ivar membership: of its current incarnation
+    :ivar starts: how often it was started again
+    :ivar running: whether its process runs
+    :ivar paused: whether its process is stopped for a while
+    :ivar next_tick_s: time of the tick that is scheduled
+    :ivar pending_events: events that came while it was paused
+    :ivar sent_messages: number of messages that it sent
+    :ivar sent_bytes: bytes of them, and of its replies
+    """
 
     name: str
-    at: Address
-    fleet: Membership
-    lives: int = 0
+    address: Address
+    membership: Membership
+    starts: int = 0
     running: bool = True
     paused: bool = False
-    due: float = float("inf")  # of the tick that is in the queue
-    waiting: list[Any] = field(default_factory=list)  # what came while it was paused
-    sent: int = 0
-    bytes: int = 0
+    next_tick_s: float = float("inf")
+    pending_events: list[api.Event] = field(default_factory=list)
+    sent_messages: int = 0
+    sent_bytes: int = 0
+
 
+MemberChangeCallback = Callable[[float, str, api.MemberChanged], None]  # time, observing node, change
 
-Watch = Callable[[float, str, api.MemberChanged], None]
 
+class SimulatedFleet:
+    """All nodes, and the messages under way between them.
 
-class Net:
-    """All nodes and what is under way between them. Times are seconds outside, ms inside the membership."""
+    Times are in seconds; inside the membership they are in milliseconds.
+
+    :ivar now: virtual time
+    :ivar seed: of the random choices
+    :ivar timing: of the membership
+    :ivar links: between the nodes
+    :ivar nodes: by name
+    """
 
     def __init__(
         self,
@@ -67,184 +91,215 @@
         timing: Timing | None = None,
         warm: bool = False,
         seeds: int = 3,
-        watch: Watch | None = None,
-        most: int = 10_000,
+        on_change: MemberChangeCallback | None = None,
+        max_members: int = 10_000,
     ) -> None:
-        """`warm`: all know all from the start."""
-        self.now, self.seed, self.timing = 0.0, seed, timing or Timing()
+        """
+        :param count: number of nodes
+        :param seed: of the random choices
+        :param faults: of the links
+        :param timing: of the membership; None for the default
+        :param warm: whether all nodes know each other from the start
+        :param seeds: number of nodes that are seeds of the membership
+        :param on_change: called with each change that a node observes
+        :param max_members: that a node keeps
+        """
+        self.now = 0.0
+        self.seed = seed
+        self.timing = timing or Timing()
         self.links = Links(faults, seed)
         self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._serial = 0
-        self._watch = watch
-        self._most = most
+        self._event_count = 0
+        self._on_change = on_change
+        self._max_members = max_members
         self._seeds = [address(n) for n in range(min(seeds, count))]
-        self.nodes: dict[str, Member] = {}
-        self._where: dict[Address, Member] = {}
+        self.nodes: dict[str, SimulatedNode] = {}
+        self._node_at: dict[Address, SimulatedNode] = {}
         for n in range(count):
             name = f"n{n}"
-            node = Member(name, address(n), self._fleet(name, address(n), 0))
-            self.nodes[name] = self._where[node.at] = node
+            node = SimulatedNode(name, address(n), self._membership(name, address(n), 0))
+            self.nodes[name] = node
+            self._node_at[node.address] = node
         if warm:
-            known = [node.fleet.me for node in self.nodes.values()]
+            known = [node.membership.me for node in self.nodes.values()]
             for node in self.nodes.values():
-                node.fleet.load(known)
+                node.membership.load(known)
         for node in self.nodes.values():
-            self._hand(node, api.Start())
+            self._handle(node, api.Start())
             if warm:
-                node.fleet._outbox.gossip.drop(node.name)
+                node.membership._outbox.gossip.drop(node.name)
+
+    def _membership(self, name: str, at: Address, start: int, incarnation: int = 0) -> Membership:
+        life = seeded_random.integer(self.seed, "life", name, start) | 1
+        me = Entry(name, at[0], at[1], life, incarnation, phase=Phase.SERVING)
+        rng = seeded_random.generator(self.seed, "node", name, start)
+        return Membership(me, self._seeds, rng, self.timing, self._max_members)
 
-    def _fleet(self, name: str, at: Address, life: int, incarnation: int = 0) -> Membership:
-        drawn = seeded_random.integer(self.seed, "life", name, life) | 1
-        me = Entry(name, at[0], at[1], drawn, incarnation, phase=Phase.SERVING)
-        rng = seeded_random.generator(self.seed, "node", name, life)
-        return Membership(me, self._seeds, rng, self.timing, self._most)
+    def schedule(self, time_s: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call.
 
-    def at(self, t: float, do: Callable[..., None], *args: Any) -> None:
-        """Do something at a time."""
-        self._serial += 1
-        heapq.heappush(self._queue, (t, self._serial, do, args))
+        :param time_s: virtual time of the call
+        """
+        self._event_count += 1
+        heapq.heappush(self._queue, (time_s, self._event_count, call, args))
 
     def run(self, until: float) -> None:
-        """Go on up to a time."""
+        """Run up to a virtual time."""
         queue = self._queue
         while queue and queue[0][0] <= until:
-            self.now, _, do, args = heapq.heappop(queue)
-            do(*args)
+            self.now, _, call, args = heapq.heappop(queue)
+            call(*args)
         self.now = until
 
-    # What is done to nodes
+    # Operations on nodes
 
     def kill(self, name: str) -> None:
-        """End a node with no word."""
+        """End a node's process without notice."""
         self.nodes[name].running = False
 
     def leave(self, name: str) -> None:
-        """End one on purpose: it says so first."""
-        self._hand(self.nodes[name], api.Leave())
-        self.at(self.now + 0.2, self.kill, name)
+        """Shut a node down: it announces that first."""
+        self._handle(self.nodes[name], api.Leave())
+        self.schedule(self.now + LEAVE_DELAY_S, self.kill, name)
 
-    def start(self, name: str, at: Address | None = None, incarnation: int = 0) -> None:
-        """Start it again under its name, with nothing that it knew; `at`: elsewhere."""
+    def start(self, name: str, new_address: Address | None = None, incarnation: int = 0) -> None:
+        """Start a node again, without any state.
+
+        :param name: of the node
+        :param new_address: address from now on; None if it stays the same
+        :param incarnation: that it begins with
+        """
         node = self.nodes[name]
-        del self._where[node.at]
-        node.at = at or node.at
-        node.lives += 1
-        node.fleet = self._fleet(name, node.at, node.lives, incarnation)
+        del self._node_at[node.address]
+        node.address = new_address or node.address
+        node.starts += 1
+        node.membership = self._membership(name, node.address, node.starts, incarnation)
         node.running = True
         node.paused = False
-        node.due = float("inf")
-        node.waiting = []
-        self._where[node.at] = node
-        self._hand(node, api.Start())
+        node.next_tick_s = float("inf")
+        node.pending_events = []
+        self._node_at[node.address] = node
+        self._handle(node, api.Start())
 
-    def pause(self, name: str, for_s: float) -> None:
-        """Stop it for a while; what comes waits."""
+    def pause(self, name: str, duration_s: float) -> None:
+        """Stop a node's process for a while; events wait until its end."""
         node = self.nodes[name]
         node.paused = True
-        self.at(self.now + for_s, self._wake, node, node.lives)
+        self.schedule(self.now + duration_s, self._resume, node, node.starts)
 
-    def _wake(self, node: Member, life: int) -> None:
-        if node.lives != life or not node.running:
+    def _resume(self, node: SimulatedNode, start: int) -> None:
+        if node.starts != start or not node.running:
             return
         node.paused = False
-        waiting = node.waiting
-        node.waiting = []
-        for event in waiting:
-            self._hand(node, event)
-        self._hand(node, api.Tick())
+        events = node.pending_events
+        node.pending_events = []
+        for event in events:
+            self._handle(node, event)
+        self._handle(node, api.Tick())
 
     # Events and actions
 
-    def _tick(self, node: Member, life: int, due: float) -> None:
-        if node.running and node.lives == life and node.due == due:
-            node.due = float("inf")
+    def _tick(self, node: SimulatedNode, start: int, due_s: float) -> None:
+        if node.running and node.starts == start and node.next_tick_s == due_s:
+            node.next_tick_s = float("inf")
             if not node.paused:
-                self._hand(node, api.Tick())
+                self._handle(node, api.Tick())
+
+    def _handle(self, node: SimulatedNode, event: api.Event) -> list[Message]:
+        """Have a node handle an event, and carry out its actions.
 
-    def _hand(self, node: Member, event: api.Event) -> list[Message]:
-        """Give a node an event and do what it says; what it answers on the connection."""
+        :returns: its replies on the connection of the event
+        """
         if not node.running:
             return []
         if node.paused:
-            node.waiting.append(event)
+            node.pending_events.append(event)
             return []
-        answers = []
-        for action in node.fleet.handle(event, self.now * 1000.0):
+        replies = []
+        for action in node.membership.handle(event, self.now * 1000.0):
             match action:
                 case api.SendDatagram():
                     self._send(node, action)
                 case api.ExchangeState():
                     self._exchange(node, action)
                 case api.Reply():
-                    answers.append(action.message)
-                    node.bytes += size(action.message)
+                    replies.append(action.message)
+                    node.sent_bytes += max_bytes(action.message)
                 case api.MemberChanged():
-                    if self._watch is not None:
-                        self._watch(self.now, node.name, action)
-        due = node.fleet.due_ms / 1000.0
-        if due < node.due:
-            node.due = due
-            self.at(max(due, self.now), self._tick, node, node.lives, due)
-        return answers
-
-    def _send(self, node: Member, action: api.SendDatagram) -> None:
-        bytes_ = size(action.message)
-        node.sent += 1
-        node.bytes += bytes_
-        to = self._where.get(action.to)
+                    if self._on_change is not None:
+                        self._on_change(self.now, node.name, action)
+        due_s = node.membership.due_ms / 1000.0
+        if due_s < node.next_tick_s:
+            node.next_tick_s = due_s
+            self.schedule(max(due_s, self.now), self._tick, node, node.starts, due_s)
+        return replies
+
+    def _send(self, node: SimulatedNode, action: api.SendDatagram) -> None:
+        size = max_bytes(action.message)
+        node.sent_messages += 1
+        node.sent_bytes += size
+        to = self._node_at.get(action.to)
         if to is not None:
-            for wait in self.links.datagram(node.name, to.name, bytes_, self.now):
-                self.at(self.now + wait, self._arrive, to, action.message)
-
-    def _arrive(self, to: Member, message: Message) -> None:
-        self._hand(to, api.MessageReceived(message))
-
-    def _exchange(self, node: Member, action: api.ExchangeState) -> None:
-        bytes_ = size(action.message)
-        node.sent += 1
-        node.bytes += bytes_
-        to = self._where.get(action.to)
-        wait = None if to is None else self.links.stream(node.name, to.name, bytes_, self.now)
-        if to is not None and wait is not None:
-            self.at(self.now + wait, self._asked, node, node.lives, to, action.message)
-
-    def _asked(self, node: Member, life: int, to: Member, message: Message) -> None:
-        for answer in self._hand(to, api.MessageReceived(message)):
-            wait = self.links.stream(to.name, node.name, size(answer), self.now)
-            if wait is not None and node.lives == life:
-                self.at(self.now + wait, self._arrive, node, answer)
-
-    # What is seen
-
-    def running(self) -> list[Member]:
-        """Those whose process runs."""
+            for delay_s in self.links.datagram(node.name, to.name, size, self.now):
+                self.schedule(self.now + delay_s, self._deliver, to, action.message)
+
+    def _deliver(self, to: SimulatedNode, message: Message) -> None:
+        self._handle(to, api.MessageReceived(message))
+
+    def _exchange(self, node: SimulatedNode, action: api.ExchangeState) -> None:
+        size = max_bytes(action.message)
+        node.sent_messages += 1
+        node.sent_bytes += size
+        to = self._node_at.get(action.to)
+        delay_s = None if to is None else self.links.stream(node.name, to.name, size, self.now)
+        if to is not None and delay_s is not None:
+            self.schedule(self.now + delay_s, self._reply, node, node.starts, to, action.message)
+
+    def _reply(self, node: SimulatedNode, start: int, to: SimulatedNode, message: Message) -> None:
+        for reply in self._handle(to, api.MessageReceived(message)):
+            delay_s = self.links.stream(to.name, node.name, max_bytes(reply), self.now)
+            if delay_s is not None and node.starts == start:
+                self.schedule(self.now + delay_s, self._deliver, node, reply)
+
+    # Observations
+
+    def running(self) -> list[SimulatedNode]:
+        """Return the nodes whose process runs."""
         return [node for node in self.nodes.values() if node.running]
 
     def views(self) -> dict[str, frozenset[tuple[str, int]]]:
-        """Whom each running node holds for here, by name and life."""
+        """Return the members that each running node sees as present, with their process ids (`life`)."""
         return {
-            node.name: frozenset((e.name, e.life) for e in node.fleet.present()) for node in self.running()
+            node.name: frozenset((e.name, e.life) for e in node.membership.present())
+            for node in self.running()
         }
 
     def agree(self) -> bool:
-        """Whether each running node holds just the running ones for here, and suspects none."""
-        truth = frozenset((node.name, node.fleet.me.life) for node in self.running())
+        """Return whether each running node sees exactly the running ones as present, and suspects none."""
+        truth = frozenset((node.name, node.membership.me.life) for node in self.running())
         return all(view == truth for view in self.views().values()) and not any(
-            node.fleet.suspects() for node in self.running()
+            node.membership.suspects() for node in self.running()
         )
 
-    def until_agreed(self, most_s: float, step_s: float = 0.1) -> float | None:
-        """Seconds from now until all views agree; None if they do not by then."""
-        begin = self.now
-        while self.now - begin < most_s:
+    def run_until_agreed(self, timeout_s: float, step_s: float = 0.1) -> float | None:
+        """Run until all views agree.
+
+        :param step_s: between two comparisons of the views
+        :returns: the time that it took; None if they do not agree within the time
+        """
+        begin_s = self.now
+        while self.now - begin_s < timeout_s:
             if self.agree():
-                return self.now - begin
+                return self.now - begin_s
             self.run(self.now + step_s)
         return None
 
 
-def half(net: Net, share: float = 0.5) -> tuple[frozenset[str], frozenset[str]]:
-    """Two sides of a fleet, drawn by its seed."""
-    names = list(net.nodes)
-    one = frozenset(random.Random(net.seed).sample(names, max(1, int(share * len(names)))))
-    return one, frozenset(names) - one
+def split(fleet: SimulatedFleet, fraction: float = 0.5) -> tuple[frozenset[str], frozenset[str]]:
+    """Divide a fleet into two sides at random, by its seed.
+
+    :param fraction: of the nodes that are on the first side
+    """
+    names = list(fleet.nodes)
+    side = frozenset(random.Random(fleet.seed).sample(names, max(1, int(fraction * len(names)))))
+    return side, frozenset(names) - side
--- a/tests/balancing/fleet/test_membership.py
+++ b/tests/balancing/fleet/test_membership.py
@@ -18,27 +18,30 @@
 from orchidferry.balancing.fleet.replay_window import ReplayWindow
 from orchidferry.balancing.fleet.suspicion import Suspicion, Timing
 from orchidferry.testkit.explore import fleet as explore
-from orchidferry.testkit.model.fleet import Net, half
+from orchidferry.testkit.model.fleet import SimulatedFleet
+from orchidferry.testkit.model.fleet import split as split_names
 from orchidferry.testkit.world.links import LinkFault
 
 FAST = Timing(interval_ms=500.0, timeout_ms=200.0, gossip_ms=100.0, sync_ms=7_500.0, reach_ms=500.0)
 HEAL_S = 5.0
 
 
-def net(nodes: int = 9, seed: int = 1, *faults: LinkFault, **more: Any) -> Net:
-    made = Net(nodes, seed, faults, FAST, **more)
-    assert made.until_agreed(20.0) is not None
+def net(nodes: int = 9, seed: int = 1, *faults: LinkFault, **more: Any) -> SimulatedFleet:
+    made = SimulatedFleet(nodes, seed, faults, FAST, **more)
+    assert made.run_until_agreed(20.0) is not None
     return made
 
 
-def strike(made: Net, for_s: float, one: frozenset[str], other: frozenset[str], **what: Any) -> None:
+def strike(
+    made: SimulatedFleet, for_s: float, one: frozenset[str], other: frozenset[str], **what: Any
+) -> None:
     fault = LinkFault(made.now, made.now + for_s, one, other, **what)
     made.links._faults += (fault,)
     made.links._looked = (0.0, 0.0)
 
 
-def split(made: Net, for_s: float, share: float = 0.45) -> None:
-    strike(made, for_s, *half(made, share), cut=True)
+def split(made: SimulatedFleet, for_s: float, share: float = 0.45) -> None:
+    strike(made, for_s, *split_names(made, share), cut=True)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -46,15 +49,19 @@
     made = net(9, seed)
     split(made, 10.0)
     names = random.Random(seed).sample(sorted(made.nodes), 4)
-    made.at(made.now + 2.0, made.kill, names[0])
-    made.at(made.now + 3.0, made.leave, names[1])
-    made.at(made.now + 4.0, made.kill, names[2])
-    made.at(made.now + 7.0, made.start, names[2])
+    made.schedule(made.now + 2.0, made.kill, names[0])
+    made.schedule(made.now + 3.0, made.leave, names[1])
+    made.schedule(made.now + 4.0, made.kill, names[2])
+    made.schedule(made.now + 7.0, made.start, names[2])
     made.run(made.now + 10.0)
     assert not made.agree()
-    took = made.until_agreed(30.0)
+    took = made.run_until_agreed(30.0)
     assert took is not None and took <= HEAL_S
-    left = [node.fleet.members[names[1]].status for node in made.running() if names[1] in node.fleet.members]
+    left = [
+        node.membership.members[names[1]].status
+        for node in made.running()
+        if names[1] in node.membership.members
+    ]
     assert Status.LEFT in left and Status.LOST not in left[:1]  # told apart from dying where it was heard
 
 
@@ -72,7 +79,9 @@
     """One pair's links, or a bad network between all."""
     lost = []
     made = net(
-        9, 3, watch=lambda t, n, c: lost.append(c.after) if c.after and c.after.status is Status.LOST else 0
+        9,
+        3,
+        on_change=lambda t, n, c: lost.append(c.after) if c.after and c.after.status is Status.LOST else 0,
     )
     one, other = frozenset({"n1"}), frozenset({"n2"})
     everybody = frozenset(made.nodes)
@@ -83,13 +92,13 @@
 
 def test_a_paused_node_is_lost_and_draws_nothing_from_what_it_did_not_hear() -> None:
     words: list[tuple[str, str]] = []
-    made = net(9, 5, watch=lambda t, n, c: words.append((n, c.after.status.name)) if c.after else None)
+    made = net(9, 5, on_change=lambda t, n, c: words.append((n, c.after.status.name)) if c.after else None)
     made.pause("n4", 6.0)
     made.run(made.now + 5.9)
-    assert all(not node.fleet.members["n4"].present for node in made.running() if node.name != "n4")
+    assert all(not node.membership.members["n4"].present for node in made.running() if node.name != "n4")
     words.clear()
     made.run(made.now + 0.2)
-    assert made.until_agreed(HEAL_S) is not None
+    assert made.run_until_agreed(HEAL_S) is not None
     assert ("n4", "LOST") not in words and ("n4", "SUSPECT") not in words
 
 
@@ -113,48 +122,52 @@
             made.pause(name, 1.7)
         made.run(made.now + 1.7 + 8.0)
         for name in ("n0", "n1"):
-            fleet = made.nodes[name].fleet
+            fleet = made.nodes[name].membership
             assert fleet.members["n2"].status is Status.LOST and fleet.size == 2, f"{name}, step {step}"
 
 
 def test_all_restarted_within_a_second_and_without_a_disk_are_known_as_new() -> None:
     made = net()
-    before = {node.name: node.fleet.me.life for node in made.running()}
+    before = {node.name: node.membership.me.life for node in made.running()}
     for n, name in enumerate(made.nodes):
-        made.at(made.now + 0.1 * n, made.kill, name)
-        made.at(made.now + 0.1 * n + 0.05, made.start, name)
+        made.schedule(made.now + 0.1 * n, made.kill, name)
+        made.schedule(made.now + 0.1 * n + 0.05, made.start, name)
     made.run(made.now + 1.0)
-    assert made.until_agreed(HEAL_S) is not None
-    assert all(node.fleet.me.life != before[node.name] for node in made.running())
+    assert made.run_until_agreed(HEAL_S) is not None
+    assert all(node.membership.me.life != before[node.name] for node in made.running())
 
 
 def test_a_name_on_another_port_is_taken_over_only_once_the_old_process_is_silent() -> None:
     """Two living processes with one name: the second stays aside until the first is gone."""
     made = net()
     said: list[str] = []
-    made.nodes["second"] = twin = replace(made.nodes["n3"], name="second", at=("10.9.9.9", 9100), waiting=[])
-    twin.fleet = made._fleet("n3", twin.at, 77)
-    twin.due = float("inf")
-    twin.sent = 0
-    made._where[twin.at] = twin
-    handle = twin.fleet.handle
+    made.nodes["second"] = twin = replace(
+        made.nodes["n3"], name="second", address=("10.9.9.9", 9100), pending_events=[]
+    )
+    twin.membership = made._membership("n3", twin.address, 77)
+    twin.next_tick_s = float("inf")
+    twin.sent_messages = 0
+    made._node_at[twin.address] = twin
+    handle = twin.membership.handle
 
     def listen(event: api.Event, now: float) -> list[api.Action]:
         actions = handle(event, now)
         said.extend(action.text for action in actions if isinstance(action, api.Log))
         return actions
 
-    twin.fleet.handle = listen  # type: ignore[method-assign]
-    made._hand(twin, api.Start())
+    twin.membership.handle = listen  # type: ignore[method-assign]
+    made._handle(twin, api.Start())
     made.run(made.now + 12.0)
-    assert twin.fleet.contested and len(said) == 1 and "another living process" in said[0]
-    first = made.nodes["n3"].fleet.me.life
-    assert all(n.fleet.members["n3"].life == first for n in made.running() if n.fleet.me.name != "n3")
+    assert twin.membership.contested and len(said) == 1 and "another living process" in said[0]
+    first = made.nodes["n3"].membership.me.life
+    assert all(
+        n.membership.members["n3"].life == first for n in made.running() if n.membership.me.name != "n3"
+    )
     made.kill("n3")
     made.run(made.now + 30.0)
-    assert not twin.fleet.contested
-    others = [n for n in made.running() if n.fleet.me.name != "n3"]
-    assert all(n.fleet.members["n3"].life == twin.fleet.me.life for n in others)
+    assert not twin.membership.contested
+    others = [n for n in made.running() if n.membership.me.name != "n3"]
+    assert all(n.membership.members["n3"].life == twin.membership.me.life for n in others)
 
 
 def heard(
@@ -191,11 +204,11 @@
 
 def test_made_up_nodes_are_found_out_side_by_side_not_one_a_probe() -> None:
     made = net()
-    liar = made.nodes["n0"].fleet
+    liar = made.nodes["n0"].membership
     liar._outbox.gossip._queued.clear()
     for n in range(30):
         liar._set(Entry(f"x{n}", "10.1.1.1", 1 + n, 9), "n0", made.now * 1000.0)
-    assert made.until_agreed(60.0) is not None
+    assert made.run_until_agreed(60.0) is not None
 
 
 def test_what_was_meant_for_an_earlier_process_and_copies_change_nothing() -> None:
@@ -250,7 +263,7 @@
 )
 def test_after_any_schedule_of_faults_all_views_agree(seed: int, faults: list[str]) -> None:
     rng = random.Random(seed)
-    made = Net(5, seed, (), FAST)
+    made = SimulatedFleet(5, seed, (), FAST)
     everybody = frozenset(made.nodes)
     for fault in faults:
         made.run(made.now + rng.uniform(0.0, 4.0))
@@ -269,7 +282,7 @@
             case "start" if not made.nodes[name].running:
                 made.start(name)
     made.run(made.now + 8.0)  # the last fault is over
-    assert made.until_agreed(20.0) is not None
+    assert made.run_until_agreed(20.0) is not None
 
 
 def test_windows_take_each_serial_once_in_any_order() -> None:
