--- a/orchidferry/balancing/interface.py
+++ b/orchidferry/balancing/interface.py
@@ -1,8 +1,7 @@
-"""What a node and the decision module say to each other: settings, events and actions.
+"""The interface between a node and the balancer: settings, events and actions.
 
-Times are milliseconds on one monotonic clock of the node's choosing. Ids are the node's own and
-come back unchanged. Nothing here decides anything; every decision is in `orchidferry.balancing.logic` and
-its parts.
+Times are milliseconds of one monotonic clock of the node's choice. Ids are the node's own and come back
+unchanged. Nothing is decided here; every decision is in `orchidferry.balancing.logic` and its parts.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class Repeat(Enum):
-    """May a request of a class run more than once?"""
+    """Whether a request of a class may run more than once."""
 
     SAFE = "safe"  # any number of times
     KEYED = "keyed"  # servers of one group drop the repeats that arrive within a window
@@ -30,7 +29,7 @@
 
 
 class Health(Enum):
-    """What discovery says of a server's process."""
+    """The state of a server's process, by discovery."""
 
     IN_SERVICE = "in_service"
     DRAINING = "draining"
@@ -38,7 +37,7 @@
 
 
 class ListKind(Enum):
-    """What a piece of news from discovery is."""
+    """What a message of discovery holds."""
 
     CHANGES = "changes"  # only the entries that changed
     FULL = "full"  # replaces the old list
@@ -73,9 +72,9 @@
     """One class of requests."""
 
     name: str
-    aim_ms: float  # an answer within this earns the whole worth
-    deadline_ms: float  # how long a client waits in all, over all its tries
-    worth: float = 1.0
+    aim_ms: float  # latency target: an answer within this earns the whole worth
+    deadline_ms: float  # how long a client waits in all, over all its attempts
+    worth: float = 1.0  # the value of an answer to the operators
     late_worth: float = 0.0  # share of the worth for an answer between aim and deadline
     repeat: Repeat = Repeat.UNSAFE
     group: Group = Group.ALL
@@ -84,7 +83,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """One of those who share the service."""
+    """One of those that share the service."""
 
     name: str
     share: float = 0.0
@@ -93,11 +92,14 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a node knows when it starts."""
+    """The settings of a node.
+
+    Fields are stored by name (`orchidferry.node.control.plain`), and error lines name them.
+    """
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
+    over_share_worth: float = 1.0  # factor on the worth of calls beyond their tenant's quota
     worst_class: float = 0.0  # what the worst-served class counts for, over what all worth does
     zone: str = ""
     nodes: int = 1  # balancer copies that send to the same tier
@@ -105,7 +107,7 @@
     tier: int = 0  # the tier this copy sends to, 0 being the clients' first
     tiers: int = 1
     passes_deadline: bool = True  # a caller's remaining time comes along with its call
-    follow_list: bool = False  # news of the server list must be asked for
+    follow_list: bool = False  # updates of the server list must be subscribed to
     ask_every_ms: float = 10_000.0
     max_attempts: int = 1
     parallel_attempts: bool = False
@@ -129,7 +131,10 @@
     handshake_price: float = 0.0  # of new connections, by first try; as the share of the service's worth
 
     def __post_init__(self) -> None:
-        """Refuse settings that cannot be meant."""
+        """Check the settings.
+
+        :raises ValueError: a value is out of range; the text names its field
+        """
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if len({cls.name for cls in self.classes}) < len(self.classes):
@@ -158,9 +163,9 @@
         for name, value in shares.items():
             if not 0.0 <= value <= 1.0:
                 raise ValueError(f"{name}: {value} is not within 0 to 1")
-        for name, least in (("nodes", 1), ("tiers", 1), ("max_attempts", 1), ("number", 0), ("tier", 0)):
-            if getattr(self, name) < least:
-                raise ValueError(f"{name}: {getattr(self, name)} is less than {least}")
+        for name, minimum in (("nodes", 1), ("tiers", 1), ("max_attempts", 1), ("number", 0), ("tier", 0)):
+            if getattr(self, name) < minimum:
+                raise ValueError(f"{name}: {getattr(self, name)} is less than {minimum}")
 
 
 @dataclass(slots=True)
@@ -176,7 +181,7 @@
     started_ms: float | None = None  # None: long ago
 
 
-# Events: what happens to a node.
+# Events: what happens at a node.
 
 
 @dataclass(slots=True)
@@ -186,7 +191,7 @@
 
 @dataclass(slots=True)
 class ServerList:
-    """News from discovery."""
+    """A message of discovery."""
 
     kind: ListKind
     version: int = 0
@@ -195,7 +200,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """What comes along with a request beside its time, or goes on with it."""
+    """What a request brings along a chain of tiers beside its deadline, or passes on."""
 
     root: str  # the same for all that one client's request led to
     extra: int  # attempts beyond the first that are left, over the whole chain below
@@ -219,7 +224,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt is over. `settled`: nothing more is owed for the request."""
+    """An attempt has ended. `settled`: nothing more is owed for the request."""
 
     id: str
     attempt: int
@@ -235,7 +240,7 @@
 
 @dataclass(slots=True)
 class Uploaded:
-    """The last byte of an upload was written to its server, which may begin: all times count from here."""
+    """The last byte of an upload was written to its server: all times count from here."""
 
     id: str
     attempt: int
@@ -253,21 +258,21 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """Nobody waits for this request any more."""
+    """The client has gone: nobody waits for this request."""
 
     id: str
 
 
 @dataclass(slots=True)
 class NewSettings:
-    """Other settings count from now on. Requests that were taken keep the class that they came under."""
+    """The settings have changed. Requests that were accepted keep the class that they came under."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer has come due."""
+    """A timer is due."""
 
     token: int
 
@@ -291,8 +296,7 @@
 class Send:
     """Start the request's next attempt on a server; give it up after `timeout_ms`.
 
-    `fresh`: on a connection of its own, as one that was kept may be dead without a sign of it, and what
-    is lost on it may have run.
+    `fresh`: on a new connection, as an idle one may be dead unnoticed, and what is lost on it may have run.
     """
 
     id: str
@@ -326,7 +330,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Call off an attempt: the latest that is out, of those up to this number."""
+    """Cancel an attempt: the latest that is in flight, of those up to this number."""
 
     id: str
     attempt: int
@@ -334,7 +338,7 @@
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Give back the connections to a server that carry nothing now."""
+    """Close the idle connections to a server."""
 
     server: int
 
--- a/orchidferry/balancing/wirehost.py
+++ b/orchidferry/balancing/wirehost.py
@@ -1,7 +1,7 @@
-"""The adapter: hosts one `Balancer` per simulated node and speaks the bench's wire.
+"""The adapter to the simulator: hosts one `Balancer` for each simulated node.
 
-One JSON batch a line on standard input, one JSON reply a line on standard output. No decisions are
-made here. Malformed input ends the process with one line on standard error and exit status 2.
+One JSON batch a line on standard input, one JSON reply a line on standard output; nothing is decided here.
+Malformed input ends the process with one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
     "ClientGone": lambda item: api.ClientGone(get(item, "request_id", str)),
     "Streaming": _streaming,
 }
-IGNORED = {"NeighbourSays", "StatusBack"}  # the module neither probes nor talks to peers
+IGNORED = {"NeighbourSays", "StatusBack"}  # balancers neither probe nor exchange messages
 
 
 def _write(node: str, action: api.Action) -> Json:
@@ -140,22 +140,25 @@
 
 
 class Host:
-    """All instances of one process, kept apart; they share the list pages only."""
+    """The balancers of all nodes; they share only the pages of the server list."""
 
     def __init__(self) -> None:
         self._nodes: dict[str, Balancer] = {}
         self._pages: dict[int, list[api.ServerEntry]] = {}
 
     def batch(self, message: Json) -> Json:
-        """Answer one batch."""
+        """Handle one batch of events; the reply with the actions.
+
+        :raises SettingsFormatError: the batch is malformed
+        """
         now: float = get(message, "ts_ms", NUMBER)
         number = get(message, "round", int)
         actions: list[Json] = []
-        for n, item in enumerate(get_objects(message, "items")):
+        for index, item in enumerate(get_objects(message, "items")):
             try:
                 self._item(item, now, actions)
             except SettingsFormatError as problem:
-                raise SettingsFormatError(f"items[{n}] ({item.get('kind')!r:.40}): {problem}") from None
+                raise SettingsFormatError(f"items[{index}] ({item.get('kind')!r:.40}): {problem}") from None
         return {"round": number, "actions": actions}
 
     def _item(self, item: Json, now: float, actions: list[Json]) -> None:
@@ -200,7 +203,10 @@
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answer batches until input ends; the exit status."""
+    """Reply to batches until the input ends.
+
+    :returns: the exit status
+    """
     host = Host()
     number = 1
     while True:
