--- a/tests/mesh/test_contact.py
+++ b/tests/mesh/control/test_contact.py
@@ -37,7 +37,7 @@
         (FIVE[1:4], {"b": 10.0, "c": 11.0}, 10.0 + CONTACT_S),
     ],
 )
-def test_contact_ends_a_while_after_a_majority_s_beat_was_sent(
+def test_contact_ends_after_the_time_since_a_heartbeat_that_a_majority_acknowledged_was_sent(
     voters: tuple[Voter, ...], sent: dict[str, float], until: float
 ) -> None:
     contact = Contact(dict(sent))
@@ -46,7 +46,7 @@
     assert not contact.holds(voters, FIVE[0], until)
 
 
-def test_an_old_acknowledgement_takes_nothing_back_and_gives_nothing() -> None:
+def test_an_older_acknowledgement_changes_nothing() -> None:
     contact = Contact()
     contact.acknowledge("b", 10.0)
     contact.acknowledge("b", 9.0)
@@ -80,7 +80,7 @@
         self.controller.tick()
 
 
-def test_a_process_that_wakes_serves_nothing_on_contact_from_before() -> None:
+def test_a_process_that_was_frozen_does_not_serve_on_its_former_contact() -> None:
     world = Alone()
     shard = world.controller.shard
     world.controller.send_heartbeats("bc")
@@ -99,7 +99,7 @@
     assert len(world.ended) == 2 and world.readings
 
 
-def test_who_waits_is_told_as_soon_as_contact_is_lost() -> None:
+def test_pending_requests_end_as_soon_as_contact_is_lost() -> None:
     world = Alone()
     shard = world.controller.shard
     world.controller.send_heartbeats("bc")
@@ -120,7 +120,7 @@
     assert shard.register.proposer.due_ms == float("inf")  # and the order is not gone on with
 
 
-def test_a_reading_over_a_slow_link_takes_its_answers_when_they_come() -> None:
+def test_a_read_over_a_slow_link_counts_late_reports() -> None:
     """Answers that took longer than the pause between two questions were thrown away: no reading ended."""
     world = Alone()
     shard = world.controller.shard
@@ -140,7 +140,7 @@
     assert [(end.id, end.value) for end in world.ended] == [("r", shard.known)]
 
 
-def test_a_reading_in_contact_that_is_not_settled_ends_in_time() -> None:
+def test_a_read_that_finds_no_state_ends_in_time() -> None:
     world = Alone()
     shard = world.controller.shard
     world.controller.execute([])
@@ -176,7 +176,7 @@
         ),
     ],
 )
-def test_what_an_operator_is_told(
+def test_responses_to_an_operator_out_of_contact(
     method: bytes, contact: bool, end: RequestEnded | None, status: int, error: str
 ) -> None:
     """503: nothing was begun. 504: it may be in force. 4xx: it never will be."""
--- a/tests/mesh/test_second_loss.py
+++ b/tests/mesh/control/test_group_changes.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_a_place_is_given_to_one_that_is_ready_instead_of_one_that_leaves(leaves: bool) -> None:
+def test_a_ready_newcomer_replaces_a_leaving_voter(leaves: bool) -> None:
     first = shard_state.rank_controllers(1, ["a", "b", "c"])[0]
     one = make_shard(first)
     other = next(name for name in "abc" if name != first)
@@ -30,7 +30,7 @@
     assert proposes(one, D, 3, True, 1.0) is leaves
 
 
-def test_the_others_wait_for_the_first_that_can() -> None:
+def test_voters_propose_a_newcomer_in_the_order_of_their_rank() -> None:
     names = shard_state.rank_controllers(1, ["a", "b", "c"])
     one = make_shard(names[1])
     one.peers.heard_s = dict.fromkeys("abcd", 1.0)
@@ -45,7 +45,7 @@
     assert proposes(other, wiped, 3, False, 1.0)
 
 
-def test_a_place_is_asked_for_on_top_of_the_newest_group_alone() -> None:
+def test_a_newcomer_that_knows_an_older_group_is_refused() -> None:
     before = Value(4, (A, B, C), shard_state.Body(3))
     assert shard_state.AdmitVoter(D, "c", 3, 2)(before) == shard_state.OTHER_GROUP
     after = shard_state.AdmitVoter(D, "c", 3, 3)(before)
--- a/tests/mesh/test_membership.py
+++ b/tests/mesh/control/test_membership.py
@@ -277,7 +277,7 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 2**40), st.sampled_from((0.0, 0.5, 1.0)))
-def test_any_order_of_events(seed: int, trouble: float) -> None:
+def test_random_order_of_events(seed: int, trouble: float) -> None:
     world = World(random.Random(seed))
     for _ in range(900):
         world.step(trouble)
@@ -311,7 +311,7 @@
         assert shard.owns(now) == (4 if now >= 3.0 + LEASE_S else None)
 
 
-def test_one_that_was_put_out_learns_anew() -> None:
+def test_a_controller_that_was_removed_catches_up_anew() -> None:
     """It missed what was granted without it, so it may not come back as one that has caught up."""
     a, b, c, d = (Voter(name, 1) for name in "abcd")
     first = Value(1, (a, b, c), shard_state.Body(0, 1))
@@ -325,7 +325,7 @@
     assert standing.is_removed(c, without, first) and not standing.grants(1, c, without, first)
 
 
-def test_a_disk_lost_long_after_another_at_a_restart_of_all() -> None:
+def test_a_second_disk_loss_long_after_the_first_at_a_restart_of_all() -> None:
     """Voters before a change that was decided long ago count no more, though all forgot that it was."""
     world = World(random.Random(1))
     world.controllers.pop("d")
@@ -345,7 +345,7 @@
     assert world.counts["granted"] == 1
 
 
-def test_wiped_keepers_wait_for_each_other_no_longer_than_the_window() -> None:
+def test_wiped_controllers_wait_for_each_other_no_longer_than_the_window() -> None:
     """The second loses its disk before the first has learned: what they granted can't be told, so they grant
     again once it is over.
     """
--- a/tests/mesh/test_membership_losses.py
+++ b/tests/mesh/control/test_membership_losses.py
@@ -24,7 +24,7 @@
 from orchidferry.mesh.control.order_history import OrderHistory, Verdict
 from orchidferry.mesh.control.repair import RepairingReplica
 from orchidferry.testkit.explore.controller import Controller
-from tests.mesh.test_membership import World
+from tests.mesh.control.test_membership import World
 
 # a controller that was told to end stays so long at least, and at most
 STOP_S = 1.0
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("size", [THREE, FIVE], ids=["three", "five"])
-def test_any_order_of_events_with_losses_at_once(size: Size) -> None:
+def test_random_order_of_events_with_simultaneous_losses(size: Size) -> None:
     @settings(max_examples=30, deadline=None)
     @given(st.integers(0, 2**40), st.sampled_from((0.0, 0.5, 1.0)))
     def walk(seed: int, trouble: float) -> None:
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("size", [THREE, FIVE], ids=["three", "five"])
-def test_the_runs_meet_all_that_they_are_to_judge(size: Size) -> None:
+def test_random_runs_cover_all_events(size: Size) -> None:
     """Of 16 runs together; two at once are lost only where two are tolerated."""
     counts: dict[str, int] = {}
     for seed in range(16):
@@ -243,7 +243,7 @@
     ],
     ids=["unknown-refused", "votes-before-learning"],
 )
-def test_what_is_broken_on_purpose_is_found(patches: list[tuple[Any, str, Any]]) -> None:
+def test_deliberate_breaks_are_caught(patches: list[tuple[Any, str, Any]]) -> None:
     with contextlib.ExitStack() as stack:
         for where, attribute, value in patches:
             stack.enter_context(mock.patch.object(where, attribute, value))
--- a/tests/mesh/test_one_number.py
+++ b/tests/mesh/control/test_order_history.py
@@ -6,41 +6,31 @@
 
 import asyncio
 import itertools
-import json
 import random
 from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
 from unittest import mock
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidferry.balancing.register import Value
 from orchidferry.mesh.control import (
-    configuration_resource,
-    configuration_validation,
     order_book,
     order_history,
     shard_state,
 )
 from orchidferry.mesh.control.actions import RequestEnded, StateChanged
-from orchidferry.mesh.control.configuration_resource import ConfigurationResource
-from orchidferry.mesh.control.configuration_text import expand
 from orchidferry.mesh.control.contact import LOST_CONTACT, OUT_OF_CONTACT
-from orchidferry.mesh.control.control_api import control_request
 from orchidferry.mesh.control.order_history import Entry, OrderHistory, Verdict
 from orchidferry.mesh.control.order_records import orders_of, record
 from orchidferry.mesh.storage import quarantine, storage_check
 from orchidferry.mesh.storage.store import Store
-from orchidferry.node.reply import Reply
 from orchidferry.testkit.explore.controller import Controller
-from tests.mesh.control.examples import example
 from tests.mesh.control.fakes import make_controller
+from tests.mesh.control.test_membership import World
 from tests.mesh.storage.fakes import Loop, close
-from tests.mesh.test_membership import World
 
 LISTED = 4  # orders that a state lists here
 
@@ -134,7 +124,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(EVENTS)
-def test_histories_beside_the_list_of_all_orders(events: list[tuple[str, int, int]]) -> None:
+def test_histories_agree_with_the_list_of_all_orders(events: list[tuple[str, int, int]]) -> None:
     """Taken, learned, asked for, saved, restarted and wiped in any order: never wrong, at most unsure."""
     chain = Chain()
     histories = [Kept(chain) for _ in range(3)]
@@ -157,7 +147,7 @@
 
 
 @given(st.integers(1, 40), st.integers(1, 5))
-def test_a_wiped_replica_learns_all_again_page_by_page(orders: int, page: int) -> None:
+def test_a_wiped_replica_learns_all_orders_by_pages(orders: int, page: int) -> None:
     chain = Chain()
     kept = OrderHistory()
     for _ in range(orders):
@@ -253,7 +243,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**40), st.sampled_from((0.0, 0.5, 1.0)))
-def test_orders_in_any_order_of_events(seed: int, trouble: float) -> None:
+def test_orders_in_random_order_of_events(seed: int, trouble: float) -> None:
     """What was acknowledged was taken on its base, what was refused never was; wipes, losses and all."""
     _play(seed, trouble).judge()
 
@@ -266,7 +256,7 @@
     ],
     ids=["short-memory", "believes-all"],
 )
-def test_a_guess_about_forgotten_orders_is_caught(broken: Callable[[Verdict], Verdict]) -> None:
+def test_wrong_verdicts_on_unknown_orders_are_caught(broken: Callable[[Verdict], Verdict]) -> None:
     verdict = OrderHistory.verdict
     guess = mock.patch.object(OrderHistory, "verdict", lambda *args: broken(verdict(*args)))
     with guess, pytest.raises(AssertionError):
@@ -292,7 +282,7 @@
     return shard_state.PutConfiguration(mark, number, mark, number - 1)
 
 
-def test_an_order_of_long_ago_is_known_after_losses_one_after_the_other() -> None:
+def test_an_old_order_is_known_after_consecutive_disk_losses() -> None:
     """More orders than states list; each disk lost in turn, with time between; then all are killed."""
     world = Orders(random.Random(3))
     world.controllers.pop("d")
@@ -314,7 +304,7 @@
         assert not _taken(world, one, replace(_put(1), digest=b"other"))
 
 
-def test_a_history_is_bounded_and_its_oldest_orders_leave_the_disk() -> None:
+def test_a_history_is_bounded_and_its_oldest_records_are_deleted() -> None:
     history = OrderHistory(max_orders=5)
     for number in range(1, 9):
         history.merge(tuple((n, b"") for n in range(max(1, number - 3), number + 1)), number < LISTED)
@@ -324,7 +314,7 @@
     assert history.entries[4] == Entry(b"", -1) and order_book.PAGE_ORDERS < order_history.MAX_ORDERS
 
 
-def test_a_group_that_was_begun_anew_is_believed_and_not_the_disk() -> None:
+def test_the_state_of_a_restored_group_overrides_the_disk() -> None:
     history = OrderHistory()
     history.load([(1, Entry(b"a", 0)), (2, Entry(b"b", 1)), (5, Entry(b"c", 2))])
     history.merge(((1, b"a"), (2, b"b")), True)  # an older state of the same group says nothing new
@@ -333,7 +323,7 @@
     assert list(history.numbers) == [1, 2, 4] and sorted(history.outdated) == [1, 2, 5]
 
 
-def test_orders_are_in_the_store_of_a_controller_that_starts_again(tmp_path: Path) -> None:
+def test_orders_are_loaded_from_the_store_after_a_restart(tmp_path: Path) -> None:
     """Beside the records that the check at the start looks at."""
     history, loop = OrderHistory(), Loop()
     history.merge(tuple((n, b"%d" % n) for n in range(1, 200)), True)
@@ -351,111 +341,3 @@
     found = asyncio.run(load())
     assert found.entries == history.entries and found.floor == 0
     assert found.verdict(7, b"7", 6, 199) is Verdict.COMMITTED
-
-
-# The resource
-
-
-def _content(number: int, **more: Any) -> bytes:
-    return json.dumps(example() | {"revision_number": number} | more).encode()
-
-
-class Resource:
-    """The operators' resource on a register that takes what may be taken."""
-
-    def __init__(self) -> None:
-        self.value = shard_state.genesis(("a", "b", "c"))
-        self.resource = ConfigurationResource(
-            self._ask, lambda told: told(RequestEnded("", self.value)), lambda: False, lambda: True
-        )
-
-    def _ask(self, change: shard_state.Change, _: float, told: Callable[[RequestEnded], None]) -> None:
-        after = change(self.value)
-        self.value = after if isinstance(after, Value) else self.value
-        told(RequestEnded("1", self.value, after if isinstance(after, str) else ""))
-
-    def put(self, body: bytes, if_match: bytes | None) -> Reply:
-        headers = {} if if_match is None else {b"if-match": if_match}
-        replies: list[Reply] = []
-        self.resource(
-            control_request(b"PUT", b"/orchidferry/configuration", headers, body), "", replies.append
-        )
-        assert len(replies) == 1
-        return replies[0]
-
-
-@pytest.mark.parametrize(
-    "if_match",
-    [
-        None,
-        b"",
-        b"*",
-        b"five",
-        b"-1",
-        b"+1",
-        b"1.0",
-        b"0x1",
-        b"5, 6",
-        b'"5", "6"',
-        b'W/"0"',
-        b'"0',
-        b'""0""',
-        b"9" * 17,
-        b"9" * 5_000,
-        b"\xb2",
-        b"0;q=1",
-    ],
-)
-def test_an_order_without_a_version_is_told_so_in_one_line(if_match: bytes | None) -> None:
-    resource = Resource()
-    reply = resource.put(_content(7), if_match)
-    assert reply.status == 400 and b"If-Match" in reply.body and b"\n" not in reply.body
-    assert shard_state.body(resource.value).revision == 0
-    assert resource.put(_content(7), b"0").status == 200
-
-
-@pytest.mark.parametrize("if_match", [b"0", b'"0"', b" 0 ", b' "0" ', b"000"])
-def test_a_version_may_stand_in_quotes(if_match: bytes) -> None:
-    assert Resource().put(_content(7), if_match).status == 200
-
-
-def test_what_was_taken_is_acknowledged_as_it_was_sent_and_no_other_way() -> None:
-    resource = Resource()
-    assert resource.put(_content(5), b"0").status == 200
-    assert resource.put(_content(7), b"5").status == 200
-    assert resource.put(_content(9), b"7").status == 200
-    for if_match, status in ((b"5", 200), (b'"5"', 200), (b"0", 412), (b"6", 412), (b"7", 400), (b"9", 400)):
-        assert resource.put(_content(7), if_match).status == status, if_match
-    assert resource.put(_content(7) + b"\n", b"5").status == 412  # other bytes are another content
-    assert resource.put(_content(7, trunk_groups=[]), b"5").status == 400  # invalid, whatever its number
-    assert resource.put(_content(8), b"7").status == 412  # never taken
-    assert resource.put(_content(20), b"19").status == 412  # on a version that is not there
-    assert resource.put(_content(2**53), b"9").status == 400 and resource.put(_content(9), b"7").status == 200
-    assert expand(shard_state.body(resource.value).compressed_text) == _content(9)
-
-
-def test_copies_of_an_order_are_checked_once() -> None:
-    resource = Resource()
-    most = configuration_resource.MAX_VALIDATED
-    with mock.patch.object(
-        configuration_resource, "validate", wraps=configuration_validation.validate
-    ) as check:
-        for _ in range(5):
-            assert resource.put(_content(5), b"0").status == 200
-        assert check.call_count == 1
-        for _ in range(2):
-            assert resource.put(_content(7, trunk_groups=[]), b"5").status == 400
-        assert check.call_count == 3
-        for number in range(10, 10 + most):
-            assert resource.put(_content(number), b"0").status == 412
-        assert len(resource.resource._validated) == most and check.call_count == 3 + most
-
-
-def test_an_order_too_old_to_be_known_has_no_clear_answer() -> None:
-    resource = Resource()
-    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", 2):
-        for number in range(1, 5):
-            assert resource.put(_content(number), b"%d" % (number - 1)).status == 200
-        reply = resource.put(_content(2), b"1")
-        assert reply.status == 504 and reply.retry_after_s and b"forgotten" in reply.body
-        assert resource.put(_content(4), b"3").status == 200
--- a/tests/mesh/test_hundreds.py
+++ b/tests/mesh/control/test_replica.py
@@ -1,38 +1,25 @@
-"""Hundreds of changes of a large configuration: what they cost, and what a member that missed them does."""
+"""Replicas of a group: what hundreds of changes of a large configuration cost, and how one catches up."""
 
 from __future__ import annotations
 
-import json
-import zlib
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
-from orchidferry.balancing.register import Accept, Accepted, AcceptorState, Prepare, Promise, Value, Voter
 from orchidferry.mesh.control import configuration_text, shard_state, shard_state_codec
-from orchidferry.mesh.control.actions import RequestEnded
 from orchidferry.mesh.control.configuration import digest
-from orchidferry.mesh.control.configuration_resource import ConfigurationResource
-from orchidferry.mesh.control.configuration_text import MAX_TEXT_BYTES, compress, expand
+from orchidferry.mesh.control.configuration_text import compress, expand
 from orchidferry.mesh.control.contact import OUT_OF_CONTACT
-from orchidferry.mesh.control.control_api import control_request
-from orchidferry.mesh.control.shard import initial_records
 from orchidferry.mesh.control.update_stream import MAX_LOG_CHANGES
-from orchidferry.mesh.control.value_references import ValueReferences, refusal, unpack
-from orchidferry.mesh.storage import record_format, snapshot_file, storage_check
-from orchidferry.mesh.storage import snapshot as snapshots
-from orchidferry.mesh.storage.record_format import STORE_FORMAT, pack
-from orchidferry.mesh.storage.store import Store
+from orchidferry.mesh.storage.record_format import pack
 from orchidferry.mesh.wire.messages import ConfigurationText
 from orchidferry.testkit.explore.controller import Controller
 from orchidferry.testkit.model.relays import World
 from orchidferry.testkit.model.replica_group import ReplicaGroup, example_configuration
 from orchidferry.testkit.model.stored_controller import StoredController
-from tests.mesh.storage.fakes import Loop, close
+
+INITIAL = shard_state.genesis(("a", "b", "c"))
 
 
 def put_of(revision: int) -> shard_state.PutConfiguration:
@@ -41,127 +28,7 @@
     return shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1)
 
 
-# The text
-
-
-@pytest.mark.parametrize("encoding", ["utf-8", "utf-8-sig", "utf-16", "utf-16-be", "utf-32"])
-def test_a_text_of_an_earlier_build_is_told_from_a_compressed_one(encoding: str) -> None:
-    text = json.dumps({"revision_number": 1}).encode(encoding)
-    assert expand(text) == text and expand(compress(text)) == text
-    assert expand(b"") == b""
-
-
-def test_a_text_that_is_damaged_or_grows_beyond_any_order_is_refused() -> None:
-    kept = compress(example_configuration(1))
-    for wrong in (kept[:-1], kept + b"x", kept[:40] + bytes([kept[40] ^ 1]) + kept[41:]):
-        with pytest.raises(ValueError, match="text is"):
-            expand(wrong)
-    assert len(expand(zlib.compress(bytes(MAX_TEXT_BYTES)))) == MAX_TEXT_BYTES
-    with pytest.raises(ValueError, match="more than 8388608 bytes"):
-        expand(zlib.compress(bytes(MAX_TEXT_BYTES * 8)))
-
-
-def test_the_operator_reads_the_very_bytes_that_were_sent() -> None:
-    state = [shard_state.genesis(("a", "b", "c"))]
-    replies: list[Any] = []
-
-    def ask(change: shard_state.Change, for_s: float, told: Any) -> None:
-        found = change(state[0])
-        assert isinstance(found, Value)
-        state[0] = found
-        told(RequestEnded("", found))
-
-    resource = ConfigurationResource(
-        ask, lambda told: told(RequestEnded("", state[0])), lambda: False, lambda: True
-    )
-    text = b" \n" + example_configuration(1)
-    resource(control_request(b"PUT", b"/", {b"if-match": b"0"}, text), "", replies.append)
-    resource(control_request(b"GET", b"/", {}, b""), "", replies.append)
-    assert [reply.status for reply in replies] == [200, 200] and replies[1].body == text
-    body = shard_state.body(state[0])
-    assert len(body.compressed_text) * 10 < len(text) and body.orders == ((1, digest(text)),)
-
-
-def test_a_store_and_a_snapshot_of_the_build_before_still_open(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    loop: Any = Loop()
-    folder = str(tmp_path / "data")
-    text = example_configuration(7)
-    body = shard_state.Body(3, 7, text, ((7, digest(text)),), "10.0.0.2", 4)
-    kept = AcceptorState(5, (9, "x"), (8, "y"), Value(12, (Voter("10.0.0.1", 5),), body))
-    with monkeypatch.context() as before:
-        before.setattr(record_format, "STORE_FORMAT", 2)
-        before.setattr(snapshot_file, "SNAPSHOT_FORMAT", 1)
-        store = Store(folder, loop)
-        for number in shard_state.SHARDS:
-            store.write(initial_records(number, kept, True))
-        store.write([("about", b"founders", pack(["10.0.0.1"]))])
-        close(store)
-        snapshots.take_snapshot(folder, str(tmp_path / "old"))
-    storage_check.prepare_store(folder)
-    stock = storage_check.read_contents(folder)
-    assert stock is not None and stock.format == STORE_FORMAT == 3
-    state = stock.acceptor_states[shard_state.CONFIGURATION].value
-    assert state is not None and expand(shard_state.body(state).compressed_text) == text
-    old = snapshot_file.read_snapshot(str(tmp_path / "old")).states[shard_state.CONFIGURATION]
-    assert expand(shard_state.body(old).compressed_text) == text
-    snapshots.take_snapshot(folder, str(tmp_path / "new"))
-    with monkeypatch.context() as before:
-        before.setattr(snapshot_file, "READABLE_FORMATS", (1,))
-        with pytest.raises(snapshot_file.SnapshotError, match="format 2 is not known here"):
-            snapshot_file.read_snapshot(str(tmp_path / "new"))
-
-
-# What messages name instead of carrying
-
-TAKEN = st.lists(st.tuples(st.integers(0, 9), st.binary(max_size=2)), max_size=6).map(tuple)
-BODIES = st.builds(
-    shard_state.Body,
-    st.integers(0, 3),
-    st.integers(0, 9),
-    st.sampled_from([b"", b"a", b"b"]),
-    TAKEN,
-    st.sampled_from(["", "a"]),
-    st.integers(0, 3),
-)
-VOTERS = tuple(Voter(name, shard_state.GENESIS) for name in "abc")
-VALUE = Value(0, VOTERS, shard_state.Body())
-
-
-@given(BODIES, BODIES)
-def test_a_state_packed_on_any_other_is_read_as_it_was(new: shard_state.Body, old: shard_state.Body) -> None:
-    value = Value(2, VOTERS, new)
-    base = Value(1, VOTERS, old)
-    assert shard_state_codec.unpack_value(shard_state_codec.pack_value(value, base), base) == value
-    assert shard_state_codec.unpack_value(shard_state_codec.pack_value(value)) == value
-
-
-def test_what_is_named_and_not_known_is_lost_and_never_nothing() -> None:
-    old, new = (Value(n, VOTERS, shard_state.Body(revision=n, compressed_text=b"%d" % n)) for n in (1, 2))
-    own = AcceptorState(1, (3, "p"), (2, "x"), old)
-    references = ValueReferences()
-    asked = unpack(references.pack("b", Prepare((4, "p")), own), own)
-    assert asked == Prepare((4, "p"), None, (2, "x"))
-    same = Promise((4, "p"), VOTERS[1], (4, "p"), (2, "x"), None)
-    assert references.resolve("b", same) == Promise((4, "p"), VOTERS[1], (4, "p"), (2, "x"), old)
-    assert references.resolve("c", Promise((4, "p"), VOTERS[2], (4, "p"), (1, "y"), None)) is None
-    small = references.pack("b", Accept((4, "p"), new), own)
-    whole = references.pack("c", Accept((4, "p"), new), own)
-    promised = AcceptorState(1, (4, "p"), (2, "x"), old)
-    assert unpack(small, promised) == unpack(whole, AcceptorState(9)) == Accept((4, "p"), new)
-    assert unpack(small, AcceptorState(1, (4, "p"), (4, "p"), new)) == Accept((4, "p"), new)  # sent again
-    for other in (
-        AcceptorState(9),
-        AcceptorState(1, (5, "q"), (5, "q"), old),
-    ):  # wiped since; it has accepted another
-        assert unpack(small, other) is None
-    assert refusal(small, VOTERS[1], AcceptorState(1, (5, "q"))) == Accepted((4, "p"), VOTERS[1], (5, "q"))
-    assert refusal(small, VOTERS[1], AcceptorState(9)) is None
-    assert [references.knows_ballot(name, (4, "p")) for name in "abc"] == [False, True, True]
-
-
-def test_a_voter_that_lost_the_accept_asks_for_the_state_of_the_ballot() -> None:
+def test_a_voter_that_missed_the_accept_requests_the_decided_state() -> None:
     group = ReplicaGroup(3)
     group.run(4.05)  # the next beats are far
     group.request_change("b", "1", put_of(1))
@@ -171,10 +38,7 @@
     group.isolated.clear()
     group.run(0.011)
     assert group.controllers["c"].shard.body.revision == 1 and group.bytes_by_type["decided_state_request"]
-    assert shard_state.body(group.controllers["c"].shard.accepted_value or VALUE).revision == 0
-
-
-# What a change costs
+    assert shard_state.body(group.controllers["c"].shard.accepted_value or INITIAL).revision == 0
 
 
 @pytest.mark.parametrize(("replicas", "most"), [(3, 16_000), (5, 32_000), (11, 80_000)])
@@ -191,7 +55,7 @@
 
 @pytest.mark.parametrize("replicas", [3, 5])
 @pytest.mark.parametrize("different", [False, True], ids=["copies", "different"])
-def test_eight_orders_at_once_on_one_base_do_not_choke_a_thin_link(replicas: int, different: bool) -> None:
+def test_eight_concurrent_orders_on_one_version_fit_a_slow_link(replicas: int, different: bool) -> None:
     """Copies of one order are all acknowledged; of different ones one is, and the others are refused."""
     group = ReplicaGroup(replicas, bits_per_s=3.5e6)
     group.run(4.0)
@@ -209,7 +73,7 @@
     assert max(at for at, _ in ends) - 5.0 < (2.0 if different else 1.0), [at - 5.0 for at, _ in ends]
 
 
-def test_ten_changes_a_second_do_not_choke_a_thin_link() -> None:
+def test_ten_changes_a_second_fit_a_slow_link() -> None:
     group = ReplicaGroup(3, bits_per_s=3.5e6)
     group.run(4.0)
     for revision in range(1, 101):
@@ -225,9 +89,6 @@
     assert configuration_text.COMPRESSION_LEVEL == 6
 
 
-# Hundreds of changes, and who missed them
-
-
 def knows(controller: Controller, version: int) -> bool:
     """Whether a replica knows this version of the state, or a later one."""
     return controller.shard.known.version >= version
@@ -246,7 +107,7 @@
 
 
 @pytest.mark.parametrize("replicas", [3, 5])
-def test_a_day_of_600_changes_with_a_dark_a_wiped_and_a_killed_replica(replicas: int, tmp_path: Path) -> None:
+def test_600_changes_with_an_isolated_a_wiped_and_a_killed_replica(replicas: int, tmp_path: Path) -> None:
     group = ReplicaGroup(replicas, bits_per_s=3.5e6, directory=tmp_path / "data")
     group.run(4.0)
     last = group.seeds[-1]
@@ -297,7 +158,7 @@
     away.close()
 
 
-def test_a_node_that_was_dark_through_500_changes_fetches_once() -> None:
+def test_a_node_that_was_isolated_through_500_changes_fetches_once() -> None:
     world = World(3, 1)
     nodes = [world.start(f"n{n}", 0) for n in range(20)]
     world.run(12.0)
--- a/tests/mesh/test_state_teller.py
+++ b/tests/mesh/control/test_state_request.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("replicas", [5, 11])
-def test_one_replica_tells_it_all(replicas: int) -> None:
+def test_one_replica_sends_the_state(replicas: int) -> None:
     """Each of the others did."""
     group = missed_changes(replicas)
     state = DecidedState(shard_state_codec.pack_value(group.controllers["a"].shard.known))
@@ -52,7 +52,7 @@
     assert group.bytes_by_type[tag_of(DecidedState)] - before < 1.5 * whole
 
 
-def test_another_one_tells_it_where_the_first_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_another_replica_is_asked_after_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     group = missed_changes(5)
     send, silent = group.send, list[str]()
 
