--- a/orchidferry/balancing/fleet/membership.py
+++ b/orchidferry/balancing/fleet/membership.py
@@ -28,17 +28,16 @@
 from orchidferry.balancing.fleet.name_conflict import NameConflict
 from orchidferry.balancing.fleet.outbox import Outbox
 from orchidferry.balancing.fleet.prober import Prober
+from orchidferry.balancing.fleet.reconnector import Reconnector
 from orchidferry.balancing.fleet.replay_window import ReplayWindow
-from orchidferry.balancing.fleet.suspicion import Suspicion, Timing, bounds_ms
+from orchidferry.balancing.fleet.suspicion import Timing
+from orchidferry.balancing.fleet.suspicions import ROUNDING_MS, Suspicions
 from orchidferry.balancing.fleet.timers import Timer, TimerKind, Timers
 
 SYNC_SCALED_FROM = 32  # nodes from which exchanges of complete states become rarer
-JOIN_MS = 300.0  # between attempts to reach the seeds until one answers,
-JOIN_AT_ONCE = 3  # so many of them at a time
 LEAVE_TO = 8  # nodes that are told that this one leaves,
 LEAVE_TIMES = 3  # so often,
 LEAVE_MS = 60.0  # with so much time between
-ROUNDING_MS = 0.01  # what a caller's clock loses in other units: a tick that came in time is not too early
 MAX_SAVED_PEERS = 64
 
 
@@ -77,9 +76,9 @@
             self._on_probe_failed,
         )
         self._conflict = NameConflict(self._outbox, self._timers, self.timing)
-        self._reconnects = int(rng.random() * 1_000.0)  # decides which of the gone is asked next
+        self._reconnector = Reconnector(self._table, self._outbox, self._timers, self.timing, rng)
         self._forgetting: set[str] = set()  # members with a timer to be forgotten
-        self._suspicions: dict[str, Suspicion] = {}
+        self._suspicions = Suspicions(self._table, self._timers, self.timing)
         self._windows: dict[str, tuple[int, ReplayWindow]] = {}  # by name: of which process, and its serials
         self._gossiping = False
         self.joined = False
@@ -135,7 +134,7 @@
 
     def suspects(self) -> int:
         """Members that are suspected now."""
-        return len(self._suspicions)
+        return len(self._suspicions.by_name)
 
     def present(self) -> Iterator[Entry]:
         """The nodes that are present in this node's view, itself first."""
@@ -191,7 +190,7 @@
                 self._timers.set(now, self._sync_ms(), TimerKind.SYNC)
                 self._outbox.request_state(self._table.sample(1), now)
             case TimerKind.RECONNECT:
-                self._reconnect(now)
+                self._reconnector.reconnect(now, self.joined, self._passive)
             case TimerKind.FORGET:
                 self._forget(str(timer.subject), now)
             case TimerKind.NAME_CONFLICT:
@@ -208,8 +207,7 @@
     def _slept(self, now: float, gap_ms: float) -> None:
         """This node did not run for so long: it knows nothing of that time, and goes on where it was."""
         self._timers.postpone(gap_ms)
-        for suspicion in self._suspicions.values():
-            suspicion.postpone(gap_ms)
+        self._suspicions.postpone(gap_ms)
         self._prober.clear()
         self._prober.worsen(1)
         if self.started and not self.left and not self._passive:
@@ -285,32 +283,7 @@
         if self._gossiping:
             self._timers.set(now, self.timing.gossip_ms, TimerKind.GOSSIP)
 
-    # Nodes that are not present
-
-    def _reconnect(self, now: float) -> None:
-        """Ping a lost node, or a seed without a member: so halves that were cut off meet again."""
-        alone = not self.joined
-        table = self._table
-        wait_ms = JOIN_MS if alone and table.seeds else self.timing.reach_ms
-        self._timers.set(now, wait_ms, TimerKind.RECONNECT)
-        if self._passive:
-            return
-        empty = table.empty_seeds()
-        if alone:
-            for seed in self._rng.sample(empty, min(JOIN_AT_ONCE, len(empty))):
-                self._outbox.ping_address(seed)
-            return
-        gone = len(table.lost) + len(empty)
-        if not gone:
-            return
-        # By turns one at random, so that nodes ask different ones, and the next in a row: each is asked.
-        self._reconnects += 1
-        in_turn = self._reconnects % 2
-        index = self._reconnects // 2 % gone if in_turn else int(self._rng.random() * gone)
-        if index >= len(table.lost):
-            self._outbox.ping_address(empty[index - len(table.lost)])
-        else:
-            self._outbox.send(Kind.PING, self.members[list(table.lost)[index]])
+    # Nodes that are gone
 
     def _forget(self, name: str, now: float) -> None:
         gone_ms = self._table.gone_ms.get(name)
@@ -433,14 +406,14 @@
         before = self._table.put(entry, by, now)
         if before is None:
             self._prober.consider_hearsay(name, by, len(self._windows))
-        self._suspicions.pop(name, None)
+        self._suspicions.end(name)
         if not entry.present:
             self._prober.unproven.pop(name, None)
             if name not in self._forgetting:
                 self._forgetting.add(name)
                 self._timers.set(now, self.timing.forget_ms, TimerKind.FORGET, name)
         if entry.status is Status.SUSPECT:
-            self._begin_suspicion(entry, now)
+            self._suspicions.begin(entry, now)
         self._spread(entry, now)
         self._outbox.actions.append(api.MemberChanged(before, entry, by))
         if before is None or before.present != entry.present:
@@ -457,30 +430,14 @@
         else:
             self._confirm(entry, me, now)
 
-    def _begin_suspicion(self, entry: Entry, now: float) -> None:
-        min_ms, max_ms = bounds_ms(self.timing, self.size)
-        wanted = self.timing.confirmations
-        if self.size - 2 < wanted:
-            wanted = 0  # too few that could confirm
-        suspicion = Suspicion(now, min_ms, max_ms, wanted, {entry.by})
-        self._suspicions[entry.name] = suspicion
-        self._timers.set(suspicion.ends_ms(), 0.0, TimerKind.SUSPICION_END, entry.name)
-
     def _confirm(self, entry: Entry, by: str, now: float) -> None:
-        suspicion = self._suspicions.get(entry.name)
-        if suspicion is not None and by and suspicion.confirm(by):
-            self._timers.set(suspicion.ends_ms(), 0.0, TimerKind.SUSPICION_END, entry.name)
+        if self._suspicions.confirm(entry.name, by):
             self._spread(replace(entry, by=by), now)
 
     def _end_suspicion(self, name: str, now: float) -> None:
         """Declare a member lost if it had its time to refute that."""
-        suspicion = self._suspicions.get(name)
         entry = self.members.get(name)
-        if suspicion is None or entry is None:
-            return
-        # No other timer is set for this end: a tick may be early by one rounding, the end that `postpone`
-        # summed up late by less than another.
-        if now + 2.0 * ROUNDING_MS >= suspicion.ends_ms():
+        if entry is not None and self._suspicions.is_over(name, now):
             self._set(replace(entry, status=Status.LOST, by=self.me.name), self.me.name, now)
 
     # Updates about this node
--- a/orchidferry/testkit/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -20,7 +20,7 @@
 from typing import Any
 from unittest import mock
 
-from orchidferry.balancing.fleet import membership
+from orchidferry.balancing.fleet import membership, reconnector
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.members import Entry, Phase, Status, order
 from orchidferry.balancing.fleet.membership import Membership
@@ -266,13 +266,13 @@
                 fleet.me,
                 sorted(fleet.members.items()),
                 fleet._table.ring_position,
-                fleet._reconnects,
+                fleet._reconnector.count,
                 fleet.score,
                 fleet.joined,
                 fleet._conflict.other,
                 fleet.contested,
                 fleet._conflict.attempts,
-                sorted(fleet._suspicions.items(), key=lambda s: s[0]),
+                sorted(fleet._suspicions.by_name.items(), key=lambda s: s[0]),
                 sorted(
                     (at, timer.kind.value, repr(meant(timer.kind.value, timer.subject)))
                     for at, timer in fleet._timers.pending()
@@ -361,7 +361,7 @@
     "no-refuting": ("a node does not refute that it is lost", Membership, "_merge_self", _no_refuting),
     "no-incarnations": ("words are not ordered by incarnation", membership, "order", _no_merge_order),
     "dead-at-once": ("a failed probe is a death", Membership, "_suspect", _dead_at_once),
-    "no-reach": ("nobody asks those that are lost", Membership, "_reconnect", lambda self, now: None),
+    "no-reach": ("nobody asks those that are lost", reconnector.Reconnector, "reconnect", lambda *_: None),
     "no-end": ("a suspicion never ends", Membership, "_end_suspicion", lambda self, name, now: None),
 }
 
--- a/tests/balancing/fleet/test_membership.py
+++ b/tests/balancing/fleet/test_membership.py
@@ -13,10 +13,11 @@
 from orchidferry.balancing.fleet import messages as api
 from orchidferry.balancing.fleet.gossip_queue import MAX_QUEUED, GossipQueue, max_transmissions
 from orchidferry.balancing.fleet.members import Entry, Phase, Status, order
-from orchidferry.balancing.fleet.membership import ROUNDING_MS, Membership
+from orchidferry.balancing.fleet.membership import Membership
 from orchidferry.balancing.fleet.messages import Kind, Message
 from orchidferry.balancing.fleet.replay_window import ReplayWindow
 from orchidferry.balancing.fleet.suspicion import Suspicion, Timing
+from orchidferry.balancing.fleet.suspicions import ROUNDING_MS
 from orchidferry.testkit.explore import fleet as explore
 from orchidferry.testkit.model.fleet import SimulatedFleet
 from orchidferry.testkit.model.fleet import split as split_names
