--- a/orchidferry/testkit/bench/chain.py
+++ b/orchidferry/testkit/bench/chain.py
@@ -10,7 +10,7 @@
 from orchidferry.balancing.chain import Chain, Limits
 from orchidferry.balancing.interface import Result
 from orchidferry.node.chain.wire import Wire
-from orchidferry.testkit.model.chains import Model, World
+from orchidferry.testkit.model.chains import ChainSimulation, Scenario
 
 ROUNDS = 20_000
 
@@ -44,28 +44,28 @@
     return row
 
 
-def _row(world: World) -> dict[str, Any]:
+def _row(scenario: Scenario) -> dict[str, Any]:
     began = time.monotonic()
-    model = Model(world)
-    out = model.run()
-    firsts = max(1, out.asked_stalled[0])
-    per = [a / firsts for a in out.attempts_stalled]
-    last = [sum(out.served[-5:]), max(1, sum(out.wanted[-5:]))]
+    simulation = ChainSimulation(scenario)
+    out = simulation.run()
+    firsts = max(1, out.calls_in_stall[0])
+    per = [a / firsts for a in out.attempts_in_stall]
+    last = [sum(out.served[-5:]), max(1, sum(out.requested[-5:]))]
     row = {
         "what": "stall",
-        "on": world.on,
-        "seed": world.seed,
-        "servers": sum(map(len, model._tiers)),
-        "per_second": model.rate,
+        "on": scenario.budgets,
+        "seed": scenario.seed,
+        "servers": simulation.server_count,
+        "per_second": simulation.clients_per_s,
         "per_first_try": per,
-        "amplified": [p / world.fan**n for n, p in enumerate(per)],
-        "back_after_s": out.back_after_s(world.stall[1]),
+        "amplified": [p / scenario.fan_out**n for n, p in enumerate(per)],
+        "back_after_s": out.recovery_s(scenario.stall[1]),
         "served_at_end": last[0] / last[1],
     }
     tiers = ", ".join(f"{a:.2f}" for a in row["amplified"])
     back = row["back_after_s"]
     print(
-        f"{'on ' if world.on else 'off'} seed {world.seed}: {row['servers']} servers, {model.rate:.0f}/s;"
+        f"{'on ' if scenario.budgets else 'off'} seed {scenario.seed}: {row['servers']} servers, {simulation.clients_per_s:.0f}/s;"
         f" attempts over what one each makes, by tier: {tiers}; "
         f"99 % served again {'never' if back is None else f'{back:.0f} s after the stall'}, at the end "
         f"{row['served_at_end']:.0%} ({time.monotonic() - began:.0f} s)",
@@ -80,6 +80,6 @@
         raise ValueError("--servers must be within 40 and 20000, --seeds 1 and 100, --load 0.1 and 0.95")
     rows = [_cost()]
     for seed in range(1, args.seeds + 1):
-        world = World(servers=args.servers, load=args.load, seed=seed)
-        rows += [_row(replace(world, on=on)) for on in (False, True)]
+        scenario = Scenario(servers=args.servers, load=args.load, seed=seed)
+        rows += [_row(replace(scenario, budgets=budgets)) for budgets in (False, True)]
     return rows
--- a/orchidferry/testkit/model/chains.py
+++ b/orchidferry/testkit/model/chains.py
@@ -1,16 +1,17 @@
 """Tiers of servers with a node beside each, in virtual time: what a stall of the last one does to the chain.
 
-Tiers grow by `fan`. Each server is a queue in front of one worker; a request of a tier makes `fan` calls to
-the next at once, through the node beside its server, which takes the shorter queue of two servers and asks
-again after failures. What it takes, asks again and hands on is `orchidferry.balancing.chain`'s, or, off, up
-to `attempts` tries each. Servers turn away what finds their queue full, and begin nothing whose time is over,
-where it is known to them. Clients are an open loop and ask once.
+Tiers grow by `fan_out`. Each server is a queue in front of one worker; a request of a tier makes `fan_out`
+calls to the next at once, through the node beside its server, which takes the shorter queue of two servers
+and retries failures. What it admits, retries and forwards is decided by `orchidferry.balancing.chain` or,
+without budgets, by a limit of `attempts`. Servers reject what finds their queue full, and begin nothing whose
+deadline has passed, if they know it. Clients are an open loop and send each request once.
 
 The model has no network, no connections and no delay loop: it shows what the budgets alone do.
 """
 
 from __future__ import annotations
 
+import functools
 import heapq
 import itertools
 import random
@@ -21,46 +22,78 @@
 from orchidferry.balancing.chain import Chain, Limits
 from orchidferry.balancing.interface import Carried, Result
 
-WAIT_MS = 50.0  # before an attempt beyond the first, on average
-SPREAD = (0.5, 1.5)  # of the work of one request, over its mean
+RETRY_WAIT_MS = 50.0  # before an attempt beyond the first, on average
+RETRY_SPREAD = (0.5, 1.5)  # of that wait, over its mean
+WORK_SPREAD = (0.5, 1.5)  # of the work of one request, over its mean
+
+CallEnded = Callable[[Result, bool, int], None]  # result, whether a lower tier failed, its attempts
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """What is modelled. Rates are a second, times milliseconds."""
+class Scenario:
+    """Tiers under load, with a stall of the last one. Rates are a second, times milliseconds.
+
+    :ivar tiers: number of tiers
+    :ivar servers: over all tiers, each with a node
+    :ivar fan_out: calls that a request makes to the next tier
+    :ivar work_ms: mean work of a request of any tier, without its calls
+    :ivar load: of each tier's capacity
+    :ivar queue_limit: requests that wait at a server at most
+    :ivar deadline_ms: of a client's request
+    :ivar timeout_ms: of an attempt, and less if less time is left
+    :ivar attempts: most attempts of a call without budgets
+    :ivar stall: begin and end of the stall of the last tier
+    :ivar duration_ms: for which clients send requests
+    :ivar budgets: whether nodes keep the budgets of `orchidferry.balancing.chain`
+    :ivar seed: of the random choices
+    """
 
     tiers: int = 4
-    servers: int = 1_000  # over all tiers, each with a node
-    fan: int = 3
-    work_ms: float = 100.0  # of a request of any tier, its calls not counted
-    load: float = 0.8  # of each tier's capacity
-    queue: int = 20  # that a server holds at most
+    servers: int = 1_000
+    fan_out: int = 3
+    work_ms: float = 100.0
+    load: float = 0.8
+    queue_limit: int = 20
     deadline_ms: float = 5_000.0
-    timeout_ms: float = 2_000.0  # of an attempt, and less where less time is left
+    timeout_ms: float = 2_000.0
     attempts: int = 3
     stall: tuple[float, float] = (10_000.0, 15_000.0)
-    length_ms: float = 40_000.0
-    on: bool = True
+    duration_ms: float = 40_000.0
+    budgets: bool = True
     seed: int = 1
 
 
-@dataclass
+@dataclass(slots=True)
 class Outcome:
-    """Figures by tier, and served by second of arrival."""
-
-    asked: list[int]  # first tries of each tier's nodes, over the whole run,
-    attempts: list[int]  # and attempts
-    asked_stalled: list[int]  # in the stall
-    attempts_stalled: list[int]
-    served: list[int] = field(default_factory=list)  # clients' requests, by second
-    wanted: list[int] = field(default_factory=list)
-
-    def back_after_s(self, stall_end_ms: float, share: float = 0.99, for_s: int = 3) -> float | None:
-        """Seconds from the stall's end until so much is served for some seconds on end; None: never."""
-        start = int(stall_end_ms // 1_000)
-        for at in range(start, len(self.served) - for_s + 1):
-            if sum(self.served[at : at + for_s]) >= share * sum(self.wanted[at : at + for_s]):
-                return float(at - start)
+    """Counts by tier, and clients' requests by the second of their arrival.
+
+    :ivar calls: to each tier
+    :ivar attempts: of them
+    :ivar calls_in_stall: those that began in the stall
+    :ivar attempts_in_stall: those that began in the stall
+    :ivar served: clients' requests that were served
+    :ivar requested: all clients' requests
+    """
+
+    calls: list[int]
+    attempts: list[int]
+    calls_in_stall: list[int]
+    attempts_in_stall: list[int]
+    served: list[int] = field(default_factory=list)
+    requested: list[int] = field(default_factory=list)
+
+    def recovery_s(self, stall_end_ms: float, fraction: float = 0.99, window_s: int = 3) -> float | None:
+        """Return the time from the stall's end until nearly all requests are served again.
+
+        :param fraction: of the requests that must be served
+        :param window_s: for which they must be
+        :returns: seconds; None if that does not happen
+        """
+        first = int(stall_end_ms // 1_000)
+        for second in range(first, len(self.served) - window_s + 1):
+            window = slice(second, second + window_s)
+            if sum(self.served[window]) >= fraction * sum(self.requested[window]):
+                return float(second - first)
         return None
 
 
@@ -69,183 +102,222 @@
     """A request at a server."""
 
     tier: int
-    ends_ms: float  # when nobody waits any more, as far as is known here
+    deadline_ms: float  # when nobody waits any more, as far as the server knows
     carried: Carried | None
-    done: Callable[[Result, bool, int], None]
-    left: int = 0  # calls that are out
+    on_ended: CallEnded
+    calls_left: int = 0
     failed: bool = False
-    below: bool = False
-    used: int = 0
-
-
-class _Server:
-    def __init__(self, node: Chain) -> None:
-        self.node = node
-        self.queue: deque[_Work] = deque()
-        self.busy = self.stalled = False
+    failed_below: bool = False
+    attempts_below: int = 0
 
 
-class Model:
-    """One run."""
+@dataclass(frozen=True, slots=True)
+class _Call:
+    """A call of a node to the tier behind it."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self._rng = random.Random(world.seed)
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = itertools.count()
-        self.now = 0.0
-        first = max(1, round(world.servers / sum(world.fan**n for n in range(world.tiers))))
-        sizes = [first * world.fan**n for n in range(world.tiers)]
-        self.rate = world.load * first * 1_000.0 / world.work_ms  # of clients, a second
+    node: Chain
+    tier: int
+    id: str
+    deadline_ms: float
+    on_ended: CallEnded
 
-        def nodes(tier: int, count: int) -> list[Chain]:
-            """Those that ask this tier."""
-            return [
-                Chain(Limits(f"t{tier}", f"n{n}", tier == 0, nodes=count), f"{tier}.{n}.")
-                for n in range(count)
-            ]
 
-        self._front = nodes(0, first)
-        self._tiers = [[_Server(node) for node in nodes(tier + 1, size)] for tier, size in enumerate(sizes)]
-        zeros = [0] * world.tiers
-        self.outcome = Outcome(zeros[:], zeros[:], zeros[:], zeros[:])
+class _Server:
+    """A queue in front of one worker."""
 
-    def at(self, t: float, do: Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (t, next(self._serial), do))
+    def __init__(self, node: Chain) -> None:
+        self.node = node
+        self.queue: deque[_Work] = deque()
+        self.busy = False
+        self.stalled = False
+
+    @property
+    def load(self) -> int:
+        """Requests that wait or are worked on."""
+        return len(self.queue) + self.busy
+
+
+class ChainSimulation:
+    """One run of a scenario.
+
+    :ivar clients_per_s: rate of the clients' requests
+    """
+
+    def __init__(self, scenario: Scenario) -> None:
+        self._scenario = scenario
+        self._rng = random.Random(scenario.seed)
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._serial = itertools.count()  # of events and calls
+        self._now_ms = 0.0
+        tree_size = sum(scenario.fan_out**n for n in range(scenario.tiers))
+        first = max(1, round(scenario.servers / tree_size))
+        sizes = [first * scenario.fan_out**n for n in range(scenario.tiers)]
+        self.clients_per_s = scenario.load * first * 1_000.0 / scenario.work_ms
+        self._entry_nodes = _nodes(0, first)
+        self._tiers = [[_Server(node) for node in _nodes(tier + 1, size)] for tier, size in enumerate(sizes)]
+        zeros = [0] * scenario.tiers
+        self._outcome = Outcome(zeros[:], zeros[:], zeros[:], zeros[:])
+
+    @property
+    def server_count(self) -> int:
+        """Number of servers of all tiers."""
+        return sum(map(len, self._tiers))
 
     def run(self) -> Outcome:
-        """Play it to its end."""
-        world = self.world
-        out = self.outcome
-        seconds = int(world.length_ms // 1_000)
-        out.served = [0] * seconds
-        out.wanted = [0] * seconds
-        self.at(0.0, self._arrive)
-        for t, stalled in zip(world.stall, (True, False), strict=True):
-            self.at(t, lambda stalled=stalled: self._stall(stalled))  # type: ignore[misc]
-        while self._heap and self._heap[0][0] < world.length_ms + world.deadline_ms:
-            self.now, _, do = heapq.heappop(self._heap)
-            do()
-        return out
-
-    def _stall(self, stalled: bool) -> None:
+        """Run the scenario to its end."""
+        scenario = self._scenario
+        seconds = int(scenario.duration_ms // 1_000)
+        self._outcome.served = [0] * seconds
+        self._outcome.requested = [0] * seconds
+        self._schedule(0.0, self._client_request)
+        stall_begin_ms, stall_end_ms = scenario.stall
+        self._schedule(stall_begin_ms, lambda: self._set_stalled(True))
+        self._schedule(stall_end_ms, lambda: self._set_stalled(False))
+        while self._events and self._events[0][0] < scenario.duration_ms + scenario.deadline_ms:
+            self._now_ms, _, event = heapq.heappop(self._events)
+            event()
+        return self._outcome
+
+    def _schedule(self, time_ms: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (time_ms, next(self._serial), event))
+
+    def _in_stall(self) -> bool:
+        return self._scenario.stall[0] <= self._now_ms < self._scenario.stall[1]
+
+    def _set_stalled(self, stalled: bool) -> None:
         for server in self._tiers[-1]:
             server.stalled = stalled
             if not stalled:
-                self._next(server)
+                self._work_next(server)
 
-    def _arrive(self) -> None:
-        world, second = self.world, int(self.now // 1_000)
-        if self.now >= world.length_ms:
+    def _client_request(self) -> None:
+        if self._now_ms >= self._scenario.duration_ms:
             return
-        self.at(self.now + self._rng.expovariate(self.rate / 1_000.0), self._arrive)
-        self.outcome.wanted[second] += 1
+        second = int(self._now_ms // 1_000)
+        interval_ms = self._rng.expovariate(self.clients_per_s / 1_000.0)
+        self._schedule(self._now_ms + interval_ms, self._client_request)
+        self._outcome.requested[second] += 1
 
-        def over(result: Result, below: bool, used: int) -> None:
-            self.outcome.served[second] += result is Result.SERVED
+        def on_ended(result: Result, failed_below: bool, attempts_below: int) -> None:
+            self._outcome.served[second] += result is Result.SERVED
 
-        self._ask(self._rng.choice(self._front), 0, None, self.now + world.deadline_ms, over)
+        node = self._rng.choice(self._entry_nodes)
+        self._call(node, 0, None, self._now_ms + self._scenario.deadline_ms, on_ended)
 
     # A node
 
-    def _ask(
-        self,
-        node: Chain,
-        tier: int,
-        carried: Carried | None,
-        ends_ms: float,
-        over: Callable[[Result, bool, int], None],
-    ) -> None:
-        """A request to a node, for the tier of servers behind it."""
-        id = str(next(self._serial))
-        out = self.outcome
-        stalled = self.world.stall[0] <= self.now < self.world.stall[1]
-        out.asked[tier] += 1
-        out.asked_stalled[tier] += stalled
-        if self.world.on and node.admit(id, carried, "a", 1.0, ends_ms - self.now, self.now) is not None:
-            return over(Result.REFUSED, True, 0)
-        self._try(node, tier, id, 0, ends_ms, over)
-
-    def _try(
-        self,
-        node: Chain,
-        tier: int,
-        id: str,
-        number: int,
-        ends_ms: float,
-        over: Callable[[Result, bool, int], None],
+    def _call(
+        self, node: Chain, tier: int, carried: Carried | None, deadline_ms: float, on_ended: CallEnded
     ) -> None:
-        world = self.world
-        out = self.outcome
-        began = self.now
-        may = node.may_send(id, self.now) if world.on else number < world.attempts
-        if not may or self.now >= ends_ms:
-            below, used = node.verdict(id)
-            node.done(id)
-            return over(Result.ERROR, below, used)
-        out.attempts[tier] += 1
-        out.attempts_stalled[tier] += world.stall[0] <= self.now < world.stall[1]
-        goes = node.send(id, self.now) if world.on else None
-        until = min(self.now + world.timeout_ms, ends_ms)
-        ended = [False]
-
-        def end(result: Result, below: bool, used: int) -> None:
-            if ended[0]:
+        """Begin a call to a tier of servers, through a node."""
+        call = _Call(node, tier, str(next(self._serial)), deadline_ms, on_ended)
+        self._outcome.calls[tier] += 1
+        self._outcome.calls_in_stall[tier] += self._in_stall()
+        if self._scenario.budgets:
+            time_left_ms = deadline_ms - self._now_ms
+            if node.admit(call.id, carried, "a", 1.0, time_left_ms, self._now_ms) is not None:
+                return on_ended(Result.REFUSED, True, 0)
+        self._attempt(call, 0)
+
+    def _may_attempt(self, call: _Call, number: int) -> bool:
+        if self._scenario.budgets:
+            allowed = call.node.may_send(call.id, self._now_ms)
+        else:
+            allowed = number < self._scenario.attempts
+        return allowed and self._now_ms < call.deadline_ms
+
+    def _attempt(self, call: _Call, number: int) -> None:
+        """Make an attempt, or end the call if there may be no more.
+
+        :param number: of the attempt, from 0
+        """
+        if not self._may_attempt(call, number):
+            failed_below, attempts_below = call.node.verdict(call.id)
+            call.node.done(call.id)
+            return call.on_ended(Result.ERROR, failed_below, attempts_below)
+        scenario = self._scenario
+        self._outcome.attempts[call.tier] += 1
+        self._outcome.attempts_in_stall[call.tier] += self._in_stall()
+        carried = call.node.send(call.id, self._now_ms) if scenario.budgets else None
+        timeout_at_ms = min(self._now_ms + scenario.timeout_ms, call.deadline_ms)
+        on_ended = self._attempt_ended(call, number)
+        self._schedule(timeout_at_ms, lambda: on_ended(Result.TIMEOUT, False, 0))
+        # without budgets the remaining time is not carried to servers
+        known_deadline_ms = timeout_at_ms if scenario.budgets else self._now_ms + scenario.deadline_ms
+        server = self._choose_server(call.tier)
+        self._enqueue(server, _Work(call.tier, known_deadline_ms, carried, on_ended))
+
+    def _attempt_ended(self, call: _Call, number: int) -> CallEnded:
+        """Return the callback for the end of an attempt, which counts once."""
+        began_ms = self._now_ms
+        ended = False
+
+        def on_ended(result: Result, failed_below: bool, attempts_below: int) -> None:
+            nonlocal ended
+            if ended:
                 return
-            ended[0] = True
-            if world.on:
-                node.ended(id, result, below, used, self.now - began, self.now)
+            ended = True
+            budgets = self._scenario.budgets
+            if budgets:
+                took_ms = self._now_ms - began_ms
+                call.node.ended(call.id, result, failed_below, attempts_below, took_ms, self._now_ms)
             if result is Result.SERVED:
-                node.done(id)
-                return over(result, False, 0)
-            wait = self._rng.uniform(0.5, 1.5) * WAIT_MS
-            if world.on and not node.may_send(id, self.now):
-                wait = 0.0
-            self.at(self.now + wait, lambda: self._try(node, tier, id, number + 1, ends_ms, over))
-
-        self.at(until, lambda: end(Result.TIMEOUT, False, 0))
-        known = until if world.on else self.now + world.deadline_ms  # off, time is not carried
-        one, other = (self._rng.choice(self._tiers[tier]) for _ in range(2))
-        server = one if len(one.queue) + one.busy <= len(other.queue) + other.busy else other
-        self._arrive_at(server, _Work(tier, known, goes, end))
+                call.node.done(call.id)
+                return call.on_ended(result, False, 0)
+            wait_ms = self._rng.uniform(*RETRY_SPREAD) * RETRY_WAIT_MS
+            if budgets and not call.node.may_send(call.id, self._now_ms):
+                wait_ms = 0.0
+            self._schedule(self._now_ms + wait_ms, lambda: self._attempt(call, number + 1))
+
+        return on_ended
+
+    def _choose_server(self, tier: int) -> _Server:
+        """Return the less loaded one of two random servers."""
+        first, second = (self._rng.choice(self._tiers[tier]) for _ in range(2))
+        return first if first.load <= second.load else second
 
     # A server
 
-    def _arrive_at(self, server: _Server, work: _Work) -> None:
-        if len(server.queue) >= self.world.queue:
-            return work.done(Result.REFUSED, False, 0)
+    def _enqueue(self, server: _Server, work: _Work) -> None:
+        if len(server.queue) >= self._scenario.queue_limit:
+            return work.on_ended(Result.REFUSED, False, 0)
         server.queue.append(work)
-        self._next(server)
+        self._work_next(server)
 
-    def _next(self, server: _Server) -> None:
+    def _work_next(self, server: _Server) -> None:
         while not server.busy and not server.stalled and server.queue:
             work = server.queue.popleft()
-            if self.now >= work.ends_ms:
+            if self._now_ms >= work.deadline_ms:
                 continue
             server.busy = True
-            took = self.world.work_ms * self._rng.uniform(*SPREAD)
-            self.at(self.now + took, lambda work=work: self._worked(server, work))  # type: ignore[misc]
+            work_ms = self._scenario.work_ms * self._rng.uniform(*WORK_SPREAD)
+            self._schedule(self._now_ms + work_ms, functools.partial(self._work_done, server, work))
 
-    def _worked(self, server: _Server, work: _Work) -> None:
+    def _work_done(self, server: _Server, work: _Work) -> None:
         server.busy = False
-        self._next(server)
-        if work.tier + 1 == self.world.tiers:
-            return work.done(Result.SERVED, False, 0)
-        work.left = self.world.fan
-        for _ in range(self.world.fan):
-            self._call(server, work)
-
-    def _call(self, server: _Server, work: _Work) -> None:
-        """One of its calls; when all are over it is, and served if all were."""
-
-        def back(result: Result, below: bool, used: int) -> None:
-            work.below = work.below or below
-            work.used = work.used + used
+        self._work_next(server)
+        if work.tier + 1 == self._scenario.tiers:
+            return work.on_ended(Result.SERVED, False, 0)
+        work.calls_left = self._scenario.fan_out
+        for _ in range(self._scenario.fan_out):
+            self._call_next_tier(server, work)
+
+    def _call_next_tier(self, server: _Server, work: _Work) -> None:
+        """Make one call of a request; the request ends with its last call, and is served if all were."""
+
+        def on_ended(result: Result, failed_below: bool, attempts_below: int) -> None:
+            work.failed_below = work.failed_below or failed_below
+            work.attempts_below += attempts_below
             work.failed = work.failed or result is not Result.SERVED
-            work.left -= 1
-            if not work.left and work.failed:
-                work.done(Result.ERROR, work.below, work.used)
-            elif not work.left:
-                work.done(Result.SERVED, False, 0)
+            work.calls_left -= 1
+            if not work.calls_left and work.failed:
+                work.on_ended(Result.ERROR, work.failed_below, work.attempts_below)
+            elif not work.calls_left:
+                work.on_ended(Result.SERVED, False, 0)
+
+        self._call(server.node, work.tier + 1, work.carried, work.deadline_ms, on_ended)
+
 
-        self._ask(server.node, work.tier + 1, work.carried, work.ends_ms, back)
+def _nodes(tier: int, count: int) -> list[Chain]:
+    """Return the nodes that call a tier."""
+    return [Chain(Limits(f"t{tier}", f"n{n}", tier == 0, nodes=count), f"{tier}.{n}.") for n in range(count)]
