--- a/orchidferry/testkit/bench/chain.py
+++ b/orchidferry/testkit/bench/chain.py
@@ -65,7 +65,8 @@
     tiers = ", ".join(f"{a:.2f}" for a in row["amplified"])
     back = row["back_after_s"]
     print(
-        f"{'on ' if scenario.budgets else 'off'} seed {scenario.seed}: {row['servers']} servers, {simulation.clients_per_s:.0f}/s;"
+        f"{'on ' if scenario.budgets else 'off'} seed {scenario.seed}: {row['servers']} servers, "
+        f"{simulation.clients_per_s:.0f}/s;"
         f" attempts over what one each makes, by tier: {tiers}; "
         f"99 % served again {'never' if back is None else f'{back:.0f} s after the stall'}, at the end "
         f"{row['served_at_end']:.0%} ({time.monotonic() - began:.0f} s)",
