--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -91,14 +91,10 @@
     if method == b"GET" and (body or flow is not None):
         raise RequestError("GET with a body")
     request_id = headers.get(b"x-call-id")
-    key = headers.get(b"idempotency-key")
-    budget = headers.get(b"x-budget")
     if request_id is None or not TOKEN.fullmatch(request_id):
         raise RequestError("X-Call-Id is missing or can't be used")
-    # Without its key servers could not drop a keyed request's repeats.
-    keyed = cls.repeat is api.Repeat.KEYED
-    if (key is not None) != keyed or (key is not None and not TOKEN.fullmatch(key)):
-        raise RequestError("Idempotency-Key does not fit this class")
+    key = _idempotency_key(cls, headers)
+    budget = headers.get(b"x-budget")
     if budget is None or not SECONDS.fullmatch(budget) or not (budget_s := float(budget)):
         raise RequestError("X-Budget must be seconds above 0")
     return Message(
@@ -132,3 +128,12 @@
     if cls is None:
         raise RequestError("no such class")
     return cls, tenant
+
+
+def _idempotency_key(cls: api.RequestClass, headers: dict[bytes, bytes]) -> bytes | None:
+    """Return the key of a request, which it must have if servers recognize repeats by it, and only then."""
+    key = headers.get(b"idempotency-key")
+    keyed = cls.repeat is api.Repeat.KEYED
+    if (key is not None) != keyed or (key is not None and not TOKEN.fullmatch(key)):
+        raise RequestError("Idempotency-Key does not fit this class")
+    return key
