--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -16,7 +16,7 @@
 from orchidferry.testkit.clients.pacer import Pacer
 from orchidferry.testkit.clients.schedule import Arrival, arrivals, leaves_after
 from orchidferry.testkit.exchange import HOST, Attempt, RequestOptions, RequestSender, encode_request
-from orchidferry.testkit.process import Order, Say, Script, work
+from orchidferry.testkit.process import Order, SendReport, WorkerScript, run_worker
 from orchidferry.testkit.record import Lag, Recorder, RequestScheduled
 from orchidferry.testkit.traffic.guard import May
 from orchidferry.testkit.wire import Address, Outcome
@@ -30,7 +30,9 @@
 class Clients:
     """A share of the clients: each process takes every so-manieth arrival."""
 
-    def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
+    def __init__(
+        self, script: WorkerScript, block: Block, recorder: Recorder, say: SendReport, index: int
+    ) -> None:
         self._scenario = script.plan.scenario
         self._block = block
         self._recorder = recorder
@@ -48,7 +50,7 @@
         self._playing: asyncio.Task[None] | None = None
         self._asked = self._served = 0  # first tries so far, for whoever watches
 
-    def _drawn(self, script: Script, index: int) -> Iterator[Arrival]:
+    def _drawn(self, script: WorkerScript, index: int) -> Iterator[Arrival]:
         return iter(arrivals(script.plan)[index :: self._scenario.clients.processes])
 
     def _from_recordings(self, index: int) -> Iterator[Arrival]:
@@ -58,7 +60,7 @@
         first = list(itertools.islice(found, 1))  # so that the first block is read before the load begins
         return itertools.chain(first, found)
 
-    async def order(self, order: Order) -> None:
+    async def handle_order(self, order: Order) -> None:
         if order["do"] == "deal":
             self._nodes = list(order["nodes"])
         elif order["do"] == "play":
@@ -175,7 +177,7 @@
                 wait = max(wait, min(float(outcome.headers.get("retry-after", "0")), MAX_ADVICE_S))
         return wait
 
-    def second(self) -> None:
+    def on_second(self) -> None:
         self._exchanges.sweep()
         if self._playing is not None:
             counts = {"asked": self._asked, "served": self._served, "open": len(self._open)}
@@ -191,4 +193,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(work(Clients))
+    sys.exit(run_worker(Clients))
--- a/orchidferry/testkit/clients/pacer.py
+++ b/orchidferry/testkit/clients/pacer.py
@@ -1,4 +1,4 @@
-"""Waits that end when they should: timerfd (timerfd_create(2)), as event loops round theirs to milliseconds.
+"""Precise waits by timerfd (timerfd_create(2)), as event loops round theirs to milliseconds.
 
 At a thousand requests a second a millisecond is the whole gap between two of them.
 """
@@ -16,45 +16,52 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-class _Spec(ctypes.Structure):
+class _TimerSpec(ctypes.Structure):
     """struct itimerspec: interval, then value."""
 
-    _fields_ = tuple((name, ctypes.c_long) for name in ("every_s", "every_ns", "at_s", "at_ns"))
+    _fields_ = tuple((name, ctypes.c_long) for name in ("interval_s", "interval_ns", "value_s", "value_ns"))
 
 
 class Pacer:
-    """One wait at a time. Its owner closes it."""
+    """Waits for points in time, one wait at a time. Its owner closes it."""
 
     def __init__(self) -> None:
+        """Create a timer; must be called in the event loop.
+
+        :raises OSError: if the kernel gives none
+        """
         self._fd = _libc.timerfd_create(CLOCK_MONOTONIC, os.O_NONBLOCK | os.O_CLOEXEC)
         if self._fd < 0:
             raise OSError(ctypes.get_errno(), "timerfd_create")
         self._loop = asyncio.get_running_loop()
-        self._waiting: asyncio.Future[None] | None = None
-        self._loop.add_reader(self._fd, self._rung)
+        self._expired: asyncio.Future[None] | None = None
+        self._loop.add_reader(self._fd, self._on_expired)
 
-    def _rung(self) -> None:
+    def _on_expired(self) -> None:
         with contextlib.suppress(BlockingIOError):
             os.read(self._fd, 8)
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result(None)
+        if self._expired is not None and not self._expired.done():
+            self._expired.set_result(None)
 
     async def until(self, t: float) -> None:
-        """Wait until `t` of time.monotonic; at once if that is over."""
+        """Wait until a time of the monotonic clock; returns at once if it has passed.
+
+        :raises OSError: if the timer can't be set
+        """
         if t <= time.monotonic():
             return
-        whole = int(t)
-        spec = _Spec(0, 0, whole, max(1, round((t - whole) * 1e9)))
+        seconds = int(t)
+        spec = _TimerSpec(0, 0, seconds, max(1, round((t - seconds) * 1e9)))
         if _libc.timerfd_settime(self._fd, TFD_TIMER_ABSTIME, ctypes.byref(spec), None):
             raise OSError(ctypes.get_errno(), "timerfd_settime")
-        self._waiting = self._loop.create_future()
-        await self._waiting
+        self._expired = self._loop.create_future()
+        await self._expired
 
     def close(self) -> None:
-        """Release the timer; a wait that is on is cancelled."""
+        """Release the timer; a wait in progress is cancelled."""
         if self._fd >= 0:
             self._loop.remove_reader(self._fd)
             os.close(self._fd)
             self._fd = -1
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._expired is not None:
+            self._expired.cancel()
--- a/orchidferry/testkit/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -11,7 +11,14 @@
 
 from orchidferry.balancing.configuration import Part
 from orchidferry.testkit.control.script import Control
-from orchidferry.testkit.process import TICK_S, Order, Say, Script, monotonic_at, work
+from orchidferry.testkit.process import (
+    LAG_INTERVAL_S,
+    Order,
+    SendReport,
+    WorkerScript,
+    monotonic_at,
+    run_worker,
+)
 from orchidferry.testkit.record import Recorder, StatusAnnounced
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.director import RESULT
@@ -21,7 +28,9 @@
 class ControlProcess:
     """Plays the script of versions, and says what the nodes made of it."""
 
-    def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
+    def __init__(
+        self, script: WorkerScript, block: Block, recorder: Recorder, say: SendReport, index: int
+    ) -> None:
         self._zero = script.zero
         self._nodes = script.plan.nodes
         self._recorder = recorder
@@ -32,7 +41,7 @@
         self._playing: asyncio.Task[None] | None = None
         self._heard = 0
 
-    async def order(self, order: Order) -> None:
+    async def handle_order(self, order: Order) -> None:
         match order["do"]:
             case "listen":
                 self._endpoints = order["endpoints"]
@@ -62,7 +71,7 @@
         )
         for t, number, push in steps:
             while (wait := monotonic_at(self._zero, start + t)) > 0:
-                await asyncio.sleep(min(wait, TICK_S))
+                await asyncio.sleep(min(wait, LAG_INTERVAL_S))
                 self._note_drains()
             if push is None:
                 control.service.cut()
@@ -86,7 +95,7 @@
                 self._put(word.node, control.drained, "leaving")
         self._heard = len(control.service.words)
 
-    def second(self) -> None:
+    def on_second(self) -> None:
         """Nothing."""
 
     async def close(self) -> None:
@@ -96,4 +105,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(work(ControlProcess, plain=True))
+    sys.exit(run_worker(ControlProcess, plain=True))
--- a/orchidferry/testkit/process.py
+++ b/orchidferry/testkit/process.py
@@ -1,6 +1,6 @@
-"""What the kit's own processes share: the script that they are handed, orders over a pipe, their end.
+"""Worker processes of the kit: they read a script, and take orders and send reports over pipes.
 
-A worker ends when its standard input does, so that none outlives the director, however that one went.
+A worker ends when its standard input does, so that none outlives the director, however that one ended.
 """
 
 from __future__ import annotations
@@ -27,68 +27,75 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import Files
 
-SCRIPT = "script.pickle"
-# how often a loop's lag is looked at, and what of it is kept
-TICK_S = 0.05
-STALL_S = 0.02
+SCRIPT_FILE = "script.pickle"
+LAG_INTERVAL_S = 0.05
+"""How often the lag of an event loop is measured."""
+
+MIN_STALL_S = 0.02
+"""The least lag that is recorded."""
+
+ON_SECOND_INTERVAL_S = 1.0
+MAX_REASON_LENGTH = 200
 Order = dict[str, Any]
+"""An order of the director, named by `do`, or a report of a worker, named by `did`."""
 
 
 @dataclass(slots=True)
-class Script:
-    """All that a worker is told at its start."""
+class WorkerScript:
+    """All that a worker needs to know at its start."""
 
     plan: Plan
-    zero: float  # of the record's clock, by time.monotonic
+    zero: float  # the record's zero on the monotonic clock, in seconds
     block: int
     files: Files | None = None  # certificates, with HTTP/3
-    proof_key: str = ""  # of a run of recorded traffic: what unsafe requests are sent to must hold it
+    proof_key: str = ""  # for recorded traffic: what unsafe requests are sent to must have it
 
     def write(self, folder: Path) -> None:
-        (folder / SCRIPT).write_bytes(pickle.dumps(self))
+        """Write the script where workers read it."""
+        (folder / SCRIPT_FILE).write_bytes(pickle.dumps(self))
 
 
 class Worker(Protocol):
-    """A process of the kit's own."""
+    """What a worker process does."""
 
-    async def order(self, order: Order) -> None:
-        """Do what the director says."""
+    async def handle_order(self, order: Order) -> None:
+        """Carry out an order of the director."""
 
-    def second(self) -> None:
-        """Called every second."""
+    def on_second(self) -> None:
+        """Called once a second."""
 
     async def close(self) -> None:
-        """End all."""
+        """End all that the worker does."""
 
 
-Say = Callable[[Order], None]
-Make = Callable[[Script, Block, Recorder, Say, int], Worker]
+SendReport = Callable[[Order], None]
+WorkerFactory = Callable[[WorkerScript, Block, Recorder, SendReport, int], Worker]
 
 
-async def _serve(make: Make, folder: Path, name: str, index: int) -> None:
-    script: Script = pickle.loads((folder / SCRIPT).read_bytes())
+async def _serve(factory: WorkerFactory, folder: Path, name: str, index: int) -> None:
+    script: WorkerScript = pickle.loads((folder / SCRIPT_FILE).read_bytes())
     recorder = Recorder(folder / f"{name}.facts", script.zero)
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
-    def say(order: Order) -> None:
+    def send_report(order: Order) -> None:
         # Lines are short and the director reads them at once: this does not block.
         sys.stdout.write(json.dumps(order) + "\n")
         sys.stdout.flush()
 
-    worker = make(script, Block(script.block), recorder, say, index)
-    recording = loop.create_task(_keep(worker, recorder, name))
+    worker = factory(script, Block(script.block), recorder, send_report, index)
+    recording = loop.create_task(_monitor(worker, recorder, name))
     orders: set[asyncio.Task[None]] = set()
     gc.collect()
     gc.freeze()
-    say({"did": "ready"})
+    send_report({"did": "ready"})
     try:
         while text := await reader.readline():
             order: Order = json.loads(text)
             if order["do"] == "close":
                 break
-            task = loop.create_task(_obey(worker.order(order), order, say))
+            task = loop.create_task(_carry_out(worker.handle_order(order), order, send_report))
             orders.add(task)
             task.add_done_callback(orders.discard)
     finally:
@@ -101,43 +108,53 @@
         recorder.close()
 
 
-async def _obey(work: Awaitable[None], order: Order, say: Say) -> None:
+async def _carry_out(work: Awaitable[None], order: Order, send_report: SendReport) -> None:
     try:
         await work
     except Exception as problem:  # the director decides what that means for the run
-        say({"did": "failed", "order": order["do"], "why": repr(problem)[:200]})
+        send_report({"did": "failed", "order": order["do"], "why": repr(problem)[:MAX_REASON_LENGTH]})
 
 
-async def _keep(worker: Worker, recorder: Recorder, name: str) -> None:
-    """Flush the record, note how late the loop runs, tell the worker of each second."""
+async def _monitor(worker: Worker, recorder: Recorder, name: str) -> None:
+    """Flush the record, record the event loop's lag, and call the worker once a second."""
     loop = asyncio.get_running_loop()
-    flushed = second = loop.time()
+    flushed = loop.time()
+    called = flushed
     while True:
-        due = loop.time() + TICK_S
-        await asyncio.sleep(TICK_S)
+        due = loop.time() + LAG_INTERVAL_S
+        await asyncio.sleep(LAG_INTERVAL_S)
         now = loop.time()
-        if now - due > STALL_S:
+        if now - due > MIN_STALL_S:
             recorder.put(Lag(recorder.now(), name, "stall", now - due))
         if now - flushed >= FLUSH_S:
             recorder.flush()
             flushed = now
-        if now - second >= 1.0:
-            worker.second()
-            second = now
+        if now - called >= ON_SECOND_INTERVAL_S:
+            worker.on_second()
+            called = now
 
 
-def work(make: Make, plain: bool = False) -> int:
-    """Run a worker: `python -m MODULE FOLDER NAME INDEX`; `plain`: on the standard event loop."""
+def run_worker(factory: WorkerFactory, plain: bool = False) -> int:
+    """Run a worker: `python -m MODULE FOLDER NAME INDEX`.
+
+    :param factory: makes the worker
+    :param plain: run on the standard event loop, not on uvloop
+    :returns: the exit status
+    """
     folder = Path(sys.argv[1])
     name = sys.argv[2]
     index = int(sys.argv[3])
     # Ctrl-C goes to the whole group: the director alone decides, and closes the pipe.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
-    (asyncio.run if plain else uvloop.run)(_serve(make, folder, name, index))
+    (asyncio.run if plain else uvloop.run)(_serve(factory, folder, name, index))
     return 0
 
 
 def monotonic_at(zero: float, t: float) -> float:
-    """Seconds from now to `t` of the record's clock."""
+    """Seconds from now to a time of the record's clock.
+
+    :param zero: the record's zero on the monotonic clock
+    :param t: a time of the record
+    """
     return zero + t - time.monotonic()
--- a/orchidferry/testkit/world/director.py
+++ b/orchidferry/testkit/world/director.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.testkit.process import STALL_S, TICK_S, Order, Script, monotonic_at
+from orchidferry.testkit.process import LAG_INTERVAL_S, MIN_STALL_S, Order, WorkerScript, monotonic_at
 from orchidferry.testkit.record import FLUSH_S, Incident, Lag, read_folder
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.stop_signals import on_stop_signals
@@ -114,7 +114,9 @@
         deployment = self.deployment
         scenario = self.deployment.scenario
         key = new_key() if scenario.traffic and not foreign else ""
-        script = Script(deployment.plan, deployment.zero, deployment.block.number, deployment.files, key)
+        script = WorkerScript(
+            deployment.plan, deployment.zero, deployment.block.number, deployment.files, key
+        )
         script.write(deployment.folder)
         workers = 0 if foreign else scenario.workers
         made = await asyncio.gather(
@@ -208,11 +210,11 @@
         for node in self.deployment.nodes.values():
             node.look(False)
         while True:
-            due = loop.time() + TICK_S
-            await asyncio.sleep(TICK_S)
+            due = loop.time() + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
             now = loop.time()
             self.progress.t = recorder.now() - self.deployment.start
-            if now - due > STALL_S:
+            if now - due > MIN_STALL_S:
                 recorder.put(Lag(recorder.now(), "director", "stall", now - due))
             if now - flushed > FLUSH_S:
                 recorder.flush()
--- a/orchidferry/testkit/world/hub.py
+++ b/orchidferry/testkit/world/hub.py
@@ -13,7 +13,7 @@
 import sys
 from collections import Counter
 
-from orchidferry.testkit.process import Order, Say, Script, work
+from orchidferry.testkit.process import Order, SendReport, WorkerScript, run_worker
 from orchidferry.testkit.record import LinkBytes, Recorder
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.links import Links
@@ -28,7 +28,9 @@
 class Hub:
     """All links of one run."""
 
-    def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
+    def __init__(
+        self, script: WorkerScript, block: Block, recorder: Recorder, say: SendReport, index: int
+    ) -> None:
         plan = script.plan
         self._recorder = recorder
         self._start = math.inf
@@ -117,11 +119,11 @@
         with contextlib.suppress(OSError):
             writer.write_eof()
 
-    async def order(self, order: Order) -> None:
+    async def handle_order(self, order: Order) -> None:
         if order["do"] == "play":
             self._start = float(order["at"])
 
-    def second(self) -> None:
+    def on_second(self) -> None:
         now = self._recorder.now()
         for name, count in self._bytes.items():
             self._recorder.put(LinkBytes(now, name, count, self._messages[name]))
@@ -129,7 +131,7 @@
         self._messages.clear()
 
     async def close(self) -> None:
-        self.second()
+        self.on_second()
         self._opening.cancel()
         for udp in self._sockets:
             self._loop.remove_reader(udp)
@@ -139,4 +141,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(work(Hub))
+    sys.exit(run_worker(Hub))
--- a/orchidferry/testkit/world/worker.py
+++ b/orchidferry/testkit/world/worker.py
@@ -5,7 +5,7 @@
 import sys
 
 from orchidferry.testkit.exchange import RequestSender
-from orchidferry.testkit.process import Order, Say, Script, work
+from orchidferry.testkit.process import Order, SendReport, WorkerScript, run_worker
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.scenario import Class, Scenario
 from orchidferry.testkit.wire import Address
@@ -31,7 +31,9 @@
 class World:
     """The stand-ins of one process."""
 
-    def __init__(self, script: Script, block: Block, recorder: Recorder, say: Say, index: int) -> None:
+    def __init__(
+        self, script: WorkerScript, block: Block, recorder: Recorder, say: SendReport, index: int
+    ) -> None:
         self._script = script
         self._block = block
         self._recorder = recorder
@@ -46,7 +48,7 @@
         place = (server.tier, cls.group, server.cell if cls.group == "cell" else 0)
         return self._keys.setdefault(place, Keys())
 
-    async def order(self, order: Order) -> None:
+    async def handle_order(self, order: Order) -> None:
         server = self._servers[order["whom"]]
         if order["do"] == "up":
             await self._up(server, bool(order["cold"]))
@@ -81,7 +83,7 @@
         del self._running[name]
         self._say({"did": "fell", "whom": name})
 
-    def second(self) -> None:
+    def on_second(self) -> None:
         self._exchanges.sweep()
 
     async def close(self) -> None:
@@ -91,4 +93,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(work(World))
+    sys.exit(run_worker(World))
