--- a/orchidferry/mesh/control/group_changes.py
+++ b/orchidferry/mesh/control/group_changes.py
@@ -39,7 +39,7 @@
         return [voter.name for voter in self.known.voters]
 
     def leaves(self, name: str) -> bool:
-        """Whether a controller was told to end; it may be this one."""
+        """Whether a controller is stopping; it may be this one."""
         return self.peers.stopping if name == self.name else name in self.peers.leaving
 
     def replaceable(self) -> str:
--- a/orchidferry/mesh/control/peers.py
+++ b/orchidferry/mesh/control/peers.py
@@ -18,8 +18,8 @@
     :param heard_s: by controller: when its last heartbeat came.
     :param unfit: controllers that can't own a shard, as they say themselves.
     :param fit: whether this controller can own a shard: its disk keeps up, and it is not stopping.
-    :param leaving: controllers that were told to end, as they say themselves.
-    :param stopping: whether this controller was told to end.
+    :param leaving: controllers that are stopping, as they say themselves.
+    :param stopping: whether this controller is stopping.
     :param learning: by controller: the shards in which it has yet to catch up, as it says itself.
     """
 
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -97,7 +97,7 @@
     :ivar incarnation: the name under which this process proposes. Proposal numbers of one process are its
         own: what an earlier one began and forgot may still be on its way.
     :ivar is_founder: whether this replica knows the state that the register began with.
-    :ivar learned: the newest state that the listener and the other replicas were told of.
+    :ivar learned: the newest state that the listener was notified of.
     :ivar vote_on_disk: whether all that the acceptor keeps in memory is on disk.
     :ivar proposals: the changes that are under way, by id.
     """
