--- a/orchidferry/balancing/picker.py
+++ b/orchidferry/balancing/picker.py
@@ -144,10 +144,14 @@
         if out_of_tokens:  # rule 4
             self._schedule_check(server, self.now + SLOW_START_CHECK_MS)
         counted = 0.0 if out_of_tokens else weight
-        if out_of_tokens or server.inflight >= server.concurrency_limit:
+        inflight = len(server.outstanding)
+        if out_of_tokens or inflight >= server.concurrency_limit:
             state = RotationState.REMOVED
-        elif ejected or self._is_crowded(server) or weight <= 0.0:
+        elif ejected:
             state = RotationState.FALLBACK
+        elif (needed := (inflight - 1.0) / weight if weight > 0.0 else math.inf) >= self.fair_share():
+            state = RotationState.FALLBACK  # slow or stuck servers show first by the calls that they have
+            self._watch_crowded(server, needed)
         else:
             state = RotationState.ACTIVE
         if counted != server.counted_weight:
@@ -161,18 +165,13 @@
         share = self._slow_start.capacity_share(server, self.now)
         return share < 1.0 and self._slow_start.available_tokens(server, share, self.now) < 1.0
 
-    def _is_crowded(self, server: Server) -> bool:
-        """Whether it has over its fair share outstanding, as slow or stuck servers have; if so, watch it."""
-        weight = server.member.weight
-        needed = (server.inflight - 1.0) / weight if weight > 0.0 else math.inf
-        if needed < self.fair_share():
-            return False
+    def _watch_crowded(self, server: Server, needed: float) -> None:
+        """Update a server again once the fair share is above what it needs."""
         server.crowded_version += 1
         heapq.heappush(self._crowded, (needed, server.member.order, server.crowded_version, server))
         if len(self._crowded) > 2 * len(self._server_set.assigned) + CHANGES_PER_STEP:
             self._crowded = [entry for entry in self._crowded if entry[2] == entry[3].crowded_version]
             heapq.heapify(self._crowded)
-        return True
 
     def _schedule_check(self, server: Server, at_ms: float) -> None:
         if at_ms < server.next_check_ms:
