--- a/tests/mesh/control/test_membership_losses.py
+++ b/tests/mesh/control/test_membership_losses.py
@@ -210,7 +210,7 @@
 
 
 def test_a_run_in_which_a_key_was_granted_twice() -> None:
-    """A counterexample that the test above once found, by its seed; it is in KNOWN-RED.txt until it is mended."""
+    """A counterexample of the test above, by its seed: in KNOWN-RED.txt until it is mended."""
     play(31855203, FIVE, 0.0)
 
 
