--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -27,7 +27,7 @@
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.node.node import Node
 from orchidferry.node.server_listing import ServerListing
-from orchidferry.testkit.bench.forward import Bench, cpu_s, rss_kb
+from orchidferry.testkit.bench.forward_bench import Bench, cpu_s, rss_kb
 from orchidferry.testkit.bench.open_loop import offer_load, scenario
 from orchidferry.testkit.control.service import Service
 from orchidferry.testkit.world.addresses import claim
--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -8,202 +8,22 @@
 from __future__ import annotations
 
 import argparse
-import asyncio
 import json
-import os
 import statistics
 import sys
 import tempfile
 import time
 from dataclasses import asdict
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import uvloop
 
-from orchidferry.testkit.bench.open_loop import LoadReport, offer_load, request_writer, scenario
-from orchidferry.testkit.exchange import expected_body
-from orchidferry.testkit.wire import Address, Request, ServerSide, get
+from orchidferry.testkit.bench.forward_bench import LATE_MS, WARM_S, Bench, cpu_s, rss_kb, serve
+from orchidferry.testkit.bench.open_loop import offer_load, request_writer
 from orchidferry.testkit.world.addresses import Block, claim
-from orchidferry.testkit.world.nodes import http3_text, settings
 
-if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
-
-SIZES = (10, 1_000)
-WARM_S = 2.0  # of load before what counts: connections come up, the node learns
-LATE_MS = 20.0  # an asker that was later than this at p99 measured itself
-READY_S = 20.0
-
-
-async def serve(addresses: list[Address], files: Files | None = None) -> None:
-    """Answer at once at so many addresses, over HTTP/3 too with certificates; a process of its own."""
-    loop = asyncio.get_running_loop()
-    seed = scenario().seed
-
-    def requested(connection: Any, request: Request) -> None:
-        id = request.headers.get("attempt-id")
-        more = f"Attempt-Id: {id}\r\nServer-Seal: {id}\r\n" if id is not None else ""  # a mesh wants both
-        connection.answer(200, expected_body(seed, request.headers.get("x-call-id", "")), more)
-
-    for host, port in addresses:
-        await loop.create_server(
-            lambda: ServerSide(requested, lambda _: None, lambda _: None), host, port, backlog=256
-        )
-        if files is not None:
-            from orchidferry.testkit.quic.server import H3Server
-
-            await H3Server(files, requested, lambda _: None, lambda _: None).start((host, port))
-    print("ready", flush=True)
-    reader = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    await reader.read()
-
-
-def cpu_s(pid: int) -> float:
-    """CPU seconds that a process has used."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
-
-
-def rss_kb(pid: int) -> int:
-    """Its resident memory."""
-    status = Path(f"/proc/{pid}/status").read_text()
-    return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
-
-
-class Bench:
-    """The processes of one size: servers, and in turn the node and the bare forwarder."""
-
-    def __init__(self, block: Block, folder: Path, servers: int) -> None:
-        self.block = block
-        self.folder = folder
-        self.servers = [block.server(n) for n in range(servers)]
-        self._running: list[asyncio.subprocess.Process] = []
-
-    async def start_servers(self, files: Files | None = None) -> None:
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "orchidferry.testkit.bench.forward",
-            "serve",
-            str(self.block.number),
-            str(len(self.servers)),
-            *([str(files.ca.parent)] if files is not None else []),
-            stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE,
-        )
-        self._running.append(process)
-        assert process.stdout is not None
-        await asyncio.wait_for(process.stdout.readline(), READY_S)
-
-    async def start(
-        self,
-        what: str,
-        python_path: str | None = None,
-        discovery: Address | None = None,
-        files: Files | None = None,
-        servers_h3: bool = False,
-        control: Path | None = None,
-    ) -> tuple[asyncio.subprocess.Process, Address]:
-        """Start the node, or the bare forwarder."""
-        number = len(self._running)
-        address = self.block.front_node(number)
-        env = dict(os.environ)
-        if what == "bare":
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "orchidferry.testkit.bench.bare",
-                f"{address[0]}:{address[1]}",
-                stdin=asyncio.subprocess.PIPE,
-            )
-            assert process.stdin is not None
-            process.stdin.write(" ".join(f"{host}:{port}" for host, port in self.servers).encode())
-            process.stdin.close()
-        else:
-            path = self.folder / f"node{number}.json"
-            path.write_text(json.dumps(self._config(address, discovery, servers_h3)))
-            if files is not None:
-                http3 = self.folder / f"node{number}.toml"
-                http3.write_text(http3_text(f"{address[0]}:{address[1]}", files))
-                env["ORCHIDFERRY_HTTP3"] = str(http3)
-            if control is not None:
-                env["ORCHIDFERRY_CONTROL"] = str(control)
-            env["NODE_CONFIG"] = str(path)
-            if python_path is not None:
-                env["PYTHONPATH"] = python_path
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-B",
-                "-m",
-                "orchidferry",
-                env=env,
-                cwd=python_path,
-                stderr=(self.folder / f"node{number}.log").open("wb"),
-            )
-        self._running.append(process)
-        deadline = time.monotonic() + READY_S
-        while time.monotonic() < deadline:
-            outcome = await get(address, "/-/ready")
-            if outcome.how == "answer" and (what == "bare" or outcome.status == 200):
-                return process, address
-            await asyncio.sleep(0.05)
-        raise ValueError(f"the {what} did not become ready")
-
-    def _config(self, address: Address, discovery: Address | None, h3: bool = False) -> dict[str, Any]:
-        host, port = discovery or (address[0], 1)  # nobody answers there
-        entries = [
-            {
-                "name": f"s{n}",
-                "address": f"{host}:{port}",
-                "zone": "sala-poa",
-                "type": "standin-1c",
-                "group": n // 8,
-                "status": "active",
-                "weight": 1.0,
-                "since_ms": 0,
-                **({"h3": f"{host}:{port}"} if h3 else {}),
-            }
-            for n, (host, port) in enumerate(self.servers)
-        ]
-        return {
-            "name": "n0",
-            "listen": f"{address[0]}:{address[1]}",
-            "discovery": f"{host}:{port}",
-            "seed": "7",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-            "known": {"index": 1, "snapshot": True, "endpoints": entries},
-            "settings": settings(scenario(), 0, 1, 0),
-        }
-
-    async def offer_elsewhere(self, address: Address, rate: float, seconds: float, tag: str) -> LoadReport:
-        """Offer a load of reads from a process of its own."""
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "orchidferry.testkit.bench.forward",
-            "ask",
-            address[0],
-            str(address[1]),
-            str(rate),
-            str(seconds),
-            tag,
-            stdout=asyncio.subprocess.PIPE,
-        )
-        self._running.append(process)
-        out, _ = await process.communicate()
-        self._running.remove(process)
-        return LoadReport(**json.loads(out))
-
-    async def stop(self, process: asyncio.subprocess.Process) -> None:
-        if process.returncode is None:
-            process.kill()
-        await process.wait()
-        self._running.remove(process)
-
-    async def close(self) -> None:
-        for process in list(self._running):
-            await self.stop(process)
+SIZES = (10, 1_000)  # servers, where none are named
 
 
 async def measure(
--- a/orchidferry/testkit/bench/libraries.py
+++ b/orchidferry/testkit/bench/libraries.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidferry.testkit.bench.forward import rss_kb
+from orchidferry.testkit.bench.forward_bench import rss_kb
 from orchidferry.testkit.quic import certs
 
 LIBRARIES = ("aioquic", "qh3")
--- a/orchidferry/testkit/bench/lists.py
+++ b/orchidferry/testkit/bench/lists.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from orchidferry.testkit.bench.forward import Bench, rss_kb
+from orchidferry.testkit.bench.forward_bench import Bench, rss_kb
 from orchidferry.testkit.bench.open_loop import offer_load
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.world.addresses import Block, claim
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -143,7 +143,7 @@
 
 async def run_servers(addresses: list[tuple[str, int]]) -> None:
     """Answer at once, until the standard input ends."""
-    from orchidferry.testkit.bench.forward import serve
+    from orchidferry.testkit.bench.forward_bench import serve
 
     await serve(addresses)
 
--- a/orchidferry/testkit/bench/mesh_requests.py
+++ b/orchidferry/testkit/bench/mesh_requests.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from orchidferry.testkit.bench import forward
+from orchidferry.testkit.bench import forward_bench
 from orchidferry.testkit.bench.mesh_claims import MIN_GRANTED, SYNC_MS
 from orchidferry.testkit.bench.mesh_fleet import FEED, HOST, SAVE, Fleet
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row
@@ -88,7 +88,7 @@
     """CPU a request of each forwarder, by turns."""
     async with Fleet(3, (1, 1), SYNC_MS) as fleet:
         bench = RequestBench(fleet, seconds)
-        others = forward.Bench(fleet.block, fleet.folder, 0)
+        others = forward_bench.Bench(fleet.block, fleet.folder, 0)
         others.servers = [(fleet.sidecars[0].ip, fleet.ports.application)]
         try:
             for _ in range(turns):
@@ -99,7 +99,7 @@
     return request_rows(bench.results)
 
 
-async def _offer_to_others(bench: RequestBench, others: forward.Bench) -> None:
+async def _offer_to_others(bench: RequestBench, others: forward_bench.Bench) -> None:
     process, address = await others.start("bare")
     await bench.offer(BASELINE, address, [process.pid], READS)
     await others.stop(process)
@@ -151,7 +151,7 @@
     if len(cpu_us) > 1:
         details["outbound_us"], details["inbound_us"] = (round(us, 1) for us in cpu_us)
     late_ms = max(result.report.late_p99_ms for result in results)
-    if late_ms > forward.LATE_MS:
+    if late_ms > forward_bench.LATE_MS:
         details["asked_late_p99_ms"] = round(late_ms, 1)
     waited = max(result.waited for result in results)
     if waited > REPORTED_WAIT:
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from orchidferry.testkit.bench.forward import LATE_MS, WARM_S, Bench, cpu_s, rss_kb
+from orchidferry.testkit.bench.forward_bench import LATE_MS, WARM_S, Bench, cpu_s, rss_kb
 from orchidferry.testkit.bench.open_loop import BUDGET_S, offer_load, scenario
 from orchidferry.testkit.exchange import encode_request, expected_body
 from orchidferry.testkit.quic import certs
--- a/orchidferry/testkit/capacity/calls.py
+++ b/orchidferry/testkit/capacity/calls.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from orchidferry.testkit.bench import forward
+from orchidferry.testkit.bench import forward_bench
 from orchidferry.testkit.bench.mesh_fleet import Fleet
 from orchidferry.testkit.bench.mesh_requests import READS, SAVES
 from orchidferry.testkit.bench.open_loop import offer_load
@@ -80,7 +80,7 @@
 
     async def run(self, rates: tuple[int, ...]) -> list[Figure]:
         """All ways at all rates."""
-        bench = forward.Bench(self._fleet.block, self._fleet.folder, 0)
+        bench = forward_bench.Bench(self._fleet.block, self._fleet.folder, 0)
         bench.servers = [(self._near.ip, self._fleet.ports.application)]
         found = {rate: Rounds() for rate in rates}
         try:
@@ -92,7 +92,7 @@
             await bench.close()
         return [figure for rate, rounds in found.items() for figure in rounds.figures(BY_CALLS, rate)]
 
-    async def _ways(self, bench: forward.Bench) -> list[Way]:
+    async def _ways(self, bench: forward_bench.Bench) -> list[Way]:
         bare, bare_address = await bench.start("bare")
         near, far = (self._fleet.pids([machine])[0] for machine in (self._near, self._far))
         outbound = self._fleet.ports.outbound
