--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -249,6 +249,7 @@
             return attempt.abort(Result.CANCELLED)
         self._abandoned[request] = attempt
         self._timers.schedule(ABANDONED_S, lambda: attempt.abort(Result.CANCELLED))
+        return None
 
     def _slots(self) -> int:
         capacity = self.server.capacity if self.server is not None else DEFAULT_SLOTS
@@ -278,6 +279,7 @@
                 return self._reject(request, GateOutcome.NOT_RUN)
             self._reject(displaced, GateOutcome.NOT_RUN)
         self._queue.add(request, wait_ms / 1000.0, self._queue_timed_out)
+        return None
 
     def _queue_timed_out(self, request: GateRequest) -> None:
         self._reject(request, GateOutcome.NOT_RUN)
--- a/orchidferry/mesh/dataplane/connection_pool.py
+++ b/orchidferry/mesh/dataplane/connection_pool.py
@@ -62,6 +62,7 @@
             self.timers, attempt.timeout_ms / 1000.0 if attempt.message.flow is None else UPLOAD_STALL_S
         )
         connection.send_attempt(attempt)
+        return None
 
     def _reusable(self, attempt: TrackedAttempt) -> HttpConnection | None:
         """The connection used last, if it may carry this attempt; those that can carry none are closed."""
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -120,6 +120,7 @@
             flow.attach(self)
         elif not self._paused:
             attempt.on_sent()
+        return None
 
     def _kernel_took_nothing(self, size: int) -> bool:
         """Whether all of a request of that size is still buffered; False if that can't be told."""
@@ -144,7 +145,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header; those that the mesh writes itself are not forwarded."""
         if self._complete or self._in_body:
-            return  # a trailer stands in for no header
+            return None  # a trailer stands in for no header
         lower = name.lower()
         if lower in (b"content-length", b"transfer-encoding", b"connection"):
             return super().on_header(name, value)
@@ -155,8 +156,8 @@
                 self._malformed or self._attempt_id is not None
             )  # of two, one is another request's
             self._attempt_id = value.strip()
-            return
-        elif lower == b"server-seal":
+            return None
+        if lower == b"server-seal":
             self._sealed = True
         elif lower == b"content-encoding":
             self._encoded = True
@@ -164,15 +165,16 @@
             self._not_executed = value.strip() not in (b"", b"0")
         elif lower == GATE_HEADER:
             self._gate_outcome = value.strip()
-            return
+            return None
         elif lower == DEPENDENCY_SHED_HEADER:
             self._dependency_shed = True
-            return
+            return None
         elif lower == QUEUE_LENGTH_HEADER:
             valid = MILLISECONDS.fullmatch(value)
             self._report = {"queue": min(float(value), MAX_QUEUE_LENGTH)} if valid else None
-            return
+            return None
         self._headers.append((name, value))
+        return None
 
     def on_headers_complete(self) -> None:
         """Decide whose response this is, and where it ends."""
@@ -207,6 +209,7 @@
         if interim:
             self._reset_headers()
         self._keep = self._keep and not self._tainted and self._attempt_id is not None
+        return None
 
     def _is_for_other(self, attempt: Attempt) -> bool:
         """Whether the response being read bears another id than that of the attempt."""
--- a/orchidferry/mesh/dataplane/listener.py
+++ b/orchidferry/mesh/dataplane/listener.py
@@ -121,6 +121,7 @@
             refusal = Rejection(RejectionReason.EXECUTION_UNKNOWN)
             reply = Reply(refusal.status, refusal.line.encode())
         super()._close_with_error(reply)
+        return None
 
     def _is_body_of_current(self, flow: Flow) -> bool:
         """Whether the body that is coming belongs to the request that the node has."""
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -136,6 +136,7 @@
         if request.service.draining and request.awaited and self.possibly_sent and remaining_ms > 1.0:
             return self.extend_timeout(remaining_ms / 1000.0)
         super().on_timeout()
+        return None
 
     def may_send(self) -> bool:
         """Whether it is still awaited, its server in service, and its body there from the start."""
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -291,6 +291,7 @@
         self.finish(
             request, refusal_reply(request.message, Rejection(RejectionReason.NOT_EXECUTED), retry_after_s)
         )
+        return None
 
     # The decision module
 
@@ -334,6 +335,7 @@
         remaining_ms = request.deadline_ms - now_ms() - TRANSIT_MARGIN_MS / 2.0
         timeout_ms = max(0.0, min(action.timeout_ms, remaining_ms))
         self._connections.send(GateAttempt(request, number, endpoint, timeout_ms))
+        return None
 
     def _cancel(self, action: api.Cancel) -> None:
         """Break off the attempt that the module means, or the last one before it that is under way."""
@@ -341,6 +343,7 @@
             attempt = self.attempts.get((action.id, number))
             if attempt is not None:
                 return attempt.abort(Result.CANCELLED)
+        return None
 
 
 def _log_failure(event: api.Event) -> None:
--- a/orchidferry/mesh/storage/disk_health.py
+++ b/orchidferry/mesh/storage/disk_health.py
@@ -23,9 +23,7 @@
     """
 
     def __init__(self, wake: threading.Condition) -> None:
-        """
-        :param wake: condition on which the store's thread waits
-        """
+        """:param wake: condition on which the store's thread waits"""
         self.is_degraded = False
         self.failing_since_s = 0.0
         self._wake = wake
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -1,5 +1,6 @@
-"""Snapshots of what a controller knows: taken to a file, and restored as a new group when a majority of the
-disks is lost.
+"""Snapshots of what a controller knows.
+
+Taken to a file, and restored as a new group when a majority of the disks is lost.
 
 Votes are never restored: a controller that voted after its snapshot would break its promise.
 `restore_snapshot` makes another group: voters with disk ids that nobody ever had, and a state that all
--- a/orchidferry/mesh/storage/write_batch.py
+++ b/orchidferry/mesh/storage/write_batch.py
@@ -40,9 +40,7 @@
     """
 
     def __init__(self, transact: Callable[[list[PendingWrite]], list[bool]]) -> None:
-        """
-        :param transact: commits writes in one transaction and returns which of them it took
-        """
+        """:param transact: commits writes in one transaction and returns which of them it took"""
         self._transact = transact
         self._failures_left = MAX_FAILED_COMMITS
 
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -39,7 +39,8 @@
         on_opened: Callable[[Link], None] | None = None,
         accepted: bool = False,
     ) -> None:
-        """
+        """Create a `Link`.
+
         :param on_message: called with each message, except the greeting
         :param on_closed: called once when the connection has ended
         :param on_opened: called once when the connection is established
@@ -89,8 +90,9 @@
             position = begin + size
             self._handle_body(bytes(buffer[begin:position]))
             if not self.open:
-                return
+                return None
         del buffer[:position]
+        return None
 
     def _handle_body(self, body: bytes) -> None:
         if self._awaits_greeting:
@@ -101,6 +103,7 @@
             logger.warning("link: a message of {} can't be read: {}", self._peer_address(), error)
             return self.close()
         self._on_message(self, message)
+        return None
 
     def _check_greeting(self, body: bytes) -> None:
         self._awaits_greeting = False
@@ -132,6 +135,7 @@
             if self._transport.get_write_buffer_size() > self.max_unsent_bytes:
                 return self.close()
             self._transport.write(data)
+        return None
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report that the connection has ended (called by asyncio)."""
--- a/orchidferry/node/admin_server.py
+++ b/orchidferry/node/admin_server.py
@@ -74,6 +74,7 @@
         if handler is None:
             return self._answer(404, b"no such path\n")
         self._answer(*handler())
+        return None
 
     def _answer(self, status: int, text: bytes) -> None:
         if self._answered or self._transport is None:
@@ -103,9 +104,7 @@
     """The listener, and the connections to it."""
 
     def __init__(self, pages: dict[bytes, PageHandler]) -> None:
-        """
-        :param pages: by path.
-        """
+        """:param pages: by path."""
         self.pages = pages
         self._connections: dict[AdminConnection, None] = {}  # the one open for the longest time first
         self._server: asyncio.Server | None = None
--- a/orchidferry/node/chain/links.py
+++ b/orchidferry/node/chain/links.py
@@ -24,9 +24,7 @@
     """The chain headers of one node."""
 
     def __init__(self, setup: Setup, salt: int) -> None:
-        """
-        :param salt: makes the ids of nodes differ.
-        """
+        """:param salt: makes the ids of nodes differ."""
         # Ids count from 1 at each start; the time makes them differ from those of the last incarnation.
         limits = setup.limits
         born = int(time.time())
--- a/orchidferry/node/client_connection.py
+++ b/orchidferry/node/client_connection.py
@@ -354,10 +354,11 @@
         self._request_flow = flow
         self._queue.append(message)
         self._serve_next()
+        return None
 
     def on_message_complete(self) -> None:
         if self._input_closed:
-            return
+            return None
         self._reading = False
         self._completed = True
         if self._request_flow is not None:
@@ -439,6 +440,7 @@
         self._has_requested = True
         if self._busy:  # it may have been answered at once
             self._pending = pending
+        return None
 
     def _on_reply(self, reply: Reply) -> None:
         """Send the node's answer to the request it has."""
@@ -454,6 +456,7 @@
             self._write_reply(reply)
             self._serve_next()
             self._update_stage()
+        return None
 
     def _start_streaming(self, reply: Reply, flow: Flow) -> None:
         """Send the head of a long answer, and its body as it comes."""
@@ -465,6 +468,7 @@
         self._transport.write(render(reply, close, self._frontend.alt_svc))
         flow.attach(self)
         self._update_stage()
+        return None
 
     def _write_reply(self, reply: Reply) -> None:
         early = self._request_flow is not None  # what still comes is dropped first
--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -56,7 +56,8 @@
         store: Store | None = None,
         applied: Configuration | None = None,
     ) -> None:
-        """
+        """Create a `Agent`.
+
         :param file: the configuration in the node's own file.
         :param applied: the configuration that the node has; it goes before one in the store.
         :raises ConfigError: if a certificate can't be read.
--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -179,7 +179,8 @@
         on_stream: Callable[[bool], None],
         rng: random.Random | None = None,
     ) -> None:
-        """
+        """Create a `Channel`.
+
         :param on_offer: called with each offer.
         :param on_stream: called with whether a stream is open, when that changes.
         :raises ConfigError: if a certificate can't be read.
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -60,7 +60,8 @@
         store: Store | None,
         out: asyncio.StreamWriter,
     ) -> None:
-        """
+        """Create a `Helper`.
+
         :param own: settings in the node's own file.
         :param applied: the configuration that the node has; None: that of its own file.
         :param out: to the node.
--- a/orchidferry/node/control/link.py
+++ b/orchidferry/node/control/link.py
@@ -61,7 +61,8 @@
         loop: asyncio.AbstractEventLoop,
         rng: random.Random | None = None,
     ) -> None:
-        """
+        """Create a `Link`.
+
         :param settings: in the node's own file.
         :raises ConfigError: if a library is missing or a certificate can't be read.
         """
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -97,7 +97,8 @@
 
 
 def _read_member(lb_endpoint: Any, zone: str, offset_ms: float, where: str) -> Member:
-    """
+    """Read one endpoint of a cluster load assignment.
+
     :param offset_ms: from Unix time to the node's clock.
     :param where: names the endpoint in error texts.
     """
--- a/orchidferry/node/control/settings.py
+++ b/orchidferry/node/control/settings.py
@@ -50,9 +50,7 @@
 
 
 def _decode(obj: Json, folder: Path) -> Control:
-    """
-    :param folder: what paths in the file are relative to.
-    """
+    """:param folder: what paths in the file are relative to."""
     if unknown := sorted(obj.keys() - KNOWN):
         raise SettingsFormatError(f"{unknown[0]!r} is not known")
     pools = get(obj, "pools", list)
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -95,7 +95,8 @@
     """The directory of one node."""
 
     def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
-        """
+        """Create a `Store`.
+
         :raises StateLockedError: if another process has locked the directory.
         :raises OSError: if it can't be created.
         """
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -72,6 +72,7 @@
             self._owner.response_received(self, status, b"".join(self._body), self._keep)
         elif self._size > MAX_RESPONSE_BYTES:
             self._owner.connection_failed(self, "an answer without end")
+        return None
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._owner.connection_failed(self, "the connection broke")
@@ -94,7 +95,8 @@
         index: int,
         on_update: Callable[[ServerListing | None, str], None],
     ) -> None:
-        """
+        """Create a `Discovery`.
+
         :param index: discovery's version of the list that the node has.
         :param on_update: called with each list or change in order; with None and the reason after a failure.
         """
@@ -210,6 +212,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._call = self._loop.create_task(self._read_in_steps(body, keep))
+        return None
 
     async def _read_in_steps(self, body: bytes, keep: bool) -> None:
         task = self._call
@@ -240,3 +243,4 @@
         self._start_call()
         if listing.complete or listing.entries:
             self._on_update(listing, "")
+        return None
--- a/orchidferry/node/event_queue.py
+++ b/orchidferry/node/event_queue.py
@@ -25,7 +25,8 @@
         perform: Callable[[api.Action], None],
         on_error: Callable[[api.Event], None],
     ) -> None:
-        """
+        """Create a `EventQueue`.
+
         :param decide: returns the actions that follow from an event.
         :param perform: performs one action.
         :param on_error: called inside the handler of an exception, with the event that led to it; a request
--- a/orchidferry/node/fleet/journal.py
+++ b/orchidferry/node/fleet/journal.py
@@ -34,9 +34,7 @@
     """A file with one line for each change, with both clocks; its size is bounded."""
 
     def __init__(self, path: Path) -> None:
-        """
-        :raises OSError: if the file can't be written.
-        """
+        """:raises OSError: if the file can't be written."""
         handler = logging.handlers.RotatingFileHandler(
             path, maxBytes=MAX_JOURNAL, backupCount=1, encoding="utf-8"
         )
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -72,7 +72,8 @@
 
 
 def _decode(obj: Json, folder: Path, name: str) -> Setup:
-    """
+    """Check the tables of a fleet settings file.
+
     :param folder: what paths in the file are relative to.
     :param name: the node's own, if the file has none.
     """
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -66,9 +66,7 @@
     def __init__(
         self, setup: Setup, loop: asyncio.AbstractEventLoop, rng: random.Random | None = None
     ) -> None:
-        """
-        :raises ConfigError: if the keys, the state or the journal can't be used.
-        """
+        """:raises ConfigError: if the keys, the state or the journal can't be used."""
         self._setup = setup
         self._loop = loop
         self.where = setup.listen
@@ -333,6 +331,7 @@
             return self._reject(problem)
         self._remember_key(message.sender, key)
         self.handle(api.MessageReceived(message))
+        return None
 
     def _remember_key(self, sender: Entry, key: bytes) -> None:
         """Remember which key a peer uses, as one that does not have the new key yet needs the old one."""
--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -109,7 +109,8 @@
         pool: MemoryPool | None = None,
         max_length: int | None = None,
     ) -> None:
-        """
+        """Create a `Flow`.
+
         :param length: of the body in bytes; None if the sender does not say.
         :param now_s: the time by the loop's clock.
         :param pool: where memory for another sink is reserved; None: nothing is kept, as there is one sink.
--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -45,7 +45,8 @@
         max_connections: int,
         pool: MemoryPool,
     ) -> None:
-        """
+        """Create a `Frontend`.
+
         :param classes: request classes by name.
         :param accept: passes a request to the node.
         :param ready: returns whether the node can serve requests.
--- a/orchidferry/node/h3/client_connection.py
+++ b/orchidferry/node/h3/client_connection.py
@@ -173,6 +173,7 @@
                     self._reject_request(stream, found.status, found.reason)
             if getattr(found, "stream_ended", False) and stream.state is StreamState.READING:
                 self._complete(stream)
+        return None
 
     def _is_ignored(self, id: int) -> bool:
         return self._session is not None and self._session.is_ignored(id)
@@ -192,7 +193,7 @@
 
     def _on_headers(self, stream: RequestStream, found: HeadersReceived) -> None:
         if stream.has_headers:
-            return  # trailers are not used
+            return None  # trailers are not used
         stream.has_headers = True
         size = 0
         for name, value in found.headers:
@@ -214,6 +215,7 @@
             self._reject_request(stream, 400, "content-length is no number")
         elif int(length[:12]) > MAX_BODY:
             self._reject_request(stream, 413, "body over 64 KiB")
+        return None
 
     def _complete(self, stream: RequestStream) -> None:
         """Pass a complete request to the node."""
@@ -232,6 +234,7 @@
             return self._reject_request(stream, 400, str(problem))
         if stream.state is StreamState.SERVING:  # it may have been answered at once
             stream.pending = pending
+        return None
 
     def send_answer(self, stream: RequestStream, reply: Reply) -> None:
         """Send a complete answer; the node's, or an error of this module."""
@@ -319,6 +322,7 @@
             elif stream.state is StreamState.WRITING and waited > WRITE_S:
                 self._drop(stream, ErrorCode.H3_INTERNAL_ERROR)
                 self.transport.flush_soon()
+        return None
 
     def set_not_ready(self) -> None:
         """Announce the node's end; requests are still accepted (RFC 9114, section 5.2)."""
--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -161,7 +161,7 @@
         try:
             header = pull_quic_header(Buffer(data=data), host_cid_length=CID_LENGTH)
         except ValueError:
-            return
+            return None
         connection = self.ids.get(header.destination_cid)
         if connection is not None:
             return connection.receive(data, peer)
@@ -169,11 +169,12 @@
         if header.version is None:  # short header: a connection that ended, or was another process's
             return self._answer_stray(header, len(data), peer, now)
         if header.packet_type is QuicPacketType.VERSION_NEGOTIATION or len(data) < SMALLEST_MAX_DATAGRAM_SIZE:
-            return
+            return None
         if header.version not in self._configuration.supported_versions:
             return self._send_versions(header, peer, now)
         if header.packet_type is QuicPacketType.INITIAL and not self._not_accepting:
             self._first_packet(header, data, peer, now)
+        return None
 
     def _answer_stray(self, header: Any, size: int, peer: Endpoint, now: float) -> None:
         """Send a stateless reset (RFC 9000, section 10.3).
@@ -204,9 +205,9 @@
             case FirstPacketDecision.VALIDATE:
                 return self._send_retry(header, peer)
             case FirstPacketDecision.DROP:
-                return
+                return None
         if len(self._connections) >= self._front.connections and not self._evict_idle():
-            return
+            return None
         quic = ServerQuicConnection(
             self._reset_key,
             MAX_STREAMS,
@@ -222,6 +223,7 @@
         self.ids.add(header.destination_cid, connection)
         self.ids.add(quic.host_cid, connection)
         connection.receive(data, peer)
+        return None
 
     def _validated_id(self, header: Any, peer: Endpoint) -> bytes | None:
         """Check the token of a Retry packet (RFC 9000, section 8.1.2).
--- a/orchidferry/node/h3/quic_transport.py
+++ b/orchidferry/node/h3/quic_transport.py
@@ -37,7 +37,8 @@
     """A server's connection whose stateless reset tokens are derived from its ids, so that none is kept."""
 
     def __init__(self, key: bytes, streams: int, **rest: Any) -> None:
-        """
+        """Create a `ServerQuicConnection`.
+
         :param key: for the tokens.
         :param streams: requests that may be open at once.
         :param rest: for the library.
@@ -164,6 +165,7 @@
             log.exception("a QUIC connection, at a datagram")
             return self._on_failure()
         self.flush_soon()
+        return None
 
     def flush_soon(self) -> None:
         """Send what there is to send, at the end of this iteration of the event loop."""
@@ -176,7 +178,7 @@
             self._flush_handle.cancel()
             self._flush_handle = None
         if self._closed:
-            return
+            return None
         try:
             for data, peer in self.quic.datagrams_to_send(now=time.monotonic()):
                 self._sendto(data, peer)
@@ -186,6 +188,7 @@
             return self._on_failure()
         if not self._closed:
             self._set_timer()
+        return None
 
     def _set_timer(self) -> None:
         due_s = self.quic.get_timer()
@@ -205,6 +208,7 @@
             log.exception("a QUIC connection, at its timer")
             return self._on_failure()
         self.flush()
+        return None
 
     def _handle_events(self) -> None:
         while (event := self.quic.next_event()) is not None:
--- a/orchidferry/node/h3/server_connection.py
+++ b/orchidferry/node/h3/server_connection.py
@@ -275,6 +275,7 @@
         if not sent.attempt.written:  # a response proves that it was sent
             sent.attempt.on_sent()
         self._finish(sent.stream, classify_response(sent.status, sent.rejected), answer)
+        return None
 
     def _on_malformed(self, sent: StreamAttempt) -> None:
         self._reset(sent.stream)
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -117,6 +117,7 @@
             return self._tcp.send(attempt, fresh)
         attempt.set_timeout(self._tcp.timers, attempt.timeout_ms / 1000.0)
         connection.send_attempt(attempt)
+        return None
 
     def close_idle(self, server: int) -> None:
         """Close idle connections over TCP, and check one over QUIC with a ping."""
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -79,7 +79,8 @@
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, extensions: Extensions | None = None
     ) -> None:
-        """
+        """Create a `Node`.
+
         :param extensions: optional features; None: there are none.
         :raises ConfigError: if a feature can't be started with its settings.
         """
@@ -486,6 +487,7 @@
         if action.carried is not None and self.links is not None:
             attempt.more = self.links.write(action.carried, timeout_ms)
         self._upstream.send(attempt, action.fresh)
+        return None
 
     def _cancel_attempt(self, action: api.Cancel) -> None:
         # An attempt that was moot before it began has no number here, but the balancer counts it.
@@ -493,6 +495,7 @@
             attempt = self.attempts.get((action.id, number))
             if attempt is not None:
                 return attempt.abort(Result.CANCELLED)
+        return None
 
     def upload_sent(self, attempt: RequestAttempt) -> None:
         """Notify the balancer that a server has all of a long request."""
--- a/orchidferry/node/pending_request.py
+++ b/orchidferry/node/pending_request.py
@@ -25,7 +25,8 @@
     def __init__(
         self, node: Node, id: str, message: Message, answer: Callable[[Reply], None], ends_ms: float
     ) -> None:
-        """
+        """Create a `PendingRequest`.
+
         :param id: the node's own id of the request.
         :param answer: sends the answer to the client; called at most once.
         :param ends_ms: when the answer is due at the latest, by the node's clock.
@@ -62,9 +63,7 @@
         timeout_ms: float,
         sent_ms: float,
     ) -> None:
-        """
-        :param sent_ms: when the balancer ordered it, by the node's clock.
-        """
+        """:param sent_ms: when the balancer ordered it, by the node's clock."""
         super().__init__(request.message, server, address, timeout_ms)
         self._node = node
         self._request = request
--- a/orchidferry/node/server_table.py
+++ b/orchidferry/node/server_table.py
@@ -21,9 +21,7 @@
     """
 
     def __init__(self, on_removed: Callable[[int], None]) -> None:
-        """
-        :param on_removed: called with a server that is not listed any more.
-        """
+        """:param on_removed: called with a server that is not listed any more."""
         self._on_removed = on_removed
         self.addresses: dict[int, Address] = {}
         self.h3_addresses: dict[int, Address] = {}  # of the servers that speak HTTP/3
@@ -105,6 +103,7 @@
         if not self.active:
             self.active = True
             self._pass_on_next()
+        return None
 
     def _pass_on_next(self) -> None:
         if self._events:
--- a/orchidferry/node/state_store.py
+++ b/orchidferry/node/state_store.py
@@ -39,9 +39,7 @@
     """A state file can't be used; the text says why, in one line."""
 
     def __init__(self, kind: str, reason: str) -> None:
-        """
-        :param kind: stands in the name under which the file is set aside.
-        """
+        """:param kind: stands in the name under which the file is set aside."""
         super().__init__(reason)
         self.kind = kind
 
--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -37,7 +37,8 @@
         free_sockets: Callable[[], int],
         timers: TimerQueue,
     ) -> None:
-        """
+        """Create a `Upstream`.
+
         :param keepalive_ms: how long servers keep an idle connection.
         :param free_sockets: returns how many more sockets the node may open.
         :param timers: for the timeouts of attempts.
@@ -88,6 +89,7 @@
         self._dials.add(dial)
         dial.add_done_callback(self._dials.discard)
         attempt.set_cancel_io(dial.cancel)
+        return None
 
     async def _dial(self, attempt: Attempt) -> None:
         """Connect, and send an attempt if it still may be sent then."""
@@ -116,6 +118,7 @@
             if not kept:  # cancelled or failed: a connection that came up all the same belongs to nobody
                 connection.close()
         attempt.end(result)
+        return None
 
     def return_connection(self, connection: Connection) -> None:
         """Keep a connection that has no attempt for the next one."""
--- a/orchidferry/node/upstream_connection.py
+++ b/orchidferry/node/upstream_connection.py
@@ -142,6 +142,7 @@
             self._response_complete()
         elif self._malformed or (not self._in_body and self._head > MAX_HEAD):
             self._finish_attempt(Result.ERROR, reuse=False)
+        return None
 
     def eof_received(self) -> None:
         return None  # the transport closes, and `connection_lost` reports
@@ -160,6 +161,7 @@
         if self._attempt is not None:
             result = Result.RESET if self._attempt.written else Result.UNREACHABLE
             self._finish_attempt(result, reuse=False)
+        return None
 
     def close(self) -> None:
         """Close now, without an outcome for the attempt that it carries."""
--- a/orchidferry/testkit/explore/mesh_actors.py
+++ b/orchidferry/testkit/explore/mesh_actors.py
@@ -25,9 +25,7 @@
     """A generator whose numbers are in the middle of their range; each integer that it draws is a new one."""
 
     def __init__(self, count: int = 0) -> None:
-        """
-        :param count: the integer that was drawn last
-        """
+        """:param count: the integer that was drawn last"""
         super().__init__(0)
         self.count = count
 
--- a/orchidferry/testkit/explore/mesh_fingerprint.py
+++ b/orchidferry/testkit/explore/mesh_fingerprint.py
@@ -148,8 +148,9 @@
 
 
 def _without_finished_round(part: Any) -> Any:
-    """Return a part of a proposer without what it does not look at any more: once a round has its state, who
-    was asked to promise and what they answered.
+    """Return a part of a proposer without what it does not look at any more.
+
+    Once a round has its state, who was asked to promise and what they answered.
     """
     if type(part) is proposer._Round and part.after is not None:
         return replace(part, promises={}, asked=set())
--- a/orchidferry/testkit/explore/mesh_world.py
+++ b/orchidferry/testkit/explore/mesh_world.py
@@ -48,9 +48,7 @@
     """
 
     def __init__(self, scene: Scene, kinds: tuple[str, ...], shard_number: int) -> None:
-        """
-        :param kinds: of the faults that may come, beside those of the scene's script
-        """
+        """:param kinds: of the faults that may come, beside those of the scene's script"""
         self.scene = scene
         self.faults_left = 0
         self.kinds = kinds
--- a/orchidferry/testkit/explore/search.py
+++ b/orchidferry/testkit/explore/search.py
@@ -281,8 +281,10 @@
     break_: str = "",
     watch: Callable[[Totals], None] = lambda _: None,
 ) -> Totals:
-    """Random runs for a while, by PCT's priorities (Burckhardt et al., 2010): each kind of action has one,
-    and a few times in a run the first of them falls to the last."""
+    """Random runs for a while, by PCT's priorities (Burckhardt et al., 2010).
+
+    Each kind of action has one, and a few times in a run the first of them falls to the last.
+    """
     totals, began, number = Totals(), time.monotonic(), 0
     with broken(break_):
         while time.monotonic() - began < seconds and totals.counterexample is None:
@@ -321,8 +323,10 @@
 
 
 def shrink(small: Small, path: list[str], name: str, break_: str) -> list[str]:
-    """A shorter path to the same violation: parts left out while it stays one, halves first (ddmin of Zeller
-    and Hildebrandt, 2002)."""
+    """A shorter path to the same violation.
+
+    Parts left out while it stays one, halves first (ddmin of Zeller and Hildebrandt, 2002).
+    """
 
     def fails(some: list[str]) -> bool:
         try:
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -1,5 +1,6 @@
-"""Every interleaving of a few voters and askers over slots: the shipping register and table, with faults
-among them.
+"""Every interleaving of a few voters and askers over slots.
+
+The shipping register and table, with faults among them.
 
 Each message takes one step. Of those that come to one half of a node in one step every order is walked;
 what comes to different halves in it commutes. A fault loses a message, holds it back until all else is quiet,
--- a/orchidferry/testkit/explore/state_table.py
+++ b/orchidferry/testkit/explore/state_table.py
@@ -28,9 +28,7 @@
     """
 
     def __init__(self, slots: int = SLOTS) -> None:
-        """
-        :param slots: a power of two; memory is taken as it is filled
-        """
+        """:param slots: a power of two; memory is taken as it is filled"""
         self._table = np.frombuffer(mmap.mmap(-1, slots * SLOT_BYTES), np.uint64)
         self._mask = slots - 1
 
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -79,8 +79,10 @@
 
 
 class Dark(Hundreds):
-    """c misses three of four changes and is asked to read meanwhile; once it is back it is asked at once to
-    take a change and to read, and the owner is killed."""
+    """c misses three of four changes and is asked to read meanwhile.
+
+    Once it is back it is asked at once to take a change and to read, and the owner is killed.
+    """
 
     reader = ("c", 0.8)
     sends = ((*_climb("a", 0.0, 0.2, 0.2, 0.2), Send(Order(5, "c5", 4), "c", 1.32)),)
@@ -102,7 +104,8 @@
 
 class KilledOwner(Hundreds):
     """The owner is down through three of four changes, and another one does the duties when it comes back
-    with its old disk."""
+    with its old disk.
+    """
 
     reader = ("b", 4.1)
     sends = ((*_climb("a", 0.0, 0.2, 0.2, 0.2), Send(Order(5, "c5", 4), "b", 4.12)),)
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -32,8 +32,10 @@
 
 @dataclass(frozen=True)
 class IsolatedScene(Scene):
-    """A scene with operators. `operators`: name, `put` or `read`, a revision, and the controllers that it
-    calls in turn; the script's `call NAME` begins its first call.
+    """A scene with operators.
+
+    `operators`: name, `put` or `read`, a revision, and the controllers that it calls in turn; the script's
+    `call NAME` begins its first call.
     """
 
     operators: tuple[tuple[str, str, int, str], ...] = ()
@@ -157,11 +159,12 @@
         else:
             actions = shard.request_change(attempt.id, operator.change(), 4.0, self.now)
         self.controllers[attempt.at].execute(actions)
+        return None
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
         attempt = self.attempts.pop(end.id, None)
         if attempt is None:
-            return
+            return None
         operator = self.operators[attempt.operator]
         if end.value is None:
             return self._unclear(operator, attempt)
@@ -184,6 +187,7 @@
         else:
             self.log(f"{operator.name} is confirmed at {name}")
             self._confirmed(operator)
+        return None
 
     def _unclear(self, operator: Operator, attempt: Attempt) -> None:
         """It calls the next one, unless it has done so already after a second of silence."""
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -99,7 +99,7 @@
         send = operator.sends[0] if operator.sends else None
         if send is not None and self.now < self.began_s + send.not_before_s - 1e-6:
             operator.until_s = self.began_s + send.not_before_s
-            return
+            return None
         at = send.at if send is not None else operator.reads
         name = at[operator.tries % len(at)]
         operator.tries += 1
@@ -108,7 +108,7 @@
             return self._hears(operator, "unclear")
         if not controller.alive or name in self.frozen_until:
             operator.until_s = self.now + PAUSE_S
-            return
+            return None
         id = f"{operator.name}.{len(operator.told)}.{operator.tries}"
         operator.waits = f"{name} {id}"
         operator.until_s = self.now + SILENCE_S
@@ -118,6 +118,7 @@
             else:
                 operator.newest = max((order.number for order in self.acknowledged), default=0)
                 controller.execute(controller.shard.request_read(id, self.now))
+        return None
 
     def _advance_client(self, client: Any, settled: bool = False) -> None:
         """No answer in time: the same again, to the next controller."""
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -51,6 +51,7 @@
         self.ending_since[about[0]] = self.now
         self.controllers[about[0]].peers.stopping = True
         self.send_heartbeats(about[0])
+        return None
 
     def _advance_time(self) -> None:
         super()._advance_time()
--- a/orchidferry/testkit/mesh/__init__.py
+++ b/orchidferry/testkit/mesh/__init__.py
@@ -1,2 +1,5 @@
-"""The mesh on loopback: machines with addresses of their own, real processes of both roles, and between them
-stand-in servers, an operator, clients and a prober, all in one process of the kit."""
+"""The mesh on loopback.
+
+Machines with addresses of their own, real processes of both roles, and between them stand-in servers, an
+operator, clients and a prober, all in one process of the kit.
+"""
--- a/orchidferry/testkit/mesh/facts.py
+++ b/orchidferry/testkit/mesh/facts.py
@@ -201,7 +201,8 @@
 @dataclass(slots=True)
 class Process:
     """A process: start, term, killed, paused, resumed, ended (as told), exit (by itself), late (killed
-    after its grace), removed (its machine is gone for good). `again`: started after an end of its own."""
+    after its grace), removed (its machine is gone for good). `again`: started after an end of its own.
+    """
 
     t: float
     machine: str
--- a/orchidferry/testkit/model/chains.py
+++ b/orchidferry/testkit/model/chains.py
@@ -218,6 +218,7 @@
             if node.admit(call.id, carried, "a", 1.0, time_left_ms, self._now_ms) is not None:
                 return on_ended(Result.REFUSED, True, 0)
         self._attempt(call, 0)
+        return None
 
     def _may_attempt(self, call: _Call, number: int) -> bool:
         if self._scenario.budgets:
@@ -246,6 +247,7 @@
         known_deadline_ms = timeout_at_ms if scenario.budgets else self._now_ms + scenario.deadline_ms
         server = self._choose_server(call.tier)
         self._enqueue(server, _Work(call.tier, known_deadline_ms, carried, on_ended))
+        return None
 
     def _attempt_ended(self, call: _Call, number: int) -> CallEnded:
         """Return the callback for the end of an attempt, which counts once."""
@@ -255,7 +257,7 @@
         def on_ended(result: Result, failed_below: bool, attempts_below: int) -> None:
             nonlocal ended
             if ended:
-                return
+                return None
             ended = True
             budgets = self._scenario.budgets
             if budgets:
@@ -268,6 +270,7 @@
             if budgets and not call.node.may_send(call.id, self._now_ms):
                 wait_ms = 0.0
             self._schedule(self._now_ms + wait_ms, lambda: self._attempt(call, number + 1))
+            return None
 
         return on_ended
 
@@ -283,6 +286,7 @@
             return work.on_ended(Result.REFUSED, False, 0)
         server.queue.append(work)
         self._work_next(server)
+        return None
 
     def _work_next(self, server: _Server) -> None:
         while not server.busy and not server.stalled and server.queue:
@@ -301,6 +305,7 @@
         work.calls_left = self._scenario.fan_out
         for _ in range(self._scenario.fan_out):
             self._call_next_tier(server, work)
+        return None
 
     def _call_next_tier(self, server: _Server, work: _Work) -> None:
         """Make one call of a request; the request ends with its last call, and is served if all were."""
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -323,6 +323,7 @@
         if self.ready:
             return self.rollout.node_ready(self)
         self.call_later(READY_LOOK_S, self._look_at_ready)
+        return None
 
     @property
     def ready(self) -> bool:
@@ -472,6 +473,7 @@
             nodes = [node for node in self.nodes.values() if node.alive and node.ready]
             self._acknowledged[revision] = (self.now, nodes)
             self.at(max(self.now, next_s), lambda: self._order(revision + 1))
+            return None
 
         send()
 
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -94,7 +94,8 @@
         on_change: MemberChangeCallback | None = None,
         max_members: int = 10_000,
     ) -> None:
-        """
+        """Create a `SimulatedFleet`.
+
         :param count: number of nodes
         :param seed: of the random choices
         :param faults: of the links
--- a/orchidferry/testkit/model/power_loss.py
+++ b/orchidferry/testkit/model/power_loss.py
@@ -34,7 +34,8 @@
     """
 
     def __init__(self, top: Path, on_power_loss: Callable[[list[FileTree]], None]) -> None:
-        """
+        """Create a `PowerLossDisk`.
+
         :param top: the directory to watch
         :param on_power_loss: called before each watched call with all trees that a loss of power could leave
         """
--- a/orchidferry/testkit/model/relays.py
+++ b/orchidferry/testkit/model/relays.py
@@ -109,6 +109,7 @@
         self._received_s = max(self.world.now, self._received_s + 8 * size / machine.bits_per_s)
         self._worked_s = max(self._received_s, self._worked_s) + machine.receive_s / machine.core_share
         self.world.at(self._worked_s, lambda: self.run(call))
+        return None
 
     def work(self, seconds: float) -> float:
         """Spend so much time of a whole core; when that is done."""
@@ -199,6 +200,7 @@
         if self._queue:
             world.at(max(world.now, self._queue[0][0]), self.arrive)
         there.owner.receive(size, lambda: there.take(message))
+        return None
 
     def take(self, message: Any) -> None:
         if message is None:
@@ -511,6 +513,7 @@
             far.other = here
             there.run(lambda: there.accept(far))
             owner.run(lambda: dialled(name, here))
+            return None
 
         self.at(self.now + 0.002, made)
 
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -96,7 +96,8 @@
     def __init__(
         self, replicas: int, bits_per_s: float = float("inf"), seed: int = 1, directory: Path | None = None
     ) -> None:
-        """
+        """Create a `ReplicaGroup`.
+
         :param replicas: number of controllers
         :param bits_per_s: rate of each machine's link
         :param seed: of the random choices
--- a/orchidferry/testkit/model/stored_controller.py
+++ b/orchidferry/testkit/model/stored_controller.py
@@ -54,7 +54,8 @@
     """
 
     def __init__(self, directory: Path, *args: Any) -> None:
-        """
+        """Create a `StoredController`.
+
         :param directory: the data directory
         :param args: of `Controller`
         """
--- a/tests/mesh/control/test_membership.py
+++ b/tests/mesh/control/test_membership.py
@@ -1,5 +1,6 @@
-"""The group of controllers in any order of events: messages late, lost or twice, and controllers killed
-and wiped.
+"""The group of controllers in any order of events.
+
+Messages late, lost or twice, and controllers killed and wiped.
 
 The controllers here are the real halves (`shard.Shard`), on disks in memory that write when they are
 told to; askers count as nodes do (`claims`). What was granted, taken and read, and who owned the duties
@@ -200,6 +201,7 @@
                 for controller in self.controllers.values():
                     while controller.writes:
                         controller.complete_write()
+        return None
 
     def pass_time(self, s: float) -> None:
         for try_ in self.tries:
@@ -248,7 +250,7 @@
             if controller.writes and rng.random() < 0.9:
                 while controller.writes and rng.random() < 0.7:
                     controller.complete_write()
-                return
+                return None
             self.now += rng.random() * self.turn_s
             if rng.random() < 0.02 * trouble:
                 controller.peers.fit = not controller.peers.fit
@@ -273,6 +275,7 @@
             return self.down(wipe=rng.random() < 0.5)
         if rng.random() < 0.2:
             self.pass_time(rng.choice((1.0, 15.0, 25.0)))
+        return None
 
 
 @settings(max_examples=120, deadline=None)
@@ -346,8 +349,9 @@
 
 
 def test_wiped_controllers_wait_for_each_other_no_longer_than_the_window() -> None:
-    """The second loses its disk before the first has learned: what they granted can't be told, so they grant
-    again once it is over.
+    """The second loses its disk before the first has learned.
+
+    What they granted can't be told, so they grant again once it is over.
     """
     world = World(random.Random(1))
     world.controllers.pop("d")
--- a/tests/mesh/control/test_membership_losses.py
+++ b/tests/mesh/control/test_membership_losses.py
@@ -103,8 +103,9 @@
         )
 
     def down(self, wipe: bool) -> None:
-        """Kill as many at once as may be lost; disks are lost within the tolerance alone. Most of the time
-        nothing happens, so that groups can become whole in between.
+        """Kill as many at once as may be lost; disks are lost within the tolerance alone.
+
+        Most of the time nothing happens, so that groups can become whole in between.
         """
         if self.rng.random() < CALM:
             return
@@ -188,6 +189,7 @@
         if self.rng.random() < 0.004:  # it is read, claimed and ordered more often than by chance alone
             return self.rng.choice((self.put, self.read, self.claim))()
         super().step(trouble)
+        return None
 
 
 def play(seed: int, size: Size, trouble: float) -> LossWorld:
--- a/tests/mesh/control/test_order_history.py
+++ b/tests/mesh/control/test_order_history.py
@@ -1,5 +1,7 @@
-"""One number, one content, one answer: histories and whole groups beside plain lists, in any order of events,
-and what the operators' resource says of orders that are badly formed, sent again, or too old to be known.
+"""One number, one content, one answer.
+
+Histories and whole groups beside plain lists, in any order of events, and what the operators' resource says
+of orders that are badly formed, sent again, or too old to be known.
 """
 
 from __future__ import annotations
--- a/tests/mesh/dataplane/test_keyed_requests.py
+++ b/tests/mesh/dataplane/test_keyed_requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -79,8 +79,8 @@
 
 
 @pytest.fixture
-def scene(monkeypatch: pytest.MonkeyPatch) -> Iterator[Scene]:
-    yield Scene(monkeypatch)
+def scene(monkeypatch: pytest.MonkeyPatch) -> Scene:
+    return Scene(monkeypatch)
 
 
 @pytest.mark.parametrize("status", [200, 404, 500])
--- a/tests/mesh/storage/test_golden_store.py
+++ b/tests/mesh/storage/test_golden_store.py
@@ -359,8 +359,10 @@
 
 
 def settled(records: Records) -> dict[bytes, Any]:
-    """What a lone controller has in `about`, without what depends on when it was stopped: the ballots, the
-    owner of each shard with the version and fence that come of it, and which orders have a record yet.
+    """What a lone controller has in `about`, without what depends on when it was stopped.
+
+    The ballots, the owner of each shard with the version and fence that come of it, and which orders have a
+    record yet.
     """
     found: dict[bytes, Any] = {}
     for key, raw in records["about"].items():
--- a/tests/mesh/storage/test_power_loss.py
+++ b/tests/mesh/storage/test_power_loss.py
@@ -1,5 +1,7 @@
-"""A loss of power at each change of names in a data directory: acknowledged writes are there after it, or the
-controller knows that it has lost its state."""
+"""A loss of power at each change of names in a data directory.
+
+Acknowledged writes are there after it, or the controller knows that it has lost its state.
+"""
 
 from __future__ import annotations
 
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize(
-    "says, word",
+    ("says", "word"),
     [
         ("echo hello", "can't be read: not JSON"),
         ("head -c 5000000 /dev/zero | tr '\\0' a", "a line of more than"),
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize(
-    "made, words",
+    ("made", "words"),
     [
         ([], "must be an object"),
         ({}, "'version' is missing"),
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -1,5 +1,6 @@
-"""Real nodes of a fleet on loopback: messages as bytes, keys that rotate, floods, the disk, the door, a
-process.
+"""Real nodes of a fleet on loopback.
+
+Messages as bytes, keys that rotate, floods, the disk, the door, a process.
 """
 
 from __future__ import annotations
--- a/tests/node/peers.py
+++ b/tests/node/peers.py
@@ -266,8 +266,9 @@
 
 
 def patient() -> list[dict[str, Any]]:
-    """The usual classes with an objective that no stop of the machine for some seconds exceeds: answers that
-    are late by that alone take no room from the requests after them.
+    """The usual classes with an objective that no stop of the machine for some seconds exceeds.
+
+    Answers that are late by that alone take no room from the requests after them.
     """
     return [cls | {"objective_ms": 15_000.0} for cls in settings()["classes"]]
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -87,8 +87,11 @@
 
 @pytest.mark.parametrize("back", [False, True])
 def test_a_drain_told_while_the_connection_comes_up_stops_the_send(back: bool, tmp_path: Path) -> None:
-    """The pick was right, but by the time there is a connection its server may not be sent to; or it has left
-    and come back cold, and what was picked for its old life was no part of its new one's budget."""
+    """The pick was right, but by the time there is a connection its server may not be sent to.
+
+    Or it has left and come back cold, and what was picked for its old life was no part of its new one's
+    budget.
+    """
 
     async def test() -> None:
         stays = Server(name="stays")
--- a/tests/node/test_platform.py
+++ b/tests/node/test_platform.py
@@ -1,5 +1,6 @@
-"""The line `run` of deploy/balancer.toml under the platform's terms: one process at the end of `exec`, where
-starting programs, fork, io_uring, splice and sendfile are refused.
+"""The line `run` of deploy/balancer.toml under the platform's terms.
+
+One process at the end of `exec`, where starting programs, fork, io_uring, splice and sendfile are refused.
 
 The calls fail in the interpreter that the line starts, by a `sitecustomize` in its path.
 """
--- a/tests/testkit/explore/test_mesh.py
+++ b/tests/testkit/explore/test_mesh.py
@@ -1,5 +1,6 @@
-"""The mesh's controllers in all interleavings of small scenes; each break caught by the one that is its
-own.
+"""The mesh's controllers in all interleavings of small scenes.
+
+Each break caught by the one that is its own.
 """
 
 from __future__ import annotations
