--- a/orchidferry/testkit/clients/__init__.py
+++ b/orchidferry/testkit/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: who asks what when, and what came back."""
+"""Open-loop load: the schedule of the arrivals, and the clients that send them."""
--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -1,7 +1,7 @@
-"""The clients: an open loop that asks at the times drawn ahead, whatever becomes of what it asked.
+"""Worker process of the clients: an open-loop load generator.
 
-Each request's time counts from when it should have been sent: a late generator makes its own figures
-worse, and says so (`Lag`), but can't hide that a node stood still (coordinated omission).
+Latency counts from when a request was due, not from when it was sent. A late generator makes its own results
+worse, and records that (`Lag`), but can't hide a stalled node (coordinated omission).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.pacer import Pacer
-from orchidferry.testkit.clients.schedule import Arrival, arrivals, leaves_after
+from orchidferry.testkit.clients.schedule import Arrival, abandoned_after, arrivals
 from orchidferry.testkit.exchange import HOST, Attempt, RequestOptions, RequestSender, encode_request
 from orchidferry.testkit.process import Order, SendReport, WorkerScript, run_worker
 from orchidferry.testkit.record import Lag, Recorder, RequestScheduled
@@ -22,33 +22,37 @@
 from orchidferry.testkit.wire import Address, Outcome
 from orchidferry.testkit.world.addresses import Block
 
-LATE_S = 0.002  # what of being late is kept
-MAX_ADVICE_S = 10.0  # of Retry-After that a client keeps to
-MAX_OPEN = 50_000  # clients that wait at once: past that the generator itself is the bottleneck
+MIN_LAG_S = 0.002  # recorded when a request starts later than it was due by this
+MAX_RETRY_AFTER_S = 10.0  # longer advice is cut to this
+MAX_OPEN_REQUESTS = 50_000  # beyond this the generator itself is the bottleneck
+MIN_ATTEMPT_S = 0.01  # before the client gives up; with less left it makes no further attempt
 
 
 class Clients:
-    """A share of the clients: each process takes every so-manieth arrival."""
+    """The clients of one process: with n processes, each takes every n-th arrival."""
 
     def __init__(
-        self, script: WorkerScript, block: Block, recorder: Recorder, say: SendReport, index: int
+        self, script: WorkerScript, block: Block, recorder: Recorder, send_report: SendReport, index: int
     ) -> None:
         self._scenario = script.plan.scenario
         self._block = block
         self._recorder = recorder
-        self._say = say
+        self._send_report = send_report
         self._arrivals = (
             self._from_recordings(index) if self._scenario.traffic else self._drawn(script, index)
         )
-        self._exchanges = RequestSender(self._scenario, recorder, script.files, script.proof_key)
-        self._guard, self._paths = self._scenario.guard, dict(self._scenario.paths)
-        self._nodes: list[str] = []  # that the front deals to
-        self._numbers = {name: n for n, name in enumerate(script.plan.nodes)}
+        self._sender = RequestSender(self._scenario, recorder, script.files, script.proof_key)
+        self._guard = self._scenario.guard
+        self._paths = dict(self._scenario.paths)
+        self._nodes: list[str] = []  # that clients may use
+        self._node_numbers = {name: number for number, name in enumerate(script.plan.nodes)}
         self._open: set[asyncio.Task[None]] = set()
         self._pacer = Pacer()
         self._loop = asyncio.get_running_loop()
-        self._playing: asyncio.Task[None] | None = None
-        self._asked = self._served = 0  # first tries so far, for whoever watches
+        self._load_task: asyncio.Task[None] | None = None
+        # first attempts made and attempts served so far, for the progress display
+        self._started_count = 0
+        self._served_count = 0
 
     def _drawn(self, script: WorkerScript, index: int) -> Iterator[Arrival]:
         return iter(arrivals(script.plan)[index :: self._scenario.clients.processes])
@@ -56,52 +60,60 @@
     def _from_recordings(self, index: int) -> Iterator[Arrival]:
         from orchidferry.testkit.traffic.replay import replayed
 
-        found = replayed(self._scenario, index, self._scenario.clients.processes)
-        first = list(itertools.islice(found, 1))  # so that the first block is read before the load begins
-        return itertools.chain(first, found)
+        replayed_arrivals = replayed(self._scenario, index, self._scenario.clients.processes)
+        # The first block of the recording is read here, before the load begins.
+        first = list(itertools.islice(replayed_arrivals, 1))
+        return itertools.chain(first, replayed_arrivals)
 
     async def handle_order(self, order: Order) -> None:
+        """Carry out an order of the director: `deal` names the usable nodes, `play` starts the load."""
         if order["do"] == "deal":
             self._nodes = list(order["nodes"])
         elif order["do"] == "play":
-            self._playing = self._loop.create_task(self._play(float(order["at"])))
+            self._load_task = self._loop.create_task(self._offer_load(float(order["at"])))
 
-    async def _play(self, start: float) -> None:
-        """Ask all; `start` is when the load begins, on the record's clock."""
+    async def _offer_load(self, start: float) -> None:
+        """Start each arrival's client when it is due, and wait until all have ended.
+
+        :param start: when the load begins, in seconds of the record's clock
+        """
         now = self._recorder.now
-        pacer = self._pacer
-        keep = -1.0 if self._scenario.traffic else LATE_S  # of a replay all: when each was sent is its result
+        # A replay records the lag of every request, as its report has their distribution.
+        min_lag_s = -1.0 if self._scenario.traffic else MIN_LAG_S
         for arrival in self._arrivals:
             due = start + arrival.t
-            await pacer.until(self._recorder.zero + due)
-            at = now()
-            if at - due >= keep:
-                self._recorder.put(Lag(at, "clients", "late", at - due))
-            self._asked += 1
+            await self._pacer.until(self._recorder.zero + due)
+            started = now()
+            if started - due >= min_lag_s:
+                self._recorder.put(Lag(started, "clients", "late", started - due))
+            self._started_count += 1
             self._recorder.put(RequestScheduled(due, arrival.root, arrival.cls.name))
-            if len(self._open) >= MAX_OPEN:
+            if len(self._open) >= MAX_OPEN_REQUESTS:
                 self._recorder.put(Lag(now(), "clients", "late", self._scenario.limits.lag_most_s * 2.0))
                 continue
-            task = self._loop.create_task(self._client(arrival, due))
+            task = self._loop.create_task(self._run_client(arrival, due))
             self._open.add(task)
-            task.add_done_callback(self._over)
+            task.add_done_callback(self._on_client_ended)
         while self._open:
             await asyncio.wait(set(self._open))
         self._recorder.flush()
-        self._say({"did": "played"})
+        self._send_report({"did": "played"})
 
-    def _over(self, task: asyncio.Task[None]) -> None:
+    def _on_client_ended(self, task: asyncio.Task[None]) -> None:
         self._open.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._say({"did": "failed", "order": "play", "why": repr(task.exception())[:200]})
+            self._send_report({"did": "failed", "order": "play", "why": repr(task.exception())[:200]})
 
-    def _address(self, node: str) -> Address:
+    def _address_of(self, node: str) -> Address:
         if self._guard.target is not None:
             return self._guard.target.address
-        return self._block.front_node(self._numbers[node])
+        return self._block.front_node(self._node_numbers[node])
+
+    async def _run_client(self, arrival: Arrival, due: float) -> None:
+        """Make the first attempt of an arrival and its retries.
 
-    async def _client(self, arrival: Arrival, due: float) -> None:
-        """A first try and its retries."""
+        :param due: when the first attempt should start, in seconds of the record's clock
+        """
         scenario = self._scenario
         cls = arrival.cls
         now = self._recorder.now
@@ -109,87 +121,98 @@
         gives_up = due + cls.gives_up_s
         intended = due
         for number in range(1 + clients.retries):
-            if intended + 0.01 >= gives_up:
+            if intended + MIN_ATTEMPT_S >= gives_up:
                 return
             wait = intended - now()
             if wait > 0:
                 await asyncio.sleep(wait)
-            id = f"{arrival.root}.{number}"
-            ends = min(intended + arrival.try_s, gives_up)
-            leaves = leaves_after(clients, scenario.seed, id, arrival.try_s)
-            ask = Attempt(0, id, cls, number, intended, ends, None if leaves is None else intended + leaves)
-            outcome = await self._try(ask, arrival)
-            self._served += outcome.how == "answer" and outcome.status == 200
-            again = self._again(arrival, outcome, leaves is not None)
-            if again is None:
+            attempt_id = f"{arrival.root}.{number}"
+            ends = min(intended + arrival.attempt_timeout_s, gives_up)
+            abandoned_s = abandoned_after(clients, scenario.seed, attempt_id, arrival.attempt_timeout_s)
+            abandoned_at = None if abandoned_s is None else intended + abandoned_s
+            attempt = Attempt(0, attempt_id, cls, number, intended, ends, abandoned_at)
+            outcome = await self._send(attempt, arrival)
+            self._served_count += outcome.how == "answer" and outcome.status == 200
+            backoff_s = self._retry_backoff_s(arrival, outcome, abandoned_s is not None)
+            if backoff_s is None:
                 return
-            intended = now() + again
+            intended = now() + backoff_s
 
-    async def _try(self, ask: Attempt, arrival: Arrival) -> Outcome:
-        """One try at a node that the front deals."""
+    async def _send(self, attempt: Attempt, arrival: Arrival) -> Outcome:
+        """Send one attempt to a node chosen at random from the usable ones."""
         if not self._nodes:
             return Outcome("refused", 0.0)
-        dealt = seeded_random.uniform(self._scenario.seed, "deal", ask.id, high=len(self._nodes))
-        node = self._nodes[int(dealt)]
-        key, body = f"k-{arrival.root}", b"x" * self._scenario.clients.body
+        drawn = seeded_random.uniform(self._scenario.seed, "deal", attempt.id, high=len(self._nodes))
+        node = self._nodes[int(drawn)]
+        key = f"k-{arrival.root}"
+        body = b"x" * self._scenario.clients.body
         host = HOST
-        mark = ""
+        class_header = ""
         target = ""
         method = ""
         if self._guard.target is not None:
-            # Looked at for each try, beside the choice of what is sent at all: no way leads round it.
-            if self._guard.may(ask.cls.name, ask.cls.repeat) is not May.MARKED:
-                raise RuntimeError(f"{ask.cls.name} may not be sent to {self._guard.target}")
+            # Checked for each attempt, in addition to the selection of the requests: nothing bypasses it.
+            if self._guard.may(attempt.cls.name, attempt.cls.repeat) is not May.MARKED:
+                raise RuntimeError(f"{attempt.cls.name} may not be sent to {self._guard.target}")
             key = f"{key}-{self._scenario.run}"
             host = str(self._guard.target).removeprefix("http://")
-            mark = f"{ask.cls.name}; {ask.cls.repeat}"
-            method, target = self._paths.get(ask.cls.name, ("", ""))
+            class_header = f"{attempt.cls.name}; {attempt.cls.repeat}"
+            method, target = self._paths.get(attempt.cls.name, ("", ""))
             target = target.replace("*", f"{arrival.object:x}")
 
-        options = RequestOptions(host, target, method, mark)
+        options = RequestOptions(host, target, method, class_header)
+
+        def encode(budget_s: float) -> bytes:
+            is_retry = attempt.number > 0
+            return encode_request(
+                attempt.cls, attempt.id, key, arrival.object, budget_s, is_retry, body, options
+            )
 
-        def make(left: float) -> bytes:
-            return encode_request(ask.cls, ask.id, key, arrival.object, left, ask.number > 0, body, options)
+        return await self._sender.send(attempt, node, self._address_of(node), encode)
 
-        return await self._exchanges.send(ask, node, self._address(node), make)
+    def _retry_backoff_s(self, arrival: Arrival, outcome: Outcome, abandoned: bool) -> float | None:
+        """Decide whether a client retries.
 
-    def _again(self, arrival: Arrival, outcome: Outcome, left: bool) -> float | None:
-        """How long a client waits before it asks again; None if it does not.
+        Idempotent requests, and keyed ones whose repeats every server drops, are retried after any failure;
+        the rest only after a rejection or if no node accepted the attempt. Some clients retry an unsafe
+        request nevertheless, without knowing whether it ran.
 
-        What is safe to repeat, or has a key that every server drops, is asked for again after any failure;
-        the rest only after a refusal or where no node took it. (Some clients ask for an unsafe one again all
-        the same: nobody could tell them whether it ran.)
+        :param abandoned: whether the client abandons this attempt before its timeout
+        :returns: seconds until the retry, or None without one
         """
         clients = self._scenario.clients
         cls = arrival.cls
-        if left and outcome.how == "timeout":
-            return None  # it went away
+        if abandoned and outcome.how == "timeout":
+            return None
         if outcome.how == "answer" and outcome.status == 200:
             return None
-        refused = outcome.how == "answer" and outcome.status in (429, 503)
-        untaken = outcome.how in ("refused", "silent")
-        anyhow = cls.repeat == "safe" or (cls.repeat == "keyed" and cls.group == "all") or arrival.again
-        if not (refused or untaken or anyhow):
+        rejected = outcome.how == "answer" and outcome.status in (429, 503)
+        unaccepted = outcome.how in ("refused", "silent")
+        idempotent = cls.repeat == "safe" or (cls.repeat == "keyed" and cls.group == "all")
+        if not (rejected or unaccepted or idempotent or arrival.retries_unsafe):
             return None
-        wait = clients.wait_s
-        if refused and arrival.honours:
+        backoff_s = clients.wait_s
+        if rejected and arrival.honours_retry_after:
             with contextlib.suppress(ValueError):
-                wait = max(wait, min(float(outcome.headers.get("retry-after", "0")), MAX_ADVICE_S))
-        return wait
+                retry_after_s = float(outcome.headers.get("retry-after", "0"))
+                backoff_s = max(backoff_s, min(retry_after_s, MAX_RETRY_AFTER_S))
+        return backoff_s
 
     def on_second(self) -> None:
-        self._exchanges.sweep()
-        if self._playing is not None:
-            counts = {"asked": self._asked, "served": self._served, "open": len(self._open)}
-            self._say({"did": "tick", **counts})
+        """Close idle connections and report the progress."""
+        self._sender.sweep()
+        if self._load_task is not None:
+            counts = {"asked": self._started_count, "served": self._served_count, "open": len(self._open)}
+            self._send_report({"did": "tick", **counts})
 
     async def close(self) -> None:
-        if self._playing is not None:
-            self._playing.cancel()
+        """Cancel all requests and close all connections."""
+        if self._load_task is not None:
+            self._load_task.cancel()
         for task in set(self._open):
             task.cancel()
         self._pacer.close()
-        await self._exchanges.close()
+        await self._sender.close()
 
 
 if __name__ == "__main__":
--- a/orchidferry/testkit/clients/schedule.py
+++ b/orchidferry/testkit/clients/schedule.py
@@ -1,7 +1,7 @@
-"""Who asks what when: the open loop's arrivals, drawn ahead from the seed. Free of I/O.
+"""The arrivals of the open loop, drawn ahead of the run from its seed. Free of I/O.
 
-Arrivals are a Poisson process whose rate follows the load's shape, by thinning (Lewis and Shedler, 1979):
-they come when they come, whatever became of those before them.
+Arrivals are a Poisson process whose rate follows the load's shape, by thinning (Lewis and Shedler, 1979).
+They do not depend on how earlier requests ended.
 """
 
 from __future__ import annotations
@@ -16,31 +16,43 @@
 from orchidferry.testkit.scenario import Class, Clients
 from orchidferry.testkit.world.plan import Plan
 
-BURST_SHARE = 0.3  # of a period that a bursty load spends above its mean
-ZIPF = 0.9  # exponent of the objects' popularity
+HIGH_PHASE_FRACTION = 0.3  # of a period, in which a bursty load is above its mean
+ZIPF_EXPONENT = 0.9  # of the objects' popularity
+EVEN_STEPS_PER_ARRIVAL = 8.0  # of the numeric integration of the rate
+# an impatient client leaves after a part of its attempt's timeout
+MIN_ABANDONED_FRACTION = 0.02
+MAX_ABANDONED_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's first try, and all that is drawn for it and its retries."""
+    """A client's first attempt at a request, with what is drawn for it and its retries."""
 
     t: float  # seconds from the start of the load
     root: str
     cls: Class
     object: int
-    try_s: float  # how long each try is waited for
-    honours: bool  # keeps to Retry-After
-    again: bool  # asks for an unsafe one again after a failure that promises nothing
+    attempt_timeout_s: float
+    honours_retry_after: bool
+    retries_unsafe: bool  # although the failed attempt may have run
 
 
 def rate_at(plan: Plan, t: float) -> float:
-    """First tries a second that are meant at a time."""
+    """The rate that the load is to have at a time.
+
+    :param t: seconds from the start of the load
+    :returns: first attempts a second
+    """
     load = plan.scenario.load
     rate = load.rate
     if load.shape == "bursty":
-        high = (t / load.period_s) % 1.0 < BURST_SHARE
+        is_high = (t / load.period_s) % 1.0 < HIGH_PHASE_FRACTION
         # Above the mean for a short while and below it for the rest, so that the mean stays.
-        rate *= 1.0 + load.swing if high else 1.0 - load.swing * BURST_SHARE / (1.0 - BURST_SHARE)
+        rate *= (
+            1.0 + load.swing
+            if is_high
+            else 1.0 - load.swing * HIGH_PHASE_FRACTION / (1.0 - HIGH_PHASE_FRACTION)
+        )
     elif load.shape == "ramp":
         rate *= 1.0 - load.swing + 2.0 * load.swing * t / plan.scenario.length_s
     for start, end, factor in plan.bursts:
@@ -49,40 +61,47 @@
     return rate
 
 
-def times(plan: Plan) -> Iterator[float]:
-    """The arrivals' times, in order."""
+def arrival_times(plan: Plan) -> Iterator[float]:
+    """Generate the times of all arrivals.
+
+    :returns: seconds from the start of the load, in ascending order
+    """
     load = plan.scenario.load
     length_s = plan.scenario.length_s
     factor = math.prod(max(1.0, burst[2]) for burst in plan.bursts)
-    most = load.rate * (1.0 + load.swing) * factor
+    max_rate = load.rate * (1.0 + load.swing) * factor
     rng = seeded_random.generator(plan.scenario.seed, "arrivals")
-    t = owed = 0.0
+    t = 0.0
+    expected = 0.0  # arrivals since the last one, by the integral of the rate
     while True:
         if load.arrivals == "even":
-            # One each time the integral of the rate passes a whole number.
-            step = 1.0 / most / 8.0
-            while owed < 1.0 and t < length_s:
-                owed += rate_at(plan, t) * step
+            # One arrival each time the integral of the rate passes an integer.
+            step = 1.0 / max_rate / EVEN_STEPS_PER_ARRIVAL
+            while expected < 1.0 and t < length_s:
+                expected += rate_at(plan, t) * step
                 t += step
-            owed -= 1.0
+            expected -= 1.0
         else:
-            t += rng.expovariate(most)
+            t += rng.expovariate(max_rate)
         if t >= length_s:
             return
-        if load.arrivals == "even" or rng.random() * most < rate_at(plan, t):
+        if load.arrivals == "even" or rng.random() * max_rate < rate_at(plan, t):
             yield t
 
 
 def arrivals(plan: Plan) -> list[Arrival]:
-    """All first tries of a run, in order of time."""
+    """Draw all first attempts of a run.
+
+    :returns: the arrivals, in ascending order of time
+    """
     scenario = plan.scenario
     clients = scenario.clients
     seed = scenario.seed
     classes = scenario.classes
     bounds = list(itertools.accumulate(cls.share for cls in classes))
-    weights = list(itertools.accumulate((n + 1) ** -ZIPF for n in range(scenario.load.objects)))
+    weights = list(itertools.accumulate((n + 1) ** -ZIPF_EXPONENT for n in range(scenario.load.objects)))
     result = []
-    for number, t in enumerate(times(plan)):
+    for number, t in enumerate(arrival_times(plan)):
         root = f"r{number}"
         point = seeded_random.uniform(seed, "class", number, high=bounds[-1])
         cls = classes[min(bisect.bisect_right(bounds, point), len(classes) - 1)]
@@ -94,16 +113,24 @@
                 root=root,
                 cls=cls,
                 object=min(obj, len(weights) - 1),
-                try_s=cls.gives_up_s * seeded_random.uniform(seed, "try", number, low=low, high=high),
-                honours=seeded_random.uniform(seed, "honours", number) < clients.honour,
-                again=seeded_random.uniform(seed, "again", number) < clients.unsafe_again,
+                attempt_timeout_s=cls.gives_up_s
+                * seeded_random.uniform(seed, "try", number, low=low, high=high),
+                honours_retry_after=seeded_random.uniform(seed, "honours", number) < clients.honour,
+                retries_unsafe=seeded_random.uniform(seed, "again", number) < clients.unsafe_again,
             )
         )
     return result
 
 
-def leaves_after(clients: Clients, seed: int, id: str, try_s: float) -> float | None:
-    """When an impatient client leaves a try, or None if it waits."""
-    if seeded_random.uniform(seed, "impatient", id) >= clients.impatient:
+def abandoned_after(clients: Clients, seed: int, attempt_id: str, timeout_s: float) -> float | None:
+    """Draw when an impatient client abandons an attempt.
+
+    :param timeout_s: the attempt's timeout in seconds
+    :returns: seconds from the attempt's start, or None if the client waits for the timeout
+    """
+    if seeded_random.uniform(seed, "impatient", attempt_id) >= clients.impatient:
         return None
-    return try_s * seeded_random.uniform(seed, "leaves", id, low=0.02, high=0.6)
+    fraction = seeded_random.uniform(
+        seed, "leaves", attempt_id, low=MIN_ABANDONED_FRACTION, high=MAX_ABANDONED_FRACTION
+    )
+    return timeout_s * fraction
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -163,9 +163,10 @@
             root=f"r{number}",
             cls=cls,
             object=obj,
-            try_s=cls.gives_up_s * seeded_random.uniform(seed, "try", who, low=low, high=high),
-            honours=seeded_random.uniform(seed, "honours", who) < clients.honour,
-            again=cls.repeat != "unsafe" and seeded_random.uniform(seed, "again", who) < clients.unsafe_again,
+            attempt_timeout_s=cls.gives_up_s * seeded_random.uniform(seed, "try", who, low=low, high=high),
+            honours_retry_after=seeded_random.uniform(seed, "honours", who) < clients.honour,
+            retries_unsafe=cls.repeat != "unsafe"
+            and seeded_random.uniform(seed, "again", who) < clients.unsafe_again,
         )
 
 
--- a/tests/testkit/test_plan.py
+++ b/tests/testkit/test_plan.py
@@ -10,7 +10,7 @@
 import pytest
 
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.clients.schedule import arrivals, leaves_after, rate_at
+from orchidferry.testkit.clients.schedule import abandoned_after, arrivals, rate_at
 from orchidferry.testkit.scenario import Scenario, load_scenario, override, read_scenario, shipped
 from orchidferry.testkit.world.machine import calls_of, work_of
 from orchidferry.testkit.world.plan import draw
@@ -40,7 +40,7 @@
         assert shares[cls.name] / len(some) == pytest.approx(cls.share, abs=0.03)
     gaps = [b.t - a.t for a, b in itertools.pairwise(some)]
     assert statistics.stdev(gaps) == pytest.approx(statistics.mean(gaps), rel=0.1)  # as Poisson's are
-    assert all(0.42 * a.cls.gives_up_s <= a.try_s <= 0.55 * a.cls.gives_up_s for a in some)
+    assert all(0.42 * a.cls.gives_up_s <= a.attempt_timeout_s <= 0.55 * a.cls.gives_up_s for a in some)
 
 
 def test_even_arrivals_are_evenly_spaced() -> None:
@@ -84,7 +84,7 @@
 
 def test_some_clients_are_impatient() -> None:
     one = scenario(clients={"impatient": 0.1})
-    waits = [leaves_after(one.clients, 1, f"r{n}", 2.0) for n in range(5000)]
+    waits = [abandoned_after(one.clients, 1, f"r{n}", 2.0) for n in range(5000)]
     gone = [w for w in waits if w is not None]
     assert len(gone) == pytest.approx(500, rel=0.15)
     assert all(0.0 < w < 2.0 for w in gone)
