--- a/orchidferry/testkit/bench/lists.py
+++ b/orchidferry/testkit/bench/lists.py
@@ -21,7 +21,7 @@
 from orchidferry.testkit.bench.open_loop import offer_load
 from orchidferry.testkit.record import Recorder
 from orchidferry.testkit.world.addresses import Block, claim
-from orchidferry.testkit.world.discovery import DiscoveryService, Listed
+from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer
 
 SIZES = (10, 1_000, 10_000)
 REAL = 10
@@ -29,12 +29,12 @@
 LOOK_S = 4.0
 
 
-def entries(bench: Bench, count: int, cell: int) -> list[Listed]:
+def entries(bench: Bench, count: int, cell: int) -> list[ListedServer]:
     """So many names at the real servers' addresses."""
     result = []
     for n in range(count):
         host, port = bench.servers[n % REAL]
-        result.append(Listed(f"s{n}", 0, f"{host}:{port}", "sala-poa", n // 8 + cell))
+        result.append(ListedServer(f"s{n}", 0, f"{host}:{port}", "sala-poa", n // 8 + cell))
     return result
 
 
@@ -61,11 +61,11 @@
                     registry.index += 1
                     registry.servers = {entry.name: entry for entry in entries(bench, count, 0)}
                     registry.changes.clear()  # so that watches get all of it
-                    service.tell_now(0)
+                    service.notify_watches(0)
                 elif what == "every entry changes":
                     for entry in entries(bench, count, 1):
                         registry.change(entry)
-                    service.tell_now(0)
+                    service.notify_watches(0)
                 report = await asking
                 row = asdict(report) | {"what": what, "servers": count, "rss_kb": rss_kb(process.pid)}
                 rows.append(row)
--- a/orchidferry/testkit/judge/fleet_views.py
+++ b/orchidferry/testkit/judge/fleet_views.py
@@ -104,7 +104,7 @@
     for t in times:
         now = trace.start + t
         running = [node for node in nodes if any(start <= now < stop for start, stop in spans[node])]
-        key = frozenset(running), tuple(fault.in_force(t) for fault in cuts)
+        key = frozenset(running), tuple(fault.is_active(t) for fault in cuts)
         if key not in cache:
             cache[key] = _reachability(running, links, t)
         views.running.append(running)
--- a/orchidferry/testkit/world/addresses.py
+++ b/orchidferry/testkit/world/addresses.py
@@ -1,7 +1,7 @@
 """Loopback addresses of a run: each server and node has an IP address of its own in 127.0.0.0/8.
 
-A run claims a block 127.b.0.0/16 by a listener in it, held to its end, so that runs side by side never meet,
-and servers keep their address over restarts with no port to fall out of use.
+A run claims a block 127.b.0.0/16 by a listener in it that stays open to its end. Concurrent runs have
+different blocks, and a server has the same address after a restart.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.wire import Address
 
-# all under the ports that the kernel hands out
+# all below the kernel's range of ephemeral ports
 SERVICE_PORT = 9000
 DISCOVERY_PORT = 8500
 CLAIM_PORT = 8499
 FIRST_BLOCK = 64
 LAST_BLOCK = 250
-# numbers of the servers' own nodes, and of the first tier's
+# first index of the addresses of the servers' sidecar nodes, and of the first tier's nodes
 NODES_FROM = 20_000
 FRONT_NODES_FROM = 40_000
-HUB_FROM = 50_000  # where the first tier's nodes reach each other, by the kit's links
+HUB_FROM = 50_000  # first index of the hub's addresses, at which nodes reach each other
 FLEET_PORT = 9100
-DOOR_PORT = 9200
+ADMIN_PORT = 9200
 
 
 class NoFreeAddressesError(OrchidferryError):
@@ -39,41 +39,47 @@
         return f"127.{self.number}.{1 + index // 250}.{1 + index % 250}"
 
     def server(self, number: int) -> Address:
+        """Return the address of a stand-in server."""
         return self._ip(number), SERVICE_PORT
 
     def own_node(self, number: int) -> Address:
-        """Of the node that stands beside server `number` and is used by it alone."""
+        """Return the address of the sidecar node of a server."""
         return self._ip(NODES_FROM + number), SERVICE_PORT
 
     def front_node(self, number: int) -> Address:
+        """Return the address at which clients reach a node of the first tier."""
         return self._ip(FRONT_NODES_FROM + number), SERVICE_PORT
 
     def fleet_node(self, number: int) -> Address:
-        """Where such a node listens to its peers,"""
+        """Return the address at which a node of the first tier listens to its peers."""
         return self._ip(FRONT_NODES_FROM + number), FLEET_PORT
 
     def fleet_hub(self, number: int) -> Address:
-        """and where these reach it: the kit's links are between."""
+        """Return the hub's address at which peers reach a node of the first tier."""
         return self._ip(HUB_FROM + number), FLEET_PORT
 
-    def door(self, number: int) -> Address:
-        """Its operators' door."""
-        return self._ip(FRONT_NODES_FROM + number), DOOR_PORT
+    def admin(self, number: int) -> Address:
+        """Return the address of the admin server of a node of the first tier."""
+        return self._ip(FRONT_NODES_FROM + number), ADMIN_PORT
 
     @staticmethod
     def discovery_for(node: Address) -> Address:
-        """Where that node, and no other, asks discovery: its address tells who asks."""
+        """Return the address at which only this node asks discovery."""
         return node[0], DISCOVERY_PORT
 
 
 def claim() -> tuple[Block, socket.socket]:
-    """A free block, and the socket that holds it until it is closed."""
+    """Claim a free block.
+
+    :returns: the block, and the socket that reserves it until it is closed
+    :raises NoFreeAddressesError: if all blocks are in use
+    """
     for number in range(FIRST_BLOCK, LAST_BLOCK + 1):
-        held = socket.socket()
+        reservation = socket.socket()
         try:
-            held.bind((f"127.{number}.0.1", CLAIM_PORT))
-            held.listen(1)
-            return Block(number), held
+            reservation.bind((f"127.{number}.0.1", CLAIM_PORT))
+            reservation.listen(1)
+            return Block(number), reservation
         except OSError:
-            held.close()
+            reservation.close()
     raise NoFreeAddressesError("all loopback blocks from 127.64 to 127.250 are in use by other rehearsals")
--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -15,7 +15,7 @@
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.child import Child
-from orchidferry.testkit.world.discovery import DiscoveryService, Listed
+from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer
 from orchidferry.testkit.world.nodes import NEW_KIND, NodeProcess
 from orchidferry.testkit.world.plan import Plan, Server, in_new_pool, zone_of
 from orchidferry.testkit.world.worker import home, own_node
@@ -108,7 +108,7 @@
             node.control = self.control_at
             if self.scenario.fleet.on:
                 node.fleet = partial(fleet_file, self.scenario, self.block, name, number, siblings)
-                node.door = self.block.door(number)
+                node.admin = self.block.admin(number)
         self.nodes[name] = node
         return node
 
@@ -149,13 +149,13 @@
             if one.status in ("active", "leaving")
         ]
 
-    def entry(self, server: Server, since: float, status: str = "active") -> Listed:
+    def entry(self, server: Server, since: float, status: str = "active") -> ListedServer:
         """A server as discovery lists it."""
         host, port = self.block.server(server.number)
         zone = self.scenario.tiers[server.tier].zone
         where = f"{host}:{port}"
         h3 = self.scenario.network.protocol == "h3"
-        return Listed(
+        return ListedServer(
             server.name,
             server.tier,
             where,
--- a/orchidferry/testkit/world/discovery.py
+++ b/orchidferry/testkit/world/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery's stand-in: the list of servers and its watches, late and sometimes down.
+"""A stand-in for service discovery: server lists and long polls, with delays and outages.
 
-What is listed, and when, is decided in `Registry`, free of I/O; `DiscoveryService` puts it on sockets. Each
-node asks at an address of its own, so that the record can say what was told to whom.
+`Registry` holds the list of one tier and is free of I/O; `DiscoveryService` serves it over HTTP. Each node
+asks at its own address, so that the record can name the node that was notified.
 """
 
 from __future__ import annotations
@@ -9,19 +9,20 @@
 import asyncio
 import json
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs
 
 from orchidferry.testkit.record import Recorder, StatusAnnounced
 from orchidferry.testkit.wire import Address, Request, ServerSide
 
 MAX_WAIT_MS = 60_000
-MAX_CHANGES = 10_000  # that are kept: a watch from before these gets the whole list
-DEEMED_S = 6.0  # what discovery has to tell counts as told so much later at the latest
+MAX_CHANGES = 10_000  # that are kept: a watch with an older index gets a snapshot
+ASSUMED_KNOWN_AFTER_S = 6.0  # each node counts as notified of a change after this
+DOWN_RETRY_S = 0.2  # until a change is tried again that came during an outage
 
 
 @dataclass(slots=True)
-class Listed:
+class ListedServer:
     """A server as it is listed."""
 
     name: str
@@ -30,21 +31,28 @@
     zone: str
     cell: int
     status: str = "active"
-    since: float = 0.0  # of the record's clock; 0: long ago
-    h3: str = ""  # where it speaks HTTP/3, if it does
+    since: float = 0.0  # seconds of the record's clock; 0: before the run
+    h3: str = ""  # its HTTP/3 address, if it has one
     kind: str = "standin-1c"
 
 
+class Changes(NamedTuple):
+    """What a node is sent: all servers, or those that changed."""
+
+    is_snapshot: bool
+    servers: list[ListedServer]
+
+
 @dataclass
 class Registry:
-    """One tier's list, with its changes in order."""
+    """The server list of one tier, with its latest changes in order."""
 
     index: int = 1
-    servers: dict[str, Listed] = field(default_factory=dict)
-    changes: list[tuple[int, Listed]] = field(default_factory=list)
+    servers: dict[str, ListedServer] = field(default_factory=dict)
+    changes: list[tuple[int, ListedServer]] = field(default_factory=list)
 
-    def change(self, entry: Listed) -> None:
-        """List a server, or take it off (`left`)."""
+    def change(self, entry: ListedServer) -> None:
+        """Add or replace a server, or remove it if its status is `left`."""
         self.index += 1
         if entry.status == "left":
             self.servers.pop(entry.name, None)
@@ -53,22 +61,25 @@
         self.changes.append((self.index, entry))
         del self.changes[:-MAX_CHANGES]
 
-    def since(self, index: int | None) -> tuple[bool, list[Listed]]:
-        """What a node that holds `index` must be told: whether it is the whole list, and the entries."""
+    def since(self, index: int | None) -> Changes:
+        """Return what a node that has seen an index must be sent.
+
+        :param index: the last index that the node has seen, or None
+        """
         oldest = self.changes[0][0] - 1 if self.changes else self.index
         if index is None or index > self.index or index < oldest:
-            return True, list(self.servers.values())
-        latest: dict[str, Listed] = {}
+            return Changes(True, list(self.servers.values()))
+        latest: dict[str, ListedServer] = {}
         for number, entry in self.changes:
             if number > index:
                 latest.pop(entry.name, None)
                 latest[entry.name] = entry
-        return False, list(latest.values())
+        return Changes(False, list(latest.values()))
 
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """A call that waits for news."""
+    """A long poll that waits for a change."""
 
     connection: ServerSide
     index: int
@@ -76,110 +87,112 @@
 
 
 @dataclass
-class Asker:
-    """A node as discovery knows it."""
+class Subscriber:
+    """A node that asks discovery, with its connections and what it has been sent."""
 
     name: str
     tier: int
     server: asyncio.Server | None = None
     connections: set[ServerSide] = field(default_factory=set)
     watches: list[Watch] = field(default_factory=list)
-    told: dict[str, tuple[str, float]] = field(default_factory=dict)  # status and since, by server
+    announced: dict[str, tuple[str, float]] = field(default_factory=dict)  # status and since, by server
     up: bool = True
 
 
 class DiscoveryService:
-    """The lists of all tiers on sockets, one listener for each node."""
+    """Serves the lists of all tiers, with one listener for each node."""
 
     def __init__(self, tiers: int, recorder: Recorder, unix_at_zero: float) -> None:
         self.registries = [Registry() for _ in range(tiers)]
         self.down = False
         self._recorder = recorder
         self._unix_at_zero = unix_at_zero
-        self._askers: dict[str, Asker] = {}
+        self._subscribers: dict[str, Subscriber] = {}
         self._loop = asyncio.get_running_loop()
 
     async def attach(self, node: str, tier: int, address: Address) -> None:
-        """Serve a node from now on; its name and address stay over its restarts."""
-        asker = self._askers.setdefault(node, Asker(node, tier))
-        asker.told.clear()
-        asker.up = True
-        if asker.server is not None:
+        """Start to serve a node, also after its restart under the same name and address.
+
+        :param tier: the tier whose servers the node uses
+        """
+        subscriber = self._subscribers.setdefault(node, Subscriber(node, tier))
+        subscriber.announced.clear()
+        subscriber.up = True
+        if subscriber.server is not None:
             return
-        asker.server = await self._loop.create_server(
+        subscriber.server = await self._loop.create_server(
             lambda: ServerSide(
-                lambda connection, request: self._asked(asker, connection, request),
-                lambda connection: self._lost(asker, connection),
-                asker.connections.add,
+                lambda connection, request: self._on_request(subscriber, connection, request),
+                lambda connection: self._on_connection_lost(subscriber, connection),
+                subscriber.connections.add,
             ),
             *address,
         )
 
     def detach(self, node: str) -> None:
-        """The node's process has ended: nothing counts as told to it."""
-        if node in self._askers:
-            self._end_asker(self._askers[node])
-
-    def _end_asker(self, asker: Asker) -> None:
-        """Its address may be another node's next: a server that comes back renamed brings a new one."""
-        asker.up = False
-        if asker.server is not None:
-            asker.server.close()
-            asker.server = None
-        for watch in list(asker.watches):
-            self._end(asker, watch)
-        for connection in list(asker.connections):
+        """Stop to serve a node whose process has ended; it no longer counts as notified."""
+        if node in self._subscribers:
+            self._close_subscriber(self._subscribers[node])
+
+    def _close_subscriber(self, subscriber: Subscriber) -> None:
+        """Free the address, as a server that returns with a new name has a new node at the same address."""
+        subscriber.up = False
+        if subscriber.server is not None:
+            subscriber.server.close()
+            subscriber.server = None
+        for watch in list(subscriber.watches):
+            self._end_watch(subscriber, watch)
+        for connection in list(subscriber.connections):
             connection.reset()
 
     def known_list(self, tier: int, node: str) -> dict[str, Any]:
-        """The list as a node's configuration has it, which counts as told."""
+        """Return the list for a node's configuration file, and record the node as notified of it."""
         registry = self.registries[tier]
-        body = self._listing(registry, True, list(registry.servers.values()))
-        self._tell(self._askers[node], list(registry.servers.values()), True, False)
+        snapshot = registry.since(None)
+        body = self._response(registry, snapshot)
+        self._record_announced(self._subscribers[node], snapshot, False)
         return body
 
-    def list_later(self, entry: Listed, delay_s: float) -> None:
-        """A change that discovery notices so much later."""
+    def list_later(self, entry: ListedServer, delay_s: float) -> None:
+        """Apply a change to the list after a delay in seconds."""
         self._loop.call_later(delay_s, self._change, entry)
 
-    def _change(self, entry: Listed) -> None:
+    def _change(self, entry: ListedServer) -> None:
         if self.down:
-            # It notices once it is back.
-            self._loop.call_later(0.2, self._change, entry)
+            self._loop.call_later(DOWN_RETRY_S, self._change, entry)
             return
         registry = self.registries[entry.tier]
         registry.change(entry)
-        self.tell_now(entry.tier)
-        for asker in self._askers.values():
-            if asker.tier == entry.tier:
-                # Whatever becomes of the calls, it counts as told by then.
-                self._loop.call_later(DEEMED_S, self._deem, asker, entry)
-
-    def tell_now(self, tier: int) -> None:
-        """Answer all watches on a tier with what there is to tell."""
-        for asker in self._askers.values():
-            if asker.tier == tier:
-                for watch in list(asker.watches):
-                    self._answer(asker, watch.connection, watch.index)
-                    self._end(asker, watch)
-
-    def _deem(self, asker: Asker, entry: Listed) -> None:
-        if asker.up and asker.told.get(entry.name) != (entry.status, entry.since):
+        self.notify_watches(entry.tier)
+        for subscriber in self._subscribers.values():
+            if subscriber.tier == entry.tier:
+                self._loop.call_later(ASSUMED_KNOWN_AFTER_S, self._assume_known, subscriber, entry)
+
+    def notify_watches(self, tier: int) -> None:
+        """Answer all watches of a tier with what has changed."""
+        for subscriber in self._subscribers.values():
+            if subscriber.tier == tier:
+                for watch in list(subscriber.watches):
+                    self._answer(subscriber, watch.connection, watch.index)
+                    self._end_watch(subscriber, watch)
+
+    def _assume_known(self, subscriber: Subscriber, entry: ListedServer) -> None:
+        if subscriber.up and subscriber.announced.get(entry.name) != (entry.status, entry.since):
             current = self.registries[entry.tier].servers.get(entry.name)
             if (entry.status == "left" and current is None) or current is entry:
-                self._tell(asker, [entry], False, True)
+                self._record_announced(subscriber, Changes(False, [entry]), True)
 
     def set_down(self, down: bool) -> None:
-        """Answer nobody from now on, or be back."""
+        """Begin or end an outage; its beginning resets all connections."""
         self.down = down
         if down:
-            for asker in self._askers.values():
-                for watch in list(asker.watches):
-                    self._end(asker, watch)
-                for connection in list(asker.connections):
+            for subscriber in self._subscribers.values():
+                for watch in list(subscriber.watches):
+                    self._end_watch(subscriber, watch)
+                for connection in list(subscriber.connections):
                     connection.reset()
 
-    def _asked(self, asker: Asker, connection: ServerSide, request: Request) -> None:
+    def _on_request(self, subscriber: Subscriber, connection: ServerSide, request: Request) -> None:
         path, _, query = request.target.partition("?")
         if self.down:
             return connection.answer(503)
@@ -191,66 +204,72 @@
             wait_s = min(int(fields.get("wait", ["0"])[0]), MAX_WAIT_MS) / 1000.0
         except ValueError:
             return connection.answer(400)
-        whole, news = self.registries[asker.tier].since(index)
-        if whole or news or not wait_s:
-            return self._answer(asker, connection, index)
+        changes = self.registries[subscriber.tier].since(index)
+        if changes.is_snapshot or changes.servers or not wait_s:
+            return self._answer(subscriber, connection, index)
         assert index is not None
-        watch = Watch(connection, index, self._loop.call_later(wait_s, self._expire, asker, connection))
-        asker.watches.append(watch)
+        watch = Watch(
+            connection, index, self._loop.call_later(wait_s, self._on_watch_expired, subscriber, connection)
+        )
+        subscriber.watches.append(watch)
 
-    def _expire(self, asker: Asker, connection: ServerSide) -> None:
-        for watch in [w for w in asker.watches if w.connection is connection]:
-            self._answer(asker, connection, watch.index)
-            self._end(asker, watch)
+    def _on_watch_expired(self, subscriber: Subscriber, connection: ServerSide) -> None:
+        for watch in [w for w in subscriber.watches if w.connection is connection]:
+            self._answer(subscriber, connection, watch.index)
+            self._end_watch(subscriber, watch)
 
-    def _end(self, asker: Asker, watch: Watch) -> None:
+    def _end_watch(self, subscriber: Subscriber, watch: Watch) -> None:
         watch.timer.cancel()
-        asker.watches.remove(watch)
+        subscriber.watches.remove(watch)
 
-    def _lost(self, asker: Asker, connection: ServerSide) -> None:
-        asker.connections.discard(connection)
-        for watch in [w for w in asker.watches if w.connection is connection]:
-            self._end(asker, watch)
+    def _on_connection_lost(self, subscriber: Subscriber, connection: ServerSide) -> None:
+        subscriber.connections.discard(connection)
+        for watch in [w for w in subscriber.watches if w.connection is connection]:
+            self._end_watch(subscriber, watch)
 
-    def _answer(self, asker: Asker, connection: ServerSide, index: int | None) -> None:
-        registry = self.registries[asker.tier]
-        whole, entries = registry.since(index)
-        connection.answer(200, json.dumps(self._listing(registry, whole, entries)).encode())
-        self._tell(asker, entries, whole, False)
+    def _answer(self, subscriber: Subscriber, connection: ServerSide, index: int | None) -> None:
+        registry = self.registries[subscriber.tier]
+        changes = registry.since(index)
+        connection.answer(200, json.dumps(self._response(registry, changes)).encode())
+        self._record_announced(subscriber, changes, False)
 
-    def _listing(self, registry: Registry, whole: bool, entries: list[Listed]) -> dict[str, Any]:
+    def _response(self, registry: Registry, changes: Changes) -> dict[str, Any]:
         return {
             "index": registry.index,
-            "snapshot": whole,
+            "snapshot": changes.is_snapshot,
             "endpoints": [
                 {
-                    "name": e.name,
-                    "address": e.address,
-                    "zone": e.zone,
-                    "type": e.kind,
-                    "group": e.cell,
-                    "status": e.status,
+                    "name": server.name,
+                    "address": server.address,
+                    "zone": server.zone,
+                    "type": server.kind,
+                    "group": server.cell,
+                    "status": server.status,
                     "weight": 1.0,
-                    "since_ms": int((self._unix_at_zero + e.since) * 1000.0) if e.since else 0,
-                    **({"h3": e.h3} if e.h3 else {}),
+                    "since_ms": int((self._unix_at_zero + server.since) * 1000.0) if server.since else 0,
+                    **({"h3": server.h3} if server.h3 else {}),
                 }
-                for e in entries
+                for server in changes.servers
             ],
         }
 
-    def _tell(self, asker: Asker, entries: list[Listed], whole: bool, deemed: bool) -> None:
-        """Note what a node knows from now on."""
+    def _record_announced(self, subscriber: Subscriber, changes: Changes, assumed: bool) -> None:
+        """Record each status that is new to a node.
+
+        :param assumed: whether the node only counts as notified, by the time that has passed
+        """
         now = self._recorder.now()
-        news = {entry.name: (entry.status, entry.since) for entry in entries}
-        if whole:
-            for name, (status, since) in asker.told.items():
-                if name not in news and status != "left":
-                    news[name] = ("left", since)
-        for name, (status, since) in news.items():
-            if asker.told.get(name) != (status, since):
-                asker.told[name] = (status, since)
-                self._recorder.put(StatusAnnounced(now, asker.name, name, status, since, deemed))
+        statuses = {entry.name: (entry.status, entry.since) for entry in changes.servers}
+        if changes.is_snapshot:
+            for name, (status, since) in subscriber.announced.items():
+                if name not in statuses and status != "left":
+                    statuses[name] = ("left", since)
+        for name, (status, since) in statuses.items():
+            if subscriber.announced.get(name) != (status, since):
+                subscriber.announced[name] = (status, since)
+                self._recorder.put(StatusAnnounced(now, subscriber.name, name, status, since, assumed))
 
     def close(self) -> None:
-        for asker in self._askers.values():
-            self._end_asker(asker)
+        """Close all listeners and connections."""
+        for subscriber in self._subscribers.values():
+            self._close_subscriber(subscriber)
--- a/orchidferry/testkit/world/hub.py
+++ b/orchidferry/testkit/world/hub.py
@@ -1,7 +1,7 @@
-"""A process that carries what the nodes of a fleet send each other, over links that lose, delay and cut.
+"""Worker process that relays the traffic between the nodes of a fleet and applies link faults to it.
 
-Each node is reached at an address of the hub's, and has an IP address of its own to send from, so the hub
-knows who sends and to whom. What is held back is bounded; all of it ends with the process.
+The hub has an address for each node, at which its peers reach it, and each node sends from its own IP
+address: the hub knows the sender and the receiver. The number of delayed datagrams is bounded.
 """
 
 from __future__ import annotations
@@ -19,36 +19,37 @@
 from orchidferry.testkit.world.links import Links
 
 MAX_DATAGRAM = 65_536
-MAX_HELD = 50_000  # datagrams that are under way at once; more are lost, as in a full queue
-PIECE = 16 * 1024  # of a stream that is passed on at once
-LOOK_S = 0.05  # how often a piece that a cut holds up is tried again
-STREAM_S = 60.0  # after which a connection is ended, whatever it does
+MAX_DELAYED_DATAGRAMS = 50_000  # more are dropped, as by a full queue
+READS_PER_EVENT = 64
+STREAM_CHUNK_BYTES = 16 * 1024
+PARTITION_POLL_S = 0.05  # how often a stream is tried again during a partition
+MAX_STREAM_S = 60.0  # after which a connection is closed
 
 
 class Hub:
-    """All links of one run."""
+    """Relays datagrams and TCP streams between the nodes of a run."""
 
     def __init__(
-        self, script: WorkerScript, block: Block, recorder: Recorder, say: SendReport, index: int
+        self, script: WorkerScript, block: Block, recorder: Recorder, send_report: SendReport, index: int
     ) -> None:
         plan = script.plan
         self._recorder = recorder
         self._start = math.inf
         self._links = Links(plan.links, plan.scenario.seed)
         self._nodes = list(plan.nodes)
-        self._name_at = {block.fleet_node(n)[0]: name for n, name in enumerate(self._nodes)}
-        self._real = {name: block.fleet_node(n) for n, name in enumerate(self._nodes)}
+        self._node_by_ip = {block.fleet_node(n)[0]: name for n, name in enumerate(self._nodes)}
+        self._node_addresses = {name: block.fleet_node(n) for n, name in enumerate(self._nodes)}
         self._loop = asyncio.get_running_loop()
         self._bytes: Counter[str] = Counter()
         self._messages: Counter[str] = Counter()
-        self._held = 0
+        self._delayed_count = 0
         self._sockets: list[socket.socket] = []
         self._servers: list[asyncio.Server] = []
         for n, name in enumerate(self._nodes):
             udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             udp.setblocking(False)
             udp.bind(block.fleet_hub(n))
-            self._loop.add_reader(udp, self._readable, udp, name)
+            self._loop.add_reader(udp, self._on_readable, udp, name)
             self._sockets.append(udp)
         self._opening = self._loop.create_task(self._listen(block))
 
@@ -58,46 +59,48 @@
             def serve(
                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to: str = name
             ) -> asyncio.Task[None]:
-                return self._loop.create_task(self._stream(reader, writer, to))
+                return self._loop.create_task(self._relay_stream(reader, writer, to))
 
             self._servers.append(await asyncio.start_server(serve, *block.fleet_hub(n)))
 
-    def _t(self) -> float:
-        """Seconds since the load began; before that only what holds all the time is in force."""
+    def _elapsed_s(self) -> float:
+        """Return the seconds since the load began; -1 before, when only permanent faults are active."""
         return self._recorder.now() - self._start if self._start < math.inf else -1.0
 
-    def _readable(self, udp: socket.socket, to: str) -> None:
-        for _ in range(64):
+    def _on_readable(self, udp: socket.socket, to: str) -> None:
+        for _ in range(READS_PER_EVENT):
             try:
                 data, source = udp.recvfrom(MAX_DATAGRAM)
             except OSError:
                 return
-            sender = self._name_at.get(source[0])
+            sender = self._node_by_ip.get(source[0])
             if sender is None:
                 continue
             self._bytes[sender] += len(data)
             self._messages[sender] += 1
-            for wait in self._links.datagram(sender, to, len(data), self._t()):
-                if self._held < MAX_HELD:
-                    self._held += 1
+            for wait in self._links.datagram(sender, to, len(data), self._elapsed_s()):
+                if self._delayed_count < MAX_DELAYED_DATAGRAMS:
+                    self._delayed_count += 1
                     self._loop.call_later(wait, self._deliver, udp, data, to)
 
     def _deliver(self, udp: socket.socket, data: bytes, to: str) -> None:
-        self._held -= 1
+        self._delayed_count -= 1
         with contextlib.suppress(OSError):
-            udp.sendto(data, self._real[to])
+            udp.sendto(data, self._node_addresses[to])
 
-    async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to: str) -> None:
-        sender = self._name_at.get(writer.get_extra_info("peername")[0])
+    async def _relay_stream(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to: str
+    ) -> None:
+        sender = self._node_by_ip.get(writer.get_extra_info("peername")[0])
         try:
             if sender is None:
                 return
-            async with asyncio.timeout(STREAM_S):
-                other_reader, other_writer = await asyncio.open_connection(*self._real[to])
+            async with asyncio.timeout(MAX_STREAM_S):
+                other_reader, other_writer = await asyncio.open_connection(*self._node_addresses[to])
                 try:
                     await asyncio.gather(
-                        self._pipe(reader, other_writer, sender, to),
-                        self._pipe(other_reader, writer, to, sender),
+                        self._copy_stream(reader, other_writer, sender, to),
+                        self._copy_stream(other_reader, writer, to, sender),
                     )
                 finally:
                     other_writer.close()
@@ -106,13 +109,13 @@
         finally:
             writer.close()
 
-    async def _pipe(
+    async def _copy_stream(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, sender: str, to: str
     ) -> None:
-        while data := await reader.read(PIECE):
+        while data := await reader.read(STREAM_CHUNK_BYTES):
             self._bytes[sender] += len(data)
-            while (wait := self._links.stream(sender, to, len(data), self._t())) is None:
-                await asyncio.sleep(LOOK_S)
+            while (wait := self._links.stream(sender, to, len(data), self._elapsed_s())) is None:
+                await asyncio.sleep(PARTITION_POLL_S)
             await asyncio.sleep(wait)
             writer.write(data)
             await writer.drain()
@@ -120,10 +123,12 @@
             writer.write_eof()
 
     async def handle_order(self, order: Order) -> None:
+        """Carry out an order of the director: `play` names the start of the load."""
         if order["do"] == "play":
             self._start = float(order["at"])
 
     def on_second(self) -> None:
+        """Record what each node has sent since the last call."""
         now = self._recorder.now()
         for name, count in self._bytes.items():
             self._recorder.put(LinkBytes(now, name, count, self._messages[name]))
@@ -131,6 +136,7 @@
         self._messages.clear()
 
     async def close(self) -> None:
+        """Record the last counts and close all sockets."""
         self.on_second()
         self._opening.cancel()
         for udp in self._sockets:
--- a/orchidferry/testkit/world/links.py
+++ b/orchidferry/testkit/world/links.py
@@ -1,8 +1,7 @@
-"""What the network between nodes does to what they send each other: pure, and drawn from a seed.
+"""Faults of the links between nodes: their effect on each message, drawn from a seed. Free of I/O.
 
-A fault strikes the links between two sides of the fleet for a while, one way or both. The whole script is
-known ahead, so whoever carries the messages and whoever judges the run read the same one. `hub` carries real
-ones.
+A fault affects the links between two sets of nodes for a time, in one or both directions. All faults are
+known before the run, so the hub that applies them and the judge of the run use the same list.
 """
 
 from __future__ import annotations
@@ -14,38 +13,39 @@
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.quic.faults import PathFaults, Trouble
 
-# of a healthy link
+# of a link without a fault
 DELAY_S = 0.0002
 JITTER_S = 0.0006
-RESEND_S = 0.2  # that a lost piece of a TCP stream costs: the least retransmission time-out of most systems
+MIN_RETRANSMISSION_TIMEOUT_S = 0.2  # of TCP, on most systems
+MAX_RETRANSMISSION_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """From `t` to `until` (seconds of the run) on what goes between `one` and `other`."""
+    """A fault of the links between `one` and `other`, from `t` to `until` (seconds since the load began)."""
 
     t: float
     until: float
     one: frozenset[str]
     other: frozenset[str]
-    one_way: bool = False  # only what `one` sends to `other`
-    cut: bool = False
-    loss: float = 0.0  # shares of datagrams
+    one_way: bool = False  # only messages from `one` to `other`
+    cut: bool = False  # nothing gets through
+    loss: float = 0.0  # fractions of datagrams
     duplicate: float = 0.0
     reorder: float = 0.0
-    late: float = 0.0  # share that comes `late_s` late
+    late: float = 0.0  # fraction that is delayed by `late_s`
     late_s: float = 0.0
-    rate: float = 0.0  # bytes a second; 0: as fast as may be
-    flap_s: float = 0.0  # it is there for so long, then away for so long, and so on
+    rate: float = 0.0  # bytes a second; 0: unlimited
+    flap_s: float = 0.0  # length of each of the phases in which it is in turn active and inactive; 0: always
 
-    def in_force(self, t: float) -> bool:
-        """Whether it is there now, on its links."""
-        flaps_away = self.flap_s and int((t - self.t) / self.flap_s) % 2
-        return self.t <= t < self.until and not flaps_away
+    def is_active(self, t: float) -> bool:
+        """Return whether the fault is active at a time, in seconds since the load began."""
+        in_inactive_phase = self.flap_s and int((t - self.t) / self.flap_s) % 2
+        return self.t <= t < self.until and not in_inactive_phase
 
-    def strikes(self, sender: str, to: str, t: float) -> bool:
-        """Whether it is in force on what one node sends to another now."""
-        if not self.in_force(t):
+    def affects(self, sender: str, to: str, t: float) -> bool:
+        """Return whether the fault affects messages from one node to another at a time."""
+        if not self.is_active(t):
             return False
         return (sender in self.one and to in self.other) or (
             not self.one_way and sender in self.other and to in self.one
@@ -53,27 +53,27 @@
 
 
 def passes(faults: Iterable[LinkFault], sender: str, to: str, t: float) -> bool:
-    """Whether anything at all gets from one node to another."""
-    return not any(fault.cut and fault.strikes(sender, to, t) for fault in faults)
+    """Return whether no partition separates one node from another in this direction."""
+    return not any(fault.cut and fault.affects(sender, to, t) for fault in faults)
 
 
 class Links:
-    """All links of a fleet. The same seed and the same messages in the same order meet the same fate."""
+    """All links of a fleet; the same seed and the same sequence of messages give the same effects."""
 
     def __init__(self, faults: Iterable[LinkFault], seed: int) -> None:
         self._faults = tuple(faults)
         self._seed = seed
         self._paths: dict[tuple[str, str], tuple[PathFaults, random.Random]] = {}
-        self._free: dict[tuple[str, str], float] = {}  # when a slow link has sent what it holds
+        self._free_at: dict[tuple[str, str], float] = {}  # when a link with a rate limit has sent its queue
         self._active: list[LinkFault] = []
-        self._looked = (0.0, 0.0)  # the time for which `_active` holds
+        self._active_span = (0.0, 0.0)  # the time in which `_active` is valid
 
-    def _now(self, t: float) -> list[LinkFault]:
-        if not self._looked[0] <= t < self._looked[1]:
+    def _active_faults(self, t: float) -> list[LinkFault]:
+        if not self._active_span[0] <= t < self._active_span[1]:
             edges = sorted({edge for fault in self._faults for edge in (fault.t, fault.until)})
             after = next((edge for edge in edges if edge > t), float("inf"))
             before = max((edge for edge in edges if edge <= t), default=0.0)
-            self._looked = before, after
+            self._active_span = (before, after)
             self._active = [fault for fault in self._faults if fault.t <= t < fault.until]
         return self._active
 
@@ -86,56 +86,67 @@
         return path
 
     def datagram(self, sender: str, to: str, size: int, t: float) -> list[float]:
-        """After how many seconds each copy arrives: none where it is lost."""
-        striking = [fault for fault in self._now(t) if fault.strikes(sender, to, t)]
-        path, more = self._path(sender, to)
-        if any(fault.cut for fault in striking):
+        """Return the delay of each copy of a datagram in seconds; nothing if it is lost.
+
+        :param size: bytes
+        :param t: seconds since the load began
+        """
+        faults = [fault for fault in self._active_faults(t) if fault.affects(sender, to, t)]
+        path, lateness_random = self._path(sender, to)
+        if any(fault.cut for fault in faults):
             return []
         path.trouble = Trouble(
-            max((fault.loss for fault in striking), default=0.0),
-            max((fault.reorder for fault in striking), default=0.0),
-            max((fault.duplicate for fault in striking), default=0.0),
+            max((fault.loss for fault in faults), default=0.0),
+            max((fault.reorder for fault in faults), default=0.0),
+            max((fault.duplicate for fault in faults), default=0.0),
             DELAY_S,
             JITTER_S,
         )
-        fates = path.fate()
-        for fault in striking:
-            if fault.late and more.random() < fault.late:
-                fates = [wait + fault.late_s for wait in fates]
-        return [wait + self._queue(sender, to, size, t, striking) for wait in fates]
-
-    def _queue(self, sender: str, to: str, size: int, t: float, striking: list[LinkFault]) -> float:
-        rate = min((fault.rate for fault in striking if fault.rate), default=0.0)
+        delays = path.fate()
+        for fault in faults:
+            if fault.late and lateness_random.random() < fault.late:
+                delays = [wait + fault.late_s for wait in delays]
+        return [wait + self._queueing_delay(sender, to, size, t, faults) for wait in delays]
+
+    def _queueing_delay(self, sender: str, to: str, size: int, t: float, faults: list[LinkFault]) -> float:
+        rate = min((fault.rate for fault in faults if fault.rate), default=0.0)
         if not rate:
             return 0.0
-        begin = max(t, self._free.get((sender, to), 0.0))
-        self._free[sender, to] = begin + size / rate
+        begin = max(t, self._free_at.get((sender, to), 0.0))
+        self._free_at[sender, to] = begin + size / rate
         return begin + size / rate - t
 
     def stream(self, sender: str, to: str, size: int, t: float) -> float | None:
-        """After how many seconds a piece of a TCP stream arrives; None while the link is cut."""
-        striking = [fault for fault in self._now(t) if fault.strikes(sender, to, t)]
-        if any(fault.cut for fault in striking):
+        """Return the delay of a chunk of a TCP stream in seconds; None during a partition.
+
+        :param size: bytes
+        :param t: seconds since the load began
+        """
+        faults = [fault for fault in self._active_faults(t) if fault.affects(sender, to, t)]
+        if any(fault.cut for fault in faults):
             return None
-        _, more = self._path(sender, to)
+        _, loss_random = self._path(sender, to)
         wait = DELAY_S
-        loss = max((fault.loss for fault in striking), default=0.0)
-        resend = RESEND_S
-        while loss and more.random() < loss and resend < 10.0:
-            wait += resend
-            resend *= 2.0
-        return wait + self._queue(sender, to, size, t, striking)
+        loss = max((fault.loss for fault in faults), default=0.0)
+        timeout = MIN_RETRANSMISSION_TIMEOUT_S
+        while loss and loss_random.random() < loss and timeout < MAX_RETRANSMISSION_TIMEOUT_S:
+            wait += timeout
+            timeout *= 2.0
+        return wait + self._queueing_delay(sender, to, size, t, faults)
 
 
 def reachable(nodes: Iterable[str], sender: str, passes_: Callable[[str, str], bool]) -> set[str]:
-    """Which nodes a node can hear of: over links that carry both ways, through others too."""
+    """Return the nodes that are connected to a node, directly or through others, in both directions.
+
+    :param passes_: whether messages pass from one node to another
+    """
     found = {sender}
-    edge = [sender]
-    all_ = set(nodes)
-    while edge:
-        one = edge.pop()
-        for other in all_ - found:
-            if passes_(one, other) and passes_(other, one):
+    frontier = [sender]
+    all_nodes = set(nodes)
+    while frontier:
+        node = frontier.pop()
+        for other in all_nodes - found:
+            if passes_(node, other) and passes_(other, node):
                 found.add(other)
-                edge.append(other)
+                frontier.append(other)
     return found
--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -166,7 +166,7 @@
         self._home = folder / name.replace("/", "_")
         self.control: Address | None = None  # where its control service is
         self.fleet: Callable[[], str] | None = None  # the text of its file for a fleet
-        self.door: Address | None = None
+        self.admin: Address | None = None  # where its admin server listens
         self.paused_at: float | None = None
         self.lives = 0
         self._expected: str | None = None  # why its process will end, once that is meant
@@ -230,8 +230,8 @@
                 'state = "state"\n'  # beside it, and kept over its lives
             )
             env["ORCHIDFERRY_CONTROL"] = str(control)
-        if self.door is not None:
-            env["NODE_ADMIN_ADDR"] = f"{self.door[0]}:{self.door[1]}"
+        if self.admin is not None:
+            env["NODE_ADMIN_ADDR"] = f"{self.admin[0]}:{self.admin[1]}"
         if self.fleet is not None:
             fleet = self._home / "fleet.toml"
             keys = self._home / "fleet.keys"
--- a/orchidferry/testkit/world/run.py
+++ b/orchidferry/testkit/world/run.py
@@ -1,4 +1,4 @@
-"""What is known of a run: its progress while it plays, and what is left of it."""
+"""The state of a run: its progress while it is under way, and its result."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class RunAbortedError(OrchidferryError):
-    """The run can't go on; the text says why."""
+    """The run can't be continued; the text names the reason."""
 
 
 @dataclass
 class Progress:
-    """What a watcher is shown, as it changes."""
+    """The progress of a run, updated while it is under way; `t` is seconds since the load began."""
 
     phase: str = "starting"
     t: float = 0.0
@@ -28,18 +28,20 @@
 
 @dataclass
 class Run:
-    """What is left of a run: its script and its record."""
+    """The result of a run: its plan, its record and what was collected at its end."""
 
     plan: Plan
     facts: list[Fact]
-    start: float  # of the load, on the record's clock
-    end: float  # up to when it is recorded
+    start: float  # of the load, in seconds of the record's clock
+    end: float  # of the record
     complete: bool
-    why: str = ""  # it is not
+    why: str = ""  # it is not complete
     interrupted: bool = False
     nodes_cpu_s: float = 0.0
     processes: int = 0
     notes: list[str] = field(default_factory=list)
-    control: dict[str, Any] | None = None  # what became of the versions, where a control service sent any
-    journals: dict[str, list[str]] = field(default_factory=dict)  # what nodes wrote of their fleet, by name
-    zero: float = 0.0  # of the record's clock, by time.monotonic
+    control: dict[str, Any] | None = None  # the result of the control service, if there was one
+    journals: dict[str, list[str]] = field(
+        default_factory=dict
+    )  # the nodes' journals of their fleet, by node
+    zero: float = 0.0  # the record's zero on the monotonic clock, in seconds
--- a/tests/balancing/fleet/test_membership.py
+++ b/tests/balancing/fleet/test_membership.py
@@ -38,7 +38,7 @@
 ) -> None:
     fault = LinkFault(made.now, made.now + for_s, one, other, **what)
     made.links._faults += (fault,)
-    made.links._looked = (0.0, 0.0)
+    made.links._active_span = (0.0, 0.0)
 
 
 def split(made: SimulatedFleet, for_s: float, share: float = 0.45) -> None:
--- a/tests/testkit/test_world.py
+++ b/tests/testkit/test_world.py
@@ -26,7 +26,7 @@
 from orchidferry.testkit.scenario import Scenario, read_scenario
 from orchidferry.testkit.wire import Address, AskerSide, Outcome, Pool, get
 from orchidferry.testkit.world.addresses import Block, claim
-from orchidferry.testkit.world.discovery import DiscoveryService, Listed, Registry
+from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer, Registry
 from orchidferry.testkit.world.machine import Keys
 from orchidferry.testkit.world.plan import Server
 from orchidferry.testkit.world.standin import StandIn
@@ -230,8 +230,8 @@
 # Discovery
 
 
-def entry(name: str, status: str = "active", since: float = 0.0) -> Listed:
-    return Listed(name, 0, "127.0.0.1:9", "z", 0, status, since)
+def entry(name: str, status: str = "active", since: float = 0.0) -> ListedServer:
+    return ListedServer(name, 0, "127.0.0.1:9", "z", 0, status, since)
 
 
 def test_a_registry_tells_what_changed_since_once_each() -> None:
@@ -269,7 +269,7 @@
             await service.attach(f"n{n}", 0, at[n])
         assert json.loads((await get(at[0], "/api/targets")).body)["snapshot"] is True
         watch = asyncio.ensure_future(get(at[0], "/api/targets?index=1&wait=20000", LIMIT_S))
-        await until(lambda: bool(service._askers["n0"].watches))
+        await until(lambda: bool(service._subscribers["n0"].watches))
         service.list_later(entry("a", "leaving"), 0.0)
         news = json.loads((await watch).body)
         assert (news["index"], news["snapshot"]) == (2, False)
@@ -290,7 +290,7 @@
 def test_a_change_counts_as_told_after_a_while_whether_or_not_it_was_asked_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("orchidferry.testkit.world.discovery.DEEMED_S", 0.05)
+    monkeypatch.setattr("orchidferry.testkit.world.discovery.ASSUMED_KNOWN_AFTER_S", 0.05)
 
     async def test() -> None:
         recorder = Recorder(tmp_path / "d.facts", 0.0)
