--- a/orchidferry/balancing/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -306,8 +306,11 @@
         return max(0.0, left_ms - RESERVE_MS)
 
     def ended(self, id: str, result: Result, below: bool, used: int, duration_ms: float, now: float) -> None:
-        """An attempt is over. `below`: it was turned away for overload beneath; `used`: attempts beyond the
-        first that were made there, which are not left here any more."""
+        """An attempt is over.
+
+        `below`: it was turned away for overload beneath; `used`: attempts beyond the first that were made
+        there, which are not left here any more.
+        """
         bad = below or result in (Result.TIMEOUT, Result.REFUSED)
         counts = bad or result in (Result.SERVED, Result.ERROR)
         self.gate.call_ended(bad, counts, duration_ms, now)
@@ -330,8 +333,10 @@
         return Verdict(below, request.initial_extra - request.carried.extra)
 
     def weight(self, id: str, own_value: float) -> float:
-        """What a request is worth to the first tier's operators, over what its class is worth here: the
-        nearest power of two, so that there are few kinds of them; 1 where either is nothing."""
+        """What a request is worth to the first tier's operators, over what its class is worth here.
+
+        The nearest power of two, so that there are few kinds of them; 1 where either is nothing.
+        """
         request = self._open.get(id)
         if request is None or request.carried.worth <= 0.0 or own_value <= 0.0:
             return 1.0
--- a/orchidferry/balancing/fleet/membership.py
+++ b/orchidferry/balancing/fleet/membership.py
@@ -309,32 +309,33 @@
         if sender.name == self.me.name:
             if sender.life != self.me.life:
                 self._on_namesake(message, now)
-            return
+            return None
         if message.to_life != self.me.life:
             # First contact, or for the process that was here before: it learns who is, and says it again.
             if message.kind is Kind.PING:
                 self._outbox.greet(sender, message.number, now)
-            return
+            return None
         known = self.members.get(sender.name)
         if known is not None and known.life != sender.life and order(sender) < order(known):
             # A new process that does not know what is said of the one before it, or a late message.
             number = message.number if message.kind is Kind.PING else 0
             return self._outbox.greet(sender, number, now, (known,))
         if known is None and not self._has_capacity(sender, now):
-            return
+            return None
         if not self._is_new(message):
-            return
+            return None
         was_gone = known is not None and not known.present
         self._merge(sender, sender.name, now)
         self._prober.unproven.pop(sender.name, None)
         for entry in message.updates:
             self._merge(entry, sender.name, now)
         if sender.status is Status.LEFT:
-            return
+            return None
         self._answer(message, now)
         if not self.joined or (was_gone and self.members[sender.name].present):
             self.joined = True
             self._outbox.request_state([self.members[sender.name]], now)
+        return None
 
     def _is_new(self, message: Message) -> bool:
         """Whether a message is no copy of one that was received."""
@@ -373,12 +374,12 @@
             # Those that are gone and were never known are not learned of: they would be spread for ever.
             if entry.present and self._has_capacity(entry, now):
                 self._set(entry, by, now)
-            return
+            return None
         if order(entry) <= order(known):
             same = (entry.incarnation, entry.life) == (known.incarnation, known.life)
             if same and entry.status is known.status is Status.SUSPECT:
                 self._confirm(known, entry.by, now)
-            return
+            return None
         if entry.incarnation - known.incarnation > MAX_JUMP:
             text = f"{by} says that {entry.name} is at incarnation {entry.incarnation}"
             text += f", from {known.incarnation}: not believed"
@@ -386,8 +387,9 @@
         if entry.status is Status.LOST and known.status is Status.ALIVE:
             entry = replace(entry, status=Status.SUSPECT)
             if order(entry) <= order(known):
-                return
+                return None
         self._set(entry, by, now)
+        return None
 
     def _has_capacity(self, entry: Entry, now: float) -> bool:
         """Whether one more may be known; one that is gone is forgotten for it."""
@@ -453,7 +455,7 @@
             if entry.incarnation < me.incarnation or (
                 entry.status is Status.ALIVE and entry.incarnation == me.incarnation
             ):
-                return
+                return None
             self._prober.worsen(1)
             self._change_self(entry.incarnation + 1, now)
             self._refute(by)
@@ -466,6 +468,7 @@
                 self._refute(by)
             elif other is None or order(entry) > order(other):
                 self._conflict.begin(entry, now)
+        return None
 
     def _refute(self, by: str) -> None:
         """Send the refutation to the node that spread the claim at once; the others hear of it by gossip."""
--- a/orchidferry/balancing/fleet/prober.py
+++ b/orchidferry/balancing/fleet/prober.py
@@ -133,6 +133,7 @@
             return self._outbox.send(Kind.ACK, relay.asker, relay.number, sender)
         if self.probes.pop(number, None) is not None:
             self.worsen(-1)
+        return None
 
     def not_acknowledged(self, number: int) -> None:
         """One of those that were asked to probe had no answer either."""
--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -3,7 +3,8 @@
 Here: the gate that every send passes, retries, and how a request ends. The parts: `delay` how much may be
 outstanding, `server_set` which servers are this copy's, `outlier_detection` how healthy they are, `calls`
 which calls are late, `slow_start` what warming servers get, `picker` which server is next, `admission` which
-calls wait or are shed. Rules 1 to 6 are those of the operators' pages; docs/design.md gives the reasons."""
+calls wait or are shed. Rules 1 to 6 are those of the operators' pages; docs/design.md gives the reasons.
+"""
 
 from __future__ import annotations
 
@@ -144,6 +145,7 @@
         if self.admission.sheds(call, now):
             return self._end(call)
         self._attempt(call, now)
+        return None
 
     def _attempt(self, call: Call, now: float) -> None:
         if self.chain is not None and not self.chain.may_send(call.id, now):
@@ -155,6 +157,7 @@
             (self._set_timer(call, wait_ms) if wait_ms > 0.0 else self._end(call))
         elif server is None or not self._send(call, server, now):
             self._retry_or_end(call, now)
+        return None
 
     def _release(self, now: float) -> None:
         """Send queued calls as capacity becomes free, those of most value first."""
@@ -381,6 +384,7 @@
         self.server_set.apply(event)
         self._apply_list_step(now)
         self._release(now)
+        return None
 
     def _apply_list_step(self, now: float) -> None:
         """Apply a step of a long list, and let the rest wait, as requests come between."""
--- a/orchidferry/balancing/moves.py
+++ b/orchidferry/balancing/moves.py
@@ -213,7 +213,7 @@
         """
         tracked = self._classes.get(cls)
         if tracked is None or self.state not in (State.SHIFTING, State.PAUSED):
-            return
+            return None
         if not new:
             known = tracked.baseline.known
             slow_ms = tracked.baseline.slow_ms if known else math.inf
@@ -223,9 +223,9 @@
                     tests["failures"].record_old(failed)
                     if not failed:  # slow for its class, which classes have in common
                         tests["slow answers"].record_old(duration_ms > slow_ms)
-            return
+            return None
         if not tracked.baseline.known:
-            return  # nothing to compare with
+            return None  # nothing to compare with
         tracked.new_outcomes += 1
         slow = duration_ms > tracked.baseline.slow_ms
         # Of a class that is moved completely nothing goes to the old pool, and its baseline is outdated.
@@ -240,6 +240,7 @@
             for measure, worse in tests.items():
                 if worse.value >= self._roll_back_at:
                     return self.roll_back(now, f"{name}: more {measure} than the old pool")
+        return None
 
     def tick(self, now: float, live_new: int = 1, live_old: int = 1) -> None:
         """Check the time: steps end, classes turn out to be rare, a rollback is complete.
--- a/orchidferry/balancing/picker.py
+++ b/orchidferry/balancing/picker.py
@@ -1,7 +1,8 @@
 """Picking servers: first attempts by weighted rotation, retries to the least loaded of their group.
 
 Nothing here walks all servers: what changes with time is checked in turn, when its time comes, or when its
-server comes up in the rotation; what an event changes, with that event."""
+server comes up in the rotation; what an event changes, with that event.
+"""
 
 from __future__ import annotations
 
--- a/orchidferry/balancing/proposer.py
+++ b/orchidferry/balancing/proposer.py
@@ -90,9 +90,7 @@
         resend_ms: float = RESEND_MS,
         back_off_ms: float = BACK_OFF_MS,
     ) -> None:
-        """
-        :param initial: the state that the register begins with, the same at all; its voters are asked first.
-        """
+        """:param initial: the state that the register begins with, the same at all; its voters are asked first."""
         self._resend_ms = resend_ms
         self._back_off_ms = back_off_ms
         self._answer_ms = 0.0  # how long the voters have taken to answer lately
@@ -116,8 +114,10 @@
         return self._next_round_ms
 
     def ask(self, id: str, change: Change, now: float, for_ms: float, intent: Any = None) -> list[Action]:
-        """Have the state changed. The outcome is a `ChangeDecided`; there is none if the change is given up:
-        then it may still be made, so whoever asks again does so under the same id.
+        """Have the state changed.
+
+        The outcome is a `ChangeDecided`; there is none if the change is given up: then it may still be made,
+        so whoever asks again does so under the same id.
 
         :param id: of the change.
         :param change: given the state, returns the state after the change; the very same state if nothing has
@@ -194,8 +194,9 @@
         return [*again, *self._prepare(round_, self.known.voters)]
 
     def _back_off(self, round_: _Round, now: float) -> None:
-        """Another proposer has preempted the round: leave it the time that its phase takes, and a random
-        backoff.
+        """Another proposer has preempted the round.
+
+        Leave it the time that its phase takes, and a random backoff.
         """
         self._measure_answer(now - round_.phase_began_ms)
         self._round = None
--- a/orchidferry/balancing/register.py
+++ b/orchidferry/balancing/register.py
@@ -177,7 +177,8 @@
     def __init__(
         self, name: str, state: AcceptorState, object_to: Callable[[Any], str] = no_objection
     ) -> None:
-        """
+        """Create a `Acceptor`.
+
         :param state: what the disk holds.
         :param object_to: given an intent, says why this voter objects to it; "" for no objection.
         """
--- a/orchidferry/balancing/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -169,6 +169,7 @@
         if not self.plan.has_metrics:
             self._report("no doors are given: only acknowledgements and streams are looked at")
         self._next_wave(now)
+        return None
 
     def _next_wave(self, now: float) -> None:
         if not self._remaining:
@@ -188,22 +189,24 @@
             f"wave {self._wave_number} of {len(self._wave_sizes)}: offered to {len(self._wave)} nodes "
             f"({', '.join(self._wave[:5])}{', ...' if len(self._wave) > 5 else ''})"
         )
+        return None
 
     def _on_answer(self, event: NodeAnswered, now: float) -> None:
         node = self._nodes.get(event.node)
         if node is None or not node.offered:
-            return
+            return None
         if self.state is State.ROLLING_BACK:
             if event.version != self.plan.version:
                 node.restored = True
                 self._check_rolled_back(now)
-            return
+            return None
         if event.version != self.plan.version:
-            return
+            return None
         if event.reason:
             return self._roll_back(f"{event.node} refused it: {event.reason}", now)
         node.acknowledged = True
         self._check(now)
+        return None
 
     def _on_streams_changed(self, event: StreamsChanged, now: float) -> None:
         for name, node in self._nodes.items():
@@ -262,6 +265,7 @@
         if now - self._state_since_ms >= ACKNOWLEDGE_TIMEOUT_MS:
             limit_s = ACKNOWLEDGE_TIMEOUT_MS / 1000.0
             self._roll_back(f"{unacknowledged[0]} said nothing of it within {limit_s:g} s", now)
+        return None
 
     def _unavailable(self, offered: Sequence[str], now: float) -> str:
         """Which node has been without a stream or not ready for too long, or ""."""
@@ -305,9 +309,10 @@
                     self._roll_back(
                         f"too few answers to tell: {offered_answers[1]} of {self.plan.min_answers}", now
                     )
-                return
+                return None
         if passed >= self.plan.watch_ms:
             self._next_wave(now)
+        return None
 
     def _roll_back(self, reason: str, now: float) -> None:
         if self.state is State.ROLLING_BACK:
--- a/orchidferry/balancing/versions.py
+++ b/orchidferry/balancing/versions.py
@@ -159,6 +159,7 @@
         if self._saved is not None:
             return self._apply((), self._saved, Source.SAVED)
         self._apply((), self._file, Source.FILE)
+        return None
 
     # Offers
 
@@ -171,7 +172,7 @@
 
     def _on_offered(self, event: Offered, now: float) -> None:
         if self._nonces.get(event.part) == event.nonce:
-            return  # a repeated message: it has its answer, or will have it
+            return None  # a repeated message: it has its answer, or will have it
         self._nonces[event.part] = event.nonce
         self.counts["offered"] += 1
         self._mismatched.pop(event.part, None)
@@ -184,6 +185,7 @@
             self._drain_early(event)
             return self._set_timer(now)
         self._consider(event, now)
+        return None
 
     def _may_apply(self, now: float) -> bool:
         return self._budget.refill(APPLY_PER_S / 1000.0, APPLY_BURST, now) >= 1.0
@@ -199,6 +201,7 @@
         if self.applied is None and self._applying is None:
             return self._start_without_service(now)
         self._consider_deferred(now)
+        return None
 
     def _consider_deferred(self, now: float) -> None:
         """Consider deferred offers, as the rate limit allows."""
@@ -208,6 +211,7 @@
             # Pools come before the settings that use them.
             part = Part.MEMBERS if Part.MEMBERS in self._deferred else Part.SETTINGS
             self._consider(self._deferred.pop(part), now)
+        return None
 
     def _candidate(self, *events: Offered) -> Configuration:
         configuration = self.applied or self._saved or self._file
@@ -258,6 +262,7 @@
         self._mismatched.clear()
         self._budget.tokens -= 1.0
         self._apply(pending.offers, pending.configuration, Source.CONTROL)
+        return None
 
     def _checked(self, event: Offered) -> _Pending:
         """What to apply for an offer: it alone, or with an earlier one of the other part that did not match.
@@ -289,7 +294,7 @@
 
     def _on_applied(self, event: Applied, now: float) -> None:
         if self._applying is None:
-            return
+            return None
         pending = self._applying
         self._applying = None
         if event.problem and pending.offers:
@@ -313,6 +318,7 @@
             self._actions += [Answer(offer.part, offer.version, offer.nonce) for offer in pending.offers]
             self._actions.append(SaveLastGood(pending.configuration))
         self._consider_deferred(now)
+        return None
 
     def _update_strictest(self, configuration: Configuration) -> None:
         """Keep the strictest form of each class: one that is removed and comes again must not be looser."""
--- a/orchidferry/mesh/control/actions.py
+++ b/orchidferry/mesh/control/actions.py
@@ -1,5 +1,6 @@
-"""The actions that a shard's replica returns: whoever runs it carries them out, in the order in which they
-are returned.
+"""The actions that a shard's replica returns.
+
+Whoever runs it carries them out, in the order in which they are returned.
 """
 
 from __future__ import annotations
--- a/orchidferry/mesh/control/change_intents.py
+++ b/orchidferry/mesh/control/change_intents.py
@@ -32,8 +32,9 @@
 
 
 def objection(intent: Any, group: GroupView) -> str:
-    """Object to the removal of a controller that is alive as far as the voter observes: from the group,
-    unless it is leaving, or from ownership, if it is fit.
+    """Object to the removal of a controller that is alive as far as the voter observes.
+
+    From the group, unless it is leaving, or from ownership, if it is fit.
 
     :param group: the group as the voter observes it.
     :returns: the objection; "" for none.
--- a/orchidferry/mesh/control/configuration_fetcher.py
+++ b/orchidferry/mesh/control/configuration_fetcher.py
@@ -103,8 +103,10 @@
             ask(connection.link)
 
     def _choose_controller(self) -> ControllerConnection | None:
-        """A random controller: one that is in contact with a majority and has announced what is wanted, if
-        there is one; else any that is in contact; else any.
+        """A random controller.
+
+        One that is in contact with a majority and has announced what is wanted, if there is one; else any
+        that is in contact; else any.
         """
         now = self._loop.time()
         connected = [one for one in self._connections.values() if one.open_link is not None]
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -98,6 +98,7 @@
             if not state.revision:
                 return _reject(answer, RejectionReason.NOT_FOUND, "there is no configuration yet")
             answer(Reply(200, expand(state.compressed_text), JSON))
+            return None
 
         self._request_read(finish)
 
@@ -118,6 +119,7 @@
             return answer(rejection_reply(rejection, RETRY_AFTER_S))
         change = shard_state.PutConfiguration(found.compressed_text, found.revision, key, base)
         self._request_change(change, PUT_TIMEOUT_S, lambda ended: answer(_put_reply(ended, found.revision)))
+        return None
 
     def _validate(self, key: bytes, text: bytes) -> ValidConfiguration | Rejection:
         """Validate a configuration; one that is valid is not validated again if it is sent again.
--- a/orchidferry/mesh/control/configuration_schema.py
+++ b/orchidferry/mesh/control/configuration_schema.py
@@ -18,6 +18,8 @@
     """Ignores fields that are not known."""
 
     class Meta:
+        """Options of marshmallow."""
+
         unknown = EXCLUDE
 
 
--- a/orchidferry/mesh/control/key_releases.py
+++ b/orchidferry/mesh/control/key_releases.py
@@ -46,7 +46,8 @@
     """All releases of one node's process that were not acknowledged yet."""
 
     def __init__(self, max_retention_s: float, send: Callable[[str, Message], None]) -> None:
-        """
+        """Create a `KeyReleases`.
+
         :param max_retention_s: the longest that a controller keeps a key, in seconds
         :param send: sends a message to a controller by name; it is lost if there is no link to it
         """
--- a/orchidferry/mesh/control/membership.py
+++ b/orchidferry/mesh/control/membership.py
@@ -1,5 +1,6 @@
-"""One controller's standing in the group of a shard: whether it may grant operation keys, and from whom it
-still has to learn them. Free of I/O.
+"""One controller's standing in the group of a shard.
+
+Whether it may grant operation keys, and from whom it still has to learn them. Free of I/O.
 
 A controller grants under the epoch that it knows to be decided, has accepted on its disk, and is a voter of.
 One that has lost its disk, or was removed from the group, has missed what was granted: it grants nothing
--- a/orchidferry/mesh/control/operation_key_client.py
+++ b/orchidferry/mesh/control/operation_key_client.py
@@ -101,7 +101,8 @@
     """All claims and releases of one node."""
 
     def __init__(self, seeds: tuple[str, ...], send: Callable[[str, Message], None], window_s: float) -> None:
-        """
+        """Create a `OperationKeyClient`.
+
         :param seeds: the controllers that are asked while no group is known
         :param send: sends a message to a controller by name; it is lost if there is no link to it
         :param window_s: how long controllers keep a key at least, in seconds
@@ -154,6 +155,7 @@
         claim = Claim(self._last_request, shard, key, holder, on_claimed, count, now + timeout_s, now)
         self._pending[claim.request] = claim
         self._send_claim(claim, now)
+        return None
 
     def tick(self, now: float) -> None:
         """Ask again, and end the claims that took too long."""
--- a/orchidferry/mesh/control/order_log.py
+++ b/orchidferry/mesh/control/order_log.py
@@ -1,5 +1,7 @@
-"""A replica's orders: those that wait for their outcome, and the history of those that were committed, with
-what has to be put on disk and to be asked of other replicas. Free of I/O.
+"""A replica's orders.
+
+Those that wait for their outcome, and the history of those that were committed, with what has to be put on
+disk and to be asked of other replicas. Free of I/O.
 """
 
 from __future__ import annotations
--- a/orchidferry/mesh/control/order_requests.py
+++ b/orchidferry/mesh/control/order_requests.py
@@ -26,8 +26,9 @@
         self.order_log = order_log
 
     def request(self, id: str, order: shard_state.PutConfiguration, for_s: float) -> None:
-        """Request an order. One whose outcome is known for ever ends at once; copies of an order share one
-        proposal.
+        """Request an order.
+
+        One whose outcome is known for ever ends at once; copies of an order share one proposal.
 
         :param id: of the request.
         :param for_s: seconds for which the order is tried.
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -1,5 +1,6 @@
-"""One controller's replica of the register of one shard: its vote, what it learns of decided states, and the
-changes that it proposes.
+"""One controller's replica of the register of one shard.
+
+Its vote, what it learns of decided states, and the changes that it proposes.
 
 It does no I/O: events go in, actions are collected in the `ShardContext`, in the order in which they are to
 be carried out. What a vote means beyond the register (objections, and what follows from a newer state) is up
@@ -110,7 +111,8 @@
         orders: OrderLog,
         listener: RegisterListener,
     ) -> None:
-        """
+        """Create a `RegisterReplica`.
+
         :param initial: the state that all founders begin with.
         :param state: what the acceptor keeps on disk.
         :param orders: its unsaved orders are written along with each vote.
@@ -148,8 +150,10 @@
         return self.context.peers.contact.holds(self.known.voters, self.voter, now)
 
     def outcome(self, request: str, value: Value | None, why: str) -> RequestEnded:
-        """Answer a request. Without contact nothing is confirmed, though it may be known: the request should
-        have been answered before contact was lost.
+        """Answer a request.
+
+        Without contact nothing is confirmed, though it may be known: the request should have been answered
+        before contact was lost.
         """
         if not self.in_contact(self.context.now):
             return RequestEnded(request, None, LOST_CONTACT)
--- a/orchidferry/mesh/control/relay.py
+++ b/orchidferry/mesh/control/relay.py
@@ -71,6 +71,7 @@
         if len(self._subscribe_due_s) + len(self.followers.positions) >= MAX_LINKS:
             return link.close()
         self._subscribe_due_s[link] = self._loop.time() + SUBSCRIBE_TIMEOUT_S
+        return None
 
     def disconnected(self, link: Link) -> None:
         """A link that another node made is closed."""
@@ -131,6 +132,7 @@
         link.max_unsent_bytes = MAX_PENDING_BYTES
         self._send("tree", link, RelayAccepted())
         self.forward(self._streams.values())
+        return None
 
     def _answer_fetches(self) -> None:
         """Answer the fetches whose configuration is here, or of which nothing is announced."""
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -74,8 +74,9 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it has learned what it can before it is a voter: all of enough voters, or of all that are
-        alive and able to send their keys.
+        """Whether it has learned what it can before it is a voter.
+
+        All of enough voters, or of all that are alive and able to send their keys.
         """
         if self.standing.has_enough_sources(self.known):
             return True
@@ -132,11 +133,11 @@
         for name in self._leaving_sources(now):
             self._request_page(name, False)
         if self.standing.caught_up:
-            return
+            return None
         if not as_voter and not self._group().wants_newcomer():
             return self.standing.forget_sources()  # what it has copied grows old
         if self.standing.has_enough_sources(self.known):
-            return
+            return None
         leaving = self.peers.leaving
         cursors = self.learner.cursors
         # Controllers that leave come first, then those that are being copied from.
@@ -147,6 +148,7 @@
         for name in names:
             if self.peers.alive(name, now):
                 self._request_page(name, as_voter)
+        return None
 
     def _request_page(self, source: str, as_voter: bool) -> None:
         """Ask a source for its next page, if it can be asked now."""
@@ -194,6 +196,7 @@
             return self.context.send(source, KeyRecordsRequest(self.name, request.number, first))
         puts = self._merge_rows(request.page.rows)
         self.context.write(puts or [self.context.metadata("catching", b"1")], KeyPageSaved(source, request))
+        return None
 
     def _page_saved(self, source: str, request: PageRequest, ok: bool) -> None:
         """Go on after the write of a page.
@@ -201,10 +204,10 @@
         :param ok: whether it is on disk
         """
         if self.learner.requests.get(source) is not request:
-            return
+            return None
         if not ok:
             self.learner.handle_refusal(source, request.number, self.context.now)
-            return
+            return None
         self.learner.page_stored(source, request)
         assert request.page is not None
         if not request.page.last:
@@ -214,6 +217,7 @@
         self._request_pages(self.context.now)
         if not self.standing.caught_up and self.voter not in self.known.voters and self.ready:
             self._ask_to_join()
+        return None
 
     def _check_caught_up(self) -> None:
         """Write to disk that this controller has caught up, once it has."""
@@ -232,11 +236,12 @@
         """
         self._saving_caught_up = False
         if not ok:
-            return  # `_check_caught_up` is called again with time
+            return None  # `_check_caught_up` is called again with time
         if under != epoch(self.known) or self.voter not in self.known.voters:
             return self.context.write([self.context.metadata("caught", None)])
         self.standing.caught_up = True
         self.context.log(f"caught up with {len(self.operation_keys.records)} keys")
+        return None
 
     def _merge_rows(self, rows: list[KeyRow]) -> list[RecordWrite]:
         """Take the records of another controller.
@@ -269,6 +274,7 @@
         sequence = request.sequence if request.incarnation == self.register.incarnation else 0
         page = self.source.page(self.operation_keys, request.name, sequence, request.omit_answers)
         self.context.reply(reply_to, self._key_page(request, page))
+        return None
 
     def _granted_nothing(self, request: KeyPageRequest) -> bool:
         """Return whether this controller grants nothing, and all that it may have forgotten has expired."""
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -1,5 +1,6 @@
-"""One controller's replica in the group of a shard: the configurations that it takes, its membership of the
-group, and the ownership of the shard.
+"""One controller's replica in the group of a shard.
+
+The configurations that it takes, its membership of the group, and the ownership of the shard.
 
 It does no I/O: events go in, actions come out, in the order in which they are to be carried out; clock and
 randomness are handed in, and the whole replica can be copied.
@@ -62,7 +63,8 @@
         peers: Peers,
         rng: random.Random,
     ) -> None:
-        """
+        """Create a `Replica`.
+
         :param state: what the register's acceptor keeps on disk.
         :param caught_up: whether it has all operation keys that were granted.
         :param peers: what is known of the other controllers, shared by all shards.
@@ -151,8 +153,10 @@
         self.orders.history.load(rows)
 
     def request_change(self, id: str, change: shard_state.Change, for_s: float, now: float) -> list[Action]:
-        """Have the state changed. The request ends once, with `RequestEnded`: without a value if the outcome
-        is not known in time, or if contact with a majority is lost before. Out of contact nothing is begun.
+        """Have the state changed.
+
+        The request ends once, with `RequestEnded`: without a value if the outcome is not known in time, or if
+        contact with a majority is lost before. Out of contact nothing is begun.
 
         :param id: of the request.
         :param for_s: seconds for which it is tried.
@@ -187,8 +191,9 @@
             self._owner_lease.acknowledge(name, sent_s)
 
     def heartbeat_received(self, version: int, name: str) -> list[Action]:
-        """A controller's heartbeat says which version it knows: a replica that knows an older one asks for
-        the state, one controller at a time.
+        """A controller's heartbeat says which version it knows.
+
+        A replica that knows an older one asks for the state, one controller at a time.
         """
         if version > self.known.version:
             others = [
--- a/orchidferry/mesh/control/retry_quota_allocator.py
+++ b/orchidferry/mesh/control/retry_quota_allocator.py
@@ -89,7 +89,8 @@
         lease_s: float = LEASE_S,
         learn_s: float | None = None,
     ) -> None:
-        """
+        """Create a `QuotaAllocator`.
+
         :param total: retries a window, of all nodes
         :param window_s: the window, in seconds
         :param lease_s: of each quota, in seconds
@@ -200,7 +201,8 @@
         window_s: float,
         ownership_token: Callable[[str, float], int | None],
     ) -> None:
-        """
+        """Create a `RetryQuotaAllocators`.
+
         :param retry_slack: of the settings, in retries a window
         :param window_s: the window, in seconds
         :param ownership_token: returns the fencing token under which this controller owns a service's shard
--- a/orchidferry/mesh/control/retry_quota_lease.py
+++ b/orchidferry/mesh/control/retry_quota_lease.py
@@ -33,9 +33,10 @@
     """
 
     def __init__(self, last_number: int = 0) -> None:
-        """
+        """Create a `QuotaLease`.
+
         :param last_number: the number before that of the first request. Answers to requests of another run of
-            the process must not look like answers to its own
+        the process must not look like answers to its own
         """
         self.fencing_token = -1
         self.amount = 0.0
--- a/orchidferry/mesh/control/shard_context.py
+++ b/orchidferry/mesh/control/shard_context.py
@@ -1,5 +1,7 @@
-"""What the parts of one shard at one controller share: which shard and controller they belong to, the time of
-the event in hand, and the actions that the event gives rise to.
+"""What the parts of one shard at one controller share.
+
+Which shard and controller they belong to, the time of the event in hand, and the actions that the event gives
+rise to.
 """
 
 from __future__ import annotations
--- a/orchidferry/mesh/control/shard_runner.py
+++ b/orchidferry/mesh/control/shard_runner.py
@@ -91,6 +91,7 @@
             self.carry_out(shard, shard.write_finished(completion, ok, self._loop.time()))
 
         self._store.write(write.puts, write_finished)
+        return None
 
     def tick(self) -> None:
         """Give each shard a tick, and one more before the next call where something is due sooner."""
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -1,5 +1,6 @@
-"""A node's subscriptions to the controllers' streams of updates: its parent in the fan-out tree, or the
-controllers themselves, and how it finds and closes gaps.
+"""A node's subscriptions to the controllers' streams of updates.
+
+Its parent in the fan-out tree, or the controllers themselves, and how it finds and closes gaps.
 
 No I/O of its own: links, the event loop's clock and the dialling are handed in. What the node knows rests on
 its leases: each answer of a controller says how far that controller's stream is, and what has not come down
@@ -172,7 +173,7 @@
         """A parent has not sent an update in time: drop it if that recurs, and else check that it lives."""
         now = self._loop.time()
         if now < parent.last_gap_s + GAP_WINDOW_S:
-            return
+            return None
         parent.gaps += 1
         parent.last_gap_s = now
         if parent.gaps >= MAX_GAPS:
@@ -180,6 +181,7 @@
         if parent.answer_due_s == math.inf:
             parent.answer_due_s = now + ANSWER_TIMEOUT_S
             self._send_positions()
+        return None
 
     def from_controller(self, link: Link, update: Update) -> None:
         """Take an update that came over a controller's own link."""
@@ -257,10 +259,11 @@
             self._drop_parent()
         for record in candidates:
             if self.parent is not None and record.name == self.parent.record.name:
-                return
+                return None
             if now >= self._backoffs.get(record.name, NO_BACKOFF).until_s:
                 self._candidate = Parent(record, now + DIAL_TIMEOUT_S + ANSWER_TIMEOUT_S)
                 return self._dial(record.name, record.ip)
+        return None
 
     def dial_finished(self, name: str, link: Link | None) -> None:
         """Dialling a node has succeeded or failed.
--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -121,7 +121,7 @@
 
 
 def _check_meta_pages(file: str) -> None:
-    """lmdb maps as much as its meta pages say, and reports a size that is too large as a lack of memory."""
+    """LMDB maps as much as its meta pages say, and reports a size that is too large as a lack of memory."""
     with open(file, "rb") as raw:
         pages = raw.read(2 * PAGE_BYTES)
     for page in range(0, len(pages) - META_BYTES, PAGE_BYTES):
--- a/tests/mesh/control/test_membership_losses.py
+++ b/tests/mesh/control/test_membership_losses.py
@@ -1,5 +1,6 @@
-"""The group of controllers in any order of events, with as many losses at once as it tolerates, controllers
-that are told to end, and orders that are sent again.
+"""The group of controllers in any order of events, with as many losses at once as it tolerates.
+
+Controllers are stopped, and orders are sent again.
 
 A disk is lost only within the tolerance: a voter counts as lost until it lives and has caught up, and the
 voters that are not lost stay a majority of every group that may be in force.
--- a/tests/mesh/test_main.py
+++ b/tests/mesh/test_main.py
@@ -1,5 +1,7 @@
-"""The roles' command line: each subcommand has a help text, and bad settings are one line with file and
-field."""
+"""The roles' command line.
+
+Each subcommand has a help text, and bad settings are one line with file and field.
+"""
 
 from __future__ import annotations
 
