--- a/orchidferry/balancing/proposer.py
+++ b/orchidferry/balancing/proposer.py
@@ -90,7 +90,11 @@
         resend_ms: float = RESEND_MS,
         back_off_ms: float = BACK_OFF_MS,
     ) -> None:
-        """:param initial: the state that the register begins with, the same at all; its voters are asked first."""
+        """Create a proposer.
+
+        :param initial: the state that the register begins with, the same at all; its voters are asked
+            first.
+        """
         self._resend_ms = resend_ms
         self._back_off_ms = back_off_ms
         self._answer_ms = 0.0  # how long the voters have taken to answer lately
