--- a/orchidferry/mesh/control/contact.py
+++ b/orchidferry/mesh/control/contact.py
@@ -1,8 +1,10 @@
 """Contact of a controller with a majority: who has acknowledged which of its heartbeats. Free of I/O.
 
-A controller serves operators' calls only while a majority of a shard's voters, itself among them, has
-acknowledged a heartbeat that it SENT within `CONTACT_S`. The time at which an acknowledgement arrives says
-nothing: a process that was frozen finds acknowledgements in its buffers that are as old as the freeze.
+A controller serves operators' calls, and a starting node's read of the configuration's revision, only while a
+majority of a shard's voters, itself among them, has acknowledged a heartbeat that it SENT within `CONTACT_S`.
+The time at which an acknowledgement arrives says nothing: a process that was frozen finds acknowledgements in
+its buffers that are as old as the freeze. Leases report the controller's contact to nodes, which fetch
+configurations from controllers in contact where they can (`configuration_fetcher`).
 
 Contact makes an answer prompt, it does not make it right: each answer also rests on a majority's round that
 was begun after the call came.
--- a/orchidferry/mesh/control/message_handlers.py
+++ b/orchidferry/mesh/control/message_handlers.py
@@ -93,7 +93,10 @@
         }
 
     def handle(self, link: Link, message: Message) -> None:
-        """Handle a message; a link over which a malformed one has come is closed."""
+        """Handle a message; a link over which a malformed one has come is closed.
+
+        A message of a type without a handler, such as an answer that only nodes expect, is ignored.
+        """
         handler = self._handlers.get(type(message))
         if handler is None:
             return
--- a/orchidferry/mesh/control/operation_keys.py
+++ b/orchidferry/mesh/control/operation_keys.py
@@ -31,10 +31,11 @@
 class ClaimOutcome(StrEnum):
     """What a claim came to, in the words of `KeyGrant.outcome` on the wire."""
 
-    GRANTED = "yours"
+    GRANTED = "yours"  # the attempt may run: the caller hears its answer
+    # Another attempt has the key: the caller hears its answer, or 409 `key_at_work` while that is unknown.
     HELD_BY_OTHER = "held"
-    RETRY = "wait"  # the controller can't say yet
-    UNDECIDED = "none"  # at a node only: no majority answered in time
+    RETRY = "wait"  # the controller can't say yet: the node asks it again, and the caller waits
+    UNDECIDED = "none"  # at a node only: no majority answered in time, the caller hears 503 `no_majority`
 
 
 class ClaimStatus(Enum):
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -172,7 +172,15 @@
         return self._take_actions()
 
     def request_read(self, id: str, now: float) -> list[Action]:
-        """Read the newest state, within `READ_TIMEOUT_S`; the request ends once, with `RequestEnded`."""
+        """Read the newest state, within `READ_TIMEOUT_S`.
+
+        The request ends once, with `RequestEnded`: without a value if the state can't be confirmed in time.
+        Out of contact it ends at once, with `OUT_OF_CONTACT`; where contact is lost under way, with
+        `LOST_CONTACT`.
+
+        :param id: of the request.
+        :param now: seconds on the clock of the event loop.
+        """
         self.context.now = now
         if self.in_contact(now):
             self.reader.begin_request(id)
--- a/orchidferry/mesh/control/write_completions.py
+++ b/orchidferry/mesh/control/write_completions.py
@@ -21,7 +21,8 @@
     :param reply_to: who sent the message of the register; None for this replica itself.
     :param state: what the acceptor kept in memory when the write was begun.
     :param replies: leave once the vote is on disk.
-    :param order_numbers: orders that were written along with the vote.
+    :param order_numbers: earlier orders, which were committed before this vote and not yet on disk: they were
+        written along with it.
     """
 
     reply_to: Any
--- a/orchidferry/mesh/wire/messages.py
+++ b/orchidferry/mesh/wire/messages.py
@@ -140,7 +140,11 @@
 
 
 class KeyAnswer(Message, frozen=True, tag="key_answer"):
-    """The first attempt with a key was answered."""
+    """The first attempt with a key was answered.
+
+    It is sent once to each controller of the key's shard and not acknowledged: a controller to which the node
+    has no link at that moment does not get it from the node.
+    """
 
     key: str  # the operation key
     attempt_id: str  # of the attempt that was executed
