--- a/orchidferry/testkit/traffic/page.py
+++ b/orchidferry/testkit/traffic/page.py
@@ -4,64 +4,80 @@
 
 import io
 from html import escape
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import matplotlib
 import numpy as np
 from matplotlib.figure import Figure
 
 from orchidferry.testkit.report.page import STYLE
+from orchidferry.testkit.traffic.totals import GAP_EDGES, US_PER_MS, Totals
 
-if TYPE_CHECKING:
-    from orchidferry.testkit.traffic.command import Totals
+MAX_POINTS = 600  # of a line over time: more are not seen
+RANK_POINTS = 300  # of a line over ranks
+VISIBLE_FRACTION = 0.0005  # of the gaps: less at either end is outside the plot
 
-POINTS = 600  # of a line over time: more are not seen
 
+def _binned(values: Any) -> tuple[Any, Any]:
+    """Average values by second over at most `MAX_POINTS` steps.
 
-def _binned(values: Any, seconds: int) -> tuple[Any, Any]:
-    """Values by second as a rate in at most `POINTS` steps: times and rates."""
-    step = max(1, -(-seconds // POINTS))
-    whole = np.pad(values, (0, -len(values) % step)).reshape(-1, step)
-    return np.arange(len(whole)) * step, whole.mean(axis=1)
+    :returns: the steps' times, and the mean rate in each.
+    """
+    step = max(1, -(-len(values) // MAX_POINTS))
+    steps = np.pad(values, (0, -len(values) % step)).reshape(-1, step)
+    return np.arange(len(steps)) * step, steps.mean(axis=1)
 
 
-def _gaps(axis: Any, found: Totals, edges: Any) -> None:
-    total = found.gaps.sum()
+def _plot_rates(axis: Any, totals: Totals) -> None:
+    for number, name in enumerate(totals.names):
+        if totals.per_second[number].any():
+            axis.plot(*_binned(totals.per_second[number]), label=name, linewidth=1)
+    axis.set_ylabel("requests a second")
+
+
+def _plot_failures(axis: Any, totals: Totals) -> None:
+    for values, name in ((totals.failed_per_second, "failed"), (totals.retries_per_second, "retries")):
+        axis.plot(*_binned(values), label=name, linewidth=1)
+    axis.set_ylabel("a second")
+    axis.set_xlabel("seconds since the first request")
+
+
+def _plot_ranks(axis: Any, totals: Totals) -> None:
+    for counter, name in ((totals.objects, "objects"), (totals.clients, "clients")):
+        ranked = counter.ranked()
+        # Ranks at even steps of their logarithm: a million of them look the same.
+        last = np.log10(max(1, len(ranked)))
+        ranks = np.unique(np.logspace(0, last, RANK_POINTS).astype(np.int64)) - 1
+        axis.plot(ranks + 1, ranked[ranks] if len(ranked) else ranks * 0, label=name)
+    axis.set_xscale("log")
+    axis.set_yscale("log")
+    axis.set_xlabel("rank")
+    axis.set_ylabel("requests")
+
+
+def _plot_gaps(axis: Any, totals: Totals) -> None:
+    total = totals.gaps.sum()
     if not total:
         return
-    share = np.cumsum(found.gaps)[:-1] / total
-    axis.plot(edges / 1e3, 100.0 * share, color="#222")
-    inside = np.flatnonzero((share > 0.0005) & (share < 0.9995))
-    if len(inside) > 1:
-        axis.set_xlim(edges[inside[0]] / 1e3, edges[inside[-1]] / 1e3)
+    shorter = np.cumsum(totals.gaps)[:-1] / total
+    axis.plot(GAP_EDGES / US_PER_MS, 100.0 * shorter, color="#222")
+    visible = np.flatnonzero((shorter > VISIBLE_FRACTION) & (shorter < 1.0 - VISIBLE_FRACTION))
+    if len(visible) > 1:
+        axis.set_xlim(GAP_EDGES[visible[0]] / US_PER_MS, GAP_EDGES[visible[-1]] / US_PER_MS)
     axis.set_xscale("log")
     axis.set_xlabel("between two requests, ms")
     axis.set_ylabel("shorter than that, %")
 
 
-def _plots(found: Totals, edges: Any) -> str:
-    seconds = found.per_second.shape[1]
+def _plots(totals: Totals) -> str:
+    """:returns: all plots as one SVG element."""
     with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": "traffic", "font.size": 9}):
         drawing = Figure(figsize=(10, 10), layout="constrained")
         axes: Any = drawing.subplot_mosaic([["rate", "rate"], ["wrong", "wrong"], ["rank", "gaps"]])
-        for number, name in enumerate(found.names):
-            if found.per_second[number].any():
-                axes["rate"].plot(*_binned(found.per_second[number], seconds), label=name, linewidth=1)
-        axes["rate"].set_ylabel("requests a second")
-        for values, name in ((found.failed_per_second, "failed"), (found.retries_per_second, "retries")):
-            axes["wrong"].plot(*_binned(values, seconds), label=name, linewidth=1)
-        axes["wrong"].set_ylabel("a second")
-        axes["wrong"].set_xlabel("seconds since the first request")
-        for counts, name in ((found.objects, "objects"), (found.clients, "clients")):
-            ranked = counts.ranked()
-            # Ranks at even steps of their logarithm: a million of them look the same.
-            at = np.unique(np.logspace(0, np.log10(max(1, len(ranked))), 300).astype(np.int64)) - 1
-            axes["rank"].plot(at + 1, ranked[at] if len(ranked) else at * 0, label=name)
-        axes["rank"].set_xscale("log")
-        axes["rank"].set_yscale("log")
-        axes["rank"].set_xlabel("rank")
-        axes["rank"].set_ylabel("requests")
-        _gaps(axes["gaps"], found, edges)
+        _plot_rates(axes["rate"], totals)
+        _plot_failures(axes["wrong"], totals)
+        _plot_ranks(axes["rank"], totals)
+        _plot_gaps(axes["gaps"], totals)
         for name, axis in axes.items():
             axis.grid(alpha=0.25)
             if name != "gaps":
@@ -72,25 +88,31 @@
     return text[text.index("<svg") :]
 
 
-def page(name: str, found: Totals, figures: dict[str, Any], edges: Any) -> str:
-    """The whole page; it needs nothing else."""
+def render_page(name: str, totals: Totals, summary: dict[str, Any]) -> str:
+    """Render a recording as a page that refers to no other file.
+
+    :param name: of the recording, for the title.
+    :param totals: of the recording, for the plots.
+    :param summary: of the same totals, for the text.
+    :returns: the page as HTML.
+    """
     rows = "".join(
-        f"<tr><td>{escape(row['name'])}</td><td>{figures['mix'].get(row['name'], 0.0):.2%}</td>"
+        f"<tr><td>{escape(row['name'])}</td><td>{summary['mix'].get(row['name'], 0.0):.2%}</td>"
         f"<td>{escape(row['repeat'])}</td></tr>"
-        for row in found.header.classes
+        for row in totals.header.classes
     )
-    notes = "".join(f"<li>{escape(note)}</li>" for note in figures["notes"]) or "<li>None.</li>"
-    told = (
-        f"{figures['requests']} requests over {figures['seconds']:.0f} s from a {escape(figures['began'])}, "
-        f"{figures['rate']['mean']:.1f} a second, {figures['rate']['most']} in the busiest; "
-        f"{figures['clients']} clients, {figures['objects']} objects, {figures['failed']} failed, "
-        f"{figures['retries']} retries."
+    notes = "".join(f"<li>{escape(note)}</li>" for note in summary["notes"]) or "<li>None.</li>"
+    overview = (
+        f"{summary['requests']} requests over {summary['seconds']:.0f} s from a {escape(summary['began'])}, "
+        f"{summary['rate']['mean']:.1f} a second, {summary['rate']['most']} in the busiest; "
+        f"{summary['clients']} clients, {summary['objects']} objects, {summary['failed']} failed, "
+        f"{summary['retries']} retries."
     )
     parts = [
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(name)}</title>",
-        f"<style>{STYLE}</style><h1>Recording: {escape(name)}</h1><p>{told}</p>",
+        f"<style>{STYLE}</style><h1>Recording: {escape(name)}</h1><p>{overview}</p>",
         f"<h2>Mix</h2><table><tr><th>class</th><th>share</th><th>repeat</th></tr>{rows}</table>",
-        f"<h2>Over time, popularity, gaps</h2>{_plots(found, edges)}",
+        f"<h2>Over time, popularity, gaps</h2>{_plots(totals)}",
         f"<h2>Gaps, clocks and what was left out</h2><ul>{notes}</ul></html>",
     ]
     return "\n".join(parts) + "\n"
--- a/tests/testkit/traffic/test_importing.py
+++ b/tests/testkit/traffic/test_importing.py
@@ -16,7 +16,6 @@
 from orchidferry.testkit import cli
 from orchidferry.testkit.traffic import block_reader, export, generate, importing, row_columns, sorted_runs
 from orchidferry.testkit.traffic.classes import read_classes
-from orchidferry.testkit.traffic.command import summary
 from orchidferry.testkit.traffic.importing import Plan, Report, TooManyRejectedError, import_files
 from orchidferry.testkit.traffic.recording import (
     ABORTED,
@@ -33,6 +32,7 @@
 )
 from orchidferry.testkit.traffic.retries import Ties
 from orchidferry.testkit.traffic.sources import Block
+from orchidferry.testkit.traffic.totals import read_summary
 
 CLASSES = read_classes(generate.CLASSES.encode())
 RATE = 15.0
@@ -282,7 +282,7 @@
     assert code == 0 and "get-feeds" in out and f"{found['requests']} requests" in out
     code, out, _ = call(monkeypatch, capsys, "show", rec, "--json")
     shown = json.loads(out)
-    assert sum(shown["per_second"]) == found["requests"] == summary(Path(rec))["requests"]
+    assert sum(shown["per_second"]) == found["requests"] == read_summary(Path(rec))["requests"]
     assert 0 < shown["gaps_ms"]["p50"] < shown["gaps_ms"]["p99"]
     bad = str(tmp_path / "c.toml")
     Path(bad).write_text("x = 1")
