--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -18,7 +18,7 @@
 from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer
 from orchidferry.testkit.world.nodes import NEW_KIND, NodeProcess
 from orchidferry.testkit.world.plan import Plan, Server, in_new_pool, zone_of
-from orchidferry.testkit.world.worker import home, own_node
+from orchidferry.testkit.world.worker import sidecar_of, worker_index
 
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import Files
@@ -84,7 +84,7 @@
 
     def world_of(self, server: Server) -> Child:
         """The process that plays a server."""
-        return self.worlds[home(self.scenario, server)]
+        return self.worlds[worker_index(self.scenario, server)]
 
     def make_node(
         self, name: str, tier: int, number: int, siblings: int, server: Server | None
@@ -118,7 +118,7 @@
 
     def own_node(self, server: Server) -> NodeProcess | None:
         """The node that a server has of its own, made where there is none yet; None in the last tier."""
-        own = own_node(self.scenario, self.block, server)
+        own = sidecar_of(self.scenario, self.block, server)
         if own is None:
             return None
         if own[0] in self.nodes:
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -1,4 +1,4 @@
-"""A stand-in server on a socket: the machine inside it, its connections, its calls to the tier below."""
+"""A stand-in server on a socket: its model, its connections and its calls to the next tier."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from orchidferry.testkit.scenario import Class, Scenario
 from orchidferry.testkit.traffic.guard import PROOF_CLASS, proof
 from orchidferry.testkit.wire import Address, Request, ServerSide
-from orchidferry.testkit.world import machine as inside
+from orchidferry.testkit.world import machine
 from orchidferry.testkit.world.plan import Server
 
 if TYPE_CHECKING:
@@ -37,102 +37,126 @@
     from orchidferry.testkit.quic.server import H3Server, ServerStream
 
 BACKLOG = 1024
-RUNS_ALL_THE_SAME = 0.5  # of the requests whose connection is reset are worked on, and their answer lost
-REJECTED = "X-Rejected: 1\r\n"
-CHAIN_HEADERS = ("baggage", "cdn-loop")  # that a server hands on with its calls,
-UP = re.compile(r"(below|kept); used=(\d{1,2})")  # and what it hands up of their answers
+RESET_EXECUTED_FRACTION = 0.5  # of the requests whose connection is reset; their answer is lost
+REJECTED_HEADER = "X-Rejected: 1\r\n"
+CHAIN_REQUEST_HEADERS = ("baggage", "cdn-loop")  # copied from a request to its calls of the next tier
+CHAIN_RESPONSE = re.compile(r"(below|kept); used=(\d{1,2})")  # header X-Chain of the answers to these
 
 
 @dataclass(slots=True)
-class Held:
-    """A request that came over a connection and is not answered."""
+class PendingRequest:
+    """A request that has not been answered."""
 
     connection: ServerSide | ServerStream
     root: str
     cls: Class
     object: str
-    came: float
-    down: tuple[str, ...] = ()  # headers of a chain of tiers, for its calls
-    below: bool = False  # one of its calls met overload
-    used: int = 0  # attempts beyond the first that were made below
+    received: float  # seconds of the record's clock
+    chain_headers: tuple[str, ...] = ()  # for its calls
+    next_tier_overloaded: bool = False
+    retries_used: int = 0  # by its calls
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerContext:
+    """What the servers of one worker process share."""
+
+    scenario: Scenario
+    recorder: Recorder
+    sender: RequestSender
+    files: Files | None = None  # certificates, with HTTP/3
+    proof_key: str = ""
 
 
 class StandIn:
-    """One server, while it runs. `down` ends it and all that it keeps."""
+    """One server from its start to its end.
+
+    :param keys_of: the keys among which repeats of a class are found
+    :param node: name and address of the node for its calls; None in the last tier
+    :param on_collapse: called with the server's name if it collapses under overload
+    """
 
     def __init__(
         self,
         server: Server,
-        scenario: Scenario,
-        recorder: Recorder,
-        exchanges: RequestSender,
-        scope: Callable[[Class], inside.Keys],
+        context: WorkerContext,
+        keys_of: Callable[[Class], machine.SeenKeys],
         node: tuple[str, Address] | None,
-        fell: Callable[[str], None],
-        files: Files | None = None,
-        proof_key: str = "",
+        on_collapse: Callable[[str], None],
     ) -> None:
-        self._proof_key = proof_key
         self.server = server
-        self._scenario = scenario
-        self._recorder = recorder
-        self._exchanges = exchanges
-        self._scope = scope
+        self._scenario = context.scenario
+        self._recorder = context.recorder
+        self._sender = context.sender
+        self._files = context.files
+        self._proof_key = context.proof_key
+        self._keys_of = keys_of
         self._node = node
-        self._fell = fell
-        self._files = files
+        self._on_collapse = on_collapse
         self._quic: H3Server | None = None
-        self._classes = {cls.name: cls for cls in scenario.classes}
+        self._classes = {cls.name: cls for cls in context.scenario.classes}
         self._loop = asyncio.get_running_loop()
-        self._connections: dict[
-            ServerSide | ServerStream, set[str]
-        ] = {}  # with the ids that each is owed an answer to
-        self._held: dict[str, Held] = {}
+        # ids of the requests that are unanswered, by connection
+        self._connections: dict[ServerSide | ServerStream, set[str]] = {}
+        self._pending: dict[str, PendingRequest] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._troubles: dict[tuple[str, int], float] = {}
+        self._faults: dict[tuple[str, int], float] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._listener: asyncio.Server | None = None
         self._calls = 0
-        self._machine: inside.Machine
-        self.open = False
+        self._machine: machine.Machine
+        self.is_open = False
+
+    async def start(self, address: Address, cold: bool) -> None:
+        """Start to serve.
 
-    async def up(self, address: Address, cold: bool) -> None:
-        """Serve from now on."""
+        :param cold: whether the server begins with slow start
+        """
         tier = self._scenario.tiers[self.server.tier]
         self._listener = await self._loop.create_server(
-            lambda: ServerSide(self._requested, self._lost, self._made), *address, backlog=BACKLOG
+            lambda: ServerSide(self._on_request, self._on_connection_lost, self._on_connection_made),
+            *address,
+            backlog=BACKLOG,
         )
         if self._files is not None:
             from orchidferry.testkit.quic.server import H3Server
 
             seed = seeded_random.integer(self._scenario.seed, "path", self.server.name)
             self._quic = H3Server(
-                self._files, self._requested, self._lost, self._made, path_conditions(self._scenario), seed
+                self._files,
+                self._on_request,
+                self._on_connection_lost,
+                self._on_connection_made,
+                path_conditions(self._scenario),
+                seed,
             )
             await self._quic.start(address)
         now = self._recorder.now()
-        figures = inside.Figures(
+        parameters = machine.ServerParameters(
             self.server.name,
             tier,
             self._node is None,
             self.server.speed,
             self._scenario.seed,
             self._scenario.rules,
-            self._scope,
+            self._keys_of,
             now if cold else None,
         )
-        self._machine = inside.Machine(figures, now)
-        self.open = True
+        self._machine = machine.Machine(parameters, now)
+        self.is_open = True
         capacity = tier.cores * self.server.speed
         self._recorder.put(
             ServerUp(now, self.server.tier, self.server.name, cold, capacity, tier.cold_from, tier.cold_for_s)
         )
 
-    def down(self, why: str) -> None:
-        """Die: connections are reset, new ones refused, work is lost."""
-        if not self.open:
+    def stop(self, why: str) -> None:
+        """End the server: connections are reset, new ones refused, its requests are lost.
+
+        :param why: the reason for the record
+        """
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         if self._listener is not None:
             self._listener.close()
         if self._quic is not None:
@@ -141,175 +165,213 @@
             self._timer.cancel()
         for connection in list(self._connections):
             connection.reset()
-        for id in list(self._held):
+        for id in list(self._pending):
             self._recorder.put(
                 ExecutionEnded(self._recorder.now(), self.server.tier, self.server.name, id, "lost")
             )
-        self._held.clear()
+        self._pending.clear()
         for task in self._tasks:
             task.cancel()
         self._recorder.put(ServerDown(self._recorder.now(), self.server.tier, self.server.name, why))
 
-    def trouble(self, do: str, value: float, entry: int) -> None:
-        """One kind of trouble begins (value above 0) or ends."""
-        silent = self._now("silent")
+    def set_fault(self, kind: str, value: float, entry: int) -> None:
+        """Begin or end a fault; faults of one kind may overlap.
+
+        :param value: the fault's strength; 0 ends it
+        :param entry: index of the timeline's entry that the fault belongs to
+        """
+        was_silent = self._strongest("silent")
         if value:
-            self._troubles[do, entry] = value
+            self._faults[kind, entry] = value
         else:
-            self._troubles.pop((do, entry), None)
-        if silent and not self._now("silent"):
-            # A machine that was cut off is back: what stood open on it is reset.
+            self._faults.pop((kind, entry), None)
+        if was_silent and not self._strongest("silent"):
+            # The server is reachable again, and does not know the connections from before.
             for connection in list(self._connections):
                 connection.reset()
         if self._quic is not None:
-            hole = bool(self._now("silent"))
-            self._quic.to_askers.black_hole = self._quic.from_askers.black_hole = hole
-        factor = 1.0
-        for value in self._all("slow"):
-            factor *= value
-        fails = max(self._all("errors"), default=0.0)
-        self._handle(inside.Trouble(factor, fails, bool(self._all("freeze"))))
+            black_hole = bool(self._strongest("silent"))
+            self._quic.to_askers.black_hole = self._quic.from_askers.black_hole = black_hole
+        slowdown = 1.0
+        for value in self._values("slow"):
+            slowdown *= value
+        failure_rate = max(self._values("errors"), default=0.0)
+        self._handle(machine.ServerFaults(slowdown, failure_rate, bool(self._values("freeze"))))
 
-    def _all(self, do: str) -> list[float]:
-        return [value for (kind, _), value in self._troubles.items() if kind == do]
+    def _values(self, kind: str) -> list[float]:
+        return [value for (active, _), value in self._faults.items() if active == kind]
 
-    def _now(self, do: str) -> float:
-        return max(self._all(do), default=0.0)
+    def _strongest(self, kind: str) -> float:
+        return max(self._values(kind), default=0.0)
 
-    # Connections
-
-    def _made(self, connection: ServerSide | ServerStream) -> None:
-        if self.open:
+    def _on_connection_made(self, connection: ServerSide | ServerStream) -> None:
+        if self.is_open:
             self._connections[connection] = set()
         else:
             connection.reset()
 
-    def _lost(self, connection: ServerSide | ServerStream) -> None:
+    def _on_connection_lost(self, connection: ServerSide | ServerStream) -> None:
         for id in self._connections.pop(connection, ()):
-            held = self._held.get(id)
-            if held is not None and held.connection is connection:
-                self._handle(inside.AskerGone(id))
+            pending = self._pending.get(id)
+            if pending is not None and pending.connection is connection:
+                self._handle(machine.ClientGone(id))
 
-    def _requested(self, connection: ServerSide | ServerStream, request: Request) -> None:
-        if not self.open:
+    def _on_request(self, connection: ServerSide | ServerStream, request: Request) -> None:
+        if not self.is_open:
             return connection.reset()
         path, _, query = request.target.partition("?")
-        if self._proof_key and path == f"/{PROOF_CLASS}" and not self._now("silent"):
+        if self._proof_key and path == f"/{PROOF_CLASS}" and not self._strongest("silent"):
             return connection.answer(200, proof(self._proof_key, query.removeprefix("nonce=")))
         id = request.headers.get("x-call-id")
         cls = self._classes.get(path[1:])
         key = request.headers.get("idempotency-key", "")
         if id is None:
             return connection.answer(404)
-        wanted = "GET" if cls is not None and cls.repeat == "safe" else "POST"
-        if cls is None or request.method != wanted or bool(key) != (cls.repeat == "keyed"):
+        if cls is None or not _is_well_formed(request, cls):
             return connection.answer(400)
-        zero = self._recorder.zero
-        server = self.server
-        tier = self._scenario.tiers[server.tier]
-        root = request_root(id)
-        came = request.last - zero
-        work = inside.work_of(self._scenario.seed, cls, tier, root)
-        self._recorder.put(
-            RequestReceived(
-                came, request.first - zero, server.tier, server.name, server.cell, id, cls.name, key, work
-            )
-        )
-        if self._now("silent"):
+        received = self._record_received(request, id, cls, key)
+        if self._strongest("silent") or self._is_dropped_by_reset(connection, id):
             return
-        if seeded_random.uniform(self._scenario.seed, "reset", server.name, id) < self._now("resets"):
-            connection.reset()
-            if seeded_random.uniform(self._scenario.seed, "lost", server.name, id) >= RUNS_ALL_THE_SAME:
-                return
-        if id in self._held:  # a second copy while the first is here
+        server = self.server
+        if id in self._pending:  # a duplicate of a request that is being processed
             self._recorder.put(ExecutionEnded(self._recorder.now(), server.tier, server.name, id, "rejected"))
-            return connection.answer(503, b"", REJECTED)
-        if not connection.transport.is_closing():  # else it runs on, though nobody hears of it
+            return connection.answer(503, b"", REJECTED_HEADER)
+        if not connection.transport.is_closing():  # else it runs, but its answer is lost
             self._connections.get(connection, set()).add(id)
-        down: tuple[str, ...] = ()
-        if self._scenario.chain.passes:
-            down = tuple(f"{n}: {request.headers[n]}" for n in CHAIN_HEADERS if n in request.headers)
-        self._held[id] = Held(connection, root, cls, query.removeprefix("obj="), came, down)
+        root = request_root(id)
+        item = query.removeprefix("obj=")
+        headers = self._chain_headers(request)
+        self._pending[id] = PendingRequest(connection, root, cls, item, received, headers)
         try:
             budget = float(request.headers.get("x-budget", cls.gives_up_s))
         except ValueError:
             return connection.answer(400)
-        self._handle(inside.Arrived(id, cls, root, key, came + budget))
+        self._handle(machine.Arrived(id, cls, root, key, received + budget))
+
+    def _record_received(self, request: Request, id: str, cls: Class, key: str) -> float:
+        """Record a request, and return when it was received, in seconds of the record's clock."""
+        zero = self._recorder.zero
+        server = self.server
+        tier = self._scenario.tiers[server.tier]
+        received = request.last - zero
+        work = machine.draw_work(self._scenario.seed, cls, tier, request_root(id))
+        self._recorder.put(
+            RequestReceived(
+                received, request.first - zero, server.tier, server.name, server.cell, id, cls.name, key, work
+            )
+        )
+        return received
 
-    # The machine
+    def _is_dropped_by_reset(self, connection: ServerSide | ServerStream, id: str) -> bool:
+        """Reset the connection if a fault says so; return whether the request is not executed either."""
+        seed = self._scenario.seed
+        name = self.server.name
+        if seeded_random.uniform(seed, "reset", name, id) >= self._strongest("resets"):
+            return False
+        connection.reset()
+        return seeded_random.uniform(seed, "lost", name, id) >= RESET_EXECUTED_FRACTION
 
-    def _handle(self, event: inside.Event) -> None:
-        if not self.open:
+    def _chain_headers(self, request: Request) -> tuple[str, ...]:
+        if not self._scenario.chain.passes:
+            return ()
+        headers = request.headers
+        return tuple(f"{name}: {headers[name]}" for name in CHAIN_REQUEST_HEADERS if name in headers)
+
+    def _handle(self, event: machine.Event) -> None:
+        if not self.is_open:
             return
         for action in self._machine.handle(event, self._recorder.now()):
             match action:
-                case inside.Begin():
+                case machine.Begin():
                     self._recorder.put(
                         ExecutionStarted(self._recorder.now(), self.server.tier, self.server.name, action.id)
                     )
-                case inside.Finish():
+                case machine.Finish():
                     self._finish(action.id, action.how)
-                case inside.Call():
+                case machine.Call():
                     self._call(action.id, action.number)
-                case inside.WakeAt():
+                case machine.WakeAt():
                     self._wake_at(action.t)
-                case inside.Fall():
-                    self.down("fell")
-                    self._fell(self.server.name)
+                case machine.Collapse():
+                    self.stop("fell")
+                    self._on_collapse(self.server.name)
 
     def _wake_at(self, t: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         wait = max(0.0, t - self._recorder.now())
-        self._timer = self._loop.call_later(wait, self._handle, inside.Woken())
+        self._timer = self._loop.call_later(wait, self._handle, machine.Woken())
 
     def _finish(self, id: str, how: str) -> None:
-        held = self._held.pop(id, None)
-        if held is None:
+        pending = self._pending.pop(id, None)
+        if pending is None:
             return
-        heard = held.connection.open and not self._now("silent")
-        if how == "rejected" and not heard:
-            how = "lost"  # nobody is told, so it proves nothing to a node
-        # First the record: a node may act on the answer before this process runs again.
+        is_reachable = pending.connection.open and not self._strongest("silent")
+        if how == "rejected" and not is_reachable:
+            how = "lost"  # a rejection that is not delivered proves nothing to a node
+        # Recorded before it is sent: a node may act on the answer before this process runs again.
         self._recorder.put(ExecutionEnded(self._recorder.now(), self.server.tier, self.server.name, id, how))
-        if not heard:
+        if not is_reachable:
             return
-        self._connections.get(held.connection, set()).discard(id)
+        self._connections.get(pending.connection, set()).discard(id)
         if how in ("served", "repeat"):
-            held.connection.answer(200, expected_body(self._scenario.seed, id))
+            pending.connection.answer(200, expected_body(self._scenario.seed, id))
         elif how == "rejected":
-            held.connection.answer(503, b"", REJECTED)
+            pending.connection.answer(503, b"", REJECTED_HEADER)
         else:
-            up = f"X-Chain: {'below' if held.below else 'kept'}; used={held.used}\r\n"
-            held.connection.answer(500, b"", up if held.below or held.used else "")
+            pending.connection.answer(500, b"", _chain_response(pending))
 
     def _call(self, id: str, number: int) -> None:
-        held = self._held.get(id)
-        if held is None or self._node is None:
+        pending = self._pending.get(id)
+        if pending is None or self._node is None:
             return
-        task = self._loop.create_task(self._ask_below(id, held, number))
+        task = self._loop.create_task(self._call_next_tier(id, pending, number))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask_below(self, id: str, held: Held, number: int) -> None:
+    async def _call_next_tier(self, id: str, pending: PendingRequest, number: int) -> None:
         assert self._node is not None
         node, address = self._node
         self._calls += 1
-        cls, now = held.cls, self._recorder.now()
-        call = f"{held.root}-{number}.{self.server.name}.{self._calls}"
+        cls = pending.cls
+        now = self._recorder.now()
+        call = f"{pending.root}-{number}.{self.server.name}.{self._calls}"
         ends = now + cls.gives_up_s
         if self._scenario.node.passes_deadline:
-            ends = min(ends, held.came + cls.gives_up_s)
-        ask = Attempt(self.server.tier + 1, call, cls, number, now, ends)
+            ends = min(ends, pending.received + cls.gives_up_s)
+        attempt = Attempt(self.server.tier + 1, call, cls, number, now, ends)
 
-        def make(left: float) -> bytes:
-            thing = int(held.object or "0", 16)
+        def encode(budget_s: float) -> bytes:
+            item = int(pending.object or "0", 16)
             return encode_request(
-                cls, call, f"k-{call}", thing, left, False, b"x", RequestOptions(extra_headers=held.down)
+                cls,
+                call,
+                f"k-{call}",
+                item,
+                budget_s,
+                False,
+                b"x",
+                RequestOptions(extra_headers=pending.chain_headers),
             )
 
-        outcome = await self._exchanges.send(ask, node, address, make)
-        if self._scenario.chain.passes and (found := UP.fullmatch(outcome.headers.get("x-chain", ""))):
-            held.below |= found[1] == "below"
-            held.used += int(found[2])
-        self._handle(inside.CallDone(id, outcome.how == "answer" and outcome.status == 200))
+        outcome = await self._sender.send(attempt, node, address, encode)
+        if self._scenario.chain.passes and (
+            found := CHAIN_RESPONSE.fullmatch(outcome.headers.get("x-chain", ""))
+        ):
+            pending.next_tier_overloaded |= found[1] == "below"
+            pending.retries_used += int(found[2])
+        self._handle(machine.CallDone(id, outcome.how == "answer" and outcome.status == 200))
+
+
+def _is_well_formed(request: Request, cls: Class) -> bool:
+    method = "GET" if cls.repeat == "safe" else "POST"
+    has_key = bool(request.headers.get("idempotency-key", ""))
+    return request.method == method and has_key == (cls.repeat == "keyed")
+
+
+def _chain_response(pending: PendingRequest) -> str:
+    """Return the header of a failed answer that reports on the calls below; empty without a report."""
+    if not pending.next_tier_overloaded and not pending.retries_used:
+        return ""
+    state = "below" if pending.next_tier_overloaded else "kept"
+    return f"X-Chain: {state}; used={pending.retries_used}\r\n"
--- a/tests/testkit/test_machine.py
+++ b/tests/testkit/test_machine.py
@@ -7,17 +7,17 @@
 import pytest
 
 from orchidferry.testkit.scenario import Class, Tier, read_scenario
-from orchidferry.testkit.world import machine as inside
+from orchidferry.testkit.world import machine
 from orchidferry.testkit.world.machine import (
     Action,
     Arrived,
-    AskerGone,
     Begin,
     Call,
     CallDone,
-    Fall,
+    ClientGone,
+    Collapse,
     Finish,
-    Trouble,
+    ServerFaults,
     WakeAt,
     Woken,
 )
@@ -32,16 +32,16 @@
     """A machine with a clock that goes from one wake-up to the next."""
 
     def __init__(self, tier: Tier = TIER, last: bool = True, cold: bool = False) -> None:
-        self.keys = inside.Keys()
-        figures = inside.Figures(
+        self.keys = machine.SeenKeys()
+        figures = machine.ServerParameters(
             "s", tier, last, 1.0, 1, SCENARIO.rules, lambda cls: self.keys, 0.0 if cold else None
         )
-        self.machine = inside.Machine(figures, 0.0)
+        self.machine = machine.Machine(figures, 0.0)
         self.now = 0.0
         self.wake: float | None = None
         self.log: list[tuple[float, Action]] = []
 
-    def do(self, event: inside.Event, at: float | None = None) -> list[Action]:
+    def do(self, event: machine.Event, at: float | None = None) -> list[Action]:
         if at is not None:
             self.run(at)
             self.now = at
@@ -108,7 +108,7 @@
 def test_a_slow_server_takes_so_many_times_as_long_from_then_on() -> None:
     bench = Bench()
     bench.arrive("a")
-    bench.do(Trouble(factor=4.0), at=0.05)
+    bench.do(ServerFaults(slowdown=4.0), at=0.05)
     bench.run(10.0)
     assert bench.finished() == {"a": ("served", 0.25)}
 
@@ -116,22 +116,22 @@
 def test_a_server_that_stands_still_goes_on_where_it_was() -> None:
     bench = Bench()
     bench.arrive("a")
-    bench.do(Trouble(frozen=True), at=0.04)
+    bench.do(ServerFaults(frozen=True), at=0.04)
     assert bench.wake is None
     bench.arrive("b", at=1.0)
-    bench.do(Trouble(), at=2.0)
+    bench.do(ServerFaults(), at=2.0)
     bench.run(10.0)
     assert bench.finished() == {"a": ("served", 2.06), "b": ("served", 2.16)}
 
 
 def test_a_server_that_fails_says_so_at_once_and_never_begins() -> None:
     bench = Bench()
-    bench.do(Trouble(fails=1.0))
+    bench.do(ServerFaults(failure_rate=1.0))
     bench.arrive("a", KEYED)
     bench.run(1.0)
     assert bench.finished() == {"a": ("error", 0.005)}
     assert not any(isinstance(a, Begin) for _, a in bench.log)
-    bench.do(Trouble())
+    bench.do(ServerFaults())
     bench.arrive("a2", KEYED)
     bench.run(2.0)
     assert bench.finished()["a2"][0] == "served"  # its key had not been used up
@@ -152,7 +152,7 @@
     bench = Bench(replace(TIER, slots=1, room=2))
     bench.arrive("x")
     bench.arrive("a", KEYED)
-    bench.do(AskerGone("a"))  # leaves the room: it has never run
+    bench.do(ClientGone("a"))  # leaves the room: it has never run
     bench.arrive("a-again", KEYED, at=0.2)
     bench.run(5.0)
     assert bench.finished()["a-again"][0] == "served"
@@ -172,8 +172,8 @@
     bench.arrive("a", at=0.001)
     bench.run(1.0)
     assert bench.finished()["a"][1] == pytest.approx(0.1 / 0.345, abs=0.02)
-    assert bench.machine.share(0.0) == pytest.approx(0.34)
-    assert bench.machine.share(TIER.cold_for_s / 2) == pytest.approx(0.67)
+    assert bench.machine.capacity_share(0.0) == pytest.approx(0.34)
+    assert bench.machine.capacity_share(TIER.cold_for_s / 2) == pytest.approx(0.67)
     bench.arrive("b", at=9.0)
     bench.run(10.0)
     assert bench.finished()["b"][1] == pytest.approx(9.1)
@@ -184,10 +184,10 @@
     actions: list[Action] = []
     for n in range(20):  # 2 core-seconds at once; 1.1 times 3 times 0.34 is what it bears
         actions += bench.arrive(f"x{n}", at=0.01)
-        if bench.machine.fallen:
+        if bench.machine.collapsed:
             break
     assert n == 11
-    assert actions[-1] == Fall()
+    assert actions[-1] == Collapse()
     assert bench.arrive("y", at=20.0) == []
 
 
@@ -195,14 +195,14 @@
     bench = Bench()
     for n in range(200):
         bench.arrive(f"x{n}")
-    assert not bench.machine.fallen
+    assert not bench.machine.collapsed
     assert len(bench.finished()) == 197
 
 
 def test_the_same_events_give_the_same_actions() -> None:
     def play() -> list[tuple[float, Action]]:
         bench = Bench(replace(TIER, slots=5, room=5))
-        bench.do(Trouble(fails=0.3, factor=1.5))
+        bench.do(ServerFaults(failure_rate=0.3, slowdown=1.5))
         for n in range(50):
             bench.arrive(f"{n}", (SAFE, KEYED)[n % 2], at=n * 0.03)
         bench.run(60.0)
--- a/tests/testkit/test_plan.py
+++ b/tests/testkit/test_plan.py
@@ -12,7 +12,7 @@
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.clients.schedule import abandoned_after, arrivals, rate_at
 from orchidferry.testkit.scenario import Scenario, load_scenario, override, read_scenario, shipped
-from orchidferry.testkit.world.machine import calls_of, work_of
+from orchidferry.testkit.world.machine import draw_call_count, draw_work
 from orchidferry.testkit.world.plan import draw
 
 
@@ -76,8 +76,8 @@
     one = scenario()
     tier = one.tiers[0]
     cls = one.classes[0]
-    assert work_of(1, cls, tier, "r5") == work_of(1, cls, tier, "r5") != work_of(1, cls, tier, "r6")
-    calls = [calls_of(1, tier, f"r{n}", False) for n in range(4000)]
+    assert draw_work(1, cls, tier, "r5") == draw_work(1, cls, tier, "r5") != draw_work(1, cls, tier, "r6")
+    calls = [draw_call_count(1, tier, f"r{n}", False) for n in range(4000)]
     assert set(calls) == {1, 2}
     assert statistics.mean(calls) == pytest.approx(tier.calls, rel=0.05)
 
--- a/tests/testkit/test_world.py
+++ b/tests/testkit/test_world.py
@@ -27,9 +27,9 @@
 from orchidferry.testkit.wire import Address, AskerSide, Outcome, Pool, get
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer, Registry
-from orchidferry.testkit.world.machine import Keys
+from orchidferry.testkit.world.machine import SeenKeys
 from orchidferry.testkit.world.plan import Server
-from orchidferry.testkit.world.standin import StandIn
+from orchidferry.testkit.world.standin import StandIn, WorkerContext
 from tests.node.peers import LIMIT_S, Peer, Seen, answer, run, until
 
 SCENARIO = read_scenario({"name": "x"}, "x")
@@ -46,15 +46,14 @@
         self.recorder = Recorder(tmp_path / "x.facts", 0.0)
         self.exchanges = RequestSender(scenario, self.recorder)
         self.fallen: list[str] = []
-        keys = Keys()
+        keys = SeenKeys()
         node = None if below is None else ("s/node", below)
         server = Server("s", 0, 0, 1.0, 0, 0)
-        self.standin = StandIn(
-            server, scenario, self.recorder, self.exchanges, lambda cls: keys, node, self.fallen.append
-        )
+        context = WorkerContext(scenario, self.recorder, self.exchanges)
+        self.standin = StandIn(server, context, lambda cls: keys, node, self.fallen.append)
 
     async def up(self, cold: bool = False) -> None:
-        await self.standin.up(("127.0.0.1", 0), cold)
+        await self.standin.start(("127.0.0.1", 0), cold)
         listener = self.standin._listener
         assert listener is not None
         self.address: Address = listener.sockets[0].getsockname()[:2]
@@ -82,7 +81,7 @@
         stage = Stage(tmp_path, scenario, below)
         await stage.up(cold)
         await work(stage)
-        stage.standin.down("end")
+        stage.standin.stop("end")
         await stage.exchanges.close()
         stage.recorder.close()
 
@@ -125,11 +124,11 @@
 
 def test_a_silent_server_reads_and_never_answers_and_resets_when_it_is_back(tmp_path: Path) -> None:
     async def work(stage: Stage) -> None:
-        stage.standin.trouble("silent", 1.0, 0)
+        stage.standin.set_fault("silent", 1.0, 0)
         assert (await stage.ask("r1.0", limit_s=0.1)).how == "timeout"
         waiting = asyncio.ensure_future(stage.ask("r2.0"))
         await until(lambda: stage.recorder.facts >= 3)
-        stage.standin.trouble("silent", 0.0, 0)
+        stage.standin.set_fault("silent", 0.0, 0)
         assert (await waiting).how == "reset"
         assert (await stage.ask("r3.0")).status == 200
 
@@ -142,11 +141,11 @@
     tiny = replace(ALONE, tiers=(replace(ALONE.tiers[0], slots=1, room=0),))
 
     async def work(stage: Stage) -> None:
-        stage.standin.trouble("freeze", 1.0, 0)
+        stage.standin.set_fault("freeze", 1.0, 0)
         first = asyncio.ensure_future(stage.ask("r1.0"))
         await until(lambda: stage.recorder.facts >= 2)
         assert (await stage.ask("r2.0")).headers["x-rejected"] == "1"
-        stage.standin.down("crashed")
+        stage.standin.stop("crashed")
         assert (await first).how == "reset"
 
     facts = play(tmp_path, work, tiny)
@@ -158,10 +157,10 @@
 
 def test_a_resetting_server_resets_and_some_of_what_it_reset_has_run(tmp_path: Path) -> None:
     async def work(stage: Stage) -> None:
-        stage.standin.trouble("resets", 1.0, 0)
+        stage.standin.set_fault("resets", 1.0, 0)
         outcomes = await asyncio.gather(*(stage.ask(f"r{n}.0") for n in range(30)))
         assert {outcome.how for outcome in outcomes} == {"reset"}
-        await until(lambda: not stage.standin._held)
+        await until(lambda: not stage.standin._pending)
 
     facts = play(tmp_path, work)
     assert sum(isinstance(fact, RequestReceived) for fact in facts) == 30
@@ -170,11 +169,11 @@
 
 def test_troubles_of_one_kind_lie_over_each_other(tmp_path: Path) -> None:
     async def work(stage: Stage) -> None:
-        stage.standin.trouble("freeze", 1.0, 0)
-        stage.standin.trouble("freeze", 1.0, 1)
-        stage.standin.trouble("freeze", 0.0, 0)
+        stage.standin.set_fault("freeze", 1.0, 0)
+        stage.standin.set_fault("freeze", 1.0, 1)
+        stage.standin.set_fault("freeze", 0.0, 0)
         assert (await stage.ask("r1.0", limit_s=0.1)).how == "timeout"  # the other still holds it
-        stage.standin.trouble("freeze", 0.0, 1)
+        stage.standin.set_fault("freeze", 0.0, 1)
         assert (await stage.ask("r2.0")).status == 200
 
     play(tmp_path, work)
@@ -220,7 +219,7 @@
         assert (await stage.ask("r1.0", UNSAFE)).status == end
         assert all(seen.id.startswith("r1-") for seen in node.seen)
         assert 1 <= len(node.seen) <= 2
-        stage.standin.down("end")
+        stage.standin.stop("end")
         await stage.exchanges.close()
         await node.stop()
 
