--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from orchidferry.testkit.bench.forward_bench import LATE_MS, WARM_S, Bench, cpu_s, rss_kb, serve
+from orchidferry.testkit.bench.forward_bench import WARM_S, Bench, cpu_s, lateness_text, rss_kb, serve
 from orchidferry.testkit.bench.open_loop import offer_load, request_writer
 from orchidferry.testkit.world.addresses import Block, claim
 
@@ -29,7 +29,14 @@
 async def measure(
     bench: Bench, what: str, rate: float, seconds: float, mix: bool, path: str | None
 ) -> dict[str, Any]:
-    """One turn of one of them."""
+    """Start a forwarder, offer it a load after a warm-up, and stop it.
+
+    :param what: `node`, `bare`, or `before` for the node of another checkout.
+    :param rate: requests a second.
+    :param mix: whether the load is the usual mix of classes, else reads alone.
+    :param path: of the other checkout.
+    :returns: the fields of the `LoadReport`, and the CPU and memory that were used.
+    """
     process, address = await bench.start(what, path)
     write = request_writer(mix)
     await offer_load(address, rate, WARM_S, "w", write)
@@ -51,55 +58,67 @@
 async def compare(
     servers: int, rate: float, seconds: float, turns: int, mix: bool, against: str | None
 ) -> list[dict[str, Any]]:
-    """The node, the bare forwarder, and another checkout's node if one is named, by turns."""
-    block, held = claim()
+    """Measure the node, the bare forwarder, and another checkout's node if one is named, by turns.
+
+    :param servers: that the nodes list.
+    :param turns: how often each is measured; a row has the medians.
+    :returns: a row for each, with the keys of `--json`.
+    """
+    block, claimed_block = claim()
     found: dict[str, list[dict[str, Any]]] = {}
     with tempfile.TemporaryDirectory(prefix="orchidferry-bench-") as folder:
         bench = Bench(block, Path(folder), servers)
         try:
             await bench.start_servers()
-            whom = [("node", None), ("bare", None), *([("before", against)] if against else [])]
+            forwarders = [("node", None), ("bare", None), *([("before", against)] if against else [])]
             for _ in range(turns):
-                for what, path in whom:
+                for what, path in forwarders:
                     row = await measure(bench, what, rate, seconds, mix, path)
                     found.setdefault(what, []).append(row)
         finally:
             await bench.close()
-            held.close()
+            claimed_block.close()
+    bare_cpu_us = statistics.median(row["cpu_us"] for row in found["bare"])
     rows = []
-    bare = statistics.median(row["cpu_us"] for row in found["bare"])
-    for what, some in found.items():
-        cpu = statistics.median(row["cpu_us"] for row in some)
-        late = max(row["late_p99_ms"] for row in some)
-        row = {
-            "what": what,
-            "servers": servers,
-            "rate": rate,
-            "mix": mix,
-            "turns": turns,
-            "cpu_us": cpu,
-            "ratio": cpu / bare,
-            "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in some),
-            "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in some),
-            "failed": sum(row["failed"] for row in some),
-            "late_p99_ms": late,
-            "rss_kb": max(row["rss_kb"] for row in some),
-            "most_per_s": 1e6 / cpu,
-        }
+    for what, measured in found.items():
+        load = {"what": what, "servers": servers, "rate": rate, "mix": mix, "turns": turns}
+        row = load | _median_row(measured, bare_cpu_us)
         rows.append(row)
-        print(
-            f"{servers:6} servers, {rate:g}/s, {'mix' if mix else 'reads'}: {what:6} {cpu:7.1f} us of CPU a "
-            f"request ({row['ratio']:.2f} times bare, {row['most_per_s']:.0f}/s a core), "
-            f"p50 {row['p50_ms']:.2f} ms, p99 {row['p99_ms']:.2f} ms, {row['rss_kb'] / 1024:.1f} MB, "
-            f"{row['failed']} failed"
-            + (f"; the asking side was {late:.0f} ms late" if late > LATE_MS else ""),
-            flush=True,
-        )
+        _print_row(row)
     return rows
 
 
+def _median_row(measured: list[dict[str, Any]], bare_cpu_us: float) -> dict[str, Any]:
+    cpu_us = statistics.median(row["cpu_us"] for row in measured)
+    return {
+        "cpu_us": cpu_us,
+        "ratio": cpu_us / bare_cpu_us,
+        "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in measured),
+        "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in measured),
+        "failed": sum(row["failed"] for row in measured),
+        "late_p99_ms": max(row["late_p99_ms"] for row in measured),
+        "rss_kb": max(row["rss_kb"] for row in measured),
+        "most_per_s": 1e6 / cpu_us,
+    }
+
+
+def _print_row(row: dict[str, Any]) -> None:
+    print(
+        f"{row['servers']:6} servers, {row['rate']:g}/s, {'mix' if row['mix'] else 'reads'}: {row['what']:6} "
+        f"{row['cpu_us']:7.1f} us of CPU a request "
+        f"({row['ratio']:.2f} times bare, {row['most_per_s']:.0f}/s a core), "
+        f"p50 {row['p50_ms']:.2f} ms, p99 {row['p99_ms']:.2f} ms, {row['rss_kb'] / 1024:.1f} MB, "
+        f"{row['failed']} failed{lateness_text(row['late_p99_ms'])}",
+        flush=True,
+    )
+
+
 def main(args: argparse.Namespace) -> list[dict[str, Any]]:
-    """The command; its figures."""
+    """Run `orchidferry bench forward`.
+
+    :returns: the rows of `--json`.
+    :raises ValueError: if an argument is out of range.
+    """
     if not 1.0 <= args.rate <= 20_000.0 or not 0.5 <= args.seconds <= 600.0 or not 1 <= args.turns <= 50:
         raise ValueError("--rate must be within 1 to 20000, --seconds 0.5 to 600, --turns 1 to 50")
     if args.against is not None and not (Path(args.against) / "orchidferry" / "node" / "node.py").is_file():
@@ -114,17 +133,25 @@
     return rows
 
 
-if __name__ == "__main__":
-    if sys.argv[1] == "serve":
-        claimed = Block(int(sys.argv[2]))
-        known = None
-        if len(sys.argv) > 4:
+def _run_process(arguments: list[str]) -> None:
+    """Run a process of a bench.
+
+    :param arguments: `serve BLOCK COUNT [CERTIFICATES]` or `ask HOST PORT RATE SECONDS TAG`.
+    """
+    if arguments[0] == "serve":
+        block = Block(int(arguments[1]))
+        files = None
+        if len(arguments) > 3:
             from orchidferry.testkit.quic.certs import Files
 
-            where = Path(sys.argv[4])
-            known = Files(where / "ca.pem", where / "server.pem", where / "server.key")
-        uvloop.run(serve([claimed.server(n) for n in range(int(sys.argv[3]))], known))
+            folder = Path(arguments[3])
+            files = Files(folder / "ca.pem", folder / "server.pem", folder / "server.key")
+        uvloop.run(serve([block.server(number) for number in range(int(arguments[2]))], files))
     else:
-        host, port, rate, seconds, tag = sys.argv[2:7]
+        host, port, rate, seconds, tag = arguments[1:6]
         load = offer_load((host, int(port)), float(rate), float(seconds), tag)
         print(json.dumps(asdict(uvloop.run(load))))
+
+
+if __name__ == "__main__":
+    _run_process(sys.argv[1:])
--- a/orchidferry/testkit/bench/forward_bench.py
+++ b/orchidferry/testkit/bench/forward_bench.py
@@ -26,18 +26,26 @@
 LATE_MS = 20.0  # a load generator that was later than this at p99 measured itself
 READY_S = 20.0  # for a process to become ready
 READY_POLL_S = 0.05
+NANOSECONDS = 1e9
+SERVERS_A_GROUP = 8
 ENTRY_POINT = "orchidferry.testkit.bench.forward"  # run with `python -m`, it serves or offers a load
 
 
 async def serve(addresses: list[Address], files: Files | None = None) -> None:
-    """Answer at once at so many addresses, over HTTP/3 too with certificates; a process of its own."""
+    """Answer every request at once, until standard input ends; `ready` is printed when all listen.
+
+    :param addresses: to listen at.
+    :param files: certificates, to answer over HTTP/3 at the same addresses too; None for HTTP/1.1 alone.
+    """
     loop = asyncio.get_running_loop()
     seed = scenario().seed
 
     def requested(connection: Any, request: Request) -> None:
-        id = request.headers.get("attempt-id")
-        more = f"Attempt-Id: {id}\r\nServer-Seal: {id}\r\n" if id is not None else ""  # a mesh wants both
-        connection.answer(200, expected_body(seed, request.headers.get("x-call-id", "")), more)
+        attempt_id = request.headers.get("attempt-id")
+        headers = ""
+        if attempt_id is not None:  # a mesh wants both
+            headers = f"Attempt-Id: {attempt_id}\r\nServer-Seal: {attempt_id}\r\n"
+        connection.answer(200, expected_body(seed, request.headers.get("x-call-id", "")), headers)
 
     for host, port in addresses:
         await loop.create_server(
@@ -54,18 +62,23 @@
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds that a process has used."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
+    """:returns: the CPU seconds that the main thread of a process has used (`/proc/PID/schedstat`)."""
+    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / NANOSECONDS
 
 
 def rss_kb(pid: int) -> int:
-    """Its resident memory."""
+    """:returns: the resident memory of a process, in KiB."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
 
 
 class Bench:
-    """The processes of one size: servers, and in turn the node and the bare forwarder."""
+    """The processes of one measurement: servers, and the forwarders that are started in turn.
+
+    :param block: of addresses, for servers and forwarders.
+    :param folder: for the nodes' settings and logs.
+    :param servers: how many servers the nodes list.
+    """
 
     def __init__(self, block: Block, folder: Path, servers: int) -> None:
         self.block = block
@@ -74,6 +87,11 @@
         self._running: list[asyncio.subprocess.Process] = []
 
     async def start_servers(self, files: Files | None = None) -> None:
+        """Start the process that answers for all servers, and wait until it listens.
+
+        :param files: certificates, for HTTP/3 too.
+        :raises TimeoutError: if it is not ready in time.
+        """
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -98,24 +116,25 @@
         servers_h3: bool = False,
         control: Path | None = None,
     ) -> tuple[asyncio.subprocess.Process, Address]:
-        """Start the node, or the bare forwarder."""
+        """Start a forwarder, and wait until it is ready.
+
+        :param what: `bare` for the bare forwarder; any other name is that of a node, for the error.
+        :param python_path: of the checkout whose node is started; None for this one.
+        :param discovery: address of the node's discovery; None: nobody answers there.
+        :param files: certificates, for a node that speaks HTTP/3 to clients.
+        :param servers_h3: whether the node's servers are listed with HTTP/3.
+        :param control: settings file of the node's control channel.
+        :returns: the process and the address at which it listens.
+        :raises ValueError: if it does not become ready in time.
+        """
         number = len(self._running)
         address = self.block.front_node(number)
-        env = dict(os.environ)
         if what == "bare":
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "orchidferry.testkit.bench.bare",
-                f"{address[0]}:{address[1]}",
-                stdin=asyncio.subprocess.PIPE,
-            )
-            assert process.stdin is not None
-            process.stdin.write(" ".join(f"{host}:{port}" for host, port in self.servers).encode())
-            process.stdin.close()
+            process = await self._start_bare(address)
         else:
             path = self.folder / f"node{number}.json"
             path.write_text(json.dumps(self._config(address, discovery, servers_h3)))
+            env = dict(os.environ)
             if files is not None:
                 http3 = self.folder / f"node{number}.toml"
                 http3.write_text(http3_text(f"{address[0]}:{address[1]}", files))
@@ -123,25 +142,38 @@
             if control is not None:
                 env["ORCHIDFERRY_CONTROL"] = str(control)
             env["NODE_CONFIG"] = str(path)
-            if python_path is not None:
-                env["PYTHONPATH"] = python_path
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-B",
-                "-m",
-                "orchidferry",
-                env=env,
-                cwd=python_path,
-                stderr=(self.folder / f"node{number}.log").open("wb"),
-            )
+            process = await self._start_node(number, env, python_path)
         self._running.append(process)
-        deadline = time.monotonic() + READY_S
-        while time.monotonic() < deadline:
-            outcome = await get(address, "/-/ready")
-            if outcome.how == "answer" and (what == "bare" or outcome.status == 200):
-                return process, address
-            await asyncio.sleep(READY_POLL_S)
-        raise ValueError(f"the {what} did not become ready")
+        await _wait_until_ready(what, address)
+        return process, address
+
+    async def _start_bare(self, address: Address) -> asyncio.subprocess.Process:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "orchidferry.testkit.bench.bare",
+            f"{address[0]}:{address[1]}",
+            stdin=asyncio.subprocess.PIPE,
+        )
+        assert process.stdin is not None
+        process.stdin.write(" ".join(f"{host}:{port}" for host, port in self.servers).encode())
+        process.stdin.close()
+        return process
+
+    async def _start_node(
+        self, number: int, env: dict[str, str], python_path: str | None
+    ) -> asyncio.subprocess.Process:
+        if python_path is not None:
+            env["PYTHONPATH"] = python_path
+        return await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-B",
+            "-m",
+            "orchidferry",
+            env=env,
+            cwd=python_path,
+            stderr=(self.folder / f"node{number}.log").open("wb"),
+        )
 
     def _config(self, address: Address, discovery: Address | None, h3: bool = False) -> dict[str, Any]:
         host, port = discovery or (address[0], 1)  # nobody answers there
@@ -151,7 +183,7 @@
                 "address": f"{host}:{port}",
                 "zone": "sala-poa",
                 "type": "standin-1c",
-                "group": n // 8,
+                "group": n // SERVERS_A_GROUP,
                 "status": "active",
                 "weight": 1.0,
                 "since_ms": 0,
@@ -170,7 +202,11 @@
         }
 
     async def offer_elsewhere(self, address: Address, rate: float, seconds: float, tag: str) -> LoadReport:
-        """Offer a load of reads from a process of its own."""
+        """Offer a load of reads from a process of its own.
+
+        :param rate: requests a second.
+        :param tag: tells the ids of this load from those of others.
+        """
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -189,11 +225,28 @@
         return LoadReport(**json.loads(out))
 
     async def stop(self, process: asyncio.subprocess.Process) -> None:
+        """Kill a process that this bench started, unless it has ended, and wait for its end."""
         if process.returncode is None:
             process.kill()
         await process.wait()
         self._running.remove(process)
 
     async def close(self) -> None:
+        """Stop all processes that still run."""
         for process in list(self._running):
             await self.stop(process)
+
+
+async def _wait_until_ready(what: str, address: Address) -> None:
+    deadline_s = time.monotonic() + READY_S
+    while time.monotonic() < deadline_s:
+        outcome = await get(address, "/-/ready")
+        if outcome.how == "answer" and (what == "bare" or outcome.status == 200):
+            return
+        await asyncio.sleep(READY_POLL_S)
+    raise ValueError(f"the {what} did not become ready")
+
+
+def lateness_text(late_ms: float) -> str:
+    """:returns: what a printed row adds if the load generator was late; empty if it was not."""
+    return f"; the asking side was {late_ms:.0f} ms late" if late_ms > LATE_MS else ""
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from orchidferry.testkit.bench.forward_bench import LATE_MS, WARM_S, Bench, cpu_s, rss_kb
+from orchidferry.testkit.bench.forward_bench import WARM_S, Bench, cpu_s, lateness_text, rss_kb
 from orchidferry.testkit.bench.open_loop import BUDGET_S, offer_load, scenario
 from orchidferry.testkit.exchange import encode_request, expected_body
 from orchidferry.testkit.quic import certs
@@ -45,32 +45,36 @@
 
 
 class WidePool(H3Pool):
+    """Many requests at a time on each connection."""
+
     MAX_STREAMS = 100
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """A measurement: what callers speak, and what servers list."""
+class ProtocolCase:
+    """A measurement: the protocol of the clients, and that of the servers."""
 
     name: str
     pool: Callable[[str], Any]
     servers_h3: bool = False
 
 
-WAYS = (
-    Way("h1", lambda ca: Pool(lambda _: None)),
-    Way("h3, 1 stream", lambda ca: NarrowPool(lambda _: None, ca)),
-    Way("h3, 100 streams", lambda ca: WidePool(lambda _: None, ca)),
-    Way("h3 both ways", lambda ca: WidePool(lambda _: None, ca), True),
+PROTOCOL_CASES = (
+    ProtocolCase("h1", lambda ca: Pool(lambda _: None)),
+    ProtocolCase("h3, 1 stream", lambda ca: NarrowPool(lambda _: None, ca)),
+    ProtocolCase("h3, 100 streams", lambda ca: WidePool(lambda _: None, ca)),
+    ProtocolCase("h3 both ways", lambda ca: WidePool(lambda _: None, ca), True),
 )
 
 
-async def _turn(bench: Bench, files: certs.Files, way: Way, rate: float, seconds: float) -> dict[str, Any]:
-    process, address = await bench.start("node", files=files, servers_h3=way.servers_h3)
+async def _turn(
+    bench: Bench, files: certs.Files, case: ProtocolCase, rate: float, seconds: float
+) -> dict[str, Any]:
+    process, address = await bench.start("node", files=files, servers_h3=case.servers_h3)
     ca = str(files.ca)
-    await offer_load(address, rate, WARM_S, "w", pool=way.pool(ca))
+    await offer_load(address, rate, WARM_S, "w", pool=case.pool(ca))
     before = cpu_s(process.pid)
-    report = await offer_load(address, rate, seconds, "m", pool=way.pool(ca))
+    report = await offer_load(address, rate, seconds, "m", pool=case.pool(ca))
     cpu_us = (cpu_s(process.pid) - before) / report.asked * 1e6
     result = asdict(report) | {"cpu_us": cpu_us, "rss_kb": rss_kb(process.pid)}
     await bench.stop(process)
@@ -78,15 +82,15 @@
 
 
 async def _costs(bench: Bench, files: certs.Files, args: argparse.Namespace) -> list[dict[str, Any]]:
-    found: dict[str, list[dict[str, Any]]] = {way.name: [] for way in WAYS}
+    found: dict[str, list[dict[str, Any]]] = {case.name: [] for case in PROTOCOL_CASES}
     for _ in range(args.turns):
-        for way in WAYS:
-            found[way.name].append(await _turn(bench, files, way, args.rate, args.seconds))
+        for case in PROTOCOL_CASES:
+            found[case.name].append(await _turn(bench, files, case, args.rate, args.seconds))
     rows = []
     base = statistics.median(row["cpu_us"] for row in found["h1"])
     for name, some in found.items():
         cpu = statistics.median(row["cpu_us"] for row in some)
-        late = max(row["late_p99_ms"] for row in some)
+        late_ms = max(row["late_p99_ms"] for row in some)
         failed = sum(row["failed"] for row in some)
         row = {
             "what": name,
@@ -97,21 +101,21 @@
             "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in some),
             "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in some),
             "failed": failed,
-            "late_p99_ms": late,
+            "late_p99_ms": late_ms,
             "rss_kb": max(row["rss_kb"] for row in some),
         }
         rows.append(row)
         print(
             f"{name:16} {cpu:7.0f} us of CPU a request ({row['ratio']:.2f} times h1), "
             f"p50 {row['p50_ms']:.2f} ms, p99 {row['p99_ms']:.2f} ms, {row['rss_kb'] / 1024:.1f} MB, "
-            f"{failed} failed" + (f"; the asking side was {late:.0f} ms late" if late > LATE_MS else ""),
+            f"{failed} failed{lateness_text(late_ms)}",
             flush=True,
         )
     return rows
 
 
 async def _memory(bench: Bench, files: certs.Files) -> list[dict[str, Any]]:
-    """What a caller's connection that has asked once keeps, at the node."""
+    """Measure the node's memory for each client connection that has carried one request."""
     rows = []
     for name in ("h1", "h3"):
         process, address = await bench.start("node", files=files)
@@ -134,7 +138,11 @@
 
 
 async def ask_once(pool: Any, address: Address, id: str) -> Outcome:
-    """One read, on a connection that is kept."""
+    """Send one read, and keep its connection if it was answered.
+
+    :param id: of the call; the request's first attempt has it as a prefix.
+    :returns: the outcome; `timeout` if there was none within the budget.
+    """
     one = scenario()
     cls = next(cls for cls in one.classes if cls.name == "ler-feed")
     connection = await pool.connection(address)
@@ -201,8 +209,11 @@
 )
 
 
-async def _others(address: Address, ca: str, until: float) -> tuple[int, int]:
-    """Another caller's requests beside a flood: how many, and how many were answered in time."""
+async def _offer_beside_flood(address: Address, ca: str, until: float) -> tuple[int, int]:
+    """Send another client's requests beside a flood.
+
+    :returns: how many were sent, and how many were answered correctly in time.
+    """
     pool = WidePool(lambda _: None, ca)
     one = scenario()
     asked = good = 0
@@ -232,10 +243,12 @@
     ca = str(files.ca)
     for name, flood in FLOODS:
         process, address = await bench.start("node", files=files)
-        await _others(address, ca, time.monotonic() + WARM_S)
+        await _offer_beside_flood(address, ca, time.monotonic() + WARM_S)
         before = cpu_s(process.pid)
         until = time.monotonic() + FLOOD_S
-        (asked, good), sent = await asyncio.gather(_others(address, ca, until), flood(address, ca, until))
+        (asked, good), sent = await asyncio.gather(
+            _offer_beside_flood(address, ca, until), flood(address, ca, until)
+        )
         share = (cpu_s(process.pid) - before) / FLOOD_S
         rows.append(
             {"what": f"flood, {name}", "sent": sent, "asked": asked, "good": good, "cpu_share": share}
@@ -249,8 +262,8 @@
     return rows
 
 
-async def _all(args: argparse.Namespace) -> list[dict[str, Any]]:
-    block, held = claim()
+async def _measure_all(args: argparse.Namespace) -> list[dict[str, Any]]:
+    block, claimed_block = claim()
     with tempfile.TemporaryDirectory(prefix="orchidferry-bench-") as folder:
         files = certs.make(Path(folder) / "certs")
         bench = Bench(block, Path(folder), args.servers or SERVERS)
@@ -261,12 +274,16 @@
             rows += await _floods(bench, files)
         finally:
             await bench.close()
-            held.close()
+            claimed_block.close()
     return rows
 
 
 def main(args: argparse.Namespace) -> list[dict[str, Any]]:
-    """The command; its figures."""
+    """Run `orchidferry bench forward --protocol h3`.
+
+    :returns: the rows of `--json`.
+    :raises ValueError: for options that HTTP/3 is not measured with.
+    """
     if args.mix or args.against:
         raise ValueError("--protocol h3 measures reads of this checkout: no --mix, no --against")
-    return uvloop.run(_all(args))
+    return uvloop.run(_measure_all(args))
