--- a/orchidferry/testkit/bench/ingest.py
+++ b/orchidferry/testkit/bench/ingest.py
@@ -68,7 +68,7 @@
 
 
 def _import(name: str, path: Path, folder: Path, workers: int) -> dict[str, Any]:
-    plan = Plan((path,), generate.FORM, read_classes(generate.CLASSES.encode()), workers=workers)
+    plan = Plan((path,), generate.LOG_FORMAT, read_classes(generate.CLASSES.encode()), workers=workers)
     began = time.monotonic()
     with _Peak() as peak:
         report = import_files(plan, folder / "a.rec", folder / "rejects")
--- a/orchidferry/testkit/bench/replay.py
+++ b/orchidferry/testkit/bench/replay.py
@@ -32,12 +32,12 @@
 RUN = "import sys; from orchidferry.testkit.cli import main; sys.exit(main())"
 
 
-def ties_right(recording: Path, truth: list[generate.Truth]) -> tuple[float, float]:
+def ties_right(recording: Path, truth: list[generate.GeneratedRequest]) -> tuple[float, float]:
     """Which share of the truth's retries are tied to their own first try, and which share of the ties is
     not of the truth. A first try is known by the millisecond in which it began, as the log has it."""
     rows = np.concatenate(list(Reader(recording).blocks()))
     ms = [
-        round(round(generate.FIRST * 1e3 + (one.t + one.took_s) * 1e3) - round(one.took_s * 1e3, 0))
+        round(round(generate.START_TIME_S * 1e3 + (one.t + one.took_s) * 1e3) - round(one.took_s * 1e3, 0))
         for one in truth
     ]
     first = min(ms)
@@ -51,7 +51,11 @@
 
 
 def _replay(
-    name: str, recording: Path, truth: list[generate.Truth], speed: float, cut: tuple[float, float] | None
+    name: str,
+    recording: Path,
+    truth: list[generate.GeneratedRequest],
+    speed: float,
+    cut: tuple[float, float] | None,
 ) -> dict[str, Any]:
     out = recording.with_suffix(f".{name}.json")
     command = [
@@ -110,7 +114,7 @@
         truth = list(generate.requests(args.rate, args.seconds, args.seed))
         with (folder / "access.log").open("wb") as out:
             out.writelines(generate.log_lines(iter(truth)))
-        plan = Plan((folder / "access.log",), generate.FORM, read_classes(generate.CLASSES.encode()))
+        plan = Plan((folder / "access.log",), generate.LOG_FORMAT, read_classes(generate.CLASSES.encode()))
         import_files(plan, folder / "hour.rec", folder / "rejects")
         right, wrong = ties_right(folder / "hour.rec", truth)
         print(f"{len(truth)} requests; {right:.2%} of the retries tied right, {wrong:.2%} of the ties wrong")
--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -18,7 +18,7 @@
 from orchidferry.testkit.exchange import HOST, Attempt, RequestOptions, RequestSender, encode_request
 from orchidferry.testkit.process import Order, SendReport, WorkerScript, run_worker
 from orchidferry.testkit.record import Lag, Recorder, RequestScheduled
-from orchidferry.testkit.traffic.guard import May
+from orchidferry.testkit.traffic.guard import Permission
 from orchidferry.testkit.wire import Address, Outcome
 from orchidferry.testkit.world.addresses import Block
 
@@ -58,12 +58,12 @@
         return iter(arrivals(script.plan)[index :: self._scenario.clients.processes])
 
     def _from_recordings(self, index: int) -> Iterator[Arrival]:
-        from orchidferry.testkit.traffic.replay import replayed
+        from orchidferry.testkit.traffic.replay import replayed_arrivals
 
-        replayed_arrivals = replayed(self._scenario, index, self._scenario.clients.processes)
+        remaining = replayed_arrivals(self._scenario, index, self._scenario.clients.processes)
         # The first block of the recording is read here, before the load begins.
-        first = list(itertools.islice(replayed_arrivals, 1))
-        return itertools.chain(first, replayed_arrivals)
+        first = list(itertools.islice(remaining, 1))
+        return itertools.chain(first, remaining)
 
     async def handle_order(self, order: Order) -> None:
         """Carry out an order of the director: `deal` names the usable nodes, `play` starts the load."""
@@ -152,7 +152,7 @@
         method = ""
         if self._guard.target is not None:
             # Checked for each attempt, in addition to the selection of the requests: nothing bypasses it.
-            if self._guard.may(attempt.cls.name, attempt.cls.repeat) is not May.MARKED:
+            if self._guard.permission(attempt.cls.name, attempt.cls.repeat) is not Permission.MARKED:
                 raise RuntimeError(f"{attempt.cls.name} may not be sent to {self._guard.target}")
             key = f"{key}-{self._scenario.run}"
             host = str(self._guard.target).removeprefix("http://")
--- a/orchidferry/testkit/traffic/block_reader.py
+++ b/orchidferry/testkit/traffic/block_reader.py
@@ -29,7 +29,7 @@
 from orchidferry.testkit.traffic.row_columns import ClockJump, Columns, FastRows
 from orchidferry.testkit.traffic.sources import MAX_LINE, Block
 
-MAX_KNOWN = 10_000  # requests, clients and hashes that a process remembers
+MAX_CACHED = 10_000  # requests, clients and hashes that a process remembers
 NUMBER = re.compile(rb"\d{1,15}(?:\.\d{1,9})?")
 MAX_SIZE_DIGITS = 15
 NEWLINE = 10
@@ -64,7 +64,7 @@
         self._make = make
 
     def __missing__(self, key: Any) -> Any:
-        if len(self) >= MAX_KNOWN:
+        if len(self) >= MAX_CACHED:
             self.clear()
         found = self[key] = self._make(key)
         return found
@@ -131,7 +131,7 @@
                 text.encode("utf-8", "replace"), digest_size=8, key=self.plan.key, person=b"%d" % kind
             ).digest()
             found = int.from_bytes(data, "big") or 1
-            if len(self._hashes) > MAX_KNOWN:
+            if len(self._hashes) > MAX_CACHED:
                 self._hashes.clear()
             self._hashes[key] = found
         return found
@@ -257,7 +257,7 @@
         return BlockRows(timed.rows, rejects, dict(shapes), first, last, timed.jumps)
 
 
-def begin(plan: Plan) -> None:
+def start_worker(plan: Plan) -> None:
     """Prepare this process for the two functions below."""
     global _reader
     gc.disable()  # nothing here has cycles, and a block makes a hundred thousand tuples
--- a/orchidferry/testkit/traffic/command.py
+++ b/orchidferry/testkit/traffic/command.py
@@ -99,7 +99,8 @@
         partial.replace(to)
     finally:
         partial.unlink(missing_ok=True)
-    print(f"{to}, {to}.classes.toml; to read it back: --format '{export.FORM}' --classes {to}.classes.toml")
+    options = f"--format '{export.LOG_FORMAT}' --classes {to}.classes.toml"
+    print(f"{to}, {to}.classes.toml; to read it back: {options}")
     return 0
 
 
@@ -121,5 +122,5 @@
     with (folder / "traffic.har").open("wb") as out:
         out.writelines(generate.har(generate.requests(args.rate, args.seconds, args.seed)))
     (folder / "classes.toml").write_text(generate.CLASSES, encoding="utf-8")
-    print(f"{folder}: access.log, traffic.har, classes.toml; the log's format:\n{generate.FORM}")
+    print(f"{folder}: access.log, traffic.har, classes.toml; the log's format:\n{generate.LOG_FORMAT}")
     return 0
--- a/orchidferry/testkit/traffic/export.py
+++ b/orchidferry/testkit/traffic/export.py
@@ -16,7 +16,7 @@
 
 from orchidferry.testkit.traffic.recording import ABORTED, NO_TIME, SPREAD, Header, Rows
 
-FORM = (
+LOG_FORMAT = (
     "json:start=t,took=took_us:us,method=method,target=target,status=status,sent=sent,received=received,"
     "aborted=aborted,spread=spread,x-client=client"
 )
@@ -65,7 +65,7 @@
             yield json.dumps(row).encode() + b"\n"
 
 
-def same(one: Rows, other: Rows) -> str:
+def first_difference(one: Rows, other: Rows) -> str:
     """Where two recordings differ, but for the names of clients and objects; empty: nowhere."""
     if len(one) != len(other):
         return f"{len(one)} and {len(other)} requests"
--- a/orchidferry/testkit/traffic/generate.py
+++ b/orchidferry/testkit/traffic/generate.py
@@ -2,7 +2,7 @@
 
 A show publishes: within a minute its feed is asked for many times as often, episodes follow, and both fall
 off again. Clients come and go, ask for what is popular (Zipf), and ask again after failures, which come in a
-spell. What is written is what a server would log; `Truth` says which request was a retry of which.
+spell. What is written is what a server would log; `GeneratedRequest` says which request was a retry of which.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
 gives_up_s = 6.0
 worth = 8.0
 """
-FORM = (
+LOG_FORMAT = (
     '$remote_addr - - [$time_local] "$request" $status $body_bytes_sent "-" "$http_user_agent" '
     "$request_time $msec"
 )
 SHARES = (("ler-feed", 0.8), ("salvar-episodio", 0.17), ("repasse-socio", 0.03))
 MEAN_S = {"ler-feed": 0.08, "salvar-episodio": 0.2, "repasse-socio": 0.4}
-FIRST = 1_791_201_600.0  # Monday, 5 October 2026, 12:00 UTC
+START_TIME_S = 1_791_201_600.0  # Monday, 5 October 2026, 12:00 UTC
 # times the usual rate at a publication, and how it comes and goes
 SPIKE = 6.0
 RISE_S = 30.0
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Truth:
+class GeneratedRequest:
     """One request as it was."""
 
     t: float  # its start, seconds from the first moment
@@ -92,12 +92,12 @@
 
 def requests(
     rate: float, seconds: float, seed: int, clients: int = 5_000, objects: int = 2_000
-) -> Iterator[Truth]:
+) -> Iterator[GeneratedRequest]:
     """All requests in order of their start. First tries are a Poisson process by thinning."""
     rng = seeded_random.generator(seed, "traffic")
     popular = list(itertools.accumulate((n + 1) ** -0.9 for n in range(objects)))
     classes = list(itertools.accumulate(share for _, share in SHARES))
-    later: list[tuple[float, int, Truth]] = []  # retries that are still to come
+    later: list[tuple[float, int, GeneratedRequest]] = []  # retries that are still to come
     t = 0.0
     root = 0
     most = rate * (1.0 + 2.0 * SPIKE)
@@ -122,18 +122,22 @@
 
 def _made(
     t: float, name: str, client: int, thing: int, root: int, number: int, rng: Random, seconds: float
-) -> Truth:
+) -> GeneratedRequest:
     in_spell = SPELL[0] <= t / seconds < SPELL[1]
     fails = rng.random() < (SPELL[2] if in_spell else FAIL)
     status = rng.choice(STATUSES) if fails else 200
     took_s = rng.expovariate(1.0 / MEAN_S[name]) + 0.002
-    return Truth(
+    return GeneratedRequest(
         t, took_s, name, client, thing, status, 0 if fails else rng.randrange(200, 60_000), root, number
     )
 
 
 def _plan_retry(
-    one: Truth, rng: Random, later: list[tuple[float, int, Truth]], serial: Iterator[int], seconds: float
+    one: GeneratedRequest,
+    rng: Random,
+    later: list[tuple[float, int, GeneratedRequest]],
+    serial: Iterator[int],
+    seconds: float,
 ) -> None:
     """Clients ask for what failed again, with a back-off; not for what may not be sent twice."""
     if one.status == 200 or one.number >= RETRIES or one.cls == "repasse-socio":
@@ -143,7 +147,7 @@
     heapq.heappush(later, (at, next(serial), made))
 
 
-def target(one: Truth) -> tuple[str, str]:
+def target(one: GeneratedRequest) -> tuple[str, str]:
     """Method and target as the client wrote them."""
     match one.cls:
         case "ler-feed":
@@ -163,9 +167,9 @@
     )
 
 
-def log_lines(found: Iterator[Truth]) -> Iterator[bytes]:
-    """Lines in `FORM`, in the order in which a server writes them: by the end of each."""
-    out: list[tuple[float, int, Truth]] = []
+def log_lines(found: Iterator[GeneratedRequest]) -> Iterator[bytes]:
+    """Lines in `LOG_FORMAT`, in the order in which a server writes them: by the end of each."""
+    out: list[tuple[float, int, GeneratedRequest]] = []
     for number, one in enumerate(found):
         heapq.heappush(out, (one.t + one.took_s, number, one))
         while out and out[0][0] <= one.t:
@@ -174,8 +178,8 @@
         yield _line(heapq.heappop(out)[2])
 
 
-def _line(one: Truth) -> bytes:
-    end = FIRST + one.t + one.took_s
+def _line(one: GeneratedRequest) -> bytes:
+    end = START_TIME_S + one.t + one.took_s
     local = datetime.fromtimestamp(end, UTC).strftime("%d/%b/%Y:%H:%M:%S +0000")
     method, path = target(one)
     return (
@@ -184,12 +188,12 @@
     ).encode()
 
 
-def har(found: Iterator[Truth]) -> Iterator[bytes]:
+def har(found: Iterator[GeneratedRequest]) -> Iterator[bytes]:
     """The same as a HAR, piece by piece."""
     yield b'{"log": {"version": "1.2", "creator": {"name": "rehearsal", "version": "1"}, "entries": ['
     for number, one in enumerate(found):
         method, path = target(one)
-        started = datetime.fromtimestamp(FIRST + one.t, UTC).isoformat(timespec="milliseconds")
+        started = datetime.fromtimestamp(START_TIME_S + one.t, UTC).isoformat(timespec="milliseconds")
         gone = one.status == 499
         yield (b"," if number else b"") + json.dumps(
             {
--- a/orchidferry/testkit/traffic/guard.py
+++ b/orchidferry/testkit/traffic/guard.py
@@ -33,8 +33,8 @@
     """A target that can't be used, in one line."""
 
 
-class May(Enum):
-    """What is done with the requests of a class."""
+class Permission(Enum):
+    """What may be done with the requests of a class."""
 
     SEND = "send"
     PROVEN = "proven"  # on connections whose other end has proven to be the kit's own
@@ -51,10 +51,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port, as sockets take them."""
         return self.host, self.port
 
     @property
     def loopback(self) -> bool:
+        """Whether the address is of this machine alone."""
         return ipaddress.ip_address(self.host).is_loopback
 
     def __str__(self) -> str:
@@ -62,8 +64,14 @@
 
 
 def read_target(url: str) -> Target:
-    """A target from `http://ADDRESS[:PORT]`; `TargetError` for all else, names included: a name may mean
-    another machine by the time that it is looked up again. `localhost` is 127.0.0.1, not looked up."""
+    """Parse a target.
+
+    Names are refused, as a name may mean another machine by the time that it is looked up again; `localhost`
+    is 127.0.0.1, without a look-up.
+
+    :param url: `http://ADDRESS[:PORT]`.
+    :raises TargetError: for any other text.
+    """
     try:
         parts = urlsplit(url)
         host = parts.hostname or ""
@@ -94,18 +102,27 @@
     target: Target | None = None  # None: the kit's own world
     named: frozenset[str] = field(default_factory=frozenset)  # classes, by hand, for this very target
 
-    def may(self, name: str, repeat: str) -> May:
-        """What may be done with a class; `repeat` that is not known counts as unsafe."""
+    def permission(self, name: str, repeat: str) -> Permission:
+        """Decide what may be done with the requests of a class.
+
+        :param name: of the class.
+        :param repeat: `safe`, `keyed` or `unsafe`; any other text counts as unsafe.
+        """
         harmless = repeat in ("safe", "keyed")
         if self.target is None:
-            return May.SEND if harmless else May.PROVEN
+            return Permission.SEND if harmless else Permission.PROVEN
         if name in self.named:
-            return May.MARKED
-        return May.MARKED if harmless and self.target.loopback else May.LEFT_OUT
+            return Permission.MARKED
+        return Permission.MARKED if harmless and self.target.loopback else Permission.LEFT_OUT
 
 
 def read_guard(target: str | None, names: Iterable[str]) -> Guard:
-    """A guard from the command line: `names` are `CLASS@URL`, the URL being the target's once more."""
+    """Make a guard from the options of the command line.
+
+    :param target: the URL of the target; None for the kit's own world.
+    :param names: classes that may be sent, each as `CLASS@URL` with the URL of the target.
+    :raises TargetError: if an option can't be used.
+    """
     found = None if target is None else read_target(target)
     classes = set()
     for text in names:
@@ -121,22 +138,35 @@
 
 
 def new_key() -> str:
-    """The key of one run, as hex."""
+    """Draw the key of one run.
+
+    :returns: the key, as hex.
+    """
     return secrets.token_hex(KEY_BYTES)
 
 
 def new_nonce() -> str:
+    """Draw a nonce for one connection.
+
+    :returns: the nonce, as hex.
+    """
     return secrets.token_hex(NONCE_BYTES)
 
 
 def proof(key: str, nonce: str) -> bytes:
-    """What only a holder of the key can answer to a nonce; empty for what is no nonce."""
+    """Compute the answer to a nonce, which needs the key (HMAC, RFC 2104).
+
+    :returns: the answer; empty if there is no key, or `nonce` is none.
+    """
     if not key or not NONCE.fullmatch(nonce):
         return b""
     return hmac.new(bytes.fromhex(key), nonce.encode(), hashlib.sha256).hexdigest().encode()
 
 
 def proven(key: str, nonce: str, answer: bytes) -> bool:
-    """Whether an answer proves its sender, in constant time."""
-    wanted = proof(key, nonce)
-    return bool(wanted) and hmac.compare_digest(wanted, answer)
+    """Verify an answer to a nonce, in constant time.
+
+    :returns: whether its sender has the key.
+    """
+    expected = proof(key, nonce)
+    return bool(expected) and hmac.compare_digest(expected, answer)
--- a/orchidferry/testkit/traffic/import_command.py
+++ b/orchidferry/testkit/traffic/import_command.py
@@ -165,7 +165,7 @@
         "mix": mix(report.mix),
         "seconds": report.seconds,
         "ties": report.ties,
-        "ties_by_chance": report.doubt,
+        "ties_by_chance": report.ties_by_chance,
         "spread": report.spread,
         "notes": report.notes,
         "unmatched": dict(report.unmatched.most(MAX_ROWS_SHOWN)),
@@ -178,7 +178,7 @@
     read_mb = report.read / BYTES_PER_MB
     console.print(
         f"{report.rows} requests over {report.seconds:.0f} s, {read_mb:.1f} MB in {took_s:.1f} s; "
-        f"{report.ties} retries tied, some {report.doubt:.0f} of them by chance"
+        f"{report.ties} retries tied, some {report.ties_by_chance:.0f} of them by chance"
     )
     if report.spread:
         console.print(f"{report.spread} were logged to the second only: spread within it, by --seed")
--- a/orchidferry/testkit/traffic/import_plan.py
+++ b/orchidferry/testkit/traffic/import_plan.py
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What to import, and how. `key` is that of the hashes: forgotten with the process."""
+    """What to import, and how. `key` is that of the hashes, and is kept in memory alone."""
 
     files: tuple[Path, ...]
-    form: str  # of logs; HARs are told by their content
+    form: str  # of logs; HARs are recognized by their content
     classes: Classes
     zone: str = "UTC"
     seed: int = 0  # of times spread within a second
@@ -48,10 +48,10 @@
     notes: list[str] = field(default_factory=list)
     seconds: float = 0.0
     ties: int = 0
-    doubt: float = 0.0  # ties that would be there by chance
+    ties_by_chance: float = 0.0  # estimated
     spread: int = 0  # rows whose time was spread within a second
 
     def note(self, text: str) -> None:
-        """Something that whoever reads this should know; the first fifty."""
+        """Add a remark for the reader of the report; those after the first `MAX_NOTES` are dropped."""
         if len(self.notes) < MAX_NOTES:
             self.notes.append(text)
--- a/orchidferry/testkit/traffic/importing.py
+++ b/orchidferry/testkit/traffic/importing.py
@@ -22,12 +22,12 @@
 import numpy as np
 
 from orchidferry.testkit.traffic import row_columns
-from orchidferry.testkit.traffic.block_reader import BlockRows, begin, rows_of_entries, rows_of_lines
+from orchidferry.testkit.traffic.block_reader import BlockRows, rows_of_entries, rows_of_lines, start_worker
 from orchidferry.testkit.traffic.entry import EntryError
 from orchidferry.testkit.traffic.har import read_har
 from orchidferry.testkit.traffic.import_plan import Plan, Report, TooManyRejectedError
-from orchidferry.testkit.traffic.recording import SPREAD, Header, Writer, ahead
-from orchidferry.testkit.traffic.retries import Ties
+from orchidferry.testkit.traffic.recording import SPREAD, Header, Writer, prefetched
+from orchidferry.testkit.traffic.retries import RetryMatcher
 from orchidferry.testkit.traffic.sorted_runs import SortedRuns
 from orchidferry.testkit.traffic.sources import Source
 
@@ -76,7 +76,7 @@
     gc.collect()
     gc.freeze()  # what a collection touches is shared no more
     context = multiprocessing.get_context("fork")  # numpy and the rest are there already, and shared
-    with concurrent.futures.ProcessPoolExecutor(workers, context, begin, (plan,)) as pool:
+    with concurrent.futures.ProcessPoolExecutor(workers, context, start_worker, (plan,)) as pool:
         waiting: list[tuple[int, concurrent.futures.Future[BlockRows]]] = []
         for file, what, args in _jobs(plan, report):
             waiting.append((file, pool.submit(what, *args)))
@@ -160,12 +160,12 @@
     began = datetime.fromtimestamp(runs.first / 1e6, UTC).strftime("%A %H:00 UTC")
     header = Header(table, runs.total, report.seconds, began, plan.window_s, list(report.notes))
     writer = Writer(to, header)
-    ties = Ties(plan.window_s)
+    matcher = RetryMatcher(plan.window_s)
     behind = concurrent.futures.ThreadPoolExecutor(1)  # compresses one slice while the next is tied
     try:
         before = runs.first
         putting: concurrent.futures.Future[None] | None = None
-        for rows in ahead(runs.slices()):
+        for rows in prefetched(runs.slices()):
             edges = np.concatenate([[before], rows["t"]]).astype(np.int64)
             before = int(edges[-1])
             for at in np.flatnonzero(np.diff(edges) > GAP_S * 1e6):
@@ -173,16 +173,17 @@
                 gap_s = (edges[at + 1] - edges[at]) / 1e6
                 report.note(f"nothing for {gap_s:.0f} s from {at_s:.0f} s on")
             rows["t"] -= np.uint64(runs.first)
-            tied = ties.take(rows)
-            report.spread += int(((tied["flags"] & SPREAD) != 0).sum())
-            for number, count in enumerate(np.bincount(tied["cls"], minlength=len(names))):
+            matched = matcher.match(rows)
+            report.spread += int(((matched["flags"] & SPREAD) != 0).sum())
+            for number, count in enumerate(np.bincount(matched["cls"], minlength=len(names))):
                 report.mix[names[number]] += int(count)
             if putting is not None:
                 putting.result()
-            putting = behind.submit(writer.put, tied)
+            putting = behind.submit(writer.put, matched)
         if putting is not None:
             putting.result()
-        report.ties, report.doubt = ties.doubt.ties, ties.doubt.by_chance
+        report.ties = matcher.statistics.ties
+        report.ties_by_chance = matcher.statistics.by_chance
         writer.close()
     except BaseException:
         behind.shutdown()
--- a/orchidferry/testkit/traffic/recording.py
+++ b/orchidferry/testkit/traffic/recording.py
@@ -46,7 +46,7 @@
 # took: us, NO_TIME if not known; sent, received: bytes, MOST at most; chain: number of the first try among
 # all; number: which try it is, from 0.
 NO_TIME = 0xFFFF_FFFF
-MOST = 0xFFFF_FFFF
+MAX_BYTES = 0xFFFF_FFFF
 # flags: the client went away; its time was spread within a logged second
 ABORTED = 1
 SPREAD = 2
@@ -59,7 +59,7 @@
 Rows = np.ndarray[Any, Any]
 
 
-def ahead(items: Iterator[T]) -> Iterator[T]:
+def prefetched(items: Iterator[T]) -> Iterator[T]:
     """The same, the next one made by a thread while this one is used."""
     end = object()
     with ThreadPoolExecutor(1) as pool:
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -27,8 +27,8 @@
 from orchidferry.testkit.clients.schedule import Arrival
 from orchidferry.testkit.scenario import Class, Scenario, ScenarioError, Traffic, override
 from orchidferry.testkit.traffic.classes import Classes, ClassesFileError, mix
-from orchidferry.testkit.traffic.guard import May
-from orchidferry.testkit.traffic.recording import NO_TIME, Header, Reader, Rows, ahead
+from orchidferry.testkit.traffic.guard import Permission
+from orchidferry.testkit.traffic.recording import NO_TIME, Header, Reader, Rows, prefetched
 from orchidferry.testkit.traffic.retries import failed
 
 Mask = np.ndarray[tuple[int], np.dtype[np.bool_]]
@@ -119,7 +119,7 @@
         left_out = frozenset(
             row["name"]
             for row in header.classes
-            if scenario.guard.may(row["name"], row.get("repeat", "unsafe")) is May.LEFT_OUT
+            if scenario.guard.permission(row["name"], row.get("repeat", "unsafe")) is Permission.LEFT_OUT
         )
         names = [row["name"] for row in header.classes]
         found.append(Choice(laid, names, left_out, seeded_random.integer(scenario.seed, "sample", number)))
@@ -140,7 +140,7 @@
                 yield t, names[cls], client, obj
 
 
-def replayed(scenario: Scenario, index: int = 0, every: int = 1) -> Iterator[Arrival]:
+def replayed_arrivals(scenario: Scenario, index: int = 0, every: int = 1) -> Iterator[Arrival]:
     """The arrivals of a replay in order of time, every so-manieth from `index` on.
 
     How patient a client is and whether it heeds advice is drawn for the client, not for the request.
@@ -148,7 +148,7 @@
     """
     classes = {cls.name: cls for cls in scenario.classes}
     streams = [
-        _lines(ahead(_passes(choice.laid, choice, scenario.length_s)), choice.names)
+        _lines(prefetched(_passes(choice.laid, choice, scenario.length_s)), choice.names)
         for choice in _choices(scenario)
     ]
     seed = scenario.seed
--- a/orchidferry/testkit/traffic/row_columns.py
+++ b/orchidferry/testkit/traffic/row_columns.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from orchidferry.testkit.traffic.recording import ABORTED, MOST, NO_TIME, ROW, SPREAD, Rows
+from orchidferry.testkit.traffic.recording import ABORTED, MAX_BYTES, NO_TIME, ROW, SPREAD, Rows
 
 JUMP_S = 60.0  # a clock that goes back by more is reported
 MAX_JUMPS = 10  # of a block
@@ -105,8 +105,8 @@
         found["t"] = np.rint((start + shift_s + spread) * 1e6).astype(np.uint64)
         found["took"] = np.where(took < 0.0, NO_TIME, np.minimum(np.rint(took * 1e6), NO_TIME - 1))
         found["client"], found["object"] = np.array(self.client, np.uint64), np.array(self.object, np.uint64)
-        found["sent"] = np.minimum(np.array(self.sent, np.int64), MOST)
-        found["received"] = np.minimum(np.array(self.received, np.int64), MOST)
+        found["sent"] = np.minimum(np.array(self.sent, np.int64), MAX_BYTES)
+        found["received"] = np.minimum(np.array(self.received, np.int64), MAX_BYTES)
         found["cls"], found["status"] = self.cls, self.status
         found["flags"] = np.where(self.aborted, ABORTED, 0) | np.where(step > 0.0, SPREAD, 0)
         return TimedRows(found[np.argsort(found["t"], kind="stable")], back)
--- a/tests/testkit/traffic/test_guard.py
+++ b/tests/testkit/traffic/test_guard.py
@@ -19,7 +19,7 @@
 from orchidferry.testkit.traffic.guard import (
     PROOF_CLASS,
     Guard,
-    May,
+    Permission,
     TargetError,
     new_key,
     new_nonce,
@@ -79,17 +79,19 @@
 @pytest.mark.parametrize(
     ("target", "named", "safe", "keyed", "unsafe"),
     [
-        (None, (), May.SEND, May.SEND, May.PROVEN),
-        (HERE, (), May.MARKED, May.MARKED, May.LEFT_OUT),
-        (HERE, ("unsafe",), May.MARKED, May.MARKED, May.MARKED),
-        (THERE, (), May.LEFT_OUT, May.LEFT_OUT, May.LEFT_OUT),
-        (THERE, ("safe",), May.MARKED, May.LEFT_OUT, May.LEFT_OUT),
+        (None, (), Permission.SEND, Permission.SEND, Permission.PROVEN),
+        (HERE, (), Permission.MARKED, Permission.MARKED, Permission.LEFT_OUT),
+        (HERE, ("unsafe",), Permission.MARKED, Permission.MARKED, Permission.MARKED),
+        (THERE, (), Permission.LEFT_OUT, Permission.LEFT_OUT, Permission.LEFT_OUT),
+        (THERE, ("safe",), Permission.MARKED, Permission.LEFT_OUT, Permission.LEFT_OUT),
     ],
 )
-def test_what_may_go_where(target: Any, named: tuple[str, ...], safe: May, keyed: May, unsafe: May) -> None:
+def test_what_may_go_where(
+    target: Any, named: tuple[str, ...], safe: Permission, keyed: Permission, unsafe: Permission
+) -> None:
     guard = Guard(target, frozenset(named))
-    assert [guard.may(kind, kind) for kind in ("safe", "keyed", "unsafe")] == [safe, keyed, unsafe]
-    assert guard.may("other", "no such word") is guard.may("other", "unsafe")
+    assert [guard.permission(kind, kind) for kind in ("safe", "keyed", "unsafe")] == [safe, keyed, unsafe]
+    assert guard.permission("other", "no such word") is guard.permission("other", "unsafe")
 
 
 @pytest.mark.parametrize(
--- a/tests/testkit/traffic/test_importing.py
+++ b/tests/testkit/traffic/test_importing.py
@@ -20,7 +20,7 @@
 from orchidferry.testkit.traffic.recording import (
     ABORTED,
     END,
-    MOST,
+    MAX_BYTES,
     NO_TIME,
     ROW,
     SPREAD,
@@ -30,7 +30,7 @@
     Rows,
     Writer,
 )
-from orchidferry.testkit.traffic.retries import Ties
+from orchidferry.testkit.traffic.retries import RetryMatcher
 from orchidferry.testkit.traffic.sources import Block
 from orchidferry.testkit.traffic.totals import read_summary
 
@@ -41,7 +41,7 @@
 
 
 def take(
-    tmp_path: Path, *files: tuple[str, bytes], form: str = generate.FORM, **changes: Any
+    tmp_path: Path, *files: tuple[str, bytes], form: str = generate.LOG_FORMAT, **changes: Any
 ) -> tuple[Report, Rows]:
     """Import files of these names and contents; the report, and all rows."""
     paths = []
@@ -54,15 +54,15 @@
     return report, np.concatenate(list(Reader(to).blocks()))
 
 
-def log(found: list[generate.Truth] = TRUTH) -> bytes:
+def log(found: list[generate.GeneratedRequest] = TRUTH) -> bytes:
     return b"".join(generate.log_lines(iter(found)))
 
 
-def at_ms(one: generate.Truth, form: str) -> int:
+def at_ms(one: generate.GeneratedRequest, form: str) -> int:
     """When a log, or a HAR, says that a request began."""
     if form == "har":
-        return int((generate.FIRST + one.t) * 1e3)
-    return round(1e3 * (round(generate.FIRST + one.t + one.took_s, 3) - round(one.took_s, 3)))
+        return int((generate.START_TIME_S + one.t) * 1e3)
+    return round(1e3 * (round(generate.START_TIME_S + one.t + one.took_s, 3) - round(one.took_s, 3)))
 
 
 @pytest.mark.parametrize("form", ["log", "har"])
@@ -75,7 +75,9 @@
     )
     (tmp_path / "x").write_bytes(zstd.compress(data))
     report = import_files(
-        Plan((tmp_path / "x",), generate.FORM, classes, workers=2), tmp_path / "a.rec", tmp_path / "rejects"
+        Plan((tmp_path / "x",), generate.LOG_FORMAT, classes, workers=2),
+        tmp_path / "a.rec",
+        tmp_path / "rejects",
     )
     rows = np.concatenate(list(Reader(tmp_path / "a.rec").blocks()))
     assert len(rows) == len(TRUTH) == report.rows and not report.rejects
@@ -103,7 +105,7 @@
 def test_whole_seconds_are_spread_by_the_seed_and_said_so(tmp_path: Path) -> None:
     plain = log().replace(b" 12:", b" 12:")
     lines = [line.rpartition(b" ")[0] + b"\n" for line in plain.splitlines()]  # without $msec
-    form = generate.FORM.rpartition(" ")[0]
+    form = generate.LOG_FORMAT.rpartition(" ")[0]
     found = []
     for seed, folder in ((1, "a"), (1, "b"), (2, "c")):
         (tmp_path / folder).mkdir()
@@ -183,13 +185,13 @@
 def test_ties_follow_the_rule_also_over_the_edges_of_blocks(made: Any, numbers: list[int]) -> None:
     rows = rows_of(*made)
     for cut in range(len(rows) + 1):
-        ties = Ties()
-        found = np.concatenate([ties.take(rows[:cut]), ties.take(rows[cut:])])
+        matcher = RetryMatcher()
+        found = np.concatenate([matcher.match(rows[:cut]), matcher.match(rows[cut:])])
         assert found["number"].tolist() == numbers, cut
         assert [int(found["chain"][at]) for at in range(len(rows)) if not numbers[at]] == [
             at for at in range(len(rows)) if not numbers[at]
         ]
-    assert ties.doubt.ties == sum(number > 0 for number in numbers)
+    assert matcher.statistics.ties == sum(number > 0 for number in numbers)
 
 
 # The file
@@ -272,8 +274,8 @@
     folder = str(tmp_path / "monday")
     rec = str(tmp_path / "a.rec")
     code, out, _ = call(monkeypatch, capsys, "generate", folder, "--rate", "10", "--seconds", "30")
-    assert code == 0 and generate.FORM in out
-    usual = ("import", f"{folder}/access.log", "--format", generate.FORM, "--to", rec, "--workers", "2")
+    assert code == 0 and generate.LOG_FORMAT in out
+    usual = ("import", f"{folder}/access.log", "--format", generate.LOG_FORMAT, "--to", rec, "--workers", "2")
     code, out, _ = call(monkeypatch, capsys, *usual, "--json", str(tmp_path / "j"))
     assert code == 0 and "no --classes: proposed in" in out
     found = json.loads((tmp_path / "j").read_text())
@@ -306,7 +308,7 @@
 
 APACHE = '%a %t "%r" %>s %b %D'
 NGINX = '$remote_addr [$time_local] "$request" $status $body_bytes_sent $request_time'
-SHORT = ["common", "combined", generate.FORM, APACHE, NGINX]
+SHORT = ["common", "combined", generate.LOG_FORMAT, APACHE, NGINX]
 USUAL = [
     b'10.0.0.7 - ana [10/Oct/2026:08:55:36 -0300] "GET /feeds/7?x=1 HTTP/1.1" 200 512',
     b'2001:db8::1 - - [10/Oct/2026:08:55:36 -0300] "PUT /episodios/7 HTTP/1.1" 503 0 "-" "a \\"b\\" \\x22"',
@@ -328,7 +330,7 @@
         strategies.sampled_from([0, 200, 429, 499, 503]),
         strategies.integers(0, 1),
         strategies.sampled_from([0, ABORTED, SPREAD, ABORTED | SPREAD]),
-        strategies.integers(0, MOST),
+        strategies.integers(0, MAX_BYTES),
     ),
     min_size=1,
     max_size=30,
@@ -346,16 +348,16 @@
     # A client that left got 0 or 499, or is marked: both are one thing to a recording.
     rows["flags"] |= np.where(np.isin(rows["status"], (0, 499)), ABORTED, 0).astype(np.uint8)
     rows["t"] -= rows["t"].min()
-    rows = Ties(30.0).take(rows[np.argsort(rows["t"], kind="stable")])
+    rows = RetryMatcher(30.0).match(rows[np.argsort(rows["t"], kind="stable")])
     header = Header([{"name": "a", "repeat": "safe"}, {"name": "b", "repeat": "unsafe"}])
     with tempfile.TemporaryDirectory() as name:
         log_ = Path(name) / "log"
         to = Path(name) / "x.rec"
         log_.write_bytes(b"".join(export.lines(header, iter([rows]))))
         classes = read_classes(export.classes_text(header).encode())
-        import_files(Plan((log_,), export.FORM, classes, workers=1, seed=3), to, Path(name) / "rejects")
+        import_files(Plan((log_,), export.LOG_FORMAT, classes, workers=1, seed=3), to, Path(name) / "rejects")
         back = np.concatenate(list(Reader(to).blocks()))
-    assert export.same(rows, back) == ""
+    assert export.first_difference(rows, back) == ""
 
 
 @settings(max_examples=300, deadline=None)
@@ -365,7 +367,7 @@
     block = Block(1, b"\n".join(lines), len(lines))
     found = []
     for short in (True, False):
-        block_reader.begin(plan)
+        block_reader.start_worker(plan)
         assert block_reader._reader is not None and block_reader._reader.layout is not None
         if not short:
             block_reader._reader.layout = None
--- a/tests/testkit/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -24,7 +24,7 @@
 from orchidferry.testkit.traffic.generate import CLASSES
 from orchidferry.testkit.traffic.guard import MARK, read_guard
 from orchidferry.testkit.traffic.recording import ROW, Header, Rows, Writer
-from orchidferry.testkit.traffic.replay import in_sample, measure, paths_of, replayed, resolve
+from orchidferry.testkit.traffic.replay import in_sample, measure, paths_of, replayed_arrivals, resolve
 from tests.testkit.test_run import LIMITS, PLAYS_MOST, TIERS, play
 from tests.testkit.traffic.test_guard import Peer
 
@@ -73,14 +73,14 @@
 ) -> None:
     record(tmp_path / "a.rec")
     scenario, preview = resolve(laid(tmp_path, **table))
-    found = list(replayed(scenario))
+    found = list(replayed_arrivals(scenario))
     assert len(found) == count == sum(preview.sent.values())
     assert abs(found[0].t - first) < 0.03 and abs(found[-1].t - last) < 0.05
     assert [one.t for one in found] == sorted(one.t for one in found)
     assert abs(scenario.length_s - last) < 0.05 and abs(scenario.load.rate - count / last) < 0.02 * count
     assert len({one.root for one in found}) == count
     # Two processes of clients send the same as one.
-    halves = [one for index in (0, 1) for one in replayed(scenario, index, 2)]
+    halves = [one for index in (0, 1) for one in replayed_arrivals(scenario, index, 2)]
     assert sorted(halves, key=lambda one: one.t) == found
 
 
@@ -89,12 +89,12 @@
     record(tmp_path / "b.rec", count=10, kinds=KINDS[:1])
     one = laid(tmp_path, loop=True)
     scenario, preview = resolve(replace(one, length_s=10.0))
-    times = [arrival.t for arrival in replayed(scenario)]
+    times = [arrival.t for arrival in replayed_arrivals(scenario)]
     assert scenario.length_s == 10.0 and abs(len(times) - 500) <= 2 and times == sorted(times)
     assert preview.skipped["after the end"] >= 99
     both = replace(one, traffic=(laid(tmp_path).traffic[0], laid(tmp_path, "b.rec", at="10s").traffic[0]))
     scenario, _ = resolve(both)
-    found = list(replayed(scenario))
+    found = list(replayed_arrivals(scenario))
     assert len(found) == 210 and {a.cls.name for a in found[-10:]} == {"ler-feed"}
     assert abs(scenario.length_s - 14.0) < 0.01
 
@@ -122,7 +122,7 @@
     scenario, preview = resolve(laid(tmp_path, retries=retries))
     assert (sum(preview.sent.values()), preview.skipped["retries"]) == (sent, 200 - sent)
     assert scenario.clients.retries == own
-    assert len(list(replayed(scenario))) == sent
+    assert len(list(replayed_arrivals(scenario))) == sent
 
 
 @pytest.mark.parametrize(
