--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -31,7 +31,7 @@
 from orchidferry.testkit.bench.open_loop import offer_load, scenario
 from orchidferry.testkit.control.service import Service
 from orchidferry.testkit.world.addresses import claim
-from orchidferry.testkit.world.nodes import settings
+from orchidferry.testkit.world.node_files import settings
 
 SIZES = (10, 1_000, 10_000)
 TURNS = 12  # of one size: the first is a whole pool, each further one changes a tenth
--- a/orchidferry/testkit/bench/forward_bench.py
+++ b/orchidferry/testkit/bench/forward_bench.py
@@ -17,7 +17,7 @@
 from orchidferry.testkit.exchange import expected_body
 from orchidferry.testkit.wire import Address, Request, ServerSide, get
 from orchidferry.testkit.world.addresses import Block
-from orchidferry.testkit.world.nodes import http3_text, settings
+from orchidferry.testkit.world.node_files import http3_text, settings
 
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import Files
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -25,7 +25,7 @@
 from orchidferry.node.fleet.shell import LENGTH
 from orchidferry.node.fleet.wire import DatagramError, Sealer
 from orchidferry.testkit.scenario import Scenario
-from orchidferry.testkit.world.nodes import settings
+from orchidferry.testkit.world.node_files import settings
 
 # a block of its own, beneath those of rehearsals
 NET = "127.60"
--- a/orchidferry/testkit/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -22,7 +22,7 @@
 from orchidferry.testkit.record import Recorder, StatusAnnounced
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.director import RESULT
-from orchidferry.testkit.world.nodes import settings
+from orchidferry.testkit.world.node_files import settings
 
 
 class ControlProcess:
--- a/orchidferry/testkit/world/acts.py
+++ b/orchidferry/testkit/world/acts.py
@@ -1,4 +1,4 @@
-"""The acts of a run's script: what each does to servers, nodes and discovery."""
+"""Carries out the actions of a run's plan on servers, nodes and discovery."""
 
 from __future__ import annotations
 
@@ -8,85 +8,91 @@
 from orchidferry.testkit.world.nodes import NodeProcess
 from orchidferry.testkit.world.plan import TROUBLES, Act, Server
 
-LEAVE_DEAL_S = (0.2, 0.4)  # until the front deals no more to a node that was told to end
+WITHDRAW_AFTER_TERM_S = (0.2, 0.4)  # bounds of the delay after which clients no longer use a terminated node
 
 
-class ActPlayer:
-    """Carries out acts on a deployment."""
+class ActionPlayer:
+    """Carries out actions on a deployment."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
 
-    def play(self, act: Act) -> None:
-        """Carry out one act; what takes time goes on beside the script."""
-        if act.do in TROUBLES:
-            if act.whom in self._deployment.running:
-                order = {"do": act.do, "whom": act.whom, "value": act.value, "entry": act.entry}
-                self._deployment.world_of(self._deployment.plan.server(act.whom)).tell(order)
+    def play(self, action: Act) -> None:
+        """Carry out an action; what takes time continues as a background task."""
+        if action.do in TROUBLES:
+            self._set_fault(action)
+        elif action.do in ("leave", "down", "crash", "up"):
+            self._play_on_server(action.do, action.whom)
+        elif action.do in ("discovery-down", "discovery-up"):
+            self._deployment.discovery.set_down(action.do == "discovery-down")
+        else:
+            self._play_on_node(action.do, action.whom)
+
+    def _set_fault(self, action: Act) -> None:
+        if action.whom not in self._deployment.running:
             return
-        match act.do:
-            case "leave":
-                if act.whom in self._deployment.running:
-                    self._deployment.list_later(
-                        act.whom, "leaving", self._deployment.scenario.discovery.notice
-                    )
-            case "down" | "crash":
-                if act.whom in self._deployment.running:
-                    why = "stopped" if act.do == "down" else "crashed"
-                    server = self._deployment.plan.server(act.whom)
-                    self._deployment.world_of(server).tell({"do": "down", "whom": act.whom, "why": why})
-                    self._deployment.is_down(act.whom, why)
-            case "up":
-                self._deployment.spawn(self._come_up(self._deployment.plan.server(act.whom)))
+        order = {"do": action.do, "whom": action.whom, "value": action.value, "entry": action.entry}
+        self._deployment.worker_of(self._deployment.plan.server(action.whom)).send_order(order)
+
+    def _play_on_server(self, do: str, name: str) -> None:
+        deployment = self._deployment
+        server = deployment.plan.server(name)
+        if do == "up":
+            deployment.spawn(self._start_server(server))
+        elif name in deployment.running and do == "leave":
+            deployment.list_later(name, "leaving", deployment.scenario.discovery.notice)
+        elif name in deployment.running:
+            why = "stopped" if do == "down" else "crashed"
+            deployment.worker_of(server).send_order({"do": "down", "whom": name, "why": why})
+            deployment.on_server_down(name)
+
+    def _play_on_node(self, do: str, name: str) -> None:
+        deployment = self._deployment
+        node = deployment.nodes[name]
+        match do:
             case "kill":
-                self._deployment.nodes[act.whom].kill()
-                self._deployment.discovery.detach(act.whom)
-                self._deployment.spawn(self._notice(act.whom, self._deployment.scenario.front.notice))
+                node.kill()
+                deployment.discovery.detach(name)
+                deployment.spawn(self._withdraw_node(name, deployment.scenario.front.notice))
             case "term":
-                self._deployment.spawn(self._stop_node(self._deployment.nodes[act.whom]))
-                self._deployment.spawn(self._notice(act.whom, LEAVE_DEAL_S))
+                deployment.spawn(self._stop_node(node))
+                deployment.spawn(self._withdraw_node(name, WITHDRAW_AFTER_TERM_S))
             case "start":
-                self._deployment.spawn(self._start_again(act.whom))
+                deployment.spawn(self._restart_node(node))
             case "pause":
-                self._deployment.nodes[act.whom].pause()
-                self._deployment.spawn(self._notice(act.whom, self._deployment.scenario.front.notice))
+                node.pause()
+                deployment.spawn(self._withdraw_node(name, deployment.scenario.front.notice))
             case "resume":
-                node = self._deployment.nodes[act.whom]
                 node.resume()
                 if node.pid is not None and node.ready:
-                    self._deployment.dealt.add(act.whom)
-                    self._deployment.deal()
-            case "discovery-down":
-                self._deployment.discovery.set_down(True)
-            case "discovery-up":
-                self._deployment.discovery.set_down(False)
+                    deployment.usable_nodes.add(name)
+                    deployment.publish_usable_nodes()
 
-    async def _come_up(self, server: Server) -> None:
-        """Start a server, cold; it serves once its own node is ready."""
-        node = self._deployment.own_node(server)
+    async def _start_server(self, server: Server) -> None:
+        """Start a server, cold, after its sidecar node."""
+        node = self._deployment.sidecar_node(server)
         if node is not None:
-            await node.gone()
+            await node.wait_ended()
             await self._deployment.start_node(node)
-        await self._deployment.bring_up(server, True)
+        await self._deployment.start_server(server, True)
         self._deployment.list_later(server.name, "active", self._deployment.scenario.discovery.add)
 
     async def _stop_node(self, node: NodeProcess) -> None:
         await node.stop()
         self._deployment.discovery.detach(node.name)
 
-    async def _notice(self, node: str, between: tuple[float, float]) -> None:
-        """The front deals no more to a node, once it has noticed."""
-        seen = self._deployment.nodes[node]
-        lives = seen.lives
-        paused = seen.paused_at
-        await asyncio.sleep(self._deployment.delay(between, node, str(lives)))
-        if seen.lives == lives and seen.paused_at == paused:
-            self._deployment.dealt.discard(node)
-            self._deployment.deal()
-
-    async def _start_again(self, name: str) -> None:
+    async def _withdraw_node(self, name: str, between: tuple[float, float]) -> None:
+        """Withdraw a node from the clients after a random delay, unless its state has changed since."""
         node = self._deployment.nodes[name]
-        await node.gone()
+        incarnation = node.incarnation
+        paused_at = node.paused_at
+        await asyncio.sleep(self._deployment.delay(between, name, str(incarnation)))
+        if node.incarnation == incarnation and node.paused_at == paused_at:
+            self._deployment.usable_nodes.discard(name)
+            self._deployment.publish_usable_nodes()
+
+    async def _restart_node(self, node: NodeProcess) -> None:
+        await node.wait_ended()
         await self._deployment.start_node(node)
-        self._deployment.dealt.add(name)
-        self._deployment.deal()
+        self._deployment.usable_nodes.add(node.name)
+        self._deployment.publish_usable_nodes()
--- a/orchidferry/testkit/world/child.py
+++ b/orchidferry/testkit/world/child.py
@@ -1,4 +1,4 @@
-"""A worker process of the kit's own: orders go to its standard input, news come from its output."""
+"""Worker processes: orders go to their standard input, reports come from their standard output."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from orchidferry.testkit.process import Order
 
-CLOSE_S = 5.0  # for a worker to write its record and go
+CLOSE_TIMEOUT_S = 5.0  # for a worker to write its record and end
 
 
 class Counts(NamedTuple):
-    """How many requests a process of clients has made, has had answered, and has open."""
+    """The numbers of requests that a process of clients has made, has had served, and has open."""
 
     asked: int = 0
     served: int = 0
@@ -33,40 +33,46 @@
         self.counts = Counts()
         self.reader: asyncio.Task[None] | None = None
 
-    def tell(self, order: Order) -> None:
-        """Send it an order, if it still listens."""
+    def send_order(self, order: Order) -> None:
+        """Send the worker an order, unless its input is closed."""
         assert self.process.stdin is not None
         if not self.process.stdin.is_closing():
             self.process.stdin.write(json.dumps(order).encode() + b"\n")
 
     async def close(self) -> None:
-        """Wait until it has ended, and kill it where that takes too long."""
+        """Wait until the worker has ended, and kill it after a timeout."""
         try:
-            await asyncio.wait_for(self.process.wait(), CLOSE_S)
+            await asyncio.wait_for(self.process.wait(), CLOSE_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
         if self.reader is not None:
             self.reader.cancel()
 
-    async def listen(
-        self, on_news: Callable[[Child, Order], None], on_end: Callable[[Child, int], None]
-    ) -> None:
-        """Hand on what it says, until it ends."""
+    async def listen(self, on_report: OnReport, on_end: OnEnd) -> None:
+        """Pass on the worker's reports, and its exit status when it ends."""
         assert self.process.stdout is not None
         while text := await self.process.stdout.readline():
-            on_news(self, json.loads(text))
+            on_report(self, json.loads(text))
         on_end(self, await self.process.wait())
 
 
-OnNews = Callable[[Child, Order], None]
+OnReport = Callable[[Child, Order], None]
 OnEnd = Callable[[Child, int], None]
 
 
 async def start_child(
-    folder: Path, module: str, name: str, index: int, on_news: OnNews, on_end: OnEnd
+    folder: Path, module: str, name: str, index: int, on_report: OnReport, on_end: OnEnd
 ) -> Child:
-    """Start a worker; what it says goes to `on_news`, its exit status to `on_end`."""
+    """Start a worker process.
+
+    :param folder: the run's folder, with the script
+    :param module: the worker's module
+    :param name: names its record and its log
+    :param index: its index among the workers of its kind
+    :param on_report: called with each of its reports
+    :param on_end: called with its exit status
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -80,5 +86,5 @@
         start_new_session=True,
     )
     child = Child(name, process)
-    child.reader = asyncio.get_running_loop().create_task(child.listen(on_news, on_end))
+    child.reader = asyncio.get_running_loop().create_task(child.listen(on_report, on_end))
     return child
--- a/orchidferry/testkit/world/director.py
+++ b/orchidferry/testkit/world/director.py
@@ -1,4 +1,4 @@
-"""Runs a rehearsal: starts what there is, plays the script, and ends it all, whatever happened."""
+"""Runs a rehearsal: starts all processes, carries out the plan, and ends all processes in any case."""
 
 from __future__ import annotations
 
@@ -18,75 +18,75 @@
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.stop_signals import on_stop_signals
 from orchidferry.testkit.traffic.guard import new_key
-from orchidferry.testkit.world.acts import ActPlayer
+from orchidferry.testkit.world.acts import ActionPlayer
 from orchidferry.testkit.world.addresses import Block, claim
-from orchidferry.testkit.world.child import CLOSE_S, Child, Counts, start_child
+from orchidferry.testkit.world.child import CLOSE_TIMEOUT_S, Child, Counts, start_child
 from orchidferry.testkit.world.deployment import Deployment
-from orchidferry.testkit.world.nodes import WINDOW_S, NodeProcess
+from orchidferry.testkit.world.nodes import CPU_SAMPLE_S, NodeProcess
 from orchidferry.testkit.world.plan import Plan, Server, draw
 from orchidferry.testkit.world.run import Progress, Run, RunAbortedError
 
 __all__ = ["RESULT", "Director", "Progress", "Run", "RunAbortedError", "rehearse"]
 
-START_S = 60.0  # for all to come up
-AT_ONCE = 8  # nodes that start at the same time
+START_TIMEOUT_S = 60.0  # for all processes to become ready
+MAX_CONCURRENT_STARTS = 8  # of nodes
 LEAD_S = 0.3  # from the order to play to the first arrival
-AFTER_S = 15.0  # beyond the last client's time: a run that has not ended by then is cut off
-LATE_S = 0.2  # for what comes after an answer that nobody asked for
+END_TIMEOUT_S = 15.0  # after the last client's deadline; the run is aborted then
+LATE_ANSWERS_S = 0.2  # for answers that arrive after their clients have ended
 MAX_NOTES = 20
+MAX_NOTE_LENGTH = 200
 RESULT = "control.json"  # of the control service's process, in the run's folder
 
 
 class Director:
-    """One run from beginning to end."""
+    """One run from its start to its end."""
 
     def __init__(self, plan: Plan, folder: Path, block: Block, progress: Progress) -> None:
         self.deployment = Deployment(plan, folder, block)
         self.progress = progress
-        self._acts = ActPlayer(self.deployment)
+        self._action_player = ActionPlayer(self.deployment)
         self._control: Child | None = None
         self._hub: Child | None = None
-        self._listening, self._told = asyncio.Event(), asyncio.Event()
-
-    # The kit's own processes
+        self._control_listening = asyncio.Event()
+        self._result_written = asyncio.Event()
 
     async def _start_child(self, module: str, name: str, index: int) -> Child:
-        return await start_child(self.deployment.folder, module, name, index, self._heard, self._ended)
+        return await start_child(
+            self.deployment.folder, module, name, index, self._on_report, self._on_child_end
+        )
 
-    def _heard(self, child: Child, news: Order) -> None:
-        match news["did"]:
+    def _on_report(self, child: Child, report: Order) -> None:
+        match report["did"]:
             case "ready":
                 child.ready.set()
             case "listening":
-                self.deployment.control_at = "127.0.0.1", news["port"]
-                self._listening.set()
+                self.deployment.control_at = "127.0.0.1", report["port"]
+                self._control_listening.set()
             case "told":
-                self._told.set()
+                self._result_written.set()
             case "played":
                 child.played.set()
             case "tick":
-                child.counts = Counts(news["asked"], news["served"], news["open"])
+                child.counts = Counts(report["asked"], report["served"], report["open"])
                 self._sum_counts()
             case "up":
-                self.deployment.is_up(news["whom"])
+                self.deployment.on_server_up(report["whom"])
             case "fell":
-                self.deployment.is_down(news["whom"], "fell")
+                self.deployment.on_server_down(report["whom"])
             case "failed":
-                self.deployment.cut_off(f"{child.name} failed at {news['order']!r}: {news['why']}")
+                self.deployment.abort(f"{child.name} failed at {report['order']!r}: {report['why']}")
 
     def _sum_counts(self) -> None:
         counts = [child.counts for child in self.deployment.clients]
-        self.progress.asked = sum(one.asked for one in counts)
-        self.progress.served = sum(one.served for one in counts)
-        self.progress.open = sum(one.open for one in counts)
+        self.progress.asked = sum(count.asked for count in counts)
+        self.progress.served = sum(count.served for count in counts)
+        self.progress.open = sum(count.open for count in counts)
 
-    def _ended(self, child: Child, status: int) -> None:
-        self.deployment.cut_off(f"{child.name}, a process of the kit, ended with status {status}")
+    def _on_child_end(self, child: Child, status: int) -> None:
+        self.deployment.abort(f"{child.name}, a process of the kit, ended with status {status}")
 
-    # Beginning
-
-    async def begin(self) -> None:
-        """Start all, up to the moment in which the load could begin."""
+    async def start(self) -> None:
+        """Start all processes, so that the load can begin."""
         deployment = self.deployment
         scenario = self.deployment.scenario
         if scenario.network.protocol == "h3":
@@ -95,22 +95,22 @@
             deployment.files = certs.make(deployment.folder / "certs")
         foreign = scenario.guard.target is not None
         await self._start_workers(foreign)
-        if foreign:  # there are no servers here: all goes to the one target
-            deployment.dealt = {"target"}
-            return deployment.deal()
+        if foreign:  # no stand-in servers: all requests go to the one target
+            deployment.usable_nodes = {"target"}
+            return deployment.publish_usable_nodes()
         servers = [server for server in deployment.plan.servers if not server.start]
-        await deployment.bring_up_first(servers)
+        await deployment.start_first_servers(servers)
         if scenario.control.service:
-            await self._begin_control()
+            await self._start_control()
         if scenario.fleet.on:
             self._hub = await self._start_child("orchidferry.testkit.world.hub", "hub", 0)
             await self._hub.ready.wait()
         await self._start_nodes(servers)
-        deployment.dealt = set(deployment.plan.nodes)
-        deployment.deal()
+        deployment.usable_nodes = set(deployment.plan.nodes)
+        deployment.publish_usable_nodes()
 
     async def _start_workers(self, foreign: bool) -> None:
-        """The processes of clients, and of servers unless the target is foreign."""
+        """Start the processes of clients, and of stand-in servers unless the target is foreign."""
         deployment = self.deployment
         scenario = self.deployment.scenario
         key = new_key() if scenario.traffic and not foreign else ""
@@ -119,82 +119,85 @@
         )
         script.write(deployment.folder)
         workers = 0 if foreign else scenario.workers
-        made = await asyncio.gather(
+        children = await asyncio.gather(
             *(self._start_child("orchidferry.testkit.world.worker", f"world{n}", n) for n in range(workers)),
             *(
                 self._start_child("orchidferry.testkit.clients.generator", f"clients{n}", n)
                 for n in range(scenario.clients.processes)
             ),
         )
-        deployment.worlds = made[:workers]
-        deployment.clients = made[workers:]
-        await asyncio.gather(*(child.ready.wait() for child in made))
+        deployment.workers = children[:workers]
+        deployment.clients = children[workers:]
+        await asyncio.gather(*(child.ready.wait() for child in children))
 
     async def _start_nodes(self, servers: list[Server]) -> None:
-        """The nodes of the front, and those that servers have of their own."""
+        """Start the nodes of the front and the sidecar nodes of the servers."""
         deployment = self.deployment
         names = deployment.plan.nodes
         nodes = [deployment.make_node(name, 0, n, len(names), None) for n, name in enumerate(names)]
         for server in servers:
-            own = deployment.own_node(server)
-            if own is not None:
-                nodes.append(own)
-        gate = asyncio.Semaphore(AT_ONCE)
+            sidecar = deployment.sidecar_node(server)
+            if sidecar is not None:
+                nodes.append(sidecar)
+        limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
         async def start(node: NodeProcess) -> None:
-            async with gate:
+            async with limit:
                 await deployment.start_node(node)
 
         await asyncio.gather(*(start(node) for node in nodes))
 
-    async def _begin_control(self) -> None:
-        """A process of its own: gRPC's threads and the forks that start nodes don't go together."""
-        child = self._control = await self._start_child("orchidferry.testkit.control.worker", "control", 0)
+    async def _start_control(self) -> None:
+        """Start the control service in its own process, as gRPC's threads don't go with forks."""
+        child = await self._start_child("orchidferry.testkit.control.worker", "control", 0)
+        self._control = child
         await child.ready.wait()
-        child.tell({"do": "listen", "endpoints": self.deployment.endpoints()})
-        await self._listening.wait()
+        child.send_order({"do": "listen", "endpoints": self.deployment.endpoints()})
+        await self._control_listening.wait()
 
-    async def control(self) -> dict[str, Any] | None:
-        """What became of the versions; None where there is no such service, or it says nothing."""
+    async def control_result(self) -> dict[str, Any] | None:
+        """Return the result of the control service; None without one, or if it does not answer in time."""
         child = self._control
         if child is None or child.process.returncode is not None:
             return None
-        child.tell({"do": "tell", "folder": str(self.deployment.folder)})
+        child.send_order({"do": "tell", "folder": str(self.deployment.folder)})
         try:
-            await asyncio.wait_for(self._told.wait(), CLOSE_S)
+            await asyncio.wait_for(self._result_written.wait(), CLOSE_TIMEOUT_S)
         except TimeoutError:
             return None
-        found: dict[str, Any] = json.loads((self.deployment.folder / RESULT).read_text())
-        return found
-
-    # The script
+        result: dict[str, Any] = json.loads((self.deployment.folder / RESULT).read_text())
+        return result
 
     async def play(self) -> None:
-        """Play the whole script; `RunAbortedError` if it can't be played to its end."""
+        """Carry out the plan.
+
+        :raises RunAbortedError: if it can't be carried out to its end
+        """
         deployment = self.deployment
-        start = deployment.start = deployment.recorder.now() + LEAD_S
+        start = deployment.recorder.now() + LEAD_S
+        deployment.start = start
         for child in deployment.clients:
-            child.tell({"do": "play", "at": start})
+            child.send_order({"do": "play", "at": start})
         for shown in deployment.plan.shown:
             deployment.recorder.put(Incident(start + shown.t, start + shown.until, shown.do, shown.whom))
             self.progress.incidents.append((shown.t, shown.until, f"{shown.do} {shown.whom}"))
         self.progress.phase = "playing"
-        deployment.spawn(self._look())
-        for told in (self._control, self._hub):
-            if told is not None:
-                told.tell({"do": "play", "at": start})
+        deployment.spawn(self._monitor())
+        for child_or_none in (self._control, self._hub):
+            if child_or_none is not None:
+                child_or_none.send_order({"do": "play", "at": start})
         for act in deployment.plan.acts:
             wait = monotonic_at(deployment.zero, start + act.t)
             if wait > 0:
                 await asyncio.sleep(wait)
-            self._acts.play(act)
+            self._action_player.play(act)
         await self._wait_for_clients()
-        await asyncio.sleep(LATE_S)
+        await asyncio.sleep(LATE_ANSWERS_S)
 
     async def _wait_for_clients(self) -> None:
         deployment = self.deployment
         longest = max(cls.gives_up_s for cls in deployment.scenario.classes)
-        end = deployment.start + deployment.scenario.length_s + longest + AFTER_S
+        end = deployment.start + deployment.scenario.length_s + longest + END_TIMEOUT_S
         try:
             async with asyncio.timeout(max(0.0, monotonic_at(deployment.zero, end))):
                 for child in deployment.clients:
@@ -202,13 +205,14 @@
         except TimeoutError:
             raise RunAbortedError("the clients did not come to their end") from None
 
-    async def _look(self) -> None:
-        """Keep the record flowing, and watch this loop and the nodes' share of the machine."""
+    async def _monitor(self) -> None:
+        """Flush the record regularly, and measure this event loop's lag and the nodes' wait for a core."""
         loop = asyncio.get_running_loop()
         recorder = self.deployment.recorder
-        looked = flushed = loop.time()
+        sampled = loop.time()
+        flushed = sampled
         for node in self.deployment.nodes.values():
-            node.look(False)
+            node.sample_cpu(False)
         while True:
             due = loop.time() + LAG_INTERVAL_S
             await asyncio.sleep(LAG_INTERVAL_S)
@@ -219,135 +223,150 @@
             if now - flushed > FLUSH_S:
                 recorder.flush()
                 flushed = now
-            if now - looked >= WINDOW_S:
-                looked = now
+            if now - sampled >= CPU_SAMPLE_S:
+                sampled = now
                 for node in list(self.deployment.nodes.values()):
-                    node.look(True)
+                    node.sample_cpu(True)
 
-    # Its end
+    async def until_aborted(self) -> None:
+        """Wait until the run is ended early.
 
-    async def until_cut(self) -> None:
-        """Wait until something ends the run before its time."""
-        raise RunAbortedError(await asyncio.shield(self.deployment.cut))
+        :raises RunAbortedError: with the reason
+        """
+        raise RunAbortedError(await asyncio.shield(self.deployment.aborted))
 
     async def close(self) -> None:
-        """End every process and close every port, whatever state they are in."""
+        """End all processes and close all ports, in whatever state they are."""
         self.deployment.closing = True
         self.progress.phase = "ending"
         for task in set(self.deployment.tasks):
             task.cancel()
         for node in self.deployment.nodes.values():
-            node.look(False)
-        more = [child for child in (self._control, self._hub) if child is not None]
-        # Clients first: what they see last is the nodes' own.
-        children = [*self.deployment.clients, *more, *self.deployment.worlds]
+            node.sample_cpu(False)
+        services = [child for child in (self._control, self._hub) if child is not None]
+        # Clients first: their last answers are the nodes' own, not those of a shutdown.
+        children = [*self.deployment.clients, *services, *self.deployment.workers]
         for child in children:
-            child.tell({"do": "close"})
+            child.send_order({"do": "close"})
         for child in children:
             await child.close()
         for node in self.deployment.nodes.values():
             node.kill("end")
         await asyncio.gather(
-            *(node.gone() for node in self.deployment.nodes.values()), return_exceptions=True
+            *(node.wait_ended() for node in self.deployment.nodes.values()), return_exceptions=True
         )
         self.deployment.discovery.close()
         self.deployment.recorder.close()
 
     def cpu_s(self) -> float:
-        """CPU seconds that the nodes have used."""
+        """Return the CPU seconds that the nodes have used."""
         return sum(node.cpu_s for node in self.deployment.nodes.values())
 
     def processes(self) -> int:
-        """Nodes that there were."""
+        """Return the number of node processes."""
         return len(self.deployment.nodes)
 
     def workers(self) -> int:
-        """The kit's own processes."""
-        return len(self.deployment.worlds) + len(self.deployment.clients)
+        """Return the number of worker processes of clients and servers."""
+        return len(self.deployment.workers) + len(self.deployment.clients)
 
     def journals(self) -> dict[str, list[str]]:
-        """What nodes wrote down of their fleet."""
+        """Return the fleet journals, by node."""
         return {
-            name: node.journal() for name, node in self.deployment.nodes.items() if node.fleet is not None
+            name: node.journal()
+            for name, node in self.deployment.nodes.items()
+            if node.fleet_text is not None
         }
 
     def notes(self) -> list[str]:
-        """Lines of the nodes' logs that tell of trouble inside them."""
+        """Return the lines of the nodes' logs that report an error, up to a limit."""
         found = []
         for node in self.deployment.nodes.values():
-            found += [line[:200] for line in node.log_lines() if " ERROR " in line or "Traceback" in line]
+            found += [
+                line[:MAX_NOTE_LENGTH]
+                for line in node.log_lines()
+                if " ERROR " in line or "Traceback" in line
+            ]
         return found[:MAX_NOTES]
 
 
 async def rehearse(scenario: Scenario, progress: Progress, keep: Path | None = None) -> Run:
-    """Play a scenario once. `ValueError`: its timeline comes to too much; `NoFreeAddressesError`: none is
-    free.
+    """Run a scenario once.
+
+    SIGINT, SIGTERM and the unexpected end of a process end the run early; the result has what was recorded
+    until then.
 
-    SIGINT and SIGTERM end the run early; what was seen until then comes back, as it does when a node or
-    a process of the kit dies. `keep`: a folder that the record and the nodes' logs are left in.
+    :param keep: a folder in which the record and the nodes' logs are kept
+    :raises ValueError: if the timeline comes to too much
+    :raises NoFreeAddressesError: if all blocks of addresses are in use
     """
     plan = draw(scenario)
-    block, held = claim()
+    block, reservation = claim()
     folder = Path(tempfile.mkdtemp(prefix="orchidferry-rehearsal-")) if keep is None else keep
     folder.mkdir(parents=True, exist_ok=True)
-    loop = asyncio.get_running_loop()
     director = Director(plan, folder, block, progress)
-    caught: list[signal.Signals] = []
+    received: list[signal.Signals] = []
 
-    def signalled(number: signal.Signals) -> None:
-        caught.append(number)
-        director.deployment.cut_off(f"stopped by {number.name}")
+    def on_signal(number: signal.Signals) -> None:
+        received.append(number)
+        director.deployment.abort(f"stopped by {number.name}")
 
     gc.freeze()
-    complete = False
-    why = ""
     with contextlib.ExitStack() as cleaning:
         if keep is None:
             cleaning.callback(shutil.rmtree, folder, ignore_errors=True)
-        cleaning.callback(_release, held)
-        cleaning.enter_context(on_stop_signals(signalled))
-        work = loop.create_task(_whole(director))
-        cut = loop.create_task(director.until_cut())
-        done, _ = await asyncio.wait({work, cut}, return_when=asyncio.FIRST_COMPLETED)
-        end = director.deployment.recorder.now()
-        for task in (work, cut):
-            task.cancel()
-        await asyncio.gather(work, cut, return_exceptions=True)
-        try:
-            for task in done:
-                task.result()
-            complete = True
-        except RunAbortedError as reason:
-            why = str(reason)
-        versions = await director.control()
+        cleaning.callback(_release, reservation)
+        cleaning.enter_context(on_stop_signals(on_signal))
+        end, why = await _run_to_end(director)
+        versions = await director.control_result()
         await director.close()
-        facts = read_folder(folder)
         return Run(
-            plan,
-            facts,
-            director.deployment.start,
-            end,
-            complete,
-            why,
-            bool(caught),
-            director.cpu_s(),
-            director.processes() + director.workers(),
-            director.notes(),
-            versions,
-            director.journals(),
-            director.deployment.zero,
+            plan=plan,
+            facts=read_folder(folder),
+            start=director.deployment.start,
+            end=end,
+            complete=why is None,
+            why=why or "",
+            interrupted=bool(received),
+            nodes_cpu_s=director.cpu_s(),
+            processes=director.processes() + director.workers(),
+            notes=director.notes(),
+            control=versions,
+            journals=director.journals(),
+            zero=director.deployment.zero,
         )
 
 
+async def _run_to_end(director: Director) -> tuple[float, str | None]:
+    """Start and play a run.
+
+    :returns: when it ended, in seconds of the record's clock, and the reason if it was aborted
+    """
+    loop = asyncio.get_running_loop()
+    work = loop.create_task(_start_and_play(director))
+    aborted = loop.create_task(director.until_aborted())
+    done, _ = await asyncio.wait({work, aborted}, return_when=asyncio.FIRST_COMPLETED)
+    end = director.deployment.recorder.now()
+    for task in (work, aborted):
+        task.cancel()
+    await asyncio.gather(work, aborted, return_exceptions=True)
+    try:
+        for task in done:
+            task.result()
+    except RunAbortedError as problem:
+        return end, str(problem)
+    return end, None
+
+
 def _release(block: socket.socket) -> None:
     with contextlib.suppress(OSError):
         block.close()
 
 
-async def _whole(director: Director) -> None:
+async def _start_and_play(director: Director) -> None:
     try:
-        async with asyncio.timeout(START_S):
-            await director.begin()
+        async with asyncio.timeout(START_TIMEOUT_S):
+            await director.start()
     except TimeoutError:
-        raise RunAbortedError(f"not all came up within {START_S:g} s") from None
+        raise RunAbortedError(f"not all came up within {START_TIMEOUT_S:g} s") from None
     await director.play()
--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes as processes, started as the deployment starts them, and ended with everything they began."""
+"""Real nodes as processes: their start, signals and end."""
 
 from __future__ import annotations
 
@@ -12,248 +12,125 @@
 import signal
 import sys
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.record import Lag, NodeDown, NodePaused, NodeUp, Recorder
-from orchidferry.testkit.scenario import Class, Scenario
-from orchidferry.testkit.traffic.guard import PROOF_CLASS
+from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.wire import Address, get
+from orchidferry.testkit.world.node_files import (
+    chain_text,
+    control_text,
+    fleet_keys_text,
+    http3_text,
+    pools_text,
+    settings,
+)
 
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import Files
 
-# how long a node may take to come up, and how often it is asked
-READY_S = 20.0
-READY_EVERY_S = 0.03
-TERM_S = 5.0  # a node that was told to end is killed after this: the longest deadline and some
-WINDOW_S = 2.0  # over which a node's wait for a core is measured
-NOTED_SHARE = 0.02  # of it, from which that is kept
-LOG_BYTES = 256 * 1024  # of a node's log that are looked through, from its end
-NEW_KIND = "standin-new"  # of servers of the pool that traffic is moved to
+READY_TIMEOUT_S = 20.0
+READY_POLL_S = 0.03
+TERM_TIMEOUT_S = 5.0  # beyond the longest deadline of a request; the node is killed after it
+CPU_SAMPLE_S = 2.0  # interval over which a node's wait for a core is measured
+MIN_STARVED_FRACTION = 0.02  # of the interval; a shorter wait is not recorded
+LOG_TAIL_BYTES = 256 * 1024  # of a node's log that are read
 PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def in_child(sockets: int) -> None:
-    """Before the node's program begins: its limit on descriptors, and its end with the director's.
+    """Prepare a child process before its program starts; the kernel kills it when its parent ends.
 
-    The kernel kills it when the director dies, however that happens.
+    :param sockets: its limit on file descriptors
     """
     resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
-def class_settings(cls: Class) -> dict[str, Any]:
-    """A class as the node's settings have it."""
-    return {
-        "name": cls.name,
-        "objective_ms": cls.wanted_s * 1000.0,
-        "give_up_ms": cls.gives_up_s * 1000.0,
-        "importance": cls.worth,
-        "late_worth": cls.late_worth,
-        "semantics": {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}[cls.repeat],
-        "dedup_scope": cls.group,
-        "window_ms": cls.window_s * 1000.0,
-        "stream": False,
-    }
-
-
-def settings(scenario: Scenario, tier: int, siblings: int, number: int) -> dict[str, Any]:
-    """A node's start-up settings; they hold nothing of the seed, the faults or the servers' speeds."""
-    rules = scenario.rules
-    figures = scenario.tiers[tier]
-    classes = scenario.classes
-    if tier and not scenario.chain.knows:
-        classes = tuple(replace(cls, worth=1.0) for cls in classes)
-    more = [Class(PROOF_CLASS, 0.0, 0.001, 1.0, 2.0, "safe", worth=0.0)] if scenario.traffic else []
-    return {
-        "classes": [class_settings(cls) for cls in (*classes, *more)],
-        "clients": {"marks_retry": True},
-        "dcs": [figures.zone],
-        "locality": figures.zone,
-        "host_types": ["standin-1c", NEW_KIND],
-        "family": "chain",
-        "family_info": {"passes_deadline": scenario.node.passes_deadline},
-        "membership_mode": "on_request",
-        "quantum_ms": 5.0,
-        "siblings": siblings,
-        "my_number": number,
-        "over_share_worth": 1.0,
-        "tenants": [],
-        "permissions": {
-            "connect_timeout_ms": 120.0,
-            "keepalive_ms": 30_000.0,
-            "max_attempts": scenario.node.attempts,
-            "may_cancel": True,
-            "parallel_tries": False,
-            "peers": False,
-            "probes": False,
-            "retry_after": scenario.node.retry_after,
-            "max_retry_after_ms": 2_000.0,
-        },
-        "prices": {},
-        "score_parts": {"whole": 0.45, "worst_class": 0.2, "worst_window": 0.35},
-        "rules": {
-            "answer_slack_ms": rules.answer_slack_s * 1000.0,
-            "ask_every_ms": 10_000.0,
-            "overload_factor": rules.overload_factor,
-            "overload_for_ms": rules.overload_for_s * 1000.0,
-            "ramp_time_ms": figures.cold_for_s * 1000.0,
-            "start_capacity": figures.cold_from,
-            "stop_sending_within_ms": rules.drain_grace_s * 1000.0,
-        },
-        "stages": [t.name for t in scenario.tiers],
-        "tier": tier,
-        "stats": {"fields": [], "how": "silent"},
-        "weight_kind": "silent",
-        "worth_by": "request",
-    }
-
-
-def http3_text(listen: str, files: Files) -> str:
-    """The operator's file that switches HTTP/3 on, both ways."""
-    from orchidferry.testkit.quic.certs import NAME
-
-    return (
-        f'[front]\nlisten = "{listen}"\ncertificate = "{files.certificate}"\nkey = "{files.key}"\n'
-        f'[servers]\nca = "{files.ca}"\nname = "{NAME}"\n'
-    )
-
-
-def chain_text(scenario: Scenario, name: str, tier: int, siblings: int) -> str:
-    """The operator's file that has a node take part in a chain; one key for all, as their operators share."""
-    side = scenario.chain
-    key = "".join(f"{seeded_random.integer(scenario.seed, 'chain', n):016x}" for n in range(2))
-    return (
-        f'tier = "{scenario.tiers[tier].name}"\nnode = "{name.replace("/", ".")}"\n'
-        f"first = {str(tier == 0).lower()}\nextra = {side.extra}\nshare = {side.share}\n"
-        f"shed = {str(side.shed).lower()}\n"
-        f'floor_per_s = {side.floor}\nnodes = {siblings}\nkeys = ["k1={key}"]\n'
-    )
+@dataclass(frozen=True, slots=True)
+class NodeSpec:
+    """Which node to run, and where.
+
+    :param tier: index of the tier whose servers the node uses
+    :param number: its index among the nodes like it
+    :param siblings: how many of these there are
+    :param discovery: the address at which it asks discovery
+    """
+
+    name: str
+    tier: int
+    number: int
+    siblings: int
+    address: Address
+    discovery: Address
 
 
 class NodeProcess:
-    """One node, over all its lives."""
+    """One node, over all its restarts.
+
+    :param folder: the run's folder; the node has a folder of its own in it
+    :param on_exit: called with the node and the reason if its process ends unexpectedly
+    :param files: the certificates, with HTTP/3
+    """
 
     def __init__(
         self,
-        name: str,
-        tier: int,
-        address: Address,
-        discovery: Address,
+        spec: NodeSpec,
         scenario: Scenario,
-        siblings: int,
-        number: int,
         folder: Path,
         recorder: Recorder,
-        died: Callable[[NodeProcess, str], None],
+        on_exit: Callable[[NodeProcess, str], None],
         files: Files | None = None,
     ) -> None:
-        self.name = name
-        self.tier = tier
-        self.address = address
-        self.discovery = discovery
+        self.spec = spec
+        self.name = spec.name
         self._scenario = scenario
-        self._siblings = siblings
-        self._number = number
         self._recorder = recorder
-        self._died = died
+        self._on_exit = on_exit
         self._files = files
-        self._home = folder / name.replace("/", "_")
-        self.control: Address | None = None  # where its control service is
-        self.fleet: Callable[[], str] | None = None  # the text of its file for a fleet
+        self._folder = folder / spec.name.replace("/", "_")
+        self.control: Address | None = None  # of its control service
+        self.fleet_text: Callable[[], str] | None = None  # gives its fleet file
         self.admin: Address | None = None  # where its admin server listens
         self.paused_at: float | None = None
-        self.lives = 0
-        self._expected: str | None = None  # why its process will end, once that is meant
+        self.incarnation = 0
+        self.ready = False
+        self._expected_end: str | None = None  # the reason, once its process is to end
         self._process: asyncio.subprocess.Process | None = None
         self._watcher: asyncio.Task[None] | None = None
-        self._waited = 0.0  # for a core, up to the last look
-        self._cpu_before_s = 0.0  # of its lives before this one
-        self._cpu_now_s = 0.0  # of this one, up to the last look
-        self.ready = False
+        self._waited_s = 0.0  # for a core, up to the last sample
+        self._cpu_before_s = 0.0  # of its earlier incarnations
+        self._cpu_now_s = 0.0  # of this one, up to the last sample
 
     @property
     def cpu_s(self) -> float:
-        """CPU seconds of all its lives, up to the last look at each."""
+        """The CPU seconds of all its incarnations, up to the last sample of each."""
         return self._cpu_before_s + self._cpu_now_s
 
     @property
     def pid(self) -> int | None:
+        """The id of its process, if that runs."""
         return self._process.pid if self._process is not None and self._process.returncode is None else None
 
     async def start(self, known: dict[str, Any]) -> bool:
-        """Start it and wait until it is ready; False if it ended or took too long."""
-        self.lives += 1
-        self._expected = None
+        """Start the node and wait until it is ready.
+
+        :param known: the server list for its configuration
+        :returns: False if it ended or did not become ready in time
+        """
+        self.incarnation += 1
+        self._expected_end = None
         self.ready = False
-        shutil.rmtree(self._home / "tmp", ignore_errors=True)
-        (self._home / "tmp").mkdir(parents=True)
-        listen = f"{self.address[0]}:{self.address[1]}"
-        discovery = f"{self.discovery[0]}:{self.discovery[1]}"
-        config = {
-            "name": self.name,
-            "listen": listen,
-            "discovery": discovery,
-            "seed": f"{seeded_random.integer(self._scenario.seed, 'node', self.name, self.lives):016x}",
-            "limits": {
-                "cores": 1.0,
-                "memory_mb": self._scenario.node.memory_mb,
-                "sockets": self._scenario.node.sockets,
-            },
-            "known": known,
-            "settings": settings(self._scenario, self.tier, self._siblings, self._number),
-        }
-        path = self._home / "config.json"
-        path.write_text(json.dumps(config))
+        shutil.rmtree(self._folder / "tmp", ignore_errors=True)
+        (self._folder / "tmp").mkdir(parents=True)
         command = self._scenario.node.command or (sys.executable, "-B", "-m", "orchidferry")
-        env = os.environ | {
-            "NODE_NAME": self.name,
-            "NODE_LISTEN": listen,
-            "NODE_DISCOVERY": discovery,
-            "NODE_CONFIG": str(path),
-            "TMPDIR": str(self._home / "tmp"),
-        }
-        if self._files is not None:
-            http3 = self._home / "http3.toml"
-            http3.write_text(http3_text(listen, self._files))
-            env["ORCHIDFERRY_HTTP3"] = str(http3)
-        if self.control is not None:
-            control = self._home / "control.toml"
-            control.write_text(
-                f'service = "{self.control[0]}:{self.control[1]}"\nnode = "{self.name}"\n'
-                f'pools = ["{self._scenario.tiers[self.tier].name}"]\nsettings = "{self.name}"\n'
-                'state = "state"\n'  # beside it, and kept over its lives
-            )
-            env["ORCHIDFERRY_CONTROL"] = str(control)
-        if self.admin is not None:
-            env["NODE_ADMIN_ADDR"] = f"{self.admin[0]}:{self.admin[1]}"
-        if self.fleet is not None:
-            fleet = self._home / "fleet.toml"
-            keys = self._home / "fleet.keys"
-            keys.touch(mode=0o600)
-            keys.write_text(f"k1={seeded_random.integer(self._scenario.seed, 'fleet'):032x}\n")
-            fleet.write_text(self.fleet())
-            env["ORCHIDFERRY_FLEET"] = str(fleet)
-        if self._scenario.chain.on:
-            chain = self._home / "chain.toml"
-            chain.write_text(chain_text(self._scenario, self.name, self.tier, self._siblings))
-            env["ORCHIDFERRY_CHAIN"] = str(chain)
-        if self._scenario.pools.on and self.tier == 0:
-            side = self._scenario.pools
-            pools = self._home / "pools.toml"
-            pools.write_text(
-                f'[[pool]]\nname = "old"\n[[pool]]\nname = "new"\nkinds = ["{NEW_KIND}"]\n'
-                '[move]\nto = "new"\n'
-                f"steps = {[side.first, *(step for step in (0.1, 0.25, 0.5, 1.0) if step > side.first)]}\n"
-                f'step_ms = {side.step_s * 1_000.0}\nrare = "{side.rare}"\n'
-            )
-            env["ORCHIDFERRY_POOLS"] = str(pools)
-        with (self._home / "log").open("ab") as log:
+        env = os.environ | self._write_configuration(known) | self._write_optional_files()
+        with (self._folder / "log").open("ab") as log:
             try:
                 self._process = await asyncio.create_subprocess_exec(
                     *command,
@@ -267,105 +144,173 @@
             except OSError as problem:
                 log.write(f"can't start {command[0]}: {problem.strerror}\n".encode())
                 log.flush()
-                self._note_end("can't start")
+                self._record_end("can't start")
                 return False
-        self._waited = 0.0
+        self._waited_s = 0.0
         self._cpu_before_s = self.cpu_s
         self._cpu_now_s = 0.0
         self._watcher = asyncio.get_running_loop().create_task(self._watch(self._process))
         return await self._until_ready(self._process)
 
+    def _write_configuration(self, known: dict[str, Any]) -> dict[str, str]:
+        """Write the node's configuration; return the environment variables that every node has."""
+        spec = self.spec
+        node = self._scenario.node
+        listen = f"{spec.address[0]}:{spec.address[1]}"
+        discovery = f"{spec.discovery[0]}:{spec.discovery[1]}"
+        seed = seeded_random.integer(self._scenario.seed, "node", self.name, self.incarnation)
+        config = {
+            "name": self.name,
+            "listen": listen,
+            "discovery": discovery,
+            "seed": f"{seed:016x}",
+            "limits": {"cores": 1.0, "memory_mb": node.memory_mb, "sockets": node.sockets},
+            "known": known,
+            "settings": settings(self._scenario, spec.tier, spec.siblings, spec.number),
+        }
+        path = self._folder / "config.json"
+        path.write_text(json.dumps(config))
+        return {
+            "NODE_NAME": self.name,
+            "NODE_LISTEN": listen,
+            "NODE_DISCOVERY": discovery,
+            "NODE_CONFIG": str(path),
+            "TMPDIR": str(self._folder / "tmp"),
+        }
+
+    def _write_optional_files(self) -> dict[str, str]:
+        """Write the files of the parts that are on; return the environment variables that name them."""
+        spec = self.spec
+        scenario = self._scenario
+        env: dict[str, str] = {}
+
+        def write(variable: str, name: str, text: str) -> None:
+            path = self._folder / name
+            path.write_text(text)
+            env[variable] = str(path)
+
+        if self._files is not None:
+            listen = f"{spec.address[0]}:{spec.address[1]}"
+            write("ORCHIDFERRY_HTTP3", "http3.toml", http3_text(listen, self._files))
+        if self.control is not None:
+            pool = scenario.tiers[spec.tier].name
+            write("ORCHIDFERRY_CONTROL", "control.toml", control_text(self.control, self.name, pool))
+        if self.admin is not None:
+            env["NODE_ADMIN_ADDR"] = f"{self.admin[0]}:{self.admin[1]}"
+        if self.fleet_text is not None:
+            keys = self._folder / "fleet.keys"
+            keys.touch(mode=0o600)
+            keys.write_text(fleet_keys_text(scenario))
+            write("ORCHIDFERRY_FLEET", "fleet.toml", self.fleet_text())
+        if scenario.chain.on:
+            text = chain_text(scenario, self.name, spec.tier, spec.siblings)
+            write("ORCHIDFERRY_CHAIN", "chain.toml", text)
+        if scenario.pools.on and spec.tier == 0:
+            write("ORCHIDFERRY_POOLS", "pools.toml", pools_text(scenario))
+        return env
+
     async def _until_ready(self, process: asyncio.subprocess.Process) -> bool:
-        deadline = self._recorder.now() + READY_S
-        while self._recorder.now() < deadline and process.returncode is None and self._expected is None:
-            outcome = await get(self.address, "/-/ready")
+        deadline = self._recorder.now() + READY_TIMEOUT_S
+        while self._recorder.now() < deadline and process.returncode is None and self._expected_end is None:
+            outcome = await get(self.spec.address, "/-/ready")
             if outcome.how == "answer" and outcome.status == 200:
                 self.ready = True
-                self._recorder.put(NodeUp(self._recorder.now(), self.name, self.tier))
+                self._recorder.put(NodeUp(self._recorder.now(), self.name, self.spec.tier))
                 return True
-            await asyncio.sleep(READY_EVERY_S)
+            await asyncio.sleep(READY_POLL_S)
         return False
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
         status = await process.wait()
         if process is self._process:
-            self._note_end(f"exit {status}")
+            self._record_end(f"exit {status}")
 
-    def _note_end(self, why: str) -> None:
+    def _record_end(self, why: str) -> None:
         self.ready = False
-        expected = self._expected
+        expected = self._expected_end
         self._recorder.put(NodeDown(self._recorder.now(), self.name, expected or why))
         if expected is None:
-            self._died(self, why)
+            self._on_exit(self, why)
 
     def kill(self, why: str = "killed") -> None:
-        """End it outright, with whatever it started."""
+        """Kill the node with its children.
+
+        :param why: the reason for the record
+        """
         if self.pid is not None:
-            self._expected = why
+            self._expected_end = why
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self.pid, signal.SIGKILL)
 
     def pause(self) -> None:
-        """Stop it where it is."""
+        """Suspend its process."""
         if self.pid is not None:
             self.paused_at = self._recorder.now()
             os.kill(self.pid, signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume its process."""
         if self.pid is not None and self.paused_at is not None:
             os.kill(self.pid, signal.SIGCONT)
             self._recorder.put(NodePaused(self.paused_at, self._recorder.now(), self.name))
         self.paused_at = None
 
     def journal(self) -> list[str]:
-        """What it wrote down of its view of the fleet, all of its lives."""
+        """Return the lines of its fleet journal, over all its incarnations."""
         found: list[str] = []
         for name in ("fleet.journal.1", "fleet.journal"):
             with contextlib.suppress(OSError):
-                found += (self._home / name).read_text(encoding="utf-8").splitlines()
+                found += (self._folder / name).read_text(encoding="utf-8").splitlines()
         return found
 
     async def stop(self) -> None:
-        """Tell it to end, and kill it if it does not in time."""
+        """Terminate its process, and kill it after a timeout."""
         process = self._process
         if process is None or self.pid is None:
             return
-        self._expected = "ended"
+        self._expected_end = "ended"
         self._recorder.put(NodeDown(self._recorder.now(), self.name, "term"))
         process.terminate()
         try:
-            await asyncio.wait_for(process.wait(), TERM_S)
+            await asyncio.wait_for(process.wait(), TERM_TIMEOUT_S)
         except TimeoutError:
             self.kill("ended late")
 
-    async def gone(self) -> None:
-        """Wait until its process has ended and that is in the record."""
+    async def wait_ended(self) -> None:
+        """Wait until its process has ended and this is recorded."""
         if self._watcher is not None:
             await self._watcher
 
-    def look(self, note: bool) -> None:
-        """Read how long it has waited for a core, from the kernel's books; `note`: since the last look."""
+    def sample_cpu(self, record: bool) -> None:
+        """Read its CPU time and its wait for a core from the kernel.
+
+        :param record: whether to record a long wait since the last sample
+        """
         if self.pid is None:
             return
         try:
-            ran, waited, _ = (int(n) for n in Path(f"/proc/{self.pid}/schedstat").read_text().split())
+            ran_ns, waited_ns, _ = (
+                int(field) for field in Path(f"/proc/{self.pid}/schedstat").read_text().split()
+            )
         except (OSError, ValueError):
-            return  # ended just now, or a kernel that does not tell
-        share = (waited / 1e9 - self._waited) / WINDOW_S
-        self._waited = waited / 1e9
-        self._cpu_now_s = ran / 1e9
-        if note and share > NOTED_SHARE:
-            self._recorder.put(Lag(self._recorder.now(), self.name, "starved", share))
+            return  # the process has ended, or the kernel has no such statistics
+        starved = (waited_ns / 1e9 - self._waited_s) / CPU_SAMPLE_S
+        self._waited_s = waited_ns / 1e9
+        self._cpu_now_s = ran_ns / 1e9
+        if record and starved > MIN_STARVED_FRACTION:
+            self._recorder.put(Lag(self._recorder.now(), self.name, "starved", starved))
 
     def log_lines(self) -> list[str]:
-        """The end of its log."""
+        """Return the last lines of its log, up to a limit in bytes."""
         try:
-            data = (self._home / "log").read_bytes()[-LOG_BYTES:]
+            data = (self._folder / "log").read_bytes()[-LOG_TAIL_BYTES:]
         except OSError:
             return []
         return data.decode("utf-8", "replace").splitlines()
 
     def log_tail(self, lines: int) -> list[str]:
-        """Its last lines, for whoever asks why it died."""
+        """Return the last lines of its log, as the likely reason of its end.
+
+        :param lines: at most this many
+        """
         return self.log_lines()[-lines:]
