--- a/orchidferry/testkit/traffic/block_reader.py
+++ b/orchidferry/testkit/traffic/block_reader.py
@@ -121,7 +121,7 @@
         self._times = Memo(_clf)
 
     def hash(self, kind: int, text: str) -> int:
-        """64 bits that stand for a client or an object; 0 for none."""
+        """:returns: the keyed hash of a client or an object, of 64 bits; 0 for an empty text."""
         if not text:
             return 0
         key = kind, text
@@ -144,7 +144,11 @@
         return number, self.hash(OBJECT, target), "" if kind is not None else f"{method}\0{path[:1024]}"
 
     def add(self, columns: Columns, shapes: Counter[str], line: int, entry: Entry) -> None:
-        """An entry as a row."""
+        """Add the row of an entry.
+
+        :param shapes: counts the shape of a request that is in no class.
+        :param line: number of the entry in its file.
+        """
         cls, thing, shape = self.classify(entry.method, entry.target)
         if shape:
             shapes[shape] += 1
@@ -258,14 +262,21 @@
 
 
 def start_worker(plan: Plan) -> None:
-    """Prepare this process for the two functions below."""
+    """Prepare a worker process for `rows_of_lines` and `rows_of_entries`.
+
+    :param plan: of the import.
+    """
     global _reader
     gc.disable()  # nothing here has cycles, and a block makes a hundred thousand tuples
     _reader = BlockReader(plan)
 
 
 def rows_of_lines(file: int, block: Block, shift_s: float) -> BlockRows:
-    """Rows of a block of lines of a log."""
+    """Make rows of a block of lines of a log.
+
+    :param file: number of the file in the plan.
+    :param shift_s: added to all times.
+    """
     assert _reader is not None
     columns = Columns()
     shapes = Counter[str]()
@@ -285,7 +296,13 @@
 
 
 def rows_of_entries(file: int, first: int, found: list[Entry | str], shift_s: float) -> BlockRows:
-    """Rows of entries that were read already; a text is the reason why one was rejected."""
+    """Make rows of entries of a HAR.
+
+    :param file: number of the file in the plan.
+    :param first: number of the first entry in the file.
+    :param found: the entries; a text is the reason why one was rejected.
+    :param shift_s: added to all times.
+    """
     assert _reader is not None
     columns = Columns()
     shapes = Counter[str]()
--- a/orchidferry/testkit/traffic/classes.py
+++ b/orchidferry/testkit/traffic/classes.py
@@ -40,7 +40,7 @@
 
 
 class ClassesFileError(OrchidferryError):
-    """A file that can't be used; the text names the class and field."""
+    """A classes file can't be used; the text names the class and field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Classes:
-    """All classes, and how a client is told."""
+    """All classes, and what identifies a client."""
 
     kinds: tuple[Kind, ...]
     identity: tuple[str, ...] = DEFAULT_IDENTITY
     _cache: dict[tuple[str, str], Kind | None] = field(default_factory=dict, compare=False, repr=False)
 
     def kind_of(self, method: str, path: str) -> Kind | None:
-        """The first class that fits."""
+        """:returns: the first class that a request matches; None if there is none."""
         key = method, path
         if key in self._cache:
             return self._cache[key]
@@ -79,11 +79,11 @@
         return found
 
     def wanted_fields(self) -> frozenset[str]:
-        """Headers and cookies that a reader must bring for identities, lower case."""
+        """:returns: headers and cookies that identify clients, in lower case."""
         return frozenset(one.partition(":")[2] for one in self.identity if ":" in one)
 
     def client_of(self, entry: Entry) -> str:
-        """What the client of a request is told by; '' if nothing of it was logged."""
+        """:returns: what identifies the client of a request; empty if nothing of it was logged."""
         for one in self.identity:
             if ":" in one:
                 value = (entry.fields or {}).get(one.partition(":")[2], "")
@@ -97,7 +97,7 @@
 
 
 def glob(text: str) -> str:
-    """A glob over a path's parts as a pattern: `*` and `?` within a part, `**` over parts."""
+    """:returns: a path's glob as a regex: `*` and `?` match within a segment, `**` over segments."""
     found = []
     for part in re.split(r"(\*\*|\*|\?)", text):
         found.append({"**": ".*", "*": "[^/]*", "?": "[^/]"}.get(part, re.escape(part)))
@@ -123,7 +123,11 @@
 
 
 def read_classes(data: bytes) -> Classes:
-    """A file's classes; `ClassesFileError` if it can't be used."""
+    """Parse a classes file.
+
+    :param data: the file's content.
+    :raises ClassesFileError: if it can't be used.
+    """
     try:
         obj = tomllib.loads(data.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
@@ -183,7 +187,7 @@
 
 
 def shape_of(method: str, path: str) -> str:
-    """A request's shape: its path with the parts that are of one object as `*`."""
+    """:returns: a request's shape: its method and path, with `*` for segments that name one object."""
     parts = path.split("/")
     if len(parts) > 12:
         parts = [*parts[:12], "**"]
@@ -211,7 +215,7 @@
         self.counts[shape] += count
 
     def most(self, count: int) -> list[tuple[str, int]]:
-        """The most frequent, with how often at most."""
+        """:returns: the `count` most frequent shapes, each with an upper bound of its number."""
         return self.counts.most_common(count)
 
 
@@ -264,6 +268,6 @@
 
 
 def mix(counts: Mapping[str, int]) -> dict[str, float]:
-    """Shares by class."""
+    """:returns: the fraction of the requests by class, in order of the names; empty without requests."""
     total = sum(counts.values())
     return {name: count / total for name, count in sorted(counts.items())} if total else {}
--- a/orchidferry/testkit/traffic/entry.py
+++ b/orchidferry/testkit/traffic/entry.py
@@ -1,4 +1,4 @@
-"""What every reader makes of a line or an entry: one recorded request, or a reason why it is none."""
+"""One request of a log, as all readers parse it, and the checks of its values."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 # characters: longer ones are no request that a server takes
 MAX_TARGET = 8_192
 MAX_TEXT = 1_024
+MAX_SIZE = 1 << 50  # bytes of a body
 MAX_SECONDS = 86_400.0  # of one request: more is another unit, or another field
 # 2000 to 2100: what is outside is no time of a request
 EARLIEST = 946_684_800.0
@@ -42,12 +43,16 @@
 
     @property
     def path(self) -> str:
-        """Without the query."""
+        """The target without its query."""
         return self.target.partition("?")[0]
 
 
 def method_of(text: str) -> str:
-    """A method as RFC 9110 writes one, or `EntryError`."""
+    """Check a method (RFC 9110, section 9.1).
+
+    :returns: the method in upper case.
+    :raises EntryError: if the text is no method.
+    """
     if (
         not text
         or len(text) > 32
@@ -59,7 +64,10 @@
 
 
 def target_of(text: str) -> str:
-    """Path and query of any form of target (RFC 9112, section 3.2): a log is never a place to send to."""
+    """Take path and query from any form of request target (RFC 9112, section 3.2).
+
+    :raises EntryError: if the target is too long, or has no path.
+    """
     if len(text) > MAX_TARGET:
         raise EntryError("a target that is too long")
     if "://" in text[:16]:
@@ -75,28 +83,44 @@
 
 
 def moment(seconds: float) -> float:
-    """A time that a request can have been at."""
+    """Check the time of a request.
+
+    :param seconds: since 1970, UTC.
+    :raises EntryError: if it is not within 2000 to 2100.
+    """
     if not EARLIEST <= seconds <= LATEST:
         raise EntryError("a time out of range")
     return seconds
 
 
 def duration(seconds: float) -> float:
-    """A time that a request can have taken."""
+    """Check the duration of a request.
+
+    :raises EntryError: if it is negative, or more than a day.
+    """
     if not 0.0 <= seconds <= MAX_SECONDS:
         raise EntryError("a duration out of range")
     return seconds
 
 
 def size_of(number: int) -> int:
-    """A size in bytes; what is not known is 0."""
-    if number > 1 << 50:
+    """Check the size of a body.
+
+    :param number: of bytes; negative if unknown.
+    :returns: the size; 0 if unknown.
+    :raises EntryError: if it is out of range.
+    """
+    if number > MAX_SIZE:
         raise EntryError("a size out of range")
     return max(0, number)
 
 
 def status_of(number: int) -> int:
-    """A status of RFC 9110, 499 and the like included; 0: no answer."""
+    """Check a status, those outside RFC 9110 such as 499 included.
+
+    :param number: the status; 0 for no answer.
+    :raises EntryError: if it has not three digits.
+    """
     if number and not 100 <= number <= 999:
         raise EntryError("a status out of range")
     return number
--- a/orchidferry/testkit/traffic/export.py
+++ b/orchidferry/testkit/traffic/export.py
@@ -25,7 +25,7 @@
 
 
 def classes_text(header: Header) -> str:
-    """The file of classes that tells the exported requests apart."""
+    """:returns: the classes file that an import of the exported log needs."""
     lines = []
     for row in header.classes:
         lines += [
@@ -40,7 +40,12 @@
 
 
 def lines(header: Header, blocks: Iterator[Rows]) -> Iterator[bytes]:
-    """Each request as a JSON object; times to the microsecond, in seconds since 1970."""
+    """Render rows as a log of JSON lines.
+
+    :param header: of the recording.
+    :param blocks: its rows.
+    :returns: a line for each request; times are in seconds since 1970, to the microsecond.
+    """
     names = [(f"/{row['name']}/", METHODS.get(row["repeat"], "POST")) for row in header.classes]
     for rows in blocks:
         for t, client, thing, took, sent, received, _, cls, status, flags, _ in rows.tolist():
@@ -66,7 +71,10 @@
 
 
 def first_difference(one: Rows, other: Rows) -> str:
-    """Where two recordings differ, but for the names of clients and objects; empty: nowhere."""
+    """Compare two recordings, but for the hashes of clients and objects.
+
+    :returns: the first difference; empty if there is none.
+    """
     if len(one) != len(other):
         return f"{len(one)} and {len(other)} requests"
     for name in ("t", "took", "sent", "received", "cls", "status", "flags", "chain", "number"):
--- a/orchidferry/testkit/traffic/formats.py
+++ b/orchidferry/testkit/traffic/formats.py
@@ -35,7 +35,12 @@
 
 
 def layout_of(text: str, wanted: frozenset[str] = frozenset()) -> Layout | None:
-    """The layout of a form, if all that matters in it are usual fields; None else. `wanted`: headers."""
+    """Find the layout of a format string that has only usual fields.
+
+    :param wanted: headers and cookies that must be read.
+    :returns: the layout; None for other formats.
+    :raises LogFormatError: if the format can't be used.
+    """
     text = _named(text)
     if text.partition(":")[0] in MAPPED:
         return None
@@ -47,9 +52,11 @@
 
 
 def compile_format(text: str, zone: tzinfo | None = None) -> Parser:
-    """A form's parser: an `Entry` from a line, or `Reject`. `LogFormatError` if the form can't be.
+    """Compile a format.
 
-    `zone` is that of times written without one.
+    :param zone: of times that name none; None for UTC.
+    :returns: a function that parses a line, and raises `EntryError` if it is no request.
+    :raises LogFormatError: if the format can't be used.
     """
     zone = zone or ZoneInfo("UTC")
     if len(text) > MAX_FORMAT:
--- a/orchidferry/testkit/traffic/har.py
+++ b/orchidferry/testkit/traffic/har.py
@@ -83,8 +83,10 @@
 
 
 def entry_of(obj: Any, wanted: frozenset[str] = frozenset()) -> Entry:
-    """One entry of `log.entries`; `EntryError` if it is no request. `wanted`: headers and cookies, lower
-    case.
+    """Parse one object of `log.entries`.
+
+    :param wanted: headers and cookies to keep, in lower case.
+    :raises EntryError: if it is no request.
     """
     if not isinstance(obj, dict) or not isinstance(obj.get("request"), dict):
         raise EntryError("an entry without a request")
@@ -131,8 +133,11 @@
 
 
 def read_har(chunks: Iterable[bytes], wanted: frozenset[str] = frozenset()) -> Iterator[Entry | EntryError]:
-    """All entries in the file's order, those that are no request as their `EntryError`; a last one for a
-    cut.
+    """Parse a HAR.
+
+    :param wanted: headers and cookies to keep, in lower case.
+    :returns: the entries in the file's order, with an `EntryError` in place of each that is no request; a
+        last one if the file is cut off.
     """
     found = 0
     try:
--- a/orchidferry/testkit/traffic/importing.py
+++ b/orchidferry/testkit/traffic/importing.py
@@ -41,7 +41,7 @@
 
 
 def is_har(source: Source) -> bool:
-    """Whether a file begins like a HAR: an object whose first key is `log`."""
+    """:returns: whether a file begins like a HAR: an object whose first key is `log`."""
     head = next(iter(source.chunks()), b"")[:4096].lstrip(b"\xef\xbb\xbf \t\r\n")
     return head[:1] == b"{" and head[1:].lstrip().startswith(b'"log"')
 
@@ -91,8 +91,15 @@
 def import_files(
     plan: Plan, to: Path, rejects: Path, watch: Callable[[Report], None] = lambda _: None
 ) -> Report:
-    """Make a recording; nothing is left of one that fails. `TooManyRejectedError`, `SourceError` or
-    `OSError` then.
+    """Make a recording; if the import fails, none is left.
+
+    :param to: path of the recording.
+    :param rejects: path of the list of rejected lines.
+    :param watch: called with the report so far, after each block.
+    :returns: what was imported.
+    :raises TooManyRejectedError: if more was rejected than the plan allows.
+    :raises SourceError: if a file can't be read.
+    :raises OSError: if the recording can't be written.
     """
     report = Report()
     with tempfile.TemporaryDirectory(prefix="orchidferry-import-", dir=to.parent) as name:
--- a/orchidferry/testkit/traffic/log_fields.py
+++ b/orchidferry/testkit/traffic/log_fields.py
@@ -1,4 +1,4 @@
-"""The fields of an access log's form, and an entry made of their values. No I/O."""
+"""The fields of an access log's format, and the entry that their values make. No I/O."""
 
 from __future__ import annotations
 
@@ -42,11 +42,16 @@
 
 
 class LogFormatError(OrchidferryError):
-    """A form that can't be; the text names the part."""
+    """A log format can't be used; the text names the part of it."""
 
 
 def build(values: Mapping[str, Any], zone: tzinfo) -> Entry:
-    """An entry from values by key; a time may be a number of seconds already."""
+    """Make an entry of a line's values.
+
+    :param values: by the keys of `KEYS`; others are headers and cookies. `took` is in seconds.
+    :param zone: of times that name none.
+    :raises EntryError: if a value can't be used.
+    """
     took_s = values.get("took")
     if took_s is not None:
         took_s = duration(took_s)
@@ -82,7 +87,12 @@
 
 
 def require_keys(keys: set[str], text: str) -> None:
-    """Check that a form names what an entry needs. `LogFormatError`."""
+    """Check that a format names what an entry needs.
+
+    :param keys: that the format names.
+    :param text: the format, for the error.
+    :raises LogFormatError: if a key is missing.
+    """
     for one in NEEDED:
         if not one & keys:
             raise LogFormatError(f"{text[:60]!r} lacks {' or '.join(sorted(one))}")
--- a/orchidferry/testkit/traffic/log_values.py
+++ b/orchidferry/testkit/traffic/log_values.py
@@ -18,7 +18,11 @@
 
 @functools.lru_cache(maxsize=4_096)  # a busy log has hundreds of lines a second
 def clf_time(text: str) -> float:
-    """`10/Oct/2026:13:55:36 -0300`, in seconds since 1970."""
+    """Parse a time of the Common Log Format, such as `10/Oct/2026:13:55:36 -0300`.
+
+    :returns: seconds since 1970.
+    :raises EntryError: if it can't be read.
+    """
     try:
         if not CLF.fullmatch(text):
             raise ValueError
@@ -39,7 +43,12 @@
 
 
 def any_time(value: Any, zone: tzinfo) -> tuple[float, float]:
-    """A time in any usual form, and how finely it is written: epoch in s, ms, us or ns, ISO 8601, CLF."""
+    """Parse a time: epoch in s, ms, us or ns, ISO 8601, or the Common Log Format.
+
+    :param zone: of a time that names none.
+    :returns: seconds since 1970, and the resolution: 1.0 for whole seconds, 0.0 for a finer one.
+    :raises EntryError: if it can't be read.
+    """
     if isinstance(value, bool) or value is None:
         raise EntryError("no time")
     if not isinstance(value, str):
@@ -66,7 +75,10 @@
 
 
 def number(value: Any) -> float:
-    """A number, or `-` for none."""
+    """Parse a number; `-` and an empty text are 0.
+
+    :raises EntryError: if it is no finite number.
+    """
     if value in ("-", "", None):
         return 0.0
     try:
@@ -79,7 +91,7 @@
 
 
 def address_of(text: str) -> str:
-    """A client's address without its port; of a list as proxies make one, the first."""
+    """:returns: a client's address without its port; the first of a list that proxies made."""
     text = text.partition(",")[0].strip()
     if text.startswith("["):
         return text[1:].partition("]")[0]
@@ -93,14 +105,18 @@
 
 
 def unescaped(text: str) -> str:
-    """What a server wrote as `\\x22`, `\\"` and the like."""
+    """:returns: the text without a server's escapes, such as `\\x22` and `\\"`."""
     if "\\" not in text:
         return text
     return ESCAPE.sub(lambda m: chr(int(m[1], 16)) if m[1] else PLAIN.get(m[2], m[2]), text)
 
 
 def split_request(text: str) -> tuple[str, str]:
-    """Method and target of a request line."""
+    """Split a request line.
+
+    :returns: the method and the target.
+    :raises EntryError: if it can't be read.
+    """
     method, _, rest = text.partition(" ")
     target, _, version = rest.rpartition(" ")
     if not version.startswith("HTTP/"):
--- a/orchidferry/testkit/traffic/recording.py
+++ b/orchidferry/testkit/traffic/recording.py
@@ -60,22 +60,29 @@
 
 
 def prefetched(items: Iterator[T]) -> Iterator[T]:
-    """The same, the next one made by a thread while this one is used."""
+    """Iterate over `items`, with the next one made by a thread while one is used.
+
+    :param items: iterated over by the thread alone.
+    :returns: the same items, in their order.
+    """
     end = object()
     with ThreadPoolExecutor(1) as pool:
-        coming = pool.submit(next, items, end)
-        while (found := coming.result()) is not end:
-            coming = pool.submit(next, items, end)
-            yield found  # type: ignore[misc]
+        next_item = pool.submit(next, items, end)
+        while (item := next_item.result()) is not end:
+            next_item = pool.submit(next, items, end)
+            yield item  # type: ignore[misc]
 
 
 class RecordingError(OrchidferryError):
-    """A file that is no recording, or a damaged one; the text names it."""
+    """A file is no recording, or a damaged one; the text names it."""
 
 
 @dataclass
 class Header:
-    """What the rows mean, and what is known of where they came from."""
+    """The metadata of a recording: its classes, its length, and remarks of the import.
+
+    The names of the fields are keys of the stored JSON.
+    """
 
     classes: list[dict[str, Any]]  # name, repeat, worth, wanted_s, gives_up_s; rows name them by number
     rows: int = 0  # 0: not known before the end
@@ -90,11 +97,16 @@
 
 
 class Writer:
-    """Writes a recording beside its place, and puts it there whole with `close`."""
+    """Writes a recording to a temporary file, which `close` renames.
+
+    :param path: of the recording.
+    :param header: written first.
+    """
 
     def __init__(self, path: Path, header: Header) -> None:
-        self._path, self._part = path, path.with_name(path.name + ".part")
-        self._file = zstd.ZstdFile(self._part, "w", level=LEVEL)
+        self._path = path
+        self._partial = path.with_name(path.name + ".part")
+        self._file = zstd.ZstdFile(self._partial, "w", level=LEVEL)
         self._file.write(b"%b %d\n" % (MAGIC, FORMAT))
         self._file.write(json.dumps(asdict(header)).encode() + b"\n")
         self._sum = hashlib.blake2b(digest_size=32)
@@ -102,7 +114,11 @@
         self._last = 0
 
     def put(self, rows: Rows) -> None:
-        """Add rows, in order of time. `ValueError` if they are not."""
+        """Append rows.
+
+        :param rows: in order of time, none before those that were appended.
+        :raises ValueError: if they are out of order.
+        """
         if not len(rows):
             return
         times = rows["t"]
@@ -115,22 +131,26 @@
         self._file.write(data)
 
     def close(self) -> None:
-        """End it, and put it in its place."""
+        """Write the checksum, and rename the file to its path."""
         end = np.zeros(1, ROW)
         end["t"] = END
         self._file.write(end.tobytes())
         self._file.write(b"end %b %d\n" % (self._sum.hexdigest().encode(), self._count))
         self._file.close()
-        self._part.replace(self._path)
+        self._partial.replace(self._path)
 
     def discard(self) -> None:
-        """Leave nothing behind."""
+        """Close and remove the temporary file."""
         self._file.close()
-        self._part.unlink(missing_ok=True)
+        self._partial.unlink(missing_ok=True)
 
 
 class Reader:
-    """Reads a recording in blocks. `RecordingError` if it is none, here or while it is read."""
+    """Reads a recording in blocks.
+
+    :param path: of the recording.
+    :raises RecordingError: if the file is no recording.
+    """
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -154,7 +174,13 @@
             raise RecordingError(f"{self._path}: is no recording: {problem!s:.80}") from None
 
     def blocks(self, from_s: float = 0.0, to_s: float = math.inf) -> Iterator[Rows]:
-        """All rows within these times, a block at a time; the whole file is checked on the way."""
+        """Iterate over the rows of a range of times; the complete file is checked on the way.
+
+        :param from_s: start of the range, seconds from the first request.
+        :param to_s: end of the range, which is not in it.
+        :returns: blocks of rows, none of them empty.
+        :raises RecordingError: if the file is cut off, damaged or does not fit its checksum.
+        """
         if self._file.closed:
             self.header = self._open()
         checksum = hashlib.blake2b(digest_size=32)
@@ -164,9 +190,9 @@
         try:
             with self._file:
                 while True:
-                    data = self._exactly(BLOCK * ROW.itemsize)
-                    whole = len(data) - len(data) % ROW.itemsize
-                    rows = np.frombuffer(data[:whole], ROW)
+                    data = self._read_up_to(BLOCK * ROW.itemsize)
+                    complete = len(data) - len(data) % ROW.itemsize  # bytes of complete rows
+                    rows = np.frombuffer(data[:complete], ROW)
                     last = np.flatnonzero(rows["t"] == END)
                     if last.size:
                         at = int(last[0])
@@ -186,7 +212,7 @@
         if tail != b"end %b %d\n" % (checksum.hexdigest().encode(), count):
             raise RecordingError(f"{self._path}: does not fit its checksum")
 
-    def _exactly(self, size: int) -> bytes:
+    def _read_up_to(self, size: int) -> bytes:
         found = []
         while size:
             data = self._file.read(size)
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -141,10 +141,13 @@
 
 
 def replayed_arrivals(scenario: Scenario, index: int = 0, every: int = 1) -> Iterator[Arrival]:
-    """The arrivals of a replay in order of time, every so-manieth from `index` on.
+    """Iterate over the arrivals of a replay in order of time, as far as one process sends them.
 
     How patient a client is and whether it heeds advice is drawn for the client, not for the request.
-    `RecordingError` if one is damaged past what has been read.
+
+    :param index: of the process: its first arrival.
+    :param every: number of processes: its next arrival is so many later.
+    :raises RecordingError: if a recording is damaged after what has been read.
     """
     classes = {cls.name: cls for cls in scenario.classes}
     streams = [
@@ -269,9 +272,11 @@
 
 
 def resolve(scenario: Scenario) -> tuple[Scenario, Preview]:
-    """A scenario whose classes, rate and length are its recordings', and what it will send.
+    """Take the classes, the rate and the length of a scenario from its recordings, which are checked.
 
-    `ScenarioError` or `RecordingError` if it can't be played; each recording is read whole and checked.
+    :returns: the scenario, and what it will send.
+    :raises ScenarioError: if it can't be replayed.
+    :raises RecordingError: if a recording is damaged.
     """
     if not scenario.traffic:
         raise ScenarioError(f"{scenario.name}: which recording? --recording FILE, or [[traffic]] in the file")
--- a/orchidferry/testkit/traffic/row_columns.py
+++ b/orchidferry/testkit/traffic/row_columns.py
@@ -85,7 +85,12 @@
         self.fast = None
 
     def rows(self, shift_s: float, rng: np.random.Generator) -> TimedRows:
-        """As rows in order of time, and where a clock went back."""
+        """Make the rows.
+
+        :param shift_s: added to all times.
+        :param rng: for the part of a second that was not logged.
+        :returns: the rows in order of time, and where the clock went back.
+        """
         self.join()
         count = len(self.t)
         found = np.zeros(count, ROW)
@@ -104,9 +109,11 @@
         spread = rng.random(count) * step
         found["t"] = np.rint((start + shift_s + spread) * 1e6).astype(np.uint64)
         found["took"] = np.where(took < 0.0, NO_TIME, np.minimum(np.rint(took * 1e6), NO_TIME - 1))
-        found["client"], found["object"] = np.array(self.client, np.uint64), np.array(self.object, np.uint64)
+        found["client"] = np.array(self.client, np.uint64)
+        found["object"] = np.array(self.object, np.uint64)
         found["sent"] = np.minimum(np.array(self.sent, np.int64), MAX_BYTES)
         found["received"] = np.minimum(np.array(self.received, np.int64), MAX_BYTES)
-        found["cls"], found["status"] = self.cls, self.status
+        found["cls"] = self.cls
+        found["status"] = self.status
         found["flags"] = np.where(self.aborted, ABORTED, 0) | np.where(step > 0.0, SPREAD, 0)
         return TimedRows(found[np.argsort(found["t"], kind="stable")], back)
--- a/orchidferry/testkit/traffic/sorted_runs.py
+++ b/orchidferry/testkit/traffic/sorted_runs.py
@@ -14,41 +14,52 @@
 
 
 class SortedRuns:
-    """Rows of any order, sorted and spilled; given back in order of time."""
+    """External merge sort of rows by time.
+
+    :param folder: for the sorted runs.
+    """
 
     def __init__(self, folder: Path) -> None:
-        self._folder, self._held, self._count = folder, list[Rows](), 0
+        self._folder = folder
+        self._buffered: list[Rows] = []
+        self._count = 0  # of buffered rows
         self._files: list[Path] = []
         self.total = 0
         self.first = 0
         self.last = 0
 
     def put(self, rows: Rows) -> None:
-        """Take rows that are sorted among themselves."""
+        """Add rows.
+
+        :param rows: in order of time.
+        """
         if not len(rows):
             return
         self.first = min(self.first or int(rows["t"][0]), int(rows["t"][0]))
         self.last = max(self.last, int(rows["t"][-1]))
-        self._held.append(rows)
+        self._buffered.append(rows)
         self._count += len(rows)
         self.total += len(rows)
         if self._count >= RUN_ROWS:
             self._spill()
 
     def _spill(self) -> None:
-        rows = np.concatenate(self._held)
+        rows = np.concatenate(self._buffered)
         rows = rows[np.argsort(rows["t"], kind="stable")]
         path = self._folder / f"run{len(self._files)}"
         rows.tofile(path)
         self._files.append(path)
-        self._held = []
+        self._buffered = []
         self._count = 0
 
     def slices(self) -> Iterator[Rows]:
-        """All rows in order of time, some hundred thousand at once."""
-        if self._held:
+        """Merge all rows.
+
+        :returns: slices of some hundred thousand rows, in order of time.
+        """
+        if self._buffered:
             self._spill()
-        step = max(256, RUN_ROWS // max(1, len(self._files)))
+        step = max(MIN_STEP, RUN_ROWS // max(1, len(self._files)))
         files = [path.open("rb") for path in self._files]  # read, not mapped: what is mapped counts as memory
         try:
             heads = [np.fromfile(file, ROW, step) for file in files]
--- a/orchidferry/testkit/traffic/sources.py
+++ b/orchidferry/testkit/traffic/sources.py
@@ -22,15 +22,16 @@
 BLOCK = 512 * 1024  # bytes read in one go
 GZIP = b"\x1f\x8b"
 ZSTD = b"\x28\xb5\x2f\xfd"
+DAMAGED = "the compressed file ends in the middle or is damaged"
 
 
 class SourceError(OrchidferryError):
-    """A file that can't be read at all; the text names it."""
+    """A file can't be read at all; the text names it."""
 
 
 @dataclass(slots=True)
 class Block:
-    """Some whole lines, without their ends."""
+    """Complete lines of a file, without the end of the last."""
 
     first: int  # number of the first line, from 1
     data: bytes  # without the end of the last line
@@ -40,15 +41,17 @@
     @property
     def lines(self) -> list[bytes | None]:
         """The lines; None for one that was too long."""
-        found: list[bytes | None] = [one if len(one) <= MAX_LINE else None for one in self.data.split(b"\n")]
+        lines: list[bytes | None] = [
+            line if len(line) <= MAX_LINE else None for line in self.data.split(b"\n")
+        ]
         if self.dropped:
-            found[0] = None
-        return found
+            lines[0] = None
+        return lines
 
 
 @dataclass(slots=True)
 class Source:
-    """An open file; `problem` says, after the last block, what cut it short."""
+    """A file to read; `problem` says, after the last block, why it ended early."""
 
     path: Path
     problem: str = ""
@@ -56,7 +59,10 @@
     _carry: bytes = field(default=b"", repr=False)
 
     def open(self) -> Any:
-        """The file's bytes, uncompressed. `SourceError` if it can't be opened."""
+        """Open the file for reading its uncompressed bytes.
+
+        :raises SourceError: if it can't be opened, or needs a library that is not there.
+        """
         try:
             raw = self.path.open("rb")
             magic = raw.read(4)
@@ -74,19 +80,22 @@
         return raw
 
     def chunks(self) -> Iterator[bytes]:
-        """The bytes in pieces of at most `BLOCK`, as far as they can be had."""
+        """Read the uncompressed bytes, up to the first damage.
+
+        :returns: chunks of at most `BLOCK` bytes.
+        :raises SourceError: if the file can't be opened.
+        """
         with self.open() as file:
             while True:
                 try:
                     data = file.read1(BLOCK) if isinstance(file, io.BufferedIOBase) else file.read(BLOCK)
-                except (EOFError, OSError, zlib.error, lzma.LZMAError) as problem:
-                    self.problem = "the compressed file ends in the middle or is damaged"
-                    del problem
+                except (EOFError, OSError, zlib.error, lzma.LZMAError):
+                    self.problem = DAMAGED
                     return
                 except Exception as problem:  # zstd's own error has no name in common with these
                     if type(problem).__name__ != "ZstdError":
                         raise
-                    self.problem = "the compressed file ends in the middle or is damaged"
+                    self.problem = DAMAGED
                     return
                 if not data:
                     return
@@ -94,7 +103,11 @@
                 yield data
 
     def blocks(self) -> Iterator[Block]:
-        """All lines. The last one may lack its end."""
+        """Read the lines; the last one may lack its end.
+
+        :returns: blocks of lines, in the order of the file.
+        :raises SourceError: if the file can't be opened.
+        """
         number = 1
         carry = b""
         dropping = False
