--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -1,4 +1,4 @@
-"""`orchidferry rehearse`: from the command line to a verdict."""
+"""The command `orchidferry rehearse`: runs a scenario and reports the verdict."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from orchidferry.testkit.judge.fleet import judge_fleet
 from orchidferry.testkit.judge.verdict import Verdict, judge
 from orchidferry.testkit.judge.verdict_json import as_json
-from orchidferry.testkit.mesh.command import main as on_mesh
+from orchidferry.testkit.mesh.command import main as rehearse_mesh
 from orchidferry.testkit.mesh.day import DAYS
 from orchidferry.testkit.record import Lag, RequestScheduled
 from orchidferry.testkit.report import terminal
@@ -47,29 +47,36 @@
     from orchidferry.testkit.traffic.replay import Preview
 
 MIN_SECONDS = 1.0
-PLAIN_WIDTH = 120  # of what is printed where no terminal tells its width
+PLAIN_WIDTH = 120  # characters, if the output is no terminal
+MAX_LOSS = 0.5
+MAX_PRINTED_NOTES = 5
 
 
 def main(args: argparse.Namespace, command: str = "rehearse") -> int:
-    """Run the command; its exit status."""
+    """Run the command.
+
+    :param args: the parsed command line
+    :param command: the command's name in error lines
+    :returns: the exit status
+    """
     if args.scenario in DAYS and not args.list:
-        return on_mesh(args)
+        return rehearse_mesh(args)
     try:
         if args.list:
-            return _list()
+            return _print_scenarios()
         if getattr(args, "seeds", None) is not None:
             raise UsageError("--seeds: is for days of the mesh")
-        scenario, preview = _scenario(args)
+        scenario, preview = _read_scenario(args)
         keep = None if args.keep is None else kept_folder(Path(args.keep))
         for path in (args.json, args.report):
             if path is not None:
-                _writable(Path(path))
+                _check_writable(Path(path))
     except (ScenarioError, UsageError) as problem:
         print(f"orchidferry {command}: {problem}", file=sys.stderr)
         return 2
     console = Console(width=None if sys.stdout.isatty() else PLAIN_WIDTH)
     try:
-        run = uvloop.run(_run(console, scenario, keep))
+        run = uvloop.run(_run_scenario(console, scenario, keep))
     except NoFreeAddressesError as problem:
         print(f"orchidferry {command}: {problem}", file=sys.stderr)
         return 2
@@ -84,17 +91,17 @@
             verdict.trace, run.facts, run.journals, run.zero, run.plan.links
         )
     if preview is not None:
-        verdict.traffic = _replayed(preview, run)
+        verdict.traffic = _replay_result(preview, run)
     terminal.show(console, verdict)
-    for note in run.notes[:5]:
-        console.print(f"a node logged: {note}", markup=False, highlight=False)
-    _write(args, verdict)
+    for line in run.notes[:MAX_PRINTED_NOTES]:
+        console.print(f"a node logged: {line}", markup=False, highlight=False)
+    _write_reports(args, verdict)
     if run.interrupted:
         return 130
     return 0 if verdict.passed else 1
 
 
-def _list() -> int:
+def _print_scenarios() -> int:
     for name in shipped():
         print(f"{name:22} {load_scenario(name).about}")
     for day in DAYS.values():
@@ -102,18 +109,18 @@
     return 0
 
 
-def _replayed(preview: Preview, run: Run) -> dict[str, Any]:
-    """What the clients sent, from the run's record."""
+def _replay_result(preview: Preview, run: Run) -> dict[str, Any]:
+    """Measure what the clients sent, from the run's record."""
     from orchidferry.testkit.traffic.replay import measure
 
     sent = Counter(fact.cls for fact in run.facts if isinstance(fact, RequestScheduled))
     lags = [fact for fact in run.facts if isinstance(fact, Lag) and fact.kind == "late"]
-    left = sum(preview.sent.values()) - sum(sent.values())
-    return measure(preview, sent, [lag.amount for lag in lags], [lag.t for lag in lags], left)
+    unsent = sum(preview.sent.values()) - sum(sent.values())
+    return measure(preview, sent, [lag.amount for lag in lags], [lag.t for lag in lags], unsent)
 
 
-def _laid(args: argparse.Namespace) -> tuple[Traffic, ...]:
-    """What the command line lays over each other."""
+def _recordings(args: argparse.Namespace) -> tuple[Traffic, ...]:
+    """Return the recordings that the command line names, to be replayed together."""
     table = {
         name: value
         for name in ("speed", "from", "to", "loop", "scale", "retries")
@@ -124,33 +131,26 @@
     return tuple(read_traffic(table | {"recording": name}, "--") for name in args.recording)
 
 
-def _scenario(args: argparse.Namespace) -> tuple[Scenario, Preview | None]:
+def _read_scenario(args: argparse.Namespace) -> tuple[Scenario, Preview | None]:
+    """Return the scenario with the overrides of the command line, and a replay's preview.
+
+    :raises ScenarioError: if the scenario is invalid
+    :raises UsageError: if the command line is
+    """
     if args.scenario is None:
         raise UsageError("which scenario? --list tells those that are shipped")
     scenario = load_scenario(args.scenario)
-    if laid := _laid(args):
-        scenario = replace(scenario, traffic=laid)
-    if args.seed is not None and not 0 <= args.seed < 2**63:
-        raise UsageError(f"--seed {args.seed}: not within 0 to 2^63 - 1")
-    if args.seconds is not None and not (
-        math.isfinite(args.seconds) and MIN_SECONDS <= args.seconds <= MAX_SECONDS
-    ):
-        raise UsageError(f"--seconds {args.seconds:g}: not within {MIN_SECONDS:g} to {MAX_SECONDS:g}")
-    if args.loss is not None and not 0.0 <= args.loss <= 0.5:
-        raise UsageError(f"--loss {args.loss:g}: not within 0 to 0.5")
+    if recordings := _recordings(args):
+        scenario = replace(scenario, traffic=recordings)
+    _check_numbers(args)
     scenario = override(scenario, args.seed, args.seconds, args.protocol, args.loss)
     if getattr(args, "no_fleet", False):
         steps = tuple(step for step in scenario.timeline if FAULT_TYPES[step.do].on != "links")
         scenario = replace(scenario, fleet=FleetSettings(), timeline=steps)
     preview: Preview | None = None
     if scenario.traffic or scenario.name == "replay":
-        scenario, preview = _resolved(scenario, args)
-    if scenario.network.protocol == "h3" and importlib.util.find_spec("aioquic") is None:
-        raise UsageError("--protocol h3: aioquic is not installed; the extra h3 brings it")
-    if scenario.fleet.on and importlib.util.find_spec("msgpack") is None:
-        raise UsageError(f"{args.scenario}: msgpack is not installed; the extra fleet brings it")
-    if scenario.control.service and importlib.util.find_spec("grpc") is None:
-        raise UsageError(f"{args.scenario}: grpcio is not installed; the extra control brings it")
+        scenario, preview = _resolve_recordings(scenario, args)
+    _check_extras(args, scenario)
     if scenario.network.protocol == "h1" and scenario.network.loss:
         raise UsageError("--loss: only datagrams are lost on purpose, and h1 has none")
     try:
@@ -160,8 +160,30 @@
     return scenario, preview
 
 
-def _resolved(scenario: Scenario, args: argparse.Namespace) -> tuple[Scenario, Preview]:
-    """With all that the recordings say; what goes to another target, if one is named."""
+def _check_numbers(args: argparse.Namespace) -> None:
+    """Raise `UsageError` if a number of the command line is out of range."""
+    if args.seed is not None and not 0 <= args.seed < 2**63:
+        raise UsageError(f"--seed {args.seed}: not within 0 to 2^63 - 1")
+    if args.seconds is not None and not (
+        math.isfinite(args.seconds) and MIN_SECONDS <= args.seconds <= MAX_SECONDS
+    ):
+        raise UsageError(f"--seconds {args.seconds:g}: not within {MIN_SECONDS:g} to {MAX_SECONDS:g}")
+    if args.loss is not None and not 0.0 <= args.loss <= MAX_LOSS:
+        raise UsageError(f"--loss {args.loss:g}: not within 0 to 0.5")
+
+
+def _check_extras(args: argparse.Namespace, scenario: Scenario) -> None:
+    """Raise `UsageError` if a library that the scenario needs is not installed."""
+    if scenario.network.protocol == "h3" and importlib.util.find_spec("aioquic") is None:
+        raise UsageError("--protocol h3: aioquic is not installed; the extra h3 brings it")
+    if scenario.fleet.on and importlib.util.find_spec("msgpack") is None:
+        raise UsageError(f"{args.scenario}: msgpack is not installed; the extra fleet brings it")
+    if scenario.control.service and importlib.util.find_spec("grpc") is None:
+        raise UsageError(f"{args.scenario}: grpcio is not installed; the extra control brings it")
+
+
+def _resolve_recordings(scenario: Scenario, args: argparse.Namespace) -> tuple[Scenario, Preview]:
+    """Resolve a scenario's recordings, and its target if it is not the stand-in servers."""
     from orchidferry.testkit.traffic.classes import ClassesFileError, read_classes
     from orchidferry.testkit.traffic.guard import TargetError, read_guard
     from orchidferry.testkit.traffic.recording import RecordingError
@@ -191,13 +213,13 @@
         raise UsageError(f"{problem.filename}: {problem.strerror}") from None
 
 
-def _writable(path: Path) -> None:
-    """Find out before the run, not after it."""
+def _check_writable(path: Path) -> None:
+    """Raise `UsageError` before the run if a report can't be written after it."""
     if path.is_dir() or not os.access(path if path.exists() else path.parent, os.W_OK):
         raise UsageError(f"{path}: can't be written")
 
 
-async def _run(console: Console, scenario: Scenario, keep: Path | None) -> Run:
+async def _run_scenario(console: Console, scenario: Scenario, keep: Path | None) -> Run:
     progress = Progress()
     watcher = asyncio.get_running_loop().create_task(terminal.watch(console, scenario, progress))
     try:
@@ -207,17 +229,17 @@
         await asyncio.gather(watcher, return_exceptions=True)
 
 
-def _write(args: argparse.Namespace, verdict: Verdict) -> None:
+def _write_reports(args: argparse.Namespace, verdict: Verdict) -> None:
     if args.json is not None:
-        _replace(Path(args.json), json.dumps(as_json(verdict), indent=1) + "\n")
+        _replace_file(Path(args.json), json.dumps(as_json(verdict), indent=1) + "\n")
     if args.report is not None:
         from orchidferry.testkit.report.page import page
 
-        _replace(Path(args.report), page(verdict))
+        _replace_file(Path(args.report), page(verdict))
 
 
-def _replace(path: Path, text: str) -> None:
-    """Whole or not at all."""
-    part = path.with_name(path.name + ".part")
-    part.write_text(text, encoding="utf-8")
-    part.replace(path)
+def _replace_file(path: Path, text: str) -> None:
+    """Replace a file atomically."""
+    temporary = path.with_name(path.name + ".part")
+    temporary.write_text(text, encoding="utf-8")
+    temporary.replace(path)
--- a/orchidferry/testkit/report/page.py
+++ b/orchidferry/testkit/report/page.py
@@ -1,4 +1,4 @@
-"""A run as one HTML page that needs nothing else: tables, and plots as SVG within it."""
+"""The report of a run as a self-contained HTML page: tables, and plots as SVG."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from orchidferry.testkit.judge.fleet_views import count_members
 from orchidferry.testkit.judge.verdict import Verdict
-from orchidferry.testkit.report.series import QUANTILES, series
-from orchidferry.testkit.report.tables import CLASS_HEAD, TITLES, class_rows, percent, summary, word
+from orchidferry.testkit.report.series import QUANTILES, Series, series
+from orchidferry.testkit.report.tables import CLASS_HEAD, TITLES, class_rows, percent, result_text, summary
 
 FAULT_COLOURS = ("#d9822b", "#a23b72", "#3b6ea2", "#5b8c3a", "#8c5b3a")
-MARKS = {"pass": "pass", "FAIL": "fail", "nothing to check": "none"}
+RESULT_CLASSES = {"pass": "pass", "FAIL": "fail", "nothing to check": "none"}
 STYLE = """
 :root { color-scheme: light; }
 body { font: 15px/1.45 system-ui, sans-serif; color: #222; }
@@ -32,9 +32,9 @@
 
 
 def page(verdict: Verdict) -> str:
-    """The whole page."""
+    """Return the HTML page of a run."""
     scenario = verdict.scenario
-    parts = [
+    elements = [
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(scenario.name)}</title>",
         f"<style>{STYLE}</style>",
         f"<h1>Rehearsal: {escape(scenario.name)}</h1>",
@@ -42,10 +42,10 @@
         f"{scenario.load.rate:g} first tries a second.</p>",
     ]
     if not verdict.complete:
-        parts.append(f"<div class=banner>Cut off: {escape(verdict.why)}. What was seen until then:</div>")
+        elements.append(f"<div class=banner>Cut off: {escape(verdict.why)}. What was seen until then:</div>")
     for why in verdict.lateness.void:
-        parts.append(f"<div class=banner>Void: {escape(why)}. The machine was too slow.</div>")
-    parts += [
+        elements.append(f"<div class=banner>Void: {escape(why)}. The machine was too slow.</div>")
+    elements += [
         f"<p>{escape(summary(verdict))}.</p>",
         "<h2>Rules</h2>",
         _rules(verdict),
@@ -58,11 +58,15 @@
         _traffic(verdict),
         _fleet(verdict),
     ]
-    return "\n".join(parts) + "\n</html>\n"
+    return "\n".join(elements) + "\n</html>\n"
 
 
 def _table(head: list[str], rows: list[list[str]], kind: str = "") -> str:
-    """Cells are HTML already; `kind`: its class in the style, where it has one."""
+    """Return a table.
+
+    :param head: cells as HTML, like those of the rows
+    :param kind: its class in the style sheet
+    """
     top = "".join(f"<th>{cell}</th>" for cell in head)
     body = "".join("<tr>" + "".join(f"<td>{cell}</td>" for cell in row) + "</tr>" for row in rows)
     return f"<table class='{kind}'><tr>{top}</tr>{body}</table>"
@@ -72,9 +76,9 @@
     rows = []
     histories = []
     for name, finding in verdict.rules.items():
-        told = word(finding)
-        mark = f"<span class={MARKS[told]}>{told}</span>"
-        rows.append([TITLES[name], mark, str(finding.checked), str(finding.violation_count)])
+        result = result_text(finding)
+        cell = f"<span class={RESULT_CLASSES[result]}>{result}</span>"
+        rows.append([TITLES[name], cell, str(finding.checked), str(finding.violation_count)])
         for violation in finding.violations:
             tier = verdict.scenario.tiers[violation.tier].name
             history = "\n".join(violation.history)
@@ -90,7 +94,7 @@
 
 
 def _traffic(verdict: Verdict) -> str:
-    """Of a replay: what was sent beside what was recorded."""
+    """Return what a replay sent beside what was recorded; empty for other runs."""
     found = verdict.traffic
     if found is None:
         return ""
@@ -110,7 +114,7 @@
 
 
 def _fleet(verdict: Verdict) -> str:
-    """How many nodes each node held for here, beside those that ran."""
+    """Plot how many nodes each node took for present, beside those that were running."""
     found = verdict.fleet
     views = verdict.views
     if found is None or views is None:
@@ -135,7 +139,7 @@
         axis.set_ylabel("nodes held for here")
         axis.set_xlabel("seconds since the load began")
         axis.legend(loc="lower right", fontsize=7, ncols=5, framealpha=0.8)
-        _tint(verdict, [axis])
+        _shade_incidents(verdict, [axis])
         out = io.StringIO()
         drawing.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
@@ -165,40 +169,17 @@
 
 
 def _plots(verdict: Verdict) -> str:
-    """Latency, service, requests in flight and attempts by tier, under a strip that shows the incidents."""
-    figures = series(verdict)
-    nan = float("nan")
+    """Plot latency, service, requests in flight and attempts by tier, below a strip of the incidents."""
+    run_series = series(verdict)
     rows = max(1, len(verdict.trace.incidents))
     with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": "rehearsal", "font.size": 9}):
         drawing = Figure(figsize=(10, 10 + 0.2 * rows), layout="constrained")
         heights = [0.35 + 0.2 * rows, 2.4, 2.4, 2.4, 2.4]
         axes: Any = drawing.subplots(5, 1, sharex=True, height_ratios=heights)
         strip, latency, service, flight, attempts = axes
-        for q in QUANTILES:
-            values = [nan if v is None else v for v in figures.latency_ms[q]]
-            latency.plot(figures.times, values, label=f"p{100 * q:g}")
-        latency.set_ylabel("time to the answer, ms")
-        latency.set_yscale("log")
-        latency.yaxis.set_major_formatter("{x:g}")
-        latency.yaxis.set_minor_formatter("{x:g}")
-        values = [nan if v is None else 100.0 * v for v in figures.service]
-        service.step(figures.times, values, where="post", color="#222")
-        service.set_ylim(-3, 103)
-        service.set_ylabel("service, %")
-        flight.step(figures.times, figures.in_flight, where="post", label="in flight")
-        flight.step(figures.times, figures.asked, where="post", label="first tries a second")
-        flight.set_ylabel("clients' requests")
-        for tier, sent, turned in zip(
-            verdict.scenario.tiers, figures.attempts, figures.rejected, strict=True
-        ):
-            (drawn,) = attempts.step(figures.times, sent, where="post", label=tier.name)
-            if any(turned):
-                label = f"{tier.name}, turned away"
-                colour = drawn.get_color()
-                attempts.step(figures.times, turned, where="post", linestyle=":", color=colour, label=label)
-        attempts.set_ylabel("attempts a second")
-        attempts.set_xlabel("seconds since the load began")
-        _mark(verdict, strip, axes[1:])
+        _plot_clients(run_series, latency, service, flight)
+        _plot_attempts(verdict, run_series, attempts)
+        _draw_incidents(verdict, strip, axes[1:])
         for axis in (latency, flight, attempts):
             axis.legend(loc="upper right", fontsize=8, framealpha=0.8)
         out = io.StringIO()
@@ -207,8 +188,41 @@
     return text[text.index("<svg") :]
 
 
-def _mark(verdict: Verdict, strip: Any, axes: Any) -> None:
-    """Each incident as a bar with its name, and as a tint and a line over the other plots."""
+def _plot_clients(run_series: Series, latency: Any, service: Any, flight: Any) -> None:
+    """Plot latency, service and requests in flight, each on its axis."""
+    nan = float("nan")
+    for q in QUANTILES:
+        values = [nan if v is None else v for v in run_series.latency_ms[q]]
+        latency.plot(run_series.times, values, label=f"p{100 * q:g}")
+    latency.set_ylabel("time to the answer, ms")
+    latency.set_yscale("log")
+    latency.yaxis.set_major_formatter("{x:g}")
+    latency.yaxis.set_minor_formatter("{x:g}")
+    values = [nan if v is None else 100.0 * v for v in run_series.service]
+    service.step(run_series.times, values, where="post", color="#222")
+    service.set_ylim(-3, 103)
+    service.set_ylabel("service, %")
+    flight.step(run_series.times, run_series.in_flight, where="post", label="in flight")
+    flight.step(run_series.times, run_series.asked, where="post", label="first tries a second")
+    flight.set_ylabel("clients' requests")
+
+
+def _plot_attempts(verdict: Verdict, run_series: Series, attempts: Any) -> None:
+    """Plot the attempts that arrive at each tier, and those that it rejects."""
+    for tier, sent, turned in zip(
+        verdict.scenario.tiers, run_series.attempts, run_series.rejected, strict=True
+    ):
+        (drawn,) = attempts.step(run_series.times, sent, where="post", label=tier.name)
+        if any(turned):
+            label = f"{tier.name}, turned away"
+            colour = drawn.get_color()
+            attempts.step(run_series.times, turned, where="post", linestyle=":", color=colour, label=label)
+    attempts.set_ylabel("attempts a second")
+    attempts.set_xlabel("seconds since the load began")
+
+
+def _draw_incidents(verdict: Verdict, strip: Any, axes: Any) -> None:
+    """Draw each incident as a bar with its name, and shade it in the other plots."""
     trace = verdict.trace
     for n, fact in enumerate(trace.incidents):
         start = trace.elapsed(fact.t)
@@ -220,11 +234,11 @@
     strip.set_yticks([])
     strip.set_frame_on(False)
     strip.set_ylabel("faults")
-    _tint(verdict, axes)
+    _shade_incidents(verdict, axes)
 
 
-def _tint(verdict: Verdict, axes: Any) -> None:
-    """Each incident as a tint and a line."""
+def _shade_incidents(verdict: Verdict, axes: Any) -> None:
+    """Draw each incident as a shaded span with a line at its start."""
     trace = verdict.trace
     for n, fact in enumerate(trace.incidents):
         start = trace.elapsed(fact.t)
--- a/orchidferry/testkit/report/series.py
+++ b/orchidferry/testkit/report/series.py
@@ -1,8 +1,10 @@
-"""What reports plot: statistics over the time of a run."""
+"""Statistics over the time of a run, as reports plot them."""
 
 from __future__ import annotations
 
+import itertools
 from collections import defaultdict
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from orchidferry.testkit.judge.service import ClientRequest, Outcome, service_of
@@ -14,27 +16,29 @@
 
 @dataclass(slots=True)
 class Series:
-    """Each list has a value for each step of time; None where there is nothing to tell."""
+    """Time series; each list has a value for each step of time, None where nothing was measured."""
 
     step_s: float
-    times: list[float] = field(default_factory=list)
-    asked: list[float] = field(default_factory=list)  # first tries a second
-    service: list[float | None] = field(default_factory=list)  # of what was asked in the step
-    latency_ms: dict[float, list[float | None]] = field(
-        default_factory=dict
-    )  # of what was served, by quantile
-    in_flight: list[float] = field(default_factory=list)  # clients' requests out at the step's end
+    times: list[float] = field(default_factory=list)  # start of each step, in seconds
+    asked: list[float] = field(default_factory=list)  # first attempts a second
+    service: list[float | None] = field(default_factory=list)  # of the requests due in the step
+    # of the served requests, by quantile
+    latency_ms: dict[float, list[float | None]] = field(default_factory=dict)
+    in_flight: list[float] = field(default_factory=list)  # clients' attempts at the end of the step
     attempts: list[list[float]] = field(default_factory=list)  # by tier, a second
     rejected: list[list[float]] = field(default_factory=list)  # by tier, a second
 
 
 def quantile(ordered: list[float], q: float) -> float | None:
-    """By nearest rank; None of nothing."""
+    """Return the value at index int(q * n) of n ordered values; None if there are none."""
     return ordered[min(len(ordered) - 1, int(q * len(ordered)))] if ordered else None
 
 
 def series(verdict: Verdict, step_s: float = 0.5) -> Series:
-    """The figures of a run, in steps from the start of the load to the end of the record."""
+    """Compute the time series of a run, from the start of the load to the end of the record.
+
+    :param step_s: length of a step in seconds
+    """
     trace = verdict.trace
     steps = max(1, int((trace.end - trace.start) / step_s) + 1)
 
@@ -42,42 +46,50 @@
         return min(steps - 1, max(0, int(trace.elapsed(t) / step_s)))
 
     result = Series(step_s, [n * step_s for n in range(steps)])
+    _add_client_requests(result, verdict, step)
+    result.in_flight = _in_flight(verdict, steps, step)
+    tiers = len(verdict.scenario.tiers)
+    result.attempts = [[0.0] * steps for _ in range(tiers)]
+    result.rejected = [[0.0] * steps for _ in range(tiers)]
+    for attempts in trace.arrivals.values():
+        for received in attempts:
+            result.attempts[received.tier][step(received.t)] += 1.0 / step_s
+    for ends in trace.completions.values():
+        for ended in ends:
+            if ended.how == "rejected":
+                result.rejected[ended.tier][step(ended.t)] += 1.0 / step_s
+    return result
+
+
+def _add_client_requests(result: Series, verdict: Verdict, step: Callable[[float], int]) -> None:
     by_step: dict[int, list[ClientRequest]] = defaultdict(list)
     for request in verdict.service.requests:
-        by_step[step(request.t + trace.start)].append(request)
+        by_step[step(request.t + verdict.trace.start)].append(request)
     result.latency_ms = {q: [] for q in QUANTILES}
-    for n in range(steps):
-        some = by_step.get(n, [])
-        result.asked.append(len(some) / step_s)
-        result.service.append(service_of(some))
-        took = sorted(one.took_s * 1000.0 for one in some if one.outcome is Outcome.SERVED)
+    for n in range(len(result.times)):
+        requests = by_step.get(n, [])
+        result.asked.append(len(requests) / result.step_s)
+        result.service.append(service_of(requests))
+        latencies_ms = sorted(
+            request.took_s * 1000.0 for request in requests if request.outcome is Outcome.SERVED
+        )
         for q in QUANTILES:
-            result.latency_ms[q].append(quantile(took, q))
+            result.latency_ms[q].append(quantile(latencies_ms, q))
+
+
+def _in_flight(verdict: Verdict, steps: int, step: Callable[[float], int]) -> list[float]:
+    """Count the clients' attempts that are in flight at the end of each step."""
     change = [0] * (steps + 1)
-    for key, events in trace.requester_events.items():
+    for key, events in verdict.trace.requester_events.items():
         if key.tier:
             continue
-        out_now = False
+        is_in_flight = False
         for fact in events:
-            # A close that crossed it, and a refused connection after that, end it once.
-            if isinstance(fact, RequestSent) and not out_now:
+            # An attempt ends once, also if a close crosses it and a refused connection follows.
+            if isinstance(fact, RequestSent) and not is_in_flight:
                 change[step(fact.t)] += 1
-                out_now = True
-            elif isinstance(fact, ResponseReceived | ConnectionClosed | RequestTimedOut) and out_now:
+                is_in_flight = True
+            elif isinstance(fact, ResponseReceived | ConnectionClosed | RequestTimedOut) and is_in_flight:
                 change[step(fact.t)] -= 1
-                out_now = False
-    out = 0
-    for n in range(steps):
-        out += change[n]
-        result.in_flight.append(float(out))
-    tiers = len(verdict.scenario.tiers)
-    result.attempts = [[0.0] * steps for _ in range(tiers)]
-    result.rejected = [[0.0] * steps for _ in range(tiers)]
-    for attempts in trace.arrivals.values():
-        for got in attempts:
-            result.attempts[got.tier][step(got.t)] += 1.0 / step_s
-    for ends in trace.completions.values():
-        for ended in ends:
-            if ended.how == "rejected":
-                result.rejected[ended.tier][step(ended.t)] += 1.0 / step_s
-    return result
+                is_in_flight = False
+    return [float(count) for count in itertools.accumulate(change[:steps])]
--- a/orchidferry/testkit/report/tables.py
+++ b/orchidferry/testkit/report/tables.py
@@ -1,4 +1,4 @@
-"""What the terminal and the page both tell, as plain text. Pure."""
+"""Texts and table rows that the terminal report and the HTML page share. Free of I/O."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 
 def percent(value: float | None) -> str:
+    """Return a fraction in percent, or "-" for None."""
     return "-" if value is None else f"{100.0 * value:.1f}%"
 
 
 def class_rows(verdict: Verdict) -> list[list[str]]:
-    """A row of cells for each class, under `CLASS_HEAD`."""
+    """Return a row of cells for each class, in the columns of `CLASS_HEAD`."""
     rows = []
     for name, row in verdict.service.classes.items():
         counts = (row.asked, row.served, row.refused, row.failed, row.unanswered)
@@ -28,18 +29,20 @@
     return rows
 
 
-def word(finding: Finding) -> str:
-    """A rule's verdict. One with nothing to check has not been kept, it has not been seen."""
+def result_text(finding: Finding) -> str:
+    """Return the result of a rule; one without anything to check counts neither as kept nor as violated."""
     if not finding.passed:
         return "FAIL"
     return "pass" if finding.checked else "nothing to check"
 
 
 def summary(verdict: Verdict) -> str:
-    """A run in a sentence."""
+    """Return a sentence that sums up a run."""
     service = verdict.service
     scenario = verdict.scenario
-    tiers = ", ".join(f"{t.name} {n}" for t, n in zip(scenario.tiers, verdict.arrivals_by_tier, strict=True))
+    tiers = ", ".join(
+        f"{tier.name} {count}" for tier, count in zip(scenario.tiers, verdict.arrivals_by_tier, strict=True)
+    )
     return (
         f"service {percent(service.overall)}, worst 10 s {percent(service.worst_window)} (from "
         f"{service.worst_window_at:g} s), worst class {service.worst_class or '-'}; "
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -1,4 +1,4 @@
-"""A run in the terminal: progress while it plays, tables and the incident on a timeline at its end."""
+"""The terminal report of a run: its progress, and tables and a timeline at its end."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 
 from orchidferry.testkit.judge.verdict import Verdict, attempts_during_fault, new_pool_load
 from orchidferry.testkit.report.series import series
-from orchidferry.testkit.report.tables import CLASS_HEAD, TITLES, class_rows, summary, word
+from orchidferry.testkit.report.tables import CLASS_HEAD, TITLES, class_rows, result_text, summary
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.world.director import Progress
 
 BLOCKS = " ▁▂▃▄▅▆▇█"
-PLAIN_EVERY_S = 5.0
-LIVE_EVERY_S = 0.25
-WIDTH = 60  # characters of the timeline
+LINE_INTERVAL_S = 5.0  # of progress lines, if the output is no terminal
+LIVE_INTERVAL_S = 0.25  # of updates of the live line
+TIMELINE_WIDTH = 60  # characters
 COLOURS = {"pass": "green", "FAIL": "bold red", "nothing to check": "yellow"}
-MAX_BREAKS = 3  # of a rule that are told with their story
+MAX_VIOLATIONS = 3  # of a rule that are printed with their history
 
 
 def status_line(scenario: Scenario, progress: Progress) -> str:
-    """What goes on, in one line."""
+    """Return one line about the progress of a run."""
     if progress.phase != "playing":
         return f"{scenario.name}: {progress.phase}"
-    now = [what for start, end, what in progress.incidents if start <= progress.t <= max(end, start + 1.0)]
+    active = [what for start, end, what in progress.incidents if start <= progress.t <= max(end, start + 1.0)]
     done = min(1.0, max(0.0, progress.t) / scenario.length_s)
     bar = "█" * round(done * 20) + "·" * (20 - round(done * 20))
     line = (
         f"{scenario.name} {bar} {max(0.0, progress.t):5.1f} of {scenario.length_s:g} s  "
         f"asked {progress.asked}, served {progress.served}, open {progress.open}"
     )
-    return line + (f"  !! {'; '.join(now)}" if now else "")
+    return line + (f"  !! {'; '.join(active)}" if active else "")
 
 
 async def watch(console: Console, scenario: Scenario, progress: Progress) -> None:
-    """Show the progress until cancelled: a live line on a terminal, a line now and then elsewhere."""
+    """Show the progress until cancelled: a live line on a terminal, else a line at intervals."""
     if not console.is_terminal:
         while True:
-            await asyncio.sleep(PLAIN_EVERY_S)
+            await asyncio.sleep(LINE_INTERVAL_S)
             console.print(status_line(scenario, progress), markup=False, highlight=False, soft_wrap=True)
     with Live(console=console, auto_refresh=False, transient=True) as live:
         while True:
             live.update(
                 Text(status_line(scenario, progress), no_wrap=True, overflow="ellipsis"), refresh=True
             )
-            await asyncio.sleep(LIVE_EVERY_S)
+            await asyncio.sleep(LIVE_INTERVAL_S)
 
 
 def show(console: Console, verdict: Verdict) -> None:
-    """The whole report of a run."""
+    """Print the complete report of a run."""
     if not verdict.complete:
         console.print(f"[bold red]cut off[/]: {escape(verdict.why)}; what was seen until then:")
     for why in verdict.lateness.void:
@@ -92,7 +92,7 @@
 
 
 def _traffic(console: Console, verdict: Verdict) -> None:
-    """What a replay sent, beside what was recorded."""
+    """Print what a replay sent beside what was recorded."""
     found = verdict.traffic
     if found is None:
         return
@@ -110,16 +110,16 @@
 
 
 def _fleet(console: Console, verdict: Verdict) -> None:
-    """What nodes knew of each other."""
+    """Print how well the nodes knew each other."""
     found = verdict.fleet
     if found is None:
         return
 
-    def s(value: float | None) -> str:
+    def seconds(value: float | None) -> str:
         return "-" if value is None else f"{value:.1f} s"
 
-    agreed, longest = s(found["views_agree_after_s"]), s(found["false_longest_s"])
-    p50, p99 = s(found["known_dead_p50_s"]), s(found["known_dead_p99_s"])
+    agreed, longest = seconds(found["views_agree_after_s"]), seconds(found["false_longest_s"])
+    p50, p99 = seconds(found["known_dead_p50_s"]), seconds(found["known_dead_p99_s"])
     console.print(
         f"fleet of {found['nodes']}: views agreed {agreed} after {found['heals']} heals; "
         f"{found['false_deaths']} held for gone though there (longest {longest}); "
@@ -127,26 +127,26 @@
         f"{found['bytes_a_node_s']} bytes a node a second",
         highlight=False,
     )
-    for problem in found["problems"][:MAX_BREAKS]:
+    for problem in found["problems"][:MAX_VIOLATIONS]:
         console.print(f"[bold red]fleet[/]: {escape(problem)}", highlight=False)
 
 
 def _control(console: Console, verdict: Verdict) -> None:
-    """What became of a control service's versions."""
+    """Print which versions of a control service the nodes have."""
     found = verdict.control
     if found is None:
         return
-    finals = Counter(tuple(sorted(held.items())) for held in found["final_versions"].values())
+    finals = Counter(tuple(sorted(versions.items())) for versions in found["final_versions"].values())
     ends = "; ".join(
-        f"{count} nodes on {', '.join(f'{part} {version}' for part, version in held) or 'nothing'}"
-        for held, count in finals.most_common(MAX_BREAKS)
+        f"{count} nodes on {', '.join(f'{name} {version}' for name, version in versions) or 'nothing'}"
+        for versions, count in finals.most_common(MAX_VIOLATIONS)
     )
     console.print(
         f"{found['sent']} versions, {found['bad']} bad, {found['refused']} refusals over "
         f"{len(found['final_versions'])} nodes and {found['streams']} streams; at the end {ends}",
         highlight=False,
     )
-    for problem in found["problems"][:MAX_BREAKS]:
+    for problem in found["problems"][:MAX_VIOLATIONS]:
         console.print(f"[bold red]versions[/]: {escape(problem)}", highlight=False)
 
 
@@ -160,19 +160,25 @@
 
 
 def _timeline(console: Console, verdict: Verdict) -> None:
-    """Service over time, and under it a bar for each incident."""
+    """Print the service over time, with a bar below for each incident."""
     length = max(verdict.trace.end - verdict.trace.start, 0.1)
-    figures = series(verdict, length / WIDTH)
-    bars = "".join(" " if v is None else BLOCKS[round(max(0.0, v) * 8)] for v in figures.service[:WIDTH])
+    run_series = series(verdict, length / TIMELINE_WIDTH)
+    bars = "".join(
+        " " if v is None else BLOCKS[round(max(0.0, v) * 8)] for v in run_series.service[:TIMELINE_WIDTH]
+    )
     console.print(f"service   {bars}", highlight=False, markup=False)
     for fact in verdict.trace.incidents:
         start = verdict.trace.elapsed(fact.t)
-        first = min(WIDTH - 1, max(0, int(start / length * WIDTH)))
-        last = min(WIDTH, max(first + 1, round(verdict.trace.elapsed(fact.until) / length * WIDTH)))
+        first = min(TIMELINE_WIDTH - 1, max(0, int(start / length * TIMELINE_WIDTH)))
+        last = min(
+            TIMELINE_WIDTH, max(first + 1, round(verdict.trace.elapsed(fact.until) / length * TIMELINE_WIDTH))
+        )
         bar = " " * first + "─" * (last - first)
         label = f"{start:g} s {fact.do}: {fact.whom}"
-        console.print(f"          {bar:<{WIDTH}}  {label}", highlight=False, markup=False, soft_wrap=True)
-    console.print(f"          0 s{f'{length:.0f} s':>{WIDTH - 3}}", highlight=False)
+        console.print(
+            f"          {bar:<{TIMELINE_WIDTH}}  {label}", highlight=False, markup=False, soft_wrap=True
+        )
+    console.print(f"          0 s{f'{length:.0f} s':>{TIMELINE_WIDTH - 3}}", highlight=False)
 
 
 def _rules(console: Console, verdict: Verdict) -> None:
@@ -182,14 +188,14 @@
     table.add_column("checked", justify="right")
     table.add_column("breaks", justify="right")
     for name, finding in verdict.rules.items():
-        told = word(finding)
-        colour = COLOURS[told]
+        result = result_text(finding)
+        colour = COLOURS[result]
         table.add_row(
-            TITLES[name], f"[{colour}]{told}[/]", str(finding.checked), str(finding.violation_count)
+            TITLES[name], f"[{colour}]{result}[/]", str(finding.checked), str(finding.violation_count)
         )
     console.print(table)
     for name, finding in verdict.rules.items():
-        for violation in finding.violations[:MAX_BREAKS]:
+        for violation in finding.violations[:MAX_VIOLATIONS]:
             tier = verdict.scenario.tiers[violation.tier].name
             console.print(
                 f"[bold red]{TITLES[name]}[/]: request {escape(violation.request)} to {tier}, at "
@@ -198,5 +204,5 @@
             )
             for line in violation.history:
                 console.print(f"    {line}", markup=False, highlight=False, soft_wrap=True)
-        if finding.violation_count > MAX_BREAKS:
-            console.print(f"    and {finding.violation_count - MAX_BREAKS} more")
+        if finding.violation_count > MAX_VIOLATIONS:
+            console.print(f"    and {finding.violation_count - MAX_VIOLATIONS} more")
--- a/orchidferry/testkit/world/acts.py
+++ b/orchidferry/testkit/world/actions.py
@@ -6,7 +6,7 @@
 
 from orchidferry.testkit.world.deployment import Deployment
 from orchidferry.testkit.world.nodes import NodeProcess
-from orchidferry.testkit.world.plan import TROUBLES, Act, Server
+from orchidferry.testkit.world.plan import SERVER_FAULTS, Action, Server
 
 WITHDRAW_AFTER_TERM_S = (0.2, 0.4)  # bounds of the delay after which clients no longer use a terminated node
 
@@ -17,9 +17,9 @@
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
 
-    def play(self, action: Act) -> None:
+    def play(self, action: Action) -> None:
         """Carry out an action; what takes time continues as a background task."""
-        if action.do in TROUBLES:
+        if action.do in SERVER_FAULTS:
             self._set_fault(action)
         elif action.do in ("leave", "down", "crash", "up"):
             self._play_on_server(action.do, action.whom)
@@ -28,7 +28,7 @@
         else:
             self._play_on_node(action.do, action.whom)
 
-    def _set_fault(self, action: Act) -> None:
+    def _set_fault(self, action: Action) -> None:
         if action.whom not in self._deployment.running:
             return
         order = {"do": action.do, "whom": action.whom, "value": action.value, "entry": action.entry}
--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -101,7 +101,7 @@
         if sidecar[0] in self.nodes:
             return self.nodes[sidecar[0]]
         siblings = self.scenario.tiers[server.tier].servers
-        return self.make_node(sidecar[0], server.tier + 1, server.place, siblings, server)
+        return self.make_node(sidecar[0], server.tier + 1, server.position, siblings, server)
 
     async def start_node(self, node: NodeProcess) -> None:
         """Start a node and wait until it is ready; the run ends if it fails."""
--- a/orchidferry/testkit/world/director.py
+++ b/orchidferry/testkit/world/director.py
@@ -18,7 +18,7 @@
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.stop_signals import on_stop_signals
 from orchidferry.testkit.traffic.guard import new_key
-from orchidferry.testkit.world.acts import ActionPlayer
+from orchidferry.testkit.world.actions import ActionPlayer
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.child import CLOSE_TIMEOUT_S, Child, Counts, start_child
 from orchidferry.testkit.world.deployment import Deployment
@@ -98,7 +98,7 @@
         if foreign:  # no stand-in servers: all requests go to the one target
             deployment.usable_nodes = {"target"}
             return deployment.publish_usable_nodes()
-        servers = [server for server in deployment.plan.servers if not server.start]
+        servers = [server for server in deployment.plan.servers if not server.starts_later]
         await deployment.start_first_servers(servers)
         if scenario.control.service:
             await self._start_control()
@@ -178,19 +178,21 @@
         deployment.start = start
         for child in deployment.clients:
             child.send_order({"do": "play", "at": start})
-        for shown in deployment.plan.shown:
-            deployment.recorder.put(Incident(start + shown.t, start + shown.until, shown.do, shown.whom))
-            self.progress.incidents.append((shown.t, shown.until, f"{shown.do} {shown.whom}"))
+        for incident in deployment.plan.incidents:
+            deployment.recorder.put(
+                Incident(start + incident.t, start + incident.until, incident.do, incident.whom)
+            )
+            self.progress.incidents.append((incident.t, incident.until, f"{incident.do} {incident.whom}"))
         self.progress.phase = "playing"
         deployment.spawn(self._monitor())
         for child_or_none in (self._control, self._hub):
             if child_or_none is not None:
                 child_or_none.send_order({"do": "play", "at": start})
-        for act in deployment.plan.acts:
-            wait = monotonic_at(deployment.zero, start + act.t)
+        for action in deployment.plan.actions:
+            wait = monotonic_at(deployment.zero, start + action.t)
             if wait > 0:
                 await asyncio.sleep(wait)
-            self._action_player.play(act)
+            self._action_player.play(action)
         await self._wait_for_clients()
         await asyncio.sleep(LATE_ANSWERS_S)
 
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -1,7 +1,6 @@
-"""Draws a scenario: which servers there are, and what strikes whom when. Free of I/O.
+"""Draws the plan of a run from a scenario: its servers, and the actions on them over time. Free of I/O.
 
-Everything here follows from the scenario and its seed alone, before anything starts, so that two runs of
-one seed play the same script. Its acts are in order of time.
+The plan depends only on the scenario and its seed, so two runs with the same seed have the same plan.
 """
 
 from __future__ import annotations
@@ -13,38 +12,42 @@
 from orchidferry.testkit.scenario import FAULT_TYPES, MAX_SERVERS, Scenario, TimelineEntry
 from orchidferry.testkit.world.links import LinkFault
 
-LEAVE_BACK_S = 1.0  # from a server's stop to its start, where a scenario says nothing else
-TROUBLES = ("slow", "errors", "freeze", "silent", "resets")
-MAX_ACTS = 50_000  # that a timeline may come to: pauses add up
+RESTART_AFTER_S = 1.0  # default time from a server's stop to its start in a rolling restart
+SERVER_FAULTS = ("slow", "errors", "freeze", "silent", "resets")
+MAX_ACTIONS = 50_000  # of a timeline; pauses add up
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """A stand-in server. `start`: cold, at some time of the run; else it is there, warm, from the start."""
+    """A stand-in server.
+
+    One with `starts_later` is started by an action, cold; any other serves from the start of the run, warm.
+    """
 
     name: str
     tier: int
     cell: int
     speed: float
-    place: int  # counts the servers of a tier
-    number: int  # counts the places of all tiers: its address follows from it
-    start: bool = False
+    position: int  # index in its tier; a renamed server keeps it
+    number: int  # index in all tiers, which gives its address
+    starts_later: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
-    """One thing done to one server, node, or all, at a time."""
+class Action:
+    """One action on a server, a node or discovery."""
 
-    t: float
-    do: str  # one of TROUBLES; leave, down, crash, up; kill, term, start, pause, resume; discovery-down, -up
+    t: float  # seconds since the load began
+    # one of SERVER_FAULTS; leave, down, crash, up; kill, term, start, pause, resume; discovery-down, -up
+    do: str
     whom: str
-    value: float = 0.0  # of a trouble: a factor, a share, or 1; 0 ends it
-    entry: int = -1  # of the timeline, as troubles of one kind may lie over each other
+    value: float = 0.0  # of a fault: a factor, a fraction, or 1; 0 ends it
+    entry: int = -1  # index in the timeline, as faults of one kind may overlap
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
-    """An entry of the timeline as reports show it."""
+class PlannedIncident:
+    """An entry of the timeline in the form of reports; times are seconds since the load began."""
 
     t: float
     until: float
@@ -54,247 +57,274 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The whole script of a run."""
+    """The complete plan of a run; its actions and incidents are in ascending order of time."""
 
     scenario: Scenario
     servers: tuple[Server, ...]
-    nodes: tuple[str, ...]  # the first tier's, which clients reach through the front
-    acts: tuple[Act, ...]
-    shown: tuple[Shown, ...]
-    bursts: tuple[tuple[float, float, float], ...]  # from, to, factor
-    links: tuple[LinkFault, ...] = ()  # between the first tier's nodes
+    nodes: tuple[str, ...]  # of the front, which clients use
+    actions: tuple[Action, ...]
+    incidents: tuple[PlannedIncident, ...]
+    bursts: tuple[tuple[float, float, float], ...]  # start and end in seconds, and factor on the rate
+    links: tuple[LinkFault, ...] = ()  # between the nodes of the front
 
     def server(self, name: str) -> Server:
+        """Return the server with a name.
+
+        :raises StopIteration: if there is none
+        """
         return next(server for server in self.servers if server.name == name)
 
 
 def in_new_pool(scenario: Scenario, server: Server) -> bool:
-    """Whether a server is of the pool that traffic is moved to: the last of the first tier's places."""
-    return scenario.pools.on and server.tier == 0 and server.place >= scenario.new_from
+    """Return whether a server is in the pool that traffic is moved to: the end of the first tier."""
+    return scenario.pools.on and server.tier == 0 and server.position >= scenario.new_from
 
 
 @dataclass
-class _Drawing:
+class _PlanBuilder:
     scenario: Scenario
     servers: list[Server] = field(default_factory=list)
-    acts: list[Act] = field(default_factory=list)
-    shown: list[Shown] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
+    incidents: list[PlannedIncident] = field(default_factory=list)
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
     renames: dict[str, int] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)
+    removed: set[str] = field(default_factory=set)
     numbers: dict[tuple[int, int], int] = field(default_factory=dict)
     links: list[LinkFault] = field(default_factory=list)
 
-    def add_server(self, tier: int, place: int, name: str, start: bool) -> Server:
-        figures = self.scenario.tiers[tier]
-        low, high = figures.speed
-        speed = seeded_random.uniform(self.scenario.seed, "speed", tier, place, low=low, high=high)
-        cells = max(1, round(figures.servers / figures.cell))
-        number = self.numbers.setdefault((tier, place), len(self.numbers))
-        server = Server(name, tier, place % cells, speed, place, number, start)
+    def add_server(self, tier: int, position: int, name: str, starts_later: bool) -> Server:
+        tier_settings = self.scenario.tiers[tier]
+        low, high = tier_settings.speed
+        speed = seeded_random.uniform(self.scenario.seed, "speed", tier, position, low=low, high=high)
+        cells = max(1, round(tier_settings.servers / tier_settings.cell))
+        number = self.numbers.setdefault((tier, position), len(self.numbers))
+        server = Server(name, tier, position % cells, speed, position, number, starts_later)
         self.servers.append(server)
         if len(self.servers) > MAX_SERVERS:
             raise ValueError(f"timeline: over {MAX_SERVERS} servers, new ones counted")
         return server
 
-    def act(self, t: float, do: str, whom: str, value: float = 0.0, entry: int = -1) -> None:
-        self.acts.append(Act(t, do, whom, value, entry))
-        if len(self.acts) > MAX_ACTS:
-            raise ValueError(f"timeline: comes to over {MAX_ACTS} acts; are pauses too short?")
+    def add_action(self, t: float, do: str, whom: str, value: float = 0.0, entry: int = -1) -> None:
+        self.actions.append(Action(t, do, whom, value, entry))
+        if len(self.actions) > MAX_ACTIONS:
+            raise ValueError(f"timeline: comes to over {MAX_ACTIONS} acts; are pauses too short?")
 
 
-def server_name(seed: int, tier: str, place: int, life: int) -> str:
-    """Opaque at the end, as names tell nothing, and readable at the front for reports."""
-    return f"{tier}-{place}-{seeded_random.integer(seed, 'name', tier, place, life) & 0xFFFF:04x}"
+def server_name(seed: int, tier: str, position: int, incarnation: int) -> str:
+    """Return a server's name, with an opaque suffix that differs between incarnations."""
+    return (
+        f"{tier}-{position}-{seeded_random.integer(seed, 'name', tier, position, incarnation) & 0xFFFF:04x}"
+    )
 
 
 def draw(scenario: Scenario) -> Plan:
-    """The script of a scenario; `ValueError` if it comes to more than a run may hold."""
-    drawing = _Drawing(scenario)
+    """Draw the plan of a scenario.
+
+    :raises ValueError: if it has too many servers or actions
+    """
+    builder = _PlanBuilder(scenario)
     for number, tier in enumerate(scenario.tiers):
-        for place in range(tier.servers):
-            drawing.add_server(number, place, server_name(scenario.seed, tier.name, place, 0), False)
+        for position in range(tier.servers):
+            builder.add_server(number, position, server_name(scenario.seed, tier.name, position, 0), False)
     nodes = tuple(f"n{n}" for n in range(scenario.front.nodes))
     for number, entry in enumerate(scenario.timeline):
         if FAULT_TYPES[entry.do].on == "servers":
-            _on_servers(drawing, number, entry)
+            _on_servers(builder, number, entry)
         elif FAULT_TYPES[entry.do].on == "nodes":
-            _on_nodes(drawing, number, entry, nodes)
+            _on_nodes(builder, number, entry, nodes)
         elif FAULT_TYPES[entry.do].on == "links":
-            _on_links(drawing, number, entry, nodes)
+            _on_links(builder, number, entry, nodes)
         else:
-            _on_all(drawing, entry)
-    acts = tuple(sorted(drawing.acts, key=lambda act: act.t))
-    shown = tuple(sorted(drawing.shown, key=lambda entry: entry.t))
+            _on_all(builder, entry)
+    actions = tuple(sorted(builder.actions, key=lambda act: act.t))
+    incidents = tuple(sorted(builder.incidents, key=lambda entry: entry.t))
     if scenario.fleet.on and scenario.fleet.loss:
         every = frozenset(nodes)
-        drawing.links.append(LinkFault(-math.inf, math.inf, every, every, loss=scenario.fleet.loss))
-    links = tuple(drawing.links)
-    return Plan(scenario, tuple(drawing.servers), nodes, acts, shown, tuple(drawing.bursts), links)
+        builder.links.append(LinkFault(-math.inf, math.inf, every, every, loss=scenario.fleet.loss))
+    links = tuple(builder.links)
+    return Plan(scenario, tuple(builder.servers), nodes, actions, incidents, tuple(builder.bursts), links)
 
 
-def _struck(entry: TimelineEntry, count: int, default: int) -> int:
-    """How many of so many an entry strikes: at least one."""
+def _target_count(entry: TimelineEntry, count: int, default: int) -> int:
+    """Return how many of `count` servers or nodes an entry affects: at least one."""
     if entry.count:
         return min(entry.count, count)
     return max(1, min(count, round(entry.share * count))) if entry.share > 0 else min(count, default)
 
 
-def _on_servers(drawing: _Drawing, number: int, entry: TimelineEntry) -> None:
-    scenario = drawing.scenario
-    tier = drawing.scenario.tier_number(entry.tier)
-    present = [s for s in drawing.servers if s.tier == tier and not s.start and s.name not in drawing.gone]
+def _on_servers(builder: _PlanBuilder, number: int, entry: TimelineEntry) -> None:
+    scenario = builder.scenario
+    tier = builder.scenario.tier_number(entry.tier)
+    present = [
+        s for s in builder.servers if s.tier == tier and not s.starts_later and s.name not in builder.removed
+    ]
     if entry.new:
         present = [s for s in present if in_new_pool(scenario, s)]
     if entry.do == "add":
-        return _add(drawing, entry, tier)
-    everybody = len(present)
-    default = everybody if entry.do in ("stall", "rolling-restart") else 1
-    struck = seeded_random.sample(
-        present, _struck(entry, everybody, default), scenario.seed, "struck", number, entry.do
+        return _add(builder, entry, tier)
+    total = len(present)
+    default = total if entry.do in ("stall", "rolling-restart") else 1
+    targets = seeded_random.sample(
+        present, _target_count(entry, total, default), scenario.seed, "struck", number, entry.do
     )
     whom = (
-        f"{len(struck)} of {everybody} {entry.tier}" if len(struck) > 3 else ", ".join(s.name for s in struck)
+        f"{len(targets)} of {total} {entry.tier}" if len(targets) > 3 else ", ".join(s.name for s in targets)
     )
     end = entry.at_s + entry.for_s
-    for place, server in enumerate(struck):
-        _strike(drawing, number, entry, server, place)
+    for position, server in enumerate(targets):
+        _add_server_fault(builder, number, entry, server, position)
     if entry.do in ("drain", "rolling-restart"):
-        end = max(act.t for act in drawing.acts if act.whom in {s.name for s in struck})
-    drawing.shown.append(Shown(entry.at_s, end, entry.do, whom))
+        end = max(act.t for act in builder.actions if act.whom in {s.name for s in targets})
+    builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, whom))
 
 
-def _strike(drawing: _Drawing, number: int, entry: TimelineEntry, server: Server, place: int) -> None:
+def _add_server_fault(
+    builder: _PlanBuilder, number: int, entry: TimelineEntry, server: Server, position: int
+) -> None:
     at = entry.at_s
     end = entry.at_s + entry.for_s
     name = server.name
-    act = drawing.act
+    act = builder.add_action
 
-    def trouble(do: str, value: float) -> None:
+    def add_fault(do: str, value: float) -> None:
         act(at, do, name, value, number)
         act(end, do, name, 0.0, number)
 
     match entry.do:
         case "slow":
-            trouble("slow", entry.factor)
+            add_fault("slow", entry.factor)
         case "errors" | "resets":
-            trouble(entry.do, entry.rate)
+            add_fault(entry.do, entry.rate)
         case "stall":
-            trouble("freeze", 1.0)
+            add_fault("freeze", 1.0)
         case "silent":
-            trouble("silent", 1.0)
+            add_fault("silent", 1.0)
         case "pauses":
-            rng = seeded_random.generator(drawing.scenario.seed, "pauses", number, name)
-            t = at + rng.uniform(0.0, entry.every_s)
-            while t < end:
-                act(t, "freeze", name, 1.0, number)
-                act(t + entry.length_s, "freeze", name, 0.0, number)
-                t += entry.length_s + entry.every_s * rng.uniform(0.7, 1.3)
+            _add_pauses(builder, number, entry, name)
         case "crash":
             act(at, "crash", name)
             if entry.back_s:
-                _come_back(drawing, entry, server, at + entry.back_s)
+                _add_restart(builder, entry, server, at + entry.back_s)
         case "drain":
             act(at, "leave", name)
             act(at + entry.after_s, "down", name)
             if entry.back_s:
-                _come_back(drawing, entry, server, at + entry.after_s + entry.back_s)
+                _add_restart(builder, entry, server, at + entry.after_s + entry.back_s)
             else:
-                drawing.gone.add(name)
+                builder.removed.add(name)
         case "rolling-restart":
-            start = at + place * entry.gap_s
+            start = at + position * entry.gap_s
             act(start, "leave", name)
             act(start + entry.after_s, "down", name)
-            _come_back(drawing, entry, server, start + entry.after_s + (entry.back_s or LEAVE_BACK_S))
+            _add_restart(builder, entry, server, start + entry.after_s + (entry.back_s or RESTART_AFTER_S))
 
 
-def _come_back(drawing: _Drawing, entry: TimelineEntry, server: Server, t: float) -> None:
-    """It starts again, cold, at its address: under its name, or under a new one."""
-    name = server.name
-    if entry.renamed:
-        tier = drawing.scenario.tiers[server.tier]
-        life = drawing.renames[name] = drawing.renames.get(name, 0) + 1
-        name = server_name(drawing.scenario.seed, tier.name, server.place, life)
-        drawing.add_server(server.tier, server.place, name, True)
-        drawing.gone.add(server.name)
-    drawing.act(t, "up", name)
+def _add_pauses(builder: _PlanBuilder, number: int, entry: TimelineEntry, name: str) -> None:
+    """Freeze a server repeatedly, at random intervals."""
+    rng = seeded_random.generator(builder.scenario.seed, "pauses", number, name)
+    end = entry.at_s + entry.for_s
+    t = entry.at_s + rng.uniform(0.0, entry.every_s)
+    while t < end:
+        builder.add_action(t, "freeze", name, 1.0, number)
+        builder.add_action(t + entry.length_s, "freeze", name, 0.0, number)
+        t += entry.length_s + entry.every_s * rng.uniform(0.7, 1.3)
 
 
-def _add(drawing: _Drawing, entry: TimelineEntry, tier: int) -> None:
-    places = 1 + max(s.place for s in drawing.servers if s.tier == tier)
-    figures = drawing.scenario.tiers[tier]
+def _add_restart(builder: _PlanBuilder, entry: TimelineEntry, server: Server, t: float) -> None:
+    """Start a server again, cold, at its address: with its name, or with a new one."""
+    name = server.name
+    if entry.renamed:
+        tier = builder.scenario.tiers[server.tier]
+        incarnation = builder.renames.get(name, 0) + 1
+        builder.renames[name] = incarnation
+        name = server_name(builder.scenario.seed, tier.name, server.position, incarnation)
+        builder.add_server(server.tier, server.position, name, True)
+        builder.removed.add(server.name)
+    builder.add_action(t, "up", name)
+
+
+def _add(builder: _PlanBuilder, entry: TimelineEntry, tier: int) -> None:
+    next_position = 1 + max(s.position for s in builder.servers if s.tier == tier)
+    tier_name = builder.scenario.tiers[tier].name
     for n in range(entry.count):
-        name = server_name(drawing.scenario.seed, figures.name, places + n, 0)
-        drawing.add_server(tier, places + n, name, True)
-        drawing.act(entry.at_s, "up", name)
-    drawing.shown.append(Shown(entry.at_s, entry.at_s, entry.do, f"{entry.count} new {figures.name}"))
+        name = server_name(builder.scenario.seed, tier_name, next_position + n, 0)
+        builder.add_server(tier, next_position + n, name, True)
+        builder.add_action(entry.at_s, "up", name)
+    builder.incidents.append(
+        PlannedIncident(entry.at_s, entry.at_s, entry.do, f"{entry.count} new {tier_name}")
+    )
 
 
-def _on_nodes(drawing: _Drawing, number: int, entry: TimelineEntry, nodes: tuple[str, ...]) -> None:
-    count = _struck(entry, len(nodes), 1)
-    struck = seeded_random.sample(nodes, count, drawing.scenario.seed, "nodes", number)
+def _on_nodes(builder: _PlanBuilder, number: int, entry: TimelineEntry, nodes: tuple[str, ...]) -> None:
+    count = _target_count(entry, len(nodes), 1)
+    targets = seeded_random.sample(nodes, count, builder.scenario.seed, "nodes", number)
     if entry.do == "node-paused":
-        for node in struck:
-            drawing.act(entry.at_s, "pause", node, entry.for_s)
-            drawing.act(entry.at_s + entry.for_s, "resume", node)
-        drawing.shown.append(Shown(entry.at_s, entry.at_s + entry.for_s, entry.do, ", ".join(struck)))
+        for node in targets:
+            builder.add_action(entry.at_s, "pause", node, entry.for_s)
+            builder.add_action(entry.at_s + entry.for_s, "resume", node)
+        builder.incidents.append(
+            PlannedIncident(entry.at_s, entry.at_s + entry.for_s, entry.do, ", ".join(targets))
+        )
         return
     do = "kill" if entry.do == "node-killed" else "term"
-    for node in struck:
-        drawing.act(entry.at_s, do, node)
+    for node in targets:
+        builder.add_action(entry.at_s, do, node)
         if entry.back_s:
-            drawing.act(entry.at_s + entry.back_s, "start", node)
+            builder.add_action(entry.at_s + entry.back_s, "start", node)
     end = entry.at_s + entry.back_s
-    drawing.shown.append(Shown(entry.at_s, end, entry.do, ", ".join(struck)))
+    builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, ", ".join(targets)))
 
 
 def zone_of(scenario: Scenario, number: int) -> str:
-    """The zone that the first tier's n-th node stands in."""
+    """Return the zone of a node of the front.
+
+    :param number: its index
+    """
     return chr(ord("a") + number % scenario.fleet.zones)
 
 
-def _on_links(drawing: _Drawing, number: int, entry: TimelineEntry, nodes: tuple[str, ...]) -> None:
-    scenario = drawing.scenario
+def _on_links(builder: _PlanBuilder, number: int, entry: TimelineEntry, nodes: tuple[str, ...]) -> None:
+    scenario = builder.scenario
     rest: list[str] = list(nodes)
     if entry.zone:
-        struck = [node for n, node in enumerate(nodes) if zone_of(scenario, n) == entry.zone]
+        targets = [node for n, node in enumerate(nodes) if zone_of(scenario, n) == entry.zone]
     else:
-        count = 1 if entry.pair else _struck(entry, len(nodes), len(nodes))
-        struck = seeded_random.sample(nodes, count, scenario.seed, "links", number)
-    if len(struck) < len(nodes):
-        rest = [node for node in nodes if node not in struck]
+        count = 1 if entry.pair else _target_count(entry, len(nodes), len(nodes))
+        targets = seeded_random.sample(nodes, count, scenario.seed, "links", number)
+    if len(targets) < len(nodes):
+        rest = [node for node in nodes if node not in targets]
     if entry.pair:
         rest = seeded_random.sample(rest, 1, scenario.seed, "pair", number)
     end = entry.at_s + entry.for_s
-    figures = {
+    effect = {
         "link-cut": {"cut": True},
         "link-loss": {"loss": entry.rate},
         "link-twice": {"duplicate": entry.rate},
         "link-late": {"late": entry.rate, "late_s": entry.late_s},
         "link-slow": {"rate": entry.bytes},
     }[entry.do]
-    drawing.links.append(
+    builder.links.append(
         LinkFault(
             entry.at_s,
             end,
-            frozenset(struck),
+            frozenset(targets),
             frozenset(rest),
             entry.one_way,
             flap_s=entry.every_s,
-            **figures,  # type: ignore[arg-type]
+            **effect,  # type: ignore[arg-type]
         )
     )
     arrow = "->" if entry.one_way else "|"
-    whom = f"{' '.join(struck)} {arrow} {' '.join(rest)}" if len(struck) < len(nodes) else "all links"
-    drawing.shown.append(Shown(entry.at_s, end, entry.do, whom))
+    whom = f"{' '.join(targets)} {arrow} {' '.join(rest)}" if len(targets) < len(nodes) else "all links"
+    builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, whom))
 
 
-def _on_all(drawing: _Drawing, entry: TimelineEntry) -> None:
+def _on_all(builder: _PlanBuilder, entry: TimelineEntry) -> None:
     end = entry.at_s + entry.for_s
     if entry.do == "burst":
-        drawing.bursts.append((entry.at_s, end, entry.factor))
-        drawing.shown.append(Shown(entry.at_s, end, entry.do, f"clients x {entry.factor:g}"))
+        builder.bursts.append((entry.at_s, end, entry.factor))
+        builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, f"clients x {entry.factor:g}"))
     else:
-        drawing.act(entry.at_s, "discovery-down", "discovery")
-        drawing.act(end, "discovery-up", "discovery")
-        drawing.shown.append(Shown(entry.at_s, end, entry.do, "discovery"))
+        builder.add_action(entry.at_s, "discovery-down", "discovery")
+        builder.add_action(end, "discovery-up", "discovery")
+        builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, "discovery"))
--- a/orchidferry/testkit/world/worker.py
+++ b/orchidferry/testkit/world/worker.py
@@ -11,7 +11,7 @@
 from orchidferry.testkit.wire import Address
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.machine import SeenKeys
-from orchidferry.testkit.world.plan import TROUBLES, Server
+from orchidferry.testkit.world.plan import SERVER_FAULTS, Server
 from orchidferry.testkit.world.standin import StandIn, WorkerContext
 
 
@@ -59,7 +59,7 @@
         running = self._running.get(server.name)
         if running is None:
             return  # it has collapsed, or has not started yet
-        if order["do"] in TROUBLES:
+        if order["do"] in SERVER_FAULTS:
             running.set_fault(order["do"], float(order["value"]), int(order["entry"]))
         elif order["do"] == "down":
             running.stop(order["why"])
--- a/tests/testkit/test_plan.py
+++ b/tests/testkit/test_plan.py
@@ -92,19 +92,19 @@
 
 def test_troubles_strike_as_many_as_was_said_and_end() -> None:
     entry = {"at": "5s", "do": "slow", "tier": "registro", "share": 0.3, "factor": 4, "for": "2s"}
-    acts = draw(scenario(timeline=[entry])).acts
-    assert [(a.t, a.value) for a in acts] == [(5.0, 4.0)] * 3 + [(7.0, 0.0)] * 3
-    assert len({a.whom for a in acts}) == 3
+    actions = draw(scenario(timeline=[entry])).actions
+    assert [(a.t, a.value) for a in actions] == [(5.0, 4.0)] * 3 + [(7.0, 0.0)] * 3
+    assert len({a.whom for a in actions}) == 3
 
 
 def test_a_rolling_restart_touches_each_server_once_in_order() -> None:
     entry = {"at": "5s", "do": "rolling-restart", "tier": "entrada", "gap": "4s", "renamed": True}
     plan = draw(scenario(timeline=[entry]))
-    assert [a.t for a in plan.acts if a.do == "leave"] == [5.0 + 4.0 * n for n in range(6)]
-    ups = [a.whom for a in plan.acts if a.do == "up"]
+    assert [a.t for a in plan.actions if a.do == "leave"] == [5.0 + 4.0 * n for n in range(6)]
+    ups = [a.whom for a in plan.actions if a.do == "up"]
     assert len(set(ups)) == 6
     for name in ups:
-        assert plan.server(name).start
+        assert plan.server(name).starts_later
     # The new one stands at the old one's address.
     numbers = [s.number for s in plan.servers if s.tier == 0]
     assert sorted(numbers) == sorted([*range(6), *range(6)])
