--- a/orchidferry/testkit/traffic/classes.py
+++ b/orchidferry/testkit/traffic/classes.py
@@ -197,8 +197,8 @@
 class Shapes:
     """The most frequent shapes in bounded memory, after Space-Saving (Metwally, Agrawal, El Abbadi, 2005)."""
 
-    def __init__(self, most: int = MAX_SHAPES) -> None:
-        self._most = most
+    def __init__(self, capacity: int = MAX_SHAPES) -> None:
+        self._capacity = capacity
         self.counts: Counter[str] = Counter()
         self.total = 0
 
@@ -207,8 +207,8 @@
         frequent with it: a count is never too low, and too high by no more than that."""
         self.total += count
         shape = shape_of(method, path)
-        if shape not in self.counts and len(self.counts) >= self._most:
-            rare = self.counts.most_common()[: -self._most // 10 - 1 : -1]  # a tenth at once
+        if shape not in self.counts and len(self.counts) >= self._capacity:
+            rare = self.counts.most_common()[: -self._capacity // 10 - 1 : -1]  # a tenth at once
             for name, _ in rare:
                 del self.counts[name]
             count += rare[-1][1]
--- a/orchidferry/testkit/traffic/export.py
+++ b/orchidferry/testkit/traffic/export.py
@@ -50,9 +50,9 @@
     for rows in blocks:
         for t, client, thing, took, sent, received, _, cls, status, flags, _ in rows.tolist():
             path, method = names[cls]
-            whole, rest = divmod(BEGAN + t, 1_000_000)
+            seconds, microseconds = divmod(BEGAN + t, 1_000_000)
             row: dict[str, Any] = {
-                "t": f"{whole}.{rest:06d}",
+                "t": f"{seconds}.{microseconds:06d}",
                 "method": method,
                 "target": f"{path}{thing:x}",
                 "status": status,
--- a/orchidferry/testkit/traffic/generate.py
+++ b/orchidferry/testkit/traffic/generate.py
@@ -100,17 +100,17 @@
     later: list[tuple[float, int, GeneratedRequest]] = []  # retries that are still to come
     t = 0.0
     root = 0
-    most = rate * (1.0 + 2.0 * SPIKE)
+    max_rate = rate * (1.0 + 2.0 * SPIKE)
     serial = itertools.count()
     while True:
-        t += rng.expovariate(most)
+        t += rng.expovariate(max_rate)
         while later and later[0][0] <= min(t, seconds):
             again = heapq.heappop(later)[2]
             yield again
             _plan_retry(again, rng, later, serial, seconds)
         if t >= seconds:
             return
-        if rng.random() * most >= rate_at(t, rate, seconds):
+        if rng.random() * max_rate >= rate_at(t, rate, seconds):
             continue
         name = SHARES[min(bisect.bisect(classes, rng.random()), len(SHARES) - 1)][0]
         thing = bisect.bisect(popular, rng.random() * popular[-1])
