--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -84,6 +84,18 @@
         console.print(
             f"{run.processes} processes, {run.nodes_cpu_s:.1f} CPU seconds of nodes", highlight=False
         )
+    verdict = _judge_run(scenario, run, preview)
+    terminal.show(console, verdict)
+    for line in run.notes[:MAX_PRINTED_NOTES]:
+        console.print(f"a node logged: {line}", markup=False, highlight=False)
+    _write_reports(args, verdict)
+    if run.interrupted:
+        return 130
+    return 0 if verdict.passed else 1
+
+
+def _judge_run(scenario: Scenario, run: Run, preview: Preview | None) -> Verdict:
+    """Judge a run, with its control service, its fleet and its replay if there were any."""
     verdict = judge(scenario, run.facts, run.start, run.end, run.complete, run.why)
     verdict.control = run.control
     if scenario.fleet.on and run.start:
@@ -92,13 +104,7 @@
         )
     if preview is not None:
         verdict.traffic = _replay_result(preview, run)
-    terminal.show(console, verdict)
-    for line in run.notes[:MAX_PRINTED_NOTES]:
-        console.print(f"a node logged: {line}", markup=False, highlight=False)
-    _write_reports(args, verdict)
-    if run.interrupted:
-        return 130
-    return 0 if verdict.passed else 1
+    return verdict
 
 
 def _print_scenarios() -> int:
--- a/orchidferry/testkit/report/__init__.py
+++ b/orchidferry/testkit/report/__init__.py
@@ -1,1 +1,1 @@
-"""What a run is shown as: terminal, JSON, a page."""
+"""Reports of a run: in the terminal, and as an HTML page."""
--- a/orchidferry/testkit/world/__init__.py
+++ b/orchidferry/testkit/world/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins: servers, discovery, the front, and the real nodes between them."""
+"""The processes of a run: stand-in servers, discovery, the fleet's links and real nodes."""
