--- a/orchidferry/__init__.py
+++ b/orchidferry/__init__.py
@@ -1,5 +1,6 @@
-"""A load balancer for services that call services: its decisions, its node, its service mesh and its test
-kit.
+"""A load balancer for services that call services.
+
+Its decisions, its node, its service mesh and its test kit.
 
 Packages, each importing only from those named before it:
 
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -106,6 +106,10 @@
     on: int
 
     def __call__(self, before: Value) -> Value | str:
+        """Put the configuration in place of the present one.
+
+        :returns: the state after it; the reason as text if `before` does not allow it.
+        """
         old = body(before)
         history = OrderHistory()
         history.merge(old.orders, lists_all_orders(old))
@@ -163,6 +167,10 @@
     epoch: int
 
     def __call__(self, before: Value) -> Value | str:
+        """Admit the controller to the group.
+
+        :returns: the state after it; the reason as text if `before` does not allow it.
+        """
         joiner = self.joiner
         if joiner in before.voters:
             return before
@@ -194,6 +202,10 @@
     fencing_token: int
 
     def __call__(self, before: Value) -> Value | str:
+        """Make the controller the owner of the shard.
+
+        :returns: the state after it; the reason as text if `before` does not allow it.
+        """
         old = body(before)
         if old.fencing_token != self.fencing_token:
             return before if old.owner == self.name else OTHER_OWNER
--- a/orchidferry/testkit/bench/bare.py
+++ b/orchidferry/testkit/bench/bare.py
@@ -127,6 +127,7 @@
         except OSError:
             return caller.answer(502, b"")
         made.carry(caller, message)
+        return None
 
 
 async def run(listen: Address, servers: list[Address]) -> None:
--- a/orchidferry/testkit/bench/counting_relay.py
+++ b/orchidferry/testkit/bench/counting_relay.py
@@ -31,6 +31,7 @@
                 task = asyncio.get_running_loop().create_task(forward_messages(source, sink, counts))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
+            return None
 
         self._server = await asyncio.start_server(serve, *listen)
 
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -1,5 +1,8 @@
-"""`orchidferry bench peers`: memory and CPU of one real node in a fleet of many, whose other members stand in
-this process: the shipping membership of each, on a loopback address of its own."""
+"""`orchidferry bench peers`.
+
+Memory and CPU of one real node in a fleet of many, whose other members stand in this process: the shipping
+membership of each, on a loopback address of its own.
+"""
 
 from __future__ import annotations
 
--- a/orchidferry/testkit/bench/replay.py
+++ b/orchidferry/testkit/bench/replay.py
@@ -1,4 +1,4 @@
-"""`orchidferry bench replay`: is a replay what was recorded?
+"""`orchidferry bench replay`: compares a replay with what was recorded.
 
 A morning is generated, logged, imported and replayed twice: whole at a speed, and a cut of it in its own
 time. What the clients sent is held against the generator's own truth: shares by class, gaps between requests,
@@ -33,8 +33,13 @@
 
 
 def ties_right(recording: Path, truth: list[generate.GeneratedRequest]) -> tuple[float, float]:
-    """Which share of the truth's retries are tied to their own first try, and which share of the ties is
-    not of the truth. A first try is known by the millisecond in which it began, as the log has it."""
+    """Compare the retries that were matched with those that were generated.
+
+    A first attempt is known by the millisecond in which it began, as the log has it.
+
+    :returns: the fraction of the generated retries that are matched to their own first attempt, and the
+        fraction of the matches that were not generated.
+    """
     rows = np.concatenate(list(Reader(recording).blocks()))
     ms = [
         round(round(generate.START_TIME_S * 1e3 + (one.t + one.took_s) * 1e3) - round(one.took_s * 1e3, 0))
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -1,5 +1,7 @@
-"""`python -m orchidferry.testkit.bench.second_loss`: how long a replica that lost its disk, or a newcomer in
-the place of one that leaves, takes to hold all keys and to grant again.
+"""`python -m orchidferry.testkit.bench.second_loss`.
+
+How long a replica that lost its disk, or a newcomer in the place of one that leaves, takes to hold all keys
+and to grant again.
 
 The shipping shards in virtual time. Each step's processor time is measured here (messages packed and read,
 lmdb transactions) and charged to its machine at `SHARE` of a core; a commit takes `SYNC_S` and a page for
@@ -166,6 +168,7 @@
         self.free_s = self.world.now + took / SHARE
         if self.jobs and not self.disk_busy:
             self.commit()
+        return None
 
     def do(self, shard: Shard, actions: list[Action]) -> None:
         """What a shard wants done."""
--- a/orchidferry/testkit/capacity/run.py
+++ b/orchidferry/testkit/capacity/run.py
@@ -19,7 +19,7 @@
 from orchidferry.testkit.capacity.figures import BY_SERVICES, Figure, packed, plot, slopes, table
 from orchidferry.testkit.capacity.plan import Plan, services_of
 from orchidferry.testkit.mesh.processes import ROOT
-from orchidferry.testkit.stop_signals import Stopped, until_stopped
+from orchidferry.testkit.stop_signals import StoppedBySignalError, until_stopped
 from orchidferry.testkit.world.nodes import in_child
 
 MAX_LINE = 2**20
@@ -121,7 +121,7 @@
     _say(f"{os.cpu_count()} cores, load {os.getloadavg()[0]:.1f}")
     try:
         figures = uvloop.run(until_stopped(measure(plan)))
-    except Stopped:
+    except StoppedBySignalError:
         return 130
     except (ValueError, OSError, ExceptionGroup) as problem:
         print(f"orchidferry capacity: {_first(problem)}", file=sys.stderr)
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -103,8 +103,9 @@
 
 
 class KilledOwner(Hundreds):
-    """The owner is down through three of four changes, and another one does the duties when it comes back
-    with its old disk.
+    """The owner is down through three of four changes.
+
+    Another controller owns the shard when it comes back with its old disk.
     """
 
     reader = ("b", 4.1)
--- a/orchidferry/testkit/stop_signals.py
+++ b/orchidferry/testkit/stop_signals.py
@@ -13,7 +13,7 @@
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
-class Stopped(InterruptedError):
+class StoppedBySignalError(InterruptedError):
     """The process was told to stop; the text names the signal."""
 
 
@@ -31,7 +31,7 @@
 
 
 async def until_stopped(work: Coroutine[Any, Any, T]) -> T:
-    """Do this work; told to stop, cancel it, wait until it has cleaned up, and raise `Stopped`."""
+    """Do this work; at a signal cancel it, wait for its clean-up, and raise `StoppedBySignalError`."""
     task = asyncio.get_running_loop().create_task(work)
     stopped: list[signal.Signals] = []
 
@@ -44,5 +44,5 @@
             return await task
         except asyncio.CancelledError:
             if stopped:
-                raise Stopped(f"stopped by {stopped[0].name}") from None
+                raise StoppedBySignalError(f"stopped by {stopped[0].name}") from None
             raise
--- a/orchidferry/testkit/traffic/log_values.py
+++ b/orchidferry/testkit/traffic/log_values.py
@@ -105,7 +105,7 @@
 
 
 def unescaped(text: str) -> str:
-    """:returns: the text without a server's escapes, such as `\\x22` and `\\"`."""
+    r""":returns: the text without a server's escapes, such as `\\x22` and `\\"`."""
     if "\\" not in text:
         return text
     return ESCAPE.sub(lambda m: chr(int(m[1], 16)) if m[1] else PLAIN.get(m[2], m[2]), text)
--- a/orchidferry/testkit/wire.py
+++ b/orchidferry/testkit/wire.py
@@ -160,7 +160,7 @@
     def data_received(self, data: bytes) -> None:
         if self._waiting is None:
             self._told_extra()
-            return
+            return None
         self._size += len(data)
         try:
             self._parser.feed_data(data)
@@ -174,6 +174,7 @@
                 self._told_extra()
         elif self._size > MAX_MESSAGE:
             self._end("broken")
+        return None
 
     def _told_extra(self) -> None:
         """What nobody asked for can't be told apart from the next answer: the connection is done with."""
--- a/orchidferry/testkit/world/director.py
+++ b/orchidferry/testkit/world/director.py
@@ -108,6 +108,7 @@
         await self._start_nodes(servers)
         deployment.usable_nodes = set(deployment.plan.nodes)
         deployment.publish_usable_nodes()
+        return None
 
     async def _start_workers(self, foreign: bool) -> None:
         """Start the processes of clients, and of stand-in servers unless the target is foreign."""
--- a/orchidferry/testkit/world/discovery.py
+++ b/orchidferry/testkit/world/discovery.py
@@ -212,6 +212,7 @@
             connection, index, self._loop.call_later(wait_s, self._on_watch_expired, subscriber, connection)
         )
         subscriber.watches.append(watch)
+        return None
 
     def _on_watch_expired(self, subscriber: Subscriber, connection: ServerSide) -> None:
         for watch in [w for w in subscriber.watches if w.connection is connection]:
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -176,6 +176,7 @@
     if entry.do in ("drain", "rolling-restart"):
         end = max(act.t for act in builder.actions if act.whom in {s.name for s in targets})
     builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, whom))
+    return None
 
 
 def _add_server_fault(
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -231,7 +231,7 @@
             return connection.answer(400)
         received = self._record_received(request, id, cls, key)
         if self._strongest("silent") or self._is_dropped_by_reset(connection, id):
-            return
+            return None
         server = self.server
         if id in self._pending:  # a duplicate of a request that is being processed
             self._recorder.put(ExecutionEnded(self._recorder.now(), server.tier, server.name, id, "rejected"))
@@ -247,6 +247,7 @@
         except ValueError:
             return connection.answer(400)
         self._handle(machine.Arrived(id, cls, root, key, received + budget))
+        return None
 
     def _record_received(self, request: Request, id: str, cls: Class, key: str) -> float:
         """Record a request, and return when it was received, in seconds of the record's clock."""
