--- a/orchidferry/mesh/control/actions.py
+++ b/orchidferry/mesh/control/actions.py
@@ -1,7 +1,4 @@
-"""The actions that a shard's replica returns.
-
-Whoever runs it carries them out, in the order in which they are returned.
-"""
+"""The actions that a shard returns; the runner of the shard carries them out in the returned order."""
 
 from __future__ import annotations
 
@@ -16,9 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to another controller; it is lost if there is no link to that.
+    """Send a message to another controller; the message is lost if there is no link to that controller.
 
-    :param to: the controller's name.
+    :param to: name of the other controller.
+    :param message: the message.
     """
 
     to: str
@@ -27,9 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReply:
-    """Answer a message, over the link by which it came.
+    """Reply to a message, over the link on which it was received.
 
-    :param to: the link, as it was handed in with the message.
+    :param to: the link that was passed to the shard together with the received message.
+    :param message: the reply.
     """
 
     to: Any
@@ -38,10 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecords:
-    """Put these records on disk, in one transaction.
+    """Write records to disk, in one transaction.
 
-    :param completion: to be handed back to `Shard.write_finished` with the result; None if no result is
-        wanted.
+    :param puts: the writes, which include deletions.
+    :param completion: to be passed to `Shard.write_finished` with the result; None if the result is not
+        needed.
     """
 
     puts: list[RecordWrite]
@@ -50,7 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChanged:
-    """Publish a newer state of the shard, which is known to be decided."""
+    """Publish a newer state of the shard that is known to be decided.
+
+    :param old: the newest state that was known before.
+    :param new: the newer state.
+    """
 
     old: Value
     new: Value
@@ -58,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """Answer whoever asked here for a change or a read: it is over.
+    """Answer a request for a change or a read, which has ended.
 
-    :param id: of the request.
-    :param value: the newest decided state; None if nothing is known in time. Then a change that was asked for
-        may still be made, unless `why` is `OUT_OF_CONTACT`.
-    :param why: the reason for which the request was refused or given up; "" for none.
+    :param id: id of the request.
+    :param value: the newest decided state; None if the outcome was not known in time. In that case a
+        requested change may still be made, unless `why` is `OUT_OF_CONTACT`.
+    :param why: the reason why the request was refused or given up; "" for none.
     """
 
     id: str
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -1,9 +1,9 @@
 """The controller process of the mesh's control state, on core machines: `orchidferry controller`.
 
-It runs one replica of each shard of the state (`orchidferry.mesh.control.shard`): it votes on the
-configuration and on who holds which operation key, does the singleton duties of the shards that it owns,
-holds the leases of nodes, and publishes what changes. What it acknowledges is on its disk before; it never
-waits for its disk.
+It runs one replica of each shard of the state (`orchidferry.mesh.control.shard`). It votes on the
+configuration, grants operation keys, performs the singleton duties of the shards that it owns, holds the
+leases of nodes, and publishes changes. Whatever it acknowledges is on its disk before; disk writes never
+block its event loop.
 """
 
 from __future__ import annotations
@@ -32,22 +32,24 @@
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import Message
 
-MAX_INCARNATION = 2**53  # of the stream of updates: drawn below this at each start
+MAX_INCARNATION = 2**53  # upper bound of the update stream's incarnation, which is drawn at each start
 BACKLOG = 512  # connections that may wait to be accepted
-MIN_HTTP_CONNECTIONS = 64
-GROWTH_WAIT_S = 5.0  # after the first start the first configuration waits so long for the groups to grow
-MIN_STOP_S = 1.0  # after SIGTERM, for calls that are under way and for others to take over duties
-HANDOVER_MARGIN_S = 1.0  # before the platform kills a controller that still waits for its successor
-HANDOVER_CHECK_S = 0.1
-STOP_MARGIN_S = 0.4  # of the grace time, kept for the process's own end
+MIN_HTTP_CONNECTIONS = 64  # lower bound of the limit of concurrent HTTP connections
+GROWTH_WAIT_S = 5.0  # after the start the first configuration waits at most this long for the groups to grow
+MIN_STOP_S = 1.0  # after SIGTERM, for calls in progress and for other controllers to take over duties
+HANDOVER_MARGIN_S = 1.0  # between the end of the handover and the platform's kill
+HANDOVER_CHECK_S = 0.1  # between two checks of whether the handover is complete
+STOP_MARGIN_S = 0.4  # part of the grace time that is reserved for the end of the process itself
 
 
 class Controller:
-    """One controller."""
+    """One controller process."""
 
     def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop) -> None:
         """Open the store and load the shards.
 
+        :param settings: the process settings.
+        :param loop: the event loop.
         :raises StoreError: if the store can't be used.
         """
         self._settings = settings
@@ -82,7 +84,7 @@
             max(MIN_HTTP_CONNECTIONS, settings.max_file_descriptors // 4),
         )
         self._server: asyncio.Server | None = None
-        self._size_checked = False
+        self._group_size_checked = False
 
     def _configuration_resource(self) -> ConfigurationResource:
         return ConfigurationResource(
@@ -93,15 +95,15 @@
         )
 
     def _owner_fencing_token(self, service: str, now: float) -> int | None:
-        """The fencing token under which this controller owns the duties for a service; None if it doesn't."""
+        """Return the fencing token under which this controller owns a service's shard; None if it doesn't."""
         return self._runner.shard_of(service).owns(now)
 
     def _in_contact(self) -> bool:
-        """Whether a majority of the configuration's voters has lately acknowledged this controller."""
+        """Whether this controller is in contact with a majority of the configuration shard's voters."""
         return self._runner.configuration_shard.in_contact(self._loop.time())
 
     def _contact_age_ms(self) -> int | None:
-        """How long ago the newest heartbeat was sent that a majority has acknowledged; None for never."""
+        """Age of the newest heartbeat that a majority has acknowledged, in ms; None if there is none."""
         shard = self._runner.configuration_shard
         since_s = self._peers.contact.since_s(shard.known.voters, shard.voter)
         if since_s == -math.inf:
@@ -110,10 +112,10 @@
             return 0
         return max(0, round(1e3 * (self._loop.time() - since_s)))
 
-    # Start and end
+    # Start and stop
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Serve until `stopping` is set; then hand over to the other controllers, and end."""
+        """Serve until `stopping` is set; then hand over to the other controllers and return."""
         self._server = await self._loop.create_server(
             lambda: Link(self._received, self._disconnected, accepted=True),
             self._settings.local_ip,
@@ -141,7 +143,7 @@
         logger.info("controller: stopped")
 
     async def _hand_over(self) -> None:
-        """Serve on until others have this one's votes and all that it holds, or nobody can take them."""
+        """Keep serving until other controllers have taken over, none can take over, or the time is up."""
         began_s = self._loop.time()
         until_s = began_s + max(MIN_STOP_S, self._settings.bounds.grace_s - HANDOVER_MARGIN_S)
         await self._run_until(asyncio.Event(), began_s + MIN_STOP_S)
@@ -151,7 +153,7 @@
             await self._run_until(asyncio.Event(), min(until_s, now + HANDOVER_CHECK_S))
 
     async def _run_until(self, stopping: asyncio.Event, until_s: float) -> None:
-        """Tick, and send heartbeats, until `stopping` is set or the time has come."""
+        """Tick and send heartbeats until `stopping` is set or the time `until_s` is reached."""
         next_heartbeat_s = 0.0
         while not stopping.is_set() and self._loop.time() < until_s:
             now = self._loop.time()
@@ -168,14 +170,15 @@
     def _tick(self) -> None:
         self._links.dial_missing(self._other_controllers())
         self._publisher.tick()
-        self._warn_if_small()
+        self._warn_if_group_too_small()
         self._update_fitness()
         self._runner.tick()
 
     def _update_fitness(self) -> None:
-        """Take no duties while the disk is failing, keys are missing here, or the process ends.
+        """Update whether this controller is fit to own a shard.
 
-        The other controllers learn of a change at once.
+        It is unfit while its disk is degraded, it has not caught up in every shard, or it is stopping. A
+        change is announced to the other controllers immediately, by a heartbeat.
         """
         caught_up = all(shard.standing.caught_up for shard in self._shards.values())
         fit = caught_up and not self._store.is_degraded and not self._peers.stopping
@@ -184,14 +187,14 @@
             self._heartbeats.send()
 
     def reload_settings(self, settings: Settings) -> None:
-        """Take new settings: other controllers may be named there."""
+        """Apply reloaded settings, which may name other seed controllers."""
         self._seeds = settings.seeds
 
     def _other_controllers(self) -> set[str]:
         voters = {voter.name for shard in self._shards.values() for voter in shard.known.voters}
         return (voters | set(self._seeds)) - {self._settings.ip}
 
-    # Links and states
+    # Links and state changes
 
     def _received(self, link: Link, message: Message) -> None:
         self._handlers.handle(link, message)
@@ -201,7 +204,7 @@
         self._links.disconnected(link)
 
     def _state_changed(self, shard: Shard, change: StateChanged) -> None:
-        """Publish what has changed in a shard's state."""
+        """Publish the changes of a shard's state."""
         old = shard_state.body(change.old)
         new = shard_state.body(change.new)
         logger.info(
@@ -218,21 +221,21 @@
         if new.revision != old.revision:
             self._publisher.announce_revision(new.revision)
 
-    # The size of the groups
+    # Group size
 
     def _is_growing(self) -> bool:
-        """Whether the first configuration has to wait until every group has its size."""
+        """Whether the first configuration has to wait until every group has reached its configured size."""
         is_first = not self._runner.configuration_shard.body.revision
         if not is_first or self._loop.time() - self._started_s > GROWTH_WAIT_S:
             return False
         return any(len(shard.known.voters) < shard.size for shard in self._shards.values())
 
-    def _warn_if_small(self) -> None:
-        """Warn once if fewer controllers run than the tolerance asks for."""
+    def _warn_if_group_too_small(self) -> None:
+        """Warn once if the group has fewer controllers than the configured tolerance requires."""
         shard = self._runner.configuration_shard
-        if self._size_checked or self._loop.time() - self._started_s < GROWTH_WAIT_S:
+        if self._group_size_checked or self._loop.time() - self._started_s < GROWTH_WAIT_S:
             return
-        self._size_checked = True
+        self._group_size_checked = True
         if shard.voter in shard.known.voters and len(shard.known.voters) < shard.size:
             logger.warning(
                 "controller: the group has {} replicas, term_settings.tolerance.machines = {} needs {}",
--- a/orchidferry/mesh/control/controller_links.py
+++ b/orchidferry/mesh/control/controller_links.py
@@ -1,4 +1,4 @@
-"""A controller's links to the other controllers: those that it dials and those that are dialled to it."""
+"""A controller's links to the other controllers: those that it dials and those that it accepts."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from orchidferry.mesh.wire.framing import Link, dial
 from orchidferry.mesh.wire.messages import ControllerHello, Message
 
-DIAL_INTERVAL_S = 0.15  # between two attempts to dial one controller
+DIAL_INTERVAL_S = 0.15  # minimum time between two attempts to dial the same controller
 
 
 class ControllerLinks:
-    """The links between one controller and the others, up to one in each direction."""
+    """The links between one controller and the others, at most one per direction and controller."""
 
     def __init__(
         self,
@@ -23,11 +23,13 @@
         on_disconnected: Callable[[Link], None],
         on_dialled: Callable[[], None],
     ) -> None:
-        """Make it without links.
+        """Create a `ControllerLinks` without links.
 
-        :param on_message: called with each message that comes over a dialled link.
-        :param on_disconnected: called once a dialled link is closed; it is to call `disconnected`.
-        :param on_dialled: called when another controller has been dialled.
+        :param settings: the process settings.
+        :param loop: the event loop.
+        :param on_message: called with each message received over a dialled link.
+        :param on_disconnected: called when a dialled link is closed; it must call `disconnected`.
+        :param on_dialled: called when another controller was dialled successfully.
         """
         self._settings = settings
         self._loop = loop
@@ -35,15 +37,15 @@
         self._on_disconnected = on_disconnected
         self._on_dialled = on_dialled
         self._dialled: dict[str, Link] = {}
-        self._accepted: dict[str, Link] = {}  # also of controllers that are known in no other way
+        self._accepted: dict[str, Link] = {}  # includes controllers that are not known otherwise
         self._dialling: set[str] = set()
         self._next_dial_s: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def dial_missing(self, names: Iterable[str]) -> None:
-        """Dial those of these controllers to which there is no dialled link.
+        """Dial those of the named controllers to which there is no dialled link.
 
-        :param names: of controllers, which are their addresses.
+        :param names: names of the controllers, which are also their addresses.
         """
         now = self._loop.time()
         for name in names:
@@ -73,22 +75,22 @@
             self._dialling.discard(name)
 
     def accepted(self, link: Link, name: str) -> None:
-        """Another controller has dialled this one and named itself."""
+        """Record a link over which another controller has dialled this one and sent its name."""
         link.peer = name
         self._accepted[name] = link
 
     def disconnected(self, link: Link) -> None:
-        """A link is closed, which may be one to a controller."""
+        """Forget a closed link, if it was one to a controller."""
         for links in (self._dialled, self._accepted):
             if links.get(link.peer) is link:
                 del links[link.peer]
 
     def send(self, name: str, message: Message) -> None:
-        """Send a message to a controller; it is lost if there is no link to that."""
+        """Send a message to a controller; the message is lost if there is no link to that controller."""
         link = self._dialled.get(name) or self._accepted.get(name)
         if link is not None:
             link.send(message)
 
     def open_links(self) -> list[Link]:
-        """One open link to each controller: the dialled one, if there are two."""
+        """Return one open link to each controller: the dialled one, if there are two."""
         return [link for link in {**self._accepted, **self._dialled}.values() if link.open]
--- a/orchidferry/mesh/control/heartbeats.py
+++ b/orchidferry/mesh/control/heartbeats.py
@@ -1,4 +1,4 @@
-"""A controller's heartbeats: those that it sends, their acknowledgements, and those that it receives."""
+"""A controller's heartbeats: sending them, their acknowledgements, and receiving those of others."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck
 
 HEARTBEAT_INTERVAL_S = 0.4
-MAX_UNACKNOWLEDGED = 16  # heartbeats whose acknowledgement still counts
-MAX_CONTROLLERS = 64  # of which heartbeats are remembered
+MAX_UNACKNOWLEDGED = 16  # newest heartbeats that can still be acknowledged
+MAX_CONTROLLERS = 64  # other controllers whose last heartbeat is remembered
 
 
 class Heartbeats:
-    """Sends and receives heartbeats. Leases of singleton roles and contact rest on their acknowledgement."""
+    """Sends and receives heartbeats; owners' leases and contact depend on their acknowledgements."""
 
     def __init__(
         self,
@@ -27,10 +27,13 @@
         links: ControllerLinks,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Make it.
+        """Create a `Heartbeats`.
 
-        :param name: of this controller.
-        :param peers: what is known of the others; updated by each heartbeat that is received.
+        :param name: name of this controller.
+        :param shards: this controller's shards, by number.
+        :param peers: state of the other controllers as observed here; updated by each received heartbeat.
+        :param links: this controller's links to the others.
+        :param loop: the event loop.
         """
         self._name = name
         self._shards = shards
@@ -38,12 +41,12 @@
         self._links = links
         self._loop = loop
         self._number = 0
-        self._sent_s: dict[int, float] = {}  # by number of the heartbeat
+        self._sent_s: dict[int, float] = {}  # sending time by number of the heartbeat
 
     def send(self) -> None:
-        """Send a heartbeat to all controllers, and close the links to those that have been silent for long.
+        """Send a heartbeat to each linked controller; close links that were silent for over `DEAD_S`.
 
-        Controllers without a vote get it too: they need to know who is dead and who leaves.
+        Controllers that are not voters get heartbeats too: they need to know who is dead and who is leaving.
         """
         now = self._loop.time()
         self._number += 1
@@ -65,7 +68,7 @@
                 link.send(heartbeat)
 
     def receive(self, link: Link, heartbeat: Heartbeat) -> None:
-        """Note and acknowledge another controller's heartbeat."""
+        """Record and acknowledge another controller's heartbeat."""
         self._update_peer(heartbeat)
         fencing_tokens = [shard.accepted_fencing_token for shard in self._shards.values()]
         link.send(HeartbeatAck(self._name, heartbeat.number, fencing_tokens))
@@ -83,7 +86,7 @@
         peers.learning[name] = tuple(heartbeat.missing_shards)
 
     def acknowledged(self, ack: HeartbeatAck) -> None:
-        """A heartbeat of this controller has been acknowledged: its shards' leases run on."""
+        """Record the acknowledgement of a heartbeat of this controller, which extends contact and leases."""
         sent_s = self._sent_s.get(ack.number)
         if sent_s is not None:
             for shard, fencing_token in zip(self._shards.values(), ack.fencing_tokens, strict=True):
--- a/orchidferry/mesh/control/hinted_handoff.py
+++ b/orchidferry/mesh/control/hinted_handoff.py
@@ -1,10 +1,10 @@
-"""Hinted handoff: the keys that a silent controller misses, kept for it by the others. No I/O.
+"""Hinted handoff: keys whose writes a silent controller missed, kept for it by the others. Performs no I/O.
 
-Each controller remembers which keys it wrote lately. While another one is silent, these and all that are
-written meanwhile are kept for it as hints: by key, so that it is sent the record as it is when it is back,
-and nothing that was released since. Pages go out one at a time, the next as soon as the last is acknowledged.
-A controller that misses more than `MAX_HINTS_PER_PEER` is sent what is kept; it lacks the rest, which a
-majority has.
+Each controller remembers the keys that it wrote recently. While another controller is silent, these keys and
+all keys written in the meantime are kept for it as hints. A hint is only the key, so that the returning
+controller gets the record as it is by then, and no record that was released since. Pages of hints are sent
+one at a time, the next one as soon as the previous one is acknowledged. If a controller misses more than
+`MAX_HINTS_PER_PEER` keys, the excess is not kept; it lacks those records, which a majority has.
 
 Hinted handoff is described in DeCandia et al., *Dynamo* (2007), section 4.6.
 """
@@ -15,17 +15,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-RECENT_S = 4.0  # what was written so long before a controller was found silent may have missed it too
-MAX_RECENT = 8_000
-MAX_HINTS_PER_PEER = 40_000
-RETRY_INTERVAL_S = 1.0  # after which a page that is not acknowledged goes out again
+RECENT_S = 4.0  # a controller found silent may have missed writes of this last period, too
+MAX_RECENT = 8_000  # recently written keys that are remembered
+MAX_HINTS_PER_PEER = 40_000  # keys kept for one silent controller
+RETRY_INTERVAL_S = 1.0  # after which an unacknowledged page is sent again
 
 
 @dataclass(frozen=True, slots=True)
 class HintPage:
-    """Keys whose records are to be sent to a controller that is back.
+    """Keys whose records must be sent to a controller that has returned.
 
-    :param number: to be named in its acknowledgement
+    :param number: number of the page, which its acknowledgement names.
+    :param keys: the keys of the page.
     """
 
     number: int
@@ -34,24 +35,35 @@
 
 @dataclass(slots=True)
 class _PeerHints:
-    """What is kept for one controller."""
+    """The hints that are kept for one controller.
+
+    :param keys: the keys of the hints, in the order of their first writes.
+    :param page_number: number of the page that was sent last.
+    :param page: keys of the page that waits for its acknowledgement; empty if there is none.
+    :param next_send_s: time at which that page is sent again, in seconds on the event loop's clock.
+    :param silent: whether the controller is still silent.
+    """
 
     keys: dict[str, None] = field(default_factory=dict)
-    page_number: int = 0  # of the page that was sent last
-    page: list[str] = field(default_factory=list)  # the page in flight
+    page_number: int = 0
+    page: list[str] = field(default_factory=list)
     next_send_s: float = 0.0
     silent: bool = True
 
 
 @dataclass
 class Hints:
-    """What one controller keeps for the others."""
+    """The hints that one controller keeps for the others.
+
+    :param recent: the recently written keys with the time of each write, oldest first.
+    :param kept: the hints for each controller, by name.
+    """
 
-    recent: deque[tuple[float, str]] = field(default_factory=deque)  # when each key was written
-    kept: dict[str, _PeerHints] = field(default_factory=dict)  # by controller
+    recent: deque[tuple[float, str]] = field(default_factory=deque)
+    kept: dict[str, _PeerHints] = field(default_factory=dict)
 
     def record_write(self, key: str, now: float) -> None:
-        """Remember that a key was claimed or answered here."""
+        """Record that a key was claimed or answered at this controller."""
         self.recent.append((now, key))
         while len(self.recent) > MAX_RECENT or self.recent[0][0] < now - RECENT_S:
             self.recent.popleft()
@@ -60,7 +72,7 @@
                 hints.keys[key] = None
 
     def mark_silent(self, controller: str, now: float) -> None:
-        """Keep hints for a controller that is not heard."""
+        """Begin to keep hints for a controller that is silent."""
         hints = self.kept.get(controller)
         if hints is not None and hints.silent:
             return
@@ -72,15 +84,17 @@
     def next_page(
         self, controller: str, now: float, max_keys: int, fitting: Callable[[list[str]], int] = len
     ) -> HintPage | None:
-        """Return the page that a controller that is back is to be sent now, or None.
+        """Return the page of hints that is due to be sent to a controller that has returned, or None.
 
-        :param max_keys: in one page
-        :param fitting: returns how many of the first keys a page has room for
+        :param controller: name of the controller.
+        :param now: current time, in seconds on the event loop's clock.
+        :param max_keys: maximum number of keys in one page.
+        :param fitting: returns how many of the given keys, from the first on, fit into one page.
         """
         hints = self.kept.get(controller)
         if hints is None:
             return None
-        if hints.silent:  # what was on its way to it when it came back may have missed it too
+        if hints.silent:  # it may also have missed messages that were in transit when it returned
             hints.silent = False
             self._add_recent(hints, now)
         if hints.page and now < hints.next_send_s:
@@ -96,7 +110,7 @@
         return HintPage(hints.page_number, hints.page)
 
     def acknowledge(self, controller: str, page_number: int) -> None:
-        """Drop the hints of a page that a controller has on disk."""
+        """Drop the hints of a page that a controller has acknowledged, having it on disk."""
         hints = self.kept.get(controller)
         if hints is not None and hints.page and hints.page_number == page_number:
             for key in hints.page:
@@ -104,7 +118,7 @@
             hints.page = []
 
     def retain(self, controllers: set[str]) -> None:
-        """Drop the hints for all controllers but these."""
+        """Drop the hints for all controllers except these."""
         for controller in self.kept.keys() - controllers:
             del self.kept[controller]
 
--- a/orchidferry/mesh/control/message_handlers.py
+++ b/orchidferry/mesh/control/message_handlers.py
@@ -1,4 +1,4 @@
-"""What a controller does with each message of the other controllers and of nodes."""
+"""A controller's handlers for the messages of the other controllers and of nodes."""
 
 from __future__ import annotations
 
@@ -44,15 +44,12 @@
 
 
 def newest_revision(read: RequestEnded) -> int:
-    """The configuration's revision by a read that has ended.
-
-    :returns: `NO_REVISION` if nothing was read.
-    """
+    """Return the configuration's revision according to a finished read; `NO_REVISION` if the read failed."""
     return shard_state.body(read.value).revision if read.value is not None else NO_REVISION
 
 
 class MessageHandlers:
-    """Hands each message to the part of the controller that it is for."""
+    """Dispatches each message to the responsible component of the controller."""
 
     def __init__(
         self,
@@ -93,9 +90,9 @@
         }
 
     def handle(self, link: Link, message: Message) -> None:
-        """Handle a message; a link over which a malformed one has come is closed.
+        """Handle a message; if it is malformed, close the link over which it came.
 
-        A message of a type without a handler, such as an answer that only nodes expect, is ignored.
+        A message of a type without a handler, such as a reply that only nodes expect, is ignored.
         """
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -103,7 +100,7 @@
         try:
             handler(link, message)
         except (ValueError, TypeError, KeyError, IndexError) as problem:
-            logger.warning("controller: a {} can't be taken: {}", tag_of(message), problem)
+            logger.warning("controller: malformed message of type {}: {}", tag_of(message), problem)
             link.close()
 
     # Other controllers
@@ -117,7 +114,7 @@
         for shard, version in zip(self._runner.shards.values(), heartbeat.versions, strict=True):
             self._runner.carry_out(shard, shard.heartbeat_received(version, heartbeat.name))
 
-    # Operation keys and retries
+    # Operation keys and retry quotas
 
     def _claim_key(self, link: Link, claim: KeyClaim) -> None:
         shard = self._runner.shard_of(claim.key)
@@ -159,9 +156,10 @@
         self._publisher.send_configuration(link, text)
 
     def send_group(self, shard: Shard, link: Link | None = None) -> None:
-        """Send the group of a shard to a node, or to all nodes.
+        """Send the group of a shard to one node or to all nodes.
 
-        :param link: to the node; None for all nodes.
+        :param shard: the shard.
+        :param link: link to the node; None for all nodes.
         """
         state = shard.body
         names = [voter.name for voter in shard.known.voters]
--- a/orchidferry/mesh/control/owner_lease.py
+++ b/orchidferry/mesh/control/owner_lease.py
@@ -1,9 +1,9 @@
-"""Ownership of a shard: the owner's lease, and who takes over. Free of I/O.
+"""Ownership of a shard: the owner's lease, and the choice of the next owner. Performs no I/O.
 
-The owner of a shard does its singleton roles while a majority has lately acknowledged its heartbeats
-without having voted for a later fencing token. Each change of the owner or of the voters brings a later
-token, so what the last owner was acknowledged came before that change was decided; a new owner waits for
-`LEASE_S` after it has learned that it is the owner.
+The owner of a shard performs the shard's singleton roles as long as a majority has recently acknowledged its
+heartbeats without having voted for a later fencing token. Each change of the owner or of the voters brings a
+later token, so all acknowledgements of the previous owner's lease precede the decision of that change. A new
+owner waits for `LEASE_S` after it has learned that it is the owner; by then the previous lease has ended.
 """
 
 from __future__ import annotations
@@ -16,48 +16,57 @@
 from orchidferry.mesh.control.group_changes import GroupView
 from orchidferry.mesh.control.shard_state import Body
 
-# An owner's lease, from when it has sent the heartbeat that a majority acknowledged; shorter than ALIVE_S.
+# Duration of an owner's lease, from the sending of a heartbeat that a majority acknowledged; shorter than
+# `ALIVE_S`.
 LEASE_S = 1.0
 NEVER_S = float("-inf")
 
 
 @dataclass
 class OwnerLease:
-    """One controller's lease of a shard, which it holds where the newest state names it the owner.
+    """One controller's lease of a shard; it counts only while the newest state names the controller as owner.
 
-    :param from_s: before this time the last owner may still hold its lease.
-    :param acknowledged_s: by controller: when the newest heartbeat that it has acknowledged was sent.
+    :param from_s: time before which the previous owner may still hold its lease.
+    :param acknowledged_s: for each other controller by name, the sending time of the newest heartbeat that it
+        has acknowledged. Times are in seconds on the event loop's clock.
     """
 
     from_s: float = NEVER_S
     acknowledged_s: dict[str, float] = field(default_factory=dict)
 
     def acknowledge(self, name: str, sent_s: float) -> None:
-        """A controller acknowledged the heartbeat sent at a time, and voted for no later fencing token."""
+        """Record another controller's acknowledgement of a heartbeat, given under the current fencing token.
+
+        :param name: name of the other controller, which has voted for no later token.
+        :param sent_s: time at which the heartbeat was sent.
+        """
         self.acknowledged_s[name] = max(sent_s, self.acknowledged_s.get(name, NEVER_S))
 
     def learn(self, before: Body, after: Body, now: float) -> None:
-        """A newer state is known to be decided."""
+        """Update the lease for a newer state that is known to be decided."""
         if after.fencing_token == before.fencing_token:
             return
         self.acknowledged_s.clear()
-        missed_a_change = after.fencing_token != before.fencing_token + 1
-        if missed_a_change or before.owner not in ("", after.owner):
+        missed_change = after.fencing_token != before.fencing_token + 1
+        if missed_change or before.owner not in ("", after.owner):
             self.from_s = now + LEASE_S
 
     def holds(self, voters: Iterable[Voter], now: float) -> bool:
-        """Whether the lease is held: a majority, this controller among it, has acknowledged it."""
+        """Whether the lease is held: a majority that includes this controller has acknowledged it."""
         if now < self.from_s:
             return False
         names = [voter.name for voter in voters]
-        heard = sum(now - self.acknowledged_s.get(name, NEVER_S) < LEASE_S for name in names)
-        return 2 * (heard + 1) > len(names)
+        acknowledging = sum(now - self.acknowledged_s.get(name, NEVER_S) < LEASE_S for name in names)
+        return 2 * (acknowledging + 1) > len(names)
+
 
+def should_take_over(group: GroupView, owner: str) -> bool:
+    """Whether a controller should propose itself as the owner of the shard.
 
-def takes_over(group: GroupView, owner: str) -> bool:
-    """Whether a controller proposes itself as the owner: the owner is gone or unfit, and it ranks first.
+    It should if the owner is dead or unfit, and if it ranks first among the voters that are alive and fit.
 
     :param group: the group as that controller observes it.
+    :param owner: name of the current owner; "" for none.
     """
     names = group.names
     peers = group.peers
--- a/orchidferry/mesh/control/peers.py
+++ b/orchidferry/mesh/control/peers.py
@@ -1,4 +1,4 @@
-"""What a controller knows of the others: who is alive, who is fit to own a shard, and who is leaving."""
+"""State of the other controllers as observed by one: which are alive, fit to own a shard, or leaving."""
 
 from __future__ import annotations
 
@@ -6,21 +6,26 @@
 
 from orchidferry.mesh.control.contact import Contact
 
-ALIVE_S = 1.5  # a controller that was heard within this time is alive
-DEAD_S = 2.5  # one that was not heard for this time is dead, as far as this controller knows
+ALIVE_S = 1.5  # a controller counts as alive if its last heartbeat is more recent than this
+DEAD_S = 2.5  # a controller counts as dead if its last heartbeat is older than this
 
 
 @dataclass(slots=True)
 class Peers:
-    """What a controller knows of the others, shared by its replicas of all shards.
+    """A controller's view of the others and of itself, shared by its replicas of all shards.
 
-    :param began_s: when this controller started.
-    :param heard_s: by controller: when its last heartbeat came.
-    :param unfit: controllers that can't own a shard, as they say themselves.
-    :param fit: whether this controller can own a shard: its disk keeps up, and it is not stopping.
-    :param leaving: controllers that are stopping, as they say themselves.
+    Times are in seconds on the event loop's clock.
+
+    :param began_s: time at which this controller started.
+    :param heard_s: for each other controller by name, the time at which its last heartbeat arrived.
+    :param unfit: names of controllers whose heartbeats report that they can't own a shard.
+    :param fit: whether this controller can own a shard: it has caught up, its disk is not degraded, and it is
+        not stopping.
+    :param leaving: names of controllers whose heartbeats report that they are stopping.
     :param stopping: whether this controller is stopping.
-    :param learning: by controller: the shards in which it has yet to catch up, as it says itself.
+    :param learning: for each other controller by name, the numbers of the shards in which it has not caught
+        up yet, according to its heartbeats.
+    :param contact: this controller's contact with the others.
     """
 
     began_s: float
@@ -33,9 +38,9 @@
     contact: Contact = field(default_factory=Contact)
 
     def alive(self, name: str, now: float, within_s: float = ALIVE_S) -> bool:
-        """Whether a controller was heard within a time."""
+        """Whether a controller's last heartbeat arrived within the last `within_s` seconds."""
         return now - self.heard_s.get(name, float("-inf")) < within_s
 
     def dead(self, name: str, now: float) -> bool:
-        """Whether a controller has not been heard for long; if it never was, since this one has started."""
+        """Whether no heartbeat of a controller has arrived for `DEAD_S`, or since this one started."""
         return now - self.heard_s.get(name, self.began_s) > DEAD_S
--- a/orchidferry/mesh/control/register_messages.py
+++ b/orchidferry/mesh/control/register_messages.py
@@ -1,4 +1,4 @@
-"""Conversion of the register's messages to their wire form and back. Free of I/O."""
+"""Conversion between the register's messages and their wire form. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def pack_message(message: Message) -> RegisterBody:
-    """Return the wire form of a message, with its complete state."""
+    """Return the wire form of a message; a state in it is packed completely."""
     match message:
         case Prepare():
             return RegisterPrepare(message.ballot, message.intent, message.known_ballot)
@@ -40,7 +40,7 @@
 
 
 def unpack_message(body: RegisterBody) -> Message:
-    """Return the message of a wire form.
+    """Return the message for a wire form.
 
     :raises ValueError: for an `Accept` without a state.
     """
@@ -61,5 +61,5 @@
         case RegisterAccept():
             value = unpack_value(body.state)
             if value is None:
-                raise ValueError("accept: state: there is none")
+                raise ValueError("accept: state: missing")
             return Accept(body.ballot, value)
--- a/orchidferry/mesh/control/register_reader.py
+++ b/orchidferry/mesh/control/register_reader.py
@@ -1,7 +1,7 @@
 """Linearizable reads at one replica of a shard's register.
 
-A read asks the voters what they have accepted; where their reports show no decided state, it runs a round of
-the register that changes nothing.
+A read asks the voters for the state that each has accepted; if their reports do not show the decided state,
+the replica runs a ballot round that changes nothing.
 """
 
 from __future__ import annotations
@@ -25,30 +25,34 @@
 from orchidferry.mesh.control.shard_context import ShardContext
 from orchidferry.mesh.wire.shard_messages import AcceptedState, AcceptedStateRequest
 
-UNDECIDED_CHECK_S = 0.15  # a state that was accepted, and is not known to be decided, is read after this
+UNDECIDED_CHECK_S = 0.15  # after this a read checks whether an accepted state has been decided
 
 
 class RegisterReader:
-    """Reads the newest state of one shard, for requests and for the replica itself."""
+    """Reads the newest state of one shard, for requests and for the replica itself.
+
+    :ivar reads: the current read and the readers that are queued.
+    """
 
     def __init__(self, context: ShardContext, register: RegisterReplica) -> None:
         self.context = context
         self.register = register
         self.reads = ReadQueue()
-        self._undecided_since_s = 0.0  # since when an accepted state is not known to be decided; 0.0: none is
+        # Time since which an accepted state has not been known to be decided; 0.0 if there is no such state.
+        self._undecided_since_s = 0.0
 
     @property
     def due_s(self) -> float:
-        """When `tick` is to be called at the latest; infinite for never."""
+        """Latest time for the next call of `tick`, in seconds on the event loop's clock; else infinity."""
         return self.reads.due_s
 
     def begin_request(self, request: str) -> None:
-        """Begin a read for a request; those that come while a read is under way share the next one."""
+        """Begin a read for a request; requests that arrive during a read share the next one."""
         self.reads.until_s[request] = self.context.now + READ_TIMEOUT_S
         self.read(request)
 
     def read(self, reader: str) -> None:
-        """Begin a read, or have the next one begun once the current one has ended.
+        """Begin a read, or queue the reader for the next one if a read is in progress.
 
         :param reader: the id of a request, or `INTERNAL_READER`.
         """
@@ -57,27 +61,32 @@
             self._begin_next()
 
     def end(self, readers: list[str], value: Value | None, why: str) -> None:
-        """End a read: its readers are answered, and the next one is begun."""
-        requests = self.reads.take_waiting(readers)
+        """End a read: answer its readers, and begin the next read.
+
+        :param readers: the readers of the read.
+        :param value: the newest decided state; None if it was not found in time.
+        :param why: the reason why the read was given up; "" for none.
+        """
+        requests = self.reads.pop_waiting(readers)
         self.context.actions += [self.register.outcome(request, value, why) for request in requests]
         self._begin_next()
 
     def round_withdrawn(self) -> None:
-        """The round that a read has led to was withdrawn."""
+        """Note that the ballot round run for a read was withdrawn."""
         self.reads.busy = False
 
     def end_requests(self) -> None:
-        """End all requests, because contact is lost; the replica's own reads go on."""
-        requests = self.reads.take_all_requests()
+        """End all requests because contact is lost; the replica's own reads continue."""
+        requests = self.reads.pop_all_requests()
         self.context.actions += [RequestEnded(request, None, LOST_CONTACT) for request in requests]
         if self.reads.queued and not self.reads.busy:
             self._begin_next()
 
     def tick(self) -> None:
-        """Ask voters again, or run a round; give up on what has taken too long."""
+        """End requests and reads that have timed out; ask the voters again or run a ballot round if due."""
         now = self.context.now
         read = self.reads.current
-        self.context.actions += [RequestEnded(request, None, "") for request in self.reads.take_expired(now)]
+        self.context.actions += [RequestEnded(request, None, "") for request in self.reads.pop_expired(now)]
         if read is None:
             return
         if read.until_s <= now:
@@ -92,7 +101,7 @@
             self._ask_voters(read)
 
     def check_undecided(self) -> None:
-        """Read the state if one that was accepted here has not been known to be decided for a while."""
+        """Begin a read if a state accepted here has not become known as decided for some time."""
         now = self.context.now
         value = self.register.acceptor.state.value
         if value is None or value.version <= self.register.known.version:
@@ -104,7 +113,7 @@
             self.read(INTERNAL_READER)
 
     def report_accepted(self, sender_link: Any, request: AcceptedStateRequest) -> None:
-        """Report to another replica what this one has accepted, if that is on disk."""
+        """Report this replica's accepted state to another replica, if that state is on disk."""
         if not self.register.vote_on_disk:
             return
         state = self.register.acceptor.state
@@ -112,8 +121,8 @@
         voter = pack_voter(self.register.voter)
         self.context.reply(sender_link, AcceptedState(request.reading, voter, state.accepted, packed))
 
-    def take_report(self, message: AcceptedState) -> None:
-        """Take another replica's report."""
+    def handle_report(self, message: AcceptedState) -> None:
+        """Handle another replica's report of its accepted state."""
         value = shard_state_codec.unpack_value(message.state)
         report = AcceptedReport(Voter(*message.voter), message.accepted, value)
         read = self.reads.current
@@ -126,7 +135,7 @@
             self._ask_voters(read)
 
     def _ask_voters(self, read: QuorumRead) -> None:
-        """Ask all voters what they have accepted, this replica among them."""
+        """Ask the other controllers for their accepted states, and add this replica's own report."""
         for name in self.register.other_controllers():
             self.context.send(name, AcceptedStateRequest(read.number, read.own_state.accepted))
         if self.register.vote_on_disk:
--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -1,10 +1,10 @@
-"""One controller's replica of the register of one shard.
+"""One controller's replica of the consensus register of one shard.
 
-Its vote, what it learns of decided states, and the changes that it proposes.
+The replica votes as an acceptor, learns decided states, and proposes changes.
 
-It does no I/O: events go in, actions are collected in the `ShardContext`, in the order in which they are to
-be carried out. What a vote means beyond the register (objections, and what follows from a newer state) is up
-to a `RegisterListener`.
+It performs no I/O: it handles events and collects the resulting actions in the `ShardContext`, in the order
+in which they must be carried out. A `RegisterListener` decides about objections to a change and reacts to
+newly decided states.
 """
 
 from __future__ import annotations
@@ -46,17 +46,16 @@
     RegisterMessage,
 )
 
-# A voter answers within a round trip and a disk sync.
-RESEND_MS = 300.0
+RESEND_MS = 300.0  # a voter replies within one network round trip and one disk sync
 BACK_OFF_MS = 20.0
-PROPOSAL_GRACE_S = 0.05  # a proposal ends this much later than its round is given up
+PROPOSAL_GRACE_S = 0.05  # from the time limit of a proposal's ballot round until the proposal itself is ended
 
 
 class Purpose(Enum):
-    """What a change of the state is proposed for."""
+    """Why a change of the state is proposed."""
 
-    REQUEST = "request"  # somebody asked for it here
-    READ = "read"  # a read that the voters' reports did not settle
+    REQUEST = "request"  # an external request at this controller
+    READ = "read"  # a read for which the voters' reports did not show the decided state
     ADMIT_VOTER = "admit voter"
     END_VOTER_CHANGE = "end voter change"
     TAKE_OWNERSHIP = "take ownership"
@@ -64,10 +63,11 @@
 
 @dataclass
 class Proposal:
-    """A change of the state that is under way.
+    """A proposed change of the state whose outcome is pending.
 
+    :param purpose: why the change is proposed.
     :param waiting: ids of the requests that wait for the outcome.
-    :param until_s: when it is given up.
+    :param until_s: time at which the proposal is given up, in seconds on the event loop's clock.
     """
 
     purpose: Purpose
@@ -76,31 +76,31 @@
 
 
 class RegisterListener(Protocol):
-    """What a register replica asks, and tells, whoever uses it."""
+    """Callbacks from a register replica to the component that uses it."""
 
     def object_to(self, intent: Any) -> str:
-        """Say why this voter objects to a change, by what it observes itself; "" if it does not."""
+        """Return this voter's objection to a change, based on its own observations; "" for no objection."""
 
     def state_learned(self, old: Value, new: Value) -> None:
-        """A newer state is known to be decided."""
+        """React to a newer state that is known to be decided."""
 
     def proposal_ended(self, id: str, proposal: Proposal, value: Value | None, why: str) -> None:
-        """A proposal has ended.
+        """React to the end of a proposal.
 
-        :param value: the decided state; None if the outcome is not known in time.
-        :param why: the reason for which the change was refused; "" for none.
+        :param value: the decided state; None if the outcome was not known in time.
+        :param why: the reason why the change was refused; "" if it was not.
         """
 
 
 class RegisterReplica:
     """One controller's replica of one shard's register.
 
-    :ivar incarnation: the name under which this process proposes. Proposal numbers of one process are its
-        own: what an earlier one began and forgot may still be on its way.
-    :ivar is_founder: whether this replica knows the state that the register began with.
+    :ivar incarnation: the proposer name of this process. It is unique for each process, because messages of
+        a proposal that a former process of this controller began and forgot may still be in transit.
+    :ivar is_founder: whether this replica knows the initial state of the register.
     :ivar learned: the newest state that the listener was notified of.
-    :ivar vote_on_disk: whether all that the acceptor keeps in memory is on disk.
-    :ivar proposals: the changes that are under way, by id.
+    :ivar vote_on_disk: whether the acceptor's complete in-memory state is on disk.
+    :ivar proposals: the pending proposals, by id.
     """
 
     def __init__(
@@ -113,9 +113,10 @@
     ) -> None:
         """Create a `RegisterReplica`.
 
-        :param initial: the state that all founders begin with.
-        :param state: what the acceptor keeps on disk.
-        :param orders: its unsaved orders are written along with each vote.
+        :param initial: the initial state, which all founders share.
+        :param state: the acceptor's state as loaded from disk.
+        :param orders: the shard's orders; those not yet on disk are written together with the next vote.
+        :param listener: is notified of decided states and of ended proposals.
         """
         self.context = context
         self.orders = orders
@@ -128,11 +129,11 @@
         self.learned = initial
         self.vote_on_disk = True
         self.proposals: dict[str, Proposal] = {}
-        self._local_messages: deque[Message] = deque()  # from this replica to itself
+        self._local_messages: deque[Message] = deque()  # messages that this replica sent to itself
 
     @property
     def voter(self) -> Voter:
-        """The voter that this replica is."""
+        """This replica's identity as a voter."""
         return self.acceptor.voter
 
     @property
@@ -142,36 +143,38 @@
 
     @property
     def knows_group(self) -> bool:
-        """Whether it knows a group of voters: as a founder, or because it has learned a state."""
+        """Whether this replica knows a group of voters: as a founder, or from a decided state."""
         return self.is_founder or self.known.version > 0
 
     def in_contact(self, now: float) -> bool:
-        """Whether a majority of the voters has lately acknowledged this controller's heartbeats."""
+        """Whether a majority of the voters has recently acknowledged this controller's heartbeats."""
         return self.context.peers.contact.holds(self.known.voters, self.voter, now)
 
     def outcome(self, request: str, value: Value | None, why: str) -> RequestEnded:
-        """Answer a request.
+        """Return the action that answers a request.
 
-        Without contact nothing is confirmed, though it may be known: the request should have been answered
-        before contact was lost.
+        Out of contact with a majority no result is confirmed, even if it is known: the request should have
+        been answered before contact was lost.
         """
         if not self.in_contact(self.context.now):
             return RequestEnded(request, None, LOST_CONTACT)
         return RequestEnded(request, value, why)
 
     def other_controllers(self) -> list[str]:
-        """List the other controllers that this shard concerns: its voters, and all that were heard of."""
+        """List the other controllers: the shard's voters, and all that have sent heartbeats."""
         names = dict.fromkeys([v.name for v in (*self.known.voters, *self.known.former_voters)])
         return [
             name for name in (names | dict.fromkeys(self.context.peers.heard_s)) if name != self.context.name
         ]
 
-    # Votes
+    # Voting
 
     def receive(self, envelope: RegisterMessage, sender_link: Any) -> None:
-        """Take a message of the register from another replica; one that can't be resolved is dropped.
+        """Handle a register message of another replica.
 
-        :param sender_link: takes the answer.
+        A message that refers to a state which this replica does not have is dropped.
+
+        :param sender_link: the link over which a reply is sent.
         """
         state = self.acceptor.state
         message = value_references.unpack(envelope.body, state)
@@ -186,26 +189,26 @@
             self._dispatch(envelope.sender, message, sender_link)
 
     def deliver_local_messages(self) -> None:
-        """Handle the messages that this replica has sent to itself."""
+        """Handle the messages that this replica sent to itself."""
         while self._local_messages:
             self._dispatch(self.context.name, self._local_messages.popleft(), None)
 
     def vote_saved(self, completion: VoteSaved) -> None:
-        """A vote is on disk: its replies leave."""
+        """Send the replies of a vote that is on disk now."""
         self.vote_on_disk = self.vote_on_disk or completion.state is self.acceptor.state
         self.orders.history.mark_saved(completion.order_numbers)
         for reply in completion.replies:
             self._send_vote(completion.reply_to, reply)
 
     def _dispatch(self, sender: str, message: Message, sender_link: Any) -> None:
-        """Handle a message from another replica, or from this one (`sender_link` None)."""
+        """Handle a message of another replica, or of this one if `sender_link` is None."""
         if isinstance(message, Promise | Accepted):
             self._carry_out(self.proposer.handle(message, self.context.now * 1000.0))
         else:
             self._vote(sender, message, sender_link)
 
     def _vote(self, sender: str, message: Prepare | Accept, sender_link: Any) -> None:
-        """Have the acceptor vote; replies leave once all that it keeps is on disk."""
+        """Have the acceptor vote; its replies are sent once its complete state is on disk."""
         replies: list[Message] = []
         must_save = not self.vote_on_disk
         for action in self.acceptor.handle(message, sender):
@@ -230,7 +233,7 @@
             self.context.reply(sender_link, RegisterMessage(self.context.name, pack_message(reply)))
 
     def _carry_out(self, actions: list[RegisterAction]) -> None:
-        """Carry out what the proposer instructs."""
+        """Carry out the proposer's actions."""
         for action in actions:
             if isinstance(action, SendToVoter):
                 if action.to == self.context.name:
@@ -239,7 +242,7 @@
                     body = self.references.pack(action.to, action.message, self.acceptor.state)
                     self.context.send(action.to, RegisterMessage(self.context.name, body))
             elif isinstance(action, ChangeDecided):
-                if action.value.version > self.learned.version:  # before anybody is answered
+                if action.value.version > self.learned.version:  # announced before any request is answered
                     self._announce(action.value)
                 self.learn(action.value)
                 self.end_proposal(action.id, action.value, action.why)
@@ -247,7 +250,7 @@
     # Decided states
 
     def learn(self, value: Value) -> None:
-        """Take a state that is known to be decided."""
+        """Record a state that is known to be decided; notify the listener if it is newer."""
         self.proposer.learn(value)
         old = self.learned
         value = self.known
@@ -255,10 +258,10 @@
             self.learned = value
             self.listener.state_learned(old, value)
 
-    def take_decided_ballot(self, sender_link: Any, decided: DecidedBallot) -> None:
-        """The state of a ballot was decided; a replica that has not accepted that ballot asks for the state.
+    def handle_decided_ballot(self, sender_link: Any, decided: DecidedBallot) -> None:
+        """Learn that a ballot's state was decided; if this replica has not accepted it, request the state.
 
-        :param sender_link: takes the request.
+        :param sender_link: the link over which the state is requested.
         """
         state = self.acceptor.state
         if decided.version <= self.known.version:
@@ -268,13 +271,13 @@
         else:
             self.context.reply(sender_link, DecidedStateRequest(self.known.version))
 
-    def give_decided_state(self, sender_link: Any, request: DecidedStateRequest) -> None:
-        """Answer a replica that asks for the newest state, if it knows an older one."""
+    def handle_decided_state_request(self, sender_link: Any, request: DecidedStateRequest) -> None:
+        """Send the newest decided state to a replica that requested it and knows an older one."""
         if request.version < self.known.version:
             self.context.reply(sender_link, self._decided_state(self.known))
 
     def _announce(self, value: Value) -> None:
-        """Announce a decided state to the others: by its ballot alone, where they were asked to accept it."""
+        """Announce a decided state; replicas that were asked to accept its ballot get the ballot alone."""
         state = self.acceptor.state
         complete: DecidedState | None = None
         for name in self.other_controllers():
@@ -299,11 +302,14 @@
         waiting: list[str],
         intent: Any = None,
     ) -> None:
-        """Propose a change; one that is under way under the same id is not proposed again.
+        """Propose a change, unless a proposal with the same id is pending.
 
-        :param for_s: seconds for which it is tried.
+        :param id: id of the proposal.
+        :param change: computes the new state from the newest decided one.
+        :param for_s: seconds for which the change is attempted.
+        :param purpose: why the change is proposed.
         :param waiting: ids of the requests that wait for the outcome.
-        :param intent: what the voters are asked about; None for nothing.
+        :param intent: the intent to which voters may object; None if they are not asked.
         """
         now = self.context.now
         if not self.knows_group:
@@ -313,11 +319,11 @@
             self._carry_out(self.proposer.ask(id, change, now * 1000.0, for_s * 1000.0, intent))
 
     def is_proposing(self, purpose: Purpose) -> bool:
-        """Whether a change for this purpose is under way."""
+        """Whether a proposal for this purpose is pending."""
         return any(proposal.purpose is purpose for proposal in self.proposals.values())
 
     def tick(self) -> None:
-        """Give up the proposals that have taken too long; go on with the others."""
+        """End the proposals that have timed out; resend and retry the others where that is due."""
         now = self.context.now
         for id, proposal in list(self.proposals.items()):
             if proposal.until_s <= now:
@@ -325,7 +331,7 @@
         self._carry_out(self.proposer.tick(now * 1000.0))
 
     def end_proposal(self, id: str, value: Value | None, why: str) -> None:
-        """End a proposal, and report its outcome to the listener."""
+        """End a proposal and report its outcome to the listener."""
         proposal = self.proposals.pop(id, None)
         if proposal is not None:
             self.listener.proposal_ended(id, proposal, value, why)
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -1,12 +1,12 @@
-"""Repair of the operation keys of one shard at one controller. No I/O.
+"""Repair of the operation keys of one shard at one controller. Performs no I/O.
 
-Repair is learning all keys of the other controllers, sending them to a controller that learns, and handing
-over what a silent controller missed.
+Repair means learning all keys of the other controllers (the sources), sending keys to a controller that
+learns them (a learner), and handing over the writes that a silent controller missed.
 
 A controller that lost its records, or that is not a voter of the group yet, learns from
-`shard_state.sources_needed` others. While it is no voter it copies ahead, which counts for nothing but its
-own word that it is ready to join. What counts is learned under the epoch of a group that it is a voter of,
-from voters that have closed all epochs before; by then that is the difference since it copied.
+`shard_state.sources_needed` others. Before it is a voter it copies keys in advance; this only lets it report
+that it is ready to join. It has caught up once it has learned, in the epoch of a group that it is a voter of,
+from voters that have closed all earlier epochs; by then only the difference since its copy is transferred.
 """
 
 from __future__ import annotations
@@ -45,38 +45,46 @@
     KeyRow,
 )
 
-MAX_HINTS_PER_PAGE = 4_000  # keys, whatever their bytes
+MAX_HINTS_PER_PAGE = 4_000  # keys, regardless of their size in bytes
 
 
 class RepairingReplica(Replica):
-    """A replica that holds operation keys and repairs them with the other controllers of its shard."""
+    """A replica that holds operation keys and repairs them with the other controllers of its shard.
+
+    :ivar hints: the writes that silent controllers missed.
+    :ivar source: the sending side of key transfers.
+    :ivar learner: the learning side of key transfers.
+    """
 
     def __init__(
         self,
         parameters: ShardParameters,
-        kept: AcceptorState,
+        acceptor_state: AcceptorState,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
     ) -> None:
-        """Take the parameters of `Shard`.
-
-        :param kept: what the register's acceptor has on disk
-        :param caught_up: whether this controller has learned all that was granted, by its disk
-        :param peers: what the controller knows of the others
+        """Create a `RepairingReplica`.
+
+        :param parameters: fixed parameters of the shard.
+        :param acceptor_state: the register acceptor's state as loaded from disk.
+        :param caught_up: whether this controller has all operation keys that were granted, according to its
+            disk.
+        :param peers: state of the other controllers as observed here, shared by all shards.
+        :param rng: the source of all random choices.
         """
-        super().__init__(parameters, kept, caught_up, peers, rng)
+        super().__init__(parameters, acceptor_state, caught_up, peers, rng)
         self.operation_keys = OperationKeys(parameters.key_window_s, parameters.max_keys)
         self.hints = Hints()
         self.source = KeySource()
         self.learner = KeyLearner()
-        self._saving_caught_up = False  # that it has caught up is being written to disk
+        self._saving_caught_up = False  # whether the record of having caught up is being written
 
     @property
     def ready(self) -> bool:
-        """Whether it has learned what it can before it is a voter.
+        """Whether this controller has learned all that it can learn before it is a voter.
 
-        All of enough voters, or of all that are alive and able to send their keys.
+        That is all keys of enough voters, or of all voters that are alive and able to send their keys.
         """
         if self.standing.has_enough_sources(self.known):
             return True
@@ -86,14 +94,14 @@
         )
 
     def has_learned(self, now: float) -> bool:
-        """Return whether it has all keys of the voters and of the controllers that leave."""
+        """Return whether this controller has all keys of the voters and of the leaving controllers."""
         return self.standing.caught_up and not self._leaving_sources(now)
 
     def must_stay(self, now: float) -> bool:
-        """Return whether this controller, which was told to end, is still needed here.
+        """Return whether this controller, which is stopping, is still needed in this shard.
 
-        It is needed as a voter while another controller could come in its place, or until the others have all
-        that it has for them.
+        A voter is needed as long as another controller could replace it. A controller that is not a voter is
+        needed until the voters have all keys and hints that it holds for them.
         """
         names = {voter.name for voter in self.known.voters}
         others = [name for name in self.peers.heard_s if name != self.name and self.peers.alive(name, now)]
@@ -113,7 +121,7 @@
         self.source.transfers.clear()
 
     def _leaving_sources(self, now: float) -> list[str]:
-        """Return the sources that are voters no more and stay alive until their last keys are here."""
+        """Return the sources that are no longer voters and keep running until their last keys are copied."""
         names = {v.name for v in self.known.voters}
         return [
             name
@@ -124,23 +132,23 @@
             and self.peers.alive(name, now)
         ]
 
-    # Learning from others
+    # Learning from sources
 
     def _request_pages(self, now: float) -> None:
-        """Ask the controllers that have yet to send what this one lacks."""
+        """Request pages from the sources that have not sent all their keys yet."""
         self.learner.expire_requests(now)
-        as_voter = self.standing.counts(self.voter, self.known, self.accepted_value)
+        as_voter = self.standing.learns_as_voter(self.voter, self.known, self.accepted_value)
         for name in self._leaving_sources(now):
             self._request_page(name, False)
         if self.standing.caught_up:
             return None
-        if not as_voter and not self._group().wants_newcomer():
-            return self.standing.forget_sources()  # what it has copied grows old
+        if not as_voter and not self._group().should_prepare_to_join():
+            return self.standing.forget_sources()  # the copied keys become outdated
         if self.standing.has_enough_sources(self.known):
             return None
         leaving = self.peers.leaving
         cursors = self.learner.cursors
-        # Controllers that leave come first, then those that are being copied from.
+        # Leaving controllers come first, then those from which copying has begun.
         names = sorted(
             self.standing.missing_sources(self.voter, self.known),
             key=lambda name: (name not in leaving, name not in cursors),
@@ -151,7 +159,7 @@
         return None
 
     def _request_page(self, source: str, as_voter: bool) -> None:
-        """Ask a source for its next page, if it can be asked now."""
+        """Request a source's next page, if a request to that source is allowed now."""
         if not self.learner.may_ask(source, self.context.now):
             return
         request = self.learner.begin_request(source, as_voter, self.context.now)
@@ -169,7 +177,7 @@
         self.context.send(source, message)
 
     def _handle_page(self, message: KeyPage) -> None:
-        """Take a page from a source."""
+        """Handle a page of a source."""
         request = self.learner.pending_request(message.name, message.number)
         if request is None or request.page is not None:
             return
@@ -179,7 +187,7 @@
         self._complete_page(message.name, request)
 
     def _handle_records(self, message: KeyRecords) -> None:
-        """Take records that a page left out."""
+        """Handle records that a page omitted."""
         request = self.learner.pending_request(message.name, message.number)
         if request is None or request.page is None or not request.lacking:
             return
@@ -188,7 +196,7 @@
         self._complete_page(message.name, request)
 
     def _complete_page(self, source: str, request: PageRequest) -> None:
-        """Ask for the records that a page left out; once all are here, write the page to disk."""
+        """Request the records that a page omitted; once all have arrived, write the page to disk."""
         assert request.page is not None
         request.deadline_s = self.context.now + key_transfer.PAGE_TIMEOUT_S
         if request.lacking:
@@ -199,9 +207,11 @@
         return None
 
     def _page_saved(self, source: str, request: PageRequest, ok: bool) -> None:
-        """Go on after the write of a page.
+        """Continue after the write of a page.
 
-        :param ok: whether it is on disk
+        :param source: name of the controller that sent the page.
+        :param request: the request that the page answers.
+        :param ok: whether the page is on disk.
         """
         if self.learner.requests.get(source) is not request:
             return None
@@ -220,33 +230,35 @@
         return None
 
     def _check_caught_up(self) -> None:
-        """Write to disk that this controller has caught up, once it has."""
+        """If this controller has caught up, write a record of that to disk."""
         if self.standing.caught_up or self._saving_caught_up:
             return
-        as_voter = self.standing.counts(self.voter, self.known, self.accepted_value)
+        as_voter = self.standing.learns_as_voter(self.voter, self.known, self.accepted_value)
         if as_voter and self.standing.has_enough_sources(self.known):
             self._saving_caught_up = True
             self.context.write([self.context.metadata("caught", b"1")], CaughtUpSaved(epoch(self.known)))
 
-    def _caught_up_saved(self, under: int, ok: bool) -> None:
-        """Go on after the write that says that it has caught up; void if the group has changed meanwhile.
+    def _caught_up_saved(self, caught_up_epoch: int, ok: bool) -> None:
+        """Continue after the write of the record that this controller has caught up.
+
+        If the group has changed since, the record is void and deleted again.
 
-        :param under: the epoch in which it has caught up
-        :param ok: whether the write is on disk
+        :param caught_up_epoch: the epoch in which this controller has caught up.
+        :param ok: whether the record is on disk.
         """
         self._saving_caught_up = False
         if not ok:
-            return None  # `_check_caught_up` is called again with time
-        if under != epoch(self.known) or self.voter not in self.known.voters:
+            return None  # `_check_caught_up` is called again periodically
+        if caught_up_epoch != epoch(self.known) or self.voter not in self.known.voters:
             return self.context.write([self.context.metadata("caught", None)])
         self.standing.caught_up = True
         self.context.log(f"caught up with {len(self.operation_keys.records)} keys")
         return None
 
     def _merge_rows(self, rows: list[KeyRow]) -> list[RecordWrite]:
-        """Take the records of another controller.
+        """Merge key records of another controller.
 
-        :returns: what is to be written of them
+        :returns: the resulting writes.
         """
         puts: list[RecordWrite] = []
         keys = self.operation_keys
@@ -258,15 +270,15 @@
             existing = keys.records.get(key)
             before = (existing.holder, existing.answer) if existing is not None else None
             keys.merge(key, [holder, age_bucket, answer])
-            record = keys.records.get(key)  # none, where its holder has released it here
+            record = keys.records.get(key)  # None if its holder has released the key here
             if record is not None and (record.holder, record.answer) != before:
                 puts.append(put_of(key, record))
         return puts
 
-    # Sending to controllers that learn
+    # Sending to learners
 
     def _handle_page_request(self, reply_to: Any, request: KeyPageRequest) -> None:
-        """Send a learner its next page, or refuse."""
+        """Send a learner its next page, or reject the request."""
         if self._granted_nothing(request):
             return self.context.reply(reply_to, self._key_page(request, TransferPage([], 0, True)))
         if not self._may_send_keys(request):
@@ -277,11 +289,11 @@
         return None
 
     def _granted_nothing(self, request: KeyPageRequest) -> bool:
-        """Return whether this controller grants nothing, and all that it may have forgotten has expired."""
+        """Return whether this controller grants no keys, and all keys that it may have lost have expired."""
         if not request.as_voter or self.grants(request.epoch):
             return False
         abstains = not self.standing.caught_up and request.epoch == epoch(self.known)
-        return abstains and self.context.now - self.abstains_s > self.operation_keys.max_retention_s
+        return abstains and self.context.now - self.abstains_since_s > self.operation_keys.max_retention_s
 
     def _may_send_keys(self, request: KeyPageRequest) -> bool:
         if request.as_voter:
@@ -307,7 +319,7 @@
     # Hinted handoff
 
     def _update_hints(self) -> None:
-        """Keep hints for the voters that are silent; send them, page by page, to those that are back."""
+        """Collect hints for silent voters; send hints, page by page, to voters that are heard again."""
         for name in self.register.other_controllers():
             if not any(v.name == name for v in self.known.voters):
                 continue
@@ -317,7 +329,7 @@
                 self._send_hints(name)
 
     def _send_hints(self, controller: str) -> None:
-        """Send a controller that is back its next page of hints, if one is due."""
+        """Send a controller that is heard again its next page of hints, if one is due."""
         keys = self.operation_keys
         page = self.hints.next_page(
             controller,
@@ -330,9 +342,9 @@
             self.context.send(controller, Handoff(self.name, epoch(self.known), page.number, batch.rows))
 
     def _handle_handoff(self, reply_to: Any, handoff: Handoff) -> None:
-        """Take a page of what this controller missed while it was silent."""
+        """Handle a page of writes that this controller missed while it was silent."""
         if handoff.epoch != epoch(self.known) or not self.standing.caught_up:
-            return  # it is sent again, or this controller learns all
+            return  # the page is sent again, or this controller learns all keys anyway
         puts = self._merge_rows([row for row in handoff.rows if self._adds_to_records(row)])
         if puts:
             self.context.write(puts, HandoffSaved(reply_to, handoff.number))
@@ -340,7 +352,7 @@
             self.context.reply(reply_to, HandoffAck(self.name, handoff.number))
 
     def _adds_to_records(self, row: KeyRow) -> bool:
-        """Return whether a row adds to what this controller has; what it granted itself stands."""
+        """Return whether a row adds to this controller's records; its own grants are not overwritten."""
         key, (_, age_bucket, _), answered = row
         return answered or age_bucket == RELEASED or key not in self.operation_keys.records
 
@@ -355,15 +367,15 @@
     return KEYS_DB, key.encode("latin-1"), None
 
 
-def initial_records(number: int, kept: AcceptorState, caught_up: bool) -> list[RecordWrite]:
-    """Return what a controller without records of a shard writes first.
+def initial_records(number: int, acceptor_state: AcceptorState, caught_up: bool) -> list[RecordWrite]:
+    """Return the first writes of a controller that has no records of a shard.
 
-    :param number: of the shard
-    :param kept: what the register's acceptor starts with
-    :param caught_up: whether there is nothing that it would have to learn
+    :param number: number of the shard.
+    :param acceptor_state: initial state of the register's acceptor.
+    :param caught_up: whether there are no operation keys that the controller would have to learn.
     """
     puts: list[RecordWrite] = [
-        ("about", f"kept/{number}".encode(), pack(shard_state_codec.pack_acceptor_state(kept)))
+        ("about", f"kept/{number}".encode(), pack(shard_state_codec.pack_acceptor_state(acceptor_state)))
     ]
     if caught_up:
         puts.append(("about", f"caught/{number}".encode(), b"1"))
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -1,9 +1,10 @@
 """One controller's replica in the group of a shard.
 
-The configurations that it takes, its membership of the group, and the ownership of the shard.
+It handles changes and reads of the shard's state, the controller's membership of the group, and the ownership
+of the shard.
 
-It does no I/O: events go in, actions come out, in the order in which they are to be carried out; clock and
-randomness are handed in, and the whole replica can be copied.
+It performs no I/O: it handles events and returns actions, in the order in which they must be carried out.
+Clock and randomness are passed in, and the whole replica can be copied.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from orchidferry.mesh.control.order_history import Entry
 from orchidferry.mesh.control.order_log import OrderLog
 from orchidferry.mesh.control.order_requests import OrderRequests
-from orchidferry.mesh.control.owner_lease import OwnerLease, takes_over
+from orchidferry.mesh.control.owner_lease import OwnerLease, should_take_over
 from orchidferry.mesh.control.peers import Peers
 from orchidferry.mesh.control.quorum_read import INTERNAL_READER
 from orchidferry.mesh.control.register_reader import RegisterReader
@@ -42,17 +43,18 @@
     ShardBody,
 )
 
-OWNERSHIP_START_S = 0.8  # for so long after its start a controller does not ask for ownership
-ADMIT_TIMEOUT_S = 1.9
-CHANGE_TIMEOUT_S = 1.5  # for other changes that a replica proposes by itself
-MAINTENANCE_S = 0.4  # between two looks at membership and ownership
+OWNERSHIP_START_S = 0.8  # after its start a controller does not propose itself as the owner for this long
+ADMIT_TIMEOUT_S = 1.9  # for admitting a voter
+CHANGE_TIMEOUT_S = 1.5  # for other changes that a replica proposes on its own
+MAINTENANCE_S = 0.4  # between two checks of membership and ownership
 
 
 class Replica:
-    """One controller in the group of one shard.
+    """One controller's replica in the group of one shard.
 
-    :ivar standing: whether it is caught up, and from whom it has learned.
-    :ivar abstains_s: since when it has granted no operation keys, if it is not caught up.
+    :ivar standing: whether this controller has caught up, and from which sources it has learned.
+    :ivar abstains_since_s: time since which this controller has granted no operation keys, if it has not
+        caught up; in seconds on the event loop's clock.
     """
 
     def __init__(
@@ -65,9 +67,10 @@
     ) -> None:
         """Create a `Replica`.
 
-        :param state: what the register's acceptor keeps on disk.
-        :param caught_up: whether it has all operation keys that were granted.
-        :param peers: what is known of the other controllers, shared by all shards.
+        :param parameters: fixed parameters of the shard.
+        :param state: the register acceptor's state as loaded from disk.
+        :param caught_up: whether this controller has all operation keys that were granted.
+        :param peers: state of the other controllers as observed here, shared by all shards.
         :param rng: the source of all random choices.
         """
         self.context = ShardContext(parameters.number, parameters.name, peers, rng, peers.began_s)
@@ -80,15 +83,15 @@
         self.reader = RegisterReader(self.context, self.register)
         self.order_requests = OrderRequests(self.context, self.register, self.orders)
         self.standing = Standing(caught_up)
-        self.abstains_s = peers.began_s
+        self.abstains_since_s = peers.began_s
         self._owner_lease = OwnerLease()
         self._state_request = StateRequest()
-        self._maintenance_s = 0.0  # when membership and ownership are looked at next
-        self._joiners: dict[Voter, float] = {}  # since when each asks to join in this epoch
+        self._maintenance_s = 0.0  # time of the next check of membership and ownership
+        self._joiners: dict[Voter, float] = {}  # time of each one's first join request in this epoch
 
     @property
     def voter(self) -> Voter:
-        """The voter that this controller is."""
+        """This controller's identity as a voter."""
         return self.register.voter
 
     @property
@@ -98,35 +101,32 @@
 
     @property
     def body(self) -> shard_state.Body:
-        """The body of that state."""
+        """The body of the newest state that is known to be decided."""
         return shard_state.body(self.known)
 
     @property
     def accepted_value(self) -> Value | None:
-        """The state that this voter has accepted last; None for none."""
+        """The state that this voter accepted last; None if it has accepted none."""
         return self.register.acceptor.state.value
 
     @property
     def accepted_fencing_token(self) -> int:
-        """The highest fencing token that it has voted for."""
+        """The highest fencing token that this voter has voted for."""
         accepted = self.accepted_value
         return max(
             self.body.fencing_token, shard_state.body(accepted).fencing_token if accepted is not None else 0
         )
 
     def in_contact(self, now: float) -> bool:
-        """Whether a majority of the voters has lately acknowledged this controller's heartbeats."""
+        """Whether a majority of the voters has recently acknowledged this controller's heartbeats."""
         return self.register.in_contact(now)
 
-    def grants(self, epoch_: int) -> bool:
+    def grants(self, requested_epoch: int) -> bool:
         """Whether this controller may grant operation keys under an epoch."""
-        return self.standing.grants(epoch_, self.voter, self.known, self.accepted_value)
+        return self.standing.grants(requested_epoch, self.voter, self.known, self.accepted_value)
 
     def owns(self, now: float) -> int | None:
-        """Tell whether this controller owns the shard now.
-
-        :returns: the fencing token under which it does; None if it doesn't.
-        """
+        """Return the fencing token under which this controller owns the shard; None if it does not own it."""
         state = self.body
         if state.owner != self.name or self.accepted_fencing_token != state.fencing_token:
             return None
@@ -140,7 +140,7 @@
 
     @property
     def due_s(self) -> float:
-        """When `tick` is to be called at the latest, even before its turn; infinite for never."""
+        """Latest time for the next call of `tick`, which may come before the regular one; else infinity."""
         due = min(self.register.proposer.due_ms / 1000.0, self.reader.due_s)
         if self.reader.reads.until_s or self.register.is_proposing(Purpose.REQUEST):
             due = min(due, self.peers.contact.until_s(self.known.voters, self.voter))
@@ -149,18 +149,19 @@
     # Events
 
     def load_orders(self, rows: list[tuple[int, Entry]]) -> None:
-        """Load the orders on this controller's own disk, before anything else."""
+        """Load the orders from this controller's disk, before any event is handled."""
         self.orders.history.load(rows)
 
     def request_change(self, id: str, change: shard_state.Change, for_s: float, now: float) -> list[Action]:
-        """Have the state changed.
+        """Propose a change of the state.
 
-        The request ends once, with `RequestEnded`: without a value if the outcome is not known in time, or if
-        contact with a majority is lost before. Out of contact nothing is begun.
+        The request ends exactly once, with `RequestEnded`; that has no value if the outcome is not known in
+        time, or if contact with a majority is lost before. Out of contact nothing is proposed.
 
-        :param id: of the request.
-        :param for_s: seconds for which it is tried.
-        :param now: seconds on the clock of the event loop.
+        :param id: id of the request.
+        :param change: the change to propose.
+        :param for_s: seconds for which the change is attempted.
+        :param now: current time, in seconds on the event loop's clock.
         """
         self.context.now = now
         if not self.in_contact(now):
@@ -174,12 +175,12 @@
     def request_read(self, id: str, now: float) -> list[Action]:
         """Read the newest state, within `READ_TIMEOUT_S`.
 
-        The request ends once, with `RequestEnded`: without a value if the state can't be confirmed in time.
-        Out of contact it ends at once, with `OUT_OF_CONTACT`; where contact is lost under way, with
-        `LOST_CONTACT`.
+        The request ends exactly once, with `RequestEnded`; that has no value if the state can't be confirmed
+        in time. Out of contact the request ends immediately, with `OUT_OF_CONTACT`; if contact is lost during
+        the read, it ends with `LOST_CONTACT`.
 
-        :param id: of the request.
-        :param now: seconds on the clock of the event loop.
+        :param id: id of the request.
+        :param now: current time, in seconds on the event loop's clock.
         """
         self.context.now = now
         if self.in_contact(now):
@@ -189,19 +190,23 @@
         return self._take_actions()
 
     def heartbeat_acknowledged(self, name: str, sent_s: float, fencing_token: int) -> None:
-        """A controller has acknowledged a heartbeat of this one.
+        """Handle another controller's acknowledgement of a heartbeat that this controller sent.
 
-        :param sent_s: when the heartbeat was sent.
-        :param fencing_token: the highest that the other controller has voted for.
+        :param name: name of the other controller.
+        :param sent_s: time at which the heartbeat was sent, in seconds on the event loop's clock.
+        :param fencing_token: the highest fencing token that the other controller has voted for.
         """
         self.peers.contact.acknowledge(name, sent_s)
         if fencing_token <= self.body.fencing_token:
             self._owner_lease.acknowledge(name, sent_s)
 
     def heartbeat_received(self, version: int, name: str) -> list[Action]:
-        """A controller's heartbeat says which version it knows.
+        """Handle another controller's heartbeat, which reports the newest state version that it knows.
+
+        If this replica knows only an older version, it requests the state, from one controller at a time.
 
-        A replica that knows an older one asks for the state, one controller at a time.
+        :param version: the version that the other controller knows.
+        :param name: name of the other controller.
         """
         if version > self.known.version:
             others = [
@@ -218,9 +223,9 @@
         return self.context.take_actions()
 
     def _pass_time(self, now: float) -> bool:
-        """Do what is due.
+        """Perform the work that is due.
 
-        :returns: whether membership and ownership were looked at as well.
+        :returns: whether membership and ownership were checked as well.
         """
         self.context.now = now
         if not self.in_contact(now):
@@ -238,10 +243,10 @@
         return True
 
     def _receive_from_replica(self, sender_link: Any, message: ShardBody) -> None:
-        """Take a message between replicas.
+        """Handle a message of another replica.
 
-        :param sender_link: takes the answer.
-        :raises ValueError: and its like for a malformed message.
+        :param sender_link: the link over which a reply is sent.
+        :raises ValueError: for a malformed message; also TypeError, KeyError or IndexError.
         """
         match message:
             case RegisterMessage():
@@ -251,13 +256,13 @@
                 if value is not None:
                     self.register.learn(value)
             case DecidedBallot():
-                self.register.take_decided_ballot(sender_link, message)
+                self.register.handle_decided_ballot(sender_link, message)
             case DecidedStateRequest():
-                self.register.give_decided_state(sender_link, message)
+                self.register.handle_decided_state_request(sender_link, message)
             case AcceptedStateRequest():
                 self.reader.report_accepted(sender_link, message)
             case AcceptedState():
-                self.reader.take_report(message)
+                self.reader.handle_report(message)
             case OrdersRequest():
                 self.order_requests.give_older(sender_link, message)
             case Orders():
@@ -266,7 +271,7 @@
                 self._admit(Voter(message.name, message.memory), message.epoch, message.ready)
 
     def _replica_written(self, completion: WriteCompletion, ok: bool) -> None:
-        """Take the result of a write of the replica itself."""
+        """Handle the result of a write that concerns the register or the membership."""
         match completion:
             case VoteSaved() if ok:
                 self.register.vote_saved(completion)
@@ -274,28 +279,28 @@
                 self.orders.history.mark_saved(order_numbers)
             case RemovalSaved() if ok:
                 self.standing = Standing(False)
-                self.abstains_s = self.context.now
-                self.context.log("put out of the group")
+                self.abstains_since_s = self.context.now
+                self.context.log("removed from the group")
 
-    # The listener of the register
+    # Callbacks of the register (`RegisterListener`)
 
     def object_to(self, intent: Any) -> str:
-        """Object to a change that removes a controller which is alive, as far as this one observes."""
+        """Object to a change that removes a controller which this one observes to be alive."""
         return change_intents.objection(intent, self._group())
 
     def state_learned(self, old: Value, new: Value) -> None:
-        """A newer state is known to be decided."""
+        """React to a newer state that is known to be decided."""
         self.orders.learn(shard_state.body(new))
         self._state_request.end()
         self._owner_lease.learn(shard_state.body(old), shard_state.body(new), self.context.now)
         if epoch(new) != epoch(old):
             self._group_changed(new)
-            self._maintenance_s = self.context.now  # the change is to be ended before the next loss
+            self._maintenance_s = self.context.now  # to end the voter change before another disk can be lost
         self.context.actions.append(StateChanged(old, new))
         self.order_requests.end_final_orders()
 
     def proposal_ended(self, id: str, proposal: Proposal, value: Value | None, why: str) -> None:
-        """A proposal has ended: those who wait for it are answered."""
+        """Answer the requests that wait for a proposal which has ended."""
         self.orders.waiting.pop(id, None)
         if proposal.purpose is Purpose.REQUEST:
             self.context.actions += [
@@ -307,7 +312,7 @@
     # Requests
 
     def _end_requests(self) -> None:
-        """Contact is lost: requests end at once, and what only they wait for is given up."""
+        """End all requests because contact is lost, and withdraw proposals that only they wait for."""
         for id, proposal in list(self.register.proposals.items()):
             if proposal.purpose is Purpose.REQUEST:
                 self._withdraw(id)
@@ -327,62 +332,63 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it has learned what a newcomer can learn before it is admitted."""
+        """Whether this controller has learned all that it can learn before it is admitted to the group."""
         return True
 
     def _group_changed(self, value: Value) -> None:
-        """The shard has another group of voters."""
+        """React to a change of the group's voters."""
         self._joiners.clear()
 
     def _group(self) -> GroupView:
-        """The group as this controller observes it now."""
+        """Return the group as this controller currently observes it."""
         caught_up = self.standing.caught_up
         now = self.context.now
         return GroupView(self.number, self.name, self.size, self.known, self.peers, caught_up, now)
 
     def _ask_to_join(self) -> None:
-        """Ask to be admitted, if this controller is no voter."""
+        """Ask to be admitted to the group, if this controller is not a voter."""
         if self.voter in self.known.voters or (self.peers.stopping and not self.standing.caught_up):
             return
-        if self.standing.caught_up:  # it missed what was granted without it, and must not say otherwise
+        if self.standing.caught_up:  # outdated after a removal: keys were granted without this controller
             if self.standing.is_removed(self.voter, self.known, self.accepted_value):
                 self.context.write([self.context.metadata("caught", None)], RemovalSaved())
             return
-        if self._group().wants_newcomer() and not self.ready:
+        if self._group().should_prepare_to_join() and not self.ready:
             return
         request = JoinRequest(self.name, self.voter.disk_id, epoch(self.known), self.ready)
         for name in self.register.other_controllers():
             self.context.send(name, request)
 
     def _admit(self, joiner: Voter, joiner_epoch: int, ready: bool) -> None:
-        """Propose to admit another controller to the group, if it is this one's turn.
+        """Propose to admit another controller to the group, if this voter is the one to propose it.
 
-        :param joiner_epoch: of the last group that the other controller knows.
-        :param ready: whether it has learned what it can before it is admitted.
+        :param joiner: the joining controller's identity as a voter.
+        :param joiner_epoch: epoch of the newest group that the joining controller knows.
+        :param ready: whether the joining controller has learned all that it can before it is admitted.
         """
         if self.voter not in self.known.voters:
             return
         if self.register.is_proposing(Purpose.ADMIT_VOTER):
             return
         group = self._group()
-        replaced = group.replaced_by(joiner, joiner_epoch, ready)
+        replaced = group.voter_replaced_by(joiner, joiner_epoch, ready)
         if replaced is None:
             return
         since_s = self._joiners.setdefault(joiner, self.context.now)
         if not group.is_turn(self._joiners, since_s):
             return
-        of_whom = f", instead of {replaced}" if replaced else ""
-        self.context.log(f"{joiner.name} asks for a place{of_whom}")
+        replacement = f", instead of {replaced}" if replaced else ""
+        self.context.log(f"{joiner.name} asks for a place{replacement}")
         intent = change_intents.replace_intent(replaced) if replaced and replaced != joiner.name else None
         change = shard_state.AdmitVoter(joiner, replaced, max(self.size, len(group.names)), joiner_epoch)
         id = f"admit {joiner.name} {joiner.disk_id} {joiner_epoch}"
         self.register.propose(id, change, ADMIT_TIMEOUT_S, Purpose.ADMIT_VOTER, [], intent)
 
     def _end_voter_change(self) -> None:
-        """Propose to end a change of voters.
+        """Propose to end a change of voters, so that the former voters no longer count.
 
-        A replica that starts anew has forgotten that the change was decided, and needs the voters before it
-        too, of whom another may have lost its disk by then.
+        Otherwise a replica that restarts, which has forgotten that the change was decided, also needs a
+        majority of the former voters, and another of them may have lost its disk by then.
         """
         if not self.known.former_voters or self.voter not in self.known.voters or not self.standing.caught_up:
             return
@@ -394,7 +400,7 @@
     # Ownership
 
     def _take_ownership(self) -> None:
-        """Propose to own the shard, if its owner is gone or unfit and this controller comes first."""
+        """Propose this controller as the owner, if the owner is dead or unfit and this one ranks first."""
         if self.voter not in self.known.voters:
             return
         if self.context.now - self.peers.began_s < OWNERSHIP_START_S:
@@ -403,7 +409,7 @@
             return
         owner = self.body.owner
         fencing_token = self.body.fencing_token
-        if takes_over(self._group(), owner):
+        if should_take_over(self._group(), owner):
             intent = change_intents.take_ownership_intent(owner) if owner and owner != self.name else None
             change = shard_state.TakeOwnership(self.name, fencing_token)
             id = f"own {fencing_token}"
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -1,8 +1,8 @@
 """One controller's replica of one shard of the control state, with the shard's operation keys.
 
-Pure: events in, actions out, in the order in which they are to be carried out; the clock and the random
-generator are handed in. Whoever runs a shard carries out its actions and hands back the result of each
-`WriteRecords`. What a message promises is on disk before the message leaves.
+A shard performs no I/O: it handles events and returns actions, in the order in which they must be carried
+out; the clock and the random generator are passed in. The runner of a shard carries out its actions and
+reports the result of each `WriteRecords`. Whatever a message promises is on disk before the message is sent.
 """
 
 from __future__ import annotations
@@ -40,12 +40,17 @@
 
 __all__ = ["Shard", "initial_records"]
 
-ANSWER_RETRY_S = 1.0  # after an answer could not be written
+ANSWER_RETRY_S = 1.0  # after the write of an answer has failed
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerRetry:
-    """An answer that could not be written, and when that is tried again."""
+    """A retry of the write of an operation key's answer, after that write has failed.
+
+    :param due_s: time of the retry, in seconds on the event loop's clock.
+    :param key: the operation key.
+    :param record: the key's record, with the answer.
+    """
 
     due_s: float
     key: str
@@ -53,26 +58,28 @@
 
 
 class Shard(RepairingReplica):
-    """One shard at one controller.
+    """One controller's replica of one shard, with the shard's operation keys.
 
-    :ivar unsaved_records: records of keys whose first write has not been confirmed.
+    :ivar unsaved_records: records whose first write has not been confirmed yet, by operation key.
     """
 
     def __init__(
         self,
         parameters: ShardParameters,
-        kept: AcceptorState,
+        acceptor_state: AcceptorState,
         caught_up: bool,
         peers: Peers,
         rng: random.Random,
     ) -> None:
-        """Make the shard as it is on the controller's disk, without its keys and orders.
+        """Create the shard from the state on the controller's disk, without its operation keys and orders.
 
-        :param kept: what the register's acceptor has on disk.
-        :param caught_up: whether this replica holds all that was granted.
-        :param peers: what the controller knows of the others.
+        :param parameters: fixed parameters of the shard.
+        :param acceptor_state: the register acceptor's state as loaded from disk.
+        :param caught_up: whether this replica has all operation keys that were granted.
+        :param peers: state of the other controllers as observed here, shared by all shards.
+        :param rng: the source of all random choices.
         """
-        super().__init__(parameters, kept, caught_up, peers, rng)
+        super().__init__(parameters, acceptor_state, caught_up, peers, rng)
         self.unsaved_records: dict[str, KeyRecord] = {}
         self._answer_retries: list[AnswerRetry] = []
 
@@ -83,9 +90,9 @@
         self.operation_keys.merge(key, packed)
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due.
+        """Perform the work that is due.
 
-        :param now: seconds on the clock of the event loop.
+        :param now: current time, in seconds on the event loop's clock.
         """
         expired = self.operation_keys.expire(now)
         if expired:
@@ -103,8 +110,8 @@
     def receive(self, sender: Any, message: ShardBody, now: float) -> list[Action]:
         """Handle a message of another controller.
 
-        :param sender: the link over which an answer is sent.
-        :param now: seconds on the clock of the event loop.
+        :param sender: the link over which a reply is sent.
+        :param now: current time, in seconds on the event loop's clock.
         :raises ValueError: for a malformed message; also TypeError, KeyError or IndexError.
         """
         self._advance(now)
@@ -129,11 +136,11 @@
         return self._take_actions()
 
     def write_finished(self, completion: WriteCompletion, ok: bool, now: float) -> list[Action]:
-        """Take the result of a write.
+        """Handle the result of a write.
 
-        :param completion: of the `WriteRecords` action.
+        :param completion: the completion that the `WriteRecords` action carried.
         :param ok: whether the records are on disk.
-        :param now: seconds on the clock of the event loop.
+        :param now: current time, in seconds on the event loop's clock.
         """
         self.context.now = now
         match completion:
@@ -154,7 +161,7 @@
         return self._take_actions()
 
     def _advance(self, now: float) -> None:
-        """Bring the clock up to date: after a pause of the process messages may come before the next tick."""
+        """Update the clock: after a pause of the process messages may arrive before the next tick."""
         self.context.now = now
         self.operation_keys.advance(now)
 
@@ -163,9 +170,10 @@
     def claim_key(self, sender: Any, claim: KeyClaim, has_capacity: bool, now: float) -> list[Action]:
         """Grant or refuse an operation key to an attempt.
 
-        :param sender: the link over which the answer is sent, once the grant is on disk.
+        :param sender: the link over which the reply is sent; a grant is sent once it is on disk.
+        :param claim: the claim of the attempt.
         :param has_capacity: whether the disk has room for another record.
-        :param now: seconds on the clock of the event loop.
+        :param now: current time, in seconds on the event loop's clock.
         """
         self._advance(now)
         key = claim.key
@@ -192,9 +200,9 @@
         return self._take_actions()
 
     def _claim_saved(self, claim: ClaimSaved) -> None:
-        """Answer a claim, whose record is on disk now.
+        """Answer a claim after its record was written to disk.
 
-        Meanwhile the key may have been released, or the group have changed.
+        The key may have been released or the group may have changed since the write was begun.
         """
         if self.unsaved_records.get(claim.key) is claim.record:
             del self.unsaved_records[claim.key]
@@ -206,9 +214,9 @@
         )
 
     def record_answer(self, message: KeyAnswer, now: float) -> list[Action]:
-        """Record the answer of the first run under a key.
+        """Record the answer of the first execution under an operation key.
 
-        :param now: seconds on the clock of the event loop.
+        :param now: current time, in seconds on the event loop's clock.
         """
         self._advance(now)
         record = self.operation_keys.record_answer(message.key, message.attempt_id, message.answer)
@@ -218,13 +226,13 @@
         return self._take_actions()
 
     def release_key(self, sender: Any, release: KeyRelease, now: float) -> list[Action]:
-        """Release a key whose attempt has not run and never will.
+        """Release an operation key whose attempt was not executed and never will be.
 
-        The release is acknowledged once it is on disk. One that comes again is written again, as the first
+        The release is acknowledged once it is on disk. A repeated release is written again, because the first
         write may have failed.
 
         :param sender: the link over which the release is acknowledged.
-        :param now: seconds on the clock of the event loop.
+        :param now: current time, in seconds on the event loop's clock.
         """
         self.context.now = now
         key = release.key
--- a/orchidferry/mesh/control/shard_context.py
+++ b/orchidferry/mesh/control/shard_context.py
@@ -1,7 +1,7 @@
-"""What the parts of one shard at one controller share.
+"""Context that is shared by the components of one shard at one controller.
 
-Which shard and controller they belong to, the time of the event in hand, and the actions that the event gives
-rise to.
+It holds the identity of the shard and the controller, the time of the current event, and the actions that
+result from that event.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class ShardContext:
-    """The surroundings of a shard's parts at one controller.
+    """Shared context of a shard's components at one controller.
 
-    :param number: of the shard.
-    :param name: of the controller.
-    :param peers: what is known of the other controllers, shared by all shards.
+    :param number: number of the shard.
+    :param name: name of the controller.
+    :param peers: state of the other controllers as observed here, shared by all shards.
     :param rng: the source of all random choices.
-    :param now: the time of the event in hand, in seconds on the clock of the event loop.
-    :param actions: what is to be done for the event in hand, in this order.
+    :param now: time of the current event, in seconds on the event loop's clock.
+    :param actions: the actions that result from the current event, in the order of their execution.
     """
 
     number: int
@@ -42,16 +42,18 @@
         self.actions.append(SendMessage(to, ShardMessage(self.number, body)))
 
     def reply(self, to: Any, body: ShardBody) -> None:
-        """Answer a message.
+        """Reply to a message.
 
-        :param to: the link, as it was handed in with the message.
+        :param to: the link that was passed in together with the message.
+        :param body: the reply.
         """
         self.actions.append(SendReply(to, ShardMessage(self.number, body)))
 
     def write(self, puts: list[RecordWrite], completion: WriteCompletion | None = None) -> None:
-        """Put records on disk, in one transaction.
+        """Write records to disk, in one transaction.
 
-        :param completion: what is handed back with the result; None if no result is wanted.
+        :param puts: the writes, which include deletions.
+        :param completion: passed back together with the result; None if the result is not needed.
         """
         self.actions.append(WriteRecords(puts, completion))
 
@@ -60,14 +62,11 @@
         self.actions.append(Log(text))
 
     def metadata(self, name: str, value: bytes | None) -> RecordWrite:
-        """What puts a record about this shard on disk, or deletes it (None)."""
+        """Return the write of a metadata record of this shard, or its deletion if `value` is None."""
         return "about", f"{name}/{self.number}".encode(), value
 
     def take_actions(self) -> list[Action]:
-        """Hand over the actions that were collected.
-
-        :returns: the actions, in the order in which they are to be carried out.
-        """
+        """Remove and return the collected actions, in the order in which they must be carried out."""
         actions = self.actions
         self.actions = []
         return actions
--- a/orchidferry/mesh/control/shard_loading.py
+++ b/orchidferry/mesh/control/shard_loading.py
@@ -1,4 +1,4 @@
-"""The shards of a controller as they are in its store; new ones where the store is empty."""
+"""Loading of a controller's shards from its store; shards that are not in the store are initialized."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 from orchidferry.mesh.storage.record_format import RecordWrite, pack, unpack
 from orchidferry.mesh.storage.store import Store
 
-FOUNDERS_KEY = b"founders"  # of the record that names the controllers of the first group
-MAX_VOTER_MEMORY = 2**53  # ids of voters' memories are drawn below this
+FOUNDERS_KEY = b"founders"  # key of the record that names the controllers of the first group
+MAX_DISK_ID = 2**53  # exclusive upper bound of the disk ids of voters, which are drawn at random
 
 
 def load_shards(store: Store, settings: Settings, peers: Peers, rng: random.Random) -> dict[int, Shard]:
     """Load all shards with their votes, operation keys and orders.
 
-    A shard without a record gets a new voter's memory, which is written to the store: that of the first group
-    if this controller is a founder at the first start of all, else one that nobody ever had.
+    A shard without a record gets a new disk id, which is written to the store: that of the founders if this
+    controller is a founder at the very first start, else a random one that no voter had before.
 
-    :param peers: what the controller knows of the others; shared by its shards.
+    :param store: the controller's store.
+    :param settings: the process settings.
+    :param peers: state of the other controllers as observed here, shared by all shards.
+    :param rng: the source of all random choices.
     :returns: the shards by number.
     """
     shards = _load_replicas(store, settings, peers, rng)
@@ -54,11 +57,11 @@
             is_founder if is_empty else store.read(CONTROLLER_DB, f"caught/{number}".encode()) is not None
         )
         if vote is not None:
-            kept = shard_state_codec.unpack_acceptor_state(unpack(vote))
+            acceptor_state = shard_state_codec.unpack_acceptor_state(unpack(vote))
         else:
             genesis = is_empty and is_founder
-            kept = AcceptorState(shard_state.GENESIS if genesis else rng.randrange(2, MAX_VOTER_MEMORY))
-            puts += initial_records(number, kept, caught_up)
+            acceptor_state = AcceptorState(shard_state.GENESIS if genesis else rng.randrange(2, MAX_DISK_ID))
+            puts += initial_records(number, acceptor_state, caught_up)
         parameters = ShardParameters(
             number=number,
             name=settings.ip,
@@ -67,9 +70,9 @@
             key_window_s=settings.bounds.key_window_s,
             max_keys=MAX_KEYS // len(shard_state.KEY_SHARDS),
         )
-        shards[number] = Shard(parameters, kept, caught_up, peers, rng)
+        shards[number] = Shard(parameters, acceptor_state, caught_up, peers, rng)
     if puts:
         store.write(puts)
-        role = "as a founder" if is_founder else "to be filled by others"
-        logger.info("controller: a new memory, {}", role)
+        origin = "as a founder" if is_founder else "to be filled from the other controllers"
+        logger.info("controller: store initialized, {}", origin)
     return shards
--- a/orchidferry/mesh/control/shard_parameters.py
+++ b/orchidferry/mesh/control/shard_parameters.py
@@ -1,4 +1,4 @@
-"""What is fixed about one shard at one controller."""
+"""Fixed parameters of one shard at one controller."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardParameters:
-    """Parameters of a `Shard`, the same for as long as its process runs.
+    """Parameters of a `Shard`, which do not change while its process runs.
 
-    :param number: of the shard.
-    :param name: of the controller.
-    :param genesis: the state that all founders begin with.
-    :param group_size: how many voters the group should have.
-    :param key_window_s: how long operation keys are kept at least, in seconds.
-    :param max_keys: how many operation keys the shard may hold.
+    :param number: number of the shard.
+    :param name: name of the controller.
+    :param genesis: the initial state, which all founders share.
+    :param group_size: number of voters that the group should have.
+    :param key_window_s: minimum time for which operation keys are kept, in seconds.
+    :param max_keys: maximum number of operation keys that the shard may hold.
     """
 
     number: int
--- a/orchidferry/mesh/control/shard_runner.py
+++ b/orchidferry/mesh/control/shard_runner.py
@@ -1,4 +1,4 @@
-"""Runs a controller's shards: gives them time and carries out the actions that they return."""
+"""Runs a controller's shards: calls their `tick` and carries out the actions that they return."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from orchidferry.mesh.storage.store import Store
 from orchidferry.mesh.wire.messages import Message
 
-TICK_S = 0.05  # between two regular ticks of a shard
-MIN_TICK_S = 0.002  # before an additional one
+TICK_S = 0.05  # interval between two regular ticks of a shard
+MIN_TICK_S = 0.002  # minimum delay before an additional tick
 
 OnEnded = Callable[[RequestEnded], None]
 
 
 class ShardRunner:
-    """Carries out what the shards of one controller decide.
+    """Carries out the actions of one controller's shards.
 
-    :ivar shards: by number.
+    :ivar shards: the shards, by number.
     """
 
     def __init__(
@@ -41,10 +41,13 @@
         send: Callable[[str, Message], None],
         on_state_changed: Callable[[Shard, StateChanged], None],
     ) -> None:
-        """Make a runner.
+        """Create a `ShardRunner`.
 
-        :param send: sends a message to the controller of this name, if there is a link to it.
-        :param on_state_changed: called when a shard has learned of a newer state.
+        :param shards: the shards, by number.
+        :param store: the controller's store.
+        :param loop: the event loop.
+        :param send: sends a message to the controller with the given name, if there is a link to it.
+        :param on_state_changed: called when a shard has learned a newer state.
         """
         self.shards = shards
         self._store = store
@@ -52,7 +55,7 @@
         self._send = send
         self._on_state_changed = on_state_changed
         self._last_request = 0
-        self._on_ended: dict[str, OnEnded] = {}  # by request
+        self._on_ended: dict[str, OnEnded] = {}  # by request id
 
     @property
     def configuration_shard(self) -> Shard:
@@ -60,11 +63,11 @@
         return self.shards[shard_state.CONFIGURATION]
 
     def shard_of(self, key: str) -> Shard:
-        """The shard that holds an operation key, or the retry budget of a service."""
+        """Return the shard of an operation key, or of a service whose name is given (for its retry quota)."""
         return self.shards[shard_state.shard_of(key)]
 
     def carry_out(self, shard: Shard, actions: list[Action]) -> None:
-        """Carry out the actions of a shard, in their order."""
+        """Carry out the actions of a shard in the given order."""
         for action in actions:
             match action:
                 case SendMessage():
@@ -94,7 +97,7 @@
         return None
 
     def tick(self) -> None:
-        """Give each shard a tick, and one more before the next call where something is due sooner."""
+        """Tick each shard; schedule an additional tick for shards with work due before the next call."""
         for shard in self.shards.values():
             now = self._loop.time()
             self.carry_out(shard, shard.tick(now))
@@ -108,19 +111,20 @@
             self.carry_out(shard, shard.tick(now))
 
     def change_configuration(self, change: shard_state.Change, timeout_s: float, on_ended: OnEnded) -> None:
-        """Propose a change of the configuration's shard.
+        """Propose a change of the configuration shard's state.
 
-        :param timeout_s: for the change to be decided.
-        :param on_ended: called once with the result.
+        :param change: the change to propose.
+        :param timeout_s: time within which the change must be decided, in seconds.
+        :param on_ended: called exactly once, with the result.
         """
         request = self._register(on_ended)
         shard = self.configuration_shard
         self.carry_out(shard, shard.request_change(request, change, timeout_s, self._loop.time()))
 
     def read_configuration(self, on_ended: OnEnded) -> None:
-        """Read the newest decided state of the configuration's shard, confirmed by a majority.
+        """Read the newest decided state of the configuration shard, confirmed by a majority.
 
-        :param on_ended: called once with the result.
+        :param on_ended: called exactly once, with the result.
         """
         request = self._register(on_ended)
         shard = self.configuration_shard
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -1,10 +1,11 @@
-"""The shards into which the control state is divided, and the changes that can be made to the state of one.
-
-Shard 0 holds the configuration, the others hold operation keys, by a hash of the key; what is kept for a
-service goes by a hash of its name. The state of a shard is the body of a `register.Value`, a register that a
-majority agrees on, without a log: the epoch of the group, which rises with every change of its voters; the
-owner of the shard, under a fencing token that rises with every owner and every change of voters; and in
-shard 0 the newest configuration. Nothing here does I/O; changes are data, so that they can be copied.
+"""The shards of the control state, the state of one shard, and the changes of that state. Performs no I/O.
+
+Shard 0 holds the configuration. The other shards hold operation keys, assigned by a hash of the key; data
+about a service is assigned by a hash of the service's name. The state of a shard is the body of a
+`register.Value`, a consensus register without a log. It consists of the epoch of the group, which rises with
+every change of the voters; the owner of the shard, with a fencing token that rises with every change of the
+owner or of the voters; and, in shard 0, the newest configuration. Changes are data objects, so that they can
+be copied.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from orchidferry.balancing.register import Value, Voter
 from orchidferry.mesh.control.order_history import CommittedOrders, OrderHistory, Verdict
 
-# Orders that each state lists. A list as long as this may be truncated: a build with a larger number has to
-# find out by other means which lists are complete.
+# Maximum number of committed orders that a state lists. A list of this length may be truncated: a release
+# that raises the number needs another way to tell which stored lists are complete.
 MAX_LISTED_ORDERS = 64
-GENESIS = 1  # the disk id of a founder at the very first start
+GENESIS = 1  # disk id of every founder at the very first start
 
 CONFIGURATION = 0  # the shard that holds the configuration
 KEY_SHARDS = (1, 2, 3)
@@ -28,16 +29,16 @@
 OTHER_VERSION = "other version"
 OLD_VERSION = "old version"
 IS_ALIVE = "it is alive"
-GROUP_IS_FULL = "no place"
-UNKNOWN_ORDER = "older than is remembered"
-OTHER_OWNER = "another owner came first"
+GROUP_IS_FULL = "the group is full"
+UNKNOWN_ORDER = "older than the remembered orders"
+OTHER_OWNER = "the owner has changed"
 GROUP_HAS_CHANGED = "the group has changed"
 
 
 def shard_of(name: str) -> int:
-    """Find the shard of an operation key, or of a service by its name.
+    """Return the number of the shard of an operation key, or of a service by its name.
 
-    A key is hashed by itself, not by its service: a route may be split or moved while its keys live on.
+    The hash covers only the key, not its service: a route may be split or moved while its keys stay valid.
 
     >>> {shard_of(f"k{n}") for n in range(40)} == set(KEY_SHARDS)
     True
@@ -47,7 +48,7 @@
 
 
 def rank_controllers(shard: int, names: list[str]) -> list[str]:
-    """Rank controllers as owners of a shard: by hash, so that ownership spreads over the controllers.
+    """Rank controllers as owners of a shard, by a hash that spreads ownership over the controllers.
 
     >>> sorted(rank_controllers(1, ["a", "b", "c"]))
     ['a', 'b', 'c']
@@ -59,12 +60,12 @@
 class Body:
     """The state of a shard.
 
-    :param epoch: of the group; rises with each change of its voters.
-    :param revision: of the configuration.
-    :param compressed_text: of the configuration, as `configuration_text` compresses it.
-    :param orders: the newest committed orders, `MAX_LISTED_ORDERS` at most.
-    :param owner: the controller that does the singleton roles of the shard; "" for none.
-    :param fencing_token: of the owner; rises with each owner, and with each change of voters.
+    :param epoch: epoch of the group; rises with each change of the voters.
+    :param revision: revision of the configuration; 0 if there is none yet.
+    :param compressed_text: text of the configuration, as compressed by `configuration_text`.
+    :param orders: the newest committed orders, at most `MAX_LISTED_ORDERS`.
+    :param owner: name of the controller that performs the singleton roles of the shard; "" for none.
+    :param fencing_token: fencing token of the owner; rises with each change of the owner or of the voters.
     """
 
     epoch: int = 0
@@ -79,12 +80,12 @@
 
 
 def genesis(seeds: tuple[str, ...]) -> Value:
-    """Return the state that all founders begin with at the very first start."""
+    """Return the initial state, which all founders share at the very first start."""
     return Value(0, tuple(Voter(name, GENESIS) for name in sorted(seeds)), Body())
 
 
 def body(value: Value) -> Body:
-    """Return the state in a value of the register."""
+    """Return the shard state that a value of the register holds."""
     found = value.body
     assert isinstance(found, Body)
     return found
@@ -92,12 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """An order: commit a configuration on top of a version, unless that very order was committed before.
+    """An order to commit a configuration on top of a base revision; has no effect if already committed.
 
-    :param compressed_text: of the configuration.
-    :param revision: of the configuration; the number of the order.
-    :param digest: of the text.
-    :param on: the version on top of which it is committed.
+    :param compressed_text: compressed text of the configuration.
+    :param revision: revision of the configuration, which is also the number of the order.
+    :param digest: digest of the uncompressed text.
+    :param on: the base revision, which must be the current one.
     """
 
     compressed_text: bytes
@@ -106,9 +107,10 @@
     on: int
 
     def __call__(self, before: Value) -> Value | str:
-        """Put the configuration in place of the present one.
+        """Replace the current configuration.
 
-        :returns: the state after it; the reason as text if `before` does not allow it.
+        :param before: the current state.
+        :returns: the new state; a refusal text if the current state does not allow the change.
         """
         old = body(before)
         history = OrderHistory()
@@ -124,9 +126,10 @@
         )
 
     def verdict(self, history: OrderHistory, current: int) -> Verdict:
-        """Tell what is to become of the order.
+        """Return whether the order is new, already committed, or to be refused.
 
-        :param current: the newest version.
+        :param history: the known committed orders.
+        :param current: the current revision of the configuration.
         """
         return history.verdict(self.revision, self.digest, self.on, max(current, history.newest))
 
@@ -140,25 +143,26 @@
 
 
 def lists_all_orders(state: Body) -> bool:
-    """Whether a state lists all orders that were ever committed."""
+    """Whether a state's list contains all orders that were ever committed."""
     return len(state.orders) < MAX_LISTED_ORDERS
 
 
 def no_change(before: Value) -> Value | str:
-    """Change nothing: the round itself makes sure that its outcome is the newest state."""
+    """Change nothing; the ballot round itself ensures that its outcome is the newest state."""
     return before
 
 
 @dataclass(frozen=True, slots=True)
 class AdmitVoter:
-    """Admit a controller to the group, where it replaces another, or itself with an older disk.
+    """Admit a controller to the group, in place of another voter or of its own voter with a former disk id.
 
-    A controller asks on top of the last group that it knows, so that it can't come back into a group without
-    having noticed that it was removed.
+    The change names the epoch of the newest group that the joining controller knows, so that a controller
+    can't return to the group without having learned that it was removed.
 
-    :param instead_of: the name of the voter that it replaces; "" for none.
-    :param max_voters: voters that the group may have.
-    :param epoch: the change is refused in any other epoch.
+    :param joiner: the joining controller's identity as a voter.
+    :param instead_of: name of the voter that it replaces; "" for none.
+    :param max_voters: maximum number of voters of the group.
+    :param epoch: the only epoch in which the change is valid.
     """
 
     joiner: Voter
@@ -169,7 +173,8 @@
     def __call__(self, before: Value) -> Value | str:
         """Admit the controller to the group.
 
-        :returns: the state after it; the reason as text if `before` does not allow it.
+        :param before: the current state.
+        :returns: the new state; a refusal text if the current state does not allow the change.
         """
         joiner = self.joiner
         if joiner in before.voters:
@@ -186,7 +191,7 @@
 
 
 def end_voter_change(before: Value) -> Value | str:
-    """End a change of voters: from the next version on, the voters before it do not count any more."""
+    """End a change of voters: from the next version on, the former voters no longer count."""
     return _next(before, body(before)) if before.former_voters else before
 
 
@@ -194,8 +199,8 @@
 class TakeOwnership:
     """Make a controller the owner of the shard, under the next fencing token.
 
-    :param name: of the controller.
-    :param fencing_token: the change is refused if the shard's token is another one.
+    :param name: name of the controller.
+    :param fencing_token: the shard's current token; the change is refused if the token has changed.
     """
 
     name: str
@@ -204,7 +209,8 @@
     def __call__(self, before: Value) -> Value | str:
         """Make the controller the owner of the shard.
 
-        :returns: the state after it; the reason as text if `before` does not allow it.
+        :param before: the current state.
+        :returns: the new state; a refusal text if the current state does not allow the change.
         """
         old = body(before)
         if old.fencing_token != self.fencing_token:
@@ -217,7 +223,7 @@
 
 
 def sources_needed(voters: int) -> int:
-    """How many controllers that remember a newcomer must hear, so that no majority of old is missed.
+    """Return the number of caught-up voters to learn from so that every former majority is represented.
 
     >>> sources_needed(3), sources_needed(5)
     (2, 3)
--- a/orchidferry/mesh/control/shard_state_codec.py
+++ b/orchidferry/mesh/control/shard_state_codec.py
@@ -1,7 +1,8 @@
-"""The state of a shard as a list: on the wire and on disk.
+"""Encoding of a shard's state as a list, for the wire and for the disk.
 
-A value may be packed on top of another one that the reader has: then of what is large, the configuration and
-the list of orders, only the difference travels. The order of the fields is fixed by the stored data.
+A value can be packed relative to a base value that the reader has: then for the large fields, the
+configuration and the list of orders, only the difference is packed. The order of the fields is fixed by the
+stored data.
 """
 
 from __future__ import annotations
@@ -16,8 +17,9 @@
 def pack_value(value: Value | None, base: Value | None = None) -> Any:
     """Pack a value.
 
-    :param base: a value that the reader has; None to pack all of it.
-    :returns: a list; None for no value.
+    :param value: the value; None if there is none.
+    :param base: a value that the reader has; None to pack the value completely.
+    :returns: a list; None if there is no value.
     """
     if value is None:
         return None
@@ -45,7 +47,8 @@
 def unpack_value(packed: Any, base: Value | None = None) -> Value | None:
     """Unpack a value.
 
-    :param base: the value on top of which it was packed.
+    :param packed: the packed value.
+    :param base: the value relative to which it was packed; None if it was packed completely.
     """
     if packed is None:
         return None
@@ -62,7 +65,7 @@
 
 
 def pack_acceptor_state(state: AcceptorState) -> Any:
-    """Pack all that a voter has to keep on disk.
+    """Pack the complete acceptor state of a voter, as it is stored on disk.
 
     :returns: a list.
     """
@@ -70,7 +73,7 @@
 
 
 def unpack_acceptor_state(packed: Any) -> AcceptorState:
-    """Unpack what a voter has kept on disk."""
+    """Unpack a voter's acceptor state as stored on disk."""
     disk_id, promised, accepted, value = packed
     return AcceptorState(disk_id, tuple(promised), tuple(accepted), unpack_value(value))
 
@@ -84,5 +87,5 @@
 
 
 def _count_dropped(orders: CommittedOrders, base: CommittedOrders) -> int:
-    """Count the oldest orders of `base` that are gone, where `orders` goes on with the rest of it."""
+    """Count the oldest orders of `base` that are not in `orders`, which begins with the rest of `base`."""
     return next(n for n in range(len(base) + 1) if orders[: len(base) - n] == base[n:])
--- a/orchidferry/mesh/control/value_references.py
+++ b/orchidferry/mesh/control/value_references.py
@@ -1,10 +1,11 @@
-"""States that a message names by their ballot, because the receiver has them. Free of I/O.
-
-One ballot proposes one state, so a replica that has accepted a ballot has its state. A proposer says with
-`Prepare` which ballot it has accepted itself, and gets no copy of that state; an `Accept` to a voter that
-promised with some state carries the difference to it; a replica that was asked to accept a ballot is notified
-of its decision by the ballot alone. What can't be resolved is never taken for "no state": it is dropped, as
-if it were lost.
+"""References to states by their ballots, in messages to replicas that have those states. Performs no I/O.
+
+Each ballot proposes exactly one state, so a replica that has accepted a ballot has its state. This saves
+bytes in three ways: a proposer names in `Prepare` the ballot that it has accepted itself, and promises do not
+return a copy of that state; an `Accept` to a voter that promised with some state contains only the difference
+from that state; and a replica that was asked to accept a ballot is notified of the decision by the ballot
+alone. A message with a reference that can't be resolved is never treated as having no state: it is dropped,
+as if it were lost.
 """
 
 from __future__ import annotations
@@ -30,13 +31,14 @@
 
 @dataclass(slots=True)
 class ValueReferences:
-    """What one replica may refer to in the round that it proposes.
-
-    :param ballot: of the round.
-    :param accepted: the ballot that this replica had accepted when the round began.
-    :param value: the state of that ballot.
-    :param promised: by voter: the ballot that it had accepted as it promised, and its state.
-    :param asked: voters that were sent an `Accept`.
+    """The states that one proposer can refer to in its current ballot round.
+
+    :param ballot: ballot of the round.
+    :param accepted: the ballot that the proposing replica had accepted when the round began.
+    :param value: the state of that ballot; None if there was none.
+    :param promised: for each voter by name, the ballot that it had accepted when it promised, and the state
+        of that ballot.
+    :param asked: names of the voters that were sent an `Accept`.
     """
 
     ballot: Ballot = NO_BALLOT
@@ -48,8 +50,9 @@
     def pack(self, to: str, message: Message, state: AcceptorState) -> RegisterBody:
         """Pack a message of the register.
 
-        :param to: the name of the receiver.
-        :param state: what this replica has accepted.
+        :param to: name of the receiver.
+        :param message: the message.
+        :param state: this replica's acceptor state.
         """
         if isinstance(message, Prepare):
             if message.ballot != self.ballot:
@@ -67,7 +70,7 @@
         return pack_message(message)
 
     def resolve(self, sender: str, promise: Promise) -> Promise | None:
-        """Complete a promise with its state; None if the state is named and not known here."""
+        """Return a promise with its complete state; None if it refers to a state that is not known here."""
         if promise.ballot != self.ballot or promise.accepted == NO_BALLOT:
             return promise
         value = promise.value
@@ -79,19 +82,20 @@
         return replace(promise, value=value)
 
     def knows_ballot(self, name: str, ballot: Ballot) -> bool:
-        """Whether a voter was asked to accept a ballot, in this replica's newest round."""
+        """Whether a voter was asked to accept a ballot, and that ballot is this replica's newest one."""
         return ballot == self.ballot and name in self.asked
 
 
 def unpack(body: RegisterBody, state: AcceptorState) -> Message | None:
     """Unpack a message of the register.
 
-    :param state: what this voter has accepted.
-    :returns: None for a message that builds on a state which this voter has not accepted.
+    :param body: the wire form of the message.
+    :param state: this voter's acceptor state.
+    :returns: the message; None if it is based on a state that this voter has not accepted.
     """
     if not isinstance(body, RegisterAccept) or body.base is None:
         return unpack_message(body)
-    if body.ballot == state.accepted and state.value is not None:  # sent again
+    if body.ballot == state.accepted and state.value is not None:  # the message was resent
         return Accept(state.accepted, state.value)
     if body.base != state.accepted:
         return None
@@ -100,8 +104,11 @@
 
 
 def refusal(body: RegisterBody, voter: Voter, state: AcceptorState) -> Accepted | None:
-    """Refuse an `Accept` that can't be resolved, if its ballot would be refused anyway.
+    """Return the refusal of an `Accept` that can't be resolved, if its ballot would be refused anyway.
 
-    :returns: the refusal; None if the message has to be dropped.
+    :param body: the wire form of the `Accept`.
+    :param voter: this replica's identity as a voter.
+    :param state: this voter's acceptor state.
+    :returns: the refusal; None if the message must be dropped.
     """
     return Accepted(body.ballot, voter, state.promised) if body.ballot < state.promised else None
--- a/orchidferry/mesh/control/write_completions.py
+++ b/orchidferry/mesh/control/write_completions.py
@@ -1,6 +1,6 @@
-"""What a write of a shard was for.
+"""Completions of writes, which say what a write of a shard was for.
 
-A `WriteRecords` action carries one of these; whoever runs the shard hands it back, unchanged, to
+A `WriteRecords` action can carry a completion; the runner of the shard passes it back unchanged to
 `Shard.write_finished` once it is known whether the records are on disk.
 """
 
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteSaved:
-    """A vote of the register's acceptor.
+    """A write of the register acceptor's vote.
 
-    :param reply_to: who sent the message of the register; None for this replica itself.
-    :param state: what the acceptor kept in memory when the write was begun.
-    :param replies: leave once the vote is on disk.
-    :param order_numbers: earlier orders, which were committed before this vote and not yet on disk: they were
-        written along with it.
+    :param reply_to: link over which the register message came; None if this replica sent it to itself.
+    :param state: the acceptor's in-memory state when the write was begun.
+    :param replies: the replies that are sent once the vote is on disk.
+    :param order_numbers: numbers of earlier committed orders that were not on disk yet and are written in the
+        same transaction.
     """
 
     reply_to: Any
@@ -33,21 +33,24 @@
 
 @dataclass(frozen=True, slots=True)
 class OrdersSaved:
-    """Older orders, as another replica sent them."""
+    """A write of older orders that another replica sent.
+
+    :param order_numbers: numbers of the orders.
+    """
 
     order_numbers: list[int]
 
 
 @dataclass(frozen=True, slots=True)
 class RemovalSaved:
-    """This replica was put out of the group: it is no longer caught up."""
+    """A write recording that this replica was removed from the group: it is no longer caught up."""
 
 
 @dataclass(frozen=True, slots=True)
 class CaughtUpSaved:
-    """This replica has caught up.
+    """A write recording that this replica has caught up.
 
-    :param epoch: of the group in which it has.
+    :param epoch: epoch of the group in which it has caught up.
     """
 
     epoch: int
@@ -55,11 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimSaved:
-    """A claim of an operation key.
+    """A write of the claim of an operation key.
 
-    :param reply_to: who claimed it.
+    :param reply_to: link over which the claim came.
     :param request: number of the claim.
-    :param epoch: under which it was claimed.
+    :param epoch: the epoch that the claim named.
+    :param key: the operation key.
+    :param holder: id of the attempt that claimed the key.
+    :param record: the key's record that is written.
     """
 
     reply_to: Any
@@ -72,7 +78,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyAnswerSaved:
-    """The answer of the first run under an operation key."""
+    """A write of the answer of the first execution under an operation key.
+
+    :param key: the operation key.
+    :param record: the key's record, with the answer.
+    """
 
     key: str
     record: KeyRecord
@@ -80,10 +90,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyReleaseSaved:
-    """The release of an operation key.
+    """A write of the release of an operation key.
 
-    :param reply_to: who released it.
-    :param number: of the release.
+    :param reply_to: link over which the release came.
+    :param number: number of the release.
     """
 
     reply_to: Any
@@ -92,9 +102,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyPageSaved:
-    """A page of key records that another replica sent while this one catches up.
+    """A write of a page of key records that another replica sent so that this one can catch up.
 
-    :param source: the name of the replica that sent it.
+    :param source: name of the replica that sent the page.
     :param request: the request that the page answers.
     """
 
@@ -104,10 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoffSaved:
-    """Key records that another replica handed over after this one had been silent.
+    """A write of key records that another replica handed over after this one had been silent.
 
-    :param reply_to: the replica that sent them.
-    :param number: of the handoff.
+    :param reply_to: link over which the records came.
+    :param number: number of the page of the handoff.
     """
 
     reply_to: Any
