--- a/tests/mesh/control/examples.py
+++ b/tests/mesh/control/examples.py
@@ -1,4 +1,4 @@
-"""Configurations as an operator sends them."""
+"""Example configurations as an operator sends them."""
 
 from __future__ import annotations
 
@@ -39,9 +39,14 @@
 
 
 def spoil(path: str, value: Any) -> Callable[[dict[str, Any]], None]:
+    """Return a function that replaces the value at a path in a configuration.
+
+    :param path: keys and list indexes, separated by "/".
+    """
+
     def change(data: Any) -> None:
-        *way, last = [int(part) if part.isdigit() else part for part in path.split("/")]
-        for part in way:
+        *parents, last = [int(part) if part.isdigit() else part for part in path.split("/")]
+        for part in parents:
             data = data[part]
         data[last] = value
 
--- a/tests/mesh/control/fakes.py
+++ b/tests/mesh/control/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins shared by the tests of the control modules."""
+"""Test doubles shared by the tests of the control modules."""
 
 from __future__ import annotations
 
@@ -27,13 +27,14 @@
 
 
 def decoded(change: StreamChange) -> StreamChange:
-    news = decode(encode(Update(change))[LENGTH_BYTES:])
-    assert isinstance(news, Update)
-    return news.change
+    """Return a change after encoding and decoding it as an `Update` message."""
+    update = decode(encode(Update(change))[LENGTH_BYTES:])
+    assert isinstance(update, Update)
+    return update.change
 
 
 class RecordingLink:
-    """One end of a link, which notes what is sent."""
+    """A fake of one end of a link, which records the sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[Message] = []
@@ -49,7 +50,7 @@
         self.sent.append(decode(data[LENGTH_BYTES:]))
 
     def kinds(self) -> list[type[Message]]:
-        """Of all that was sent."""
+        """Return the types of all sent messages."""
         return [type(message) for message in self.sent]
 
     def close(self) -> None:
@@ -58,7 +59,7 @@
 
 
 def make_subscriber(name: str, boot: int) -> tuple[Any, list[str]]:
-    """One subscriber, with a controller, and whom it dials."""
+    """Return a subscriber that is connected to a controller, and the list of names that it dials."""
     loop: Any = World(1, 1).start("loop", 0)
     dialled: list[str] = []
     subscriber: Any = Subscriber(
--- a/tests/mesh/control/shards.py
+++ b/tests/mesh/control/shards.py
@@ -1,4 +1,4 @@
-"""A shard at one of three controllers, for tests of its parts."""
+"""A shard at one of three controllers, for tests of the shard's components."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_shard(name: str, caught_up: bool = True, size: int = 3) -> Shard:
-    """Return shard 1 at a controller that knows the group a, b and c in epoch 3."""
+    """Return shard 1 at a controller that knows the group of a, b and c in epoch 3."""
     parameters = ShardParameters(1, name, shard_state.genesis(SEEDS), size, WINDOW_S, 10)
     state = AcceptorState(shard_state.GENESIS)
     shard = Shard(parameters, state, caught_up, Peers(0.0), random.Random(1))
@@ -25,5 +25,5 @@
 
 
 def learn_state(shard: Shard, value: Value, now: float = 1.0) -> None:
-    """Tell a shard of a decided state."""
+    """Have a shard learn a decided state."""
     shard.receive(None, DecidedState(shard_state_codec.pack_value(value)), now)
--- a/tests/mesh/control/test_contact.py
+++ b/tests/mesh/control/test_contact.py
@@ -1,4 +1,4 @@
-"""Contact with a majority: what counts, and what operators are told without it."""
+"""Contact with a majority: how it is determined, and the responses to operators without it."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         (FIVE[:3], {"b": 10.0, "c": 11.0}, 11.0 + CONTACT_S),
         (FIVE, {"b": 10.0}, float("-inf")),
         (FIVE, {"b": 10.0, "c": 11.0, "e": 12.0}, 11.0 + CONTACT_S),
-        (FIVE, {"x": 10.0, "y": 10.0}, float("-inf")),  # no voters
-        (FIVE[1:4], {"b": 10.0}, float("-inf")),  # a itself is no voter: two others are needed
+        (FIVE, {"x": 10.0, "y": 10.0}, float("-inf")),  # x and y are not voters
+        (FIVE[1:4], {"b": 10.0}, float("-inf")),  # a is not a voter itself: two others are needed
         (FIVE[1:4], {"b": 10.0, "c": 11.0}, 10.0 + CONTACT_S),
     ],
 )
@@ -53,18 +53,18 @@
     assert contact.since_s(FIVE[:3], FIVE[0]) == 10.0
 
 
-class Alone:
-    """What one controller's process says, with nobody round it."""
+class IsolatedController:
+    """One controller whose messages reach nobody; records its reads and the ends of its requests."""
 
     def __init__(self) -> None:
         self.now = 1.0
         self.ended: list[RequestEnded] = []
-        self.readings: list[int] = []
+        self.reads: list[int] = []
         self.controller = Controller("a", self, True, 0, SequentialRandom())
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
         if kind == ControllerCall.RECEIVE and isinstance(message[1], AcceptedStateRequest):
-            self.readings.append(message[1].reading)
+            self.reads.append(message[1].reading)
 
     def answer(self, name: str, answer: SendReply) -> None:
         pass
@@ -81,10 +81,10 @@
 
 
 def test_a_process_that_was_frozen_does_not_serve_on_its_former_contact() -> None:
-    world = Alone()
+    world = IsolatedController()
     shard = world.controller.shard
     world.controller.send_heartbeats("bc")
-    world.now += 5.0  # frozen; the acknowledgements of that beat are in its buffers
+    world.now += 5.0  # frozen; the acknowledgements of that heartbeat are in its buffers
     for name in "bc":
         world.controller.receive_heartbeat_ack(name, 1, 0)
     world.controller.execute(shard.request_read("r", world.now))
@@ -92,15 +92,15 @@
         shard.request_change("p", shard_state.PutConfiguration(b"x", 1, b"x", 0), 4.0, world.now)
     )
     assert world.ended == [RequestEnded("r", None, OUT_OF_CONTACT), RequestEnded("p", None, OUT_OF_CONTACT)]
-    assert not world.readings and not shard.register.proposer.due_ms < float("inf")
+    assert not world.reads and not shard.register.proposer.due_ms < float("inf")
     world.controller.send_heartbeats("bc")
     world.controller.receive_heartbeat_ack("b", 2, 0)
     world.controller.execute(shard.request_read("r2", world.now))
-    assert len(world.ended) == 2 and world.readings
+    assert len(world.ended) == 2 and world.reads
 
 
 def test_pending_requests_end_as_soon_as_contact_is_lost() -> None:
-    world = Alone()
+    world = IsolatedController()
     shard = world.controller.shard
     world.controller.send_heartbeats("bc")
     world.controller.receive_heartbeat_ack("b", 1, 0)
@@ -117,31 +117,31 @@
         ("r", None, LOST_CONTACT),
         ("p", None, LOST_CONTACT),
     }
-    assert shard.register.proposer.due_ms == float("inf")  # and the order is not gone on with
+    assert shard.register.proposer.due_ms == float("inf")  # the proposal is withdrawn, too
 
 
 def test_a_read_over_a_slow_link_counts_late_reports() -> None:
-    """Answers that took longer than the pause between two questions were thrown away: no reading ended."""
-    world = Alone()
+    """Reports slower than the interval between two requests were discarded, so that no read ever ended."""
+    world = IsolatedController()
     shard = world.controller.shard
 
-    def beat() -> None:
+    def exchange_heartbeat() -> None:
         world.controller.send_heartbeats("bc")
         world.controller.receive_heartbeat_ack("b", world.controller.count, 0)
 
-    beat()
+    exchange_heartbeat()
     world.controller.execute(shard.request_read("r", world.now))
     for _ in range(4):
         world.tick(0.1)
-        beat()
-    assert len(world.readings) > 2 and not world.ended
-    answer = AcceptedState(world.readings[0], ("b", shard_state.GENESIS), (0, ""), None)
-    world.controller.receive("b", answer)
+        exchange_heartbeat()
+    assert len(world.reads) > 2 and not world.ended
+    report = AcceptedState(world.reads[0], ("b", shard_state.GENESIS), (0, ""), None)
+    world.controller.receive("b", report)
     assert [(end.id, end.value) for end in world.ended] == [("r", shard.known)]
 
 
 def test_a_read_that_finds_no_state_ends_in_time() -> None:
-    world = Alone()
+    world = IsolatedController()
     shard = world.controller.shard
     world.controller.execute([])
     for _ in range(9):
@@ -179,16 +179,16 @@
 def test_responses_to_an_operator_out_of_contact(
     method: bytes, contact: bool, end: RequestEnded | None, status: int, error: str
 ) -> None:
-    """503: nothing was begun. 504: it may be in force. 4xx: it never will be."""
+    """503: the request was not begun. 504: the change may be in force. 4xx: the change never will be."""
 
-    def over(*rest: Any) -> None:
+    def end_request(*rest: Any) -> None:
         assert end is not None
         rest[-1](end)
 
-    resource = ConfigurationResource(over, over, lambda: False, lambda: contact)
-    told: list[Reply] = []
-    resource(control_request(method, b"/", {b"if-match": b"0"}, BODY), "", told.append)
-    [reply] = told
+    resource = ConfigurationResource(end_request, end_request, lambda: False, lambda: contact)
+    replies: list[Reply] = []
+    resource(control_request(method, b"/", {b"if-match": b"0"}, BODY), "", replies.append)
+    [reply] = replies
     assert (reply.status, json.loads(reply.body)["error"]) == (status, error)
     assert reply.retry_after_s is not None or status == 412
 
@@ -202,8 +202,8 @@
 
 @pytest.mark.parametrize("name", worst_days.isolated.BREAKS)
 def test_each_break_of_contact_is_caught(name: str) -> None:
-    one = worst_days.BREAKS[name]
-    found = worst_days.search(one.scene, one.faults, one.kinds, name, 60.0, workers=2)
+    break_ = worst_days.BREAKS[name]
+    found = worst_days.search(break_.scene, break_.faults, break_.kinds, name, 60.0, workers=2)
     assert found.violations, name
 
 
--- a/tests/mesh/control/test_controller.py
+++ b/tests/mesh/control/test_controller.py
@@ -1,4 +1,4 @@
-"""A controller that starts again, is removed from a group, grants keys over sockets, and ends."""
+"""A controller that restarts, is removed from a group, grants keys over sockets, and stops."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 from tests.mesh.storage.fakes import close, write
 
 
-@pytest.mark.parametrize(("needed_s", "ends_s"), [(0.0, 1.0), (2.5, 2.5), (1e6, 5.0)])
+@pytest.mark.parametrize(("needed_s", "stop_s"), [(0.0, 1.0), (2.5, 2.5), (1e6, 5.0)])
 def test_a_stopping_controller_stays_as_long_as_it_is_needed(
-    monkeypatch: Any, needed_s: float, ends_s: float
+    monkeypatch: Any, needed_s: float, stop_s: float
 ) -> None:
-    """1 s at least, 1 s before the platform's kill at most, and between as long as it is needed."""
+    """At least 1 s, at most until 1 s before the platform's kill, in between as long as it is needed."""
     loop = Clock()
     began_s = loop.now_s
 
-    class Needed:
+    class NeededShard:
         def must_stay(self, now: float) -> bool:
             return now < began_s + needed_s
 
-    async def turn(self: Any, stopping: asyncio.Event, until_s: float) -> None:
+    async def run_until(self: Any, stopping: asyncio.Event, until_s: float) -> None:
         await asyncio.sleep(until_s - loop.time())
 
-    monkeypatch.setattr(module.Controller, "_run_until", turn)
-    leaving: Any = Controller.__new__(Controller)
-    leaving._loop, leaving._shards = loop, {1: Needed()}
-    leaving._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
-    played(loop, leaving._hand_over())
-    assert loop.now_s - began_s == pytest.approx(ends_s, abs=0.12)
+    monkeypatch.setattr(module.Controller, "_run_until", run_until)
+    controller: Any = Controller.__new__(Controller)
+    controller._loop, controller._shards = loop, {1: NeededShard()}
+    controller._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
+    played(loop, controller._hand_over())
+    assert loop.now_s - began_s == pytest.approx(stop_s, abs=0.12)
 
 
-def test_incarnations_of_a_controller_have_one_memory_and_different_ballots(tmp_path: Path) -> None:
-    """Proposals of two incarnations under one ballot would pass for one state."""
+def test_incarnations_of_a_controller_have_the_same_disk_id_and_different_ballots(tmp_path: Path) -> None:
+    """Different states that two incarnations propose under the same ballot would be taken for one state."""
 
     async def main() -> None:
         incarnations = []
@@ -66,10 +66,10 @@
         shard = controller._shards[1]
         assert shard.grants(0)
         state = Value(1, (Voter("127.0.0.2", 1),), shard_state.Body(1))
-        known = DecidedState(shard_state_codec.pack_value(state))
-        controller._runner.carry_out(shard, shard.receive(None, known, 0.0))
+        decided = DecidedState(shard_state_codec.pack_value(state))
+        controller._runner.carry_out(shard, shard.receive(None, decided, 0.0))
         controller._runner.carry_out(shard, shard.tick(10.0))
-        assert await write(controller._store, [])  # and so is what was written before
+        assert await write(controller._store, [])  # waits until the earlier writes are on disk, too
         assert not shard.standing.caught_up and controller._store.read("about", b"caught/1") is None
         assert controller._shards[2].standing.caught_up
         close(controller._store)
@@ -89,9 +89,9 @@
         client.start()
 
         async def claim(holder: str) -> tuple[ClaimOutcome, Any]:
-            told = loop.create_future()
-            client.claim("k", holder, 8.0, lambda what, answer: told.set_result((what, answer)))
-            return await asyncio.wait_for(told, 10.0)
+            result = loop.create_future()
+            client.claim("k", holder, 8.0, lambda outcome, answer: result.set_result((outcome, answer)))
+            return await asyncio.wait_for(result, 10.0)
 
         assert await claim("t1") == (ClaimOutcome.GRANTED, None)
         assert await claim("t2") == (ClaimOutcome.HELD_BY_OTHER, None)
--- a/tests/mesh/control/test_controller_links.py
+++ b/tests/mesh/control/test_controller_links.py
@@ -1,4 +1,4 @@
-"""Which of the links between two controllers is used, and what remains when one is closed."""
+"""Choice between the links of two controllers, and the fallback when one of them is closed."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
         links.disconnected(dialled)
         assert links.open_links() == [accepted]
         links.disconnected(accepted)
-        links.send("b", HELLO)  # lost
+        links.send("b", HELLO)  # lost: there is no link
         assert not links.open_links() and len(accepted.sent) == 1
 
     asyncio.run(main())
 
 
-def test_a_controller_that_can_not_be_reached_is_dialled_again_after_an_interval(
+def test_a_controller_that_cannot_be_reached_is_dialled_again_after_an_interval(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     dialled: list[str] = []
--- a/tests/mesh/control/test_group_changes.py
+++ b/tests/mesh/control/test_group_changes.py
@@ -1,4 +1,4 @@
-"""Who gets a place in a group, in whose place, and which voter proposes it."""
+"""Which joining controller is admitted to a group, which voter it replaces, and which voter proposes it."""
 
 from __future__ import annotations
 
@@ -12,40 +12,41 @@
 from tests.mesh.control.shards import A, B, C, D, make_shard
 
 
-def proposes(one: Shard, joiner: Voter, under: int, ready: bool, now: float) -> bool:
-    done = one.receive(None, JoinRequest(joiner.name, joiner.disk_id, under, ready), now)
-    return any(isinstance(a, SendMessage) and isinstance(a.message.body, RegisterMessage) for a in done)
+def proposes(shard: Shard, joiner: Voter, joiner_epoch: int, ready: bool, now: float) -> bool:
+    """Whether a voter's shard proposes a joining controller when it receives that one's request."""
+    actions = shard.receive(None, JoinRequest(joiner.name, joiner.disk_id, joiner_epoch, ready), now)
+    return any(isinstance(a, SendMessage) and isinstance(a.message.body, RegisterMessage) for a in actions)
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_a_ready_newcomer_replaces_a_leaving_voter(leaves: bool) -> None:
+def test_a_ready_joiner_replaces_a_leaving_voter(leaves: bool) -> None:
     first = shard_state.rank_controllers(1, ["a", "b", "c"])[0]
-    one = make_shard(first)
+    shard = make_shard(first)
     other = next(name for name in "abc" if name != first)
-    one.peers.heard_s = dict.fromkeys("abcd", 1.0)
-    one.peers.leaving |= {other} if leaves else set()
-    assert bool(one.object_to(["replace", other])) is not leaves
-    assert not proposes(one, D, 3, False, 1.0)  # it has not learned
-    assert not proposes(one, D, 2, True, 1.0)  # it does not know this group
-    assert proposes(one, D, 3, True, 1.0) is leaves
+    shard.peers.heard_s = dict.fromkeys("abcd", 1.0)
+    shard.peers.leaving |= {other} if leaves else set()
+    assert bool(shard.object_to(["replace", other])) is not leaves
+    assert not proposes(shard, D, 3, False, 1.0)  # it is not ready
+    assert not proposes(shard, D, 2, True, 1.0)  # it does not know the current group
+    assert proposes(shard, D, 3, True, 1.0) is leaves
 
 
-def test_voters_propose_a_newcomer_in_the_order_of_their_rank() -> None:
+def test_voters_propose_a_joiner_in_the_order_of_their_rank() -> None:
     names = shard_state.rank_controllers(1, ["a", "b", "c"])
-    one = make_shard(names[1])
-    one.peers.heard_s = dict.fromkeys("abcd", 1.0)
+    shard = make_shard(names[1])
+    shard.peers.heard_s = dict.fromkeys("abcd", 1.0)
     wiped = Voter(names[2], 77)
-    assert not proposes(one, wiped, 3, False, 1.0)
-    one.peers.heard_s = dict.fromkeys("abcd", 1.4)
-    assert not proposes(one, wiped, 3, False, 1.4)
-    assert proposes(one, wiped, 3, False, 1.5)
+    assert not proposes(shard, wiped, 3, False, 1.0)
+    shard.peers.heard_s = dict.fromkeys("abcd", 1.4)
+    assert not proposes(shard, wiped, 3, False, 1.4)
+    assert proposes(shard, wiped, 3, False, 1.5)
     other = make_shard(names[1])
     other.peers.heard_s = dict.fromkeys("abcd", 1.0)
-    other.peers.learning[names[0]] = (1,)  # that one has not learned itself
+    other.peers.learning[names[0]] = (1,)  # the first one has not caught up itself
     assert proposes(other, wiped, 3, False, 1.0)
 
 
-def test_a_newcomer_that_knows_an_older_group_is_refused() -> None:
+def test_a_joiner_that_knows_an_older_group_is_refused() -> None:
     before = Value(4, (A, B, C), shard_state.Body(3))
     assert shard_state.AdmitVoter(D, "c", 3, 2)(before) == shard_state.GROUP_HAS_CHANGED
     after = shard_state.AdmitVoter(D, "c", 3, 3)(before)
--- a/tests/mesh/control/test_heartbeats.py
+++ b/tests/mesh/control/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""What a heartbeat says, to whom it is sent, and which acknowledgements count."""
+"""The content of heartbeats, their receivers, and the acknowledgements that count."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Links:
-    """Links to other controllers; all are open."""
+    """Fake links to other controllers, all of them open."""
 
     def __init__(self, *links: RecordingLink) -> None:
         self.links = links
@@ -29,7 +29,7 @@
 
 
 class Scene:
-    """The heartbeats of controller "a", with a link to another one."""
+    """The `Heartbeats` of controller "a", with a link to one other controller."""
 
     def __init__(self) -> None:
         self.loop = cast(Any, Loop())
@@ -51,7 +51,7 @@
         self.heartbeats = Heartbeats("a", self.shards, self.peers, links, self.loop)
 
 
-def test_a_heartbeat_names_what_its_sender_can_do_and_lacks() -> None:
+def test_a_heartbeat_reports_fitness_stopping_and_missing_shards() -> None:
     scene = Scene()
     scene.peers.fit = False
     scene.peers.stopping = True
@@ -60,7 +60,7 @@
     assert scene.link.sent == [Heartbeat("a", 1, False, versions, True, [2])]
 
 
-def test_a_link_that_has_been_silent_for_long_is_closed() -> None:
+def test_a_link_that_was_silent_for_too_long_is_closed() -> None:
     scene = Scene()
     scene.loop.pass_ms(1e3 * DEAD_S)
     scene.heartbeats.send()
@@ -83,7 +83,7 @@
     assert scene.peers.contact.acknowledged == remembered
 
 
-def test_a_received_heartbeat_is_acknowledged_and_updates_what_is_known_of_its_sender() -> None:
+def test_a_received_heartbeat_is_acknowledged_and_updates_the_state_of_its_sender() -> None:
     scene = Scene()
     versions = [0] * len(scene.shards)
     scene.heartbeats.receive(scene.link, Heartbeat("b", 7, False, versions, True, [1]))
@@ -96,7 +96,7 @@
     assert (peers.unfit, peers.leaving, peers.learning) == (set(), set(), {"b": ()})
 
 
-def test_only_so_many_controllers_are_remembered() -> None:
+def test_the_number_of_remembered_controllers_is_limited() -> None:
     scene = Scene()
     for number in range(MAX_CONTROLLERS + 1):
         scene.loop.pass_ms(1.0)
--- a/tests/mesh/control/test_hinted_handoff.py
+++ b/tests/mesh/control/test_hinted_handoff.py
@@ -1,4 +1,4 @@
-"""Hinted handoff beside a plain list of all writes."""
+"""Hinted handoff compared with a simple list of all writes."""
 
 from __future__ import annotations
 
@@ -10,36 +10,40 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("wwwsabt"), st.integers(0, 5)), max_size=60))
-def test_what_a_silent_controller_misses_is_kept_for_it(events: list[tuple[str, int]]) -> None:
-    """Beside a list of all writes since 4 s before its silence: none is left out, none is sent for ever."""
+def test_writes_missed_by_a_silent_controller_are_kept_for_it(events: list[tuple[str, int]]) -> None:
+    """Every write since 4 s before the silence is handed over, and the hints are empty in the end.
+
+    Events: "w" writes a key; "s" marks the controller as silent, "b" as back; "a" acknowledges a page;
+    "t" only lets time pass.
+    """
     hints = Hints()
     now = 100.0
     owed = set[str]()
     silent = False
-    wrote: list[tuple[float, str]] = []
+    writes: list[tuple[float, str]] = []
     page: HintPage | None = None
-    for what, n in events:
+    for event, n in events:
         now += n / 2
-        if what == "w":
-            key = f"k{len(wrote)}"
-            wrote.append((now, key))
+        if event == "w":
+            key = f"k{len(writes)}"
+            writes.append((now, key))
             hints.record_write(key, now)
             owed |= {key} if silent else set()
-        elif what == "s":
+        elif event == "s":
             hints.mark_silent("x", now)
             silent = True
             page = None
-            owed |= {key for at, key in wrote if at >= now - RECENT_S}
-        elif what == "a" and page is not None:
+            owed |= {key for written_s, key in writes if written_s >= now - RECENT_S}
+        elif event == "a" and page is not None:
             hints.acknowledge("x", page.number)
             owed -= set(page.keys)
             page = None
-        elif what == "b":
+        elif event == "b":
             silent = False
             if (found := hints.next_page("x", now, 3)) is not None:
                 assert len(found.keys) <= 3 and (page is None or found == page)
                 page = found
-    for _ in range(len(wrote) + 2):
+    for _ in range(len(writes) + 2):
         now += 2.0
         if (found := hints.next_page("x", now, 3)) is not None:
             owed -= set(found.keys)
--- a/tests/mesh/control/test_membership_losses.py
+++ b/tests/mesh/control/test_membership_losses.py
@@ -1,9 +1,9 @@
-"""The group of controllers in any order of events, with as many losses at once as it tolerates.
+"""A group of controllers in random orders of events, with as many simultaneous losses as it tolerates.
 
-Controllers are stopped, and orders are sent again.
+Controllers are also stopped, and orders are resent.
 
-A disk is lost only within the tolerance: a voter counts as lost until it lives and has caught up, and the
-voters that are not lost stay a majority of every group that may be in force.
+Disks are lost only within the tolerance: a voter counts as lost until it is alive and has caught up, and the
+voters that are not lost remain a majority of every group that may be in force.
 """
 
 from __future__ import annotations
@@ -27,27 +27,33 @@
 from orchidferry.testkit.explore.controller import Controller
 from tests.mesh.control.test_membership import World
 
-# a controller that was told to end stays so long at least, and at most
-STOP_S = 1.0
-GRACE_S = 5.0
-CALM = 0.7  # of the moments at which disks might be lost or processes killed
-BACKLOG = 40  # messages on their way at once
-LISTED = 2  # orders in a state: few, so that histories are needed
+STOP_S = 1.0  # minimum time for which a stopping controller keeps running
+GRACE_S = 5.0  # maximum time for which a stopping controller keeps running
+SKIPPED_KILLS = 0.7  # share of the kills and disk losses that are skipped, so that groups can recover
+BACKLOG = 40  # maximum number of messages in transit
+MAX_LISTED_ORDERS = 2  # in a state; low, so that order histories are needed
 REFUSALS = (shard_state.OTHER_VERSION, shard_state.OLD_VERSION)
 
 
 @dataclass(frozen=True)
 class Size:
-    """How large a group is."""
+    """The size of a group and of its run.
+
+    :param seeds: names of the founders, one letter each.
+    :param spares: names of the other controllers, one letter each.
+    :param steps: number of steps of a run.
+    :param max_step_s: the longest time between two ticks of any controllers, chosen so that each controller
+        ticks about as often in groups of all sizes.
+    """
 
     seeds: str
     spares: str
     steps: int
-    turn_s: float  # the longest pause between two turns: each controller's own come as often in all groups
+    max_step_s: float
 
     @property
     def losses(self) -> int:
-        """How many of its voters may be lost at once."""
+        """Number of voters that may be lost at the same time."""
         return len(self.seeds) // 2
 
 
@@ -56,15 +62,15 @@
 
 
 class LossWorld(World):
-    """`World` with leaving controllers, losses at once, and copies of orders."""
+    """`World` with stopping controllers, simultaneous losses, and resent orders."""
 
-    beats = 0.6
+    heartbeat_share = 0.6
 
     def __init__(self, rng: random.Random, size: Size) -> None:
         super().__init__(rng, tuple(size.seeds), size.spares)
         self.size = size
-        self.turn_s = size.turn_s
-        self.leaving: dict[str, float] = {}  # since when
+        self.max_step_s = size.max_step_s
+        self.leaving: dict[str, float] = {}  # time at which each controller was told to stop
         self.orders: list[shard_state.PutConfiguration] = []
         self.acknowledged: set[shard_state.PutConfiguration] = set()
         self.refused: set[shard_state.PutConfiguration] = set()
@@ -73,7 +79,7 @@
     # Losses
 
     def groups(self) -> Iterator[tuple[Voter, ...]]:
-        """The voters of every group that may be in force, or still counts."""
+        """Yield the voters of every group that may be in force, former voters included."""
         controllers = self.controllers.values()
         newest = max(k.shard.known.version for k in controllers)
         states: list[Value] = [k.shard.known for k in controllers]
@@ -85,7 +91,7 @@
                     yield state.former_voters
 
     def remembers(self, voter: Voter) -> bool:
-        """Whether a voter is not lost."""
+        """Whether a voter is alive, has caught up, and has its vote on disk."""
         controller = self.controllers[voter.name]
         shard = controller.shard
         return (
@@ -96,19 +102,21 @@
         )
 
     def tolerated(self, lost: list[Controller]) -> bool:
-        """Whether a majority of each group is left without these."""
+        """Whether each group keeps a majority of voters that are not lost if these controllers are lost."""
         names = {controller.name for controller in lost}
         return all(
             2 * sum(v.name not in names and self.remembers(v) for v in group) > len(group)
             for group in self.groups()
         )
 
-    def down(self, wipe: bool) -> None:
-        """Kill as many at once as may be lost; disks are lost within the tolerance alone.
+    def kill(self, wipe: bool) -> None:
+        """Kill up to as many controllers at once as may be lost; disks are lost only within the tolerance.
+
+        Most calls do nothing, so that groups can recover in between.
 
-        Most of the time nothing happens, so that groups can become whole in between.
+        :param wipe: whether the controllers also lose their disks, if that is tolerated.
         """
-        if self.rng.random() < CALM:
+        if self.rng.random() < SKIPPED_KILLS:
             return
         count = self.rng.randint(1, self.size.losses)
         alive = [controller for controller in self.controllers.values() if controller.alive]
@@ -118,20 +126,20 @@
             self.end(controller)
             if wipe:
                 controller.wipe()
-                controller.start()  # or whatever looks at it would see the memory from before
+                controller.start()  # otherwise checks would see its state from before the loss
                 controller.alive = False
                 self.counts["wiped"] += 1
         self.counts["wiped together"] += wipe and len(chosen) > 1
 
     def end(self, controller: Controller) -> None:
-        """A process is gone."""
+        """End a controller's process."""
         controller.alive = False
         self.leaving.pop(controller.name, None)
 
-    # Controllers that are told to end
+    # Stopping controllers
 
     def leave(self) -> None:
-        """Tell one to end."""
+        """Tell a random controller to stop."""
         controller = self.some()
         if controller is not None and controller.name not in self.leaving:
             self.leaving[controller.name] = self.now
@@ -143,15 +151,15 @@
         since = self.leaving.get(controller.name)
         if since is not None:
             controller.peers.fit = False
-            gone_s = self.now - since
-            if gone_s >= STOP_S and (gone_s >= GRACE_S or not controller.shard.must_stay(self.now)):
+            stopping_s = self.now - since
+            if stopping_s >= STOP_S and (stopping_s >= GRACE_S or not controller.shard.must_stay(self.now)):
                 self.end(controller)
                 self.counts["left"] += 1
 
     # Orders
 
     def put(self) -> None:
-        """A new order, or one more copy of an older one."""
+        """Request a new order, or resend an older one."""
         controller = self.some()
         if controller is None:
             return
@@ -159,46 +167,46 @@
             order = self.rng.choice(self.orders)
             self.counts["resent"] += 1
         else:
-            on = shard_state.body(controller.shard.known).revision
+            base = shard_state.body(controller.shard.known).revision
             digest = str(self.number()).encode()
-            order = shard_state.PutConfiguration(digest, on + self.rng.randrange(1, 3), digest, on)
+            order = shard_state.PutConfiguration(digest, base + self.rng.randrange(1, 3), digest, base)
             self.orders.append(order)
 
-        def told(end: RequestEnded) -> None:
-            self.judge(order, end)
+        def on_ended(end: RequestEnded) -> None:
+            self.check_outcome(order, end)
 
         id = str(self.number())
-        self.waiting[id] = told
+        self.waiting[id] = on_ended
         controller.execute(controller.shard.request_change(id, order, 3.0, self.now))
 
-    def judge(self, order: shard_state.PutConfiguration, end: RequestEnded) -> None:
-        """An order is acknowledged or refused for ever, and one at most on each version."""
+    def check_outcome(self, order: shard_state.PutConfiguration, end: RequestEnded) -> None:
+        """Check that acknowledgement or refusal of an order is final, and that each base has one order."""
         if end.why in REFUSALS:
             self.refused.add(order)
         elif end.value is not None and not end.why:
-            assert self.taken.setdefault(order.on, order.digest) == order.digest
-            self.newest = max(self.newest, order.revision)
+            assert self.digest_by_base.setdefault(order.on, order.digest) == order.digest
+            self.newest_acknowledged = max(self.newest_acknowledged, order.revision)
             self.counts["confirmed" if order in self.acknowledged else "put"] += 1
             self.acknowledged.add(order)
         assert not self.acknowledged & self.refused, order
 
-    def step(self, trouble: float) -> None:
-        if len(self.wires) > BACKLOG:  # or most would be out of date as they arrive
-            return self.deliver(trouble)
-        if self.rng.random() < 0.001 * trouble:
+    def step(self, fault_rate: float) -> None:
+        if len(self.in_transit) > BACKLOG:  # otherwise most messages would be outdated when they arrive
+            return self.deliver(fault_rate)
+        if self.rng.random() < 0.001 * fault_rate:
             return self.leave()
-        if self.rng.random() < 0.004:  # it is read, claimed and ordered more often than by chance alone
+        if self.rng.random() < 0.004:  # more operations than `World.step` chooses by itself
             return self.rng.choice((self.put, self.read, self.claim))()
-        super().step(trouble)
+        super().step(fault_rate)
         return None
 
 
-def play(seed: int, size: Size, trouble: float) -> LossWorld:
-    """A run; whoever breaks a property raises an `AssertionError`."""
-    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
+def run_world(seed: int, size: Size, fault_rate: float) -> LossWorld:
+    """Run a world; a violated property raises an `AssertionError`."""
+    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", MAX_LISTED_ORDERS):
         world = LossWorld(random.Random(seed), size)
         for _ in range(size.steps):
-            world.step(trouble)
+            world.step(fault_rate)
     return world
 
 
@@ -206,27 +214,27 @@
 def test_random_order_of_events_with_simultaneous_losses(size: Size) -> None:
     @settings(max_examples=30, deadline=None)
     @given(st.integers(0, 2**40), st.sampled_from((0.0, 0.5, 1.0)))
-    def walk(seed: int, trouble: float) -> None:
-        play(seed, size, trouble)
+    def run(seed: int, fault_rate: float) -> None:
+        run_world(seed, size, fault_rate)
 
-    walk()
+    run()
 
 
 def test_a_run_in_which_a_key_was_granted_twice() -> None:
-    """A counterexample of the test above, by its seed.
+    """Regression test with a failing seed of the random test above.
 
-    The controllers had not ticked for 56 s at least, as after a pause of their processes, when a claim came.
-    It was dated by the last tick, so a majority let the key go 49 s after it had been granted.
+    When a claim arrived, the controllers had not ticked for at least 56 s, as after a pause of their
+    processes. The claim was dated by the last tick, so a majority expired the key 49 s after it was granted.
     """
-    play(31855203, FIVE, 0.0)
+    run_world(31855203, FIVE, 0.0)
 
 
 @pytest.mark.parametrize("size", [THREE, FIVE], ids=["three", "five"])
 def test_random_runs_cover_all_events(size: Size) -> None:
-    """Of 16 runs together; two at once are lost only where two are tolerated."""
+    """16 runs together cover every event; simultaneous disk losses need a tolerance of two."""
     counts: dict[str, int] = {}
     for seed in range(16):
-        for what, count in play(seed, size, 1.0).counts.items():
+        for what, count in run_world(seed, size, 1.0).counts.items():
             counts[what] = counts.get(what, 0) + count
     unseen = {what for what, count in counts.items() if not count}
     assert unseen == ({"wiped together"} if size.losses == 1 else set()), counts
@@ -236,12 +244,12 @@
 _group_changed = RepairingReplica._group_changed
 
 
-def _refuses_the_unknown(self: OrderHistory, *order: Any) -> Verdict:
+def _refuses_unknown_orders(self: OrderHistory, *order: Any) -> Verdict:
     verdict = _verdict(self, *order)
     return Verdict.OTHER_VERSION if verdict is Verdict.UNKNOWN else verdict
 
 
-def _counts_at_once(self: RepairingReplica, value: Value) -> None:
+def _catches_up_immediately(self: RepairingReplica, value: Value) -> None:
     _group_changed(self, value)
     if self.voter in value.voters:
         self.standing.caught_up = True
@@ -250,8 +258,8 @@
 @pytest.mark.parametrize(
     "patches",
     [
-        [(OrderHistory, "verdict", _refuses_the_unknown)],
-        [(RepairingReplica, "_group_changed", _counts_at_once), (RepairingReplica, "ready", True)],
+        [(OrderHistory, "verdict", _refuses_unknown_orders)],
+        [(RepairingReplica, "_group_changed", _catches_up_immediately), (RepairingReplica, "ready", True)],
     ],
     ids=["unknown-refused", "votes-before-learning"],
 )
@@ -260,5 +268,5 @@
         for where, attribute, value in patches:
             stack.enter_context(mock.patch.object(where, attribute, value))
         with pytest.raises(AssertionError):
-            for seed in range(400):  # some one in a hundred meets the second of these
-                play(seed, THREE, 1.0)
+            for seed in range(400):  # about one seed in a hundred detects the second of these breaks
+                run_world(seed, THREE, 1.0)
--- a/tests/mesh/control/test_shard_runner.py
+++ b/tests/mesh/control/test_shard_runner.py
@@ -1,4 +1,4 @@
-"""Actions of shards are carried out in their order, and a request is answered once."""
+"""Actions of shards are carried out in order, and each request is answered once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordingStore:
-    """Takes writes and finishes none by itself."""
+    """A fake store, which records writes and completes none by itself."""
 
     def __init__(self) -> None:
         self.writes: list[tuple[Any, Any]] = []
@@ -27,7 +27,7 @@
 
 
 class RecordingShard:
-    """A shard that returns what it is given here."""
+    """A fake shard, which records events and returns fixed actions."""
 
     def __init__(self) -> None:
         self.number = 0
@@ -49,7 +49,7 @@
 
 
 class Scene:
-    """A runner of one shard."""
+    """A `ShardRunner` with one shard."""
 
     def __init__(self) -> None:
         self.loop = cast(Any, Loop())
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize(
     ("due_in_s", "ticks"), [(TICK_S * 2.0, 1), (TICK_S / 2.0, 2), (0.0, 2)], ids=["later", "sooner", "now"]
 )
-def test_what_is_due_before_the_next_tick_gets_one_of_its_own(due_in_s: float, ticks: int) -> None:
+def test_work_due_before_the_next_regular_tick_gets_an_additional_one(due_in_s: float, ticks: int) -> None:
     scene = Scene()
     scene.shard.due_s = scene.loop.time() + due_in_s
     scene.runner.tick()
