--- a/orchidferry/mesh/control/register_replica.py
+++ b/orchidferry/mesh/control/register_replica.py
@@ -125,7 +125,7 @@
         self.incarnation = f"{context.name} {context.rng.randrange(2**53):x}"
         self.proposer = Proposer(self.incarnation, initial, context.rng, RESEND_MS, BACK_OFF_MS)
         self.references = ValueReferences()
-        self.is_founder = state.disk_id == shard_state.GENESIS
+        self.is_founder = state.disk_id == shard_state.FOUNDER_DISK_ID
         self.learned = initial
         self.vote_on_disk = True
         self.proposals: dict[str, Proposal] = {}
--- a/orchidferry/mesh/control/shard_loading.py
+++ b/orchidferry/mesh/control/shard_loading.py
@@ -60,7 +60,9 @@
             acceptor_state = shard_state_codec.unpack_acceptor_state(unpack(vote))
         else:
             genesis = is_empty and is_founder
-            acceptor_state = AcceptorState(shard_state.GENESIS if genesis else rng.randrange(2, MAX_DISK_ID))
+            acceptor_state = AcceptorState(
+                shard_state.FOUNDER_DISK_ID if genesis else rng.randrange(2, MAX_DISK_ID)
+            )
             puts += initial_records(number, acceptor_state, caught_up)
         parameters = ShardParameters(
             number=number,
--- a/orchidferry/mesh/control/shard_state.py
+++ b/orchidferry/mesh/control/shard_state.py
@@ -20,7 +20,7 @@
 # Maximum number of committed orders that a state lists. A list of this length may be truncated: a release
 # that raises the number needs another way to tell which stored lists are complete.
 MAX_LISTED_ORDERS = 64
-GENESIS = 1  # disk id of every founder at the very first start
+FOUNDER_DISK_ID = 1  # disk id of every founder at the very first start
 
 CONFIGURATION = 0  # the shard that holds the configuration
 KEY_SHARDS = (1, 2, 3)
@@ -81,7 +81,7 @@
 
 def genesis(seeds: tuple[str, ...]) -> Value:
     """Return the initial state, which all founders share at the very first start."""
-    return Value(0, tuple(Voter(name, GENESIS) for name in sorted(seeds)), Body())
+    return Value(0, tuple(Voter(name, FOUNDER_DISK_ID) for name in sorted(seeds)), Body())
 
 
 def body(value: Value) -> Body:
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -143,7 +143,7 @@
         first = shard_state.genesis(self.world.seeds)
         self.shards = dict[int, Shard]()
         for number in shard_state.KEY_SHARDS:
-            kept = AcceptorState(shard_state.GENESIS if founder else rng.randrange(2, 2**50))
+            kept = AcceptorState(shard_state.FOUNDER_DISK_ID if founder else rng.randrange(2, 2**50))
             parameters = ShardParameters(number, self.name, first, len(self.world.seeds), WINDOW_S, MAX_KEYS)
             self.shards[number] = Shard(parameters, kept, founder, self.peers, rng)
             self.jobs.append((self.shards[number], WriteRecords(initial_records(number, kept, founder))))
--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -97,7 +97,7 @@
         self.rng = rng
         self.seeds = seeds
         self.disk: dict[tuple[str, bytes], bytes] = {}
-        disk_id = shard_state.GENESIS if founder else rng.randrange(2, 2**50)
+        disk_id = shard_state.FOUNDER_DISK_ID if founder else rng.randrange(2, 2**50)
         self.write_to_disk(initial_records(number, AcceptorState(disk_id), founder))
         self.start()
 
--- a/tests/mesh/control/shards.py
+++ b/tests/mesh/control/shards.py
@@ -12,13 +12,13 @@
 from orchidferry.mesh.wire.shard_messages import DecidedState
 from orchidferry.testkit.explore.controller import SEEDS, WINDOW_S
 
-A, B, C, D = (Voter(name, shard_state.GENESIS) for name in "abcd")
+A, B, C, D = (Voter(name, shard_state.FOUNDER_DISK_ID) for name in "abcd")
 
 
 def make_shard(name: str, caught_up: bool = True, size: int = 3) -> Shard:
     """Return shard 1 at a controller that knows the group of a, b and c in epoch 3."""
     parameters = ShardParameters(1, name, shard_state.genesis(SEEDS), size, WINDOW_S, 10)
-    state = AcceptorState(shard_state.GENESIS)
+    state = AcceptorState(shard_state.FOUNDER_DISK_ID)
     shard = Shard(parameters, state, caught_up, Peers(0.0), random.Random(1))
     learn_state(shard, Value(1, (A, B, C), shard_state.Body(3)))
     return shard
--- a/tests/mesh/control/test_contact.py
+++ b/tests/mesh/control/test_contact.py
@@ -135,7 +135,7 @@
         world.tick(0.1)
         exchange_heartbeat()
     assert len(world.reads) > 2 and not world.ended
-    report = AcceptedState(world.reads[0], ("b", shard_state.GENESIS), (0, ""), None)
+    report = AcceptedState(world.reads[0], ("b", shard_state.FOUNDER_DISK_ID), (0, ""), None)
     world.controller.receive("b", report)
     assert [(end.id, end.value) for end in world.ended] == [("r", shard.known)]
 
--- a/tests/mesh/control/test_heartbeats.py
+++ b/tests/mesh/control/test_heartbeats.py
@@ -40,7 +40,7 @@
         self.shards = {
             number: Shard(
                 ShardParameters(number, "a", genesis, 3, 60.0, 10),
-                AcceptorState(shard_state.GENESIS),
+                AcceptorState(shard_state.FOUNDER_DISK_ID),
                 number != 2,
                 self.peers,
                 random.Random(1),
--- a/tests/mesh/control/test_membership.py
+++ b/tests/mesh/control/test_membership.py
@@ -310,10 +310,10 @@
 
 def test_a_new_owner_waits_for_the_lease_of_the_last_one() -> None:
     """Acknowledgements of the previous owner precede the change; a change of voters also ends the lease."""
-    a, b, c, d = (Voter(name, shard_state.GENESIS) for name in "abcd")
+    a, b, c, d = (Voter(name, shard_state.FOUNDER_DISK_ID) for name in "abcd")
     first = shard_state.genesis(SEEDS)
     parameters = ShardParameters(1, "a", first, 3, WINDOW_S, 10)
-    shard = Shard(parameters, AcceptorState(shard_state.GENESIS), True, Peers(0.0), random.Random(1))
+    shard = Shard(parameters, AcceptorState(shard_state.FOUNDER_DISK_ID), True, Peers(0.0), random.Random(1))
 
     def learn(value: Value, now: float) -> None:
         shard.receive("b", DecidedState(shard_state_codec.pack_value(value)), now)
@@ -324,7 +324,7 @@
     assert shard.owns(1.0) == 1 and shard.owns(1.9) == 1 and shard.owns(1.0 + LEASE_S) is None
     changed = shard_state.AdmitVoter(d, "c", 3, 0)(mine)
     assert isinstance(changed, Value) and shard_state.body(changed).fencing_token == 2
-    shard.register.acceptor.state = AcceptorState(shard_state.GENESIS, (5, "b"), (5, "b"), changed)
+    shard.register.acceptor.state = AcceptorState(shard_state.FOUNDER_DISK_ID, (5, "b"), (5, "b"), changed)
     assert shard.owns(1.5) is None  # the accepted change of voters may be decided already
     learn(changed, 1.5)
     shard.heartbeat_acknowledged("b", 1.6, 1)
--- a/tests/mesh/control/test_operation_keys.py
+++ b/tests/mesh/control/test_operation_keys.py
@@ -17,7 +17,7 @@
     OperationKeys,
     max_retention_s,
 )
-from orchidferry.mesh.control.shard_state import GENESIS
+from orchidferry.mesh.control.shard_state import FOUNDER_DISK_ID
 from orchidferry.mesh.wire.messages import KeyClaim
 from tests.mesh.control.shards import make_shard
 
@@ -113,7 +113,7 @@
 def test_a_claim_that_comes_after_a_pause_is_kept_for_its_window(pause_s: float) -> None:
     """After it a controller may handle messages before its next tick: a claim was dated by the last tick."""
     shard = make_shard("a")
-    shard.register.acceptor.state = AcceptorState(GENESIS, (5, "b"), (5, "b"), shard.known)
+    shard.register.acceptor.state = AcceptorState(FOUNDER_DISK_ID, (5, "b"), (5, "b"), shard.known)
     shard.tick(1_000.0)
     granted_s = 1_000.0 + pause_s
     shard.claim_key(None, KeyClaim(1, epoch(shard.known), "k", "first"), True, granted_s)
--- a/tests/mesh/control/test_value_references.py
+++ b/tests/mesh/control/test_value_references.py
@@ -19,7 +19,7 @@
     st.sampled_from(["", "a"]),
     st.integers(0, 3),
 )
-VOTERS = tuple(Voter(name, shard_state.GENESIS) for name in "abc")
+VOTERS = tuple(Voter(name, shard_state.FOUNDER_DISK_ID) for name in "abc")
 VALUE = Value(0, VOTERS, shard_state.Body())
 
 
--- a/tests/mesh/storage/test_quarantine.py
+++ b/tests/mesh/storage/test_quarantine.py
@@ -47,7 +47,7 @@
         return found._runner.configuration_shard.voter.disk_id
 
     first = asyncio.run(start())
-    assert first == shard_state.GENESIS
+    assert first == shard_state.FOUNDER_DISK_ID
     (tmp_path / "data.mdb").write_bytes(b"this is no store" * 1_000)
     second = asyncio.run(start())
     assert second != first and asyncio.run(start()) == second
