--- a/tests/mesh/control/test_membership.py
+++ b/tests/mesh/control/test_membership.py
@@ -198,7 +198,7 @@
         self.waiting[id] = on_ended
         controller.execute(controller.shard.request_read(id, self.now))
 
-    def play(self, seconds: float, until: Callable[[], bool] = lambda: False) -> None:
+    def run_without_faults(self, seconds: float, until: Callable[[], bool] = lambda: False) -> None:
         """Run for a time in which all messages arrive and all writes complete.
 
         :param until: ends the run early, with all messages in transit lost, as soon as it returns True.
@@ -355,18 +355,18 @@
     world = World(random.Random(1))
     world.controllers.pop("d")
     a, _, c = world.controllers.values()
-    world.play(2.0)
+    world.run_without_faults(2.0)
     a.wipe()
     a.start()
-    world.play(6.0)
+    world.run_without_faults(6.0)
     assert a.shard.standing.caught_up
     c.wipe()
     for controller in world.controllers.values():
         controller.start()
-    world.play(6.0)
+    world.run_without_faults(6.0)
     assert all(controller.shard.grants(2) for controller in world.controllers.values())
     world.claim()
-    world.play(1.0)
+    world.run_without_faults(1.0)
     assert world.counts["granted"] == 1
 
 
@@ -378,7 +378,7 @@
     world = World(random.Random(1))
     world.controllers.pop("d")
 
-    run = world.play
+    run = world.run_without_faults
     run(2.0)
     world.claim()
     run(1.0)
--- a/tests/mesh/control/test_order_history.py
+++ b/tests/mesh/control/test_order_history.py
@@ -273,7 +273,7 @@
         id = str(world.number())
         world.waiting[id] = ends.append
         controller.execute(controller.shard.request_change(id, order, 3.0, world.now))
-        world.play(1.0)
+        world.run_without_faults(1.0)
         if not ends or ends[0].why not in (OUT_OF_CONTACT, LOST_CONTACT):
             return bool(ends) and ends[0].value is not None and not ends[0].why
     return False
@@ -288,19 +288,19 @@
     """More orders than states list; each disk lost in turn, with time between; then all are killed."""
     world = Orders(random.Random(3))
     world.controllers.pop("d")
-    world.play(2.0)
+    world.run_without_faults(2.0)
     controllers = list(world.controllers.values())
     for number in range(1, 71):
         assert _taken(world, controllers[number % 3], _put(number))
     for one in controllers:
         one.wipe()
         one.start()
-        world.play(12.0)
+        world.run_without_faults(12.0)
         assert one.shard.orders.history.floor == 0
         assert _taken(world, one, _put(1))
     for one in controllers:
         one.start()
-    world.play(1.0)
+    world.run_without_faults(1.0)
     for one in controllers:
         assert _taken(world, one, _put(1)) and _taken(world, one, _put(70))
         assert not _taken(world, one, replace(_put(1), digest=b"other"))
