--- a/tests/mesh/control/test_membership.py
+++ b/tests/mesh/control/test_membership.py
@@ -103,12 +103,12 @@
             assert self.owner_by_token.setdefault(token, name) == name and token == max(self.owner_by_token)
             self.counts["owned"] += 1
 
-    def some(self, alive: bool = True) -> Controller | None:
+    def random_controller(self, alive: bool = True) -> Controller | None:
         found = [k for k in self.controllers.values() if k.alive is alive]
         return self.rng.choice(found) if found else None
 
     def claim(self) -> None:
-        controller = self.some()
+        controller = self.random_controller()
         if controller is not None:
             known = controller.shard.known
             key = f"k{self.rng.randrange(3)}"
@@ -164,7 +164,7 @@
             self.send("", name, *message)
 
     def put(self) -> None:
-        controller = self.some()
+        controller = self.random_controller()
         if controller is None:
             return
         base = shard_state.body(controller.shard.known).revision
@@ -185,7 +185,7 @@
         )
 
     def read(self) -> None:
-        controller, newest = self.some(), self.newest_acknowledged
+        controller, newest = self.random_controller(), self.newest_acknowledged
         if controller is None:
             return
 
@@ -231,7 +231,7 @@
 
         :param wipe: whether the controller also loses its disk.
         """
-        controller = self.some()
+        controller = self.random_controller()
         intact = [
             k
             for k in self.controllers.values()
@@ -267,7 +267,7 @@
         draw = self.rng.random()
         if self.in_transit and draw < 0.8:
             return self.deliver(fault_rate)
-        controller = self.some()
+        controller = self.random_controller()
         if controller is not None and draw < 0.92:
             if controller.writes and rng.random() < 0.9:
                 while controller.writes and rng.random() < 0.7:
@@ -291,7 +291,7 @@
         if draw < 0.97:
             return self.read()
         if draw < 0.985:
-            dead = self.some(alive=False)
+            dead = self.random_controller(alive=False)
             return dead.start() if dead is not None and rng.random() < 0.6 else None
         if draw < 0.993 and rng.random() < fault_rate:
             return self.kill(wipe=rng.random() < 0.5)
--- a/tests/mesh/control/test_membership_losses.py
+++ b/tests/mesh/control/test_membership_losses.py
@@ -140,7 +140,7 @@
 
     def leave(self) -> None:
         """Tell a random controller to stop."""
-        controller = self.some()
+        controller = self.random_controller()
         if controller is not None and controller.name not in self.leaving:
             self.leaving[controller.name] = self.now
             controller.peers.stopping = True
@@ -160,7 +160,7 @@
 
     def put(self) -> None:
         """Request a new order, or resend an older one."""
-        controller = self.some()
+        controller = self.random_controller()
         if controller is None:
             return
         if self.orders and self.rng.random() < 0.6:
--- a/tests/mesh/control/test_order_history.py
+++ b/tests/mesh/control/test_order_history.py
@@ -204,7 +204,7 @@
         return replace(old, on=rng.choice(there))  # operators build on what they have read
 
     def put(self) -> None:
-        controller, order = self.some(), self._order()
+        controller, order = self.random_controller(), self._order()
         if controller is None:
             return
         self.sent.append(order)
