--- a/tests/mesh/control/test_membership.py
+++ b/tests/mesh/control/test_membership.py
@@ -351,7 +351,7 @@
 
 
 def test_a_second_disk_loss_long_after_the_first_at_a_restart_of_all() -> None:
-    """Former voters must not count after a voter change, even if all replicas forgot that it was decided."""
+    """Former voters must not count long after a voter change, even if all forgot that it was decided."""
     world = World(random.Random(1))
     world.controllers.pop("d")
     a, _, c = world.controllers.values()
