--- a/orchidferry/mesh/control/key_transfer.py
+++ b/orchidferry/mesh/control/key_transfer.py
@@ -1,9 +1,10 @@
-"""Copying the operation keys of one controller to another, in pages bounded by bytes. No I/O.
+"""Transfer of operation keys from one controller to another, in pages of bounded size. No I/O.
 
-A source numbers the changes of its records. A learner keeps a cursor for each source: the incarnation of that
-source's process, and the change up to which it has all of that source's records on disk. So it may copy
-everything before it is a voter of the group, and ask only for the difference once it is one. A learner that
-has records already asks for pages without answers, and then for the complete records that it lacks.
+The source numbers the changes of its records. The learner, the controller that copies, keeps a cursor for
+each source: the incarnation of the source's process, and the sequence number up to which all of the source's
+changes are on the learner's disk. A learner can therefore copy everything before it becomes a voter of the
+group, and needs only the later changes once it is one. A learner that already has many records requests pages
+without answers first, and then the complete records of the keys whose answers it lacks.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 from orchidferry.mesh.control.operation_keys import OperationKeys
 from orchidferry.mesh.wire.shard_messages import KeyRow
 
-MAX_PAGE_BYTES = 128 * 1024  # of the rows of one page
-ROW_OVERHEAD_BYTES = 24  # of a row beside its strings
-RELEASED = -1  # in place of a row's age bucket: the holder released the key without running
-MAX_RECORDS_REQUESTED = 256  # at once
-MIN_KEYS_TO_OMIT_ANSWERS = 500  # that a learner has, from which on it asks for pages without answers
-PAGE_TIMEOUT_S = 1.0  # after which a source is asked again
-REFUSAL_BACKOFF_S = 0.15  # after a source had nothing to give, before it is asked again
+MAX_PAGE_BYTES = 128 * 1024  # approximate size of the rows at which a page is full
+ROW_OVERHEAD_BYTES = 24  # encoded size of a row without its strings
+RELEASED = -1  # age bucket of a row for a release: the holder released the key without running
+MAX_RECORDS_REQUESTED = 256  # complete records requested in one message
+MIN_KEYS_TO_OMIT_ANSWERS = 500  # a learner with this many keys requests pages without answers
+PAGE_TIMEOUT_S = 1.0  # time after which an unanswered request is abandoned and a new one may be sent
+REFUSAL_BACKOFF_S = 0.15  # pause before a source that sent a rejection is asked again
 
 
 @dataclass(frozen=True, slots=True)
 class RowBatch:
-    """Rows of some keys.
+    """The rows of a list of keys, as many as fit into a page.
 
-    :param covered: how many of the keys asked for, from the first on, these rows are all of
+    :param covered: number of keys, from the start of the list, of which all rows are included
     """
 
     rows: list[KeyRow]
@@ -38,7 +39,7 @@
 class TransferPage:
     """A page of a source's rows.
 
-    :param sequence: the change up to which a learner with this page has all
+    :param sequence: sequence number up to which a learner has all changes once it has this page
     :param last: whether that is the source's newest change
     """
 
@@ -51,8 +52,8 @@
 class Cursor:
     """How far a learner has copied a source.
 
-    :param incarnation: of the source's process
-    :param sequence: the change up to which all is on the learner's disk
+    :param incarnation: identifies the run of the source's process
+    :param sequence: sequence number up to which all changes are on the learner's disk
     """
 
     incarnation: str
@@ -63,7 +64,7 @@
 
 
 def approximate_size(value: Any) -> int:
-    """Return about how many bytes a part of a row takes in a message."""
+    """Return the approximate size in a message of a value within a row, in bytes."""
     if isinstance(value, bytes | str):
         return len(value)
     if isinstance(value, list | tuple):
@@ -74,10 +75,11 @@
 def collect_rows(
     keys: OperationKeys, names: list[str], omit_answers: bool = False, max_bytes: float = MAX_PAGE_BYTES
 ) -> RowBatch:
-    """Return the rows of the first of some keys, as many as a page holds.
+    """Return the rows of a list of keys, from the first key on, as many as fit into a page.
 
-    :param names: of the keys
-    :param omit_answers: whether answers are left out
+    :param names: the keys
+    :param omit_answers: whether the rows are returned without answers
+    :param max_bytes: approximate size of the rows at which the page is full
     """
     rows: list[KeyRow] = []
     size = 0
@@ -86,7 +88,7 @@
         if size >= max_bytes:
             break
         covered += 1
-        # Releases first: the claim that stands came after them.
+        # Releases come first, as the current claim was made after them.
         for holder in keys.released.get(name, ()):
             rows.append((name, (holder, RELEASED, None), False))
             size += ROW_OVERHEAD_BYTES + len(name) + len(holder)
@@ -99,7 +101,7 @@
 
 
 def missing_answers(keys: OperationKeys, rows: list[KeyRow]) -> list[str]:
-    """Return the keys whose answers a page left out and this controller does not have."""
+    """Return the keys whose answers are omitted from the rows and not known to this controller."""
     found: list[str] = []
     for key, (_, _, answer), answered in rows:
         existing = keys.records.get(key)
@@ -110,24 +112,35 @@
 
 @dataclass(slots=True)
 class _Transfer:
-    """The state of copying to one learner."""
+    """The state of the transfer to one learner.
 
-    sequence: int  # the learner has been sent all up to this change
-    until: int  # the source's newest change when these keys were listed
+    :param sequence: sequence number up to which all changes have been sent to the learner
+    :param until: sequence number of the source's newest change when the keys were listed
+    :param keys: the keys to send, oldest change first
+    :param position: index in `keys` of the first key that has not been sent
+    """
+
+    sequence: int
+    until: int
     keys: list[str]
-    position: int = 0  # of the first key that was not sent
+    position: int = 0
 
 
 @dataclass
 class KeySource:
-    """The half of the controller that is copied from."""
+    """The source's half of all transfers from one controller.
+
+    :param transfers: unfinished transfers, by learner
+    """
 
-    transfers: dict[str, _Transfer] = field(default_factory=dict)  # by learner
+    transfers: dict[str, _Transfer] = field(default_factory=dict)
 
     def page(self, keys: OperationKeys, learner: str, sequence: int, omit_answers: bool) -> TransferPage:
-        """Return the page that follows a change. A key that changes while pages go out is sent again.
+        """Return the next page for a learner. A key that changes during the transfer is sent again.
 
-        :param sequence: the change up to which the learner has all
+        :param learner: name of the learner
+        :param sequence: sequence number up to which the learner has all changes
+        :param omit_answers: whether the page is sent without answers
         """
         transfer = self.transfers.get(learner)
         if transfer is None or transfer.sequence != sequence:
@@ -144,7 +157,7 @@
 
     @staticmethod
     def _covered_sequence(keys: OperationKeys, transfer: _Transfer) -> int:
-        """Return the change up to which all was sent; a key that changed since counts with that one."""
+        """Return the sequence number up to which all changes were sent, given the keys still to be sent."""
         for key in transfer.keys[transfer.position :]:
             sequence = keys.changes.get(key, transfer.until + 1)
             if sequence <= transfer.until:
@@ -154,68 +167,85 @@
 
 @dataclass(slots=True)
 class PageRequest:
-    """A request to one source, with its page while that waits for records that the learner lacks."""
+    """A request to one source, with the received page until all of its records are complete and stored.
+
+    :param number: number of the request, unique at the learner
+    :param as_voter: whether the request was sent under the epoch of a group in which the learner is a voter
+    :param deadline_s: time after which the request is abandoned
+    :param page: the received page; None until it arrives
+    :param incarnation: incarnation of the source's process that sent the page
+    :param lacking: keys of the page whose complete records have not arrived yet
+    """
 
     number: int
-    as_voter: bool  # made under the epoch of a group that this learner is a voter of
+    as_voter: bool
     deadline_s: float
     page: TransferPage | None = None
-    incarnation: str = ""  # of the source's process that sent the page
-    lacking: list[str] = field(default_factory=list)  # keys whose records are still to come
+    incarnation: str = ""
+    lacking: list[str] = field(default_factory=list)
 
 
 @dataclass
 class KeyLearner:
-    """The half of the controller that copies."""
-
-    cursors: dict[str, Cursor] = field(default_factory=dict)  # by source
-    copied: set[str] = field(default_factory=set)  # sources that have been copied to their end once
-    requests: dict[str, PageRequest] = field(default_factory=dict)  # in flight, by source
-    next_request_s: dict[str, float] = field(default_factory=dict)  # when a source may be asked again
-    without_answers: set[str] = field(default_factory=set)  # sources that are copied without answers
-    refused: set[str] = field(default_factory=set)  # sources that had nothing to give when asked last
+    """The learner's half of all transfers to one controller.
+
+    :param cursors: cursors by source
+    :param copied: sources that have been copied completely at least once
+    :param requests: pending requests by source
+    :param next_request_s: time from which on a source may be asked again, by source
+    :param without_answers: sources from which the learner requests pages without answers
+    :param refused: sources that replied to the last request with a rejection
+    :param last_number: number of the last request
+    """
+
+    cursors: dict[str, Cursor] = field(default_factory=dict)
+    copied: set[str] = field(default_factory=set)
+    requests: dict[str, PageRequest] = field(default_factory=dict)
+    next_request_s: dict[str, float] = field(default_factory=dict)
+    without_answers: set[str] = field(default_factory=set)
+    refused: set[str] = field(default_factory=set)
     last_number: int = 0
 
     def reset_requests(self) -> None:
-        """Forget what is in flight: the group has changed, and answers to it do not count any more."""
+        """Discard all pending requests after a change of the group; replies to them are ignored."""
         self.requests.clear()
         self.next_request_s.clear()
         self.refused.clear()
 
     def expire_requests(self, now: float) -> None:
-        """Give up on the requests that were not answered in time."""
+        """Discard the requests whose deadline has passed."""
         self.requests = {
             source: request for source, request in self.requests.items() if request.deadline_s > now
         }
 
     def may_ask(self, source: str, now: float) -> bool:
-        """Return whether a source can be asked now.
+        """Return whether a request may be sent to a source now.
 
-        Only one source is copied from at a time; differences are asked of all at once.
+        Full copies are made from one source at a time; later changes are requested from all sources at once.
         """
         if source in self.requests or now < self.next_request_s.get(source, 0.0):
             return False
         return source in self.copied or self.copied.issuperset(self.requests)
 
     def omits_answers(self, source: str, key_count: int) -> bool:
-        """Return whether a source's pages should leave the answers out.
+        """Return whether to request pages without answers from a source.
 
-        :param key_count: keys that the learner has; with many of them it has most of the answers
+        :param key_count: number of keys that the learner has; with many keys it has most of the answers
         """
         if source not in self.cursors and (self.copied or key_count >= MIN_KEYS_TO_OMIT_ANSWERS):
             self.without_answers.add(source)
         return source in self.without_answers and source not in self.copied
 
     def begin_request(self, source: str, as_voter: bool, now: float) -> PageRequest:
-        """Return a new request to a source, which is in flight from now on."""
+        """Create a pending request to a source and return it."""
         self.last_number += 1
         self.requests[source] = PageRequest(self.last_number, as_voter, now + PAGE_TIMEOUT_S)
         return self.requests[source]
 
     def handle_refusal(self, source: str, number: int, now: float) -> bool:
-        """Take a source's word that it has nothing to give now.
+        """Handle a source's rejection of a request.
 
-        :returns: whether that answers a request in flight
+        :returns: whether the rejected request was still pending
         """
         if not self.pending_request(source, number):
             return False
@@ -225,12 +255,12 @@
         return True
 
     def pending_request(self, source: str, number: int) -> PageRequest | None:
-        """Return the request that a source answers, or None if it is not in flight any more."""
+        """Return the request to a source with this number, or None if it is no longer pending."""
         request = self.requests.get(source)
         return request if request is not None and request.number == number else None
 
     def page_stored(self, source: str, request: PageRequest) -> None:
-        """Advance the cursor: the page of a request is on disk."""
+        """Advance the cursor of a source after the page of a request has been written to disk."""
         assert request.page is not None
         if self.requests.get(source) is request:
             del self.requests[source]
--- a/orchidferry/mesh/control/operation_key_client.py
+++ b/orchidferry/mesh/control/operation_key_client.py
@@ -1,6 +1,7 @@
-"""The node's half of operation keys: the controllers of each shard, and the claims in flight. No I/O.
+"""The node's half of operation keys: the controllers of each shard, and the pending claims. No I/O.
 
-What controllers answer to the claim of one key is counted under one epoch of the group that holds its shard.
+The replies of controllers to a claim are counted only if they were sent under one and the same epoch of the
+group of controllers that holds the shard of the key.
 
 >>> count = GrantCount(0, ("a", "b", "c"))
 >>> granted = ClaimOutcome.GRANTED
@@ -19,39 +20,39 @@
 from orchidferry.mesh.control.operation_keys import ClaimOutcome, max_retention_s
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyGrant, Message
 
-RETRY_INTERVAL_S = 0.12  # after which a controller that has not answered is asked again
+RETRY_INTERVAL_S = 0.12  # interval after which a claim is sent again to controllers that have not replied
 MAX_PENDING_CLAIMS = 20_000
 
-OnClaimed = Callable[[ClaimOutcome, Any], None]  # takes the outcome and the answer of an earlier run
+OnClaimed = Callable[[ClaimOutcome, Any], None]  # called with the outcome and the stored response, if any
 
 
 @dataclass(slots=True)
 class GrantCount:
-    """The answers of one group's controllers to a claim."""
+    """The replies of one group's controllers to a claim."""
 
     epoch: int
     group: tuple[str, ...]
     granted: set[str] = field(default_factory=set)  # controllers that granted the key
-    held: set[str] = field(default_factory=set)  # controllers that say that another attempt holds it
+    held: set[str] = field(default_factory=set)  # controllers at which another attempt holds the key
 
     def restart(self, epoch: int, group: tuple[str, ...]) -> None:
-        """Count anew in another group: the answers of the one before it do not count."""
+        """Start counting again for a new group; the replies of the previous group no longer count."""
         self.epoch = epoch
         self.group = group
         self.granted = set()
         self.held = set()
 
     def awaits(self, controller: str) -> bool:
-        """Return whether a controller has yet to answer."""
+        """Return whether a controller has not replied yet."""
         return controller not in self.granted and controller not in self.held
 
     def add(self, controller: str, epoch: int, outcome: str, answer: Any) -> ClaimOutcome | None:
-        """Count a controller's answer.
+        """Count the reply of a controller.
 
-        :param epoch: of the group, as the controller knows it
-        :param outcome: a `ClaimOutcome`, as it came over the wire
-        :param answer: of the run that holds the key, where it is known
-        :returns: what the claim came to, or None while it is undecided
+        :param epoch: epoch of the group, as the controller knows it
+        :param outcome: value of a `ClaimOutcome`, as received
+        :param answer: response of the attempt that holds the key, if it is known
+        :returns: the outcome of the claim, or None while it is undecided
         """
         if epoch != self.epoch or controller not in self.group:
             return None
@@ -70,7 +71,13 @@
 
 @dataclass(slots=True)
 class ShardGroup:
-    """The controllers of one shard, by the newest epoch, and its owner, by the highest fencing token."""
+    """The newest known group of controllers of one shard, and the shard's newest known owner.
+
+    :param epoch: epoch of the group; -1 while no group is known
+    :param names: names of the controllers of the group
+    :param owner: name of the controller that owns the shard; "" if there is none
+    :param fencing_token: highest known fencing token, the one of `owner`; -1 while none is known
+    """
 
     epoch: int
     names: tuple[str, ...]
@@ -80,7 +87,13 @@
 
 @dataclass(slots=True)
 class Claim:
-    """A key that is being claimed for one attempt."""
+    """A pending claim of a key for one attempt.
+
+    :param request: number of the claim in this process
+    :param holder: id of the attempt
+    :param deadline_s: time at which the claim ends undecided
+    :param next_send_s: time at which it is sent again to the controllers that have not replied
+    """
 
     request: int
     shard: int
@@ -93,7 +106,7 @@
 
     @property
     def message(self) -> KeyClaim:
-        """The message that asks a controller of the group."""
+        """The message that is sent to each controller of the group."""
         return KeyClaim(self.request, self.count.epoch, self.key, self.holder)
 
 
@@ -101,27 +114,27 @@
     """All claims and releases of one node."""
 
     def __init__(self, seeds: tuple[str, ...], send: Callable[[str, Message], None], window_s: float) -> None:
-        """Create a `OperationKeyClient`.
+        """Create a client without pending claims.
 
-        :param seeds: the controllers that are asked while no group is known
-        :param send: sends a message to a controller by name; it is lost if there is no link to it
-        :param window_s: how long controllers keep a key at least, in seconds
+        :param seeds: names of the controllers that are asked while no group is known
+        :param send: sends a message to a controller by name; the message is lost if there is no link to it
+        :param window_s: minimum time for which controllers keep a key, in seconds
         """
         self.groups = {shard: ShardGroup(-1, seeds) for shard in shard_state.SHARDS}
         self.releases = KeyReleases(max_retention_s(window_s), send)
         self._send = send
-        self._pending: dict[int, Claim] = {}  # by request
+        self._pending: dict[int, Claim] = {}  # by request number
         self._last_request = 0
-        self._now = 0.0  # as of the last event that came with a time
+        self._now = 0.0  # time of the last `claim` or `tick`
 
     def controllers(self) -> set[str]:
         """Return the names of the controllers of all shards."""
         return {name for group in self.groups.values() for name in group.names}
 
     def update_group(self, shard: int, group: ShardGroup, now: float) -> bool:
-        """Take a controller's word of who holds a shard and who owns its singleton role.
+        """Update the known group and owner of a shard from a controller's announcement.
 
-        :returns: whether any of it is newer than what was known
+        :returns: whether the group or the owner is newer than the known one
         """
         known = self.groups[shard]
         newer = group.epoch > known.epoch or group.fencing_token > known.fencing_token
@@ -138,12 +151,12 @@
         return newer
 
     def claim(self, key: str, holder: str, timeout_s: float, on_claimed: OnClaimed, now: float) -> None:
-        """Claim a key for one attempt. A key that was not granted is released.
+        """Claim a key for one attempt. A key that is not granted is released.
 
-        :param holder: the attempt
-        :param timeout_s: after which the claim ends as `ClaimOutcome.UNDECIDED`
-        :param on_claimed: called once with the outcome and, where the key is held by another attempt, with
-            that one's answer (None: not known)
+        :param holder: id of the attempt
+        :param timeout_s: time after which an undecided claim ends, in seconds
+        :param on_claimed: called once, with the outcome and with the response of the attempt that holds the
+            key, if that is another attempt and its response is known (None otherwise)
         """
         if len(self._pending) >= MAX_PENDING_CLAIMS:
             return on_claimed(ClaimOutcome.UNDECIDED, None)
@@ -158,7 +171,7 @@
         return None
 
     def tick(self, now: float) -> None:
-        """Ask again, and end the claims that took too long."""
+        """Send due claims and releases again, and end the claims whose deadline has passed."""
         self._now = now
         for claim in list(self._pending.values()):
             if now >= claim.deadline_s:
@@ -168,9 +181,9 @@
         self.releases.tick(self.controllers(), now)
 
     def link_opened(self, controller: str, now: float) -> None:
-        """Send to a controller with a new link what it may have missed.
+        """Send pending releases and claims again over a new link to a controller.
 
-        Releases go first: claims may wait for them.
+        Releases are sent first, as a claim may depend on the release of its key.
         """
         self.releases.link_opened(controller, now)
         for claim in self._pending.values():
@@ -178,7 +191,7 @@
                 self._send(controller, claim.message)
 
     def handle_grant(self, controller: str, grant: KeyGrant) -> None:
-        """Take a controller's answer to a claim."""
+        """Handle the reply of a controller to a claim."""
         claim = self._pending.get(grant.request)
         if claim is None:
             return
@@ -188,11 +201,11 @@
             self._end(claim, outcome, answer)
 
     def release(self, key: str, holder: str) -> None:
-        """Release a key: this attempt has not run and never will."""
+        """Release a key whose attempt has not run and never will."""
         self.releases.add(key, holder, self.groups[shard_state.shard_of(key)].names, self._now)
 
     def record_answer(self, key: str, holder: str, answer: Any) -> None:
-        """Have the controllers keep the answer of a key's first run."""
+        """Send the response of the attempt that ran to the controllers, which store it with the key."""
         message = KeyAnswer(key, holder, answer)
         for controller in self.groups[shard_state.shard_of(key)].names:
             self._send(controller, message)
--- a/orchidferry/mesh/control/operation_keys.py
+++ b/orchidferry/mesh/control/operation_keys.py
@@ -1,21 +1,21 @@
-"""The operation keys that one controller has granted, with the answers of their first runs. No I/O.
+"""The operation (idempotency) keys that one controller has granted, with the stored responses. No I/O.
 
 This is the controller's half of running a keyed request at most once. A node claims a key at all controllers
-of the shard's group and may run the request once a majority has granted the key to its attempt, all under one
-epoch of the group. A controller grants a key once: whoever claims it later learns of the attempt that holds
-it and of its answer, where that is known. Only the holder may release a key, and only if it never ran.
-Nothing else ends a claim but its age.
+of the shard's group. The request may run once a majority has granted the key to the same attempt, all under
+one epoch of the group. A controller grants a key to one attempt only: any later claim is answered with the
+attempt that holds the key and, if known, the response of that attempt. Only the holder may release a key, and
+only if the request never ran; otherwise the record is removed when its retention ends.
 
-A grant must be on disk before it leaves: `OperationKeys.claim`, `record_answer` and `release` return what has
-to be written first.
+A change must be on disk before the controller replies: `OperationKeys.claim`, `record_answer` and `release`
+return what has to be written first.
 
-Each change of a record has a number of this process's run, so that another controller that has all changes up
-to one number can be sent what came after it: `OperationKeys.changed_since`.
+Each change of a record gets a sequence number, valid until the process ends. A controller that has all
+changes up to one number can therefore be sent only the later ones (`OperationKeys.changed_since`).
 
 The age of a record is counted in buckets of `AGE_BUCKET_S`. The number of the newest bucket rises with
-monotonic time and is stored with each record, so a restart lengthens a record's retention and never cuts it.
-Time has to be brought up to date by `OperationKeys.advance` before a record is made: dated by an earlier
-moment it would expire too early.
+monotonic time and is stored with each record, so a restart lengthens the retention of a record and never
+shortens it. `OperationKeys.advance` must be called before a record is created: a record dated with an
+outdated bucket would expire too early.
 """
 
 from __future__ import annotations
@@ -25,56 +25,65 @@
 from typing import Any
 
 AGE_BUCKET_S = 20.0
-UNKNOWN_HOLDER = ""  # of a key that controllers granted to more than one attempt
-MAX_KEYS = 200_000  # at once; beyond these none is granted
-MAX_RELEASES = 4_000  # that are remembered
+UNKNOWN_HOLDER = ""  # holder of a key that different controllers granted to different attempts
+MAX_KEYS = 200_000  # records in one table; a full table grants no further keys
+MAX_RELEASES = 4_000  # remembered releases in one table; the oldest are forgotten first
 
 
 class ClaimOutcome(StrEnum):
-    """What a claim came to, in the words of `KeyGrant.outcome` on the wire."""
+    """The outcome of a claim. The values are those of `KeyGrant.outcome` on the wire."""
 
-    GRANTED = "yours"  # the attempt may run: the caller hears its answer
-    # Another attempt has the key: the caller hears its answer, or 409 `key_at_work` while that is unknown.
+    GRANTED = "yours"  # the attempt may run, and the caller gets its response
+    # Another attempt holds the key: the caller gets its response, or 409 `key_at_work` while that is unknown.
     HELD_BY_OTHER = "held"
-    RETRY = "wait"  # the controller can't say yet: the node asks it again, and the caller waits
-    UNDECIDED = "none"  # at a node only: no majority answered in time, the caller hears 503 `no_majority`
+    RETRY = "wait"  # the controller can't decide yet: the node asks it again while the caller waits
+    UNDECIDED = "none"  # set by nodes only: no majority in time, and the caller gets 503 `no_majority`
 
 
 class ClaimStatus(Enum):
-    """How one controller's table answers a claim."""
+    """The result of a claim at one controller."""
 
     GRANTED = "granted"
     HELD_BY_OTHER = "held by another attempt"
     TABLE_FULL = "table full"
-    ALREADY_RELEASED = "already released"  # the attempt has released the key: its claim came late
+    ALREADY_RELEASED = "already released"  # a late claim: the same attempt has released the key before
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """One key: the attempt that holds it, the age bucket of its claim, and the answer of its first run."""
+    """The record of one key.
+
+    :param holder: id of the attempt that holds the key, or `UNKNOWN_HOLDER`
+    :param age_bucket: number of the age bucket in which the record was created
+    :param answer: response of the attempt that ran; None while it is unknown
+    """
 
     holder: str
     age_bucket: int
     answer: Any = None
 
     def packed(self) -> list[Any]:
-        """Return the record as it is written to disk."""
+        """Return the record in the form in which it is stored and sent."""
         return [self.holder, self.age_bucket, self.answer]
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimResult:
-    """The answer of one controller's table to a claim."""
+    """The result of a claim, with the record of the key.
+
+    :param record: the record of the key, if the key is granted or held by another attempt
+    :param is_new: whether the record was created by this claim and must be written before the grant is sent
+    """
 
     status: ClaimStatus
-    record: KeyRecord | None = None  # of the key, where it is granted or held by another attempt
-    is_new: bool = False  # whether the record has to be written before the grant leaves
+    record: KeyRecord | None = None
+    is_new: bool = False
 
 
 def max_retention_s(window_s: float) -> float:
-    """Return the longest that a record is kept.
+    """Return the maximum retention of a record, in seconds.
 
-    :param window_s: how long a record is kept at least, in seconds
+    :param window_s: minimum retention of a record, in seconds
 
     >>> max_retention_s(60.0)
     140.0
@@ -86,17 +95,21 @@
 class OperationKeys:
     """The operation keys of one shard at one controller.
 
-    :param window_s: how long a record is kept at least, in seconds
-    :param max_keys: keys at once; beyond these none is granted
+    :param window_s: minimum retention of a record, in seconds
+    :param max_keys: maximum number of records; a full table grants no further keys
+    :param records: records by key
+    :param newest_bucket: number of the current age bucket
+    :param sequence: sequence number of the newest change
+    :param changes: sequence number of the last change of each key, in ascending order
+    :param released: holders that released a key recently, by key; the last released key is at the end
     """
 
     window_s: float
     max_keys: int = MAX_KEYS
     records: dict[str, KeyRecord] = field(default_factory=dict)
     newest_bucket: int = 0
-    sequence: int = 0  # number of the newest change
-    changes: dict[str, int] = field(default_factory=dict)  # the last change of each key, the newest last
-    # Keys released lately, the last one at the end, and the holders that released each.
+    sequence: int = 0
+    changes: dict[str, int] = field(default_factory=dict)
     released: dict[str, dict[str, None]] = field(default_factory=dict)
     _release_count: int = 0
     _bucket_began_s: float = 0.0
@@ -104,16 +117,16 @@
 
     @property
     def max_retention_s(self) -> float:
-        """The longest that a record is kept, in seconds."""
+        """The maximum retention of a record, in seconds."""
         return max_retention_s(self.window_s)
 
     def merge(self, key: str, packed: list[Any]) -> None:
-        """Take a record as the disk or another controller has it.
+        """Merge a record that was read from disk or received from another controller.
 
-        An answer is never lost by it, and a claim that was released here is not restored by a controller that
-        has not heard of the release.
+        A known answer is never overwritten, and a claim that was released here is not restored by a
+        controller that does not know of the release.
 
-        :param packed: the record as `KeyRecord.packed` makes it
+        :param packed: the record as returned by `KeyRecord.packed`
         """
         holder, age_bucket, answer = packed
         self.newest_bucket = max(self.newest_bucket, age_bucket)
@@ -125,11 +138,11 @@
         if existing is not None and answer is None:
             if existing.holder == holder:
                 return
-            holder = UNKNOWN_HOLDER  # one of the two may have run, and this controller can't tell which
+            holder = UNKNOWN_HOLDER  # either attempt may have run, and this controller can't tell which one
         self._put(key, KeyRecord(holder, self.newest_bucket, answer))
 
     def changed_since(self, sequence: int) -> list[str]:
-        """Return the keys that changed after a change, the oldest first; those released lately among them."""
+        """Return the keys that changed after a sequence number, oldest change first, with recent releases."""
         found: list[str] = []
         for key in reversed(self.changes):
             if self.changes[key] <= sequence:
@@ -139,10 +152,10 @@
         return found
 
     def claim(self, key: str, holder: str) -> ClaimResult:
-        """Grant a key to an attempt, or say why not.
+        """Grant a key to an attempt, or return the reason why it is not granted.
 
-        :param holder: the attempt that claims the key
-        :returns: the outcome; a record that is new has to be written before the grant leaves
+        :param holder: id of the attempt that claims the key
+        :returns: the result; a new record has to be written before the grant is sent
         """
         existing = self.records.get(key)
         if existing is not None:
@@ -158,12 +171,13 @@
         return ClaimResult(ClaimStatus.GRANTED, record, is_new=True)
 
     def record_answer(self, key: str, holder: str, answer: Any) -> KeyRecord | None:
-        """Keep the answer of a key's first run.
+        """Store the response of the attempt that ran under a key.
 
-        :returns: the record to write, or None if there is nothing new
+        :param holder: id of the attempt
+        :returns: the record to write, or None if nothing has changed
         """
         existing = self.records.get(key)
-        if existing is None:  # this controller missed the claim: a majority of the others has it
+        if existing is None:  # the claim did not reach this controller, but a majority has granted it
             record = KeyRecord(holder, self.newest_bucket, answer)
             self._put(key, record)
             return record
@@ -177,10 +191,11 @@
     def release(self, key: str, holder: str) -> bool:
         """Release a key whose attempt never ran.
 
-        A release of an unknown key is remembered all the same: the claim may come late, from the node or with
-        another controller's keys.
+        The release of an unknown key is remembered too: the claim may still arrive, from the node or in a
+        transfer from another controller.
 
-        :returns: whether there is a record to delete on disk
+        :param holder: id of the attempt
+        :returns: whether a record was removed and has to be deleted on disk
         """
         existing = self.records.get(key)
         if existing is not None and (existing.holder != holder or existing.answer is not None):
@@ -192,11 +207,11 @@
         return existing is not None
 
     def was_released_by(self, key: str, holder: str) -> bool:
-        """Whether a holder is known to have released a key lately."""
+        """Return whether a recent release of a key by this holder is known."""
         return holder in self.released.get(key, ())
 
     def advance(self, now_s: float) -> None:
-        """Let time pass. Records that are made from now on count from this moment."""
+        """Advance the current age bucket, which dates new records, to a monotonic time."""
         if not self._bucket_began_s:
             self._bucket_began_s = now_s
         while now_s - self._bucket_began_s >= AGE_BUCKET_S:
@@ -204,12 +219,13 @@
             self.newest_bucket += 1
 
     def expire(self, now_s: float) -> list[str]:
-        """Let time pass, and remove what is too old.
+        """Advance the age bucket and remove the records whose retention has ended.
 
-        :returns: the keys whose retention is over, to be deleted on disk
+        :returns: the removed keys, to be deleted on disk
         """
         self.advance(now_s)
-        # A record's bucket began AGE_BUCKET_S before it at most; one more for an attempt that was sent later.
+        # A bucket begins up to AGE_BUCKET_S before a record in it is created; one more bucket is added for an
+        # attempt that was sent after its claim.
         last_expired = self.newest_bucket - int(self.window_s / AGE_BUCKET_S) - 3
         expired: list[str] = []
         for bucket in [bucket for bucket in self._keys_by_bucket if bucket <= last_expired]:
--- a/tests/mesh/control/test_key_releases.py
+++ b/tests/mesh/control/test_key_releases.py
@@ -1,4 +1,4 @@
-"""Releases of operation keys while links break: each frees its key at every controller, and no other."""
+"""Releases of operation keys while links fail: each frees its key at every controller, and no other key."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
     def __init__(self) -> None:
         self.now = 1.0
-        self.cut: set[tuple[str, str]] = set()  # node, controller
+        self.cut: set[tuple[str, str]] = set()  # links that are cut: node, controller
         self.nodes: dict[str, OperationKeyClient] = {}
         number = shard_of(KEY)
-        dice = SequentialRandom(1)
-        self.controllers = {name: Controller(name, self, True, number, dice, SEEDS) for name in SEEDS}
+        rng = SequentialRandom(1)
+        self.controllers = {name: Controller(name, self, True, number, rng, SEEDS) for name in SEEDS}
         for name in ("m", "n"):
             self.nodes[name] = OperationKeyClient(SEEDS, self._sender(name), WINDOW_S)
             self.nodes[name].update_group(number, ShardGroup(0, SEEDS, "", 0), self.now)
@@ -51,7 +51,7 @@
         return send
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """A controller answers a node."""
+        """Deliver a controller's reply to a node."""
         node = str(answer.to)
         if (node, name) in self.cut:
             return
@@ -62,19 +62,19 @@
             self.nodes[node].handle_grant(name, message)
 
     def send(self, *message: Any) -> None:
-        """Controllers say nothing to each other here."""
+        """Drop messages between controllers: none are needed here."""
 
     state_changed = request_ended = send
 
     def claim(self, node: str, holder: str) -> ClaimOutcome:
-        """What a claim ends with at once."""
+        """Claim the key, and return the outcome, which must be known at once."""
         outcomes: list[ClaimOutcome] = []
         self.nodes[node].claim(KEY, holder, 0.5, lambda outcome, _: outcomes.append(outcome), self.now)
         [outcome] = outcomes
         return outcome
 
     def pass_s(self, seconds: float) -> None:
-        """Time passes at the nodes."""
+        """Let time pass at the nodes."""
         until = self.now + seconds
         while self.now < until:
             self.now += 0.1
@@ -82,7 +82,7 @@
                 node.tick(self.now)
 
     def holders(self) -> list[str]:
-        """Who holds the key, at each controller that has it."""
+        """Return the holder of the key at each controller that has a record of it."""
         records = [controller.shard.operation_keys.records for controller in self.controllers.values()]
         return [held[KEY].holder for held in records if KEY in held]
 
@@ -93,7 +93,7 @@
 
 
 def test_a_release_that_was_lost_with_its_links_goes_out_on_the_new_ones(group: Group) -> None:
-    """The key answered 409 for the whole window."""
+    """Such a release was never sent again, so requests with the key got 409 for the whole window."""
     assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     group.cut = {("m", "a"), ("m", "b")}
     group.nodes["m"].release(KEY, "t1")
@@ -107,22 +107,22 @@
 
 def test_a_release_that_is_not_acknowledged_goes_out_again_on_the_same_link(group: Group) -> None:
     assert group.claim("m", "t1") == ClaimOutcome.GRANTED
-    refused = group.controllers["a"]
-    refused.complete_write, written = lambda: refused.writes.clear(), refused.complete_write  # type: ignore[method-assign]
+    failing = group.controllers["a"]
+    failing.complete_write, original = lambda: failing.writes.clear(), failing.complete_write  # type: ignore[method-assign]
     group.nodes["m"].release(KEY, "t1")
     assert len(group.nodes["m"].releases) == 1
-    refused.complete_write = written  # type: ignore[method-assign]
+    failing.complete_write = original  # type: ignore[method-assign]
     group.pass_s(RETRY_INTERVAL_S + 0.2)
     assert not group.nodes["m"].releases
-    refused.start()  # and it is off the disk
+    failing.start()  # a restart shows that the key is deleted on disk
     assert not group.holders()
 
 
-def test_a_late_release_frees_nobody_elses_key(group: Group) -> None:
+def test_a_late_release_does_not_free_the_key_of_another_attempt(group: Group) -> None:
     assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     group.cut = {("m", "a")}
     group.nodes["m"].release(KEY, "t1")
-    assert group.claim("n", "t2") == ClaimOutcome.GRANTED  # of two, while the third says that t1 holds it
+    assert group.claim("n", "t2") == ClaimOutcome.GRANTED  # by two controllers; t1 holds it at the third
     group.cut.clear()
     group.pass_s(RETRY_INTERVAL_S + 0.2)
     assert not group.nodes["m"].releases and group.holders() == ["t2", "t2"]
@@ -130,8 +130,8 @@
     assert group.holders() == ["t2", "t2"] and group.claim("m", "t3") == ClaimOutcome.HELD_BY_OTHER
 
 
-def test_a_claim_that_comes_after_its_release_takes_nothing(group: Group) -> None:
-    """It waited in the buffers of an earlier link, or came with another controller's keys."""
+def test_a_claim_that_arrives_after_its_release_is_ignored(group: Group) -> None:
+    """The claim was delayed in the buffers of an earlier link, or came with keys of another controller."""
     group.nodes["m"].release(KEY, "t1")
     for controller in group.controllers.values():
         controller.claim_key("m", 99, 0, KEY, "t1")
@@ -145,7 +145,7 @@
     releases = KeyReleases(max_retention_s(WINDOW_S), lambda name, message: sent.append((name, message)))
     for number in range(5):
         releases.add(f"k{number}", "t", ("a", "b"), 0.0)
-    releases.tick({"a"}, 0.1)  # b is a controller no more
+    releases.tick({"a"}, 0.1)  # b is no longer a controller
     assert len(releases) == 3
     sent.clear()
     releases.link_opened("a", 0.5)
--- a/tests/mesh/control/test_key_transfer.py
+++ b/tests/mesh/control/test_key_transfer.py
@@ -1,4 +1,4 @@
-"""Keys copied from one controller to another while both go on, and who may learn what."""
+"""Transfer of keys between controllers while records change, and the order of requests to sources."""
 
 from __future__ import annotations
 
@@ -22,16 +22,20 @@
 from orchidferry.mesh.control.operation_keys import AGE_BUCKET_S, ClaimStatus, OperationKeys
 
 KEYS = [f"k{n}" for n in range(12)]
+EVENTS = ("claim", "claim", "claim", "answer", "release", "page", "page", "page", "expire")
 
 
-def copy(source: OperationKeys, giver: KeySource, to: OperationKeys, at: int, brief: bool) -> TransferPage:
-    page = giver.page(source, "x", at, brief)
+def copy_page(
+    source: OperationKeys, sender: KeySource, to: OperationKeys, sequence: int, omit_answers: bool
+) -> TransferPage:
+    """Copy the page after a sequence number, with the records of omitted answers, and return it."""
+    page = sender.page(source, "x", sequence, omit_answers)
     rows = list(page.rows)
-    lacks = missing_answers(to, page.rows)
-    while lacks:  # as many as a page holds at a time
-        batch = collect_rows(source, lacks)
+    lacking = missing_answers(to, page.rows)
+    while lacking:  # each batch has at most the size of a page
+        batch = collect_rows(source, lacking)
         rows = rows + batch.rows
-        lacks = lacks[batch.covered :]
+        lacking = lacking[batch.covered :]
     for key, (holder, age_bucket, answer), _ in rows:
         if age_bucket == RELEASED:
             to.release(key, holder)
@@ -41,59 +45,60 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from("cccdbpppt"), st.sampled_from(KEYS)), max_size=80), st.booleans())
-def test_a_copy_holds_what_its_source_holds(events: list[tuple[str, str]], brief: bool) -> None:
-    """Pages lost on their way or not, keys claimed, answered, given back and expired between them.
+@given(st.lists(st.tuples(st.sampled_from(EVENTS), st.sampled_from(KEYS)), max_size=80), st.booleans())
+def test_a_copy_has_the_records_of_its_source(events: list[tuple[str, str]], omit_answers: bool) -> None:
+    """Keys are claimed, answered, released and expired between pages, some of which are lost.
 
-    A copy is dated anew, so it outlasts what the source has let go by age: such keys are not compared.
+    A copied record is dated anew, so it outlasts the expired record of the source: expired keys are not
+    compared.
     """
     source = OperationKeys(60.0)
     to = OperationKeys(60.0)
-    giver = KeySource()
-    at = 0
+    sender = KeySource()
+    sequence = 0
     now = 1.0
     expired = set[str]()
-    big = b"x" * (MAX_PAGE_BYTES // 3)  # three records a page
-    for n, (what, key) in enumerate(events):
+    big = b"x" * (MAX_PAGE_BYTES // 3)  # three records fill a page
+    for n, (event, key) in enumerate(events):
         record = source.records.get(key)
-        if what == "c":
+        if event == "claim":
             source.claim(key, f"t{n}")
-        elif what == "d":
+        elif event == "answer":
             source.record_answer(key, record.holder if record else f"t{n}", big)
-        elif what == "b" and record is not None:
+        elif event == "release" and record is not None:
             source.release(key, record.holder)
-        elif what == "t":
+        elif event == "expire":
             now += AGE_BUCKET_S
             expired |= set(source.expire(now))
-        elif what == "p":
-            page = copy(source, giver, to, at, brief)
-            at = page.sequence if n % 3 else at  # lost, or not: it is given again
+        elif event == "page":
+            page = copy_page(source, sender, to, sequence, omit_answers)
+            sequence = page.sequence if n % 3 else sequence  # every third cursor is lost, and its page resent
     for _ in range(len(KEYS) + 2):
-        page = copy(source, giver, to, at, brief)
-        at = page.sequence
-    assert page.last and at == source.sequence
+        page = copy_page(source, sender, to, sequence, omit_answers)
+        sequence = page.sequence
+    assert page.last and sequence == source.sequence
     for key, record in source.records.items():
         if key not in expired:
             assert to.records[key].answer == record.answer
             assert to.records[key].holder in (record.holder, "")
-    for key, held in to.records.items():
-        assert key in source.records or key in expired or held.answer is not None
-        assert held.answer is not None or not source.was_released_by(key, held.holder)
+    for key, copied in to.records.items():
+        assert key in source.records or key in expired or copied.answer is not None
+        assert copied.answer is not None or not source.was_released_by(key, copied.holder)
 
 
-def test_a_copy_forgets_a_claim_that_was_released_before_the_last_one() -> None:
-    """Only the last release of a key was remembered, so a copy held the claim before it until its age."""
+def test_a_copy_removes_a_claim_whose_release_is_not_the_last_one() -> None:
+    """Only the last release of a key was remembered, so a copy kept an earlier claim until it expired."""
     source = OperationKeys(60.0)
     to = OperationKeys(60.0)
-    giver = KeySource()
+    sender = KeySource()
     source.claim("k", "first")
-    at = copy(source, giver, to, 0, False).sequence
+    sequence = copy_page(source, sender, to, 0, False).sequence
     source.release("k", "first")
     source.claim("k", "second")
     source.release("k", "second")
-    copy(source, giver, to, at, False)
+    copy_page(source, sender, to, sequence, False)
     assert not to.records
-    # Late copies of the claims, from the node or from a controller that has not heard of the releases.
+    # Late copies of the claims, from the node or from a controller that does not know of the releases:
     assert to.claim("k", "first").status is ClaimStatus.ALREADY_RELEASED
     to.merge("k", ["second", 0, None])
     assert not to.records
@@ -113,33 +118,33 @@
         assert set(keys.changes) == set(keys.released)
 
 
-def test_a_page_is_bounded_and_no_difference_is_left_out() -> None:
+def test_pages_are_bounded_and_omit_no_change() -> None:
     source = OperationKeys(60.0)
-    giver = KeySource()
+    sender = KeySource()
     for n in range(500):
         source.claim(f"key {n}", "t")
         source.record_answer(f"key {n}", "t", bytes(1_500))
-    at = 0
+    sequence = 0
     pages = 0
     keys = set[str]()
     while True:
-        page = giver.page(source, "x", at, False)
+        page = sender.page(source, "x", sequence, False)
         assert sum(map(key_transfer.approximate_size, page.rows)) < MAX_PAGE_BYTES + 2_000
-        at = page.sequence
+        sequence = page.sequence
         pages = pages + 1
         keys |= {row[0] for row in page.rows}
         if pages == 3:
-            source.claim("new", "t")  # comes after all that stood
+            source.claim("new", "t")  # is sent after all earlier changes
         if page.last:
             break
-    assert len(keys) == 501 and pages == math.ceil(500 * 1_532 / MAX_PAGE_BYTES) + 1  # one for what is new
+    assert len(keys) == 501 and pages == math.ceil(500 * 1_532 / MAX_PAGE_BYTES) + 1  # one for the new key
     source.release("new", "t")
-    page = giver.page(source, "x", at, False)
+    page = sender.page(source, "x", sequence, False)
     assert page.rows == [("new", ("t", RELEASED, None), False)] and page.last
-    assert not giver.page(source, "x", page.sequence, False).rows and not giver.transfers
+    assert not sender.page(source, "x", page.sequence, False).rows and not sender.transfers
 
 
-def test_one_source_at_a_time_until_it_has_been_copied() -> None:
+def test_sources_are_copied_one_at_a_time_until_one_is_complete() -> None:
     learner = KeyLearner()
     first = learner.begin_request("a", False, 0.0)
     assert not learner.may_ask("b", 0.0) and not learner.omits_answers("a", 0)
@@ -153,7 +158,7 @@
     learner.page_stored("a", again)
     assert learner.may_ask("b", 0.0) and learner.omits_answers("b", 3)
     learner.begin_request("b", True, 0.0)
-    assert learner.may_ask("a", 0.0)  # the difference does not wait
+    assert learner.may_ask("a", 0.0)  # later changes are requested from all sources at once
     number = learner.requests["b"].number
     assert learner.handle_refusal("b", number, 0.0) and not learner.handle_refusal("b", number, 0.0)
     assert not learner.may_ask("b", 0.1) and learner.may_ask("b", 0.2)
--- a/tests/mesh/control/test_operation_key_client.py
+++ b/tests/mesh/control/test_operation_key_client.py
@@ -1,4 +1,4 @@
-"""A node's claims of operation keys, at controllers whose answers may be lost."""
+"""Claims of operation keys by nodes, where the replies of controllers may be lost."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 HELD_BY_OTHER = ClaimOutcome.HELD_BY_OTHER
 
 
-def test_a_claim_whose_answers_are_lost_runs_nowhere_while_another_node_claims() -> None:
-    """Node a's claim is granted by a majority and it never hears of it; node b asks meanwhile, and after."""
+def test_a_claim_whose_replies_are_lost_blocks_other_claims_until_it_is_released() -> None:
+    """A majority grants the key to node a, which gets no reply; node b claims it meanwhile and afterwards."""
     keys = {name: OperationKeys(60.0) for name in CONTROLLERS}
-    heard: dict[str, list[str]] = {"a": [], "b": []}
+    outcomes: dict[str, list[str]] = {"a": [], "b": []}
     nodes: dict[str, OperationKeyClient] = {}
-    deaf = {"a"}
+    deaf = {"a"}  # nodes that receive no replies, and whose releases are lost
 
     def sender(node: str) -> Callable[..., None]:
         def send(name: str, message: Message) -> None:
@@ -35,21 +35,21 @@
 
         return send
 
-    for node in heard:
+    for node in outcomes:
         nodes[node] = OperationKeyClient(CONTROLLERS, sender(node), 60.0)
-    nodes["a"].claim("k", "ta", 1.0, lambda outcome, _: heard["a"].append(outcome), 0.0)
-    nodes["b"].claim("k", "tb", 1.0, lambda outcome, _: heard["b"].append(outcome), 0.1)
-    assert heard == {"a": [], "b": [HELD_BY_OTHER]}
-    nodes["a"].tick(1.1)  # its release is lost as well
-    assert heard["a"] == [ClaimOutcome.UNDECIDED]
-    nodes["b"].claim("k", "tb2", 1.0, lambda outcome, _: heard["b"].append(outcome), 1.2)
-    assert heard["b"] == [HELD_BY_OTHER, HELD_BY_OTHER]
+    nodes["a"].claim("k", "ta", 1.0, lambda outcome, _: outcomes["a"].append(outcome), 0.0)
+    nodes["b"].claim("k", "tb", 1.0, lambda outcome, _: outcomes["b"].append(outcome), 0.1)
+    assert outcomes == {"a": [], "b": [HELD_BY_OTHER]}
+    nodes["a"].tick(1.1)  # the claim ends, and its release is lost as well
+    assert outcomes["a"] == [ClaimOutcome.UNDECIDED]
+    nodes["b"].claim("k", "tb2", 1.0, lambda outcome, _: outcomes["b"].append(outcome), 1.2)
+    assert outcomes["b"] == [HELD_BY_OTHER, HELD_BY_OTHER]
     deaf.clear()
     nodes["a"].release("k", "ta")
-    nodes["b"].claim("k", "tb3", 1.0, lambda outcome, _: heard["b"].append(outcome), 1.3)
-    assert heard["b"][-1] == GRANTED and shard_of("k") in nodes["b"].groups
+    nodes["b"].claim("k", "tb3", 1.0, lambda outcome, _: outcomes["b"].append(outcome), 1.3)
+    assert outcomes["b"][-1] == GRANTED and shard_of("k") in nodes["b"].groups
 
 
-def test_outcomes_keep_their_words_on_the_wire() -> None:
-    words = [to_list(KeyGrant(1, 0, outcome, None))[3] for outcome in ClaimOutcome]
-    assert words == ["yours", "held", "wait", "none"] and {type(word) for word in words} == {str}
+def test_outcomes_have_fixed_values_on_the_wire() -> None:
+    values = [to_list(KeyGrant(1, 0, outcome, None))[3] for outcome in ClaimOutcome]
+    assert values == ["yours", "held", "wait", "none"] and {type(value) for value in values} == {str}
--- a/tests/mesh/control/test_operation_keys.py
+++ b/tests/mesh/control/test_operation_keys.py
@@ -1,4 +1,4 @@
-"""A controller's operation keys, beside a plain model."""
+"""A controller's operation keys, compared with a simple model."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(STEPS, min_size=15, max_size=80))
-def test_keys_follow_a_plain_model(steps: list[tuple[str, str, str, float]]) -> None:
+def test_keys_behave_like_a_simple_model(steps: list[tuple[str, str, str, float]]) -> None:
     keys = OperationKeys(WINDOW_S)
     now = 1_000.0
     keys.expire(now)
-    model: dict[str, tuple[str, str | None, float]] = {}  # holder, answer, since when
-    released: set[tuple[str, str]] = set()  # by which attempts, since the restart
-    for step, key, holder, passed in steps:
+    model: dict[str, tuple[str, str | None, float]] = {}  # holder, answer, time of the record's creation
+    released: set[tuple[str, str]] = set()  # key and holder of each release since the last restart
+    for step, key, holder, passed_s in steps:
         existing = model.get(key)
         if step == "claim":
             result = keys.claim(key, holder)
-            if existing is None and (key, holder) in released:  # it came late
+            if existing is None and (key, holder) in released:  # a late claim
                 assert result == ClaimResult(ClaimStatus.ALREADY_RELEASED)
                 continue
             if existing is None:
@@ -59,14 +59,14 @@
             if new:
                 model[key] = (holder, f"by {holder}", now if existing is None else existing[2])
         elif step == "release":
-            gone = existing is not None and existing[:2] == (holder, None)
-            assert keys.release(key, holder) is gone
-            if gone:
+            removed = existing is not None and existing[:2] == (holder, None)
+            assert keys.release(key, holder) is removed
+            if removed:
                 del model[key]
-            if gone or existing is None:
+            if removed or existing is None:
                 released.add((key, holder))
         elif step == "expire":
-            now += passed
+            now += passed_s
             for expired in keys.expire(now):
                 assert now - model.pop(expired)[2] >= WINDOW_S
         else:
@@ -81,7 +81,7 @@
         }
 
 
-def test_a_key_is_not_kept_for_long_beyond_its_window() -> None:
+def test_a_key_is_not_kept_long_beyond_its_window() -> None:
     keys = OperationKeys(WINDOW_S)
     keys.expire(1_000.0)
     keys.claim("k", "t")
@@ -89,7 +89,7 @@
 
 
 def test_a_key_that_two_attempts_were_granted_has_no_known_holder() -> None:
-    """A newcomer that hears of two holders can't tell which one ran: it grants to neither."""
+    """A controller that learns of two holders can't tell which one ran, so it grants the key to neither."""
     keys = OperationKeys(WINDOW_S)
     for holder in ("t1", "t2"):
         keys.merge("k", [holder, 0, None])
@@ -97,7 +97,7 @@
         record = KeyRecord(UNKNOWN_HOLDER, 0)
         assert keys.claim("k", holder) == ClaimResult(ClaimStatus.HELD_BY_OTHER, record)
     assert not keys.release("k", "t1")
-    answered = keys.record_answer("k", "t2", "its answer")  # this one surely ran
+    answered = keys.record_answer("k", "t2", "its answer")  # an attempt with an answer has run
     assert answered == KeyRecord("t2", 0, "its answer")
     assert keys.claim("k", "t1") == ClaimResult(ClaimStatus.HELD_BY_OTHER, answered)
 
@@ -111,7 +111,11 @@
 
 @pytest.mark.parametrize("pause_s", [0.0, 20.0, 56.0, 500.0])
 def test_a_claim_that_comes_after_a_pause_is_kept_for_its_window(pause_s: float) -> None:
-    """After it a controller may handle messages before its next tick: a claim was dated by the last tick."""
+    """A claim is dated by the time of its arrival.
+
+    After a pause of its process a controller may handle messages before its next tick. Claims were dated by
+    the last tick, so they expired too early.
+    """
     shard = make_shard("a")
     shard.register.acceptor.state = AcceptorState(GENESIS, (5, "b"), (5, "b"), shard.known)
     shard.tick(1_000.0)
