--- a/orchidferry/mesh/control/order_history.py
+++ b/orchidferry/mesh/control/order_history.py
@@ -1,9 +1,10 @@
-"""The operators' orders that were committed, and what follows for an order that comes now. Free of I/O.
+"""The history of committed orders, and the verdict on an order that arrives now. No I/O.
 
-An order is one configuration under one number, on top of one version. Each order that was committed builds on
-the one committed before it, so a list of numbers and digests tells of every order above its oldest entry
-whether it was committed. Numbers only rise: a committed order stays committed, and an order in whose place
-another one was committed never will be. Of an order below its oldest entry a list can't tell.
+An order is an operator's request to replace the configuration: one content (identified by its digest) under
+one revision number, based on one earlier revision. Each committed order is based on the order committed
+before it, so a list of numbers and digests shows for every order above its oldest entry whether that order
+was committed. Numbers only rise: a committed order stays committed, and an order in whose place another one
+was committed never will be. For an order below the oldest entry the list gives no answer.
 """
 
 from __future__ import annotations
@@ -13,33 +14,34 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_ORDERS = 16_384  # that a replica keeps, some megabytes
-MAX_NUMBER = 2**53 - 1  # of a configuration; the largest that all readers of JSON agree on
+MAX_ORDERS = 16_384  # orders that a replica keeps; they take a few megabytes
+MAX_NUMBER = 2**53 - 1  # largest revision number; the largest integer that all JSON parsers read exactly
 
-CommittedOrders = tuple[tuple[int, bytes], ...]  # number and digest of each order, the newest last
+CommittedOrders = tuple[tuple[int, bytes], ...]  # number and digest of each order, newest last
 
 
 class Verdict(Enum):
-    """What is to become of an order. All verdicts but `NEW` and `NOT_YET` stay true for ever."""
+    """The verdict on an order. All verdicts but `NEW` and `NOT_YET` are permanent."""
 
-    NEW = "it may be taken now"
-    COMMITTED = "it was taken"
-    OTHER_VERSION = "another order was taken in its place"
-    OLD_VERSION = "its number is not above the version that it builds on"
-    NOT_YET = "it builds on a version that is not there"
-    UNKNOWN = "it is older than what is remembered"
+    NEW = "can be committed now"
+    COMMITTED = "was committed"
+    OTHER_VERSION = "another order was committed in its place"
+    OLD_VERSION = "its number is not above its base revision"
+    NOT_YET = "its base revision does not exist yet"
+    UNKNOWN = "older than the known history"
 
     @property
     def is_final(self) -> bool:
-        """Whether no later state changes it, so that it follows from any decided state."""
+        """Whether the verdict is the same for this and every later decided state."""
         return self in (Verdict.COMMITTED, Verdict.OTHER_VERSION, Verdict.OLD_VERSION)
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An order that was committed.
+    """A committed order.
 
-    :param base: the version that it builds on; -1 where that is not known.
+    :param digest: digest of the configuration's text.
+    :param base: number of the order that it is based on; 0 for none, -1 if it is not known.
     """
 
     digest: bytes
@@ -48,13 +50,14 @@
 
 @dataclass
 class OrderHistory:
-    """The newest orders that were committed, without a gap from `floor` on.
-
-    :param floor: the number of the oldest order that is known; 0 if all are known.
-    :param numbers: of the orders, ascending.
-    :param entries: the orders, by number.
-    :param unsaved: numbers of orders that may not be on disk.
-    :param outdated: numbers of orders that are on disk, and no longer needed.
+    """The newest committed orders, without a gap from `floor` on.
+
+    :param max_orders: maximum number of orders that are kept.
+    :param floor: number of the oldest known order; 0 if the history goes back to the first order.
+    :param numbers: numbers of the known orders, ascending.
+    :param entries: the known orders, by number.
+    :param unsaved: numbers of known orders that may not be on disk.
+    :param outdated: numbers of orders that may be on disk but are no longer needed.
     """
 
     max_orders: int = MAX_ORDERS
@@ -71,15 +74,16 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether there are no older orders to be learned, or no room for them."""
+        """Whether no older orders are missing, or there is no room for them."""
         return self.floor == 0 or len(self.numbers) >= self.max_orders
 
     def verdict(self, number: int, digest: bytes, base: int, current: int) -> Verdict:
-        """Tell what is to become of an order.
+        """Return the verdict on an order.
 
-        :param number: of the order.
-        :param base: the version that the order builds on.
-        :param current: the newest version.
+        :param number: revision number of the order.
+        :param digest: digest of the configuration's text.
+        :param base: revision that the order is based on.
+        :param current: newest committed revision.
         """
         if number <= base:
             return Verdict.OLD_VERSION
@@ -92,17 +96,17 @@
         return Verdict.COMMITTED if self.entries.get(number) == Entry(digest, base) else Verdict.OTHER_VERSION
 
     def merge(self, orders: CommittedOrders, complete: bool) -> None:
-        """Learn the list of a decided state.
+        """Add the orders that a decided state lists.
 
-        :param complete: whether the list begins with the first order of all.
+        :param complete: whether the list begins with the first order ever committed.
         """
-        if self._contradicted_by(orders):  # a group that was begun anew, from an older snapshot
+        if self._contradicted_by(orders):  # the group was restored from an older snapshot
             self._forget()
         known = self.newest
         if not orders or orders[-1][0] <= known:
             return
         numbers = [number for number, _ in orders]
-        if known and known not in numbers:  # it has missed more than the list holds
+        if known and known not in numbers:  # orders between the known ones and the list are missing
             self._forget()
         if not self.numbers and not complete:
             self.floor = numbers[0]
@@ -118,10 +122,10 @@
         )
 
     def prepend(self, older: CommittedOrders, complete: bool) -> None:
-        """Learn orders that come right before the floor, from another replica.
+        """Add the orders before the floor that another replica has sent.
 
-        :param older: the last one is the floor's own.
-        :param complete: whether they begin with the first order of all.
+        :param older: consecutive orders up to and including the one at the floor.
+        :param complete: whether they begin with the first order ever committed.
         """
         if self.is_complete or not older or older[-1] != (self.floor, self.entries[self.floor].digest):
             return
@@ -140,11 +144,13 @@
             self.floor = 0
 
     def older_than(self, floor: int, digest: bytes, max_orders: int) -> tuple[CommittedOrders, bool] | None:
-        """List the orders that another replica can learn from this one.
+        """List the orders before another replica's floor.
 
-        :param floor: the number of the oldest order that the other knows.
-        :param digest: of that order.
-        :returns: orders up to that one, and whether the first of all is among them; None if there are none.
+        :param floor: number of the oldest order that the other replica knows.
+        :param digest: digest of that order.
+        :param max_orders: maximum number of older orders in the list.
+        :returns: consecutive orders up to and including the one at the floor, and whether they begin with the
+            first order ever committed; None if no older ones are known here.
         """
         entry = self.entries.get(floor)
         if entry is None or entry.digest != digest or entry.base < 0:
@@ -157,7 +163,7 @@
         return tuple(reversed(rows)), entry.base == 0
 
     def load(self, rows: Iterable[tuple[int, Entry]]) -> None:
-        """Load the orders on disk, before any other call: those that form one history with the newest."""
+        """Load the orders read from disk that form one chain with the newest one; must be the first call."""
         found = dict(rows)
         number = max(found, default=0)
         while number in found and len(self.numbers) < self.max_orders:
@@ -172,7 +178,7 @@
         self.outdated = sorted(found)
 
     def mark_saved(self, numbers: Iterable[int]) -> None:
-        """Orders are on disk."""
+        """Mark orders as written to disk."""
         self.unsaved.difference_update(numbers)
 
     def _append(self, number: int, entry: Entry) -> None:
--- a/orchidferry/mesh/control/order_log.py
+++ b/orchidferry/mesh/control/order_log.py
@@ -1,7 +1,7 @@
-"""A replica's orders.
+"""The orders of one replica: those that are pending, and the history of committed ones. No I/O.
 
-Those that wait for their outcome, and the history of those that were committed, with what has to be put on
-disk and to be asked of other replicas. Free of I/O.
+An order is an operator's request to replace the configuration (see `order_history`). The log determines which
+orders have to be written to disk, and which to request from other replicas.
 """
 
 from __future__ import annotations
@@ -15,16 +15,18 @@
 from orchidferry.mesh.storage.record_format import RecordWrite
 from orchidferry.mesh.wire.shard_messages import Orders, OrdersRequest
 
-PAGE_ORDERS = 256  # orders in one message, or one write
-REQUEST_PAUSE_S = 5.0  # a replica that had no older orders to send is asked again after this
+PAGE_ORDERS = 256  # maximum number of orders in one message or one write
+REQUEST_INTERVAL_S = 5.0  # minimum time between two requests for older orders to the same replica
 
 
 @dataclass
 class OrderLog:
     """The orders of one shard at one replica.
 
-    :param waiting: orders that wait for their outcome, by the name of their proposal.
-    :param requested_s: by replica: when it was asked for older orders.
+    :param shard: number of the shard.
+    :param history: the committed orders.
+    :param waiting: orders whose outcome is pending, by the name of their proposal.
+    :param requested_s: time of the last request for older orders, by replica.
     """
 
     shard: int
@@ -34,29 +36,29 @@
 
     @staticmethod
     def name(order: PutConfiguration) -> str:
-        """Name the proposal of an order, the same for all copies of the order."""
+        """Return the name of an order's proposal, which is the same for all copies of the order."""
         return f"order {order.revision} {order.on} {order.digest.hex()}"
 
     def verdict(self, order: PutConfiguration, state: Body) -> Verdict:
-        """Tell what is to become of an order, as of a decided state."""
+        """Return the verdict on an order, given a decided state."""
         return order.verdict(self.history, state.revision)
 
     def learn(self, state: Body) -> None:
-        """A newer state is known to be decided."""
+        """Add the orders listed in a newly learned decided state to the history."""
         self.history.merge(state.orders, lists_all_orders(state))
 
     def final_orders(self, state: Body) -> list[tuple[str, str]]:
-        """List the waiting orders whose outcome is known for ever.
+        """List the pending orders whose outcome is final, given a decided state.
 
-        :returns: names of proposals, each with why the order is refused; "" if it was committed.
+        :returns: names of proposals, each with the reason why the order is refused; "" if it was committed.
         """
         found = [(name, self.verdict(order, state)) for name, order in self.waiting.items()]
         return [(name, REFUSALS.get(verdict, "")) for name, verdict in found if verdict.is_final]
 
     def take_unsaved(self) -> tuple[list[int], list[RecordWrite]]:
-        """Take the newest orders that are not on disk, and those on disk that are no longer needed.
+        """Return the next page of disk writes: the newest unsaved orders, and deletions of outdated ones.
 
-        :returns: the numbers of the unsaved orders, and what is to be put on disk.
+        :returns: the numbers of the unsaved orders, and the writes.
         """
         history = self.history
         numbers = sorted(history.unsaved)[-PAGE_ORDERS:]
@@ -67,31 +69,31 @@
         return numbers, puts
 
     def next_source(self, names: Iterable[str], now: float) -> str | None:
-        """Choose the replica that is asked next for orders older than this one knows; it counts as asked.
+        """Choose the replica to ask for orders older than the known ones, and note the time of the request.
 
-        :param names: of the replicas that can be asked.
-        :returns: its name; None if nobody is to be asked.
+        :param names: names of the replicas that can be asked.
+        :returns: the name of the replica; None if no request is needed, or all were asked recently.
         """
         if self.history.is_complete:
             return None
         for name in names:
-            if now - self.requested_s.get(name, float("-inf")) > REQUEST_PAUSE_S:
+            if now - self.requested_s.get(name, float("-inf")) > REQUEST_INTERVAL_S:
                 self.requested_s[name] = now
                 return name
         return None
 
     def older_request(self) -> OrdersRequest:
-        """Build a request for the orders before the oldest one that is known."""
+        """Return a request for the orders before the oldest known one."""
         floor = self.history.floor
         return OrdersRequest(floor, self.history.entries[floor].digest)
 
     def older_orders(self, request: OrdersRequest) -> Orders | None:
-        """Answer another replica's request for older orders; None if this one has none."""
+        """Return the reply to another replica's request for older orders; None if this replica has none."""
         found = self.history.older_than(request.number, request.digest, PAGE_ORDERS)
         return None if found is None else Orders(list(found[0]), found[1])
 
     def add_older(self, page: Orders) -> bool:
-        """Take older orders from another replica.
+        """Add older orders received from another replica.
 
         :returns: whether any of them was new.
         """
--- a/orchidferry/mesh/control/order_records.py
+++ b/orchidferry/mesh/control/order_records.py
@@ -1,7 +1,7 @@
-"""Committed orders as records of a controller's store: one small record for each order, in `about`.
+"""Committed orders as records of a controller's store: one small record per order, in the table `about`.
 
-A record names the order on which its order builds, so that those which form one history can be told from what
-a loss has left over.
+Each record contains the number of the order that its order is based on. After a partial loss of records, the
+orders that form one chain with the newest can therefore be distinguished from leftover ones.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
 from orchidferry.mesh.storage.record_format import RecordWrite
 
 PREFIX = b"order/"
-BASE_BYTES = 8  # at the end of a record, behind the digest
+BASE_BYTES = 8  # size of the base number, which follows the digest at the end of a record
 
 
 def record(shard: int, number: int, entry: Entry | None) -> RecordWrite:
-    """Return what puts an order on disk.
+    """Return the write that stores an order on disk, or deletes it.
 
-    :param number: of the order.
+    :param shard: number of the shard.
+    :param number: number of the order.
     :param entry: the order; None to delete its record.
     """
     key = PREFIX + f"{shard}/{number:016d}".encode()
@@ -28,9 +29,10 @@
 
 
 def orders_of(shard: int, rows: Iterable[tuple[bytes, bytes]]) -> list[tuple[int, Entry]]:
-    """Read the orders of a shard.
+    """Decode the orders of a shard.
 
-    :param rows: all records of `about`.
+    :param shard: number of the shard.
+    :param rows: keys and values of all records of `about`.
     :returns: the orders with their numbers.
     """
     prefix = PREFIX + f"{shard}/".encode()
--- a/orchidferry/mesh/control/order_requests.py
+++ b/orchidferry/mesh/control/order_requests.py
@@ -1,6 +1,7 @@
-"""Operators' orders at one replica: requests to take one, and the exchange of older orders with others.
+"""Operators' orders at one replica: requests to commit an order, and the exchange of older orders. No I/O.
 
-It does no I/O: actions are collected in the `ShardContext`.
+An order is an operator's request to replace the configuration (see `order_history`). Older orders are
+exchanged with other replicas. Actions are collected in the `ShardContext`.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 
 
 class OrderRequests:
-    """Proposes the orders that are requested at one replica, and tells what became of them."""
+    """Proposes the orders requested at one replica, and ends the requests with the outcome."""
 
     def __init__(self, context: ShardContext, register: RegisterReplica, order_log: OrderLog) -> None:
         self.context = context
         self.register = register
         self.order_log = order_log
 
-    def request(self, id: str, order: shard_state.PutConfiguration, for_s: float) -> None:
-        """Request an order.
+    def request(self, id: str, order: shard_state.PutConfiguration, timeout_s: float) -> None:
+        """Handle a request to commit an order.
 
-        One whose outcome is known for ever ends at once; copies of an order share one proposal.
+        A request whose outcome is already final ends at once; copies of an order share one proposal.
 
-        :param id: of the request.
-        :param for_s: seconds for which the order is tried.
+        :param id: id of the request.
+        :param timeout_s: time for which the order is proposed, in seconds.
         """
         state = self.register.known
         verdict = self.order_log.verdict(order, shard_state.body(state))
@@ -44,17 +45,17 @@
             self.register.proposals[name].waiting.append(id)
             return
         self.order_log.waiting[name] = order
-        self.register.propose(name, order, for_s, Purpose.REQUEST, [id])
+        self.register.propose(name, order, timeout_s, Purpose.REQUEST, [id])
 
     def end_final_orders(self) -> None:
-        """End the orders whose outcome a newly learned state settles for ever."""
+        """End the pending orders whose outcome is final after a newly learned state."""
         state = self.register.known
         for name, why in self.order_log.final_orders(shard_state.body(state)):
             self.register.proposer.withdraw(name)
             self.register.end_proposal(name, state, why)
 
     def ask_for_older(self) -> None:
-        """Ask another replica for orders older than this one knows."""
+        """Ask another replica for orders older than those known here."""
         now = self.context.now
         alive = [name for name in self.register.other_controllers() if self.context.peers.alive(name, now)]
         name = self.order_log.next_source(alive, now)
@@ -62,18 +63,18 @@
             self.context.send(name, self.order_log.older_request())
 
     def give_older(self, sender_link: Any, request: OrdersRequest) -> None:
-        """Answer another replica that asks for older orders, if this one has any.
+        """Send older orders to another replica that has asked for them, if there are any here.
 
-        :param sender_link: takes the answer.
+        :param sender_link: link over which the reply is sent.
         """
         page = self.order_log.older_orders(request)
         if page is not None:
             self.context.reply(sender_link, page)
 
     def take_older(self, sender_link: Any, page: Orders) -> None:
-        """Take older orders from another replica; write them, and ask for still older ones.
+        """Add older orders received from another replica, write them to disk, and request still older ones.
 
-        :param sender_link: takes the next request.
+        :param sender_link: link over which the next request is sent.
         """
         if self.order_log.add_older(page):
             order_numbers, puts = self.order_log.take_unsaved()
--- a/tests/mesh/control/test_order_history.py
+++ b/tests/mesh/control/test_order_history.py
@@ -1,7 +1,7 @@
-"""One number, one content, one answer.
+"""At most one configuration is committed under a revision number, and no verdict contradicts that.
 
-Histories and whole groups beside plain lists, in any order of events, and what the operators' resource says
-of orders that are badly formed, sent again, or too old to be known.
+Histories of orders, and whole groups of controllers, are compared with a list of all committed orders, under
+random events.
 """
 
 from __future__ import annotations
@@ -34,40 +34,41 @@
 from tests.mesh.control.test_membership import World
 from tests.mesh.storage.fakes import Loop, close
 
-LISTED = 4  # orders that a state lists here
+LISTED = 4  # number of orders that a state lists in these tests
 
 
-# The history, beside a list of all orders
+# Histories, compared with the list of all committed orders
 
 
 class Chain:
-    """All orders that were ever taken."""
+    """The list of all orders ever committed."""
 
     def __init__(self) -> None:
         self.orders: list[tuple[int, bytes]] = []
 
-    def take(self, step: int) -> None:
+    def commit(self, step: int) -> None:
+        """Commit an order whose number is `step` above the last one."""
         number = (self.orders[-1][0] if self.orders else 0) + step
         self.orders.append((number, b"d%d" % number))
 
-    def truth(self, number: int, digest: bytes, base: int, upto: int) -> bool:
-        """Whether the order is among the first `upto`."""
-        numbers = [0, *(n for n, _ in self.orders[:upto])]
-        at = numbers.index(number) if number in numbers[1:] else 0
-        return at > 0 and numbers[at - 1] == base and self.orders[at - 1][1] == digest
+    def is_committed(self, number: int, digest: bytes, base: int, count: int) -> bool:
+        """Return whether the order is among the first `count` committed ones."""
+        numbers = [0, *(n for n, _ in self.orders[:count])]
+        index = numbers.index(number) if number in numbers[1:] else 0
+        return index > 0 and numbers[index - 1] == base and self.orders[index - 1][1] == digest
 
 
-class Kept:
-    """A replica's history, with its records on a disk."""
+class StoredHistory:
+    """A replica's history, with its records on a disk. It has learned the first `learned` orders."""
 
     def __init__(self, chain: Chain) -> None:
-        self.chain, self.disk, self.upto = chain, dict[bytes, bytes](), 0
+        self.chain, self.disk, self.learned = chain, dict[bytes, bytes](), 0
         self.history = OrderHistory(max_orders=12)
 
     def learn(self) -> None:
         orders = self.chain.orders
-        if self.upto < len(orders):
-            self.upto = len(orders)
+        if self.learned < len(orders):
+            self.learned = len(orders)
             self.history.merge(tuple(orders[-LISTED:]), len(orders) < LISTED)
 
     def save(self) -> None:
@@ -85,9 +86,9 @@
         self.history = OrderHistory(max_orders=12)
         self.history.load(orders_of(0, self.disk.items()))
         newest = self.history.newest
-        self.upto = [0, *(n for n, _ in self.chain.orders)].index(newest)
+        self.learned = [0, *(n for n, _ in self.chain.orders)].index(newest)
 
-    def ask(self, other: Kept) -> None:
+    def request_older(self, other: StoredHistory) -> None:
         floor = self.history.floor
         if floor and not self.history.is_complete:
             found = other.history.older_than(floor, self.history.entries[floor].digest, 3)
@@ -97,100 +98,124 @@
     def check(self) -> None:
         history = self.history
         numbers = [n for n, _ in self.chain.orders]
-        upto = self.upto
+        learned = self.learned
         current = self.history.newest
-        assert list(history.numbers) == [n for n in numbers[:upto] if n >= (history.floor or 1)]
+        assert list(history.numbers) == [n for n in numbers[:learned] if n >= (history.floor or 1)]
         assert len(history.numbers) <= 12
-        for at, number in enumerate(numbers):
-            base = numbers[at - 1] if at else 0
-            for digest, on in ((b"d%d" % number, base), (b"other", base), (b"d%d" % number, base - 1)):
-                if on < 0:
+        for index, number in enumerate(numbers):
+            previous = numbers[index - 1] if index else 0
+            for digest, base in (
+                (b"d%d" % number, previous),
+                (b"other", previous),
+                (b"d%d" % number, previous - 1),
+            ):
+                if base < 0:
                     continue
-                verdict = history.verdict(number, digest, on, current)
-                taken = self.chain.truth(number, digest, on, upto)
+                verdict = history.verdict(number, digest, base, current)
+                committed = self.chain.is_committed(number, digest, base, learned)
                 if number > current:
                     assert verdict in (Verdict.NEW, Verdict.NOT_YET, Verdict.OTHER_VERSION)
-                    assert verdict is not Verdict.OTHER_VERSION or not self.chain.truth(
-                        number, digest, on, len(numbers)
+                    assert verdict is not Verdict.OTHER_VERSION or not self.chain.is_committed(
+                        number, digest, base, len(numbers)
                     )
                 elif number <= history.floor:
                     assert verdict is Verdict.UNKNOWN
                 else:
-                    assert verdict is (Verdict.COMMITTED if taken else Verdict.OTHER_VERSION)
+                    assert verdict is (Verdict.COMMITTED if committed else Verdict.OTHER_VERSION)
             absent = history.verdict(number - 1, b"x", number - 2, current)
             assert absent is not Verdict.COMMITTED
 
 
-EVENTS = st.lists(st.tuples(st.sampled_from("ttttllasrw"), st.integers(0, 2), st.integers(1, 3)), max_size=80)
+EVENTS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            (
+                "commit",
+                "commit",
+                "commit",
+                "commit",
+                "learn",
+                "learn",
+                "request",
+                "save",
+                "restart",
+                "wipe",
+            )
+        ),
+        st.integers(0, 2),
+        st.integers(1, 3),
+    ),
+    max_size=80,
+)
 
 
 @settings(max_examples=200, deadline=None)
 @given(EVENTS)
 def test_histories_agree_with_the_list_of_all_orders(events: list[tuple[str, int, int]]) -> None:
-    """Taken, learned, asked for, saved, restarted and wiped in any order: never wrong, at most unsure."""
+    """Whatever the order of events, a verdict is never wrong; it may be `UNKNOWN`."""
     chain = Chain()
-    histories = [Kept(chain) for _ in range(3)]
-    for what, which, step in events:
-        one = histories[which]
-        if what == "t":
-            chain.take(step)
-        elif what == "l":
-            one.learn()
-        elif what == "a":
-            one.ask(histories[(which + step) % 3])
-        elif what == "s":
-            one.save()
-        elif what == "r":
-            one.restart()
+    histories = [StoredHistory(chain) for _ in range(3)]
+    for event, index, step in events:
+        history = histories[index]
+        if event == "commit":
+            chain.commit(step)
+        elif event == "learn":
+            history.learn()
+        elif event == "request":
+            history.request_older(histories[(index + step) % 3])
+        elif event == "save":
+            history.save()
+        elif event == "restart":
+            history.restart()
         else:
-            one.disk.clear()
-            one.restart()
-        one.check()
+            history.disk.clear()
+            history.restart()
+        history.check()
 
 
 @given(st.integers(1, 40), st.integers(1, 5))
 def test_a_wiped_replica_learns_all_orders_by_pages(orders: int, page: int) -> None:
     chain = Chain()
-    kept = OrderHistory()
+    complete = OrderHistory()
     for _ in range(orders):
-        chain.take(2)
-        kept.merge(tuple(chain.orders[-LISTED:]), len(chain.orders) < LISTED)
-    assert kept.floor == 0
+        chain.commit(2)
+        complete.merge(tuple(chain.orders[-LISTED:]), len(chain.orders) < LISTED)
+    assert complete.floor == 0
     wiped = OrderHistory()
     wiped.merge(tuple(chain.orders[-LISTED:]), orders < LISTED)
     for _ in range(orders):
         if wiped.floor:
-            found = kept.older_than(wiped.floor, wiped.entries[wiped.floor].digest, page)
+            found = complete.older_than(wiped.floor, wiped.entries[wiped.floor].digest, page)
             assert found is not None and len(found[0]) <= page + 1
             wiped.prepend(*found)
-    assert (wiped.floor, wiped.entries) == (0, kept.entries)
+    assert (wiped.floor, wiped.entries) == (0, complete.entries)
 
 
 # A group of controllers
 
 
 class Orders(World):
-    """Orders sent again, changed under their number, or moved to another base, at any controller."""
+    """Sends orders to any controller: new, repeated, with other content, or with another base."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self.sent: list[shard_state.PutConfiguration] = []
         self.acknowledged: list[shard_state.PutConfiguration] = []
         self.refused: list[shard_state.PutConfiguration] = []
-        self.taken_orders: dict[int, tuple[bytes, int]] = {}  # by version: digest and number, as decided
+        self.committed_orders: dict[int, tuple[bytes, int]] = {}  # content and number, by revision
         self.counts |= {"again": 0, "refused": 0, "unclear": 0}
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
         super().state_changed(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
-            known = self.taken_orders.setdefault(state.revision, (state.compressed_text, state.revision))
-            assert known[0] == state.compressed_text, "two contents under one number were taken"
+            known = self.committed_orders.setdefault(state.revision, (state.compressed_text, state.revision))
+            assert known[0] == state.compressed_text, "two contents were committed under one number"
 
     def _order(self) -> shard_state.PutConfiguration:
         rng = self.rng
         dice = self.rng.random()
-        newest = max(self.taken_orders, default=0)
+        newest = max(self.committed_orders, default=0)
         if dice < 0.45 or not self.sent:
             mark = str(self.number()).encode()
             return shard_state.PutConfiguration(mark, newest + rng.randrange(1, 3), mark, newest)
@@ -200,8 +225,8 @@
         if dice < 0.9:
             mark = str(self.number()).encode()
             return replace(old, compressed_text=mark, digest=mark)
-        there = [0, *(number for number in self.taken_orders if number < old.revision)]
-        return replace(old, on=rng.choice(there))  # operators build on what they have read
+        earlier = [0, *(number for number in self.committed_orders if number < old.revision)]
+        return replace(old, on=rng.choice(earlier))  # operators base orders on revisions that they have read
 
     def put(self) -> None:
         controller, order = self.some(), self._order()
@@ -210,7 +235,7 @@
         self.sent.append(order)
         id = str(self.number())
 
-        def told(end: RequestEnded) -> None:
+        def record_end(end: RequestEnded) -> None:
             if end.value is None or end.why == shard_state.UNKNOWN_ORDER:
                 self.counts["unclear"] += 1
             elif end.why:
@@ -220,24 +245,24 @@
                 self.counts["again" if order in self.acknowledged else "put"] += 1
                 self.acknowledged.append(order)
 
-        self.waiting[id] = told
+        self.waiting[id] = record_end
         controller.execute(controller.shard.request_change(id, order, 3.0, self.now))
 
     def judge(self) -> None:
-        """Beside the plain list of all orders that were taken."""
-        numbers = [0, *sorted(self.taken_orders)]
-        taken = {(n, self.taken_orders[n][0], base) for base, n in itertools.pairwise(numbers)}
+        """Compare acknowledged and refused orders with the list of all committed ones."""
+        numbers = [0, *sorted(self.committed_orders)]
+        committed = {(n, self.committed_orders[n][0], base) for base, n in itertools.pairwise(numbers)}
         for order in self.acknowledged:
-            assert (order.revision, order.digest, order.on) in taken
+            assert (order.revision, order.digest, order.on) in committed
         for order in self.refused:
-            assert (order.revision, order.digest, order.on) not in taken
+            assert (order.revision, order.digest, order.on) not in committed
 
 
-def _play(seed: int, trouble: float, steps: int = 2_500) -> Orders:
+def _simulate(seed: int, fault_level: float, steps: int = 2_500) -> Orders:
     world = Orders(random.Random(seed))
-    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", 2):  # a state tells of one order
+    with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", 2):  # so that a state settles one order only
         for _ in range(steps):
-            world.step(trouble)
+            world.step(fault_level)
             if world.rng.random() < 0.05:
                 world.put()
     return world
@@ -245,9 +270,9 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**40), st.sampled_from((0.0, 0.5, 1.0)))
-def test_orders_in_random_order_of_events(seed: int, trouble: float) -> None:
-    """What was acknowledged was taken on its base, what was refused never was; wipes, losses and all."""
-    _play(seed, trouble).judge()
+def test_outcomes_of_orders_are_right_under_random_faults(seed: int, fault_level: float) -> None:
+    """Acknowledged orders were committed on their base, and refused ones were not, despite lost disks."""
+    _simulate(seed, fault_level).judge()
 
 
 @pytest.mark.parametrize(
@@ -258,17 +283,17 @@
     ],
     ids=["short-memory", "believes-all"],
 )
-def test_wrong_verdicts_on_unknown_orders_are_caught(broken: Callable[[Verdict], Verdict]) -> None:
+def test_wrong_verdicts_on_unknown_orders_are_detected(broken: Callable[[Verdict], Verdict]) -> None:
     verdict = OrderHistory.verdict
-    guess = mock.patch.object(OrderHistory, "verdict", lambda *args: broken(verdict(*args)))
-    with guess, pytest.raises(AssertionError):
+    patch = mock.patch.object(OrderHistory, "verdict", lambda *args: broken(verdict(*args)))
+    with patch, pytest.raises(AssertionError):
         for seed in range(100):
-            _play(seed, 1.0).judge()
+            _simulate(seed, 1.0).judge()
 
 
-def _taken(world: Orders, controller: Controller, order: shard_state.PutConfiguration) -> bool:
-    """What a controller says of an order, with all going well."""
-    for _ in range(6):  # beats come by chance: out of contact it is asked the very same again
+def _is_acknowledged(world: Orders, controller: Controller, order: shard_state.PutConfiguration) -> bool:
+    """Return whether a controller acknowledges an order in the absence of faults."""
+    for _ in range(6):  # heartbeats are sent at random: a controller out of contact is asked again
         ends: list[RequestEnded] = []
         id = str(world.number())
         world.waiting[id] = ends.append
@@ -285,25 +310,28 @@
 
 
 def test_an_old_order_is_known_after_consecutive_disk_losses() -> None:
-    """More orders than states list; each disk lost in turn, with time between; then all are killed."""
+    """All orders are still known after each disk was lost in turn and all controllers were killed.
+
+    There are more orders than a state lists, and between two losses there is time to copy them.
+    """
     world = Orders(random.Random(3))
     world.controllers.pop("d")
     world.play(2.0)
     controllers = list(world.controllers.values())
     for number in range(1, 71):
-        assert _taken(world, controllers[number % 3], _put(number))
+        assert _is_acknowledged(world, controllers[number % 3], _put(number))
     for one in controllers:
         one.wipe()
         one.start()
         world.play(12.0)
         assert one.shard.orders.history.floor == 0
-        assert _taken(world, one, _put(1))
+        assert _is_acknowledged(world, one, _put(1))
     for one in controllers:
         one.start()
     world.play(1.0)
     for one in controllers:
-        assert _taken(world, one, _put(1)) and _taken(world, one, _put(70))
-        assert not _taken(world, one, replace(_put(1), digest=b"other"))
+        assert _is_acknowledged(world, one, _put(1)) and _is_acknowledged(world, one, _put(70))
+        assert not _is_acknowledged(world, one, replace(_put(1), digest=b"other"))
 
 
 def test_a_history_is_bounded_and_its_oldest_records_are_deleted() -> None:
@@ -319,14 +347,14 @@
 def test_the_state_of_a_restored_group_overrides_the_disk() -> None:
     history = OrderHistory()
     history.load([(1, Entry(b"a", 0)), (2, Entry(b"b", 1)), (5, Entry(b"c", 2))])
-    history.merge(((1, b"a"), (2, b"b")), True)  # an older state of the same group says nothing new
+    history.merge(((1, b"a"), (2, b"b")), True)  # an older state of the same group changes nothing
     assert list(history.numbers) == [1, 2, 5]
     history.merge(((1, b"a"), (2, b"b"), (4, b"x")), True)
     assert list(history.numbers) == [1, 2, 4] and sorted(history.outdated) == [1, 2, 5]
 
 
 def test_orders_are_loaded_from_the_store_after_a_restart(tmp_path: Path) -> None:
-    """Beside the records that the check at the start looks at."""
+    """The records of orders are stored beside those that the storage check examines at the start."""
     history, loop = OrderHistory(), Loop()
     history.merge(tuple((n, b"%d" % n) for n in range(1, 200)), True)
     store = Store(str(tmp_path), loop)  # type: ignore[arg-type]
