--- a/orchidferry/mesh/control/control_client.py
+++ b/orchidferry/mesh/control/control_client.py
@@ -1,6 +1,6 @@
 """A node's client of the controllers: its lease, the member list, configurations and operation keys.
 
-It keeps a link to every controller that it knows of, for its lease and for operation keys, and gets updates
+The client keeps a link to every known controller, for the node's lease and for operation keys. Updates come
 from another node (`orchidferry.mesh.control.subscriber`) or from the controllers.
 """
 
@@ -18,7 +18,7 @@
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord, merge_member_lists
 from orchidferry.mesh.control.operation_key_client import OnClaimed, OperationKeyClient, ShardGroup
 from orchidferry.mesh.control.subscriber import Subscriber
-from orchidferry.mesh.control.update_stream import NOTHING
+from orchidferry.mesh.control.update_stream import NO_CHANGES
 from orchidferry.mesh.settings import Settings
 from orchidferry.mesh.wire.framing import Link, dial
 from orchidferry.mesh.wire.messages import (
@@ -36,21 +36,21 @@
 from orchidferry.mesh.wire.shard_messages import tag_of
 
 RENEWAL_INTERVAL_S = 0.5
-IDLE_TIMEOUT_S = 1.6  # the link to a controller that sends nothing for so long is closed
+IDLE_TIMEOUT_S = 1.6  # a link is closed if the controller has sent nothing for this time
 TICK_S = 0.1
-DIAL_INTERVAL_S = 0.15  # between two attempts to dial one controller
+DIAL_INTERVAL_S = 0.15  # minimum time between two attempts to dial the same controller
 MAX_CONTROLLERS = 16
 MAX_BOOT_ID = 2**53
 
-Dial = Callable[..., Awaitable[Link | None]]  # called as `framing.dial`
+Dial = Callable[..., Awaitable[Link | None]]  # has the signature of `framing.dial`
 Receive = Callable[[Link, Message], None]
 
 
 class ControlClient:
     """The links of one node to the controllers, to its parent in the fan-out tree, and to its followers.
 
-    :ivar boot_id: drawn at the start of the node's process.
-    :ivar claims: claims of operation keys.
+    :ivar boot_id: random number drawn at the start of the node's process.
+    :ivar claims: claims and releases of operation keys.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
         dial: Dial = dial,
         rng: random.Random | None = None,
     ) -> None:
-        """Make a client without links.
+        """Create a client without links.
 
         :param on_members: called with each new member list.
         :param on_configuration: called with the revision and the text of each new configuration.
-        :param dial: opens a link; handed in by simulations.
-        :param rng: handed in by simulations.
+        :param dial: opens a link; simulations pass their own.
+        :param rng: the source of random numbers; simulations pass a seeded one.
         """
         self._dial_link = dial
         self._settings = settings
@@ -93,16 +93,16 @@
 
     @property
     def has_initial_configuration(self) -> bool:
-        """Whether the node has had a configuration as new as any that was acknowledged before its start."""
+        """Whether the node has a configuration at least as new as any acknowledged before its start."""
         return self._fetcher.caught_up
 
     @property
     def connected_controllers(self) -> int:
-        """How many controllers there is an open link to."""
+        """The number of controllers with an open link."""
         return sum(connection.open_link is not None for connection in self._connections.values())
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds from the settings; controllers known from the groups themselves stay."""
+        """Replace the seeds after a change of the settings; controllers that belong to a group are kept."""
         self._seeds = seeds
         self._add_controllers(seeds)
 
@@ -111,7 +111,7 @@
             self._connections.setdefault(name, ControllerConnection(name))
 
     def start(self) -> None:
-        """Begin to dial the controllers."""
+        """Start dialling the controllers, and ticking."""
         self._tick()
 
     def _tick(self) -> None:
@@ -123,19 +123,19 @@
         self._fetcher.tick(now)
         self.claims.tick(now)
 
-    # The node's own record
+    # The record of the node
 
     def publish(self, record: NodeRecord) -> None:
-        """Publish the node's record to all controllers, now and over each new link."""
+        """Send the node's record to all controllers, now and over each new link."""
         self._record = record
         for connection in self._connections.values():
             self._renew_lease(connection)
 
     def _renew_due_leases(self, now: float) -> None:
-        """Renew the leases whose turn it is.
+        """Renew the leases that are due.
 
-        The first renewals are spread over the interval, so that the answers of one controller after the other
-        tell whether an update was missed.
+        The first renewals are spread over the interval: the controllers then reply at different times, and
+        each reply shows whether an update was missed.
         """
         for index, connection in enumerate(self._connections.values()):
             if now >= connection.next_renewal_s:
@@ -155,7 +155,7 @@
     # Links to controllers
 
     def _check_links(self, now: float) -> None:
-        """Close links that are silent, dial controllers, and forget those that are none any more."""
+        """Close idle links, dial controllers that have no link, and forget those removed from all groups."""
         for connection in list(self._connections.values()):
             link = connection.open_link
             if link is not None:
@@ -213,15 +213,15 @@
         if connection is not None and connection.link is not None:
             connection.link.send(message)
 
-    # Messages of controllers
+    # Messages from controllers
 
     def _received_from_controller(self, link: Link, message: Message) -> None:
         self._receive(self._handle, "controller", link, message)
 
     def _receive(self, handle: Receive, sender: str, link: Link, message: Message) -> None:
-        """Handle a message; a link over which a malformed one has come is closed.
+        """Handle a message; the link is closed if the message has invalid values.
 
-        :param sender: what the other end of the link is, for the log.
+        :param sender: role of the other end of the link, for the log.
         """
         try:
             handle(link, message)
@@ -278,9 +278,9 @@
     # The fan-out tree
 
     async def listen(self) -> None:
-        """Accept links of other nodes, which may follow this one.
+        """Accept links from other nodes, which may follow this node.
 
-        :raises OSError: if the internal port is taken.
+        :raises OSError: if the internal port is in use.
         """
         relay = self._subscriber.relay
         self._server = await self._loop.create_server(
@@ -314,15 +314,15 @@
     # Members and configurations
 
     def _update_members(self) -> None:
-        """Merge the controllers' member lists anew.
+        """Merge the member lists of the controllers again.
 
-        A controller that has just started may not know all nodes yet. While no other one is connected, its
-        list adds members and removes none.
+        A controller that has just started may not know all nodes yet. While only such controllers are
+        connected, members are added but not removed.
         """
         streams = self._subscriber.streams
         connections = self._connections.values()
         has_complete_list = any(
-            one.open_link is not None and one.warmed_up and streams[one.name].number > NOTHING
+            one.open_link is not None and one.warmed_up and streams[one.name].number > NO_CHANGES
             for one in connections
         )
         reachable = {one.name for one in connections if one.link is not None}
@@ -346,6 +346,6 @@
     def claim(self, key: str, holder: str, timeout_s: float, on_claimed: OnClaimed) -> None:
         """Claim an operation key for one attempt (`OperationKeyClient.claim`).
 
-        :param holder: the attempt.
+        :param holder: id of the attempt.
         """
         self.claims.claim(key, holder, timeout_s, on_claimed, self._loop.time())
--- a/orchidferry/mesh/control/fanout_tree.py
+++ b/orchidferry/mesh/control/fanout_tree.py
@@ -1,9 +1,9 @@
-"""The shape of the fan-out tree by which updates reach the nodes of a zone. Pure: no I/O, no clock.
+"""The shape of the fan-out tree through which updates reach the nodes of a zone. No I/O and no clock.
 
-The nodes of a zone are ordered by a hash of their name and boot id. The first `HEADS` of them subscribe to
-the controllers; each further node subscribes to one that stands before it in the order, as in a complete tree
-with `FANOUT` children a node. Nodes that disagree about who is a member can't form a cycle, as every parent
-has a lower rank than its children.
+The nodes of a zone are ordered by a hash of their name and boot id. The first `HEADS` nodes, the heads, are
+the roots of the tree and subscribe to the controllers. Each further node subscribes to a node before it in
+the order, as in a complete tree with `FANOUT` children per node. Nodes with different member lists can't form
+a cycle, as every parent has a lower rank than its children.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 from orchidferry.mesh.control.endpoints import NodeIdentity, NodeRecord
 
-HEADS = 2  # nodes of a zone that subscribe to the controllers themselves
-FANOUT = 8  # children of a node in the tree
-MAX_FOLLOWERS = FANOUT + 2  # of a relay: the nodes' views of the tree differ for a while
+HEADS = 2  # nodes per zone that subscribe to the controllers
+FANOUT = 8  # children per node in the tree
+MAX_FOLLOWERS = FANOUT + 2  # followers of a relay; more than `FANOUT`, as nodes' views differ for a while
 
 
 @lru_cache(maxsize=8_192)
 def tree_rank(name: str, boot: int) -> bytes:
-    """Sort key of a node's process in the order of its zone: pseudo-random, and the same at every node.
+    """Return the sort key of a node's process in its zone: pseudo-random, and the same at every node.
 
-    :param name: the node's name.
-    :param boot: the number drawn at the start of the node's process.
+    :param name: name of the node.
+    :param boot: random number drawn at the start of the node's process.
     """
     return hashlib.blake2b(f"{boot} {name}".encode(), digest_size=8).digest() + name.encode()
 
@@ -32,12 +32,12 @@
 def parent_candidates(
     members: Iterable[NodeRecord], node: NodeIdentity, heads: int = HEADS, fanout: int = FANOUT
 ) -> list[NodeRecord]:
-    """The ancestors of a node in the tree: its parent first, a head of the zone last.
+    """Return the ancestors of a node in the tree, from its parent to a head of the zone.
 
     :param members: all known nodes; those of other zones are ignored.
-    :param node: whose ancestors are wanted.
-    :param heads: how many nodes of the zone have no parent.
-    :param fanout: children of a node.
+    :param node: the node.
+    :param heads: number of nodes in a zone that have no parent.
+    :param fanout: children per node.
     :returns: the ancestors, nearest first; empty if the node is a head.
 
     >>> zone = [NodeRecord(f"n{n}", 1, 1, "z", "", 0, None) for n in range(40)]
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -1,7 +1,7 @@
-"""A controller's service to nodes: their leases, and the stream of updates that it publishes.
+"""The publisher of a controller: it renews the leases of nodes and publishes the stream of updates.
 
-Leases and groups are a matter between the controller and each node. Updates go only to the heads of the
-fan-out tree, to nodes that have no parent there, and to those that request what they have missed.
+Leases and shard groups are sent to each node directly. Updates are sent only to the heads of the fan-out
+tree, to nodes that have no parent at the moment, and to nodes that request updates which they have missed.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from orchidferry.mesh.control.endpoints import LEASE_S, MAX_NODES, MembershipTable
 from orchidferry.mesh.control.traffic_counter import TrafficCounter
-from orchidferry.mesh.control.update_stream import NOTHING, Followers, UpdateStream
+from orchidferry.mesh.control.update_stream import NO_CHANGES, Followers, UpdateStream
 from orchidferry.mesh.wire.codec import encode
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import (
@@ -28,12 +28,13 @@
     UpdateSubscription,
 )
 
-# Between two rounds of publishing, for each follower: so sending takes about a third of the time at most.
+# Minimum time between two rounds of publishing, for each follower: it limits sending to about a third of the
+# time.
 PAUSE_PER_FOLLOWER_S = 100e-6
 
 
 class Publisher:
-    """What one controller sends to nodes.
+    """Sends leases, updates, groups and configurations of one controller to nodes.
 
     :ivar traffic: messages and bytes that were sent to nodes.
     """
@@ -46,12 +47,14 @@
         loop: asyncio.AbstractEventLoop,
         contact_age_ms: Callable[[], int | None] = lambda: 0,
     ) -> None:
-        """Make a publisher that knows no node.
-
-        :param name: the controller's name.
-        :param incarnation: drawn at the controller's start.
-        :param contact_age_ms: how long ago a majority of controllers was surely in contact with this one;
-            None for never.
+        """Create a publisher without nodes.
+
+        :param name: name of the controller.
+        :param zone: zone of the controller.
+        :param incarnation: random number drawn at the start of the controller.
+        :param loop: the event loop, for its clock and timers.
+        :param contact_age_ms: returns how long ago a majority of controllers was surely in contact with this
+            one, in milliseconds; None for never.
         """
         self._zone = zone
         self._loop = loop
@@ -62,45 +65,45 @@
         self._members = MembershipTable()
         self._stream = UpdateStream(name, incarnation, 0)
         self._followers: Followers[Link] = Followers(MAX_NODES)
-        self._nodes: dict[Link, str] = {}  # nodes by link, as they named themselves
+        self._nodes: dict[Link, str] = {}  # by link: the name that the node sent
         self.traffic = TrafficCounter()
 
     @property
     def warm(self) -> bool:
-        """Whether all live nodes have had the time to come back to this controller."""
+        """Whether all live nodes have had time to reconnect to this controller since its start."""
         return self._loop.time() - self._started_s > LEASE_S
 
     def node_connected(self, link: Link, name: str) -> None:
-        """A node has connected and named itself."""
+        """Handle a new node, which has sent its name."""
         self._nodes[link] = name
 
     def disconnected(self, link: Link) -> None:
-        """A link is closed."""
+        """Handle the end of a link."""
         self._nodes.pop(link, None)
         self._followers.remove(link)
 
     def subscribe(self, link: Link, subscription: UpdateSubscription) -> None:
-        """Send a node all updates after its position, now and from now on."""
+        """Subscribe a node to all updates after its position."""
         stream = self._stream
-        number = subscription.number if subscription.incarnation == stream.incarnation else NOTHING
+        number = subscription.number if subscription.incarnation == stream.incarnation else NO_CHANGES
         self._followers.add(link, [(stream.controller, stream.incarnation, number)])
         self._publish()
 
     def unsubscribe(self, link: Link) -> None:
-        """Send a node no more updates: it has another source."""
+        """Stop sending updates to a node, which receives them from its parent now."""
         self._followers.remove(link)
 
     def send_missed(self, link: Link, request: UpdateRequest) -> None:
-        """Send a node once what came after its position."""
+        """Send a node the updates after its position, without subscribing it."""
         change = self._stream.changes_since(request.incarnation, request.number)
         if change is not None:
             self._send("news", link, Update(change))
 
     def renew_lease(self, link: Link, renewal: LeaseRenewal) -> None:
-        """Renew a node's lease, and take its record if that is in the renewal.
+        """Renew a node's lease, and store its record if the renewal contains it.
 
-        The answer says how far the stream of updates is, and how long ago this controller was in contact with
-        a majority.
+        The reply contains the newest number of the update stream, and the time since this controller was in
+        contact with a majority.
         """
         now = self._loop.time()
         known = True
@@ -115,7 +118,7 @@
         self._send("lease", link, lease)
 
     def announce_revision(self, revision: int) -> None:
-        """Publish that there is a new configuration."""
+        """Publish the revision of a new configuration."""
         self._stream.append(revision=revision)
         self._publish()
 
@@ -129,26 +132,26 @@
             self._publish()
 
     def send_group(self, group: GroupAnnouncement, link: Link | None = None) -> None:
-        """Send the group of a shard's controllers: directly, as claims of operation keys wait for it.
+        """Send the group of a shard's controllers directly, as claims of operation keys wait for it.
 
-        :param link: of the node that gets it; None for all nodes.
+        :param link: link to the receiving node; None for all nodes.
         """
         data = encode(group)
         for receiver in [link] if link is not None else list(self._nodes):
             self._send_encoded("group", receiver, data)
 
     def send_revision(self, link: Link, revision: Revision) -> None:
-        """Answer a node that asked for the newest revision."""
+        """Send the newest revision to a node that has asked for it."""
         self._send("number", link, revision)
 
     def send_configuration(self, link: Link, text: ConfigurationText) -> None:
-        """Answer a node that asked for the configuration."""
+        """Send a configuration to a node that has fetched it."""
         self._send("text", link, text)
 
     def _publish(self) -> None:
-        """Send followers what is new: at once, or after a pause if there was such a round just now.
+        """Send new changes to all followers, at once or after a pause if the last round was just now.
 
-        The pause puts many changes into one round, as when a whole fleet reconnects.
+        The pause combines many changes into one round, for example when a whole fleet reconnects.
         """
         now = self._loop.time()
         if now < self._next_publish_s:
--- a/orchidferry/mesh/control/relay.py
+++ b/orchidferry/mesh/control/relay.py
@@ -1,6 +1,6 @@
-"""A node as a relay: it forwards the updates and the configuration that it receives to its followers.
+"""A relay: the part of a node that forwards received updates and configurations to the node's followers.
 
-No I/O of its own: links and the event loop's clock are handed in.
+No I/O of its own: links and the event loop's clock are passed in.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
     Update,
 )
 
-SUBSCRIBE_TIMEOUT_S = 3.0  # one that has connected and not subscribed by then is disconnected
-MAX_LINKS = 4 * MAX_FOLLOWERS
-MAX_POSITIONS = 32
-MAX_PENDING_BYTES = 1024 * 1024  # that may wait for a follower that does not read
+SUBSCRIBE_TIMEOUT_S = 3.0  # time after which a connected node that has not subscribed is disconnected
+MAX_LINKS = 4 * MAX_FOLLOWERS  # links of followers and of nodes that have not subscribed yet
+MAX_POSITIONS = 32  # stream positions accepted from one follower
+MAX_PENDING_BYTES = 1024 * 1024  # maximum unsent data for a follower that does not read
 
 
 class Relay:
-    """The followers of one node.
+    """Accepts followers of one node and forwards updates and configurations to them.
 
-    :ivar followers: the nodes that have subscribed here.
-    :ivar traffic: messages and bytes that were sent to them.
+    :ivar followers: the nodes that have subscribed to this node.
+    :ivar traffic: messages and bytes that were sent to followers.
     """
 
     def __init__(
@@ -47,12 +47,12 @@
         streams: dict[str, UpdateStream],
         has_controllers: Callable[[], bool],
     ) -> None:
-        """Make a relay without followers.
+        """Create a relay without followers.
 
         :param node: the node itself.
-        :param loop: for its clock.
+        :param loop: the event loop, for its clock.
         :param streams: the node's copies of the controllers' streams, by controller.
-        :param has_controllers: whether the node is connected to any controller.
+        :param has_controllers: returns whether the node is connected to any controller.
         """
         self._node = node
         self._loop = loop
@@ -60,21 +60,21 @@
         self._has_controllers = has_controllers
         self.followers: Followers[Link] = Followers()
         self.traffic = TrafficCounter()
-        self._subscribe_due_s: dict[Link, float] = {}  # of links that have not subscribed yet
+        self._subscribe_due_s: dict[Link, float] = {}  # deadlines of links that have not subscribed yet
         self._same_zone: dict[Link, bool] = {}
-        self._revision = NO_REVISION  # of the newest configuration that has come
-        self._configuration: bytes | None = None  # its text, while there are followers
+        self._revision = NO_REVISION  # revision of the newest configuration received
+        self._configuration: bytes | None = None  # its compressed text, kept while there are followers
         self._pending_fetches: dict[Link, ConfigurationFetch] = {}
 
     def connected(self, link: Link) -> None:
-        """Another node has connected."""
+        """Handle a new link from another node."""
         if len(self._subscribe_due_s) + len(self.followers.positions) >= MAX_LINKS:
             return link.close()
         self._subscribe_due_s[link] = self._loop.time() + SUBSCRIBE_TIMEOUT_S
         return None
 
     def disconnected(self, link: Link) -> None:
-        """A link that another node made is closed."""
+        """Handle the end of a link from another node."""
         self._subscribe_due_s.pop(link, None)
         self._same_zone.pop(link, None)
         self._pending_fetches.pop(link, None)
@@ -83,7 +83,7 @@
             self._configuration = None
 
     def received(self, link: Link, message: Message) -> None:
-        """Handle a message of a node that has connected."""
+        """Handle a message from a connected node."""
         if isinstance(message, RelaySubscription) and link in self._subscribe_due_s:
             self._subscribe(link, message)
         elif link not in self.followers.positions:
@@ -97,13 +97,13 @@
             self._answer_fetches()
 
     def close_idle_links(self) -> None:
-        """Close the links of those that have not subscribed in time."""
+        """Close the links of nodes that have not subscribed in time."""
         now = self._loop.time()
         for link in [link for link, due_s in self._subscribe_due_s.items() if now >= due_s]:
             link.close()
 
     def forward(self, streams: Iterable[UpdateStream]) -> None:
-        """Send each follower what it lacks of these streams."""
+        """Send each follower the changes of these streams that it lacks."""
         for stream in streams:
             for change, links in self.followers.advance(stream):
                 data = encode(Update(change))
@@ -111,17 +111,20 @@
                     self._send_encoded("news", link, data)
 
     def configuration_received(self, revision: int, raw: bytes) -> None:
-        """The node has received a configuration.
+        """Handle a configuration that the node has received, and answer pending fetches.
 
-        :param revision: of the configuration.
-        :param raw: its text, compressed.
+        :param revision: revision of the configuration.
+        :param raw: compressed text of the configuration.
         """
         self._revision = revision
         self._configuration = raw if self.followers.positions else None
         self._answer_fetches()
 
     def _subscribe(self, link: Link, subscription: RelaySubscription) -> None:
-        """Accept those of a higher rank only, so that no two nodes can follow each other."""
+        """Accept a follower, or send `RelayFull`.
+
+        Only followers of a higher rank are accepted, so that two nodes can't follow each other.
+        """
         self._same_zone[link] = subscription.zone == self._node.zone
         own_rank = tree_rank(self._node.name, self._node.boot)
         precedes = own_rank < tree_rank(subscription.name, subscription.boot)
@@ -135,7 +138,7 @@
         return None
 
     def _answer_fetches(self) -> None:
-        """Answer the fetches whose configuration is here, or of which nothing is announced."""
+        """Answer the fetches of revisions that are here, or that no known controller has announced."""
         announced = max((stream.revision for stream in self._streams.values()), default=0)
         for link, fetch in list(self._pending_fetches.items()):
             if self._revision < fetch.revision <= announced:
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -1,11 +1,11 @@
-"""A node's subscriptions to the controllers' streams of updates.
+"""A node's subscriptions to the update streams of the controllers.
 
-Its parent in the fan-out tree, or the controllers themselves, and how it finds and closes gaps.
+A node receives updates from its parent in the fan-out tree or, without a parent, from the controllers. Gaps
+are detected by lease renewals: each reply of a controller contains the newest number of its stream, and an
+update that has not arrived through the tree `CATCH_UP_DELAY_S` later is requested from the controllers. A
+relay that is frozen, partitioned or faulty therefore delays updates by no more than that.
 
-No I/O of its own: links, the event loop's clock and the dialling are handed in. What the node knows rests on
-its leases: each answer of a controller says how far that controller's stream is, and what has not come down
-the tree `CATCH_UP_DELAY_S` later is requested from the controllers. That is all that a relay costs which is
-frozen, cut off or faulty.
+No I/O of its own: links, the event loop's clock and the dial function are passed in.
 """
 
 from __future__ import annotations
@@ -38,24 +38,27 @@
     UpdateUnsubscription,
 )
 
-CATCH_UP_DELAY_S = 0.15  # for updates to come down the tree, once a controller has said how far it is
-FIRST_REVIEW_S = 1.0  # after its start a node is subscribed to the controllers for so long at least
-REVIEW_INTERVAL_S = (5.0, 15.0)  # between reviews of the node's parent: drawn between these
+CATCH_UP_DELAY_S = 0.15  # time for an update to arrive through the tree after a controller has announced it
+FIRST_REVIEW_S = 1.0  # minimum time after its start for which a node stays subscribed to the controllers
+REVIEW_INTERVAL_S = (5.0, 15.0)  # the time between two choices of a parent is drawn from this range
 DIAL_TIMEOUT_S = 1.0
-ANSWER_TIMEOUT_S = 0.4  # for a parent to accept this node, or to show that it lives
-MAX_GAPS = 3  # in a row, with no update from a parent
-GAP_WINDOW_S = 0.4  # gaps within this count as one: each controller announces the same change
-# before a failed parent is tried again, doubling
+ANSWER_TIMEOUT_S = 0.4  # time for a parent to accept this node, or to prove that it is alive
+MAX_GAPS = 3  # consecutive gaps, without an update from the parent, after which the parent is dropped
+GAP_WINDOW_S = 0.4  # gaps within this time count as one, as each controller announces the same change
+# Delay before a failed parent is tried again; it doubles with each failure.
 MIN_BACKOFF_S = 4.0
 MAX_BACKOFF_S = 60.0
 
 
 @dataclass(slots=True)
 class Parent:
-    """A node that this one follows, or asks to.
+    """A node that this node follows, or has asked to follow.
 
-    :param answer_due_s: when it must have answered; infinite if nothing is asked of it.
-    :param gaps: how many times in a row updates had to be requested from the controllers.
+    :param record: the record of the parent.
+    :param answer_due_s: time by which it must have answered; infinite while no answer is expected.
+    :param link: the link to the parent; None while it is being dialled.
+    :param gaps: consecutive gaps in which updates had to be requested from the controllers.
+    :param last_gap_s: time of the last gap.
     """
 
     record: NodeRecord
@@ -67,7 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """After a parent has failed."""
+    """The pause before a failed parent is tried again.
+
+    :param until_s: time at which the pause ends.
+    :param duration_s: its length before randomisation; the next pause is twice as long.
+    """
 
     until_s: float
     duration_s: float
@@ -80,8 +87,8 @@
     """The subscriptions of one node.
 
     :ivar streams: copies of the controllers' streams, by controller.
-    :ivar parent: the node that this one follows; None while it follows the controllers.
-    :ivar relay: forwards what comes to this node's own followers.
+    :ivar parent: the node that this node follows; None while it follows the controllers.
+    :ivar relay: forwards updates to the followers of this node.
     """
 
     def __init__(
@@ -94,13 +101,15 @@
         on_revision: Callable[[int, Link], None],
         heads: int = HEADS,
     ) -> None:
-        """Make a subscriber that knows no controller.
+        """Create a subscriber that knows no controller.
 
         :param node: the node itself.
-        :param dial: connect to a node of this name and address, and call `dial_finished` once.
-        :param on_update: called when some controller's stream has changed.
-        :param on_revision: called with a newly announced revision, and the link that it came by.
-        :param heads: nodes of a zone that have no parent.
+        :param loop: the event loop, for its clock and timers.
+        :param rng: the source of random delays.
+        :param dial: dials the node with the given name and IP address, then calls `dial_finished` once.
+        :param on_update: called when the stream of any controller has changed.
+        :param on_revision: called with a newly announced revision and the link over which it was received.
+        :param heads: number of nodes in a zone that have no parent.
         """
         self._node = node
         self._loop = loop
@@ -111,39 +120,39 @@
         self._heads = heads
         self.streams: dict[str, UpdateStream] = {}
         self._controllers: dict[str, Link] = {}  # open links
-        self._subscribed: set[str] = set()  # controllers that send this node all updates
-        self._catching_up: set[str] = set()  # controllers whose updates are waited for
+        self._subscribed: set[str] = set()  # controllers that send all updates to this node
+        self._catching_up: set[str] = set()  # controllers with a pending `_catch_up` call
         self._members: dict[str, NodeRecord] = {}
         self.parent: Parent | None = None
         self._candidate: Parent | None = None
-        self._backoffs: dict[str, Backoff] = {}  # by node
+        self._backoffs: dict[str, Backoff] = {}  # by node name
         self._review_due_s = loop.time() + FIRST_REVIEW_S * (1.0 + rng.random())
         self.relay = Relay(node, loop, self.streams, lambda: bool(self._controllers))
 
     # Controllers
 
     def controller_connected(self, controller: str, link: Link) -> None:
-        """There is a link to a controller."""
+        """Handle a new link to a controller."""
         self.streams.setdefault(controller, UpdateStream(controller))
         self._controllers[controller] = link
         self._subscribed.discard(controller)
         self._update_subscriptions()
 
     def controller_disconnected(self, controller: str) -> None:
-        """The link to a controller is closed."""
+        """Handle the end of the link to a controller."""
         self._controllers.pop(controller, None)
         self._subscribed.discard(controller)
 
     def remove_controller(self, controller: str) -> None:
-        """Forget one that is no controller any more."""
+        """Forget a node that is no longer a controller."""
         self.controller_disconnected(controller)
         self.streams.pop(controller, None)
 
     def lease_renewed(self, controller: str, incarnation: int, number: int) -> None:
-        """A controller has renewed the node's lease.
+        """Handle a lease renewal by a controller: catch up if its stream is ahead of the copy here.
 
-        :param incarnation: of the controller's stream.
-        :param number: of the newest change in it.
+        :param incarnation: incarnation of the controller's stream.
+        :param number: number of the newest change in the stream.
         """
         stream = self.streams[controller]
         if stream.incarnation != incarnation:
@@ -153,12 +162,15 @@
             self._loop.call_later(CATCH_UP_DELAY_S, self._catch_up, controller, incarnation, number)
 
     def _reset_stream(self, stream: UpdateStream, incarnation: int) -> None:
-        """A controller has named a new incarnation: only from now on a parent may send its updates."""
+        """Expect a new incarnation of a controller's stream; a parent may send it only from now on."""
         stream.reset(incarnation)
         self._send_positions()
 
     def _catch_up(self, controller: str, incarnation: int, number: int) -> None:
-        """Request what has not come from all controllers: a parent may withhold the updates of each."""
+        """Request an update that has not arrived in time.
+
+        A node with a parent asks all controllers, as the parent may withhold the updates of every controller.
+        """
         self._catching_up.discard(controller)
         stream = self.streams.get(controller)
         if stream is None or stream.incarnation != incarnation or stream.number >= number:
@@ -170,7 +182,7 @@
             self._count_gap(self.parent)
 
     def _count_gap(self, parent: Parent) -> None:
-        """A parent has not sent an update in time: drop it if that recurs, and else check that it lives."""
+        """Count a missing update of a parent; drop it after `MAX_GAPS`, else check that it is alive."""
         now = self._loop.time()
         if now < parent.last_gap_s + GAP_WINDOW_S:
             return None
@@ -184,7 +196,7 @@
         return None
 
     def from_controller(self, link: Link, update: Update) -> None:
-        """Take an update that came over a controller's own link."""
+        """Handle an update received directly from a controller."""
         self._apply(link, update, from_controller=True)
 
     def _apply(self, link: Link, update: Update, from_controller: bool) -> None:
@@ -205,7 +217,7 @@
         self._on_update()
 
     def _intern_records(self, change: StreamChange) -> StreamChange:
-        """The change with equal records replaced by those of other streams: one copy in memory for all."""
+        """Replace records by equal ones of other streams, so that there is one copy in memory."""
         others = [s.records for s in self.streams.values() if s.controller != change.controller]
 
         def shared(record: NodeRecord) -> NodeRecord:
@@ -218,7 +230,7 @@
         return msgspec.structs.replace(change, updated=[shared(record) for record in change.updated])
 
     def _update_subscriptions(self) -> None:
-        """Be subscribed to the controllers exactly while there is no parent."""
+        """Subscribe to the controllers if there is no parent, and else unsubscribe."""
         for controller, link in self._controllers.items():
             stream = self.streams[controller]
             if self.parent is None and controller not in self._subscribed:
@@ -231,7 +243,7 @@
     # The parent
 
     def set_members(self, members: dict[str, NodeRecord]) -> None:
-        """Take a new member list; a parent that is not in it any more is dropped."""
+        """Set the member list; a parent that is no longer in it, or has restarted, is dropped."""
         self._members = members
         for parent in (self.parent, self._candidate):
             if parent is None:
@@ -241,7 +253,7 @@
                 self._fail(parent, "is no member any more")
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Drop parents that did not answer in time, close idle links and review the choice of the parent."""
         now = self._loop.time()
         for parent in (self.parent, self._candidate):
             if parent is not None and now >= parent.answer_due_s:
@@ -252,7 +264,7 @@
             self._review(now)
 
     def _review(self, now: float) -> None:
-        """Dial the nearest possible parent, if that is not the present one."""
+        """Dial the nearest ancestor that is not in backoff, unless it is the present parent."""
         self._backoffs = {name: entry for name, entry in self._backoffs.items() if name in self._members}
         candidates = parent_candidates(self._members.values(), self._node, self._heads)
         if not candidates and self.parent is not None:
@@ -266,9 +278,10 @@
         return None
 
     def dial_finished(self, name: str, link: Link | None) -> None:
-        """Dialling a node has succeeded or failed.
+        """Handle the result of dialling a node.
 
-        :param link: None if the node can't be reached.
+        :param name: name of the node.
+        :param link: the new link; None if the node can't be reached.
         """
         candidate = self._candidate
         if candidate is None or candidate.record.name != name or candidate.link is not None:
@@ -287,13 +300,13 @@
         return [(stream.controller, stream.incarnation, stream.number) for stream in self.streams.values()]
 
     def _send_positions(self) -> None:
-        """Send the parent, and whoever is asked to be one, how far this node is."""
+        """Send the stream positions of this node to its parent and to a candidate for one."""
         for parent in (self.parent, self._candidate):
             if parent is not None and parent.link is not None:
                 parent.link.send(RelayPositions(self._positions()))
 
     def from_parent(self, link: Link, message: Message) -> None:
-        """Handle a message of a parent; the configuration's text is not handled here."""
+        """Handle a message from a parent or a candidate, except for the configuration's text."""
         parent = self.parent
         candidate = self._candidate
         if candidate is not None and link is candidate.link:
@@ -318,13 +331,13 @@
         self._update_subscriptions()
 
     def parent_disconnected(self, link: Link) -> None:
-        """A link to a parent is closed."""
+        """Handle the end of a link to a parent or a candidate."""
         for parent in (self.parent, self._candidate):
             if parent is not None and link is parent.link:
                 self._fail(parent, "has closed the link")
 
     def _fail(self, parent: Parent, reason: str) -> None:
-        """Back off from a parent, and try another soon."""
+        """Drop a parent or a candidate, back off from it, and review the choice soon."""
         name = parent.record.name
         now = self._loop.time()
         logger.info("subscriber: parent={} reason={!r}", name, reason)
@@ -339,7 +352,7 @@
             self._drop_parent()
 
     def _drop_parent(self) -> None:
-        """Subscribe to the controllers until there is another parent."""
+        """Drop the parent and subscribe to the controllers."""
         parent = self.parent
         self.parent = None
         self._update_subscriptions()
--- a/orchidferry/mesh/control/traffic_counter.py
+++ b/orchidferry/mesh/control/traffic_counter.py
@@ -9,7 +9,7 @@
 class TrafficCounter:
     """Messages and bytes sent since the start.
 
-    :param sent: messages and bytes, by kind and by whether the receiver is in the sender's zone.
+    :param sent: numbers of messages and bytes, by kind and by whether the receiver is in the sender's zone.
     """
 
     sent: dict[tuple[str, bool], list[int]] = field(default_factory=dict)
@@ -17,14 +17,14 @@
     def add(self, kind: str, same_zone: bool, size: int) -> None:
         """Count one message.
 
-        :param kind: of the message.
-        :param same_zone: whether its receiver is in the sender's zone.
-        :param size: in bytes.
+        :param kind: kind of the message.
+        :param same_zone: whether the receiver is in the sender's zone.
+        :param size: size of the message in bytes.
         """
         entry = self.sent.setdefault((kind, same_zone), [0, 0])
         entry[0] += 1
         entry[1] += size
 
     def messages(self, kind: str) -> int:
-        """All messages of a kind."""
+        """Return the number of messages of a kind, to all zones."""
         return sum(count for (of, _), (count, _) in self.sent.items() if of == kind)
--- a/orchidferry/mesh/control/update_stream.py
+++ b/orchidferry/mesh/control/update_stream.py
@@ -1,8 +1,8 @@
-"""A controller's stream of updates: changes of its member list and of the configuration's revision. Pure.
+"""A controller's stream of updates: changes of its member list and of the configuration's revision. No I/O.
 
-A controller numbers its changes: an incarnation, drawn at the controller's start, and a number that rises by
-one with each change. Whoever holds a copy of a stream can bring another copy up to date: by the difference,
-while its log of changes reaches back far enough, else by a complete list.
+A change is identified by the controller, an incarnation drawn at the start of the controller's process, and a
+number that rises by one with each change. Any copy of a stream can bring another copy up to date: with a
+difference while its log of changes reaches back far enough, else with a complete list.
 """
 
 from __future__ import annotations
@@ -16,25 +16,29 @@
 from orchidferry.mesh.control.endpoints import NodeRecord
 from orchidferry.mesh.control.fanout_tree import MAX_FOLLOWERS
 
-MAX_LOG_CHANGES = 256  # that a difference may reach back
-MAX_LOG_NAMES = 2_048  # names of nodes in the log's changes
+MAX_LOG_CHANGES = 256  # changes in the log; a difference can't reach further back
+MAX_LOG_NAMES = 2_048  # total of node names in the changes of the log
 
-NOTHING = -1  # number of a stream of whose incarnation nothing has come; `since` of a complete list
+NO_CHANGES = -1  # number of a stream before its first change has arrived, and `since` of a complete list
 
 LinkT = TypeVar("LinkT")
 
 
 class LogPosition(NamedTuple):
-    """How much of one controller's stream a follower has."""
+    """The position up to which a follower has one controller's stream."""
 
     incarnation: int
     number: int
 
 
 class StreamChange(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What changed in a controller's stream after `since`, up to `number`.
+    """The changes of a controller's stream after the number `since` up to `number`, in one message.
 
-    With `since` at `NOTHING` it is the complete list.
+    If `since` is `NO_CHANGES`, the message contains the complete member list.
+
+    :param updated: records of new or changed nodes.
+    :param removed: names of nodes that are no longer members.
+    :param revision: newest revision of the configuration that the controller knows; 0 for none.
     """
 
     controller: str
@@ -43,15 +47,15 @@
     number: int
     updated: list[NodeRecord]
     removed: list[str]
-    revision: int  # of the configuration, as the controller knows it; 0 for none
+    revision: int
 
     def __post_init__(self) -> None:
-        if not NOTHING <= self.since < self.number:
+        if not NO_CHANGES <= self.since < self.number:
             raise ValueError("a change ends after its beginning")
 
 
 class _LoggedChange(NamedTuple):
-    """One change in the log: which nodes it concerned."""
+    """One change in the log, with the names of the nodes that it updated or removed."""
 
     since: int
     number: int
@@ -59,13 +63,16 @@
 
 
 class UpdateStream:
-    """One controller's stream, at that controller itself or as a copy.
+    """One controller's stream, at that controller itself or as a copy at a node.
 
+    :ivar controller: name of the controller.
+    :ivar incarnation: incarnation of the stream.
+    :ivar number: number of the newest change; `NO_CHANGES` if there is none.
     :ivar records: the member list, by node name.
     :ivar revision: the newest revision of the configuration that the controller has announced.
     """
 
-    def __init__(self, controller: str, incarnation: int = 0, number: int = NOTHING) -> None:
+    def __init__(self, controller: str, incarnation: int = 0, number: int = NO_CHANGES) -> None:
         self.controller = controller
         self.incarnation = incarnation
         self.number = number
@@ -75,23 +82,23 @@
         self._logged_names = 0
 
     def reset(self, incarnation: int) -> None:
-        """Expect the stream of another incarnation.
+        """Expect another incarnation of the stream.
 
-        The member list of the last one stands until the new one's complete list is here.
+        The member list of the previous incarnation is kept until the complete list of the new one arrives.
         """
         self.incarnation = incarnation
-        self.number = NOTHING
+        self.number = NO_CHANGES
         self._log.clear()
         self._logged_names = 0
 
     def append(
         self, updated: Iterable[NodeRecord] = (), removed: Iterable[str] = (), revision: int = 0
     ) -> None:
-        """Add the next change, at the controller itself.
+        """Append the next change, at the controller itself.
 
         :param updated: records of new or changed nodes.
-        :param removed: names of nodes that are members no more.
-        :param revision: of a new configuration; 0 for none.
+        :param removed: names of nodes that are no longer members.
+        :param revision: revision of a new configuration; 0 for none.
         """
         number = self.number + 1
         self._merge(
@@ -107,9 +114,9 @@
         )
 
     def apply(self, change: StreamChange) -> bool:
-        """Apply a change that was received.
+        """Apply a received change.
 
-        :returns: whether it was new, and continued what is here.
+        :returns: whether the change was applied: it is new, and follows the newest change without a gap.
         """
         if (
             change.incarnation != self.incarnation
@@ -117,7 +124,7 @@
             or change.since > self.number
         ):
             return False
-        if change.since == NOTHING:  # what was added and removed in between is unknown: the log starts anew
+        if change.since == NO_CHANGES:  # the log is cleared, as the changes before the list are unknown
             self.reset(self.incarnation)
             self.records.clear()
         self._merge(change)
@@ -128,7 +135,7 @@
             self.records[record.name] = record
         for name in change.removed:
             self.records.pop(name, None)
-        if self.number != NOTHING:
+        if self.number != NO_CHANGES:
             names = (*(record.name for record in change.updated), *change.removed)
             self._log.append(_LoggedChange(self.number, change.number, names))
             self._logged_names += len(names)
@@ -138,16 +145,16 @@
         self.revision = max(self.revision, change.revision)
 
     def changes_since(self, incarnation: int, number: int) -> StreamChange | None:
-        """What a copy at this position lacks.
+        """Return the changes that a copy at this position lacks.
 
-        :returns: the difference, the complete list if the log does not reach back so far, or None if the copy
-            lacks nothing.
+        :returns: the difference, the complete list if the log does not reach back far enough, or None if the
+            copy is up to date.
         """
         same_incarnation = incarnation == self.incarnation
-        if self.number == NOTHING or (same_incarnation and number >= self.number):
+        if self.number == NO_CHANGES or (same_incarnation and number >= self.number):
             return None
         if not same_incarnation or not self._log or number < self._log[0].since:
-            return self._change(NOTHING, list(self.records.values()), [])
+            return self._change(NO_CHANGES, list(self.records.values()), [])
         names = {name for logged in self._log if logged.number > number for name in logged.names}
         updated = [self.records[name] for name in names if name in self.records]
         removed = [name for name in names if name not in self.records]
@@ -160,9 +167,9 @@
 
 
 class Followers(Generic[LinkT]):
-    """Those to whom the changes of streams are forwarded, each by a link, and the position of each.
+    """The followers to which changes are forwarded, each over a link, and their positions in the streams.
 
-    :ivar positions: by follower and controller.
+    :ivar positions: positions by link to the follower and by controller.
     """
 
     def __init__(self, max_followers: int = MAX_FOLLOWERS) -> None:
@@ -170,10 +177,11 @@
         self.positions: dict[LinkT, dict[str, LogPosition]] = {}
 
     def add(self, link: LinkT, positions: Iterable[tuple[str, int, int]]) -> bool:
-        """Add a follower, or replace its positions.
+        """Add a follower, or replace the positions of a known one.
 
+        :param link: link to the follower.
         :param positions: controller, incarnation and number of each stream that the follower knows.
-        :returns: False if there are too many followers already.
+        :returns: False if the follower is new and the maximum number is reached.
         """
         if link not in self.positions and len(self.positions) >= self._max_followers:
             return False
@@ -183,16 +191,16 @@
         return True
 
     def remove(self, link: LinkT) -> None:
-        """Forward nothing more to this follower."""
+        """Remove a follower."""
         self.positions.pop(link, None)
 
     def advance(self, stream: UpdateStream) -> list[tuple[StreamChange, list[LinkT]]]:
         """Advance all followers to the end of a stream.
 
-        A follower that has not named the stream's incarnation gets nothing: each node learns of incarnations
+        A follower whose position is in another incarnation gets nothing: each node learns of new incarnations
         from the controller itself.
 
-        :returns: the changes that are to be sent now, and to whom.
+        :returns: the changes to send now, each with the links of its receivers.
         """
         links_by_number: dict[int, list[LinkT]] = {}
         unknown = LogPosition(0, 0)
--- a/tests/mesh/control/test_control_client.py
+++ b/tests/mesh/control/test_control_client.py
@@ -1,4 +1,4 @@
-"""A node that reaches an isolated controller among others, or that one alone."""
+"""From which controllers a node reads the newest revision and fetches the configuration."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from tests.mesh.examples import SETTINGS_TABLES
 from tests.mesh.fakes import Loop
 
-NAMES = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
+NAMES = ("10.0.0.1", "10.0.0.2", "10.0.0.3")  # controllers
 
 
-AGE_MS = round(1e3 * CONTACT_S)
+ISOLATED_MS = round(1e3 * CONTACT_S)  # age of the last contact of a controller that is out of contact
 
 
-class Wire:
-    """A node's end of a link to a controller; notes what is sent."""
+class FakeLink:
+    """A node's end of a link to a controller; records the messages that the node sends."""
 
     def __init__(self, loop: Any, peer: str) -> None:
         self.loop, self.peer, self.open, self.last_received_s = loop, peer, True, loop.time()
@@ -37,16 +37,16 @@
     def send(self, message: Message) -> None:
         self.sent.append(message)
 
-    def asked(self) -> list[RevisionRead | ConfigurationFetch]:
-        """What was asked of the configuration."""
+    def requests(self) -> list[RevisionRead | ConfigurationFetch]:
+        """Return the requests for the revision or the configuration."""
         return [m for m in self.sent if isinstance(m, RevisionRead | ConfigurationFetch)]
 
     def close(self) -> None:
         self.open = False
 
 
-class Rig:
-    """One node with links to these controllers."""
+class ConnectedNode:
+    """One node with links to the given controllers."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.loop = cast(Any, Loop())
@@ -57,134 +57,137 @@
         )
         self.node._connections.clear()
         self.node.set_seeds(names)
-        self.wires = {name: Wire(self.loop, name) for name in names}
+        self.links = {name: FakeLink(self.loop, name) for name in names}
         for name, controller in self.node._connections.items():
-            wire: Any = self.wires[name]
-            controller.link = wire
-            self.node._subscriber.controller_connected(name, wire)
-
-    def tell(self, name: str, message: Message) -> None:
-        """A controller's message comes."""
-        wire: Any = self.wires[name]
-        wire.last_received_s = self.loop.time()
-        self.node._handle(wire, message)
-
-    def lease(self, name: str, age_ms: int | None, revision: int = 0) -> None:
-        """A controller answers a renewal, and has told of this revision."""
-        self.tell(name, Lease(1, True, True, 7, 0, age_ms))
+            link: Any = self.links[name]
+            controller.link = link
+            self.node._subscriber.controller_connected(name, link)
+
+    def receive(self, name: str, message: Message) -> None:
+        """Deliver a message from a controller to the node."""
+        link: Any = self.links[name]
+        link.last_received_s = self.loop.time()
+        self.node._handle(link, message)
+
+    def renew_lease(self, name: str, age_ms: int | None, revision: int = 0) -> None:
+        """Deliver a controller's reply to a lease renewal; the controller has announced a revision.
+
+        :param age_ms: time since the controller was in contact with a majority; None for never
+        """
+        self.receive(name, Lease(1, True, True, 7, 0, age_ms))
         self.node._subscriber.streams[name].revision = revision
 
     def ticks(self, count: int) -> None:
-        """Time passes; all controllers show that they live."""
+        """Let time pass, in ticks of the node."""
         for _ in range(count):
             self.loop.pass_ms(1e3 * TICK_S)
 
 
 def test_a_node_that_reaches_only_an_isolated_controller_gets_no_configuration() -> None:
-    rig = Rig(NAMES[:1])
-    rig.node.start()
+    harness = ConnectedNode(NAMES[:1])
+    harness.node.start()
     for _ in range(100):
-        rig.lease(NAMES[0], AGE_MS, 5)
-        for asked in rig.wires[NAMES[0]].asked()[-1:]:
-            rig.tell(NAMES[0], Revision(asked.request, -1))
-        rig.ticks(1)
-    assert {type(message) for message in rig.wires[NAMES[0]].asked()} == {RevisionRead}
-    assert not rig.node.has_initial_configuration and not rig.texts
+        harness.renew_lease(NAMES[0], ISOLATED_MS, 5)
+        for request in harness.links[NAMES[0]].requests()[-1:]:
+            harness.receive(NAMES[0], Revision(request.request, -1))
+        harness.ticks(1)
+    assert {type(message) for message in harness.links[NAMES[0]].requests()} == {RevisionRead}
+    assert not harness.node.has_initial_configuration and not harness.texts
 
 
-def read_everywhere(rig: Rig) -> list[int]:
-    """What a node asks on each new link at its start; the numbers of its questions."""
-    for wire in rig.wires.values():
-        rig.node._fetcher.read_revision(cast(Any, wire))
-    return [rig.wires[name].asked()[0].request for name in NAMES]
+def read_revision(harness: ConnectedNode) -> list[int]:
+    """Send the requests that a starting node sends over each new link; return their numbers."""
+    for link in harness.links.values():
+        harness.node._fetcher.read_revision(cast(Any, link))
+    return [harness.links[name].requests()[0].request for name in NAMES]
 
 
 def test_a_starting_node_reads_the_revision_everywhere_and_fetches_the_text_once() -> None:
-    """Each of the controllers sent it the whole text."""
-    rig = Rig(NAMES)
-    rids = read_everywhere(rig)
-    rig.tell(NAMES[1], Revision(rids[1], 5))
-    rig.tell(NAMES[0], Revision(rids[0], 5))
-    assert [[type(asked) for asked in rig.wires[name].asked()] for name in NAMES] == [
+    """Each controller sent the node the complete text."""
+    harness = ConnectedNode(NAMES)
+    numbers = read_revision(harness)
+    harness.receive(NAMES[1], Revision(numbers[1], 5))
+    harness.receive(NAMES[0], Revision(numbers[0], 5))
+    assert [[type(request) for request in harness.links[name].requests()] for name in NAMES] == [
         [RevisionRead],
         [RevisionRead, ConfigurationFetch],
         [RevisionRead],
     ]
-    assert not rig.node.has_initial_configuration
-    rig.tell(NAMES[1], ConfigurationText(rig.wires[NAMES[1]].asked()[1].request, 5, b"text"))
-    assert rig.node.has_initial_configuration and rig.texts == [(5, b"text")]
+    assert not harness.node.has_initial_configuration
+    harness.receive(NAMES[1], ConfigurationText(harness.links[NAMES[1]].requests()[1].request, 5, b"text"))
+    assert harness.node.has_initial_configuration and harness.texts == [(5, b"text")]
 
 
 def test_a_text_older_than_the_revision_read_is_not_enough() -> None:
-    """The controller that told the number is gone, and another one has not heard of that revision."""
-    rig = Rig(NAMES)
-    rids = read_everywhere(rig)
-    rig.tell(NAMES[0], Revision(rids[0], 5))
-    rig.node._controller_disconnected(cast(Any, rig.wires[NAMES[0]]))
-    rig.node._connections[NAMES[0]].dialling = True
+    """The controller that sent the number has failed, and another one does not know that revision yet."""
+    harness = ConnectedNode(NAMES)
+    numbers = read_revision(harness)
+    harness.receive(NAMES[0], Revision(numbers[0], 5))
+    harness.node._controller_disconnected(cast(Any, harness.links[NAMES[0]]))
+    harness.node._connections[NAMES[0]].dialling = True
     for name in NAMES[1:]:
-        rig.lease(name, 100)
-    for revision, settled in ((4, False), (5, True)):
-        rig.node._tick()
-        last = {name: rig.wires[name].asked()[-1] for name in NAMES[1:]}
-        fetches = {name: asked for name, asked in last.items() if isinstance(asked, ConfigurationFetch)}
+        harness.renew_lease(name, 100)
+    for revision, enough in ((4, False), (5, True)):
+        harness.node._tick()
+        last = {name: harness.links[name].requests()[-1] for name in NAMES[1:]}
+        fetches = {name: request for name, request in last.items() if isinstance(request, ConfigurationFetch)}
         name = max(fetches, key=lambda name: fetches[name].request)
-        rig.tell(name, ConfigurationText(fetches[name].request, revision, b"text"))
-        assert rig.node.has_initial_configuration is settled
+        harness.receive(name, ConfigurationText(fetches[name].request, revision, b"text"))
+        assert harness.node.has_initial_configuration is enough
 
 
 def test_without_a_configuration_the_revision_alone_is_enough() -> None:
-    rig = Rig(NAMES)
-    rids = read_everywhere(rig)
-    rig.tell(NAMES[2], Revision(rids[2], 0))
-    assert rig.node.has_initial_configuration and not rig.texts
-    assert all(len(wire.asked()) == 1 for wire in rig.wires.values())
+    harness = ConnectedNode(NAMES)
+    numbers = read_revision(harness)
+    harness.receive(NAMES[2], Revision(numbers[2], 0))
+    assert harness.node.has_initial_configuration and not harness.texts
+    assert all(len(link.requests()) == 1 for link in harness.links.values())
 
 
-@pytest.mark.parametrize("age_ms", [AGE_MS, None])
+@pytest.mark.parametrize("age_ms", [ISOLATED_MS, None])
 def test_a_controller_out_of_contact_is_not_asked_while_another_is_in_contact(age_ms: int | None) -> None:
-    rig = Rig(NAMES)
-    rig.node._fetcher.caught_up = True
-    rig.node._fetcher.wanted_revision = 6
+    harness = ConnectedNode(NAMES)
+    harness.node._fetcher.caught_up = True
+    harness.node._fetcher.wanted_revision = 6
     for number, name in enumerate(NAMES):
-        rig.lease(name, age_ms if not number else 100, 5 + number)
+        harness.renew_lease(name, age_ms if not number else 100, 5 + number)
     for _ in range(40):
-        assert rig.node._fetcher._choose_controller().name in NAMES[1:]  # type: ignore[union-attr]
-    rig.node._fetcher.wanted_revision = 7  # only the third has told of it
-    assert {rig.node._fetcher._choose_controller().name for _ in range(40)} == {NAMES[2]}  # type: ignore[union-attr]
-    rig.ticks(1)
-    rig.node._tick()
-    assert [len(rig.wires[name].asked()) for name in NAMES] == [0, 0, 1]
+        assert harness.node._fetcher._choose_controller().name in NAMES[1:]  # type: ignore[union-attr]
+    harness.node._fetcher.wanted_revision = 7  # only the third has announced it
+    assert {harness.node._fetcher._choose_controller().name for _ in range(40)} == {NAMES[2]}  # type: ignore[union-attr]
+    harness.ticks(1)
+    harness.node._tick()
+    assert [len(harness.links[name].requests()) for name in NAMES] == [0, 0, 1]
 
 
 def test_a_late_text_is_taken_and_not_fetched_again_while_it_arrives() -> None:
-    """It was thrown away after 0.4 s and asked for again: over a full link no text ever arrived."""
-    rig = Rig(NAMES[:2])
-    rig.node._fetcher.caught_up = True
-    first: Any = rig.wires[NAMES[0]]
-    rig.node._fetcher.revision_announced(3, first)
-    asked = first.asked()
-    began_s = rig.loop.time()
-    rig.node.start()
-    while rig.loop.time() < began_s + TRANSFER_TIMEOUT_S - TICK_S:
-        first.last_received_s = rig.loop.time()  # bytes of it
-        rig.wires[NAMES[1]].last_received_s = rig.loop.time()
-        rig.ticks(1)
-        assert first.asked() == asked and not rig.wires[NAMES[1]].asked()
-    rig.ticks(3)
-    assert len(first.asked()) + len(rig.wires[NAMES[1]].asked()) > 1  # it has taken too long
-    rig.tell(NAMES[0], ConfigurationText(asked[0].request, 3, b"text"))
-    assert rig.texts == [(3, b"text")]
-
-
-def test_a_silent_controller_is_not_waited_for() -> None:
-    rig = Rig(NAMES[:2])
-    rig.node._fetcher.caught_up = True
-    first: Any = rig.wires[NAMES[0]]
-    rig.lease(NAMES[1], 100, 3)
-    rig.node._fetcher.revision_announced(3, first)
-    rig.node.start()
+    """A text that took over 0.4 s was discarded and fetched again, so none ever arrived over a full link."""
+    harness = ConnectedNode(NAMES[:2])
+    harness.node._fetcher.caught_up = True
+    first: Any = harness.links[NAMES[0]]
+    harness.node._fetcher.revision_announced(3, first)
+    requests = first.requests()
+    began_s = harness.loop.time()
+    harness.node.start()
+    while harness.loop.time() < began_s + TRANSFER_TIMEOUT_S - TICK_S:
+        first.last_received_s = harness.loop.time()  # bytes of the text are arriving
+        harness.links[NAMES[1]].last_received_s = harness.loop.time()
+        harness.ticks(1)
+        assert first.requests() == requests and not harness.links[NAMES[1]].requests()
+    harness.ticks(3)
+    assert len(first.requests()) + len(harness.links[NAMES[1]].requests()) > 1  # the transfer has timed out
+    harness.receive(NAMES[0], ConfigurationText(requests[0].request, 3, b"text"))
+    assert harness.texts == [(3, b"text")]
+
+
+def test_the_text_is_fetched_elsewhere_if_a_controller_is_silent() -> None:
+    harness = ConnectedNode(NAMES[:2])
+    harness.node._fetcher.caught_up = True
+    first: Any = harness.links[NAMES[0]]
+    harness.renew_lease(NAMES[1], 100, 3)
+    harness.node._fetcher.revision_announced(3, first)
+    harness.node.start()
     for _ in range(round((ANSWER_TIMEOUT_S + 2 * TICK_S) / TICK_S)):
-        rig.wires[NAMES[1]].last_received_s = rig.loop.time()
-        rig.ticks(1)
-    assert len(rig.wires[NAMES[1]].asked()) == 1
+        harness.links[NAMES[1]].last_received_s = harness.loop.time()
+        harness.ticks(1)
+    assert len(harness.links[NAMES[1]].requests()) == 1
--- a/tests/mesh/control/test_endpoints.py
+++ b/tests/mesh/control/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Leases of nodes and merged member lists, beside slow plain models."""
+"""Leases of nodes and merged member lists, compared with slow but simple models."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(RENEWALS, max_size=30))
-def test_leases(news: list[tuple[bool, str, int, int, float]]) -> None:
-    register = MembershipTable()
+def test_leases(renewals: list[tuple[bool, str, int, int, float]]) -> None:
+    table = MembershipTable()
     now = 100.0
-    told: list[tuple[float, NodeRecord]] = []  # all that counted, the newest last
-    for whole, name, boot, number, passed in news:
-        now += passed
-        before = {r.name for r in register.records()}
-        gone = register.remove_expired(now)
-        live = {r.name: r for at, r in told if at + LEASE_S > now}
-        assert set(gone) == before - live.keys()
-        had = live.get(name)
+    accepted: list[tuple[float, NodeRecord]] = []  # accepted renewals with their times, the newest last
+    for has_record, name, boot, number, passed_s in renewals:
+        now += passed_s
+        before = {r.name for r in table.records()}
+        expired = table.remove_expired(now)
+        live = {r.name: r for at, r in accepted if at + LEASE_S > now}
+        assert set(expired) == before - live.keys()
+        known = live.get(name)
         new = record(name, boot, number)
-        if whole:
-            older = had is not None and had.boot == boot and had.number > number
-            assert register.update(new, now) is (not older and had != new)
+        if has_record:
+            older = known is not None and known.boot == boot and known.number > number
+            assert table.update(new, now) is (not older and known != new)
             if not older:
-                told.append((now, new))
+                accepted.append((now, new))
         else:
-            assert register.renew(name, boot, number, now) is (had == new)
-            if had == new:
-                told.append((now, new))
-        live = {r.name: r for at, r in told if at + LEASE_S > now}
-        assert {r.name: r for r in register.records()} == live
+            assert table.renew(name, boot, number, now) is (known == new)
+            if known == new:
+                accepted.append((now, new))
+        live = {r.name: r for at, r in accepted if at + LEASE_S > now}
+        assert {r.name: r for r in table.records()} == live
 
 
 @given(
@@ -58,32 +58,32 @@
     st.sets(st.sampled_from("kl")),
 )
 def test_a_node_is_a_member_while_any_controller_lists_it(
-    news: list[tuple[str, str, int]], heard: set[str]
+    updates: list[tuple[str, str, int]], reachable: set[str]
 ) -> None:
-    told: dict[str, dict[str, NodeRecord]] = {"k": {}, "l": {}}
-    for controller, name, number in news:
-        told[controller][name] = record(name, 1, number)
-    counted = [r for k, mine in told.items() for r in mine.values() if not heard or k in heard]
-    wanted = {
+    lists: dict[str, dict[str, NodeRecord]] = {"k": {}, "l": {}}
+    for controller, name, number in updates:
+        lists[controller][name] = record(name, 1, number)
+    counted = [r for k, one in lists.items() for r in one.values() if not reachable or k in reachable]
+    expected = {
         name: record(name, 1, max(r.number for r in counted if r.name == name))
         for name in {r.name for r in counted}
     }
-    assert merge_member_lists(told, heard) == wanted
+    assert merge_member_lists(lists, reachable) == expected
 
 
-def merged_plainly(told: dict[str, dict[str, NodeRecord]], heard: set[str]) -> dict[str, NodeRecord]:
-    """`merge_member_lists` without its short cuts."""
-    found: dict[str, NodeRecord] = {}
-    for controller, mine in told.items():
-        for name, record in mine.items() if not heard or controller in heard else ():
-            had = found.get(name)
-            if had is None or (had.boot == record.boot and had.number < record.number):
-                found[name] = record
-    return found
+def merge_simply(lists: dict[str, dict[str, NodeRecord]], reachable: set[str]) -> dict[str, NodeRecord]:
+    """Return the result of `merge_member_lists`, without its optimisations."""
+    merged: dict[str, NodeRecord] = {}
+    for controller, members in lists.items():
+        for name, record in members.items() if not reachable or controller in reachable else ():
+            known = merged.get(name)
+            if known is None or (known.boot == record.boot and known.number < record.number):
+                merged[name] = record
+    return merged
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_merged_lists_are_what_a_plain_walk_finds(seed: int) -> None:
+def test_merged_lists_equal_those_of_a_simple_merge(seed: int) -> None:
     rng = random.Random(seed)
     records = [
         NodeRecord(f"n{n}", boot, number, "z", "", 1, None)
@@ -92,9 +92,9 @@
         for number in (1, 2)
     ]
     for _ in range(50):
-        told = {f"k{k}": {r.name: r for r in rng.sample(records, rng.randrange(6))} for k in range(3)}
-        if rng.random() < 0.5:  # other objects, the same records
-            told["k2"] = {name: msgspec.structs.replace(record) for name, record in told["k0"].items()}
-        heard = set(rng.sample(sorted(told), rng.randrange(4)))
-        assert merge_member_lists(told, heard) == merged_plainly(told, heard)
-        assert list(merge_member_lists(told, heard)) == list(merged_plainly(told, heard))
+        lists = {f"k{k}": {r.name: r for r in rng.sample(records, rng.randrange(6))} for k in range(3)}
+        if rng.random() < 0.5:  # equal records in different objects
+            lists["k2"] = {name: msgspec.structs.replace(record) for name, record in lists["k0"].items()}
+        reachable = set(rng.sample(sorted(lists), rng.randrange(4)))
+        assert merge_member_lists(lists, reachable) == merge_simply(lists, reachable)
+        assert list(merge_member_lists(lists, reachable)) == list(merge_simply(lists, reachable))
--- a/tests/mesh/control/test_publisher.py
+++ b/tests/mesh/control/test_publisher.py
@@ -13,13 +13,13 @@
 
 
 def test_an_isolated_controller_removes_dead_nodes() -> None:
-    """Leases are cut by its own steady clock, whether it hears other controllers or not."""
+    """Leases expire by the controller's own monotonic clock, even without contact with other controllers."""
     loop: Any = Loop()
     publisher = Publisher("k", "z", 7, loop, lambda: None)
 
     class Link:
         def send_encoded(self, data: bytes) -> None:
-            """To nobody."""
+            """Discard the message."""
 
     link: Any = Link()
     dead, live = (NodeRecord(name, 1, 1, "z", "", 0, None) for name in ("dead", "live"))
--- a/tests/mesh/control/test_relay.py
+++ b/tests/mesh/control/test_relay.py
@@ -1,4 +1,4 @@
-"""A node's followers: who is accepted."""
+"""Which nodes a relay accepts as followers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_two_nodes_never_follow_each_other() -> None:
-    """Each may take the other's older process for its parent, but only one of them comes first."""
+    """Each of two nodes may choose the other as its parent, if its member list has an older process of it."""
     answers = []
     for one, other in (("a", "b"), ("b", "a")):
         subscriber, _ = make_subscriber(one, 1)
@@ -25,9 +25,9 @@
 
 def test_a_full_relay_rejects_further_followers() -> None:
     subscriber, _ = make_subscriber("a", 1)
-    below = [f"n{n}" for n in range(200) if tree_rank(f"n{n}", 1) > tree_rank("a", 1)][: MAX_FOLLOWERS + 2]
-    links = [RecordingLink() for _ in below]
-    for name, link in zip(below, links, strict=True):
+    names = [f"n{n}" for n in range(200) if tree_rank(f"n{n}", 1) > tree_rank("a", 1)][: MAX_FOLLOWERS + 2]
+    links = [RecordingLink() for _ in names]
+    for name, link in zip(names, links, strict=True):
         subscriber.relay.connected(link)
         subscriber.relay.received(link, RelaySubscription(name, 1, "z", []))
     assert [link.sent[0] for link in links] == [RelayAccepted()] * MAX_FOLLOWERS + [RelayFull()] * 2
@@ -35,7 +35,7 @@
     subscriber.tick()
     assert [link.closed for link in links] == [False] * MAX_FOLLOWERS + [True] * 2
     subscriber.relay.disconnected(links[0])
-    again = RecordingLink()
-    subscriber.relay.connected(again)
-    subscriber.relay.received(again, RelaySubscription(below[-1], 1, "z", []))
-    assert again.sent[0] == RelayAccepted()
+    new_link = RecordingLink()
+    subscriber.relay.connected(new_link)
+    subscriber.relay.received(new_link, RelaySubscription(names[-1], 1, "z", []))
+    assert new_link.sent[0] == RelayAccepted()
--- a/tests/mesh/control/test_subscriber.py
+++ b/tests/mesh/control/test_subscriber.py
@@ -1,6 +1,6 @@
-"""Subscriptions down the fan-out tree, beside a plain model: what each node last announced, known to all.
+"""Subscriptions in the fan-out tree: in the end, all nodes have the record that each node published last.
 
-Controllers' publishers and nodes' subscribers are the shipping ones, in virtual time
+Most tests run the production publishers and subscribers in virtual time
 (`orchidferry.testkit.model.fanout_world`).
 """
 
@@ -38,7 +38,8 @@
 from orchidferry.testkit.model.subscribing_node import Node
 from tests.mesh.control.fakes import RecordingLink, make_controller, make_subscriber, record
 
-RENEWED_S = 0.5 + CATCH_UP_DELAY_S + 0.02  # a renewal, the wait, and the ways
+# Maximum delay of an update past a faulty relay: a renewal interval, the catch-up delay and network delays.
+MAX_DELAY_S = 0.5 + CATCH_UP_DELAY_S + 0.02
 
 
 def fleet(seed: int, nodes: int, zones: int, settle_s: float = 25.0) -> World:
@@ -53,16 +54,16 @@
     return [node for node in world.nodes.values() if node.subscriber.relay.followers.positions]
 
 
-def agreed(world: World) -> None:
-    """All who live know what every controller knows, and that is what the nodes last said of themselves."""
+def assert_agreement(world: World) -> None:
+    """Assert that all controllers and live nodes have the records that the live nodes published last."""
     live = {name: node for name, node in world.nodes.items() if node.alive}
-    truth = {name: node.record for name, node in live.items()}
+    expected = {name: node.record for name, node in live.items()}
     for controller in world.controllers.values():
-        assert controller.stream.records == truth
+        assert controller.stream.records == expected
         for node in live.values():
-            had = node.subscriber.streams[controller.name]
-            assert (had.incarnation, had.number) == (controller.stream.incarnation, controller.stream.number)
-            assert had.records == truth and node.members == truth
+            copy, stream = node.subscriber.streams[controller.name], controller.stream
+            assert (copy.incarnation, copy.number) == (stream.incarnation, stream.number)
+            assert copy.records == expected and node.members == expected
             assert node.revision == max(k.revision for k in world.controllers.values())
 
 
@@ -105,41 +106,42 @@
         node.withholds_updates = False
         node.thaw()
     world.run(8.0)
-    agreed(world)
+    assert_agreement(world)
 
 
-@pytest.mark.parametrize("trouble", ["freeze", "kill", "mute", "deaf"])
+@pytest.mark.parametrize("fault", ["freeze", "kill", "mute", "deaf"])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_faulty_relay_delays_updates_by_one_renewal(seed: int, trouble: str) -> None:
-    """The bound in virtual time, with half of the relays frozen, dead, silent or deaf to the controllers."""
+def test_a_faulty_relay_delays_updates_by_one_renewal(seed: int, fault: str) -> None:
+    """The bound holds while half of the relays are frozen, dead, silent or cut off from the controllers."""
     world = fleet(seed, 60, 2)
-    some = relays(world)
-    assert len(some) > 4 and all(len(n.subscriber.relay.followers.positions) <= MAX_FOLLOWERS for n in some)
-    hit = {node.name for node in some[::2]}
-    for node in some[::2]:
-        if trouble == "mute":
+    all_relays = relays(world)
+    assert len(all_relays) > 4
+    assert all(len(n.subscriber.relay.followers.positions) <= MAX_FOLLOWERS for n in all_relays)
+    faulty = {node.name for node in all_relays[::2]}
+    for node in all_relays[::2]:
+        if fault == "mute":
             node.withholds_updates = True
-        elif trouble == "deaf":
+        elif fault == "deaf":
             world.cuts |= {(controller, node.name) for controller in world.controllers}
         else:
-            getattr(node, trouble)()
-    [one, *_] = [node for name, node in world.nodes.items() if name not in hit]
+            getattr(node, fault)()
+    [publishing, *_] = [node for name, node in world.nodes.items() if name not in faulty]
     world.record_changes()
     for wait_s in (0.9, 1.7, 1.0):
         world.change_times_s.clear()
-        one.publish()
+        publishing.publish()
         world.run(wait_s)
-        changes = [key for key, began in world.change_times_s.items() if began < world.now - RENEWED_S]
+        changes = [key for key, began in world.change_times_s.items() if began < world.now - MAX_DELAY_S]
         assert len(changes) >= 3
         for key in changes:
-            for name in world.nodes.keys() - hit:
-                assert world.arrival_times_s[key][name] - world.change_times_s[key] < RENEWED_S
-        left = {
+            for name in world.nodes.keys() - faulty:
+                assert world.arrival_times_s[key][name] - world.change_times_s[key] < MAX_DELAY_S
+        parents = {
             n.subscriber.parent.record.name
             for n in world.nodes.values()
-            if n.name not in hit and n.subscriber.parent is not None
+            if n.name not in faulty and n.subscriber.parent is not None
         }
-        assert trouble != "freeze" or not hit & left  # after one gap, as it does not answer
+        assert fault != "freeze" or not faulty & parents  # a frozen parent is dropped after one gap
 
 
 def test_controllers_send_updates_to_heads_only() -> None:
@@ -152,7 +154,7 @@
     for controller in world.controllers.values():
         controller.configuration_decided(1, b"text")
     world.run(0.1)
-    agreed(world)
+    assert_agreement(world)
     after = [controller.publisher.traffic.messages("news") for controller in world.controllers.values()]
     assert [b - a for a, b in zip(sent, after, strict=True)] == [HEADS * 2 * 2] * 3
     texts = [controller.publisher.traffic.messages("text") for controller in world.controllers.values()]
@@ -162,7 +164,7 @@
     world.change_times_s.clear()
     world.nodes["n7"].publish()
     world.run(0.1)
-    agreed(world)
+    assert_agreement(world)
     assert (
         sum(key[:2] == ("k0", world.controllers["k0"].stream.incarnation) for key in world.change_times_s)
         == 1
@@ -176,16 +178,16 @@
 
 
 def test_a_rejected_node_tries_the_next_ancestor_and_returns_later() -> None:
-    """The nearest that is not backed off; controllers are followed while there is none."""
-    row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
-    me = row[HEADS + HEADS * FANOUT + 3]
-    subscriber, dialled = make_subscriber(me.name, 1)
+    """A node follows the nearest ancestor that is not in backoff, and the controllers while there is none."""
+    zone = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
+    own = zone[HEADS + HEADS * FANOUT + 3]
+    subscriber, dialled = make_subscriber(own.name, 1)
     controller = subscriber._controllers["k"]
     assert controller.kinds() == [UpdateSubscription]
-    subscriber.set_members({r.name: r for r in row})
-    first, second = [r.name for r in parent_candidates(row, NodeIdentity(me.name, 1, "z"))]
+    subscriber.set_members({r.name: r for r in zone})
+    first, second = [r.name for r in parent_candidates(zone, NodeIdentity(own.name, 1, "z"))]
 
-    def ask(name: str, answer: Message) -> RecordingLink:
+    def dial(name: str, answer: Message) -> RecordingLink:
         subscriber._loop.world.run(16.0)
         subscriber.tick()
         assert dialled[-1] == name
@@ -194,27 +196,27 @@
         subscriber.from_parent(link, answer)
         return link
 
-    assert ask(first, RelayFull()).closed
+    assert dial(first, RelayFull()).closed
     subscriber._backoffs[first] = Backoff(1e9, 1.0)
-    above = ask(second, RelayAccepted())
-    assert controller.kinds() == [UpdateSubscription, UpdateUnsubscription] and not above.closed
+    second_link = dial(second, RelayAccepted())
+    assert controller.kinds() == [UpdateSubscription, UpdateUnsubscription] and not second_link.closed
     subscriber._backoffs.clear()
-    near = ask(first, RelayAccepted())
-    assert above.closed and subscriber.parent.record.name == first
-    subscriber.parent_disconnected(near)
+    first_link = dial(first, RelayAccepted())
+    assert second_link.closed and subscriber.parent.record.name == first
+    subscriber.parent_disconnected(first_link)
     assert controller.kinds() == [UpdateSubscription, UpdateUnsubscription, UpdateSubscription]
     subscriber._loop.world.run(0.11)
     subscriber.tick()
     assert dialled[-1] == second
 
 
-@pytest.mark.parametrize("useful", [False, True])
-def test_a_parent_that_sends_no_updates_is_dropped_after_three_gaps(useful: bool) -> None:
-    """Though it answers; one that has brought something meanwhile stays."""
-    row = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
-    me = row[HEADS + 3]
-    subscriber, _ = make_subscriber(me.name, 1)
-    subscriber.set_members({r.name: r for r in row})
+@pytest.mark.parametrize("sends_some", [False, True])
+def test_a_parent_that_sends_no_updates_is_dropped_after_three_gaps(sends_some: bool) -> None:
+    """It is dropped although it is alive; a parent that sends an update between the gaps is kept."""
+    zone = sorted((record(f"n{i}") for i in range(60)), key=lambda r: tree_rank(r.name, 1))
+    own = zone[HEADS + 3]
+    subscriber, _ = make_subscriber(own.name, 1)
+    subscriber.set_members({r.name: r for r in zone})
     subscriber._loop.world.run(3.0)
     subscriber.tick()
     link = RecordingLink()
@@ -224,7 +226,7 @@
     number = 1
     subscriber.from_controller(controller, Update(StreamChange("k", 7, -1, number, [], [], 0)))
     for gap in range(MAX_GAPS):
-        if gap and useful:
+        if gap and sends_some:
             number += 1
             subscriber.from_parent(link, Update(StreamChange("k", 7, number - 1, number, [], [], 0)))
         assert subscriber.parent is not None
@@ -234,16 +236,16 @@
         subscriber.from_parent(link, RelayAlive())
         number += 1
         subscriber.from_controller(controller, Update(StreamChange("k", 7, number - 1, number, [], [], 0)))
-    assert (subscriber.parent is not None) is useful and link.closed is not useful
-    assert controller.kinds()[-1] is (UpdateRequest if useful else UpdateSubscription)
+    assert (subscriber.parent is not None) is sends_some and link.closed is not sends_some
+    assert controller.kinds()[-1] is (UpdateRequest if sends_some else UpdateSubscription)
 
 
 def test_a_configuration_is_relayed_over_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One controller, four nodes of a zone: two follow it, and the text comes to the others from those."""
+    """Of four nodes in a zone, two follow the controller, and the others receive the text from these two."""
     monkeypatch.setattr(subscriber_module, "FIRST_REVIEW_S", 0.02)
     monkeypatch.setattr(subscriber_module, "REVIEW_INTERVAL_S", (0.02, 0.05))
 
-    def heard(text: asyncio.Future[bytes], revision: int, raw: bytes) -> None:
+    def received(text: asyncio.Future[bytes], revision: int, raw: bytes) -> None:
         text.set_result(raw)
 
     async def main() -> None:
@@ -255,31 +257,31 @@
         serving = loop.create_task(controller.run(stopping))
         texts: list[asyncio.Future[bytes]] = []
         nodes: list[ControlClient] = []
-        follow_controllers = Subscriber._update_subscriptions
+        original = Subscriber._update_subscriptions
 
-        def followed(self: Subscriber) -> None:
-            follow_controllers(self)
+        def update_subscriptions(self: Subscriber) -> None:
+            original(self)
             if sum(node._subscriber.parent is not None for node in nodes) == 2:
                 formed.set()
 
-        monkeypatch.setattr(Subscriber, "_update_subscriptions", followed)
+        monkeypatch.setattr(Subscriber, "_update_subscriptions", update_subscriptions)
         for n in range(2, 6):
-            boot = dataclasses.replace(controller._settings, name=f"n{n}", ip=f"127.0.0.{n}")
+            node_settings = dataclasses.replace(controller._settings, name=f"n{n}", ip=f"127.0.0.{n}")
             text = loop.create_future()
-            node = ControlClient(boot, loop, lambda members: None, partial(heard, text))
+            node = ControlClient(node_settings, loop, lambda members: None, partial(received, text))
             await node.listen()
             node.start()
-            node.publish(NodeRecord(f"n{n}", node.boot_id, 1, boot.zone, boot.ip, 1, None))
+            node.publish(NodeRecord(f"n{n}", node.boot_id, 1, node_settings.zone, node_settings.ip, 1, None))
             nodes.append(node)
             texts.append(text)
         await asyncio.wait_for(formed.wait(), 10.0)
-        told = controller._publisher.traffic.messages("text")
+        sent_before = controller._publisher.traffic.messages("text")
         put = controller._runner.configuration_shard.request_change(
             "", shard_state.PutConfiguration(b"text", 7, b"mark", 0), 4.0, loop.time()
         )
         controller._runner.carry_out(controller._runner.configuration_shard, put)
         assert await asyncio.wait_for(asyncio.gather(*texts), 10.0) == [b"text"] * 4
-        assert controller._publisher.traffic.messages("text") - told == 2
+        assert controller._publisher.traffic.messages("text") - sent_before == 2
         assert sum(node._subscriber.relay.traffic.messages("text") for node in nodes) == 2
         stopping.set()
         await asyncio.wait_for(serving, 10.0)
