--- a/orchidferry/mesh/control/retry_quota_lease.py
+++ b/orchidferry/mesh/control/retry_quota_lease.py
@@ -1,6 +1,7 @@
-"""A node's quota of one service's retries, which the owner of the service allocates on a lease. No I/O.
+"""A node's quota for the retries of one service, which the service's owner allocates with a lease. No I/O.
 
-No node uses it yet: docs/design/retry-budget.md says why. The controller's half is `retry_quota_allocator`.
+No node uses this module yet; docs/design/retry-budget.md gives the reason. The controller's half is
+`retry_quota_allocator`.
 
 >>> lease = QuotaLease()
 >>> number = lease.begin_request(1.0)
@@ -18,39 +19,40 @@
 
 from orchidferry.mesh.wire.messages import RetryQuota
 
-MAX_REQUESTS = 8  # of a node that may still be answered
-# Changes of the amount: not sooner, nor smaller, where that is safe.
+MAX_REQUESTS = 8  # pending requests of a node; replies to older ones are ignored
+# Thresholds below which a change of the amount is delayed, if that is safe: the time since the last change,
+# and the size of the change as a share of the present amount.
 MIN_CHANGE_INTERVAL_S = 0.5
 MIN_CHANGE_SHARE = 0.1
 
 
 class QuotaLease:
-    """A node's quota of one service's retries; a process of a node begins with none.
+    """A node's quota for the retries of one service; it is 0 when the node's process starts.
 
-    :ivar fencing_token: the highest of any owner that was heard; -1 for none
-    :ivar amount: retries in any window that the node may make now
-    :ivar refresh_due_s: `refresh` must be called before anything is spent later
+    :ivar fencing_token: highest fencing token received from any owner; -1 for none
+    :ivar amount: retries that the node may currently make in any window
+    :ivar refresh_due_s: time from which `refresh` must be called before another retry is made
     """
 
     def __init__(self, last_number: int = 0) -> None:
-        """Create a `QuotaLease`.
+        """Create a lease with an amount of 0.
 
-        :param last_number: the number before that of the first request. Answers to requests of another run of
-        the process must not look like answers to its own
+        :param last_number: the number before the one of the first request; it must be chosen so that replies
+            to requests of another run of the process can't be taken for replies to requests of this run
         """
         self.fencing_token = -1
         self.amount = 0.0
         self.refresh_due_s = math.inf
         self._last_number = last_number
-        self._requested_s: dict[int, float] = {}  # by number
-        # by the newest answer
+        self._requested_s: dict[int, float] = {}  # times of pending requests, by number
+        # From the newest reply:
         self._granted_amount = 0.0
         self._granted_until_s = -math.inf
         self._amount_leased_until_s = -math.inf
         self._changed_s = -math.inf
 
     def begin_request(self, now_s: float) -> int:
-        """Return the number of a new request, from whose time its lease will count."""
+        """Register a new request and return its number; the lease will count from the time of the request."""
         self._last_number += 1
         self._requested_s[self._last_number] = now_s
         while len(self._requested_s) > MAX_REQUESTS:
@@ -58,14 +60,14 @@
         return self._last_number
 
     def leased_amount(self, now_s: float) -> float:
-        """Return the largest quota of which a lease is running."""
+        """Return the largest quota whose lease has not expired."""
         granted = self._granted_amount if now_s < self._granted_until_s else 0.0
         return max(granted, self.amount if now_s < self._amount_leased_until_s else 0.0)
 
     def handle_quota(self, quota: RetryQuota, now_s: float) -> bool:
-        """Take an answer.
+        """Handle a reply with a quota.
 
-        :returns: False if it does not count: it is of a former owner, late, or a duplicate
+        :returns: False if the reply is ignored: it is from a former owner, late, or a duplicate
         """
         requested_s = self._requested_s.get(quota.number)
         if requested_s is None or quota.fencing_token < self.fencing_token:
@@ -84,8 +86,8 @@
     def refresh(self, now_s: float) -> bool:
         """Bring the amount up to date.
 
-        A larger amount may wait, and a smaller one may while the lease of the present one runs; without a
-        lease there is nothing.
+        An increase may be delayed, and so may a decrease while the lease of the present amount is valid.
+        Without a lease the amount is 0.
 
         :returns: whether the amount has changed
         """
@@ -103,13 +105,13 @@
         return changed
 
     def _extend_lease(self) -> None:
-        """Let the newest answer's lease cover the present amount, which is no larger."""
+        """Extend the lease of the present amount to that of the newest reply, which grants no less."""
         if self.amount:
             self._amount_leased_until_s = max(self._amount_leased_until_s, self._granted_until_s)
         else:
             self._amount_leased_until_s = self._granted_until_s
 
     def _may_wait(self, granted: float, now_s: float) -> bool:
-        """Return whether a change is too small, or comes too soon after the last one."""
+        """Return whether a change is too small, or too soon after the last one, to be made now."""
         small = abs(granted - self.amount) <= MIN_CHANGE_SHARE * self.amount
         return small or now_s - self._changed_s < MIN_CHANGE_INTERVAL_S
--- a/tests/mesh/control/test_retry_quota_allocator.py
+++ b/tests/mesh/control/test_retry_quota_allocator.py
@@ -1,4 +1,4 @@
-"""Retry quotas: worlds of allocators, nodes and losses, beside a plain recorder of every window."""
+"""Retry quotas: simulated allocators and nodes under faults never exceed the total in any window."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 SLACK = 40.0
 STEP_S = 0.25
 NODES = 4
-ENDS_S = 90.0
+DURATION_S = 90.0
 TOTAL = ALLOCATED_SHARE * SLACK
 
 
-class FromAnswer(QuotaLease):
-    """Counts its lease from the answer."""
+class LeaseFromReply(QuotaLease):
+    """Fault: counts the lease from the reply instead of the request."""
 
     def handle_quota(self, quota: RetryQuota, now_s: float) -> bool:
         if quota.number in self._requested_s:
@@ -40,39 +40,39 @@
 
 
 class AnyToken(QuotaLease):
-    """Believes former owners."""
+    """Fault: accepts quotas of former owners."""
 
     def handle_quota(self, quota: RetryQuota, now_s: float) -> bool:
         self.fencing_token = -1
-        counts = super().handle_quota(quota, now_s)
+        accepted = super().handle_quota(quota, now_s)
         self.fencing_token = -1
-        return counts
+        return accepted
 
 
-class Endless(QuotaLease):
-    """Keeps its quota when it hears nothing."""
+class WithoutExpiry(QuotaLease):
+    """Fault: keeps its quota after the lease has expired."""
 
     def refresh(self, now_s: float) -> bool:
         return super().refresh(min(now_s, self._granted_until_s - 0.01))
 
 
-class AtOnce(QuotaAllocator):
-    """Gives a dead node's quota to others when its lease is over."""
+class EarlyReuse(QuotaAllocator):
+    """Fault: allocates a quota to other nodes as soon as its lease has expired."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        self._counts_s = 0.0
+        self._spent_for_s = 0.0
 
 
 class WithoutLearning(QuotaAllocator):
-    """Allocates the total as soon as it owns the service."""
+    """Fault: allocates the total as soon as it owns the service."""
 
     def __init__(self, total: float, window_s: float, now_s: float) -> None:
         super().__init__(total, window_s, now_s, learn_s=0.0)
 
 
-class OneIncarnation(QuotaAllocator):
-    """Takes a node that has started again for the one before."""
+class IgnoresIncarnation(QuotaAllocator):
+    """Fault: doesn't distinguish a restarted node from its previous process."""
 
     def allocate(
         self, process: NodeProcess, wanted: float, current_amount: float, now_s: float
@@ -81,14 +81,14 @@
 
 
 class Node:
-    """A node that makes as many retries as it may."""
+    """A node that makes as many retries as its quota allows, up to its demand."""
 
     def __init__(self, name: str, incarnation: int, lease: type[QuotaLease]) -> None:
         self.name = name
         self.incarnation = incarnation
         self.lease = lease()
         self.sent: list[float] = []
-        self.excess = 0.0  # retries that it would make beyond those it made
+        self.excess = 0.0  # retries that it wants to make beyond those already made
         self.frozen_until_s = 0.0
         self.partitioned_until_s = 0.0
 
@@ -97,7 +97,7 @@
 
 
 class World:
-    """Nodes, owners one after the other, and a network that loses, doubles and holds up."""
+    """Nodes, successive owners, and a network that loses, duplicates and delays messages."""
 
     def __init__(self, seed: int, lease: type[QuotaLease] = QuotaLease) -> None:
         self.rng = random.Random(seed)
@@ -105,29 +105,29 @@
         self.lease = lease
         self.nodes = [Node(f"n{n}", 1, lease) for n in range(NODES)]
         self.fencing_token = 0
-        self.owners: list[tuple[float, RetryQuotaAllocators]] = []  # since when each answers
+        self.owners: list[tuple[float, RetryQuotaAllocators]] = []  # with the time of the first reply
         self.in_flight: list[tuple[float, int, Any]] = []
         self.arrivals: list[float] = []
         self.no_faults = False
-        self.former_owners_speak = False
+        self.former_owners_reply = False
 
     def change_owner(self) -> None:
         self.fencing_token += 1
         token = self.fencing_token
-        if not self.former_owners_speak:
+        if not self.former_owners_reply:
             self.owners.clear()
-        self.owners = [(self.now + 4.0, owner) for _, owner in self.owners]  # speaks when all have heard
+        self.owners = [(self.now + 4.0, owner) for _, owner in self.owners]  # when all nodes know the new one
         self.owners.append((0.0, RetryQuotaAllocators(SLACK, WINDOW_S, lambda service, now: token)))
 
-    def post(self, call: Any, kind: float) -> None:
-        dice = 1.0 if self.no_faults else self.rng.random()
-        if dice < 0.1 and not self.former_owners_speak:
+    def post(self, call: Any, delay_factor: float) -> None:
+        draw = 1.0 if self.no_faults else self.rng.random()
+        if draw < 0.1 and not self.former_owners_reply:
             return
-        for _ in range(2 if dice < 0.2 else 1):
-            wait = self.rng.uniform(0.0, 9.0 if dice < 0.4 and not self.former_owners_speak else 0.2)
-            self.in_flight.append((self.now + wait * kind, self.rng.randrange(2**30), call))
+        for _ in range(2 if draw < 0.2 else 1):
+            delay_s = self.rng.uniform(0.0, 9.0 if draw < 0.4 and not self.former_owners_reply else 0.2)
+            self.in_flight.append((self.now + delay_s * delay_factor, self.rng.randrange(2**30), call))
 
-    def ask(self, node: Node) -> None:
+    def request(self, node: Node) -> None:
         lease = node.lease
         request = RetryQuotaRequest(
             "s",
@@ -139,20 +139,20 @@
             current_amount=lease.leased_amount(self.now),
             fencing_token=lease.fencing_token,
         )
-        for since, owner in self.owners:
-            if self.now >= max(since, node.partitioned_until_s):
+        for replies_from_s, owner in self.owners:
+            if self.now >= max(replies_from_s, node.partitioned_until_s):
                 self.post(lambda owner=owner: self.answer(owner, node, request), 0.5)
 
     def answer(self, owner: RetryQuotaAllocators, node: Node, request: RetryQuotaRequest) -> None:
         if all(owner is not known for _, known in self.owners):
-            return  # it knows that it owns nothing any more
+            return  # this controller knows that it is no longer the owner
         reply = owner.handle(request, self.now)
         if reply is not None:
-            self.post(lambda: self.hear(node, reply), 1.0)
+            self.post(lambda: self.receive(node, reply), 1.0)
 
-    def hear(self, node: Node, reply: RetryQuota) -> None:
+    def receive(self, node: Node, reply: RetryQuota) -> None:
         if node.frozen_until_s > self.now:
-            self.in_flight.append((node.frozen_until_s, 0, lambda: self.hear(node, reply)))
+            self.in_flight.append((node.frozen_until_s, 0, lambda: self.receive(node, reply)))
         else:
             node.lease.handle_quota(reply, self.now)
 
@@ -165,81 +165,81 @@
         for n, node in enumerate(self.nodes):
             if node.frozen_until_s > self.now:
                 continue
-            if not self.no_faults and self.rng.random() < 0.01:  # frozen: a while, or killed and started anew
+            if not self.no_faults and self.rng.random() < 0.01:  # a frozen process
                 node.frozen_until_s = self.now + self.rng.uniform(0.5, 8.0)
-            elif not self.no_faults and self.rng.random() < 0.008:
+            elif not self.no_faults and self.rng.random() < 0.008:  # a restarted process
                 self.nodes[n] = Node(node.name, node.incarnation + 1, self.lease)
-            elif not self.no_faults and not self.former_owners_speak and self.rng.random() < 0.01:
+            elif not self.no_faults and not self.former_owners_reply and self.rng.random() < 0.01:
                 node.partitioned_until_s = self.now + self.rng.uniform(1.0, 30.0)
             if not self.no_faults and self.rng.random() < 0.05:
                 node.excess = self.rng.choice((0.0, 3.0, 40.0, 40.0))
             if round(self.now / STEP_S + n) % 4 == 0:
-                self.ask(node)
+                self.request(node)
             node.lease.refresh(self.now)
             assert self.lease is not QuotaLease or node.lease.refresh_due_s > self.now
             while node.excess and node.used(self.now) + 1 <= node.lease.amount:
                 node.sent.append(self.now)
                 self.arrivals.append(self.now + self.rng.uniform(0.0, MAX_DELAY_S))
 
-    def play(self, changes: float = 0.02) -> int:
-        """The most arrivals in any window."""
+    def simulate(self, owner_change_rate: float = 0.02) -> int:
+        """Run the simulation, and return the maximum number of retries that arrive in any window."""
         self.change_owner()
-        while self.now < 100.0 + ENDS_S:
-            if self.rng.random() < changes:
+        while self.now < 100.0 + DURATION_S:
+            if self.rng.random() < owner_change_rate:
                 self.change_owner()
             self.step()
-        at = sorted(self.arrivals)
-        return max((sum(a <= b <= a + WINDOW_S for b in at) for a in at), default=0)
+        times = sorted(self.arrivals)
+        return max((sum(a <= b <= a + WINDOW_S for b in times) for a in times), default=0)
 
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 2**40), st.sampled_from((0.0, 0.005, 0.02)), st.booleans())
 def test_no_window_ever_has_more_retries_than_the_total(
-    seed: int, changes: float, former_owners_speak: bool
+    seed: int, owner_change_rate: float, former_owners_reply: bool
 ) -> None:
     world = World(seed)
-    world.former_owners_speak = former_owners_speak  # then every node hears the present owner
-    assert world.play(changes) <= TOTAL
+    world.former_owners_reply = former_owners_reply  # if so, every node reaches the present owner
+    assert world.simulate(owner_change_rate) <= TOTAL
 
 
 @pytest.mark.parametrize(
-    ("lease", "allocator", "changes", "former_owners_speak"),
+    ("lease", "allocator", "owner_change_rate", "former_owners_reply"),
     [
-        (FromAnswer, QuotaAllocator, 0.0, False),
-        (Endless, QuotaAllocator, 0.0, False),
+        (LeaseFromReply, QuotaAllocator, 0.0, False),
+        (WithoutExpiry, QuotaAllocator, 0.0, False),
         (AnyToken, QuotaAllocator, 0.005, True),
-        (QuotaLease, AtOnce, 0.0, False),
+        (QuotaLease, EarlyReuse, 0.0, False),
         (QuotaLease, WithoutLearning, 0.01, False),
-        (QuotaLease, OneIncarnation, 0.0, False),
+        (QuotaLease, IgnoresIncarnation, 0.0, False),
     ],
 )
-def test_each_break_is_caught(
+def test_each_fault_is_detected(
     monkeypatch: pytest.MonkeyPatch,
     lease: type[QuotaLease],
     allocator: type[QuotaAllocator],
-    changes: float,
-    former_owners_speak: bool,
+    owner_change_rate: float,
+    former_owners_reply: bool,
 ) -> None:
     monkeypatch.setattr(retry_quota_allocator, "QuotaAllocator", allocator)
 
-    def broken(seed: int) -> bool:
+    def exceeds_total(seed: int) -> bool:
         world = World(seed, lease)
-        world.former_owners_speak = former_owners_speak
-        return world.play(changes) > TOTAL
+        world.former_owners_reply = former_owners_reply
+        return world.simulate(owner_change_rate) > TOTAL
 
-    assert any(broken(seed) for seed in range(60))
+    assert any(exceeds_total(seed) for seed in range(60))
 
 
 def test_quotas_follow_demand_and_no_node_starves() -> None:
-    """All want much: the total is allocated, in equal parts. One does: it has most, the rest their floor."""
+    """If all nodes want many retries, they get equal parts; if one does, it gets most, the rest the floor."""
     world = World(1)
     world.no_faults = True
     world.change_owner()
 
     def steady_state(*excess: float) -> list[float]:
         for _ in range(200):
-            for node, wants in zip(world.nodes, excess, strict=True):
-                node.excess = wants
+            for node, wanted in zip(world.nodes, excess, strict=True):
+                node.excess = wanted
             world.step()
         return [node.lease.amount for node in world.nodes]
 
@@ -248,10 +248,10 @@
     shares = steady_state(40.0, 0.0, 0.0, 0.0)
     assert shares[0] > 0.7 * TOTAL and min(shares) >= 0.95 * TOTAL / (4 * NODES)
     before = sum(shares)
-    world.change_owner()  # the new one renews what nodes have, and allocates no more before it has learned
+    world.change_owner()  # while the new owner learns, it only renews the quotas that nodes have
     for _ in range(int((LEASE_S + WINDOW_S) / STEP_S)):
-        for node, wants in zip(world.nodes, (40.0, 0.0, 0.0, 0.0), strict=True):
-            node.excess = wants
+        for node, wanted in zip(world.nodes, (40.0, 0.0, 0.0, 0.0), strict=True):
+            node.excess = wanted
         world.step()
         assert 0.7 * before < sum(node.lease.amount for node in world.nodes) <= before * 1.001
 
@@ -260,10 +260,10 @@
     owned: dict[str, int] = {"a": 3}
     controller = RetryQuotaAllocators(SLACK, WINDOW_S, lambda service, now: owned.get(service))
 
-    def ask(service: str, token: int, now: float) -> Any:
+    def request(service: str, token: int, now: float) -> Any:
         return controller.handle(RetryQuotaRequest(service, "n", 1, 7, 0.0, 5.0, 2.0, token), now)
 
-    assert ask("b", -1, 0.0) is None and ask("a", 4, 0.0) is None
-    assert ask("a", 3, 0.0) == RetryQuota("a", 3, 7, 2.0, LEASE_S)  # learning: what it has
-    assert ask("a", 3, LEASE_S + WINDOW_S + MAX_DELAY_S).amount > 2.0
+    assert request("b", -1, 0.0) is None and request("a", 4, 0.0) is None
+    assert request("a", 3, 0.0) == RetryQuota("a", 3, 7, 2.0, LEASE_S)  # renewed while learning
+    assert request("a", 3, LEASE_S + WINDOW_S + MAX_DELAY_S).amount > 2.0
     assert STATIC_SHARE + ALLOCATED_SHARE < 1.0
