--- a/orchidferry/mesh/control/configuration.py
+++ b/orchidferry/mesh/control/configuration.py
@@ -1,8 +1,8 @@
-"""A configuration as it is in force: its routes, services and limits, and the lookup of a request's route.
+"""A parsed configuration with its routes, services and limits, and the lookup of a request's route.
 
-What is stored and distributed is the very text that the operator sent. Controllers validate it before it is
-taken (`orchidferry.mesh.control.configuration_validation`); nodes parse what controllers have taken, without
-the library for validation.
+The configuration is stored and distributed as the exact bytes that the operator sent. Controllers validate
+the text before they commit it (`orchidferry.mesh.control.configuration_validation`); nodes parse committed
+texts without the validation library.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any
 
 IDEMPOTENT_KINDS = frozenset(("idempotent", "download"))
-NO_REVISION = -1  # of a configuration that is unknown
+NO_REVISION = -1  # the revision is unknown
 DIGEST_BYTES = 16
 DEFAULT_HEALTH_PATH = "/health"
 DEFAULT_MAX_CONNECTIONS = 100
@@ -22,16 +22,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and a path go, and how they are treated.
+    """The destination and the treatment of requests for one host and path prefix.
 
-    :param id: the operator's name of the route.
-    :param prefix: of the path; it begins and ends with a slash.
+    :param id: identifier of the route, chosen by the operator.
+    :param host: host name, compared without regard to case.
+    :param prefix: path prefix; begins and ends with a slash.
     :param kind: one of `configuration_schema.ROUTE_KINDS`.
-    :param latency_target_ms: an answer within this has its full value.
-    :param precedence: 0 is the highest.
-    :param guard_timer_ms: the longest that a request may take.
-    :param max_attempts: of one request.
-    :param split: services, and the weight of each in the split of the requests.
+    :param latency_target_ms: response time up to which a response has its full value, in milliseconds.
+    :param precedence: precedence of the requests; 0 is the highest.
+    :param guard_timer_ms: maximum duration of a request, in milliseconds.
+    :param max_attempts: maximum number of attempts per request.
+    :param split: names of services, each with its weight in the split of the requests.
     """
 
     id: str
@@ -46,16 +47,17 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may safely be executed more than once."""
         return self.kind in IDEMPOTENT_KINDS
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What the operator has configured of a service.
+    """The configuration of a service.
 
-    :param max_connections: to one server, from all nodes.
-    :param deduplicates: whether its servers recognise a key that they have run before.
+    :param health_path: path of the health check.
+    :param max_connections: maximum number of connections to one server, from all nodes together.
+    :param deduplicates: whether its servers detect a repeated operation key and don't run the request again.
     """
 
     name: str
@@ -68,8 +70,8 @@
 class Configuration:
     """One revision of the configuration.
 
-    :param services: by name.
-    :param limits: by the name of the limit.
+    :param services: services by name.
+    :param limits: values of the limits by name.
     """
 
     revision: int
@@ -79,7 +81,7 @@
 
 
 class RouteTable:
-    """Routes by host and prefix; the longest prefix of a path wins.
+    """Routes by host and path prefix; the route with the longest matching prefix is used.
 
     >>> route = Route("a", "h", "/x/", "idempotent", 1, 0, 1, 1, (("s", 1),))
     >>> RouteTable([route]).find("H:80", "/x/y").id, RouteTable([route]).find("h", "/xy/")
@@ -92,9 +94,10 @@
             self._by_host.setdefault(route.host.lower(), {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request; None if there is none.
+        """Return the route of a request; None if there is none.
 
-        :param host: as in the request, with or without a port.
+        :param host: host of the request, with or without a port.
+        :param path: path of the request.
         """
         by_prefix = self._by_host.get(host.lower()) or self._by_host.get(host.lower().partition(":")[0])
         if by_prefix is None:
@@ -111,12 +114,12 @@
 
 
 def digest(raw: bytes) -> bytes:
-    """Identifies a configuration by the very bytes that were sent."""
+    """Return the digest that identifies a configuration, of the exact bytes that the operator sent."""
     return hashlib.sha256(raw).digest()[:DIGEST_BYTES]
 
 
 def parse(raw: bytes) -> Configuration:
-    """Parse a configuration that was validated before."""
+    """Parse the text of a configuration that has been validated."""
     data = json.loads(raw)
     routes = []
     for point in data["access_points"]:
--- a/orchidferry/mesh/control/configuration_fetcher.py
+++ b/orchidferry/mesh/control/configuration_fetcher.py
@@ -1,8 +1,8 @@
-"""How a node gets configurations: which revision it needs, whom it asks, and when it asks somebody else.
+"""Fetching of configurations by a node: the needed revision, the choice of a source, and timeouts.
 
-A node that starts first reads the newest revision from a controller that confirms it with a majority, so that
-it does not serve by a configuration that was replaced before. Later revisions are announced in the streams of
-updates, and their texts fetched from whoever has announced them.
+At its start a node reads the newest revision number, which a controller confirms with a majority, so that the
+node does not serve with a configuration that was replaced before. Later revisions are announced in the update
+streams, and their texts are fetched over the link by which the announcement came.
 """
 
 from __future__ import annotations
@@ -19,16 +19,18 @@
 from orchidferry.mesh.wire.framing import Link
 from orchidferry.mesh.wire.messages import ConfigurationFetch, ConfigurationText, Revision, RevisionRead
 
-ANSWER_TIMEOUT_S = 0.4  # for an answer to begin, before another controller is asked
-TRANSFER_TIMEOUT_S = 1.5  # for all of it, while its bytes come
-STALL_S = 0.15  # a link over which nothing has come for so long has stalled
+ANSWER_TIMEOUT_S = 0.4  # time after which another controller is asked if the link is stalled
+TRANSFER_TIMEOUT_S = 1.5  # time after which another controller is asked although bytes are still arriving
+STALL_S = 0.15  # a link is stalled if nothing has been received over it for this time
 
 
 @dataclass(frozen=True, slots=True)
 class PendingFetch:
     """A request that has not been answered.
 
-    :param is_read: whether it reads the newest revision's number; else it fetches a text.
+    :param link: link over which the request was sent.
+    :param sent_s: time at which it was sent.
+    :param is_read: whether it reads the newest revision number; otherwise it fetches a text.
     """
 
     link: Link
@@ -36,18 +38,18 @@
     is_read: bool
 
     def timed_out(self, now: float) -> bool:
-        """Whether to ask somebody else: nothing comes, or it takes too long."""
+        """Return whether to ask another controller: the link is stalled, or the transfer takes too long."""
         stalled = now - self.link.last_received_s > STALL_S or not self.link.open
         return now > self.sent_s + (ANSWER_TIMEOUT_S if stalled else TRANSFER_TIMEOUT_S)
 
 
 class ConfigurationFetcher:
-    """The configuration of one node.
+    """Fetches the configurations of one node.
 
-    :ivar revision: the newest that the node has; `NO_REVISION` for none, 0 if none exists.
-    :ivar wanted_revision: the newest that has been announced.
-    :ivar caught_up: whether the node has had a configuration that is as new as any that was acknowledged to
-        an operator before the node's start.
+    :ivar revision: newest revision that the node has; `NO_REVISION` for none, 0 if no configuration exists.
+    :ivar wanted_revision: newest revision that has been announced or read.
+    :ivar caught_up: whether the node has a configuration at least as new as any that was acknowledged to an
+        operator before the node's start.
     """
 
     def __init__(
@@ -58,11 +60,13 @@
         streams: dict[str, UpdateStream],
         on_received: Callable[[int, bytes, bytes], None],
     ) -> None:
-        """Make a fetcher that has nothing.
+        """Create a fetcher without a configuration.
 
+        :param loop: the event loop, for its clock.
+        :param rng: chooses among controllers.
         :param connections: the node's connections to controllers, by name.
         :param streams: the node's copies of the controllers' streams, by controller.
-        :param on_received: called with a new configuration's revision, compressed text and text.
+        :param on_received: called with the revision, the compressed text and the text of a new configuration.
         """
         self._loop = loop
         self._rng = rng
@@ -72,22 +76,22 @@
         self.revision = NO_REVISION
         self.wanted_revision = 0
         self.caught_up = False
-        self._initial_revision: int | None = None  # that was read at the start
+        self._initial_revision: int | None = None  # the number that was read at the start
         self._last_request = 0
-        self._pending: dict[int, PendingFetch] = {}  # by request
+        self._pending: dict[int, PendingFetch] = {}  # by request number
 
     def controller_connected(self, link: Link) -> None:
-        """Read the revision over a new link, unless that is done."""
+        """Read the newest revision number over a new link, unless it has been read."""
         if self._initial_revision is None and not self.caught_up:
             self.read_revision(link)
 
     def disconnected(self, link: Link) -> None:
-        """Forget what was asked over a link that is closed."""
+        """Discard the requests sent over a link that is closed."""
         for request in [request for request, fetch in self._pending.items() if fetch.link is link]:
             del self._pending[request]
 
     def tick(self, now: float) -> None:
-        """Ask a controller for what is missing, if nothing is pending."""
+        """Send the next request to a controller, if one is needed and none is pending."""
         for request in [request for request, fetch in self._pending.items() if fetch.timed_out(now)]:
             del self._pending[request]
         if self._pending:
@@ -103,10 +107,10 @@
             ask(connection.link)
 
     def _choose_controller(self) -> ControllerConnection | None:
-        """A random controller.
+        """Choose a connected controller at random, or None if there is none.
 
-        One that is in contact with a majority and has announced what is wanted, if there is one; else any
-        that is in contact; else any.
+        Preferred are controllers that are in contact with a majority and have announced the wanted revision,
+        then any that are in contact, then all others.
         """
         now = self._loop.time()
         connected = [one for one in self._connections.values() if one.open_link is not None]
@@ -119,7 +123,7 @@
         return stream is not None and stream.revision >= self.wanted_revision
 
     def read_revision(self, link: Link) -> None:
-        """Ask a controller for the number of the newest revision, confirmed by a majority."""
+        """Ask a controller for the newest revision number, confirmed by a majority."""
         link.send(RevisionRead(self._register(link, is_read=True)))
 
     def _fetch_text(self, link: Link) -> None:
@@ -131,15 +135,15 @@
         return self._last_request
 
     def revision_announced(self, revision: int, link: Link) -> None:
-        """Fetch a newly announced configuration over the link by which that was announced."""
+        """Fetch a newly announced configuration over the link by which the announcement came."""
         self.wanted_revision = max(self.wanted_revision, revision)
         if self.wanted_revision > self.revision and all(fetch.is_read for fetch in self._pending.values()):
             self._fetch_text(link)
 
     def revision_received(self, link: Link, message: Revision) -> None:
-        """Take the answer to `read_revision`.
+        """Handle the reply to `read_revision`.
 
-        All controllers are asked; the text is fetched from the one that answers first.
+        All controllers are asked; the text is fetched from the one that replies first.
         """
         revision = message.revision
         self._pending.pop(message.request, None)
@@ -155,9 +159,9 @@
             self._fetch_text(link)
 
     def text_received(self, message: ConfigurationText) -> None:
-        """Take the text of a configuration, also if it comes late: what was decided stays decided.
+        """Handle the text of a configuration, also after a timeout, as a committed text never changes.
 
-        :raises ValueError: if the text is damaged; it is fetched again then.
+        :raises ValueError: if the text is damaged; it is then fetched again.
         """
         self._pending.pop(message.request, None)
         if message.revision <= max(self.revision, NO_REVISION):
--- a/orchidferry/mesh/control/configuration_resource.py
+++ b/orchidferry/mesh/control/configuration_resource.py
@@ -1,7 +1,7 @@
-"""The operators' resource `/orchidferry/configuration`: reading the current revision and replacing it.
+"""The HTTP resource `/orchidferry/configuration`, with which operators read and replace the configuration.
 
-It validates requests and turns results into HTTP answers; the state itself is held by the configuration's
-shard.
+The resource validates requests and converts results to HTTP responses; the state itself is held by the shard
+of the configuration.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 from orchidferry.node.reply import Reply
 
 CONFIGURATION_PATH = "/orchidferry/configuration"
-PUT_TIMEOUT_S = 4.0  # for a change to be decided
+PUT_TIMEOUT_S = 4.0  # time for a change to be decided
 RETRY_AFTER_S = 0.2
-MAX_VALIDATED = 16  # configurations whose validation is remembered
-REVISION_TAG = re.compile(rb'\s*(?:([0-9]{1,16})|"([0-9]{1,16})")\s*')  # of `If-Match`
+MAX_VALIDATED = 16  # size of the cache of valid configurations
+REVISION_TAG = re.compile(rb'\s*(?:([0-9]{1,16})|"([0-9]{1,16})")\s*')  # value of `If-Match`
 
 OnEnded = Callable[[RequestEnded], None]
 RequestChange = Callable[[shard_state.Change, float, OnEnded], None]
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidConfiguration:
-    """A configuration that was found valid.
+    """A valid configuration.
 
-    :param compressed_text: as the state holds it.
+    :param compressed_text: the text in the form in which it is stored (`configuration_text.compress`).
     """
 
     revision: int
@@ -53,7 +53,7 @@
 
 
 class ConfigurationResource:
-    """The handler of the resource at one controller."""
+    """The request handler of the resource at one controller."""
 
     def __init__(
         self,
@@ -62,12 +62,13 @@
         is_growing: Callable[[], bool],
         in_contact: Callable[[], bool],
     ) -> None:
-        """Make the handler.
+        """Create the handler.
 
-        :param request_change: proposes a change of the configuration's shard, with a timeout in seconds.
+        :param request_change: proposes a change to the configuration's shard, with a timeout in seconds.
         :param request_read: reads the shard's newest state, confirmed by a majority.
-        :param is_growing: whether groups still have fewer controllers than the tolerance needs.
-        :param in_contact: whether a majority of the controllers has lately acknowledged this one.
+        :param is_growing: returns whether groups have fewer controllers than the configured fault tolerance
+            needs.
+        :param in_contact: returns whether a majority of controllers has recently acknowledged this one.
         """
         self._request_change = request_change
         self._request_read = request_read
@@ -78,7 +79,8 @@
     def __call__(self, request: ControlRequest, rest: str, answer: Answer) -> None:
         """Handle a request.
 
-        :param rest: of the path, below the resource's own.
+        :param rest: rest of the path, below the path of the resource.
+        :param answer: called with the response.
         """
         if rest:
             return _reject(answer, RejectionReason.NOT_FOUND, rest[:MAX_QUOTED_PATH])
@@ -86,7 +88,7 @@
             return self._get(answer)
         if request.method == b"PUT":
             return self._put(request, answer)
-        return _reject(answer, RejectionReason.MALFORMED, "PUT or GET")
+        return _reject(answer, RejectionReason.MALFORMED, "the method must be GET or PUT")
 
     def _get(self, answer: Answer) -> None:
         def finish(read: RequestEnded) -> None:
@@ -105,9 +107,9 @@
     def _put(self, request: ControlRequest, answer: Answer) -> None:
         base = base_revision(request.headers.get(b"if-match", b""))
         if base is None:
-            detail = "If-Match: one version, such as 5, is needed"
+            detail = "If-Match must contain exactly one revision, such as 5"
             return _reject(answer, RejectionReason.MALFORMED, detail)
-        if not self._in_contact():  # before the work of validating it
+        if not self._in_contact():  # checked first, as validation is expensive
             return answer(rejection_reply(Rejection(RejectionReason.OUT_OF_CONTACT), RETRY_AFTER_S))
         key = digest(request.body)
         found = self._validated.get(key) or self._validate(key, request.body)
@@ -122,15 +124,15 @@
         return None
 
     def _validate(self, key: bytes, text: bytes) -> ValidConfiguration | Rejection:
-        """Validate a configuration; one that is valid is not validated again if it is sent again.
+        """Validate a configuration, and cache the result if it is valid.
 
-        :param key: the digest of the text.
+        :param key: digest of the text.
         """
         found = validate(text)
         if isinstance(found, Rejection):
             return found
         if found.revision > MAX_NUMBER:
-            detail = f"configuration: revision_number: {MAX_NUMBER} at most"
+            detail = f"configuration: revision_number: must be at most {MAX_NUMBER}"
             return Rejection(RejectionReason.INVALID, detail)
         if len(self._validated) >= MAX_VALIDATED:
             del self._validated[next(iter(self._validated))]
@@ -143,10 +145,10 @@
 
 
 def base_revision(if_match: bytes) -> int | None:
-    """The revision that a change is based on, by the header If-Match (RFC 9110, 13.1.1).
+    """Return the revision that a change is based on, from the header If-Match (RFC 9110, 13.1.1).
 
-    :returns: None if the header does not name exactly one. A weak tag names none: it stands for all that
-        mean the same.
+    :returns: None if the header does not contain exactly one revision. A weak tag is not accepted, as it
+        matches all equivalent contents.
 
     >>> base_revision(b"5"), base_revision(b' "12" '), base_revision(b'W/"5"'), base_revision(b"5, 6")
     (5, 12, None, None)
@@ -159,16 +161,18 @@
 
 
 def _put_reply(ended: RequestEnded, revision: int) -> Reply:
-    """The answer to a change that is over; one whose result is unknown may have been made."""
+    """Return the response for a change that has ended; one with an unknown result may be committed."""
     if ended.value is None:
         out_of_contact = ended.why == OUT_OF_CONTACT
         reason = RejectionReason.OUT_OF_CONTACT if out_of_contact else RejectionReason.COMMIT_UNKNOWN
         return rejection_reply(Rejection(reason), RETRY_AFTER_S)
     if ended.why == shard_state.UNKNOWN_ORDER:
-        detail = f"revision {revision} is older than what this controller remembers"
+        detail = f"revision {revision} is older than this controller's history"
         return rejection_reply(Rejection(RejectionReason.HISTORY_EXPIRED, detail), RETRY_AFTER_S)
     if ended.why:
         stale = ended.why == shard_state.OLD_VERSION
         reason = RejectionReason.STALE_VERSION if stale else RejectionReason.VERSION_MISMATCH
-        return rejection_reply(Rejection(reason, f"{shard_state.body(ended.value).revision} is current"))
+        return rejection_reply(
+            Rejection(reason, f"revision {shard_state.body(ended.value).revision} is current")
+        )
     return Reply(200, json.dumps({"revision_number": revision}).encode(), JSON)
--- a/orchidferry/mesh/control/configuration_schema.py
+++ b/orchidferry/mesh/control/configuration_schema.py
@@ -1,8 +1,8 @@
-"""The schema of a configuration's fields, each by itself.
+"""The schema of the fields of a configuration.
 
-What holds between them is checked in `configuration_validation`.
+Relations between fields are checked in `configuration_validation`.
 
-It is imported at the first validation only: the library takes a while to import on a small machine.
+This module is imported at the first validation only, as importing marshmallow is slow on a small machine.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class LenientSchema(Schema):
-    """Ignores fields that are not known."""
+    """Base of all schemas here: ignores unknown fields."""
 
     class Meta:
-        """Options of marshmallow."""
+        """Options for marshmallow."""
 
         unknown = EXCLUDE
 
@@ -31,7 +31,7 @@
 
 
 class CriteriaSchema(LenientSchema):
-    """Which requests a rule is for."""
+    """The conditions under which a rule applies to a request."""
 
     path_prefix = fields.String(
         required=True, validate=validate.Regexp(r"\A/", error="must begin with a slash")
--- a/orchidferry/mesh/control/configuration_validation.py
+++ b/orchidferry/mesh/control/configuration_validation.py
@@ -1,4 +1,4 @@
-"""Validation of a configuration that an operator sends, before it is taken."""
+"""Validation of a configuration sent by an operator, before it is committed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from orchidferry.mesh.control.configuration import Configuration, parse
 from orchidferry.mesh.errors import Rejection, RejectionReason
 
-MAX_TARGET_OVER_GUARD_MS = 60_000.0  # a target that exceeds its guard timer by this can't be meant
+# A latency target that exceeds the guard timer by this much must be a mistake.
+MAX_TARGET_OVER_GUARD_MS = 60_000.0
 
 
 @cache
@@ -21,9 +22,9 @@
 
 
 def validate(raw: bytes) -> Configuration | Rejection:
-    """Parse a configuration and validate all of it.
+    """Parse and validate a configuration.
 
-    :returns: the configuration, or a rejection that names the first field that is wrong.
+    :returns: the configuration, or a rejection that names the first invalid field.
     """
     try:
         data = json.loads(raw)
@@ -47,7 +48,7 @@
 
 
 def _flatten(errors: Any, path: str = "") -> Iterator[str]:
-    """One line for each error in what the schema's library returns."""
+    """Yield one line for each error in marshmallow's nested error messages."""
     if isinstance(errors, dict):
         for name, inner in errors.items():
             yield from _flatten(inner, f"{path}.{name}" if path else str(name))
@@ -56,7 +57,7 @@
 
 
 def _find_inconsistency(configuration: Configuration) -> str | None:
-    """The first contradiction between parts of a configuration."""
+    """Return the first contradiction between parts of a configuration; None if there is none."""
     ids = set()
     hosts_and_prefixes = set()
     for route in configuration.routes:
@@ -74,5 +75,5 @@
             return f"{where}: path_prefix {route.prefix} is there twice"
         hosts_and_prefixes.add(host_and_prefix)
         if route.latency_target_ms - route.guard_timer_ms >= MAX_TARGET_OVER_GUARD_MS:
-            return f"{where}: target_ms lies a minute or more over guard_timer_ms"
+            return f"{where}: target_ms exceeds guard_timer_ms by a minute or more"
     return None
--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -1,7 +1,7 @@
-"""The HTTP server for control requests: those of servers, of operators, and readiness probes.
+"""The HTTP server for control requests, which come from servers, operators and readiness probes.
 
-The listener and its connections are those of `orchidferry.node.frontend`; here is the table from path to
-handler, one handler a resource.
+The listener and its connections are provided by `orchidferry.node.frontend`; this module adds the routing
+from path to handler, with one handler per resource.
 """
 
 from __future__ import annotations
@@ -19,24 +19,26 @@
 from orchidferry.node.request import Message
 
 JSON = b"application/json"
-MAX_BODY_BYTES = 8 * 1024 * 1024  # of a control request; it is buffered
+MAX_BODY_BYTES = 8 * 1024 * 1024  # maximum body of a control request, which is buffered in memory
 UNIQUE_HEADERS = frozenset((b"host", b"content-length", b"transfer-encoding", b"content-type", b"if-match"))
-MAX_DETAIL = 500  # characters of a rejection: clients read 4 KiB at most, and it may quote them
-MAX_QUOTED_PATH = 80  # characters of a path in a rejection
-ANSWER_TIMEOUT_S = 20.0  # a request that its handler has not answered by then is answered with an error
+# Maximum length of a rejection's detail, in characters: clients read at most 4 KiB, and the detail may quote
+# them.
+MAX_DETAIL = 500
+MAX_QUOTED_PATH = 80  # maximum length in characters of a path quoted in a rejection
+ANSWER_TIMEOUT_S = 20.0  # time after which a request that its handler has not answered gets an error
 
 Answer = Callable[[Reply], None]
 
 
 @dataclass(slots=True)
 class ControlRequest(Message):
-    """A control request."""
+    """A control request with its headers."""
 
     headers: dict[bytes, bytes] = field(default_factory=dict)
 
 
 def control_request(method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> ControlRequest:
-    """Make a control request of what came over a connection."""
+    """Create a control request from the parts of an HTTP request."""
     return ControlRequest(
         method=method,
         target=target,
@@ -52,19 +54,20 @@
     )
 
 
-# Handles a request: takes the rest of its path, below the handler's own, and answers once, now or later.
+# Handles a request. The second argument is the rest of the path, below the path of the handler. The third one
+# is called once with the response, immediately or later.
 Handler = Callable[[ControlRequest, str, Answer], None]
 
 
 def rejection_reply(rejection: Rejection, retry_after_s: float | None = None) -> Reply:
-    """The HTTP answer to a request that is rejected."""
+    """Return the HTTP response for a rejected request."""
     detail = rejection.line[:MAX_DETAIL]
     body = json.dumps({"error": rejection.reason.code, "detail": detail}).encode()
     return Reply(rejection.status, body, JSON, retry_after_s)
 
 
 class _PendingAnswer:
-    """The answer to one request: the handler's, or a rejection once that is overdue."""
+    """The pending response to one request; a rejection is sent if the handler does not answer in time."""
 
     def __init__(self, answer: Answer) -> None:
         self._answer: Answer | None = answer
@@ -72,7 +75,7 @@
         self._timer = asyncio.get_running_loop().call_later(ANSWER_TIMEOUT_S, self, timeout)
 
     def __call__(self, reply: Reply) -> None:
-        """Send the answer, unless one was sent before."""
+        """Send the response, unless one was sent before."""
         answer = self._answer
         self._answer = None
         if answer is not None:
@@ -80,7 +83,7 @@
             answer(reply)
 
     def client_disconnected(self) -> None:
-        """Drop the answer."""
+        """Discard the response, as the client has disconnected."""
         self._answer = None
         self._timer.cancel()
 
@@ -93,9 +96,11 @@
     limits_s = LIMITS_S | {Stage.IDLE: 30.0, Stage.READING: 10.0, Stage.NEW: 10.0}
 
     def __init__(self, handlers: Mapping[str, Handler], max_connections: int) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
-        :param handlers: by the path, without its last slash, below which each handles all requests.
+        :param handlers: handlers by path without a trailing slash; each handles all requests at or below its
+            path.
+        :param max_connections: maximum number of client connections.
         """
         super().__init__({}, self._handle, lambda: True, max_connections, MemoryPool(MAX_BODY_BYTES))
         self._handlers = handlers
@@ -103,9 +108,9 @@
     def read(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
     ) -> Message | Reply:
-        """A request whose body is complete; one that is too long is rejected."""
+        """Return the request, or a rejection if its body is too long to be buffered."""
         if flow is not None:
-            return Reply(413, b"too long for a control call")
+            return Reply(413, b"request body too large")
         return control_request(method, target, headers, body)
 
     def _handle(self, message: Message, answer: Answer) -> RequestHandle:
--- a/tests/mesh/control/test_configuration_resource.py
+++ b/tests/mesh/control/test_configuration_resource.py
@@ -1,4 +1,7 @@
-"""The operators' resource on orders that are malformed, sent again, or too old to be known."""
+"""Replies of the configuration resource to orders that are malformed, repeated, or older than the history.
+
+An order is an operator's request to replace the configuration (see `order_history`).
+"""
 
 from __future__ import annotations
 
@@ -22,26 +25,29 @@
 from orchidferry.node.reply import Reply
 from tests.mesh.control.examples import example
 
-# The resource
-
 
 def _content(number: int, **more: Any) -> bytes:
     return json.dumps(example() | {"revision_number": number} | more).encode()
 
 
 class Resource:
-    """The operators' resource on a register that takes what may be taken."""
+    """The configuration resource, on a register that commits every permitted change at once."""
 
     def __init__(self) -> None:
         self.value = shard_state.genesis(("a", "b", "c"))
         self.resource = ConfigurationResource(
-            self._ask, lambda told: told(RequestEnded("", self.value)), lambda: False, lambda: True
+            self._request_change,
+            lambda on_ended: on_ended(RequestEnded("", self.value)),
+            lambda: False,
+            lambda: True,
         )
 
-    def _ask(self, change: shard_state.Change, _: float, told: Callable[[RequestEnded], None]) -> None:
+    def _request_change(
+        self, change: shard_state.Change, _: float, on_ended: Callable[[RequestEnded], None]
+    ) -> None:
         after = change(self.value)
         self.value = after if isinstance(after, Value) else self.value
-        told(RequestEnded("1", self.value, after if isinstance(after, str) else ""))
+        on_ended(RequestEnded("1", self.value, after if isinstance(after, str) else ""))
 
     def put(self, body: bytes, if_match: bytes | None) -> Reply:
         headers = {} if if_match is None else {b"if-match": if_match}
@@ -75,7 +81,7 @@
         b"0;q=1",
     ],
 )
-def test_an_order_without_a_valid_if_match_is_refused_in_one_line(if_match: bytes | None) -> None:
+def test_an_order_without_a_valid_if_match_is_rejected_in_one_line(if_match: bytes | None) -> None:
     resource = Resource()
     reply = resource.put(_content(7), if_match)
     assert reply.status == 400 and b"If-Match" in reply.body and b"\n" not in reply.body
@@ -88,24 +94,24 @@
     assert Resource().put(_content(7), if_match).status == 200
 
 
-def test_a_committed_order_is_acknowledged_only_in_the_form_in_which_it_was_sent() -> None:
+def test_a_committed_order_is_acknowledged_only_if_it_is_repeated_exactly() -> None:
     resource = Resource()
     assert resource.put(_content(5), b"0").status == 200
     assert resource.put(_content(7), b"5").status == 200
     assert resource.put(_content(9), b"7").status == 200
     for if_match, status in ((b"5", 200), (b'"5"', 200), (b"0", 412), (b"6", 412), (b"7", 400), (b"9", 400)):
         assert resource.put(_content(7), if_match).status == status, if_match
-    assert resource.put(_content(7) + b"\n", b"5").status == 412  # other bytes are another content
-    assert resource.put(_content(7, trunk_groups=[]), b"5").status == 400  # invalid, whatever its number
-    assert resource.put(_content(8), b"7").status == 412  # never taken
-    assert resource.put(_content(20), b"19").status == 412  # on a version that is not there
+    assert resource.put(_content(7) + b"\n", b"5").status == 412  # other bytes are other content
+    assert resource.put(_content(7, trunk_groups=[]), b"5").status == 400  # invalid content
+    assert resource.put(_content(8), b"7").status == 412  # never committed
+    assert resource.put(_content(20), b"19").status == 412  # the base revision does not exist
     assert resource.put(_content(2**53), b"9").status == 400 and resource.put(_content(9), b"7").status == 200
     assert expand(shard_state.body(resource.value).compressed_text) == _content(9)
 
 
 def test_copies_of_an_order_are_validated_once() -> None:
     resource = Resource()
-    most = configuration_resource.MAX_VALIDATED
+    limit = configuration_resource.MAX_VALIDATED
     with mock.patch.object(
         configuration_resource, "validate", wraps=configuration_validation.validate
     ) as check:
@@ -115,12 +121,12 @@
         for _ in range(2):
             assert resource.put(_content(7, trunk_groups=[]), b"5").status == 400
         assert check.call_count == 3
-        for number in range(10, 10 + most):
+        for number in range(10, 10 + limit):
             assert resource.put(_content(number), b"0").status == 412
-        assert len(resource.resource._validated) == most and check.call_count == 3 + most
+        assert len(resource.resource._validated) == limit and check.call_count == 3 + limit
 
 
-def test_an_order_older_than_the_history_has_no_clear_answer() -> None:
+def test_an_order_older_than_the_history_has_an_unknown_outcome() -> None:
     resource = Resource()
     with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", 2):
         for number in range(1, 5):
--- a/tests/mesh/control/test_configuration_text.py
+++ b/tests/mesh/control/test_configuration_text.py
@@ -1,4 +1,4 @@
-"""The compressed text of a configuration, and stores that hold it in the form of an earlier build."""
+"""The compressed text of a configuration, and stores of earlier builds with uncompressed text."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     assert expand(b"") == b""
 
 
-def test_text_that_is_corrupt_or_expands_beyond_the_limit_is_refused() -> None:
-    kept = compress(example_configuration(1))
-    for wrong in (kept[:-1], kept + b"x", kept[:40] + bytes([kept[40] ^ 1]) + kept[41:]):
+def test_text_that_is_corrupt_or_expands_beyond_the_limit_is_rejected() -> None:
+    stored = compress(example_configuration(1))
+    for corrupt in (stored[:-1], stored + b"x", stored[:40] + bytes([stored[40] ^ 1]) + stored[41:]):
         with pytest.raises(ValueError, match="text is"):
-            expand(wrong)
+            expand(corrupt)
     assert len(expand(zlib.compress(bytes(MAX_TEXT_BYTES)))) == MAX_TEXT_BYTES
     with pytest.raises(ValueError, match="more than 8388608 bytes"):
         expand(zlib.compress(bytes(MAX_TEXT_BYTES * 8)))
@@ -46,14 +46,14 @@
     state = [shard_state.genesis(("a", "b", "c"))]
     replies: list[Any] = []
 
-    def ask(change: shard_state.Change, for_s: float, told: Any) -> None:
-        found = change(state[0])
-        assert isinstance(found, Value)
-        state[0] = found
-        told(RequestEnded("", found))
+    def request_change(change: shard_state.Change, timeout_s: float, on_ended: Any) -> None:
+        after = change(state[0])
+        assert isinstance(after, Value)
+        state[0] = after
+        on_ended(RequestEnded("", after))
 
     resource = ConfigurationResource(
-        ask, lambda told: told(RequestEnded("", state[0])), lambda: False, lambda: True
+        request_change, lambda on_ended: on_ended(RequestEnded("", state[0])), lambda: False, lambda: True
     )
     text = b" \n" + example_configuration(1)
     resource(control_request(b"PUT", b"/", {b"if-match": b"0"}, text), "", replies.append)
@@ -70,25 +70,25 @@
     folder = str(tmp_path / "data")
     text = example_configuration(7)
     body = shard_state.Body(3, 7, text, ((7, digest(text)),), "10.0.0.2", 4)
-    kept = AcceptorState(5, (9, "x"), (8, "y"), Value(12, (Voter("10.0.0.1", 5),), body))
-    with monkeypatch.context() as before:
-        before.setattr(record_format, "STORE_FORMAT", 2)
-        before.setattr(snapshot_file, "SNAPSHOT_FORMAT", 1)
+    stored = AcceptorState(5, (9, "x"), (8, "y"), Value(12, (Voter("10.0.0.1", 5),), body))
+    with monkeypatch.context() as earlier_build:
+        earlier_build.setattr(record_format, "STORE_FORMAT", 2)
+        earlier_build.setattr(snapshot_file, "SNAPSHOT_FORMAT", 1)
         store = Store(folder, loop)
         for number in shard_state.SHARDS:
-            store.write(initial_records(number, kept, True))
+            store.write(initial_records(number, stored, True))
         store.write([("about", b"founders", pack(["10.0.0.1"]))])
         close(store)
         snapshots.take_snapshot(folder, str(tmp_path / "old"))
     storage_check.prepare_store(folder)
-    stock = storage_check.read_contents(folder)
-    assert stock is not None and stock.format == STORE_FORMAT == 3
-    state = stock.acceptor_states[shard_state.CONFIGURATION].value
+    contents = storage_check.read_contents(folder)
+    assert contents is not None and contents.format == STORE_FORMAT == 3
+    state = contents.acceptor_states[shard_state.CONFIGURATION].value
     assert state is not None and expand(shard_state.body(state).compressed_text) == text
     old = snapshot_file.read_snapshot(str(tmp_path / "old")).states[shard_state.CONFIGURATION]
     assert expand(shard_state.body(old).compressed_text) == text
     snapshots.take_snapshot(folder, str(tmp_path / "new"))
-    with monkeypatch.context() as before:
-        before.setattr(snapshot_file, "READABLE_FORMATS", (1,))
+    with monkeypatch.context() as earlier_build:
+        earlier_build.setattr(snapshot_file, "READABLE_FORMATS", (1,))
         with pytest.raises(snapshot_file.SnapshotError, match="format 2 is not known here"):
             snapshot_file.read_snapshot(str(tmp_path / "new"))
--- a/tests/mesh/control/test_configuration_validation.py
+++ b/tests/mesh/control/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""Valid configurations, and what is rejected of others."""
+"""Validation of configurations: all fields of valid ones are parsed, and invalid ones are rejected."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.mesh.control.examples import example, rule, spoil
 
 
-def test_a_valid_configuration_is_taken_whole() -> None:
+def test_all_fields_of_a_valid_configuration_are_parsed() -> None:
     raw = json.dumps(example()).encode()
     found = configuration_validation.validate(raw)
     assert found == configuration.parse(raw) and isinstance(found, configuration.Configuration)
@@ -35,7 +35,8 @@
 TREATMENT = "access_points/0/rule_set/0/treatment"
 
 
-SPOILT = [
+# Path of the field, its invalid value, and a text that the rejection must contain.
+INVALID = [
     (f"{TREATMENT}/service_name", "u", "service u"),
     (f"{TREATMENT}/max_attempts", 0, "max_attempts"),
     (f"{TREATMENT}/max_attempts", 1e400, "max_attempts"),
@@ -59,22 +60,22 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "named"), SPOILT)
-def test_an_invalid_configuration_is_refused(path: str, value: Any, named: str) -> None:
+@pytest.mark.parametrize(("path", "value", "detail"), INVALID)
+def test_an_invalid_configuration_is_rejected(path: str, value: Any, detail: str) -> None:
     data = copy.deepcopy(example())
     spoil(path, value)(data)
     found = configuration_validation.validate(json.dumps(data).encode())
     assert isinstance(found, Rejection) and found.status == 400
-    assert named in found.line and "\n" not in found.line
+    assert detail in found.line and "\n" not in found.line
 
 
 @pytest.mark.parametrize("raw", [json.dumps(example()).encode()[:-9], b"", b"[]", b"\xff", b"[" * 100_000])
-def test_what_is_no_configuration_is_refused(raw: bytes) -> None:
+def test_malformed_json_is_rejected(raw: bytes) -> None:
     found = configuration_validation.validate(raw)
     assert isinstance(found, Rejection) and found.status == 400
 
 
-def test_a_long_configuration() -> None:
+def test_a_configuration_may_have_many_routes() -> None:
     data = example()
     data["access_points"][0]["rule_set"] = [rule(n) for n in range(400)]
     found = configuration_validation.validate(json.dumps(data).encode())
