--- a/orchidferry/mesh/control/operation_keys.py
+++ b/orchidferry/mesh/control/operation_keys.py
@@ -1,10 +1,10 @@
-"""The operation (idempotency) keys that one controller has granted, with the stored responses. No I/O.
+"""The operation (idempotency) keys that one controller has granted, with their answers. No I/O.
 
 This is the controller's half of running a keyed request at most once. A node claims a key at all controllers
 of the shard's group. The request may run once a majority has granted the key to the same attempt, all under
-one epoch of the group. A controller grants a key to one attempt only: any later claim is answered with the
-attempt that holds the key and, if known, the response of that attempt. Only the holder may release a key, and
-only if the request never ran; otherwise the record is removed when its retention ends.
+one epoch of the group. A controller grants a key to one attempt only. The answer of a key is the response of
+that attempt, stored so that later claims of the key get it. Only the holder may release a key, and only if
+the request never ran; otherwise the record is removed when its retention ends.
 
 A change must be on disk before the controller replies: `OperationKeys.claim`, `record_answer` and `release`
 return what has to be written first.
--- a/orchidferry/mesh/control/order_log.py
+++ b/orchidferry/mesh/control/order_log.py
@@ -56,7 +56,7 @@
         return [(name, REFUSALS.get(verdict, "")) for name, verdict in found if verdict.is_final]
 
     def take_unsaved(self) -> tuple[list[int], list[RecordWrite]]:
-        """Return the next page of disk writes: the newest unsaved orders, and deletions of outdated ones.
+        """Take the next page of disk writes: the newest unsaved orders, and deletions of outdated ones.
 
         :returns: the numbers of the unsaved orders, and the writes.
         """
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -28,8 +28,8 @@
     UpdateSubscription,
 )
 
-# Minimum time between two rounds of publishing, for each follower: it limits sending to about a third of the
-# time.
+# Minimum time between two rounds of publishing, per follower, so that sending takes at most about a third of
+# the time.
 PAUSE_PER_FOLLOWER_S = 100e-6
 
 
--- a/orchidferry/mesh/control/retry_quota_allocator.py
+++ b/orchidferry/mesh/control/retry_quota_allocator.py
@@ -25,9 +25,10 @@
 
 LEASE_S = 3.0  # duration of a quota's lease, which a node counts from the time of its request
 MAX_DELAY_S = 1.0  # maximum delay from sending a retry to its arrival: admission may queue it, links are slow
-# Shares of the retry slack. They are disjoint, so that no part of the slack is spent twice.
+# The next two are disjoint shares of the retry slack, so that no part of the slack is spent twice.
 STATIC_SHARE = 0.15  # divided among all nodes in advance, for nodes that can't reach an allocator
 ALLOCATED_SHARE = 0.75  # allocated by the owners of services
+
 FLOOR_SHARE = 0.25  # minimum quota of a requesting node, as a share of an equal division of the total
 HEADROOM = 1.5  # factor from wanted retries to demand, so that a node has a reserve when it needs more
 LEVEL_INTERVAL_S = 0.5  # minimum time between two computations of the fair level
@@ -112,8 +113,8 @@
         """
         self._total_units = int(total * UNITS_PER_RETRY)
         self._lease_s = lease_s
-        self._spent_for_s = window_s + MAX_DELAY_S  # time for which a retry counts after it was sent
-        learn_s = lease_s + self._spent_for_s if learn_s is None else learn_s
+        self._count_duration_s = window_s + MAX_DELAY_S  # time for which a retry counts after it was sent
+        learn_s = lease_s + self._count_duration_s if learn_s is None else learn_s
         self._learned_s = now_s + learn_s  # end of the learning period
         self._accounts: dict[NodeProcess, _Account] = {}
         self._grant_ends: list[tuple[float, NodeProcess]] = []  # a heap: the end of each grant
@@ -157,7 +158,7 @@
     def _grant(self, process: NodeProcess, account: _Account, units: int, now_s: float) -> None:
         before = account.max_units
         grants = account.grants
-        end_s = now_s + self._lease_s + self._spent_for_s
+        end_s = now_s + self._lease_s + self._count_duration_s
         while grants and grants[-1].units <= units:
             grants.pop()
         grants.append(_Grant(end_s, units))
--- a/orchidferry/mesh/control/subscriber.py
+++ b/orchidferry/mesh/control/subscriber.py
@@ -3,7 +3,7 @@
 A node receives updates from its parent in the fan-out tree or, without a parent, from the controllers. Gaps
 are detected by lease renewals: each reply of a controller contains the newest number of its stream, and an
 update that has not arrived through the tree `CATCH_UP_DELAY_S` later is requested from the controllers. A
-relay that is frozen, partitioned or faulty therefore delays updates by no more than that.
+relay that is frozen, partitioned or faulty therefore delays updates by little more than a renewal interval.
 
 No I/O of its own: links, the event loop's clock and the dial function are passed in.
 """
@@ -73,7 +73,7 @@
     """The pause before a failed parent is tried again.
 
     :param until_s: time at which the pause ends.
-    :param duration_s: its length before randomisation; the next pause is twice as long.
+    :param duration_s: its length before randomisation; the next pause is twice as long, up to a maximum.
     """
 
     until_s: float
--- a/tests/mesh/control/test_order_history.py
+++ b/tests/mesh/control/test_order_history.py
@@ -126,27 +126,8 @@
             assert absent is not Verdict.COMMITTED
 
 
-EVENTS = st.lists(
-    st.tuples(
-        st.sampled_from(
-            (
-                "commit",
-                "commit",
-                "commit",
-                "commit",
-                "learn",
-                "learn",
-                "request",
-                "save",
-                "restart",
-                "wipe",
-            )
-        ),
-        st.integers(0, 2),
-        st.integers(1, 3),
-    ),
-    max_size=80,
-)
+EVENT_KINDS = [*["commit"] * 4, *["learn"] * 2, "request", "save", "restart", "wipe"]
+EVENTS = st.lists(st.tuples(st.sampled_from(EVENT_KINDS), st.integers(0, 2), st.integers(1, 3)), max_size=80)
 
 
 @settings(max_examples=200, deadline=None)
@@ -214,15 +195,15 @@
 
     def _order(self) -> shard_state.PutConfiguration:
         rng = self.rng
-        dice = self.rng.random()
+        draw = self.rng.random()
         newest = max(self.committed_orders, default=0)
-        if dice < 0.45 or not self.sent:
+        if draw < 0.45 or not self.sent:
             mark = str(self.number()).encode()
             return shard_state.PutConfiguration(mark, newest + rng.randrange(1, 3), mark, newest)
         old = rng.choice(self.sent)
-        if dice < 0.8:
+        if draw < 0.8:
             return old
-        if dice < 0.9:
+        if draw < 0.9:
             mark = str(self.number()).encode()
             return replace(old, compressed_text=mark, digest=mark)
         earlier = [0, *(number for number in self.committed_orders if number < old.revision)]
--- a/tests/mesh/control/test_retry_quota_allocator.py
+++ b/tests/mesh/control/test_retry_quota_allocator.py
@@ -61,7 +61,7 @@
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        self._spent_for_s = 0.0
+        self._count_duration_s = 0.0
 
 
 class WithoutLearning(QuotaAllocator):
@@ -116,7 +116,8 @@
         token = self.fencing_token
         if not self.former_owners_reply:
             self.owners.clear()
-        self.owners = [(self.now + 4.0, owner) for _, owner in self.owners]  # when all nodes know the new one
+        # Former owners reply again when all nodes know the new one.
+        self.owners = [(self.now + 4.0, owner) for _, owner in self.owners]
         self.owners.append((0.0, RetryQuotaAllocators(SLACK, WINDOW_S, lambda service, now: token)))
 
     def post(self, call: Any, delay_factor: float) -> None:
--- a/tests/mesh/control/test_subscriber.py
+++ b/tests/mesh/control/test_subscriber.py
@@ -61,8 +61,11 @@
     for controller in world.controllers.values():
         assert controller.stream.records == expected
         for node in live.values():
-            copy, stream = node.subscriber.streams[controller.name], controller.stream
-            assert (copy.incarnation, copy.number) == (stream.incarnation, stream.number)
+            copy = node.subscriber.streams[controller.name]
+            assert (copy.incarnation, copy.number) == (
+                controller.stream.incarnation,
+                controller.stream.number,
+            )
             assert copy.records == expected and node.members == expected
             assert node.revision == max(k.revision for k in world.controllers.values())
 
@@ -115,8 +118,9 @@
     """The bound holds while half of the relays are frozen, dead, silent or cut off from the controllers."""
     world = fleet(seed, 60, 2)
     all_relays = relays(world)
-    assert len(all_relays) > 4
-    assert all(len(n.subscriber.relay.followers.positions) <= MAX_FOLLOWERS for n in all_relays)
+    assert len(all_relays) > 4 and all(
+        len(n.subscriber.relay.followers.positions) <= MAX_FOLLOWERS for n in all_relays
+    )
     faulty = {node.name for node in all_relays[::2]}
     for node in all_relays[::2]:
         if fault == "mute":
