--- a/tests/mesh/dataplane/test_http_connection.py
+++ b/tests/mesh/dataplane/test_http_connection.py
@@ -1,4 +1,4 @@
-"""Connections to servers: the result of each response, and the attempt that it belongs to."""
+"""Connections to servers: the result of each response, and the matching of responses to attempts."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     forwarded_reply,
 )
 from tests.mesh.fakes import proxied_request, server_response
-from tests.mesh.wire_fakes import Sent, Transport, pool
+from tests.mesh.wire_fakes import RecordedAttempt, Transport, loop_and_pool
 
 ANSWERS: dict[str, tuple[ServerResponse, Result]] = {
     "sealed": (server_response(), Result.SERVED),
     "no seal": (server_response(sealed=False), Result.ERROR),
     "encoded": (server_response(encoded=True), Result.ERROR),
     "no id": (server_response(attempt_id=None), Result.ERROR),
-    "a refusal of the server's own": (server_response(404, sealed=False), Result.SERVED),
-    "another incarnation's": (server_response(421, sealed=False), Result.MOOT),
-    "another incarnation's, that says so twice": (
+    "client error": (server_response(404, sealed=False), Result.SERVED),
+    "for another incarnation": (server_response(421, sealed=False), Result.MOOT),
+    "for another incarnation, and not executed": (
         server_response(421, sealed=False, not_executed=True),
         Result.MOOT,
     ),
     "not executed": (server_response(503, sealed=False, not_executed=True), Result.REFUSED),
     "not executed, without an id": (server_response(503, attempt_id=None, not_executed=True), Result.ERROR),
-    "flow_failed": (server_response(500), Result.ERROR),
-    "the gate: not run": (server_response(503, gate_outcome=b"unrun"), Result.REFUSED),
-    "the gate: gone": (server_response(503, gate_outcome=b"gone"), Result.MOOT),
-    "the gate: lost": (server_response(502, gate_outcome=b"lost"), Result.RESET),
-    "the gate: late": (server_response(504, gate_outcome=b"late"), Result.TIMEOUT),
-    "the gate: a word that isn't known": (server_response(200, gate_outcome=b"fine"), Result.ERROR),
+    "server error": (server_response(500), Result.ERROR),
+    "gate: not run": (server_response(503, gate_outcome=b"unrun"), Result.REFUSED),
+    "gate: gone": (server_response(503, gate_outcome=b"gone"), Result.MOOT),
+    "gate: lost": (server_response(502, gate_outcome=b"lost"), Result.RESET),
+    "gate: late": (server_response(504, gate_outcome=b"late"), Result.TIMEOUT),
+    "gate: unknown outcome": (server_response(200, gate_outcome=b"fine"), Result.ERROR),
 }
 
 
@@ -47,15 +47,15 @@
 
 
 class Scene:
-    """A connection that carries one attempt, with the id t1."""
+    """A connection that carries one attempt, with the id `t1`."""
 
     def __init__(self, sock: socket.socket) -> None:
-        _, self.connections = pool()
+        _, self.connections = loop_and_pool()
         transport: Any = Transport(sock)
         self.transport = transport
         self.connection = HttpConnection(self.connections, 1, ("127.0.0.1", 1))
         self.connection.connection_made(self.transport)
-        self.sent = Sent(proxied_request())
+        self.sent = RecordedAttempt(proxied_request())
         self.connection.send_attempt(self.sent)
 
     @property
@@ -84,14 +84,14 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
-def test_a_surplus_response_is_discarded(scene: Scene, step: int) -> None:
+def test_a_response_with_the_id_of_another_request_is_discarded(scene: Scene, step: int) -> None:
     data = wire(b"other's", b"t0") + wire(b"mine")
     for at in range(0, len(data), step):
         scene.connection.data_received(data[at : at + step])
     assert scene.end() == (Result.SERVED, b"mine") and not scene.kept
 
 
-def test_a_surplus_response_that_ends_with_its_connection_is_discarded(scene: Scene) -> None:
+def test_such_a_response_that_ends_with_its_connection_is_discarded(scene: Scene) -> None:
     scene.connection.data_received(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: t0\r\nServer-Seal: x\r\nConnection: close\r\n\r\nother's"
     )
--- a/tests/mesh/dataplane/test_http_connection_answers.py
+++ b/tests/mesh/dataplane/test_http_connection_answers.py
@@ -1,4 +1,4 @@
-"""Which attempt a response belongs to: responses on kept connections, split at every byte, among requests."""
+"""The matching of responses to attempts on reused connections, with responses split at every byte."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from orchidferry.node.flow import Flow
 from orchidferry.node.upstream_connection import Connection
 from tests.mesh.fakes import proxied_request
-from tests.mesh.wire_fakes import Peer, Sent, close_all, pool
+from tests.mesh.wire_fakes import Peer, RecordedAttempt, close_all, loop_and_pool
 
 
 @dataclass(frozen=True)
 class Script:
-    """What a server puts on a connection for one request: its answer and what comes beside it."""
+    """What a server sends on a connection for one request: its response and any extra bytes."""
 
-    make: Callable[[bytes, bytes], bytes]  # from the request's id and the tag of its attempt
-    result: Result | None  # None: the attempt isn't ended by it
+    make: Callable[[bytes, bytes], bytes]  # from the request's id and the body to send
+    result: Result | None  # None: the attempt does not end
     clean: bool = True  # whether the connection may carry another request
-    ends: bool = False  # the server closes after it
+    ends: bool = False  # the server closes the connection afterwards
 
 
 def answer(
@@ -98,8 +98,8 @@
     "until the close, HTTP/1.0": Script(
         lambda i, b: bare(i, b"200 OK").replace(b"1.1", b"1.0") + b, Result.SERVED, False, True
     ),
-    "surplus before": Script(lambda i, b: OTHER + answer(i, b), Result.SERVED, False),
-    "surplus after": Script(lambda i, b: answer(i, b) + OTHER, Result.SERVED, False),
+    "of another request before": Script(lambda i, b: OTHER + answer(i, b), Result.SERVED, False),
+    "of another request after": Script(lambda i, b: answer(i, b) + OTHER, Result.SERVED, False),
     "twice": Script(lambda i, b: answer(i, b) * 2, Result.SERVED, False),
     "refused twice": Script(
         lambda i, b: answer(i, b, b"503 Full", b"Not-Executed: 1\r\n") * 2, Result.REFUSED, False
@@ -121,7 +121,7 @@
         lambda i, b: chunked(i, b, b"Connection: close\r\nKind: x\r\n")[:-4], Result.RESET, False, True
     ),
     "no id": Script(lambda i, b: NO_ID, Result.ERROR, False),
-    "gate's word without id": Script(
+    "gate outcome without id": Script(
         lambda i, b: b"HTTP/1.1 503 No\r\nOrchid-Gate: unrun\r\nContent-Length: 0\r\n\r\n",
         Result.ERROR,
         False,
@@ -142,12 +142,12 @@
 
 
 class Exchange:
-    """Requests one after another by the shipping pool, and what a server puts on their connections."""
+    """Consecutive requests through the production pool, and the bytes that a server sends in return."""
 
     def __init__(self) -> None:
-        self.loop, self.pool = pool()
-        self.attempts: list[Sent] = []
-        self.unclean: set[int] = set()  # connections, by id, on which anything unclean was put
+        self.loop, self.pool = loop_and_pool()
+        self.attempts: list[RecordedAttempt] = []
+        self.unclean: set[int] = set()  # ids of connections that have received extra bytes
         self.served: dict[int, Peer] = {}
 
     def __enter__(self) -> Exchange:
@@ -156,11 +156,11 @@
     def __exit__(self, *what: object) -> None:
         close_all(self.pool)
 
-    def ask(self, id: str, method: bytes = b"GET") -> tuple[Sent, Peer]:
-        """Send one request; it must not go on a connection that saw anything unclean."""
+    def ask(self, id: str, method: bytes = b"GET") -> tuple[RecordedAttempt, Peer]:
+        """Send one request and check that it does not use an unclean connection."""
         message = proxied_request(id)
         message.method = method
-        sent = Sent(message)
+        sent = RecordedAttempt(message)
         before = {id_of(peer): len(peer.transport.written) for peer in self.pool.peers}
         self.pool.send(sent)
         self.attempts.append(sent)
@@ -169,7 +169,7 @@
         return sent, peer
 
     def check(self) -> None:
-        """An answer reaches the attempt whose id it bears, and that of this very sending, or nobody."""
+        """Check that each attempt got only a response with its id and its body."""
         for number, attempt in enumerate(self.attempts):
             assert len(attempt.ends) <= 1
             for result, response in attempt.ends:
@@ -179,7 +179,7 @@
                     Result.MOOT,
                 ):
                     assert response.attempt_id == attempt.message.id.encode()
-                    assert response.body in (b"", tag(number)), "another's body"
+                    assert response.body in (b"", tag(number)), "the body of another request"
 
 
 def id_of(peer: Peer) -> int:
@@ -191,21 +191,23 @@
 
 
 IDS = ("t1", "t2", "t3")
-# When what is left over arrives: after the next request's write, or before it
-LATER = 0
-UNREAD = 1
-READ = 2
+# When extra bytes arrive.
+LATER = 0  # after the next request was written
+UNREAD = 1  # before the next request, but the connection has not read them
+READ = 2  # before the next request
 
 
-def play(exchange: Exchange, names: list[str], ids: list[str], splits: list[int], timings: list[int]) -> None:
-    """Each request in turn is answered by its script, in pieces; what is left over comes at any time."""
+def run_scripts(
+    exchange: Exchange, names: list[str], ids: list[str], splits: list[int], timings: list[int]
+) -> None:
+    """Answer each request with its script, in chunks; extra bytes arrive according to `timings`."""
     late: list[tuple[Peer, bytes]] = []
     for number, (name, id) in enumerate(zip(names, ids, strict=True)):
         script = SCRIPTS[name]
         sent, peer = exchange.ask(id)
         disturbed = False
         for other, data in late:
-            other.put(data)
+            other.send_bytes(data)
             other.read()
             exchange.unclean.add(id_of(other))
             disturbed = disturbed or other is peer
@@ -219,7 +221,7 @@
             if sent.ends and chunk and (timing == LATER or late):
                 late.append((peer, chunk))
                 continue
-            peer.put(chunk)
+            peer.send_bytes(chunk)
             if sent.ends and chunk:
                 exchange.unclean.add(id_of(peer))
             if not sent.ends or timing == READ:
@@ -238,16 +240,16 @@
 
 @pytest.mark.parametrize("first", SCRIPTS)
 def test_two_responses_split_at_every_byte(first: str) -> None:
-    """The first of every kind, its bytes in two chunks, for all splits; the second a plain one."""
+    """Each script in two chunks, split at every byte, then a plain response."""
     size = len(SCRIPTS[first].make(b"t1", tag(0)))
     for split in range(size + 1):
         for timing in (LATER, UNREAD, READ):
             with Exchange() as exchange:
-                play(exchange, [first, "length"], ["t1", "t2"], [split], [timing])
+                run_scripts(exchange, [first, "length"], ["t1", "t2"], [split], [timing])
 
 
 class Reader:
-    """Takes what flows."""
+    """A consumer of a streamed body that records how the body ends."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -271,7 +273,7 @@
     exchanges: list[tuple[str, str]], splits: list[int], timings: list[int]
 ) -> None:
     with Exchange() as exchange:
-        play(exchange, [name for name, _ in exchanges], [id for _, id in exchanges], splits, timings)
+        run_scripts(exchange, [name for name, _ in exchanges], [id for _, id in exchanges], splits, timings)
 
 
 def test_a_streamed_response_with_a_blocked_reader_leaves_its_connection_readable() -> None:
@@ -286,7 +288,7 @@
         response.flow.block()
         peer.connection.data_received(body[-1:])
         assert exchange.ask("t2") and exchange.attempts[1].ends == []
-        peer.put(answer(b"t2", tag(1)))
+        peer.send_bytes(answer(b"t2", tag(1)))
         peer.read()
         exchange.check()
         assert exchange.pool.peers == [peer] and exchange.attempts[1].ends[0][0] is Result.SERVED
@@ -330,9 +332,9 @@
 
 
 def test_an_early_response_is_used_and_its_connection_closed() -> None:
-    """It comes before the request has gone out whole."""
+    """The response arrives before the request is sent completely."""
     with Exchange() as exchange:
-        sent = Sent(proxied_request("t1"))
+        sent = RecordedAttempt(proxied_request("t1"))
         sent.message.flow = Flow(mock.Mock(), None, 0.0)
         exchange.pool.send(sent)
         [peer] = exchange.pool.peers
@@ -343,7 +345,7 @@
 def test_a_response_to_head_has_no_body_and_closes_its_connection() -> None:
     with Exchange() as exchange:
         sent, peer = exchange.ask("t1", b"HEAD")
-        peer.put(answer(b"t1", b"a body that never comes").partition(b"a body")[0])
+        peer.send_bytes(answer(b"t1", b"a body that never comes").partition(b"a body")[0])
         peer.read()
         assert [(r, a.body) for r, a in sent.ends] == [(Result.SERVED, b"")]
         _, other = exchange.ask("t2")
@@ -353,16 +355,18 @@
 def reuse_always(
     self: Connection, result: Result, reuse: bool, answer: UpstreamResponse | None = None
 ) -> None:
-    END(self, result, True, answer)
+    FINISH_ATTEMPT(self, result, True, answer)
 
 
-END = Connection._finish_attempt
+FINISH_ATTEMPT = Connection._finish_attempt
+# Deliberate faults that the tests must detect: the owner of a method, the method, its faulty version, and the
+# scripts, request ids and timing that reveal it.
 BREAKS: dict[str, tuple[type, str, object, list[str], list[str], int]] = {
-    "reuse-after-surplus": (
+    "reuse-after-extra-response": (
         Connection,
         "_finish_attempt",
         reuse_always,
-        ["surplus after", "length"],
+        ["of another request after", "length"],
         ["t1", "t2"],
         READ,
     ),
@@ -370,7 +374,7 @@
         Connection,
         "is_reusable",
         lambda self: True,
-        ["surplus after", "length"],
+        ["of another request after", "length"],
         ["t1", "t2"],
         UNREAD,
     ),
@@ -378,7 +382,7 @@
         HttpConnection,
         "_is_for_other",
         lambda self, attempt: False,
-        ["surplus before", "length"],
+        ["of another request before", "length"],
         ["t1", "t2"],
         READ,
     ),
@@ -403,6 +407,6 @@
     )
     splits = [] if timing == READ else [split]
     with Exchange() as exchange:
-        play(exchange, names, ids, splits, [timing])
+        run_scripts(exchange, names, ids, splits, [timing])
     with mock.patch.object(owner, method, broken), Exchange() as exchange, pytest.raises(AssertionError):
-        play(exchange, names, ids, splits, [timing])
+        run_scripts(exchange, names, ids, splits, [timing])
--- a/tests/mesh/dataplane/test_idle_limit.py
+++ b/tests/mesh/dataplane/test_idle_limit.py
@@ -1,4 +1,4 @@
-"""What is believed of a server's idle timeout, and for how long."""
+"""The limit on the idle time of connections, from a server's header and from observations."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from orchidferry.mesh.dataplane.idle_limit import OBSERVATION_VALID_MS, IdleLimit
 
 
-def test_a_young_connection_that_dies_teaches_nothing() -> None:
+def test_the_loss_of_a_connection_after_a_short_idle_time_is_ignored() -> None:
     limit = IdleLimit(7_000.0, 500.0)
     limit.closed_after(10.0, 0.0)
     assert limit.allows(400.0, True, 0.0) and limit.allows(6_000.0, False, 0.0)
 
 
-def test_the_shortest_idle_time_that_was_observed_counts_until_it_is_old() -> None:
+def test_the_shortest_observed_idle_time_counts_until_it_expires() -> None:
     limit = IdleLimit(7_000.0, 500.0)
     limit.closed_after(1_000.0, 0.0)
     limit.closed_after(2_000.0, 10.0)
--- a/tests/mesh/dataplane/test_incarnations.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A connection belongs to one incarnation of a server, and to one run of the process that it leads to."""
+"""A connection is used for one incarnation of a server and one process of its gate only."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from orchidferry.node.reply import Reply
 from tests.mesh.dataplane.test_http_connection_answers import answer
 from tests.mesh.fakes import admission_gate, patch_clock, proxied_request, route, service_client
-from tests.mesh.wire_fakes import Pool, close_all, pool
+from tests.mesh.wire_fakes import Pool, close_all, loop_and_pool
 
 
-def played_pool(monkeypatch: pytest.MonkeyPatch) -> tuple[Any, Pool]:
-    loop, made = pool()
+def pool_with_clock(monkeypatch: pytest.MonkeyPatch) -> tuple[Any, Pool]:
+    loop, pool = loop_and_pool()
     patch_clock(monkeypatch, loop.now_ms)
-    return loop, made
+    return loop, pool
 
 
 def heartbeat(gate: AdmissionGate, id: str) -> None:
@@ -26,22 +26,22 @@
 
 
 def connections_of_two_incarnations(monkeypatch: pytest.MonkeyPatch) -> int:
-    """A server is replaced at its address while a request is at work; connections that the gate made."""
-    _, made = played_pool(monkeypatch)
-    gate = admission_gate(made)
+    """Replace a server at its address during a request; return how many connections the gate opened."""
+    _, pool = pool_with_clock(monkeypatch)
+    gate = admission_gate(pool)
     replies: list[Reply] = []
     heartbeat(gate, "i")
     gate.accept(proxied_request("a"), replies.append)
     heartbeat(gate, "j")
-    made.peers[0].put(answer(b"a", b"of the incarnation before"))
-    made.peers[0].read()
+    pool.peers[0].send_bytes(answer(b"a", b"of the former incarnation"))
+    pool.peers[0].read()
     gate.accept(proxied_request("b"), replies.append)
-    made.peers[-1].put(answer(b"b", b"of this incarnation"))
-    made.peers[-1].read()
-    gate.accept(proxied_request("c"), replies.append)  # a incarnation's own connections are used again
-    close_all(made)
+    pool.peers[-1].send_bytes(answer(b"b", b"of this incarnation"))
+    pool.peers[-1].read()
+    gate.accept(proxied_request("c"), replies.append)  # connections are reused within an incarnation
+    close_all(pool)
     assert [reply.status for reply in replies] == [200, 200]
-    return len(made.peers)
+    return len(pool.peers)
 
 
 def test_no_connection_of_a_former_incarnation_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -58,20 +58,20 @@
 def test_a_connection_to_a_restarted_gate_is_not_used(
     monkeypatch: pytest.MonkeyPatch, id: str, boot: int, reconnected: bool
 ) -> None:
-    """Its end may have been lost in a cut; what is sent on it is reset, and may have run."""
-    loop, made = played_pool(monkeypatch)
+    """Its close may have been lost in a network cut; a request sent on it is reset, and may have run."""
+    loop, pool = pool_with_clock(monkeypatch)
     numbers = {"i": 1, "j": 2}
-    service = service_client(loop, made, server_number=lambda server: numbers[server])
-    kind = route("non_idempotent", 2)
+    service = service_client(loop, pool, server_number=lambda server: numbers[server])
+    unsafe_route = route("non_idempotent", 2)
     for number, (server, incarnation) in enumerate((("i", 1), (id, boot))):
         listed = Server(server, "s", "z", IN_SERVICE, 4, 0.0)
         service.update_servers({"n": NodeRecord("n", incarnation, 1, "z", "127.0.0.1", 1, listed)})
         if not number:
-            service.set_routes([kind])
+            service.set_routes([unsafe_route])
         replies: list[Reply] = []
-        service.take(proxied_request(f"t{number}"), kind, loop.now_ms() + 1_000.0, replies.append)
-        made.peers[-1].put(answer(b"t%d" % number, b"x"))
-        made.peers[-1].read()
+        service.take(proxied_request(f"t{number}"), unsafe_route, loop.now_ms() + 1_000.0, replies.append)
+        pool.peers[-1].send_bytes(answer(b"t%d" % number, b"x"))
+        pool.peers[-1].read()
         assert [reply.status for reply in replies] == [200]
-    assert (len(made.peers) == 2) is reconnected
-    close_all(made)
+    assert (len(pool.peers) == 2) is reconnected
+    close_all(pool)
--- a/tests/mesh/dataplane/test_keyed_requests.py
+++ b/tests/mesh/dataplane/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""Keyed requests at a node: what becomes of the key, and the reply to a repeat of it."""
+"""Keyed requests at a node: the claim of the key, and the reply to a repeat of it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FakeControlClient:
-    """Claims are answered by the test; records what becomes of keys."""
+    """A control client whose claims the test answers; records how keys are settled."""
 
     def __init__(self) -> None:
         self.claims = self
@@ -45,7 +45,7 @@
 
 
 class Scene:
-    """A node with one service, as far as keys go."""
+    """A node with one service, reduced to the handling of keyed requests."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.loop, self.connections = loop_and_connections()
@@ -68,11 +68,11 @@
             assert id not in self.replies
             self.replies[id] = reply
 
-        ends_ms = self.loop.now_ms() + 1_000.0
-        return self.keyed_requests.take(message, self.route, self.service, ends_ms, answer)
+        deadline_ms = self.loop.now_ms() + 1_000.0
+        return self.keyed_requests.take(message, self.route, self.service, deadline_ms, answer)
 
     def run(self, id: str) -> Any:
-        """Ask, with the key granted; the attempt."""
+        """Send a request and grant its claim; return its attempt."""
         self.ask(id)
         self.control_client.callbacks[-1](ClaimOutcome.GRANTED, None)
         return self.connections.sent[-1]
@@ -104,33 +104,33 @@
     assert len(scene.connections.sent) == 1
 
 
-def lost(attempt: Any) -> None:
+def lose_connection(attempt: Any) -> None:
     attempt.on_sent()
     attempt.end(Result.RESET)
 
 
-def half_sent(attempt: Any) -> None:
+def send_half(attempt: Any) -> None:
     attempt.request_written()
     attempt.end(Result.UNREACHABLE)
 
 
-def silent(attempt: Any) -> None:
+def time_out(attempt: Any) -> None:
     attempt.on_sent()
     attempt.on_timeout()
 
 
-def refused(attempt: Any) -> None:
+def reject_as_not_run(attempt: Any) -> None:
     attempt.on_sent()
     attempt.end(Result.REFUSED, server_response(503, b"a", gate_outcome=b"unrun"))
 
 
-def not_connected(attempt: Any) -> None:
+def fail_to_connect(attempt: Any) -> None:
     attempt.end(Result.UNREACHABLE)
 
 
-@pytest.mark.parametrize("end", [lost, half_sent, silent])
+@pytest.mark.parametrize("end", [lose_connection, send_half, time_out])
 def test_the_key_of_a_run_that_was_lost_stays_claimed(scene: Scene, end: Callable[[Any], None]) -> None:
-    """Also where the service keeps its own record: a run that broke off looks like an answer that did."""
+    """Even if the service deduplicates: an interrupted run can't be told from a lost response."""
     end(scene.run("a"))
     scene.loop.pass_ms(1_001.0)
     assert (
@@ -144,7 +144,7 @@
 
 
 def test_an_unproven_not_run_status_is_neither_forwarded_nor_stored(scene: Scene) -> None:
-    """The server says 503 and not that it did not run it: neither the caller nor a repeat may believe it."""
+    """A server's 503 without a proof would promise the caller and repeats that the request has not run."""
     attempt = scene.run("a")
     attempt.on_sent()
     attempt.end(Result.ERROR, server_response(503, b"a"))
@@ -156,7 +156,7 @@
     )
 
 
-@pytest.mark.parametrize("end", [refused, not_connected])
+@pytest.mark.parametrize("end", [reject_as_not_run, fail_to_connect])
 def test_the_key_of_a_run_that_never_began_is_released(scene: Scene, end: Callable[[Any], None]) -> None:
     scene.run("a")
     for attempt in scene.connections.sent:
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -1,4 +1,4 @@
-"""Caller connections: each request gets its own reply, in order, and nothing else is read as one."""
+"""Caller connections: each request gets its own reply, in order, and nothing else can be taken for it."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 ID = b"Attempt-Id"
 
 
-QUIET_SOCKET, _OTHER_END = socket.socketpair()  # nothing is ever sent on it
+QUIET_SOCKET, _OTHER_END = socket.socketpair()  # a socket that never has data to read
 
 
 class Transport:
-    """What a caller has been sent."""
+    """A transport that records what is sent to the caller."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -68,7 +68,7 @@
 
 
 class Sink:
-    """A server that takes all of a long body."""
+    """A consumer that accepts a whole streamed body."""
 
     def feed(self, data: bytes) -> None: ...
 
@@ -78,7 +78,7 @@
 
 
 class AcceptedRequest:
-    """A request that the node has."""
+    """A request that the node has accepted and not answered yet."""
 
     def __init__(self, message: Message, answer: Callable[[Reply], None]) -> None:
         assert isinstance(message, ProxiedRequest)
@@ -97,7 +97,7 @@
 
 
 class Source:
-    """Where an answer that flows comes from."""
+    """The source of a streamed response."""
 
     def pause(self) -> None: ...
 
@@ -107,7 +107,7 @@
 
 
 class CallerHarness:
-    """One caller's connection to a node whose answers the test gives."""
+    """A caller's connection to a node whose replies the test controls."""
 
     def __init__(self, accept: Callable[[Message, Callable[[Reply], None]], Any] | None = None) -> None:
         loop: Any = Loop()
@@ -134,7 +134,7 @@
         return self.taken[-1:] if self.caller._busy else []
 
     def answers(self) -> list[tuple[int, bytes, bool]]:
-        """Status, id and whether it is whole, of each answer as a caller reads them."""
+        """Parse the sent bytes as a caller does; return the status, id and completeness of each response."""
         reader = Reader()
         parser = httptools.HttpResponseParser(reader)
         reader.parser = parser
@@ -143,7 +143,7 @@
 
 
 class Reader:
-    """A caller's parser."""
+    """Callbacks of a caller's response parser."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[int, bytes, bool]] = []
@@ -168,7 +168,7 @@
 
 
 def upload(id: bytes) -> bytes:
-    """A request whose body is too long to hold, but for its end."""
+    """Return a request whose body is too long to be buffered; its last 9 bytes are missing."""
     size = 2 * SHORT_BODY
     return request(id, b"POST", b"Content-Length: %d\r\n" % (size + 9), b"x" * size)
 
@@ -266,7 +266,7 @@
         harness.send(request(id))
         harness.open[0].reply()
         if id == b"c":
-            harness.listener.set_timeouts(1.0, 3.0)  # callers hear of a shorter time, or don't
+            harness.listener.set_timeouts(1.0, 3.0)  # callers may not know of the shorter timeout
     assert [id for _, id, _ in harness.answers()] == [b"a", b"b", b"c", b"d"]
     harness.loop.pass_ms(6_500.0)
     assert harness.transport.ended and harness.listener.limits_s[Stage.IDLE] == 2.0
@@ -307,7 +307,7 @@
 def test_size_limits_bound_what_a_caller_may_send(
     head: int, body: int, head_size: int, body_size: int, status: int | None
 ) -> None:
-    """A request inside them is proper: an error for it would be denied service."""
+    """A request within the limits is valid and must not be rejected."""
     harness = CallerHarness()
     harness.listener.set_size_limits(head, body)
     more = b"Kind: %b\r\nContent-Length: %d\r\n" % (b"x" * head_size, body_size)
@@ -354,7 +354,7 @@
     st.lists(st.integers(0, 3), min_size=1, max_size=12),
 )
 def test_any_pipelined_requests(kinds: list[str], cuts: list[int], acts: list[int]) -> None:
-    """A caller that reads its answers in order takes each for that of the request that it sent."""
+    """A caller matches responses to its requests by their order, so each must be that of its request."""
     harness = CallerHarness()
     ids = [b"r%d" % n for n in range(len(kinds))]
     data = b"".join(KINDS[kind](id) for kind, id in zip(kinds, ids, strict=True))
@@ -386,36 +386,36 @@
 
 
 def check_order(harness: CallerHarness, kinds: list[str], ids: list[bytes]) -> None:
-    if "head" in kinds:  # a parser that doesn't know what was asked can't read on
+    if "head" in kinds:  # the parser doesn't know which responses have no body
         answered = [part.partition(b"\r\n")[0] for part in harness.transport.written.split(ID + b": ")[1:]]
         assert answered == ids[: len(answered)]
         return
     answers = harness.answers()
     for n, (status, id, whole) in enumerate(answers):
         if id:
-            assert id == ids[n], "another's answer"
-        else:  # the system's own word, on what it could not read: the last of all
+            assert id == ids[n], "the response to another request"
+        else:  # an error for input that can't be read; it must be the last response
             assert n == len(answers) - 1 and harness.transport.ended and status in (400, 408, 502)
         assert whole or (n == len(answers) - 1 and harness.transport.ended)
 
 
 class Delivery:
-    """The shipping service client behind a caller's connection; lines to servers are told what happens."""
+    """The production service client behind a caller's connection; the test ends the attempts."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        kind = route("non_idempotent", 2)
-        self.scene = ServiceScene(patch, kind)
+        unsafe_route = route("non_idempotent", 2)
+        self.scene = ServiceScene(patch, unsafe_route)
 
         def accept(message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
             assert isinstance(message, ProxiedRequest)
             deadline_ms = self.scene.loop.now_ms() + 500.0
-            request: PendingRequest = self.scene.service.take(message, kind, deadline_ms, answer)
+            request: PendingRequest = self.scene.service.take(message, unsafe_route, deadline_ms, answer)
             return request
 
         self.harness = CallerHarness(accept)
 
     def run(self) -> list[tuple[int, bytes, bool]]:
-        """Two requests on one connection; the first's answer comes after its time."""
+        """Send two requests on one connection; the response to the first arrives after its deadline."""
         self.harness.send(request(b"a"))
         [attempt] = self.scene.open_attempts()
         attempt.on_sent()
@@ -429,8 +429,8 @@
         return self.harness.answers()
 
 
-def finish_always(self: ServiceClient, live: PendingRequest, reply: Reply, *cause: object) -> None:
-    live.answer(reply)
+def finish_always(self: ServiceClient, pending: PendingRequest, reply: Reply, *cause: object) -> None:
+    pending.answer(reply)
 
 
 def test_a_late_response_is_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/mesh/dataplane/test_messages.py
+++ b/tests/mesh/dataplane/test_messages.py
@@ -1,4 +1,4 @@
-"""What a server receives of a request, and a caller of an answer, over both nodes between them."""
+"""The forwarding of requests and responses by the two nodes between a caller and a server."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Received:
-    """A request as a server's parser reads it."""
+    """A request as parsed by a server."""
 
     def __init__(self, data: bytes) -> None:
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
         self.target = b""
-        self.whole = 0
+        self.complete_count = 0
         parser = httptools.HttpRequestParser(self)
         parser.feed_data(data)
         self.method = parser.get_method()
@@ -36,19 +36,19 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.whole += 1
+        self.complete_count += 1
 
-    def of(self, name: bytes) -> list[bytes]:
-        return [value for had, value in self.headers if had == name]
+    def values(self, name: bytes) -> list[bytes]:
+        return [value for received, value in self.headers if received == name]
 
 
 class ForwardingPath:
-    """A caller's connection to a node, that node's attempt, a connection to the gate, its attempt."""
+    """A request's path: a caller's connection, the node's attempt, a connection to the gate, its attempt."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.scene = Scene(patch, route())
-        ends_ms = self.scene.loop.now_ms() + 900.0
-        self.caller = CallerHarness(lambda message, answer: self._take(message, answer, ends_ms))
+        deadline_ms = self.scene.loop.now_ms() + 900.0
+        self.caller = CallerHarness(lambda message, answer: self._take(message, answer, deadline_ms))
         loop, self.connections = loop_and_connections()
         patch_clock(patch, loop.now_ms)
         gate = admission_gate(self.connections)
@@ -58,11 +58,11 @@
     def scene_server(self) -> str:
         return "1"
 
-    def _take(self, message: Any, answer: Any, ends_ms: float) -> Any:
-        return self.scene.service.take(message, route(), ends_ms, answer)
+    def _take(self, message: Any, answer: Any, deadline_ms: float) -> Any:
+        return self.scene.service.take(message, route(), deadline_ms, answer)
 
     def send(self, data: bytes) -> Received:
-        """What the server gets of a request."""
+        """Send a request along the path; return the request that the server receives."""
         self.scene.servers(self.scene_server())
         self.caller.send(data)
         [gate_attempt] = self.scene.open_attempts()
@@ -83,16 +83,23 @@
 @pytest.mark.parametrize("name", REQUESTS)
 def test_a_request_arrives_unchanged(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
     head, body = REQUESTS[name]
-    sent = body if b"chunked" not in head else b"2\r\n%b\r\n3\r\n%b\r\n0\r\n\r\n" % (body[:2], body[2:])
+    encoded_body = (
+        body if b"chunked" not in head else b"2\r\n%b\r\n3\r\n%b\r\n0\r\n\r\n" % (body[:2], body[2:])
+    )
     more = (
         b"Operation-Key: k-5512\r\nAccept: a\r\nAccept: b\r\nKind: \xff x\r\n"
-        # What the system says itself, whatever was sent, and what concerns this connection alone.
+        # Headers that the mesh overwrites or removes, and hop-by-hop headers.
         b"Calling-Service: other\r\nTarget-Instance: i-9\r\nOrchid-Rank: 0\r\nOrchid-Gate: unrun\r\n"
         b"Connection: keep-alive, Hop\r\nHop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\n"
     )
-    got = ForwardingPath(monkeypatch).send(head + more + b"\r\n" + sent)
+    received = ForwardingPath(monkeypatch).send(head + more + b"\r\n" + encoded_body)
     method, target, _ = head.split(b" ", 2)
-    assert (got.method, got.target, got.body, got.whole) == (method, target, body, 1)
+    assert (received.method, received.target, received.body, received.complete_count) == (
+        method,
+        target,
+        body,
+        1,
+    )
     for header, values in {
         b"host": [b"Shop.example:80"],
         b"attempt-id": [b"9c41"],
@@ -105,8 +112,10 @@
         b"keep-alive": [],
         b"te": [],
     }.items():
-        assert got.of(header) == values, header
-    assert len(got.of(b"time-remaining")) == 1 and not [n for n, _ in got.headers if n.startswith(b"orchid")]
+        assert received.values(header) == values, header
+    assert len(received.values(b"time-remaining")) == 1 and not [
+        n for n, _ in received.headers if n.startswith(b"orchid")
+    ]
 
 
 @pytest.mark.parametrize("status", [200, 206, 302, 404, 500])
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -1,4 +1,4 @@
-"""What a node answers itself: readiness, requests that it can't forward, and those at their deadline."""
+"""The replies of a node itself: readiness, requests that it can't forward, and expired deadlines."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Claims:
-    """Claims of keys that no controller answers."""
+    """A control client whose claims no controller answers."""
 
     def __init__(self) -> None:
         self.claims = self
@@ -35,7 +35,7 @@
 
 
 class Scene:
-    """A node with one service and three servers, of which each takes what it is sent and says nothing."""
+    """A node with one service and three servers that accept requests and never answer."""
 
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
         self.scene = ServiceScene(patch, route(kind, 1))
@@ -45,19 +45,19 @@
         self.claims = claims
         proxy: Any = Proxy.__new__(Proxy)
         proxy._services = {"s": self.scene.service}
-        proxy._stop_ms = math.inf
+        proxy._drain_deadline_ms = math.inf
         proxy._draining = False
         proxy._configuration = Configuration(1)
-        proxy._table = RouteTable([route(kind, 1)])
+        proxy._route_table = RouteTable([route(kind, 1)])
         proxy._control_client = self.claims
         proxy._keyed_requests = KeyedRequests(claims)
         self.proxy = proxy
         self.replies: list[tuple[float, Reply]] = []
 
-    def ask(self, path: bytes = b"/x/1", left_ms: float = 9_000.0, key: bytes | None = None) -> Any:
+    def ask(self, path: bytes = b"/x/1", remaining_ms: float = 9_000.0, key: bytes | None = None) -> Any:
         message = proxied_request()
         message.target = path
-        message.budget_ms = left_ms
+        message.budget_ms = remaining_ms
         message.key = key
         asked_ms = self.loop.now_ms()
         return self.proxy._accept(
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("path", [b"/x/1", b"/none/"])
 def test_a_node_without_a_configuration_is_unavailable(monkeypatch: pytest.MonkeyPatch, path: bytes) -> None:
-    """401, 403 or 404 for what a configuration that it does not know may allow would be wrong."""
+    """401, 403 or 404 would be wrong, as a configuration that the node doesn't know may allow the request."""
     scene = Scene(monkeypatch)
     scene.proxy._configuration = None
     scene.ask(path)
@@ -80,14 +80,14 @@
 def test_a_request_is_answered_within_the_guard_timer_of_its_route(
     monkeypatch: pytest.MonkeyPatch, kind: str, written: bool, status: int
 ) -> None:
-    """Its client would wait for longer; its server says nothing."""
+    """The client would wait for longer, and the server never answers."""
     scene = Scene(monkeypatch, kind)
     scene.ask()
     [attempt] = scene.scene.open_attempts()
     if written:
         attempt.on_sent()
     attempt.extend_timeout(60.0)
-    scene.loop.pass_ms(1_100.0)  # 1,000 ms is the route's
+    scene.loop.pass_ms(1_100.0)  # the guard timer of the route is 1,000 ms
     [(after_ms, reply)] = scene.replies
     assert after_ms <= 1_000.5 and reply.status == status
 
@@ -121,7 +121,7 @@
     draining: bool,
     status: int,
 ) -> None:
-    """`draining`: from SIGTERM on, while the process lives."""
+    """`draining`: from SIGTERM until the process ends."""
     scene = Scene(monkeypatch)
     if not configured:
         scene.proxy._configuration = None
@@ -154,15 +154,15 @@
 def test_a_changed_settings_file_is_read_without_a_signal(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Any
 ) -> None:
-    """One that can't be used changes nothing, and is read again once it is whole."""
+    """An invalid file changes nothing, and is read again when it changes."""
     seen: list[tuple[str, ...]] = []
-    one: Any = SimpleNamespace(reload_settings=lambda settings: seen.append(settings.seeds))
+    server: Any = SimpleNamespace(reload_settings=lambda settings: seen.append(settings.seeds))
     loop: Any = Loop()
     path = tmp_path / "local.toml"
     monkeypatch.setenv("ORCHIDFERRY_BOOT", str(path))
     monkeypatch.setattr(role_settings, "validate_role", lambda role, settings: None)
     path.write_text(BOOT % "10.0.0.2")
-    program.watch_settings_file(loop, "proxy", one, program.settings_file_version())
+    program.watch_settings_file(loop, "proxy", server, program.settings_file_version())
     loop.pass_ms(10_000.0)
     assert seen == []
     for text, wanted in (
--- a/tests/mesh/dataplane/test_proxy_metrics.py
+++ b/tests/mesh/dataplane/test_proxy_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a proxy, as text."""
+"""The text format of a proxy's metrics."""
 
 from __future__ import annotations
 
@@ -43,6 +43,6 @@
     harness.open[0].reply(flow=flow)
     flow.fail(FlowFailure.SOURCE_RESET)
     harness.caller.connection_lost(None)
-    [end] = ends  # one, though it ended twice
+    [end] = ends  # reported once, though it ended twice
     assert (end.cause, end.owed) == (EndCause.RESPONSE_FAILED, Owed.REST_OF_RESPONSE)
     assert end.detail == "source_reset" and round(end.connection_age_s, 3) == 0.02
--- a/tests/mesh/dataplane/test_proxy_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -1,4 +1,4 @@
-"""How a node drains: when it publishes that, until when it takes requests, and when all are answered."""
+"""The drain of a node: when it is published, how long requests are accepted, and when all are answered."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 class Clock(asyncio.SelectorEventLoop):
-    """A loop in which a wait is over as soon as nothing else is to be done."""
+    """An event loop with virtual time: waiting advances the time and takes none."""
 
     def __init__(self) -> None:
         super().__init__(selectors.SelectSelector())
         self.now_s = 1_000.0
         select = self._selector.select  # type: ignore[attr-defined]
 
-        def passing(timeout: float | None = None) -> Any:
+        def advance(timeout: float | None = None) -> Any:
             self.now_s += timeout or 0.0
             return select(0)
 
-        self._selector.select = passing  # type: ignore[attr-defined]
+        self._selector.select = advance  # type: ignore[attr-defined]
 
     def time(self) -> float:
         return self.now_s
 
 
 class FakeListener:
-    """Callers that are all gone at a time, if they ever go; records when it begins to close."""
+    """A listener whose callers all disconnect at `disconnect_s`; it records when it is closed."""
 
     def __init__(self, loop: Clock, disconnect_s: float) -> None:
         self.loop = loop
@@ -70,11 +70,11 @@
 
 
 @pytest.mark.parametrize("grace_s", [2.0, 6.0, 30.0])
-@pytest.mark.parametrize("stay_s", [0.1, 1.0, 5.0, 1e6])  # for which callers stay
+@pytest.mark.parametrize("stay_s", [0.1, 1.0, 5.0, 1e6])  # how long callers stay connected
 def test_a_node_drains_within_its_grace_time(
     monkeypatch: pytest.MonkeyPatch, grace_s: float, stay_s: float
 ) -> None:
-    """It says so at once, goes on to take requests while callers hear of it, and is done before the kill."""
+    """It publishes the drain at once, still accepts requests until callers know of it, and ends in time."""
     loop = Clock()
     patch_clock(monkeypatch, lambda: loop.now_s * 1e3)
 
@@ -96,21 +96,21 @@
         assert (
             proxy._draining and published_s == [began] and not proxy._gate.draining and outbound.closing_s < 0
         )
-        # What is taken from now on is answered, by its deadline, before the end, but in the last sixth.
+        # The deadline of requests accepted from now on is before the end, but not before its last sixth.
         margin_s = min(module.STOP_MARGIN_S, grace_s / 12.0)
         last_sixth_s = began + grace_s * 5.0 / 6.0
-        assert last_sixth_s - 0.01 <= proxy._stop_ms / 1e3 <= began + grace_s - margin_s
+        assert last_sixth_s - 0.01 <= proxy._drain_deadline_ms / 1e3 <= began + grace_s - margin_s
         await stop
         assert proxy._gate.draining and loop.now_s <= began + grace_s - margin_s + 0.01
-        assert outbound.closing_s - began >= min(stay_s, module.STOP_TAKING_S, grace_s / 2.0) - 0.01
-        # The gate's connections are closed last: none of them under a request that is on its way.
+        assert outbound.closing_s - began >= min(stay_s, module.STOP_ACCEPTING_S, grace_s / 2.0) - 0.01
+        # The gate's connections are closed last, so that none is closed while a request is in transit.
         outbound_closed_s = max(outbound.closing_s, min(began + stay_s, began + grace_s))
         if stay_s < grace_s - margin_s:
             assert inbound.closing_s == pytest.approx(outbound_closed_s, abs=0.01)
         assert (outbound.refusing_s, inbound.refusing_s) == (outbound.closing_s, inbound.closing_s)
         if stay_s < grace_s - margin_s:
             assert loop.now_s - began < max(stay_s, module.STOP_ADMITTING_S) + 0.02
-        # What the process ends over is reported.
+        # Connections that are still open when the process ends are reported.
         cut = stay_s > grace_s - margin_s
         assert (outbound.reported_s >= began, inbound.reported_s >= began) == (cut, cut)
 
--- a/tests/mesh/dataplane/test_registration_api.py
+++ b/tests/mesh/dataplane/test_registration_api.py
@@ -1,4 +1,4 @@
-"""The calls by which a server registers: what is read of them, and what is answered."""
+"""The API by which a server registers: the parsing of its calls, and the replies."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Gate:
-    """Records the calls that reach the gate."""
+    """A gate that records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -47,19 +47,19 @@
         ("condition", {"state": "draining"}, "call_sequence"),
     ],
 )
-def test_a_bad_heartbeat_is_refused_by_the_name_of_its_field(path: str, value: Any, named: str) -> None:
+def test_the_rejection_of_a_bad_heartbeat_names_the_field(path: str, value: Any, named: str) -> None:
     heartbeat = read_heartbeat("i", json.dumps(HEARTBEAT).encode())
     assert not isinstance(heartbeat, Rejection)
     assert (heartbeat.server.capacity, heartbeat.sequence) == (4, 9)
     data = copy.deepcopy(HEARTBEAT)
     spoil(path, value)(data)
     for raw in (json.dumps(data).encode(), b"{", b"[]", b"[" * 100_000):
-        found = read_heartbeat("i", raw)
-        assert isinstance(found, Rejection) and found.reason in (
+        rejection = read_heartbeat("i", raw)
+        assert isinstance(rejection, Rejection) and rejection.reason in (
             RejectionReason.INVALID,
             RejectionReason.MALFORMED,
         )
-        assert named in found.line or raw[:1] != b"{" or raw == b"{"
+        assert named in rejection.line or raw[:1] != b"{" or raw == b"{"
 
 
 IN_SERVICE_HEARTBEAT = (
@@ -80,7 +80,7 @@
         (b"PUT", "i", IN_SERVICE_HEARTBEAT.replace(b"in_service", b"x" * 9_000), 400, []),
     ],
 )
-def test_a_call_is_answered_at_once_and_briefly(
+def test_a_call_gets_one_short_reply(
     method: bytes, id: str, body: bytes, status: int, calls: list[Any]
 ) -> None:
     gate: Any = Gate()
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -1,4 +1,4 @@
-"""A service client: for any order of events on connections, each request is answered once and truthfully."""
+"""A service client: for any order of connection events, each request gets one correct reply."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class TakenRequest:
-    """A request, and what came of it; `keyed`: its end is heard, as repeats are owed its answer."""
+    """A request, its replies and its reported end; the end is reported only for a keyed request."""
 
     def __init__(self, scene: Scene, route: Route, keyed: bool = True) -> None:
         self.route, self.id, self.keyed = route, f"t{len(scene.taken)}", keyed
@@ -45,12 +45,12 @@
             route,
             loop.now_ms() + 1_000.0,
             self.replies.append,
-            (lambda said, ran: self.ends.append((said, ran))) if keyed else None,
+            (lambda response, ran: self.ends.append((response, ran))) if keyed else None,
         )
 
 
 class Scene:
-    """A service of three servers."""
+    """A service with three servers."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *routes: Route) -> None:
         self.loop, self.connections = loop_and_connections()
@@ -91,7 +91,7 @@
 
 
 class Checker:
-    """Checks every send and answer against what has happened to the attempts of its request."""
+    """Checks every attempt and reply against the outcomes of earlier attempts of the request."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene, self.may_have_run, self.sent = scene, set[str](), 0
@@ -104,7 +104,9 @@
             assert len(taken.replies) <= 1 and len(taken.ends) <= 1
             assert len(self.scene.attempts_of(id)) <= taken.route.max_attempts
             if taken.disconnected and not taken.keyed:
-                assert all(attempt.over for attempt in self.scene.attempts_of(id)), "goes on for nobody"
+                assert all(attempt.over for attempt in self.scene.attempts_of(id)), (
+                    "an attempt goes on after its caller has disconnected"
+                )
             if taken.replies and taken.replies[0].status in (503, 429):
                 assert id not in self.may_have_run and not any(
                     a.written and not a.over for a in self.scene.attempts_of(id)
@@ -127,14 +129,14 @@
     taken = TakenRequest(scene, route("idempotent", 1))
     [attempt] = scene.open_attempts()
     attempt.written = True
-    attempt.on_timeout()  # out of patience, long before the request's end
+    attempt.on_timeout()  # the attempt times out long before the request's deadline
     assert attempt.over is bool(taken.replies) is not draining
     scene.loop.pass_ms(1_000.0)
     assert [reply.status in (502, 504) for reply in taken.replies] == [True] and attempt.over
 
 
 def test_servers_in_slow_start_alone_are_sent_to_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After a loss of power all servers are cold, and no answer rate says what they bear."""
+    """After a power loss all servers are warming up, and no response rate shows their capacity."""
     scene = Scene(monkeypatch, route("idempotent", 2))
     scene.servers()
     scene.servers("7", "8", slow_start_ms=3_000.0)
@@ -182,20 +184,20 @@
         assert len(taken.ends) == taken.keyed and (taken.disconnected or len(taken.replies) == 1)
         if not taken.keyed:
             continue
-        kept, ran = taken.ends[0]
-        assert ran or kept is None
-        if taken.replies and kept is not None and not taken.disconnected:
-            assert taken.replies[0].status == kept.status
+        response, ran = taken.ends[0]
+        assert ran or response is None
+        if taken.replies and response is not None and not taken.disconnected:
+            assert taken.replies[0].status == response.status
 
 
-def test_at_its_deadline_an_unsent_request_is_refused_and_a_sent_one_is_late(
+def test_at_its_deadline_an_unsent_request_gets_503_and_a_sent_one_504(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scene = Scene(monkeypatch, route("non_idempotent", 2))
     unwritten, written = (TakenRequest(scene, route("non_idempotent", 2)) for _ in range(2))
     scene.attempts_of(written.id)[0].on_sent()
     for attempt in scene.open_attempts():
-        attempt.extend_timeout(60.0)  # the line says nothing
+        attempt.extend_timeout(60.0)  # the server does not answer
     scene.loop.pass_ms(1_001.0)
     assert [t.replies[0].status for t in (unwritten, written)] == [503, 504]
     scene.attempts_of(written.id)[0].end(Result.SERVED, server_response(attempt_id=written.id.encode()))
@@ -218,7 +220,7 @@
         ("idempotent", False, False, True),
         ("idempotent", False, True, True),
         ("download", False, True, True),
-        ("non_idempotent", False, True, True),  # the gate lets that run
+        ("non_idempotent", False, True, True),  # the gate lets it finish
         ("keyed", True, False, True),
         ("keyed", True, True, False),
     ],
@@ -246,14 +248,16 @@
     taken.pending.client_disconnected()
     assert not taken.ends and not attempt.over
     attempt.end(Result.SERVED, server_response(attempt_id=taken.id.encode()))
-    assert [(said and said.status, ran) for said, ran in taken.ends] == [(200, True)] and not taken.replies
+    assert [(response and response.status, ran) for response, ran in taken.ends] == [
+        (200, True)
+    ] and not taken.replies
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_retries_of_a_node_stay_within_its_part_of_the_budget(
+def test_retries_of_a_node_stay_within_its_share_of_the_budget(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """Most attempts fail or are turned away; each window of the rule's length is looked at."""
+    """Most attempts fail or are rejected; the retries in every retry window are counted."""
     rng = random.Random(seed)
     scene = Scene(monkeypatch, route("idempotent", 3))
     bounds = Bounds()
@@ -303,7 +307,7 @@
 def test_requests_at_a_silent_server_are_answered_before_the_node_ends(
     monkeypatch: pytest.MonkeyPatch, kind: str, taken_before: bool, written: bool, status: int
 ) -> None:
-    """Its deadline lies beyond the end of the process: the connection would close without an answer."""
+    """Their deadlines lie beyond the end of the process, whose connections would close without a reply."""
     scene = Scene(monkeypatch, route(kind, 1))
     stop_ms = scene.loop.now_ms() + 400.0
     if not taken_before:
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -1,4 +1,4 @@
-"""`Time-Remaining`: servers receive the time left, never more than the client or the route gives."""
+"""`Time-Remaining`: servers receive the time left, never more than the client or the route allows."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Scene:
-    """A node and the gate of a server, up to what each writes."""
+    """A node and the gate of a server; their attempts are recorded."""
 
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
         self.loop, self.connections = loop_and_connections()
@@ -32,24 +32,24 @@
         service.update_servers(
             {n: NodeRecord(n, 1, 1, "z", "127.0.0.1", 1, one) for n, one in servers.items()}
         )
-        routes = [route(kind)]  # 1,000 ms
+        routes = [route(kind)]  # with a guard timer of 1,000 ms
         service.set_routes(routes)
         proxy: Any = Proxy.__new__(Proxy)
-        proxy._configuration, proxy._table = Configuration(1), RouteTable(routes)
+        proxy._configuration, proxy._route_table = Configuration(1), RouteTable(routes)
         proxy._services = {"s": service}
-        proxy._stop_ms = math.inf
+        proxy._drain_deadline_ms = math.inf
         self.proxy = proxy
         self.gate = admission_gate(self.connections)
         self.replies: list[Reply] = []
 
     def ask(self, left: bytes | None) -> None:
-        """A client's request."""
+        """Send a client's request with this `Time-Remaining`; None: without one."""
         headers = {b"host": b"h", b"attempt-id": b"t1"} | ({b"time-remaining": left} if left else {})
         message = read(headers)
         self.proxy._accept(message, self.replies.append)
 
     def remaining(self) -> list[float]:
-        """What the attempts so far say is left."""
+        """The `Time-Remaining` of each attempt so far, if it were written now."""
         return [left_of(attempt.head_bytes()) for attempt in self.connections.sent]
 
 
@@ -91,15 +91,13 @@
 
 def test_a_retry_carries_the_time_remaining_then(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
-    scene.loop.pass_ms(
-        1e3 * Bounds().retry_window_s + 1.0
-    )  # a node that has just started sends nothing again
+    scene.loop.pass_ms(1e3 * Bounds().retry_window_s + 1.0)  # a node that has just started does not retry
     scene.ask(b"900")
     scene.loop.pass_ms(100.0)
     [first] = scene.connections.sent
     first.end(Result.UNREACHABLE)
     scene.loop.pass_ms(400.0)
-    _, second = scene.remaining()  # as its head is written now
+    _, second = scene.remaining()  # the heads are written now
     assert second <= 900.0 - 500.0
 
 
@@ -114,13 +112,13 @@
     assert left_of(scene.connections.sent[-1].head_bytes()) <= 400.0
 
 
-def test_what_a_request_waited_unread_is_taken_off_at_the_node_and_at_the_gate(
+def test_time_that_a_request_waited_unread_is_subtracted_at_the_node_and_at_the_gate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A node and a gate that waited for a core counted a request's time from when they read it.
+    """Guards against measuring a request's time from when it is read, which is late on a busy machine.
 
     A request with 3.000 s left was read 149 ms after it was sent. The node would have answered it within
-    3,139 ms, by when its client had been gone for 69 ms. Its server was told of time that nobody had.
+    3,139 ms, 69 ms after its client had left, and its server received too long a time.
     """
     scene = Scene(monkeypatch)
     message = read({b"host": b"h", b"attempt-id": b"t1", b"time-remaining": b"900"})
@@ -134,7 +132,7 @@
     assert scene.remaining()[-1] <= at_node - 150.0
 
 
-def test_a_gate_sends_nothing_whose_time_ended_while_it_was_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gate_does_not_send_a_request_that_expired_while_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene(monkeypatch)
     message = read({b"host": b"h", b"attempt-id": b"t1", b"time-remaining": b"100"})
     message.arrived_ms = scene.loop.now_ms() - 150.0
--- a/tests/mesh/dataplane/test_zone_preference.py
+++ b/tests/mesh/dataplane/test_zone_preference.py
@@ -1,4 +1,4 @@
-"""The weight of servers of the node's own zone, as requests queue before them."""
+"""The weight of servers in the node's own zone, depending on their queue length."""
 
 from __future__ import annotations
 
--- a/tests/mesh/examples.py
+++ b/tests/mesh/examples.py
@@ -1,4 +1,4 @@
-"""A settings file's tables, as tests begin with them."""
+"""The tables of a valid settings file, from which tests derive others."""
 
 from __future__ import annotations
 
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -1,4 +1,4 @@
-"""A loop whose time is moved by hand, connections that only record what is sent, and small examples."""
+"""An event loop with virtual time, a connection pool that only records attempts, and example objects."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Timer:
-    """A call of the loop."""
+    """A scheduled call of the loop."""
 
     def __init__(self, call: Callable[[], object]) -> None:
         self.call: Callable[[], object] | None = call
@@ -33,7 +33,7 @@
 
 
 class Loop:
-    """As much of a loop as the code under test asks for."""
+    """The part of an event loop that the code under test uses, with virtual time."""
 
     def __init__(self) -> None:
         self.now_s, self._calls, self._number = 1_000.0, list[tuple[float, int, Timer]](), 0
@@ -54,7 +54,7 @@
         return self.call_at(self.now_s + delay_s, call, *args)
 
     def pass_ms(self, ms: float) -> None:
-        """Let time pass, with all that is due in it."""
+        """Advance the time and run the calls that become due."""
         until = self.now_s + ms / 1e3
         while self._calls and self._calls[0][0] <= until:
             due, _, timer = heapq.heappop(self._calls)
@@ -65,7 +65,7 @@
 
 
 class FakeConnections:
-    """Records what is sent."""
+    """A connection pool that records the attempts it is given."""
 
     def __init__(self, timers: Any) -> None:
         self.timers, self.sent = timers, list[Attempt]()
@@ -81,13 +81,13 @@
 
 
 def loop_and_connections() -> tuple[Any, Any]:
-    """A loop, and connections whose timers are on it."""
+    """Return a loop and a fake connection pool with timers on it."""
     loop: Any = Loop()
     return loop, FakeConnections(TimerQueue(loop))
 
 
 def proxied_request(id: str = "t1", **headers: bytes) -> ProxiedRequest:
-    """A request with these headers."""
+    """Return a request with these headers."""
     named = {name.replace("_", "-").encode(): value for name, value in headers.items()}
     return ProxiedRequest(
         b"GET", b"/x/", id, "", 1_000.0, None, False, None, None, b"", host=b"h", headers=named
@@ -97,7 +97,7 @@
 def server_response(
     status: int = 200, attempt_id: bytes | None = b"t1", sealed: bool = True, **more: Any
 ) -> ServerResponse:
-    """A server's response."""
+    """Return a response of a server."""
     return ServerResponse(status, b"", None, None, sealed=sealed, attempt_id=attempt_id, **more)
 
 
@@ -108,29 +108,29 @@
     server_number: Callable[[str], int] = int,
     kind: type[ServiceClient] = ServiceClient,
 ) -> Any:
-    """A client of a service, on a node of the service `me` in the zone `z`."""
+    """Return a client of a service, on a node of the service `me` in the zone `z`."""
     context = ClientContext("me", "z", Bounds(), loop, connections.timers, connections, server_number)
     return kind(name, context)
 
 
 def admission_gate(connections: Any, hooks: GateHooks | None = None) -> AdmissionGate:
-    """A gate of a server that sends a heartbeat each second."""
+    """Return the gate of a server that sends a heartbeat each second."""
     hooks = hooks or GateHooks(lambda: None, lambda: False, lambda message, response: None)
     return AdmissionGate(("127.0.0.1", 1), Bounds(), 1_000.0, connections.timers, connections, hooks)
 
 
 def route(kind: str = "idempotent", attempts: int = 3, **more: Any) -> Route:
-    """A route."""
+    """Return a route with a latency target of 200 ms and a guard timer of 1,000 ms."""
     return Route("r", "h", "/x/", kind, 200.0, 0, 1_000.0, attempts, (("s", 1.0),), **more)
 
 
 def header(reply: Reply, name: bytes) -> bytes | None:
-    """One header of an answer."""
+    """Return a header of a reply; None if it is missing."""
     return dict(reply.more).get(name)
 
 
 def patch_clock(patch: pytest.MonkeyPatch, now_ms: Callable[[], float]) -> None:
-    """Let the data plane and the connections below it read this clock."""
+    """Make all modules of the data plane, and the connections of the node, use this clock."""
     names = [f"{dataplane.__name__}.{module.name}" for module in pkgutil.iter_modules(dataplane.__path__)]
     for module in (*map(importlib.import_module, names), client_connection, upstream):
         if hasattr(module, "now_ms"):
--- a/tests/mesh/test_main.py
+++ b/tests/mesh/test_main.py
@@ -1,6 +1,6 @@
-"""The roles' command line.
+"""The command line of the mesh's roles.
 
-Each subcommand has a help text, and bad settings are one line with file and field.
+Each subcommand has a help text, and invalid settings are reported in one line with file and field.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         (["controller", "snapshot", "take", "file"], {}, "own_node.data_dir: a controller needs one"),
     ],
 )
-def test_bad_settings_are_one_line_with_file_and_field(
+def test_invalid_settings_are_reported_in_one_line_with_file_and_field(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
--- a/tests/mesh/test_process_end.py
+++ b/tests/mesh/test_process_end.py
@@ -1,4 +1,4 @@
-"""Real processes of both roles that get SIGTERM at awkward moments, and the watchdog over their exit."""
+"""SIGTERM to real processes of both roles at critical moments, and the watchdog of their exit."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 DAY = DAYS["mesh-calm"]
 GRACE_S = DAY.bounds.grace_s
-# bounds of waits, far beyond what is waited for
+# Timeouts of waits, far longer than the waits are expected to take.
 START_S = 20.0
 KILL_S = 5.0
 SIGTERM_BIT = 1 << (signal.SIGTERM - 1)
 STOPPED = b"stopped"
-STOPPING = {"sidecar": b"proxy: draining", "core": b"controller: stopping"}  # in its log
-SERVING = {"sidecar": b"proxy: serving", "core": b"controller: listening: shard=3"}  # in its log
+STOPPING = {"sidecar": b"proxy: draining", "core": b"controller: stopping"}  # log text when a role stops
+SERVING = {"sidecar": b"proxy: serving", "core": b"controller: listening: shard=3"}  # log text when it serves
 
 
 class Process:
-    """One process of a role, its log, and signals to it."""
+    """A process of one role, with its log and methods to signal it."""
 
     def __init__(self, folder: Path, places: Ports, machine: Machine, seeds: list[Machine]) -> None:
         self.machine = machine
@@ -62,16 +62,16 @@
     def log(self) -> bytes:
         return self._log.read_bytes()
 
-    def until(self, seen: Callable[[], bool]) -> None:
-        """Wait for something that it does; it fails if the process ends, or the time is up."""
-        until = time.monotonic() + START_S
-        while not seen():
+    def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition is true; fail if the process ends or the wait times out."""
+        deadline_s = time.monotonic() + START_S
+        while not condition():
             assert self._child.poll() is None, self.log()
-            assert time.monotonic() < until, self.log()
+            assert time.monotonic() < deadline_s, self.log()
             time.sleep(0.002)
 
     def catches_sigterm(self) -> bool:
-        """Whether its handler is installed, by the kernel's word."""
+        """Whether its SIGTERM handler is installed, according to the kernel."""
         status = Path(f"/proc/{self._child.pid}/status").read_text()
         caught = next(line for line in status.splitlines() if line.startswith("SigCgt:"))
         return bool(int(caught.split()[1], 16) & SIGTERM_BIT)
@@ -87,7 +87,7 @@
             self._child.send_signal(number)
 
     def ended(self) -> tuple[int, float]:
-        """Its exit status and how long it took from now; it must come within the grace."""
+        """Wait for its end within the grace time; return its exit status and the time waited, in seconds."""
         began = time.monotonic()
         status = self._child.wait(GRACE_S)
         return status, time.monotonic() - began
@@ -100,7 +100,7 @@
 
 @pytest.fixture(params=["sidecar", "core"])
 def process(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Process]:
-    """A process of each role, just started."""
+    """A process of each role that was just started."""
     block, held = claim()
     with contextlib.closing(held):
         cores, sidecars = machines(DAY, block.number, 7)
@@ -115,20 +115,20 @@
 
 
 def test_sigterm_before_the_program_runs(process: Process) -> None:
-    """The default action ends it: nothing was begun."""
+    """The default action of SIGTERM ends the process, which has done nothing yet."""
     process.signal(signal.SIGTERM)
     assert process.ended()[0] == -signal.SIGTERM
 
 
 def test_sigterm_while_it_is_imported(process: Process) -> None:
     maps = Path(f"/proc/{process._child.pid}/maps")
-    process.until(lambda: "/uvloop/" in maps.read_text() or process.catches_sigterm())
+    process.wait_until(lambda: "/uvloop/" in maps.read_text() or process.catches_sigterm())
     process.signal(signal.SIGTERM)
     assert process.ended()[0] in (-signal.SIGTERM, 0)
 
 
-def test_sigterm_as_soon_as_it_listens_to_signals(process: Process) -> None:
-    process.until(process.catches_sigterm)
+def test_sigterm_as_soon_as_its_handler_is_installed(process: Process) -> None:
+    process.wait_until(process.catches_sigterm)
     process.signal(signal.SIGTERM)
     assert process.ended()[0] == 0
     assert STOPPED in process.log()
@@ -145,7 +145,7 @@
     ids=["once", "three times", "between SIGHUPs", "while frozen"],
 )
 def test_sigterm_while_it_serves(process: Process, numbers: tuple[int, ...]) -> None:
-    process.until(process.serves)
+    process.wait_until(process.serves)
     process.signal(*numbers)
     status, _ = process.ended()
     assert status == 0
@@ -153,16 +153,16 @@
 
 
 def test_sigterm_again_while_it_stops(process: Process) -> None:
-    process.until(process.serves)
+    process.wait_until(process.serves)
     process.signal(signal.SIGTERM)
-    process.until(process.stops)
+    process.wait_until(process.stops)
     process.signal(signal.SIGTERM)
     assert process.ended()[0] == 0
 
 
-def test_sigterm_while_callers_stay(process: Process) -> None:
-    """Connections that nobody closes, with nothing on them or half a request, hold up nothing."""
-    process.until(process.serves)
+def test_sigterm_while_callers_stay_connected(process: Process) -> None:
+    """Open connections, idle or with an incomplete request, don't delay the end."""
+    process.wait_until(process.serves)
     name = "outbound" if process.machine.role == "sidecar" else "control"
     where = process.machine.bind, getattr(process.places, name)
     with contextlib.ExitStack() as stack:
@@ -173,9 +173,9 @@
         assert process.ended()[0] == 0
 
 
-def test_sigterm_on_a_slow_processor_while_callers_stay(process: Process) -> None:
-    """With a tenth of a core for itself it is done before the kill."""
-    process.until(process.serves)
+def test_sigterm_on_a_slow_processor_while_callers_stay_connected(process: Process) -> None:
+    """With a tenth of a core, the process ends within the grace time."""
+    process.wait_until(process.serves)
     name = "outbound" if process.machine.role == "sidecar" else "control"
     with socket.create_connection((process.machine.bind, getattr(process.places, name)), 2.0) as caller:
         caller.sendall(b"GET /a")
@@ -191,7 +191,7 @@
 
 @pytest.fixture
 def controller(tmp_path: Path) -> Iterator[Process]:
-    """A controller that is not started yet."""
+    """A controller process that is not started yet."""
     block, held = claim()
     with contextlib.closing(held):
         cores, _ = machines(DAY, block.number, 7)
@@ -200,48 +200,49 @@
         one.kill()
 
 
-def test_sigterm_while_another_process_has_its_store(controller: Process) -> None:
-    """A controller waits for its store, and ends when it is told to."""
+def test_sigterm_while_another_process_holds_its_store(controller: Process) -> None:
+    """A controller that waits for its store ends on SIGTERM."""
     with (controller.data / "lock").open("ab") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         controller.start()
-        controller.until(lambda: b"another process" in controller.log())
+        controller.wait_until(lambda: b"another process" in controller.log())
         controller.signal(signal.SIGTERM)
         assert controller.ended()[0] == 0
 
 
 def test_sigterm_while_its_disk_hangs(controller: Process) -> None:
-    """What waits for the disk is not waited for beyond the grace; nothing of it was acknowledged."""
+    """Pending writes are not waited for beyond the grace time; none of them was acknowledged."""
     controller.start((sys.executable, "-B", "-m", "orchidferry.testkit.bench.mesh_load", "slow", "60000"))
-    controller.until(controller.serves)
+    controller.wait_until(controller.serves)
     controller.signal(signal.SIGTERM)
     status, took_s = controller.ended()
     assert status == 0 and took_s < MIN_STOP_S + CLOSE_TIMEOUT_S + 1.0
 
 
-# The watch
+# The watchdog
 
-LOCK = "the interpreter's lock is never given back"
-HELD_UP = {
+LOCK = "the interpreter lock is never released"
+# Code that delays the end of the interpreter, by its description.
+DELAYS = {
     LOCK: "import ctypes; ctypes.PyDLL(None).sleep(60)",
-    "the interpreter is being taken down": """
+    "the interpreter is being finalized": """
 import time
 class Last:
     sleep = staticmethod(time.sleep)
     def __del__(self):
         self.sleep(60)
 sys.modules["kept to the end"] = Last()""",
-    "a handler at the exit": "import atexit, time; atexit.register(time.sleep, 60)",
-    "a thread that is waited for": (
+    "an exit handler": "import atexit, time; atexit.register(time.sleep, 60)",
+    "a thread that is joined at exit": (
         "import threading, time; threading.Thread(target=time.sleep, args=(60,)).start()"
     ),
 }
 
 
-@pytest.mark.parametrize("what", HELD_UP)
-def test_a_process_that_hangs_ends_and_prints_its_stacks(what: str) -> None:
+@pytest.mark.parametrize("what", DELAYS)
+def test_a_hanging_process_prints_its_stacks_and_ends(what: str) -> None:
     program = (
-        f"import sys\nfrom orchidferry.mesh.process_end import exit_within\nexit_within(0.3)\n{HELD_UP[what]}"
+        f"import sys\nfrom orchidferry.mesh.process_end import exit_within\nexit_within(0.3)\n{DELAYS[what]}"
     )
     done = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, timeout=20.0, check=False
@@ -250,18 +251,20 @@
     assert b"Timeout (0:00:00.300000)!" in done.stderr and b"Thread 0x" in done.stderr
 
 
-@pytest.mark.parametrize("what", [what for what in HELD_UP if what != LOCK])  # that one holds up the role
-def test_exit_now_takes_nothing_down(what: str) -> None:
-    """What would hold up the interpreter's end is not waited for."""
-    program = f"import sys\nfrom orchidferry.mesh.process_end import exit_now\n{HELD_UP[what]}\nexit_now()"
+@pytest.mark.parametrize(
+    "what", [what for what in DELAYS if what != LOCK]
+)  # the lock would block `exit_now` too
+def test_exit_now_skips_the_shutdown_of_the_interpreter(what: str) -> None:
+    """Nothing that would delay the end of the interpreter is waited for."""
+    program = f"import sys\nfrom orchidferry.mesh.process_end import exit_now\n{DELAYS[what]}\nexit_now()"
     done = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, timeout=20.0, check=False
     )
     assert done.returncode == 0
 
 
-def test_a_second_sigterm_gives_no_more_time() -> None:
-    """A role that does not end is ended within the grace that began with the first."""
+def test_a_second_sigterm_does_not_extend_the_grace_time() -> None:
+    """A role that does not stop is ended within the grace time after the first SIGTERM."""
     program = """
 import asyncio, os, signal, time
 from orchidferry.mesh.process_end import stop_on_sigterm
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process: what is read, and how a wrong field is named."""
+"""The parsing of a process's settings, and the error for an invalid field."""
 
 from __future__ import annotations
 
@@ -12,10 +12,14 @@
 from tests.mesh.examples import SETTINGS_TABLES
 
 
-def test_settings_are_read_and_unknown_fields_skipped() -> None:
-    boot = parse_settings(SETTINGS_TABLES)
-    assert (boot.name, boot.seeds, boot.listen) == ("n", ("10.0.0.2",), {"control": ("10.0.0.1", 80)})
-    assert (boot.bounds.drain_ms, boot.bounds.key_window_s, boot.max_file_descriptors) == (
+def test_settings_are_read_and_unknown_fields_are_ignored() -> None:
+    settings = parse_settings(SETTINGS_TABLES)
+    assert (settings.name, settings.seeds, settings.listen) == (
+        "n",
+        ("10.0.0.2",),
+        {"control": ("10.0.0.1", 80)},
+    )
+    assert (settings.bounds.drain_ms, settings.bounds.key_window_s, settings.max_file_descriptors) == (
         1_500.0,
         60.0,
         1_024,
@@ -30,15 +34,15 @@
         ("127.0.0.9", "10.0.0.7", "10.0.0.7"),
     ],
 )
-def test_an_address_may_be_bound_that_is_not_the_one_it_is_known_by(
+def test_sockets_may_be_bound_to_another_address_than_the_advertised_one(
     bind: str | None, point: str, bound: str
 ) -> None:
     data = copy.deepcopy(SETTINGS_TABLES)
     data["network"]["listen_points"]["control"] = f"{point}:80"
     if bind is not None:
         data["own_node"]["bind_ip"] = bind
-    boot = parse_settings(data)
-    assert (boot.ip, boot.local_ip, boot.listen_address("control")) == (
+    settings = parse_settings(data)
+    assert (settings.ip, settings.local_ip, settings.listen_address("control")) == (
         "10.0.0.1",
         bind or "10.0.0.1",
         (bound, 80),
@@ -73,7 +77,7 @@
         ("platform_settings", 4),
     ],
 )
-def test_bad_settings_are_named_in_one_line(path: str, value: Any) -> None:
+def test_the_error_for_invalid_settings_is_one_line_with_the_field(path: str, value: Any) -> None:
     data = copy.deepcopy(SETTINGS_TABLES)
     spoil(path, value)(data)
     with pytest.raises(MeshSettingsError) as problem:
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -1,4 +1,4 @@
-"""Connections to servers without a network: bytes are delivered by hand, dials succeed at once."""
+"""Connections to servers without a network: tests deliver the bytes, and connecting succeeds at once."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class Transport:
-    """Takes what is written, unless its kernel is told to take less; its socket shows what is unread."""
+    """A transport that records what is written; its kernel can be told to accept only a part."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.written = b""
         self.closed = False
         self.reading = True
-        self.takes: int | None = None  # bytes that the kernel takes of the next write; None: all
-        self.held = b""
+        self.kernel_accepts: int | None = None  # bytes that the kernel accepts of the next write; None: all
+        self.buffered = b""  # bytes in the write buffer
         self.protocol: Any = None
 
     def get_extra_info(self, name: str) -> socket.socket:
@@ -36,21 +36,21 @@
         pass
 
     def get_write_buffer_size(self) -> int:
-        return len(self.held)
+        return len(self.buffered)
 
     def write(self, data: bytes) -> None:
-        taken = len(data) if self.takes is None else min(self.takes, len(data))
-        if self.held:
+        taken = len(data) if self.kernel_accepts is None else min(self.kernel_accepts, len(data))
+        if self.buffered:
             taken = 0
         self.written += data[:taken]
-        self.held += data[taken:]
-        if self.held:
+        self.buffered += data[taken:]
+        if self.buffered:
             self.protocol.pause_writing()
 
     def drain(self, size: int) -> None:
-        """The kernel takes more of what was held back."""
-        self.written, self.held = self.written + self.held[:size], self.held[size:]
-        if not self.held:
+        """Let the kernel accept more bytes of the write buffer."""
+        self.written, self.buffered = self.written + self.buffered[:size], self.buffered[size:]
+        if not self.buffered:
             self.protocol.resume_writing()
 
     def pause_reading(self) -> None:
@@ -68,8 +68,8 @@
     abort = close
 
 
-class Sent(TrackedAttempt):
-    """An attempt that notes how it ends."""
+class RecordedAttempt(TrackedAttempt):
+    """An attempt that records how it ends."""
 
     def __init__(self, message: ProxiedRequest, at_most_once: bool = False, server: int = 1) -> None:
         super().__init__(message, server, ("127.0.0.1", 1), 1_000.0, at_most_once)
@@ -99,13 +99,13 @@
         self.carried: list[Attempt] = []
         connection.connection_made(self.transport)  # type: ignore[arg-type]
 
-    def put(self, data: bytes) -> None:
-        """Bytes arrive; nobody has read them."""
+    def send_bytes(self, data: bytes) -> None:
+        """Send bytes to the connection, which has not read them yet."""
         if not self.transport.closed:
             self.theirs.sendall(data)
 
     def read(self, size: int = 1 << 20) -> None:
-        """The loop reads some of what has arrived, as far as it reads at all."""
+        """Let the connection read what has arrived, unless reading is paused."""
         if self.transport.closed or not self.transport.reading:
             return
         self.transport.sock.setblocking(False)
@@ -117,7 +117,7 @@
             self.connection.data_received(data)
 
     def lose(self, exc: Exception | None = None) -> None:
-        """The connection has ended."""
+        """End the connection."""
         if not self.transport.closed:
             self.transport.closed = True
             self.connection.connection_lost(exc)
@@ -128,14 +128,14 @@
 
 
 class Task:
-    """A coroutine that needs no waiting."""
+    """Runs a coroutine that completes without waiting."""
 
     def __init__(self, work: Coroutine[Any, Any, None]) -> None:
         try:
             work.send(None)
         except StopIteration:
             return
-        raise AssertionError("it waits")
+        raise AssertionError("the coroutine waits")
 
     def add_done_callback(self, call: Any) -> None:
         pass
@@ -145,13 +145,13 @@
 
 
 class Pool(HttpConnectionPool):
-    """The shipping pool, but for its dial, which succeeds at once."""
+    """The production pool, except that connecting succeeds at once."""
 
     peers: list[Peer]
 
     def send(self, attempt: Attempt, fresh: bool = False) -> None:
         super().send(attempt, fresh)
-        for peer in self.peers:  # the dial is over already
+        for peer in self.peers:  # it is connected already
             if peer.connection._attempt is attempt:
                 attempt.set_cancel_io(peer.connection.close)
 
@@ -162,18 +162,18 @@
         connection.send_attempt(attempt)
 
 
-def pool(**more: Any) -> tuple[Any, Pool]:
-    """A loop and a pool on it."""
+def loop_and_pool(**more: Any) -> tuple[Any, Pool]:
+    """Return a loop and a pool on it."""
     loop, connections = loop_and_connections()
     loop.create_task = Task
-    made = Pool(
+    pool = Pool(
         loop, 400.0, 14_000.0, lambda: 99, connections.timers, **{"at_most_once_idle_ms": 500.0} | more
     )
-    made.peers = []
-    return loop, made
+    pool.peers = []
+    return loop, pool
 
 
-def close_all(made: Pool) -> None:
-    """Give the sockets back."""
-    for peer in made.peers:
+def close_all(pool: Pool) -> None:
+    """Close all sockets."""
+    for peer in pool.peers:
         peer.close()
