--- a/tests/mesh/dataplane/test_abandoned_responses.py
+++ b/tests/mesh/dataplane/test_abandoned_responses.py
@@ -11,20 +11,19 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.dataplane.abandoned_responses import AbandonCause
 from orchidferry.mesh.dataplane.service_client import ServiceClient
-from tests.mesh.dataplane.test_http_connection import Scene as ConnectionScene
-from tests.mesh.dataplane.test_http_connection import wire
-from tests.mesh.dataplane.test_service_client import Scene, TakenRequest
+from tests.mesh.dataplane.test_http_connection import ConnectionHarness, wire
+from tests.mesh.dataplane.test_service_client import ServiceHarness, TakenRequest
 from tests.mesh.fakes import route
 
 
 @pytest.fixture
-def connection() -> Iterator[ConnectionScene]:
+def connection() -> Iterator[ConnectionHarness]:
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        yield ConnectionScene(ours)
+        yield ConnectionHarness(ours)
 
 
-def test_only_a_response_that_has_begun_counts_as_abandoned(connection: ConnectionScene) -> None:
+def test_only_a_response_that_has_begun_counts_as_abandoned(connection: ConnectionHarness) -> None:
     connection.sent.abort(Result.CANCELLED)
     assert not connection.connections.abandoned_responses.by_cause
 
@@ -37,7 +36,7 @@
     ],
 )
 def test_a_response_that_is_abandoned_half_way_counts_once(
-    connection: ConnectionScene, abandon: Callable[[Any], None], cause: AbandonCause
+    connection: ConnectionHarness, abandon: Callable[[Any], None], cause: AbandonCause
 ) -> None:
     connection.connection.data_received(wire(b"x" * 100)[:60])
     abandon(connection.sent)
@@ -45,7 +44,7 @@
     assert connection.connections.abandoned_responses.by_cause == {cause: 1}
 
 
-def test_a_complete_response_does_not_count_as_abandoned(connection: ConnectionScene) -> None:
+def test_a_complete_response_does_not_count_as_abandoned(connection: ConnectionHarness) -> None:
     connection.connection.data_received(wire(b"x" * 100))
     connection.sent.abort(Result.CANCELLED)
     assert not connection.connections.abandoned_responses.by_cause
@@ -66,9 +65,9 @@
 def test_an_attempt_knows_how_its_request_ended(
     end: Callable[[ServiceClient, Any], None], cause: AbandonCause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    scene = Scene(monkeypatch, route())
-    taken = TakenRequest(scene, route(), keyed=False)
-    [attempt] = scene.open_attempts()
+    harness = ServiceHarness(monkeypatch, route())
+    taken = TakenRequest(harness, route(), keyed=False)
+    [attempt] = harness.open_attempts()
     assert attempt.abandon_cause() is AbandonCause.SUPERSEDED
-    end(scene.service, taken.pending)
+    end(harness.service, taken.pending)
     assert attempt.abandon_cause() is cause
--- a/tests/mesh/dataplane/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -27,7 +27,7 @@
 )
 
 
-class Scene:
+class Harness:
     """The gate of a server with two slots, and its replies."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
@@ -67,8 +67,8 @@
 
 
 @pytest.fixture
-def scene(monkeypatch: pytest.MonkeyPatch) -> Scene:
-    return Scene(monkeypatch)
+def harness(monkeypatch: pytest.MonkeyPatch) -> Harness:
+    return Harness(monkeypatch)
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
@@ -76,77 +76,77 @@
 def test_queued_requests_are_admitted_by_rank(
     monkeypatch: pytest.MonkeyPatch, arrivals: list[tuple[int, int, bool]]
 ) -> None:
-    scene = Scene(monkeypatch)
-    scene.heartbeat(1)
-    scene.ask("x")
-    scene.ask("y")
+    harness = Harness(monkeypatch)
+    harness.heartbeat(1)
+    harness.ask("x")
+    harness.ask("y")
     admitted = []
     for n, (rank, queue_timeout, gone) in enumerate(arrivals):
-        request = scene.ask(str(n), orchid_rank=b"%d" % rank, orchid_patience=b"%d" % (100 * queue_timeout))
+        request = harness.ask(str(n), orchid_rank=b"%d" % rank, orchid_patience=b"%d" % (100 * queue_timeout))
         if gone:
             request.client_disconnected()
         elif queue_timeout > 1:
             admitted.append((rank, n))
-    scene.loop.pass_ms(150.0)
+    harness.loop.pass_ms(150.0)
     expired = {
         str(n) for n, (_, queue_timeout, gone) in enumerate(arrivals) if queue_timeout <= 1 and not gone
     }
-    assert {id for id in scene.replies if scene.outcome(id) == b"unrun"} >= expired
-    assert scene.in_flight() == ["x", "y"]
+    assert {id for id in harness.replies if harness.outcome(id) == b"unrun"} >= expired
+    assert harness.in_flight() == ["x", "y"]
     for _, n in sorted(admitted):
-        first = next(a for a in scene.connections.sent if not a.over)
+        first = next(a for a in harness.connections.sent if not a.over)
         first.on_sent()
         first.end(Result.SERVED, server_response(attempt_id=first.message.id.encode()))
-        assert scene.in_flight()[-1] == str(n)
-    assert len(scene.in_flight()) == 2 and scene.gate._queue.length == 0
+        assert harness.in_flight()[-1] == str(n)
+    assert len(harness.in_flight()) == 2 and harness.gate._queue.length == 0
 
 
-def test_a_queue_timeout_ends_as_not_run(scene: Scene) -> None:
-    scene.heartbeat(1)
+def test_a_queue_timeout_ends_as_not_run(harness: Harness) -> None:
+    harness.heartbeat(1)
     for id in "abc":
-        scene.ask(id, orchid_patience=b"50")
-    scene.loop.pass_ms(49.0)
-    assert not scene.replies
-    scene.loop.pass_ms(2.0)
-    assert scene.replies.keys() == {"c"}
-    assert (scene.replies["c"].status, scene.outcome("c")) == (503, b"unrun")
-
-
-def test_a_draining_server_is_sent_requests_for_a_limited_time(scene: Scene) -> None:
-    scene.heartbeat(1, DRAINING)
-    scene.loop.pass_ms(1_400.0)
-    scene.heartbeat(2, DRAINING)  # the time counts from the first one
-    scene.ask("a")
-    assert scene.in_flight() == ["a"]
-    scene.loop.pass_ms(200.0)
-    scene.ask("b")
-    assert scene.outcome("b") == b"gone"
-
-
-def test_a_request_for_another_incarnation_is_rejected(scene: Scene) -> None:
-    scene.heartbeat(1)
-    scene.ask("a", target_instance=b"j")
-    scene.ask("b", target_instance=b"i")
-    assert (scene.outcome("a"), scene.in_flight()) == (b"gone", ["b"])
-    scene.ask("c", target_instance=b"i")
-    scene.ask("d", target_instance=b"i", orchid_patience=b"500")
-    scene.heartbeat(1, id="j")  # rejects requests queued for the former incarnation
-    for attempt in list(scene.connections.sent):
+        harness.ask(id, orchid_patience=b"50")
+    harness.loop.pass_ms(49.0)
+    assert not harness.replies
+    harness.loop.pass_ms(2.0)
+    assert harness.replies.keys() == {"c"}
+    assert (harness.replies["c"].status, harness.outcome("c")) == (503, b"unrun")
+
+
+def test_a_draining_server_is_sent_requests_for_a_limited_time(harness: Harness) -> None:
+    harness.heartbeat(1, DRAINING)
+    harness.loop.pass_ms(1_400.0)
+    harness.heartbeat(2, DRAINING)  # the time counts from the first one
+    harness.ask("a")
+    assert harness.in_flight() == ["a"]
+    harness.loop.pass_ms(200.0)
+    harness.ask("b")
+    assert harness.outcome("b") == b"gone"
+
+
+def test_a_request_for_another_incarnation_is_rejected(harness: Harness) -> None:
+    harness.heartbeat(1)
+    harness.ask("a", target_instance=b"j")
+    harness.ask("b", target_instance=b"i")
+    assert (harness.outcome("a"), harness.in_flight()) == (b"gone", ["b"])
+    harness.ask("c", target_instance=b"i")
+    harness.ask("d", target_instance=b"i", orchid_patience=b"500")
+    harness.heartbeat(1, id="j")  # rejects requests queued for the former incarnation
+    for attempt in list(harness.connections.sent):
         attempt.end(Result.RESET)
-    assert (scene.outcome("b"), scene.outcome("d")) == (b"lost", b"gone")
+    assert (harness.outcome("b"), harness.outcome("d")) == (b"lost", b"gone")
 
 
-def test_stale_heartbeats_change_nothing(scene: Scene) -> None:
-    scene.heartbeat(5, DRAINING)
-    scene.heartbeat(4)
-    scene.heartbeat(5)
-    assert scene.state == DRAINING
-    scene.heartbeat(1, id="j")
-    scene.heartbeat(6)  # from the former incarnation
-    assert scene.gate.server is not None and scene.gate.server.id == "j"
-    scene.gate.deregister("j")
-    scene.heartbeat(2, id="j")
-    assert scene.state == GONE
+def test_stale_heartbeats_change_nothing(harness: Harness) -> None:
+    harness.heartbeat(5, DRAINING)
+    harness.heartbeat(4)
+    harness.heartbeat(5)
+    assert harness.state == DRAINING
+    harness.heartbeat(1, id="j")
+    harness.heartbeat(6)  # from the former incarnation
+    assert harness.gate.server is not None and harness.gate.server.id == "j"
+    harness.gate.deregister("j")
+    harness.heartbeat(2, id="j")
+    assert harness.state == GONE
 
 
 @pytest.mark.parametrize(
@@ -179,24 +179,24 @@
         ([("j", 4, DRAINING), ("i", 9, IN_SERVICE), 2_000, ("j", 5, DRAINING)], DRAINING, "j"),
     ],
 )
-def test_calls_that_arrive_out_of_order(scene: Scene, steps: list[Any], state: str, id: str) -> None:
+def test_calls_that_arrive_out_of_order(harness: Harness, steps: list[Any], state: str, id: str) -> None:
     for step in steps:
         if isinstance(step, int):
-            scene.loop.pass_ms(float(step))
+            harness.loop.pass_ms(float(step))
         elif step[1] is None:
-            scene.gate.deregister(step[0])
+            harness.gate.deregister(step[0])
         else:
-            scene.heartbeat(step[1], step[2], step[0])
-    assert (scene.state, scene.gate.server.id if scene.gate.server is not None else "") == (state, id)
+            harness.heartbeat(step[1], step[2], step[0])
+    assert (harness.state, harness.gate.server.id if harness.gate.server is not None else "") == (state, id)
 
 
-def test_a_drain_counts_from_its_first_acknowledgement_across_incarnations(scene: Scene) -> None:
-    scene.heartbeat(1, DRAINING, "j")
-    scene.heartbeat(9, IN_SERVICE, "i")  # the last heartbeat of a former incarnation
-    scene.loop.pass_ms(1_600.0)  # longer than `DRAIN_FRACTION` of the drain time
-    scene.heartbeat(2, DRAINING, "j")
-    scene.ask("a", target_instance=b"j")
-    assert (scene.state, scene.outcome("a")) == (DRAINING, b"gone")
+def test_a_drain_counts_from_its_first_acknowledgement_across_incarnations(harness: Harness) -> None:
+    harness.heartbeat(1, DRAINING, "j")
+    harness.heartbeat(9, IN_SERVICE, "i")  # the last heartbeat of a former incarnation
+    harness.loop.pass_ms(1_600.0)  # longer than `DRAIN_FRACTION` of the drain time
+    harness.heartbeat(2, DRAINING, "j")
+    harness.ask("a", target_instance=b"j")
+    assert (harness.state, harness.outcome("a")) == (DRAINING, b"gone")
 
 
 def deregister(gate: AdmissionGate) -> None:
@@ -211,44 +211,44 @@
 
 @pytest.mark.parametrize("end", [deregister, miss_heartbeats])
 def test_a_server_that_is_gone_is_sent_nothing_and_requests_in_flight_end(
-    scene: Scene, end: Callable[[AdmissionGate], None]
+    harness: Harness, end: Callable[[AdmissionGate], None]
 ) -> None:
-    scene.heartbeat(1)
+    harness.heartbeat(1)
     for id in "ab":
-        scene.ask(id)
-    scene.ask("queued", orchid_patience=b"9000", time_remaining=b"9000")
-    end(scene.gate)
-    scene.ask("late")
-    assert scene.in_flight() == ["a", "b"]  # requests in flight go on
-    assert [scene.outcome(id) for id in ("queued", "late")] == [b"gone", b"gone"]
-    for attempt in scene.connections.sent:
+        harness.ask(id)
+    harness.ask("queued", orchid_patience=b"9000", time_remaining=b"9000")
+    end(harness.gate)
+    harness.ask("late")
+    assert harness.in_flight() == ["a", "b"]  # requests in flight go on
+    assert [harness.outcome(id) for id in ("queued", "late")] == [b"gone", b"gone"]
+    for attempt in harness.connections.sent:
         attempt.on_sent()
         attempt.end(Result.SERVED, server_response(attempt_id=attempt.message.id.encode()))
-    assert [scene.replies[id].status for id in "ab"] == [200, 200] and len(scene.connections.sent) == 2
+    assert [harness.replies[id].status for id in "ab"] == [200, 200] and len(harness.connections.sent) == 2
 
 
-def test_a_heartbeat_restores_a_server_that_was_marked_gone(scene: Scene) -> None:
-    scene.heartbeat(1)
-    scene.loop.pass_ms(3_600.0)
-    scene.gate.check_heartbeat()
-    scene.ask("a")
-    assert (scene.state, scene.outcome("a")) == (GONE, b"gone")
-    scene.heartbeat(2)
-    scene.loop.pass_ms(2_000.0)
-    scene.ask("b")
-    assert (scene.state, scene.in_flight()) == (IN_SERVICE, ["b"])
-    assert scene.changes == [IN_SERVICE, GONE, IN_SERVICE]
+def test_a_heartbeat_restores_a_server_that_was_marked_gone(harness: Harness) -> None:
+    harness.heartbeat(1)
+    harness.loop.pass_ms(3_600.0)
+    harness.gate.check_heartbeat()
+    harness.ask("a")
+    assert (harness.state, harness.outcome("a")) == (GONE, b"gone")
+    harness.heartbeat(2)
+    harness.loop.pass_ms(2_000.0)
+    harness.ask("b")
+    assert (harness.state, harness.in_flight()) == (IN_SERVICE, ["b"])
+    assert harness.changes == [IN_SERVICE, GONE, IN_SERVICE]
 
 
-def test_an_at_most_once_request_is_not_cancelled(scene: Scene) -> None:
-    scene.heartbeat(1)
-    for request in (scene.ask("a", orchid_once=b"1"), scene.ask("b")):
+def test_an_at_most_once_request_is_not_cancelled(harness: Harness) -> None:
+    harness.heartbeat(1)
+    for request in (harness.ask("a", orchid_once=b"1"), harness.ask("b")):
         assert request.attempt is not None
         request.attempt.on_sent()
         request.client_disconnected()
-    assert scene.in_flight() == ["a"]
-    scene.ask("c", orchid_once=b"1").client_disconnected()  # not sent yet, so it never ran
-    assert scene.in_flight() == ["a"] and not scene.replies
+    assert harness.in_flight() == ["a"]
+    harness.ask("c", orchid_once=b"1").client_disconnected()  # not sent yet, so it never ran
+    assert harness.in_flight() == ["a"] and not harness.replies
 
 
 @pytest.mark.parametrize(
@@ -262,20 +262,20 @@
     ],
 )
 def test_work_for_a_disconnected_caller_ends(
-    scene: Scene, others: int, later: int, after_ms: float, in_flight: list[str]
+    harness: Harness, others: int, later: int, after_ms: float, in_flight: list[str]
 ) -> None:
-    scene.heartbeat(1)
-    request = scene.ask("a")
+    harness.heartbeat(1)
+    request = harness.ask("a")
     for n in range(others):
-        scene.ask(str(n))
+        harness.ask(str(n))
     assert request.attempt is not None
     request.attempt.on_sent()
     request.client_disconnected()
     for _ in range(later):
-        scene.ask("later")
-    scene.loop.pass_ms(after_ms)
-    assert scene.in_flight() == in_flight and not scene.gate._abandoned.keys() - {request}
-    assert scene.gate.in_flight == len(in_flight) and not scene.replies
+        harness.ask("later")
+    harness.loop.pass_ms(after_ms)
+    assert harness.in_flight() == in_flight and not harness.gate._abandoned.keys() - {request}
+    assert harness.gate.in_flight == len(in_flight) and not harness.replies
 
 
 @pytest.mark.parametrize(
@@ -298,17 +298,17 @@
     ],
 )
 def test_the_response_to_an_orphaned_keyed_request_is_stored(
-    scene: Scene,
+    harness: Harness,
     headers: dict[str, bytes],
     disconnected: bool,
     answer: ServerResponse,
     stored: list[tuple[str, int]],
 ) -> None:
     """Otherwise repeats of its key would be told for the whole key window that it is in progress."""
-    scene.heartbeat(1)
-    request = scene.ask("t", **headers)
-    scene.connections.sent[0].written = True
+    harness.heartbeat(1)
+    request = harness.ask("t", **headers)
+    harness.connections.sent[0].written = True
     if disconnected:
         request.client_disconnected()
-    scene.connections.sent[0].end(Result.SERVED, answer)
-    assert scene.orphans == stored and not scene.in_flight()
+    harness.connections.sent[0].end(Result.SERVED, answer)
+    assert harness.orphans == stored and not harness.in_flight()
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -57,7 +57,7 @@
     lambda id: answer(id, b"504 Late", b"Orchid-Gate: late\r\n"),
     lambda id: answer(id, b"503 Full", b"Not-Executed: 1\r\n").replace(b"Attempt-Id: ", b"X: "),
     lambda id: answer("other", b"503 Full", b"Not-Executed: 1\r\n"),
-    lambda id: b"noise\r\n\r\n",
+    lambda id: b"garbage\r\n\r\n",
 )
 
 
@@ -93,7 +93,7 @@
         return len(self.peer.transport.written) > self.start
 
 
-class Scene:
+class Harness:
     """The production service client and connections, with three simulated gates."""
 
     def __init__(self, patch: Any, seed: int) -> None:
@@ -153,9 +153,9 @@
     def check(self) -> None:
         """Assert the invariants of attempts and replies."""
         for id in self.replies:
-            begun = [s for s in self.transmissions if s.id == id and s.possibly_sent]
+            begun = [t for t in self.transmissions if t.id == id and t.possibly_sent]
             assert len(begun) <= 3
-            unproven = [s for s in begun if not s.proven]
+            unproven = [t for t in begun if not t.proven]
             if id in self.at_most_once:
                 assert len(unproven) <= 1, "sent twice without a proof that the first did not run"
                 assert not unproven or begun[-1] is unproven[0], "sent again, though it may have run"
@@ -166,17 +166,17 @@
             assert len(self.replies[id]) <= 1
 
     def step(self, rng: random.Random) -> None:
-        dice = rng.random()
-        out = self.open_attempts()
+        draw = rng.random()
+        open_attempts = self.open_attempts()
         self.pool.kernel_accepts, self.pool.refuses_connects = (
             rng.choice((None, None, 0, 9)),
             rng.random() < 0.2,
         )
-        if dice < 0.3 or not out:
+        if draw < 0.3 or not open_attempts:
             self.ask(rng.random() < 0.7)
-        elif dice < 0.8:
-            self.act(rng, rng.choice(out))
-        elif dice < 0.95:
+        elif draw < 0.8:
+            self.act(rng, rng.choice(open_attempts))
+        elif draw < 0.95:
             self.loop.pass_ms(rng.choice((1.0, 40.0, 300.0, 1_000.0)))
         else:
             self.requests[rng.choice(sorted(self.requests))].client_disconnected()
@@ -184,10 +184,10 @@
 
     def act(self, rng: random.Random, transmission: Transmission) -> None:
         peer = transmission.peer
-        dice = rng.random()
-        if peer.transport.buffered and dice < 0.7:
+        draw = rng.random()
+        if peer.transport.buffered and draw < 0.7:
             peer.transport.drain(rng.choice((1, 9, 10_000)))
-        elif dice < 0.2:
+        elif draw < 0.2:
             if transmission.possibly_sent and rng.random() < 0.5:  # a truncated proof proves nothing
                 peer.send_bytes(rng.choice(PROOFS)(transmission.id)[:-1])
                 peer.read()
@@ -203,25 +203,25 @@
             peer.read()
 
 
-def play(seed: int) -> None:
+def run_random_steps(seed: int) -> None:
     rng = random.Random(seed)
     with pytest.MonkeyPatch.context() as patch:
-        scene = Scene(patch, seed)
+        harness = Harness(patch, seed)
         try:
             for _ in range(60):
-                scene.step(rng)
-            scene.loop.pass_ms(3_000.0)
-            scene.check()
-            for id, replies in scene.replies.items():
-                assert len(replies) == 1 or not scene.requests[id].awaited
+                harness.step(rng)
+            harness.loop.pass_ms(3_000.0)
+            harness.check()
+            for id, replies in harness.replies.items():
+                assert len(replies) == 1 or not harness.requests[id].awaited
         finally:
-            close_all(scene.pool)
+            close_all(harness.pool)
 
 
 @settings(max_examples=150, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.integers(0, 2**40))
 def test_an_at_most_once_request_is_never_sent_twice_without_a_proof(seed: int) -> None:
-    play(seed)
+    run_random_steps(seed)
 
 
 UNSURE = logic.NEVER_RAN | {Result.RESET, Result.TIMEOUT}
@@ -233,34 +233,34 @@
 
 
 @pytest.mark.parametrize("name", BREAKS)
-def test_a_break_is_detected(name: str) -> None:
+def test_a_deliberate_fault_is_detected(name: str) -> None:
     with pytest.MonkeyPatch.context() as patch:
         for owner, field, broken in BREAKS[name]:
             patch.setattr(owner, field, broken)
         with pytest.raises(AssertionError, match=r"sent|promise"):
             for seed in range(40):
-                play(seed)
+                run_random_steps(seed)
 
 
 # One transmission
 
 
 @pytest.mark.parametrize(
-    ("taken", "result"),
+    ("accepted_bytes", "result"),
     [
         (None, Result.RESET),
         (1, Result.RESET),
         (0, Result.RESET),  # the connection is lost, so the state of its write buffer is unknown
     ],
 )
-def test_a_connection_reset(taken: int | None, result: Result) -> None:
-    sent, peer = transmit(taken)
+def test_a_connection_reset(accepted_bytes: int | None, result: Result) -> None:
+    sent, peer = transmit(accepted_bytes)
     peer.lose(ConnectionResetError())
     assert [r for r, _ in sent.ends] == [result]
 
 
 @pytest.mark.parametrize(
-    ("taken", "later", "result"),
+    ("accepted_bytes", "later", "result"),
     [
         (None, 0, Result.TIMEOUT),
         (1, 0, Result.TIMEOUT),
@@ -268,9 +268,9 @@
         (0, 1, Result.TIMEOUT),
     ],
 )
-def test_a_timeout(taken: int | None, later: int, result: Result) -> None:
+def test_a_timeout(accepted_bytes: int | None, later: int, result: Result) -> None:
     """A request is known not to run only if the kernel accepted no byte; the connection is then closed."""
-    sent, peer = transmit(taken)
+    sent, peer = transmit(accepted_bytes)
     if later:
         peer.transport.drain(later)
     sent.on_timeout()
@@ -315,11 +315,11 @@
     close_all(pool)
 
 
-def transmit(taken: int | None) -> tuple[RecordedAttempt, Peer]:
+def transmit(accepted_bytes: int | None) -> tuple[RecordedAttempt, Peer]:
     _, pool = loop_and_pool()
     kernel_pool = KernelPool(pool._loop, 400.0, 14_000.0, lambda: 99, pool.timers, 500.0)
     kernel_pool.peers = pool.peers
-    kernel_pool.kernel_accepts = taken
+    kernel_pool.kernel_accepts = accepted_bytes
     sent = RecordedAttempt(proxied_request("t1"), at_most_once=True)
     kernel_pool.send(sent)
     return sent, kernel_pool.peers[0]
--- a/tests/mesh/dataplane/test_endpoint_table.py
+++ b/tests/mesh/dataplane/test_endpoint_table.py
@@ -25,7 +25,7 @@
         self.closed.append(("removed", server))
 
 
-class Scene:
+class Harness:
     """The endpoint table of the service `s` on a node in the zone `z`."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
@@ -52,45 +52,45 @@
 
 
 @pytest.fixture
-def scene(monkeypatch: pytest.MonkeyPatch) -> Scene:
-    return Scene(monkeypatch)
+def harness(monkeypatch: pytest.MonkeyPatch) -> Harness:
+    return Harness(monkeypatch)
 
 
-def test_only_changes_are_published(scene: Scene) -> None:
-    first = scene.update(server("1"), server("2", zone="y"), server("3", service="t"), server("4", GONE))
+def test_only_changes_are_published(harness: Harness) -> None:
+    first = harness.update(server("1"), server("2", zone="y"), server("3", service="t"), server("4", GONE))
     assert first == [(1, api.Health.IN_SERVICE, 4.0), (2, api.Health.IN_SERVICE, 1.0)]
-    assert scene.update(server("1"), server("2", zone="y")) == []
-    assert scene.update(server("1", DRAINING)) == [
+    assert harness.update(server("1"), server("2", zone="y")) == []
+    assert harness.update(server("1", DRAINING)) == [
         (1, api.Health.DRAINING, 4.0),
         (2, api.Health.GONE, 1.0),
     ]
-    assert not scene.table.is_ready(1) and scene.table.ready_count == 0
-    assert scene.connections.closed == [("removed", 2)]
+    assert not harness.table.is_ready(1) and harness.table.ready_count == 0
+    assert harness.connections.closed == [("removed", 2)]
 
 
-def test_idle_connections_to_a_restarted_gate_are_closed(scene: Scene) -> None:
-    scene.update(server("1"), boot=1)
-    scene.update(server("1"), boot=1)
-    assert scene.connections.closed == []
-    assert scene.update(server("1"), boot=2) == [] and scene.connections.closed == [("idle", 1)]
-    endpoint = scene.table.ready_endpoint(1)
+def test_idle_connections_to_a_restarted_gate_are_closed(harness: Harness) -> None:
+    harness.update(server("1"), boot=1)
+    harness.update(server("1"), boot=1)
+    assert harness.connections.closed == []
+    assert harness.update(server("1"), boot=2) == [] and harness.connections.closed == [("idle", 1)]
+    endpoint = harness.table.ready_endpoint(1)
     assert endpoint is not None and endpoint.gate_boot_id == 2
 
 
-def test_a_server_has_half_of_its_weight_during_its_warm_up(scene: Scene) -> None:
-    assert scene.update(server("1", warmup_left_ms=100.0)) == [(1, api.Health.IN_SERVICE, 2.0)]
-    scene.loop.pass_ms(105.0)
-    assert [entry.share for entry in scene.published] == [2.0]
-    scene.loop.pass_ms(10.0)
-    assert [entry.share for entry in scene.published] == [2.0, 4.0]
-    endpoint = scene.table.ready_endpoint(1)
+def test_a_server_has_half_of_its_weight_during_its_warm_up(harness: Harness) -> None:
+    assert harness.update(server("1", warmup_left_ms=100.0)) == [(1, api.Health.IN_SERVICE, 2.0)]
+    harness.loop.pass_ms(105.0)
+    assert [entry.share for entry in harness.published] == [2.0]
+    harness.loop.pass_ms(10.0)
+    assert [entry.share for entry in harness.published] == [2.0, 4.0]
+    endpoint = harness.table.ready_endpoint(1)
     assert endpoint is not None and endpoint.entry.share == 4.0
 
 
-def test_servers_of_the_same_zone_lose_weight_when_requests_queue_there(scene: Scene) -> None:
-    scene.update(server("1"), server("2", zone="y"))
-    scene.table.observe_queue(2, 9.0)  # in another zone
-    scene.table.observe_queue(7, 9.0)  # not listed
-    assert len(scene.published) == 2
-    scene.table.observe_queue(1, 9.0)
-    assert [(entry.server, entry.share) for entry in scene.published[2:]] == [(1, 1.0)]
+def test_servers_of_the_same_zone_lose_weight_when_requests_queue_there(harness: Harness) -> None:
+    harness.update(server("1"), server("2", zone="y"))
+    harness.table.observe_queue(2, 9.0)  # in another zone
+    harness.table.observe_queue(7, 9.0)  # not listed
+    assert len(harness.published) == 2
+    harness.table.observe_queue(1, 9.0)
+    assert [(entry.server, entry.share) for entry in harness.published[2:]] == [(1, 1.0)]
--- a/tests/mesh/dataplane/test_http_connection.py
+++ b/tests/mesh/dataplane/test_http_connection.py
@@ -46,7 +46,7 @@
     assert attempt_result(answer) is result
 
 
-class Scene:
+class ConnectionHarness:
     """A connection that carries one attempt, with the id `t1`."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -68,10 +68,10 @@
 
 
 @pytest.fixture
-def scene() -> Iterator[Scene]:
+def harness() -> Iterator[ConnectionHarness]:
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        yield Scene(ours)
+        yield ConnectionHarness(ours)
 
 
 def wire(body: bytes, id: bytes = b"t1", more: bytes = b"") -> bytes:
@@ -84,51 +84,53 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
-def test_a_response_with_the_id_of_another_request_is_discarded(scene: Scene, step: int) -> None:
+def test_a_response_with_the_id_of_another_request_is_discarded(
+    harness: ConnectionHarness, step: int
+) -> None:
     data = wire(b"other's", b"t0") + wire(b"mine")
     for at in range(0, len(data), step):
-        scene.connection.data_received(data[at : at + step])
-    assert scene.end() == (Result.SERVED, b"mine") and not scene.kept
+        harness.connection.data_received(data[at : at + step])
+    assert harness.end() == (Result.SERVED, b"mine") and not harness.kept
 
 
-def test_such_a_response_that_ends_with_its_connection_is_discarded(scene: Scene) -> None:
-    scene.connection.data_received(
+def test_such_a_response_that_ends_with_its_connection_is_discarded(harness: ConnectionHarness) -> None:
+    harness.connection.data_received(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: t0\r\nServer-Seal: x\r\nConnection: close\r\n\r\nother's"
     )
-    scene.connection.connection_lost(None)
-    assert scene.end()[0] is Result.RESET
+    harness.connection.connection_lost(None)
+    assert harness.end()[0] is Result.RESET
 
 
 @pytest.mark.parametrize("cut", [1, 30, 60, 80])
-def test_a_truncated_response_is_a_reset(scene: Scene, cut: int) -> None:
-    scene.connection.data_received(wire(b"a whole answer")[:cut])
-    scene.connection.connection_lost(None)
-    assert scene.end() == (Result.RESET, b"")
+def test_a_truncated_response_is_a_reset(harness: ConnectionHarness, cut: int) -> None:
+    harness.connection.data_received(wire(b"a whole answer")[:cut])
+    harness.connection.connection_lost(None)
+    assert harness.end() == (Result.RESET, b"")
 
 
-def test_a_response_is_forwarded_with_one_attempt_id(scene: Scene) -> None:
-    scene.connection.data_received(wire(b"mine", more=b"Kind: a\r\nKind: b\r\n"))
-    more = forwarded_reply(scene.sent.ends[0][1]).more
+def test_a_response_is_forwarded_with_one_attempt_id(harness: ConnectionHarness) -> None:
+    harness.connection.data_received(wire(b"mine", more=b"Kind: a\r\nKind: b\r\n"))
+    more = forwarded_reply(harness.sent.ends[0][1]).more
     assert sorted(more) == [(b"Attempt-Id", b"t1"), (b"Kind", b"a"), (b"Kind", b"b"), (b"Server-Seal", b"x")]
 
 
-def test_a_connection_is_kept_after_exactly_one_complete_response(scene: Scene) -> None:
-    scene.connection.data_received(wire(b"mine"))
-    assert scene.end() == (Result.SERVED, b"mine") and scene.kept
-    scene.connection.data_received(b"x")
-    assert scene.transport.closed and not scene.kept
+def test_a_connection_is_kept_after_exactly_one_complete_response(harness: ConnectionHarness) -> None:
+    harness.connection.data_received(wire(b"mine"))
+    assert harness.end() == (Result.SERVED, b"mine") and harness.kept
+    harness.connection.data_received(b"x")
+    assert harness.transport.closed and not harness.kept
 
 
 @pytest.mark.parametrize("extra", [b"x", b"HTTP/1.1 200 OK\r\n", wire(b"other's", b"t0")])
-def test_extra_bytes_close_the_connection(scene: Scene, extra: bytes) -> None:
-    scene.connection.data_received(wire(b"mine") + extra)
-    assert scene.end() == (Result.SERVED, b"mine") and not scene.kept
+def test_extra_bytes_close_the_connection(harness: ConnectionHarness, extra: bytes) -> None:
+    harness.connection.data_received(wire(b"mine") + extra)
+    assert harness.end() == (Result.SERVED, b"mine") and not harness.kept
 
 
-def test_headers_of_an_interim_response_are_not_those_of_the_final_one(scene: Scene) -> None:
-    scene.connection.data_received(
+def test_headers_of_an_interim_response_are_not_those_of_the_final_one(harness: ConnectionHarness) -> None:
+    harness.connection.data_received(
         b"HTTP/1.1 103 Early\r\nAttempt-Id: t1\r\nServer-Seal: x\r\nLink: y\r\n\r\n"
     )
-    scene.connection.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: t1\r\nContent-Length: 0\r\n\r\n")
-    [(result, answer)] = scene.sent.ends
+    harness.connection.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: t1\r\nContent-Length: 0\r\n\r\n")
+    [(result, answer)] = harness.sent.ends
     assert result is Result.ERROR and answer.attempt_id == b"t1" and not answer.sealed and not answer.headers
--- a/tests/mesh/dataplane/test_http_connection_answers.py
+++ b/tests/mesh/dataplane/test_http_connection_answers.py
@@ -84,7 +84,7 @@
     "404": Script(lambda i, b: answer(i, b, b"404 None"), Result.SERVED),
     "not executed": Script(lambda i, b: answer(i, b, b"503 Full", b"Not-Executed: 1\r\n"), Result.REFUSED),
     "421": Script(lambda i, b: answer(i, b, b"421 Other"), Result.MOOT),
-    "says close": Script(
+    "connection: close": Script(
         lambda i, b: answer(i, b, more=b"Connection: close\r\n"), Result.SERVED, False, True
     ),
     "HTTP/1.0": Script(lambda i, b: answer(i, b, version=b"1.0"), Result.SERVED, False, True),
@@ -134,7 +134,7 @@
     "101 with upgrade": Script(
         lambda i, b: b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", Result.ERROR, False
     ),
-    "noise": Script(lambda i, b: b"\x00\xff\r\n\r\n", Result.ERROR, False),
+    "garbage": Script(lambda i, b: b"\x00\xff\r\n\r\n", Result.ERROR, False),
     "two lengths": Script(
         lambda i, b: answer(i, b, more=b"Transfer-Encoding: chunked\r\n"), Result.ERROR, False
     ),
@@ -147,7 +147,7 @@
     def __init__(self) -> None:
         self.loop, self.pool = loop_and_pool()
         self.attempts: list[RecordedAttempt] = []
-        self.unclean: set[int] = set()  # ids of connections that have received extra bytes
+        self.unclean: set[int] = set()  # ids of connections that must not carry another request
         self.served: dict[int, Peer] = {}
 
     def __enter__(self) -> Exchange:
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("name", BREAKS)
-def test_a_break_is_detected(name: str) -> None:
+def test_a_deliberate_fault_is_detected(name: str) -> None:
     owner, method, broken, names, ids, timing = BREAKS[name]
     split = len(
         answer(b"t1", tag(0), b"503 Full", b"Not-Executed: 1\r\n")
--- a/tests/mesh/dataplane/test_incarnations.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -48,7 +48,7 @@
     assert connections_of_two_incarnations(monkeypatch) == 2
 
 
-def test_the_break_reuse_across_incarnations_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reuse_across_incarnations_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     always = property(lambda self: 1, lambda self, value: None)
     with mock.patch.object(AdmissionGate, "incarnation", always, create=True):
         assert connections_of_two_incarnations(monkeypatch) == 1
--- a/tests/mesh/dataplane/test_keyed_requests.py
+++ b/tests/mesh/dataplane/test_keyed_requests.py
@@ -44,7 +44,7 @@
         self.calls.append(("release", key, holder))
 
 
-class Scene:
+class Harness:
     """A node with one service, reduced to the handling of keyed requests."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
@@ -79,29 +79,29 @@
 
 
 @pytest.fixture
-def scene(monkeypatch: pytest.MonkeyPatch) -> Scene:
-    return Scene(monkeypatch)
+def harness(monkeypatch: pytest.MonkeyPatch) -> Harness:
+    return Harness(monkeypatch)
 
 
 @pytest.mark.parametrize("status", [200, 404, 500])
-def test_a_repeat_gets_the_first_runs_response_with_its_own_attempt_id(scene: Scene, status: int) -> None:
-    attempt = scene.run("a")
+def test_a_repeat_gets_the_first_runs_response_with_its_own_attempt_id(harness: Harness, status: int) -> None:
+    attempt = harness.run("a")
     attempt.on_sent()
     first = server_response(status, b"a")
     first.body = b"the first run's"
     first.headers = [(b"Server-Seal", b"s1"), (b"Kind", b"x")]
     attempt.end(Result.ERROR if status == 500 else Result.SERVED, first)
-    scene.loop.pass_ms(1_000.0)
-    [(call, key, holder, stored)] = scene.control_client.calls
+    harness.loop.pass_ms(1_000.0)
+    [(call, key, holder, stored)] = harness.control_client.calls
     assert (call, key, holder) == ("record_answer", "k", "a")
-    scene.ask("b")
-    scene.control_client.callbacks[-1](ClaimOutcome.HELD_BY_OTHER, stored)
+    harness.ask("b")
+    harness.control_client.callbacks[-1](ClaimOutcome.HELD_BY_OTHER, stored)
     for id in "ab":
-        reply = scene.replies[id]
+        reply = harness.replies[id]
         assert (reply.status, reply.body) == (status, b"the first run's")
         assert (header(reply, b"Server-Seal"), header(reply, b"Attempt-Id")) == (b"s1", id.encode())
         assert len([name for name, _ in reply.more if name == b"Attempt-Id"]) == 1
-    assert len(scene.connections.sent) == 1
+    assert len(harness.connections.sent) == 1
 
 
 def lose_connection(attempt: Any) -> None:
@@ -129,51 +129,51 @@
 
 
 @pytest.mark.parametrize("end", [lose_connection, send_half, time_out])
-def test_the_key_of_a_run_that_was_lost_stays_claimed(scene: Scene, end: Callable[[Any], None]) -> None:
+def test_the_key_of_a_run_that_was_lost_stays_claimed(harness: Harness, end: Callable[[Any], None]) -> None:
     """Even if the service deduplicates: an interrupted run can't be told from a lost response."""
-    end(scene.run("a"))
-    scene.loop.pass_ms(1_001.0)
+    end(harness.run("a"))
+    harness.loop.pass_ms(1_001.0)
     assert (
-        scene.replies["a"].status in (502, 504)
-        and scene.control_client.calls == []
-        and len(scene.connections.sent) == 1
+        harness.replies["a"].status in (502, 504)
+        and harness.control_client.calls == []
+        and len(harness.connections.sent) == 1
     )
-    scene.ask("b")
-    scene.control_client.callbacks[-1](ClaimOutcome.HELD_BY_OTHER, None)
-    assert scene.replies["b"].status == 409 and len(scene.connections.sent) == 1
+    harness.ask("b")
+    harness.control_client.callbacks[-1](ClaimOutcome.HELD_BY_OTHER, None)
+    assert harness.replies["b"].status == 409 and len(harness.connections.sent) == 1
 
 
-def test_an_unproven_not_run_status_is_neither_forwarded_nor_stored(scene: Scene) -> None:
+def test_an_unproven_not_run_status_is_neither_forwarded_nor_stored(harness: Harness) -> None:
     """A server's 503 without a proof would promise the caller and repeats that the request has not run."""
-    attempt = scene.run("a")
+    attempt = harness.run("a")
     attempt.on_sent()
     attempt.end(Result.ERROR, server_response(503, b"a"))
-    scene.loop.pass_ms(1_001.0)
+    harness.loop.pass_ms(1_001.0)
     assert (
-        scene.replies["a"].status == 502
-        and scene.control_client.calls == []
+        harness.replies["a"].status == 502
+        and harness.control_client.calls == []
         and stored_answer(server_response(503)) is None
     )
 
 
 @pytest.mark.parametrize("end", [reject_as_not_run, fail_to_connect])
-def test_the_key_of_a_run_that_never_began_is_released(scene: Scene, end: Callable[[Any], None]) -> None:
-    scene.run("a")
-    for attempt in scene.connections.sent:
+def test_the_key_of_a_run_that_never_began_is_released(harness: Harness, end: Callable[[Any], None]) -> None:
+    harness.run("a")
+    for attempt in harness.connections.sent:
         if not attempt.over:
             end(attempt)
-    scene.loop.pass_ms(1_001.0)
-    for attempt in scene.connections.sent:
+    harness.loop.pass_ms(1_001.0)
+    for attempt in harness.connections.sent:
         if not attempt.over:
             end(attempt)
-    assert scene.replies["a"].status == 503 and scene.control_client.calls == [("release", "k", "a")]
+    assert harness.replies["a"].status == 503 and harness.control_client.calls == [("release", "k", "a")]
 
 
-def test_a_key_granted_to_a_disconnected_caller_is_released(scene: Scene) -> None:
-    scene.ask("a").client_disconnected()
-    scene.control_client.callbacks[-1](ClaimOutcome.GRANTED, None)
+def test_a_key_granted_to_a_disconnected_caller_is_released(harness: Harness) -> None:
+    harness.ask("a").client_disconnected()
+    harness.control_client.callbacks[-1](ClaimOutcome.GRANTED, None)
     assert (
-        scene.control_client.calls == [("release", "k", "a")]
-        and not scene.connections.sent
-        and not scene.replies
+        harness.control_client.calls == [("release", "k", "a")]
+        and not harness.connections.sent
+        and not harness.replies
     )
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -24,7 +24,7 @@
 from orchidferry.node.flow import SHORT_BODY, Flow, MemoryPool
 from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
-from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
+from tests.mesh.dataplane.test_service_client import ServiceHarness
 from tests.mesh.fakes import Loop, route, server_response
 
 ID = b"Attempt-Id"
@@ -221,7 +221,7 @@
     assert [accepted.message.id for accepted in harness.taken] == ["a"] and harness.transport.ended
 
 
-def test_noise_after_an_early_reply_gets_no_second_reply() -> None:
+def test_garbage_after_an_early_reply_gets_no_second_reply() -> None:
     test_a_body_that_continues_after_an_early_reply_gets_no_second_reply(GARBAGE)
 
 
@@ -404,12 +404,14 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         unsafe_route = route("non_idempotent", 2)
-        self.scene = ServiceScene(patch, unsafe_route)
+        self.service_harness = ServiceHarness(patch, unsafe_route)
 
         def accept(message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
             assert isinstance(message, ProxiedRequest)
-            deadline_ms = self.scene.loop.now_ms() + 500.0
-            request: PendingRequest = self.scene.service.take(message, unsafe_route, deadline_ms, answer)
+            deadline_ms = self.service_harness.loop.now_ms() + 500.0
+            request: PendingRequest = self.service_harness.service.take(
+                message, unsafe_route, deadline_ms, answer
+            )
             return request
 
         self.harness = CallerHarness(accept)
@@ -417,13 +419,13 @@
     def run(self) -> list[tuple[int, bytes, bool]]:
         """Send two requests on one connection; the response to the first arrives after its deadline."""
         self.harness.send(request(b"a"))
-        [attempt] = self.scene.open_attempts()
+        [attempt] = self.service_harness.open_attempts()
         attempt.on_sent()
         attempt.extend_timeout(60.0)
-        self.scene.loop.pass_ms(501.0)
+        self.service_harness.loop.pass_ms(501.0)
         self.harness.send(request(b"b"))
         attempt.end(Result.SERVED, server_response(attempt_id=b"a"))
-        [second] = self.scene.attempts_of("b")
+        [second] = self.service_harness.attempts_of("b")
         second.on_sent()
         second.end(Result.SERVED, server_response(attempt_id=b"b"))
         return self.harness.answers()
@@ -437,7 +439,7 @@
     assert Delivery(monkeypatch).run() == [(504, b"a", True), (200, b"b", True)]
 
 
-def test_the_break_late_response_delivered_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_delivery_of_a_late_response_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     with mock.patch.object(module.ServiceClient, "finish", finish_always):
         assert Delivery(monkeypatch).run() != [(504, b"a", True), (200, b"b", True)]
 
@@ -446,11 +448,11 @@
     "test",
     [
         test_the_error_for_a_malformed_request_waits_for_earlier_replies,
-        test_noise_after_an_early_reply_gets_no_second_reply,
+        test_garbage_after_an_early_reply_gets_no_second_reply,
         test_a_stalled_upload_that_was_partly_sent_gets_no_not_run_status,
     ],
 )
-def test_the_break_error_out_of_order_is_detected(test: Callable[[], None]) -> None:
+def test_an_error_out_of_order_is_detected(test: Callable[[], None]) -> None:
     seen = pytest.raises((AssertionError, httptools.HttpParserError))
     with mock.patch.object(CallerConnection, "_close_with_error", ClientConnection._close_with_error), seen:
         test()
--- a/tests/mesh/dataplane/test_messages.py
+++ b/tests/mesh/dataplane/test_messages.py
@@ -10,7 +10,7 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.mesh.control.endpoints import IN_SERVICE, Server
 from tests.mesh.dataplane.test_listener import CallerHarness
-from tests.mesh.dataplane.test_service_client import Scene
+from tests.mesh.dataplane.test_service_client import ServiceHarness
 from tests.mesh.fakes import admission_gate, loop_and_connections, patch_clock, route, server_response
 
 
@@ -46,26 +46,26 @@
     """A request's path: a caller's connection, the node's attempt, a connection to the gate, its attempt."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        self.scene = Scene(patch, route())
-        deadline_ms = self.scene.loop.now_ms() + 900.0
+        self.service_harness = ServiceHarness(patch, route())
+        deadline_ms = self.service_harness.loop.now_ms() + 900.0
         self.caller = CallerHarness(lambda message, answer: self._take(message, answer, deadline_ms))
         loop, self.connections = loop_and_connections()
         patch_clock(patch, loop.now_ms)
         gate = admission_gate(self.connections)
-        gate.heartbeat(Server(self.scene_server(), "s", "z", IN_SERVICE, 4, 0.0), 1)
+        gate.heartbeat(Server(self.server_id(), "s", "z", IN_SERVICE, 4, 0.0), 1)
         self.gate, self.inbound = gate, CallerHarness(gate.accept)
 
-    def scene_server(self) -> str:
+    def server_id(self) -> str:
         return "1"
 
     def _take(self, message: Any, answer: Any, deadline_ms: float) -> Any:
-        return self.scene.service.take(message, route(), deadline_ms, answer)
+        return self.service_harness.service.take(message, route(), deadline_ms, answer)
 
     def send(self, data: bytes) -> Received:
         """Send a request along the path; return the request that the server receives."""
-        self.scene.servers(self.scene_server())
+        self.service_harness.servers(self.server_id())
         self.caller.send(data)
-        [gate_attempt] = self.scene.open_attempts()
+        [gate_attempt] = self.service_harness.open_attempts()
         self.inbound.send(gate_attempt.head_bytes())
         [server_attempt] = self.connections.sent
         return Received(server_attempt.head_bytes())
--- a/tests/mesh/dataplane/test_proxy.py
+++ b/tests/mesh/dataplane/test_proxy.py
@@ -18,7 +18,7 @@
 from orchidferry.mesh.dataplane.proxy import Proxy
 from orchidferry.mesh.settings import parse_settings
 from orchidferry.node.reply import Reply
-from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
+from tests.mesh.dataplane.test_service_client import ServiceHarness
 from tests.mesh.examples import SETTINGS_TABLES as BOOT_TABLES
 from tests.mesh.fakes import Loop, patch_clock, proxied_request, route
 
@@ -34,17 +34,17 @@
         self.callback = callback
 
 
-class Scene:
+class Harness:
     """A node with one service and three servers that accept requests and never answer."""
 
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
-        self.scene = ServiceScene(patch, route(kind, 1))
-        self.loop = self.scene.loop
+        self.service_harness = ServiceHarness(patch, route(kind, 1))
+        self.loop = self.service_harness.loop
         patch_clock(patch, self.loop.now_ms)
         claims: Any = Claims()
         self.claims = claims
         proxy: Any = Proxy.__new__(Proxy)
-        proxy._services = {"s": self.scene.service}
+        proxy._services = {"s": self.service_harness.service}
         proxy._drain_deadline_ms = math.inf
         proxy._draining = False
         proxy._configuration = Configuration(1)
@@ -68,11 +68,11 @@
 @pytest.mark.parametrize("path", [b"/x/1", b"/none/"])
 def test_a_node_without_a_configuration_is_unavailable(monkeypatch: pytest.MonkeyPatch, path: bytes) -> None:
     """401, 403 or 404 would be wrong, as a configuration that the node doesn't know may allow the request."""
-    scene = Scene(monkeypatch)
-    scene.proxy._configuration = None
-    scene.ask(path)
-    [(_, reply)] = scene.replies
-    assert reply.status == 503 and reply.retry_after_s and not scene.scene.connections.sent
+    harness = Harness(monkeypatch)
+    harness.proxy._configuration = None
+    harness.ask(path)
+    [(_, reply)] = harness.replies
+    assert reply.status == 503 and reply.retry_after_s and not harness.service_harness.connections.sent
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "download", "non_idempotent"])
@@ -81,26 +81,26 @@
     monkeypatch: pytest.MonkeyPatch, kind: str, written: bool, status: int
 ) -> None:
     """The client would wait for longer, and the server never answers."""
-    scene = Scene(monkeypatch, kind)
-    scene.ask()
-    [attempt] = scene.scene.open_attempts()
+    harness = Harness(monkeypatch, kind)
+    harness.ask()
+    [attempt] = harness.service_harness.open_attempts()
     if written:
         attempt.on_sent()
     attempt.extend_timeout(60.0)
-    scene.loop.pass_ms(1_100.0)  # the guard timer of the route is 1,000 ms
-    [(after_ms, reply)] = scene.replies
+    harness.loop.pass_ms(1_100.0)  # the guard timer of the route is 1,000 ms
+    [(after_ms, reply)] = harness.replies
     assert after_ms <= 1_000.5 and reply.status == status
 
 
 def test_a_keyed_request_whose_claim_times_out_is_refused_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scene = Scene(monkeypatch, "keyed")
-    scene.ask(key=b"k")
-    assert 0.0 < scene.claims.for_s <= 0.4
-    scene.claims.callback(ClaimOutcome.UNDECIDED, None)
-    [(_, reply)] = scene.replies
-    assert reply.status == 503 and not scene.scene.connections.sent
+    harness = Harness(monkeypatch, "keyed")
+    harness.ask(key=b"k")
+    assert 0.0 < harness.claims.for_s <= 0.4
+    harness.claims.callback(ClaimOutcome.UNDECIDED, None)
+    [(_, reply)] = harness.replies
+    assert reply.status == 503 and not harness.service_harness.connections.sent
 
 
 @pytest.mark.parametrize(
@@ -122,32 +122,32 @@
     status: int,
 ) -> None:
     """`draining`: from SIGTERM until the process ends."""
-    scene = Scene(monkeypatch)
+    harness = Harness(monkeypatch)
     if not configured:
-        scene.proxy._configuration = None
+        harness.proxy._configuration = None
     if not served:
-        scene.scene.servers()
-    scene.proxy._control_client = SimpleNamespace(has_initial_configuration=initial_configuration)
-    scene.proxy._draining = draining
+        harness.service_harness.servers()
+    harness.proxy._control_client = SimpleNamespace(has_initial_configuration=initial_configuration)
+    harness.proxy._draining = draining
     replies: list[Reply] = []
-    scene.proxy._readiness(control_request(b"GET", b"/orchidferry/readiness", {}, b""), "", replies.append)
+    harness.proxy._readiness(control_request(b"GET", b"/orchidferry/readiness", {}, b""), "", replies.append)
     assert [reply.status for reply in replies] == [status]
 
 
 def test_changed_settings_apply_to_controllers_and_the_service_name(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scene = Scene(monkeypatch)
+    harness = Harness(monkeypatch)
     seeds: list[tuple[str, ...]] = []
-    scene.proxy._settings, scene.proxy._control_client = (
+    harness.proxy._settings, harness.proxy._control_client = (
         parse_settings(BOOT_TABLES),
         SimpleNamespace(set_seeds=seeds.append),
     )
-    scene.proxy.reload_settings(
+    harness.proxy.reload_settings(
         dataclasses.replace(parse_settings(BOOT_TABLES), service="other", seeds=("10.0.0.9",))
     )
-    scene.ask()
-    [attempt] = scene.scene.open_attempts()
+    harness.ask()
+    [attempt] = harness.service_harness.open_attempts()
     assert seeds == [("10.0.0.9",)] and b"Calling-Service: other\r\n" in attempt.head_bytes()
 
 
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -33,14 +33,14 @@
 class TakenRequest:
     """A request, its replies and its reported end; the end is reported only for a keyed request."""
 
-    def __init__(self, scene: Scene, route: Route, keyed: bool = True) -> None:
-        self.route, self.id, self.keyed = route, f"t{len(scene.taken)}", keyed
+    def __init__(self, harness: ServiceHarness, route: Route, keyed: bool = True) -> None:
+        self.route, self.id, self.keyed = route, f"t{len(harness.taken)}", keyed
         self.replies: list[Reply] = []
         self.ends: list[tuple[ServerResponse | None, bool]] = []
         self.disconnected = False
-        scene.taken[self.id] = self
-        loop = scene.loop
-        self.pending: PendingRequest = scene.service.take(
+        harness.taken[self.id] = self
+        loop = harness.loop
+        self.pending: PendingRequest = harness.service.take(
             proxied_request(self.id),
             route,
             loop.now_ms() + 1_000.0,
@@ -49,7 +49,7 @@
         )
 
 
-class Scene:
+class ServiceHarness:
     """A service with three servers."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *routes: Route) -> None:
@@ -78,42 +78,42 @@
 WRITTEN = (Result.SERVED, Result.ERROR, Result.REFUSED, Result.MOOT, Result.RESET, Result.TIMEOUT)
 
 
-def random_response(result: Result, id: str, dice: float) -> ServerResponse | None:
+def random_response(result: Result, id: str, draw: float) -> ServerResponse | None:
     if result is Result.SERVED:
         return server_response(attempt_id=id.encode())
     if result is Result.REFUSED:
         return server_response(503, id.encode(), gate_outcome=b"unrun")
-    if result is not Result.ERROR or 0.6 <= dice < 0.8:
+    if result is not Result.ERROR or 0.6 <= draw < 0.8:
         return None
-    if dice < 0.6:
-        return server_response(500, id.encode(), dependency_shed=dice < 0.3)
+    if draw < 0.6:
+        return server_response(500, id.encode(), dependency_shed=draw < 0.3)
     return server_response(attempt_id=None)
 
 
 class Checker:
     """Checks every attempt and reply against the outcomes of earlier attempts of the request."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene, self.may_have_run, self.sent = scene, set[str](), 0
+    def __init__(self, harness: ServiceHarness) -> None:
+        self.harness, self.may_have_run, self.sent = harness, set[str](), 0
 
     def check(self) -> None:
-        for attempt in self.scene.connections.sent[self.sent :]:
+        for attempt in self.harness.connections.sent[self.sent :]:
             assert attempt.message.id not in self.may_have_run, "sent again, though it may have run"
-        self.sent = len(self.scene.connections.sent)
-        for id, taken in self.scene.taken.items():
+        self.sent = len(self.harness.connections.sent)
+        for id, taken in self.harness.taken.items():
             assert len(taken.replies) <= 1 and len(taken.ends) <= 1
-            assert len(self.scene.attempts_of(id)) <= taken.route.max_attempts
+            assert len(self.harness.attempts_of(id)) <= taken.route.max_attempts
             if taken.disconnected and not taken.keyed:
-                assert all(attempt.over for attempt in self.scene.attempts_of(id)), (
+                assert all(attempt.over for attempt in self.harness.attempts_of(id)), (
                     "an attempt goes on after its caller has disconnected"
                 )
             if taken.replies and taken.replies[0].status in (503, 429):
                 assert id not in self.may_have_run and not any(
-                    a.written and not a.over for a in self.scene.attempts_of(id)
+                    a.written and not a.over for a in self.harness.attempts_of(id)
                 )
 
     def end(self, attempt: Any, result: Result, answer: ServerResponse | None) -> None:
-        taken = self.scene.taken[attempt.message.id]
+        taken = self.harness.taken[attempt.message.id]
         if result not in NEVER_RAN and not taken.route.idempotent:
             self.may_have_run.add(taken.id)
         attempt.end(result, answer)
@@ -123,41 +123,41 @@
 def test_a_draining_node_waits_for_attempts_at_a_server(
     monkeypatch: pytest.MonkeyPatch, draining: bool
 ) -> None:
-    scene = Scene(monkeypatch, route("idempotent", 1))
+    harness = ServiceHarness(monkeypatch, route("idempotent", 1))
     if draining:
-        scene.service.drain_until(scene.loop.now_ms() + 5_000.0)
-    taken = TakenRequest(scene, route("idempotent", 1))
-    [attempt] = scene.open_attempts()
+        harness.service.drain_until(harness.loop.now_ms() + 5_000.0)
+    taken = TakenRequest(harness, route("idempotent", 1))
+    [attempt] = harness.open_attempts()
     attempt.written = True
     attempt.on_timeout()  # the attempt times out long before the request's deadline
     assert attempt.over is bool(taken.replies) is not draining
-    scene.loop.pass_ms(1_000.0)
+    harness.loop.pass_ms(1_000.0)
     assert [reply.status in (502, 504) for reply in taken.replies] == [True] and attempt.over
 
 
 def test_servers_in_slow_start_alone_are_sent_to_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a power loss all servers are warming up, and no response rate shows their capacity."""
-    scene = Scene(monkeypatch, route("idempotent", 2))
-    scene.servers()
-    scene.servers("7", "8", slow_start_ms=3_000.0)
-    taken = [TakenRequest(scene, route("idempotent", 2)) for _ in range(4)]
-    assert len(scene.open_attempts()) == 4 and not any(one.replies for one in taken)
+    harness = ServiceHarness(monkeypatch, route("idempotent", 2))
+    harness.servers()
+    harness.servers("7", "8", slow_start_ms=3_000.0)
+    taken = [TakenRequest(harness, route("idempotent", 2)) for _ in range(4)]
+    assert len(harness.open_attempts()) == 4 and not any(one.replies for one in taken)
 
 
 @settings(max_examples=100, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(st.integers(0, 2**40))
 def test_any_order_of_outcomes(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
     rng = random.Random(seed)
-    kinds = [route("idempotent", 3), route("non_idempotent", 2), route("keyed", 1)]
-    scene = Scene(monkeypatch, *kinds)
-    checker = Checker(scene)
+    routes = [route("idempotent", 3), route("non_idempotent", 2), route("keyed", 1)]
+    harness = ServiceHarness(monkeypatch, *routes)
+    checker = Checker(harness)
     for _ in range(120):
-        dice = rng.random()
-        out = scene.open_attempts()
-        if dice < 0.25:
-            TakenRequest(scene, rng.choice(kinds), keyed=rng.random() < 0.5)
-        elif dice < 0.85 and out:
-            attempt = rng.choice(out)
+        draw = rng.random()
+        open_attempts = harness.open_attempts()
+        if draw < 0.25:
+            TakenRequest(harness, rng.choice(routes), keyed=rng.random() < 0.5)
+        elif draw < 0.85 and open_attempts:
+            attempt = rng.choice(open_attempts)
             if not attempt.written and rng.random() < 0.7:
                 attempt.on_sent()
             elif not attempt.written:
@@ -165,22 +165,22 @@
             else:
                 result = rng.choice(WRITTEN)
                 checker.end(attempt, result, random_response(result, attempt.message.id, rng.random()))
-        elif dice < 0.92:
-            scene.loop.pass_ms(rng.choice((1.0, 30.0, 300.0)))
-        elif dice < 0.95 and scene.taken:
-            taken = rng.choice(list(scene.taken.values()))
+        elif draw < 0.92:
+            harness.loop.pass_ms(rng.choice((1.0, 30.0, 300.0)))
+        elif draw < 0.95 and harness.taken:
+            taken = rng.choice(list(harness.taken.values()))
             taken.disconnected = True
             taken.pending.client_disconnected()
         else:
             state = rng.choice((IN_SERVICE, IN_SERVICE, DRAINING))
-            scene.servers(*rng.sample("1234", rng.randrange(4)), state=state)
+            harness.servers(*rng.sample("1234", rng.randrange(4)), state=state)
         checker.check()
-    scene.loop.pass_ms(3_000.0)
-    for attempt in scene.open_attempts():
+    harness.loop.pass_ms(3_000.0)
+    for attempt in harness.open_attempts():
         checker.end(attempt, Result.RESET, None)
     checker.check()
-    assert not scene.service.pending and not scene.service.attempts
-    for taken in scene.taken.values():
+    assert not harness.service.pending and not harness.service.attempts
+    for taken in harness.taken.values():
         assert len(taken.ends) == taken.keyed and (taken.disconnected or len(taken.replies) == 1)
         if not taken.keyed:
             continue
@@ -193,25 +193,25 @@
 def test_at_its_deadline_an_unsent_request_gets_503_and_a_sent_one_504(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scene = Scene(monkeypatch, route("non_idempotent", 2))
-    unwritten, written = (TakenRequest(scene, route("non_idempotent", 2)) for _ in range(2))
-    scene.attempts_of(written.id)[0].on_sent()
-    for attempt in scene.open_attempts():
+    harness = ServiceHarness(monkeypatch, route("non_idempotent", 2))
+    unwritten, written = (TakenRequest(harness, route("non_idempotent", 2)) for _ in range(2))
+    harness.attempts_of(written.id)[0].on_sent()
+    for attempt in harness.open_attempts():
         attempt.extend_timeout(60.0)  # the server does not answer
-    scene.loop.pass_ms(1_001.0)
+    harness.loop.pass_ms(1_001.0)
     assert [t.replies[0].status for t in (unwritten, written)] == [503, 504]
-    scene.attempts_of(written.id)[0].end(Result.SERVED, server_response(attempt_id=written.id.encode()))
+    harness.attempts_of(written.id)[0].end(Result.SERVED, server_response(attempt_id=written.id.encode()))
     assert len(written.replies) == 1 and written.ends[0][1]
 
 
 def test_an_error_caused_by_a_shed_dependency_is_not_retried(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = Scene(monkeypatch, route())
-    taken = TakenRequest(scene, route())
-    attempt = scene.open_attempts()[0]
+    harness = ServiceHarness(monkeypatch, route())
+    taken = TakenRequest(harness, route())
+    attempt = harness.open_attempts()[0]
     attempt.on_sent()
     attempt.end(Result.ERROR, server_response(500, taken.id.encode(), dependency_shed=True))
-    scene.loop.pass_ms(900.0)
-    assert len(scene.attempts_of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
+    harness.loop.pass_ms(900.0)
+    assert len(harness.attempts_of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
 
 
 @pytest.mark.parametrize(
@@ -228,22 +228,22 @@
 def test_attempts_for_a_disconnected_caller_are_cancelled(
     monkeypatch: pytest.MonkeyPatch, kind: str, keyed: bool, written: bool, over: bool
 ) -> None:
-    scene = Scene(monkeypatch, route(kind, 2))
-    taken = TakenRequest(scene, route(kind, 2), keyed)
-    [attempt] = scene.open_attempts()
+    harness = ServiceHarness(monkeypatch, route(kind, 2))
+    taken = TakenRequest(harness, route(kind, 2), keyed)
+    [attempt] = harness.open_attempts()
     if written:
         attempt.on_sent()
     taken.pending.client_disconnected()
-    scene.loop.pass_ms(500.0)
-    assert attempt.over is over and scene.attempts_of(taken.id) == [attempt] and not taken.replies
+    harness.loop.pass_ms(500.0)
+    assert attempt.over is over and harness.attempts_of(taken.id) == [attempt] and not taken.replies
 
 
 def test_the_response_to_a_keyed_request_is_reported_after_its_caller_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scene = Scene(monkeypatch, route("keyed", 2))
-    taken = TakenRequest(scene, route("keyed", 2))
-    attempt = scene.open_attempts()[0]
+    harness = ServiceHarness(monkeypatch, route("keyed", 2))
+    taken = TakenRequest(harness, route("keyed", 2))
+    attempt = harness.open_attempts()[0]
     attempt.on_sent()
     taken.pending.client_disconnected()
     assert not taken.ends and not attempt.over
@@ -259,22 +259,22 @@
 ) -> None:
     """Most attempts fail or are rejected; the retries in every retry window are counted."""
     rng = random.Random(seed)
-    scene = Scene(monkeypatch, route("idempotent", 3))
+    harness = ServiceHarness(monkeypatch, route("idempotent", 3))
     bounds = Bounds()
-    scene.service.set_node_count(2)
-    began_ms = scene.loop.now_ms()
+    harness.service.set_node_count(2)
+    began_ms = harness.loop.now_ms()
     window_ms = 1e3 * bounds.retry_window_s
     first: list[float] = []
     retries: list[float] = []
     ids: set[str] = set()
     for step in range(1_500):
         if rng.random() < (0.9 if step % 500 < 250 else 0.1):
-            TakenRequest(scene, route("idempotent", 3), keyed=False)
-        scene.loop.pass_ms(25.0)
-        sent = list(scene.connections.sent)
-        scene.connections.sent[:] = []
+            TakenRequest(harness, route("idempotent", 3), keyed=False)
+        harness.loop.pass_ms(25.0)
+        sent = list(harness.connections.sent)
+        harness.connections.sent[:] = []
         for attempt in sent:
-            (retries if attempt.message.id in ids else first).append(scene.loop.now_ms())
+            (retries if attempt.message.id in ids else first).append(harness.loop.now_ms())
             ids.add(attempt.message.id)
         for attempt in sent:
             attempt.on_sent()
@@ -308,17 +308,17 @@
     monkeypatch: pytest.MonkeyPatch, kind: str, taken_before: bool, written: bool, status: int
 ) -> None:
     """Their deadlines lie beyond the end of the process, whose connections would close without a reply."""
-    scene = Scene(monkeypatch, route(kind, 1))
-    stop_ms = scene.loop.now_ms() + 400.0
+    harness = ServiceHarness(monkeypatch, route(kind, 1))
+    stop_ms = harness.loop.now_ms() + 400.0
     if not taken_before:
-        scene.service.drain_until(stop_ms)
-    taken = TakenRequest(scene, route(kind, 1))
-    [attempt] = scene.open_attempts()
+        harness.service.drain_until(stop_ms)
+    taken = TakenRequest(harness, route(kind, 1))
+    [attempt] = harness.open_attempts()
     if written:
         attempt.on_sent()
     if taken_before:
-        scene.service.drain_until(stop_ms)
-    scene.loop.pass_ms(350.0)
+        harness.service.drain_until(stop_ms)
+    harness.loop.pass_ms(350.0)
     assert not taken.replies
-    scene.loop.pass_ms(51.0)
+    harness.loop.pass_ms(51.0)
     assert [reply.status for reply in taken.replies] == [status]
--- a/tests/mesh/dataplane/test_time_remaining.py
+++ b/tests/mesh/dataplane/test_time_remaining.py
@@ -21,7 +21,7 @@
 ADDRESS = ("127.0.0.1", 1)
 
 
-class Scene:
+class Harness:
     """A node and the gate of a server; their attempts are recorded."""
 
     def __init__(self, patch: pytest.MonkeyPatch, kind: str = "idempotent") -> None:
@@ -77,39 +77,39 @@
 def test_a_server_receives_the_remaining_time(
     monkeypatch: pytest.MonkeyPatch, left: bytes | None, max_ms: float
 ) -> None:
-    scene = Scene(monkeypatch)
-    scene.ask(left)
-    assert 0.0 < max_ms - scene.remaining()[0] <= 3 * TRANSIT_MARGIN_MS
+    harness = Harness(monkeypatch)
+    harness.ask(left)
+    assert 0.0 < max_ms - harness.remaining()[0] <= 3 * TRANSIT_MARGIN_MS
 
 
 def test_no_time_left_is_not_replaced_by_the_time_of_the_route(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = Scene(monkeypatch)
-    scene.ask(b"0")
-    scene.loop.pass_ms(1.0)
-    assert all(left <= 1.0 for left in scene.remaining()) and [r.status for r in scene.replies] == [503]
+    harness = Harness(monkeypatch)
+    harness.ask(b"0")
+    harness.loop.pass_ms(1.0)
+    assert all(left <= 1.0 for left in harness.remaining()) and [r.status for r in harness.replies] == [503]
 
 
 def test_a_retry_carries_the_time_remaining_then(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = Scene(monkeypatch)
-    scene.loop.pass_ms(1e3 * Bounds().retry_window_s + 1.0)  # a node that has just started does not retry
-    scene.ask(b"900")
-    scene.loop.pass_ms(100.0)
-    [first] = scene.connections.sent
+    harness = Harness(monkeypatch)
+    harness.loop.pass_ms(1e3 * Bounds().retry_window_s + 1.0)  # a node that has just started does not retry
+    harness.ask(b"900")
+    harness.loop.pass_ms(100.0)
+    [first] = harness.connections.sent
     first.end(Result.UNREACHABLE)
-    scene.loop.pass_ms(400.0)
-    _, second = scene.remaining()  # the heads are written now
+    harness.loop.pass_ms(400.0)
+    _, second = harness.remaining()  # the heads are written now
     assert second <= 900.0 - 500.0
 
 
 def test_a_gate_forwards_the_time_remaining_after_queueing(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = Scene(monkeypatch)
-    scene.gate.heartbeat(Server("i", "s", "z", IN_SERVICE, 1, 0.0), 1)
+    harness = Harness(monkeypatch)
+    harness.gate.heartbeat(Server("i", "s", "z", IN_SERVICE, 1, 0.0), 1)
     for _ in range(3):
         named = {b"time-remaining": b"700", b"attempt-id": b"t", b"orchid-patience": b"500"}
-        scene.gate.accept(read(named), scene.replies.append)
-    scene.loop.pass_ms(300.0)
-    scene.connections.sent[0].end(Result.RESET)
-    assert left_of(scene.connections.sent[-1].head_bytes()) <= 400.0
+        harness.gate.accept(read(named), harness.replies.append)
+    harness.loop.pass_ms(300.0)
+    harness.connections.sent[0].end(Result.RESET)
+    assert left_of(harness.connections.sent[-1].head_bytes()) <= 400.0
 
 
 def test_time_that_a_request_waited_unread_is_subtracted_at_the_node_and_at_the_gate(
@@ -120,21 +120,21 @@
     A request with 3.000 s left was read 149 ms after it was sent. The node would have answered it within
     3,139 ms, 69 ms after its client had left, and its server received too long a time.
     """
-    scene = Scene(monkeypatch)
+    harness = Harness(monkeypatch)
     message = read({b"host": b"h", b"attempt-id": b"t1", b"time-remaining": b"900"})
-    message.arrived_ms = scene.loop.now_ms() - 150.0
-    scene.proxy._accept(message, scene.replies.append)
-    [at_node] = scene.remaining()
+    message.arrived_ms = harness.loop.now_ms() - 150.0
+    harness.proxy._accept(message, harness.replies.append)
+    [at_node] = harness.remaining()
     assert at_node <= 750.0
     message = read({b"host": b"h", b"attempt-id": b"t2", b"time-remaining": b"%d" % at_node})
-    message.arrived_ms = scene.loop.now_ms() - 150.0
-    scene.gate.accept(message, scene.replies.append)
-    assert scene.remaining()[-1] <= at_node - 150.0
+    message.arrived_ms = harness.loop.now_ms() - 150.0
+    harness.gate.accept(message, harness.replies.append)
+    assert harness.remaining()[-1] <= at_node - 150.0
 
 
 def test_a_gate_does_not_send_a_request_that_expired_while_unread(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = Scene(monkeypatch)
+    harness = Harness(monkeypatch)
     message = read({b"host": b"h", b"attempt-id": b"t1", b"time-remaining": b"100"})
-    message.arrived_ms = scene.loop.now_ms() - 150.0
-    scene.gate.accept(message, scene.replies.append)
-    assert not scene.connections.sent and [reply.status for reply in scene.replies] == [503]
+    message.arrived_ms = harness.loop.now_ms() - 150.0
+    harness.gate.accept(message, harness.replies.append)
+    assert not harness.connections.sent and [reply.status for reply in harness.replies] == [503]
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -106,11 +106,11 @@
     connections: Any,
     name: str = "s",
     server_number: Callable[[str], int] = int,
-    kind: type[ServiceClient] = ServiceClient,
+    client_class: type[ServiceClient] = ServiceClient,
 ) -> Any:
     """Return a client of a service, on a node of the service `me` in the zone `z`."""
     context = ClientContext("me", "z", Bounds(), loop, connections.timers, connections, server_number)
-    return kind(name, context)
+    return client_class(name, context)
 
 
 def admission_gate(connections: Any, hooks: GateHooks | None = None) -> AdmissionGate:
--- a/tests/mesh/test_main.py
+++ b/tests/mesh/test_main.py
@@ -82,7 +82,7 @@
     from orchidferry.testkit import cli
 
     monkeypatch.delenv("ORCHIDFERRY_BOOT", raising=False)
-    for words, status, said in (
+    for words, status, text in (
         (["proxy", "--help"], 0, "example:"),
         (["controller", "--check"], 2, "ORCHIDFERRY_BOOT must name"),
         (["controller", "--no"], 2, "usage:"),
@@ -90,4 +90,4 @@
         monkeypatch.setattr("sys.argv", ["orchidferry", *words])
         assert cli.main() == status
         out, err = capsys.readouterr()
-        assert said in out + err and err.count("\n") == (status == 2)
+        assert text in out + err and err.count("\n") == (status == 2)
