--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -57,7 +57,7 @@
     lambda id: answer(id, b"504 Late", b"Orchid-Gate: late\r\n"),
     lambda id: answer(id, b"503 Full", b"Not-Executed: 1\r\n").replace(b"Attempt-Id: ", b"X: "),
     lambda id: answer("other", b"503 Full", b"Not-Executed: 1\r\n"),
-    lambda id: b"garbage\r\n\r\n",
+    lambda id: b"noise\r\n\r\n",
 )
 
 
--- a/tests/mesh/dataplane/test_incarnations.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -33,7 +33,7 @@
     heartbeat(gate, "i")
     gate.accept(proxied_request("a"), replies.append)
     heartbeat(gate, "j")
-    pool.peers[0].send_bytes(answer(b"a", b"of the former incarnation"))
+    pool.peers[0].send_bytes(answer(b"a", b"of the incarnation before"))
     pool.peers[0].read()
     gate.accept(proxied_request("b"), replies.append)
     pool.peers[-1].send_bytes(answer(b"b", b"of this incarnation"))
