--- a/tests/mesh/control/test_controller.py
+++ b/tests/mesh/control/test_controller.py
@@ -18,7 +18,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState
 from tests.mesh.control.fakes import make_controller
-from tests.mesh.dataplane.test_proxy_stop import Clock, played
+from tests.mesh.dataplane.test_proxy_stop import VirtualTimeLoop, played
 from tests.mesh.storage.fakes import close, write
 
 
@@ -27,7 +27,7 @@
     monkeypatch: Any, needed_s: float, ends_s: float
 ) -> None:
     """1 s at least, 1 s before the platform's kill at most, and between as long as it is needed."""
-    loop = Clock()
+    loop = VirtualTimeLoop()
     began_s = loop.now_s
 
     class Needed:
--- a/tests/mesh/dataplane/test_proxy_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -17,7 +17,7 @@
 from tests.mesh.fakes import patch_clock
 
 
-class Clock(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop with virtual time: waiting advances the time and takes none."""
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
 class FakeListener:
     """A listener whose callers all disconnect at `disconnect_s`; it records when it is closed."""
 
-    def __init__(self, loop: Clock, disconnect_s: float) -> None:
+    def __init__(self, loop: VirtualTimeLoop, disconnect_s: float) -> None:
         self.loop = loop
         self.disconnect_s = disconnect_s
         self.closing_s = -1.0
@@ -62,7 +62,7 @@
         await self.wait_closed()
 
 
-def played(loop: Clock, work: Coroutine[Any, Any, None]) -> None:
+def played(loop: VirtualTimeLoop, work: Coroutine[Any, Any, None]) -> None:
     try:
         loop.run_until_complete(work)
     finally:
@@ -75,7 +75,7 @@
     monkeypatch: pytest.MonkeyPatch, grace_s: float, stay_s: float
 ) -> None:
     """It publishes the drain at once, still accepts requests until callers know of it, and ends in time."""
-    loop = Clock()
+    loop = VirtualTimeLoop()
     patch_clock(monkeypatch, lambda: loop.now_s * 1e3)
 
     async def main() -> None:
