--- a/tests/mesh/control/test_controller.py
+++ b/tests/mesh/control/test_controller.py
@@ -18,7 +18,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState
 from tests.mesh.control.fakes import make_controller
-from tests.mesh.dataplane.test_proxy_stop import VirtualTimeLoop, played
+from tests.mesh.dataplane.test_proxy_stop import VirtualTimeLoop, run_and_close
 from tests.mesh.storage.fakes import close, write
 
 
@@ -41,7 +41,7 @@
     leaving: Any = Controller.__new__(Controller)
     leaving._loop, leaving._shards = loop, {1: Needed()}
     leaving._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
-    played(loop, leaving._hand_over())
+    run_and_close(loop, leaving._hand_over())
     assert loop.now_s - began_s == pytest.approx(ends_s, abs=0.12)
 
 
--- a/tests/mesh/dataplane/test_proxy_stop.py
+++ b/tests/mesh/dataplane/test_proxy_stop.py
@@ -62,7 +62,7 @@
         await self.wait_closed()
 
 
-def played(loop: VirtualTimeLoop, work: Coroutine[Any, Any, None]) -> None:
+def run_and_close(loop: VirtualTimeLoop, work: Coroutine[Any, Any, None]) -> None:
     try:
         loop.run_until_complete(work)
     finally:
@@ -114,4 +114,4 @@
         cut = stay_s > grace_s - margin_s
         assert (outbound.reported_s >= began, inbound.reported_s >= began) == (cut, cut)
 
-    played(loop, main())
+    run_and_close(loop, main())
