--- a/orchidferry/mesh/dataplane/endpoint_table.py
+++ b/orchidferry/mesh/dataplane/endpoint_table.py
@@ -23,7 +23,7 @@
 
     server_id: str
     gate: Address
-    gate_boot_id: int  # drawn at random at each start of the gate's process
+    gate_boot_id: int  # number drawn at each start of the gate's process
     same_zone: bool  # whether the server is in the zone of this node
     entry: api.ServerEntry  # as published to the balancer
 
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -109,7 +109,7 @@
         self._idle_ms = idle_ms
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Write an attempt's request and wait for the response; tell the attempt if it is all buffered."""
+        """Write an attempt's request and wait for the response; tell the attempt whether it may be sent."""
         assert isinstance(attempt, TrackedAttempt)
         self._tainted = False
         self._carried_ids = (*self._carried_ids[1 - MAX_CARRIED_IDS :], attempt.message.id)
--- a/orchidferry/mesh/dataplane/keyed_requests.py
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -45,7 +45,7 @@
     def __init__(self, control_client: ControlClient) -> None:
         self._control_client = control_client
 
-    def take(
+    def accept(
         self,
         message: ProxiedRequest,
         route: Route,
@@ -76,7 +76,7 @@
                 if outcome is ClaimOutcome.GRANTED:
                     claims.release(key, holder)
             elif outcome is ClaimOutcome.GRANTED:
-                pending.request = client.take(message, route, deadline_ms, answer, ended)
+                pending.request = client.accept(message, route, deadline_ms, answer, ended)
             elif outcome is ClaimOutcome.HELD_BY_OTHER:
                 answer(_repeat_reply(message, stored))
             else:
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -133,7 +133,7 @@
         """End the attempt as timed out.
 
         While the node drains, an attempt that may be executing is instead waited for until the deadline of
-        its request, as a request that is broken off during a drain counts as lost.
+        its request, as a request that is aborted during a drain counts as lost.
         """
         request = self._request
         remaining_ms = request.deadline_ms - now_ms() - TRANSIT_MARGIN_MS / 2.0
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -355,8 +355,8 @@
         deadline_ms = min(message.waiting_since_ms(now_ms()) + budget_ms, self._drain_deadline_ms)
         client = self._services[self._pick_service(route)]
         if route.kind == "keyed" and message.key is not None:
-            return self._keyed_requests.take(message, route, client, deadline_ms, answer)
-        return client.take(message, route, deadline_ms, answer)
+            return self._keyed_requests.accept(message, route, client, deadline_ms, answer)
+        return client.accept(message, route, deadline_ms, answer)
 
     def _pick_service(self, route: Route) -> str:
         if len(route.split) == 1:
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -178,7 +178,7 @@
 
     # Requests
 
-    def take(
+    def accept(
         self,
         message: ProxiedRequest,
         route: Route,
--- a/orchidferry/mesh/errors.py
+++ b/orchidferry/mesh/errors.py
@@ -9,7 +9,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is rejected. This list is complete.
+    """Why a request is rejected; there are no other reasons.
 
     Each member holds the code that the body of the response contains, the HTTP status of the response, and a
     description for the caller.
--- a/tests/mesh/dataplane/test_abandoned_responses.py
+++ b/tests/mesh/dataplane/test_abandoned_responses.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.dataplane.abandoned_responses import AbandonCause
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from tests.mesh.dataplane.test_http_connection import ConnectionHarness, wire
-from tests.mesh.dataplane.test_service_client import ServiceHarness, TakenRequest
+from tests.mesh.dataplane.test_service_client import AcceptedRequest, ServiceHarness
 from tests.mesh.fakes import route
 
 
@@ -66,8 +66,8 @@
     end: Callable[[ServiceClient, Any], None], cause: AbandonCause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = ServiceHarness(monkeypatch, route())
-    taken = TakenRequest(harness, route(), keyed=False)
+    accepted = AcceptedRequest(harness, route(), keyed=False)
     [attempt] = harness.open_attempts()
     assert attempt.abandon_cause() is AbandonCause.SUPERSEDED
-    end(harness.service, taken.pending)
+    end(harness.service, accepted.pending)
     assert attempt.abandon_cause() is cause
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -127,7 +127,7 @@
         self.asked_ms[id] = self.loop.now_ms()
         if at_most_once:
             self.at_most_once.add(id)
-        self.requests[id] = self.service.take(
+        self.requests[id] = self.service.accept(
             proxied_request(id),
             self.routes[at_most_once],
             self.loop.now_ms() + 1_000.0,
--- a/tests/mesh/dataplane/test_connection_close.py
+++ b/tests/mesh/dataplane/test_connection_close.py
@@ -112,6 +112,6 @@
     harness.open[0].reply()
     assert transport.half_closed and not transport.ended and harness.caller.stage is Stage.LEAVING
     harness.send(transport.own.recv(1 << 16))
-    assert len(harness.taken) == 1  # the second one is dropped
+    assert len(harness.accepted) == 1  # the second one is dropped
     harness.loop.pass_ms(LIMITS_S[Stage.LEAVING] * 1000.0 + 300.0)
     assert transport.ended and not harness.listener.incomplete_ends
--- a/tests/mesh/dataplane/test_incarnations.py
+++ b/tests/mesh/dataplane/test_incarnations.py
@@ -69,7 +69,7 @@
         if not number:
             service.set_routes([unsafe_route])
         replies: list[Reply] = []
-        service.take(proxied_request(f"t{number}"), unsafe_route, loop.now_ms() + 1_000.0, replies.append)
+        service.accept(proxied_request(f"t{number}"), unsafe_route, loop.now_ms() + 1_000.0, replies.append)
         pool.peers[-1].send_bytes(answer(b"t%d" % number, b"x"))
         pool.peers[-1].read()
         assert [reply.status for reply in replies] == [200]
--- a/tests/mesh/dataplane/test_keyed_requests.py
+++ b/tests/mesh/dataplane/test_keyed_requests.py
@@ -69,7 +69,7 @@
             self.replies[id] = reply
 
         deadline_ms = self.loop.now_ms() + 1_000.0
-        return self.keyed_requests.take(message, self.route, self.service, deadline_ms, answer)
+        return self.keyed_requests.accept(message, self.route, self.service, deadline_ms, answer)
 
     def run(self, id: str) -> Any:
         """Send a request and grant its claim; return its attempt."""
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -116,14 +116,14 @@
         self.listener._loop = loop
         self.listener.set_timeouts(5.0, 3.0)
         self.listener._sweep()
-        self.taken: list[AcceptedRequest] = []
+        self.accepted: list[AcceptedRequest] = []
         self.caller = CallerConnection(self.listener)
         self.transport = Transport()
         self.caller.connection_made(self.transport)  # type: ignore[arg-type]
 
     def _accept(self, message: Message, answer: Callable[[Reply], None]) -> AcceptedRequest:
-        self.taken.append(AcceptedRequest(message, answer))
-        return self.taken[-1]
+        self.accepted.append(AcceptedRequest(message, answer))
+        return self.accepted[-1]
 
     def send(self, data: bytes) -> None:
         if not self.transport.ended:
@@ -131,7 +131,7 @@
 
     @property
     def open(self) -> list[AcceptedRequest]:
-        return self.taken[-1:] if self.caller._busy else []
+        return self.accepted[-1:] if self.caller._busy else []
 
     def answers(self) -> list[tuple[int, bytes, bool]]:
         """Parse the sent bytes as a caller does; return the status, id and completeness of each response."""
@@ -214,11 +214,13 @@
     harness = CallerHarness()
     harness.send(request(b"a") + request(b"b", b"POST", b"Content-Length: 9\r\n", b"abc"))
     harness.loop.pass_ms(4_000.0)
-    assert harness.transport.written == b"" and [accepted.message.id for accepted in harness.taken] == ["a"]
+    assert harness.transport.written == b"" and [accepted.message.id for accepted in harness.accepted] == [
+        "a"
+    ]
     harness.open[0].reply()
     harness.loop.pass_ms(4_000.0)
     assert harness.answers() == [(200, b"a", True), (408, b"", True)]
-    assert [accepted.message.id for accepted in harness.taken] == ["a"] and harness.transport.ended
+    assert [accepted.message.id for accepted in harness.accepted] == ["a"] and harness.transport.ended
 
 
 def test_garbage_after_an_early_reply_gets_no_second_reply() -> None:
@@ -243,7 +245,7 @@
     harness = CallerHarness()
     harness.send(upload(b"a"))
     harness.loop.pass_ms(4_000.0)
-    assert [status for status, _, _ in harness.answers()] == [502] and harness.taken[0].disconnected
+    assert [status for status, _, _ in harness.answers()] == [502] and harness.accepted[0].disconnected
 
 
 def test_a_reply_to_head_has_no_body() -> None:
@@ -313,11 +315,11 @@
     more = b"Kind: %b\r\nContent-Length: %d\r\n" % (b"x" * head_size, body_size)
     harness.send(request(b"a", b"POST", more, b"y" * min(body_size, 2 * SHORT_BODY)))
     if status is None:
-        assert [accepted.message.id for accepted in harness.taken] == [
+        assert [accepted.message.id for accepted in harness.accepted] == [
             "a"
         ] and harness.transport.written == b""
     else:
-        assert [answer[0] for answer in harness.answers()] == [status] and not harness.taken
+        assert [answer[0] for answer in harness.answers()] == [status] and not harness.accepted
 
 
 def test_size_limits_bound_a_chunked_body() -> None:
@@ -325,9 +327,9 @@
     harness.listener.set_size_limits(4_096, 3 * SHORT_BODY)
     piece = b"%x\r\n%b\r\n" % (SHORT_BODY, b"y" * SHORT_BODY)
     harness.send(request(b"a", b"POST", b"Transfer-Encoding: chunked\r\n", 3 * piece))
-    assert harness.transport.written == b"" and len(harness.taken) == 1
+    assert harness.transport.written == b"" and len(harness.accepted) == 1
     harness.send(piece)
-    assert [answer[0] for answer in harness.answers()] == [413] and harness.taken[0].disconnected
+    assert [answer[0] for answer in harness.answers()] == [413] and harness.accepted[0].disconnected
 
 
 KINDS: dict[str, Callable[[bytes], bytes]] = {
@@ -409,7 +411,7 @@
         def accept(message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
             assert isinstance(message, ProxiedRequest)
             deadline_ms = self.service_harness.loop.now_ms() + 500.0
-            request: PendingRequest = self.service_harness.service.take(
+            request: PendingRequest = self.service_harness.service.accept(
                 message, unsafe_route, deadline_ms, answer
             )
             return request
@@ -463,6 +465,6 @@
     harness.send(request(b"a") + request(b"b"))
     harness.transport.ended = True
     harness.caller.connection_lost(None)
-    assert harness.taken[0].disconnected and len(harness.taken) == 1
-    harness.taken[0].reply()
-    assert harness.transport.written == b"" and len(harness.taken) == 1
+    assert harness.accepted[0].disconnected and len(harness.accepted) == 1
+    harness.accepted[0].reply()
+    assert harness.transport.written == b"" and len(harness.accepted) == 1
--- a/tests/mesh/dataplane/test_messages.py
+++ b/tests/mesh/dataplane/test_messages.py
@@ -48,7 +48,7 @@
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.service_harness = ServiceHarness(patch, route())
         deadline_ms = self.service_harness.loop.now_ms() + 900.0
-        self.caller = CallerHarness(lambda message, answer: self._take(message, answer, deadline_ms))
+        self.caller = CallerHarness(lambda message, answer: self._accept(message, answer, deadline_ms))
         loop, self.connections = loop_and_connections()
         patch_clock(patch, loop.now_ms)
         gate = admission_gate(self.connections)
@@ -58,8 +58,8 @@
     def server_id(self) -> str:
         return "1"
 
-    def _take(self, message: Any, answer: Any, deadline_ms: float) -> Any:
-        return self.service_harness.service.take(message, route(), deadline_ms, answer)
+    def _accept(self, message: Any, answer: Any, deadline_ms: float) -> Any:
+        return self.service_harness.service.accept(message, route(), deadline_ms, answer)
 
     def send(self, data: bytes) -> Received:
         """Send a request along the path; return the request that the server receives."""
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -30,17 +30,17 @@
 )
 
 
-class TakenRequest:
+class AcceptedRequest:
     """A request, its replies and its reported end; the end is reported only for a keyed request."""
 
     def __init__(self, harness: ServiceHarness, route: Route, keyed: bool = True) -> None:
-        self.route, self.id, self.keyed = route, f"t{len(harness.taken)}", keyed
+        self.route, self.id, self.keyed = route, f"t{len(harness.accepted)}", keyed
         self.replies: list[Reply] = []
         self.ends: list[tuple[ServerResponse | None, bool]] = []
         self.disconnected = False
-        harness.taken[self.id] = self
+        harness.accepted[self.id] = self
         loop = harness.loop
-        self.pending: PendingRequest = harness.service.take(
+        self.pending: PendingRequest = harness.service.accept(
             proxied_request(self.id),
             route,
             loop.now_ms() + 1_000.0,
@@ -56,7 +56,7 @@
         self.loop, self.connections = loop_and_connections()
         patch_clock(patch, self.loop.now_ms)
         self.service = service_client(self.loop, self.connections)
-        self.taken: dict[str, TakenRequest] = {}
+        self.accepted: dict[str, AcceptedRequest] = {}
         self.servers("1", "2", "3")
         self.service.set_routes(list(routes))
 
@@ -100,22 +100,22 @@
         for attempt in self.harness.connections.sent[self.sent :]:
             assert attempt.message.id not in self.may_have_run, "sent again, though it may have run"
         self.sent = len(self.harness.connections.sent)
-        for id, taken in self.harness.taken.items():
-            assert len(taken.replies) <= 1 and len(taken.ends) <= 1
-            assert len(self.harness.attempts_of(id)) <= taken.route.max_attempts
-            if taken.disconnected and not taken.keyed:
+        for id, accepted in self.harness.accepted.items():
+            assert len(accepted.replies) <= 1 and len(accepted.ends) <= 1
+            assert len(self.harness.attempts_of(id)) <= accepted.route.max_attempts
+            if accepted.disconnected and not accepted.keyed:
                 assert all(attempt.over for attempt in self.harness.attempts_of(id)), (
                     "an attempt goes on after its caller has disconnected"
                 )
-            if taken.replies and taken.replies[0].status in (503, 429):
+            if accepted.replies and accepted.replies[0].status in (503, 429):
                 assert id not in self.may_have_run and not any(
                     a.written and not a.over for a in self.harness.attempts_of(id)
                 )
 
     def end(self, attempt: Any, result: Result, answer: ServerResponse | None) -> None:
-        taken = self.harness.taken[attempt.message.id]
-        if result not in NEVER_RAN and not taken.route.idempotent:
-            self.may_have_run.add(taken.id)
+        accepted = self.harness.accepted[attempt.message.id]
+        if result not in NEVER_RAN and not accepted.route.idempotent:
+            self.may_have_run.add(accepted.id)
         attempt.end(result, answer)
 
 
@@ -126,13 +126,13 @@
     harness = ServiceHarness(monkeypatch, route("idempotent", 1))
     if draining:
         harness.service.drain_until(harness.loop.now_ms() + 5_000.0)
-    taken = TakenRequest(harness, route("idempotent", 1))
+    accepted = AcceptedRequest(harness, route("idempotent", 1))
     [attempt] = harness.open_attempts()
     attempt.written = True
     attempt.on_timeout()  # the attempt times out long before the request's deadline
-    assert attempt.over is bool(taken.replies) is not draining
+    assert attempt.over is bool(accepted.replies) is not draining
     harness.loop.pass_ms(1_000.0)
-    assert [reply.status in (502, 504) for reply in taken.replies] == [True] and attempt.over
+    assert [reply.status in (502, 504) for reply in accepted.replies] == [True] and attempt.over
 
 
 def test_servers_in_slow_start_alone_are_sent_to_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -140,8 +140,8 @@
     harness = ServiceHarness(monkeypatch, route("idempotent", 2))
     harness.servers()
     harness.servers("7", "8", slow_start_ms=3_000.0)
-    taken = [TakenRequest(harness, route("idempotent", 2)) for _ in range(4)]
-    assert len(harness.open_attempts()) == 4 and not any(one.replies for one in taken)
+    accepted = [AcceptedRequest(harness, route("idempotent", 2)) for _ in range(4)]
+    assert len(harness.open_attempts()) == 4 and not any(one.replies for one in accepted)
 
 
 @settings(max_examples=100, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
@@ -155,7 +155,7 @@
         draw = rng.random()
         open_attempts = harness.open_attempts()
         if draw < 0.25:
-            TakenRequest(harness, rng.choice(routes), keyed=rng.random() < 0.5)
+            AcceptedRequest(harness, rng.choice(routes), keyed=rng.random() < 0.5)
         elif draw < 0.85 and open_attempts:
             attempt = rng.choice(open_attempts)
             if not attempt.written and rng.random() < 0.7:
@@ -167,10 +167,10 @@
                 checker.end(attempt, result, random_response(result, attempt.message.id, rng.random()))
         elif draw < 0.92:
             harness.loop.pass_ms(rng.choice((1.0, 30.0, 300.0)))
-        elif draw < 0.95 and harness.taken:
-            taken = rng.choice(list(harness.taken.values()))
-            taken.disconnected = True
-            taken.pending.client_disconnected()
+        elif draw < 0.95 and harness.accepted:
+            accepted = rng.choice(list(harness.accepted.values()))
+            accepted.disconnected = True
+            accepted.pending.client_disconnected()
         else:
             state = rng.choice((IN_SERVICE, IN_SERVICE, DRAINING))
             harness.servers(*rng.sample("1234", rng.randrange(4)), state=state)
@@ -180,21 +180,21 @@
         checker.end(attempt, Result.RESET, None)
     checker.check()
     assert not harness.service.pending and not harness.service.attempts
-    for taken in harness.taken.values():
-        assert len(taken.ends) == taken.keyed and (taken.disconnected or len(taken.replies) == 1)
-        if not taken.keyed:
+    for accepted in harness.accepted.values():
+        assert len(accepted.ends) == accepted.keyed and (accepted.disconnected or len(accepted.replies) == 1)
+        if not accepted.keyed:
             continue
-        response, ran = taken.ends[0]
+        response, ran = accepted.ends[0]
         assert ran or response is None
-        if taken.replies and response is not None and not taken.disconnected:
-            assert taken.replies[0].status == response.status
+        if accepted.replies and response is not None and not accepted.disconnected:
+            assert accepted.replies[0].status == response.status
 
 
 def test_at_its_deadline_an_unsent_request_gets_503_and_a_sent_one_504(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = ServiceHarness(monkeypatch, route("non_idempotent", 2))
-    unwritten, written = (TakenRequest(harness, route("non_idempotent", 2)) for _ in range(2))
+    unwritten, written = (AcceptedRequest(harness, route("non_idempotent", 2)) for _ in range(2))
     harness.attempts_of(written.id)[0].on_sent()
     for attempt in harness.open_attempts():
         attempt.extend_timeout(60.0)  # the server does not answer
@@ -206,12 +206,12 @@
 
 def test_an_error_caused_by_a_shed_dependency_is_not_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = ServiceHarness(monkeypatch, route())
-    taken = TakenRequest(harness, route())
+    accepted = AcceptedRequest(harness, route())
     attempt = harness.open_attempts()[0]
     attempt.on_sent()
-    attempt.end(Result.ERROR, server_response(500, taken.id.encode(), dependency_shed=True))
+    attempt.end(Result.ERROR, server_response(500, accepted.id.encode(), dependency_shed=True))
     harness.loop.pass_ms(900.0)
-    assert len(harness.attempts_of(taken.id)) == 1 and [r.status for r in taken.replies] == [500]
+    assert len(harness.attempts_of(accepted.id)) == 1 and [r.status for r in accepted.replies] == [500]
 
 
 @pytest.mark.parametrize(
@@ -229,28 +229,28 @@
     monkeypatch: pytest.MonkeyPatch, kind: str, keyed: bool, written: bool, over: bool
 ) -> None:
     harness = ServiceHarness(monkeypatch, route(kind, 2))
-    taken = TakenRequest(harness, route(kind, 2), keyed)
+    accepted = AcceptedRequest(harness, route(kind, 2), keyed)
     [attempt] = harness.open_attempts()
     if written:
         attempt.on_sent()
-    taken.pending.client_disconnected()
+    accepted.pending.client_disconnected()
     harness.loop.pass_ms(500.0)
-    assert attempt.over is over and harness.attempts_of(taken.id) == [attempt] and not taken.replies
+    assert attempt.over is over and harness.attempts_of(accepted.id) == [attempt] and not accepted.replies
 
 
 def test_the_response_to_a_keyed_request_is_reported_after_its_caller_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = ServiceHarness(monkeypatch, route("keyed", 2))
-    taken = TakenRequest(harness, route("keyed", 2))
+    accepted = AcceptedRequest(harness, route("keyed", 2))
     attempt = harness.open_attempts()[0]
     attempt.on_sent()
-    taken.pending.client_disconnected()
-    assert not taken.ends and not attempt.over
-    attempt.end(Result.SERVED, server_response(attempt_id=taken.id.encode()))
-    assert [(response and response.status, ran) for response, ran in taken.ends] == [
+    accepted.pending.client_disconnected()
+    assert not accepted.ends and not attempt.over
+    attempt.end(Result.SERVED, server_response(attempt_id=accepted.id.encode()))
+    assert [(response and response.status, ran) for response, ran in accepted.ends] == [
         (200, True)
-    ] and not taken.replies
+    ] and not accepted.replies
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -269,7 +269,7 @@
     ids: set[str] = set()
     for step in range(1_500):
         if rng.random() < (0.9 if step % 500 < 250 else 0.1):
-            TakenRequest(harness, route("idempotent", 3), keyed=False)
+            AcceptedRequest(harness, route("idempotent", 3), keyed=False)
         harness.loop.pass_ms(25.0)
         sent = list(harness.connections.sent)
         harness.connections.sent[:] = []
@@ -292,7 +292,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "taken_before", "written", "status"),
+    ("kind", "accepted_before", "written", "status"),
     [
         ("idempotent", True, True, 504),
         ("non_idempotent", True, True, 504),
@@ -305,20 +305,20 @@
     ],
 )
 def test_requests_at_a_silent_server_are_answered_before_the_node_ends(
-    monkeypatch: pytest.MonkeyPatch, kind: str, taken_before: bool, written: bool, status: int
+    monkeypatch: pytest.MonkeyPatch, kind: str, accepted_before: bool, written: bool, status: int
 ) -> None:
     """Their deadlines lie beyond the end of the process, whose connections would close without a reply."""
     harness = ServiceHarness(monkeypatch, route(kind, 1))
     stop_ms = harness.loop.now_ms() + 400.0
-    if not taken_before:
+    if not accepted_before:
         harness.service.drain_until(stop_ms)
-    taken = TakenRequest(harness, route(kind, 1))
+    accepted = AcceptedRequest(harness, route(kind, 1))
     [attempt] = harness.open_attempts()
     if written:
         attempt.on_sent()
-    if taken_before:
+    if accepted_before:
         harness.service.drain_until(stop_ms)
     harness.loop.pass_ms(350.0)
-    assert not taken.replies
+    assert not accepted.replies
     harness.loop.pass_ms(51.0)
-    assert [reply.status for reply in taken.replies] == [status]
+    assert [reply.status for reply in accepted.replies] == [status]
