--- a/orchidferry/mesh/program.py
+++ b/orchidferry/mesh/program.py
@@ -144,7 +144,7 @@
     try:
         settings = settings_for(role)
     except MeshSettingsError as error:
-        logger.error("{}: settings not reloaded, the old ones stay: {}", role, error)
+        logger.error("{}: the old settings stay: {}", role, error)
         return
     server.reload_settings(settings)
     logger.info("{}: settings read again", role)
--- a/tests/mesh/dataplane/test_http_connection_answers.py
+++ b/tests/mesh/dataplane/test_http_connection_answers.py
@@ -362,7 +362,7 @@
 # Deliberate faults that the tests must detect: the owner of a method, the method, its faulty version, and the
 # scripts, request ids and timing that reveal it.
 BREAKS: dict[str, tuple[type, str, object, list[str], list[str], int]] = {
-    "reuse-after-extra-response": (
+    "reuse-after-surplus": (
         Connection,
         "_finish_attempt",
         reuse_always,
--- a/tests/mesh/dataplane/test_registration_api.py
+++ b/tests/mesh/dataplane/test_registration_api.py
@@ -80,7 +80,7 @@
         (b"PUT", "i", IN_SERVICE_HEARTBEAT.replace(b"in_service", b"x" * 9_000), 400, []),
     ],
 )
-def test_a_call_gets_one_short_reply(
+def test_a_call_is_answered_at_once_and_briefly(
     method: bytes, id: str, body: bytes, status: int, calls: list[Any]
 ) -> None:
     gate: Any = Gate()
--- a/tests/mesh/dataplane/test_service_client.py
+++ b/tests/mesh/dataplane/test_service_client.py
@@ -254,7 +254,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_retries_of_a_node_stay_within_its_share_of_the_budget(
+def test_retries_of_a_node_stay_within_its_part_of_the_budget(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     """Most attempts fail or are rejected; the retries in every retry window are counted."""
