--- a/tests/mesh/control/test_controller.py
+++ b/tests/mesh/control/test_controller.py
@@ -18,7 +18,7 @@
 from orchidferry.mesh.settings import Bounds
 from orchidferry.mesh.wire.shard_messages import DecidedState
 from tests.mesh.control.fakes import make_controller
-from tests.mesh.dataplane.test_proxy_stop import Clock, played
+from tests.mesh.dataplane.test_proxy_stop import VirtualTimeLoop, run_and_close
 from tests.mesh.storage.fakes import close, write
 
 
@@ -27,7 +27,7 @@
     monkeypatch: Any, needed_s: float, stop_s: float
 ) -> None:
     """At least 1 s, at most until 1 s before the platform's kill, in between as long as it is needed."""
-    loop = Clock()
+    loop = VirtualTimeLoop()
     began_s = loop.now_s
 
     class NeededShard:
@@ -41,7 +41,7 @@
     controller: Any = Controller.__new__(Controller)
     controller._loop, controller._shards = loop, {1: NeededShard()}
     controller._settings = type("Settings", (), {"bounds": Bounds(grace_s=6.0)})
-    played(loop, controller._hand_over())
+    run_and_close(loop, controller._hand_over())
     assert loop.now_s - began_s == pytest.approx(stop_s, abs=0.12)
 
 
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -1,4 +1,4 @@
-"""Caller connections: each request gets its own reply, in order, and nothing else is read as one."""
+"""Caller connections: each request gets its own reply, in order, and nothing else can be taken for it."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from orchidferry.node.flow import SHORT_BODY, Flow, MemoryPool
 from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
-from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
+from tests.mesh.dataplane.test_service_client import ServiceHarness
 from tests.mesh.fakes import Loop, route, server_response
 
 ID = b"Attempt-Id"
 
 
-QUIET_SOCKET, _OTHER_END = socket.socketpair()  # nothing is ever sent on it
+QUIET_SOCKET, _OTHER_END = socket.socketpair()  # a socket that never has data to read
 
 
 class Transport:
-    """What a caller has been sent."""
+    """A transport that records what is sent to the caller."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -68,7 +68,7 @@
 
 
 class Sink:
-    """A server that takes all of a long body."""
+    """A consumer that accepts a whole streamed body."""
 
     def feed(self, data: bytes) -> None: ...
 
@@ -78,7 +78,7 @@
 
 
 class AcceptedRequest:
-    """A request that the node has."""
+    """A request that the node has accepted and not answered yet."""
 
     def __init__(self, message: Message, answer: Callable[[Reply], None]) -> None:
         assert isinstance(message, ProxiedRequest)
@@ -97,7 +97,7 @@
 
 
 class Source:
-    """Where an answer that flows comes from."""
+    """The source of a streamed response."""
 
     def pause(self) -> None: ...
 
@@ -107,7 +107,7 @@
 
 
 class CallerHarness:
-    """One caller's connection to a node whose answers the test gives."""
+    """A caller's connection to a node whose replies the test controls."""
 
     def __init__(self, accept: Callable[[Message, Callable[[Reply], None]], Any] | None = None) -> None:
         loop: Any = Loop()
@@ -116,14 +116,14 @@
         self.listener._loop = loop
         self.listener.set_timeouts(5.0, 3.0)
         self.listener._sweep()
-        self.taken: list[AcceptedRequest] = []
+        self.accepted: list[AcceptedRequest] = []
         self.caller = CallerConnection(self.listener)
         self.transport = Transport()
         self.caller.connection_made(self.transport)  # type: ignore[arg-type]
 
     def _accept(self, message: Message, answer: Callable[[Reply], None]) -> AcceptedRequest:
-        self.taken.append(AcceptedRequest(message, answer))
-        return self.taken[-1]
+        self.accepted.append(AcceptedRequest(message, answer))
+        return self.accepted[-1]
 
     def send(self, data: bytes) -> None:
         if not self.transport.ended:
@@ -131,10 +131,10 @@
 
     @property
     def open(self) -> list[AcceptedRequest]:
-        return self.taken[-1:] if self.caller._busy else []
+        return self.accepted[-1:] if self.caller._busy else []
 
     def answers(self) -> list[tuple[int, bytes, bool]]:
-        """Status, id and whether it is whole, of each answer as a caller reads them."""
+        """Parse the sent bytes as a caller does; return the status, id and completeness of each response."""
         reader = Reader()
         parser = httptools.HttpResponseParser(reader)
         reader.parser = parser
@@ -143,7 +143,7 @@
 
 
 class Reader:
-    """A caller's parser."""
+    """Callbacks of a caller's response parser."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[int, bytes, bool]] = []
@@ -168,7 +168,7 @@
 
 
 def upload(id: bytes) -> bytes:
-    """A request whose body is too long to hold, but for its end."""
+    """Return a request whose body is too long to be buffered; its last 9 bytes are missing."""
     size = 2 * SHORT_BODY
     return request(id, b"POST", b"Content-Length: %d\r\n" % (size + 9), b"x" * size)
 
@@ -214,14 +214,16 @@
     harness = CallerHarness()
     harness.send(request(b"a") + request(b"b", b"POST", b"Content-Length: 9\r\n", b"abc"))
     harness.loop.pass_ms(4_000.0)
-    assert harness.transport.written == b"" and [accepted.message.id for accepted in harness.taken] == ["a"]
+    assert harness.transport.written == b"" and [accepted.message.id for accepted in harness.accepted] == [
+        "a"
+    ]
     harness.open[0].reply()
     harness.loop.pass_ms(4_000.0)
     assert harness.answers() == [(200, b"a", True), (408, b"", True)]
-    assert [accepted.message.id for accepted in harness.taken] == ["a"] and harness.transport.ended
+    assert [accepted.message.id for accepted in harness.accepted] == ["a"] and harness.transport.ended
 
 
-def test_noise_after_an_early_reply_gets_no_second_reply() -> None:
+def test_garbage_after_an_early_reply_gets_no_second_reply() -> None:
     test_a_body_that_continues_after_an_early_reply_gets_no_second_reply(GARBAGE)
 
 
@@ -243,7 +245,7 @@
     harness = CallerHarness()
     harness.send(upload(b"a"))
     harness.loop.pass_ms(4_000.0)
-    assert [status for status, _, _ in harness.answers()] == [502] and harness.taken[0].disconnected
+    assert [status for status, _, _ in harness.answers()] == [502] and harness.accepted[0].disconnected
 
 
 def test_a_reply_to_head_has_no_body() -> None:
@@ -266,7 +268,7 @@
         harness.send(request(id))
         harness.open[0].reply()
         if id == b"c":
-            harness.listener.set_timeouts(1.0, 3.0)  # callers hear of a shorter time, or don't
+            harness.listener.set_timeouts(1.0, 3.0)  # callers may not know of the shorter timeout
     assert [id for _, id, _ in harness.answers()] == [b"a", b"b", b"c", b"d"]
     harness.loop.pass_ms(6_500.0)
     assert harness.transport.ended and harness.listener.limits_s[Stage.IDLE] == 2.0
@@ -307,17 +309,17 @@
 def test_size_limits_bound_what_a_caller_may_send(
     head: int, body: int, head_size: int, body_size: int, status: int | None
 ) -> None:
-    """A request inside them is proper: an error for it would be denied service."""
+    """A request within the limits is valid and must not be rejected."""
     harness = CallerHarness()
     harness.listener.set_size_limits(head, body)
     more = b"Kind: %b\r\nContent-Length: %d\r\n" % (b"x" * head_size, body_size)
     harness.send(request(b"a", b"POST", more, b"y" * min(body_size, 2 * SHORT_BODY)))
     if status is None:
-        assert [accepted.message.id for accepted in harness.taken] == [
+        assert [accepted.message.id for accepted in harness.accepted] == [
             "a"
         ] and harness.transport.written == b""
     else:
-        assert [answer[0] for answer in harness.answers()] == [status] and not harness.taken
+        assert [answer[0] for answer in harness.answers()] == [status] and not harness.accepted
 
 
 def test_size_limits_bound_a_chunked_body() -> None:
@@ -325,9 +327,9 @@
     harness.listener.set_size_limits(4_096, 3 * SHORT_BODY)
     piece = b"%x\r\n%b\r\n" % (SHORT_BODY, b"y" * SHORT_BODY)
     harness.send(request(b"a", b"POST", b"Transfer-Encoding: chunked\r\n", 3 * piece))
-    assert harness.transport.written == b"" and len(harness.taken) == 1
+    assert harness.transport.written == b"" and len(harness.accepted) == 1
     harness.send(piece)
-    assert [answer[0] for answer in harness.answers()] == [413] and harness.taken[0].disconnected
+    assert [answer[0] for answer in harness.answers()] == [413] and harness.accepted[0].disconnected
 
 
 KINDS: dict[str, Callable[[bytes], bytes]] = {
@@ -354,7 +356,7 @@
     st.lists(st.integers(0, 3), min_size=1, max_size=12),
 )
 def test_any_pipelined_requests(kinds: list[str], cuts: list[int], acts: list[int]) -> None:
-    """A caller that reads its answers in order takes each for that of the request that it sent."""
+    """A caller matches responses to its requests by their order, so each must be that of its request."""
     harness = CallerHarness()
     ids = [b"r%d" % n for n in range(len(kinds))]
     data = b"".join(KINDS[kind](id) for kind, id in zip(kinds, ids, strict=True))
@@ -386,58 +388,60 @@
 
 
 def check_order(harness: CallerHarness, kinds: list[str], ids: list[bytes]) -> None:
-    if "head" in kinds:  # a parser that doesn't know what was asked can't read on
+    if "head" in kinds:  # the parser doesn't know which responses have no body
         answered = [part.partition(b"\r\n")[0] for part in harness.transport.written.split(ID + b": ")[1:]]
         assert answered == ids[: len(answered)]
         return
     answers = harness.answers()
     for n, (status, id, whole) in enumerate(answers):
         if id:
-            assert id == ids[n], "another's answer"
-        else:  # the system's own word, on what it could not read: the last of all
+            assert id == ids[n], "the response to another request"
+        else:  # an error for input that can't be read; it must be the last response
             assert n == len(answers) - 1 and harness.transport.ended and status in (400, 408, 502)
         assert whole or (n == len(answers) - 1 and harness.transport.ended)
 
 
 class Delivery:
-    """The shipping service client behind a caller's connection; lines to servers are told what happens."""
+    """The production service client behind a caller's connection; the test ends the attempts."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        kind = route("non_idempotent", 2)
-        self.scene = ServiceScene(patch, kind)
+        unsafe_route = route("non_idempotent", 2)
+        self.service_harness = ServiceHarness(patch, unsafe_route)
 
         def accept(message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
             assert isinstance(message, ProxiedRequest)
-            deadline_ms = self.scene.loop.now_ms() + 500.0
-            request: PendingRequest = self.scene.service.take(message, kind, deadline_ms, answer)
+            deadline_ms = self.service_harness.loop.now_ms() + 500.0
+            request: PendingRequest = self.service_harness.service.accept(
+                message, unsafe_route, deadline_ms, answer
+            )
             return request
 
         self.harness = CallerHarness(accept)
 
     def run(self) -> list[tuple[int, bytes, bool]]:
-        """Two requests on one connection; the first's answer comes after its time."""
+        """Send two requests on one connection; the response to the first arrives after its deadline."""
         self.harness.send(request(b"a"))
-        [attempt] = self.scene.open_attempts()
+        [attempt] = self.service_harness.open_attempts()
         attempt.on_sent()
         attempt.extend_timeout(60.0)
-        self.scene.loop.pass_ms(501.0)
+        self.service_harness.loop.pass_ms(501.0)
         self.harness.send(request(b"b"))
         attempt.end(Result.SERVED, server_response(attempt_id=b"a"))
-        [second] = self.scene.attempts_of("b")
+        [second] = self.service_harness.attempts_of("b")
         second.on_sent()
         second.end(Result.SERVED, server_response(attempt_id=b"b"))
         return self.harness.answers()
 
 
-def finish_always(self: ServiceClient, live: PendingRequest, reply: Reply, *cause: object) -> None:
-    live.answer(reply)
+def finish_always(self: ServiceClient, pending: PendingRequest, reply: Reply, *cause: object) -> None:
+    pending.answer(reply)
 
 
 def test_a_late_response_is_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
     assert Delivery(monkeypatch).run() == [(504, b"a", True), (200, b"b", True)]
 
 
-def test_the_break_late_response_delivered_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_delivery_of_a_late_response_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     with mock.patch.object(module.ServiceClient, "finish", finish_always):
         assert Delivery(monkeypatch).run() != [(504, b"a", True), (200, b"b", True)]
 
@@ -446,11 +450,11 @@
     "test",
     [
         test_the_error_for_a_malformed_request_waits_for_earlier_replies,
-        test_noise_after_an_early_reply_gets_no_second_reply,
+        test_garbage_after_an_early_reply_gets_no_second_reply,
         test_a_stalled_upload_that_was_partly_sent_gets_no_not_run_status,
     ],
 )
-def test_the_break_error_out_of_order_is_detected(test: Callable[[], None]) -> None:
+def test_an_error_out_of_order_is_detected(test: Callable[[], None]) -> None:
     seen = pytest.raises((AssertionError, httptools.HttpParserError))
     with mock.patch.object(CallerConnection, "_close_with_error", ClientConnection._close_with_error), seen:
         test()
@@ -461,6 +465,6 @@
     harness.send(request(b"a") + request(b"b"))
     harness.transport.ended = True
     harness.caller.connection_lost(None)
-    assert harness.taken[0].disconnected and len(harness.taken) == 1
-    harness.taken[0].reply()
-    assert harness.transport.written == b"" and len(harness.taken) == 1
+    assert harness.accepted[0].disconnected and len(harness.accepted) == 1
+    harness.accepted[0].reply()
+    assert harness.transport.written == b"" and len(harness.accepted) == 1
--- a/tests/mesh/test_main.py
+++ b/tests/mesh/test_main.py
@@ -1,6 +1,6 @@
-"""The roles' command line.
+"""The command line of the mesh's roles.
 
-Each subcommand has a help text, and bad settings are one line with file and field.
+Each subcommand has a help text, and invalid settings are reported in one line with file and field.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         (["controller", "snapshot", "take", "file"], {}, "own_node.data_dir: a controller needs one"),
     ],
 )
-def test_bad_settings_are_one_line_with_file_and_field(
+def test_invalid_settings_are_reported_in_one_line_with_file_and_field(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
@@ -82,7 +82,7 @@
     from orchidferry.testkit import cli
 
     monkeypatch.delenv("ORCHIDFERRY_BOOT", raising=False)
-    for words, status, said in (
+    for words, status, text in (
         (["proxy", "--help"], 0, "example:"),
         (["controller", "--check"], 2, "ORCHIDFERRY_BOOT must name"),
         (["controller", "--no"], 2, "usage:"),
@@ -90,4 +90,4 @@
         monkeypatch.setattr("sys.argv", ["orchidferry", *words])
         assert cli.main() == status
         out, err = capsys.readouterr()
-        assert said in out + err and err.count("\n") == (status == 2)
+        assert text in out + err and err.count("\n") == (status == 2)
