--- a/orchidferry/balancing/admission.py
+++ b/orchidferry/balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission control of first attempts: the value of each, which wait for capacity, and which are shed."""
+"""Admission control of first attempts: by their value, calls are let through, queued or shed."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 from orchidferry.balancing.server_set import ServerSet
 from orchidferry.balancing.token_bucket import TokenBucket
 
-MAX_QUEUED_SHARES = (0.08, 0.5)  # of its latency target, for a call of the first tier, and of a deeper one
-QUOTA_BURST_MS = 1_000.0  # of its quota is what a tenant may send at once
-RESERVED_SHARE = 0.15  # of the window is reserved for the class of most value
+# Longest time in the queue, as a share of the call's latency target: in the first tier, and in deeper ones
+MAX_QUEUED_SHARES = (0.08, 0.5)
+QUOTA_BURST_MS = 1_000.0  # a tenant may send the quota of this time at once
+RESERVED_SHARE = 0.15  # share of the window that is reserved for the calls of most value
 
 
 class Admission:
-    """Which of the clients' calls this copy lets through now, by the value of an answer.
+    """Decides which calls this node lets through now, by the value of an answer.
 
-    `never_sheds`: no call is queued or shed for delay, as a rejection would waste what was done for it above.
+    :param never_sheds: no call is queued for a full window or shed for delay, as a rejection would waste the
+        work done for it in the tiers above
     """
 
     def __init__(
@@ -46,15 +48,17 @@
         self._outstanding = outstanding
         self.statistics = ClassStatistics(settings.classes, BASELINE_SAMPLES)
         self._names = [cls.name for cls in settings.classes]
-        self._queues: dict[tuple[str, bool, float], deque[Call]] = {}  # by what decides the value
-        self._max_weight = 1.0  # of calls lately
-        self.quotas: dict[
-            str | None, tuple[float, TokenBucket]
-        ] = {}  # this copy's part of each tenant's, by ms
+        self._queues: dict[tuple[str, bool, float], deque[Call]] = {}  # by class, over quota, weight
+        self._max_weight = 1.0  # largest weight of recent calls
+        # By tenant: this node's fraction of the quota, in calls per ms, and its token bucket
+        self.quotas: dict[str | None, tuple[float, TokenBucket]] = {}
         self._set_quotas()
 
     def change_settings(self, settings: api.Settings, names: Iterable[str]) -> None:
-        """Take new settings, and the names of the classes that are served now."""
+        """Apply new settings.
+
+        :param names: the classes that are served now
+        """
         self._settings = settings
         self._names = list(names)
         self.statistics.set_classes(settings.classes)
@@ -69,63 +73,74 @@
                 bucket = previous[tenant.name][1] if tenant.name in previous else TokenBucket(math.inf, 0.0)
                 self.quotas[tenant.name] = tenant.quota_per_s / settings.nodes / 1000.0, bucket
 
-    def over_share(self, tenant: str | None, now: float) -> bool:
-        """Count a call against its tenant's quota; whether it is beyond that."""
+    def over_quota(self, tenant: str | None, now: float) -> bool:
+        """Count a call against its tenant's quota, and return whether it exceeds the quota."""
         if tenant not in self.quotas:
             return False
         per_ms, bucket = self.quotas[tenant]
         return not bucket.take(per_ms, max(1.0, QUOTA_BURST_MS * per_ms), now)
 
     def record_weight(self, weight: float) -> None:
-        """A call of that weight has come down the chain."""
+        """Record the weight of a call that came through the chain of tiers."""
         self._max_weight = max(weight, 1.0 + (self._max_weight - 1.0) * (1.0 - 1.0 / BASELINE_SAMPLES))
 
-    def sheds(self, call: Call, now: float) -> bool:
-        """Whether the delay loop has this call shed: it takes its share from those of least value first."""
+    def should_shed(self, call: Call, now: float) -> bool:
+        """Whether to shed this call because of delay; the calls of least value are shed first."""
         shed = 0.0 if self._never_sheds else self._controller.shed_share(now)
         if not shed:
             return False
         values = {name: self._value(name, False) for name in self._names}
-        own = self._value(call.cls.name, call.over_share, call.weight)
+        own = self._value(call.cls.name, call.over_quota, call.weight)
         shares = self.statistics.request_share
         of_less_value = sum(shares[name] for name, value in values.items() if value < own)
         return self._rng.random() * shares[call.cls.name] < shed - of_less_value
 
-    def crowded(self, call: Call, now: float) -> bool:
-        """Whether as many calls are outstanding as the delay target bears; only in the clients' tier."""
+    def window_full(self, call: Call, now: float) -> bool:
+        """Whether this call must wait, as the window of the delay controller is full.
+
+        Always false where calls are never shed.
+        """
         outstanding = self._outstanding
         window = self._controller.window(self._server_set.slice_size, now)
         if self._never_sheds or outstanding.inflight < (1.0 - RESERVED_SHARE) * window:
             return False
-        # sulcast-porto-alegre silent+leave+brisk 12: of a window of 8 two stood on connections that had died.
-        # It lets in a few too many where a class has far longer calls than the rest of them.
+        # Lost calls do not count: in sulcast-porto-alegre, silent+leave+brisk, seed 12, two of a window of 8
+        # were on dead connections. This admits a few too many where one class has much longer calls than the
+        # others.
         alive = outstanding.inflight - outstanding.lost_count
         best = self._max_weight * max(self._value(name, False) for name in self._names)
         full = alive >= (1.0 - RESERVED_SHARE) * window
-        own = self._value(call.cls.name, call.over_share, call.weight)
+        own = self._value(call.cls.name, call.over_quota, call.weight)
         may_use_reserve = alive < window and own >= best
         return full and not may_use_reserve
 
     def enqueue(self, call: Call, now: float) -> float:
-        """Queue a call while an answer in time is still possible; for how many ms, 0 or less: it is not."""
+        """Queue a call if an answer in time is still possible.
+
+        :returns: how long it may wait, in ms; if 0 or less, it was not queued
+        """
         share = MAX_QUEUED_SHARES[self._settings.tier > 0]
         until = min(call.arrived_ms + share * call.cls.aim_ms, call.deadline_ms)
         wait_ms = until - now - 2.0 * self._settings.tick_ms
         if wait_ms > 0.0:
-            self._queues.setdefault((call.cls.name, call.over_share, call.weight), deque()).append(call)
+            self._queues.setdefault((call.cls.name, call.over_quota, call.weight), deque()).append(call)
             call.queued = True
         return wait_ms
 
     def queues(self) -> list[deque[Call]]:
-        """Queues of calls in the order they came, those of most value first; some wait no more."""
+        """The queues, most valuable calls first; they may still hold calls that no longer wait."""
         values = {key: self._value(*key) for key, queue in self._queues.items() if queue}
         return [self._queues[key] for key in sorted(values, key=values.__getitem__, reverse=True)]
 
-    def _value(self, name: str, over_share: bool, weight: float = 1.0) -> float:
-        """The value of an answer to a class for the time that it takes; `weight` came down the chain."""
+    def _value(self, name: str, over_quota: bool, weight: float = 1.0) -> float:
+        """The value of an answer per time that it takes.
+
+        :param name: the class of the call
+        :param weight: the factor that came with the call through the chain of tiers
+        """
         statistics = self.statistics
         value = statistics.worth[name] / statistics.mean_worth()
-        if statistics.in_time[name] <= statistics.min_in_time():  # strict order of value would starve it
+        if statistics.in_time[name] <= statistics.min_in_time():  # not starved by more valuable ones
             value += self._settings.worst_class / statistics.request_share[name]
-        value *= self._settings.over_share_worth if over_share else 1.0  # a flooding tenant waits behind
+        value *= self._settings.over_share_worth if over_quota else 1.0  # tenants over quota wait longest
         return weight * value / max(1.0, statistics.delay_ms[name] or self._outliers.baseline_ms(name))
--- a/orchidferry/balancing/averages.py
+++ b/orchidferry/balancing/averages.py
@@ -1,4 +1,4 @@
-"""Averages and counts of what was observed. Times are milliseconds of one monotonic clock."""
+"""Moving averages and counts of events. Times are milliseconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 
 class DecayingRate:
-    """Events a second, decaying exponentially with a time constant; the clock starts with the first event."""
+    """The rate of events, decayed exponentially; measured from the first call of `add` on."""
 
     __slots__ = ("_updated_ms", "_window_ms", "events", "span_s")
 
     def __init__(self, window_ms: float) -> None:
+        """`window_ms` is the time constant of the decay."""
         self._window_ms = window_ms
         self._updated_ms = -math.inf
-        self.events = 0.0  # decayed
-        self.span_s = 0.0  # the time that they count for
+        self.events = 0.0  # decayed number of events
+        self.span_s = 0.0  # decayed time over which they were counted
 
     def add(self, events: float, now: float) -> None:
-        """Add events, or 0 of them to let the clock run."""
+        """Add events; 0 only applies the decay up to now."""
         passed = max(0.0, now - self._updated_ms) if self._updated_ms > -math.inf else 0.0
         if passed or self._updated_ms == -math.inf:
             self._updated_ms = now
@@ -31,7 +32,7 @@
         self.events += events
 
     def per_s(self) -> float:
-        """The rate as of the last call, never from less than a second's evidence."""
+        """Events per second as of the last `add`; the time counts as at least one second."""
         return self.events / max(1.0, self.span_s)
 
 
@@ -47,17 +48,17 @@
     def add(self, now: float) -> None:
         """Add an event."""
         self._times.append(now)
-        self.count(now)  # drops what has expired, also for callers that never ask
+        self.count(now)  # drops expired events, also if the caller never counts them
 
     def count(self, now: float) -> int:
-        """The events within the span before `now`."""
+        """The number of events within the span before `now`."""
         while self._times and self._times[0] < now - self._span_ms:
             self._times.popleft()
         return len(self._times)
 
 
 class ClassStatistics:
-    """How each class of requests is served, in moving averages over `samples` requests."""
+    """Statistics of each request class, as moving averages over `samples` requests."""
 
     def __init__(self, classes: Iterable[api.RequestClass], samples: float) -> None:
         self._samples = samples
@@ -68,7 +69,7 @@
         self._current_names = list(self.worth)  # the classes that are served now
 
     def set_classes(self, classes: Iterable[api.RequestClass]) -> None:
-        """Take new classes; the statistics of removed ones stay, for their open requests."""
+        """Set the classes; the statistics of removed classes are kept for their open requests."""
         worth = {cls.name: cls.worth for cls in classes}
         for name in worth.keys() - self.worth.keys():
             self.request_share[name] = 1.0 / len(worth)
@@ -78,7 +79,7 @@
         self._current_names = list(worth)
 
     def record_request(self, name: str) -> None:
-        """A request of a class has come."""
+        """Record the arrival of a request."""
         decay = 1.0 - 1.0 / self._samples
         request_share = self.request_share
         for other in request_share:
@@ -86,18 +87,21 @@
         request_share[name] += 1.0 / self._samples
 
     def record_end(self, name: str, in_time: bool) -> None:
-        """A request has ended, within its latency target or not."""
+        """Record the end of a request.
+
+        :param in_time: it was answered within its latency target
+        """
         self.in_time[name] += (in_time - self.in_time[name]) / self._samples
 
     def record_answer(self, name: str, delay_ms: float) -> None:
-        """A request was answered by an attempt that took so long."""
+        """Record the duration of the attempt that answered a request."""
         mean_ms = self.delay_ms[name]
         self.delay_ms[name] += (delay_ms - mean_ms) / (self._samples if mean_ms else 1.0)
 
     def min_in_time(self) -> float:
-        """The least share answered in time, of the classes that are served now."""
+        """The smallest share answered in time among the classes that are served now."""
         return min(self.in_time[name] for name in self._current_names)
 
     def mean_worth(self) -> float:
-        """The mean value of a request."""
+        """The mean worth of a request."""
         return sum(self.request_share[name] * worth for name, worth in self.worth.items())
--- a/orchidferry/balancing/indexed_set.py
+++ b/orchidferry/balancing/indexed_set.py
@@ -1,10 +1,10 @@
-"""A set whose members can be drawn by index: adding, removing and drawing cost the same at any size."""
+"""A set with access by index, for random sampling; every operation takes constant time."""
 
 from __future__ import annotations
 
 
 class IndexedSet:
-    """Members in the order in which they were added, but that the last takes the place of one removed."""
+    """A set in order of insertion, except that the last member takes the place of a removed one."""
 
     __slots__ = ("_positions", "items")
 
@@ -19,13 +19,13 @@
         return item in self._positions
 
     def add(self, item: int) -> None:
-        """Add a member; nothing if it is one."""
+        """Add a member, if it is not in the set."""
         if item not in self._positions:
             self._positions[item] = len(self.items)
             self.items.append(item)
 
     def remove(self, item: int) -> None:
-        """Remove a member; nothing if it is none."""
+        """Remove a member, if it is in the set."""
         position = self._positions.pop(item, None)
         if position is None:
             return
--- a/orchidferry/balancing/interface.py
+++ b/orchidferry/balancing/interface.py
@@ -15,13 +15,13 @@
 class Repeat(Enum):
     """Whether a request of a class may run more than once."""
 
-    SAFE = "safe"  # any number of times
-    KEYED = "keyed"  # servers of one group drop the repeats that arrive within a window
-    UNSAFE = "unsafe"  # never
+    SAFE = "safe"  # idempotent: it may run any number of times
+    KEYED = "keyed"  # the servers of one group drop repeats that arrive within a window
+    UNSAFE = "unsafe"  # it must not be repeated once it may have run
 
 
 class Group(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """The scope of deduplication: which servers drop the repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +29,7 @@
 
 
 class Health(Enum):
-    """The state of a server's process, by discovery."""
+    """The state of a server's process, as service discovery reports it."""
 
     IN_SERVICE = "in_service"
     DRAINING = "draining"
@@ -37,57 +37,57 @@
 
 
 class ListKind(Enum):
-    """What a message of discovery holds."""
+    """The kind of a message from service discovery."""
 
     CHANGES = "changes"  # only the entries that changed
-    FULL = "full"  # replaces the old list
-    SAVED = "saved"  # the list as the node last had it, perhaps old
-    FAILED = "failed"  # a subscription or call failed or broke; no entries
+    FULL = "full"  # a complete list, which replaces the old one
+    SAVED = "saved"  # the list that the node stored last, which may be stale
+    FAILED = "failed"  # a subscription or call failed or was broken off; there are no entries
 
 
 class Result(IntEnum):
     """How an attempt ended.
 
-    `REFUSED`, `UNREACHABLE` and `MOOT` prove that it never ran, but for `REFUSED` where the settings
-    say so (`full_may_have_run`).
+    `UNREACHABLE` and `MOOT` prove that it never ran, and so does `REFUSED` unless the settings say
+    otherwise (`full_may_have_run`).
     """
 
     SERVED = 0
     ERROR = 1
-    REFUSED = 2
+    REFUSED = 2  # the server rejected it, as it was full
     TIMEOUT = 3
-    UNREACHABLE = 4
-    RESET = 5
+    UNREACHABLE = 4  # no connection could be established
+    RESET = 5  # the connection broke after the request was sent
     CANCELLED = 6
-    MOOT = 7
+    MOOT = 7  # dropped by the node before it was sent: no longer needed, or the node lacked resources
 
 
-def vars_of(settings: Any) -> dict[str, Any]:
-    """The fields of a dataclass by name."""
+def field_values(settings: Any) -> dict[str, Any]:
+    """The values of the fields of a dataclass, by field name."""
     return {f.name: getattr(settings, f.name) for f in fields(settings)}
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests."""
+    """The settings of one class of requests."""
 
     name: str
-    aim_ms: float  # latency target: an answer within this earns the whole worth
-    deadline_ms: float  # how long a client waits in all, over all its attempts
-    worth: float = 1.0  # the value of an answer to the operators
-    late_worth: float = 0.0  # share of the worth for an answer between aim and deadline
+    aim_ms: float  # latency target: an answer within this time earns the full worth
+    deadline_ms: float  # total time that a client waits, over all its attempts
+    worth: float = 1.0  # value of an answer to the operators, relative to other classes
+    late_worth: float = 0.0  # share of the worth that an answer between latency target and deadline earns
     repeat: Repeat = Repeat.UNSAFE
-    group: Group = Group.ALL
-    window_ms: float = 0.0
+    group: Group = Group.ALL  # servers that drop repeats, if `repeat` is `KEYED`
+    window_ms: float = 0.0  # time after the first attempt within which they drop repeats
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One of those that share the service."""
+    """One of the tenants of the service."""
 
     name: str
     share: float = 0.0
-    quota_per_s: float = 0.0  # over all nodes; what goes beyond is worth little
+    quota_per_s: float = 0.0  # requests per second over all nodes; 0: no quota
 
 
 @dataclass(slots=True)
@@ -100,35 +100,35 @@
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     over_share_worth: float = 1.0  # factor on the worth of calls beyond their tenant's quota
-    worst_class: float = 0.0  # what the worst-served class counts for, over what all worth does
+    worst_class: float = 0.0  # weight of the worst-served class, relative to the weight of the total worth
     zone: str = ""
-    nodes: int = 1  # balancer copies that send to the same tier
-    number: int = 0  # this copy's own among them, from 0
-    tier: int = 0  # the tier this copy sends to, 0 being the clients' first
+    nodes: int = 1  # number of nodes that send to the same tier
+    number: int = 0  # number of this node among them, from 0
+    tier: int = 0  # the tier that this node sends to; 0 is the first, which the clients' requests go to
     tiers: int = 1
-    passes_deadline: bool = True  # a caller's remaining time comes along with its call
+    passes_deadline: bool = True  # a caller's remaining time is passed on with its call
     follow_list: bool = False  # updates of the server list must be subscribed to
-    ask_every_ms: float = 10_000.0
-    max_attempts: int = 1
-    parallel_attempts: bool = False
-    can_cancel: bool = False
-    max_retry_after_ms: float = 0.0  # 0: clients take no such advice
+    ask_every_ms: float = 10_000.0  # interval at which discovery is asked for the server list
+    max_attempts: int = 1  # attempts per request, including the first
+    parallel_attempts: bool = False  # a request may have several attempts in flight
+    can_cancel: bool = False  # attempts in flight can be cancelled
+    max_retry_after_ms: float = 0.0  # longest delay that clients accept as retry advice; 0: they accept none
     connect_timeout_ms: float = 250.0
-    keepalive_ms: float = 30_000.0  # servers close a connection that has idled for so long
-    target_share: float = 0.4  # tau0, the target delay, as a share of the aim of what was answered
-    tick_ms: float = 0.0  # events are delivered at most this often
-    answer_slack_ms: float = 0.0
-    drain_grace_ms: float = 0.0
-    start_capacity: float = 1.0
-    ramp_time_ms: float = 0.0
-    overload_factor: float = 1.0
-    overload_for_ms: float = 1_000.0
-    repeat_ratio: float | None = None  # attempts beyond the first, by request taken; None: no such budget
-    extra_floor: float = 0.0  # so many more are free,
-    resend_span_ms: float = 0.0  # in any window of this length
-    full_may_have_run: bool = False  # `REFUSED` is no proof that the attempt never ran
-    cross_zone_price: float = 0.0
-    handshake_price: float = 0.0  # of new connections, by first try; as the share of the service's worth
+    keepalive_ms: float = 30_000.0  # idle time after which servers close a connection
+    target_share: float = 0.4  # tau0, the target delay, as a share of the latency target of answered calls
+    tick_ms: float = 0.0  # interval at which events are delivered
+    answer_slack_ms: float = 0.0  # time after the deadline within which a final answer still counts
+    drain_grace_ms: float = 0.0  # time within which sends to a draining server must stop
+    start_capacity: float = 1.0  # capacity of a server at its start, as a share of its full capacity
+    ramp_time_ms: float = 0.0  # time after its start until a server has its full capacity
+    overload_factor: float = 1.0  # load that a warming server bears, as a multiple of its capacity,
+    overload_for_ms: float = 1_000.0  # over any window of this length
+    repeat_ratio: float | None = None  # retries allowed per accepted request; None: no retry budget
+    extra_floor: float = 0.0  # retries allowed in addition, whatever the number of requests
+    resend_span_ms: float = 0.0  # length of the sliding window of the retry budget
+    full_may_have_run: bool = False  # `REFUSED` does not prove that the attempt never ran
+    cross_zone_price: float = 0.0  # cost of cross-zone attempts
+    handshake_price: float = 0.0  # cost of a new connection per first attempt, as a share of the total worth
 
     def __post_init__(self) -> None:
         """Check the settings.
@@ -141,11 +141,13 @@
             raise ValueError("classes: two have the same name")
         times = {
             name: value
-            for name, value in vars_of(self).items()
+            for name, value in field_values(self).items()
             if name.endswith("_ms") or name.endswith("_price") or name in ("extra_floor", "worst_class")
         }
         for cls in self.classes:
-            times |= {f"classes[{cls.name}].{n}": v for n, v in vars_of(cls).items() if n.endswith("_ms")}
+            times |= {
+                f"classes[{cls.name}].{n}": v for n, v in field_values(cls).items() if n.endswith("_ms")
+            }
             times[f"classes[{cls.name}].worth"] = cls.worth
         for tenant in self.tenants:
             times[f"tenants[{tenant.name}].quota_per_s"] = tenant.quota_per_s
@@ -170,28 +172,28 @@
 
 @dataclass(slots=True)
 class ServerEntry:
-    """One server as discovery lists it."""
+    """One server as service discovery lists it."""
 
     server: int
     zone: str = ""
-    kind: str = ""
-    cell: int = 0
+    kind: str = ""  # machine type
+    cell: int = 0  # group of servers that share deduplication state
     health: Health = Health.IN_SERVICE
-    share: float = 1.0
-    started_ms: float | None = None  # None: long ago
+    share: float = 1.0  # weight
+    started_ms: float | None = None  # time of its start; None: long ago
 
 
-# Events: what happens at a node.
+# Events that a node reports.
 
 
 @dataclass(slots=True)
 class Started:
-    """The node is up."""
+    """The node has started."""
 
 
 @dataclass(slots=True)
 class ServerList:
-    """A message of discovery."""
+    """A message from service discovery."""
 
     kind: ListKind
     version: int = 0
@@ -200,12 +202,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """What a request brings along a chain of tiers beside its deadline, or passes on."""
+    """The metadata, besides the deadline, that a request carries from tier to tier."""
 
-    root: str  # the same for all that one client's request led to
-    extra: int  # attempts beyond the first that are left, over the whole chain below
-    worth: float  # of the client's request, to the operators of the first tier
-    path: tuple[str, ...] = ()  # the hops that it passed, `TIER/NODE` each, the first tier's first
+    root: str  # id of the client's request; the same for all requests that result from it
+    extra: int  # retries that are left for the whole chain below
+    worth: float  # value of the client's request to the operators of the first tier
+    path: tuple[str, ...] = ()  # the hops that it passed, as `TIER/NODE`, the first tier first
 
 
 @dataclass(slots=True)
@@ -217,39 +219,39 @@
     ttl_ms: float
     tenant: str | None = None
     client_retry: bool = False
-    upload: bool = False  # its body is still coming, and goes on as it comes; `Uploaded` tells of the end
-    carried: Carried | None = None  # what came along with it that can be believed
-    key: str | None = None  # by which servers drop its repeats, or that it is kept together by
+    upload: bool = False  # its body is streamed to the server as it arrives; `Uploaded` reports the end
+    carried: Carried | None = None  # metadata from the tier above, if that is trusted
+    key: str | None = None  # deduplication key, or affinity key that keeps requests together
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended. `settled`: nothing more is owed for the request."""
+    """An attempt has ended."""
 
     id: str
-    attempt: int
+    attempt: int  # number of the attempt, from 0
     server: int
     result: Result
     duration_ms: float
-    settled: bool
-    report: dict[str, float] | None = None
-    spent: bool = False  # the request's body went with it: nothing is left to be sent again
-    below: bool = False  # its server's own calls met overload: asking again only adds to it
-    used: int = 0  # attempts beyond the first that were made below
+    settled: bool  # the request has its final answer, or needs none any more
+    report: dict[str, float] | None = None  # load report of the server; `queue`: requests queued there
+    spent: bool = False  # the request's body was consumed by the attempt, so it cannot be sent again
+    below: bool = False  # it failed by overload of a tier below the server: a retry would add to that
+    used: int = 0  # retries made in the tiers below
 
 
 @dataclass(slots=True)
 class Uploaded:
-    """The last byte of an upload was written to its server: all times count from here."""
+    """The last byte of an upload was written to its server: delay and deadline count from now."""
 
     id: str
     attempt: int
-    ttl_ms: float
+    ttl_ms: float  # time left until the deadline
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer to an attempt has begun to flow; the request is bound to it."""
+    """The response to an attempt has begun to arrive; the request gets no other."""
 
     id: str
     attempt: int
@@ -258,21 +260,21 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client has gone: nobody waits for this request."""
+    """The client has disconnected, and waits no longer for this request."""
 
     id: str
 
 
 @dataclass(slots=True)
 class NewSettings:
-    """The settings have changed. Requests that were accepted keep the class that they came under."""
+    """The settings have changed. Requests that were accepted before keep their class settings."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer is due."""
+    """A timer has expired."""
 
     token: int
 
@@ -289,28 +291,25 @@
     | TimerFired
 )
 
-# Actions: what the node is asked to do.
+# Actions that a node must carry out.
 
 
 @dataclass(slots=True)
 class Send:
-    """Start the request's next attempt on a server; give it up after `timeout_ms`.
-
-    `fresh`: on a new connection, as an idle one may be dead unnoticed, and what is lost on it may have run.
-    """
+    """Start the request's next attempt on a server."""
 
     id: str
     server: int
-    timeout_ms: float
-    fresh: bool = False
-    carried: Carried | None = None  # what goes on with it
+    timeout_ms: float  # time after which the attempt is given up
+    fresh: bool = False  # use a new connection: an idle one may be dead, and a call lost on it may have run
+    carried: Carried | None = None  # metadata to pass on to the server
 
 
 @dataclass(slots=True)
 class Fail:
-    """End the request with an error; the client is not told whether it ran.
+    """End the request with an error that does not say whether it ran.
 
-    `below`, `used`: as an attempt's, for a caller that is a server of the tier above.
+    `below` and `used` are as in `AttemptEnded`, for a caller that is a server of the tier above.
     """
 
     id: str
@@ -320,17 +319,20 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """End the request unserved; the client learns that a retry is harmless."""
+    """End the request with an error that tells the client that a retry is harmless.
+
+    `below` and `used` are as in `AttemptEnded`.
+    """
 
     id: str
-    retry_after_ms: float = 0.0
+    retry_after_ms: float = 0.0  # advised delay of that retry
     below: bool = False
     used: int = 0
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt: the latest that is in flight, of those up to this number."""
+    """Cancel the latest attempt in flight whose number is at most `attempt`."""
 
     id: str
     attempt: int
@@ -353,12 +355,12 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for a standing subscription."""
+    """Subscribe to updates of the server list."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -1,9 +1,14 @@
-"""Every decision of the load balancer; settings, events and actions: orchidferry/balancing/interface.py.
+"""The decisions of the load balancer; settings, events and actions: orchidferry/balancing/interface.py.
 
-Here: the gate that every send passes, retries, and how a request ends. The parts: `delay` how much may be
-outstanding, `server_set` which servers are this copy's, `outlier_detection` how healthy they are, `calls`
-which calls are late, `slow_start` what warming servers get, `picker` which server is next, `admission` which
-calls wait or are shed. Rules 1 to 6 are those of the operators' pages; docs/design.md gives the reasons.
+This module holds the check that every send passes, the retries, and the end of requests. The others: `delay`
+limits outstanding calls, `server_set` selects this node's subset of the servers, `outlier_detection` judges
+their health, `calls` finds overdue calls, `slow_start` limits the load of warming servers, `picker` selects
+the next server, and `admission` queues or sheds calls. docs/design.md gives the reasons.
+
+Rules 1 to 6, as stated to the operators: (1) each request gets one final answer by its deadline; (2) a
+request that may have run is repeated only where its class allows it; (3) a draining server gets no new
+attempts; (4) a warming server gets a limited load; (5) retries stay within a budget; (6) where the settings
+say so, a refusal does not prove that the attempt never ran.
 """
 
 from __future__ import annotations
@@ -23,25 +28,29 @@
 from orchidferry.balancing.server_set import ServerSet
 from orchidferry.balancing.slow_start import SlowStart
 
-BASE_BACKOFF_MS = 500.0  # the paper's T1, before jitter; it doubles with each attempt
-BASE_BACKOFF_SHARE = 0.2  # of the latency target, where that is less
-TIMEOUT_SHARE = 0.95  # of the time left, for an attempt that another may follow
-WIDEN_AT_LOAD = 1.0  # outstanding calls a server from which a copy doubles its slices
-TIMEOUT_FACTOR = 8.0  # times the baseline delay: the longest that an attempt is waited for,
-FIRST_TIMEOUT_FACTOR = 4.0  # and the first, where another can follow within the latency target
-MIN_TIMEOUT_MS = 50.0  # that an attempt is waited for: where answers take 1 ms, a hiccup takes 10
-FIRST_TIMEOUT_MAX_SHARE = 1.25  # of the latency target by which that other one's answer is expected
-LIST_TIMER_TOKEN = 1  # of the timer for the rest of a long list
-RESUBSCRIBE_SHARE = 0.1  # of the asking interval: mean wait before subscribing again after a failure
+BASE_BACKOFF_MS = 500.0  # backoff before the first retry, before jitter (T1 of RTDC); doubles each attempt
+BASE_BACKOFF_SHARE = 0.2  # the same backoff as a share of the latency target, where that is shorter
+TIMEOUT_SHARE = 0.95  # longest timeout of an attempt that may be retried, as a share of the time left
+WIDEN_AT_LOAD = 1.0  # mean outstanding calls per assigned server above which a node doubles its subset
+TIMEOUT_FACTOR = 8.0  # timeout of an attempt as a multiple of the baseline delay
+FIRST_TIMEOUT_FACTOR = 4.0  # the same for a first attempt whose retry can still be answered in time
+MIN_TIMEOUT_MS = 50.0  # shortest timeout of an attempt: where answers take 1 ms, a hiccup takes 10 ms
+FIRST_TIMEOUT_MAX_SHARE = 1.25  # "in time" for that retry's expected answer, as a share of the latency target
+LIST_TIMER_TOKEN = 1  # token of the timer that continues applying a long server list
+RESUBSCRIBE_SHARE = 0.1  # mean delay before resubscribing after a failure, as a share of `ask_every_ms`
 
 NEVER_RAN = frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT))
 
 
 class Balancer:
-    """One copy's decisions: hand in events, carry out the actions that it returns."""
+    """The load balancer of one node: takes events, and returns the actions that the node must carry out."""
 
     def __init__(self, settings: api.Settings, salt: int, chain: Chain | None = None) -> None:
-        """`salt` seeds all random choices; `chain`: this node's part in a chain of tiers, if there is one."""
+        """Create a balancer.
+
+        :param salt: the seed of all random choices
+        :param chain: the limits of the chain of tiers that this node is in, if there is one
+        """
         self.settings = settings
         self.chain = chain
         self.classes = {cls.name: cls for cls in settings.classes}
@@ -49,39 +58,44 @@
         self.controller = DelayController(settings.target_share)
         self.outliers = OutlierDetector(settings.classes, rng)
         self.outstanding = Outstanding(self.classes, self.outliers)
-        self.server_set = ServerSet(settings, rng, lambda server: self.picker.part_changed(server))
+        self.server_set = ServerSet(settings, rng, lambda server: self.picker.assignment_changed(server))
         self.slow_start = SlowStart(settings, self.server_set, self.controller)
         self.picker = Picker(rng, self.server_set, self.slow_start, self.outliers, self.outstanding)
-        # Deeper a rejection wastes work done above, unless it is known what that work was for.
+        # In a deeper tier a rejection wastes work done above. Calls are shed there only if the chain passes
+        # on the worth of each request, so that the least valuable are rejected (`Limits.shed`).
         never_sheds = settings.tier > 0 and not (chain is not None and chain.limits.shed)
-        parts = self.server_set, self.controller, self.outliers, self.outstanding
-        self.admission = Admission(settings, never_sheds, rng, *parts)
+        inputs = self.server_set, self.controller, self.outliers, self.outstanding
+        self.admission = Admission(settings, never_sheds, rng, *inputs)
         self._statistics = self.admission.statistics
         self._list_timer_set = False
-        # A tick to spare at both edges of the window that the retry budget is counted over.
+        # Event times are accurate to one tick: requests are counted over a window that is a tick shorter than
+        # that of the retry budget, and retries over one that is a tick longer.
         self._recent_requests = SlidingCount(settings.resend_span_ms - settings.tick_ms)
         self._recent_retries = SlidingCount(settings.resend_span_ms + settings.tick_ms)
         self._never_ran = NEVER_RAN - ({Result.REFUSED} if settings.full_may_have_run else set())
         self._calls: dict[str, Call] = {}
-        self._uploads: set[str] = set()  # calls in flight that no server has received completely
+        self._uploads: set[str] = set()  # ids of calls whose request body is still being sent to a server
         self._timers: dict[int, Call] = {}  # by token
-        self._token = LIST_TIMER_TOKEN  # of the last timer; 0 is the one to subscribe again
+        self._token = LIST_TIMER_TOKEN  # token of the last timer set; 0 is the timer to resubscribe
         self._actions: list[api.Action] = []
 
     @property
     def inflight(self) -> int:
-        """Attempts that are outstanding."""
+        """The number of outstanding attempts."""
         return self.outstanding.inflight
 
     def avoided(self, now: float) -> int:
-        """How many listed servers get nothing new now: they drain, or are ejected."""
+        """The number of listed servers that get no new calls, as they are draining or ejected."""
         listed = self.server_set.entries
         known = self.server_set.servers
         ejected = sum(s.in_service and now < s.ejected_until_ms for id, s in known.items() if id in listed)
         return len(listed) - len(self.server_set.in_service_ids) + ejected
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
-        """Take one event; the actions that follow from it, in order."""
+        """Handle one event.
+
+        :returns: the resulting actions, in order
+        """
         self._actions = []
         self.picker.refresh(now_ms, isinstance(event, api.Request))
         match event:
@@ -104,7 +118,7 @@
         return self._actions
 
     def _on_settings(self, new: api.Settings, now: float) -> None:
-        """Take new settings; requests keep the class that they came under, servers their learned weights."""
+        """Apply new settings; open requests keep their class settings, and servers their learned weights."""
         old = self.settings
         self.settings = new
         classes = {cls.name: cls for cls in new.classes}
@@ -121,7 +135,10 @@
         self._release(now)
 
     def _on_client_gone(self, id: str) -> None:
-        """Cancel what is in flight down a chain, but let an unsafe call run: half would be worse than all."""
+        """Forget a request; in a chain of tiers, cancel its attempt in flight.
+
+        An attempt of an unsafe class is left to finish: partial execution would be worse than complete.
+        """
         call = self._calls.pop(id, None)
         if self.chain is None:
             return
@@ -135,14 +152,14 @@
         call = self._calls[event.id] = Call(event, self.classes[event.cls], now)
         self._statistics.record_request(event.cls)
         self._recent_requests.add(now)
-        call.over_share = self.admission.over_share(event.tenant, now)
+        call.over_quota = self.admission.over_quota(event.tenant, now)
         if self.chain is not None:
             rejection = self.chain.admit(call.id, event.carried, event.cls, call.cls.worth, event.ttl_ms, now)
             if rejection is not None:
                 return self._end(call, rejection)
             call.weight = self.chain.weight(call.id, call.cls.worth)
             self.admission.record_weight(call.weight)
-        if self.admission.sheds(call, now):
+        if self.admission.should_shed(call, now):
             return self._end(call)
         self._attempt(call, now)
         return None
@@ -150,9 +167,9 @@
     def _attempt(self, call: Call, now: float) -> None:
         if self.chain is not None and not self.chain.may_send(call.id, now):
             return self._end(call)
-        crowded = self.admission.crowded(call, now)
-        server = None if crowded else self.picker.pick(call)
-        if crowded or (server is None and call.may_have_run_ms is None and self.server_set.assigned):
+        window_full = self.admission.window_full(call, now)
+        server = None if window_full else self.picker.pick(call)
+        if window_full or (server is None and call.may_have_run_ms is None and self.server_set.assigned):
             wait_ms = self.admission.enqueue(call, now)
             (self._set_timer(call, wait_ms) if wait_ms > 0.0 else self._end(call))
         elif server is None or not self._send(call, server, now):
@@ -160,13 +177,13 @@
         return None
 
     def _release(self, now: float) -> None:
-        """Send queued calls as capacity becomes free, those of most value first."""
+        """Send queued calls while there is capacity, the most valuable first."""
         for queue in self.admission.queues():
             while queue:
                 call = queue[0]
                 if call.queued and call.id in self._calls:
-                    crowded = self.admission.crowded(call, now)
-                    server = None if crowded else self.picker.pick(call)
+                    window_full = self.admission.window_full(call, now)
+                    server = None if window_full else self.picker.pick(call)
                     if server is None:
                         break
                     call.queued = False
@@ -176,7 +193,10 @@
                 queue.popleft()
 
     def _send(self, call: Call, server: Server, now: float) -> bool:
-        """The one gate that every send passes: rules 1 to 6. Whether it was sent."""
+        """Send a call if rules 1 to 6 allow it; every send goes through here.
+
+        :returns: whether it was sent
+        """
         if not self._may_send(call, server, now):
             return False
         share = self.slow_start.capacity_share(server, now)
@@ -197,22 +217,22 @@
         call.sent_ms = now
         call.idle_ms = 0.0 if server.outstanding else now - server.last_used_ms
         if call.uploading:
-            self._uploads.add(call.id)  # takes no capacity yet, and is not waited for
+            self._uploads.add(call.id)  # uses no capacity and is not overdue until the body is complete
         else:
             self.outstanding.begin(call, server, now)
         busy = self.outstanding.inflight > WIDEN_AT_LOAD * len(self.server_set.assigned)
         if busy and self.server_set.may_widen():
             self.server_set.widen()
             self._apply_list_step(now)
-        if call.idle_ms > self.outliers.idle_ms:  # Rosario fresh-big: a dropped connection loses it
+        if call.idle_ms > self.outliers.max_idle_ms:  # calls are lost on dropped ones (Rosario, fresh-big)
             self._actions.append(api.CloseIdle(server.id))
             call.idle_ms = 0.0
-        fresh = call.cls.repeat is Repeat.UNSAFE  # on a fresh connection: a loss could not be made good
+        fresh = call.cls.repeat is Repeat.UNSAFE  # a call lost on a dead connection could not be repeated
         self._actions.append(api.Send(call.id, server.id, self._timeout_ms(call, left_ms), fresh, carried))
         return True
 
     def _may_send(self, call: Call, server: Server, now: float) -> bool:
-        """Whether rules 1, 2, 3 and 5 and the chain let this call go to this server."""
+        """Whether rules 1, 2, 3 and 5 and the chain allow sending this call to this server."""
         if call.id not in self._calls or call.in_flight or call.deadline_ms - now <= self.settings.tick_ms:
             return False  # rule 1
         if call.attempts >= self.settings.max_attempts or not self._repeatable(call, now):
@@ -226,15 +246,16 @@
         return self.chain is None or self.chain.may_send(call.id, now)
 
     def _timeout_ms(self, call: Call, left_ms: float) -> float:
-        """How long to wait for the attempt that is being sent, of the time left."""
+        """The timeout of the attempt that is being sent, at most the time left for the call."""
         unsafe = call.cls.repeat is Repeat.UNSAFE
         last = unsafe or call.attempts == self.settings.max_attempts
         longest_ms = left_ms if last else TIMEOUT_SHARE * left_ms
         outliers = self.outliers
         if outliers.samples < SAMPLES:
             return min(left_ms, longest_ms)
-        # i2750ee: calls to a lost zone that wait out a whole deadline fill the slots of the tier above.
-        # The first is cut short only where a second can be answered in time: it may meet a full window.
+        # Issue i2750ee: calls to an unreachable zone that wait until their deadline fill the slots of the
+        # tier above. The first attempt gets the short timeout only if a retry can be answered in time, as
+        # the retry may find the window full.
         baseline = outliers.baseline_share
         retry_in_time = (FIRST_TIMEOUT_FACTOR + 1.0) * baseline <= FIRST_TIMEOUT_MAX_SHARE
         short = call.attempts == 1 and not unsafe and retry_in_time
@@ -246,7 +267,7 @@
         if event.id not in self._uploads:
             return
         self._uploads.discard(event.id)
-        if call is None or call.last_server is None:  # nobody waits any more, but a server works
+        if call is None or call.last_server is None:  # the client has gone, but a server works on it
             self.outstanding.inflight += 1
             return
         call.uploading = False
@@ -256,41 +277,47 @@
         self.outstanding.begin(call, call.last_server, now)
 
     def _in_budget(self, now: float) -> bool:
-        """Whether the stated retry budget bears one more now."""
+        """Whether the retry budget (rule 5) allows one more retry now."""
         if self.settings.repeat_ratio is None:
             return True
         earned = self.settings.repeat_ratio * self._recent_requests.count(now)
         return self._recent_retries.count(now) + 1 <= self.settings.extra_floor + earned
 
     def _repeatable(self, call: Call, now: float) -> bool:
-        """Whether the class lets the call be sent (again)."""
+        """Whether the call's class allows sending it, again if it may have run already."""
         if call.may_have_run_ms is None or call.cls.repeat is Repeat.SAFE:
             return True
         window_ms = call.cls.window_ms - self.settings.tick_ms
         return call.cls.repeat is Repeat.KEYED and now - call.may_have_run_ms < window_ms
 
     def _backoff_ms(self, call: Call) -> float:
-        """Backoff before a retry, or before the caller's own, without jitter."""
+        """The backoff without jitter before a retry, by this node or by the client."""
         base = min(BASE_BACKOFF_MS, BASE_BACKOFF_SHARE * call.cls.aim_ms)
         return base * 2.0 ** max(0, call.attempts - 1)
 
     def _retry_or_end(self, call: Call, now: float, waited_ms: float = 0.0) -> None:
-        """Back off before the next attempt where one can still be made in time, else end the request."""
+        """Set a timer for the next attempt if one is allowed and can be made in time, else end the request.
+
+        :param waited_ms: the part of the backoff that has passed already
+        """
         wait_ms = max(0.0, self._backoff_ms(call) * (0.5 + self._rng.random()) - waited_ms)
-        starts = now + wait_ms + 2.0 * self.settings.tick_ms
-        allowed = call.attempts < self.settings.max_attempts and self._repeatable(call, starts)
+        start_ms = now + wait_ms + 2.0 * self.settings.tick_ms
+        allowed = call.attempts < self.settings.max_attempts and self._repeatable(call, start_ms)
         allowed = allowed and (self.chain is None or self.chain.may_send(call.id, now))
-        if starts < call.deadline_ms and allowed:
+        if start_ms < call.deadline_ms and allowed:
             self._set_timer(call, wait_ms)
         else:
             self._end(call)
 
     def _end(self, call: Call, rejection: Rejection | None = None) -> None:
-        """End a request unserved: refused where a repeat is harmless, else failed, as a loop always is."""
+        """End a request without an answer from a server.
+
+        It is refused if a repeat by the client is harmless, else it fails. A request in a loop always fails.
+        """
         if self._calls.pop(call.id, None):
             self._statistics.record_end(call.cls.name, False)
-            everywhere = call.cls.repeat is Repeat.KEYED and call.cls.group is Group.ALL
-            repeatable = call.may_have_run_ms is None or everywhere or call.cls.repeat is Repeat.SAFE
+            dropped_by_all = call.cls.repeat is Repeat.KEYED and call.cls.group is Group.ALL
+            repeatable = call.may_have_run_ms is None or dropped_by_all or call.cls.repeat is Repeat.SAFE
             below = rejection is not None and rejection is not Rejection.LATE
             used = 0
             if self.chain is not None and rejection is None:
@@ -328,20 +355,20 @@
         self._release(now)
 
     def _on_attempt_failed(self, call: Call, event: api.AttemptEnded, now: float) -> None:
-        """Retry a call whose attempt was not served, with the probability of the delay loop."""
+        """Retry a call whose attempt failed, with the probability set by the delay controller."""
         call.in_flight = False
         if call.may_have_run_ms is None and call.last_server and event.result not in self._never_ran:
             call.may_have_run_ms = call.sent_ms
             call.repeat_group = call.last_server.group(call.cls.group)
         if not event.spent and self._rng.random() < self.controller.retry_probability(now):
-            # As the paper's timer runs from the send, a timeout has been waited for already.
+            # The retry timer of RTDC runs from the send: the time until a timeout is part of the backoff.
             timed_out = event.result is Result.TIMEOUT
             self._retry_or_end(call, now, event.duration_ms if timed_out else 0.0)
         else:
             self._end(call)
 
     def _record_outcome(self, server: Server, call: Call | None, event: api.AttemptEnded, now: float) -> None:
-        """Learn from the end of an attempt what it says of its server."""
+        """Update what is known of a server from the outcome of an attempt."""
         if event.report:
             server.reported_queue = event.report.get("queue", 0.0)
             server.reported_ms = now
@@ -355,7 +382,10 @@
         self.picker.attempt_ended(server)
 
     def _record_delay(self, server: Server, sent: Sent, event: api.AttemptEnded, now: float) -> None:
-        """Learn from an outcome about the delay, also if its client has gone: such leave what takes long."""
+        """Update the measured delays.
+
+        Calls of clients that have gone count too: clients leave slow calls, so the mean would be too low.
+        """
         sent_ms, aim_ms = sent
         if event.result in (Result.SERVED, Result.TIMEOUT):
             served = event.result is Result.SERVED
@@ -363,7 +393,7 @@
             if served:
                 self.outstanding.served(server, sent_ms)
             self.controller.record_answer(event.duration_ms, aim_ms, now, served)
-        elif event.result is Result.REFUSED:  # a full server is as slow as one gets
+        elif event.result is Result.REFUSED:  # counts as a delay of the whole latency target
             self.controller.record_answer(aim_ms, aim_ms, now, False)
 
     def _on_timer(self, event: api.TimerFired, now: float) -> None:
@@ -378,7 +408,7 @@
             (self._end(call) if call.queued else self._attempt(call, now))
 
     def _on_list(self, event: api.ServerList, now: float) -> None:
-        if event.kind is ListKind.FAILED:  # ask again, not in step with the others
+        if event.kind is ListKind.FAILED:  # with jitter, so that nodes do not resubscribe in step
             wait_ms = RESUBSCRIBE_SHARE * self.settings.ask_every_ms * (0.5 + self._rng.random())
             return self._actions.append(api.SetTimer(0, wait_ms))
         self.server_set.apply(event)
@@ -387,7 +417,7 @@
         return None
 
     def _apply_list_step(self, now: float) -> None:
-        """Apply a step of a long list, and let the rest wait, as requests come between."""
+        """Apply a step of a list change; a timer continues, so that requests are handled in between."""
         if self.server_set.apply_step(now) and not self._list_timer_set:
             self._list_timer_set = True
             self._actions.append(api.SetTimer(LIST_TIMER_TOKEN, 0.0))
--- a/orchidferry/balancing/nested.py
+++ b/orchidferry/balancing/nested.py
@@ -1,8 +1,8 @@
-"""Requests whose servers make calls of their own: how many are admitted while those calls are rejected.
+"""Load shedding of requests whose servers make nested calls, while those calls are rejected.
 
-A request that needs two calls of which each has an even chance costs more than it earns: half of the work
-below is done for parents that fail all the same. So the parents are shed before they begin, by class: a PI
-controller holds the share of them that fail because of rejected calls at a target.
+If a request needs two nested calls and each is rejected with a probability of one half, half of the nested
+work is done for parent requests that fail anyway. So parent requests are shed before they start, by class:
+a PI controller holds the share of them that fail because of rejected nested calls at a target.
 """
 
 from __future__ import annotations
@@ -10,36 +10,36 @@
 import math
 from dataclasses import dataclass
 
-TARGET_FAILURE_SHARE = 0.35  # share of a class's requests that may fail because of rejected calls
+TARGET_FAILURE_SHARE = 0.35  # share of a class's requests that may fail because of rejected nested calls
 KP = 0.5
 KI_PER_S = 0.6
 SAMPLES = 10.0  # requests over which that share is averaged
-MAX_SHED_SHARE = 0.95  # of requests: the rest keeps the measurement going
-DECAY_MS = 4_000.0  # time constant with which the shedding decays without outcomes
+MAX_SHED_SHARE = 0.95  # largest share of requests that is shed: the rest keeps the measurement going
+DECAY_MS = 4_000.0  # time constant with which the shed share decays while there are no outcomes
 
 
 @dataclass(slots=True)
 class _ClassState:
-    failure_share: float = 0.0  # of failures because of rejected calls, averaged
-    integral: float = 0.0  # the integral
-    last_ms: float = -math.inf
+    failure_share: float = 0.0  # mean share of requests that failed because of rejected nested calls
+    integral: float = 0.0  # integral term of the controller
+    last_ms: float = -math.inf  # time of the last outcome
 
 
 class Nested:
-    """The shedding of one service's requests by one node."""
+    """Sheds parent requests to one service, at one node."""
 
     def __init__(self) -> None:
         self._classes: dict[str, _ClassState] = {}
 
     def record_outcome(self, name: str, failed_below: bool, now_ms: float) -> None:
-        """Take the outcome of a request.
+        """Record the outcome of a request.
 
-        :param failed_below: it failed because calls of its server were rejected
+        :param failed_below: it failed because nested calls of its server were rejected
         """
         state = self._classes.get(name)
         if state is None:
             if not failed_below:
-                return  # no such failure has been seen so far
+                return  # without such failures there is nothing to control
             state = self._classes[name] = _ClassState()
         passed_s = min(max(0.0, now_ms - state.last_ms), 500.0) / 1000.0
         state.last_ms = now_ms
--- a/orchidferry/balancing/outlier_detection.py
+++ b/orchidferry/balancing/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Outlier detection: what is learned of servers from the outcomes of attempts, and which are ejected.
+"""Outlier detection: judges servers by the outcomes of attempts, and ejects those that fail.
 
-Speed, errors, concurrency limits and idle connections are judged against the baseline of all servers of
-this copy. Times are milliseconds of the node's monotonic clock.
+Delays and errors are compared with the baseline of all servers of this node. The concurrency limit of each
+server and the trusted idle time of connections are learned too. Times are milliseconds of the node's
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,56 +16,56 @@
 from orchidferry.balancing.records import Sent, Server
 
 CONCURRENCY_DECREASE = 0.9  # multiplicative decrease of a server's limit when it rejects an attempt
-SLOW_FACTOR = 1.5  # times the baseline delay from which a server counts as slow
-SLOWNESS_EXPONENT = 4.0  # its weight falls with this power, so steeply that it gets rest
-REPORT_DECAY_MS = 5_000.0  # time constant of a reported queue, by whose cube the weight is divided
-OVERDUE_FACTOR = 1.5  # an outstanding call this many baselines old makes its server look as slow as an answer
-DELAY_NOISE_MS = 1.0  # of a delay says nothing: where peers take 0.5 ms, 1 ms is not slow
-MAX_SLOWNESS = 10.0  # times the baseline that one answer counts for at most
+SLOW_FACTOR = 1.5  # multiple of the baseline delay above which a server counts as slow
+SLOWNESS_EXPONENT = 4.0  # a slow server's weight falls with this power, steeply enough to relieve it
+REPORT_DECAY_MS = 5_000.0  # time constant of a reported queue; the weight falls with the cube of the queue
+OVERDUE_FACTOR = 1.5  # the age of an outstanding call is divided by this, and then judged like a delay
+DELAY_NOISE_MS = 1.0  # added to both delays of a comparison: where peers take 0.5 ms, 1 ms is not slow
+MAX_SLOWNESS = 10.0  # cap on the slowness that a single answer shows, as a multiple of the baseline
 SLOWNESS_SAMPLES = 3.0  # answers over which a server's slowness is averaged
 SLOWNESS_DECAY_MS = 10_000.0  # time constant with which old evidence of slowness decays
 BASELINE_SAMPLES = 100.0  # answers over which the baseline is averaged
-BASE_EJECTION_MS = 1_000.0  # the first ejection; it doubles with each one in a row
+BASE_EJECTION_MS = 1_000.0  # duration of the first ejection; doubles with each consecutive one
 MAX_EJECTION_DOUBLINGS = 5
-MAX_EJECTED_SHARE = 0.5  # of the servers may be ejected at once
-EJECTION_LOG_ODDS = math.log(30.0)  # from which a server is ejected for its errors
-SUSPECT_ERROR_RATE = 0.5  # the alternative that a server's errors are tested for
-MIN_ERROR_RATE = 0.01  # the baseline error rate is taken for at least this
-IDLE_DECREASE = 0.5  # factor on the trusted idle time after losses on idle connections
-IDLE_INCREASE = 1.03  # and after each answer
+MAX_EJECTED_SHARE = 0.5  # servers are ejected for errors only while less than this share is ejected
+EJECTION_LOG_ODDS = math.log(30.0)  # log odds of failure at which a server is ejected
+SUSPECT_ERROR_RATE = 0.5  # error rate of a failing server, the alternative hypothesis of the test
+MIN_ERROR_RATE = 0.01  # lower bound of the baseline error rate used in the test
+IDLE_DECREASE = 0.5  # factor on the trusted idle time after a loss on an idle connection
+IDLE_INCREASE = 1.03  # factor on the trusted idle time after an answer on an idle connection
 
 
 class OutlierDetector:
-    """The baseline of delays and errors, and each server against it."""
+    """Keeps the baseline of delays and errors, and compares each server with it."""
 
     def __init__(self, classes: Iterable[api.RequestClass], rng: random.Random) -> None:
         self._rng = rng
-        self._targets_ms: dict[str, float] = {}  # latency targets, also of classes that were removed
+        self._targets_ms: dict[str, float] = {}  # latency targets by class, also of removed classes
         self.set_classes(classes)
-        self.baseline_share = 0.0  # mean delay over its latency target
-        self.samples = 0.0  # of how many answers
-        self._error_rate = 0.0  # of all servers, lately
-        self.ejected_count = 0  # managed servers that are ejected
-        self.idle_ms = math.inf  # idle time from which a connection is closed before use
-        self._lost_idle_ms = math.inf  # idle time of the last loss
+        self.baseline_share = 0.0  # mean ratio of a delay to its latency target
+        self.samples = 0.0  # number of answers in that mean, up to BASELINE_SAMPLES
+        self._error_rate = 0.0  # recent error rate of all servers
+        self.ejected_count = 0  # assigned servers that are ejected
+        self.max_idle_ms = math.inf  # trusted idle time; connections idle for longer are closed before use
+        self._lost_idle_ms = math.inf  # shortest idle time of a loss that no answer has contradicted since
 
     def set_classes(self, classes: Iterable[api.RequestClass]) -> None:
-        """Take new classes; removed ones are kept for their open requests."""
+        """Set the classes; removed classes are kept for their open requests."""
         self._targets_ms |= {cls.name: cls.aim_ms for cls in classes}
 
     def baseline_ms(self, name: str) -> float:
-        """How long a call of a class usually takes."""
+        """The usual delay of a class, in ms."""
         return self.baseline_share * self._targets_ms[name]
 
     def _slowness(self, server: Server, now: float) -> float:
         return 1.0 + (server.slowness - 1.0) * math.exp((server.slowness_ms - now) / SLOWNESS_DECAY_MS)
 
     def health_factor(self, server: Server, now: float) -> float:
-        """The factor on a server's weight: below 1 where it is slow, or keeps a call waiting."""
-        # A silent, hung or choked server shows by its oldest outstanding call long before a timeout does. Not
-        # by one that later ones overtook: it is the connection that died, or that call alone that is long.
-        # sulcast-porto-alegre 3646: two dead connections kept two sound servers of four from work for 6 s. It
-        # hides a server that answers few and loses the rest, until these time out.
+        """The factor on a server's weight: below 1 if it is slow, has an overdue call or reports a queue."""
+        # The oldest outstanding call reveals a silent, hung or overloaded server long before a timeout. Calls
+        # that later ones have overtaken are skipped: their connection died, or they alone are long. In
+        # sulcast-porto-alegre, seed 3646, two dead connections kept two of four healthy servers idle for 6 s.
+        # The drawback: a server that answers few calls and loses the rest is found only by their timeouts.
         slowness = self._slowness(server, now) if server.slowness > SLOW_FACTOR else SLOW_FACTOR
         baseline = self.baseline_share
         if baseline:
@@ -80,16 +81,16 @@
         return factor / (1.0 + queue) ** 3
 
     def eject(self, server: Server, now: float) -> None:
-        """Eject a server for a while, longer each time in a row, with jitter; it then returns by itself."""
+        """Eject a server for a time that doubles with each consecutive ejection, with jitter."""
         if now >= server.ejected_until_ms:
             backoff_ms = BASE_EJECTION_MS * 2.0 ** min(server.ejections, MAX_EJECTION_DOUBLINGS)
             server.ejected_until_ms = now + backoff_ms * (0.5 + self._rng.random())
             server.ejections += 1
 
-    def record_delay(self, server: Server, sent: Sent, ms: float, served: bool, now: float) -> None:
-        """Take the delay of an attempt that was served, or timed out, into the baseline and the slowness."""
+    def record_delay(self, server: Server, sent: Sent, delay_ms: float, served: bool, now: float) -> None:
+        """Update the baseline and the server's slowness with an attempt that was served or timed out."""
         sent_ms, aim_ms = sent
-        share = ms / aim_ms
+        share = delay_ms / aim_ms
         self.samples = min(self.samples + 1.0, BASELINE_SAMPLES)
         self.baseline_share += (share - self.baseline_share) / self.samples
         if self.baseline_share and (served or sent_ms >= server.latest_served_ms):
@@ -100,16 +101,23 @@
             server.slowness_ms = now
 
     def record_idle_result(self, idle_ms: float, result: Result) -> None:
-        """Two losses on idle connections, none served that idled as long: close such before use."""
+        """Update the trusted idle time with the result of an attempt on a connection that was idle.
+
+        It is lowered after two losses without an answer on a connection idle for as long between them, as one
+        loss may be chance.
+        """
         if result in (Result.TIMEOUT, Result.RESET):
-            self.idle_ms = min(self.idle_ms, IDLE_DECREASE * max(idle_ms, self._lost_idle_ms))
+            self.max_idle_ms = min(self.max_idle_ms, IDLE_DECREASE * max(idle_ms, self._lost_idle_ms))
             self._lost_idle_ms = min(self._lost_idle_ms, idle_ms)
         elif result is Result.SERVED:
-            self.idle_ms *= IDLE_INCREASE
+            self.max_idle_ms *= IDLE_INCREASE
             self._lost_idle_ms = math.inf if idle_ms >= self._lost_idle_ms else self._lost_idle_ms
 
     def record_result(self, server: Server, result: Result, assigned: int, now: float) -> None:
-        """Adapt a server's concurrency limit, and eject it if it fails; `assigned` servers there are."""
+        """Adapt a server's concurrency limit, and eject it if it is down or fails too often.
+
+        :param assigned: the number of servers assigned to this node
+        """
         if result in (Result.REFUSED, Result.UNREACHABLE):
             limit = min(server.concurrency_limit, float(server.inflight)) * CONCURRENCY_DECREASE
             server.concurrency_limit = max(1.0, limit)
@@ -121,7 +129,8 @@
             self._record_error(server, result is not Result.SERVED, assigned, now)
 
     def _record_error(self, server: Server, failed: bool, assigned: int, now: float) -> None:
-        # Fast errors look like low delay: weigh failing half its calls against failing like its peers.
+        # A fast error looks like a low delay, so errors are judged on their own, by a sequential test:
+        # does the server fail half of its calls, or as many as its peers?
         baseline = max(MIN_ERROR_RATE, min(self._error_rate, SUSPECT_ERROR_RATE))
         self._error_rate += (failed - self._error_rate) / BASELINE_SAMPLES
         if failed:
@@ -132,6 +141,6 @@
         if server.error_log_odds >= EJECTION_LOG_ODDS:
             if self.ejected_count < MAX_EJECTED_SHARE * assigned:
                 self.eject(server, now)
-            server.error_log_odds = EJECTION_LOG_ODDS / 2.0  # on its return it is on probation
+            server.error_log_odds = EJECTION_LOG_ODDS / 2.0  # after its return it takes less evidence
         elif not server.error_log_odds:
             server.ejections = 0
--- a/orchidferry/balancing/picker.py
+++ b/orchidferry/balancing/picker.py
@@ -1,7 +1,7 @@
-"""Picking servers: first attempts by weighted rotation, retries to the least loaded of their group.
+"""Selection of servers: first attempts by weighted rotation, repeats to the least loaded of their group.
 
-Nothing here walks all servers: what changes with time is checked in turn, when its time comes, or when its
-server comes up in the rotation; what an event changes, with that event.
+No operation iterates over all servers. What an event changes is updated with that event. What changes with
+time is updated by a timer, by a periodic review, or when the server's turn comes in the rotation.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from orchidferry.balancing.server_set import CHANGES_PER_STEP, ServerSet
 from orchidferry.balancing.slow_start import SLOW_START_CHECK_MS, SlowStart
 
-CROWDED_FACTOR = 1.2  # a server with so many times its part of what is outstanding, and one more, is crowded
-MAX_REVIEWS = 4.0  # servers whose weight varies that are reviewed with a request, at most,
-REVIEWS_PER_MS = 1.0  # and how many passing time allows: the same evidence decays for however many requests
-WEIGHT_TOLERANCE = 0.03  # of a weight: a change up to this is left for later
+FAIR_SHARE_FACTOR = 1.2  # a server is overloaded above 1 + this factor times its share of outstanding calls
+MAX_REVIEWS = 4.0  # most servers of varying weight that are reviewed on one request
+REVIEWS_PER_MS = 1.0  # rate limit of those reviews: weights change with time, however many requests come
+WEIGHT_TOLERANCE = 0.03  # relative change of a weight up to which the schedule keeps the old one
 
 
 class Picker:
-    """This copy's servers in their rotation, each with its present weight."""
+    """The weighted rotation of the servers assigned to this node."""
 
     def __init__(
         self,
@@ -40,16 +40,20 @@
         self._outliers = outliers
         self._outstanding = outstanding
         self.schedule: Schedule[Server] = Schedule()
-        self.varying: dict[int, Server] = {}  # whose weight varies with time, in the order of their reviews
-        self._reviews = 0.0  # of them that may be made,
-        self._review_ms = 0.0  # as of when
-        self._checks: list[tuple[float, int, Server]] = []  # a heap of times at which a server is checked
-        # A heap of crowded servers: the fair share at which each is no more, its order, version and itself
-        self._crowded: list[tuple[float, int, int, Server]] = []
-        self.now = 0.0  # of the event at hand
+        self.varying: dict[int, Server] = {}  # servers whose weight varies with time, next review first
+        self._reviews = 0.0  # reviews that may be made now, a token count
+        self._review_ms = 0.0  # time at which that count was updated
+        self._checks: list[tuple[float, int, Server]] = []  # heap of (time, order, server to update then)
+        # Heap of overloaded servers: (fair share above which one is not overloaded, order, overload_version,
+        # server)
+        self._overloaded: list[tuple[float, int, int, Server]] = []
+        self.now = 0.0  # time of the event that is being handled
 
     def refresh(self, now: float, review: bool) -> None:
-        """Bring up to date what time has changed, in bounded steps."""
+        """Update what has changed with time, in a bounded number of steps.
+
+        :param review: whether servers of varying weight may be reviewed
+        """
         self.now = now
         if now >= self._outstanding.next_check_ms:
             for server in self._outstanding.collect_slow(now):
@@ -59,12 +63,15 @@
             if server.next_check_ms <= now:
                 server.next_check_ms = math.inf
             self.update_state(server)
-        # First all that are due, then each once: an update changes the fair share, and may crowd it again.
+        # Collects all that are due before updating any: an update changes the fair share, and may push the
+        # server onto the heap again.
         due = []
         fair = self.fair_share()
-        while self._crowded and ((top := self._crowded[0])[0] < fair or top[2] != top[3].crowded_version):
-            heapq.heappop(self._crowded)
-            if top[2] == top[3].crowded_version:
+        while self._overloaded and (
+            (top := self._overloaded[0])[0] < fair or top[2] != top[3].overload_version
+        ):
+            heapq.heappop(self._overloaded)
+            if top[2] == top[3].overload_version:
                 due.append(top[3])
         for server in due:
             self.update_state(server)
@@ -77,17 +84,17 @@
         while self._reviews >= 1.0 and self.varying:
             server = next(iter(self.varying.values()))
             self._reviews -= 1.0
-            self.varying[server.id] = self.varying.pop(server.id)  # to the end of the queue
+            self.varying[server.id] = self.varying.pop(server.id)  # move to the end of the queue
             self.update_weight(server, True)
 
     def fair_share(self) -> float:
-        """Outstanding calls that a server may have for each unit of weight, beyond one call."""
+        """Outstanding calls per unit of weight that a server may have, in addition to one call."""
         weight = self._server_set.weight
-        return CROWDED_FACTOR * self._outstanding.inflight / weight if weight > 0.0 else math.inf
+        return FAIR_SHARE_FACTOR * self._outstanding.inflight / weight if weight > 0.0 else math.inf
 
-    def part_changed(self, server: Server) -> None:
-        """A server came to this copy's part, left it, or has another weight there."""
-        if server.part > 0.0 and server.in_service:
+    def assignment_changed(self, server: Server) -> None:
+        """Update a server that was assigned to this node, is no longer, or has a new assigned share."""
+        if server.assigned_share > 0.0 and server.in_service:
             if not server.managed:
                 server.managed = True
                 self._outstanding.lost_count += len(server.overtaken)
@@ -99,7 +106,7 @@
             server.ejected = False
             self._set_counted_weight(server, 0.0)
             self._set_varying(server, False)
-            server.crowded_version += 1
+            server.overload_version += 1
             self.schedule.set_state(server.member, RotationState.REMOVED)
 
     def _set_counted_weight(self, server: Server, weight: float) -> None:
@@ -115,22 +122,25 @@
                 del self.varying[server.id]
 
     def update_weight(self, server: Server, review: bool = False) -> None:
-        """Give a server its present weight."""
+        """Recompute the weight of a server.
+
+        :param review: this is a periodic review; the state is updated only if the weight changes
+        """
         if not server.managed:
             return
         now = self.now
         health = self._outliers.health_factor(server, now)
-        weight = server.part * self._slow_start.capacity_share(server, now) * health
-        self._set_varying(server, weight != server.part)
+        weight = server.assigned_share * self._slow_start.capacity_share(server, now) * health
+        self._set_varying(server, weight != server.assigned_share)
         old = server.member.weight
-        if abs(weight - old) > WEIGHT_TOLERANCE * old or weight == server.part != old:
+        if abs(weight - old) > WEIGHT_TOLERANCE * old or weight == server.assigned_share != old:
             self.schedule.set_weight(server.member, weight)
         elif review and server.member.state is not RotationState.REMOVED:
             return
         self.update_state(server)
 
     def update_state(self, server: Server) -> RotationState:
-        """Put a server where it belongs now: in the rotation, in the fallback, or in neither."""
+        """Put a server into the rotation, the fallback or neither, by its present condition."""
         if not server.managed:
             return RotationState.REMOVED
         ejected = self.now < server.ejected_until_ms
@@ -151,8 +161,8 @@
         elif ejected:
             state = RotationState.FALLBACK
         elif (needed := (inflight - 1.0) / weight if weight > 0.0 else math.inf) >= self.fair_share():
-            state = RotationState.FALLBACK  # slow or stuck servers show first by the calls that they have
-            self._watch_crowded(server, needed)
+            state = RotationState.FALLBACK  # a slow or stuck server is first seen by its outstanding calls
+            self._watch_overloaded(server, needed)
         else:
             state = RotationState.ACTIVE
         if counted != server.counted_weight:
@@ -162,17 +172,17 @@
         return state
 
     def _out_of_tokens(self, server: Server) -> bool:
-        """Whether a server is in slow start and may get no attempt from this copy now."""
+        """Whether a server is in slow start and has no tokens left for an attempt from this node."""
         share = self._slow_start.capacity_share(server, self.now)
         return share < 1.0 and self._slow_start.available_tokens(server, share, self.now) < 1.0
 
-    def _watch_crowded(self, server: Server, needed: float) -> None:
-        """Update a server again once the fair share is above what it needs."""
-        server.crowded_version += 1
-        heapq.heappush(self._crowded, (needed, server.member.order, server.crowded_version, server))
-        if len(self._crowded) > 2 * len(self._server_set.assigned) + CHANGES_PER_STEP:
-            self._crowded = [entry for entry in self._crowded if entry[2] == entry[3].crowded_version]
-            heapq.heapify(self._crowded)
+    def _watch_overloaded(self, server: Server, needed: float) -> None:
+        """Update an overloaded server again once the fair share is above `needed`."""
+        server.overload_version += 1
+        heapq.heappush(self._overloaded, (needed, server.member.order, server.overload_version, server))
+        if len(self._overloaded) > 2 * len(self._server_set.assigned) + CHANGES_PER_STEP:
+            self._overloaded = [entry for entry in self._overloaded if entry[2] == entry[3].overload_version]
+            heapq.heapify(self._overloaded)
 
     def _schedule_check(self, server: Server, at_ms: float) -> None:
         if at_ms < server.next_check_ms:
@@ -180,20 +190,20 @@
             heapq.heappush(self._checks, (at_ms, server.member.order, server))
 
     def attempt_ended(self, server: Server) -> None:
-        """An attempt on a server has ended, and its outcome was recorded."""
+        """Update a server after the outcome of an attempt was recorded."""
         if server.varies or server.slowness > SLOW_FACTOR or server.reported_queue:
             self.update_weight(server)
         elif server.member.state is not RotationState.ACTIVE or self.now < server.ejected_until_ms:
             self.update_state(server)
 
     def slow_start_changed(self) -> None:
-        """The settings on slow start have changed: weights of warming servers change with them."""
+        """Recompute the weights of warming servers after a change of the slow start settings."""
         for server in self._server_set.assigned.values():
             if server.started_ms is not None:
                 self.update_weight(server)
 
     def pick(self, call: Call) -> Server | None:
-        """The server for the call's next attempt; None if none may have it now."""
+        """The server for the call's next attempt; None if no server can take it now."""
         if call.may_have_run_ms is not None:
             return self._pick_for_retry(call)
         schedule = self.schedule
@@ -205,7 +215,7 @@
                 continue
             if server is not call.last_server or schedule.active_count == 1:
                 break
-            skipped = member  # elsewhere than last time, where there is a choice
+            skipped = member  # prefer another server than that of the last attempt
             schedule.set_state(member, RotationState.REMOVED)
         if member is None:
             member = skipped or self._pick_fallback(call)
@@ -220,7 +230,7 @@
         return member.item
 
     def _pick_fallback(self, call: Call) -> Member[Server] | None:
-        """Where nobody is in the rotation: the next of those that are crowded or ejected."""
+        """The next of the overloaded and ejected servers, for when the rotation is empty."""
         schedule = self.schedule
         skipped = None
         while (member := schedule.peek_fallback()) is not None:
@@ -235,7 +245,7 @@
         return member or skipped
 
     def _pick_for_retry(self, call: Call) -> Server | None:
-        """For a call that may have run: the least loaded of its group, or of some of a large one."""
+        """The least loaded server that may repeat a call that may have run; a sample of a large group."""
         now = self.now
         fair = self.fair_share()
         best = None
@@ -247,7 +257,7 @@
             if out_of_tokens or server.inflight >= server.concurrency_limit:
                 continue
             health = self._outliers.health_factor(server, now)
-            weight = (server.part or server.share) * share * health
+            weight = (server.assigned_share or server.share) * share * health
             if weight <= 0.0:
                 continue
             has_capacity = server.inflight < 1.0 + fair * weight and now >= server.ejected_until_ms
--- a/orchidferry/balancing/server_set.py
+++ b/orchidferry/balancing/server_set.py
@@ -1,4 +1,4 @@
-"""The server set: which servers are listed, which part of them is this copy's, and what is known of each."""
+"""The server set: the servers that are listed, those assigned to this node, and what is known of each."""
 
 from __future__ import annotations
 
@@ -12,65 +12,74 @@
 from orchidferry.balancing.records import Call, Server
 from orchidferry.balancing.subset import Slices
 
-SLICES = 4  # of the service, each cut evenly among all copies: few servers, so that a copy sees each often
-MAX_RETRY_CANDIDATES = 16  # servers drawn of a larger group, among which a retry's server is picked
-MAX_UNASSIGNED = 256  # servers beyond its own part that a copy remembers, as retries went there
-CHANGES_PER_STEP = 64  # changes of a long list that one event applies,
-PARTS_PER_STEP = 128  # and servers whose parts it updates
-MAX_NARROW = 1_000  # servers up to which a list change brings a copy back to its first slices
-REBUILD_SHARE = 0.125  # of all members: a larger change cuts the slices anew, in steps
-MAX_SORTED = 20_000  # members that one event may sort
+SLICES = 4  # slices that a node normally uses: few servers, so that the node sees each of them often
+MAX_RETRY_CANDIDATES = 16  # size of the random sample of a large group from which a repeat's server is picked
+MAX_UNASSIGNED = 256  # unassigned servers whose records are kept, as calls were repeated there
+CHANGES_PER_STEP = 64  # changes of a long list that are applied to the slices per event
+ASSIGNMENTS_PER_STEP = 128  # servers whose assigned share is updated per event
+MAX_NARROW = 1_000  # largest service for which a list change returns a node to its first SLICES slices
+REBUILD_SHARE = 0.125  # share of all members above which a change recomputes the slices, in steps
+MAX_SORTED = 20_000  # members that are sorted per event
 
 
 class ServerSet:
-    """The server list as last received, and this copy's part of it; a change costs what it changes.
+    """The server list as last received, and the servers of it that are assigned to this node.
 
-    `part_changed` is called with each server whose part of this copy's changed, to 0 as well. A long list is
-    applied in steps; what drains or is gone counts at once.
+    The cost of an update grows with the number of changed servers, not with the size of the list. A long list
+    is applied in steps, but a server that drains or is gone gets no more calls at once.
     """
 
-    def __init__(self, settings: api.Settings, rng: Random, part_changed: Callable[[Server], None]) -> None:
+    def __init__(
+        self, settings: api.Settings, rng: Random, assignment_changed: Callable[[Server], None]
+    ) -> None:
+        """Create an empty set.
+
+        :param assignment_changed: called with each server whose assigned share changed, also to 0
+        """
         self._nodes = settings.nodes
         self._rng = rng
-        self._part_changed = part_changed
-        self.entries: dict[int, api.ServerEntry] = {}  # all that are listed
-        self.servers: dict[int, Server] = {}  # those of which something is known
-        self.assigned: dict[int, Server] = {}  # those in service that are this copy's to use
+        self._assignment_changed = assignment_changed
+        self.entries: dict[int, api.ServerEntry] = {}  # all listed servers
+        self.servers: dict[int, Server] = {}  # records of the servers that this node has used or may use
+        self.assigned: dict[int, Server] = {}  # servers in service that are assigned to this node
         self.in_service_ids = IndexedSet()
         self._groups: dict[Group, dict[str | int | None, IndexedSet]] = {}
         self.update_groups(settings)
-        self.weight = 0.0  # of all assigned servers that may be picked, kept by difference
+        self.weight = 0.0  # sum of `counted_weight` of all servers, updated incrementally
         self.slices = Slices(settings.number, settings.nodes)
         self._target_slices = SLICES
         self.slices.widen(SLICES)
-        self._last_order = 0  # of the servers known so far
-        self._rebuild = False  # so much has changed that the slices are cut anew
-        self._changed: dict[int, None] = {}  # members of which the slices don't know yet
-        self._new_parts: dict[int, float] = {}  # parts of which their servers don't know yet
+        self._last_order = 0  # `order` of the server record created last
+        self._rebuild = False  # so much has changed that the slices are recomputed
+        self._changed: dict[int, None] = {}  # ids of changed servers that are not yet applied to the slices
+        self._pending_shares: dict[int, float] = {}  # assigned shares that are not yet set on their servers
 
     @property
     def slice_size(self) -> float:
-        """How many servers one slice is worth."""
+        """The number of servers, possibly fractional, in one slice."""
         return len(self.in_service_ids) / self._nodes
 
     def apply(self, update: api.ServerList) -> None:
-        """Take changes, or a complete list that replaces the old one; `apply_step` does the rest."""
+        """Apply changes, or a complete list that replaces the old one.
+
+        The assigned shares follow in `apply_step`.
+        """
         if update.kind is not ListKind.CHANGES:
             listed = {entry.server for entry in update.entries}
             for id in [id for id in self.entries if id not in listed]:
                 self._set_entry(id, None)
         for entry in update.entries:
             self._set_entry(entry.server, None if entry.health is Health.GONE else entry)
-        # Where this copy takes all of every member nothing is cut, and one change costs next to nothing.
+        # Where all of every server is assigned to this node there are no slices to compute.
         max_changes = max(CHANGES_PER_STEP, REBUILD_SHARE * len(self.slices.shares))
         if len(self._changed) > max_changes and not self.slices.complete:
             self._rebuild = True
         if self._target_slices > SLICES and len(self.in_service_ids) <= MAX_NARROW:
             self._target_slices = SLICES
-            self._new_parts.update(self.slices.widen(SLICES))
+            self._pending_shares.update(self.slices.widen(SLICES))
 
     def _set_entry(self, id: int, entry: api.ServerEntry | None) -> None:
-        """One server is listed like this from now on, or not any more."""
+        """Set the list entry of a server; None if it is no longer listed."""
         old = self.entries.get(id)
         if entry == old:
             return
@@ -91,13 +100,13 @@
                 self._update_groups_of(entry, True)
         if id in self.assigned:
             if not in_service:
-                self.assigned.pop(id).part = 0.0
+                self.assigned.pop(id).assigned_share = 0.0
             if server is not None:
-                self._part_changed(server)
+                self._assignment_changed(server)
         self._changed[id] = None
 
     def update_groups(self, settings: api.Settings) -> None:
-        """Keep the groups that these classes need; a new kind is made from all that are in service."""
+        """Create the groups that the classes of the settings need, from all servers in service."""
         kinds = {cls.group for cls in settings.classes if cls.repeat is Repeat.KEYED}
         for kind in (Group.ZONE, Group.CELL):
             if kind in kinds and kind not in self._groups:
@@ -117,65 +126,68 @@
             (members.add if added else members.remove)(entry.server)
 
     def apply_step(self, now: float) -> bool:
-        """Apply a step of what has changed; whether more is left."""
+        """Apply a step of the pending changes, and return whether more are left."""
         if self._rebuild:
             self._rebuild_slices()
         elif self.slices.slices < min(self._target_slices, self._nodes):
             more = min(self._target_slices, self.slices.slices + self._max_orders())
-            self._new_parts.update(self.slices.widen(more))
+            self._pending_shares.update(self.slices.widen(more))
         elif self._changed:
-            step = PARTS_PER_STEP if self.slices.complete else CHANGES_PER_STEP
+            step = ASSIGNMENTS_PER_STEP if self.slices.complete else CHANGES_PER_STEP
             for id in list(itertools.islice(self._changed, step)):
                 del self._changed[id]
-                self._new_parts.update(self.slices.change(id, self._share(id)))
-                # It left and came back before the slices knew of either: its part is as it was.
-                if id not in self.assigned and id in self.slices.parts:
-                    self._new_parts[id] = self.slices.parts[id]
-        for id in list(itertools.islice(self._new_parts, PARTS_PER_STEP)):
-            self._set_part(id, self._new_parts.pop(id), now)
+                self._pending_shares.update(self.slices.change(id, self._share(id)))
+                # The server left and came back before the slices were updated: its share is as before.
+                if id not in self.assigned and id in self.slices.assigned_shares:
+                    self._pending_shares[id] = self.slices.assigned_shares[id]
+        for id in list(itertools.islice(self._pending_shares, ASSIGNMENTS_PER_STEP)):
+            self._assign(id, self._pending_shares.pop(id), now)
         widening = self.slices.slices < min(self._target_slices, self._nodes)
-        return bool(self._changed or self._new_parts or widening)
+        return bool(self._changed or self._pending_shares or widening)
 
     def _rebuild_slices(self) -> None:
         self._rebuild = False
         self._changed.clear()
-        self._new_parts.clear()
+        self._pending_shares.clear()
         self._target_slices = SLICES
         shares = {id: max(self.entries[id].share, 0.0) for id in self.in_service_ids.items}
         self.slices.reset(shares, min(SLICES, self._max_orders()))
-        old = {id: server.part for id, server in self.assigned.items()}
-        self._new_parts.update((id, 0.0) for id in old if id not in self.slices.parts)
-        self._new_parts.update((id, part) for id, part in self.slices.parts.items() if old.get(id) != part)
-
-    def _max_orders(self) -> int:  # that are cut at once: sorting 10,000 takes some milliseconds
+        old = {id: server.assigned_share for id, server in self.assigned.items()}
+        self._pending_shares.update((id, 0.0) for id in old if id not in self.slices.assigned_shares)
+        self._pending_shares.update(
+            (id, share) for id, share in self.slices.assigned_shares.items() if old.get(id) != share
+        )
+
+    def _max_orders(self) -> int:
+        """The number of orders to sort per event: sorting 10,000 servers takes some milliseconds."""
         return max(1, MAX_SORTED // max(1, len(self.in_service_ids)))
 
     def widen(self) -> None:
-        """Use twice the slices: a hot caller needs more of the service.
+        """Double the slices, as a node with much traffic needs more of the service.
 
-        Not more, as many copies going round all servers need more connections than they accept.
+        Not further: many nodes that use all servers need more connections than the servers accept.
         """
         self._target_slices = min(2 * self.slices.slices, self._nodes)
 
     def may_widen(self) -> bool:
-        """Whether there are more slices to use, and none is being added."""
+        """Whether more slices can be added, and an earlier widening is complete."""
         return self.slices.slices == self._target_slices < self._nodes
 
     def _share(self, id: int) -> float | None:
         entry = self.entries.get(id)
         return max(entry.share, 0.0) if entry is not None and entry.health is Health.IN_SERVICE else None
 
-    def _set_part(self, id: int, part: float, now: float) -> None:
-        if part > 0.0 and self._share(id) is not None:
+    def _assign(self, id: int, share: float, now: float) -> None:
+        if share > 0.0 and self._share(id) is not None:
             server = self.assigned[id] = self.get_or_create(id, now)
-            server.part = part
-            self._part_changed(server)
+            server.assigned_share = share
+            self._assignment_changed(server)
         elif (removed := self.assigned.pop(id, None)) is not None:
-            removed.part = 0.0
-            self._part_changed(removed)
+            removed.assigned_share = 0.0
+            self._assignment_changed(removed)
 
     def get_or_create(self, id: int, now: float) -> Server:
-        """The record of a listed server; also of one that is another copy's, where a retry can go too."""
+        """The record of a listed server; also of an unassigned one, as calls may be repeated there."""
         server = self.servers.get(id)
         if server is None:
             if len(self.servers) > len(self.assigned) + MAX_UNASSIGNED:
@@ -187,7 +199,7 @@
         return server
 
     def retry_candidates(self, call: Call) -> list[int]:
-        """Where a call that may have run can still go to; of a large group some, drawn at random."""
+        """The servers that may repeat a call that may have run; a random sample of a large group."""
         candidates: IndexedSet | None = self.in_service_ids
         if call.repeat_group is not None:
             candidates = self._groups.get(call.cls.group, {}).get(call.repeat_group)
--- a/orchidferry/balancing/settings.py
+++ b/orchidferry/balancing/settings.py
@@ -1,6 +1,6 @@
-"""Reading settings: checked access to JSON objects, and the start-up settings of a node.
+"""Reads the start-up settings of a node, with checked access to JSON objects.
 
-Used by the simulator's adapter and by the node in service, which find the same object in different places.
+The simulator adapter and the real node both use this, as they receive the same object in different ways.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 REPEATS = {"retryable": api.Repeat.SAFE, "dedup": api.Repeat.KEYED, "fragile": api.Repeat.UNSAFE}
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-KINDS: dict[type | tuple[type, ...], str] = {
+TYPE_NAMES: dict[type | tuple[type, ...], str] = {
     str: "a string",
     bool: "true or false",
     int: "a whole number",
@@ -28,40 +28,40 @@
 
 
 class SettingsFormatError(OrchidferryError):
-    """Input that does not follow its format; the text names the key."""
+    """Malformed input; the text names the key."""
 
 
 def get(obj: Json, key: str, kind: type | tuple[type, ...]) -> Any:
-    """A value of a type that must be there, finite if it is a number.
+    """A required value of the given type.
 
-    :raises SettingsFormatError: it is missing or of another type
+    :raises SettingsFormatError: it is missing, of another type, or a number that is not finite
     """
     try:
         value = obj[key]
     except KeyError:
         raise SettingsFormatError(f"{key!r} is missing") from None
     if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-        raise SettingsFormatError(f"{key!r} must be {KINDS[kind]}, not {value!r:.60}")
+        raise SettingsFormatError(f"{key!r} must be {TYPE_NAMES[kind]}, not {value!r:.60}")
     if isinstance(value, float) and not math.isfinite(value):
         raise SettingsFormatError(f"{key!r} must be a finite number, not {value!r}")
     return value
 
 
 def get_optional(obj: Json, key: str, kind: type | tuple[type, ...], default: Any) -> Any:
-    """A value of a type, or the default where it is missing or null."""
+    """A value of the given type, or the default if it is missing or null."""
     return default if obj.get(key) is None else get(obj, key, kind)
 
 
-def get_choice(obj: Json, key: str, words: dict[Any, T], kind: type = str) -> T:
-    """What a value that must be one of the keys of `words` stands for."""
+def get_choice(obj: Json, key: str, table: dict[Any, T], kind: type = str) -> T:
+    """The entry of `table` for a required value, which must be one of its keys."""
     value = get(obj, key, kind)
-    if value not in words:
-        raise SettingsFormatError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, words))}")
-    return words[value]
+    if value not in table:
+        raise SettingsFormatError(f"{key!r} is {value!r:.60}, which is none of {', '.join(map(str, table))}")
+    return table[value]
 
 
 def get_objects(obj: Json, key: str) -> list[Json]:
-    """An array of objects that must be there."""
+    """A required array of objects."""
     values: list[Json] = get(obj, key, list)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
@@ -70,7 +70,7 @@
 
 
 def read_settings(env: Json) -> api.Settings:
-    """Translate the start-up settings of the wire; unknown keys are ignored.
+    """Read the start-up settings from their JSON object; unknown keys are ignored.
 
     :raises SettingsFormatError: a key is missing or has a value of another type
     :raises ValueError: a value is out of range
@@ -126,7 +126,7 @@
 
 
 def _read_permissions(permissions: Json) -> Json:
-    """The fields of the settings that say what a node may do."""
+    """The fields of `Settings` that state what a node may do."""
     return {
         "max_attempts": get(permissions, "max_attempts", int),
         "parallel_attempts": get_optional(permissions, "parallel_tries", bool, False),
@@ -142,7 +142,7 @@
 
 
 def _read_rules(rules: Json) -> Json:
-    """The fields of the settings that say what a node must keep to."""
+    """The fields of `Settings` that state the rules a node must follow."""
     return {
         "answer_slack_ms": get_optional(rules, "answer_slack_ms", NUMBER, 0.0),
         "drain_grace_ms": get(rules, "stop_sending_within_ms", NUMBER),
--- a/orchidferry/balancing/subset.py
+++ b/orchidferry/balancing/subset.py
@@ -1,10 +1,10 @@
-"""Deterministic subsetting, updated incrementally; the caller decides how many slices a copy takes.
+"""Deterministic subsetting, updated incrementally; the caller decides how many slices a node uses.
 
-A copy takes one slice each of so many shuffles of all members; a slice is 1/nodes of the whole, so that all
-copies together use every member in proportion to its share. Each shuffle is the same at every copy that knows
-the same members: an order by hash (Google's subsetting shuffles round by round; here members keep their place
-when others come and go, as in consistent hashing). One member more or less moves the ends of a slice by less
-than a member, wherever it stands.
+All members are put into several pseudo-random orders, and a node uses one slice of each. A slice is 1/nodes
+of an order by cumulative share, so that all nodes together use every member in proportion to its share. An
+order is by hash, so that it is the same at all nodes that know the same members. (Google's subsetting
+shuffles in rounds; here members keep their place when others come and go, as in consistent hashing.) Adding
+or removing a member, wherever it is in the order, moves the ends of a slice by less than one member.
 """
 
 from __future__ import annotations
@@ -13,43 +13,54 @@
 from collections.abc import Iterable
 from random import Random
 
-BLOCK = 256  # members of a block of an order, at most twice as many: what a change or a search reads
-MIN_PART = 1e-9  # of a member: less is what rounding leaves at the end of a slice
+BLOCK = 256  # members of a block of an order, split above twice as many; a change or search reads one block
+MIN_ASSIGNED_SHARE = 1e-9  # portions of a member up to this are rounding errors at the ends of a slice
 
 
-def _factor(number: int) -> int:
-    """The factor of the hash of the n-th order."""
+def _hash_factor(number: int) -> int:
+    """The factor by which the order of this number hashes its members."""
     return Random(number).getrandbits(32) | 1
 
 
 def _overlap(position: float, share: float, start: float, end: float) -> float:
-    """How much of a member that begins at `position` lies within a range; exactly its share if all does."""
+    """The portion of a member that is within a range; exactly `share` if the member is within completely.
+
+    :param position: the cumulative share at which the member begins
+    """
     if position >= start and position + share <= end:
         return share
     return max(0.0, min(position + share, end) - max(position, start))
 
 
 class Order:
-    """All members in one order, with their shares, and this copy's slice of it."""
+    """All members in one order, with their shares, and this node's slice of it."""
+
+    def __init__(self, number: int, node: int, nodes: int, shares: dict[int, float]) -> None:
+        """Create an order.
 
-    def __init__(self, number: int, copy: int, copies: int, shares: dict[int, float]) -> None:
-        self._factor = _factor(number)
-        self._copy = copy
-        self._copies = copies
+        :param number: the number of the order, which determines its hash
+        :param node: the number of this node, from 0
+        :param nodes: the number of nodes
+        :param shares: the shares of all members, which the caller keeps up to date
+        """
+        self._hash_factor = _hash_factor(number)
+        self._node = node
+        self._nodes = nodes
         self._shares = shares
         members = sorted(shares, key=self._key)
         self._blocks = [members[position : position + BLOCK] for position in range(0, len(members), BLOCK)]
         self._sums = [sum(shares[m] for m in block) for block in self._blocks]
         self._total = sum(self._sums)
-        self.taken: dict[int, float] = {}
-        self._slice_ends: tuple[tuple[int, int], tuple[int, int]] | None = None  # keys of the slice's ends
+        self.shares_in_slice: dict[int, float] = {}  # portions of members in this node's slice, above 0
+        # Keys of the first and last member of the slice
+        self._slice_ends: tuple[tuple[int, int], tuple[int, int]] | None = None
         self._rebuild()
 
     def _key(self, member: int) -> tuple[int, int]:
-        return member * self._factor % 2**32, member
+        return member * self._hash_factor % 2**32, member
 
     def _block_of(self, key: tuple[int, int]) -> int:
-        """The block that a key belongs to."""
+        """The index of the block that a key belongs to."""
         low = 0
         high = len(self._blocks) - 1
         while low < high:
@@ -61,9 +72,11 @@
         return low
 
     def change(self, member: int, old_share: float | None, new_share: float | None) -> dict[int, float]:
-        """Add a member (`old_share` None), remove it (`new_share` None) or change its share, as in `shares`.
+        """Add a member (`old_share` None), remove it (`new_share` None) or change its share.
 
-        :returns: the members whose taken part changed, with that part
+        `shares` must hold the new share already.
+
+        :returns: the new portions in the slice, of members for which it changed
         """
         key = self._key(member)
         if not self._blocks:
@@ -85,7 +98,10 @@
         return self._shift_slice(member)
 
     def _find(self, point: float) -> tuple[int, int, float]:
-        """Find a point of the cumulative shares: the block, the index in it, and where that member begins."""
+        """Find the member at a point of the cumulative shares.
+
+        :returns: the index of its block, its index in the block, and the cumulative share at which it begins
+        """
         position = 0.0
         for n, size in enumerate(self._sums):
             if position + size > point or n == len(self._sums) - 1:
@@ -99,13 +115,14 @@
         return 0, 0, 0.0
 
     def _slice(self) -> tuple[float, float]:
-        size = self._total / self._copies
-        return self._copy * size, (self._copy + 1) * size
+        """The start and end of the slice, as cumulative shares."""
+        size = self._total / self._nodes
+        return self._node * size, (self._node + 1) * size
 
     def _walk_forwards(
         self, n: int, index: int, position: float, start: float, end: float
     ) -> Iterable[tuple[int, float]]:
-        """The members from a position on with the part of each within the slice, until it ends."""
+        """The members from a position to the end of the slice, each with its portion in the slice."""
         while n < len(self._blocks):
             block = self._blocks[n]
             while index < len(block):
@@ -120,28 +137,34 @@
             index = 0
 
     def _rebuild(self) -> dict[int, float]:
-        """Cut the slice anew; the members whose part changed, with that part."""
-        before = self.taken
-        self.taken = {}
+        """Recompute the slice.
+
+        :returns: the new portions in the slice, of members for which it changed
+        """
+        before = self.shares_in_slice
+        self.shares_in_slice = {}
         if self._total > 0.0:
             start, end = self._slice()
-            for member, part in self._walk_forwards(*self._find(start), start, end):
-                if part > MIN_PART:
-                    self.taken[member] = part
-        if self.taken:
-            first = next(iter(self.taken))
-            last = next(reversed(self.taken))
+            for member, portion in self._walk_forwards(*self._find(start), start, end):
+                if portion > MIN_ASSIGNED_SHARE:
+                    self.shares_in_slice[member] = portion
+        if self.shares_in_slice:
+            first = next(iter(self.shares_in_slice))
+            last = next(reversed(self.shares_in_slice))
             self._slice_ends = self._key(first), self._key(last)
         else:
             self._slice_ends = None
         return {
-            m: self.taken.get(m, 0.0)
-            for m in (*before, *(m for m in self.taken if m not in before))
-            if before.get(m) != self.taken.get(m)
+            m: self.shares_in_slice.get(m, 0.0)
+            for m in (*before, *(m for m in self.shares_in_slice if m not in before))
+            if before.get(m) != self.shares_in_slice.get(m)
         }
 
     def _shift_slice(self, member: int) -> dict[int, float]:
-        """Move the ends of the slice after a change; the members whose part changed, with that part."""
+        """Move the ends of the slice after a change of one member.
+
+        :returns: the new portions in the slice, of members for which it changed
+        """
         if self._total <= 0.0 or self._slice_ends is None:
             return self._rebuild()
         start, end = self._slice()
@@ -150,22 +173,22 @@
         tail = self._find(end)
         first = self._key(self._blocks[head[0]][head[1]])
         last = self._key(self._blocks[tail[0]][tail[1]])
-        # The changed member itself, and what was taken and lies outside now.
+        # The changed member itself, and members that are no longer in the slice.
         share = self._shares.get(member)
         if share is None:
-            if self.taken.pop(member, None) is not None:
+            if self.shares_in_slice.pop(member, None) is not None:
                 changed[member] = 0.0
-        elif first < self._key(member) < last and self.taken.get(member) != share:
-            self.taken[member] = changed[member] = share
+        elif first < self._key(member) < last and self.shares_in_slice.get(member) != share:
+            self.shares_in_slice[member] = changed[member] = share
         self._drop_outside(first, last, changed)
-        # From each end inwards, until a member is found that is taken completely already.
-        self._update_taken(self._walk_forwards(*head, start, end), changed)
-        self._update_taken(self._walk_backwards(*tail, start, end), changed)
+        # From each end inwards, up to a member that was in the slice completely before.
+        self._update_shares_in_slice(self._walk_forwards(*head, start, end), changed)
+        self._update_shares_in_slice(self._walk_backwards(*tail, start, end), changed)
         self._slice_ends = first, last
         return changed
 
     def _drop_outside(self, first: tuple[int, int], last: tuple[int, int], changed: dict[int, float]) -> None:
-        """Drop what was taken before the new beginning of the slice and after its new end."""
+        """Drop the members before the new first and after the new last member of the slice."""
         assert self._slice_ends is not None
         old_first, old_last = self._slice_ends
         for low, high in ((old_first, first), (last, old_last)):
@@ -177,14 +200,14 @@
                 for m in block[bisect_left(block, low, key=self._key) :]:
                     if self._key(m) > high:
                         break
-                    if not first <= self._key(m) <= last and self.taken.pop(m, None) is not None:
+                    if not first <= self._key(m) <= last and self.shares_in_slice.pop(m, None) is not None:
                         changed[m] = 0.0
                 n += 1
 
     def _walk_backwards(
         self, n: int, index: int, position: float, start: float, end: float
     ) -> Iterable[tuple[int, float]]:
-        """The members backwards from a position with the part of each within the slice, until it begins."""
+        """The members from a position back to the start of the slice, each with its portion in the slice."""
         while n >= 0:
             block = self._blocks[n]
             while index >= 0:
@@ -201,42 +224,46 @@
                 index = len(self._blocks[n]) - 1
                 position -= self._shares[self._blocks[n][index]]
 
-    def _update_taken(self, found: Iterable[tuple[int, float]], changed: dict[int, float]) -> None:
-        for member, part in found:
-            taken_part = self.taken.get(member)
-            if part <= MIN_PART:
-                if taken_part is not None:
-                    del self.taken[member]
+    def _update_shares_in_slice(self, found: Iterable[tuple[int, float]], changed: dict[int, float]) -> None:
+        """Set the portions found, up to a member that was in the slice completely before."""
+        for member, portion in found:
+            old_portion = self.shares_in_slice.get(member)
+            if portion <= MIN_ASSIGNED_SHARE:
+                if old_portion is not None:
+                    del self.shares_in_slice[member]
                     changed[member] = 0.0
                 continue
-            if taken_part is not None and taken_part == part and part == self._shares[member]:
+            if old_portion is not None and old_portion == portion and portion == self._shares[member]:
                 return
-            if taken_part != part:
-                self.taken[member] = changed[member] = part
+            if old_portion != portion:
+                self.shares_in_slice[member] = changed[member] = portion
 
 
 class Slices:
-    """What copy `number` of `nodes` takes of each member: the sum of its slices of several orders.
+    """The share of each member that is assigned to a node: the sum of its slices of several orders.
 
-    With as many slices as copies, each copy takes all of every member.
+    With as many slices as nodes, all of every member is assigned to each node.
     """
 
     def __init__(self, number: int, nodes: int) -> None:
-        # A copy numbered beyond their count would take nothing.
+        # A node whose number is not below the number of nodes would get nothing.
         self._number = number % nodes
         self._nodes = nodes
         self.shares: dict[int, float] = {}
         self.orders: list[Order] = []
         self.slices = 0
-        self.parts: dict[int, float] = {}  # what is taken of each member, above 0
+        self.assigned_shares: dict[int, float] = {}  # by member, above 0
 
     @property
     def complete(self) -> bool:
-        """Whether this copy takes all of every member."""
+        """Whether all of every member is assigned to this node."""
         return self.slices >= self._nodes
 
     def change(self, member: int, share: float | None) -> dict[int, float]:
-        """Set the share of a member (None: it is removed); the members whose part changed, with that part."""
+        """Set the share of a member; None removes it.
+
+        :returns: the new assigned shares, of members for which it changed
+        """
         old_share = self.shares.get(member)
         if old_share == share:
             return {}
@@ -252,38 +279,44 @@
                 affected.update(dict.fromkeys(order.change(member, old_share, share)))
             changed = {}
             for m in affected:
-                changed[m] = sum(order.taken.get(m, 0.0) for order in self.orders)
-        for m, part in changed.items():
-            if part > MIN_PART:
-                self.parts[m] = part
+                changed[m] = sum(order.shares_in_slice.get(m, 0.0) for order in self.orders)
+        for m, portion in changed.items():
+            if portion > MIN_ASSIGNED_SHARE:
+                self.assigned_shares[m] = portion
             else:
-                self.parts.pop(m, None)
+                self.assigned_shares.pop(m, None)
         return changed
 
     def reset(self, shares: dict[int, float], slices: int) -> dict[int, float]:
-        """Begin anew with these members and slices; the members whose part changed, with that part."""
+        """Replace all members, and set the number of slices.
+
+        :returns: the new assigned shares, of members for which it changed
+        """
         self.shares = dict(shares)
         self.orders.clear()
         return self.widen(slices)
 
     def widen(self, slices: int) -> dict[int, float]:
-        """Take so many slices; the members whose part changed, with that part (0: nothing is taken)."""
-        before = self.parts
+        """Set the number of slices.
+
+        :returns: the new assigned shares, of members for which it changed; 0 for those no longer assigned
+        """
+        before = self.assigned_shares
         self.slices = min(slices, self._nodes)
         if self.complete:
             self.orders.clear()
-            self.parts = {member: share for member, share in self.shares.items() if share > 0.0}
+            self.assigned_shares = {member: share for member, share in self.shares.items() if share > 0.0}
         else:
             del self.orders[self.slices :]
             while len(self.orders) < self.slices:
                 self.orders.append(Order(len(self.orders), self._number, self._nodes, self.shares))
             sums: dict[int, float] = {}
             for order in self.orders:
-                for member, part in order.taken.items():
-                    sums[member] = sums.get(member, 0.0) + part
-            self.parts = sums
+                for member, portion in order.shares_in_slice.items():
+                    sums[member] = sums.get(member, 0.0) + portion
+            self.assigned_shares = sums
         return {
-            m: self.parts.get(m, 0.0)
-            for m in (*before, *(m for m in self.parts if m not in before))
-            if before.get(m) != self.parts.get(m)
+            m: self.assigned_shares.get(m, 0.0)
+            for m in (*before, *(m for m in self.assigned_shares if m not in before))
+            if before.get(m) != self.assigned_shares.get(m)
         }
--- a/orchidferry/balancing/token_bucket.py
+++ b/orchidferry/balancing/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """Tokens that arrive at a rate, up to a capacity; both are given with each call, as they may change."""
+    """A token bucket whose rate and capacity are passed to each call, as they may change."""
 
     __slots__ = ("_refilled_ms", "tokens")
 
@@ -13,13 +13,13 @@
         self._refilled_ms = now
 
     def refill(self, tokens_per_ms: float, capacity: float, now: float) -> float:
-        """Add what has arrived since the last call; the tokens that there are."""
+        """Add the tokens since the last call, and return the number available."""
         self.tokens = min(capacity, self.tokens + tokens_per_ms * (now - self._refilled_ms))
         self._refilled_ms = now
         return self.tokens
 
     def take(self, tokens_per_ms: float, capacity: float, now: float) -> bool:
-        """Take a token, if there is one."""
+        """Take a token if one is available, and return whether there was one."""
         if self.refill(tokens_per_ms, capacity, now) < 1.0:
             return False
         self.tokens -= 1.0
@@ -27,16 +27,16 @@
 
 
 class RateLimiter:
-    """A token bucket of fixed rate and capacity, full at first."""
+    """A token bucket of fixed rate and capacity, initially full."""
 
     __slots__ = ("_bucket", "_capacity", "_tokens_per_ms")
 
     def __init__(self, per_s: float, capacity: float) -> None:
-        """Let through `per_s` a second, and `capacity` at once."""
+        """Allow `per_s` events per second on average, and `capacity` at once."""
         self._tokens_per_ms = per_s / 1000.0
         self._capacity = capacity
         self._bucket = TokenBucket(capacity, 0.0)
 
     def take(self, now: float) -> bool:
-        """Take a token, if there is one."""
+        """Take a token if one is available, and return whether there was one."""
         return self._bucket.take(self._tokens_per_ms, self._capacity, now)
--- a/orchidferry/balancing/transports.py
+++ b/orchidferry/balancing/transports.py
@@ -1,11 +1,12 @@
-"""Which transport an attempt takes: a QUIC connection that is known to work, else TCP. No I/O, no clock.
+"""Selection of the transport of an attempt: a QUIC connection that is known to work, else TCP.
 
-Requests to a server that lists both take TCP until a QUIC connection has been established beside them, so
-that no request waits for a handshake that UDP may never carry. A connection that fails is tried again after a
-backoff that doubles, with jitter. One that has become silent is suspect: requests take TCP at once, a ping is
-sent, and the first datagram that comes back ends the suspicion.
+Requests to a server that supports both use TCP until a QUIC connection has been established in the
+background, so that no request waits for a handshake where UDP may be blocked. A failed connection is retried
+after an exponential backoff with jitter. A connection that has become silent is suspect: requests use TCP at
+once, a ping is sent, and the first datagram received ends the suspicion.
 
-At most `max_connections` servers have a connection that is established or being established.
+At most `max_connections` servers have a QUIC connection that is established or being established. This module
+does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# After a failure: 1 s, at most 64 s
+# Backoff after a failed connection: from 1 s up to 64 s
 BASE_BACKOFF_MS = 1_000.0
 MAX_BACKOFF_DOUBLINGS = 6
-SUSPECT_TIMEOUT_MS = 3_000.0  # a suspect connection that is silent for so long is closed
-MAX_QUIET_MS = 1_000.0  # what must not be lost is sent only where something was received within this time
+SUSPECT_TIMEOUT_MS = 3_000.0  # a suspect connection is closed after being silent for this time
+MAX_QUIET_MS = 1_000.0  # unrepeatable requests use QUIC only if data was received within this time
 
 
 class State(Enum):
     """The state of the QUIC connection to a server."""
 
-    UNTRIED = "nothing was tried"
-    CONNECTING = "a handshake is under way"
-    UP = "it works as far as is known"
-    SUSPECT = "it is open, and silent"
-    BACKING_OFF = "it did not come up, or broke: tried again later"
+    UNTRIED = "no connection has been tried"
+    CONNECTING = "handshake in progress"
+    UP = "established"
+    SUSPECT = "established, but silent"
+    BACKING_OFF = "failed or closed; retried after a backoff"
 
 
 class Transport(Enum):
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class Choice:
-    """The transport of an attempt, and whether to begin a QUIC handshake beside it."""
+    """The transport of an attempt, and whether to start a QUIC handshake in the background."""
 
     transport: Transport
     connect: bool = False
@@ -48,35 +49,35 @@
 
 @dataclass(slots=True)
 class QuicState:
-    """What is known of the QUIC connection to one server."""
+    """The state of the QUIC connection to one server."""
 
     state: State = State.UNTRIED
-    until_ms: float = 0.0  # the end of the backoff, or of the suspicion
-    failures: int = 0  # in a row
-    received_ms: float = float("-inf")
+    until_ms: float = 0.0  # end of the backoff, or time at which a suspect connection is closed
+    failures: int = 0  # consecutive failures
+    received_ms: float = float("-inf")  # time at which data was last received
 
 
 class Transports:
-    """The connections to all servers. Times are milliseconds of one monotonic clock."""
+    """The QUIC connections to all servers. Times are milliseconds of one monotonic clock."""
 
     def __init__(self, rng: random.Random, max_connections: int) -> None:
         self._rng = rng
         self._max_connections = max_connections
         self._by_server: dict[int, QuicState] = {}
-        self._open = 0  # connections that are up, suspect, or connecting
+        self._open = 0  # number of connections that are up, suspect or connecting
 
     def __len__(self) -> int:
         return len(self._by_server)
 
     def state(self, server: int) -> State:
-        """The state of the connection to a server."""
+        """The state of the QUIC connection to a server."""
         quic = self._by_server.get(server)
         return quic.state if quic is not None else State.UNTRIED
 
     def choose(self, server: int, now: float, unrepeatable: bool = False) -> Choice:
-        """Choose the transport of an attempt to a server that lists QUIC.
+        """Choose the transport of an attempt to a server that supports QUIC.
 
-        :param unrepeatable: the attempt could not be repeated if it were lost
+        :param unrepeatable: the request can't be repeated if the attempt is lost
         """
         quic = self._by_server.get(server)
         if quic is None:
@@ -88,17 +89,17 @@
         return Choice(Transport.TCP, connect=waits and self._open < self._max_connections)
 
     def connecting(self, server: int) -> None:
-        """A handshake has begun."""
+        """Record that a handshake was started."""
         self._set_state(server, State.CONNECTING)
 
     def connected(self, server: int, now: float) -> None:
-        """The handshake is complete."""
+        """Record that the handshake is complete."""
         quic = self._set_state(server, State.UP)
         quic.failures = 0
         quic.received_ms = now
 
     def received(self, server: int, now: float) -> None:
-        """Something was received on an open connection."""
+        """Record that data was received on an open connection."""
         quic = self._by_server.get(server)
         if quic is not None and quic.state in (State.UP, State.SUSPECT):
             quic.received_ms = now
@@ -106,7 +107,10 @@
                 quic.state = State.UP
 
     def timed_out(self, server: int, sent_ms: float, now: float) -> bool:
-        """An attempt sent at `sent_ms` timed out; whether to ping, as nothing was heard since."""
+        """Record the timeout of an attempt; the connection is suspect if nothing was received since its send.
+
+        :returns: whether to send a ping
+        """
         quic = self._by_server.get(server)
         if quic is None or quic.state is not State.UP or quic.received_ms >= sent_ms:
             return False
@@ -114,7 +118,7 @@
         return True
 
     def probes_unanswered(self, server: int, now: float) -> None:
-        """The connection has probed its server several times and got nothing back."""
+        """Record that several probes (PTO) in a row were not answered: the connection is suspect."""
         quic = self._by_server.get(server)
         if quic is not None and quic.state is State.UP:
             self._suspect(quic, now)
@@ -124,19 +128,19 @@
         quic.until_ms = now + SUSPECT_TIMEOUT_MS
 
     def idle_distrusted(self, server: int, now: float) -> bool:
-        """Idle connections are not trusted any more; whether to ping."""
+        """Mark a connection that has been idle as suspect; return whether to send a ping."""
         quic = self._by_server.get(server)
         return quic is not None and self.timed_out(server, quic.received_ms + 1.0, now)
 
     def is_dead(self, server: int, now: float) -> bool:
-        """Whether a suspect connection has been silent for too long, and is to be closed."""
+        """Whether a suspect connection has been silent for too long and must be closed."""
         quic = self._by_server.get(server)
         return quic is not None and quic.state is State.SUSPECT and now >= quic.until_ms
 
     def closed(self, server: int, now: float, orderly: bool = False) -> None:
-        """The handshake failed, or the connection is closed.
+        """Record that the handshake failed or the connection was closed.
 
-        :param orderly: the server closed it, or it was idle for too long: there is no backoff
+        :param orderly: the server closed it, or it reached its idle timeout; there is no backoff then
         """
         if server not in self._by_server:
             return
@@ -149,7 +153,7 @@
             quic.failures += 1
 
     def forget(self, server: int) -> None:
-        """The server is not listed any more."""
+        """Remove a server that is no longer listed."""
         if server in self._by_server:
             self._set_state(server, State.UNTRIED)
             del self._by_server[server]
--- a/orchidferry/balancing/wirehost.py
+++ b/orchidferry/balancing/wirehost.py
@@ -1,7 +1,8 @@
-"""The adapter to the simulator: hosts one `Balancer` for each simulated node.
+"""The simulator adapter: runs one `Balancer` for each simulated node.
 
-One JSON batch a line on standard input, one JSON reply a line on standard output; nothing is decided here.
-Malformed input ends the process with one line on standard error and exit status 2.
+It reads batches of events from standard input, one JSON object per line, and writes a reply with the actions
+to standard output for each. Malformed input ends the process with one line on standard error and exit status
+2. Nothing is decided here.
 """
 
 from __future__ import annotations
@@ -67,13 +68,13 @@
         get(item, "request_id", str),
         get(item, "type", str),
         get(item, "ttl_ms", NUMBER),
-        None if item.get("owner") == 0 else get_optional(item, "owner", str, None),  # 0: no tenants here
+        None if item.get("owner") == 0 else get_optional(item, "owner", str, None),  # 0: there are no tenants
         get_optional(item, "again_by_client", bool, False),
     )
 
 
 def _report(item: Json) -> dict[str, float] | None:
-    """A load report; values that are absent are left out, negative ones (they are noisy) count as 0."""
+    """A load report without null values; negative values, which come from noise, count as 0."""
     report = get_optional(item, "report", dict, None)
     if report is None:
         return None
@@ -105,7 +106,7 @@
     "ClientGone": lambda item: api.ClientGone(get(item, "request_id", str)),
     "Streaming": _streaming,
 }
-IGNORED = {"NeighbourSays", "StatusBack"}  # balancers neither probe nor exchange messages
+IGNORED = {"NeighbourSays", "StatusBack"}  # balancers neither send probes nor exchange messages
 
 
 def _write(node: str, action: api.Action) -> Json:
@@ -140,15 +141,16 @@
 
 
 class Host:
-    """The balancers of all nodes; they share only the pages of the server list."""
+    """The balancers of all simulated nodes; they share only the pages of the server list."""
 
     def __init__(self) -> None:
         self._nodes: dict[str, Balancer] = {}
         self._pages: dict[int, list[api.ServerEntry]] = {}
 
     def batch(self, message: Json) -> Json:
-        """Handle one batch of events; the reply with the actions.
+        """Handle one batch of events.
 
+        :returns: the reply with the actions
         :raises SettingsFormatError: the batch is malformed
         """
         now: float = get(message, "ts_ms", NUMBER)
@@ -203,7 +205,7 @@
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Reply to batches until the input ends.
+    """Reply to batches of events until the input ends.
 
     :returns: the exit status
     """
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings, lists and a driver that keeps the node's side of the contract."""
+"""Shared by the tests: settings, server lists and a driver that takes the node's part of the interface."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Node:
-    """A balancer with a clock; remembers what it did."""
+    """Drives a balancer with a simulated clock, and records its actions."""
 
     def __init__(self, servers: int = 4, salt: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), salt)
@@ -75,7 +75,10 @@
         return self.do(event)
 
     def serve(self, count: int, cls: str = "safe", gap_ms: float = 10.0, delay_ms: float = 50.0) -> list[int]:
-        """Ask and serve so many requests one after another; the servers picked."""
+        """Send `count` requests one after another, all of which are served.
+
+        :returns: the server of each
+        """
         picked = []
         for n in range(count):
             id = f"serve-{self.now}-{n}"
--- a/tests/balancing/test_logic.py
+++ b/tests/balancing/test_logic.py
@@ -1,4 +1,4 @@
-"""The four rules, the list and each exception, one small case each."""
+"""The operating rules, the server list, and the reactions to faults: a small case for each."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from tests.balancing.helpers import Node, ends, entries, sends, timers
 
 
-def test_first_sends_take_even_turns() -> None:
+def test_first_attempts_are_spread_evenly() -> None:
     node = Node(servers=4)
     picked = node.serve(40)
     assert {picked.count(n) for n in range(4)} == {10}
 
 
-def test_first_sends_follow_weights() -> None:
+def test_first_attempts_follow_weights() -> None:
     node = Node(servers=0)
     node.list_all([api.ServerEntry(1, share=3.0), api.ServerEntry(2, share=1.0)])
     picked = node.serve(40)
     assert picked.count(1) == pytest.approx(30, abs=1)
 
 
-def test_a_failed_attempt_waits_then_goes_elsewhere() -> None:
+def test_a_failed_attempt_is_retried_elsewhere_after_a_backoff() -> None:
     node = Node()
     node.ask("a")
     [timer] = timers(node.end("a", Result.ERROR))
@@ -34,8 +34,8 @@
     assert send.server != node.sent["a"][0]
 
 
-def test_back_off_doubles_with_jitter() -> None:
-    # Without jitter, doubling waits line retries up after a common stall.
+def test_backoff_doubles_with_jitter() -> None:
+    # Without jitter, retries after a common stall would come at the same time.
     firsts = []
     seconds = []
     for salt in range(200):
@@ -50,7 +50,7 @@
     assert max(firsts) > 2.0 * min(firsts)
 
 
-def test_rule_1_the_deadlines_own_time_out_is_answered() -> None:
+def test_rule_1_a_timeout_at_the_deadline_ends_the_request_once() -> None:
     node = Node()
     node.ask("a", "unsafe", 800.0)
     assert len(ends(node.end("a", Result.TIMEOUT, 800.0))) == 1
@@ -83,7 +83,7 @@
         assert ends(node.end("a", result)) == [api.Fail("a")]
 
 
-def test_rule_2_unsafe_is_repeated_when_it_never_ran() -> None:
+def test_rule_2_unsafe_is_retried_when_it_never_ran() -> None:
     node = Node()
     node.ask("a", "unsafe")
     [timer] = timers(node.end("a", Result.REFUSED))
@@ -124,7 +124,7 @@
     assert set(node.serve(30)) == {0, 1, 7}
 
 
-def test_a_failed_subscription_is_asked_for_again_with_jitter() -> None:
+def test_a_failed_subscription_is_retried_with_jitter() -> None:
     delays = set()
     for salt in range(5):
         node = Node(salt=salt, follow_list=True)
@@ -136,37 +136,37 @@
     assert len(delays) == 5
 
 
-def test_rule_4_a_cold_server_gets_its_part_only() -> None:
+def test_rule_4_a_warming_server_gets_a_reduced_share() -> None:
     node = Node(servers=4)
     node.serve(200)
     node.change(api.ServerEntry(9, started_ms=node.now))
-    picked = node.serve(100)  # 6 seconds, most of the ramp from a quarter to the full
+    picked = node.serve(100)  # for 6 s, most of the ramp from a quarter to the full capacity
     assert 0 < picked.count(9) < 100 / 5
 
 
-def test_a_server_with_an_old_start_is_warm() -> None:
+def test_a_server_started_long_ago_is_warm() -> None:
     node = Node(servers=0)
     node.list_all([api.ServerEntry(1), api.ServerEntry(2, started_ms=node.now - 9000.0)])
     picked = node.serve(40)
     assert picked.count(2) == 20
 
 
-def test_a_stuck_server_is_passed_over() -> None:
-    # akl big-2: two choked servers of fifty held up the whole tier.
+def test_a_stuck_server_gets_no_more_calls() -> None:
+    # In akl, big-2, two overloaded servers of fifty blocked the whole tier.
     node = Node(servers=4)
     node.serve(80)
     stuck = next(iter(node.balancer.server_set.assigned))
-    given = 0
+    sent_to_stuck = 0
     for n in range(100):
         node.ask(f"r{n}")
         if node.sent[f"r{n}"][0] == stuck:
-            given += 1
+            sent_to_stuck += 1
         else:
             node.end(f"r{n}", Result.SERVED)
-    assert given <= 5
+    assert sent_to_stuck <= 5
 
 
-def test_a_slow_server_loses_weight_and_gets_it_back() -> None:
+def test_a_slow_server_loses_weight_and_regains_it() -> None:
     node = Node(servers=4)
     for _ in range(200):
         id = f"s{node.now}"
@@ -175,7 +175,7 @@
     slow = node.balancer.server_set.servers[0]
     health_factor = node.balancer.outliers.health_factor
     assert not slow.outstanding and health_factor(slow, node.now) < 0.5
-    assert node.serve(20, gap_ms=0.0).count(0) <= 2  # a fair part is 5
+    assert node.serve(20, gap_ms=0.0).count(0) <= 2  # an even share would be 5
     assert not slow.outstanding and health_factor(slow, node.now + 60_000.0) == pytest.approx(1.0)
 
 
@@ -193,7 +193,7 @@
     assert 0 in node.serve(8)
 
 
-def test_half_the_fleet_bad_at_once_is_not_emptied() -> None:
+def test_at_most_half_of_the_servers_are_ejected_for_errors() -> None:
     node = Node(servers=4)
     node.serve(100)
     for n in range(80):
@@ -205,24 +205,25 @@
         )
 
 
-def test_copies_share_a_large_fleet_out_evenly() -> None:
-    """i29d3aa: many copies that go round all servers need more connections than these accept."""
+def test_nodes_divide_many_servers_evenly() -> None:
+    """Issue i29d3aa: many nodes that use all servers need more connections than these accept."""
     callers = dict.fromkeys(range(60), 0)
     load = dict.fromkeys(callers, 0.0)
     for number in range(40):
-        fleet = Node(60, nodes=40, number=number).balancer.server_set
-        assert len(fleet.assigned) < 30
+        server_set_of_node = Node(60, nodes=40, number=number).balancer.server_set
+        assert len(server_set_of_node.assigned) < 30
         assert math.isclose(
-            sum(server.part for server in fleet.assigned.values()), server_set.SLICES * 60 / 40
+            sum(server.assigned_share for server in server_set_of_node.assigned.values()),
+            server_set.SLICES * 60 / 40,
         )
-        for server in fleet.assigned.values():
+        for server in server_set_of_node.assigned.values():
             callers[server.id] += 1
-            load[server.id] += server.part
+            load[server.id] += server.assigned_share
     assert max(callers.values()) <= 40 / 2
-    assert all(math.isclose(part, server_set.SLICES) for part in load.values())
+    assert all(math.isclose(share, server_set.SLICES) for share in load.values())
 
 
-def test_a_hot_caller_takes_more_of_the_fleet() -> None:
+def test_a_busy_node_widens_its_subset() -> None:
     node = Node(60, nodes=40, tier=1)
     few = len(node.balancer.server_set.assigned)
     node.serve(50)
@@ -235,7 +236,7 @@
     assert len(node.balancer.server_set.assigned) == few
 
 
-def test_a_pinned_repeat_may_leave_the_copys_part_but_not_the_group() -> None:
+def test_a_keyed_repeat_may_leave_the_nodes_subset_but_not_the_group() -> None:
     node = Node(40, nodes=40)
     own = {server.id for server in node.balancer.server_set.assigned.values()}
     node.ask("k", "keyed")
@@ -249,8 +250,8 @@
     assert again % 2 == first % 2
 
 
-def test_a_burst_is_held_at_the_clients_tier_and_refused_in_time() -> None:
-    # i4cdd30: work that clients had given up on filled every slot.
+def test_a_burst_is_queued_in_the_first_tier_and_refused_in_time() -> None:
+    # Issue i4cdd30: requests that clients had given up on filled every slot of the servers.
     node = Node(servers=2)
     node.serve(200)
     for n in range(300):
@@ -265,7 +266,7 @@
     assert refused >= 200
 
 
-def test_deeper_tiers_do_not_hold_for_the_window() -> None:
+def test_deeper_tiers_do_not_queue_for_a_full_window() -> None:
     node = Node(servers=2, tier=1)
     node.serve(200)
     for n in range(300):
@@ -274,25 +275,25 @@
 
 
 def fill(node: Node) -> int:
-    """Ask for cheap calls until one has to wait; how many went out."""
+    """Send calls of little worth until one has to wait, and return how many were sent."""
     n = 0
     while not timers(node.ask(f"fill{n}")):
         n += 1
     return n
 
 
-def test_held_requests_of_most_worth_go_first() -> None:
+def test_queued_calls_of_most_worth_are_sent_first() -> None:
     node = Node(servers=2)
     node.serve(200)
     n = fill(node)
-    while sends(node.ask(f"dear{n}", "unsafe")):  # the last of the window is kept for it
+    while sends(node.ask(f"valuable{n}", "unsafe")):  # uses the reserved part of the window
         n += 1
     sent = [send for k in range(5) for send in sends(node.end(f"fill{k}", Result.SERVED, 1.0))]
-    assert sent[0].id == f"dear{n}"
+    assert sent[0].id == f"valuable{n}"
 
 
-def test_a_dear_class_that_takes_too_long_goes_behind() -> None:
-    """Akl overload: half as much again for twice the time is no better use of a full tier."""
+def test_a_class_of_more_worth_but_much_longer_calls_waits() -> None:
+    """In akl, overload, a class of 1.5 times the worth took twice the time: no better use of a full tier."""
     node = Node(servers=2)
     node.serve(200)
     node.serve(200, "keyed_all", delay_ms=400.0)
@@ -304,8 +305,8 @@
     assert next(send.id for send in sent if send.id in (f"fill{n}", "slow")) == f"fill{n}"
 
 
-def test_the_worst_served_class_is_not_starved_where_that_counts() -> None:
-    """pohjola-later rough-1: strict order of worth served 9% of the cheaper class."""
+def test_the_worst_served_class_is_not_starved_if_worst_class_is_set() -> None:
+    """In pohjola-later, rough-1, strict order of worth served only 9% of the class of less worth."""
 
     def first(worst_class: float) -> str:
         node = Node(servers=2, worst_class=worst_class)
@@ -316,29 +317,29 @@
             node.end(f"f{n}", Result.ERROR, 1.0, settled=False)
             node.do(api.TimerFired(node.balancer._token), 3000.0)
         n = fill(node)
-        node.ask("dear", "keyed_all")
+        node.ask("valuable", "keyed_all")
         for k in range(n):
             sent = sends(node.end(f"fill{k}", Result.SERVED, 1.0))
             if sent:
                 return sent[0].id
         raise AssertionError("nothing was released")
 
-    assert first(0.0) == "dear"
+    assert first(0.0) == "valuable"
     assert first(2.0).startswith("fill")
 
 
-def test_the_last_of_the_window_is_kept_for_the_class_of_most_value() -> None:
-    """pohjola-later rough-1: a fifth of the dear class was refused while the other got in."""
+def test_a_part_of_the_window_is_reserved_for_the_class_of_most_value() -> None:
+    """In pohjola-later, rough-1, a fifth of the class of most worth was refused while the other was sent."""
     node = Node(servers=2)
     node.serve(200)
     node.serve(200, "unsafe")
     n = fill(node)
-    assert sends(node.ask("dear", "unsafe"))
-    room = node.balancer.controller.window(2.0, node.now)
-    assert n < room <= n + 3
+    assert sends(node.ask("valuable", "unsafe"))
+    window = node.balancer.controller.window(2.0, node.now)
+    assert n < window <= n + 3
 
 
-def test_over_share_tenants_wait_last() -> None:
+def test_tenants_over_quota_wait_longest() -> None:
     tenants = [api.Tenant("x", 0.5, 5.0), api.Tenant("y", 0.5, 5.0)]
     node = Node(servers=2, tenants=tenants, over_share_worth=0.05)
     node.serve(200)
@@ -365,15 +366,15 @@
     assert math.isfinite(node.balancer.controller.allowed_rate)
 
 
-def test_a_stream_binds_its_request() -> None:
+def test_a_request_is_not_retried_after_its_response_started() -> None:
     node = Node()
     node.ask("a")
     node.do(api.StreamStarted("a", 0, node.sent["a"][0]))
     assert not sends(node.end("a", Result.RESET, 50.0, settled=True))
 
 
-def test_a_copy_that_sees_only_failures_goes_on() -> None:
-    # Pohjola rules-1: a restarted copy divided by no samples after a second of refusals.
+def test_a_node_that_has_seen_only_failures_still_sends() -> None:
+    # In pohjola, rules-1, a restarted node divided by zero samples after a second of refusals.
     node = Node()
     for n in range(40):
         node.ask(f"f{n}")
@@ -382,55 +383,55 @@
     assert sends(node.ask("later"))
 
 
-def gate(node: Node, id: str, server: int) -> bool:
-    """Ask the gate itself, as a new feature that forgot a rule would."""
+def send_directly(node: Node, id: str, server: int) -> bool:
+    """Call `_send`, as a new feature without checks of its own would; return whether it sent the call."""
     balancer = node.balancer
     return balancer._send(balancer._calls[id], balancer.server_set.servers[server], node.now)
 
 
-def test_the_gate_itself_keeps_rules_1_and_2() -> None:
+def test_send_enforces_rules_1_and_2() -> None:
     node = Node(servers=4)
     node.ask("out", "safe")
-    assert not gate(node, "out", 1)  # one is out already
+    assert not send_directly(node, "out", 1)  # an attempt is in flight already
     node.ask("late", "safe", 400.0)
     node.end("late", Result.ERROR, 100.0)
     node.now += 298.0
-    assert not gate(node, "late", 1)  # no time left
+    assert not send_directly(node, "late", 1)  # no time left
     node.ask("keyed", "keyed")
     node.end("keyed", Result.ERROR, 10.0)
     other = 1 - node.sent["keyed"][0] % 2
-    assert not gate(node, "keyed", other)  # another group
+    assert not send_directly(node, "keyed", other)  # another group
     node.now += 1995.0
-    assert not gate(node, "keyed", 1 - other)  # the window is over
+    assert not send_directly(node, "keyed", 1 - other)  # the deduplication window has passed
     node.ask("again", "safe")
     node.end("again", Result.ERROR, 10.0)
-    assert gate(node, "again", 1)  # the gate does open
+    assert send_directly(node, "again", 1)  # allowed: safe, and no attempt in flight
 
 
-def test_the_gate_itself_keeps_the_cold_budget() -> None:
+def test_send_enforces_rule_4() -> None:
     node = Node(servers=4)
     node.serve(200)
     node.change(api.ServerEntry(9, started_ms=node.now))
-    passed = 0
-    for n in range(60):  # in no time
+    sent = 0
+    for n in range(60):  # all at the same time
         node.ask(f"c{n}")
         node.end(f"c{n}", Result.UNREACHABLE, 0.0)
-        passed += gate(node, f"c{n}", 9)
-    assert passed <= 4
+        sent += send_directly(node, f"c{n}", 9)
+    assert sent <= 4
 
 
-def test_a_cold_server_takes_fewer_turns_than_its_budget_allows() -> None:
+def test_the_rotation_gives_a_warming_server_less_than_rule_4_allows() -> None:
     node = Node(servers=4, overload_factor=50.0)
     node.serve(200)
     node.change(api.ServerEntry(9, started_ms=node.now))
     assert node.serve(20).count(9) <= 2
 
 
-def test_an_attempt_is_not_waited_for_much_longer_than_usual() -> None:
-    """i2750ee: calls to a lost zone waited out a whole deadline and filled the slots of the tier above."""
+def test_the_timeout_of_an_attempt_is_a_few_baseline_delays() -> None:
+    """Issue i2750ee: calls to a lost zone waited until their deadline, and filled the tier above."""
     node = Node(servers=4, tier=1, passes_deadline=False)
     (early,) = sends(node.ask("early"))
-    assert early.timeout_ms > 2000.0  # nothing is usual yet
+    assert early.timeout_ms > 2000.0  # there is no baseline yet
     node.end("early", Result.SERVED)
     node.serve(100, delay_ms=50.0)
     (send,) = sends(node.ask("lost"))
@@ -439,12 +440,12 @@
     assert other.timeout_ms < 100.0
 
 
-def test_a_time_out_has_waited_for_its_retry_already() -> None:
-    """silent+leave+brisk: what a dead connection swallowed was sent again only after its aim."""
+def test_the_time_until_a_timeout_counts_towards_the_backoff() -> None:
+    """In silent+leave+brisk, calls lost on a dead connection were retried only after their latency target."""
     node = Node(servers=4)
     node.serve(100)
     [first] = sends(node.ask("a"))
-    assert 0.0 < first.timeout_ms < 300.0  # some times the usual 50
+    assert 0.0 < first.timeout_ms < 300.0  # a few times the baseline of 50 ms
     [timer] = timers(node.end("a", Result.TIMEOUT, 1000.0))
     assert timer.delay_ms == 0.0
     [second] = sends(node.do(api.TimerFired(timer.token)))
@@ -453,8 +454,8 @@
     assert timer.delay_ms > 0.0
 
 
-def test_what_two_servers_swallow_is_sent_a_third_time_whatever_the_objective() -> None:
-    """Two time-outs in a row pass an objective of 500 ms: the request must not be refused for that."""
+def test_a_request_is_sent_a_third_time_after_two_timeouts_beyond_its_latency_target() -> None:
+    """Two consecutive timeouts exceed a latency target of 500 ms; the request must not be refused then."""
     read = api.RequestClass("read", 500.0, 20_000.0, 1.0, repeat=api.Repeat.SAFE)
     pay = api.RequestClass("pay", 500.0, 20_000.0, 1.0)
     for salt in range(20):
@@ -473,23 +474,23 @@
         assert unsafe.timeout_ms > 1.5 * first.timeout_ms
 
 
-def test_where_all_is_slow_a_first_attempt_is_not_cut_for_a_second_that_comes_too_late() -> None:
-    """churn+long: calls to a slow tier were cut for ones that met a full window, and ended."""
+def test_a_first_attempt_gets_the_long_timeout_if_a_retry_would_be_late() -> None:
+    """In churn+long, calls to a slow tier timed out early, and their retries failed at a full window."""
     node = Node(servers=4)
     node.serve(100, delay_ms=350.0)
     [first] = sends(node.ask("a"))
     assert first.timeout_ms > 1.5 * 4.0 * 350.0
 
 
-def test_where_answers_take_a_millisecond_a_hiccup_is_waited_for() -> None:
-    """Bench forward: first attempts were cut after 2 ms, and their retries waited 100 times as long."""
+def test_the_timeout_has_a_minimum_where_answers_take_a_millisecond() -> None:
+    """In `bench forward`, first attempts timed out after 2 ms, and the backoff was 100 times as long."""
     node = Node(servers=4)
     node.serve(100, delay_ms=0.5)
     [send] = sends(node.ask("a"))
     assert send.timeout_ms >= 50.0
 
 
-def test_calls_lost_on_dead_connections_leave_room_for_others() -> None:
+def test_calls_lost_on_dead_connections_do_not_fill_the_window() -> None:
     node = Node(servers=1)
     node.serve(100)
     silent = [f"silent-{n}" for n in range(3)]
@@ -497,15 +498,15 @@
         assert sends(node.ask(id, "unsafe"))
     node.now += 1.0
     node.serve(1)
-    room = node.balancer.controller.window(1.0, node.now + 300.0)
-    node.balancer.controller.window = lambda part, now: 3.0  # type: ignore[method-assign]
-    assert room > 0.0 and not sends(node.ask("held", "unsafe"))
+    window = node.balancer.controller.window(1.0, node.now + 300.0)
+    node.balancer.controller.window = lambda servers, now: 3.0  # type: ignore[method-assign]
+    assert window > 0.0 and not sends(node.ask("held", "unsafe"))
     node.now += 300.0
     assert sends(node.ask("room", "unsafe"))
 
 
-def test_a_fresh_copy_starts_with_a_few_calls_a_server_and_grows_with_answers() -> None:
-    """sulcast-later overload: a copy without a bound in its first second let a whole tier choke."""
+def test_a_new_node_starts_with_a_few_calls_per_server_and_grows_with_answers() -> None:
+    """In sulcast-later, overload, a node without a limit in its first second overloaded a whole tier."""
     node = Node(servers=4)
     for n in range(100):
         node.ask(f"a{n}")
@@ -513,58 +514,58 @@
     assert delay.INITIAL_PER_SERVER * 4 * 0.8 <= len(first) <= delay.INITIAL_PER_SERVER * 4
     for id in first[:10]:
         node.end(id, Result.SERVED, 1.0)
-    assert len(node.sent) >= len(first) + 18  # each answer lets two out: its own place and one more
+    assert len(node.sent) >= len(first) + 18  # each answer frees its slot and opens one more
 
 
-def test_a_copy_numbered_beyond_their_count_still_has_servers() -> None:
+def test_a_node_whose_number_is_too_high_still_has_servers() -> None:
     node = Node(60, nodes=40, number=57)
     assert node.balancer.server_set.assigned
     assert sends(node.ask("a"))
 
 
-def test_rule_5_further_attempts_stay_within_the_stated_budget() -> None:
-    """Leiden's first score: 4 further attempts where 13 requests taken allow 3.4."""
+def test_rule_5_retries_stay_within_the_budget() -> None:
+    """In leiden's first score there were 4 retries where 13 accepted requests allow 3.4."""
     node = Node(8, repeat_ratio=0.1, extra_floor=2.0, resend_span_ms=5000.0)
 
-    def further(count: int) -> int:
-        """So many requests, of which each one's first attempt fails."""
+    def retries_sent(count: int) -> int:
+        """Accept `count` requests whose first attempt fails, and return how many retries were sent."""
         retries = 0
         for n in range(count):
             id = f"{node.now}-{n}"
             node.ask(id)
             node.end(id, Result.UNREACHABLE, 0.0)
-            retries += gate(node, id, n % 8)
+            retries += send_directly(node, id, n % 8)
         return retries
 
-    assert further(9) == 2
-    assert further(1) == 1  # the tenth request taken earns one
+    assert retries_sent(9) == 2
+    assert retries_sent(1) == 1  # the tenth accepted request earns a retry
     node.now += 4990.0
-    assert further(1) == 0  # within the window, whatever else is in it
+    assert retries_sent(1) == 0  # all retries so far are still in the window
     node.now += 20.0
-    assert further(8) == 2  # the first have left it, and nine taken earn none
+    assert retries_sent(8) == 2  # the first retries have left the window; nine requests earn none
 
 
-def test_without_a_stated_budget_further_attempts_are_not_counted() -> None:
+def test_without_a_budget_retries_are_not_limited() -> None:
     node = Node(8)
     for n in range(20):
         node.ask(f"{n}")
         node.end(f"{n}", Result.UNREACHABLE, 0.0)
-        assert gate(node, f"{n}", 1)
+        assert send_directly(node, f"{n}", 1)
 
 
-def test_rule_6_full_is_no_proof_where_so_stated() -> None:
+def test_rule_6_a_refusal_may_have_run_if_the_settings_say_so() -> None:
     node = Node(full_may_have_run=True)
     node.ask("a", "unsafe")
     assert ends(node.end("a", Result.REFUSED)) == [api.Fail("a")]
     node.ask("b", "keyed")
     node.end("b", Result.REFUSED, 10.0)
-    assert not gate(node, "b", 1 - node.sent["b"][0] % 2)  # it stays inside its group
+    assert not send_directly(node, "b", 1 - node.sent["b"][0] % 2)  # a repeat must stay in the group
     node.ask("c", "unsafe")
-    assert timers(node.end("c", Result.UNREACHABLE))  # that is still a proof
+    assert timers(node.end("c", Result.UNREACHABLE))  # this still proves that it never ran
 
 
-def test_the_loop_sheds_first_sends_while_the_delay_is_over_the_target() -> None:
-    """Kolin big-1: servers that held too many calls tipped one after another, and stayed so."""
+def test_first_attempts_are_shed_while_the_delay_is_over_the_target() -> None:
+    """In kolin, big-1, servers with too many calls became overloaded one after another, and stayed so."""
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
     assert node.balancer.controller.shed_share(node.now) == 0.0
@@ -574,15 +575,15 @@
             node.end(f"slow{n}", Result.SERVED, 900.0)
     assert node.balancer.controller.shed_share(node.now) > 0.3
     cheap = sum(bool(sends(node.ask(f"cheap{n}"))) for n in range(100))
-    assert cheap < 70  # the class of least value goes first
+    assert cheap < 70  # the class of least value is shed first
     deeper = Node(servers=4, tier=1)
     deeper.balancer.controller._shed_share = 0.8
     deeper.balancer.controller._last_ms = deeper.now
-    assert sends(deeper.ask("a"))  # deeper, a refusal wastes work done above
+    assert sends(deeper.ask("a"))  # in a deeper tier a refusal wastes work done above
 
 
-def test_a_refusal_is_a_delay_sample_of_one_aim() -> None:
-    """Leiden rough-1: 'full' comes fast, and left the loop open while 61% of the attempts got it."""
+def test_a_refusal_is_a_delay_sample_of_the_latency_target() -> None:
+    """In leiden, rough-1, refusals came fast, so that nothing was shed while 61% of attempts were refused."""
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
     for n in range(20):
@@ -592,8 +593,8 @@
     assert node.balancer.controller.shed_share(node.now) > 0.0
 
 
-def test_a_call_overdue_takes_its_servers_weight_before_it_ends() -> None:
-    """Kolin big-1: slow and silent servers were sent several more calls before a first one timed out."""
+def test_an_overdue_call_lowers_the_weight_of_its_server_before_it_ends() -> None:
+    """In kolin, big-1, slow and silent servers got several more calls before a first one timed out."""
     node = Node(servers=4, tier=1)
     node.serve(200)
     node.ask("stuck")
@@ -604,8 +605,8 @@
     assert stuck in node.serve(30)
 
 
-def test_a_call_that_later_ones_overtook_says_nothing_of_its_server() -> None:
-    """Neither while it is out nor by its time-out: the server answers, the call's connection died."""
+def test_an_overtaken_call_does_not_lower_the_weight_of_its_server() -> None:
+    """Neither while it is outstanding nor by its timeout: the server answers, so its connection died."""
     node = Node(servers=4, tier=1)
     node.serve(200)
     for n in range(8):
@@ -622,8 +623,8 @@
     assert server in node.serve(12)
 
 
-def test_answers_that_nobody_waits_for_any_more_still_teach() -> None:
-    """Callers that leave early leave what takes long: delay and answer rate came out low without theirs."""
+def test_answers_to_clients_that_have_gone_count_in_the_measurements() -> None:
+    """Clients leave slow calls: without these, the measured delay and answer rate were too low."""
     node = Node(servers=2)
     node.serve(20)
     share = node.balancer.outliers.baseline_share
@@ -639,7 +640,7 @@
     assert node.balancer.server_set.servers[node.sent["left late"][0]].slowness > 2.0
 
 
-def test_what_was_sent_before_a_server_came_back_to_the_list_is_not_counted_twice() -> None:
+def test_calls_sent_before_a_server_was_listed_again_are_not_counted_for_it() -> None:
     node = Node(servers=1)
     node.ask("before")
     node.list_all([])
@@ -653,21 +654,21 @@
     assert server.inflight == node.balancer.inflight == 0
 
 
-def test_a_reported_queue_takes_weight_and_fades() -> None:
-    """Kolin: a crowded server says so in its answers, before it tips."""
+def test_a_reported_queue_lowers_the_weight_and_decays() -> None:
+    """In kolin, an overloaded server reports its queue in its answers before it fails."""
     node = Node(servers=4, tier=1)
     node.serve(200)
     node.ask("a")
-    [crowded] = node.sent["a"]
-    event = api.AttemptEnded("a", 0, crowded, Result.SERVED, 50.0, True, {"queue": 6.0})
+    [overloaded] = node.sent["a"]
+    event = api.AttemptEnded("a", 0, overloaded, Result.SERVED, 50.0, True, {"queue": 6.0})
     node.do(event, 50.0)
-    assert crowded not in node.serve(20)
+    assert overloaded not in node.serve(20)
     node.now += 60_000.0
-    assert crowded in node.serve(20)
+    assert overloaded in node.serve(20)
 
 
-def test_a_refusal_wherever_a_repeat_is_harmless() -> None:
-    """Leiden's days: what was turned away and could be asked again was failed, which promises nothing."""
+def test_a_request_is_refused_if_and_only_if_a_repeat_is_harmless() -> None:
+    """In leiden, requests that could be repeated failed, which does not tell clients to repeat them."""
     for cls, result, end in (
         ("safe", Result.ERROR, api.Refuse),
         ("keyed_all", Result.ERROR, api.Refuse),
@@ -681,8 +682,8 @@
         assert isinstance(answer, end)
 
 
-def test_idle_connections_are_closed_after_two_losses_on_such() -> None:
-    """Rosario fresh-big: connections dropped while idle answer nothing, at all servers alike."""
+def test_idle_connections_are_closed_after_two_losses() -> None:
+    """In rosario, fresh-big, calls on connections dropped while idle got no answer, at all servers alike."""
     node = Node(servers=4, tier=1)
     node.serve(40)
 
@@ -699,7 +700,7 @@
 
 
 def test_one_loss_on_an_idle_connection_closes_nothing() -> None:
-    """Akl big-1: each time-out brought handshakes, which cost servers work."""
+    """In akl, big-1, each timeout caused new handshakes, which cost the servers work."""
     node = Node(servers=1, tier=1)
     node.serve(10)
     for n, result in enumerate([Result.TIMEOUT, Result.SERVED, Result.TIMEOUT, Result.SERVED]):
@@ -708,8 +709,8 @@
         node.end(f"{n}", result, 500.0)
 
 
-def test_a_hot_copy_takes_no_more_slices_than_there_are() -> None:
-    """They doubled with each send without end, and the whole fleet was cut anew each time."""
+def test_a_busy_node_uses_no_more_slices_than_there_are() -> None:
+    """Slices doubled with each send without limit, and all of them were recomputed each time."""
     settings = api.Settings([api.RequestClass("read", 1000.0, 3000.0)], nodes=20, tier=1, tiers=2)
     balancer = logic.Balancer(settings, 1)
     balancer.handle(api.ServerList(api.ListKind.FULL, 1, [api.ServerEntry(n) for n in range(4)]), 0.0)
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot be meant are refused by name."""
+"""Invalid settings are rejected with the name of the field; edge cases of valid ones work."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
         ({"tenants": [api.Tenant("t", 0.5, -1.0)]}, "quota_per_s"),
     ],
 )
-def test_impossible_settings_are_refused(changes: dict[str, Any], name: str) -> None:
+def test_invalid_settings_are_rejected(changes: dict[str, Any], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**changes)
 
 
-def test_an_empty_fleet_one_server_zero_weights_and_a_still_clock() -> None:
+def test_edge_cases_no_servers_one_server_zero_weights_and_a_clock_that_stands_still() -> None:
     empty = Node(servers=0)
     assert not [a for a in empty.ask("a") if isinstance(a, api.Send)]
     for servers in ([api.ServerEntry(1)], entries(range(3), share=0.0)):
--- a/tests/balancing/test_wirehost.py
+++ b/tests/balancing/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as the bench runs it: a process, lines in, lines out."""
+"""The simulator adapter as a process that reads and writes lines."""
 
 from __future__ import annotations
 
@@ -138,8 +138,11 @@
     return {"ts_ms": 1000.0 * number if now is None else now, "round": number, "items": list(items)}
 
 
-def day(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
-    """A fixed script; outcomes name servers, whether or not they were picked."""
+def script(nodes: list[str], rename: dict[str, str] | None = None) -> list[Any]:
+    """A fixed sequence of batches, in which outcomes name servers whether or not these were picked.
+
+    :param rename: names to replace in it
+    """
     classes = ["read", "pay", "save"]
     lines = [batch(1, *(item for n, node in enumerate(nodes) for item in launch(node, 7 + n)))]
     for step in range(2, 80):
@@ -165,7 +168,7 @@
     return [json.loads(line) for line in result.stdout.splitlines()]
 
 
-def test_a_request_is_sent_and_the_reply_numbered() -> None:
+def test_a_request_is_sent_and_replies_have_the_round_number() -> None:
     lines = [batch(1), batch(2, *launch("node-0")), batch(3, job("node-0", "q"))]
     [empty, first, second] = replies(run(lines))
     assert empty == {"round": 1, "actions": []}
@@ -174,28 +177,28 @@
     assert send["kind"] == "SubmitTo" and send["request_id"] == "q" and send["within_ms"] <= 2500.0
 
 
-def test_power_off_forgets_and_a_new_life_starts() -> None:
+def test_a_node_can_be_launched_again_after_power_off() -> None:
     lines = [batch(1, *launch("node-0")), batch(2, {"kind": "PowerOff", "node": "node-0"}, *launch("node-0"))]
     assert len(replies(run(lines))) == 2
 
 
-def test_hash_seeds_and_processes_change_nothing() -> None:
-    both = replies(run(day(["node-0", "node-1"])))
-    assert both == replies(run(day(["node-0", "node-1"]), hash_seed="4242"))
+def test_replies_do_not_depend_on_hash_seeds_or_other_nodes() -> None:
+    both = replies(run(script(["node-0", "node-1"])))
+    assert both == replies(run(script(["node-0", "node-1"]), hash_seed="4242"))
     for n, node in enumerate(["node-0", "node-1"]):
         lines = (
-            day([node])
+            script([node])
             if n == 0
             else [
                 {**line, "items": [i for i in line["items"] if i.get("node", node) == node]}
-                for line in day(["node-0", "node-1"])
+                for line in script(["node-0", "node-1"])
             ]
         )
         alone = replies(run(lines))
         assert [r["actions"] for r in alone] == [[a for a in r["actions"] if a["node"] == node] for r in both]
 
 
-def test_names_change_no_decision() -> None:
+def test_decisions_do_not_depend_on_names() -> None:
     names = {
         "read": "zz",
         "pay": "aa",
@@ -207,10 +210,10 @@
         "front": "x",
         "back": "y",
     }
-    assert replies(run(day(["node-0"]))) == replies(run(day(["node-0"], names)))
+    assert replies(run(script(["node-0"]))) == replies(run(script(["node-0"], names)))
 
 
-def test_reports_may_miss_values_or_be_negative_and_an_owner_may_be_0() -> None:
+def test_reports_may_lack_values_or_be_negative_and_an_owner_may_be_0() -> None:
     reports: list[Any] = [None, {}, {"queue": None}, {"queue": -3.0, "util": 0.5}, {"unheard_of": 1e300}]
     lines = [batch(1, *launch("node-0"))]
     for n, report in enumerate(reports, 2):
@@ -220,7 +223,7 @@
     assert len(replies(run(lines))) == len(lines)
 
 
-def test_the_end_of_input_is_the_end() -> None:
+def test_the_process_ends_with_its_input() -> None:
     result = run([])
     assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
@@ -268,7 +271,7 @@
         ),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(line: Any, words: list[str]) -> None:
+def test_malformed_input_ends_the_process_with_one_error_line(line: Any, words: list[str]) -> None:
     result = run([batch(1, *launch("node-0")), line, batch(3)])
     assert result.returncode == 2
     assert len(result.stdout.splitlines()) == 1
