--- a/orchidferry/balancing/admission.py
+++ b/orchidferry/balancing/admission.py
@@ -18,7 +18,7 @@
 
 # Longest time in the queue, as a share of the call's latency target: in the first tier, and in deeper ones
 MAX_QUEUED_SHARES = (0.08, 0.5)
-QUOTA_BURST_MS = 1_000.0  # a tenant may send the quota of this time at once
+QUOTA_BURST_MS = 1_000.0  # length of time whose quota a tenant may use in a single burst
 RESERVED_SHARE = 0.15  # share of the window that is reserved for the calls of most value
 
 
--- a/orchidferry/balancing/interface.py
+++ b/orchidferry/balancing/interface.py
@@ -121,8 +121,8 @@
     drain_grace_ms: float = 0.0  # time within which sends to a draining server must stop
     start_capacity: float = 1.0  # capacity of a server at its start, as a share of its full capacity
     ramp_time_ms: float = 0.0  # time after its start until a server has its full capacity
-    overload_factor: float = 1.0  # load that a warming server bears, as a multiple of its capacity,
-    overload_for_ms: float = 1_000.0  # over any window of this length
+    overload_factor: float = 1.0  # load that a warming server bears, as a multiple of its capacity
+    overload_for_ms: float = 1_000.0  # length of the sliding window over which that load is counted
     repeat_ratio: float | None = None  # retries allowed per accepted request; None: no retry budget
     extra_floor: float = 0.0  # retries allowed in addition, whatever the number of requests
     resend_span_ms: float = 0.0  # length of the sliding window of the retry budget
--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -224,7 +224,7 @@
         if busy and self.server_set.may_widen():
             self.server_set.widen()
             self._apply_list_step(now)
-        if call.idle_ms > self.outliers.max_idle_ms:  # calls are lost on dropped ones (Rosario, fresh-big)
+        if call.idle_ms > self.outliers.max_idle_ms:  # calls are lost on dropped ones (rosario, fresh-big)
             self._actions.append(api.CloseIdle(server.id))
             call.idle_ms = 0.0
         fresh = call.cls.repeat is Repeat.UNSAFE  # a call lost on a dead connection could not be repeated
@@ -384,7 +384,8 @@
     def _record_delay(self, server: Server, sent: Sent, event: api.AttemptEnded, now: float) -> None:
         """Update the measured delays.
 
-        Calls of clients that have gone count too: clients leave slow calls, so the mean would be too low.
+        Calls of clients that have gone count too: clients give up on slow calls, and without these the mean
+        would be too low.
         """
         sent_ms, aim_ms = sent
         if event.result in (Result.SERVED, Result.TIMEOUT):
--- a/orchidferry/balancing/proportions.py
+++ b/orchidferry/balancing/proportions.py
@@ -12,7 +12,7 @@
 
 
 def wilson_interval(failed: int, total: int, level: float = CONFIDENCE_LEVEL) -> tuple[float, float]:
-    """The Wilson score interval of a proportion; (0, 1) without any observations.
+    """The Wilson score interval of a proportion, within [0, 1]; (0, 1) without any observations.
 
     :param level: width of the interval to each side, in standard deviations
     """
--- a/orchidferry/balancing/server_set.py
+++ b/orchidferry/balancing/server_set.py
@@ -70,7 +70,7 @@
                 self._set_entry(id, None)
         for entry in update.entries:
             self._set_entry(entry.server, None if entry.health is Health.GONE else entry)
-        # Where all of every server is assigned to this node there are no slices to compute.
+        # If all of every server is assigned to this node there are no slices, and a change is cheap.
         max_changes = max(CHANGES_PER_STEP, REBUILD_SHARE * len(self.slices.shares))
         if len(self._changed) > max_changes and not self.slices.complete:
             self._rebuild = True
--- a/tests/balancing/test_delay.py
+++ b/tests/balancing/test_delay.py
@@ -109,7 +109,7 @@
 
 
 def test_the_window_is_constant_until_answers_have_come_for_a_second() -> None:
-    """In Pohjola's scenario without faults, requests were refused in the first seconds."""
+    """In pohjola's scenario without faults, requests were refused in the first seconds."""
     controller = DelayController()
     for k in range(20):
         assert controller.window(4.0, 100.0 * k) == INITIAL_PER_SERVER * 4.0
