--- a/orchidferry/balancing/nested.py
+++ b/orchidferry/balancing/nested.py
@@ -25,7 +25,7 @@
     last_ms: float = -math.inf  # time of the last outcome
 
 
-class Nested:
+class NestedCallShedder:
     """Sheds parent requests to one service, at one node."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
     def shed_share(self, name: str, now_ms: float) -> float:
         """The share of a class's first attempts to shed.
 
-        >>> nested = Nested()
+        >>> nested = NestedCallShedder()
         >>> for n in range(40): nested.record_outcome("a", True, n * 100.0)
         >>> nested.shed_share("a", 4_000.0) > 0.9, nested.shed_share("b", 4_000.0)
         (True, 0.0)
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -18,7 +18,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.balancing.nested import Nested
+from orchidferry.balancing.nested import NestedCallShedder
 from orchidferry.mesh.control.configuration import Route
 from orchidferry.mesh.control.endpoints import NodeRecord
 from orchidferry.mesh.dataplane.abandoned_responses import AbandonCause
@@ -82,7 +82,7 @@
         self.pending: dict[str, PendingRequest] = {}  # those that are owed a reply, by id
         self.attempts: dict[tuple[str, int], GateAttempt] = {}  # under way, by request and number
         self._stop_ms = math.inf  # when all must be answered, once the node drains
-        self._nested = Nested()
+        self._nested = NestedCallShedder()
         self.last_rejected_ms = -math.inf  # when a request was last rejected that had not run
         self.endpoints = EndpointTable(
             name,
--- a/tests/mesh/test_records.py
+++ b/tests/mesh/test_records.py
@@ -9,7 +9,7 @@
 import pytest
 
 import orchidferry.mesh
-from orchidferry.balancing.nested import TARGET_FAILURE_SHARE, Nested
+from orchidferry.balancing.nested import TARGET_FAILURE_SHARE, NestedCallShedder
 from orchidferry.mesh.control import shard_state
 
 MODULES = [
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("capacity", [40.0, 100.0, 1_000.0])
 def test_parents_are_shed_to_near_the_target(capacity: float) -> None:
     """200 a second, each with two calls below, which has room for so many a second."""
-    nested = Nested()
+    nested = NestedCallShedder()
     now = 0.0
     admitted = 0.0
     failed = 0.0
