--- a/tests/balancing/test_schedule.py
+++ b/tests/balancing/test_schedule.py
@@ -149,7 +149,7 @@
     picked = [pick(rotation) for _ in range(310)]
     assert picked.count(0) == pytest.approx(10, abs=1)
     rotation.set_weight(members[0], 1.0)
-    assert 0 in [pick(rotation) for _ in range(5)]  # at once, not after the old long turn
+    assert 0 in [pick(rotation) for _ in range(5)]  # at once, not after a turn ten times as long
     picked = [pick(rotation) for _ in range(400)]
     assert picked.count(0) == pytest.approx(100, abs=1)
 
