--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -18,7 +18,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.interface import Result
 from orchidferry.balancing.logic import Balancer
-from orchidferry.balancing.nested import Nested
+from orchidferry.balancing.nested import NestedCallShedder
 from orchidferry.mesh.control.configuration import Route
 from orchidferry.mesh.control.endpoints import NodeRecord
 from orchidferry.mesh.dataplane.abandoned_responses import AbandonCause
@@ -87,7 +87,7 @@
         # Attempts in progress, by request id and attempt number.
         self.attempts: dict[tuple[str, int], GateAttempt] = {}
         self._drain_deadline_ms = math.inf  # while the node drains: all requests are answered by then
-        self._nested = Nested()
+        self._nested = NestedCallShedder()
         self.last_rejected_ms = -math.inf  # when a request was last answered as not executed
         self.endpoints = EndpointTable(
             name,
