--- a/orchidferry/balancing/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -1,22 +1,22 @@
-"""What a request brings along a chain of tiers, what this tier takes of it, and what it hands on. No I/O.
+"""Admission, retries and forwarded limits of requests that pass a chain of tiers. No I/O.
 
-Each tier that asks again by itself multiplies what the tier below is asked: three that try three times make
-27 of one. So a request brings how many attempts beyond the first are left for the whole chain, what it is
-worth to whoever asked first, and the path that it came by. Here is decided, for one node:
+Where each tier retries on its own, the attempts multiply: three tiers that try three times each make 27
+attempts of one request. A request therefore carries the number of retries left for the whole chain, its value
+to the first tier's operators, and the path of nodes that it has passed. This module decides for one node:
 
-- whether it is taken: not if it has been here (a loop), not if it can't be done in the time that is left; at
-  the clients' tier not while what is below turns away or sits on most of what it gets (`Gate`);
-- whether it is asked again: if an attempt is left of its own, if the node's budget bears it (`RetryBudget`),
-  and not where the tier below has said that it is overloaded: all that it would do is add to it;
-- what goes on with each attempt.
+- whether a request is admitted: not if it has passed this tier before (a loop), nor if the time left is too
+  short; and at the first tier not while the tier below rejects or stalls most calls (`Gate`);
+- whether a request is retried: only if it has a retry left and the node's budget allows one (`RetryBudget`),
+  and not if the tier below has reported overload, since a retry would only add to it;
+- the limits that are forwarded with each attempt.
 
-This comes before the delay control in `orchidferry.balancing.logic`, never in its place: what is let through
-here still has to pass that. Servers between two nodes that drop the headers
-cut the chain in two; each half then keeps its own bounds.
+These checks come before the delay control in `orchidferry.balancing.logic` and don't replace it: a request
+that is admitted here still has to pass that. A server between two nodes that drops the headers cuts the chain
+in two; each half then keeps its own limits.
 
 Sources: retry budgets of Finagle (`RetryBudget`: a share of requests and a floor) and gRPC (A6, retry
-throttling); Google's SRE book, "Handling Overload" (at most 10 % retries, "overloaded; don't retry"); loops
-after RFC 8586; the gate opens by doubling, as TCP's slow start does (RFC 5681, section 3.1).
+throttling); Google's SRE book, "Handling Overload" (at most 10 % retries, "overloaded; don't retry"); loop
+detection as in RFC 8586; the gate opens by doubling, as TCP's slow start does (RFC 5681, section 3.1).
 """
 
 from __future__ import annotations
@@ -30,41 +30,41 @@
 from orchidferry.balancing.interface import Carried, Result
 from orchidferry.balancing.token_bucket import TokenBucket
 
-MAX_HOPS = 16  # of a path: no chain of tiers is as long; a path that is, is a loop that nobody named
-MAX_EXTRA = 8  # attempts beyond the first that anybody may bring
+MAX_HOPS = 16  # of a path: no chain has as many tiers, so a longer path is a loop
+MAX_EXTRA = 8  # retries (attempts beyond the first) that a request may carry
 MAX_WORTH = 1e6
-MAX_WEIGHT = 10  # powers of two: a thousand times
-BUDGET_SPAN_MS = 10_000.0  # over which requests earn retries, as in Finagle's budget
+MAX_WEIGHT = 10  # the exponent of the greatest weight: 2 ** 10, about a thousand
+BUDGET_SPAN_MS = 10_000.0  # the time over which requests earn retries, as in Finagle's budget
 CLOSE_AT_NET_FAILURES = (
-    8  # bad outcomes beyond good ones that close the gate: by chance at one in four bad, 3^-8
+    8  # surplus of bad outcomes that closes the gate; happens by chance with 3^-8 if one in four is bad
 )
-INITIAL_PROBES = 1.0  # calls at once through a closed gate, at first,
-PROBE_INTERVAL_MS = (100.0, 300.0)  # and how long after a bad one, doubling
+INITIAL_PROBES = 1.0  # concurrent calls through a gate that has just closed
+PROBE_INTERVAL_MS = (100.0, 300.0)  # wait after a bad probe: the first and the longest; doubled in between
 INFLIGHT_SAMPLES = 64.0  # calls over which duration and outstanding calls are averaged
-STUCK_FACTOR = 2.0  # times the mean duration without any answer: nothing below does any work
-MAX_CLOSED_MS = 30_000.0  # a closed gate through which none was sent for so long lets one through
-QUICKEST_SHARE = 0.8  # of the quickest recent answer: with less time left a request is rejected
-QUICKEST_GROWTH = 1.02  # by which that rises with each answer
-RESERVE_MS = 1.0  # of the time left, kept for the way back; a constant, as nothing measures it yet
+STUCK_FACTOR = 2.0  # times the mean duration without any success: the tier below is taken to be stuck
+MAX_CLOSED_MS = 30_000.0  # a closed gate that has sent nothing for this time lets one call through
+QUICKEST_SHARE = 0.8  # of the quickest recent response: a request with less time left is rejected
+QUICKEST_GROWTH = 1.02  # factor by which the quickest recent duration grows with each response
+RESERVE_MS = 1.0  # of the time left, reserved for the way back; a constant, because it is not measured yet
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What an operator allows. All nodes of a chain should have the same `extra`."""
+    """An operator's limits for one node. All nodes of a chain should have the same `extra`."""
 
-    tier: str  # names of this node's tier and of itself, as in paths
-    node: str
-    first: bool  # clients come here: nothing that they claim is believed
-    extra: int = 1  # for requests that bring none
-    share: float = 0.1  # of first tries that attempts beyond them may be, over `BUDGET_SPAN_MS`,
-    floor_per_s: float = 2.0  # and so many a second of the whole tier besides
-    nodes: int = 1  # that share this floor
-    shed: bool = False  # deeper tiers too turn away what is worth least, where they are crowded
+    tier: str  # the name of this node's tier, as in paths
+    node: str  # the name of this node, as in paths
+    first: bool  # whether clients connect to this tier: limits that they send are ignored
+    extra: int = 1  # retries of a request that carries no limit
+    share: float = 0.1  # retries allowed as a share of first attempts, over `BUDGET_SPAN_MS`
+    floor_per_s: float = 2.0  # further retries a second that the whole tier may make
+    nodes: int = 1  # nodes of the tier, which share this floor
+    shed: bool = False  # deeper tiers too shed the requests of least value when overloaded
 
     def __post_init__(self) -> None:
         """Reject limits out of range.
 
-        :raises ValueError: its text names the field
+        :raises ValueError: a limit is out of range; the text names the field
         """
         for name, low, high in (("extra", 0, MAX_EXTRA), ("share", 0.0, 1.0), ("floor_per_s", 0.0, 1e6)):
             if not low <= getattr(self, name) <= high:
@@ -74,35 +74,36 @@
         for name in ("tier", "node"):
             text = getattr(self, name)
             if not 0 < len(text) <= 64 or not all(c.isascii() and (c.isalnum() or c in "._-") for c in text):
-                raise ValueError(f"{name}: {text!r:.70} is no name of letters, digits, dots and hyphens")
+                raise ValueError(f"{name}: {text!r:.70} is no name of 1 to 64 letters, digits, dots, - and _")
 
 
 class Rejection(Enum):
     """Why a request is not admitted."""
 
-    LOOP = "loop"  # it has been here
-    LATE = "late"  # it can't be done in the time that is left
+    LOOP = "loop"  # it has passed this tier before
+    LATE = "late"  # it can't be completed in the time left
     BELOW = "below"  # the tier below does not keep up
 
 
 class Verdict(NamedTuple):
-    """What this node tells the tier above about a request that it did not serve."""
+    """What this node reports to the tier above about a request that it did not serve."""
 
-    below: bool  # the tier below is overloaded: a retry only adds to that
-    used: int  # attempts beyond the first that were made here and below
+    below: bool  # the tier below is overloaded: a retry would only add to that
+    used: int  # retries that were made here and below
 
 
 class RetryBudget:
-    """Attempts beyond the first that a node may make: a share of first tries, and its part of a floor.
+    """The retries that a node may make: a share of first attempts, and its part of the tier's floor.
 
-    However quiet a node, it has one in hand: the one request that fails gets its second attempt. All copies
-    together make no more than share * first tries + floor + one each, and never more than `extra` a request.
+    Even an idle node has one retry in hand, so that a single failing request gets its second attempt. All
+    nodes of the tier together make at most share * first attempts + floor + one each, and never more than
+    `extra` for one request.
     """
 
     def __init__(self, share: float, floor_per_s: float, nodes: int) -> None:
         self._share = share
         self._per_ms = floor_per_s / nodes / 1000.0
-        self._earned = 0.0  # by first tries lately, which bounds what may be saved up
+        self._earned = 0.0  # retries earned by recent first attempts; limits the tokens that may be saved up
         self._updated_ms = 0.0
         self._bucket = TokenBucket(1.0, 0.0)
 
@@ -112,7 +113,7 @@
         return max(1.0, self._earned + self._per_ms * BUDGET_SPAN_MS)
 
     def record_request(self, now: float) -> None:
-        """A request was admitted: its first attempt earns a share of a retry."""
+        """Record the first attempt of an admitted request, which earns a share of a retry."""
         capacity = self._capacity(now)
         self._earned += self._share
         self._bucket.refill(self._per_ms, capacity, now)
@@ -123,37 +124,38 @@
         return self._bucket.refill(self._per_ms, self._capacity(now), now) >= 1.0
 
     def spend(self) -> None:
-        """A retry is made."""
+        """Take the token of one retry."""
         self._bucket.tokens -= 1.0
 
 
 class Gate:
-    """A circuit breaker that probes: open while the tier below keeps up; closed, it lets a few calls through.
-
-    One slow server of ten fails a tenth of the calls, and asking again elsewhere helps: the gate stays open.
-    When most calls come back overloaded, timed out or turned away, from whichever server, asking again kills:
-    it closes, by Wald's sequential test of three in four against one in four, whose steps are even:
-    `CLOSE_AT_NET_FAILURES` more bad ones than good ones since these were last level. Or, before any is known
-    to be bad, when so many are outstanding and none was served for `STUCK_FACTOR` times their mean duration.
-    Each call that is then served lets twice as many through at once, up to the usual number; one that is bad
-    brings it back to the first.
+    """A circuit breaker with probing. Unlike in the usual terms, it lets all calls pass while it is open.
+
+    If one server of ten is slow, a tenth of the calls fail and retrying elsewhere helps: the gate stays open.
+    If most calls are rejected for overload or time out, whatever the server, retries make the overload worse:
+    the gate closes. It closes by Wald's sequential test of a bad share of three in four against one in four,
+    whose steps are of equal size: when `CLOSE_AT_NET_FAILURES` more outcomes were bad than good since the two
+    counts were last level. It also closes, before any outcome is known to be bad, if more calls than that are
+    outstanding and none was served for `STUCK_FACTOR` times the mean duration. While it is closed, each call
+    that is served doubles the number of concurrent calls, up to the usual number, at which the gate opens;
+    each bad outcome resets it to `INITIAL_PROBES`.
     """
 
     def __init__(self) -> None:
-        self._net_failures = 0  # bad outcomes beyond good ones
+        self._net_failures = 0  # surplus of bad outcomes over good ones
         self._last_start_ms = 0.0
         self._next_probe_ms = 0.0
         self._probe_interval_ms = PROBE_INTERVAL_MS[0]
         self._last_success_ms = 0.0
         self._opened_ms = 0.0
         self._mean_duration_ms = 0.0  # of calls that were served
-        self._mean_inflight = 0.0  # outstanding calls when one was served, while it was open
+        self._mean_inflight = 0.0  # outstanding calls at the time of a good outcome, while the gate was open
         self.inflight = 0  # outstanding calls
-        self.limit = math.inf  # of them; inf: open
+        self.limit = math.inf  # greatest number of outstanding calls; infinite while the gate is open
 
     @property
     def closed(self) -> bool:
-        """Whether only probes are let through."""
+        """Whether the gate lets only probes through."""
         return self.limit < math.inf
 
     def allows(self, now: float) -> bool:
@@ -163,7 +165,7 @@
         return now - self._last_start_ms > MAX_CLOSED_MS
 
     def call_started(self, now: float) -> None:
-        """A call was sent."""
+        """Record that a call was sent."""
         self.inflight += 1
         self._last_start_ms = now
         silent_ms = now - max(self._last_success_ms, self._opened_ms)
@@ -177,10 +179,11 @@
         self._next_probe_ms = now + self._probe_interval_ms
 
     def call_ended(self, bad: bool, counts: bool, duration_ms: float, now: float) -> None:
-        """A call has ended.
+        """Record the outcome of a call.
 
-        :param bad: it was rejected for overload or timed out
-        :param counts: its outcome says whether the tier below keeps up
+        :param bad: whether it was rejected for overload or timed out
+        :param counts: whether its outcome shows if the tier below keeps up
+        :param duration_ms: the time that the call took
         """
         inflight = self.inflight
         self.inflight = max(0, self.inflight - 1)
@@ -191,13 +194,13 @@
             samples = INFLIGHT_SAMPLES if self._mean_duration_ms else 1.0
             self._mean_duration_ms += (duration_ms - self._mean_duration_ms) / samples
         if not self.closed:
-            if not bad:  # only then: when nothing comes back, outstanding calls pile up
+            if not bad:  # good outcomes only: outstanding calls pile up while no responses come back
                 self._mean_inflight += (inflight - self._mean_inflight) / INFLIGHT_SAMPLES
             self._net_failures = max(0, self._net_failures + (1 if bad else -1))
             if self._net_failures >= CLOSE_AT_NET_FAILURES:
                 self._close(now)
         elif bad:
-            # Where calls are rejected at once, probes one after the other would be many.
+            # Wait before the next probe: calls that are rejected at once would make a rapid series of probes.
             self.limit = INITIAL_PROBES
             self._next_probe_ms = now + self._probe_interval_ms
             self._probe_interval_ms = min(2.0 * self._probe_interval_ms, PROBE_INTERVAL_MS[1])
@@ -216,32 +219,32 @@
 
     carried: Carried
     cls: str
-    initial_extra: int  # attempts beyond the first that were left when it came
+    initial_extra: int  # retries left when the request arrived
     attempts: int = 0
-    below: bool = False  # the tier below has said that it is overloaded
+    below: bool = False  # the tier below has reported overload for this request
 
 
 @dataclass
 class Chain:
-    """One node's part in a chain. Requests are kept from `admit` to `done`."""
+    """One node's part in a chain. Requests are tracked from `admit` to `done`."""
 
     limits: Limits
-    salt: str = ""  # makes this node's ids into ones that no other node has
+    salt: str = ""  # prefix that makes this node's request ids unique among all nodes
     budget: RetryBudget = field(init=False)
     gate: Gate = field(default_factory=Gate)
     rejected: dict[Rejection, int] = field(default_factory=lambda: dict.fromkeys(Rejection, 0))
     _open: dict[str, _OpenRequest] = field(default_factory=dict)
-    _quickest_ms: dict[str, float] = field(default_factory=dict)  # the quickest answers lately, by class
+    _quickest_ms: dict[str, float] = field(default_factory=dict)  # quickest recent durations, by class
 
     def __post_init__(self) -> None:
         limits = self.limits
         self.budget = RetryBudget(limits.share, limits.floor_per_s, limits.nodes)
         self._hop = f"{limits.tier}/{limits.node}"
 
-    # A request
+    # Requests
 
     def is_loop(self, carried: Carried | None) -> bool:
-        """Whether a request has been in this tier before, or has passed more hops than there are tiers."""
+        """Whether a request has passed this tier before, or has passed `MAX_HOPS` nodes."""
         if carried is None:
             return False
         tiers = [hop.partition("/")[0] for hop in carried.path]
@@ -250,12 +253,14 @@
     def admit(
         self, id: str, carried: Carried | None, cls: str, worth: float, left_ms: float, now: float
     ) -> Rejection | None:
-        """Admit a request, or say why not.
-
-        :param carried: None where nothing came that can be trusted
-        :param worth: the value of its class here
-        :param left_ms: until its deadline
-        :returns: None if it was admitted
+        """Admit a request, or return the reason for rejecting it.
+
+        :param id: the id of the request at this node
+        :param carried: the limits that the request carries; None if none arrived that can be trusted
+        :param cls: the class of the request
+        :param worth: the value of the class at this node
+        :param left_ms: the time until the request's deadline
+        :returns: None if the request was admitted
         """
         rejection = self._rejection(carried, cls, left_ms, now)
         if rejection is not None:
@@ -263,7 +268,7 @@
             return rejection
         if carried is None or self.limits.first:
             carried = Carried(f"{self.salt}{id}", self.limits.extra, worth)
-        # Nobody brings more than this tier itself would give.
+        # A request may not carry more retries than this tier itself would grant.
         extra = min(max(carried.extra, 0), self.limits.extra)
         carried = replace(carried, extra=extra, worth=min(max(carried.worth, 0.0), MAX_WORTH))
         self._open[id] = _OpenRequest(carried, cls, extra)
@@ -278,12 +283,13 @@
         return Rejection.BELOW if self._gate_rejects(now) else None
 
     def _gate_rejects(self, now: float) -> bool:
-        # At the first tier alone. Deeper a refusal wastes what was done above; and in the model gates behind
-        # each other never opened again: a call through the upper needs several through the lower at once.
+        # The gate works at the first tier only. A rejection deeper down wastes the work done above it; and in
+        # the model, gates of several tiers in a row never opened again, because one call through the upper
+        # gate needs several concurrent calls through the lower one.
         return self.limits.first and not self.gate.allows(now)
 
     def may_send(self, id: str, now: float) -> bool:
-        """Whether an attempt may be made: the first one, or one more."""
+        """Whether an attempt, the first one or a retry, may be made now."""
         request = self._open.get(id)
         if request is None or self._gate_rejects(now):
             return False
@@ -292,7 +298,7 @@
         return not request.below and request.carried.extra > 0 and self.budget.allows(now)
 
     def send(self, id: str, now: float) -> Carried:
-        """Make an attempt; what goes on with it."""
+        """Record an attempt; returns the limits to forward with it."""
         request = self._open[id]
         if request.attempts:
             self.budget.spend()
@@ -302,14 +308,15 @@
         return replace(request.carried, path=(*request.carried.path, self._hop))
 
     def left_ms(self, left_ms: float) -> float:
-        """The time that an attempt may take, of what this node has left."""
+        """The time that an attempt may take, given the time left to this node, in ms."""
         return max(0.0, left_ms - RESERVE_MS)
 
     def ended(self, id: str, result: Result, below: bool, used: int, duration_ms: float, now: float) -> None:
-        """An attempt is over.
+        """Record the outcome of an attempt.
 
-        `below`: it was turned away for overload beneath; `used`: attempts beyond the first that were made
-        there, which are not left here any more.
+        :param below: whether the attempt was rejected because a deeper tier is overloaded
+        :param used: the retries that were made below; they are no longer left here
+        :param duration_ms: the time that the attempt took
         """
         bad = below or result in (Result.TIMEOUT, Result.REFUSED)
         counts = bad or result in (Result.SERVED, Result.ERROR)
@@ -325,7 +332,7 @@
             self._quickest_ms[request.cls] = min(quickest_ms * QUICKEST_GROWTH, duration_ms)
 
     def verdict(self, id: str) -> Verdict:
-        """What goes up with an answer that is not a success."""
+        """The report to the tier above that goes with a response other than a success."""
         request = self._open.get(id)
         if request is None:
             return Verdict(False, 0)
@@ -333,9 +340,9 @@
         return Verdict(below, request.initial_extra - request.carried.extra)
 
     def weight(self, id: str, own_value: float) -> float:
-        """What a request is worth to the first tier's operators, over what its class is worth here.
+        """The value of a request to the first tier's operators, relative to the value of its class here.
 
-        The nearest power of two, so that there are few kinds of them; 1 where either is nothing.
+        Rounded to a power of two to keep the number of distinct weights small; 1 if either value is zero.
         """
         request = self._open.get(id)
         if request is None or request.carried.worth <= 0.0 or own_value <= 0.0:
@@ -343,15 +350,15 @@
         return 2.0 ** min(max(round(math.log2(request.carried.worth / own_value)), -MAX_WEIGHT), MAX_WEIGHT)
 
     def done(self, id: str) -> None:
-        """A request has its answer, or nobody waits for it."""
+        """Stop tracking a request that was answered, or that the client has abandoned."""
         self._open.pop(id, None)
 
     @property
     def open(self) -> int:
-        """Requests that are kept."""
+        """The number of requests that are being tracked."""
         return len(self._open)
 
 
 def loop_message(path: Iterable[str], hop: str) -> str:
-    """The line for the operators about a loop."""
-    return f"a request went round: {' > '.join((*path, hop))}; does a list name servers of another tier?"
+    """The log line about a request that has gone in a loop."""
+    return f"request loop: {' > '.join((*path, hop))}; does a server list name servers of another tier?"
--- a/orchidferry/balancing/configuration.py
+++ b/orchidferry/balancing/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a node that a control service sends: its parts, and why it may be refused."""
+"""The parts of a node's configuration that a control service sends, and the errors that refuse it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Part(Enum):
-    """What has a version of its own, as a resource type of xDS has."""
+    """A part of the configuration with a version of its own, like a resource type of xDS."""
 
-    MEMBERS = "members"  # pools of servers (EDS)
-    SETTINGS = "settings"  # the node's own, and the pool that it sends to
+    MEMBERS = "members"  # the pools of servers (EDS)
+    SETTINGS = "settings"  # the node's own settings, and the name of the pool that it sends to
 
 
 class Source(Enum):
-    """Where the applied configuration came from."""
+    """The origin of the applied configuration."""
 
     NONE = "nothing yet"
     FILE = "the node's own file"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A server of a pool, and its address."""
+    """A server of a pool, with its host and port."""
 
     entry: api.ServerEntry
     address: tuple[str, int]
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Pools:
-    """All pools by name."""
+    """The members of each pool, by the name of the pool."""
 
     members: Mapping[str, tuple[Member, ...]]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The node's own settings, and the pool that it sends to."""
+    """The node's own settings, and the name of the pool that it sends to."""
 
     pool: str
     settings: api.Settings
@@ -54,20 +54,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All parts, with the version of each ('' where it came from the node's file)."""
+    """All parts, with the version of each; "" for a part that comes from the node's file."""
 
     pools: Pools
     node: NodeSettings
     versions: Mapping[Part, str] = field(default_factory=lambda: dict.fromkeys(Part, ""))
 
     def members(self) -> tuple[Member, ...]:
-        """The servers that the node sends to."""
+        """The members of the pool that the node sends to."""
         return self.pools.members.get(self.node.pool, ())
 
 
 class VersionError(OrchidferryError):
-    """A configuration that must not be applied; the text names the field."""
+    """A configuration that must not be applied; the text names the field at fault."""
 
 
 class VersionMismatchError(VersionError):
-    """Parts that don't match: each may be valid with another version of the other."""
+    """Parts that don't match, although each may be valid with another version of the other."""
--- a/orchidferry/balancing/configuration_checks.py
+++ b/orchidferry/balancing/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a configuration before it is applied, and what follows from one for the list of servers."""
+"""Checks of a configuration before it is applied, and the server list that results from it."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     VersionMismatchError,
 )
 
-MAX_NAMES = 1_024  # of classes over the life of a node, as it keeps the strictest rules of each
+MAX_NAMES = 1_024  # class names since the start of a node, which keeps the strictest rules of each
 MAX_CLASSES = 256
 MAX_TENANTS = 10_000
 MAX_MEMBERS = 40_000
 MAX_POOLS = 64
-SHARES_SLACK = 1e-6  # of a sum of shares: they are written in decimals
-# Settings that can't change while a node runs: its place among the copies, and what its state depends on
+SHARES_SLACK = 1e-6  # tolerance for a sum of shares, which are written as decimals
+# Settings that can't change while a node runs: its position among its siblings, and inputs of its state
 FIXED_SETTINGS = (
     "nodes",
     "number",
@@ -35,7 +35,7 @@
     "full_may_have_run",
     "passes_deadline",
 )
-# Rules that the service may make stricter than the node's file, but not looser: whether more is stricter
+# Rules that the service may make stricter than the node's file, but not looser: whether higher is stricter
 HIGHER_IS_STRICTER = {
     "drain_grace_ms": False,
     "start_capacity": False,
@@ -47,17 +47,18 @@
     "extra_floor": False,
 }
 STRICTNESS = {api.Repeat.SAFE: 0, api.Repeat.KEYED: 1, api.Repeat.UNSAFE: 2}
+# How narrow the group of servers is that deduplicates repeated requests among its members
 NARROWNESS = {
     api.Group.ALL: 0,
     api.Group.ZONE: 1,
     api.Group.CELL: 2,
-}  # where repeats are dropped: fewer servers
+}
 
 
 def check_members(pools: Pools) -> None:
-    """Check the pools by themselves.
+    """Check the pools on their own.
 
-    :raises VersionError: there are too many, or a member is invalid
+    :raises VersionError: there are too many pools or members, or a member is invalid
     """
     if len(pools.members) > MAX_POOLS:
         raise VersionError(f"{len(pools.members)} pools, {MAX_POOLS} at most")
@@ -76,11 +77,12 @@
 
 
 def check_settings(node: NodeSettings, strictest: Mapping[str, api.RequestClass], file: api.Settings) -> None:
-    """Check new settings of a node against those of its file.
+    """Check the new settings of a node against those of its file.
 
+    :param node: the new settings
     :param strictest: the strictest form of each class that was ever applied, by name
     :param file: the settings of the node's file
-    :raises VersionError: what can't change changes, is out of range, or is looser than the file's rules
+    :raises VersionError: a setting is fixed but differs, is out of range, or is looser than in the file
     """
     new = node.settings
     if len(new.classes) > MAX_CLASSES:
@@ -103,10 +105,10 @@
         if getattr(new, name) != getattr(file, name):
             raise VersionError(f"{name}: {getattr(file, name)!r} to {getattr(new, name)!r} needs a restart")
     for name, higher_is_stricter in HIGHER_IS_STRICTER.items():
-        mine = getattr(file, name)
-        theirs = getattr(new, name)
-        if theirs < mine if higher_is_stricter else theirs > mine:
-            raise VersionError(f"{name}: {theirs:g} is looser than the {mine:g} of the node's file")
+        file_value = getattr(file, name)
+        new_value = getattr(new, name)
+        if new_value < file_value if higher_is_stricter else new_value > file_value:
+            raise VersionError(f"{name}: {new_value:g} is looser than the {file_value:g} of the node's file")
     if file.repeat_ratio is not None and (new.repeat_ratio is None or new.repeat_ratio > file.repeat_ratio):
         raise VersionError(
             f"repeat_ratio: {new.repeat_ratio} is looser than the {file.repeat_ratio:g} of the node's file"
@@ -114,7 +116,7 @@
 
 
 def _check_class(cls: api.RequestClass, known: api.RequestClass) -> None:
-    """A class must not become looser than its strictest form so far."""
+    """Check that a class is not looser than its strictest form so far."""
     if STRICTNESS[cls.repeat] < STRICTNESS[known.repeat]:
         raise VersionError(
             f"classes[{cls.name}].repeat: {cls.repeat.value} is looser than {known.repeat.value}"
@@ -131,9 +133,9 @@
 
 
 def check_parts_match(configuration: Configuration) -> None:
-    """Check that the parts go together.
+    """Check that the parts match each other.
 
-    :raises VersionMismatchError: the node's pool is none, or has no live server
+    :raises VersionMismatchError: the node's pool does not exist or has no server in service
     """
     pool = configuration.node.pool
     if pool not in configuration.pools.members:
@@ -145,7 +147,7 @@
 
 
 def drained(before: Configuration, after: Configuration) -> tuple[int, ...]:
-    """The servers in service before that drain, are gone or are not listed any more."""
+    """The servers that were in service before and are now draining, gone or no longer listed."""
     live = {m.entry.server for m in after.members() if m.entry.health is api.Health.IN_SERVICE}
     return tuple(
         m.entry.server
@@ -155,17 +157,21 @@
 
 
 def merged(control: Sequence[Member], discovery: Mapping[int, api.Health]) -> list[api.ServerEntry]:
-    """The server list of a node that has a discovery service too.
+    """The server list of a node that has a discovery service as well as a control service.
+
+    The control service determines the members and their shares. Discovery is the first to know that a
+    server's process is ending: a server that it lists as draining or gone gets no new requests, even if the
+    control service lists it as in service, but not the other way round. A server that only discovery lists is
+    not a member.
 
-    The control service says which servers are members and with what share. Discovery is the first to know of
-    a server's process: one that it lists as draining or gone gets nothing new, though the control service has
-    it in service; never the other way round. A server that only discovery lists is no member.
+    :param control: the members according to the control service
+    :param discovery: the health of each server according to discovery
     """
-    found = []
+    entries = []
     for member in control:
         discovered = discovery.get(member.entry.server, api.Health.IN_SERVICE)
         if discovered is not api.Health.IN_SERVICE and member.entry.health is api.Health.IN_SERVICE:
-            found.append(replace(member.entry, health=discovered))
+            entries.append(replace(member.entry, health=discovered))
         else:
-            found.append(member.entry)
-    return found
+            entries.append(member.entry)
+    return entries
--- a/orchidferry/balancing/moves.py
+++ b/orchidferry/balancing/moves.py
@@ -1,14 +1,15 @@
-"""Moves of traffic from one pool of servers to another, step by step; and back where the new pool is worse.
-
-A step sends a share of the requests of each class to the new pool and waits for evidence, by class: that the
-new pool is no worse than the old one was at the same time, or that it is. Both are tests of
-`sequential_tests`. A move is rolled back at evidence of `1 / alpha` that the new pool is worse, divided
-among all classes and measures (Bonferroni); a step is done at evidence of `1 / beta` for each class that its
-rate is below that of the old pool, lately, plus a margin.
-
-Compared are failures (errors, refusals, timeouts), and answers slower than nine in ten of the old pool's
-lately: a pool that is fast because it fails at once is worse by the first. An incident of both pools shows in
-both, and moves nothing. A class with too few requests to tell pauses the move, or is moved last. No I/O.
+"""Gradual moves of traffic from one pool of servers to another, rolled back if the new pool is worse. No I/O.
+
+A step sends a share of the requests of each class to the new pool and waits, for each class, for evidence
+that the new pool is no worse than the old one over the same time, or that it is worse. Both are tests of
+`sequential_tests`. A move is rolled back if the evidence that the new pool is worse reaches `1 / alpha`,
+corrected for the number of classes and measures (Bonferroni). A step is done if, for each class, the evidence
+reaches `1 / beta` that its rate is below the recent rate of the old pool plus a margin.
+
+Two measures are compared: failures (errors, refusals, timeouts), and answers slower than nine in ten recent
+answers of the old pool. A pool that is fast only because it fails at once is worse by the first measure. An
+incident that strikes both pools shows in both and has no effect on the move. A class with too few requests to
+judge pauses the move, or is moved last.
 """
 
 from __future__ import annotations
@@ -25,10 +26,10 @@
 
 T = TypeVar("T")
 STEPS = (0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0)
-RARE_FROM_SHARE = 0.05  # share with which rare classes begin, once all others are moved
-RECENT_OUTCOMES = 200  # old outcomes that a class's usual rate and times are taken from,
-MIN_OUTCOMES = 20  # and the least of them
-SLOW_QUANTILE = 0.9  # quantile of the old pool's times from which an answer is slow
+RARE_FROM_SHARE = 0.05  # first share of the rare classes, once all other classes are moved
+RECENT_OUTCOMES = 200  # outcomes of the old pool from which a class's usual failure rate and times are taken
+MIN_OUTCOMES = 20  # outcomes that are needed for this
+SLOW_QUANTILE = 0.9  # quantile of the old pool's times above which an answer counts as slow
 
 
 class State(Enum):
@@ -36,37 +37,37 @@
 
     PLANNED = "planned"
     SHIFTING = "shifting"  # a step waits for evidence
-    PAUSED = "holding"  # by an operator, or for want of servers to compare with
-    ROLLING_BACK = "undoing"  # the new pool gets nothing new; what is in flight ends there
+    PAUSED = "holding"  # by an operator, or because the old pool has no servers to compare with
+    ROLLING_BACK = "undoing"  # the new pool gets no new requests, and completes those in flight
     DONE = "done"
-    FAILED = "failed"  # undone
+    FAILED = "failed"  # the rollback is complete
 
 
 class RareClasses(Enum):
-    """What becomes of classes with too few requests to tell."""
+    """The treatment of classes with too few requests to judge."""
 
-    HOLD = "hold"
-    LAST = "last"
+    HOLD = "hold"  # the move waits for them
+    LAST = "last"  # they are moved after all other classes
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What an operator asks for."""
+    """The operator's parameters of a move."""
 
     classes: tuple[str, ...]
-    steps: tuple[float, ...] = STEPS  # shares of each class
-    alpha: float = 0.01  # of undoing a move between two equal pools, at any time
-    beta: float = 0.05  # of a step's ending though a class is worse by `margin`, by class
-    margin: float = 0.05  # of a rate of failures: what is still no worse; of slow answers four times that
-    step_ms: float = 10_000.0  # that a step lasts at least
+    steps: tuple[float, ...] = STEPS  # share of each class that goes to the new pool, by step
+    alpha: float = 0.01  # probability of ever rolling back a move between two equal pools
+    beta: float = 0.05  # probability, by class, of passing a step although the class is worse by `margin`
+    margin: float = 0.05  # tolerated increase of the failure rate; of the slow rate, four times as much
+    step_ms: float = 10_000.0  # shortest duration of a step
     rare: RareClasses = RareClasses.HOLD
-    rare_ms: float = 120_000.0  # without enough evidence for so long a class is rare
-    settle_ms: float = 6_000.0  # from an undo until all that was in flight is over
+    rare_ms: float = 120_000.0  # time without enough evidence after which a class is rare
+    settle_ms: float = 6_000.0  # time from the start of a rollback until no requests are in flight
 
     def __post_init__(self) -> None:
         """Reject values out of range.
 
-        :raises ValueError: its text names the field
+        :raises ValueError: a value is out of range; the text names the field
         """
         if not self.classes or len(set(self.classes)) < len(self.classes):
             raise ValueError("classes: at least one, each once")
@@ -83,7 +84,7 @@
 
 
 class _Baseline:
-    """The recent outcomes of the old pool, of one class."""
+    """The recent outcomes of one class in the old pool."""
 
     __slots__ = ("_failures", "_outcomes", "_sorted", "_durations")
 
@@ -125,15 +126,15 @@
 
 @dataclass
 class _TrackedClass:
-    """The evidence on one class."""
+    """The evidence for one class."""
 
     baseline: _Baseline = field(default_factory=_Baseline)
     worse: dict[str, WorseTest] = field(default_factory=lambda: _for_each_measure(WorseTest))
     no_worse: dict[str, NonInferiorityTest] = field(
         default_factory=lambda: _for_each_measure(NonInferiorityTest)
     )
-    new_outcomes: int = 0  # outcomes of the new pool in this step
-    moved_last: bool = False  # too rare: it is moved when all others are
+    new_outcomes: int = 0  # outcomes of the new pool in the current step
+    moved_last: bool = False  # whether it is rare, and is moved after all other classes
 
     def begin(self, max_value: float) -> None:
         for test in self.no_worse.values():
@@ -142,7 +143,7 @@
 
 
 class Move:
-    """One node's part of a move: hand in outcomes, ask for shares."""
+    """One node's part in a move: takes the outcomes of requests, and returns the share of each class."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -150,10 +151,10 @@
         self.reason = ""
         self._classes = {name: _TrackedClass() for name in plan.classes}
         self._step = -1
-        self._moving_rare = False  # the rare classes are being moved, behind all others
-        self._state_since_ms = 0.0  # of the step, or of the undo
-        self.history: list[tuple[float, str]] = []  # for operators; one line a step
-        # All classes together too: what strikes them alike shows sooner there.
+        self._moving_rare = False  # whether the rare classes are being moved, after all others
+        self._state_since_ms = 0.0  # time at which the step or the rollback began
+        self.history: list[tuple[float, str]] = []  # time and text of each state change, for operators
+        # Also test all classes together: a fault that affects them alike is detected earlier this way.
         self._all = _for_each_measure(WorseTest)
         measures = 2 * (len(plan.classes) + 1)
         self._roll_back_at = math.log(measures / plan.alpha)
@@ -172,26 +173,26 @@
             self._next_step(now)
 
     def pause(self, now: float, reason: str = "by an operator") -> None:
-        """Keep the shares as they are."""
+        """Keep the current shares."""
         if self.state is State.SHIFTING:
             self._set_state(State.PAUSED, now, reason)
 
     def resume(self, now: float) -> None:
-        """End a pause; the time of the step begins again."""
+        """End a pause; the current step starts again."""
         if self.state is State.PAUSED:
             self._state_since_ms = now
-            self._set_state(State.SHIFTING, now, f"goes on at {self.plan.steps[self._step]:.1%}")
+            self._set_state(State.SHIFTING, now, f"resumed at {self.plan.steps[self._step]:.1%}")
 
     def roll_back(self, now: float, reason: str = "by an operator") -> None:
-        """Send nothing new to the new pool from now on."""
+        """Send no new requests to the new pool from now on."""
         if self.state in (State.SHIFTING, State.PAUSED, State.DONE):
             self._state_since_ms = now
             self._set_state(State.ROLLING_BACK, now, reason)
 
-    # What is sent where
+    # Shares
 
     def share(self, cls: str) -> float:
-        """The share of a class that goes to the new pool now."""
+        """The share of a class that goes to the new pool now, from 0 to 1."""
         match self.state:
             case State.DONE:
                 return 1.0
@@ -199,7 +200,7 @@
                 tracked = self._classes.get(cls)
                 if tracked is None:
                     return 0.0
-                if tracked.moved_last is not self._moving_rare:  # not yet, or completely
+                if tracked.moved_last is not self._moving_rare:  # not moved yet, or moved completely
                     return 0.0 if tracked.moved_last else 1.0
                 return self.plan.steps[self._step]
         return 0.0
@@ -207,9 +208,12 @@
     # Outcomes
 
     def ended(self, cls: str, new: bool, failed: bool, duration_ms: float, now: float) -> None:
-        """Take the outcome of a request.
+        """Record the outcome of a request.
 
-        :param new: it went to the new pool
+        :param cls: the class of the request
+        :param new: whether it went to the new pool
+        :param failed: whether it failed
+        :param duration_ms: the time that it took
         """
         tracked = self._classes.get(cls)
         if tracked is None or self.state not in (State.SHIFTING, State.PAUSED):
@@ -221,14 +225,14 @@
             if known:
                 for tests in (tracked.worse, self._all):
                     tests["failures"].record_old(failed)
-                    if not failed:  # slow for its class, which classes have in common
+                    if not failed:  # slow relative to its own class, so that classes can be counted together
                         tests["slow answers"].record_old(duration_ms > slow_ms)
             return None
         if not tracked.baseline.known:
             return None  # nothing to compare with
         tracked.new_outcomes += 1
         slow = duration_ms > tracked.baseline.slow_ms
-        # Of a class that is moved completely nothing goes to the old pool, and its baseline is outdated.
+        # No requests of a completely moved class go to the old pool, so that its baseline is out of date.
         for tests in (tracked.worse, self._all) if self.share(cls) < 1.0 else ():
             tests["failures"].record_new(failed)
             if not failed:
@@ -243,10 +247,10 @@
         return None
 
     def tick(self, now: float, live_new: int = 1, live_old: int = 1) -> None:
-        """Check the time: steps end, classes turn out to be rare, a rollback is complete.
+        """Check time limits: end steps, detect rare classes, complete rollbacks.
 
-        :param live_new: servers in service in the new pool
-        :param live_old: and in the others
+        :param live_new: the number of servers in service in the new pool
+        :param live_old: the number of servers in service in all other pools
         """
         if self.state is State.ROLLING_BACK and now - self._state_since_ms >= self.plan.settle_ms:
             self._set_state(State.FAILED, now, self.reason)
@@ -258,29 +262,29 @@
             self._judge_step(now)
 
     def _judge_step(self, now: float) -> None:
-        last = self._step == len(self.plan.steps) - 1  # the old pool has nothing to tell any more
+        last = self._step == len(self.plan.steps) - 1  # the old pool gets no more requests to compare with
         for cls, tracked in self._classes.items():
             if tracked.moved_last is not self._moving_rare or last or self._is_shown_no_worse(tracked):
                 continue
-            late = now - self._state_since_ms >= self.plan.rare_ms
-            if not late or self._moving_rare or self.plan.rare is RareClasses.HOLD:
+            overdue = now - self._state_since_ms >= self.plan.rare_ms
+            if not overdue or self._moving_rare or self.plan.rare is RareClasses.HOLD:
                 return
             tracked.moved_last = True
             self.history.append(
-                (now, f"{cls} is too rare to tell ({tracked.new_outcomes} in this step): moved last")
+                (now, f"too few requests of {cls} to judge ({tracked.new_outcomes} in this step): moved last")
             )
         if not last:
             self._next_step(now)
         elif not self._moving_rare and any(tracked.moved_last for tracked in self._classes.values()):
-            # These have few requests: they begin with a larger share, and each step waits for its evidence.
+            # Rare classes begin with a larger share, and each of their steps waits for evidence.
             self._moving_rare = True
             self._step = sum(step < RARE_FROM_SHARE for step in self.plan.steps) - 1
             self._next_step(now)
         else:
-            self._set_state(State.DONE, now, "all of it is moved")
+            self._set_state(State.DONE, now, "all traffic is moved")
 
     def _is_shown_no_worse(self, tracked: _TrackedClass) -> bool:
-        """Whether a class has shown to be no worse in this step."""
+        """Whether a class is shown to be no worse in this step."""
         return all(test.max_value >= self._next_at for test in tracked.no_worse.values())
 
     def _next_step(self, now: float) -> None:
@@ -288,4 +292,4 @@
         self._state_since_ms = now
         for tracked in self._classes.values():
             tracked.begin(self._next_at)
-        self._set_state(State.SHIFTING, now, f"{self.plan.steps[self._step]:.1%} of worth")
+        self._set_state(State.SHIFTING, now, f"{self.plan.steps[self._step]:.1%} of each class")
--- a/orchidferry/balancing/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -1,15 +1,18 @@
-"""Pools of servers, and which pool a request goes to. No I/O.
-
-Each pool has a `Balancer` of its own, which works as in a node without pools; the `Router` has the same
-interface and decides only which of them gets a request. A server belongs to the first pool that lists its
-kind or its group; one that no pool lists is in the first.
-
-- A request stays in its pool, with all of its attempts. A key stays in the pool that it went to first for
-  `KEY_AFFINITY_MS` behind its last use, also over an undo: pools that drop repeats apart never share one.
-- A move (`orchidferry.balancing.moves`) gives the share of a class that goes to another pool. What has a key
-  is dealt by it, so that the same client does not flap between versions; the rest in turn.
-- Panic: a pool of which less than `MIN_LIVE` of what it had is in service gets nothing beyond its
-  part: the rest of its share stays in the other pool. With no pool in service the first one says so.
+"""Pools of servers, and the choice of a pool for each request. No I/O.
+
+Each pool has a `Balancer` of its own, which works as in a node without pools. The `Router` has the interface
+of a `Balancer` and chooses only the pool for each request. A server belongs to the first pool that lists its
+kind or its group; a server that no pool lists belongs to the first pool.
+
+- A request stays in its pool, with all of its attempts. An idempotency key stays in the pool that it went to
+  first until `KEY_AFFINITY_MS` after its last use, even across a rollback, because pools that deduplicate
+  requests separately must not share a key.
+- A move (`orchidferry.balancing.moves`) determines the share of each class that goes to another pool.
+  Requests with a key are assigned by a hash of the key, so that one client does not flap between versions;
+  the others are assigned in turn.
+- Panic mode: if the new pool has less than `MIN_LIVE` of its greatest number of servers in service, its share
+  is reduced in proportion, and the rest stays in the old pool. If no pool has a server in service, the first
+  pool rejects the request.
 """
 
 from __future__ import annotations
@@ -25,41 +28,40 @@
 from orchidferry.balancing.logic import Balancer
 from orchidferry.balancing.moves import Move, Plan, State
 
-# how long a key is kept to its pool; and how many are
-KEY_AFFINITY_MS = 6_000.0
-MAX_KEYS = 100_000
-MIN_LIVE = 0.5  # of a pool's servers that must be in service for its whole share
-RESERVED_TOKENS = 4  # tokens below this are the first pool's own
-TICK_MS = 250.0  # how often a move is looked at
-UNINFORMATIVE = frozenset((api.Result.MOOT, api.Result.CANCELLED))  # of the server
+KEY_AFFINITY_MS = 6_000.0  # time after its last use for which a key stays in its pool
+MAX_KEYS = 100_000  # keys that are remembered
+MIN_LIVE = 0.5  # share of a pool's servers that must be in service for the pool to get its full share
+RESERVED_TOKENS = 4  # timer tokens below this number are the first pool's own
+TICK_MS = 250.0  # interval at which a move is updated
+UNINFORMATIVE = frozenset((api.Result.MOOT, api.Result.CANCELLED))  # results that don't depend on the server
 
 
 @dataclass(frozen=True, slots=True)
 class PoolRule:
-    """One pool: which servers belong to it."""
+    """The servers that belong to one pool: those of certain kinds or groups."""
 
     name: str
     kinds: frozenset[str] = frozenset()
     groups: frozenset[int] = frozenset()
 
     def matches(self, entry: api.ServerEntry) -> bool:
-        """Whether a server belongs to it."""
+        """Whether a server belongs to the pool."""
         return entry.kind in self.kinds or entry.cell in self.groups
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """All pools, the first being where all goes without a move; and a move that is planned."""
+    """All pools, and a planned move between them if there is one.
 
-    pools: tuple[PoolRule, ...]
-    to: str = ""  # the move's new pool; '': none is planned
+    :raises ValueError: the rules contradict each other; the text says how
+    """
+
+    pools: tuple[PoolRule, ...]  # without a move, all requests go to the first
+    to: str = ""  # the new pool of the move; "" if none is planned
     plan: Plan | None = None
 
     def __post_init__(self) -> None:
-        """Reject rules that contradict each other.
-
-        :raises ValueError: its text says which
-        """
+        """Reject rules that contradict each other."""
         names = [pool.name for pool in self.pools]
         if not names or len(set(names)) < len(names):
             raise ValueError("pools: at least one, each with a name of its own")
@@ -83,26 +85,26 @@
 class _Pool:
     balancer: Balancer
     live: set[int] = field(default_factory=set)  # servers in service
-    max_live: int = 0  # the most there were
+    max_live: int = 0  # greatest number of servers in service so far
 
 
 class Router:
-    """Pools behind the interface of one `Balancer`."""
+    """Several pools behind the interface of one `Balancer`."""
 
     def __init__(self, settings: api.Settings, salt: int, rules: Rules, chain: Chain | None = None) -> None:
         self.rules = rules
         self.chain = chain
         self._pools = [_Pool(Balancer(settings, salt + n, chain)) for n in range(len(rules.pools))]
         self._requests: dict[str, _RoutedRequest] = {}
-        self._keys: OrderedDict[str, tuple[float, int]] = OrderedDict()  # when last used, and the pool
-        self._pool_of_server: dict[int, int] = {}  # pool of each server that is known
-        self._owed: dict[str, float] = {}  # fraction of a request owed to the new pool, by class
+        self._keys: OrderedDict[str, tuple[float, int]] = OrderedDict()  # time of last use and pool, by key
+        self._pool_of_server: dict[int, int] = {}  # pool of each known server
+        self._owed: dict[str, float] = {}  # fraction of a request due to the new pool, by class
         names = [pool.name for pool in rules.pools]
         self._new_pool = names.index(rules.to) if rules.to else 0
         plan = rules.plan or Plan(tuple(cls.name for cls in settings.classes))
         self.move: Move | None = Move(plan) if rules.to else None
         self._ticking = False
-        self._logged = 0  # entries of the move's history that were logged
+        self._logged = 0  # entries of the move's history that are already logged
 
     # Read by the node
 
@@ -117,13 +119,13 @@
         return self._pools[0].balancer.classes
 
     def avoided(self, now: float) -> int:
-        """How many listed servers get nothing new now."""
+        """The number of listed servers that get no new requests now."""
         return sum(pool.balancer.avoided(now) for pool in self._pools)
 
     # Events
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Take one event; the actions that follow from it, in order."""
+        """Process an event; returns the resulting actions, in order."""
         actions: list[api.Action] = []
         match event:
             case api.Request():
@@ -156,23 +158,23 @@
         return actions
 
     def _forward(self, pool: int, event: api.Event, now: float) -> list[api.Action]:
-        """Hand an event to one pool; its timers are given tokens that bear its number."""
-        found: list[api.Action] = []
+        """Pass an event to one pool, and encode the pool's number in the tokens of its timers."""
+        actions: list[api.Action] = []
         for action in self._pools[pool].balancer.handle(event, now):
             match action:
                 case api.SetTimer():
                     token = action.token
                     if pool or token >= RESERVED_TOKENS:
                         token = RESERVED_TOKENS + token * len(self._pools) + pool
-                    found.append(api.SetTimer(token, action.delay_ms))
+                    actions.append(api.SetTimer(token, action.delay_ms))
                 case api.Subscribe() if pool:
                     pass  # one subscription is enough
                 case api.Fail() | api.Refuse():
                     self._requests.pop(action.id, None)
-                    found.append(action)
+                    actions.append(action)
                 case _:
-                    found.append(action)
-        return found
+                    actions.append(action)
+        return actions
 
     def _timer(self, event: api.TimerFired, now: float) -> list[api.Action]:
         if event.token < 0:
@@ -188,14 +190,14 @@
         assert move is not None
         new = len(self._pools[self._new_pool].live)
         move.tick(now, new, sum(len(pool.live) for pool in self._pools) - new)
-        found: list[api.Action] = [
+        actions: list[api.Action] = [
             api.Log(f"move to {self.rules.to}: {text}") for _, text in move.history[self._logged :]
         ]
         self._logged = len(move.history)
         if not self._ticking and move.state in (State.SHIFTING, State.PAUSED, State.ROLLING_BACK):
             self._ticking = True
-            found.append(api.SetTimer(-1, TICK_MS))
-        return found
+            actions.append(api.SetTimer(-1, TICK_MS))
+        return actions
 
     # Requests
 
@@ -220,7 +222,7 @@
         return pool
 
     def _goes_to_new_pool(self, event: api.Request) -> bool:
-        """Whether this request is in the share that the move sends to the new pool."""
+        """Whether this request belongs to the share that the move sends to the new pool."""
         assert self.move is not None
         target = self._pools[self._new_pool]
         old_pool = self._pools[0]
@@ -240,7 +242,7 @@
         return owed >= 1.0
 
     def _record_outcome(self, routed: _RoutedRequest, event: api.AttemptEnded, now: float) -> None:
-        """Hand attempts to the move, not requests: a retry that succeeds would hide a pool that fails."""
+        """Report attempts, not requests, to the move: a successful retry would hide the failure of a pool."""
         if self.move is not None and event.result not in UNINFORMATIVE:
             failed = event.result is not api.Result.SERVED
             self.move.ended(routed.cls, routed.pool == self._new_pool, failed, event.duration_ms, now)
@@ -270,13 +272,13 @@
             (live.add if entry.health is Health.IN_SERVICE else live.discard)(entry.server)
         if event.kind is not ListKind.CHANGES:
             self._keep_only({entry.server for entry in event.entries})
-        found: list[api.Action] = []
+        actions: list[api.Action] = []
         for number, part in enumerate(parts):
             pool = self._pools[number]
             pool.max_live = max(pool.max_live, len(pool.live))
             if part or event.kind is not ListKind.CHANGES:
-                found += self._forward(number, api.ServerList(event.kind, event.version, part), now)
-        return found
+                actions += self._forward(number, api.ServerList(event.kind, event.version, part), now)
+        return actions
 
     def _keep_only(self, listed: Iterable[int]) -> None:
         listed = set(listed)
--- a/orchidferry/balancing/proposer.py
+++ b/orchidferry/balancing/proposer.py
@@ -1,6 +1,6 @@
-"""The proposer of the register: one round at a time, of promises and then accepts.
+"""The proposer of the register: makes one change at a time, in rounds of a prepare and an accept phase.
 
-Free of I/O and of clocks: events and times are handed in, actions are returned.
+Free of I/O and of clocks: the caller passes in events and times, and carries out the actions returned.
 """
 
 from __future__ import annotations
@@ -29,9 +29,12 @@
 
 @dataclass(slots=True)
 class _PendingChange:
-    """A change that waits to be made.
+    """A change that is queued or being made.
 
-    :param until_ms: when it is given up.
+    :param id: the id of the change.
+    :param intent: the purpose of the change, to which voters may object; None if they may not.
+    :param change: computes the new value.
+    :param until_ms: the time at which the change is abandoned.
     """
 
     id: str
@@ -42,14 +45,19 @@
 
 @dataclass(slots=True)
 class _Round:
-    """One round of the proposer: promises under a ballot, and then accepts.
-
-    :param phase_began_ms: since when its prepares, or its accepts, are under way.
-    :param due_ms: when what was not answered is sent again.
-    :param asked: names of the voters that were asked to promise.
-    :param before: the state that the round has found; None until enough voters have promised.
-    :param after: the state that voters are asked to accept; None until enough voters have promised.
-    :param why: the reason for which the change is refused; "" if it is not.
+    """One round of the proposer: a prepare phase and an accept phase under one ballot.
+
+    :param ballot: the ballot of the round.
+    :param pending: the change that the round makes.
+    :param phase_began_ms: the time at which the current phase began.
+    :param due_ms: the time at which unanswered messages are sent again.
+    :param resends: how often messages were sent again in the current phase.
+    :param promises: the promises received, by voter.
+    :param asked: the names of the voters that were asked to promise.
+    :param after: the value that voters are asked to accept; None until enough voters have promised.
+    :param before: the value that the round has found; None until enough voters have promised.
+    :param accepted: the voters that have accepted.
+    :param why: the reason for which the change is refused; "" if it is not refused.
     """
 
     ballot: Ballot
@@ -65,21 +73,21 @@
     why: str = ""
 
 
-RESEND_MS = 500.0  # for voters to answer, before they are asked again; doubled each time, to
+RESEND_MS = 500.0  # wait for the voters' answers before the first resend; doubled with each further resend
 MAX_RESEND_MS = 4_000.0
-BACK_OFF_MS = 400.0  # full jitter, doubled with each round that was preempted, to
+BACK_OFF_MS = 400.0  # upper bound of the first backoff (full jitter); doubled with each preempted round
 MAX_BACK_OFF_MS = 5_000.0
-BACK_OFF_ANSWERS = 2.0  # the backoff begins with so many times the time of an answer, if that is more
-MAX_PENDING = 64  # changes that wait at one proposer
+BACK_OFF_ANSWERS = 2.0  # the first backoff is bounded by at least this many times the recent response time
+MAX_PENDING = 64  # changes queued at one proposer
 MAX_DOUBLINGS = 10
-VOTERS_CHANGING = "the voters are changing"  # why another change of them is refused
+VOTERS_CHANGING = "the voters are changing"  # refusal while another change of voters is undecided
 
 
 class Proposer:
-    """The part of a replica that proposes changes, one at a time.
+    """The proposing part of a replica; makes one change at a time.
 
-    :ivar name: makes its ballots its own.
-    :ivar known: the newest state that is known to be decided.
+    :ivar name: the name of the replica, which makes its ballots unique.
+    :ivar known: the newest value that is known to be decided.
     """
 
     def __init__(
@@ -92,25 +100,29 @@
     ) -> None:
         """Create a proposer.
 
-        :param initial: the state that the register begins with, the same at all; its voters are asked
+        :param name: the name of the replica.
+        :param initial: the initial value of the register, the same at all replicas; its voters are asked
             first.
+        :param rng: the source of the random backoff.
+        :param resend_ms: the wait before unanswered messages are first sent again.
+        :param back_off_ms: the upper bound of the first backoff after a preempted round.
         """
         self._resend_ms = resend_ms
         self._back_off_ms = back_off_ms
-        self._answer_ms = 0.0  # how long the voters have taken to answer lately
+        self._answer_ms = 0.0  # recent response time of the voters
         self.name = name
         self.known = initial
         self._initial = initial
         self._rng = rng
-        self._counter = 0  # of the highest ballot seen
+        self._counter = 0  # the counter of the highest ballot seen
         self._pending: list[_PendingChange] = []
         self._round: _Round | None = None
-        self._next_round_ms = 0.0  # no round is begun before
-        self._preempted_rounds = 0  # in a row
+        self._next_round_ms = 0.0  # the earliest time of the next round
+        self._preempted_rounds = 0  # consecutive rounds that were preempted
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is to be called; infinite for never."""
+        """The time at which `tick` is to be called; infinite for never."""
         if not self._pending:
             return float("inf")
         if self._round is not None:
@@ -118,17 +130,17 @@
         return self._next_round_ms
 
     def ask(self, id: str, change: Change, now: float, for_ms: float, intent: Any = None) -> list[Action]:
-        """Have the state changed.
+        """Queue a change of the value.
 
-        The outcome is a `ChangeDecided`; there is none if the change is given up: then it may still be made,
-        so whoever asks again does so under the same id.
+        The outcome is reported by a `ChangeDecided`. A change that is abandoned after `for_ms` has no outcome
+        and may still be made later, so a caller that retries must use the same id.
 
-        :param id: of the change.
-        :param change: given the state, returns the state after the change; the very same state if nothing has
-            to change; or, as a string, why the change is refused. It may be called more than once.
-        :param now: in ms.
-        :param for_ms: after this time the change is given up.
-        :param intent: what the voters may object to; None for nothing.
+        :param id: the id of the change.
+        :param change: given the current value, returns the new value; the identical object if nothing has to
+            change; or the reason for a refusal, as a string. It may be called more than once.
+        :param now: the current time in ms.
+        :param for_ms: the time after which the change is abandoned.
+        :param intent: the purpose of the change, to which voters may object; None for nothing to object to.
         :returns: the actions to be carried out.
         """
         if len(self._pending) < MAX_PENDING:
@@ -136,15 +148,15 @@
         return self.tick(now)
 
     def withdraw(self, id: str) -> None:
-        """Give up a change without an outcome."""
+        """Abandon a change; no outcome is reported."""
         self._pending = [pending for pending in self._pending if pending.id != id]
         if self._round is not None and self._round.pending.id == id:
             self._round = None
 
     def tick(self, now: float) -> list[Action]:
-        """Begin a round if one is due; give up the changes that have waited too long.
+        """Start a round, or send unanswered messages again, if that is due; abandon expired changes.
 
-        :param now: in ms.
+        :param now: the current time in ms.
         :returns: the actions to be carried out.
         """
         self._pending = [pending for pending in self._pending if pending.until_ms > now]
@@ -162,9 +174,9 @@
         return self._prepare(self._round, self.known.voters)
 
     def handle(self, message: Promise | Accepted, now: float) -> list[Action]:
-        """Take a voter's answer.
+        """Process a voter's answer.
 
-        :param now: in ms.
+        :param now: the current time in ms.
         :returns: the actions to be carried out.
         """
         round_ = self._round
@@ -181,26 +193,26 @@
         return self._accepted(round_, now)
 
     def learn(self, value: Value) -> None:
-        """Take a state that is known to be decided."""
+        """Take note of a value that is known to be decided."""
         if value.version > self.known.version:
             self.known = value
 
     def _resend(self, round_: _Round, now: float) -> list[Action]:
-        """Ask those again that have not answered, under the same ballot: an answer that comes late counts."""
+        """Ask the silent voters again, under the same ballot, so that late answers still count."""
         round_.resends += 1
         pause_ms = self._resend_ms * 2.0 ** min(round_.resends, MAX_DOUBLINGS)
         round_.due_ms = now + min(MAX_RESEND_MS, pause_ms)
         if round_.after is not None:
             accepted = {voter.name for voter in round_.accepted}
             return [action for action in self._accepts(round_) if action.to not in accepted]
-        silent = sorted(round_.asked - {voter.name for voter in round_.promises})
-        again = [SendToVoter(name, Prepare(round_.ballot, round_.pending.intent)) for name in silent]
+        unanswered = sorted(round_.asked - {voter.name for voter in round_.promises})
+        again = [SendToVoter(name, Prepare(round_.ballot, round_.pending.intent)) for name in unanswered]
         return [*again, *self._prepare(round_, self.known.voters)]
 
     def _back_off(self, round_: _Round, now: float) -> None:
-        """Another proposer has preempted the round.
+        """End a round that another proposer has preempted.
 
-        Leave it the time that its phase takes, and a random backoff.
+        The next round starts after the time that the other proposer needs for a phase, plus a random backoff.
         """
         self._measure_answer(now - round_.phase_began_ms)
         self._round = None
@@ -214,7 +226,7 @@
         self._answer_ms = max(took_ms, 0.5 * (self._answer_ms + took_ms))
 
     def _prepare(self, round_: _Round, voters: Iterable[Voter]) -> list[Action]:
-        """Ask those of the voters to promise that were not asked yet."""
+        """Ask those voters to promise that this round has not asked yet."""
         actions: list[Action] = []
         for voter in voters:
             if voter.name not in round_.asked:
@@ -223,20 +235,23 @@
         return actions
 
     def _former_voters(self, value: Value) -> tuple[Voter, ...]:
-        """The voters before those of a state, as long as the change of them is not known to be decided."""
+        """The former voters of a value, while their replacement is not known to be decided."""
         return value.former_voters if self.known.version < value.version else ()
 
     def _has_quorum(self, value: Value, given: Iterable[Voter]) -> bool:
-        """Whether a majority of a state's voters is among these, and of those before them if they count."""
+        """Whether majorities of a value's voters, and of its former voters if they still count, have voted.
+
+        :param given: the voters that have promised, or that have accepted.
+        """
         given = set(given)
         former = self._former_voters(value)
         return has_majority(value.voters, given) and (not former or has_majority(former, given))
 
     def _promised(self, round_: _Round, now: float) -> list[Action]:
-        """Once enough voters have promised, change the newest state that any of them has accepted."""
+        """If enough voters have promised, apply the change to the newest value that any has accepted."""
         newest = max(round_.promises.values(), key=lambda promise: promise.accepted)
         before = newest.value if newest.value is not None else self._initial
-        # Its voters are those that count: where they are others than were asked, they are asked too.
+        # The voters of this value are those that count; ask the ones that were not asked before.
         prepares = self._prepare(round_, (*before.voters, *before.former_voters))
         if not self._has_quorum(before, round_.promises):
             return prepares
@@ -244,8 +259,8 @@
         if outcome is None:
             return prepares
         if isinstance(outcome, str):
-            # Nothing changes; but the state that was read may be held by few, and must be accepted by a
-            # majority before it is reported.
+            # The value does not change, but it may be held by only a few voters, and a majority must accept
+            # it before it is reported.
             round_.why = outcome
             outcome = before
         round_.before = before
@@ -259,8 +274,8 @@
     def _changed(self, round_: _Round, before: Value) -> Value | str | None:
         """Apply the change of a round, unless voters object.
 
-        :returns: the state after the change, or why it is refused; None if too few voters have promised to
-            know whether they object.
+        :returns: the new value, or the reason for a refusal; None if too few voters have promised to decide
+            whether they object.
         """
         objections = {voter: p.objection for voter, p in round_.promises.items() if p.objection}
         after: Value | str
@@ -272,13 +287,13 @@
             return None
         if isinstance(after, str):
             return after
-        change_of_voters_ended = not self._former_voters(before)
+        voter_change_decided = not self._former_voters(before)
         if after.voters != before.voters:
-            if not change_of_voters_ended:
+            if not voter_change_decided:
                 return VOTERS_CHANGING
             return replace(after, former_voters=before.voters)
         if after is not before:
-            return replace(after, former_voters=() if change_of_voters_ended else before.former_voters)
+            return replace(after, former_voters=() if voter_change_decided else before.former_voters)
         return after
 
     def _accepts(self, round_: _Round) -> list[SendToVoter]:
@@ -289,7 +304,7 @@
         return [SendToVoter(name, Accept(round_.ballot, after)) for name in names]
 
     def _accepted(self, round_: _Round, now: float) -> list[Action]:
-        """Once enough voters have accepted, the state is decided."""
+        """If enough voters have accepted, the value is decided: report it."""
         after = round_.after
         before = round_.before
         if after is None or before is None:
--- a/orchidferry/balancing/register.py
+++ b/orchidferry/balancing/register.py
@@ -1,19 +1,22 @@
-"""One small state that a majority agrees on, changed step by step, with no log and no leader. Free of I/O.
-
-CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018), which is Lamport's Paxos (1998)
-for one register: whoever wants a change has a majority promise its ballot, takes the newest state that any of
-these has accepted, changes that, and has a majority accept the outcome. Whoever dies in between leaves a
-state that the next one finds, or none.
-
-What must be on disk before a message leaves is an action of its own, `SaveState`, in front of it: saving
-before sending is the caller's visible duty. A voter is identified by its name and the id of its disk: one
-that has lost its disk, and with it what it promised, has another id, and does not count until the voters are
-changed to name that. A change of voters is accepted by a majority of the old ones and of the new ones, so
-that whoever proposes next meets it whichever of them it knew.
-
-A voter may object to an intent, by what it observes itself: it does so with its promise, and a change goes on
-only if over half of the voters promised without objecting. Once a state is proposed nobody objects: what some
-have accepted and others would not could neither be undone nor built on.
+"""A replicated register: one value that a majority of voters agrees on, without a log or leader. No I/O.
+
+The protocol is CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018), which is
+Lamport's Paxos (1998) for one register. A proposer asks a majority to promise its ballot, takes the newest
+value that any of these voters has accepted, applies its change to that value, and asks a majority to accept
+the result. If a proposer dies in between, the next proposer finds either the value that it proposed or the
+value before.
+
+State that must be on disk before a message is sent is returned as a separate action, `SaveState`, in front of
+that message, so that the caller sees that it has to save before it sends. A voter is identified by its name
+and the id of its disk: a voter that has lost its disk, and the promises on it, has another id and does not
+count until the set of voters is changed to include the new id. A change of voters must be accepted by a
+majority of the old voters and by a majority of the new ones, so the next proposer learns of it whichever set
+it knew.
+
+A voter may object to the intent of a change on the strength of its own observations. It objects in its
+promise, and the change proceeds only if more than half of the voters have promised without objecting. Voters
+can't object to a proposed value: if some had accepted it and others refused it, it could neither be undone
+nor built on.
 """
 
 from __future__ import annotations
@@ -22,15 +25,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-Ballot = tuple[int, str]  # a counter that only rises, and whose it is
+Ballot = tuple[int, str]  # a counter that only increases, and the name of the proposer
 NO_BALLOT: Ballot = (0, "")
 
 
 @dataclass(frozen=True, slots=True)
 class Voter:
-    """A replica that votes, as long as its disk holds what it promised.
+    """A replica that votes for as long as its disk holds its promises.
 
-    :param disk_id: drawn when its disk was first written.
+    :param name: the name of the replica.
+    :param disk_id: a random number that was drawn when the disk was first written.
     """
 
     name: str
@@ -39,12 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """The state of the register.
+    """The value of the register.
 
-    :param version: the number of changes that have led to it.
-    :param voters: who votes on the next change.
-    :param body: what the register holds; immutable, compared by value.
-    :param former_voters: who voted before, until the change of voters is known to be decided.
+    :param version: the number of changes that have led to this value.
+    :param voters: the voters on the next change.
+    :param body: the content of the register; immutable, compared by value.
+    :param former_voters: the voters before the last change of voters, until that change is known to be
+        decided.
     """
 
     version: int
@@ -54,9 +59,9 @@
 
 
 def has_majority(voters: Iterable[Voter], given: Iterable[Voter]) -> bool:
-    """Whether a majority of the voters is among these.
+    """Whether a majority of the voters has given its vote.
 
-    :param given: those that promised, or accepted.
+    :param given: the voters that have promised, or that have accepted.
     """
     distinct = set(voters)
     return 2 * len(distinct & set(given)) > len(distinct)
@@ -64,10 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks a voter to promise that it accepts nothing below a ballot, and to report what it has accepted.
+    """Asks a voter to accept no ballot below this one, and to report the value that it has accepted.
 
-    :param intent: what the proposer intends, for voters to object to; None if there is nothing to object to.
-    :param known_ballot: a ballot whose state the proposer has: it needs no copy of that.
+    :param ballot: the ballot to promise.
+    :param intent: the purpose of the change, to which voters may object; None if there is nothing to object
+        to.
+    :param known_ballot: a ballot whose value the proposer already has: the voter need not send it again.
     """
 
     ballot: Ballot
@@ -79,11 +86,13 @@
 class Promise:
     """A voter's answer to `Prepare`.
 
-    :param promised: the highest ballot that it has promised; above `ballot`, this is a refusal.
-    :param accepted: the ballot that it has accepted last.
-    :param value: the state of that ballot; None if it is the proposer's `known_ballot`: the proposer's side
-        fills it in.
-    :param objection: why the voter objects to the intent; "" for no objection.
+    :param ballot: the ballot of the `Prepare`.
+    :param voter: the voter that answers.
+    :param promised: the highest ballot that the voter has promised; if above `ballot`, this is a refusal.
+    :param accepted: the ballot that the voter accepted last.
+    :param value: the value of that ballot; None if it is the proposer's `known_ballot`, in which case the
+        receiving side fills the value in.
+    :param objection: the reason why the voter objects to the intent; "" for no objection.
     """
 
     ballot: Ballot
@@ -96,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks a voter to accept a state."""
+    """Asks a voter to accept a value."""
 
     ballot: Ballot
     value: Value
@@ -106,7 +115,9 @@
 class Accepted:
     """A voter's answer to `Accept`.
 
-    :param promised: the highest ballot that it has promised; above `ballot`, the state was not accepted.
+    :param ballot: the ballot of the `Accept`.
+    :param voter: the voter that answers.
+    :param promised: the highest ballot that the voter has promised; if above `ballot`, the value was refused.
     """
 
     ballot: Ballot
@@ -119,14 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveState:
-    """Have this on disk before carrying out any action after it."""
+    """Write this state to disk before carrying out any of the actions that follow."""
 
     state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
 class SendToVoter:
-    """Send a message to a voter, by name; it may be lost."""
+    """Send a message to a voter, which is given by name; the message may be lost."""
 
     to: str
     message: Message
@@ -136,9 +147,9 @@
 class ChangeDecided:
     """Report the outcome of a change that was proposed here.
 
-    :param value: the decided state.
-    :param why: the reason for which the change was refused, so that `value` is the state as it was; "" if it
-        was not.
+    :param id: the id of the change.
+    :param value: the decided value; unchanged if the change was refused.
+    :param why: the reason for the refusal; "" if the change was made.
     """
 
     id: str
@@ -151,10 +162,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """All that a voter has to keep on disk.
+    """The state that a voter has to keep on disk.
 
-    :param promised: accepts of lower ballots are refused.
+    :param disk_id: the id of the disk, see `Voter`.
+    :param promised: the highest ballot promised; lower ballots are refused.
     :param accepted: the ballot of `value`.
+    :param value: the value accepted last; None if none was accepted.
     """
 
     disk_id: int
@@ -164,23 +177,26 @@
 
 
 def no_objection(intent: Any) -> str:
-    """Object to nothing."""
+    """Objects to no intent."""
     return ""
 
 
 class Acceptor:
-    """The part of a replica that votes.
+    """The voting part of a replica.
 
-    :ivar state: what it has promised and accepted; on disk once the last `SaveState` is carried out.
+    :ivar name: the name of the replica.
+    :ivar state: its promises and the accepted value; on disk once the last `SaveState` is carried out.
     """
 
     def __init__(
         self, name: str, state: AcceptorState, object_to: Callable[[Any], str] = no_objection
     ) -> None:
-        """Create a `Acceptor`.
+        """Create an acceptor.
 
-        :param state: what the disk holds.
-        :param object_to: given an intent, says why this voter objects to it; "" for no objection.
+        :param name: the name of the replica.
+        :param state: the state read from disk.
+        :param object_to: given an intent, returns the reason why this voter objects to it; "" for no
+            objection.
         """
         self.name = name
         self.state = state
@@ -188,13 +204,14 @@
 
     @property
     def voter(self) -> Voter:
-        """The voter that it is."""
+        """This acceptor as a voter."""
         return Voter(self.name, self.state.disk_id)
 
     def handle(self, message: Prepare | Accept, sender: str) -> list[Action]:
-        """Promise or accept; a refusal names the ballot that was promised.
+        """Answer a `Prepare` or an `Accept`; a refusal carries the higher ballot that was promised.
 
-        :returns: the actions to be carried out: `SaveState` where the vote has changed the state, the answer.
+        :param sender: the name of the proposer.
+        :returns: the actions to be carried out: `SaveState` if the state has changed, then the answer.
         """
         state = self.state
         ballot = message.ballot
--- a/orchidferry/balancing/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -1,15 +1,17 @@
-"""How a version of the configuration is rolled out: to some nodes first, then to more, or back. No I/O.
+"""Rollout of a version of the configuration in waves of nodes, with rollback. No I/O.
 
     offering -> watching -> (offering the next wave ...) -> done
         any of these -> rolling back -> rolled back
 
-A wave of nodes is offered the version and must acknowledge it; then its answers are compared with those of
-the nodes that do not have it. A refusal, a node that is unavailable, or answers that fail more often than
-elsewhere roll the version back on every node that was offered it. With too few answers a wave waits, and is
-rolled back after `MAX_WATCH_FACTOR` times the time to watch.
+A wave of nodes is offered the version and must acknowledge it; then the answers of all nodes that have the
+version are compared with those of the nodes that don't. If a node refuses the version or becomes unavailable,
+or if answers fail more often than on the other nodes, the version is rolled back on every node that was
+offered it. A wave with too few answers is watched for longer, and is rolled back after `MAX_WATCH_FACTOR`
+times the time to watch.
 
-The interval of `proportions` is tested again and again, so its level is 3.3 standard deviations: within some
-hundred tests of equal nodes at most one in twenty is wrong, and one test in a thousand.
+The comparison (`proportions`) is repeated many times. Its interval is therefore set at 3.3 standard
+deviations: one test in a thousand is wrong, and over some hundred tests of equal nodes at most one rollout in
+twenty.
 """
 
 from __future__ import annotations
@@ -37,46 +39,46 @@
     Withdraw,
 )
 
-ACKNOWLEDGE_TIMEOUT_MS = 15_000.0  # applying takes milliseconds, opening a stream again up to 30 s
-UNAVAILABLE_TIMEOUT_MS = 15_000.0  # that a node may be without a stream or not ready
-MAX_WATCH_FACTOR = 3.0  # times the time to watch: how long too few answers are waited for
+ACKNOWLEDGE_TIMEOUT_MS = 15_000.0  # applying takes milliseconds, reopening a stream up to 30 s
+UNAVAILABLE_TIMEOUT_MS = 15_000.0  # how long a node may be without a stream or not ready
+MAX_WATCH_FACTOR = 3.0  # times the time to watch: how long a wave waits for enough answers
 TICK_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What the operator asks for.
+    """The operator's parameters of a rollout.
 
     :raises ValueError: a value is out of range; the text names it
     """
 
     version: str
-    first: int  # nodes of the first wave
-    widen: float = 4.0  # each wave has so many times the nodes of all waves before it
-    watch_ms: float = 10_000.0  # each wave is watched for so long at least
-    min_answers: int = 20  # of a wave before its failures are judged; 0: none are needed
-    has_metrics: bool = True  # whether nodes' metrics are known; without them only acknowledgements count
+    first: int  # number of nodes in the first wave
+    widen: float = 4.0  # size of each further wave as a multiple of all waves before it
+    watch_ms: float = 10_000.0  # shortest time for which each wave is watched
+    min_answers: int = 20  # answers needed before failures are judged; 0: none are needed
+    has_metrics: bool = True  # whether the nodes' metrics are available; if not, only acknowledgements count
 
     def __post_init__(self) -> None:
         if self.first < 1:
-            raise ValueError(f"canary {self.first}: one node at least")
+            raise ValueError(f"canary {self.first}: must be at least 1 node")
         if not 1.0 <= self.widen <= 1e6:
             raise ValueError(f"widen {self.widen:g}: not within 1 and 1000000")
         if not 0.0 <= self.watch_ms <= 86_400_000.0:
             raise ValueError(f"watch {self.watch_ms / 1000.0:g} s: not within 0 and 86400")
         if self.min_answers < 0:
-            raise ValueError(f"least {self.min_answers}: is negative")
+            raise ValueError(f"least {self.min_answers}: must not be negative")
 
 
 def node_order(nodes: Iterable[str], version: str) -> list[str]:
-    """The nodes in the order in which they get a version; each version has an order of its own."""
+    """The nodes in the order in which they are offered a version; the order differs between versions."""
     return sorted(
         nodes, key=lambda node: hashlib.blake2b(f"{version}\0{node}".encode(), digest_size=8).digest()
     )
 
 
 def wave_sizes(count: int, plan: Plan) -> list[int]:
-    """How many nodes each wave adds, of `count` in all."""
+    """The number of nodes in each wave, for `count` nodes in all."""
     sizes = []
     done = 0
     while done < count:
@@ -91,37 +93,37 @@
 class _Node:
     offered: bool = False
     acknowledged: bool = False
-    restored: bool = False  # has acknowledged the version before, after a withdrawal
-    disconnected_ms: float | None = None  # since when it has no stream
-    not_ready_ms: float | None = None  # since when it is not ready, or its metrics can't be had
+    restored: bool = False  # whether it has acknowledged the previous version after the rollback began
+    disconnected_ms: float | None = None  # time since which it has no stream
+    not_ready_ms: float | None = None  # time since which it is not ready, or its metrics are not available
     latest: NodeMetrics | None = None
-    baseline: NodeMetrics | None = None  # at the begin of the watch, or at its restart since
-    before_restart: list[int] = field(default_factory=lambda: [0, 0])  # failed, all: of before a restart
+    baseline: NodeMetrics | None = None  # metrics at the start of the watch, or zero after a restart since
+    before_restart: list[int] = field(default_factory=lambda: [0, 0])  # failed and all, from before restarts
 
 
 class Rollout:
-    """One rollout: hand in events, carry out the actions that it returns."""
+    """The state machine of one rollout: takes events and returns the actions to be carried out."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.state = State.OFFERING
-        self.reason = ""  # why it was rolled back
+        self.reason = ""  # the reason for the rollback
         self._nodes: dict[str, _Node] = {}
-        self._remaining: list[str] = []  # nodes that no wave has reached, in order
+        self._remaining: list[str] = []  # nodes that are in no wave yet, in order
         self._wave_sizes: list[int] = []
         self._wave: tuple[str, ...] = ()
         self._wave_number = 0
-        self._state_since_ms = 0.0  # this state's begin
-        self._history = (0, 0)  # failed, all: the whole fleet's before the first wave
+        self._state_since_ms = 0.0  # time at which the current state began
+        self._history = (0, 0)  # failed and all answers of the whole fleet before the first wave
         self._actions: list[Action] = []
 
     @property
     def ended(self) -> bool:
-        """Whether it is done or rolled back."""
+        """Whether the rollout is done or rolled back."""
         return self.state in (State.DONE, State.ROLLED_BACK)
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take one event; the actions that follow from it, in order."""
+        """Process an event; returns the resulting actions, in order."""
         self._actions = []
         if self.ended:
             return []
@@ -141,7 +143,7 @@
         return self._actions
 
     def status(self) -> dict[str, object]:
-        """The state for operators."""
+        """The state of the rollout for operators."""
         offered = [name for name, node in self._nodes.items() if node.offered]
         return {
             "version": self.plan.version,
@@ -165,9 +167,9 @@
         if not self._remaining:
             return self._roll_back("no node has a stream", now)
         all_metrics = [node.latest for node in self._nodes.values() if node.latest is not None]
-        self._history = sum(r.failed for r in all_metrics), sum(r.good + r.failed for r in all_metrics)
+        self._history = sum(m.failed for m in all_metrics), sum(m.good + m.failed for m in all_metrics)
         if not self.plan.has_metrics:
-            self._report("no doors are given: only acknowledgements and streams are looked at")
+            self._report("no metrics endpoints (doors) given: only acknowledgements and streams are checked")
         self._next_wave(now)
         return None
 
@@ -230,9 +232,8 @@
             and metrics.good + metrics.failed < previous.good + previous.failed
             and node.baseline
         ):
-            node.before_restart[0] += (
-                previous.failed - node.baseline.failed
-            )  # it was restarted: its counts begin at 0
+            # The node was restarted, so its counts start from 0 again.
+            node.before_restart[0] += previous.failed - node.baseline.failed
             node.before_restart[1] += (
                 previous.good + previous.failed - node.baseline.good - node.baseline.failed
             )
@@ -240,7 +241,7 @@
         node.latest = metrics
 
     def _answers_since(self, names: Iterable[str]) -> tuple[int, int]:
-        """Failed and all answers of these nodes since the begin of the watch."""
+        """Failed and all answers of these nodes since the start of the watch."""
         failed = total = 0
         for name in names:
             node = self._nodes[name]
@@ -264,18 +265,18 @@
             return self._start_watching(now)
         if now - self._state_since_ms >= ACKNOWLEDGE_TIMEOUT_MS:
             limit_s = ACKNOWLEDGE_TIMEOUT_MS / 1000.0
-            self._roll_back(f"{unacknowledged[0]} said nothing of it within {limit_s:g} s", now)
+            self._roll_back(f"{unacknowledged[0]} did not acknowledge it within {limit_s:g} s", now)
         return None
 
     def _unavailable(self, offered: Sequence[str], now: float) -> str:
-        """Which node has been without a stream or not ready for too long, or ""."""
+        """A text that names a node without a stream, or not ready, for too long; "" if there is none."""
         for name in offered:
             node = self._nodes[name]
             if node.disconnected_ms is not None and now - node.disconnected_ms >= UNAVAILABLE_TIMEOUT_MS:
                 return f"{name} has had no stream for {UNAVAILABLE_TIMEOUT_MS / 1000.0:g} s"
             late = node.not_ready_ms is not None and now - node.not_ready_ms >= UNAVAILABLE_TIMEOUT_MS
             if self.plan.has_metrics and node.acknowledged and late:
-                return f"{name} is not ready, or its door silent"
+                return f"{name} is not ready, or its metrics endpoint (door) does not answer"
         return ""
 
     def _start_watching(self, now: float) -> None:
@@ -288,16 +289,16 @@
         self._watch([name for name, node in self._nodes.items() if node.offered], now)
 
     def _watch(self, offered: Sequence[str], now: float) -> None:
-        passed = now - self._state_since_ms
+        elapsed_ms = now - self._state_since_ms
         if self.plan.has_metrics:
-            for name in offered:  # its metrics were first had after the watch began
+            for name in offered:
                 node = self._nodes[name]
-                if node.baseline is None:
+                if node.baseline is None:  # its first metrics arrived after the watch began
                     node.baseline = node.latest
             offered_answers = self._answers_since(offered)
             others = [name for name, node in self._nodes.items() if not node.offered]
             other_answers = self._answers_since(others) if others else self._history
-            # Of the others nothing is known: the baseline is what the fleet had before.
+            # With too few answers of the other nodes, compare with the fleet before the first wave.
             if other_answers[1] < max(1, self.plan.min_answers):
                 other_answers = self._history
             if other_answers[1] and is_worse(offered_answers, other_answers):
@@ -305,12 +306,12 @@
                 reason += f", and {other_answers[0]} of {other_answers[1]} without it"
                 return self._roll_back(reason, now)
             if offered_answers[1] < self.plan.min_answers:
-                if passed >= max(self.plan.watch_ms, TICK_MS) * MAX_WATCH_FACTOR:
+                if elapsed_ms >= max(self.plan.watch_ms, TICK_MS) * MAX_WATCH_FACTOR:
                     self._roll_back(
-                        f"too few answers to tell: {offered_answers[1]} of {self.plan.min_answers}", now
+                        f"too few answers to judge it: {offered_answers[1]} of {self.plan.min_answers}", now
                     )
                 return None
-        if passed >= self.plan.watch_ms:
+        if elapsed_ms >= self.plan.watch_ms:
             self._next_wave(now)
         return None
 
@@ -321,7 +322,7 @@
         self.state = State.ROLLING_BACK
         self._state_since_ms = now
         offered = tuple(name for name, node in self._nodes.items() if node.offered)
-        self._report(f"taken back: {reason}")
+        self._report(f"rolling back: {reason}")
         if offered:
             self._actions.append(Withdraw(offered))
         self._check_rolled_back(now)
@@ -331,5 +332,5 @@
         if missing and now - self._state_since_ms < ACKNOWLEDGE_TIMEOUT_MS:
             return
         self.state = State.ROLLED_BACK
-        suffix = f"; {len(missing)} did not say so yet, such as {missing[0]}" if missing else ""
-        self._report(f"all nodes were given back what they had{suffix}")
+        suffix = f"; {len(missing)} have not confirmed it yet, such as {missing[0]}" if missing else ""
+        self._report(f"all nodes were given back their previous version{suffix}")
--- a/orchidferry/balancing/rollout_events.py
+++ b/orchidferry/balancing/rollout_events.py
@@ -1,4 +1,4 @@
-"""What a rollout takes as events, and the actions that it asks for."""
+"""The events that a rollout processes, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class State(Enum):
-    """Where a rollout is."""
+    """The state of a rollout."""
 
     OFFERING = "offering"
     WATCHING = "watching"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeMetrics:
-    """Whether a node is ready, and all its answers since its start, as its operators' endpoint says."""
+    """The readiness of a node and the counts of its answers since its start, from its metrics endpoint."""
 
     ready: bool
     good: int
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Begin, with the nodes that have a stream."""
+    """Begin the rollout, to the nodes that have a stream."""
 
     nodes: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeAnswered:
-    """A node has answered an offer: with a reason it refused the version, without one it acknowledged."""
+    """A node has acknowledged a version, or has refused it if a reason is given."""
 
     node: str
     version: str
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamsChanged:
-    """The nodes that have a stream now."""
+    """The set of nodes with a stream has changed to this one."""
 
     nodes: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeObserved:
-    """The metrics of a node; None: they can't be had."""
+    """The metrics of a node; None if they are not available."""
 
     node: str
     metrics: NodeMetrics | None
@@ -61,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Some time has passed; due every `TICK_MS`."""
+    """Time has passed; to be passed in every `TICK_MS`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """The operator wants it rolled back, or has gone."""
+    """The operator asks for a rollback, or has disconnected."""
 
     reason: str
 
@@ -86,19 +86,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """The version is every node's from now on, also of nodes that come later."""
+    """Make the version the current one of all nodes, including nodes that connect later."""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Offer these nodes the version that they had before."""
+    """Offer these nodes their previous version again."""
 
     nodes: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A line for the operator."""
+    """Report a line of text to the operator."""
 
     state: State
     text: str
--- a/orchidferry/balancing/slots.py
+++ b/orchidferry/balancing/slots.py
@@ -1,16 +1,15 @@
-"""Disruption budgets: which members may be out of service at once, by slots that a majority grants.
-
-The table is the body of a `register.Value`: immutable data, changed by the functions here, each of which
-returns the table after the change, the very same table if there is nothing to change, or, as a string, why
-the change is refused. Safety before progress:
-
-- a slot counts from the moment in which it is granted until it is released, whatever is heard of its holder:
-  it does not expire;
-- it is released only if its member is observed serving again, by another process than the one that went out,
-  by a majority of the voters (each says so itself, see `objection`), or by an operator, who is warned of the
-  risk;
-- a member that is out without a slot counts against the same budgets, by what each voter observes;
-- each grant has a fencing token, and whoever acts on a grant compares it (`FencingGate`).
+"""Disruption budgets: limits on the members that may be out of service at once, enforced by slots. No I/O.
+
+A majority of voters grants the slots. The table of slots is the body of a `register.Value`. It is immutable;
+each function here that changes it returns the new table, the identical table if there is nothing to change,
+or the reason for a refusal as a string. Safety takes precedence over progress:
+
+- a slot counts from its grant until its release, whatever becomes of its holder: it does not expire;
+- a slot is released only if a majority of the voters observe that its member is serving again from another
+  process than the one that went out (each voter decides by its own observation, see `objection`), or by an
+  operator, who is warned of the risk;
+- a member that is out without a slot counts against the same budgets, according to each voter's observation;
+- each grant has a fencing token, which is checked wherever the grant is acted on (`FencingGate`).
 """
 
 from __future__ import annotations
@@ -22,12 +21,12 @@
 
 from orchidferry.balancing.register import Value
 
-ROUNDING = 1e-9  # of a share
-MAX_IDS = 256  # of finished changes, which are recognised if they are asked for again
+ROUNDING = 1e-9  # tolerance for a share
+MAX_IDS = 256  # ids of recent changes that are kept, to recognise repeated requests
 
 
 class Kind(Enum):
-    """What kind of member may be out."""
+    """The kind of a member."""
 
     NODE = "node"
     SERVER = "server"
@@ -35,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member that serves, whichever process runs it."""
+    """A member of the service, independent of the process that currently runs it."""
 
     kind: Kind
     name: str
@@ -46,10 +45,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionBudget:
-    """How many of the members that match may be out at once. Empty fields match all.
-
-    :param max_out: the count; None for no limit by count.
-    :param max_share: of the members that match, rounded down, one at least; None for no limit by share.
+    """A limit on the matching members that may be out at once. Empty fields match all members.
+
+    :param kind: the kind of member that the budget limits.
+    :param tier: the tier that a member must have to match.
+    :param zone: the zone that a member must have to match.
+    :param pool: the pool that a member must have to match.
+    :param max_out: the greatest number of members out; None for no limit by number.
+    :param max_share: the greatest share of the matching members, rounded down but at least one member; None
+        for no limit by share.
     """
 
     kind: Kind
@@ -71,7 +75,7 @@
         )
 
     def limit(self, members: Iterable[Member]) -> int:
-        """Return how many members may be out; the stricter of count and share.
+        """Return the number of members that may be out: the stricter of the limits by number and by share.
 
         :param members: all members.
         """
@@ -82,18 +86,19 @@
         return min(limits, default=0)
 
     def __str__(self) -> str:
-        where = " ".join(part for part in (self.tier, self.zone, self.pool) if part)
-        return f"{self.kind.value}s{' of ' + where if where else ''}"
+        scope = " ".join(part for part in (self.tier, self.zone, self.pool) if part)
+        return f"{self.kind.value}s{' of ' + scope if scope else ''}"
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """A member that may be out, or may have been for all that is known.
+    """Permission for a member to be out; while the slot exists, the member has to be assumed out.
 
     :param token: the fencing token of the grant.
-    :param holder: who asked for the slot, and acts on it.
-    :param id: of the request.
-    :param process: the process that went out, as its peers know it: another one has to come back.
+    :param member: the member that may be out.
+    :param holder: the name of the actor that requested the slot and acts on it.
+    :param id: the id of the request.
+    :param process: the process that goes out, as its peers identify it; a different one has to come back.
     """
 
     token: int
@@ -105,12 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotTable:
-    """What the voters have agreed on.
+    """The members, budgets and slots that the voters have agreed on.
 
-    :param members: all members, as they are declared.
+    :param members: all declared members.
+    :param budgets: all budgets.
+    :param slots: the slots that are granted and not released.
     :param token: the last fencing token that was granted.
-    :param done: ids of the last changes.
-    :param forced: the last slots that operators released, and who did.
+    :param done: the ids of recent changes.
+    :param forced: lines that name the recent slots released by operators, and the operators.
     """
 
     members: tuple[Member, ...]
@@ -126,10 +133,11 @@
 
 
 def exceeded_budget(table: SlotTable, out: Iterable[Member], candidate: Member) -> str:
-    """Find the budget that a candidate would exceed. Members of two zones are never out at once.
+    """Find a budget that a candidate would exceed. Members of two zones may never be out at once.
 
     :param out: the members that are out without a slot.
-    :returns: the reason for which the candidate may not go out; "" if it may.
+    :param candidate: the member that is to go out.
+    :returns: the reason why the candidate may not go out; "" if it may.
     """
     gone = {*out, *(slot.member for slot in table.slots)} - {candidate}
     for budget in table.budgets:
@@ -151,10 +159,11 @@
 def grant(
     table: SlotTable, member: Member, holder: str, id: str, process: str = "", out: Iterable[Member] = ()
 ) -> SlotTable | str:
-    """Grant a slot, with the next fencing token; nothing changes if the request with that id has it already.
+    """Grant a slot with the next fencing token; the table is unchanged if this request has the slot already.
 
-    :param holder: who asks, and acts.
-    :param id: of the request.
+    :param member: the member that is to go out.
+    :param holder: the name of the actor that requests the slot and acts on it.
+    :param id: the id of the request.
     :param process: the process that goes out.
     :param out: the members that are out without a slot.
     """
@@ -164,28 +173,29 @@
             return table
         return f"{member.name} is out already, by {granted.holder}"
     if id in table.done:
-        return "that slot was given back since"
+        return "that slot has been released since"
     if member not in table.members:
-        return f"{member.name} is no declared place"
-    if why := exceeded_budget(table, out, member):
-        return why
+        return f"{member.name} is not a declared member"
+    if refusal := exceeded_budget(table, out, member):
+        return refusal
     slot = Slot(table.token + 1, member, holder, id, process)
     return replace(table, slots=(*table.slots, slot), token=slot.token)
 
 
 def release(table: SlotTable, token: int) -> SlotTable | str:
-    """Release a slot. Whether there is enough evidence for it, the voters say (see `objection`)."""
+    """Release a slot. The voters judge whether there is enough evidence for it (see `objection`)."""
     slot = next((slot for slot in table.slots if slot.token == token), None)
     if slot is None:
-        return table if 0 < token <= table.token else f"no token {token} was ever given"
+        return table if 0 < token <= table.token else f"no token {token} was ever granted"
     remaining = tuple(other for other in table.slots if other.token != token)
     return replace(table, slots=remaining, done=(*table.done, slot.id)[-MAX_IDS:])
 
 
 def force_release(table: SlotTable, token: int, operator: str, id: str) -> SlotTable | str:
-    """Release a slot on an operator's word, without evidence; the table lists it.
+    """Release a slot on an operator's request, without evidence; the table records it.
 
-    :param id: of the request.
+    :param operator: the name of the operator.
+    :param id: the id of the request.
     """
     if id in table.done:
         return table
@@ -193,8 +203,8 @@
     if isinstance(after, str):
         return after
     if after is table:
-        return f"token {token} is given back already"
-    line = f"{operator} gave back token {token}"
+        return f"token {token} is released already"
+    line = f"{operator} released token {token}"
     return replace(after, forced=(*after.forced, line)[-MAX_IDS:], done=(*after.done, id)[-MAX_IDS:])
 
 
@@ -209,7 +219,8 @@
 class ReturnIntent:
     """Asks the voters whether the member of a slot serves again.
 
-    :param token: of the slot.
+    :param token: the fencing token of the slot.
+    :param member: the member of the slot.
     :param process: the process that went out.
     """
 
@@ -218,34 +229,34 @@
     process: str
 
 
-ObservedProcess = Callable[[Member], str]  # the process that serves as a member, as observed; "" for none
+ObservedProcess = Callable[[Member], str]  # the process observed to serve as a member; "" if there is none
 
 
 def objection(table: SlotTable, intent: OutageIntent | ReturnIntent, observed: ObservedProcess) -> str:
-    """Say why one voter objects to an intent, by what it observes itself; "" if it does not."""
+    """The reason why a voter objects to an intent, given its own observations; "" if it does not object."""
     match intent:
         case OutageIntent():
             out = [member for member in table.members if member != intent.member and not observed(member)]
-            why = exceeded_budget(table, out, intent.member)
-            return f"by what it sees, {why}" if why else ""
+            refusal = exceeded_budget(table, out, intent.member)
+            return f"as observed here, {refusal}" if refusal else ""
         case ReturnIntent():
             process = observed(intent.member)
             if not process:
-                return f"{intent.member.name} is not seen serving"
+                return f"{intent.member.name} is not observed serving"
             if process == intent.process:
-                return f"{intent.member.name} is still the process that was to go out"
+                return f"{intent.member.name} is still served by the process that was to go out"
             return ""
 
 
 def with_table(value: Value, table: SlotTable | str) -> Value | str:
-    """Return the state with another table, for a change of `proposer.Proposer.ask`."""
+    """Return the value with another table, as the result of a change passed to `proposer.Proposer.ask`."""
     if isinstance(table, str) or table is value.body:
         return table if isinstance(table, str) else value
     return replace(value, version=value.version + 1, body=table)
 
 
 class FencingGate:
-    """Checks fencing tokens where a grant is acted on: one older than was seen before is refused."""
+    """Refuses fencing tokens older than the newest one seen for a member."""
 
     def __init__(self) -> None:
         self._highest: dict[tuple[Kind, str], int] = {}
@@ -253,10 +264,10 @@
     def check(self, member: Member, token: int) -> str:
         """Check a token.
 
-        :returns: why it is refused; "" if it is not.
+        :returns: the reason for a refusal; "" if the token is accepted.
         """
         key = (member.kind, member.name)
         if token < self._highest.get(key, 0):
-            return f"token {token} is older than {self._highest[key]}, which was seen here"
+            return f"token {token} is older than {self._highest[key]}, which was seen here before"
         self._highest[key] = token
         return ""
--- a/orchidferry/balancing/version_events.py
+++ b/orchidferry/balancing/version_events.py
@@ -1,4 +1,4 @@
-"""What the versions of a configuration take as events, and the actions that they ask of a node."""
+"""The events that `versions.Versions` processes, and the actions that it returns to the node."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The node starts, with the configuration of its file and the last good one if there is one."""
+    """The node starts, with the configuration of its file and, if there is one, the last good one on disk."""
 
     file: Configuration
     saved: Configuration | None = None
@@ -19,7 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Offered:
-    """The service offers a part. `content` is None if it can't be read or is empty: `problem` says why."""
+    """The service offers a part of the configuration.
+
+    :param part: the part that is offered.
+    :param version: the version of the part, an opaque text.
+    :param nonce: identifies this offer on the current stream.
+    :param content: the part itself; None if it is unreadable or empty.
+    :param problem: the reason why there is no content.
+    """
 
     part: Part
     version: str
@@ -30,21 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The node has carried out `Apply`, or failed with a problem."""
+    """The node has carried out `Apply`, or has failed to if a problem is given."""
 
     problem: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamChanged:
-    """The stream to the service came up or was lost: nonces are a stream's own."""
+    """The stream to the service was opened or lost; nonces are valid on one stream only."""
 
     up: bool
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The timer that was set is due."""
+    """The timer set by `SetTimer` has fired."""
 
 
 Event = Started | Offered | Applied | StreamChanged | TimerFired
@@ -55,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Apply this configuration completely, and report with `Applied`."""
+    """Apply this configuration completely, then report `Applied`."""
 
     configuration: Configuration
     changed: frozenset[Part]
@@ -64,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer the service: an ACK, or with a reason a NACK. `version` is the one that is applied now."""
+    """Answer an offer: an ACK or, if a reason is given, a NACK. `version` is the version in force."""
 
     part: Part
     version: str
@@ -74,28 +81,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Send nothing new to these servers from now on; what is applied later says more of them."""
+    """Send no new requests to these servers, until a configuration that is applied later says otherwise."""
 
     servers: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SaveLastGood:
-    """Save this as the last good one."""
+    """Save this configuration to disk as the last good one."""
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Hand in `TimerFired` after `delay_ms`."""
+    """Pass in `TimerFired` after `delay_ms`."""
 
     delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Log a line for operators."""
 
     text: str
 
--- a/orchidferry/balancing/versions.py
+++ b/orchidferry/balancing/versions.py
@@ -1,12 +1,12 @@
-"""Versions of the configuration that a control service offers: which are applied, which refused. No I/O.
+"""State machine of the configuration versions that a control service offers to a node. No I/O.
 
-A configuration has parts (`Part`), each offered by itself with a version, as in xDS. An offer is checked
-together with the other parts as they are applied, and is applied completely or refused with a reason; until
-then nothing changes. States of an offer: offered, (deferred,) checked, applying, applied or refused. The node
-reports how applying went; an offer that could not be applied is refused, and the configuration before it is
-applied again.
+A configuration has parts (`Part`), each offered separately with its own version, as in xDS. An offer is
+checked together with the other parts that are in force. It is then either applied completely or refused with
+a reason; until then nothing changes. The states of an offer are: offered, (deferred,) checked, applying,
+applied or refused. The node reports whether applying succeeded; an offer that could not be applied is
+refused, and the previous configuration is applied again.
 
-Servers that an offer drains or leaves out are drained at once, also where the offer is deferred.
+Servers that an offer drains or leaves out are drained at once, even if the offer itself is deferred.
 """
 
 from __future__ import annotations
@@ -47,11 +47,12 @@
     TimerFired,
 )
 
-# Of versions: each is a pause in serving, and a flood of them is a fault of the service
+# Rate limit of applying: each application is a pause in serving, and a flood of versions is a fault of the
+# service
 APPLY_PER_S = 5.0
 APPLY_BURST = 10.0
-FIRST_VERSION_TIMEOUT_MS = 5_000.0  # how long a start waits for the service before it applies what it has
-MAX_REFUSALS = 32  # for operators, the newest
+FIRST_VERSION_TIMEOUT_MS = 5_000.0  # wait for a first offer before a saved or file configuration is used
+MAX_REFUSALS = 32  # newest refusals that are kept for operators
 MAX_REASON_LENGTH = 300  # characters
 
 
@@ -72,36 +73,36 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """What the node is applying."""
+    """A configuration that the node is applying."""
 
-    offers: tuple[Offered, ...]  # that it comes from; none where it is no offer's
+    offers: tuple[Offered, ...]  # the offers that it contains; empty if it does not come from an offer
     configuration: Configuration
-    restoring: bool = False  # the configuration before an offer that could not be applied
+    restoring: bool = False  # whether it is restored after an offer that could not be applied
 
 
 class Versions:
-    """The states of offers: hand in events, carry out the actions that it returns."""
+    """The state machine of offers: takes events and returns the actions to be carried out."""
 
     def __init__(self, first_timeout_ms: float = FIRST_VERSION_TIMEOUT_MS) -> None:
         self._first_timeout_ms = first_timeout_ms
         self.applied: Configuration | None = None  # the configuration in force
         self.source = Source.NONE
-        self.since_ms = 0.0  # since when
+        self.since_ms = 0.0  # time at which it was applied
         self.refusals: list[Refusal] = []
         self.counts = dict.fromkeys(("offered", "applied", "refused", "superseded"), 0)
         self._file: Configuration | None = None
         self._saved: Configuration | None = None
-        self._strictest: dict[str, api.RequestClass] = {}  # of each class that was ever applied, by name
-        self._deferred: dict[Part, Offered] = {}  # the newest of each part that waits for its turn
-        self._mismatched: dict[Part, Offered] = {}  # refused as it did not match the other part: the newest
+        self._strictest: dict[str, api.RequestClass] = {}  # strictest form of each class so far, by name
+        self._deferred: dict[Part, Offered] = {}  # newest offer of each part that is not considered yet
+        self._mismatched: dict[Part, Offered] = {}  # newest offer refused for a mismatch with the other part
         self._applying: _Pending | None = None
-        self._nonces: dict[Part, str] = {}  # the newest of this stream
+        self._nonces: dict[Part, str] = {}  # newest nonce of each part on the current stream
         self._budget = TokenBucket(APPLY_BURST, 0.0)
         self._timer_set = False
         self._actions: list[Action] = []
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take one event; the actions that follow from it, in order."""
+        """Process an event; returns the resulting actions, in order."""
         self._actions = []
         match event:
             case Started():
@@ -117,7 +118,7 @@
         return self._actions
 
     def status(self) -> dict[str, Any]:
-        """What is applied, since when, and what was refused and why, for operators."""
+        """The applied versions and the recent refusals with their reasons, for operators."""
         applied = self.applied.versions if self.applied is not None else {}
         return {
             "source": self.source.value,
@@ -137,7 +138,7 @@
             ],
         }
 
-    # A start
+    # Start
 
     def _on_started(self, event: Started, now: float) -> None:
         self._file = event.file
@@ -148,13 +149,13 @@
                 self._check(event.saved)
             except VersionError as problem:
                 self._saved = None
-                self._actions.append(Log(f"the last good configuration is not taken: {problem}"))
+                self._actions.append(Log(f"the last good configuration is not used: {problem}"))
         self._budget = TokenBucket(APPLY_BURST, now)
         self._timer_set = True
         self._actions.append(SetTimer(self._first_timeout_ms))
 
     def _start_without_service(self, now: float) -> None:
-        """The service offered nothing in time: apply the last good one if it is valid, else the file's."""
+        """Without an offer in time, apply the last good configuration if it is valid, else the file's."""
         assert self._file is not None
         if self._saved is not None:
             return self._apply((), self._saved, Source.SAVED)
@@ -166,20 +167,20 @@
     def _on_stream_changed(self, event: StreamChanged) -> None:
         self._nonces.clear()
         self._mismatched.clear()
-        if not event.up:  # nobody waits for an answer; the service offers again what is still valid
+        if not event.up:  # no answers are due any more, and the service offers again whatever is still valid
             self.counts["superseded"] += len(self._deferred)
             self._deferred.clear()
 
     def _on_offered(self, event: Offered, now: float) -> None:
         if self._nonces.get(event.part) == event.nonce:
-            return None  # a repeated message: it has its answer, or will have it
+            return None  # a duplicate: it is answered already, or will be
         self._nonces[event.part] = event.nonce
         self.counts["offered"] += 1
         self._mismatched.pop(event.part, None)
         if self._deferred.pop(event.part, None) is not None:
-            self.counts["superseded"] += 1  # an old nonce needs no answer
+            self.counts["superseded"] += 1  # a superseded nonce needs no answer
         if event.content is None:
-            return self._refuse(event, event.problem or "it is empty", now)
+            return self._refuse(event, event.problem or "the part is empty", now)
         if self._applying is not None or not self._may_apply(now):
             self._deferred[event.part] = event
             self._drain_early(event)
@@ -192,7 +193,7 @@
 
     def _set_timer(self, now: float) -> None:
         if self._timer_set or self._applying is not None or self.applied is None:
-            return  # offers are considered after that anyway
+            return  # deferred offers will be considered without another timer
         self._timer_set = True
         self._actions.append(SetTimer(max(1.0, (1.0 - self._budget.tokens) * 1000.0 / APPLY_PER_S)))
 
@@ -204,11 +205,11 @@
         return None
 
     def _consider_deferred(self, now: float) -> None:
-        """Consider deferred offers, as the rate limit allows."""
+        """Consider deferred offers as far as the rate limit allows."""
         while self._deferred and self._applying is None:
             if not self._may_apply(now):
                 return self._set_timer(now)
-            # Pools come before the settings that use them.
+            # Pools go first, because the settings refer to them.
             part = Part.MEMBERS if Part.MEMBERS in self._deferred else Part.SETTINGS
             self._consider(self._deferred.pop(part), now)
         return None
@@ -227,7 +228,7 @@
     def _check(self, configuration: Configuration) -> None:
         """Check a configuration.
 
-        :raises VersionError: it must not be applied, or the check itself failed
+        :raises VersionError: it must not be applied, or the check itself raised an exception
         """
         assert self._file is not None
         try:
@@ -236,18 +237,18 @@
             check_parts_match(configuration)
         except VersionError:
             raise
-        except Exception as problem:  # whatever is in it, the node serves on
-            raise VersionError(f"the check broke: {type(problem).__name__}: {problem}") from None
+        except Exception as problem:  # no content of a configuration may stop the node
+            raise VersionError(f"the check raised {type(problem).__name__}: {problem}") from None
 
     def _drain_early(self, event: Offered) -> None:
-        """Drain what a deferred offer drains: a drain counts from when it is offered."""
+        """Drain the servers that a deferred offer drains: a drain takes effect when it is offered."""
         if event.part is not Part.MEMBERS or self.applied is None:
             return
         configuration = self._candidate(event)
         try:
             self._check(configuration)
         except VersionError:
-            return  # it will be refused, and drains nobody
+            return  # the offer will be refused, and must not drain any server
         if leaving := drained(self.applied, configuration):
             self._actions.append(Drain(leaving))
 
@@ -265,8 +266,9 @@
         return None
 
     def _checked(self, event: Offered) -> _Pending:
-        """What to apply for an offer: it alone, or with an earlier one of the other part that did not match.
+        """Check an offer alone or, if it does not match, with the mismatched offer of the other part.
 
+        :returns: the configuration to apply
         :raises VersionError: neither may be applied
         """
         configuration = self._candidate(event)
@@ -300,14 +302,14 @@
         if event.problem and pending.offers:
             for offer in pending.offers:
                 self._refuse(offer, f"it could not be applied: {event.problem}", now)
-            if self.applied is not None:  # half of it may be in place
+            if self.applied is not None:  # the offer may have been applied in part
                 self._applying = _Pending((), self.applied, restoring=True)
                 self._actions.append(Apply(self.applied, frozenset(Part), self.source))
             return self._consider_deferred(now)
         if event.problem:
-            self._actions.append(Log(f"what was held could not be applied: {event.problem}"))
+            self._actions.append(Log(f"the local or previous configuration was not applied: {event.problem}"))
         if self.applied is None:
-            self._timer_set = False  # the wait for a first one is over, though its time is still to come
+            self._timer_set = False  # the wait for a first version is over, though its timer has yet to fire
         self.applied = pending.configuration
         if not pending.restoring:
             self.since_ms = now
@@ -321,7 +323,7 @@
         return None
 
     def _update_strictest(self, configuration: Configuration) -> None:
-        """Keep the strictest form of each class: one that is removed and comes again must not be looser."""
+        """Keep the strictest form of each class, as a class that is added again must not be looser."""
         for cls in configuration.node.settings.classes:
             strictest = self._strictest.get(cls.name)
             if strictest is None or STRICTNESS[cls.repeat] > STRICTNESS[strictest.repeat]:
--- a/tests/balancing/slot_tables.py
+++ b/tests/balancing/slot_tables.py
@@ -1,4 +1,4 @@
-"""A table of members and disruption budgets, for tests of slots and of the register that holds it."""
+"""A table of members and disruption budgets, for tests of slots and of the register."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_moves.py
+++ b/tests/balancing/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves between pools: what is shown, what is undone, and what an operator says."""
+"""Moves between pools: the statistical tests, steps, rollbacks and operators' commands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
 
 
 @pytest.mark.parametrize(("rate", "share"), [(0.01, 0.1), (0.1, 0.5), (0.3, 0.02)])
-def test_equal_streams_are_seldom_called_worse_however_often_one_looks(rate: float, share: float) -> None:
+def test_equal_streams_are_rarely_judged_worse_however_often_they_are_tested(
+    rate: float, share: float
+) -> None:
     rng = random.Random(5)
     alarms = 0
     for _ in range(200):
@@ -24,11 +26,11 @@
             bad = rng.random() < rate
             (worse.record_new if rng.random() < share else worse.record_old)(bad)
         alarms += worse.max_value >= math.log(20.0)
-    assert alarms <= 200 * 0.05 * 1.8  # of 5 %: three sigma of a binomial above
+    assert alarms <= 200 * 0.05 * 1.8  # the level of 5 % plus three standard deviations of the binomial
 
 
-@pytest.mark.parametrize(("rate", "shown"), [(0.0, True), (0.02, True), (0.1, False), (0.3, False)])
-def test_a_rate_at_its_bound_or_above_is_seldom_shown_to_be_below(rate: float, shown: bool) -> None:
+@pytest.mark.parametrize(("rate", "expected"), [(0.0, True), (0.02, True), (0.1, False), (0.3, False)])
+def test_a_rate_at_or_above_its_bound_is_rarely_shown_to_be_below(rate: float, expected: bool) -> None:
     rng = random.Random(6)
     count = 0
     for _ in range(100):
@@ -36,13 +38,19 @@
         for _ in range(400):
             test.record_new(rng.random() < rate, 0.1)
         count += test.max_value >= math.log(20.0)
-    assert count >= 95 if shown else count <= 9
+    assert count >= 95 if expected else count <= 9
 
 
 def feed(
     move: Move, seconds: float, start: float, fails: dict[str, float] | None = None, rate: int = 40
 ) -> float:
-    """Requests of two classes; the new pool fails so many. The time at the end, in ms."""
+    """Send requests of two classes; returns the time at the end, in ms.
+
+    :param seconds: the duration
+    :param start: the time at the start, in ms
+    :param fails: the share of requests that fail in the new pool, by class
+    :param rate: requests a second
+    """
     rng = random.Random(7)
     now = start
     for n in range(int(seconds * rate)):
@@ -60,14 +68,14 @@
     return move, feed(move, 5.0, 0.0)
 
 
-def test_a_sound_move_goes_by_its_steps_to_the_end() -> None:
+def test_a_move_to_an_equal_pool_passes_all_steps() -> None:
     move, now = started()
     feed(move, 300.0, now)
     assert move.state is State.DONE and move.share("a") == 1.0 and move.share("other") == 1.0
-    assert move.history[0][1].endswith("5.0% of worth")
+    assert move.history[0][1].endswith("5.0% of each class")
 
 
-def test_a_failing_class_behind_a_sound_one_undoes_it_and_an_undo_has_an_end() -> None:
+def test_one_failing_class_rolls_the_move_back_and_the_rollback_ends() -> None:
     move, now = started()
     now = feed(move, 60.0, now, {"b": 0.8})
     assert move.state in (State.ROLLING_BACK, State.FAILED) and "more failures" in move.reason
@@ -79,7 +87,7 @@
     assert move.state is State.FAILED
 
 
-def test_words_of_operators_and_pools_without_servers() -> None:
+def test_operators_commands_and_pools_without_servers() -> None:
     move, now = started()
     move.pause(now)
     assert move.state is State.PAUSED and move.share("a") == 0.05
@@ -94,7 +102,7 @@
 
 
 @pytest.mark.parametrize("rare", RareClasses)
-def test_a_class_that_never_comes_holds_the_move_or_is_moved_last(rare: RareClasses) -> None:
+def test_a_class_without_requests_holds_the_move_or_is_moved_last(rare: RareClasses) -> None:
     plan = Plan(("a", "b", "never"), steps=PLAN.steps, step_ms=1_000.0, rare_ms=150_000.0, rare=rare)
     move = Move(plan)
     move.start(0.0)
@@ -104,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("new", "undone"),
+    ("new", "rolled_back"),
     [
         (PoolBehaviour(), False),
         (PoolBehaviour(failure_rate=1.0), True),
@@ -113,11 +121,11 @@
         (PoolBehaviour(time_factor=2.0), True),
     ],
 )
-def test_shapes_of_pools(new: PoolBehaviour, undone: bool) -> None:
+def test_only_a_move_to_a_worse_pool_is_rolled_back(new: PoolBehaviour, rolled_back: bool) -> None:
     for seed in range(2):
         found = simulate_move(Scenario(new_pool=new, seed=seed, duration_s=200.0, incident_s=(60.0, 80.0)))
-        assert (found.state in (State.ROLLING_BACK, State.FAILED)) is undone, found
-        assert not undone or found.moved_fraction_until_end < 0.05
+        assert (found.state in (State.ROLLING_BACK, State.FAILED)) is rolled_back, found
+        assert not rolled_back or found.moved_fraction_until_end < 0.05
 
 
 @pytest.mark.parametrize(
@@ -134,6 +142,6 @@
         ({"rare_ms": math.inf}, "rare_ms"),
     ],
 )
-def test_a_plan_that_can_not_be_meant_is_refused(changes: dict[str, object], words: str) -> None:
+def test_an_invalid_plan_is_refused(changes: dict[str, object], words: str) -> None:
     with pytest.raises(ValueError, match=words):
         Plan(**{"classes": ("a",)} | changes)  # type: ignore[arg-type]
--- a/tests/balancing/test_proposer.py
+++ b/tests/balancing/test_proposer.py
@@ -1,4 +1,4 @@
-"""The register: acceptors and a proposer, while voters are down, lose their disks and are changed."""
+"""The register: acceptors and a proposer while voters are down, lose their disks and are replaced."""
 
 from __future__ import annotations
 
@@ -17,22 +17,24 @@
     Voter,
     has_majority,
 )
-from orchidferry.balancing.slots import (
-    Member,
-)
+from orchidferry.balancing.slots import Member
 from tests.balancing.slot_tables import NODES, TABLE
 
 
 class Network:
-    """Voters and a proposer, with links that lose nothing."""
+    """Voters and a proposer, connected by links that lose no messages."""
 
     def __init__(self, *voters: Voter) -> None:
         self.acceptors = {voter.name: Acceptor(voter.name, AcceptorState(voter.disk_id)) for voter in voters}
         self.first = Value(0, voters, TABLE)
         self.down: set[str] = set()
-        self.known = self.first  # the newest state that was decided
+        self.known = self.first  # the newest decided value
 
     def ask(self, change: proposer.Change, id: str = "x", knows: bool = True) -> ChangeDecided | None:
+        """Make one change; returns its outcome, or None if there is none.
+
+        :param knows: whether the proposer knows the newest decided value
+        """
         proposer = Proposer("p", self.first, random.Random(1))
         if knows:
             proposer.learn(self.known)
@@ -50,14 +52,16 @@
                 assert not answers or isinstance(answers[-1], SendToVoter)
                 for n, answer in enumerate(answers):
                     if isinstance(answer, SendToVoter):
-                        assert n == 0 or isinstance(answers[n - 1], SaveState)  # saved first
+                        assert n == 0 or isinstance(
+                            answers[n - 1], SaveState
+                        )  # the state is saved before the answer is sent
                         assert isinstance(answer.message, register.Promise | register.Accepted)
                         todo += proposer.handle(answer.message, 1.0)
         return done
 
 
-def grant_of(place: Member) -> proposer.Change:
-    return lambda value: slots.with_table(value, slots.grant(value.body, place, "p", place.name))
+def grant_of(member: Member) -> proposer.Change:
+    return lambda value: slots.with_table(value, slots.grant(value.body, member, "p", member.name))
 
 
 def with_voters(*voters: Voter) -> proposer.Change:
@@ -68,23 +72,23 @@
     a, b, c = (Voter(name, n) for n, name in enumerate("abc", 1))
     net = Network(a, b, c)
     assert net.ask(grant_of(NODES[0])) is not None
-    net.acceptors["c"] = Acceptor("c", AcceptorState(9))  # its disk is gone
+    net.acceptors["c"] = Acceptor("c", AcceptorState(9))  # with an empty disk
     net.down = {"b"}
-    assert net.ask(grant_of(NODES[3])) is None  # a alone is no majority
+    assert net.ask(grant_of(NODES[3])) is None  # a alone is not a majority
     net.down = set()
     done = net.ask(with_voters(a, b, Voter("c", 9)))
     assert done is not None and done.value.version == 2
     net.down = {"b"}
     done = net.ask(grant_of(NODES[3]))
     assert done is not None and [slot.token for slot in done.value.body.slots] == [1, 2]
-    # A node that still knows the first voters alone finds the new ones, whichever of the old it meets.
+    # A proposer that knows only the initial voters learns of the new ones from any of them.
     net.down = {"a"}
     done = net.ask(grant_of(NODES[6]), knows=False)
     assert done is not None and "2 of 2" in done.why and done.value.version == 3
 
 
-def test_a_state_that_only_new_voters_accepted_is_not_decided() -> None:
-    """C was put out for d; a and d have that, b not yet: b and c may still decide something else."""
+def test_a_change_of_voters_accepted_by_few_old_voters_is_not_decided() -> None:
+    """When d replaces c, and a and d have accepted that but not b, b and c may still decide otherwise."""
     a, b, c, d = (Voter(name, n) for n, name in enumerate("abcd", 1))
     net = Network(a, b, c)
     net.acceptors["d"] = Acceptor("d", AcceptorState(d.disk_id))
--- a/tests/balancing/test_rollout.py
+++ b/tests/balancing/test_rollout.py
@@ -1,4 +1,4 @@
-"""A version's way to a fleet: every turn that it can take, as a table, and what holds in any order."""
+"""Rollouts: every cause of a rollback as a table, and invariants under events in any order."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @dataclass
 class Scene:
-    """A rollout over ten nodes; figures grow as told."""
+    """A rollout over ten nodes, with metrics that the test increases."""
 
     plan: Plan = field(default_factory=lambda: Plan("v2", 1, watch_ms=1000.0))
     now: float = 0.0
-    history: tuple[int, int] = (1000, 1)  # good and failed, of each node
+    history: tuple[int, int] = (1000, 1)  # initial good and failed answers of each node
 
     def __post_init__(self) -> None:
         self.rollout = Rollout(self.plan)
@@ -63,13 +63,13 @@
         self.see()
 
     def wave(self, good: int = 50, failed: int = 0) -> None:
-        """Acknowledged and watched, with such answers everywhere."""
+        """Complete one wave, with these answers on every node."""
         self.say(*self.offered)
         self.serve(NODES, good, failed)
         self.do(events.Tick(), 1000.0)
 
 
-def test_a_sound_version_goes_on_in_waves_to_every_node() -> None:
+def test_a_good_version_reaches_every_node_in_waves() -> None:
     scene = Scene()
     sizes = []
     while not scene.rollout.ended:
@@ -123,7 +123,7 @@
 def fails_more_after_a_restart(s: Scene) -> None:
     s.say(*s.offered)
     s.serve(s.offered, 0, 30)
-    s.totals[s.offered[0]] = [0, 0]  # it counts from 0, and what it failed before counts still
+    s.totals[s.offered[0]] = [0, 0]  # restarted: it counts from 0, but its earlier failures still count
     s.serve(s.offered, 10, 0)
     s.do(events.Tick(), 10.0)
 
@@ -132,7 +132,7 @@
     s.wave()
     s.wave()
     s.say(*s.offered)
-    s.serve(NODES, 30, 20)  # nobody is without it: what was usual before is what counts
+    s.serve(NODES, 30, 20)  # no node is without the version: compared with the fleet before the rollout
     s.do(events.Tick(), 10.0)
 
 
@@ -150,20 +150,20 @@
 BACK = {
     refused: "refused it: no live server",
     refused_later: "could not be applied",
-    never_acknowledged: "said nothing of it within 15 s",
+    never_acknowledged: "did not acknowledge it within 15 s",
     stream_lost: "no stream for 15 s",
     not_ready: "is not ready",
-    door_silent: "its door silent",
+    door_silent: "its metrics endpoint (door) does not answer",
     fails_more: "20 of 50 answers failed",
     fails_more_after_a_restart: "30 of 40 answers failed",
     fails_in_the_last_wave: "200 of 500 answers failed",
-    says_nothing: "too few answers to tell: 3 of 20",
+    says_nothing: "too few answers to judge it: 3 of 20",
     given_up: "has gone",
 }
 
 
 @pytest.mark.parametrize("cause", BACK)
-def test_what_is_wrong_takes_it_back_from_every_node_that_was_offered_it(cause: Any) -> None:
+def test_each_fault_rolls_back_every_node_that_was_offered_the_version(cause: Any) -> None:
     scene = Scene()
     cause(scene)
     assert scene.rollout.state is State.ROLLING_BACK and not scene.accepted
@@ -174,10 +174,10 @@
     assert not scene.rollout.ended
     scene.say(scene.offered[0], version="v1")
     assert scene.rollout.status()["state"] == "undone" and sorted(scene.back) == sorted(scene.offered)
-    assert scene.reports[-1] == "all nodes were given back what they had"
+    assert scene.reports[-1] == "all nodes were given back their previous version"
 
 
-def test_what_is_not_the_versions_fault_does_not_take_it_back() -> None:
+def test_unrelated_faults_do_not_roll_back() -> None:
     scene = Scene()
     scene.say(NODES[0], NODES[1], "stranger", version="v9", reason="of another")
     scene.say(*scene.offered)
@@ -188,7 +188,7 @@
     assert len(scene.offered) == 5 and not scene.back
 
 
-def test_a_node_that_never_says_that_it_went_back_is_named_and_holds_nothing_up() -> None:
+def test_a_node_that_does_not_confirm_its_rollback_is_named_and_does_not_block_it() -> None:
     scene = Scene()
     refused(scene)
     scene.do(events.Tick(), r.ACKNOWLEDGE_TIMEOUT_MS - 1.0)
@@ -197,9 +197,9 @@
     assert scene.rollout.ended and f"such as {scene.offered[0]}" in scene.reports[-1]
 
 
-def test_without_doors_only_words_and_streams_count_and_it_says_so() -> None:
+def test_without_metrics_only_acknowledgements_and_streams_count_and_it_is_reported() -> None:
     scene = Scene(Plan("v2", 10, watch_ms=0.0, has_metrics=False), history=(0, 0))
-    assert "no doors are given" in scene.reports[0]
+    assert "no metrics endpoints (doors) given" in scene.reports[0]
     scene.say(*NODES)
     assert scene.rollout.state is State.DONE
     empty = Rollout(scene.plan)
@@ -208,19 +208,19 @@
 
 
 @pytest.mark.parametrize("bad", [{"first": 0}, {"widen": 0.5}, {"watch_ms": -1.0}, {"min_answers": -1}])
-def test_a_plan_that_cannot_be_is_refused(bad: dict[str, Any]) -> None:
+def test_an_invalid_plan_is_refused(bad: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         Plan("v", **({"first": 1} | bad))
 
 
-def test_bounds_hold_what_they_promise() -> None:
+def test_the_wilson_interval_contains_the_rate_and_matches_a_published_value() -> None:
     assert proportions.wilson_interval(0, 0) == (0.0, 1.0)
     for failed, total in ((0, 10), (5, 10), (10, 10), (1, 1000)):
         low, high = proportions.wilson_interval(failed, total)
         assert 0.0 <= low <= failed / total <= high <= 1.0
     assert proportions.wilson_interval(50, 100, 1.96) == pytest.approx(
         (0.4038, 0.5962), abs=1e-4
-    )  # a table's value
+    )  # a published value
 
 
 EVENTS = strategies.one_of(
@@ -249,7 +249,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(strategies.lists(strategies.tuples(EVENTS, strategies.floats(0.0, 5000.0)), max_size=80))
-def test_in_any_order_nothing_is_accepted_that_was_withdrawn_and_all_comes_to_an_end(
+def test_with_events_in_any_order_a_rollout_ends_and_is_never_both_accepted_and_withdrawn(
     script: list[tuple[events.Event, float]],
 ) -> None:
     scene = Scene()
@@ -257,7 +257,7 @@
         scene.do(event, after_ms)
         assert len(set(scene.offered)) == len(scene.offered)
         assert not (scene.accepted and scene.back) and scene.accepted <= 1
-    for _ in range(400):  # whatever happened, time alone ends it
+    for _ in range(400):  # after any events, the passing of time ends the rollout
         scene.do(events.Tick(), 1000.0)
     assert scene.rollout.ended
     if scene.rollout.state is State.ROLLED_BACK:
@@ -267,7 +267,7 @@
 
 
 def test_the_status_keeps_its_keys() -> None:
-    """Operators' programs read them."""
+    """Operators' programs read these keys."""
     status = r.Rollout(Plan("v2", 1)).status()
     assert list(status) == [
         "version",
--- a/tests/balancing/test_versions.py
+++ b/tests/balancing/test_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration: offered, checked, applied or refused, and what is held meanwhile."""
+"""Versions of the configuration: offering, checking, applying, refusing, and the version in force."""
 
 from __future__ import annotations
 
@@ -65,7 +65,12 @@
 
 
 class Service:
-    """The module with a clock and a node that does what it is told, unless a test does that itself."""
+    """`Versions` with a clock, and a node that applies each configuration at once.
+
+    :param saved: the last good configuration
+    :param applies: whether the node applies at once; if not, the test reports `Applied` itself
+    :param first: whether the wait for a first version is over
+    """
 
     def __init__(self, saved: Configuration | None = None, applies: bool = True, first: bool = True) -> None:
         self.versions = Versions()
@@ -73,12 +78,12 @@
         self.nonce = 0
         self.applies = applies
         self.log: list[Action] = []
-        self.woken_ms: list[float] = []
+        self.timers_ms: list[float] = []
         self.node: Configuration | None = None
         self.do(Started(FILE, saved))
         self.do(StreamChanged(True))
         if first:
-            self.pass_ms(FIRST_VERSION_TIMEOUT_MS)
+            self.advance(FIRST_VERSION_TIMEOUT_MS)
             self.log.clear()
 
     def do(self, event: Event) -> list[Action]:
@@ -86,7 +91,7 @@
         self.log += actions
         for action in actions:
             if isinstance(action, SetTimer):
-                self.woken_ms.append(self.now + action.delay_ms)
+                self.timers_ms.append(self.now + action.delay_ms)
             if isinstance(action, Apply) and self.applies:
                 self.node = action.configuration
                 actions = actions + self.do(Applied())
@@ -100,15 +105,15 @@
         version = version or f"v{self.nonce}"
         return self.do(Offered(part, version, nonce or f"n{self.nonce}", content, problem))
 
-    def pass_ms(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         end = self.now + ms
-        while self.woken_ms and min(self.woken_ms) <= end:
-            self.now = min(self.woken_ms)
-            self.woken_ms.remove(self.now)
+        while self.timers_ms and min(self.timers_ms) <= end:
+            self.now = min(self.timers_ms)
+            self.timers_ms.remove(self.now)
             self.do(TimerFired())
         self.now = end
 
-    def held(self, part: Part = Part.MEMBERS) -> str:
+    def applied_version(self, part: Part = Part.MEMBERS) -> str:
         assert self.versions.applied is not None
         return self.versions.applied.versions[part]
 
@@ -117,28 +122,28 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-# A start
+# Start
 
 
-def test_a_start_waits_for_the_service_and_then_takes_the_last_good_one_or_the_file() -> None:
+def test_a_start_waits_for_the_service_and_then_applies_the_last_good_configuration_or_the_file() -> None:
     for saved, source in ((None, Source.FILE), (Configuration(pools(7), node()), Source.SAVED)):
         service = Service(saved, first=False)
         assert not only(service.log, Apply)
-        service.pass_ms(FIRST_VERSION_TIMEOUT_MS - 1.0)
+        service.advance(FIRST_VERSION_TIMEOUT_MS - 1.0)
         assert not only(service.log, Apply)
-        service.pass_ms(1.0)
+        service.advance(1.0)
         [apply] = only(service.log, Apply)
         assert (apply.source, apply.configuration) == (source, saved or FILE)
         assert apply.changed == frozenset(Part)
-        assert not only(service.log, SaveLastGood)  # it is on disk, or in the file
+        assert not only(service.log, SaveLastGood)  # it is already on disk or in the file
 
 
-def test_a_first_version_in_time_is_taken_at_once_and_the_wait_ends_with_nothing() -> None:
+def test_a_first_version_in_time_is_applied_at_once_and_ends_the_wait() -> None:
     service = Service(Configuration(pools(7), node()), first=False)
     [apply] = only(service.offer(pools(3), "1"), Apply)
     assert apply.source is Source.CONTROL and apply.changed == frozenset(Part)
-    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
-    assert len(only(service.log, Apply)) == 1 and service.held() == "1"
+    service.advance(FIRST_VERSION_TIMEOUT_MS)
+    assert len(only(service.log, Apply)) == 1 and service.applied_version() == "1"
 
 
 @pytest.mark.parametrize(
@@ -149,33 +154,33 @@
         (Configuration(pools(7), node(drain_grace_ms=9000.0)), "looser"),
     ],
 )
-def test_a_last_good_one_that_does_not_fit_this_node_any_more_is_left(
+def test_a_last_good_configuration_that_has_become_invalid_is_not_used(
     saved: Configuration, words: str
 ) -> None:
     service = Service(saved, first=False)
-    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
+    service.advance(FIRST_VERSION_TIMEOUT_MS)
     assert service.node == FILE
     assert any(words in log.text for log in only(service.log, Log))
 
 
-def test_a_part_that_comes_before_the_other_goes_with_the_last_good_one_of_that() -> None:
-    """hundred-versions 2: a node that had been killed refused good settings, as its members were bad then."""
+def test_a_part_that_is_offered_first_is_applied_with_the_last_good_version_of_the_other() -> None:
+    """Run hundred-versions 2: a restarted node refused valid settings while its members were invalid."""
     service = Service(Configuration(pools(7, name="kept"), node("kept")), first=False)
     bad = only(service.offer(None, "m1", problem="unreadable"), Answer)
     [apply] = only(service.offer(node("kept", max_attempts=2), "s1"), Apply)
     assert bad[0].reason and apply.configuration.members() == (member(7),)
-    assert apply.changed == frozenset(Part) and service.held(Part.SETTINGS) == "s1"
+    assert apply.changed == frozenset(Part) and service.applied_version(Part.SETTINGS) == "s1"
 
 
-def test_a_version_refused_before_there_is_anything_leaves_the_start_as_it_was() -> None:
+def test_a_refusal_before_the_first_version_does_not_change_the_start() -> None:
     service = Service(first=False)
     [answer] = only(service.offer(pools(), "1"), Answer)
     assert answer.version == "" and "no live server" in answer.reason
-    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
+    service.advance(FIRST_VERSION_TIMEOUT_MS)
     assert service.node == FILE
 
 
-# What is refused
+# Refusals
 
 
 def keyed(**changes: Any) -> list[api.RequestClass]:
@@ -203,7 +208,7 @@
 
 
 @pytest.mark.parametrize(("content", "words"), REFUSED.values(), ids=REFUSED.keys())
-def test_what_does_not_fit_is_refused_with_its_reason_and_the_old_one_stays(
+def test_an_invalid_version_is_refused_with_a_reason_and_the_previous_one_stays(
     content: Content | None, words: str
 ) -> None:
     service = Service()
@@ -219,17 +224,17 @@
     assert (refused["version"], refused["reason"]) == ("bad", answer.reason)
 
 
-def test_rules_may_become_stricter_and_a_class_that_comes_again_comes_no_looser() -> None:
+def test_rules_may_become_stricter_and_a_class_that_is_added_again_must_not_be_looser() -> None:
     service = Service()
     strict = [dataclasses.replace(helpers.SAFE, name="new", repeat=api.Repeat.UNSAFE)]
     assert not only(service.offer(node(classes=strict, drain_grace_ms=100.0), "1"), Answer)[0].reason
-    assert not only(service.offer(node(), "2"), Answer)[0].reason  # without it
+    assert not only(service.offer(node(), "2"), Answer)[0].reason  # without the class
     again = [dataclasses.replace(helpers.SAFE, name="new")]
     [answer] = only(service.offer(node(classes=again), "3"), Answer)
     assert "classes[new].repeat: safe is looser than unsafe" in answer.reason
 
 
-def test_bounds_on_how_much_a_version_holds(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_limits_on_the_size_of_a_version(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(configuration_checks, "MAX_MEMBERS", 3)
     monkeypatch.setattr(configuration_checks, "MAX_POOLS", 2)
     monkeypatch.setattr(configuration_checks, "MAX_CLASSES", 4)
@@ -249,7 +254,7 @@
     assert reason(node(classes=five[:1])) == ""
 
 
-def test_a_check_that_breaks_is_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_a_check_is_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
     service = Service()
 
     def broken(pools: Pools) -> None:
@@ -257,10 +262,10 @@
 
     monkeypatch.setattr(module, "check_members", broken)
     [answer] = only(service.offer(pools(5)), Answer)
-    assert answer.reason == "the check broke: ZeroDivisionError: division by zero"
+    assert answer.reason == "the check raised ZeroDivisionError: division by zero"
 
 
-def test_refusals_are_kept_within_bounds_and_a_repeated_one_is_counted() -> None:
+def test_the_list_of_refusals_is_bounded_and_repeated_ones_are_counted() -> None:
     service = Service()
     for _ in range(3):
         service.offer(pools(), "same")
@@ -273,10 +278,10 @@
     assert max(len(r["reason"]) for r in kept) <= module.MAX_REASON_LENGTH
 
 
-# Whole, or not at all
+# Atomic application
 
 
-def test_parts_that_only_go_together_are_applied_together_whichever_came_first() -> None:
+def test_parts_that_match_only_together_are_applied_together_in_either_order() -> None:
     for first, second in ((pools(5, name="new"), node("new")), (node("new"), pools(5, name="new"))):
         service = Service()
         [answer] = only(service.offer(first, "a"), Answer)
@@ -287,7 +292,7 @@
         assert [(a.version, a.reason) for a in only(actions, Answer)] == [("a", ""), ("b", "")]
 
 
-def test_a_part_refused_on_an_old_stream_is_not_put_together_with_a_new_one() -> None:
+def test_a_part_refused_on_an_old_stream_is_not_combined_with_one_of_a_new_stream() -> None:
     service = Service()
     service.offer(pools(5, name="new"), "a")
     service.do(StreamChanged(False))
@@ -296,7 +301,7 @@
     assert "is none of catalogo" in answer.reason
 
 
-def test_what_could_not_be_applied_is_refused_and_the_old_one_put_back() -> None:
+def test_a_version_that_could_not_be_applied_is_refused_and_the_previous_one_restored() -> None:
     service = Service()
     service.offer(pools(1, 2, 3), "good")
     service.applies = False
@@ -305,15 +310,15 @@
     actions = service.do(Applied("no room"))
     [answer] = only(actions, Answer)
     assert (answer.nonce, answer.version, answer.reason) == ("x", "good", "it could not be applied: no room")
-    [back] = only(actions, Apply)
-    assert back.configuration.members() == (member(1), member(2), member(3))
+    [restored] = only(actions, Apply)
+    assert restored.configuration.members() == (member(1), member(2), member(3))
     since = service.versions.since_ms
     service.now += 100.0
     assert not only(service.do(Applied()), SaveLastGood)
-    assert service.held() == "good" and service.versions.since_ms == since
+    assert service.applied_version() == "good" and service.versions.since_ms == since
 
 
-def test_while_one_is_being_applied_the_next_waits_and_only_the_newest_of_them_is_taken() -> None:
+def test_offers_during_an_application_are_deferred_and_only_the_newest_is_applied() -> None:
     service = Service()
     service.applies = False
     service.offer(pools(1), "1")
@@ -322,71 +327,71 @@
     service.applies = True
     [apply] = only(service.do(Applied()), Apply)
     assert apply.configuration.members() == (member(5),)
-    assert service.held() == "5" and service.versions.counts["superseded"] == 3
+    assert service.applied_version() == "5" and service.versions.counts["superseded"] == 3
     assert [a.version for a in only(service.log, Answer)] == ["1", "5"]
 
 
-def test_applied_out_of_turn_changes_nothing() -> None:
+def test_an_unexpected_applied_event_has_no_effect() -> None:
     service = Service()
     assert service.do(Applied()) == [] and service.do(Applied("x")) == []
     assert service.versions.applied == FILE
 
 
-def test_a_file_that_cannot_be_applied_is_said_and_held_all_the_same() -> None:
+def test_a_file_that_cannot_be_applied_is_logged_and_stays_in_force() -> None:
     service = Service(applies=False, first=False)
-    service.pass_ms(FIRST_VERSION_TIMEOUT_MS)
+    service.advance(FIRST_VERSION_TIMEOUT_MS)
     [log] = only(service.do(Applied("no pool")), Log)
     assert "no pool" in log.text and service.versions.applied == FILE
 
 
-# A stream that misbehaves
+# Misbehaving streams
 
 
-def test_the_same_nonce_twice_is_looked_at_once() -> None:
+def test_a_repeated_nonce_is_processed_once() -> None:
     service = Service()
     assert only(service.offer(pools(3), "1", nonce="n"), Answer)
     assert service.offer(pools(4), "2", nonce="n") == []
     service.do(StreamChanged(False))
     service.do(StreamChanged(True))
-    assert only(service.offer(pools(4), "2", nonce="n"), Answer)  # another stream, another nonce
+    assert only(service.offer(pools(4), "2", nonce="n"), Answer)  # nonces are valid on one stream only
 
 
-def test_a_thousand_versions_in_a_second_are_applied_at_a_bounded_rate_and_end_on_the_last() -> None:
+def test_a_thousand_versions_in_a_second_are_applied_at_a_limited_rate_and_end_with_the_last() -> None:
     service = Service()
     for n in range(1000):
         service.offer(pools(n % 50, 50), f"{n}")
-        service.pass_ms(1.0)
+        service.advance(1.0)
     applied = len(only(service.log, Apply))
     assert applied <= APPLY_BURST + APPLY_PER_S * 1.0 + 1
-    service.pass_ms(1000.0)
-    assert service.held() == "999"
+    service.advance(1000.0)
+    assert service.applied_version() == "999"
     counts = service.versions.counts
     assert counts["offered"] == 1000 == counts["applied"] + counts["superseded"]
     answers = only(service.log, Answer)
     assert len(answers) == counts["applied"] and answers[-1].version == "999"
 
 
-def test_a_flood_right_after_the_start_does_not_wait_for_the_starts_own_time() -> None:
+def test_a_flood_after_the_first_version_does_not_wait_for_the_start_timer() -> None:
     service = Service(first=False)
     for n in range(int(APPLY_BURST) + 1):
         service.offer(pools(n, 50), f"{n}")
-    service.pass_ms(1000.0 / APPLY_PER_S + 1.0)
-    assert service.held() == f"{int(APPLY_BURST)}"
+    service.advance(1000.0 / APPLY_PER_S + 1.0)
+    assert service.applied_version() == f"{int(APPLY_BURST)}"
 
 
-def test_a_bad_one_after_a_good_one_that_waits_leaves_the_held_one() -> None:
-    """The newest of a part is what the service means; what it superseded is not gone back to."""
+def test_an_invalid_offer_that_supersedes_a_deferred_one_leaves_the_applied_version() -> None:
+    """The newest offer of a part is the one that the service intends; superseded offers are not revived."""
     service = Service()
     for n in range(int(APPLY_BURST)):
         service.offer(pools(n), f"{n}")
     service.offer(pools(70), "waits")
     service.offer(pools(), "bad")
-    service.pass_ms(2000.0)
-    assert service.held() == f"{int(APPLY_BURST) - 1}"
+    service.advance(2000.0)
+    assert service.applied_version() == f"{int(APPLY_BURST) - 1}"
     assert only(service.log, Answer)[-1].reason
 
 
-def test_drains_are_told_at_once_though_their_version_waits() -> None:
+def test_drains_take_effect_at_once_although_their_version_is_deferred() -> None:
     service = Service()
     for n in range(int(APPLY_BURST)):
         service.offer(pools(1, 2, 3 + n), f"{n}")
@@ -398,7 +403,7 @@
     assert not only(service.offer(node("nowhere"), "settings"), Drain)
 
 
-def test_a_stream_that_is_lost_takes_what_waits_with_it_and_nothing_that_is_held() -> None:
+def test_a_lost_stream_discards_deferred_offers_but_not_the_version_being_applied() -> None:
     service = Service()
     service.offer(pools(5), "1")
     service.applies = False
@@ -407,32 +412,36 @@
     service.do(StreamChanged(False))
     service.applies = True
     service.do(Applied())
-    service.pass_ms(60_000.0)
-    assert service.held() == "2" and service.versions.counts["superseded"] == 1
+    service.advance(60_000.0)
+    assert service.applied_version() == "2" and service.versions.counts["superseded"] == 1
 
 
-def test_an_older_version_after_the_service_came_back_is_taken_like_any_other() -> None:
-    """Versions are opaque (xDS): a node that refused would differ from one that has just started."""
+def test_an_older_version_after_a_reconnect_is_applied_like_any_other() -> None:
+    """Versions are opaque (xDS): a node that refused it would differ from one that has just started."""
     service = Service()
     for n in ("1", "2", "3"):
         service.offer(pools(int(n)), n)
     service.do(StreamChanged(False))
     service.do(StreamChanged(True))
     service.offer(pools(2), "2")
-    assert service.held() == "2" and service.node is not None and service.node.members() == (member(2),)
+    assert (
+        service.applied_version() == "2"
+        and service.node is not None
+        and service.node.members() == (member(2),)
+    )
 
 
-def test_a_service_that_comes_back_empty_drains_nobody() -> None:
+def test_a_service_that_returns_without_a_configuration_drains_no_server() -> None:
     service = Service()
     service.offer(pools(5, 6), "1")
     service.do(StreamChanged(False))
     service.do(StreamChanged(True))
     actions = service.offer(Pools({}), "2") + service.offer(None, "3", problem="no settings")
     assert not only(actions, Apply) and not only(actions, Drain)
-    assert service.held() == "1"
+    assert service.applied_version() == "1"
 
 
-def test_status_tells_what_is_held_what_waits_and_since_when() -> None:
+def test_status_reports_applied_and_deferred_versions_and_the_time() -> None:
     service = Service()
     service.now = 50_000.0
     service.offer(pools(5), "1")
@@ -446,13 +455,13 @@
     assert status["counts"]["offered"] == 3
 
 
-# Members from two sides
+# Members from control service and discovery
 
 
-def test_discovery_knows_first_of_a_process_and_the_service_who_is_a_member() -> None:
+def test_discovery_decides_that_a_process_ends_and_the_service_who_is_a_member() -> None:
     control = (member(1), member(2, share=0.5), member(3, LEAVING), member(4))
-    heard = {1: LEAVING, 2: api.Health.IN_SERVICE, 3: api.Health.IN_SERVICE, 9: api.Health.IN_SERVICE}
-    found = {entry.server: (entry.health, entry.share) for entry in merged(control, heard)}
+    discovered = {1: LEAVING, 2: api.Health.IN_SERVICE, 3: api.Health.IN_SERVICE, 9: api.Health.IN_SERVICE}
+    found = {entry.server: (entry.health, entry.share) for entry in merged(control, discovered)}
     assert found == {
         1: (LEAVING, 1.0),
         2: (api.Health.IN_SERVICE, 0.5),
@@ -461,16 +470,16 @@
     }
     gone = {entry.server: entry.health for entry in merged(control, {1: api.Health.GONE})}
     assert gone[1] is api.Health.GONE
-    assert control[0].entry.health is api.Health.IN_SERVICE  # what was given is not changed
+    assert control[0].entry.health is api.Health.IN_SERVICE  # the input is not changed
 
 
-def test_drained_are_those_that_leave_service_in_any_way() -> None:
+def test_servers_that_leave_service_in_any_way_are_drained() -> None:
     before = Configuration(pools(1, 2, 3, member(4, LEAVING)), node())
     after = Configuration(pools(1, member(2, LEAVING), member(4, api.Health.GONE)), node())
     assert set(drained(before, after)) == {2, 3}
 
 
-# Whatever comes
+# Random sequences of events
 
 contents = strategies.one_of(
     strategies.none(),
@@ -486,35 +495,37 @@
 
 @settings(max_examples=300, deadline=None)
 @given(strategies.lists(steps, max_size=40))
-def test_whatever_comes_what_is_held_fits_and_every_offer_has_one_answer(script: list[Any]) -> None:
+def test_in_any_sequence_the_applied_version_is_valid_and_every_offer_has_one_answer(
+    script: list[Any],
+) -> None:
     service = Service(applies=False, first=False)
-    out = 0
+    applying = 0
     answered = []
     for step in script:
         if step == "applied" or step == "failed":
             actions = service.do(Applied("broken" if step == "failed" else ""))
-            out -= 1 if out else 0
+            applying -= 1 if applying else 0
         elif step == "lost":
             actions = service.do(StreamChanged(False)) + service.do(StreamChanged(True))
         elif step == "wait":
             mark = len(service.log)
-            service.pass_ms(700.0)
+            service.advance(700.0)
             actions = service.log[mark:]
         elif step == "same nonce":
             actions = service.do(Offered(Part.MEMBERS, "x", f"n{service.nonce}", pools(3)))
         else:
             actions = service.offer(step, problem="unreadable")
-        out += len(only(actions, Apply))
-        assert out <= 1  # one at a time
+        applying += len(only(actions, Apply))
+        assert applying <= 1  # at most one configuration is being applied
         answered += [(a.part, a.nonce, bool(a.reason)) for a in only(actions, Answer)]
-        held = service.versions.applied
-        if held is not None:
-            check_members(held.pools)
-            check_parts_match(held)
+        applied = service.versions.applied
+        if applied is not None:
+            check_members(applied.pools)
+            check_parts_match(applied)
         for save in only(actions, SaveLastGood):
-            assert save.configuration == held
-    taken = [a for a in answered if not a[2]]
-    assert len(set(taken)) == len(taken)  # none is acknowledged twice
+            assert save.configuration == applied
+    acknowledged = [a for a in answered if not a[2]]
+    assert len(set(acknowledged)) == len(acknowledged)  # none is acknowledged twice
     counts = service.versions.counts
-    waiting = len(service.versions._deferred) + out
-    assert counts["applied"] + counts["refused"] + counts["superseded"] + waiting >= counts["offered"]
+    unanswered = len(service.versions._deferred) + applying
+    assert counts["applied"] + counts["refused"] + counts["superseded"] + unanswered >= counts["offered"]
