--- a/orchidferry/balancing/fleet/gossip_queue.py
+++ b/orchidferry/balancing/fleet/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Updates to spread with the messages that are sent anyway: bounded, the least transmitted first."""
+"""A bounded queue of updates that are piggybacked on other messages, the least transmitted first."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from orchidferry.balancing.fleet.members import Entry, size_of
 
-MAX_QUEUED = 512  # updates: what is dropped beyond that is spread by the exchanges of complete states
+MAX_QUEUED = 512  # updates; any that are dropped beyond this are spread by exchanges of complete states
 RETRANSMIT_FACTOR = 4  # times the logarithm of the fleet's size, as in memberlist
-MIN_ENTRY_BYTES = 64
+MIN_ENTRY_BYTES = 64  # smallest size assumed for an update, which bounds the number that fit into a message
 
 
 def max_transmissions(nodes: int) -> int:
-    """How often each node that has an update transmits it."""
+    """The number of times that each node transmits an update."""
     return RETRANSMIT_FACTOR * math.ceil(math.log10(max(2, nodes) + 1))
 
 
 class GossipQueue:
-    """At most one update a node; a newer one replaces the older."""
+    """Holds at most one update for each node; a newer update replaces an older one."""
 
     def __init__(self) -> None:
-        self._queued: dict[str, tuple[int, int, Entry]] = {}  # transmissions so far, a serial, the update
+        self._queued: dict[str, tuple[int, int, Entry]] = {}  # transmissions so far, serial, update
         self._serial = 0
 
     def __bool__(self) -> bool:
@@ -31,22 +31,22 @@
         return len(self._queued)
 
     def add(self, entry: Entry) -> None:
-        """Transmit this update from now on."""
+        """Queue an update for transmission."""
         self._serial += 1
         self._queued[entry.name] = (0, self._serial, entry)
-        if len(self._queued) > MAX_QUEUED:  # the one transmitted most often is dropped
+        if len(self._queued) > MAX_QUEUED:  # drop the update that was transmitted most often
             del self._queued[max(self._queued, key=lambda name: self._queued[name][:2])]
 
     def drop(self, name: str) -> None:
-        """Transmit nothing more of a node."""
+        """Remove the update about a node."""
         self._queued.pop(name, None)
 
     def take(self, max_bytes: int, nodes: int, receiver: str = "") -> list[Entry]:
-        """The updates for one message; each counts as transmitted once more.
+        """Choose the updates for one message, and count each as transmitted once more.
 
-        :param max_bytes: that they may take
-        :param nodes: the fleet's size
-        :param receiver: gets no update of itself
+        :param max_bytes: the greatest total size of the updates
+        :param nodes: the size of the fleet
+        :param receiver: the receiver's name; updates about it are left out
         """
         limit = max_transmissions(nodes)
         taken = []
--- a/orchidferry/balancing/fleet/member_table.py
+++ b/orchidferry/balancing/fleet/member_table.py
@@ -1,4 +1,4 @@
-"""All other nodes that a node knows, those that are gone among them, and random choices among these."""
+"""All other nodes that a node knows, including nodes that are gone, and random selections of them."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class MemberTable:
-    """Members by name, the ring in which they are probed, and the seeds: addresses to begin with."""
+    """Members by name, the ring in which members are probed, and the seeds: addresses for first contact."""
 
     def __init__(self, seeds: Iterable[Address], rng: random.Random) -> None:
         self._rng = rng
-        self.members: dict[str, Entry] = {}  # all that are known, also lost ones
-        self.since: dict[str, tuple[float, str]] = {}  # when and on whose word an entry became what it is
-        self.present = 0  # of them, alive or suspected
+        self.members: dict[str, Entry] = {}  # all known members, including lost ones, by name
+        self.since: dict[str, tuple[float, str]] = {}  # time and reporting node of the last update, by name
+        self.present = 0  # number of members that are alive or suspected
         self.lost: dict[str, None] = {}
-        self.gone_ms: dict[str, float] = {}  # since when those that are lost or have left are gone
-        self.seeds = dict.fromkeys(list(seeds)[:MAX_SEEDS], "")  # the name of the member at each, or ""
+        self.gone_ms: dict[str, float] = {}  # time since which a member is lost or has left, by name
+        self.seeds = dict.fromkeys(list(seeds)[:MAX_SEEDS], "")  # name of the member at each seed, or ""
         self._ring: list[str] = []
         self.ring_position = 0
 
     @property
     def size(self) -> int:
-        """Nodes that are present, this one included."""
+        """The number of present nodes, including this one."""
         return self.present + 1
 
     def load(self, entries: Iterable[Entry]) -> None:
-        """Begin with these members, as if they had always been there. For models."""
+        """Start with these members as if they had been known all along; for models."""
         for entry in entries:
             self.members[entry.name] = entry
             self._ring.append(entry.name)
@@ -39,7 +39,10 @@
         self._rng.shuffle(self._ring)
 
     def put(self, entry: Entry, by: str, now: float) -> Entry | None:
-        """Set the entry of a member, on the word of `by`; the one before."""
+        """Replace the entry of a member; returns the previous one.
+
+        :param by: the name of the node that reported the entry
+        """
         name = entry.name
         before = self.members.get(name)
         self.members[name] = entry
@@ -63,14 +66,14 @@
         return before
 
     def _insert(self, name: str) -> None:
-        """Give a new member a random place in the ring, as in SWIM."""
+        """Insert a new member at a random position of the ring, as in SWIM."""
         ring = self._ring
         ring.append(name)
-        place = int(self._rng.random() * len(ring))
-        ring[place], ring[-1] = ring[-1], ring[place]
+        position = int(self._rng.random() * len(ring))
+        ring[position], ring[-1] = ring[-1], ring[position]
 
     def remove(self, name: str) -> Entry:
-        """Forget a member that is gone."""
+        """Remove a member that is gone."""
         entry = self.members.pop(name)
         self._ring.remove(name)
         self.lost.pop(name, None)
@@ -82,7 +85,7 @@
         return entry
 
     def longest_gone(self) -> str:
-        """The member that has been gone for longest, or ""."""
+        """The name of the member that has been gone for longest; "" if there is none."""
         return min(self.gone_ms, key=self.gone_ms.__getitem__) if self.gone_ms else ""
 
     def empty_seeds(self) -> list[Address]:
@@ -90,7 +93,7 @@
         return [seed for seed, name in self.seeds.items() if not (name and self.members[name].present)]
 
     def next_to_probe(self) -> Entry | None:
-        """Round robin over a ring that each round shuffles: each is probed within twice the ring's length."""
+        """Choose the next member of a ring shuffled each round: none waits over twice the ring's length."""
         for _ in range(len(self._ring)):
             if self.ring_position >= len(self._ring):
                 self.ring_position = 0
@@ -101,17 +104,21 @@
                 return entry
         return None
 
-    def sample(self, count: int, leave_out: str = "", alive: bool = False) -> list[Entry]:
-        """Up to `count` present members at random; with `alive` none that is suspected."""
+    def sample(self, count: int, exclude: str = "", alive: bool = False) -> list[Entry]:
+        """Choose up to `count` present members at random.
+
+        :param exclude: the name of a member that is not chosen
+        :param alive: whether to choose no suspected members
+        """
         found: dict[str, Entry] = {}
         ring = self._ring
-        if len(ring) <= 4 * count:  # few: try all
+        if len(ring) <= 4 * count:  # few members: try all
             names: Iterable[str] = self._rng.sample(ring, len(ring))
         else:
             names = (ring[int(self._rng.random() * len(ring))] for _ in range(8 * count))
         for name in names:
             entry = self.members[name]
-            if entry.present and name != leave_out and not (alive and entry.status is Status.SUSPECT):
+            if entry.present and name != exclude and not (alive and entry.status is Status.SUSPECT):
                 found[name] = entry
                 if len(found) == count:
                     break
--- a/orchidferry/balancing/fleet/members.py
+++ b/orchidferry/balancing/fleet/members.py
@@ -1,8 +1,9 @@
-"""The record of one node of the fleet, and which of two updates about it wins.
+"""The entry of one node of the fleet, and the order that decides which of two updates about it wins.
 
-Updates about a node are ordered, and the greatest wins: nodes that receive the same updates, in any order and
-any number of times, end with the same entries (the merge is a join of a semilattice). A node alone raises its
-own incarnation, so its own update wins over all that was said of it before.
+Updates about a node are totally ordered, and the greatest wins. Nodes that receive the same updates, in any
+order and any number of times, therefore end with the same entries (the merge is a join of a semilattice).
+Only a node itself raises its incarnation, so its own update wins over everything that was said about it
+before.
 """
 
 from __future__ import annotations
@@ -10,30 +11,30 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-# In characters, the last in bytes
+# Greatest lengths of fields, in characters; MAX_UNKNOWN_FIELDS in bytes
 MAX_NAME = 64
 MAX_ZONE = 32
 MAX_VERSION = 64
 MAX_HOST = 45
 MAX_UNKNOWN_FIELDS = 128
-# A node raises its incarnation when it refutes, when its phase changes and when it starts: a jump is a lie,
-# and the most leaves room for one each second of a century.
+# A node raises its incarnation only when it refutes a claim, changes its phase or starts. An update that
+# jumps further is therefore false. The maximum leaves room for one incarnation a second for a century.
 MAX_INCARNATION = 2**32
 MAX_JUMP = 2**16
 MAX_LIFE = 2**64 - 1
 
 
 class Status(IntEnum):
-    """Of two updates of one incarnation the higher wins."""
+    """The status of a node. Of two updates with the same incarnation, the one with the higher status wins."""
 
     ALIVE = 0
-    SUSPECT = 1  # a probe of it failed; it may refute that
-    LOST = 2  # it did not, in time
-    LEFT = 3  # it said itself that it goes
+    SUSPECT = 1  # a probe of the node failed; the node may refute the suspicion
+    LOST = 2  # the node did not refute the suspicion in time
+    LEFT = 3  # the node itself announced that it leaves
 
 
 class Phase(Enum):
-    """What a node says of itself."""
+    """The phase that a node reports about itself."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -42,23 +43,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What is said of a node: an update, when it is sent."""
+    """The information about a node; sent to other nodes, it is called an update."""
 
     name: str
-    host: str  # where its peers reach it: an IP address
+    host: str  # the IP address at which its peers reach it
     port: int
-    life: int  # drawn when its process started: tells it from the one before it, with or without a disk
+    life: int  # random number drawn at the start of its process, to tell it from earlier ones
     incarnation: int = 0
     status: Status = Status.ALIVE
     phase: Phase = Phase.STARTING
     zone: str = ""
-    version: str = ""  # of program and settings, as its operators name them
-    by: str = ""  # who suspects or lost it; not part of the order
-    unknown_fields: bytes = b""  # of later formats, passed on as they came
+    version: str = ""  # version of program and settings, as named by the operators
+    by: str = ""  # name of the node that suspects it or declared it lost; not part of the order
+    unknown_fields: bytes = b""  # fields of later formats, passed on unchanged
 
     @property
     def present(self) -> bool:
-        """Whether it is alive or suspected: it may be sent something."""
+        """Whether it is alive or suspected, so that messages may be sent to it."""
         return self.status <= Status.SUSPECT
 
 
@@ -66,10 +67,10 @@
 
 
 def order(entry: Entry) -> Order:
-    """The key by which updates about one name are ordered; the greatest wins.
+    """The key by which updates about one node are ordered; the greatest wins.
 
-    Beyond incarnation, status and life no two honest updates differ; the rest makes the order total, so that
-    even a liar's updates end in the same entries everywhere.
+    Honest updates never differ beyond incarnation, status and life. The remaining fields make the order
+    total, so that even false updates lead to the same entries on all nodes.
     """
     return (
         entry.incarnation,
@@ -85,7 +86,7 @@
 
 
 def problem_of(entry: Entry) -> str:
-    """Why an entry is invalid, or "". Types are the reader's to check."""
+    """The reason why an entry is invalid; "" if it is valid. The types are checked by the decoder."""
     for field, text, limit in (
         ("name", entry.name, MAX_NAME),
         ("zone", entry.zone, MAX_ZONE),
@@ -98,9 +99,9 @@
     if not entry.name or not entry.host:
         return "name and host must not be empty"
     if not 0 < entry.port < 65536:
-        return f"port: {entry.port} is none"
+        return f"port: {entry.port} is out of range"
     if not 0 < entry.life <= MAX_LIFE:
-        return f"life: {entry.life} is none"
+        return f"life: {entry.life} is out of range"
     if not 0 <= entry.incarnation <= MAX_INCARNATION:
         return f"incarnation: {entry.incarnation} is over {MAX_INCARNATION}"
     if len(entry.unknown_fields) > MAX_UNKNOWN_FIELDS:
@@ -108,10 +109,10 @@
     return ""
 
 
-FIXED_BYTES = 52  # of an entry as written: its keys, numbers and tags, at most
+FIXED_BYTES = 52  # greatest size of the keys, numbers and tags of an encoded entry
 
 
 def size_of(entry: Entry) -> int:
-    """Bytes of an entry in a message, at most, for text in ASCII."""
+    """The greatest encoded size of an entry in bytes, for text in ASCII."""
     text = len(entry.name) + len(entry.host) + len(entry.zone) + len(entry.version) + len(entry.by)
     return FIXED_BYTES + text + len(entry.unknown_fields)
--- a/orchidferry/balancing/fleet/membership.py
+++ b/orchidferry/balancing/fleet/membership.py
@@ -1,18 +1,21 @@
-"""One node's part in the membership: events in, actions out. Clock and random choices are handed in.
-
-`handle` is called with each event; `due_ms` says when it wants a `Tick`. What it holds is bounded: members by
-`max_nodes`, gossip by `gossip_queue.MAX_QUEUED`, one replay window a member, probes and relays by constants.
-
-Beyond SWIM and Lifeguard:
-
-- Replays. A message names the process it is for (`to_life`) and has a serial: one that was recorded before
-  that process began is for another, and a copy has been counted. Only a PING that knows no process yet is
-  answered without that, by the entry of this node, and nothing that it says is taken.
-- A node that did not run for a while (`_slept`) concludes nothing from the silence of that time: all that it
-  waited for waits that much longer.
-- A loss that is hearsay is taken for a suspicion, unless the suspicion is known already: the node that is
-  said to be lost gets the least time to refute that. So halves that healed do not declare each other lost.
-- A name is taken over only from a process that does not answer (`name_conflict`).
+"""One node's part in the membership: a state machine that takes events and returns actions.
+
+The caller passes each event to `handle`, and a `Tick` at `due_ms`; it also supplies the clock and the random
+numbers. Memory is bounded: members by `max_nodes`, gossip by `gossip_queue.MAX_QUEUED`, one replay window for
+each member, probes and relays by constants.
+
+Extensions beyond SWIM and Lifeguard:
+
+- Replay protection. A message carries the `life` of the process that it is for (`to_life`) and a serial. A
+  message that was recorded before the receiving process started has another `to_life`, and a duplicate has a
+  serial that was received already. The only other message that is answered is a PING, by a sender that does
+  not know this process yet: it is answered with this node's entry, and its content is ignored.
+- Pauses. A node that did not run for a while (`_on_pause`) draws no conclusions from the silence during that
+  time: all of its timeouts are extended by the length of the pause.
+- Reported losses. A loss that another node reports is treated as a suspicion, unless the suspicion is known
+  already, so that the node in question has at least the shortest time to refute it. The halves of a healed
+  network partition therefore don't declare each other lost.
+- Name conflicts. A name is taken over only from a process that does not answer (`name_conflict`).
 """
 
 from __future__ import annotations
@@ -34,23 +37,23 @@
 from orchidferry.balancing.fleet.suspicions import ROUNDING_MS, Suspicions
 from orchidferry.balancing.fleet.timers import Timer, TimerKind, Timers
 
-SYNC_SCALED_FROM = 32  # nodes from which exchanges of complete states become rarer
-LEAVE_TO = 8  # nodes that are told that this one leaves,
-LEAVE_TIMES = 3  # so often,
-LEAVE_MS = 60.0  # with so much time between
+SYNC_SCALED_FROM = 32  # nodes beyond which complete states are exchanged less often
+LEAVE_FANOUT = 8  # nodes to which each leave announcement is sent
+LEAVE_ROUNDS = 3  # leave announcements
+LEAVE_INTERVAL_MS = 60.0  # between two leave announcements
 MAX_SAVED_PEERS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class SavedState:
-    """What a later process of this node should know."""
+    """The state to save for later processes of this node."""
 
     incarnation: int
     peers: tuple[Address, ...]
 
 
 class Membership:
-    """A node among its peers."""
+    """The membership protocol at one node."""
 
     def __init__(
         self,
@@ -60,7 +63,14 @@
         timing: Timing | None = None,
         max_nodes: int = 1_024,
     ) -> None:
-        """`seeds`: addresses to begin with; `max_nodes`: members, this one included."""
+        """Create a membership that has not joined yet.
+
+        :param me: this node's own entry
+        :param seeds: the addresses for first contact
+        :param rng: the source of random choices
+        :param timing: the parameters of the protocol
+        :param max_nodes: the greatest number of nodes, including this one
+        """
         self.timing = timing or Timing()
         self._rng = rng
         self._max_nodes = max_nodes
@@ -77,15 +87,15 @@
         )
         self._conflict = NameConflict(self._outbox, self._timers, self.timing)
         self._reconnector = Reconnector(self._table, self._outbox, self._timers, self.timing, rng)
-        self._forgetting: set[str] = set()  # members with a timer to be forgotten
+        self._forgetting: set[str] = set()  # gone members with a timer for their removal
         self._suspicions = Suspicions(self._table, self._timers, self.timing)
-        self._windows: dict[str, tuple[int, ReplayWindow]] = {}  # by name: of which process, and its serials
+        self._windows: dict[str, tuple[int, ReplayWindow]] = {}  # sender's `life` and window, by name
         self._gossiping = False
         self.joined = False
         self.left = False
         self.started = False
 
-    # What others read
+    # State for callers
 
     @property
     def me(self) -> Entry:
@@ -94,37 +104,37 @@
 
     @property
     def members(self) -> dict[str, Entry]:
-        """All other nodes that are known, also lost ones, by name."""
+        """All other known nodes, including lost ones, by name."""
         return self._table.members
 
     @property
     def since(self) -> dict[str, tuple[float, str]]:
-        """When and on whose word each entry became what it is."""
+        """The time and the reporting node of each entry's last update, by name."""
         return self._table.since
 
     @property
     def score(self) -> int:
-        """Lifeguard's local health score, 0 being the best."""
+        """Lifeguard's local health score; 0 is the best."""
         return self._prober.score
 
     @property
     def contested(self) -> bool:
-        """Whether another living process has this name: this one stays passive."""
+        """Whether another living process has this node's name, so that this node stays passive."""
         return self._conflict.contested
 
     @property
     def due_ms(self) -> float:
-        """When a `Tick` is wanted; infinite for never."""
+        """The time at which a `Tick` is to be passed in; infinite for never."""
         return self._timers.due_ms
 
     @property
     def size(self) -> int:
-        """Nodes that are present, this one included."""
+        """The number of present nodes, including this one."""
         return self._table.size
 
     @property
     def saved_state(self) -> SavedState:
-        """What to save for a later process."""
+        """The state to save for later processes of this node."""
         peers = [(e.host, e.port) for e in self.members.values() if e.present][:MAX_SAVED_PEERS]
         return SavedState(self.me.incarnation, tuple(sorted(peers)))
 
@@ -133,27 +143,27 @@
         return self._conflict.other is not None
 
     def suspects(self) -> int:
-        """Members that are suspected now."""
+        """The number of members that are suspected now."""
         return len(self._suspicions.by_name)
 
     def present(self) -> Iterator[Entry]:
-        """The nodes that are present in this node's view, itself first."""
+        """The nodes that are present in this node's view, starting with itself."""
         yield self.me
         yield from (entry for entry in self.members.values() if entry.present)
 
     def load(self, entries: Iterable[Entry]) -> None:
-        """Begin with these members, as if they had always been there. For models."""
+        """Start with these members as if they had been known all along; for models."""
         self._table.load(entry for entry in entries if entry.name != self.me.name)
         self.joined = True
 
     # Events
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Take an event at `now` (ms); the actions that follow from it, in order."""
+        """Process an event at `now` (ms); returns the resulting actions, in order."""
         self._outbox.actions = []
         overdue_ms = now - self._timers.due_ms
         if overdue_ms > self.timing.interval_ms:
-            self._slept(now, overdue_ms)
+            self._on_pause(now, overdue_ms)
         match event:
             case api.MessageReceived():
                 if self.started and not self.left:
@@ -200,19 +210,19 @@
                 self._announce_leave(int(timer.subject), now)
 
     def _sync_ms(self) -> float:
-        """Complete states grow with the fleet, so they are exchanged less often, as in memberlist."""
+        """The time to the next exchange of complete states, which grow with the fleet (as in memberlist)."""
         scale = max(1.0, (self.size - 1).bit_length() - SYNC_SCALED_FROM.bit_length() + 2.0)
         return self.timing.sync_ms * scale * (0.8 + 0.4 * self._rng.random())
 
-    def _slept(self, now: float, gap_ms: float) -> None:
-        """This node did not run for so long: it knows nothing of that time, and goes on where it was."""
+    def _on_pause(self, now: float, gap_ms: float) -> None:
+        """Extend all timeouts by a time in which this node did not run and could not receive messages."""
         self._timers.postpone(gap_ms)
         self._suspicions.postpone(gap_ms)
         self._prober.clear()
-        self._prober.worsen(1)
+        self._prober.adjust_score(1)
         if self.started and not self.left and not self._passive:
             self._outbox.request_state(self._table.sample(1), now)
-        text = f"stood still for {gap_ms / 1000.0:.1f} s: nothing is drawn from that silence"
+        text = f"did not run for {gap_ms / 1000.0:.1f} s: timeouts are extended by that time"
         self._outbox.warn(LogKind.SLEPT, text, now)
 
     # Start, change, leave
@@ -237,7 +247,7 @@
     def _change_self(
         self, incarnation: int, now: float, phase: Phase | None = None, version: str | None = None
     ) -> None:
-        """Raise this node's own incarnation, with a new phase or version if there is one."""
+        """Raise this node's own incarnation, and change its phase or version if given."""
         me = self.me
         self._outbox.me = replace(
             me,
@@ -255,15 +265,15 @@
         incarnation = self.me.incarnation + 1
         self._outbox.me = replace(self.me, incarnation=incarnation, status=Status.LEFT, phase=Phase.DRAINING)
         if self.started and not self._passive:
-            self._announce_leave(LEAVE_TIMES, now)
+            self._announce_leave(LEAVE_ROUNDS, now)
         self.left = True
         self._outbox.actions.append(api.SaveState())
 
-    def _announce_leave(self, times: int, now: float) -> None:
-        for entry in self._table.sample(LEAVE_TO):
+    def _announce_leave(self, rounds: int, now: float) -> None:
+        for entry in self._table.sample(LEAVE_FANOUT):
             self._outbox.send(Kind.GOSSIP, entry)
-        if times > 1:
-            self._timers.set(now, LEAVE_MS, TimerKind.LEAVE, times - 1)
+        if rounds > 1:
+            self._timers.set(now, LEAVE_INTERVAL_MS, TimerKind.LEAVE, rounds - 1)
 
     # Gossip
 
@@ -311,15 +321,16 @@
                 self._on_namesake(message, now)
             return None
         if message.to_life != self.me.life:
-            # First contact, or for the process that was here before: it learns who is, and says it again.
+            # The sender does not know this process yet, or means an earlier one. It learns the current `life`
+            # from this answer, and can then send the message again.
             if message.kind is Kind.PING:
-                self._outbox.greet(sender, message.number, now)
+                self._outbox.introduce_self(sender, message.number, now)
             return None
         known = self.members.get(sender.name)
         if known is not None and known.life != sender.life and order(sender) < order(known):
-            # A new process that does not know what is said of the one before it, or a late message.
+            # A new process that has not seen the updates about the one before it, or a delayed message.
             number = message.number if message.kind is Kind.PING else 0
-            return self._outbox.greet(sender, number, now, (known,))
+            return self._outbox.introduce_self(sender, number, now, (known,))
         if known is None and not self._has_capacity(sender, now):
             return None
         if not self._is_new(message):
@@ -338,7 +349,7 @@
         return None
 
     def _is_new(self, message: Message) -> bool:
-        """Whether a message is no copy of one that was received."""
+        """Whether a message is not a duplicate of a received one."""
         sender = message.sender
         life, window = self._windows.get(sender.name, (0, None))
         if window is None or life != sender.life:
@@ -366,12 +377,12 @@
     # Updates about others
 
     def _merge(self, entry: Entry, by: str, now: float) -> None:
-        """Take an update about a node if it wins over what is known."""
+        """Apply an update about a node, reported by `by`, if it wins over the known entry."""
         if entry.name == self.me.name:
             return self._merge_self(entry, by, now)
         known = self.members.get(entry.name)
         if known is None:
-            # Those that are gone and were never known are not learned of: they would be spread for ever.
+            # Don't add nodes that are gone and were never known: their entries would be spread forever.
             if entry.present and self._has_capacity(entry, now):
                 self._set(entry, by, now)
             return None
@@ -381,8 +392,8 @@
                 self._confirm(known, entry.by, now)
             return None
         if entry.incarnation - known.incarnation > MAX_JUMP:
-            text = f"{by} says that {entry.name} is at incarnation {entry.incarnation}"
-            text += f", from {known.incarnation}: not believed"
+            text = f"{by} reports that {entry.name} is at incarnation {entry.incarnation}"
+            text += f", from {known.incarnation}: ignored"
             return self._outbox.warn(LogKind.JUMP, text, now)
         if entry.status is Status.LOST and known.status is Status.ALIVE:
             entry = replace(entry, status=Status.SUSPECT)
@@ -392,13 +403,13 @@
         return None
 
     def _has_capacity(self, entry: Entry, now: float) -> bool:
-        """Whether one more may be known; one that is gone is forgotten for it."""
+        """Whether one more member may be added; a member that is gone is removed to make room."""
         if entry.name in self.members or len(self.members) + 1 < self._max_nodes:
             return True
         if gone := self._table.longest_gone():
             self._remove(gone)
             return True
-        text = f"{self._max_nodes} nodes are known, the most there may be: {entry.name} is left out"
+        text = f"the limit of {self._max_nodes} nodes is reached: {entry.name} is ignored"
         self._outbox.warn(LogKind.FULL, text, now)
         return False
 
@@ -425,7 +436,7 @@
         self._suspect(entry, now)
 
     def _suspect(self, entry: Entry, now: float) -> None:
-        """Suspect a member that did not answer this node's probe, or confirm the suspicion of others."""
+        """Suspect a member that did not answer this node's probe, or confirm an existing suspicion."""
         me = self.me.name
         if entry.status is Status.ALIVE:
             self._set(replace(entry, status=Status.SUSPECT, by=me), me, now)
@@ -437,7 +448,7 @@
             self._spread(replace(entry, by=by), now)
 
     def _end_suspicion(self, name: str, now: float) -> None:
-        """Declare a member lost if it had its time to refute that."""
+        """Declare a member lost if it has not refuted a suspicion in time."""
         entry = self.members.get(name)
         if entry is not None and self._suspicions.is_over(name, now):
             self._set(replace(entry, status=Status.LOST, by=self.me.name), self.me.name, now)
@@ -445,18 +456,18 @@
     # Updates about this node
 
     def _merge_self(self, entry: Entry, by: str, now: float) -> None:
-        """Refute what is said of this node, or of a process that had its name."""
+        """Refute a claim about this node, or about an earlier process with its name."""
         me = self.me
         if entry.incarnation - me.incarnation > MAX_JUMP:
-            text = f"{by} says that this node is at incarnation {entry.incarnation}"
-            text += f", from {me.incarnation}: not believed"
+            text = f"{by} reports that this node is at incarnation {entry.incarnation}"
+            text += f", from {me.incarnation}: ignored"
             return self._outbox.warn(LogKind.JUMP, text, now)
         if entry.life == me.life:
             if entry.incarnation < me.incarnation or (
                 entry.status is Status.ALIVE and entry.incarnation == me.incarnation
             ):
                 return None
-            self._prober.worsen(1)
+            self._prober.adjust_score(1)
             self._change_self(entry.incarnation + 1, now)
             self._refute(by)
         elif order(entry) > order(me):
@@ -471,17 +482,17 @@
         return None
 
     def _refute(self, by: str) -> None:
-        """Send the refutation to the node that spread the claim at once; the others hear of it by gossip."""
+        """Send the refutation at once to the node that spread the claim; others receive it by gossip."""
         claimant = self.members.get(by)
         if claimant is not None and claimant.present and not self._passive:
             self._outbox.send(Kind.GOSSIP, claimant)
 
     def _on_namesake(self, message: Message, now: float) -> None:
-        """Another process has this node's name."""
+        """Process a message from another process with this node's name."""
         if message.to_life != self.me.life:
             return
         if message.kind is Kind.PING:
-            self._outbox.greet(message.sender, message.number, now)
+            self._outbox.introduce_self(message.sender, message.number, now)
         else:
             self._conflict.heard_from(message.sender.life)
         self._merge_self(message.sender, self.me.name, now)
--- a/orchidferry/balancing/fleet/messages.py
+++ b/orchidferry/balancing/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What a membership exchanges: messages between nodes, events that it takes and actions that it asks for."""
+"""Messages between nodes, and the events and actions of a `Membership`."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Kind(Enum):
-    """Of a message between two nodes; the values are those on the wire."""
+    """The kind of a message between two nodes; the values are those on the wire."""
 
-    PING = "ping"  # a probe: acknowledge `number`
-    ACK = "ack"  # the sender acknowledges, or the node that it was asked to probe did
-    NACK = "nack"  # the node that the sender was asked to probe has not acknowledged in time
-    PING_REQUEST = "ask"  # probe `target` for the sender
-    GOSSIP = "news"  # nothing but updates
-    STATE_REQUEST = "state"  # the sender's complete state; reply with yours
-    STATE_REPLY = "whole"
+    PING = "ping"  # a probe, to be acknowledged with its `number`
+    ACK = "ack"  # the probed node has acknowledged: the sender itself, or the target of a PING_REQUEST
+    NACK = "nack"  # the target of a PING_REQUEST has not acknowledged in time
+    PING_REQUEST = "ask"  # asks the receiver to probe `target` for the sender
+    GOSSIP = "news"  # carries updates only
+    STATE_REQUEST = "state"  # carries the sender's complete state, and asks for the receiver's
+    STATE_REPLY = "whole"  # carries the complete state in reply to a STATE_REQUEST
 
 
 class LogKind(Enum):
-    """Warnings of which each kind is logged at a limited rate."""
+    """The kind of a warning; each kind is rate-limited separately."""
 
     FULL = "full"
     JUMP = "jump"
@@ -32,14 +32,17 @@
 
 @dataclass(slots=True)
 class Message:
-    """`to_life` names the process that it is for: one recorded before that process began is known by it."""
+    """A message between two nodes.
+
+    A message that was recorded before the receiving process started, and is replayed, has another `to_life`.
+    """
 
     kind: Kind
     sender: Entry
-    to_life: int  # 0: the sender knows an address and no more
-    serial: int  # counts all that this process sent: a copy is known by it
-    number: int = 0  # of the probe
-    target: Entry | None = None
+    to_life: int  # `life` of the receiving process; 0 if the sender knows only an address
+    serial: int  # number of the message among all of the sending process, by which duplicates are detected
+    number: int = 0  # number of the probe
+    target: Entry | None = None  # the node to probe, in a PING_REQUEST
     updates: tuple[Entry, ...] = ()
 
 
@@ -48,24 +51,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Take part from now on."""
+    """Join the fleet."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message has come, proven to be from a node that has the key."""
+    """A message has arrived and is authenticated as from a holder of the key."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """It is `due_ms`, or later."""
+    """The time `due_ms` has come or passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class SelfChanged:
-    """What this node says of itself has changed."""
+    """This node's own phase or version has changed; None means unchanged."""
 
     phase: Phase | None = None
     version: str | None = None
@@ -73,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This node leaves on purpose, now."""
+    """This node leaves the fleet deliberately, now."""
 
 
 Event = Start | MessageReceived | Tick | SelfChanged | Leave
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send this, once; it may be lost."""
+    """Send this datagram once; it may be lost."""
 
     to: Address
     message: Message
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeState:
-    """Connect, send this, and hand in the reply; it may fail."""
+    """Connect, send this message and pass in the reply; the exchange may fail."""
 
     to: Address
     message: Message
@@ -100,28 +103,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Write this on the connection that the message just handed in came by."""
+    """Send this message on the connection on which the message being handled arrived."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """An entry has changed. `before`: None for a new node; `after`: None for a forgotten one."""
+    """An entry has changed."""
 
-    before: Entry | None
-    after: Entry | None
-    by: str  # the node on whose word; this node's own name for what it found itself
+    before: Entry | None  # None for a new member
+    after: Entry | None  # None for a member that was removed
+    by: str  # name of the node that reported the change; this node's own name if it found out itself
 
 
 @dataclass(frozen=True, slots=True)
 class SaveState:
-    """What should outlast this process has changed: `Membership.saved_state` gives it."""
+    """`Membership.saved_state` has changed and should be saved for later processes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Log a line for operators."""
 
     text: str
     warning: bool = False
--- a/orchidferry/balancing/fleet/outbox.py
+++ b/orchidferry/balancing/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""What a node sends: messages with serials, gossip that rides on them, and lines for the operators."""
+"""Outgoing messages with their serials and piggybacked gossip, and log lines for operators."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from orchidferry.balancing.fleet.messages import Address, Kind, Message
 from orchidferry.balancing.token_bucket import RateLimiter
 
-MAX_UPDATE_BYTES = 1_100  # in a datagram: with all else under the 1,400 that any network carries whole
-HEADER_BYTES = 90  # of a message beside its entries, at most
-LOG_INTERVAL_S = 60.0  # between two lines of one kind
+MAX_UPDATE_BYTES = 1_100  # keeps a datagram under the 1,400 bytes that any network carries unfragmented
+HEADER_BYTES = 90  # greatest size of a message without its entries
+LOG_INTERVAL_S = 60.0  # shortest interval between two warnings of one kind
 
 
 class Outbox:
-    """The actions of the event at hand, in order, and the limits on what is sent."""
+    """Collects the actions that result from one event, in order, and enforces the rate limits of messages."""
 
     def __init__(self, me: Entry, table: MemberTable) -> None:
         self.me = me  # this node's own entry
@@ -25,7 +25,7 @@
         self.gossip = GossipQueue()
         self._table = table
         self._serial = 0
-        self._greetings = RateLimiter(50.0, 100.0)
+        self._introductions = RateLimiter(50.0, 100.0)
         self._state_requests = RateLimiter(1.0, 2.0)
         self._state_replies = RateLimiter(10.0, 20.0)
         self._lines = {kind: RateLimiter(1.0 / LOG_INTERVAL_S, 1.0) for kind in api.LogKind}
@@ -42,9 +42,9 @@
         return Message(kind, self.me, to_life, self._serial, number, target, tuple(updates))
 
     def send(self, kind: Kind, to: Entry, number: int = 0, target: Entry | None = None) -> None:
-        """Send a datagram to a node with the gossip that fits.
+        """Send a datagram to a node, with as much gossip as fits.
 
-        What is held against the receiver comes first, so that it can refute that.
+        If the receiver is not known as alive, its entry goes first, so that the receiver can refute it.
         """
         max_bytes = MAX_UPDATE_BYTES - HEADER_BYTES - size_of(self.me)
         max_bytes -= size_of(target) if target is not None else 0
@@ -57,30 +57,30 @@
         message = self._message(kind, to.life, number, target, updates)
         self.actions.append(api.SendDatagram((to.host, to.port), message))
 
-    def greet(self, to: Entry, number: int, now: float, updates: tuple[Entry, ...] = ()) -> None:
-        """Answer a process that is not, or not yet, the one known; bounded, as anybody may ask for it."""
-        if self._greetings.take(now):
+    def introduce_self(self, to: Entry, number: int, now: float, updates: tuple[Entry, ...] = ()) -> None:
+        """Send this node's entry to a process that is not the known one; rate-limited, as anyone may ask."""
+        if self._introductions.take(now):
             message = self._message(Kind.ACK, to.life, number, None, updates)
             self.actions.append(api.SendDatagram((to.host, to.port), message))
 
     def ping_address(self, to: Address, to_life: int = 0) -> None:
-        """Ping whoever is at an address."""
+        """Ping an address, whichever node is there."""
         self.actions.append(api.SendDatagram(to, self._message(Kind.PING, to_life)))
 
     def request_state(self, members: Iterable[Entry], now: float) -> None:
-        """Exchange complete states with these members."""
+        """Request an exchange of complete states with each of these members."""
         for entry in members:
             if self._state_requests.take(now):
                 message = self._message(Kind.STATE_REQUEST, entry.life, updates=self._table.members.values())
                 self.actions.append(api.ExchangeState((entry.host, entry.port), message))
 
     def reply_state(self, to: Entry, now: float) -> None:
-        """Answer with the complete state."""
+        """Reply with the complete state."""
         if self._state_replies.take(now):
             message = self._message(Kind.STATE_REPLY, to.life, updates=self._table.members.values())
             self.actions.append(api.Reply(message))
 
     def warn(self, kind: api.LogKind, text: str, now: float) -> None:
-        """Log a warning, unless one of its kind was logged lately."""
+        """Log a warning, unless one of its kind was logged recently."""
         if self._lines[kind].take(now):
             self.actions.append(api.Log(text, True))
--- a/orchidferry/balancing/fleet/prober.py
+++ b/orchidferry/balancing/fleet/prober.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: probes of one member after the other, direct and indirect; and of hearsay."""
+"""SWIM's failure detector: direct and indirect probes of members in turn, and pings of unproven members."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 from orchidferry.balancing.fleet.suspicion import Timing
 from orchidferry.balancing.fleet.timers import TimerKind, Timers
 
-MAX_SCORE = 8  # Lifeguard's S: a node that runs badly probes up to nine times as slowly
-NACK_SHARE = 0.8  # of the timeout, after which a node that probes for another reports that it has no answer
-MAX_RELAYS = 256  # probes for others that are pending
-MAX_UNPROVEN = 512  # members known by hearsay that are asked to prove that they exist,
-PROVE_AT_ONCE = 4  # so many with each probe,
-PROVE_ATTEMPTS = 3  # each so often;
-PROVERS = 8  # nodes of a fleet, on average, that ask the same new member
+MAX_SCORE = 8  # Lifeguard's S: a node in bad health probes up to nine times as slowly
+NACK_SHARE = 0.8  # of the probe timeout, after which a node that probes for another sends a NACK
+MAX_RELAYS = 256  # pending probes for other nodes
+MAX_UNPROVEN = 512  # members known only by hearsay that are pinged to prove that they exist
+PROVE_AT_ONCE = 4  # unproven members that are pinged with each probe
+PROVE_ATTEMPTS = 3  # pings after which an unproven member that is silent is suspected
+PROVERS = 8  # average number of nodes that ping the same unproven member
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that is pending."""
+    """A pending probe."""
 
-    name: str
-    expected: int = 0  # answers of those that were asked to probe too, yes or no
+    name: str  # of the probed member
+    expected: int = 0  # answers, ACK or NACK, expected from the nodes that were asked to probe it too
     nacks: int = 0
 
 
 @dataclass(slots=True)
 class Relay:
-    """A probe for another node that is pending."""
+    """A pending probe for another node."""
 
-    asker: Entry
-    number: int  # the asker's
-    name: str
+    asker: Entry  # the node that asked for the probe
+    number: int  # of the asker's own probe
+    name: str  # of the probed member
 
 
 class Prober:
-    """Probes members and answers for others; `suspect` is called with members that did not answer."""
+    """Probes members, also for other nodes, and calls `suspect` with members that did not answer."""
 
     def __init__(
         self,
@@ -58,18 +58,18 @@
         self._timing = timing
         self._rng = rng
         self._suspect = suspect
-        self.score = 0  # Lifeguard's local health: how badly this node itself runs
+        self.score = 0  # Lifeguard's local health score; 0 is the best
         self.probes: dict[int, Probe] = {}
         self.relays: dict[int, Relay] = {}
-        self.unproven: dict[str, int] = {}  # known by hearsay alone, and how often asked
+        self.unproven: dict[str, int] = {}  # pings sent so far to members known only by hearsay, by name
         self._number = 0
 
-    def worsen(self, by: int) -> None:
-        """Change the local health score, within its bounds."""
+    def adjust_score(self, by: int) -> None:
+        """Change the local health score, within its bounds; positive is worse."""
         self.score = max(0, min(MAX_SCORE, self.score + by))
 
     def clear(self) -> None:
-        """Give up all pending probes."""
+        """Abandon all pending probes."""
         self.probes.clear()
         self.relays.clear()
 
@@ -88,7 +88,7 @@
         self._timers.set(now, wait_ms, TimerKind.PROBE)
 
     def ask_others(self, number: int) -> None:
-        """A probe had no answer so far: ask some others to probe that member."""
+        """Ask some other nodes to probe the member, if a probe has not been answered yet."""
         probe = self.probes.get(number)
         target = self._table.members.get(probe.name) if probe is not None else None
         if probe is None or target is None:
@@ -99,12 +99,12 @@
             self._outbox.send(Kind.PING_REQUEST, entry, number, target)
 
     def end_probe(self, number: int, now: float) -> None:
-        """A probe had no answer in time: suspect the member."""
+        """Suspect the member if a probe has not been answered in time."""
         probe = self.probes.pop(number, None)
         if probe is None:
             return
-        # Where those that were asked report, the trouble is not this node's own.
-        self.worsen(probe.expected - probe.nacks if probe.expected else 1)
+        # If the nodes that were asked to probe have sent NACKs, this node's own health is not the cause.
+        self.adjust_score(probe.expected - probe.nacks if probe.expected else 1)
         entry = self._table.members.get(probe.name)
         if entry is not None and entry.present:
             self._suspect(entry, now)
@@ -120,37 +120,39 @@
         self._timers.set(now, self._timing.timeout_ms * NACK_SHARE, TimerKind.RELAY_END, self._number)
 
     def end_relay(self, number: int) -> None:
-        """A probe for another node had no answer in time: report that."""
+        """Send a NACK if a probe for another node has not been answered in time."""
         relay = self.relays.pop(number, None)
         if relay is not None:
             self._outbox.send(Kind.NACK, relay.asker, relay.number)
 
     def acknowledged(self, number: int, sender: Entry) -> None:
-        """A probe was answered, an own one or one for another node."""
+        """Process an ACK, either for a probe of this node or for one made for another node."""
         relay = self.relays.get(number)
         if relay is not None and relay.name == sender.name:
             del self.relays[number]
             return self._outbox.send(Kind.ACK, relay.asker, relay.number, sender)
         if self.probes.pop(number, None) is not None:
-            self.worsen(-1)
+            self.adjust_score(-1)
         return None
 
     def not_acknowledged(self, number: int) -> None:
-        """One of those that were asked to probe had no answer either."""
+        """Process a NACK from a node that was asked to probe."""
         if (probe := self.probes.get(number)) is not None:
             probe.nacks += 1
 
     def consider_hearsay(self, name: str, by: str, senders: int) -> None:
-        """A new member is known on the word of `by`; some of many nodes, all of few, ask it to prove itself.
+        """Perhaps mark a new member, reported by `by`, as unproven.
 
-        :param senders: how many nodes this one hears from
+        In a small fleet every node does so, in a large one only some of the nodes.
+
+        :param senders: the number of nodes from which this node has received messages
         """
         drawn = self._rng.random() * (1 + senders) < PROVERS
         if by != name and drawn and len(self.unproven) < MAX_UNPROVEN:
             self.unproven[name] = 0
 
     def _prove(self, now: float) -> None:
-        """Ping some of those known by hearsay alone: invented ones must not crowd the ring for long."""
+        """Ping some unproven members, so that non-existent ones don't crowd the ring for long."""
         for name in list(self.unproven)[:PROVE_AT_ONCE]:
             attempts = self.unproven.pop(name)
             entry = self._table.members.get(name)
--- a/orchidferry/balancing/fleet/reconnector.py
+++ b/orchidferry/balancing/fleet/reconnector.py
@@ -1,4 +1,4 @@
-"""Attempts to reach nodes that are gone, and seeds: so halves that were cut off find each other again."""
+"""Attempts to reach lost nodes and seeds, which reunite the halves of a fleet after a network partition."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from orchidferry.balancing.fleet.suspicion import Timing
 from orchidferry.balancing.fleet.timers import TimerKind, Timers
 
-JOIN_MS = 300.0  # between attempts to reach the seeds until one answers,
-JOIN_AT_ONCE = 3  # so many of them at a time
+JOIN_INTERVAL_MS = 300.0  # between attempts to reach the seeds, until one answers
+JOIN_FANOUT = 3  # seeds that are pinged in one such attempt
 
 
 class Reconnector:
-    """Pings one node that is gone, or a seed without a member, at a time."""
+    """Pings one lost node, or one seed at which no member is known, at a time."""
 
     def __init__(
         self, table: MemberTable, outbox: Outbox, timers: Timers, timing: Timing, rng: random.Random
@@ -25,27 +25,27 @@
         self._timers = timers
         self._timing = timing
         self._rng = rng
-        self.count = int(rng.random() * 1_000.0)  # decides which node is next
+        self.count = int(rng.random() * 1_000.0)  # attempts; determines the node that is pinged next
 
     def reconnect(self, now: float, joined: bool, passive: bool) -> None:
         """Set the timer of the next attempt, and make one unless this node is `passive`.
 
-        :param joined: whether any node has answered so far; until then only seeds are tried
+        :param joined: whether any node has answered so far; until then, only seeds are pinged
         """
         table = self._table
-        wait_ms = JOIN_MS if not joined and table.seeds else self._timing.reach_ms
+        wait_ms = JOIN_INTERVAL_MS if not joined and table.seeds else self._timing.reach_ms
         self._timers.set(now, wait_ms, TimerKind.RECONNECT)
         if passive:
             return
         empty = table.empty_seeds()
         if not joined:
-            for seed in self._rng.sample(empty, min(JOIN_AT_ONCE, len(empty))):
+            for seed in self._rng.sample(empty, min(JOIN_FANOUT, len(empty))):
                 self._outbox.ping_address(seed)
             return
         gone = len(table.lost) + len(empty)
         if not gone:
             return
-        # By turns one at random, so that nodes ask different ones, and the next in a row: each is asked.
+        # Alternate between random choice, so that nodes ping different ones, and round robin, to reach all.
         self.count += 1
         index = self.count // 2 % gone if self.count % 2 else int(self._rng.random() * gone)
         if index >= len(table.lost):
--- a/orchidferry/balancing/fleet/replay_window.py
+++ b/orchidferry/balancing/fleet/replay_window.py
@@ -1,12 +1,12 @@
-"""Which messages of a sender are new."""
+"""Detection of duplicate messages from one sender."""
 
 from __future__ import annotations
 
-WINDOW = 512  # messages of one sender, back from its newest: some 50 s of a busy node's
+WINDOW = 512  # serials behind the newest one of a sender: about 50 s of messages of a busy node
 
 
 class ReplayWindow:
-    """The serials of a sender that were received (the sliding window of RFC 4303, 3.4.3)."""
+    """The received serials of a sender (the sliding window of RFC 4303, 3.4.3)."""
 
     __slots__ = ("_mask", "_top")
 
@@ -15,7 +15,7 @@
         self._mask = 0
 
     def take(self, serial: int) -> bool:
-        """Whether this serial is new; it is not from now on. One from before the window counts as a copy."""
+        """Record a serial; returns whether it is new. A serial behind the window counts as a duplicate."""
         ahead = serial - self._top
         if ahead > 0:
             self._mask = ((self._mask << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
--- a/orchidferry/balancing/fleet/timers.py
+++ b/orchidferry/balancing/fleet/timers.py
@@ -1,4 +1,4 @@
-"""The timers of a membership, in one heap: a caller with a single timer serves them all."""
+"""All timers of a membership in one heap, so that the caller needs a single timer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TimerKind(Enum):
-    """What is due."""
+    """The action that is due."""
 
     PROBE = "probe"
     INDIRECT_PROBE = "ask"
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer that is due. `subject`: the number of a probe, the name of a member, or how often."""
+    """A timer that is due."""
 
     kind: TimerKind
-    subject: int | str
+    subject: int | str  # number of a probe, name of a member, or remaining number of leave announcements
 
 
 class Timers:
-    """Timers by time; those of the same time in the order in which they were set."""
+    """Timers ordered by time; timers of the same time are ordered by when they were set."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
@@ -40,7 +40,7 @@
 
     @property
     def due_ms(self) -> float:
-        """When the next one is due; infinite for never."""
+        """The time of the next timer; infinite if there is none."""
         return self._heap[0][0] if self._heap else float("inf")
 
     def set(self, now: float, wait_ms: float, kind: TimerKind, subject: int | str = 0) -> None:
@@ -49,13 +49,13 @@
         heapq.heappush(self._heap, (now + wait_ms, self._serial, Timer(kind, subject)))
 
     def pop(self) -> Timer:
-        """Take the next one off."""
+        """Remove the next timer and return it."""
         return heapq.heappop(self._heap)[2]
 
     def postpone(self, by_ms: float) -> None:
-        """Let all be due that much later."""
+        """Postpone all timers."""
         self._heap = [(at + by_ms, serial, timer) for at, serial, timer in self._heap]
 
     def pending(self) -> list[tuple[float, Timer]]:
-        """All timers that are set, in no order."""
+        """All timers that are set with their times, in no particular order."""
         return [(at, timer) for at, _, timer in self._heap]
