--- a/orchidferry/balancing/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -65,8 +65,8 @@
         names = [pool.name for pool in self.pools]
         if not names or len(set(names)) < len(names):
             raise ValueError("pools: at least one, each with a name of its own")
-        for at, pool in enumerate(self.pools):
-            for other in self.pools[:at]:
+        for index, pool in enumerate(self.pools):
+            for other in self.pools[:index]:
                 if both := sorted(pool.kinds & other.kinds):
                     raise ValueError(f"pools: {both[0]!r} is in {other.name!r} and in {pool.name!r}")
         if self.to and (self.to not in names or self.to == names[0]):
--- a/tests/balancing/test_versions.py
+++ b/tests/balancing/test_versions.py
@@ -46,7 +46,7 @@
 )
 from tests.balancing import helpers
 
-LEAVING = api.Health.DRAINING
+DRAINING = api.Health.DRAINING
 
 
 def member(server: int, health: api.Health = api.Health.IN_SERVICE, share: float = 1.0) -> Member:
@@ -80,13 +80,13 @@
         self.log: list[Action] = []
         self.timers_ms: list[float] = []
         self.node: Configuration | None = None
-        self.do(Started(FILE, saved))
-        self.do(StreamChanged(True))
+        self.handle(Started(FILE, saved))
+        self.handle(StreamChanged(True))
         if first:
             self.advance(FIRST_VERSION_TIMEOUT_MS)
             self.log.clear()
 
-    def do(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.versions.handle(event, self.now)
         self.log += actions
         for action in actions:
@@ -94,7 +94,7 @@
                 self.timers_ms.append(self.now + action.delay_ms)
             if isinstance(action, Apply) and self.applies:
                 self.node = action.configuration
-                actions = actions + self.do(Applied())
+                actions = actions + self.handle(Applied())
         return actions
 
     def offer(
@@ -103,14 +103,14 @@
         self.nonce += 1
         part = Part.SETTINGS if isinstance(content, NodeSettings) else Part.MEMBERS
         version = version or f"v{self.nonce}"
-        return self.do(Offered(part, version, nonce or f"n{self.nonce}", content, problem))
+        return self.handle(Offered(part, version, nonce or f"n{self.nonce}", content, problem))
 
     def advance(self, ms: float) -> None:
         end = self.now + ms
         while self.timers_ms and min(self.timers_ms) <= end:
             self.now = min(self.timers_ms)
             self.timers_ms.remove(self.now)
-            self.do(TimerFired())
+            self.handle(TimerFired())
         self.now = end
 
     def applied_version(self, part: Part = Part.MEMBERS) -> str:
@@ -118,7 +118,7 @@
         return self.versions.applied.versions[part]
 
 
-def only(actions: list[Action], kind: type) -> list[Any]:
+def of_type(actions: list[Action], kind: type) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
 
 
@@ -128,28 +128,28 @@
 def test_a_start_waits_for_the_service_and_then_applies_the_last_good_configuration_or_the_file() -> None:
     for saved, source in ((None, Source.FILE), (Configuration(pools(7), node()), Source.SAVED)):
         service = Service(saved, first=False)
-        assert not only(service.log, Apply)
+        assert not of_type(service.log, Apply)
         service.advance(FIRST_VERSION_TIMEOUT_MS - 1.0)
-        assert not only(service.log, Apply)
+        assert not of_type(service.log, Apply)
         service.advance(1.0)
-        [apply] = only(service.log, Apply)
+        [apply] = of_type(service.log, Apply)
         assert (apply.source, apply.configuration) == (source, saved or FILE)
         assert apply.changed == frozenset(Part)
-        assert not only(service.log, SaveLastGood)  # it is already on disk or in the file
+        assert not of_type(service.log, SaveLastGood)  # it is already on disk or in the file
 
 
 def test_a_first_version_in_time_is_applied_at_once_and_ends_the_wait() -> None:
     service = Service(Configuration(pools(7), node()), first=False)
-    [apply] = only(service.offer(pools(3), "1"), Apply)
+    [apply] = of_type(service.offer(pools(3), "1"), Apply)
     assert apply.source is Source.CONTROL and apply.changed == frozenset(Part)
     service.advance(FIRST_VERSION_TIMEOUT_MS)
-    assert len(only(service.log, Apply)) == 1 and service.applied_version() == "1"
+    assert len(of_type(service.log, Apply)) == 1 and service.applied_version() == "1"
 
 
 @pytest.mark.parametrize(
     ("saved", "words"),
     [
-        (Configuration(pools(member(7, LEAVING)), node()), "names no live server"),
+        (Configuration(pools(member(7, DRAINING)), node()), "names no live server"),
         (Configuration(pools(7), node(tick_ms=1.0)), "needs a restart"),
         (Configuration(pools(7), node(drain_grace_ms=9000.0)), "looser"),
     ],
@@ -160,21 +160,21 @@
     service = Service(saved, first=False)
     service.advance(FIRST_VERSION_TIMEOUT_MS)
     assert service.node == FILE
-    assert any(words in log.text for log in only(service.log, Log))
+    assert any(words in log.text for log in of_type(service.log, Log))
 
 
 def test_a_part_that_is_offered_first_is_applied_with_the_last_good_version_of_the_other() -> None:
     """Run hundred-versions 2: a restarted node refused valid settings while its members were invalid."""
     service = Service(Configuration(pools(7, name="kept"), node("kept")), first=False)
-    bad = only(service.offer(None, "m1", problem="unreadable"), Answer)
-    [apply] = only(service.offer(node("kept", max_attempts=2), "s1"), Apply)
+    bad = of_type(service.offer(None, "m1", problem="unreadable"), Answer)
+    [apply] = of_type(service.offer(node("kept", max_attempts=2), "s1"), Apply)
     assert bad[0].reason and apply.configuration.members() == (member(7),)
     assert apply.changed == frozenset(Part) and service.applied_version(Part.SETTINGS) == "s1"
 
 
 def test_a_refusal_before_the_first_version_does_not_change_the_start() -> None:
     service = Service(first=False)
-    [answer] = only(service.offer(pools(), "1"), Answer)
+    [answer] = of_type(service.offer(pools(), "1"), Answer)
     assert answer.version == "" and "no live server" in answer.reason
     service.advance(FIRST_VERSION_TIMEOUT_MS)
     assert service.node == FILE
@@ -189,7 +189,7 @@
 
 REFUSED: dict[str, tuple[Content | None, str]] = {
     "unreadable": (None, "endpoints[3]: no address"),
-    "no live server": (pools(member(1, LEAVING), member(2, api.Health.GONE)), "'catalogo': names no live"),
+    "no live server": (pools(member(1, DRAINING), member(2, api.Health.GONE)), "'catalogo': names no live"),
     "empty": (Pools({}), "is none of no pools"),
     "another pool only": (pools(1, name="registro"), "'catalogo' is none of registro"),
     "twice": (pools(1, 1), "member 1 is there twice"),
@@ -215,10 +215,10 @@
     service.offer(pools(1, 2, 3), "good")
     before = service.versions.applied
     actions = service.offer(content, "bad", problem="endpoints[3]: no address", nonce="bad-nonce")
-    [answer] = only(actions, Answer)
+    [answer] = of_type(actions, Answer)
     assert words in answer.reason and answer.nonce == "bad-nonce"
     assert answer.version == ("good" if answer.part is Part.MEMBERS else "")
-    assert not only(actions, Apply) and not only(actions, SaveLastGood)
+    assert not of_type(actions, Apply) and not of_type(actions, SaveLastGood)
     assert service.versions.applied is before and service.node is before
     [refused] = service.versions.status()["refused"]
     assert (refused["version"], refused["reason"]) == ("bad", answer.reason)
@@ -227,10 +227,10 @@
 def test_rules_may_become_stricter_and_a_class_that_is_added_again_must_not_be_looser() -> None:
     service = Service()
     strict = [dataclasses.replace(helpers.SAFE, name="new", repeat=api.Repeat.UNSAFE)]
-    assert not only(service.offer(node(classes=strict, drain_grace_ms=100.0), "1"), Answer)[0].reason
-    assert not only(service.offer(node(), "2"), Answer)[0].reason  # without the class
+    assert not of_type(service.offer(node(classes=strict, drain_grace_ms=100.0), "1"), Answer)[0].reason
+    assert not of_type(service.offer(node(), "2"), Answer)[0].reason  # without the class
     again = [dataclasses.replace(helpers.SAFE, name="new")]
-    [answer] = only(service.offer(node(classes=again), "3"), Answer)
+    [answer] = of_type(service.offer(node(classes=again), "3"), Answer)
     assert "classes[new].repeat: safe is looser than unsafe" in answer.reason
 
 
@@ -243,7 +243,7 @@
     service = Service()
 
     def reason(content: Content) -> str:
-        return str(only(service.offer(content), Answer)[0].reason)
+        return str(of_type(service.offer(content), Answer)[0].reason)
 
     assert "4 members, 3 at most" in reason(pools(1, 2, 3, 4))
     assert "3 pools, 2 at most" in reason(Pools(dict.fromkeys("abc", ())))
@@ -261,7 +261,7 @@
         raise ZeroDivisionError("division by zero")
 
     monkeypatch.setattr(module, "check_members", broken)
-    [answer] = only(service.offer(pools(5)), Answer)
+    [answer] = of_type(service.offer(pools(5)), Answer)
     assert answer.reason == "the check raised ZeroDivisionError: division by zero"
 
 
@@ -270,7 +270,7 @@
     for _ in range(3):
         service.offer(pools(), "same")
     assert [r["times"] for r in service.versions.status()["refused"]] == [3]
-    assert len(only(service.log, Log)) == 1
+    assert len(of_type(service.log, Log)) == 1
     for n in range(2 * MAX_REFUSALS):
         service.offer(None, f"v{n}", problem="x" * 5000)
     kept = service.versions.status()["refused"]
@@ -284,20 +284,20 @@
 def test_parts_that_match_only_together_are_applied_together_in_either_order() -> None:
     for first, second in ((pools(5, name="new"), node("new")), (node("new"), pools(5, name="new"))):
         service = Service()
-        [answer] = only(service.offer(first, "a"), Answer)
+        [answer] = of_type(service.offer(first, "a"), Answer)
         assert answer.reason
         actions = service.offer(second, "b")
-        [apply] = only(actions, Apply)
+        [apply] = of_type(actions, Apply)
         assert apply.configuration.members() == (member(5),) and apply.changed == frozenset(Part)
-        assert [(a.version, a.reason) for a in only(actions, Answer)] == [("a", ""), ("b", "")]
+        assert [(a.version, a.reason) for a in of_type(actions, Answer)] == [("a", ""), ("b", "")]
 
 
 def test_a_part_refused_on_an_old_stream_is_not_combined_with_one_of_a_new_stream() -> None:
     service = Service()
     service.offer(pools(5, name="new"), "a")
-    service.do(StreamChanged(False))
-    service.do(StreamChanged(True))
-    [answer] = only(service.offer(node("new"), "b"), Answer)
+    service.handle(StreamChanged(False))
+    service.handle(StreamChanged(True))
+    [answer] = of_type(service.offer(node("new"), "b"), Answer)
     assert "is none of catalogo" in answer.reason
 
 
@@ -305,16 +305,16 @@
     service = Service()
     service.offer(pools(1, 2, 3), "good")
     service.applies = False
-    [apply] = only(service.offer(pools(4), "bad", nonce="x"), Apply)
+    [apply] = of_type(service.offer(pools(4), "bad", nonce="x"), Apply)
     assert apply.configuration.members() == (member(4),)
-    actions = service.do(Applied("no room"))
-    [answer] = only(actions, Answer)
+    actions = service.handle(Applied("no room"))
+    [answer] = of_type(actions, Answer)
     assert (answer.nonce, answer.version, answer.reason) == ("x", "good", "it could not be applied: no room")
-    [restored] = only(actions, Apply)
+    [restored] = of_type(actions, Apply)
     assert restored.configuration.members() == (member(1), member(2), member(3))
     since = service.versions.since_ms
     service.now += 100.0
-    assert not only(service.do(Applied()), SaveLastGood)
+    assert not of_type(service.handle(Applied()), SaveLastGood)
     assert service.applied_version() == "good" and service.versions.since_ms == since
 
 
@@ -323,24 +323,24 @@
     service.applies = False
     service.offer(pools(1), "1")
     for n in range(2, 6):
-        assert not only(service.offer(pools(n), f"{n}"), Apply)
+        assert not of_type(service.offer(pools(n), f"{n}"), Apply)
     service.applies = True
-    [apply] = only(service.do(Applied()), Apply)
+    [apply] = of_type(service.handle(Applied()), Apply)
     assert apply.configuration.members() == (member(5),)
     assert service.applied_version() == "5" and service.versions.counts["superseded"] == 3
-    assert [a.version for a in only(service.log, Answer)] == ["1", "5"]
+    assert [a.version for a in of_type(service.log, Answer)] == ["1", "5"]
 
 
 def test_an_unexpected_applied_event_has_no_effect() -> None:
     service = Service()
-    assert service.do(Applied()) == [] and service.do(Applied("x")) == []
+    assert service.handle(Applied()) == [] and service.handle(Applied("x")) == []
     assert service.versions.applied == FILE
 
 
 def test_a_file_that_cannot_be_applied_is_logged_and_stays_in_force() -> None:
     service = Service(applies=False, first=False)
     service.advance(FIRST_VERSION_TIMEOUT_MS)
-    [log] = only(service.do(Applied("no pool")), Log)
+    [log] = of_type(service.handle(Applied("no pool")), Log)
     assert "no pool" in log.text and service.versions.applied == FILE
 
 
@@ -349,11 +349,11 @@
 
 def test_a_repeated_nonce_is_processed_once() -> None:
     service = Service()
-    assert only(service.offer(pools(3), "1", nonce="n"), Answer)
+    assert of_type(service.offer(pools(3), "1", nonce="n"), Answer)
     assert service.offer(pools(4), "2", nonce="n") == []
-    service.do(StreamChanged(False))
-    service.do(StreamChanged(True))
-    assert only(service.offer(pools(4), "2", nonce="n"), Answer)  # nonces are valid on one stream only
+    service.handle(StreamChanged(False))
+    service.handle(StreamChanged(True))
+    assert of_type(service.offer(pools(4), "2", nonce="n"), Answer)  # nonces are valid on one stream only
 
 
 def test_a_thousand_versions_in_a_second_are_applied_at_a_limited_rate_and_end_with_the_last() -> None:
@@ -361,13 +361,13 @@
     for n in range(1000):
         service.offer(pools(n % 50, 50), f"{n}")
         service.advance(1.0)
-    applied = len(only(service.log, Apply))
+    applied = len(of_type(service.log, Apply))
     assert applied <= APPLY_BURST + APPLY_PER_S * 1.0 + 1
     service.advance(1000.0)
     assert service.applied_version() == "999"
     counts = service.versions.counts
     assert counts["offered"] == 1000 == counts["applied"] + counts["superseded"]
-    answers = only(service.log, Answer)
+    answers = of_type(service.log, Answer)
     assert len(answers) == counts["applied"] and answers[-1].version == "999"
 
 
@@ -388,19 +388,19 @@
     service.offer(pools(), "bad")
     service.advance(2000.0)
     assert service.applied_version() == f"{int(APPLY_BURST) - 1}"
-    assert only(service.log, Answer)[-1].reason
+    assert of_type(service.log, Answer)[-1].reason
 
 
 def test_drains_take_effect_at_once_although_their_version_is_deferred() -> None:
     service = Service()
     for n in range(int(APPLY_BURST)):
         service.offer(pools(1, 2, 3 + n), f"{n}")
-    actions = service.offer(pools(1, member(2, LEAVING)), "waits")
-    assert not only(actions, Apply)
-    [drain] = only(actions, Drain)
+    actions = service.offer(pools(1, member(2, DRAINING)), "waits")
+    assert not of_type(actions, Apply)
+    [drain] = of_type(actions, Drain)
     assert set(drain.servers) == {2, 2 + int(APPLY_BURST)}
-    assert not only(service.offer(pools(member(1, LEAVING)), "would empty it"), Drain)
-    assert not only(service.offer(node("nowhere"), "settings"), Drain)
+    assert not of_type(service.offer(pools(member(1, DRAINING)), "would empty it"), Drain)
+    assert not of_type(service.offer(node("nowhere"), "settings"), Drain)
 
 
 def test_a_lost_stream_discards_deferred_offers_but_not_the_version_being_applied() -> None:
@@ -409,9 +409,9 @@
     service.applies = False
     service.offer(pools(6), "2")
     service.offer(pools(7), "3")
-    service.do(StreamChanged(False))
+    service.handle(StreamChanged(False))
     service.applies = True
-    service.do(Applied())
+    service.handle(Applied())
     service.advance(60_000.0)
     assert service.applied_version() == "2" and service.versions.counts["superseded"] == 1
 
@@ -421,8 +421,8 @@
     service = Service()
     for n in ("1", "2", "3"):
         service.offer(pools(int(n)), n)
-    service.do(StreamChanged(False))
-    service.do(StreamChanged(True))
+    service.handle(StreamChanged(False))
+    service.handle(StreamChanged(True))
     service.offer(pools(2), "2")
     assert (
         service.applied_version() == "2"
@@ -434,10 +434,10 @@
 def test_a_service_that_returns_without_a_configuration_drains_no_server() -> None:
     service = Service()
     service.offer(pools(5, 6), "1")
-    service.do(StreamChanged(False))
-    service.do(StreamChanged(True))
+    service.handle(StreamChanged(False))
+    service.handle(StreamChanged(True))
     actions = service.offer(Pools({}), "2") + service.offer(None, "3", problem="no settings")
-    assert not only(actions, Apply) and not only(actions, Drain)
+    assert not of_type(actions, Apply) and not of_type(actions, Drain)
     assert service.applied_version() == "1"
 
 
@@ -459,13 +459,13 @@
 
 
 def test_discovery_decides_that_a_process_ends_and_the_service_who_is_a_member() -> None:
-    control = (member(1), member(2, share=0.5), member(3, LEAVING), member(4))
-    discovered = {1: LEAVING, 2: api.Health.IN_SERVICE, 3: api.Health.IN_SERVICE, 9: api.Health.IN_SERVICE}
+    control = (member(1), member(2, share=0.5), member(3, DRAINING), member(4))
+    discovered = {1: DRAINING, 2: api.Health.IN_SERVICE, 3: api.Health.IN_SERVICE, 9: api.Health.IN_SERVICE}
     found = {entry.server: (entry.health, entry.share) for entry in merged(control, discovered)}
     assert found == {
-        1: (LEAVING, 1.0),
+        1: (DRAINING, 1.0),
         2: (api.Health.IN_SERVICE, 0.5),
-        3: (LEAVING, 1.0),
+        3: (DRAINING, 1.0),
         4: (api.Health.IN_SERVICE, 1.0),
     }
     gone = {entry.server: entry.health for entry in merged(control, {1: api.Health.GONE})}
@@ -474,8 +474,8 @@
 
 
 def test_servers_that_leave_service_in_any_way_are_drained() -> None:
-    before = Configuration(pools(1, 2, 3, member(4, LEAVING)), node())
-    after = Configuration(pools(1, member(2, LEAVING), member(4, api.Health.GONE)), node())
+    before = Configuration(pools(1, 2, 3, member(4, DRAINING)), node())
+    after = Configuration(pools(1, member(2, DRAINING), member(4, api.Health.GONE)), node())
     assert set(drained(before, after)) == {2, 3}
 
 
@@ -485,7 +485,7 @@
     strategies.none(),
     strategies.lists(strategies.integers(1, 4), max_size=3).map(lambda ids: pools(*ids)),
     strategies.sampled_from(
-        [node(), node("nowhere"), node(nodes=2), pools(member(1, LEAVING)), node(max_attempts=2)]
+        [node(), node("nowhere"), node(nodes=2), pools(member(1, DRAINING)), node(max_attempts=2)]
     ),
 )
 steps = strategies.one_of(
@@ -503,26 +503,26 @@
     answered = []
     for step in script:
         if step == "applied" or step == "failed":
-            actions = service.do(Applied("broken" if step == "failed" else ""))
+            actions = service.handle(Applied("broken" if step == "failed" else ""))
             applying -= 1 if applying else 0
         elif step == "lost":
-            actions = service.do(StreamChanged(False)) + service.do(StreamChanged(True))
+            actions = service.handle(StreamChanged(False)) + service.handle(StreamChanged(True))
         elif step == "wait":
             mark = len(service.log)
             service.advance(700.0)
             actions = service.log[mark:]
         elif step == "same nonce":
-            actions = service.do(Offered(Part.MEMBERS, "x", f"n{service.nonce}", pools(3)))
+            actions = service.handle(Offered(Part.MEMBERS, "x", f"n{service.nonce}", pools(3)))
         else:
             actions = service.offer(step, problem="unreadable")
-        applying += len(only(actions, Apply))
+        applying += len(of_type(actions, Apply))
         assert applying <= 1  # at most one configuration is being applied
-        answered += [(a.part, a.nonce, bool(a.reason)) for a in only(actions, Answer)]
+        answered += [(a.part, a.nonce, bool(a.reason)) for a in of_type(actions, Answer)]
         applied = service.versions.applied
         if applied is not None:
             check_members(applied.pools)
             check_parts_match(applied)
-        for save in only(actions, SaveLastGood):
+        for save in of_type(actions, SaveLastGood):
             assert save.configuration == applied
     acknowledged = [a for a in answered if not a[2]]
     assert len(set(acknowledged)) == len(acknowledged)  # none is acknowledged twice
