--- a/orchidferry/balancing/moves.py
+++ b/orchidferry/balancing/moves.py
@@ -207,7 +207,7 @@
 
     # Outcomes
 
-    def ended(self, cls: str, new: bool, failed: bool, duration_ms: float, now: float) -> None:
+    def record_outcome(self, cls: str, new: bool, failed: bool, duration_ms: float, now: float) -> None:
         """Record the outcome of a request.
 
         :param cls: the class of the request
--- a/orchidferry/balancing/pools.py
+++ b/orchidferry/balancing/pools.py
@@ -245,7 +245,9 @@
         """Report attempts, not requests, to the move: a successful retry would hide the failure of a pool."""
         if self.move is not None and event.result not in UNINFORMATIVE:
             failed = event.result is not api.Result.SERVED
-            self.move.ended(routed.cls, routed.pool == self._new_pool, failed, event.duration_ms, now)
+            self.move.record_outcome(
+                routed.cls, routed.pool == self._new_pool, failed, event.duration_ms, now
+            )
 
     # Servers
 
--- a/orchidferry/testkit/model/moves.py
+++ b/orchidferry/testkit/model/moves.py
@@ -162,7 +162,7 @@
         if moved:
             self._moved_value += value
             self._failed_value += value * failed
-        self._move.ended(class_name, moved, failed, time_ms, self._now_s * 1000.0)
+        self._move.record_outcome(class_name, moved, failed, time_ms, self._now_s * 1000.0)
 
     def _failure_rate(self, pool: PoolBehaviour, class_name: str, share: float | None) -> float:
         """Return the failure rate of a pool now.
--- a/tests/balancing/test_moves.py
+++ b/tests/balancing/test_moves.py
@@ -57,7 +57,9 @@
         now = start + n * 1_000.0 / rate
         cls = "ab"[n % 2]
         new = rng.random() < move.share(cls)
-        move.ended(cls, new, rng.random() < (fails or {}).get(cls, 0.0) * new, rng.uniform(10, 30), now)
+        move.record_outcome(
+            cls, new, rng.random() < (fails or {}).get(cls, 0.0) * new, rng.uniform(10, 30), now
+        )
         move.tick(now)
     return now
 
