--- a/orchidferry/balancing/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -311,7 +311,9 @@
         """The time that an attempt may take, given the time left to this node, in ms."""
         return max(0.0, left_ms - RESERVE_MS)
 
-    def ended(self, id: str, result: Result, below: bool, used: int, duration_ms: float, now: float) -> None:
+    def attempt_ended(
+        self, id: str, result: Result, below: bool, used: int, duration_ms: float, now: float
+    ) -> None:
         """Record the outcome of an attempt.
 
         :param below: whether the attempt was rejected because a deeper tier is overloaded
--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -308,7 +308,7 @@
 
     def _on_attempt_ended(self, event: api.AttemptEnded, now: float) -> None:
         if self.chain is not None:
-            self.chain.ended(event.id, event.result, event.below, event.used, event.duration_ms, now)
+            self.chain.attempt_ended(event.id, event.result, event.below, event.used, event.duration_ms, now)
         call = self._calls.get(event.id)
         server = self.server_set.servers.get(event.server)
         if event.id in self._uploads:
--- a/orchidferry/testkit/bench/chain.py
+++ b/orchidferry/testkit/bench/chain.py
@@ -35,7 +35,7 @@
         sent = time.perf_counter()
         wire.write(goes, 1.0)
         written = time.perf_counter()
-        chain.ended(id, Result.SERVED, False, 0, 20.0, now)
+        chain.attempt_ended(id, Result.SERVED, False, 0, 20.0, now)
         chain.done(id)
         took["module"] += sent - read + time.perf_counter() - written
         took["headers"] += read - began + written - sent
--- a/orchidferry/testkit/model/chains.py
+++ b/orchidferry/testkit/model/chains.py
@@ -262,7 +262,7 @@
             budgets = self._scenario.budgets
             if budgets:
                 took_ms = self._now_ms - began_ms
-                call.node.ended(call.id, result, failed_below, attempts_below, took_ms, self._now_ms)
+                call.node.attempt_ended(call.id, result, failed_below, attempts_below, took_ms, self._now_ms)
             if result is Result.SERVED:
                 call.node.done(call.id)
                 return call.on_ended(result, False, 0)
--- a/tests/node/chain/test_links.py
+++ b/tests/node/chain/test_links.py
@@ -66,7 +66,7 @@
                 below = below or its_below
                 used = used + its_used
                 served = served and one
-        chain.ended(
+        chain.attempt_ended(
             id, Result.SERVED if served else Result.ERROR, below and passes, used if passes else 0, 1.0, 0.0
         )
     verdict = chain.verdict(id)
@@ -191,7 +191,7 @@
     for n in range(5):  # answers take 20 ms here
         assert chain.admit(f"before{n}", None, "a", 1.0, 1e6, 0.0) is None
         chain.send(f"before{n}", 0.0)
-        chain.ended(f"before{n}", Result.SERVED, False, 0, 20.0, 0.0)
+        chain.attempt_ended(f"before{n}", Result.SERVED, False, 0, 20.0, 0.0)
         chain.done(f"before{n}")
     assert chain.admit("x", carried, "a", 1.0, left_ms, 0.0) is why
     assert chain.open == (why is None) and sum(chain.rejected.values()) == (why is not None)
