--- a/orchidferry/balancing/versions.py
+++ b/orchidferry/balancing/versions.py
@@ -180,7 +180,7 @@
         if self._deferred.pop(event.part, None) is not None:
             self.counts["superseded"] += 1  # a superseded nonce needs no answer
         if event.content is None:
-            return self._refuse(event, event.problem or "the part is empty", now)
+            return self._refuse(event, event.problem or "it is empty", now)
         if self._applying is not None or not self._may_apply(now):
             self._deferred[event.part] = event
             self._drain_early(event)
@@ -238,7 +238,7 @@
         except VersionError:
             raise
         except Exception as problem:  # no content of a configuration may stop the node
-            raise VersionError(f"the check raised {type(problem).__name__}: {problem}") from None
+            raise VersionError(f"the check broke: {type(problem).__name__}: {problem}") from None
 
     def _drain_early(self, event: Offered) -> None:
         """Drain the servers that a deferred offer drains: a drain takes effect when it is offered."""
