--- a/orchidferry/mesh/storage/store.py
+++ b/orchidferry/mesh/storage/store.py
@@ -1,8 +1,8 @@
-"""A controller's durable state: lmdb behind a thread of its own.
+"""A controller's durable state: an LMDB environment whose writes run on a thread of their own.
 
-Writes are committed in groups, and each is answered once its transaction is synced. The loop never waits for
-the disk. A write that fails (disk full or broken) is answered as failed and changes nothing on disk; the
-process goes on, and whoever requested the write may request it again.
+Writes are committed in groups (group commit), and each is acknowledged once its transaction is synced. The
+event loop never waits for the disk. A write that fails (the disk is full or broken) is reported as failed and
+changes nothing on disk; the process continues, and the caller may request the write again.
 """
 
 from __future__ import annotations
@@ -40,43 +40,43 @@
 )
 from orchidferry.mesh.storage.write_batch import PendingWrite, SplittingCommitter
 
-MAX_PENDING_WRITES = 20_000  # that wait for the disk; more are answered as failed
-MAX_PENDING_BYTES = 16 * 1024 * 1024  # the same in bytes, including writes of the commit under way
-WRITE_OVERHEAD_BYTES = 64  # counted for a write beside its keys and values
-COMMIT_RETRY_S = 0.25  # after a failed commit
-PROBE_INTERVAL_S = 0.2  # while degraded with nothing to write, how often the disk is probed
-MIN_CHECK_INTERVAL_S = 0.05  # between two checks of the oldest pending write
-CLOSE_TIMEOUT_S = 2.0  # for pending writes, when the store is closed
-# fractions of the map's pages that are in use
-NEW_KEYS_MAX_FILL = 0.8  # beyond it the store accepts no new keys
-KEY_WRITES_MAX_FILL = 0.9  # beyond it no key is written at all: what is left is for votes and for deletes
+MAX_PENDING_WRITES = 20_000  # longest queue of writes; further writes are reported as failed
+MAX_PENDING_BYTES = 16 * 1024 * 1024  # limit on queued writes plus those of the commit in progress, in bytes
+WRITE_OVERHEAD_BYTES = 64  # counted for each write in addition to its keys and values
+COMMIT_RETRY_S = 0.25  # pause after a failed commit
+PROBE_INTERVAL_S = 0.2  # how often the disk is probed while it is degraded and no write is queued
+MIN_CHECK_INTERVAL_S = 0.05  # shortest interval between two checks of the oldest pending write
+CLOSE_TIMEOUT_S = 2.0  # for completing pending writes when the store is closed
+# Fractions of the memory map's pages that are in use.
+NEW_KEYS_MAX_FILL = 0.8  # above this fraction the store accepts no new operation keys
+KEY_WRITES_MAX_FILL = 0.9  # above this fraction keys are only deleted: the rest is for votes and deletes
 
 
 class Store:
-    """The store of one controller; its methods are called on the loop."""
+    """The store of one controller; its public methods are called on the event loop."""
 
     def __init__(self, directory: str, loop: asyncio.AbstractEventLoop) -> None:
         """Open the store, or create it.
 
         :param directory: the controller's data directory
-        :param loop: on which results are reported
-        :raises StoreError: if it can be neither opened nor created
+        :param loop: the event loop on which results are reported
+        :raises StoreError: if the store can be neither opened nor created
         """
         self._directory = directory
         self._loop = loop
-        self._wake = threading.Condition()  # guards the next four, and wakes the thread
+        self._wake = threading.Condition()  # guards the next four attributes and wakes the store's thread
         self._queue: list[PendingWrite] = []
-        self._in_flight: list[PendingWrite] = []  # writes of the commit under way
-        self._pending_bytes = 0  # of both
-        self._unawaited_deletes = 0  # in the queue
-        self._opening = threading.Lock()  # held while the environment is replaced
+        self._in_flight: list[PendingWrite] = []  # writes of the commit in progress
+        self._pending_bytes = 0  # size of the writes in `_queue` and `_in_flight`
+        self._unawaited_deletes = 0  # number of writes in `_queue` that only delete and that nobody waits for
+        self._env_lock = threading.Lock()  # held while the environment is reopened, and while it is read
         self._closing = False
-        self._problem = ""  # of the last failed commit
+        self._last_error = ""  # error text of the last failed commit or reopening
         self._health = DiskHealth(self._wake)
-        self._timer: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None  # for the next check of the oldest pending write
         self._dbs: Databases = {}
-        self._used_pages = 0
-        self._directory_synced = False  # by this process
+        self._used_pages = 0  # pages of the memory map in use, as of the last commit
+        self._directory_synced = False  # whether this process has synced the data directory
         self._lock_and_open()
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
@@ -107,7 +107,7 @@
             with contextlib.suppress(lmdb.NotFoundError):
                 self._dbs[name] = self._env.open_db(name.encode(), create=False)
         if not self._is_sealed() or len(self._dbs) < len(DATABASE_NAMES):
-            with self._env.begin(write=True) as txn:  # sealed together, as any other change
+            with self._env.begin(write=True) as txn:  # creates and seals the databases in one transaction
                 self._dbs = {name: self._env.open_db(name.encode(), txn=txn) for name in DATABASE_NAMES}
                 write_seal(txn, self._dbs)
         with self._env.begin() as txn:
@@ -120,11 +120,11 @@
         with self._env.begin(db=controller_db) as txn:
             sealed = txn.get(FORMAT_KEY) is not None
             if not sealed and txn.stat(controller_db)["entries"]:
-                raise StoreError("of an earlier build, and not made ready", self._directory)
+                raise StoreError("written by an earlier build and not migrated yet", self._directory)
         return sealed
 
     def _create(self) -> None:
-        """Create an empty store: complete under its name, or not there at all."""
+        """Create an empty store atomically: under a temporary name, renamed once the store is synced."""
         path = os.path.join(self._directory, TEMPORARY_FILE)
         env = open_environment(path, file=True, map_bytes=MAP_BYTES)
         try:
@@ -136,12 +136,13 @@
         os.rename(path, os.path.join(self._directory, STORE_FILE))
 
     def read(self, name: str, key: bytes) -> bytes | None:
-        """Return one value, None if there is none.
+        """Return the value of one record, None if there is no such record.
 
         :param name: the database's name
-        :raises CorruptStoreError: if its checksum is wrong; the store is closed then
+        :param key: the record's key
+        :raises CorruptStoreError: if the record's checksum is wrong; the store is closed then
         """
-        with self._opening, self._env.begin(db=self._dbs[name]) as txn:
+        with self._env_lock, self._env.begin(db=self._dbs[name]) as txn:
             raw = txn.get(key)
         return self._verified(name, [(key, raw)])[0][1] if raw is not None else None
 
@@ -151,46 +152,48 @@
         :param name: the database's name
         :raises CorruptStoreError: if a checksum is wrong; the store is closed then
         """
-        with self._opening, self._env.begin(db=self._dbs[name]) as txn:
+        with self._env_lock, self._env.begin(db=self._dbs[name]) as txn:
             rows = [(bytes(key), bytes(raw)) for key, raw in txn.cursor()]
         return self._verified(name, rows)
 
     def _verified(self, name: str, rows: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
         try:
             return [(key, verify_checksum(name, key, bytes(raw))) for key, raw in rows]
-        except CorruptStoreError as error:  # closed, so that it can be opened again, and is checked then
+        except CorruptStoreError as error:  # close the store, so that it is checked when it is opened again
             self.close()
             self._env.close()
             raise CorruptStoreError(error.problem, self._directory) from None
 
     @property
     def accepts_new_keys(self) -> bool:
-        """Whether there is space for new keys. What is stored can be deleted either way."""
+        """Whether there is space for new operation keys. Stored keys can be deleted in any case."""
         return self._used_pages < NEW_KEYS_MAX_FILL * self._max_pages
 
     @property
     def is_degraded(self) -> bool:
-        """Whether the disk refuses or delays writes, or has done so a moment ago."""
+        """Whether the disk fails or delays writes, or did so until a short time ago."""
         return self._health.is_degraded or self.longest_wait_s(self._loop.time()) > MAX_WRITE_WAIT_S
 
     @property
     def failing_since_s(self) -> float:
-        """When the disk last began to refuse writes, by the loop's clock; 0 if it does not."""
+        """Since when commits have failed, in seconds of the loop's clock; 0 if the last one succeeded."""
         return self._health.failing_since_s
 
     def longest_wait_s(self, now_s: float) -> float:
-        """Return for how long the oldest pending write has waited; 0 if none is pending.
+        """Return how long the oldest pending write has waited, in seconds; 0 if none is pending.
 
-        :param now_s: the loop's clock
+        :param now_s: current time in seconds of the loop's clock
         """
         with self._wake:
             oldest = self._in_flight or self._queue
             return max(0.0, now_s - oldest[0].requested_at_s) if oldest else 0.0
 
     def write(self, records: list[RecordWrite], on_written: Callable[[bool], None] | None = None) -> None:
-        """Write these records in one transaction.
+        """Write records in one transaction.
 
-        :param on_written: called on the loop, once, with whether they are on disk
+        :param records: the records to write or delete
+        :param on_written: called once, on the loop, with whether the records are on disk; None if the result
+            is not needed
         """
         size = WRITE_OVERHEAD_BYTES + sum(len(key) + len(value or b"") for _, key, value in records)
         write = PendingWrite(records, on_written, self._loop.time(), size)
@@ -212,16 +215,16 @@
         return len(self._queue) >= MAX_PENDING_WRITES or self._pending_bytes + size > MAX_PENDING_BYTES
 
     def _drop_unawaited_deletes(self) -> None:
-        """Make space in the queue: a record that is not deleted is only kept for longer."""
+        """Make space in the queue; the records stay on disk for longer, which does no harm."""
         if self._unawaited_deletes:
             self._pending_bytes -= sum(write.size for write in self._queue if write.is_unawaited_delete)
             self._queue = [write for write in self._queue if not write.is_unawaited_delete]
             self._unawaited_deletes = 0
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Write what is pending, then close the store.
+        """Complete the pending writes, then close the store.
 
-        :param timeout_s: for the pending writes; `CLOSE_TIMEOUT_S` at most
+        :param timeout_s: how long to wait for the pending writes, in seconds; at most `CLOSE_TIMEOUT_S`
         """
         with self._wake:
             self._closing = True
@@ -232,7 +235,7 @@
         if not self._thread.is_alive():
             self._lock.close()
 
-    # On the thread
+    # Runs on the store's thread
 
     def _run(self) -> None:
         while True:
@@ -253,39 +256,43 @@
             try:
                 waited_s = now_s - (writes[0].requested_at_s if writes else began_s)
                 self._loop.call_soon_threadsafe(self._report_results, writes, results, waited_s, now_s)
-            except RuntimeError:  # the loop has ended
+            except RuntimeError:  # the event loop is closed
                 return
             if results is None:
                 with self._wake:
                     self._wake.wait_for(lambda: self._closing, COMMIT_RETRY_S)
 
     def _wait_for_writes(self) -> None:
-        """Wait for something to write; while degraded, until the next probe at most.
+        """Wait for a write; while the disk is degraded, no longer than until the next probe is due.
 
-        A probe is a transaction with nothing but the seal, which shows how the disk is.
+        A probe is a transaction that writes only the seal, to see whether the disk commits it promptly.
         """
         while not self._queue and not self._closing:
             if not self._wake.wait(PROBE_INTERVAL_S if self._health.is_degraded else None):
                 return
 
     def _commit(self, writes: list[PendingWrite]) -> list[bool] | None:
-        """Commit these writes.
+        """Commit writes.
 
-        :returns: for each of them whether it is on disk; None if the disk took nothing
+        :param writes: the writes to commit; none for a probe
+        :returns: for each write whether it is on disk; None if the commit failed
         """
         try:
-            if not self._directory_synced:  # a loss of power could undo the creation of the file
+            if not self._directory_synced:  # until then a power loss could undo the creation of the file
                 sync_directory_and_parent(self._directory)
                 self._directory_synced = True
             return SplittingCommitter(self._transact).commit(writes)
         except (lmdb.Error, OSError) as error:
-            self._problem = str(error)
+            self._last_error = str(error)
             if isinstance(error, lmdb.PanicError):
                 self._reopen()
             return None
 
     def _transact(self, writes: list[PendingWrite]) -> list[bool]:
-        """Commit writes in one transaction; new keys are refused if little space is left."""
+        """Commit writes in one transaction; writes of operation keys are rejected if little space is left.
+
+        :returns: for each write whether it is on disk
+        """
         results: list[bool] = []
         with self._env.begin(write=True) as txn:
             write_seal(txn, self._dbs)
@@ -308,21 +315,21 @@
         return results
 
     def _reopen(self) -> None:
-        """Open the store again: lmdb takes nothing more once a meta page could not be written."""
+        """Open the store again: LMDB commits nothing more once a meta page could not be written."""
         try:
-            with self._opening:
+            with self._env_lock:
                 self._env.close()
                 self._open()
         except (OSError, lmdb.Error, StoreError) as error:
-            self._problem = str(error)
+            self._last_error = str(error)
 
-    # On the loop
+    # Runs on the event loop
 
     def _report_results(
         self, writes: list[PendingWrite], results: list[bool] | None, waited_s: float, now_s: float
     ) -> None:
         if results is None:
-            self._health.write_failed(self._problem, now_s)
+            self._health.write_failed(self._last_error, now_s)
         else:
             self._health.write_done(waited_s, now_s)
         for write, written in zip(writes, results or [False] * len(writes), strict=True):
@@ -330,7 +337,7 @@
                 write.on_written(written)
 
     def _check_oldest_write(self) -> None:
-        """Check for how long the oldest write has waited; again as long as any is pending."""
+        """Report how long the oldest pending write has waited; reschedule the check while any is pending."""
         waited_s = self.longest_wait_s(self._loop.time())
         self._health.write_waits(waited_s)
         next_check_s = max(MIN_CHECK_INTERVAL_S, MAX_WRITE_WAIT_S - waited_s)
--- a/orchidferry/mesh/wire/codec.py
+++ b/orchidferry/mesh/wire/codec.py
@@ -1,6 +1,6 @@
-"""Encoding of messages: CBOR lists (RFC 8949) with their length in front.
+"""Encoding of messages: length-prefixed CBOR arrays (RFC 8949).
 
-A message that can't be decoded is reported with its tag and the name of the field that is wrong.
+The error for a message that can't be decoded names the message's tag and the field that is wrong.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 from orchidferry.mesh.wire.messages import TYPE_BY_TAG, Greeting, Message, ShardMessage
 from orchidferry.mesh.wire.shard_messages import ShardBody, ShardBodyBase, tag_of
 
-LENGTH_BYTES = 4  # of the length in front of a message, big-endian
-CBOR_NATIVE_TYPES = (bytes,)  # that cbor2 encodes itself, so that msgspec leaves them as they are
-MAX_PROBLEM_CHARS = 200  # of a decoder's error text that go into an error of our own
-MAX_TAG_CHARS = 40  # of an unknown tag, likewise
+LENGTH_BYTES = 4  # size of the big-endian length prefix of a message
+CBOR_NATIVE_TYPES = (bytes,)  # types that cbor2 encodes itself, so that msgspec must not convert them
+MAX_PROBLEM_CHARS = 200  # a decoder's error text is truncated to this length in a `MessageDecodeError`
+MAX_TAG_CHARS = 40  # an unknown tag is truncated to this length in a `MessageDecodeError`
 SHARD_TYPE_BY_TAG: dict[str, type[ShardBodyBase]] = {tag_of(body): body for body in get_args(ShardBody)}
-_ERROR_PATH = re.compile(r" - at `\$(?P<steps>(?:\[[^\]]*\])*)`")  # of a list item, in msgspec's error texts
-_PATH_STEP = re.compile(r"\[([^\]]*)\]")
+# The path of a list item in msgspec's error texts.
+_ERROR_PATH = re.compile(r" - at `\$(?P<steps>(?:\[[^\]]*\])*)`")
+_PATH_STEP = re.compile(r"\[([^\]]*)\]")  # one index of such a path
 
 
 class MessageDecodeError(OrchidferryError, ValueError):
-    """Bytes that are no message; the text is one line.
+    """Bytes could not be decoded as a message; the text is one line.
 
-    :ivar location: tag of the message and name of its wrong field; empty if the message has no known tag
+    :ivar location: tag of the message and name of the wrong field; empty if the message has no known tag
     """
 
     def __init__(self, problem: str, location: str = "") -> None:
@@ -36,40 +37,41 @@
 
 
 def to_list(message: Message) -> list[Any]:
-    """Return a message as a list of plain values, its tag first."""
+    """Return a message as a list of plain values that begins with the message's tag."""
     values: list[Any] = msgspec.to_builtins(message, builtin_types=CBOR_NATIVE_TYPES)
     return values
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as it is sent: its length, then its values."""
+    """Return a message as it is sent: its length prefix, then its values as CBOR."""
     body = cbor2.dumps(to_list(message))
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode(body: bytes) -> Message:
-    """Return the message that these bytes encode.
+    """Decode a message.
 
-    :param body: the bytes of one message, without its length
-    :raises MessageDecodeError: if they are no message
+    :param body: the bytes of one message, without its length prefix
+    :raises MessageDecodeError: if they are not a valid message
     """
     try:
         values = cbor2.loads(body)
     except (cbor2.CBORDecodeError, ValueError) as error:
-        raise MessageDecodeError(f"no CBOR: {error!s:.{MAX_PROBLEM_CHARS}}") from None
+        raise MessageDecodeError(f"not valid CBOR: {error!s:.{MAX_PROBLEM_CHARS}}") from None
     return from_list(values)
 
 
 def from_list(values: Any) -> Message:
-    """Return the message that `to_list` made a list of.
+    """Return the message that `to_list` converted to a list.
 
-    :raises MessageDecodeError: if the values are no message
+    :param values: the list, as `to_list` returns it
+    :raises MessageDecodeError: if the values are not a valid message
     """
     if not isinstance(values, list) or not values or not isinstance(values[0], str):
-        raise MessageDecodeError("a message is a list that begins with its kind")
+        raise MessageDecodeError("a message must be a list that begins with its tag")
     message_type = TYPE_BY_TAG.get(values[0])
     if message_type is None:
-        raise MessageDecodeError(f"no message of kind {values[0]!r:.{MAX_TAG_CHARS}}")
+        raise MessageDecodeError(f"unknown message tag {values[0]!r:.{MAX_TAG_CHARS}}")
     try:
         return msgspec.convert(values, message_type, builtin_types=CBOR_NATIVE_TYPES)
     except msgspec.ValidationError as error:
@@ -77,10 +79,10 @@
 
 
 def greeting_protocol(body: bytes) -> Any:
-    """Return the protocol number that the first message of a link names.
+    """Return the protocol number in the first message of a link.
 
-    :param body: the bytes of the message, without its length; a later build may encode it in another way
-    :returns: the number as it was sent, of whatever type; None if there is none
+    :param body: the bytes of the message, without its length prefix; a later build may encode them otherwise
+    :returns: the number as it was sent, of any type; None if the message is not a greeting
     """
     try:
         match cbor2.loads(body):
@@ -92,7 +94,7 @@
 
 
 def _decode_error(message_type: type[Message], values: list[Any], problem: str) -> MessageDecodeError:
-    """Replace the position that msgspec names at the end of an error text by the names of fields."""
+    """Convert an error text of msgspec: the item's position at its end becomes the names of fields."""
     path = _ERROR_PATH.search(problem)
     if path is None:
         return MessageDecodeError(f"{problem:.{MAX_PROBLEM_CHARS}}", tag_of(message_type))
@@ -113,8 +115,8 @@
 
 
 def _field_name(struct_type: type[msgspec.Struct], step: str) -> str:
-    """Return the name of the field at a position of a list whose first item is the tag."""
-    return struct_type.__struct_fields__[int(step) - 1] if step != "0" else "kind"
+    """Return the name of the field at an index of an encoded struct, where index 0 is the tag."""
+    return struct_type.__struct_fields__[int(step) - 1] if step != "0" else "tag"
 
 
 def _shard_body_type(values: list[Any]) -> type[ShardBodyBase] | None:
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -1,8 +1,8 @@
-"""Links between the mesh's own processes: messages with their length in front over TCP, on an internal port.
+"""Links between the mesh's own processes: TCP connections to an internal port with length-prefixed messages.
 
-The first message of a link, from the side that dialled, names the number of the protocol: builds that differ
-in it do not talk to each other. A message that can't be decoded closes its link. Links are long-lived; their
-users close those on which nothing was received for too long.
+The first message of a link is a greeting from the side that dialled. It holds the protocol number; builds
+with different numbers close the link. A message that can't be decoded closes its link too. Links are
+long-lived; the code that uses a link closes it if nothing was received for too long.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from orchidferry.mesh.wire.codec import LENGTH_BYTES, MessageDecodeError, decode, encode, greeting_protocol
 from orchidferry.mesh.wire.messages import Greeting, Message
 
-MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # without the length
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # that may wait for a peer that does not read
-USER_TIMEOUT_MS = 2_000  # after which sent bytes without acknowledgement end a connection (RFC 5482)
-DIAL_TIMEOUT_S = 1.0
-PROTOCOL = 4  # rises with each change that an earlier build would misread
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # longest message, without its length prefix
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # largest write buffer for a peer that does not read
+USER_TIMEOUT_MS = 2_000  # a connection ends if sent bytes stay unacknowledged for longer (RFC 5482)
+DIAL_TIMEOUT_S = 1.0  # for a connection to be established
+PROTOCOL = 4  # protocol number; increased with each change that an earlier build would misread
 
 
 class Link(asyncio.Protocol):
     """One connection between two processes of the mesh.
 
-    :ivar peer: name of the other process; set by the link's user
-    :ivar max_unsent_bytes: that may wait for the peer; the link is closed if there are more
-    :ivar last_received_s: when bytes were received last, by the loop's clock
+    :ivar peer: name of the other process; set by the code that uses the link
+    :ivar max_unsent_bytes: the link is closed if more bytes than this wait to be sent
+    :ivar last_received_s: time of the last receipt of bytes, in seconds of the loop's clock
     """
 
     def __init__(
@@ -41,7 +41,7 @@
     ) -> None:
         """Create a `Link`.
 
-        :param on_message: called with each message, except the greeting
+        :param on_message: called with the link and each received message, except the greeting
         :param on_closed: called once when the connection has ended
         :param on_opened: called once when the connection is established
         :param accepted: whether the other side dialled, so that its first message must be the greeting
@@ -75,7 +75,7 @@
             self._on_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Cut the stream into messages (called by asyncio)."""
+        """Split the byte stream into messages and handle them (called by asyncio)."""
         self.last_received_s = self._clock()
         buffer = self._buffer
         buffer += data
@@ -100,7 +100,7 @@
         try:
             message = decode(body)
         except MessageDecodeError as error:
-            logger.warning("link: a message of {} can't be read: {}", self._peer_address(), error)
+            logger.warning("link: can't decode a message from {}: {}", self._peer_address(), error)
             return self.close()
         self._on_message(self, message)
         return None
@@ -110,7 +110,7 @@
         protocol = greeting_protocol(body)
         if protocol != PROTOCOL:
             logger.warning(
-                "link: {} speaks protocol {!s:.20}, {} is needed: it is of another build",
+                "link: {} speaks protocol {!s:.20}, this build needs {}; link closed",
                 self._peer_address(),
                 "none" if protocol is None else protocol,
                 PROTOCOL,
@@ -119,7 +119,7 @@
 
     def _peer_address(self) -> str:
         address = self._transport.get_extra_info("peername") if self._transport is not None else None
-        return str(address[0]) if address else "a peer"
+        return str(address[0]) if address else "an unknown peer"
 
     def send(self, message: Message) -> None:
         """Send a message; does nothing if the link is closed."""
@@ -129,7 +129,7 @@
     def send_encoded(self, data: bytes) -> None:
         """Send a message that was encoded once for many links; does nothing if the link is closed.
 
-        :param data: the message with its length, as `codec.encode` returns it
+        :param data: the message with its length prefix, as `codec.encode` returns it
         """
         if self._transport is not None and self.open:
             if self._transport.get_write_buffer_size() > self.max_unsent_bytes:
@@ -143,7 +143,7 @@
         self._on_closed(self)
 
     def close(self) -> None:
-        """Close the link at once; what was not sent yet is dropped."""
+        """Close the link at once; unsent bytes are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -158,13 +158,13 @@
 ) -> Link | None:
     """Open a link to another process and send the greeting.
 
-    :param on_message: called with each message
+    :param on_message: called with the link and each received message
     :param on_closed: called once when the connection has ended
-    :param host: address of the other process
-    :param port: its internal port
-    :param local_ip: address to dial from
-    :param timeout_s: for the connection to be established
-    :returns: the link; None if there is none within the time
+    :param host: IP address of the other process
+    :param port: internal port of the other process
+    :param local_ip: local IP address to dial from
+    :param timeout_s: for the connection to be established, in seconds
+    :returns: the link; None if no connection was established within the timeout
     """
     loop = asyncio.get_running_loop()
     link = Link(on_message, on_closed)
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class MemberSettings:
     """The settings of a member of the fleet."""
 
     name: str
@@ -51,7 +51,7 @@
     max_nodes: int
 
 
-def read_fleet(path: str, name: str) -> Setup:
+def read_fleet(path: str, name: str) -> MemberSettings:
     """Read the file.
 
     :param name: of the member, if the file has none.
@@ -71,7 +71,7 @@
         raise SettingsFormatError(f"{field}: {host!r:.60} is no IP address") from None
 
 
-def _decode(obj: Json, folder: Path, name: str) -> Setup:
+def _decode(obj: Json, folder: Path, name: str) -> MemberSettings:
     """Check the tables of a fleet settings file.
 
     :param folder: what paths in the file are relative to.
@@ -96,7 +96,7 @@
     own_name = _text(obj, "name", name, MAX_NAME)
     if not own_name:
         raise SettingsFormatError("'name' must not be empty")
-    return Setup(
+    return MemberSettings(
         own_name,
         listen,
         advertise,
--- a/orchidferry/node/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -28,7 +28,7 @@
 KEY_ID_BYTES = 4  # of a hash of the key's name
 TAG_BYTES = 16  # forging one takes 2^127 attempts
 HEADER_BYTES = len(MAGIC) + KEY_ID_BYTES + TAG_BYTES
-MAX_DATAGRAM = 1_400  # bytes
+MAX_DATAGRAM_BYTES = 1_400  # bytes
 ENTRIES_PER_STEP = 64  # entries that are decoded in one go: under 1 ms
 PERSON = b"fleet"  # personalization of the hash, as the keys may be used elsewhere too
 
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -158,7 +158,7 @@
 
     change_behind_store(tmp_path, old)
     loop: Any = Loop()
-    with pytest.raises(StoreError, match="not made ready"):
+    with pytest.raises(StoreError, match="written by an earlier build and not migrated yet"):
         Store(str(tmp_path), loop)
     storage_check.prepare_store(str(tmp_path))
     stock = storage_check.read_contents(str(tmp_path))
--- a/tests/mesh/wire/test_framing.py
+++ b/tests/mesh/wire/test_framing.py
@@ -89,16 +89,16 @@
             ["shard", 1, ["handoff_ack", "a", "x"]],
             "shard: body: handoff_ack: number: Expected `int`, got `str`",
         ),
-        (["shard", 1, ["peek", 3, 4]], "shard: body: kind: Invalid value 'peek'"),
+        (["shard", 1, ["peek", 3, 4]], "shard: body: tag: Invalid value 'peek'"),
         (["shard", 1, 7], "shard: body: Expected `array`, got `int`"),
         (["news", ["c", 1, 5, 5, [], [], 0]], "news: change: a change ends after its beginning"),
         (
             ["heartbeat", "a", 1, True, [1, "x"], False, []],
             "heartbeat: versions[1]: Expected `int`, got `str`",
         ),
-        (["peek", 1], "no message of kind 'peek'"),
-        ({"kind": "lease"}, "a message is a list that begins with its kind"),
-        (b"\xff", "no CBOR: "),
+        (["peek", 1], "unknown message tag 'peek'"),
+        ({"kind": "lease"}, "a message must be a list that begins with its tag"),
+        (b"\xff", "not valid CBOR: "),
     ],
 )
 def test_a_message_that_cant_be_read_ends_its_link_with_one_line_that_names_the_field(
@@ -106,7 +106,7 @@
 ) -> None:
     heard, closed, lines = accepted(GREETING, to_list(RELEASE), bad, to_list(RELEASE))
     assert heard == [RELEASE] and closed
-    assert len(lines) == 1 and lines[0].startswith(f"link: a message of 10.0.0.9 can't be read: {told}")
+    assert len(lines) == 1 and lines[0].startswith(f"link: can't decode a message from 10.0.0.9: {told}")
 
 
 def test_whoever_dials_greets_first() -> None:
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -84,7 +84,7 @@
 
 def send(to: FleetMember, data: bytes) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
-        udp.sendto(data, to._setup.listen)
+        udp.sendto(data, to._settings.listen)
 
 
 def kill(one: FleetMember) -> None:
@@ -114,7 +114,7 @@
             await until(lambda: all(one.fleet.members["n2"].status is Status.LEFT for one in made[:2]))
             page = json.loads(made[0].page()[1])
             assert page["state"] == "joined" and page["members"][1]["status"] == "left"
-            again = FleetMember(made[2]._setup, asyncio.get_running_loop())
+            again = FleetMember(made[2]._settings, asyncio.get_running_loop())
             assert again.fleet.me.incarnation > made[2].fleet.me.incarnation  # from its disk
             await again.listen()
             again.start()
@@ -137,7 +137,7 @@
             got = [one.counts["got"] for one in made]
             await until(lambda: all(one.counts["got"] > n + 12 for one, n in zip(made, got, strict=True)))
             assert all_know(made, 3)
-            assert made[0]._key_of and not made[1]._key_of  # the others still sign with k1
+            assert made[0]._key_by_peer and not made[1]._key_by_peer  # the others still sign with k1
 
     run(test())
 
@@ -145,7 +145,7 @@
 def test_floods_and_nonsense_are_counted_with_a_line_and_change_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(shell, "READ_PER_S", 400.0)
+    monkeypatch.setattr(shell, "MAX_READS_PER_S", 400.0)
 
     async def test() -> None:
         async with peers(tmp_path, 2) as made:
@@ -161,13 +161,13 @@
                     send(made[0], b"y" * 1_000)
                 await asyncio.sleep(0.01)
             await until(lambda: made[0].counts["refused_flood"] > 0)
-            reader, writer = await asyncio.open_connection(*made[0]._setup.listen)
+            reader, writer = await asyncio.open_connection(*made[0]._settings.listen)
             writer.write(b"\xff\xff\xff\xff")
             assert await asyncio.wait_for(reader.read(1), LIMIT_S) == b""
             writer.close()
             await until(lambda: all_know(made, 2))
-        said = [record.message for record in caplog.records if "refused" in record.message]
-        assert len(said) == len(set(said)) <= 4
+        lines = [record.message for record in caplog.records if "rejected" in record.message]
+        assert len(lines) == len(set(lines)) <= 4
 
     run(test())
 
@@ -259,7 +259,7 @@
     async def test() -> None:
         server, port, door = Server(), free_port(), free_port()
         async with peers(tmp_path, 1) as made, world(tmp_path, server, start=False) as scene:
-            file = lay(tmp_path, "real", port, [made[0]._setup.listen[1]], journal="journal")
+            file = lay(tmp_path, "real", port, [made[0]._settings.listen[1]], journal="journal")
             monkeypatch.setenv("ORCHIDFERRY_FLEET", str(file))
             scene.config["admin_addr"] = f"127.0.0.1:{door}"
             scene.path.write_text(json.dumps(scene.config))
