--- a/orchidferry/mesh/storage/__init__.py
+++ b/orchidferry/mesh/storage/__init__.py
@@ -1,1 +1,1 @@
-"""A controller's disk: the store, its check at the start, snapshots out and back."""
+"""A controller's durable storage: the store, its check at startup, and snapshots."""
--- a/orchidferry/mesh/storage/disk_health.py
+++ b/orchidferry/mesh/storage/disk_health.py
@@ -1,4 +1,4 @@
-"""Whether a controller's disk keeps up with its writes."""
+"""Detects whether a controller's disk keeps up with its writes."""
 
 from __future__ import annotations
 
@@ -6,43 +6,52 @@
 
 from loguru import logger
 
-MAX_WRITE_WAIT_S = 0.6  # the disk is degraded once a write has waited longer
-# healthy again once no write has waited longer than this, for so long
+MAX_WRITE_WAIT_S = 0.6  # the disk counts as degraded once a write has waited for longer
+# A degraded disk counts as healthy again once all writes waited `PROMPT_WRITE_S` at most for `RECOVERY_S`.
 PROMPT_WRITE_S = 0.3
 RECOVERY_S = 1.0
 
 
 class DiskHealth:
-    """Degraded from a failed or long delayed write on, until writes have been prompt for a while.
+    """The health of a disk: degraded from a failed or delayed write on, until writes are prompt for a while.
 
-    Its methods are called on the loop; the store's thread reads `is_degraded` and is woken when that becomes
-    true.
+    The methods are called on the event loop; the store's thread reads `is_degraded` and is woken when that
+    becomes true.
 
     :ivar is_degraded: whether the disk is degraded
-    :ivar failing_since_s: when the disk last began to refuse writes, by the loop's clock; 0 if it does not
+    :ivar failing_since_s: since when commits have failed, in seconds of the loop's clock; 0 if the last one
+        succeeded
     """
 
     def __init__(self, wake: threading.Condition) -> None:
-        """:param wake: condition on which the store's thread waits"""
+        """:param wake: the condition on which the store's thread waits"""
         self.is_degraded = False
         self.failing_since_s = 0.0
         self._wake = wake
-        self._prompt_since_s: float | None = None  # while degraded: since when all writes were prompt
+        self._prompt_since_s: float | None = None  # while degraded: since when all writes have been prompt
 
     def write_failed(self, problem: str, now_s: float) -> None:
-        """Report that a commit has failed."""
+        """Record that a commit has failed.
+
+        :param problem: error text of the failed commit
+        :param now_s: current time in seconds of the loop's clock
+        """
         self.failing_since_s = self.failing_since_s or now_s
-        self._set_degraded(f"the disk refuses writes: {problem}")
+        self._set_degraded(f"commit failed, the disk is degraded: {problem}")
 
     def write_waits(self, waited_s: float) -> None:
-        """Report for how long the oldest pending write has waited."""
+        """Record how long the oldest pending write has waited.
+
+        :param waited_s: its waiting time in seconds
+        """
         if waited_s > MAX_WRITE_WAIT_S:
-            self._set_degraded(f"a write has waited {waited_s:.1f} s")
+            self._set_degraded(f"a write has waited {waited_s:.1f} s, the disk is degraded")
 
     def write_done(self, waited_s: float, now_s: float) -> None:
-        """Report that a commit has succeeded.
+        """Record that a commit has succeeded.
 
-        :param waited_s: for how long the oldest write of the commit had waited
+        :param waited_s: how long the oldest write of the commit had waited, in seconds
+        :param now_s: current time in seconds of the loop's clock
         """
         self.failing_since_s = 0.0
         if not self.is_degraded:
--- a/orchidferry/mesh/storage/environment.py
+++ b/orchidferry/mesh/storage/environment.py
@@ -1,4 +1,4 @@
-"""The files of a controller's data directory, and the lmdb environment among them."""
+"""The files of a controller's data directory, and the LMDB environment in it."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 from orchidferry.mesh.errors import StoreError
 
-# databases of the environment; their names on disk are those of the first format
+# Databases of the environment. The names are those of the first format, as stored data keeps them.
 CONTROLLER_DB = "about"  # votes and other records about the controller itself
 KEYS_DB = "slips"  # operation keys
 DATABASE_NAMES = (CONTROLLER_DB, KEYS_DB)
-MAX_DATABASES = 4  # handles of an environment: `DATABASE_NAMES`, and what a later build adds
-MAX_READERS = 4
-MAP_BYTES = 160 * 1024 * 1024
-FIXED_PAGES = 3  # the two meta pages and the root of the databases
-PAGE_KINDS = ("branch_pages", "leaf_pages", "overflow_pages")  # as lmdb's statistics name them
-# files of the data directory
+MAX_DATABASES = 4  # database handles per environment: `DATABASE_NAMES`, and two for databases of later builds
+MAX_READERS = 4  # concurrent read transactions
+MAP_BYTES = 160 * 1024 * 1024  # size of the memory map, to which the store may grow
+FIXED_PAGES = 3  # the two meta pages and the root page of the database that lists the others
+PAGE_KINDS = ("branch_pages", "leaf_pages", "overflow_pages")  # keys in LMDB's statistics of a database
+# Files of the data directory.
 STORE_FILE = "data.mdb"
-TEMPORARY_FILE = "data.part"  # a store that is being written, before it is renamed
+TEMPORARY_FILE = "data.part"  # a store that is being written; renamed once it is complete
 LOCK_FILE = "lock"
 
-Databases = dict[str, Any]  # lmdb's handles, by name
+Databases = dict[str, Any]  # LMDB's database handles, by database name
 
 
 class StoreInUseError(StoreError):
@@ -35,14 +35,14 @@
 def open_environment(
     path: str, *, file: bool = False, readonly: bool = False, map_bytes: int = MAP_BYTES
 ) -> lmdb.Environment:
-    """Open an lmdb environment, without its databases.
+    """Open an LMDB environment, without its databases.
 
     :param path: the data directory, or the store's file
     :param file: whether `path` is a file
-    :param readonly: whether it must exist and is not written to
-    :param map_bytes: the size to which the store may grow
+    :param readonly: whether to open an existing environment without writing to it
+    :param map_bytes: size of the memory map, to which the store may grow
     :raises OSError: if the file can't be opened
-    :raises lmdb.Error: if it is no store
+    :raises lmdb.Error: if the file is not an LMDB environment
     """
     return lmdb.open(
         path,
@@ -58,31 +58,31 @@
 
 
 def used_pages(txn: Any, dbs: Databases) -> int:
-    """Count the pages in use, without those of the free list.
+    """Count the pages in use; pages in the free list are not counted.
 
     :param txn: a transaction of the environment
     :param dbs: all databases of the environment
     """
     statistics = [txn.stat(db) for db in dbs.values()]
-    return FIXED_PAGES + sum(int(one[kind]) for one in statistics for kind in PAGE_KINDS)
+    return FIXED_PAGES + sum(int(stat[kind]) for stat in statistics for kind in PAGE_KINDS)
 
 
 def required_file_bytes(env: lmdb.Environment) -> int:
-    """Return the size that the file must have according to the newest meta page."""
+    """Return the size in bytes that the store's file must have according to the newest meta page."""
     return int((env.info()["last_pgno"] + 1) * env.stat()["psize"])
 
 
 def remove_if_exists(path: str) -> None:
-    """Remove a file if there is one.
+    """Remove a file if it exists.
 
-    :raises OSError: if it can't be removed
+    :raises OSError: if the file can't be removed
     """
     if os.path.exists(path):
         os.remove(path)
 
 
 def sync_directory(directory: str) -> None:
-    """Make durable which files a directory contains (created, renamed and removed names).
+    """Sync a directory, which makes the creation, renaming and removal of files in it durable.
 
     :raises OSError: if the directory can't be opened or synced
     """
@@ -94,21 +94,22 @@
 
 
 def sync_directory_and_parent(directory: str) -> None:
-    """Make durable which files a directory contains, and the directory's own name.
+    """Sync a directory and its parent, which makes the directory's own creation durable too.
 
-    :raises OSError: if either can't be synced; a parent that belongs to another user is left out
+    :raises OSError: if either can't be synced; a parent that belongs to another user is skipped
     """
     sync_directory(directory)
-    with contextlib.suppress(PermissionError):  # the parent belongs to whoever made the directory
+    with contextlib.suppress(PermissionError):  # the parent may belong to the user who created the directory
         sync_directory(os.path.dirname(os.path.abspath(directory)))
 
 
 def lock_store(directory: str, mode: str = "ab") -> IO[Any]:
     """Lock a store against other processes.
 
-    On a file system without locks, or one that refuses the lock file, this has no effect.
+    This has no effect on a file system without locks, or if the lock file can't be opened.
 
-    :param mode: in which the lock file is opened; "rb" does not create it
+    :param directory: the controller's data directory
+    :param mode: mode in which the lock file is opened; "rb" does not create it
     :returns: an open file; closing it releases the lock
     :raises StoreInUseError: if another process holds the lock
     """
@@ -120,7 +121,7 @@
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         file.close()
-        raise StoreInUseError("another process has it open", directory) from None
-    except OSError:  # the file system has no locks
+        raise StoreInUseError("the store is in use by another process", directory) from None
+    except OSError:  # the file system does not support locks
         pass
     return file
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -1,4 +1,4 @@
-"""Reads a controller's whole store and verifies every record: what the store holds, or how it is damaged."""
+"""Reads a controller's whole store and verifies every record: returns the contents, or reports the damage."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 T = TypeVar("T")
 
-DECODE_INTERVAL = 64  # of so many operation keys one is decoded, not only its checksum verified
-FIELDS_BEFORE_OWNERS = 7  # of a packed value
-CORRUPTION_ERRORS = (
+DECODE_INTERVAL = 64  # every 64th operation key is also decoded; of the others only the checksum is verified
+FIELDS_BEFORE_OWNERS = 7  # length of a packed value of builds without shard owners
+CORRUPTION_ERRORS = (  # errors with which LMDB reports a damaged file
     lmdb.CorruptedError,
     lmdb.InvalidError,
     lmdb.VersionMismatchError,
@@ -45,16 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreContents:
-    """What a store holds.
-
-    :ivar format: number of its format
-    :ivar acceptor_states: what this controller has voted, by shard; empty if nothing was written yet
-    :ivar unsharded_state: the same of a build before the state was cut into shards
-    :ivar founders: controllers of the first group
-    :ivar caught_up: shards in which this controller has caught up
+    """The contents and the sizes of a store.
+
+    :ivar format: number of the store's format
+    :ivar acceptor_states: votes of this controller, by shard number; empty if nothing was written yet
+    :ivar unsharded_state: votes written by a build that did not divide the state into shards yet; None if
+        there are none
+    :ivar founders: names of the controllers of the first group
+    :ivar caught_up: numbers of the shards in which this controller has caught up
     :ivar key_count: number of operation keys
-    :ivar used_bytes: bytes of the pages in use
-    :ivar file_bytes: size of the file
+    :ivar used_bytes: size of the pages in use, in bytes
+    :ivar file_bytes: size of the store's file, in bytes
     """
 
     format: int
@@ -67,17 +68,17 @@
     file_bytes: int
 
     def lines(self) -> list[str]:
-        """Return what the store holds as lines for the operator, one for each shard among them."""
+        """Return a summary for the operator, as lines; it has one line for each shard."""
         if not self.acceptor_states and self.unsharded_state is None:
             return [f"store: format {self.format}, empty"]
         lines = [f"store: format {self.format}, {self.used_bytes} bytes used of {self.file_bytes}"]
         for number, state in self.acceptor_states.items():
             progress = "caught up" if number in self.caught_up else "not caught up"
             accepted = _describe_value(state.value)
-            lines.append(f"part {number}: memory {state.disk_id}, {progress}, accepted {accepted}")
+            lines.append(f"shard {number}: disk id {state.disk_id}, {progress}, accepted {accepted}")
         if self.unsharded_state is not None:
             accepted = _describe_value(self.unsharded_state.value)
-            lines.append(f"before parts: memory {self.unsharded_state.disk_id}, accepted {accepted}")
+            lines.append(f"without shards: disk id {self.unsharded_state.disk_id}, accepted {accepted}")
         return [*lines, f"founders: {' '.join(self.founders)}", f"keys: {self.key_count}"]
 
 
@@ -85,8 +86,8 @@
 class Inspection:
     """The result of inspecting a store.
 
-    :ivar contents: what it holds
-    :ivar dbs: its databases, open
+    :ivar contents: the contents of the store
+    :ivar dbs: handles of its databases, which are open
     """
 
     contents: StoreContents
@@ -98,7 +99,7 @@
         return "nothing yet"
     body = shard_state.body(value)
     voters = " ".join(voter.name for voter in value.voters)
-    ownership = f"owner {body.owner or 'none'} under fence {body.fencing_token}"
+    ownership = f"owner {body.owner or 'none'}, fencing token {body.fencing_token}"
     return (
         f"version {value.version}, epoch {body.epoch}, revision {body.revision}, {ownership}, voters {voters}"
     )
@@ -107,24 +108,24 @@
 def inspect(env: lmdb.Environment, file: str, names: Sequence[str]) -> Inspection:
     """Read and verify all records of a store; nothing is written.
 
-    :param env: the store
-    :param file: its file
-    :param names: names of the databases that are read, as far as they exist
-    :raises CorruptStoreError: if it is damaged
-    :raises StoreError: if a later build wrote it
+    :param env: the environment of the store
+    :param file: path of the store's file
+    :param names: names of the databases to read; those that do not exist are skipped
+    :raises CorruptStoreError: if the store is damaged
+    :raises StoreError: if a later build wrote the store
     """
     try:
-        return _inspect(env, file, _existing_databases(env, names))
+        return _inspect(env, file, _open_existing_databases(env, names))
     except CORRUPTION_ERRORS as error:
         raise CorruptStoreError(str(error)) from None
 
 
-def _existing_databases(env: lmdb.Environment, names: Sequence[str]) -> Databases:
+def _open_existing_databases(env: lmdb.Environment, names: Sequence[str]) -> Databases:
     dbs: Databases = {}
     for name in names:
         try:
             dbs[name] = env.open_db(name.encode(), create=False)
-        except lmdb.NotFoundError:  # made when the store is opened
+        except lmdb.NotFoundError:  # `Store` creates missing databases when it opens the store
             continue
     return dbs
 
@@ -132,13 +133,13 @@
 def _inspect(env: lmdb.Environment, file: str, dbs: Databases) -> Inspection:
     newest_transaction = env.info()["last_txnid"]
     with env.begin() as txn:
-        raws = _raw_controller_records(txn, dbs)
-        format_number = _format_of(raws)
+        raw_records = _raw_controller_records(txn, dbs)
+        format_number = _read_format(raw_records)
         sealed = format_number > 1
-        records = {key: _value_of(CONTROLLER_DB, key, raw, sealed) for key, raw in raws.items()}
+        records = {key: _value_of(CONTROLLER_DB, key, raw, sealed) for key, raw in raw_records.items()}
         key_count = _verify_keys(txn, dbs[KEYS_DB], sealed) if KEYS_DB in dbs else 0
         used_bytes = used_pages(txn, dbs) * env.stat()["psize"]
-    if raws and sealed:
+    if raw_records and sealed:
         _check_seal(records, newest_transaction)
     acceptor_states = _acceptor_states(records)
     unsharded_state = None
@@ -146,7 +147,9 @@
         unsharded_state = _read(records, b"kept", _unpack_acceptor_state)
     founders = _read(records, b"founders", _unpack_names) or ()
     if key_count and not acceptor_states and unsharded_state is None:
-        raise CorruptStoreError("there are keys, and the records 'kept' of about are missing")
+        raise CorruptStoreError(
+            "there are operation keys, but the records 'kept' in database about are missing"
+        )
     contents = StoreContents(
         format_number,
         acceptor_states,
@@ -167,7 +170,7 @@
 
 
 def _value_of(name: str, key: bytes, raw: bytes, sealed: bool) -> bytes:
-    """Return the value of a record; format 1, which is not sealed, had no checksums."""
+    """Return the value of a record; records of format 1, which is not sealed, have no checksum."""
     return verify_checksum(name, key, raw) if sealed else raw
 
 
@@ -175,7 +178,7 @@
     seal = _read(records, SEAL_KEY, int)
     if seal != newest_transaction:
         raise CorruptStoreError(
-            f"the root is that of transaction {seal}, the number beside it {newest_transaction}"
+            f"the seal is of transaction {seal}, the newest meta page of transaction {newest_transaction}"
         )
 
 
@@ -198,34 +201,34 @@
             _verify_key(bytes(key), value)
     expected = txn.stat(db)["entries"]
     if key_count != expected:
-        raise CorruptStoreError(f"{key_count} keys were found and {expected} are counted")
+        raise CorruptStoreError(f"found {key_count} operation keys, expected {expected}")
     return key_count
 
 
 def _verify_key(key: bytes, value: bytes) -> None:
     shown_key = key[:MAX_KEY_BYTES_SHOWN]
     try:
-        attempt_id, time_slot, _answer = unpack(value)
+        attempt_id, age_bucket, _answer = unpack(value)
     except (CBORDecodeError, ValueError, TypeError) as error:
-        raise CorruptStoreError(f"key {shown_key!r} can't be read: {error}") from None
-    if not isinstance(attempt_id, str) or not isinstance(time_slot, int):
-        raise CorruptStoreError(f"key {shown_key!r} is none")
+        raise CorruptStoreError(f"operation key {shown_key!r} can't be decoded: {error}") from None
+    if not isinstance(attempt_id, str) or not isinstance(age_bucket, int):
+        raise CorruptStoreError(f"operation key {shown_key!r} has an invalid record")
 
 
 def _record_key(name: str, shard: int) -> bytes:
     return f"{name}/{shard}".encode()
 
 
-def _format_of(raws: dict[bytes, bytes]) -> int:
-    if not raws:
+def _read_format(raw_records: dict[bytes, bytes]) -> int:
+    if not raw_records:
         return STORE_FORMAT
-    if FORMAT_KEY not in raws:
+    if FORMAT_KEY not in raw_records:
         return 1
-    value = verify_checksum(CONTROLLER_DB, FORMAT_KEY, raws[FORMAT_KEY])
+    value = verify_checksum(CONTROLLER_DB, FORMAT_KEY, raw_records[FORMAT_KEY])
     format_number = _require({FORMAT_KEY: value}, FORMAT_KEY, int)
     if format_number > STORE_FORMAT:
         raise StoreError(
-            f"format {format_number} is of a later build, {STORE_FORMAT} is the newest known here"
+            f"format {format_number} was written by a later build; this build supports up to {STORE_FORMAT}"
         )
     return format_number
 
@@ -235,11 +238,19 @@
 
 
 def _require(records: dict[bytes, bytes], key: bytes, convert: Callable[[Any], T]) -> T:
-    """Return a record of `CONTROLLER_DB` that must be there, decoded, converted and checked."""
+    """Decode and convert a record of `CONTROLLER_DB` that must exist.
+
+    :param records: values of the database's records, by key
+    :param key: key of the record
+    :param convert: converts the decoded value, and checks it
+    :raises CorruptStoreError: if the record is missing or malformed
+    """
     try:
         return convert(unpack(records[key]))
     except (CBORDecodeError, ValueError, TypeError, KeyError, IndexError) as error:
-        raise CorruptStoreError(f"record {key.decode()!r} of about can't be read: {error}") from None
+        raise CorruptStoreError(
+            f"record {key.decode()!r} in database about can't be decoded: {error}"
+        ) from None
 
 
 def _unpack_acceptor_state(packed: Any) -> AcceptorState:
@@ -248,11 +259,11 @@
         value = [*value, "", 0]
     state = shard_state_codec.unpack_acceptor_state([disk_id, promised, accepted, value])
     if not isinstance(disk_id, int) or len(state.promised) != 2 or len(state.accepted) != 2:
-        raise ValueError("it is no voter's memory")
+        raise ValueError("not the state of an acceptor")
     return state
 
 
 def _unpack_names(packed: Any) -> tuple[str, ...]:
     if not isinstance(packed, list) or not all(isinstance(name, str) for name in packed):
-        raise ValueError("it is no list of names")
+        raise ValueError("not a list of names")
     return tuple(packed)
--- a/orchidferry/mesh/storage/quarantine.py
+++ b/orchidferry/mesh/storage/quarantine.py
@@ -1,6 +1,7 @@
-"""The directory to which a damaged store is moved.
+"""The quarantine: a directory to which a damaged store is moved.
 
-Its presence also records that this controller has lost its state: it must not act as a founder again.
+The presence of the directory also records that this controller has lost its state: it must not act as a
+founder again.
 """
 
 from __future__ import annotations
@@ -11,13 +12,15 @@
 
 from orchidferry.mesh.storage.environment import STORE_FILE, sync_directory
 
-QUARANTINE_DIRECTORY = "bad"  # in the data directory
-REASON_FILE = "why"  # in the quarantine: why the store was moved there
+QUARANTINE_DIRECTORY = "bad"  # subdirectory of the data directory
+REASON_FILE = "why"  # file in the quarantine that says why the store was moved there
 MAX_QUARANTINE_BYTES = 64_000_000  # a larger store is deleted instead of kept
 
 
 def has_lost_state(directory: str) -> bool:
-    """Return whether a store was quarantined: the controller is no founder then, whatever its settings say.
+    """Return whether a store was quarantined, so that the controller must not act as a founder.
+
+    This overrides the controller's settings.
 
     :param directory: the controller's data directory
     """
@@ -25,28 +28,28 @@
 
 
 def quarantine_store(directory: str, reason: str) -> None:
-    """Move a store to the quarantine, which keeps the latest one unless it is large.
+    """Move a store to the quarantine, which keeps only the latest store, and no store that is too large.
 
     :param directory: the controller's data directory
-    :param reason: what is wrong with the store
-    :raises OSError: if the disk refuses it
+    :param reason: what is wrong with the store, in one line
+    :raises OSError: if a file can't be written, moved or synced
     """
     quarantine = os.path.join(directory, QUARANTINE_DIRECTORY)
     os.makedirs(quarantine, exist_ok=True)
     with open(os.path.join(quarantine, REASON_FILE), "w", encoding="utf-8") as reason_file:
         reason_file.write(reason + "\n")
-    sync_directory(directory)  # it is durable that this controller has lost its state, before its store goes
+    sync_directory(directory)  # the quarantine must be durable before the store is moved
     kept = os.path.join(quarantine, STORE_FILE)
     os.replace(os.path.join(directory, STORE_FILE), kept)
     if os.stat(kept).st_size > MAX_QUARANTINE_BYTES:
         os.remove(kept)
     sync_directory(quarantine)
     sync_directory(directory)
-    logger.error("store: {}: {}; set aside, this controller has forgotten", directory, reason)
+    logger.error("store: {}: {}; moved to quarantine, this controller has lost its state", directory, reason)
 
 
 def quarantined_bytes(directory: str) -> int:
-    """Return the size of the store in the quarantine; 0 if there is none.
+    """Return the size in bytes of the store in the quarantine; 0 if there is none.
 
     :param directory: the controller's data directory
     """
--- a/orchidferry/mesh/storage/snapshot.py
+++ b/orchidferry/mesh/storage/snapshot.py
@@ -1,11 +1,10 @@
-"""Snapshots of what a controller knows.
+"""Snapshots of a controller's state: writing one to a file, and restoring a new group from it.
 
-Taken to a file, and restored as a new group when a majority of the disks is lost.
-
-Votes are never restored: a controller that voted after its snapshot would break its promise.
-`restore_snapshot` makes another group: voters with disk ids that nobody ever had, and a state that all
-of them have accepted in one ballot, with numbers above all that the lost group can have reached.
-docs/design/storage.md has the argument.
+A group is restored when a majority of its disks is lost. Votes are never restored: a controller that voted
+after the snapshot was taken would break its promise. `restore_snapshot` creates another group: its voters
+have disk ids that no controller ever had, and all of them have accepted one state in one ballot. The version,
+epoch and fencing token of that state are above all numbers that the lost group can have reached.
+docs/design/storage.md explains why this is safe.
 """
 
 from __future__ import annotations
@@ -52,21 +51,21 @@
     write_header,
 )
 
-# Added to versions, epochs and fencing tokens: a group that changes some times a minute never gets so far.
+# Added to versions, epochs and fencing tokens: a group that changes a few times per minute never gets so far.
 VERSION_OFFSET = 2**32
 EPOCH_OFFSET = 2**20
 FENCING_TOKEN_OFFSET = 2**20
-BALLOT_COUNTER = 1  # of the ballot in which the state was accepted; its name is no proposer's
-FIRST_DISK_ID = 2  # 0 and 1 have meanings of their own
-DISK_IDS = 2**53 - FIRST_DISK_ID  # from so many a disk id is derived
-KEYS_PER_TRANSACTION = 500
+BALLOT_COUNTER = 1  # counter of the ballot of the restored state; no proposer uses the name in this ballot
+FIRST_DISK_ID = 2  # 0 and 1 are reserved
+DISK_IDS = 2**53 - FIRST_DISK_ID  # number of possible disk ids of a restored group
+KEYS_PER_TRANSACTION = 500  # operation keys that are written in one transaction
 
 
 class RestoredGroup(NamedTuple):
     """A group that was restored from a snapshot.
 
     :ivar snapshot: the snapshot
-    :ivar acceptor_states: what each founder has voted, by shard
+    :ivar acceptor_states: the votes of each founder, by shard number
     """
 
     snapshot: Snapshot
@@ -74,10 +73,11 @@
 
 
 def take_snapshot(directory: str, path: str) -> Snapshot:
-    """Write what a store holds to a file.
+    """Write the contents of a store to a snapshot file.
 
     :param directory: the controller's data directory
-    :param path: the file; an existing one is replaced once the new one is complete
+    :param path: path of the snapshot's file; an existing file is replaced once the new one is complete
+    :returns: the snapshot
     :raises StoreError: if the store is damaged or in use
     :raises SnapshotError: if there is no store, or the file can't be written
     """
@@ -92,7 +92,7 @@
             finally:
                 env.close()
     except StoreInUseError as error:
-        raise StoreInUseError(f"{error.problem}: stop the controller first", error.path) from None
+        raise StoreInUseError(f"{error.problem}; stop the controller first", error.path) from None
     except StoreError as error:
         raise StoreError(str(error), directory) from None
     except (OSError, lmdb.Error) as error:
@@ -117,13 +117,13 @@
 
 
 def _shard_states(inspection: Inspection, file: str) -> dict[int, Value]:
-    """Return the accepted state of each shard, the initial one if nothing was accepted."""
+    """Return the accepted state of each shard, by shard number; the initial state if none was accepted."""
     contents = inspection.contents
     acceptor_states = contents.acceptor_states
     if not acceptor_states and contents.unsharded_state is not None:
         acceptor_states = {shard_state.CONFIGURATION: contents.unsharded_state}
     if not acceptor_states:
-        raise SnapshotError("nothing was written to it yet", file)
+        raise SnapshotError("the store is empty", file)
     initial = shard_state.genesis(contents.founders)
     accepted = {number: state.value for number, state in acceptor_states.items()}
     return {number: accepted.get(number) or initial for number in shard_state.SHARDS}
@@ -141,10 +141,10 @@
 
 
 def restored_disk_id(digest: bytes, founders: tuple[str, ...]) -> int:
-    """Return the disk id of all voters that a snapshot gives these founders.
+    """Return the disk id that all voters of a restored group get.
 
-    :param digest: of the snapshot
-    :param founders: in any order; another list gives another number
+    :param digest: digest of the snapshot
+    :param founders: names of the group's founders, in any order; other founders result in another disk id
 
     >>> restored_disk_id(b"d", ("a", "b")) == restored_disk_id(b"d", ("a", "c"))
     False
@@ -154,7 +154,11 @@
 
 
 def restored_acceptor_states(snapshot: Snapshot, founders: tuple[str, ...]) -> dict[int, AcceptorState]:
-    """Return what each founder has voted in each shard: all accepted the snapshot's state in one ballot."""
+    """Return the votes of each founder, by shard number: all accepted the snapshot's state in one ballot.
+
+    :param snapshot: the snapshot
+    :param founders: names of the founders of the restored group
+    """
     disk_id = restored_disk_id(snapshot.digest, founders)
     voters = tuple(Voter(name, disk_id) for name in sorted(founders))
     ballot: Ballot = (BALLOT_COUNTER, f"restored {snapshot.digest.hex()[:32]}")
@@ -173,11 +177,12 @@
 
 
 def restore_snapshot(directory: str, path: str, founders: tuple[str, ...]) -> RestoredGroup:
-    """Create a store from a snapshot in an empty directory, completely or not at all.
+    """Create a store from a snapshot in an empty directory, atomically.
 
     :param directory: the controller's data directory; created if it is missing
-    :param path: the snapshot's file
-    :param founders: controllers of the new group
+    :param path: path of the snapshot's file
+    :param founders: names of the controllers of the new group
+    :returns: the restored group
     :raises SnapshotError: if the snapshot can't be used, or the store can't be written
     """
     snapshot = read_snapshot(path)
@@ -204,7 +209,7 @@
     os.makedirs(directory, exist_ok=True)
     present = sorted(os.listdir(directory))
     if present:
-        raise SnapshotError(f"it is not empty, there is {present[0]!r}", directory)
+        raise SnapshotError(f"the directory is not empty, it contains {present[0]!r}", directory)
 
 
 def _write_store(
@@ -232,4 +237,4 @@
 ) -> None:
     contents = inspect(env, file, DATABASE_NAMES).contents
     if contents.acceptor_states != acceptor_states or contents.key_count != snapshot.key_count:
-        raise StoreError("what was written is not what is read")
+        raise StoreError("the new store differs from the snapshot")
--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -1,9 +1,9 @@
 """Checks a controller's store before it is used, repairs it if that is safe, and compacts it.
 
-A store that is damaged is moved to the quarantine, and the controller goes on as one that has lost its state:
-wrong votes would break its promises, an end of the process would only repeat itself, and a lost disk is a
-loss that the group survives. What can't be read at the moment, or was written by a later build, is left as it
-is, and the controller waits for it.
+A damaged store is moved to the quarantine, and the controller continues as one that has lost its state: wrong
+votes would break its promises, ending the process would only lead to the same failure after a restart, and a
+group survives the loss of one disk. A store that can't be read at the moment, or that was written by a later
+build, is left unchanged, and the controller waits until it can be used.
 """
 
 from __future__ import annotations
@@ -45,24 +45,26 @@
     write_seal,
 )
 
-ATTEMPTS_FILE = "opening"  # of the data directory: one byte for each check that has not come to its end
-MAX_CRASHES = 2  # so often in a row the process ended during the check: the store is the cause
-RETRY_INTERVAL_S = 0.5  # after a store could not be opened
-# lmdb 0.9: its two meta pages, and where the size of the map and the last page's number stand in them
+ATTEMPTS_FILE = "opening"  # file in the data directory with one byte for each check that did not complete
+MAX_CRASHES = 2  # after so many process crashes in a row during the check the store counts as damaged
+RETRY_INTERVAL_S = 0.5  # pause after a store could not be opened
+# The layout of the two meta pages of LMDB 0.9.
 PAGE_BYTES = 4096
 META_BYTES = 152
-META_FIELD_OFFSETS = (32, 136)
+META_FIELD_OFFSETS = (32, 136)  # of the size of the memory map, and of the last page's number
 META_FIELD_BYTES = 8
-MAX_META_BYTES = 2**32  # above any store's size
+MAX_META_BYTES = 2**32  # limit on the sizes in a meta page, larger than any valid store
 
 # Before a controller starts
 
 
 def prepare_store(directory: str) -> None:
-    """Leave no store in a directory, or one that can be opened: verified, of this format, not too large.
+    """Check, migrate and compact the store of a directory; a damaged store is moved to the quarantine.
+
+    Afterwards the directory holds a store that can be opened, or none.
 
     :param directory: the controller's data directory; created if it is missing
-    :raises StoreError: if that can't be done at the moment
+    :raises StoreError: if the store can't be checked at the moment, or its format is not supported
     """
     try:
         os.makedirs(directory, exist_ok=True)
@@ -80,12 +82,12 @@
     finish_replacement(directory)
     if not os.path.exists(file):
         return
-    # lmdb ends the process on some kinds of damage: that must not repeat itself for ever.
+    # LMDB aborts the process on some kinds of damage: without this count that would recur at each restart.
     crashes = os.stat(attempts).st_size if os.path.exists(attempts) else 0
     try:
         if crashes >= MAX_CRASHES:
-            raise CorruptStoreError(f"the process ended {crashes} times while it looked at it")
-        # A disk that refuses this is no reason to wait: its contents can still be read.
+            raise CorruptStoreError(f"the process crashed {crashes} times while it checked the store")
+        # A disk that rejects this write is no reason to wait: the store can still be read.
         with contextlib.suppress(OSError), open(attempts, "ab") as attempts_file:
             attempts_file.write(b"x")
         _check_file(file, copy)
@@ -108,20 +110,23 @@
         inspection = inspect(env, file, DATABASE_NAMES)
         contents = inspection.contents
         if contents.unsharded_state is not None:
-            raise StoreError("it is of a build before parts: carry the group over by a snapshot")
+            raise StoreError("written by a build without shards: migrate the group by a snapshot")
         if contents.format < STORE_FORMAT:
             _migrate(env, inspection.dbs, contents.format)
-            logger.info("store: the store was of format {}, it is of {} now", contents.format, STORE_FORMAT)
+            logger.info("store: migrated from format {} to format {}", contents.format, STORE_FORMAT)
         other_bytes = quarantined_bytes(os.path.dirname(file))
         copied = should_compact(contents, other_bytes) and write_compact_copy(env, copy, contents)
     finally:
         env.close()
     if copied and replace_store(copy, file):
-        logger.info("store: compact now, {} bytes of {} were used", contents.used_bytes, contents.file_bytes)
+        logger.info("store: compacted, {} bytes of {} were in use", contents.used_bytes, contents.file_bytes)
 
 
 def _check_meta_pages(file: str) -> None:
-    """LMDB maps as much as its meta pages say, and reports a size that is too large as a lack of memory."""
+    """Check the sizes in the meta pages: LMDB would map as many bytes, and fail as if memory were short.
+
+    :raises CorruptStoreError: if a size is larger than that of any valid store
+    """
     with open(file, "rb") as raw:
         pages = raw.read(2 * PAGE_BYTES)
     for page in range(0, len(pages) - META_BYTES, PAGE_BYTES):
@@ -130,18 +135,21 @@
             for offset in META_FIELD_OFFSETS
         )
         if map_bytes > MAX_META_BYTES or last_page * PAGE_BYTES > MAX_META_BYTES:
-            raise CorruptStoreError("a root names more pages than a store has")
+            raise CorruptStoreError("a meta page has a size that no valid store has")
 
 
 def _extend_to_full_size(env: lmdb.Environment, file: str) -> None:
-    """Reading beyond the end of a truncated file would end the process; zeros are detected as damage."""
+    """Extend a truncated file with zeros, which the check detects as damage.
+
+    Reading a mapped page beyond the end of the file would crash the process.
+    """
     required_bytes = required_file_bytes(env)
     if os.stat(file).st_size < required_bytes:
         os.truncate(file, required_bytes)
 
 
 def _migrate(env: lmdb.Environment, dbs: Databases, old_format: int) -> None:
-    """Give the records of format 1 their checksums, and the store its number, in one transaction."""
+    """Migrate a store to the current format in one transaction: adds checksums, and the format number."""
     with env.begin(write=True) as txn:
         for name, db in dbs.items() if old_format == 1 else ():
             for key, raw in [(bytes(k), bytes(v)) for k, v in txn.cursor(db=db)]:
@@ -150,11 +158,11 @@
 
 
 async def wait_until_ready(directory: str, stopping: asyncio.Event) -> bool:
-    """Prepare a store in a thread of its own, as often as it takes.
+    """Prepare a store in a separate thread, and retry until that succeeds.
 
     :param directory: the controller's data directory
     :param stopping: set when the process is to end
-    :returns: whether the store is ready; False if the process is to end before
+    :returns: True once the store is ready; False if the process is to end before
     """
     loop = asyncio.get_running_loop()
     last_problem = ""
@@ -170,7 +178,7 @@
         if not problem:
             return True
         if problem != last_problem:
-            logger.error("store: {}; waiting for it", problem)
+            logger.error("store: {}; retrying", problem)
             last_problem = problem
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RETRY_INTERVAL_S):
@@ -184,7 +192,7 @@
         problem = ""
     except StoreError as error:
         problem = str(error)
-    with contextlib.suppress(RuntimeError):  # the loop has ended
+    with contextlib.suppress(RuntimeError):  # the event loop is closed
         loop.call_soon_threadsafe(_set_result, done, problem)
 
 
@@ -197,12 +205,12 @@
 
 
 def read_contents(directory: str) -> StoreContents | None:
-    """Read and verify the store of a directory, with nothing written.
+    """Read and verify the store of a directory; nothing is written.
 
     :param directory: the controller's data directory
-    :returns: what it holds; None if there is no store
-    :raises StoreInUseError: if a controller has it open
-    :raises StoreError: if it can't be read or is damaged
+    :returns: the contents of the store; None if there is no store
+    :raises StoreInUseError: if a controller has the store open
+    :raises StoreError: if the store can't be read or is damaged
     """
     file = os.path.join(directory, STORE_FILE)
     has_lock_file = os.path.exists(os.path.join(directory, LOCK_FILE))
@@ -224,7 +232,7 @@
     env = open_environment(file, file=True, readonly=True)
     try:
         if os.stat(file).st_size < required_file_bytes(env):
-            raise CorruptStoreError("the file is shorter than its root says")
+            raise CorruptStoreError("the file is shorter than its newest meta page says")
         return inspect(env, file, DATABASE_NAMES).contents
     finally:
         env.close()
--- a/orchidferry/mesh/storage/write_batch.py
+++ b/orchidferry/mesh/storage/write_batch.py
@@ -1,4 +1,4 @@
-"""Writes that wait for the disk, and a batch of them committed in pieces if the map is nearly full."""
+"""Pending writes, and committing a batch of them in smaller transactions if the memory map is nearly full."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from orchidferry.mesh.storage.record_format import RecordWrite
 
-MAX_FAILED_COMMITS = 64  # transactions of one batch that may fail for want of space
+MAX_FAILED_COMMITS = 64  # transactions of one batch that may fail for lack of space in the memory map
 
 
 @dataclass(slots=True)
 class PendingWrite:
-    """Records that are written together, and the callback for the result.
+    """Records that are written in one transaction, and the callback for the result.
 
-    :ivar records: what is written
-    :ivar on_written: called with whether the records are on disk; None if nobody waits for that
-    :ivar requested_at_s: when the write was requested, by the loop's clock
-    :ivar size: bytes, as counted against the limit of the queue
+    :ivar records: the records to write or delete
+    :ivar on_written: called with whether the records are on disk; None if the result is not needed
+    :ivar requested_at_s: time of the request, in seconds of the loop's clock
+    :ivar size: bytes that count against the limit on pending writes
     """
 
     records: list[RecordWrite]
@@ -29,26 +29,28 @@
 
     @property
     def is_unawaited_delete(self) -> bool:
-        """Whether it only deletes and nobody waits for it."""
+        """Whether this write only deletes records and nobody waits for its result."""
         return self.on_written is None and all(value is None for _, _, value in self.records)
 
 
 class SplittingCommitter:
-    """Commits one batch at once or, if the map has no space for that, in halves of it.
+    """Commits one batch in one transaction or, if the memory map has too little space, in ever smaller parts.
 
-    A transaction needs a free page for each page that it changes, even if it only deletes.
+    LMDB is copy-on-write: a transaction needs a free page for each page that it changes, even if it only
+    deletes.
     """
 
     def __init__(self, transact: Callable[[list[PendingWrite]], list[bool]]) -> None:
-        """:param transact: commits writes in one transaction and returns which of them it took"""
+        """:param transact: commits writes in one transaction; returns for each whether it is on disk"""
         self._transact = transact
         self._failures_left = MAX_FAILED_COMMITS
 
     def commit(self, writes: list[PendingWrite]) -> list[bool]:
-        """Commit these writes.
+        """Commit writes.
 
-        :returns: for each of them whether it is on disk
-        :raises lmdb.Error: if the disk takes nothing
+        :param writes: the writes to commit
+        :returns: for each write whether it is on disk
+        :raises lmdb.Error: if a commit fails for another reason than lack of space in the map
         """
         try:
             return self._transact(writes)
@@ -62,7 +64,7 @@
         return self.commit(writes[:half]) + self.commit(writes[half:])
 
     def _commit_split(self, write: PendingWrite) -> bool:
-        """Commit one write in two transactions, if nobody relies on its being atomic."""
+        """Commit one write in two transactions, if it need not be atomic; return whether it is on disk."""
         half = len(write.records) // 2
         if not write.is_unawaited_delete or not half:
             return False
--- a/tests/mesh/storage/test_golden_store.py
+++ b/tests/mesh/storage/test_golden_store.py
@@ -49,34 +49,34 @@
 """  # noqa: E501
 CHECKED = """n:  in z, settings can be used
 store: format 3, 20480 bytes used of 32768
-part 0: memory 1, caught up, accepted version 12, epoch 3, revision 7, owner 10.0.0.2 under fence 4, \
+shard 0: disk id 1, caught up, accepted version 12, epoch 3, revision 7, owner 10.0.0.2, fencing token 4, \
 voters 10.0.0.1 10.0.0.2 10.0.0.4
-part 1: memory 1, caught up, accepted version 2, epoch 0, revision 0, owner 10.0.0.3 under fence 1, \
+shard 1: disk id 1, caught up, accepted version 2, epoch 0, revision 0, owner 10.0.0.3, fencing token 1, \
 voters 10.0.0.1 10.0.0.2 10.0.0.3
-part 2: memory 9007199254740991, not caught up, accepted nothing yet
-part 3: memory 1, caught up, accepted nothing yet
+shard 2: disk id 9007199254740991, not caught up, accepted nothing yet
+shard 3: disk id 1, caught up, accepted nothing yet
 founders: 10.0.0.1 10.0.0.2 10.0.0.3
 keys: 4
 """
 CHECKED_LONE = """n:  in z, settings can be used
 store: format 3, 16384 bytes used of 45056
-part 0: memory 1, caught up, accepted version 2, epoch 0, revision 7, owner none under fence 0, \
+shard 0: disk id 1, caught up, accepted version 2, epoch 0, revision 7, owner none, fencing token 0, \
 voters 127.0.0.1
-part 1: memory 1, caught up, accepted nothing yet
-part 2: memory 1, caught up, accepted nothing yet
-part 3: memory 1, caught up, accepted nothing yet
+shard 1: disk id 1, caught up, accepted nothing yet
+shard 2: disk id 1, caught up, accepted nothing yet
+shard 3: disk id 1, caught up, accepted nothing yet
 founders: 127.0.0.1
 keys: 0
 """
-RESTORED_PARTS = """\
-part 0: memory 2544245270616421, caught up, accepted version 4294967308, epoch 1048579, revision 7, \
-owner none under fence 1048580, voters 10.0.0.1 10.0.0.2 10.0.0.9
-part 1: memory 2544245270616421, caught up, accepted version 4294967298, epoch 1048576, revision 0, \
-owner none under fence 1048577, voters 10.0.0.1 10.0.0.2 10.0.0.9
-part 2: memory 2544245270616421, caught up, accepted version 4294967296, epoch 1048576, revision 0, \
-owner none under fence 1048576, voters 10.0.0.1 10.0.0.2 10.0.0.9
-part 3: memory 2544245270616421, caught up, accepted version 4294967296, epoch 1048576, revision 0, \
-owner none under fence 1048576, voters 10.0.0.1 10.0.0.2 10.0.0.9
+RESTORED_SHARDS = """\
+shard 0: disk id 2544245270616421, caught up, accepted version 4294967308, epoch 1048579, revision 7, \
+owner none, fencing token 1048580, voters 10.0.0.1 10.0.0.2 10.0.0.9
+shard 1: disk id 2544245270616421, caught up, accepted version 4294967298, epoch 1048576, revision 0, \
+owner none, fencing token 1048577, voters 10.0.0.1 10.0.0.2 10.0.0.9
+shard 2: disk id 2544245270616421, caught up, accepted version 4294967296, epoch 1048576, revision 0, \
+owner none, fencing token 1048576, voters 10.0.0.1 10.0.0.2 10.0.0.9
+shard 3: disk id 2544245270616421, caught up, accepted version 4294967296, epoch 1048576, revision 0, \
+owner none, fencing token 1048576, voters 10.0.0.1 10.0.0.2 10.0.0.9
 founders: 10.0.0.1 10.0.0.2 10.0.0.9
 keys: 4
 """
@@ -161,7 +161,7 @@
     raw = golden("store")["slips"][b"first"]
     damaged = file.read_bytes().replace(raw, raw[:-1] + b"\xf5")
     file.write_bytes(damaged)
-    line = "orchidferry: store: record b'first' of slips has a wrong checksum\n"
+    line = "orchidferry: store: record b'first' in database slips has a wrong checksum\n"
     assert run(tmp_path, "--check") == (2, "n:  in z, settings can be used\n", line)
 
 
@@ -260,19 +260,19 @@
     parts[0][2] = expected[0][2]
     assert parts[:-1] == expected[:-1] and as_snapshot(parts[:-1]) == (HERE / "golden.snapshot").read_bytes()
     digest = items(taken)[-1].hex()
-    line = f"taken: revision 7, parts at versions [12, 2, 0, 0], 4 keys, digest {digest[:16]}\n"
+    line = f"taken: revision 7, shard versions [12, 2, 0, 0], 4 keys, digest {digest[:16]}\n"
     assert (status, out, err) == (0, line, "")
 
 
 def test_the_golden_snapshot_begins_a_group_with_the_golden_records(tmp_path: Path) -> None:
     shutil.copy(HERE / "golden.snapshot", tmp_path)
-    line = "store: revision 7, parts at versions [12, 2, 0, 0], 4 keys; memory 2544245270616421, "
-    line += "the same at all of 10.0.0.1 10.0.0.2 10.0.0.9?\n"
+    line = "store: revision 7, shard versions [12, 2, 0, 0], 4 keys; disk id 2544245270616421, "
+    line += "must be the same on all of 10.0.0.1 10.0.0.2 10.0.0.9\n"
     assert run(tmp_path, "snapshot", "put", "golden.snapshot", *FOUNDERS) == (0, line, "")
     assert without_seal(on_disk(tmp_path / "store")) == without_seal(golden("restored"))
     status, out, err = run(tmp_path, "--check")
-    assert (status, err) == (0, "") and out.partition("part 0")[2] == RESTORED_PARTS.removeprefix("part 0")
-    refused = "orchidferry: store: it is not empty, there is 'data.mdb'\n"
+    assert (status, err) == (0, "") and out.partition("shard 0")[2] == RESTORED_SHARDS.removeprefix("shard 0")
+    refused = "orchidferry: store: the directory is not empty, it contains 'data.mdb'\n"
     assert run(tmp_path, "snapshot", "put", "golden.snapshot", *FOUNDERS) == (2, "", refused)
 
 
@@ -280,9 +280,11 @@
     ("change", "line"),
     [
         pytest.param({1: 1}, "", id="format 1"),
-        pytest.param({1: 3}, "format 3 is not known here", id="format of a later build"),
-        pytest.param({0: "another snapshot"}, "it is no snapshot", id="another kind of file"),
-        pytest.param({3: 3}, "it has more keys than it says", id="a key too many"),
+        pytest.param({1: 3}, "snapshot format 3 is not known here", id="format of a later build"),
+        pytest.param({0: "another snapshot"}, "not a snapshot", id="another kind of file"),
+        pytest.param(
+            {3: 3}, "the snapshot has more operation keys than its header says", id="a key too many"
+        ),
     ],
 )
 def test_the_header_of_a_snapshot_is_checked(tmp_path: Path, change: dict[int, Any], line: str) -> None:
--- a/tests/mesh/storage/test_snapshot_command.py
+++ b/tests/mesh/storage/test_snapshot_command.py
@@ -45,7 +45,7 @@
     before = (folder / "data.mdb").read_bytes()
     status, out, _ = run("--check")
     assert status == 0 and "version 12, epoch 3, revision 7" in out and "keys: 300" in out
-    assert "part 2: memory 5, caught up, accepted nothing yet" in out
+    assert "shard 2: disk id 5, caught up, accepted nothing yet" in out
     assert (folder / "data.mdb").read_bytes() == before
     loop: Any = Loop()
     running = Store(str(folder), loop)
@@ -59,9 +59,9 @@
         ((path, "--founders", "10.0.0.1,10.0.0.2", GOOD[2]), "3 are needed"),
         ((path, "--founders", "10.0.0.4,10.0.0.2,10.0.0.3", GOOD[2]), "not among"),
         ((path, "--founders", "10.0.0.1,10.0.0.2,10.0.0.2", GOOD[2]), "twice"),
-        ((path, "--founders", "10.0.0.1,10.0.0.2,h", GOOD[2]), "no IP number"),
+        ((path, "--founders", "10.0.0.1,10.0.0.2,h", GOOD[2]), "'h' is not an IPv4 address"),
         ((path + "x", *GOOD), "No such file"),
-        ((str(boot), *GOOD), "no snapshot"),
+        ((str(boot), *GOOD), "not a snapshot"),
     ):
         status, _, line = run("snapshot", "put", *words)
         assert status == 2 and why in line and line.count("\n") == 1
--- a/tests/mesh/storage/test_storage_check.py
+++ b/tests/mesh/storage/test_storage_check.py
@@ -36,12 +36,12 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        (change_without_seal, "the root is that of transaction"),
-        (misplace_record, "record b'k2' of slips"),
-        (replace_voter_record(b"\xff"), "record 'kept/0' of about can't be read"),
-        (replace_voter_record(pack([1, 2])), "'kept/0' of about"),
-        (replace_voter_record(pack(["5", [1, "a"], [1, "a"], None])), "no voter's memory"),
-        (delete_voter_records, "'kept' of about are missing"),
+        (change_without_seal, "the seal is of transaction"),
+        (misplace_record, "record b'k2' in database slips"),
+        (replace_voter_record(b"\xff"), "record 'kept/0' in database about can't be decoded"),
+        (replace_voter_record(pack([1, 2])), "'kept/0' in database about"),
+        (replace_voter_record(pack(["5", [1, "a"], [1, "a"], None])), "not the state of an acceptor"),
+        (delete_voter_records, "'kept' in database about are missing"),
     ],
 )
 def test_a_damaged_store_is_quarantined(tmp_path: Path, change: Any, why: str) -> None:
@@ -98,7 +98,7 @@
         txn.put(FORMAT_KEY, add_checksum("about", FORMAT_KEY, pack(9)), db=dbs["about"])
 
     change_behind_store(tmp_path, newer)
-    with pytest.raises(StoreError, match="format 9 is of a later build"):
+    with pytest.raises(StoreError, match="format 9 was written by a later build"):
         storage_check.prepare_store(str(tmp_path))
     change_behind_store(tmp_path, write_seal)
 
--- a/tests/mesh/storage/test_store.py
+++ b/tests/mesh/storage/test_store.py
@@ -134,7 +134,8 @@
     while len(told) < 2 + (how == "hangs"):
         loop.step()
     assert told[-1] and not store.is_degraded and store.read("slips", b"c") == b"1"
-    assert [line.partition(" ")[2].split(" ")[0] for line in lines] == [{"hangs": "a"}.get(how, "the"), "the"]
+    first_words = [line.partition(" ")[2].split(" ")[0] for line in lines]
+    assert first_words == [{"hangs": "a"}.get(how, "commit"), "the"]
     assert "keeps up again" in lines[1]
 
 
