--- a/orchidferry/mesh/wire/__init__.py
+++ b/orchidferry/mesh/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What the mesh's processes say to each other, and how it is framed."""
+"""The messages between the mesh's processes, their encoding and their framing."""
--- a/orchidferry/mesh/wire/messages.py
+++ b/orchidferry/mesh/wire/messages.py
@@ -1,7 +1,8 @@
-"""The messages between the mesh's own processes, one type each; those inside a shard are in `shard_messages`.
+"""The messages between the mesh's own processes, one type each.
 
-A type's tag is its kind on the wire, where a message is a list: its kind, then its fields in their order. A
-change of a tag or of fields that an earlier build would misread raises `framing.PROTOCOL`.
+The messages between replicas of a shard are in `shard_messages`. On the wire a message is a list: the tag of
+its type, then its fields in their order. A change of a tag or of fields that an earlier build would misread
+must increase `framing.PROTOCOL`.
 """
 
 from __future__ import annotations
@@ -14,7 +15,8 @@
 from orchidferry.mesh.control.update_stream import StreamChange
 from orchidferry.mesh.wire.shard_messages import ShardBody, tag_of
 
-StreamPosition = tuple[str, int, int]  # in a stream of updates: controller, its incarnation, update number
+# A position in a stream of updates: name of the controller, incarnation of the stream, update number.
+StreamPosition = tuple[str, int, int]
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -24,215 +26,215 @@
 class Greeting(Message, frozen=True, tag="protocol"):
     """The first message of a link, from the side that dialled."""
 
-    protocol: int  # number of the protocol that the dialling side speaks
+    protocol: int  # protocol number of the dialling side
 
 
 # Between a node and a controller
 
 
 class NodeHello(Message, frozen=True, tag="node_hello"):
-    """A node names itself on a new link to a controller."""
+    """A node identifies itself on a new link to a controller."""
 
-    name: str  # of the node
+    name: str  # name of the node
 
 
 class LeaseRenewal(Message, frozen=True, tag="lease_renewal"):
     """A node renews its lease."""
 
-    number: int  # of the record
-    name: str  # of the node
-    boot: int  # random number of the node's process, chosen at its start
-    record: NodeRecord | None  # None if the controller has it already
+    number: int  # number of the node's record
+    name: str  # name of the node
+    boot: int  # random number that identifies the node's process, chosen at its start
+    record: NodeRecord | None  # the node's record; None if the controller has it already
 
 
 class Lease(Message, frozen=True, tag="lease"):
-    """The answer to a renewal."""
+    """The response to `LeaseRenewal`."""
 
-    number: int  # of the record that was renewed
-    has_record: bool  # whether the controller has that record
+    number: int  # number of the record whose lease was renewed
+    has_record: bool  # whether the controller has the node's record of this number
     warmed_up: bool  # whether all live nodes have had the time to reconnect to this controller
-    incarnation: int  # of the controller's stream of updates
+    incarnation: int  # incarnation of the controller's stream of updates
     newest_number: int  # number of the newest update of that stream
-    contact_age_ms: int | None  # since the controller was in contact with a majority; None for never
+    contact_age_ms: int | None  # time since the controller last had contact with a majority; None for never
 
 
 class UpdateSubscription(Message, frozen=True, tag="news_subscription"):
-    """A node subscribes to a controller's updates from a position of its stream on."""
+    """A node subscribes to a controller's updates, starting after a position of the controller's stream."""
 
-    incarnation: int  # of the stream that the node knows
-    number: int  # of the newest update that it has of that stream
+    incarnation: int  # incarnation of the stream from which the node has updates
+    number: int  # number of the newest update that the node has of that stream
 
 
 class UpdateUnsubscription(Message, frozen=True, tag="news_unsubscription"):
-    """A node gets its updates from another process now."""
+    """A node ends its subscription to a controller's updates, as it gets them from another process."""
 
 
 class UpdateRequest(Message, frozen=True, tag="news_request"):
-    """A node asks once for the updates that it has missed."""
+    """A node requests, once, the updates that it has missed."""
 
-    incarnation: int  # of the stream that the node knows
-    number: int  # of the newest update that it has of that stream
+    incarnation: int  # incarnation of the stream from which the node has updates
+    number: int  # number of the newest update that the node has of that stream
 
 
 class Update(Message, frozen=True, tag="news"):
-    """What changed in a controller's stream, from the controller or from a relay."""
+    """An update of a controller's stream, sent by the controller or forwarded by a relay."""
 
-    change: StreamChange  # the difference, or the complete state
+    change: StreamChange  # the difference from an earlier state, or the complete state
 
 
 class GroupAnnouncement(Message, frozen=True, tag="group"):
-    """The controllers that replicate a shard, and the one that owns its singleton roles."""
+    """The group of controllers that replicate a shard, and the controller that owns its singleton roles."""
 
-    shard: int  # its number
-    epoch: int  # of the group
-    voters: list[str]  # names of its voting controllers
-    owner: str  # "" for none
-    fencing_token: int  # of the ownership
+    shard: int  # number of the shard
+    epoch: int  # epoch of the group
+    voters: list[str]  # names of the group's voting controllers
+    owner: str  # name of the owner; "" for none
+    fencing_token: int  # fencing token of the ownership
 
 
 class RevisionRead(Message, frozen=True, tag="revision_read"):
-    """A starting node asks for the newest revision, confirmed by a majority."""
+    """A starting node requests the newest revision of the configuration, confirmed by a majority."""
 
-    request: int  # number to be named in the answer
+    request: int  # number that identifies the request in the response
 
 
 class Revision(Message, frozen=True, tag="revision"):
-    """The answer to `RevisionRead`."""
+    """The response to `RevisionRead`."""
 
-    request: int  # number of the request that is answered
-    revision: int  # of the newest configuration; 0 if there is none, -1 if it is unknown
+    request: int  # number of the request
+    revision: int  # revision of the newest configuration; 0 if there is none, -1 if it is unknown
 
 
 class ConfigurationFetch(Message, frozen=True, tag="configuration_fetch"):
-    """A node asks for a configuration that a controller or a relay has announced."""
+    """A node requests a configuration that a controller or a relay has announced."""
 
-    request: int  # number to be named in the answer
-    revision: int  # the newest that was announced to the node
+    request: int  # number that identifies the request in the response
+    revision: int  # newest revision that was announced to the node
 
 
 class ConfigurationText(Message, frozen=True, tag="configuration_text"):
-    """The answer to `ConfigurationFetch`."""
+    """The response to `ConfigurationFetch`."""
 
-    request: int  # number of the request that is answered
-    revision: int  # -1 if it is unknown
-    text: bytes  # as `configuration_text` packs it
+    request: int  # number of the request
+    revision: int  # revision of the configuration; -1 if it is unknown
+    text: bytes  # the configuration, as `configuration_text` compresses it
 
 
-# Operation keys and quotas of retries
+# Operation keys and retry quotas
 
 
 class KeyClaim(Message, frozen=True, tag="key_claim"):
     """A node claims an operation key for one attempt."""
 
-    request: int  # number to be named in the answer
-    epoch: int  # of the group that is asked
+    request: int  # number that identifies the request in the response
+    epoch: int  # epoch of the group that the node knows
     key: str  # the operation key
-    attempt_id: str  # of the attempt that claims it
+    attempt_id: str  # id of the attempt that claims the key
 
 
 class KeyGrant(Message, frozen=True, tag="key_grant"):
-    """One controller's answer to a claim."""
+    """One controller's response to `KeyClaim`."""
 
-    request: int  # number of the request that is answered
-    epoch: int  # under which the claim was made
-    outcome: str  # `yours`, `held` by another attempt, or `wait`: the controller can't decide yet
-    answer: Any  # of the attempt that holds the key, if it is known
+    request: int  # number of the request
+    epoch: int  # epoch named in the claim
+    outcome: str  # `yours`, `held` (by another attempt) or `wait` (the controller can't decide yet)
+    answer: Any  # the answer to the attempt that holds the key, if it is known
 
 
 class KeyAnswer(Message, frozen=True, tag="key_answer"):
-    """The first attempt with a key was answered.
+    """The first attempt with an operation key was answered.
 
-    It is sent once to each controller of the key's shard and not acknowledged: a controller to which the node
-    has no link at that moment does not get it from the node.
+    The message is sent once to each controller of the key's shard and not acknowledged: a controller to which
+    the node has no link at that moment does not get it from the node.
     """
 
     key: str  # the operation key
-    attempt_id: str  # of the attempt that was executed
-    answer: Any  # as repeated calls with the key will get it
+    attempt_id: str  # id of the attempt that was executed
+    answer: Any  # the answer, as repeated calls with the key will get it
 
 
 class KeyRelease(Message, frozen=True, tag="key_release"):
-    """An attempt releases its key: it was not executed and never will be. Sent until acknowledged."""
+    """An attempt that was not and never will be executed releases its key; sent until acknowledged."""
 
-    number: int  # of the release, unique within the node's process; the answer names it
+    number: int  # number of the release, unique within the node's process; the acknowledgement repeats it
     key: str  # the operation key
-    attempt_id: str  # of the attempt that held it
+    attempt_id: str  # id of the attempt that held the key
 
 
 class KeyReleaseAck(Message, frozen=True, tag="key_release_ack"):
-    """A released key is durably deleted at the controller."""
+    """The acknowledgement of `KeyRelease`: the key is durably deleted at the controller."""
 
-    number: int  # of the release
+    number: int  # number of the release
 
 
 class RetryQuotaRequest(Message, frozen=True, tag="retry_share_request"):
-    """A node asks the owner of a service for a quota of its retries."""
+    """A node requests a quota of a service's retries from the controller that owns the service."""
 
-    service: str  # its name
-    node: str  # name of the node that asks
-    incarnation: int  # of the node's process
-    number: int  # of the request
-    retries_made: float  # in the last window
-    retries_wanted: float  # in the last window, with an unlimited quota
-    current_amount: float  # the quota that the node has now
-    fencing_token: int  # the highest that the node has seen
+    service: str  # name of the service
+    node: str  # name of the requesting node
+    incarnation: int  # incarnation of the node's process
+    number: int  # number of the request
+    retries_made: float  # retries that the node made in the last window
+    retries_wanted: float  # retries that the node would have made in the last window without a quota
+    current_amount: float  # the node's current quota, in retries per window
+    fencing_token: int  # highest fencing token that the node has seen
 
 
 class RetryQuota(Message, frozen=True, tag="retry_share"):
     """A node's quota of a service's retries."""
 
-    service: str  # its name
-    fencing_token: int  # of the controller's ownership of the service
-    number: int  # of the request
-    amount: float  # retries in any window
-    lease_s: float  # validity of the quota, counted from the request
+    service: str  # name of the service
+    fencing_token: int  # fencing token of the controller's ownership of the service
+    number: int  # number of the request
+    amount: float  # the quota, in retries per window
+    lease_s: float  # validity of the quota, in seconds from the request on
 
 
 # Between controllers
 
 
 class ControllerHello(Message, frozen=True, tag="controller_hello"):
-    """A controller names itself on a new link to another one."""
+    """A controller identifies itself on a new link to another controller."""
 
-    name: str  # of the controller
+    name: str  # name of the controller
 
 
 class Heartbeat(Message, frozen=True, tag="heartbeat"):
-    """A controller is alive."""
+    """The heartbeat of a controller, sent to the other controllers."""
 
-    name: str  # of the controller
-    number: int  # of the heartbeat
-    eligible: bool  # whether it can own singleton roles
-    versions: list[int]  # the newest that it knows of each shard
-    leaving: bool  # whether it is shutting down
-    missing_shards: list[int]  # shards whose state it has yet to learn
+    name: str  # name of the controller
+    number: int  # number of the heartbeat
+    eligible: bool  # whether the controller can own singleton roles
+    versions: list[int]  # newest version of each shard that the controller knows
+    leaving: bool  # whether the controller is shutting down
+    missing_shards: list[int]  # numbers of the shards whose state the controller still has to learn
 
 
 class HeartbeatAck(Message, frozen=True, tag="heartbeat_ack"):
-    """A heartbeat was received."""
+    """The acknowledgement of a heartbeat."""
 
-    name: str  # of the controller that received it
-    number: int  # of the heartbeat
-    fencing_tokens: list[int]  # the highest that it has voted for in each shard
+    name: str  # name of the controller that received the heartbeat
+    number: int  # number of the heartbeat
+    fencing_tokens: list[int]  # highest fencing token that this controller has voted for in each shard
 
 
 class ShardMessage(Message, frozen=True, tag="shard"):
-    """A message from one replica of a shard to another."""
+    """The envelope of a message from one replica of a shard to another."""
 
-    shard: int  # its number
-    body: ShardBody  # the message
+    shard: int  # number of the shard
+    body: ShardBody  # the message between the replicas
 
 
 # Between a node and its relay
 
 
 class RelaySubscription(Message, frozen=True, tag="relay_subscription"):
-    """A node asks another one to forward all updates to it."""
+    """A node asks another node to be its relay, which forwards all updates to it."""
 
-    name: str  # of the node that asks
-    boot: int  # random number of its process, chosen at its start
-    zone: str  # of the node that asks
-    positions: list[StreamPosition]  # what it has of each stream
+    name: str  # name of the requesting node
+    boot: int  # random number that identifies the requesting node's process, chosen at its start
+    zone: str  # zone of the requesting node
+    positions: list[StreamPosition]  # newest position that the requesting node has of each stream
 
 
 class RelayAccepted(Message, frozen=True, tag="relay_accepted"):
@@ -240,17 +242,17 @@
 
 
 class RelayFull(Message, frozen=True, tag="relay_full"):
-    """The relay rejects the node, as it has followers enough."""
+    """The relay rejects the node, as it has as many followers as it can serve."""
 
 
 class RelayPositions(Message, frozen=True, tag="relay_positions"):
-    """A node reports to its relay what it has received."""
+    """A node reports to its relay which updates it has received."""
 
-    positions: list[StreamPosition]  # what it has of each stream
+    positions: list[StreamPosition]  # newest position that the node has of each stream
 
 
 class RelayAlive(Message, frozen=True, tag="relay_alive"):
-    """The relay is alive and has received the positions."""
+    """The acknowledgement of `RelayPositions`, which also shows that the relay is alive."""
 
 
 MESSAGE_TYPES: tuple[type[Message], ...] = (
--- a/orchidferry/mesh/wire/shard_messages.py
+++ b/orchidferry/mesh/wire/shard_messages.py
@@ -1,6 +1,6 @@
-"""The messages between the replicas of one shard, one type each: they are sent inside a `ShardMessage`.
+"""The messages between the replicas of one shard, one type each; they are sent inside a `ShardMessage`.
 
-A state is sent as the list that `shard_state_codec.pack_value` makes; on disk it has the same form.
+A state is sent as the list that `shard_state_codec.pack_value` returns, which is also its format on disk.
 """
 
 from __future__ import annotations
@@ -9,52 +9,54 @@
 
 import msgspec
 
-Ballot = tuple[int, str]  # counter and name of the proposer
-PackedVoter = tuple[str, int]  # name and memory number
-PackedState = list[Any] | None  # as `shard_state_codec.pack_value` makes it
-KeyRow = tuple[str, tuple[str, int, Any], bool]  # key; attempt id, time slot, answer; whether it is answered
+Ballot = tuple[int, str]  # counter, name of the proposer
+PackedVoter = tuple[str, int]  # name, disk id
+PackedState = list[Any] | None  # a state as `shard_state_codec.pack_value` returns it
+# A record or a release of an operation key: the key; attempt id, age bucket (`key_transfer.RELEASED` for a
+# release), answer; whether the attempt was answered, even if the answer is omitted.
+KeyRow = tuple[str, tuple[str, int, Any], bool]
 
 
 class ShardBodyBase(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """The base of all messages between replicas of a shard."""
 
 
-# The register
+# The replicated register (CASPaxos)
 
 
 class RegisterPrepare(ShardBodyBase, frozen=True, tag="prepare"):
     """`register.Prepare` on the wire."""
 
-    ballot: Ballot  # that is prepared
+    ballot: Ballot  # the ballot to be promised
     intent: list[str] | None  # purpose of the proposal, if voters may object to it
-    known_ballot: Ballot  # of the state that the proposer has already
+    known_ballot: Ballot  # ballot of the state that the proposer already has
 
 
 class RegisterPromise(ShardBodyBase, frozen=True, tag="promise"):
     """`register.Promise` on the wire."""
 
-    ballot: Ballot  # that is answered
-    voter: PackedVoter  # who promises
-    promised: Ballot  # a rejection if it is above `ballot`
-    accepted: Ballot  # the newest that this voter accepted
-    state: PackedState  # of that one, unless the proposer has it
+    ballot: Ballot  # the ballot of `RegisterPrepare`
+    voter: PackedVoter  # the sender of the promise
+    promised: Ballot  # highest ballot that the voter has promised; above `ballot` in a rejection
+    accepted: Ballot  # newest ballot in which this voter accepted a state
+    state: PackedState  # the state accepted in that ballot, unless the proposer already has it
     objection: str  # why the voter objects to the change; "" if it does not
 
 
 class RegisterAccept(ShardBodyBase, frozen=True, tag="accept"):
     """`register.Accept` on the wire."""
 
-    ballot: Ballot  # that is to be accepted
-    state: PackedState  # complete, or the difference from the state of `base`
-    base: Ballot | None  # ballot of the state that the voter has already
+    ballot: Ballot  # the ballot to be accepted
+    state: PackedState  # the proposed state, complete or as the difference from the state of `base`
+    base: Ballot | None  # ballot of a state that the voter already has; None for a complete state
 
 
 class RegisterAccepted(ShardBodyBase, frozen=True, tag="accepted"):
     """`register.Accepted` on the wire."""
 
-    ballot: Ballot  # that is answered
-    voter: PackedVoter  # who answers
-    promised: Ballot  # a rejection if it is above `ballot`
+    ballot: Ballot  # the ballot of `RegisterAccept`
+    voter: PackedVoter  # the sender of this message
+    promised: Ballot  # highest ballot that the voter has promised; above `ballot` in a rejection
 
 
 RegisterBody = RegisterPrepare | RegisterPromise | RegisterAccept | RegisterAccepted
@@ -63,8 +65,8 @@
 class RegisterMessage(ShardBodyBase, frozen=True, tag="register"):
     """A message of the replicated register."""
 
-    sender: str  # the controller's name
-    body: RegisterBody  # the message
+    sender: str  # name of the sending controller
+    body: RegisterBody  # the message of the register
 
 
 # Decided states and reads
@@ -73,129 +75,129 @@
 class DecidedState(ShardBodyBase, frozen=True, tag="decided_state"):
     """A state that was decided."""
 
-    state: PackedState  # complete
+    state: PackedState  # the complete state
 
 
 class DecidedBallot(ShardBodyBase, frozen=True, tag="decided_ballot"):
-    """The state of a ballot that the receiver was asked to accept was decided."""
+    """The ballot that the receiver was asked to accept was decided."""
 
-    ballot: Ballot  # that was decided
-    version: int  # of its state
+    ballot: Ballot  # the decided ballot
+    version: int  # version of the state that was decided in it
 
 
 class DecidedStateRequest(ShardBodyBase, frozen=True, tag="decided_state_request"):
-    """A controller asks for the newest state that is known to be decided."""
+    """A controller requests the newest state that is known to be decided."""
 
-    version: int  # the newest that it knows
+    version: int  # newest version that the requesting controller knows
 
 
 class AcceptedStateRequest(ShardBodyBase, frozen=True, tag="accepted_state_request"):
-    """A reader asks a voter what it has accepted."""
+    """A reader asks a voter which state it has accepted."""
 
-    reading: int  # number of the read, to be named in the answer
-    known_ballot: Ballot  # of the state that the reader has already
+    reading: int  # number that identifies the read in the response
+    known_ballot: Ballot  # ballot of the state that the reader already has
 
 
 class AcceptedState(ShardBodyBase, frozen=True, tag="accepted_state"):
-    """What a voter has accepted."""
+    """The response to `AcceptedStateRequest`."""
 
-    reading: int  # number of the read that is answered
-    voter: PackedVoter  # who answers
-    accepted: Ballot  # the newest that it accepted
-    state: PackedState  # of that one, unless the reader has it
+    reading: int  # number of the read
+    voter: PackedVoter  # the responding voter
+    accepted: Ballot  # newest ballot in which the voter accepted a state
+    state: PackedState  # the state accepted in that ballot, unless the reader already has it
 
 
 # Configuration changes and membership of the group
 
 
 class OrdersRequest(ShardBodyBase, frozen=True, tag="orders_request"):
-    """A controller asks for configuration changes that are older than those it knows."""
+    """A controller requests configuration changes that are older than those that it knows."""
 
-    number: int  # of the oldest change that it knows
-    digest: bytes  # of that one
+    number: int  # number of the oldest change that the requesting controller knows
+    digest: bytes  # digest of that change
 
 
 class Orders(ShardBodyBase, frozen=True, tag="orders"):
-    """Older configuration changes, without a gap."""
+    """The response to `OrdersRequest`: older configuration changes, without a gap."""
 
-    orders: list[tuple[int, bytes]]  # number and digest of each, the newest last
-    complete: bool  # whether they begin with the very first change
+    orders: list[tuple[int, bytes]]  # number and digest of each change, the newest last
+    complete: bool  # whether the list begins with the very first change
 
 
 class JoinRequest(ShardBodyBase, frozen=True, tag="join_request"):
     """A controller asks to become a voter of the group."""
 
-    name: str  # of the controller
-    memory: int  # memory number that it would vote with
-    epoch: int  # the last that it knows
-    ready: bool  # whether it has caught up as far as a non-voter can
+    name: str  # name of the controller
+    memory: int  # disk id with which the controller would vote
+    epoch: int  # last epoch of the group that the controller knows
+    ready: bool  # whether the controller has caught up as far as a non-voter can
 
 
 # Repair of operation keys
 
 
 class KeyPageRequest(ShardBodyBase, frozen=True, tag="key_page_request"):
-    """A learner asks a source for its next page of keys."""
+    """A learner requests the next page of operation keys from a source, which is another replica."""
 
-    name: str  # of the learner
-    number: int  # of the request
-    as_voter: bool  # whether it asks as a voter of `epoch`
-    epoch: int  # of the group that the learner knows
-    incarnation: str  # of the source's process from which the learner has copied so far
-    sequence: int  # number of the last change that the learner has on disk
-    omit_answers: bool  # whether the page is to come without answers
+    name: str  # name of the learner
+    number: int  # number of the request
+    as_voter: bool  # whether the learner asks as a voter of `epoch`
+    epoch: int  # epoch of the group that the learner knows
+    incarnation: str  # incarnation of the source's process from which the learner has copied so far
+    sequence: int  # number of the source's last change that the learner has on disk
+    omit_answers: bool  # whether the page must not contain answers
 
 
 class KeyPage(ShardBodyBase, frozen=True, tag="key_page"):
-    """A page of a source's keys."""
+    """The response to `KeyPageRequest`: a page of the source's operation keys."""
 
-    name: str  # of the source
-    number: int  # of the request
-    sequence: int  # number of the last change that the learner has with this page
-    rows: list[KeyRow]  # the keys
+    name: str  # name of the source
+    number: int  # number of the request
+    sequence: int  # number of the source's last change that the learner has once it has stored this page
+    rows: list[KeyRow]  # records and releases of operation keys
     last: bool  # whether no newer change follows
-    incarnation: str  # of the source's process
+    incarnation: str  # incarnation of the source's process
     as_voter: bool  # as in the request
 
 
 class KeyPageRejection(ShardBodyBase, frozen=True, tag="key_page_refusal"):
-    """A source can't send a page at the moment."""
+    """The response to `KeyPageRequest` if the source can't send a page at the moment."""
 
-    name: str  # of the source
-    number: int  # of the request
+    name: str  # name of the source
+    number: int  # number of the request
 
 
 class KeyRecordsRequest(ShardBodyBase, frozen=True, tag="key_records_request"):
-    """A learner asks for the records of keys whose answers a page omitted."""
+    """A learner requests the complete records of operation keys from a page without answers."""
 
-    name: str  # of the learner
-    number: int  # of the request for the page
-    keys: list[str]  # whose records are missing
+    name: str  # name of the learner
+    number: int  # number of the request for the page
+    keys: list[str]  # the operation keys
 
 
 class KeyRecords(ShardBodyBase, frozen=True, tag="key_records"):
-    """Complete records of some keys."""
+    """The response to `KeyRecordsRequest`: complete records of some operation keys."""
 
-    name: str  # of the source
-    number: int  # of the request for the page
-    rows: list[KeyRow]  # the records
-    keys_covered: int  # how many of the requested keys are dealt with by these records
+    name: str  # name of the source
+    number: int  # number of the request for the page
+    rows: list[KeyRow]  # records and releases of operation keys
+    keys_covered: int  # number of requested keys, from the first on, that this response covers
 
 
 class Handoff(ShardBodyBase, frozen=True, tag="handoff"):
-    """A page of the keys that a controller missed while it was unreachable (hinted handoff)."""
+    """A page of the operation keys that a controller missed while it was unreachable (hinted handoff)."""
 
-    name: str  # of the sender
-    epoch: int  # of the group
-    number: int  # of the page
-    rows: list[KeyRow]  # the keys
+    name: str  # name of the sender
+    epoch: int  # epoch of the group
+    number: int  # number of the page
+    rows: list[KeyRow]  # records and releases of operation keys
 
 
 class HandoffAck(ShardBodyBase, frozen=True, tag="handoff_ack"):
-    """A page of a handoff is durably stored."""
+    """The acknowledgement of `Handoff`: the page is durably stored."""
 
-    name: str  # of the receiver of the page
-    number: int  # of the page
+    name: str  # name of the controller that received the page
+    number: int  # number of the page
 
 
 ShardBody = (
@@ -219,5 +221,8 @@
 
 
 def tag_of(message: msgspec.Struct | type[msgspec.Struct]) -> str:
-    """Return the tag that names a type of message on the wire."""
+    """Return the tag that identifies a type of message on the wire.
+
+    :param message: the type, or a message of it
+    """
     return str(message.__struct_config__.tag)
--- a/orchidferry/node/fleet/__init__.py
+++ b/orchidferry/node/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""The nodes of a fleet, over UDP and TCP: the thin shell round `orchidferry.balancing.fleet`.
+"""Membership of a fleet of nodes, over UDP and TCP: the I/O around `orchidferry.balancing.fleet`.
 
-`settings` reads the operator's file, `wire` writes and reads messages, `shell` has the sockets, the timers,
-the disk and the journal. Nothing of it is imported where `ORCHIDFERRY_FLEET` is not set.
+`settings` reads the settings file, `wire` encodes and decodes messages, `saved_state` defines the state file
+and `journal` the journal; `shell` connects all of them to sockets and timers. Nothing of this package is
+imported unless `ORCHIDFERRY_FLEET` is set.
 """
--- a/orchidferry/node/fleet/journal.py
+++ b/orchidferry/node/fleet/journal.py
@@ -1,4 +1,4 @@
-"""The journal of a fleet's member: one line of JSON for each change of its view."""
+"""The journal of a fleet member: one line of JSON for each change of its view of the fleet."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from orchidferry.balancing.fleet.members import Entry
 from orchidferry.node.clock import now_ms
 
-MAX_JOURNAL = 8 * 1024 * 1024  # bytes of a file; one older file is kept
+MAX_FILE_BYTES = 8 * 1024 * 1024  # a file that reaches this size is rotated; one older file is kept
 
 
 def describe(entry: Entry) -> dict[str, Any]:
-    """Return a member's entry as JSON values."""
+    """Return the entry of a member as a JSON object, for the journal and the admin server's page."""
     return {
         "name": entry.name,
         "address": f"{entry.host}:{entry.port}",
@@ -31,12 +31,16 @@
 
 
 class Journal:
-    """A file with one line for each change, with both clocks; its size is bounded."""
+    """A file with one line for each change, with the monotonic and the wall clock; its size is bounded."""
 
     def __init__(self, path: Path) -> None:
-        """:raises OSError: if the file can't be written."""
+        """Open the journal, or create it.
+
+        :param path: path of the file; the older file has the same path with the suffix ".1".
+        :raises OSError: if the file can't be written.
+        """
         handler = logging.handlers.RotatingFileHandler(
-            path, maxBytes=MAX_JOURNAL, backupCount=1, encoding="utf-8"
+            path, maxBytes=MAX_FILE_BYTES, backupCount=1, encoding="utf-8"
         )
         handler.setFormatter(logging.Formatter("%(message)s"))
         self._log = logging.Logger("orchidferry.node.fleet.journal")
@@ -44,9 +48,12 @@
         self._handler = handler
 
     def put(self, **fields: Any) -> None:
-        """Write a line with these fields."""
+        """Append a line.
+
+        :param fields: its fields beside the times.
+        """
         self._log.info(json.dumps({"t_ms": now_ms(), "wall_ms": time.time() * 1000.0} | fields))
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the journal's file."""
         self._handler.close()
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The operators' file for a fleet of nodes (`ORCHIDFERRY_FLEET`), as typed values."""
+"""Reads a node's fleet settings file (`ORCHIDFERRY_FLEET`) and its key file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from orchidferry.node.config import ConfigError, read_toml_file
 from orchidferry.node.shared_keys import Keys, parse_keys
 
-KNOWN = {
+KNOWN_FIELDS = {
     "name",
     "listen",
     "advertise",
@@ -27,10 +27,10 @@
     "probe_ms",
     "most",
 }
-MAX_KEYS = 2  # at a time: the old one and the new one during a rotation
-DEFAULT_PROBE_MS = 1_000.0
+MAX_KEYS = 2  # keys in a key file: the old and the new one during a rotation
+DEFAULT_PROBE_MS = 1_000.0  # time between two probes
 PROBE_RANGE_MS = (50.0, 60_000.0)
-DEFAULT_MAX_NODES = 1_024
+DEFAULT_MAX_NODES = 1_024  # largest fleet, including this node
 MAX_NODES_RANGE = (2, 10_000)
 
 
@@ -38,59 +38,65 @@
 class MemberSettings:
     """The settings of a member of the fleet."""
 
-    name: str
-    listen: Address  # UDP and TCP
-    advertise: Address  # where peers reach it
-    zone: str
-    version: str
-    seeds: tuple[Address, ...]
-    keys: Path
-    state: Path | None  # directory of the state; None: it is not saved
-    journal: Path | None  # see `journal`
-    timing: Timing
-    max_nodes: int
+    name: str  # name of the member, unique in the fleet
+    listen: Address  # address to listen on, over UDP and TCP
+    advertise: Address  # address at which peers reach this member
+    zone: str  # zone of the member; "" for none
+    version: str  # version of program and settings, as the operators name it; "" for none
+    seeds: tuple[Address, ...]  # addresses of members to contact first
+    keys: Path  # key file
+    state: Path | None  # directory of the state file; None: the state is not saved
+    journal: Path | None  # journal file; None: no journal is written
+    timing: Timing  # intervals and timeouts of the membership protocol
+    max_nodes: int  # largest fleet, including this node
 
 
 def read_fleet(path: str, name: str) -> MemberSettings:
-    """Read the file.
+    """Read a fleet settings file.
 
-    :param name: of the member, if the file has none.
-    :raises ConfigError: names the file and what is wrong with it.
+    :param path: path of the file.
+    :param name: name of the member, unless the file sets one.
+    :raises ConfigError: if the file can't be read or is invalid; the text names the file and the error.
     """
     return read_toml_file("ORCHIDFERRY_FLEET", path, lambda obj: _decode(obj, Path(path).parent, name))
 
 
 def _ip_address(field: str, value: object) -> Address:
-    """Parse an address whose host is a number: peers are reached without a name service."""
+    """Parse an address with a numeric host: peers are reached without a name service.
+
+    :param field: name of the field, for error texts.
+    :param value: value of the field.
+    """
     if not isinstance(value, str):
         raise SettingsFormatError(f"{field}: must be host:port")
     host, port = parse_address(value)
     try:
         return str(ipaddress.ip_address(host)), port
     except ValueError:
-        raise SettingsFormatError(f"{field}: {host!r:.60} is no IP address") from None
+        raise SettingsFormatError(f"{field}: {host!r:.60} is not an IP address") from None
 
 
 def _decode(obj: Json, folder: Path, name: str) -> MemberSettings:
-    """Check the tables of a fleet settings file.
+    """Check the content of a fleet settings file and convert it.
 
-    :param folder: what paths in the file are relative to.
-    :param name: the node's own, if the file has none.
+    :param obj: the parsed file.
+    :param folder: directory to which paths in the file are relative.
+    :param name: name of the member, unless the file sets one.
     """
-    if unknown := sorted(obj.keys() - KNOWN):
-        raise SettingsFormatError(f"{unknown[0]!r} is not known")
+    if unknown := sorted(obj.keys() - KNOWN_FIELDS):
+        raise SettingsFormatError(f"{unknown[0]!r} is not a known field")
     listen = _ip_address("listen", get(obj, "listen", str))
     advertise = _ip_address("advertise", obj["advertise"]) if "advertise" in obj else listen
     if ipaddress.ip_address(advertise[0]).is_unspecified or not advertise[1]:
         raise SettingsFormatError(
-            "'advertise' must say where peers reach this node: an address and a port, not 0"
+            "'advertise' must be the address and port at which peers reach this node, neither of them zero"
         )
     seeds = get_optional(obj, "seeds", list, [])
     if len(seeds) > MAX_SEEDS:
-        raise SettingsFormatError(f"seeds: {len(seeds)}, {MAX_SEEDS} at most")
+        raise SettingsFormatError(f"'seeds' must have {MAX_SEEDS} entries at most, not {len(seeds)}")
     keys = _path(obj, "keys", folder)
     if keys is None:
-        raise SettingsFormatError("'keys' is missing: the file with the fleet's keys")
+        raise SettingsFormatError("'keys' is missing: the path of the file with the fleet's keys")
     timing = scaled(_probe_interval_ms(obj))
     max_nodes = _max_nodes(obj)
     own_name = _text(obj, "name", name, MAX_NAME)
@@ -142,9 +148,9 @@
 
 
 def scaled(probe_ms: float) -> Timing:
-    """Return all times in proportion to the probe interval, except how long members that left are kept.
+    """Return the default timing scaled to a probe interval; only how long members that left are kept is not.
 
-    :param probe_ms: time between two probes.
+    :param probe_ms: time between two probes, in ms.
     """
     timing = Timing()
     factor = probe_ms / timing.interval_ms
@@ -159,22 +165,23 @@
 
 
 def read_key_file(path: Path) -> Keys:
-    """Read a file of keys, one `NAME=SECRET` a line; the first signs, all are accepted.
+    """Read a key file, which has one `NAME=SECRET` per line: the first key signs, all keys are accepted.
 
-    :raises ConfigError: says what is wrong, and never contains a secret.
+    :param path: path of the file.
+    :raises ConfigError: if the file can't be read or is invalid; the text never contains a secret.
     """
     try:
         if path.stat().st_mode & 0o077:
-            raise ConfigError(f"{path}: others than its owner may read it: chmod 600")
+            raise ConfigError(f"{path}: only its owner may have access to the file: chmod 600")
         lines = path.read_text(encoding="utf-8").splitlines()
     except OSError as problem:
         raise ConfigError(f"can't read the fleet's keys: {problem}") from None
     except UnicodeDecodeError as problem:
-        raise ConfigError(f"{path}: not UTF-8 at byte {problem.start}") from None
+        raise ConfigError(f"{path}: invalid UTF-8 at byte {problem.start}") from None
     try:
         keys = parse_keys([line for line in lines if line.strip() and not line.startswith("#")], MAX_KEYS)
     except SettingsFormatError as problem:
         raise ConfigError(f"{path}: {problem}") from None
     if not keys:
-        raise ConfigError(f"{path}: holds no key")
+        raise ConfigError(f"{path}: contains no key")
     return keys
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -335,7 +335,7 @@
                 self._loop.remove_reader(udp)
                 self._reading = False
                 self._loop.call_later(READ_PAUSE_S, self._start_reading)
-                self._reject(DatagramError("flood", f"exceeds the limit of {MAX_READS_PER_S:g} per second"))
+                self._reject(DatagramError("flood", f"more than {MAX_READS_PER_S:g} datagrams per second"))
                 return
             try:
                 data = udp.recv(MAX_DATAGRAM_BYTES + 1)
@@ -347,7 +347,7 @@
         self.counts["got"] += 1
         try:
             if len(data) > MAX_DATAGRAM_BYTES:
-                raise DatagramError("foreign", "is a datagram above the size limit")
+                raise DatagramError("foreign", "datagram above the size limit")
             body, key = self._sealer.open(data)
             message = wire.decode(body)
         except DatagramError as problem:
@@ -371,7 +371,7 @@
         self.counts[f"refused_{problem.kind}"] += 1
         if self._loop.time() - self._last_logged_s.get(problem.kind, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
             self._last_logged_s[problem.kind] = self._loop.time()
-            log.warning("fleet: message rejected: it %s", problem)
+            log.warning("fleet: message rejected: %s", problem)
 
     # State exchanges
 
@@ -427,7 +427,7 @@
     async def _read_frame(self, reader: asyncio.StreamReader) -> bytes:
         (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
         if length > 4 * 1024 + MAX_ENTRY_BYTES * self._settings.max_nodes:
-            raise DatagramError("foreign", f"announces a length of {length} bytes, which exceeds the limit")
+            raise DatagramError("foreign", f"frame of {length} bytes, which exceeds the limit")
         return await reader.readexactly(length)
 
     async def _receive_state(self, data: bytes, answers: list[api.Message]) -> Address:
--- a/orchidferry/node/fleet/wire.py
+++ b/orchidferry/node/fleet/wire.py
@@ -1,9 +1,9 @@
-"""Messages between nodes as bytes: msgpack within a keyed BLAKE2b tag.
+"""The encoding of messages between nodes: MessagePack, authenticated by a keyed BLAKE2b tag.
 
-Later formats only add fields. A message has the format of its sender (`v`) and the oldest one that can read
-it (`l`). Fields of an entry that this program does not know are passed on as they came; those that an older
-one omits have their defaults. A message that is incomplete, unknown or not authentic raises `DatagramError`,
-and changes nothing.
+Later formats only add fields. A message names the format of its sender (`v`) and the oldest format that can
+read it (`l`). Fields of an entry that this program does not know are forwarded unchanged; fields that an
+older program omits get their defaults. A message that is incomplete, unknown or not authentic raises
+`DatagramError` and has no effect.
 """
 
 from __future__ import annotations
@@ -22,17 +22,18 @@
 from orchidferry.node.incremental import run_to_completion
 from orchidferry.node.shared_keys import Keys
 
-FORMAT = 1  # that this program writes
-MIN_READABLE_FORMAT = 1  # the oldest format that can read it
-MAGIC = b"\xf5\x0f"
-KEY_ID_BYTES = 4  # of a hash of the key's name
-TAG_BYTES = 16  # forging one takes 2^127 attempts
+FORMAT = 1  # format of the messages that this program writes
+MIN_READABLE_FORMAT = 1  # the oldest format that can read these messages
+MAGIC = b"\xf5\x0f"  # the first bytes of each message
+KEY_ID_BYTES = 4  # a key is identified by a hash of its name, of this size
+TAG_BYTES = 16  # forging a tag of this size takes 2^127 attempts on average
 HEADER_BYTES = len(MAGIC) + KEY_ID_BYTES + TAG_BYTES
-MAX_DATAGRAM_BYTES = 1_400  # bytes
-ENTRIES_PER_STEP = 64  # entries that are decoded in one go: under 1 ms
-PERSON = b"fleet"  # personalization of the hash, as the keys may be used elsewhere too
+MAX_DATAGRAM_BYTES = 1_400  # largest datagram
+ENTRIES_PER_STEP = 64  # entries that are decoded in one step, which takes less than 1 ms
+HASH_PERSONALIZATION = b"fleet"  # separates these tags from other uses of the same keys
 
-FIELDS: dict[str, tuple[str, type]] = {
+# The keys of an entry's map in a message, with the name and the type of the field of `Entry`.
+FIELD_BY_KEY: dict[str, tuple[str, type]] = {
     "n": ("name", str),
     "h": ("host", str),
     "p": ("port", int),
@@ -44,13 +45,17 @@
     "v": ("version", str),
     "b": ("by", str),
 }
-REQUIRED = ("n", "h", "p", "l")
-PHASES = {phase.value: phase for phase in Phase}
-KINDS = {kind.value: kind for kind in Kind}
+REQUIRED_KEYS = ("n", "h", "p", "l")
+PHASE_BY_VALUE = {phase.value: phase for phase in Phase}
+KIND_BY_VALUE = {kind.value: kind for kind in Kind}
 
 
 class DatagramError(OrchidferryError):
-    """A message that can't be used; `kind` is foreign, forged, garbled, later or flood."""
+    """A message can't be used; the text is one line.
+
+    :ivar kind: `foreign` (not a message of a fleet), `forged` (not authentic), `garbled` (malformed), `later`
+        (of a later format) or `flood` (over the rate limit)
+    """
 
     def __init__(self, kind: str, reason: str) -> None:
         super().__init__(reason)
@@ -58,48 +63,56 @@
 
 
 class Sealer:
-    """Authenticates messages: one key signs, tags made with any of them are accepted."""
+    """Authenticates messages: the first key signs, the tags of all keys are accepted.
+
+    :ivar names: names of the keys
+    :ivar first: id of the key that signs
+    """
 
     def __init__(self, keys: Keys) -> None:
         self.names = [name for name, _ in keys]
         self._keys: dict[bytes, bytes] = {}
         for name, secret in keys:
             key_id = hashlib.blake2b(name.encode(), digest_size=KEY_ID_BYTES).digest()
-            self._keys[key_id] = hashlib.blake2b(secret, person=PERSON).digest()
-        self.first = next(iter(self._keys))  # id of the key that signs
+            self._keys[key_id] = hashlib.blake2b(secret, person=HASH_PERSONALIZATION).digest()
+        self.first = next(iter(self._keys))
 
     def seal(self, body: bytes, key: bytes | None = None) -> bytes:
-        """Return a body with its tag.
+        """Return a message: a body with the header that authenticates it.
 
-        :param key: id of the key to use if it is still valid; else the first key is used.
+        :param body: the body.
+        :param key: id of the key to sign with; the first key is used if there is no such key.
         """
         key_id = key if key is not None and key in self._keys else self.first
         return MAGIC + key_id + self._tag(key_id, body) + body
 
     def open(self, data: bytes) -> tuple[bytes, bytes]:
-        """Check a message.
+        """Verify a message.
 
-        :returns: its body, and the id of its key.
-        :raises DatagramError: if it is not authentic.
+        :param data: the message, as `seal` returns it.
+        :returns: the body of the message, and the id of the key that signed it.
+        :raises DatagramError: if the message is not authentic.
         """
         if len(data) <= HEADER_BYTES or not data.startswith(MAGIC):
-            raise DatagramError("foreign", "is no message of a fleet")
+            raise DatagramError("foreign", "not a fleet message")
         key_id = data[len(MAGIC) : len(MAGIC) + KEY_ID_BYTES]
         tag = data[len(MAGIC) + KEY_ID_BYTES : HEADER_BYTES]
         body = data[HEADER_BYTES:]
         if key_id not in self._keys:
-            raise DatagramError("forged", "is tagged with a key that is not known here")
+            raise DatagramError("forged", "signed with an unknown key")
         if not hmac.compare_digest(tag, self._tag(key_id, body)):
-            raise DatagramError("forged", "does not fit its tag")
+            raise DatagramError("forged", "the tag does not match the message")
         return body, key_id
 
     def _tag(self, key_id: bytes, body: bytes) -> bytes:
-        return hashlib.blake2b(body, digest_size=TAG_BYTES, key=self._keys[key_id], person=PERSON).digest()
+        return hashlib.blake2b(
+            body, digest_size=TAG_BYTES, key=self._keys[key_id], person=HASH_PERSONALIZATION
+        ).digest()
 
 
 @functools.lru_cache(maxsize=4096)
 def entry_bytes(entry: Entry) -> bytes:
-    """Return an entry as bytes; cached, as an entry is sent often and changes rarely."""
+    """Encode an entry; the result is cached, as an entry is sent often and changes rarely."""
     fields: dict[str, Any] = {"n": entry.name, "h": entry.host, "p": entry.port, "l": entry.life}
     if entry.incarnation:
         fields["i"] = entry.incarnation
@@ -115,7 +128,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's body."""
+    """Return the body of a message, without the header that authenticates it."""
     pack = msgpack.packb
     parts = [
         b"",
@@ -148,29 +161,29 @@
 
 
 def decode(body: bytes) -> Message:
-    """Return the message in a body.
+    """Decode the body of a message.
 
-    :raises DatagramError: if there is none.
+    :raises DatagramError: if the body is malformed or of a format that this program can't read.
     """
     return run_to_completion(decode_stepwise(body))
 
 
 def decode_stepwise(body: bytes) -> Generator[None, None, Message]:
-    """Like `decode`, in steps of `ENTRIES_PER_STEP` entries: a state of 1,000 takes some 10 ms."""
+    """Decode like `decode`, in steps of `ENTRIES_PER_STEP` entries: a state of 1,000 takes about 10 ms."""
     try:
         obj = msgpack.unpackb(body, strict_map_key=True)
-    except Exception as problem:  # the library's own kinds, and what its checks raise
-        raise DatagramError("garbled", f"can't be read: {type(problem).__name__}") from None
+    except Exception as problem:  # msgpack raises many types of exceptions, both its own and built-in ones
+        raise DatagramError("garbled", f"can't be decoded: {type(problem).__name__}") from None
     if not isinstance(obj, dict):
-        raise DatagramError("garbled", "is no map")
+        raise DatagramError("garbled", "not a map")
     if _integer(obj, "l", 1) > FORMAT:
-        raise DatagramError("later", f"needs format {obj['l']}, and this program reads {FORMAT}")
+        raise DatagramError("later", f"format {obj['l']} is needed, but this program reads format {FORMAT}")
     kind = obj.get("k")
-    if not isinstance(kind, str) or kind not in KINDS:
-        raise DatagramError("garbled" if "k" not in obj else "later", f"is of a kind not known: {kind!r:.40}")
+    if not isinstance(kind, str) or kind not in KIND_BY_VALUE:
+        raise DatagramError("garbled" if "k" not in obj else "later", f"unknown kind {kind!r:.40}")
     updates = obj.get("w", ())
     if not isinstance(updates, list | tuple):
-        raise DatagramError("garbled", "w: is no list")
+        raise DatagramError("garbled", "w is not a list")
     target = obj.get("g")
     entries = []
     for n, item in enumerate(updates, 1):
@@ -178,7 +191,7 @@
         if n % ENTRIES_PER_STEP == 0:
             yield
     return Message(
-        KINDS[kind],
+        KIND_BY_VALUE[kind],
         read_entry(obj.get("s")),
         _integer(obj, "t"),
         _integer(obj, "n"),
@@ -191,33 +204,36 @@
 def _integer(obj: dict[str, Any], key: str, default: int = 0) -> int:
     value = obj.get(key, default)
     if type(value) is not int or not 0 <= value < 2**64:
-        raise DatagramError("garbled", f"{key}: {value!r:.40} is no whole number")
+        raise DatagramError("garbled", f"{key} is {value!r:.40}, not an unsigned 64-bit integer")
     return value
 
 
 def read_entry(obj: object) -> Entry:
-    """Return the entry in a map.
+    """Decode an entry.
 
-    :raises DatagramError: if there is none.
+    :param obj: the map that encodes the entry.
+    :raises DatagramError: if the entry is malformed.
     """
     if not isinstance(obj, dict):
-        raise DatagramError("garbled", "an entry is no map")
+        raise DatagramError("garbled", "an entry is not a map")
     values: dict[str, Any] = {}
-    for key, (name, kind) in FIELDS.items():
+    for key, (name, field_type) in FIELD_BY_KEY.items():
         if key in obj:
-            if type(obj[key]) is not kind:
-                raise DatagramError("garbled", f"{name}: {obj[key]!r:.40} is no {kind.__name__}")
+            if type(obj[key]) is not field_type:
+                raise DatagramError(
+                    "garbled", f"{name} of an entry is {obj[key]!r:.40}, not of type {field_type.__name__}"
+                )
             values[name] = obj[key]
-        elif key in REQUIRED:
-            raise DatagramError("garbled", f"{name}: is missing")
+        elif key in REQUIRED_KEYS:
+            raise DatagramError("garbled", f"{name} of an entry is missing")
     if len(obj) > len(values):
-        unknown = {key: value for key, value in obj.items() if key not in FIELDS}
+        unknown = {key: value for key, value in obj.items() if key not in FIELD_BY_KEY}
         values["unknown_fields"] = bytes(msgpack.packb(unknown))
     if not 0 <= (status := values.get("status", 0)) <= Status.LEFT:
-        raise DatagramError("garbled", f"status: {status} is none")
+        raise DatagramError("garbled", f"unknown status {status} of an entry")
     values["status"] = Status(status)
-    # To a member in a phase that only a later program knows nothing is sent.
-    values["phase"] = PHASES.get(values.get("phase", ""), Phase.STARTING)
+    # A phase that only a later program knows is read as STARTING: such a member must not be sent requests.
+    values["phase"] = PHASE_BY_VALUE.get(values.get("phase", ""), Phase.STARTING)
     entry = Entry(**values)
     if problem := problem_of(entry):
         raise DatagramError("garbled", problem)
--- a/tests/node/fleet/test_shell.py
+++ b/tests/node/fleet/test_shell.py
@@ -181,7 +181,7 @@
     entry = wire.read_entry(later)
     assert entry.phase is Phase.STARTING and msgpack.unpackb(entry.unknown_fields) == {"q": [1, 2]}
     assert msgpack.unpackb(wire.entry_bytes(entry))["q"] == [1, 2]
-    older = {key: later[key] for key in wire.REQUIRED}
+    older = {key: later[key] for key in wire.REQUIRED_KEYS}
     assert wire.read_entry(older) == Entry("me", "127.0.0.1", 9, 2**63 + 5)
     body = msgpack.unpackb(wire.encode(message))
     assert wire.decode(msgpack.packb(body | {"v": 9, "new": 1})) == message
@@ -210,8 +210,8 @@
 HERE = 'listen = "127.0.0.1:1"\n'
 BAD = {
     "listen = 3": "'listen' must be a string",
-    'listen = "a:1"': "listen: 'a' is no IP address",
-    HERE + "odd = 1": "'odd' is not known",
+    'listen = "a:1"': "listen: 'a' is not an IP address",
+    HERE + "odd = 1": "'odd' is not a known field",
     'listen = "0.0.0.0:1"\nkeys = "k"': "'advertise' must",
     HERE: "'keys' is missing",
     HERE + 'keys = "k"\nprobe_ms = 1': "'probe_ms'",
