--- a/orchidferry/node/fleet/saved_state.py
+++ b/orchidferry/node/fleet/saved_state.py
@@ -22,4 +22,6 @@
     return SavedState(incarnation, tuple((str(host), int(port)) for host, port in obj["peers"][:MAX_PEERS]))
 
 
-FORM = StateFormat("fleet", "fleet's state", b"orchidferry fleet", 1, MAX_FILE_BYTES, _to_json, _from_json)
+STATE_FORMAT = StateFormat(
+    "fleet", "fleet's state", b"orchidferry fleet", 1, MAX_FILE_BYTES, _to_json, _from_json
+)
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -32,7 +32,7 @@
 from orchidferry.node.config import ConfigError
 from orchidferry.node.fleet import wire
 from orchidferry.node.fleet.journal import Journal, describe
-from orchidferry.node.fleet.saved_state import FORM
+from orchidferry.node.fleet.saved_state import STATE_FORMAT
 from orchidferry.node.fleet.settings import MemberSettings, read_key_file
 from orchidferry.node.fleet.wire import MAX_DATAGRAM_BYTES, DatagramError, Sealer
 from orchidferry.node.incremental import run_cooperatively
@@ -486,7 +486,7 @@
         if self._settings.state is None:
             return None
         try:
-            self._store = StateStore(self._settings.state, FORM)
+            self._store = StateStore(self._settings.state, STATE_FORMAT)
         except StateLockedError as problem:
             raise ConfigError(f"can't open the fleet's state directory: {problem}") from None
         except OSError as problem:
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -23,7 +23,7 @@
 
 from orchidferry.node.control.store import FORM as LAST_GOOD
 from orchidferry.node.fleet import wire as fleet_wire
-from orchidferry.node.fleet.saved_state import FORM as FLEET_STATE
+from orchidferry.node.fleet.saved_state import STATE_FORMAT as FLEET_STATE
 from orchidferry.node.state_store import StateFileError
 from orchidferry.testkit import record
 from orchidferry.testkit.judge import verdict_json
