--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -97,7 +97,7 @@
     keys = _path(obj, "keys", folder)
     if keys is None:
         raise SettingsFormatError("'keys' is missing: the path of the file with the fleet's keys")
-    timing = scaled(_probe_interval_ms(obj))
+    timing = scaled_timing(_probe_interval_ms(obj))
     max_nodes = _max_nodes(obj)
     own_name = _text(obj, "name", name, MAX_NAME)
     if not own_name:
@@ -147,7 +147,7 @@
     return max_nodes
 
 
-def scaled(probe_ms: float) -> Timing:
+def scaled_timing(probe_ms: float) -> Timing:
     """Return the default timing scaled to a probe interval; only how long members that left are kept is not.
 
     :param probe_ms: time between two probes, in ms.
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -24,7 +24,7 @@
 from orchidferry.balancing.fleet.membership import Membership
 from orchidferry.node.clock import now_ms
 from orchidferry.node.fleet import wire
-from orchidferry.node.fleet.settings import scaled
+from orchidferry.node.fleet.settings import scaled_timing
 from orchidferry.node.fleet.shell import LENGTH
 from orchidferry.node.fleet.wire import DatagramError, Sealer
 from orchidferry.testkit.scenario import Scenario
@@ -50,7 +50,7 @@
         for n in range(count):
             host = f"{NET}.{1 + n // 250}.{1 + n % 250}"
             me = Entry(f"m{n}", host, PORT, 1_000 + n, phase=Phase.SERVING, zone="abc"[n % 3], version="1")
-            self._fleets.append(Membership(me, [], random.Random(n), scaled(probe_ms), count + 2))
+            self._fleets.append(Membership(me, [], random.Random(n), scaled_timing(probe_ms), count + 2))
         entries = [fleet.me for fleet in self._fleets]
         for n, fleet in enumerate(self._fleets):
             fleet.load(entries)
