--- a/tests/mesh/storage/test_golden_store.py
+++ b/tests/mesh/storage/test_golden_store.py
@@ -1,9 +1,10 @@
-"""What a controller has on disk keeps its bytes: stores and a snapshot that were written by store format 3.
+"""The format of data on disk does not change: golden stores and a golden snapshot of store format 3.
 
-`golden_store.mdb.gz` is the store of one of three founders, with all kinds of records; `golden.snapshot` was
-taken of it. `golden_lone_store.mdb.gz` was left by a controller alone in its group, which had taken two
-configurations. `golden_records.json` has their records, with those that putting the snapshot back makes.
-All is read and written by the command line where that can be, so that the tests outlive Python's names.
+`golden_store.mdb.gz` is the store of one of three founders, with all kinds of records; `golden.snapshot` is a
+snapshot of it. `golden_lone_store.mdb.gz` is the store of a controller that was alone in its group and
+accepted two configurations. `golden_records.json` holds the records of both stores, and those of the store
+that is restored from the snapshot. The tests use the command line where possible, so that renaming Python
+code does not affect them.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 CONFIGURATION = GOLDEN["configuration"].encode()
 CHECKSUM_BYTES = 4
 FOUNDERS = ("--founders", "10.0.0.1,10.0.0.2,10.0.0.9", "--majority-is-gone")
-SEAL = b"seal"  # the number of the transaction, which may differ
+SEAL = b"seal"  # key of the record with the number of the last transaction, which may differ
 BOOT = """own_node = {{ node_name = "n", ip = "{ip}", zone = "z", first_start = true, data_dir = "store" }}
 network = {{ internal_ports = [{port}], seed_nodes = ["{ip}:{port}"], listen_points = {{ control = "{ip}:{control}" }} }}
 term_settings = {{ tolerance = {{ machines = {machines} }} }}
@@ -81,11 +82,11 @@
 keys: 4
 """
 
-Records = dict[str, dict[bytes, bytes]]  # by database
+Records = dict[str, dict[bytes, bytes]]  # by database name and record key
 
 
 def golden(name: str) -> Records:
-    """The records of a golden store as they lie on disk."""
+    """Return the records of a golden store as they are on disk."""
     return {
         database: {bytes.fromhex(key): bytes.fromhex(raw) for key, raw in rows.items()}
         for database, rows in GOLDEN[name].items()
@@ -93,28 +94,28 @@
 
 
 def on_disk(folder: Path) -> Records:
-    """The records of a store, read by lmdb alone."""
+    """Read the records of a store with LMDB alone."""
     environment = lmdb.open(str(folder), max_dbs=4, lock=False, readonly=True)
-    found: Records = {}
+    records: Records = {}
     try:
         with environment.begin() as transaction:
             names = [bytes(name) for name, _ in transaction.cursor()]
         for name in names:
             database = environment.open_db(name, create=False)
             with environment.begin(db=database) as transaction:
-                found[name.decode()] = {bytes(key): bytes(raw) for key, raw in transaction.cursor()}
+                records[name.decode()] = {bytes(key): bytes(raw) for key, raw in transaction.cursor()}
     finally:
         environment.close()
-    return found
+    return records
 
 
 def without_seal(records: Records) -> Records:
-    """All records but the number of the last transaction."""
+    """Return all records but the number of the last transaction."""
     return {name: {key: raw for key, raw in rows.items() if key != SEAL} for name, rows in records.items()}
 
 
 def copy_store(name: str, folder: Path) -> Path:
-    """A copy of a golden store in `folder`/store."""
+    """Copy a golden store to `folder`/store; return that directory."""
     store = folder / "store"
     store.mkdir()
     (store / "data.mdb").write_bytes(gzip.decompress((HERE / name).read_bytes()))
@@ -124,18 +125,23 @@
 def environment_of(
     folder: Path, ip: str = "10.0.0.1", port: int = 1, control: int = 9, machines: int = 1
 ) -> dict[str, str]:
-    """Write the settings of a controller whose store is in `folder`/store; the environment of its process."""
+    """Write the settings of a controller with its store in `folder`/store; return its environment."""
     settings = folder / "boot.toml"
     settings.write_text(BOOT.format(ip=ip, port=port, control=control, machines=machines))
     return {**os.environ, "ORCHIDFERRY_BOOT": str(settings), "PYTHONPATH": str(ROOT)}
 
 
-def run(folder: Path, *words: str) -> tuple[int, str, str]:
-    """Run the command in a folder: exit status, standard output, standard error."""
-    done = subprocess.run(
-        [*COMMAND, *words], cwd=folder, env=environment_of(folder), capture_output=True, text=True, timeout=30
+def run(folder: Path, *arguments: str) -> tuple[int, str, str]:
+    """Run `orchidferry controller` in a folder; return exit status, standard output and standard error."""
+    process = subprocess.run(
+        [*COMMAND, *arguments],
+        cwd=folder,
+        env=environment_of(folder),
+        capture_output=True,
+        text=True,
+        timeout=30,
     )
-    return done.returncode, done.stdout, done.stderr
+    return process.returncode, process.stdout, process.stderr
 
 
 @pytest.mark.parametrize(
@@ -146,16 +152,16 @@
 
 
 @pytest.mark.parametrize(
-    ("file", "told"), [("golden_store.mdb.gz", CHECKED), ("golden_lone_store.mdb.gz", CHECKED_LONE)]
+    ("file", "output"), [("golden_store.mdb.gz", CHECKED), ("golden_lone_store.mdb.gz", CHECKED_LONE)]
 )
-def test_the_check_tells_what_a_golden_store_holds(tmp_path: Path, file: str, told: str) -> None:
+def test_the_check_prints_the_contents_of_a_golden_store(tmp_path: Path, file: str, output: str) -> None:
     store = copy_store(file, tmp_path)
     before = (store / "data.mdb").read_bytes()
-    assert run(tmp_path, "--check") == (0, told, "")
+    assert run(tmp_path, "--check") == (0, output, "")
     assert (store / "data.mdb").read_bytes() == before
 
 
-def test_the_check_tells_a_wrong_checksum(tmp_path: Path) -> None:
+def test_the_check_reports_a_wrong_checksum(tmp_path: Path) -> None:
     store = copy_store("golden_store.mdb.gz", tmp_path)
     file = store / "data.mdb"
     raw = golden("store")["slips"][b"first"]
@@ -177,14 +183,14 @@
         finally:
             store.close()
 
-    found = asyncio.run(read())
+    records = asyncio.run(read())
     values = {
         name: {key: raw[CHECKSUM_BYTES:] for key, raw in rows.items()}
         for name, rows in golden("store").items()
     }
-    assert found == values
-    assert unpack(found["about"][b"founders"]) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
-    assert unpack(found["slips"]["sécond".encode("latin-1")]) == [
+    assert records == values
+    assert unpack(records["about"][b"founders"]) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
+    assert unpack(records["slips"]["sécond".encode("latin-1")]) == [
         "10.0.0.2 9 4",
         18,
         [200, [["content-type", "text/plain"]], b"done"],
@@ -192,7 +198,7 @@
 
 
 def rewritten(database: str, key: bytes, value: bytes) -> tuple[str, bytes, bytes | None]:
-    """A record that was read into today's types, and made of them again."""
+    """Decode a record to the current types, and encode it again."""
     if database == "slips":
         return database, key, pack(KeyRecord(*unpack(value)).packed())
     if key.startswith(b"kept/"):
@@ -209,10 +215,10 @@
     return database, key, pack(unpack(value))
 
 
-def test_the_golden_values_are_written_as_the_golden_records(tmp_path: Path) -> None:
-    """Checksums, format and the names of the databases among them."""
+def test_writing_the_golden_values_produces_the_golden_records(tmp_path: Path) -> None:
+    """The comparison includes checksums, the format number and the names of the databases."""
     records = golden("store")
-    puts = [
+    writes = [
         rewritten(name, key, raw[CHECKSUM_BYTES:])
         for name, rows in records.items()
         for key, raw in rows.items()
@@ -223,7 +229,7 @@
         loop = asyncio.get_running_loop()
         written = loop.create_future()
         store = Store(str(tmp_path), loop)
-        store.write(puts, written.set_result)
+        store.write(writes, written.set_result)
         assert await written
         store.close()
 
@@ -235,22 +241,22 @@
 
 
 def items(raw: bytes) -> list[Any]:
-    """The `cbor2` items of a snapshot."""
+    """Return the CBOR items of a snapshot."""
     stream = io.BytesIO(raw)
-    found = []
+    records = []
     while stream.tell() < len(raw):
-        found.append(cbor2.load(stream))
-    return found
+        records.append(cbor2.load(stream))
+    return records
 
 
 def as_snapshot(parts: list[Any]) -> bytes:
-    """Items as a snapshot, with the digest that belongs to them."""
+    """Encode items as a snapshot, with their digest at the end."""
     raw = b"".join(map(cbor2.dumps, parts))
     return raw + cbor2.dumps(hashlib.sha256(raw).digest())
 
 
-def test_a_snapshot_of_the_golden_store_is_the_golden_one(tmp_path: Path) -> None:
-    """But for a number that is drawn, and the digest, which depends on it."""
+def test_a_snapshot_of_the_golden_store_equals_the_golden_snapshot(tmp_path: Path) -> None:
+    """The random nonce differs, and so does the digest, which depends on it."""
     copy_store("golden_store.mdb.gz", tmp_path)
     status, out, err = run(tmp_path, "snapshot", "take", "taken")
     taken = (tmp_path / "taken").read_bytes()
@@ -264,7 +270,7 @@
     assert (status, out, err) == (0, line, "")
 
 
-def test_the_golden_snapshot_begins_a_group_with_the_golden_records(tmp_path: Path) -> None:
+def test_restoring_the_golden_snapshot_produces_the_golden_records(tmp_path: Path) -> None:
     shutil.copy(HERE / "golden.snapshot", tmp_path)
     line = "store: revision 7, shard versions [12, 2, 0, 0], 4 keys; disk id 2544245270616421, "
     line += "must be the same on all of 10.0.0.1 10.0.0.2 10.0.0.9\n"
@@ -297,7 +303,7 @@
     assert (tmp_path / "store").exists() != bool(line)
 
 
-# A controller on a store of its own
+# The process of a controller that is alone in its group
 
 
 def free_port() -> int:
@@ -328,24 +334,24 @@
         assert status == 0
 
     def call(self, method: str, body: bytes | None = None, **headers: str) -> tuple[int, bytes]:
-        """A call for the configuration, again until the controller can answer it."""
+        """Call the control API for the configuration; retry until the controller is ready."""
         url = f"http://127.0.0.1:{self._control}/orchidferry/configuration"
-        until = time.monotonic() + 15.0
+        deadline = time.monotonic() + 15.0
         while True:
             request = urllib.request.Request(url, body, headers, method=method)
             try:
-                with urllib.request.urlopen(request, timeout=5.0) as answer:
-                    return int(answer.status), answer.read()
-            except urllib.error.HTTPError as refusal:
-                if refusal.code != 503 or time.monotonic() > until:
-                    return refusal.code, refusal.read()
+                with urllib.request.urlopen(request, timeout=5.0) as response:
+                    return int(response.status), response.read()
+            except urllib.error.HTTPError as error:
+                if error.code != 503 or time.monotonic() > deadline:
+                    return error.code, error.read()
             except OSError:
-                if time.monotonic() > until:
+                if time.monotonic() > deadline:
                     raise
-            time.sleep(0.05)  # between two tries
+            time.sleep(0.05)  # between two attempts
 
 
-def test_a_controller_knows_the_configuration_of_the_golden_store(tmp_path: Path) -> None:
+def test_a_controller_serves_the_configuration_of_the_golden_store(tmp_path: Path) -> None:
     store = copy_store("golden_lone_store.mdb.gz", tmp_path)
     with LoneController(tmp_path) as controller:
         assert controller.call("GET") == (200, CONFIGURATION)
@@ -356,29 +362,29 @@
 
 
 def order(text: bytes, base: int) -> bytes:
-    """The record of an order that was taken: its digest, and the version that it builds on."""
+    """Encode the record of a committed order: its digest, and the number of the order that it builds on."""
     return hashlib.sha256(text).digest()[:16] + base.to_bytes(8, "big")
 
 
-def settled(records: Records) -> dict[bytes, Any]:
-    """What a lone controller has in `about`, without what depends on when it was stopped.
+def stable_records(records: Records) -> dict[bytes, Any]:
+    """Return a lone controller's own records without the values that depend on when it was stopped.
 
-    The ballots, the owner of each shard with the version and fence that come of it, and which orders have a
-    record yet.
+    These are the ballots, the owner of each shard with its version and fencing token, and which orders have a
+    record already.
     """
-    found: dict[bytes, Any] = {}
+    stable: dict[bytes, Any] = {}
     for key, raw in records["about"].items():
         if key.startswith(b"kept/"):
-            memory, promised, accepted, state = cbor2.loads(raw[CHECKSUM_BYTES:])
+            disk_id, promised, accepted, state = cbor2.loads(raw[CHECKSUM_BYTES:])
             for number, name in (promised, accepted):
                 assert isinstance(number, int) and (name.startswith("127.0.0.1") if number else not name)
-            found[key] = memory
+            stable[key] = disk_id
             if key == b"kept/0":
-                _, voters, epoch, revision, text, taken, former, _, _ = state
-                found[key] = (memory, voters, epoch, revision, zlib.decompress(text), taken, former)
+                _, voters, epoch, revision, text, orders, former, _, _ = state
+                stable[key] = (disk_id, voters, epoch, revision, zlib.decompress(text), orders, former)
         elif not key.startswith(b"order/"):
-            found[key] = raw
-    return found
+            stable[key] = raw
+    return stable
 
 
 def test_a_new_controller_writes_the_golden_records(tmp_path: Path) -> None:
@@ -388,7 +394,7 @@
         assert controller.call("PUT", CONFIGURATION, **{"If-Match": "1"}) == (200, b'{"revision_number": 7}')
     found = without_seal(on_disk(tmp_path / "store"))
     expected = without_seal(golden("lone"))
-    assert settled(found) == settled(expected) and found["slips"] == expected["slips"] == {}
+    assert stable_records(found) == stable_records(expected) and found["slips"] == expected["slips"] == {}
     orders = {b"order/0/%016d" % 1: order(first, 0), b"order/0/%016d" % 7: order(CONFIGURATION, 1)}
     for records in (found, expected):
         written = {key: raw[CHECKSUM_BYTES:] for key, raw in records["about"].items() if key in orders}
--- a/tests/mesh/storage/test_power_loss.py
+++ b/tests/mesh/storage/test_power_loss.py
@@ -1,6 +1,6 @@
-"""A loss of power at each change of names in a data directory.
+"""A power loss at each creation, renaming or removal of a file in a data directory.
 
-Acknowledged writes are there after it, or the controller knows that it has lost its state.
+Afterwards acknowledged writes are still on disk, or the controller knows that it has lost its state.
 """
 
 from __future__ import annotations
@@ -27,13 +27,22 @@
 
 
 class PowerLossCheck:
-    """Checks all that a loss of power could leave, each time as a controller that starts again does."""
+    """Checks each state of the disk that a power loss could leave, as a controller does when it starts again.
+
+    :ivar top: the directory on the simulated disk
+    :ivar folder: name of the data directory in it
+    :ivar restart_directory: where the states of the disk are written to be checked
+    :ivar acknowledged: records that were acknowledged as written
+    :ivar may_lose_state: whether a quarantined store is allowed
+    :ivar check_count: number of states that were checked
+    :ivar lost: descriptions of the losses that were found
+    """
 
     def __init__(self, top: Path, folder: str = "data") -> None:
         self.top = top
         self.folder = folder
         self.restart_directory = top.parent / "left"
-        self.acknowledged: dict[bytes, bytes] = {}  # records that were acknowledged as written
+        self.acknowledged: dict[bytes, bytes] = {}
         self.may_lose_state = False
         self.check_count = 0
         self.lost: list[str] = []
@@ -46,13 +55,13 @@
             storage_check.prepare_store(str(data))
             if quarantine.has_lost_state(str(data)):
                 if not self.may_lose_state:
-                    self.lost.append(f"set aside in {sorted(tree)}")
+                    self.lost.append(f"quarantined in {sorted(tree)}")
             elif missing := self.acknowledged.items() - read_all(data).items():
                 self.lost.append(f"{sorted(missing)} in {sorted(tree)}")
 
 
 def read_all(folder: Path) -> dict[bytes, bytes]:
-    """The records of a folder that a controller would go by."""
+    """Return the controller's own records in the store of a folder."""
     loop: Any = Loop()
     store = Store(str(folder), loop)
     found = dict(store.read_all("about"))
@@ -61,13 +70,13 @@
 
 
 def put(store: Store, check: PowerLossCheck, key: bytes, value: bytes) -> None:
-    """Write a record, with a loss of power right after its acknowledgement."""
-    told: list[bool] = []
-    store.write([("about", key, value)], told.append)
+    """Write a record, and expect it to survive a power loss from its acknowledgement on."""
+    results: list[bool] = []
+    store.write([("about", key, value)], results.append)
     loop: Any = store._loop
-    while not told:
+    while not results:
         loop.step()
-    assert told == [True]
+    assert results == [True]
     check.acknowledged[key] = value
 
 
@@ -76,7 +85,7 @@
     top.mkdir()
     check = PowerLossCheck(top)
     with PowerLossDisk(top, check) as disk:
-        for n in range(2):  # the second life finds the file as the first one left it
+        for n in range(2):  # the second start finds the file that the first one created
             loop: Any = Loop()
             storage_check.prepare_store(str(top / "data"))
             store = Store(str(top / "data"), loop)
@@ -107,9 +116,9 @@
         close(store)
         monkeypatch.setattr(compaction, "MIN_COMPACT_BYTES", 4_096)
         size = (folder / "data.mdb").stat().st_size
-        if killed:  # right after the rename, and the next life writes
+        if killed:  # right after the rename; the restarted controller writes
             with monkeypatch.context() as patch:
-                patch.setattr(compaction, "sync_directory", _end)
+                patch.setattr(compaction, "sync_directory", _interrupt)
                 with pytest.raises(KeyboardInterrupt):
                     storage_check.prepare_store(str(folder))
         storage_check.prepare_store(str(folder))
@@ -121,7 +130,7 @@
     assert not check.lost and check.check_count > 10
 
 
-def _end(folder: str) -> None:
+def _interrupt(folder: str) -> None:
     raise KeyboardInterrupt
 
 
@@ -180,13 +189,13 @@
         test(tmp_path)
 
 
-# A full disk from the very first write on
+# A disk that is full from the first write on
 
 
 def test_a_controller_without_a_store_waits_for_space(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def refuse(*words: Any, **more: Any) -> Any:
+    def refuse(*args: Any, **kwargs: Any) -> Any:
         raise OSError(errno.ENOSPC, "no space")
 
     folder, loop = str(tmp_path / "data"), Loop()
@@ -197,17 +206,17 @@
                 patch.setattr("os.makedirs", refuse)
             else:
                 patch.setattr(store_module, name, refuse)
-            if name == "sync_directory_and_parent":  # it opens, and takes nothing
-                store, told = Store(folder, any_loop), list[bool]()
-                store.write([("about", b"k", b"v")], told.append)
-                while not told:
+            if name == "sync_directory_and_parent":  # the store can be opened, but commits fail
+                store, results = Store(folder, any_loop), list[bool]()
+                store.write([("about", b"k", b"v")], results.append)
+                while not results:
                     loop.step()
-                assert told == [False] and store.failing_since_s
+                assert results == [False] and store.failing_since_s
                 patch.undo()
-                store.write([("about", b"k", b"v")], told.append)
+                store.write([("about", b"k", b"v")], results.append)
                 while store.failing_since_s:
                     loop.step()
-                assert told[-1]
+                assert results[-1]
                 close(store)
             else:
                 with pytest.raises(StoreError, match="no space"):
--- a/tests/mesh/storage/test_quarantine.py
+++ b/tests/mesh/storage/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A damaged store is moved to the quarantine, and its controller is no founder any more."""
+"""A damaged store is moved to the quarantine, and its controller must not act as a founder again."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
     (tmp_path / "opening").write_bytes(b"x" * storage_check.MAX_CRASHES)
     storage_check.prepare_store(str(tmp_path))
     assert quarantine.has_lost_state(str(tmp_path)) and not (tmp_path / "opening").exists()
-    fill_store(tmp_path)  # of two that were set aside the newer is kept, and a large one is not
+    fill_store(tmp_path)  # the quarantine keeps the newest store only, and none above the size limit
     monkeypatch.setattr(quarantine, "MAX_QUARANTINE_BYTES", 1)
     change_behind_store(tmp_path, delete_voter_records)
     storage_check.prepare_store(str(tmp_path))
     assert os.listdir(tmp_path / "bad") == ["why"]
 
 
-def test_a_controller_that_lost_its_state_is_no_founder(tmp_path: Path) -> None:
+def test_a_controller_that_lost_its_state_does_not_act_as_founder(tmp_path: Path) -> None:
     async def start() -> int:
-        found = await program.start_controller(
+        controller = await program.start_controller(
             controller_settings(tmp_path), asyncio.get_running_loop(), asyncio.Event()
         )
-        assert found is not None
-        close(found._store)
-        return found._runner.configuration_shard.voter.disk_id
+        assert controller is not None
+        close(controller._store)
+        return controller._runner.configuration_shard.voter.disk_id
 
     first = asyncio.run(start())
     assert first == shard_state.GENESIS
--- a/tests/mesh/storage/test_snapshot_command.py
+++ b/tests/mesh/storage/test_snapshot_command.py
@@ -25,7 +25,7 @@
 """  # noqa: E501
 
 
-GOOD = ("--founders", ",".join(FOUNDERS), "--majority-is-gone")
+VALID_OPTIONS = ("--founders", ",".join(FOUNDERS), "--majority-is-gone")
 
 
 def test_the_commands_take_and_restore_a_snapshot(
@@ -35,8 +35,8 @@
     boot.write_text(BOOT.format(folder=folder))
     monkeypatch.setenv("ORCHIDFERRY_BOOT", str(boot))
 
-    def run(*words: str) -> tuple[int, str, str]:
-        status = program.main(["controller", *words])
+    def run(*arguments: str) -> tuple[int, str, str]:
+        status = program.main(["controller", *arguments])
         return (status, *capsys.readouterr())
 
     assert run("--check")[0] == 0 and not folder.exists()
@@ -53,27 +53,27 @@
     close(running)
     assert run("snapshot", "take", path)[0] == 0
     raw = bytearray(Path(path).read_bytes())
-    for words, why in (
-        ((path, *GOOD), "not empty"),
-        ((path, *GOOD[:2]), "--majority-is-gone"),
-        ((path, "--founders", "10.0.0.1,10.0.0.2", GOOD[2]), "3 are needed"),
-        ((path, "--founders", "10.0.0.4,10.0.0.2,10.0.0.3", GOOD[2]), "not among"),
-        ((path, "--founders", "10.0.0.1,10.0.0.2,10.0.0.2", GOOD[2]), "twice"),
-        ((path, "--founders", "10.0.0.1,10.0.0.2,h", GOOD[2]), "'h' is not an IPv4 address"),
-        ((path + "x", *GOOD), "No such file"),
-        ((str(boot), *GOOD), "not a snapshot"),
+    for arguments, error in (
+        ((path, *VALID_OPTIONS), "not empty"),
+        ((path, *VALID_OPTIONS[:2]), "--majority-is-gone"),
+        ((path, "--founders", "10.0.0.1,10.0.0.2", VALID_OPTIONS[2]), "3 are needed"),
+        ((path, "--founders", "10.0.0.4,10.0.0.2,10.0.0.3", VALID_OPTIONS[2]), "not among"),
+        ((path, "--founders", "10.0.0.1,10.0.0.2,10.0.0.2", VALID_OPTIONS[2]), "twice"),
+        ((path, "--founders", "10.0.0.1,10.0.0.2,h", VALID_OPTIONS[2]), "'h' is not an IPv4 address"),
+        ((path + "x", *VALID_OPTIONS), "No such file"),
+        ((str(boot), *VALID_OPTIONS), "not a snapshot"),
     ):
-        status, _, line = run("snapshot", "put", *words)
-        assert status == 2 and why in line and line.count("\n") == 1
-    for spoilt in (raw[:-40], raw + b"x", raw[:200] + b"\0" + raw[201:]):
-        Path(path).write_bytes(spoilt)
+        status, _, line = run("snapshot", "put", *arguments)
+        assert status == 2 and error in line and line.count("\n") == 1
+    for damaged in (raw[:-40], raw + b"x", raw[:200] + b"\0" + raw[201:]):
+        Path(path).write_bytes(damaged)
         with pytest.raises(SnapshotError):
             snapshots.restore_snapshot(str(tmp_path / "new"), path, FOUNDERS)
         assert not (tmp_path / "new").exists()
     Path(path).write_bytes(raw)
     for name in os.listdir(folder):
         (folder / name).unlink()
-    status, out, _ = run("snapshot", "put", path, *GOOD)
+    status, out, _ = run("snapshot", "put", path, *VALID_OPTIONS)
     assert status == 0 and "revision 7" in out
     (folder / "data.mdb").write_bytes(b"no store" * 999)
     status, _, line = run("--check")
--- a/tests/mesh/wire/test_codec.py
+++ b/tests/mesh/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Each type of message comes out of the codec as it went in."""
+"""Decoding an encoded message returns the same message, for each type; other values are rejected."""
 
 from __future__ import annotations
 
@@ -26,42 +26,42 @@
 }
 
 
-def of_type(hint: Any) -> st.SearchStrategy[Any]:
-    """Values of a field's type."""
+def values_of_type(hint: Any) -> st.SearchStrategy[Any]:
+    """Return a strategy for the values of a field with this type hint."""
     if hint in PLAIN:
         return PLAIN[hint]
     if get_origin(hint) in (Union, types.UnionType):
-        return st.one_of([of_type(one) for one in get_args(hint)])
+        return st.one_of([values_of_type(arg) for arg in get_args(hint)])
     if get_origin(hint) is list:
-        return st.lists(of_type(get_args(hint)[0]), max_size=3)
+        return st.lists(values_of_type(get_args(hint)[0]), max_size=3)
     if get_origin(hint) is tuple:
-        return st.tuples(*[of_type(one) for one in get_args(hint)])
-    return st.builds(hint, *[of_type(one) for one in field_types(hint)])
+        return st.tuples(*[values_of_type(arg) for arg in get_args(hint)])
+    return st.builds(hint, *[values_of_type(field_hint) for field_hint in field_types(hint)])
 
 
-def field_types(kind: type[msgspec.Struct]) -> list[Any]:
-    hints = get_type_hints(kind)
-    return [hints[name] for name in kind.__struct_fields__]
+def field_types(message_type: type[msgspec.Struct]) -> list[Any]:
+    hints = get_type_hints(message_type)
+    return [hints[name] for name in message_type.__struct_fields__]
 
 
-def change() -> st.SearchStrategy[StreamChange]:
-    """A change ends after its beginning."""
-    first, second, _, _, *rest = [of_type(one) for one in field_types(StreamChange)]
-    made = st.tuples(first, second, st.integers(-1, 2**53), st.integers(1, 2**53), *rest)
-    return made.map(lambda one: StreamChange(one[0], one[1], one[2], one[2] + one[3], *one[4:]))
+def stream_changes() -> st.SearchStrategy[StreamChange]:
+    """Return a strategy for valid changes, which end after their beginning."""
+    controller, incarnation, _, _, *rest = [values_of_type(hint) for hint in field_types(StreamChange)]
+    parts = st.tuples(controller, incarnation, st.integers(-1, 2**53), st.integers(1, 2**53), *rest)
+    return parts.map(lambda part: StreamChange(part[0], part[1], part[2], part[2] + part[3], *part[4:]))
 
 
-PLAIN[StreamChange] = change()
+PLAIN[StreamChange] = stream_changes()
 
 
-def test_each_kind_has_one_type() -> None:
+def test_each_tag_has_one_type() -> None:
     assert list(TYPE_BY_TAG.values()) == list(MESSAGE_TYPES) and len(SHARD_TYPE_BY_TAG) == 16
 
 
-@pytest.mark.parametrize("kind", MESSAGE_TYPES)
+@pytest.mark.parametrize("message_type", MESSAGE_TYPES)
 @given(data=st.data())
-def test_a_message_comes_out_as_it_went_in(kind: type[Message], data: Any) -> None:
-    message = data.draw(of_type(kind))
+def test_decoding_an_encoded_message_returns_it(message_type: type[Message], data: Any) -> None:
+    message = data.draw(values_of_type(message_type))
     encoded = encode(message)
     assert int.from_bytes(encoded[:LENGTH_BYTES], "big") == len(encoded) - LENGTH_BYTES
     assert decode(encoded[LENGTH_BYTES:]) == message
@@ -79,10 +79,10 @@
         ),
     )
 )
-def test_whatever_comes_is_a_message_or_is_refused_in_one_line(parts: Any) -> None:
+def test_any_value_is_a_message_or_is_rejected_in_one_line(parts: Any) -> None:
     try:
         message = decode(cbor2.dumps(parts))
-    except MessageDecodeError as problem:
-        assert "\n" not in str(problem) and len(str(problem)) < 400
+    except MessageDecodeError as error:
+        assert "\n" not in str(error) and len(str(error)) < 400
     else:
         assert parts[0] in TYPE_BY_TAG and isinstance(message, TYPE_BY_TAG[parts[0]])
--- a/tests/mesh/wire/test_framing.py
+++ b/tests/mesh/wire/test_framing.py
@@ -1,4 +1,4 @@
-"""The first message of a link between two processes, and messages that can't be read."""
+"""The greeting that opens a link between two processes, and messages that can't be decoded."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Transport:
-    """What an accepted link writes to and closes."""
+    """A fake transport that records whether it was closed."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -31,19 +31,19 @@
         self.closed = True
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Nothing is buffered."""
+        """Do nothing: nothing is buffered."""
 
     def get_extra_info(self, name: str) -> Any:
         return ("10.0.0.9", 7380) if name == "peername" else None
 
 
-def accepted(*messages: Any) -> tuple[list[Message], bool, list[str]]:
-    """What an accepted link hands on of these messages, whether it ends, and what is logged."""
-    heard: list[Message] = []
+def receive(*messages: Any) -> tuple[list[Message], bool, list[str]]:
+    """Send messages to an accepted link; return those that it delivers, whether it is closed, and the log."""
+    received: list[Message] = []
     lines: list[str] = []
 
     async def main() -> bool:
-        link = Link(lambda _, message: heard.append(message), lambda _: None, accepted=True)
+        link = Link(lambda _, message: received.append(message), lambda _: None, accepted=True)
         transport: Any = Transport()
         link.connection_made(transport)
         bodies = [m if isinstance(m, bytes) else cbor2.dumps(m) for m in messages]
@@ -52,34 +52,34 @@
 
     sink = logger.add(lines.append, format="{message}")
     try:
-        return heard, asyncio.run(main()), lines
+        return received, asyncio.run(main()), lines
     finally:
         logger.remove(sink)
 
 
-def test_the_greeting_opens_a_link_and_is_handed_to_nobody() -> None:
-    assert accepted(GREETING, to_list(RELEASE)) == ([RELEASE], False, [])
+def test_the_greeting_opens_a_link_and_is_not_delivered() -> None:
+    assert receive(GREETING, to_list(RELEASE)) == ([RELEASE], False, [])
 
 
 @pytest.mark.parametrize(
-    ("first", "told"),
+    ("first", "log_text"),
     [
         ([GREETING[0], PROTOCOL + 1], str(PROTOCOL + 1)),
         ([GREETING[0], PROTOCOL - 1], str(PROTOCOL - 1)),
         ([GREETING[0], "x" * 1000], "x" * 20 + ","),
         (GREETING[:1], "none"),
-        (to_list(RELEASE), "none"),  # the first builds had no such message
+        (to_list(RELEASE), "none"),  # the first builds sent no greeting
         (b"\xff", "none"),
     ],
 )
-def test_another_build_is_told_of_in_one_line_and_hears_nothing(first: Any, told: str) -> None:
-    heard, closed, lines = accepted(first, to_list(RELEASE))
-    assert heard == [] and closed
-    assert len(lines) == 1 and "10.0.0.9" in lines[0] and f"protocol {told}" in lines[0]
+def test_a_link_from_another_build_is_logged_in_one_line_and_closed(first: Any, log_text: str) -> None:
+    received, closed, lines = receive(first, to_list(RELEASE))
+    assert received == [] and closed
+    assert len(lines) == 1 and "10.0.0.9" in lines[0] and f"protocol {log_text}" in lines[0]
 
 
 @pytest.mark.parametrize(
-    ("bad", "told"),
+    ("malformed", "log_text"),
     [
         (["key_release", 1, "key", 7], "key_release: attempt_id: Expected `str`, got `int`"),
         (["key_release", 1, "key"], "key_release: Expected `array` of at least length 4, got 3"),
@@ -101,33 +101,35 @@
         (b"\xff", "not valid CBOR: "),
     ],
 )
-def test_a_message_that_cant_be_read_ends_its_link_with_one_line_that_names_the_field(
-    bad: Any, told: str
+def test_a_malformed_message_closes_its_link_with_one_log_line_that_names_the_field(
+    malformed: Any, log_text: str
 ) -> None:
-    heard, closed, lines = accepted(GREETING, to_list(RELEASE), bad, to_list(RELEASE))
-    assert heard == [RELEASE] and closed
-    assert len(lines) == 1 and lines[0].startswith(f"link: can't decode a message from 10.0.0.9: {told}")
+    received, closed, lines = receive(GREETING, to_list(RELEASE), malformed, to_list(RELEASE))
+    assert received == [RELEASE] and closed
+    assert len(lines) == 1 and lines[0].startswith(f"link: can't decode a message from 10.0.0.9: {log_text}")
 
 
-def test_whoever_dials_greets_first() -> None:
+def test_the_dialling_side_sends_the_greeting_first() -> None:
     async def main() -> list[Message]:
-        heard: list[Message] = []
+        received: list[Message] = []
         loop = asyncio.get_running_loop()
-        come = asyncio.Event()
+        arrived = asyncio.Event()
 
-        def hear(_: Link, message: Message) -> None:
-            heard.append(message)
-            come.set()
+        def on_message(_: Link, message: Message) -> None:
+            received.append(message)
+            arrived.set()
 
-        server = await loop.create_server(lambda: Link(hear, lambda _: None, accepted=True), "127.0.0.1", 0)
+        server = await loop.create_server(
+            lambda: Link(on_message, lambda _: None, accepted=True), "127.0.0.1", 0
+        )
         port = server.sockets[0].getsockname()[1]
         link = await dial(lambda *_: None, lambda _: None, "127.0.0.1", port, "127.0.0.1")
         assert link is not None
         link.send(RELEASE)
         async with asyncio.timeout(10.0):
-            await come.wait()
+            await arrived.wait()
         link.close()
         server.close()
-        return heard
+        return received
 
     assert asyncio.run(main()) == [RELEASE]
--- a/tests/mesh/wire/test_golden_messages.py
+++ b/tests/mesh/wire/test_golden_messages.py
@@ -1,6 +1,6 @@
-"""Each kind of message keeps its bytes: those in `golden_messages.json` were written by protocol 4.
+"""The encoding of each type of message does not change: `golden_messages.json` was written by protocol 4.
 
-A message goes by its tag alone, so that these tests outlive the names of types and fields.
+The tests identify a message by its tag alone, so that renaming types and fields does not affect them.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 GOLDEN: dict[str, Any] = json.loads(Path(__file__).with_name("golden_messages.json").read_text("utf-8"))
 TABLES = ("messages", "shard_bodies", "register_bodies")
 LENGTH_BYTES = 4
-FIRST_MESSAGE = bytes.fromhex("0000000b826870726f746f636f6c04")  # of a link
+FIRST_MESSAGE = bytes.fromhex("0000000b826870726f746f636f6c04")  # the greeting that opens a link
 
 
 def golden_frames() -> Iterator[Any]:
-    """All frames, each with its tag and its place as the name of its test."""
+    """Yield all frames as test parameters, named by table, tag and index."""
     for table in TABLES:
         for tag, frames in GOLDEN[table].items():
-            for place, frame in enumerate(frames):
-                yield pytest.param(bytes.fromhex(frame), id=f"{table}-{tag}-{place}")
+            for index, frame in enumerate(frames):
+                yield pytest.param(bytes.fromhex(frame), id=f"{table}-{tag}-{index}")
 
 
 def tag_in(frame: bytes, table: str) -> str:
-    """The tag that a frame bears at the depth of its table."""
-    found = cbor2.loads(frame[LENGTH_BYTES:])
+    """Return the tag of a frame's innermost message that the table is about."""
+    values = cbor2.loads(frame[LENGTH_BYTES:])
     if table != "messages":
-        assert found[0] == "shard"
-        found = found[2]
+        assert values[0] == "shard"
+        values = values[2]
     if table == "register_bodies":
-        assert found[0] == "register"
-        found = found[2]
-    return str(found[0])
+        assert values[0] == "register"
+        values = values[2]
+    return str(values[0])
 
 
 @pytest.mark.parametrize("frame", list(golden_frames()))
-def test_a_golden_message_is_read_and_written_the_same(frame: bytes) -> None:
+def test_a_golden_message_is_decoded_and_encoded_to_the_same_bytes(frame: bytes) -> None:
     length = frame[:LENGTH_BYTES]
     body = frame[LENGTH_BYTES:]
     assert int.from_bytes(length, "big") == len(body)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("frame", list(golden_frames()))
-def test_a_golden_message_with_a_field_more_or_less_is_refused(frame: bytes) -> None:
+def test_a_golden_message_with_a_field_more_or_less_is_rejected(frame: bytes) -> None:
     parts = cbor2.loads(frame[LENGTH_BYTES:])
     innermost = parts
     while innermost[0] in ("shard", "register"):
@@ -61,25 +61,25 @@
     innermost.append(None)
     with pytest.raises(MessageDecodeError):
         decode(cbor2.dumps(parts))
-    del innermost[-2:]  # what was added, and the last field or the tag
+    del innermost[-2:]  # the added item, and the last field (or the tag if there are no fields)
     with pytest.raises(MessageDecodeError):
         decode(cbor2.dumps(parts))
 
 
-def test_a_record_of_a_server_may_leave_out_its_last_field() -> None:
-    """An earlier build writes it so; it is written again with an empty text there."""
+def test_a_record_of_a_server_may_omit_its_last_field() -> None:
+    """An earlier build omits this field; encoding adds it as an empty string."""
     server = ["i-1", "alpha", "z", "in_service", 4, 0.5]
     record = ["node", 7, 1, "z", "10.0.0.1", 4, server]
-    read = decode(cbor2.dumps(["lease_renewal", 1, "node", 7, record]))
-    whole = ["lease_renewal", 1, "node", 7, [*record[:-1], [*server, ""]]]
-    assert cbor2.loads(encode(read)[LENGTH_BYTES:]) == whole
+    message = decode(cbor2.dumps(["lease_renewal", 1, "node", 7, record]))
+    complete = ["lease_renewal", 1, "node", 7, [*record[:-1], [*server, ""]]]
+    assert cbor2.loads(encode(message)[LENGTH_BYTES:]) == complete
     record[-1] = server[:-1]
     with pytest.raises(MessageDecodeError):
         decode(cbor2.dumps(["lease_renewal", 1, "node", 7, record]))
 
 
 @pytest.mark.parametrize("table", TABLES)
-def test_golden_frames_stand_under_their_own_tags(table: str) -> None:
+def test_golden_frames_are_listed_under_their_own_tags(table: str) -> None:
     for tag, frames in GOLDEN[table].items():
         assert {tag_in(bytes.fromhex(frame), table) for frame in frames} == {tag}
 
@@ -90,7 +90,7 @@
     assert set(GOLDEN["register_bodies"]) == {"prepare", "promise", "accept", "accepted"}
 
 
-def test_the_number_of_the_protocol_stays() -> None:
+def test_the_protocol_number_is_unchanged() -> None:
     assert PROTOCOL == GOLDEN["protocol"] == 4
 
 
@@ -121,26 +121,26 @@
         pytest.param(cbor2.dumps(["handoff_ack", "a", 1]), id="shard body as message"),
     ],
 )
-def test_what_is_no_message_is_refused(body: bytes) -> None:
+def test_an_invalid_message_is_rejected(body: bytes) -> None:
     with pytest.raises(MessageDecodeError):
         decode(body)
 
 
-def test_a_link_begins_with_the_number_of_the_protocol() -> None:
-    """The bytes that a process receives from one that dials it."""
+def test_a_link_begins_with_the_protocol_number() -> None:
+    """Checks the bytes that the dialling side sends first."""
 
     async def first_bytes() -> bytes:
-        found: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        first: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            found.set_result(await reader.readexactly(len(FIRST_MESSAGE)))
+            first.set_result(await reader.readexactly(len(FIRST_MESSAGE)))
             writer.close()
 
         async with await asyncio.start_server(accept, "127.0.0.1", 0) as server:
             port = server.sockets[0].getsockname()[1]
             link = await dial(lambda *_: None, lambda _: None, "127.0.0.1", port, "127.0.0.1")
             assert link is not None
-            received = await found
+            received = await first
             link.close()
             return received
 
@@ -148,7 +148,7 @@
 
 
 class Transport:
-    """What an accepted link closes."""
+    """A fake transport that records whether it was closed."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -160,14 +160,14 @@
         self.closed = True
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Nothing is buffered."""
+        """Do nothing: nothing is buffered."""
 
     def get_extra_info(self, name: str) -> None:
-        """Nothing is known."""
+        """Return None: the transport has no extra information."""
 
 
 @pytest.mark.parametrize(
-    ("stream", "heard", "closed"),
+    ("stream", "delivered", "closed"),
     [
         pytest.param(FIRST_MESSAGE, 0, False, id="greeting"),
         pytest.param(
@@ -176,24 +176,24 @@
         pytest.param(FIRST_MESSAGE[:-1] + b"\x05", 0, True, id="another protocol"),
         pytest.param(bytes.fromhex(GOLDEN["messages"]["relay_alive"][0]), 0, True, id="no greeting"),
         pytest.param(FIRST_MESSAGE + (16 * 1024 * 1024 + 1).to_bytes(4, "big"), 0, True, id="too long"),
-        pytest.param(FIRST_MESSAGE + (16 * 1024 * 1024).to_bytes(4, "big"), 0, False, id="as long as may be"),
+        pytest.param(FIRST_MESSAGE + (16 * 1024 * 1024).to_bytes(4, "big"), 0, False, id="longest allowed"),
         pytest.param(FIRST_MESSAGE + b"\0\0\0\x01\xff", 0, True, id="unreadable"),
     ],
 )
 @pytest.mark.parametrize("step", [1, 1_000])
-def test_an_accepted_link_cuts_a_stream_into_messages(
-    stream: bytes, heard: int, closed: bool, step: int
+def test_an_accepted_link_splits_a_stream_into_messages(
+    stream: bytes, delivered: int, closed: bool, step: int
 ) -> None:
-    """Whatever the pieces are in which the stream comes."""
+    """The result does not depend on the sizes of the pieces in which the stream arrives."""
     messages: list[Any] = []
     transport: Any = Transport()
 
     async def receive() -> None:
         link = Link(lambda _, message: messages.append(message), lambda _: None, accepted=True)
         link.connection_made(transport)
-        for at in range(0, len(stream), step):
+        for offset in range(0, len(stream), step):
             if link.open:
-                link.data_received(stream[at : at + step])
+                link.data_received(stream[offset : offset + step])
 
     asyncio.run(receive())
-    assert (len(messages), transport.closed) == (heard, closed)
+    assert (len(messages), transport.closed) == (delivered, closed)
