--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -149,7 +149,7 @@
 
 
 def _migrate(env: lmdb.Environment, dbs: Databases, old_format: int) -> None:
-    """Migrate a store to the current format in one transaction: adds checksums, and the format number."""
+    """Migrate a store to the current format in one transaction; records of format 1 get checksums."""
     with env.begin(write=True) as txn:
         for name, db in dbs.items() if old_format == 1 else ():
             for key, raw in [(bytes(k), bytes(v)) for k, v in txn.cursor(db=db)]:
--- a/orchidferry/mesh/wire/codec.py
+++ b/orchidferry/mesh/wire/codec.py
@@ -68,10 +68,10 @@
     :raises MessageDecodeError: if the values are not a valid message
     """
     if not isinstance(values, list) or not values or not isinstance(values[0], str):
-        raise MessageDecodeError("a message must be a list that begins with its tag")
+        raise MessageDecodeError("a message must be a list that begins with its kind")
     message_type = TYPE_BY_TAG.get(values[0])
     if message_type is None:
-        raise MessageDecodeError(f"unknown message tag {values[0]!r:.{MAX_TAG_CHARS}}")
+        raise MessageDecodeError(f"unknown kind of message {values[0]!r:.{MAX_TAG_CHARS}}")
     try:
         return msgspec.convert(values, message_type, builtin_types=CBOR_NATIVE_TYPES)
     except msgspec.ValidationError as error:
@@ -115,8 +115,8 @@
 
 
 def _field_name(struct_type: type[msgspec.Struct], step: str) -> str:
-    """Return the name of the field at an index of an encoded struct, where index 0 is the tag."""
-    return struct_type.__struct_fields__[int(step) - 1] if step != "0" else "tag"
+    """Return the name of the field at an index of an encoded struct; "kind" for the tag, at index 0."""
+    return struct_type.__struct_fields__[int(step) - 1] if step != "0" else "kind"
 
 
 def _shard_body_type(values: list[Any]) -> type[ShardBodyBase] | None:
--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -93,7 +93,7 @@
         )
     seeds = get_optional(obj, "seeds", list, [])
     if len(seeds) > MAX_SEEDS:
-        raise SettingsFormatError(f"'seeds' must have {MAX_SEEDS} entries at most, not {len(seeds)}")
+        raise SettingsFormatError(f"'seeds' has {len(seeds)} entries, but may have {MAX_SEEDS} at most")
     keys = _path(obj, "keys", folder)
     if keys is None:
         raise SettingsFormatError("'keys' is missing: the path of the file with the fleet's keys")
--- a/tests/mesh/storage/test_store.py
+++ b/tests/mesh/storage/test_store.py
@@ -139,8 +139,10 @@
     while len(results) < 2 + (failure == "hangs"):
         loop.step()
     assert results[-1] and not store.is_degraded and store.read("slips", b"c") == b"1"
-    first_words = [line.partition(" ")[2].split(" ")[0] for line in lines]
-    assert first_words == [{"hangs": "a"}.get(failure, "commit"), "the"]
+    assert [line.partition(" ")[2].split(" ")[0] for line in lines] == [
+        {"hangs": "a"}.get(failure, "commit"),
+        "the",
+    ]
     assert "keeps up again" in lines[1]
 
 
