--- a/orchidferry/node/h3/server_connection.py
+++ b/orchidferry/node/h3/server_connection.py
@@ -48,7 +48,7 @@
 from orchidferry.node.request import Message
 
 if TYPE_CHECKING:
-    from orchidferry.node.h3.upstream import Routes
+    from orchidferry.node.h3.upstream import Http3Upstream
 
 ORDERLY = (0, ErrorCode.H3_NO_ERROR)  # codes with which idle timeouts and planned ends close
 MIN_RESET = 21  # bytes of a stateless reset
@@ -99,7 +99,7 @@
 class ServerConnection:
     """A connection to a server, with any number of attempts."""
 
-    def __init__(self, routes: Routes, server: int, address: Address, peer: Endpoint) -> None:
+    def __init__(self, routes: Http3Upstream, server: int, address: Address, peer: Endpoint) -> None:
         self.server = server
         self.address = address
         self.peer = peer
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -47,7 +47,7 @@
 log = logging.getLogger("orchidferry")
 
 
-class Routes:
+class Http3Upstream:
     """Sends attempts over QUIC to servers where that works, else over TCP; an `UpstreamTransport`."""
 
     def __init__(
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -149,9 +149,9 @@
         self._upstream: UpstreamTransport = self._tcp
         http3 = extensions.http3
         if http3 is not None and http3.servers is not None:
-            from orchidferry.node.h3.upstream import Routes
+            from orchidferry.node.h3.upstream import Http3Upstream
 
-            self._upstream = Routes(
+            self._upstream = Http3Upstream(
                 self._loop,
                 self._tcp,
                 http3.servers,
--- a/tests/node/h3/scene.py
+++ b/tests/node/h3/scene.py
@@ -19,7 +19,7 @@
 from orchidferry.node.h3.client_connection import Connection
 from orchidferry.node.h3.server_connection import ServerConnection
 from orchidferry.node.h3.settings import Front, Http3, Servers
-from orchidferry.node.h3.upstream import Routes
+from orchidferry.node.h3.upstream import Http3Upstream
 from orchidferry.node.node import Node
 from orchidferry.testkit.quic import certs, client, server
 from orchidferry.testkit.quic.faults import PathConditions
@@ -162,9 +162,9 @@
     return connection
 
 
-def routes(made: Scene) -> Routes:
+def routes(made: Scene) -> Http3Upstream:
     found = made.node._upstream
-    assert isinstance(found, Routes)
+    assert isinstance(found, Http3Upstream)
     return found
 
 
