--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -142,10 +142,10 @@
         block = Block(int(arguments[1]))
         files = None
         if len(arguments) > 3:
-            from orchidferry.testkit.quic.certs import Files
+            from orchidferry.testkit.quic.certs import CertificateFiles
 
             folder = Path(arguments[3])
-            files = Files(folder / "ca.pem", folder / "server.pem", folder / "server.key")
+            files = CertificateFiles(folder / "ca.pem", folder / "server.pem", folder / "server.key")
         uvloop.run(serve([block.server(number) for number in range(int(arguments[2]))], files))
     else:
         host, port, rate, seconds, tag = arguments[1:6]
--- a/orchidferry/testkit/bench/forward_bench.py
+++ b/orchidferry/testkit/bench/forward_bench.py
@@ -20,7 +20,7 @@
 from orchidferry.testkit.world.node_files import http3_text, settings
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
 
 WARM_S = 2.0  # of load before what counts: connections come up, the node learns
 LATE_MS = 20.0  # a load generator that was later than this at p99 measured itself
@@ -31,7 +31,7 @@
 ENTRY_POINT = "orchidferry.testkit.bench.forward"  # run with `python -m`, it serves or offers a load
 
 
-async def serve(addresses: list[Address], files: Files | None = None) -> None:
+async def serve(addresses: list[Address], files: CertificateFiles | None = None) -> None:
     """Answer every request at once, until standard input ends; `ready` is printed when all listen.
 
     :param addresses: to listen at.
@@ -86,7 +86,7 @@
         self.servers = [block.server(n) for n in range(servers)]
         self._running: list[asyncio.subprocess.Process] = []
 
-    async def start_servers(self, files: Files | None = None) -> None:
+    async def start_servers(self, files: CertificateFiles | None = None) -> None:
         """Start the process that answers for all servers, and wait until it listens.
 
         :param files: certificates, for HTTP/3 too.
@@ -112,7 +112,7 @@
         what: str,
         python_path: str | None = None,
         discovery: Address | None = None,
-        files: Files | None = None,
+        files: CertificateFiles | None = None,
         servers_h3: bool = False,
         control: Path | None = None,
     ) -> tuple[asyncio.subprocess.Process, Address]:
--- a/orchidferry/testkit/bench/libraries.py
+++ b/orchidferry/testkit/bench/libraries.py
@@ -30,7 +30,7 @@
 class Pair:
     """A client's and a server's connection of one library, joined without a network."""
 
-    def __init__(self, library: str, files: certs.Files) -> None:
+    def __init__(self, library: str, files: certs.CertificateFiles) -> None:
         def part(name: str) -> Any:
             return importlib.import_module(f"{library}.{name}")
 
@@ -111,7 +111,7 @@
         return sum(size == len(BODY) for size in got.values())
 
 
-def _measure(library: str, files: certs.Files, requests: int, turns: int) -> dict[str, Any]:
+def _measure(library: str, files: certs.CertificateFiles, requests: int, turns: int) -> dict[str, Any]:
     version = importlib.import_module(library).__version__
     row: dict[str, Any] = {"what": library, "version": version, "requests": requests}
     before = rss_kb(os.getpid())
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -68,7 +68,7 @@
 
 
 async def _turn(
-    bench: Bench, files: certs.Files, case: ProtocolCase, rate: float, seconds: float
+    bench: Bench, files: certs.CertificateFiles, case: ProtocolCase, rate: float, seconds: float
 ) -> dict[str, Any]:
     process, address = await bench.start("node", files=files, servers_h3=case.servers_h3)
     ca = str(files.ca)
@@ -81,7 +81,9 @@
     return result
 
 
-async def _costs(bench: Bench, files: certs.Files, args: argparse.Namespace) -> list[dict[str, Any]]:
+async def _costs(
+    bench: Bench, files: certs.CertificateFiles, args: argparse.Namespace
+) -> list[dict[str, Any]]:
     found: dict[str, list[dict[str, Any]]] = {case.name: [] for case in PROTOCOL_CASES}
     for _ in range(args.turns):
         for case in PROTOCOL_CASES:
@@ -114,7 +116,7 @@
     return rows
 
 
-async def _memory(bench: Bench, files: certs.Files) -> list[dict[str, Any]]:
+async def _memory(bench: Bench, files: certs.CertificateFiles) -> list[dict[str, Any]]:
     """Measure the node's memory for each client connection that has carried one request."""
     rows = []
     for name in ("h1", "h3"):
@@ -238,7 +240,7 @@
     return asked, good
 
 
-async def _floods(bench: Bench, files: certs.Files) -> list[dict[str, Any]]:
+async def _floods(bench: Bench, files: certs.CertificateFiles) -> list[dict[str, Any]]:
     rows = []
     ca = str(files.ca)
     for name, flood in FLOODS:
--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -23,7 +23,7 @@
 from orchidferry.testkit.wire import Address, Outcome, Pool, RequesterSide
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
     from orchidferry.testkit.quic.client import RequesterStream
     from orchidferry.testkit.quic.faults import PathConditions
     from orchidferry.testkit.quic.pool import H3Pool
@@ -136,7 +136,11 @@
     """Sends requests to nodes, and records what comes. Its owner sweeps and closes it."""
 
     def __init__(
-        self, scenario: Scenario, recorder: Recorder, files: Files | None = None, proof_key: str = ""
+        self,
+        scenario: Scenario,
+        recorder: Recorder,
+        files: CertificateFiles | None = None,
+        proof_key: str = "",
     ) -> None:
         """Create a sender without connections.
 
--- a/orchidferry/testkit/process.py
+++ b/orchidferry/testkit/process.py
@@ -25,7 +25,7 @@
 from orchidferry.testkit.world.plan import Plan
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
 
 SCRIPT_FILE = "script.pickle"
 LAG_INTERVAL_S = 0.05
@@ -47,7 +47,7 @@
     plan: Plan
     zero: float  # the record's zero on the monotonic clock, in seconds
     block: int
-    files: Files | None = None  # certificates, with HTTP/3
+    files: CertificateFiles | None = None  # certificates, with HTTP/3
     proof_key: str = ""  # for recorded traffic: what unsafe requests are sent to must have it
 
     def write(self, folder: Path) -> None:
--- a/orchidferry/testkit/quic/certs.py
+++ b/orchidferry/testkit/quic/certs.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Files:
+class CertificateFiles:
     """Where they are."""
 
     ca: Path
@@ -28,7 +28,7 @@
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-def make(folder: Path, name: str = NAME) -> Files:
+def make(folder: Path, name: str = NAME) -> CertificateFiles:
     """Write an authority's certificate and a server's with its key into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     now = datetime.datetime.now(datetime.UTC)
@@ -56,7 +56,7 @@
             builder = builder.add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), critical=False)
         return builder.sign(authority, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
 
-    files = Files(folder / "ca.pem", folder / "server.pem", folder / "server.key")
+    files = CertificateFiles(folder / "ca.pem", folder / "server.pem", folder / "server.key")
     files.ca.write_bytes(sign("orchidferry rehearsal", authority.public_key(), True))
     files.certificate.write_bytes(sign(name, own.public_key(), False))
     files.key.touch(mode=0o600)
--- a/orchidferry/testkit/quic/server.py
+++ b/orchidferry/testkit/quic/server.py
@@ -21,7 +21,7 @@
     StreamReset,
 )
 
-from orchidferry.testkit.quic.certs import Files
+from orchidferry.testkit.quic.certs import CertificateFiles
 from orchidferry.testkit.quic.faults import PathConditions, PathFaults
 from orchidferry.testkit.quic.headers import Header
 from orchidferry.testkit.quic.transport import IDLE_S, FaultyTransport, along
@@ -184,7 +184,7 @@
 
     def __init__(
         self,
-        files: Files,
+        files: CertificateFiles,
         requested: Callable[[Any, Request], None],
         lost: Callable[[Any], None],
         made: Callable[[Any], None],
--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -20,7 +20,7 @@
 from orchidferry.testkit.world.worker import sidecar_of, worker_index
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
 
 STANDIN_KIND = "standin-1c"  # of a server's machine, as discovery names it
 
@@ -45,7 +45,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.aborted: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self.closing = False
-        self.files: Files | None = None  # certificates, with HTTP/3
+        self.files: CertificateFiles | None = None  # certificates, with HTTP/3
         self.start = 0.0  # of the load, on the record's clock
         self.control_at: tuple[str, int] | None = None  # where the control service listens
         self._starting: dict[str, asyncio.Event] = {}
--- a/orchidferry/testkit/world/node_files.py
+++ b/orchidferry/testkit/world/node_files.py
@@ -14,7 +14,7 @@
 from orchidferry.testkit.world.plan import zone_of
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
 
 NEW_KIND = "standin-new"  # of servers of the pool that traffic is moved to
 MOVE_FRACTIONS = (0.1, 0.25, 0.5, 1.0)  # steps of a move after its first one
@@ -92,7 +92,7 @@
     }
 
 
-def http3_text(listen: str, files: Files) -> str:
+def http3_text(listen: str, files: CertificateFiles) -> str:
     """Return the file that enables HTTP/3 towards clients and servers."""
     from orchidferry.testkit.quic.certs import NAME
 
--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -31,7 +31,7 @@
 )
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
 
 READY_TIMEOUT_S = 20.0
 READY_POLL_S = 0.03
@@ -85,7 +85,7 @@
         folder: Path,
         recorder: Recorder,
         on_exit: Callable[[NodeProcess, str], None],
-        files: Files | None = None,
+        files: CertificateFiles | None = None,
     ) -> None:
         self.spec = spec
         self.name = spec.name
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -33,7 +33,7 @@
 from orchidferry.testkit.world.plan import Server
 
 if TYPE_CHECKING:
-    from orchidferry.testkit.quic.certs import Files
+    from orchidferry.testkit.quic.certs import CertificateFiles
     from orchidferry.testkit.quic.server import H3Server, ServerStream
 
 BACKLOG = 1024
@@ -64,7 +64,7 @@
     scenario: Scenario
     recorder: Recorder
     sender: RequestSender
-    files: Files | None = None  # certificates, with HTTP/3
+    files: CertificateFiles | None = None  # certificates, with HTTP/3
     proof_key: str = ""
 
 
--- a/tests/node/h3/scene.py
+++ b/tests/node/h3/scene.py
@@ -29,7 +29,7 @@
 
 
 @functools.cache
-def files() -> certs.Files:
+def files() -> certs.CertificateFiles:
     """One authority for all tests of a process."""
     return certs.make(Path(tempfile.mkdtemp(prefix="orchidferry-certs-")))
 
