--- a/orchidferry/testkit/quic/faults.py
+++ b/orchidferry/testkit/quic/faults.py
@@ -39,7 +39,7 @@
         self.black_hole = False  # while set, nothing passes
         self.passed = self.lost = 0
 
-    def fate(self) -> list[float]:
+    def copy_delays_s(self) -> list[float]:
         """After how many seconds each copy of the next datagram comes: none where it is lost."""
         conditions = self.conditions
         draw = self._rng.random
--- a/orchidferry/testkit/quic/transport.py
+++ b/orchidferry/testkit/quic/transport.py
@@ -13,7 +13,7 @@
 
 def along(path: PathFaults, arrive: Callable[[Any, Any], None], data: Any, addr: Any) -> None:
     """Let a datagram go by a scripted path: `arrive` is called for each copy that comes, when it does."""
-    for wait in path.fate():
+    for wait in path.copy_delays_s():
         if wait:
             asyncio.get_running_loop().call_later(wait, arrive, data, addr)
         else:
--- a/orchidferry/testkit/world/links.py
+++ b/orchidferry/testkit/world/links.py
@@ -105,7 +105,7 @@
             DELAY_S,
             JITTER_S,
         )
-        delays = path.fate()
+        delays = path.copy_delays_s()
         for fault in faults:
             if fault.late and lateness_random.random() < fault.late:
                 delays = [wait + fault.late_s for wait in delays]
--- a/tests/node/h3/test_decisions.py
+++ b/tests/node/h3/test_decisions.py
@@ -222,14 +222,14 @@
     one = PathFaults(7, conditions)
     two = PathFaults(7, conditions)
     other = PathFaults(8, conditions)
-    fates = [one.fate() for _ in range(500)]
-    assert fates == [two.fate() for _ in range(500)] != [other.fate() for _ in range(500)]
+    fates = [one.copy_delays_s() for _ in range(500)]
+    assert fates == [two.copy_delays_s() for _ in range(500)] != [other.copy_delays_s() for _ in range(500)]
     assert 0.14 < one.lost / 500 < 0.26 and one.lost + one.passed == 500
-    assert any(len(fate) == 2 for fate in fates)
-    assert all(0.01 <= wait <= 0.01 + 0.02 + 0.005 + 0.002 for fate in fates for wait in fate)
+    assert any(len(delays_s) == 2 for delays_s in fates)
+    assert all(0.01 <= wait <= 0.01 + 0.02 + 0.005 + 0.002 for delays_s in fates for wait in delays_s)
     two.black_hole = True
-    assert [two.fate() for _ in range(5)] == [[]] * 5
-    assert PathFaults(1, CLEAN).fate() == [0.0]
+    assert [two.copy_delays_s() for _ in range(5)] == [[]] * 5
+    assert PathFaults(1, CLEAN).copy_delays_s() == [0.0]
     for bad in ({"loss": 1.1}, {"reorder": -0.1}, {"delay_s": -1.0}):
         with pytest.raises(ValueError):
             PathConditions(**bad)
