--- a/orchidferry/testkit/bench/libraries.py
+++ b/orchidferry/testkit/bench/libraries.py
@@ -38,7 +38,7 @@
         connection = part("quic.connection").QuicConnection
         self._h3 = part("h3.connection").H3Connection
         self._events = part("h3.events")
-        mine = configuration(is_client=True, alpn_protocols=["h3"], server_name=certs.NAME, **MORE)
+        mine = configuration(is_client=True, alpn_protocols=["h3"], server_name=certs.SERVER_NAME, **MORE)
         mine.load_verify_locations(str(files.ca))
         theirs = configuration(is_client=False, alpn_protocols=["h3"], **MORE)
         theirs.load_cert_chain(str(files.certificate), str(files.key))
--- a/orchidferry/testkit/quic/certs.py
+++ b/orchidferry/testkit/quic/certs.py
@@ -11,7 +11,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-NAME = "orchidferry.test"
+SERVER_NAME = "orchidferry.test"
 LIFE = datetime.timedelta(days=1)
 
 
@@ -28,7 +28,7 @@
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-def make(folder: Path, name: str = NAME) -> CertificateFiles:
+def make(folder: Path, name: str = SERVER_NAME) -> CertificateFiles:
     """Write an authority's certificate and a server's with its key into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     now = datetime.datetime.now(datetime.UTC)
--- a/orchidferry/testkit/quic/client.py
+++ b/orchidferry/testkit/quic/client.py
@@ -22,7 +22,7 @@
 )
 from aioquic.tls import SessionTicket
 
-from orchidferry.testkit.quic.certs import NAME
+from orchidferry.testkit.quic.certs import SERVER_NAME
 from orchidferry.testkit.quic.faults import PathConditions, PathFaults
 from orchidferry.testkit.quic.headers import Header, as_h3
 from orchidferry.testkit.quic.transport import IDLE_S, FaultyTransport, along
@@ -226,7 +226,7 @@
     configuration = QuicConfiguration(
         is_client=True,
         alpn_protocols=["h3"],
-        server_name=NAME,
+        server_name=SERVER_NAME,
         session_ticket=ticket,
         **({"idle_timeout": IDLE_S} | changes),
     )
--- a/orchidferry/testkit/quic/headers.py
+++ b/orchidferry/testkit/quic/headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from orchidferry.testkit.quic.certs import NAME
+from orchidferry.testkit.quic.certs import SERVER_NAME
 
 Header = tuple[bytes, bytes]
 
@@ -15,7 +15,7 @@
     headers = [
         (b":method", method),
         (b":scheme", b"https"),
-        (b":authority", NAME.encode()),
+        (b":authority", SERVER_NAME.encode()),
         (b":path", target),
     ]
     for line in lines:
--- a/orchidferry/testkit/world/node_files.py
+++ b/orchidferry/testkit/world/node_files.py
@@ -94,11 +94,11 @@
 
 def http3_text(listen: str, files: CertificateFiles) -> str:
     """Return the file that enables HTTP/3 towards clients and servers."""
-    from orchidferry.testkit.quic.certs import NAME
+    from orchidferry.testkit.quic.certs import SERVER_NAME
 
     return (
         f'[front]\nlisten = "{listen}"\ncertificate = "{files.certificate}"\nkey = "{files.key}"\n'
-        f'[servers]\nca = "{files.ca}"\nname = "{NAME}"\n'
+        f'[servers]\nca = "{files.ca}"\nname = "{SERVER_NAME}"\n'
     )
 
 
--- a/tests/node/h3/scene.py
+++ b/tests/node/h3/scene.py
@@ -138,7 +138,7 @@
         loop = asyncio.get_running_loop()
         http3 = Http3(
             Front(("127.0.0.1", 0), known.certificate, known.key, connections, 60) if front else None,
-            Servers(known.ca, certs.NAME, 64),
+            Servers(known.ca, certs.SERVER_NAME, 64),
         )
         node = made.node = Node(read_config(str(made.path)), loop, Extensions(http3=http3))
         made.address = await node.frontend.listen(loop, ("127.0.0.1", 0))
--- a/tests/node/h3/test_independent.py
+++ b/tests/node/h3/test_independent.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from orchidferry.testkit.quic.certs import NAME
+from orchidferry.testkit.quic.certs import SERVER_NAME
 from tests.node.h3.scene import files, scene
 from tests.node.peers import Server, run
 
@@ -17,7 +17,7 @@
 
 def fetch(session: Any, address: tuple[str, int], id: str, cls: str, body: bytes) -> Any:
     headers = {"x-call-id": id, "x-budget": "5"} | ({"idempotency-key": f"key-{id}"} if cls == "save" else {})
-    url = f"https://{NAME}:{address[1]}/{cls}"
+    url = f"https://{SERVER_NAME}:{address[1]}/{cls}"
     if cls == "read":
         return session.get(url, headers=headers)
     return session.post(url, headers=headers, data=body)
@@ -28,7 +28,7 @@
         http_version=curl.CurlHttpVersion.V3ONLY,
         verify=str(files().ca),
         timeout=10,
-        curl_options={curl.CurlOpt.RESOLVE: [f"{NAME}:{address[1]}:{address[0]}"]},
+        curl_options={curl.CurlOpt.RESOLVE: [f"{SERVER_NAME}:{address[1]}:{address[0]}"]},
     )
 
 
