--- a/orchidferry/node/h3/front.py
+++ b/orchidferry/node/h3/front.py
@@ -136,7 +136,7 @@
         host, port = self._socket.address[:2]
         return host, port
 
-    def reread(self) -> None:
+    def reload_certificate(self) -> None:
         """Use the certificate as it is on disk now for new connections.
 
         :raises ConfigError: if it can't be used; the old one is kept.
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -287,7 +287,7 @@
         self._discovery.move(config.discovery)
         if self.h3_front is not None:
             try:
-                self.h3_front.reread()
+                self.h3_front.reload_certificate()
             except ConfigError as problem:
                 log.error("the old certificate stays: %s", problem)
 
