--- a/orchidferry/node/h3/__init__.py
+++ b/orchidferry/node/h3/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/3 (RFC 9114) for callers and servers, over aioquic. Imported only where it is switched on."""
+"""HTTP/3 (RFC 9114) towards clients and servers, over aioquic. Imported only where HTTP/3 is enabled."""
--- a/orchidferry/node/h3/arrivals.py
+++ b/orchidferry/node/h3/arrivals.py
@@ -1,24 +1,24 @@
-"""When the requests of a connection were sent, as far as its datagrams tell. Pure.
+"""Estimates when the requests of a connection were sent: by packet numbers and stream ids. No I/O.
 
-A request's time counts from when its client sent it, and what was lost on the way arrives late.
+The budget of a request counts from when its client sent it, and a request that was lost once arrives late.
 """
 
 from __future__ import annotations
 
 import math
 
-from orchidferry.node.h3.lost_datagrams import Loss, time_on_its_way_ms
+from orchidferry.node.h3.lost_datagrams import Loss, time_in_transit_ms
 
-STREAM_STEP = 4  # between the ids of two requests (RFC 9000, section 2.1)
+STREAM_STEP = 4  # between the stream ids of consecutive requests (RFC 9000, section 2.1)
 
 
 class Arrivals:
-    """The datagrams and streams of one connection. Times are milliseconds of the node's clock."""
+    """The received datagrams and streams of one connection. Times are milliseconds of the node's clock."""
 
     __slots__ = (
         "_missing",
         "_missing_seen_ms",
-        "_newest_before",
+        "_largest_before",
         "_overtaken_ms",
         "arrived_ms",
         "next_stream",
@@ -27,47 +27,55 @@
     def __init__(self) -> None:
         self.arrived_ms = 0.0  # when the datagram that is being handled reached this machine
         self.next_stream = 0  # the smallest stream id that is greater than those seen
-        self._newest_before = -1  # the greatest packet number before that datagram; -1 for none
-        self._missing = 0  # packets that were missing in a row when this was noticed last
-        self._missing_seen_ms = -math.inf  # when the packet after them reached this machine
-        self._overtaken_ms: dict[int, float] = {}  # by stream id below `next_stream` that has not come yet
+        self._largest_before = -1  # the largest packet number before that datagram; -1 for none
+        self._missing = 0  # consecutive missing packets in the most recent gap of packet numbers
+        self._missing_seen_ms = -math.inf  # when the packet after that gap reached this machine
+        # By the id of a stream that has not been received yet: when a later stream was first received
+        self._overtaken_ms: dict[int, float] = {}
 
-    def begin_datagram(self, arrived_ms: float, newest_packet: int) -> None:
-        """Note that a datagram is handled next.
+    def begin_datagram(self, arrived_ms: float, largest_packet_number: int) -> None:
+        """Begin to handle a datagram.
 
         :param arrived_ms: when it reached this machine.
-        :param newest_packet: the greatest packet number before it; -1 for none.
+        :param largest_packet_number: the largest packet number received before it; -1 for none.
         """
         self.arrived_ms = arrived_ms
-        self._newest_before = newest_packet
+        self._largest_before = largest_packet_number
 
-    def note_missing(self, newest_packet: int) -> None:
-        """Notice packets that are missing before the newest one of this datagram."""
-        missing = newest_packet - self._newest_before - 1
-        if missing > 0 and self._newest_before >= 0:
+    def note_missing(self, largest_packet_number: int) -> None:
+        """Note a gap of packet numbers before this datagram.
+
+        :param largest_packet_number: the largest packet number received, this datagram included.
+        """
+        missing = largest_packet_number - self._largest_before - 1
+        if missing > 0 and self._largest_before >= 0:
             self._missing = missing
             self._missing_seen_ms = self.arrived_ms
 
-    def open_stream(self, id: int) -> float:
-        """Note that a stream has come; return when one that was opened after it did, if that was first.
+    def open_stream(self, stream_id: int) -> float:
+        """Note the first data of a stream.
+
+        Streams are opened in order (RFC 9000, section 2.1), so a stream that arrives after a later one was
+        sent before that one. QUIC's stream limit bounds the number of streams that are noted.
 
-        Streams are opened in order (RFC 9000, section 2.1). Their transport's limit bounds what is noted.
+        :returns: when a stream that was opened later reached this machine; infinite if none did before.
         """
-        for skipped in range(self.next_stream, id, STREAM_STEP):
+        for skipped in range(self.next_stream, stream_id, STREAM_STEP):
             self._overtaken_ms[skipped] = self.arrived_ms
-        self.next_stream = max(self.next_stream, id + STREAM_STEP)
-        return self._overtaken_ms.pop(id, math.inf)
+        self.next_stream = max(self.next_stream, stream_id + STREAM_STEP)
+        return self._overtaken_ms.pop(stream_id, math.inf)
 
-    def forget_stream(self, id: int) -> None:
-        """Forget a stream that its client has reset."""
-        self._overtaken_ms.pop(id, None)
+    def forget_stream(self, stream_id: int) -> None:
+        """Forget a stream that the client has reset."""
+        self._overtaken_ms.pop(stream_id, None)
 
     def sent_ms(self, probe_timeout_ms: float, budget_ms: float, overtaken_ms: float) -> float:
-        """Return when a request that is complete with this datagram was sent at the latest.
+        """Return the latest time at which a request that this datagram completes can have been sent.
 
-        :param budget_ms: the time that its client waits in all.
+        :param probe_timeout_ms: the probe timeout of the connection.
+        :param budget_ms: the total time that the client waits for the response.
         :param overtaken_ms: what `open_stream` returned for its stream.
         """
         loss = Loss(self._missing, self.arrived_ms - self._missing_seen_ms)
-        on_its_way_ms = time_on_its_way_ms(probe_timeout_ms, loss, budget_ms)
-        return min(self.arrived_ms - on_its_way_ms, overtaken_ms)
+        in_transit_ms = time_in_transit_ms(probe_timeout_ms, loss, budget_ms)
+        return min(self.arrived_ms - in_transit_ms, overtaken_ms)
--- a/orchidferry/node/h3/client_connection.py
+++ b/orchidferry/node/h3/client_connection.py
@@ -1,8 +1,9 @@
-"""A client's connection in HTTP/3: requests on streams, and exactly one answer to each.
+"""An HTTP/3 connection of a client: one stream for each request, and exactly one response to each request.
 
-As in HTTP/1.1 a client's bad input affects only its own connection, and requests that can't be served get
-errors, never refusals. A request has `READ_S` to arrive, its class's deadline to be answered, and `WRITE_S`
-for its answer to be acknowledged.
+As in HTTP/1.1, invalid input of a client affects only its own connection, and requests that can't be served
+are answered here with errors, never with refusals (429, 503): those are the balancer's to give. A request has
+`READ_TIMEOUT_S` to arrive completely, then its budget (at most the deadline of its class) to be answered, and
+the client has `WRITE_TIMEOUT_S` to acknowledge the response.
 """
 
 from __future__ import annotations
@@ -38,8 +39,8 @@
     QuicTransport,
     ServerQuicConnection,
     has_short_header,
-    is_over,
-    newest_packet,
+    is_stream_finished,
+    largest_packet_number,
     peer_close_code,
     probe_timeout_ms,
 )
@@ -58,173 +59,182 @@
 if TYPE_CHECKING:
     from orchidferry.node.h3.front import Listener
 
-# The same limits as in HTTP/1.1
-HANDSHAKE_S = LIMITS_S[Stage.NEW]
-READ_S = LIMITS_S[Stage.READING]
-WRITE_S = LIMITS_S[Stage.LEAVING]
-IDLE_S = LIMITS_S[Stage.IDLE]
+# Time limits, the same as in HTTP/1.1
+HANDSHAKE_TIMEOUT_S = LIMITS_S[Stage.NEW]
+READ_TIMEOUT_S = LIMITS_S[Stage.READING]
+WRITE_TIMEOUT_S = LIMITS_S[Stage.LEAVING]
+IDLE_TIMEOUT_S = LIMITS_S[Stage.IDLE]
 
-MAX_STREAMS = 100  # open requests of one connection
-SHORT_PROBE_TIMEOUTS = 2.0  # left to an answer: if it is lost, its resend comes late or hardly in time
-TOO_EARLY = 425  # status, RFC 8470
+MAX_STREAMS = 100  # open requests on one connection
+# Probe timeouts before the client's deadline: a response that is sent later than that is sent twice at once,
+# as a resend after its loss would come too late or hardly in time.
+DUPLICATE_PROBE_TIMEOUTS = 2.0
+TOO_EARLY = 425  # status code (RFC 8470)
 
 log = logging.getLogger("orchidferry")
 
 
 class StreamState(Enum):
-    """What a request's stream waits for."""
+    """What the stream of a request waits for."""
 
     READING = "the rest of the request"
-    SERVING = "an answer from the node"
-    WRITING = "the client to acknowledge the answer"
+    SERVING = "a response from the node"
+    WRITING = "the client to acknowledge the response"
 
 
 @dataclass(slots=True, eq=False)
 class RequestStream:
-    """A request's stream, until all of its answer is acknowledged."""
+    """The stream of a request, until its whole response is acknowledged."""
 
     connection: Connection
-    id: int
-    since: float  # when its state began, by `time.monotonic`
-    early: bool  # whether it began before the handshake was done, and may be a replay (RFC 8470)
-    overtaken_ms: float  # when a stream that was opened after it reached this machine, if that was first
+    id: int  # stream id
+    state_since_s: float  # when `state` began, by `time.monotonic`
+    early: bool  # whether it began before the handshake was complete: it may be a replay (RFC 8470)
+    # When a stream that the client opened later reached this machine, if that was earlier; else infinite
+    overtaken_ms: float
     state: StreamState = StreamState.READING
     target: bytes = b""
     method: bytes = b""
     headers: dict[bytes, bytes] = field(default_factory=dict)
     body: list[bytes] = field(default_factory=list)
-    size: int = 0
-    has_headers: bool = False
-    due_ms: float = math.inf  # when the client stops waiting, as far as is known
-    pending: RequestHandle | None = None
+    size: int = 0  # bytes of the body received
+    has_headers: bool = False  # whether the header section was received
+    client_deadline_ms: float = math.inf  # estimate of when the client stops waiting, by the node's clock
+    pending: RequestHandle | None = None  # the node's handle, while it serves the request
 
-    def answer(self, reply: Reply) -> None:
-        """Send the node's answer."""
+    def respond(self, reply: Reply) -> None:
+        """Send the node's response."""
         self.pending = None
-        self.connection.send_answer(self, reply)
+        self.connection.send_response(self, reply)
 
 
 class Connection:
-    """A client's connection."""
+    """A connection of a client."""
 
     def __init__(self, listener: Listener, quic: ServerQuicConnection) -> None:
         self.listener = listener
         self.quic = quic
-        self.began_s = time.monotonic()
-        self.last_received_s = self.began_s
-        self.up = False  # whether the handshake is done
-        self.over = False
-        self.cids: set[bytes] = set()  # some ten connection ids that lead to it
-        self.streams: dict[int, RequestStream] = {}
+        self.created_s = time.monotonic()
+        self.last_received_s = self.created_s
+        self.up = False  # whether the handshake is complete
+        self.closed = False
+        self.cids: set[bytes] = set()  # connection ids by which it receives datagrams, about ten
+        self.streams: dict[int, RequestStream] = {}  # by stream id
         self._abuse_limit = ConnectionLimits(now_ms())
         self._closing = False
         self.transport = QuicTransport(
             quic, listener.loop, listener.sendto, self._on_event, self._on_flushed, self._on_terminated
         )
         self._session: Session | None = None
-        self._held = HeldDatagrams()
+        self._held_datagrams = HeldDatagrams()
         self._arrivals = Arrivals()
 
     def receive(self, data: bytes, peer: Endpoint, arrived_ms: float) -> None:
-        """Handle a datagram.
+        """Handle a datagram, or hold it until the handshake is complete.
 
         :param arrived_ms: when it reached this machine, by the node's clock.
         """
         self.last_received_s = time.monotonic()
         datagram = Datagram(data, peer, arrived_ms)
         if not self.up and has_short_header(data):
-            return self._held.hold(datagram)
+            return self._held_datagrams.hold(datagram)
         self._receive_now(datagram)
         if self.up:
-            for held in self._held.take():
+            for held in self._held_datagrams.take():
                 self._receive_now(held)
         return None
 
     def _receive_now(self, datagram: Datagram) -> None:
-        if self.over:
+        if self.closed:
             return
-        self._arrivals.begin_datagram(datagram.arrived_ms, newest_packet(self.quic))
+        self._arrivals.begin_datagram(datagram.arrived_ms, largest_packet_number(self.quic))
         self.transport.receive(datagram.data, datagram.peer)
-        self._arrivals.note_missing(newest_packet(self.quic))
-        if not self.over and peer_close_code(self.quic) is not None:
-            self._on_terminated()  # now: its requests need not wait for the end of the closing period
+        self._arrivals.note_missing(largest_packet_number(self.quic))
+        if not self.closed and peer_close_code(self.quic) is not None:
+            self._on_terminated()  # at once: its requests need not wait for the end of the draining period
 
     def _on_event(self, event: QuicEvent) -> None:
         match event:
             case StreamDataReceived():
                 self._on_stream_data(event)
             case StreamReset():
-                self._http(event)
-                self._cancelled(event.stream_id)
+                self._h3_events(event)
+                self._on_cancelled(event.stream_id)
             case StopSendingReceived():
-                self._cancelled(event.stream_id)
+                self._on_cancelled(event.stream_id)
             case ConnectionIdIssued():
-                self.listener.ids.add(event.connection_id, self)
+                self.listener.connection_ids.add(event.connection_id, self)
             case ConnectionIdRetired():
-                self.listener.ids.retire(event.connection_id, self)
+                self.listener.connection_ids.retire(event.connection_id, self)
             case HandshakeCompleted():
                 self.up = True
                 if self._session is None:
-                    self._session = Session(self.quic)  # it sends the settings
+                    self._session = Session(self.quic)  # sends the SETTINGS frame
                 self.listener.handshake_completed(self)
             case ConnectionTerminated():
                 self._on_terminated()
 
-    def _http(self, event: QuicEvent) -> list[Any]:
+    def _h3_events(self, event: QuicEvent) -> list[Any]:
         if self._session is None:
             self._session = Session(self.quic)
-        return self._session.take(event)
+        return self._session.handle_quic_event(event)
 
     def _on_stream_data(self, event: StreamDataReceived) -> None:
-        id = event.stream_id
-        if id % 4 == 0 and id not in self.streams and not self._is_ignored(id):
-            overtaken_ms = self._arrivals.open_stream(id)
+        stream_id = event.stream_id
+        # Request streams are bidirectional and opened by the client: multiples of 4 (RFC 9000, section 2.1).
+        if stream_id % 4 == 0 and stream_id not in self.streams and not self._is_ignored(stream_id):
+            overtaken_ms = self._arrivals.open_stream(stream_id)
             if self._closing or len(self.streams) >= MAX_STREAMS:
-                return self._reject(id, event.end_stream)
-            self.streams[id] = RequestStream(self, id, time.monotonic(), not self.up, overtaken_ms)
-        for found in self._http(event):
-            stream = self.streams.get(getattr(found, "stream_id", -1))
+                return self._reject_stream(stream_id, event.end_stream)
+            self.streams[stream_id] = RequestStream(
+                self, stream_id, time.monotonic(), not self.up, overtaken_ms
+            )
+        for h3_event in self._h3_events(event):
+            stream = self.streams.get(getattr(h3_event, "stream_id", -1))
             if stream is None or stream.state is not StreamState.READING:
                 continue
-            match found:
+            match h3_event:
                 case HeadersReceived():
-                    self._on_headers(stream, found)
+                    self._on_headers(stream, h3_event)
                 case DataReceived():
-                    stream.size += len(found.data)
+                    stream.size += len(h3_event.data)
                     if stream.size > MAX_BODY:
                         self._reject_request(stream, 413, "body over 64 KiB")
                     else:
-                        stream.body.append(found.data)
+                        stream.body.append(h3_event.data)
                 case Malformed():
                     if not self._abuse_limit.allows_malformed(now_ms()):
                         return self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
-                    self._reject_request(stream, found.status, found.reason)
-            if getattr(found, "stream_ended", False) and stream.state is StreamState.READING:
-                self._complete(stream)
+                    self._reject_request(stream, h3_event.status, h3_event.reason)
+            if getattr(h3_event, "stream_ended", False) and stream.state is StreamState.READING:
+                self._on_complete(stream)
         return None
 
-    def _is_ignored(self, id: int) -> bool:
-        return self._session is not None and self._session.is_ignored(id)
+    def _is_ignored(self, stream_id: int) -> bool:
+        return self._session is not None and self._session.is_ignored(stream_id)
 
-    def _reject(self, id: int, ended: bool) -> None:
-        """Reject a stream unread, so that the client can send it elsewhere (RFC 9114, section 4.1.1)."""
+    def _reject_stream(self, stream_id: int, ended: bool) -> None:
+        """Reject a stream unread: the client may send its request elsewhere (RFC 9114, section 4.1.1).
+
+        :param ended: whether the client has sent all of it.
+        """
         if self._session is None:
             self._session = Session(self.quic)
-        self._session.ignore(id, ended)
+        self._session.ignore(stream_id, ended)
         if not ended:
-            self.quic.stop_stream(id, ErrorCode.H3_REQUEST_REJECTED)
-        self.quic.reset_stream(id, ErrorCode.H3_REQUEST_REJECTED)
+            self.quic.stop_stream(stream_id, ErrorCode.H3_REQUEST_REJECTED)
+        self.quic.reset_stream(stream_id, ErrorCode.H3_REQUEST_REJECTED)
         if not self._closing and not self._abuse_limit.allows_reset(now_ms()):
             self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
 
     # Requests
 
-    def _on_headers(self, stream: RequestStream, found: HeadersReceived) -> None:
+    def _on_headers(self, stream: RequestStream, event: HeadersReceived) -> None:
         if stream.has_headers:
-            return None  # trailers are not used
+            return None  # trailers are ignored
         stream.has_headers = True
         size = 0
-        for name, value in found.headers:
+        for name, value in event.headers:
             size += len(name) + len(value)
             if name == b":method":
                 stream.method = value
@@ -245,38 +255,38 @@
             self._reject_request(stream, 413, "body over 64 KiB")
         return None
 
-    def _complete(self, stream: RequestStream) -> None:
+    def _on_complete(self, stream: RequestStream) -> None:
         """Pass a complete request to the node."""
         listener = self.listener
         if stream.target.startswith(NODE_PATHS):
-            return self.send_answer(stream, listener.node_page(stream.target.partition(b"?")[0]))
+            return self.send_response(stream, listener.node_page(stream.target.partition(b"?")[0]))
         body = b"".join(stream.body)
         stream.body = []
         try:
             message = read_message(listener.classes, stream.method, stream.target, stream.headers, body)
             if stream.early and listener.classes[message.cls].repeat is not api.Repeat.SAFE:
-                return self.send_answer(stream, Reply(TOO_EARLY, b"ask again once the handshake is done"))
+                return self.send_response(stream, Reply(TOO_EARLY, b"ask again once the handshake is done"))
             self._set_state(stream, StreamState.SERVING)
-            self._note_delays(stream, message)
-            pending = listener.accept(message, stream.answer)
+            self._allow_for_losses(stream, message)
+            pending = listener.accept(message, stream.respond)
         except RequestError as problem:
             return self._reject_request(stream, 400, str(problem))
-        if stream.state is StreamState.SERVING:  # it may have been answered at once
+        if stream.state is StreamState.SERVING:  # else `accept` has answered it already
             stream.pending = pending
         return None
 
-    def _note_delays(self, stream: RequestStream, message: Message) -> None:
-        """Note when a request was sent, and leave time for its answer to be sent twice."""
-        self._arrivals.note_missing(newest_packet(self.quic))
+    def _allow_for_losses(self, stream: RequestStream, message: Message) -> None:
+        """Count a request from when it was sent, and leave time for one resend of its response."""
+        self._arrivals.note_missing(largest_packet_number(self.quic))
         timeout_ms = probe_timeout_ms(self.quic)
         message.arrived_ms = self._arrivals.sent_ms(timeout_ms, message.budget_ms, stream.overtaken_ms)
         message.answer_margin_ms = resend_delay_ms(timeout_ms, 1, message.budget_ms)
-        stream.due_ms = message.arrived_ms + message.budget_ms
+        stream.client_deadline_ms = message.arrived_ms + message.budget_ms
 
-    def send_answer(self, stream: RequestStream, reply: Reply) -> None:
-        """Send a complete answer; the node's, or an error of this module."""
+    def send_response(self, stream: RequestStream, reply: Reply) -> None:
+        """Send a complete response: that of the node, or an error of this module."""
         if self.streams.get(stream.id) is not stream or self._session is None:
-            return  # its client cancelled it, or the connection is over
+            return  # the client cancelled the request, or the connection is closed
         self._set_state(stream, StreamState.WRITING)
         headers = [(b":status", b"%d" % reply.status)]
         if reply.content_type is not None:
@@ -290,42 +300,42 @@
             if reply.body:
                 self._session.send_data(stream.id, reply.body, end_stream=True)
         except Exception:  # the stream was closed
-            log.exception("answering a request over QUIC")
+            log.exception("could not send a response over HTTP/3; resetting its stream")
             self._drop(stream, ErrorCode.H3_INTERNAL_ERROR)
-        if stream.due_ms - now_ms() < SHORT_PROBE_TIMEOUTS * probe_timeout_ms(self.quic):
+        if stream.client_deadline_ms - now_ms() < DUPLICATE_PROBE_TIMEOUTS * probe_timeout_ms(self.quic):
             self.transport.flush_twice_soon()
         else:
             self.transport.flush_soon()
 
     def _reject_request(self, stream: RequestStream, status: int, reason: str) -> None:
         """Answer a request with an error, and read no more of it (RFC 9114, section 4.1.1)."""
-        if self._session is not None and not is_over(self.quic, stream.id):
+        if self._session is not None and not is_stream_finished(self.quic, stream.id):
             self._session.ignore(stream.id, False)
             self.quic.stop_stream(stream.id, ErrorCode.H3_NO_ERROR)
         stream.body.clear()
-        self.send_answer(stream, Reply(status, reason.encode()))
+        self.send_response(stream, Reply(status, reason.encode()))
 
-    def _cancelled(self, id: int) -> None:
-        """Drop a request that its client cancelled; attempts at it are not stopped here."""
-        self._arrivals.forget_stream(id)
-        stream = self.streams.get(id)
+    def _on_cancelled(self, stream_id: int) -> None:
+        """Drop a request that its client cancelled; the node decides about its attempts."""
+        self._arrivals.forget_stream(stream_id)
+        stream = self.streams.get(stream_id)
         if stream is None:
             return
         unanswered = stream.state is not StreamState.WRITING
         self._drop(stream, ErrorCode.H3_REQUEST_CANCELLED)
         if unanswered and not self._abuse_limit.allows_reset(now_ms()):
-            log.warning("a caller took back too many requests; its connection is closed")
+            log.warning("client cancelled too many requests; closing its connection")
             self.abort(ErrorCode.H3_EXCESSIVE_LOAD)
 
     def _drop(self, stream: RequestStream, code: int) -> None:
-        """Forget a request, and notify the node if it has it."""
+        """Reset and forget the stream of a request, and notify the node if it serves the request."""
         if self.streams.pop(stream.id, None) is None:
             return
-        if not self.over and not is_over(self.quic, stream.id):
+        if not self.closed and not is_stream_finished(self.quic, stream.id):
             self.quic.reset_stream(stream.id, code)
         if self._session is not None:
             self._session.forget(stream.id)
-            if not self.over and not is_over(self.quic, stream.id):
+            if not self.closed and not is_stream_finished(self.quic, stream.id):
                 self._session.ignore(stream.id, False)
         pending = stream.pending
         stream.pending = None
@@ -334,65 +344,74 @@
 
     def _set_state(self, stream: RequestStream, state: StreamState) -> None:
         stream.state = state
-        stream.since = time.monotonic()
+        stream.state_since_s = time.monotonic()
 
-    # The end
+    # Closing
 
     def _on_flushed(self) -> None:
-        """Forget requests whose answer is acknowledged; called after each flush."""
-        done = [
-            x for x in self.streams.values() if x.state is StreamState.WRITING and is_over(self.quic, x.id)
+        """Forget requests with an acknowledged response; called after each flush."""
+        finished = [
+            stream
+            for stream in self.streams.values()
+            if stream.state is StreamState.WRITING and is_stream_finished(self.quic, stream.id)
         ]
-        for stream in done:
+        for stream in finished:
             del self.streams[stream.id]
-        if self._closing and not self.streams and not self.over:
+        if self._closing and not self.streams and not self.closed:
             self.quic.close(error_code=ErrorCode.H3_NO_ERROR)
-            self._closing = False  # only once
+            self._closing = False  # so that the connection is closed only once
             self.transport.flush_soon()
 
     def sweep(self, now: float) -> None:
-        """End the requests, or the connection, that have waited too long."""
-        if not self.up and now - self.began_s > HANDSHAKE_S:
+        """End the connection or the requests that exceed their time limits.
+
+        :param now: in seconds, by `time.monotonic`.
+        """
+        if not self.up and now - self.created_s > HANDSHAKE_TIMEOUT_S:
             return self.abort(ErrorCode.H3_NO_ERROR)
-        if self.up and not self.streams and now - self.last_received_s > IDLE_S:
+        if self.up and not self.streams and now - self.last_received_s > IDLE_TIMEOUT_S:
             return self.abort(ErrorCode.H3_NO_ERROR)
         for stream in list(self.streams.values()):
-            waited = now - stream.since
-            if stream.state is StreamState.READING and waited > READ_S:
+            waited_s = now - stream.state_since_s
+            if stream.state is StreamState.READING and waited_s > READ_TIMEOUT_S:
                 self._reject_request(stream, 408, "the request took too long to come")
-            elif stream.state is StreamState.WRITING and waited > WRITE_S:
+            elif stream.state is StreamState.WRITING and waited_s > WRITE_TIMEOUT_S:
                 self._drop(stream, ErrorCode.H3_INTERNAL_ERROR)
                 self.transport.flush_soon()
         return None
 
     def set_not_ready(self) -> None:
-        """Announce the node's end; requests are still accepted (RFC 9114, section 5.2)."""
-        if self._session is not None and not self.over:
+        """Announce that the node is shutting down; requests are still accepted (RFC 9114, section 5.2)."""
+        if self._session is not None and not self.closed:
             self._session.send_goaway(LAST_STREAM)
             self.transport.flush_soon()
 
     def close_gracefully(self) -> None:
-        """Accept no more requests, and close when the open ones are answered."""
-        if not self.over and not self._closing:
+        """Accept no new requests, and close the connection when the open ones are answered."""
+        if not self.closed and not self._closing:
             self._closing = True
             if self._session is not None:
                 self._session.send_goaway(self._arrivals.next_stream)
             self.transport.flush_soon()
 
     def abort(self, code: int) -> None:
-        """End it now, whatever is on it."""
-        if not self.over:
+        """Close the connection at once; its open requests are dropped.
+
+        :param code: the HTTP/3 error code that the client is sent.
+        """
+        if not self.closed:
             self.quic.close(error_code=code)
             self.transport.flush()
             self._on_terminated()
 
     def _on_terminated(self) -> None:
-        if self.over:
+        if self.closed:
             return
-        self.over = True
-        self._held.take()
+        self.closed = True
+        self._held_datagrams.take()
         for stream in list(self.streams.values()):
             self._drop(stream, ErrorCode.H3_REQUEST_CANCELLED)
         self.listener.connection_closed(self)
-        # The library would go on for a while, to answer late packets with its close; here they are strays.
-        self.transport.end()
+        # No closing period, in which the library would repeat its CONNECTION_CLOSE: the listener answers late
+        # packets as stray ones.
+        self.transport.stop()
--- a/orchidferry/node/h3/held_datagrams.py
+++ b/orchidferry/node/h3/held_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams that come before the keys that open them, up to a bound. No I/O."""
+"""A bounded buffer for datagrams that arrive before the keys that decrypt them. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from orchidferry.node.h3.quic_transport import Endpoint
 
-MAX_HELD_BYTES = 14_720  # of one connection: a client's initial window (RFC 9002, section 7.2)
+MAX_HELD_BYTES = 14_720  # for each connection: a client's initial congestion window (RFC 9002, section 7.2)
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A datagram as it arrived."""
+    """A received datagram."""
 
     data: bytes
     peer: Endpoint
@@ -19,10 +19,10 @@
 
 
 class HeldDatagrams:
-    """What a client sent that is done with the handshake, until this side is, too (RFC 9001, section 5.7).
+    """1-RTT datagrams of a client, held until the server's handshake is complete (RFC 9001, section 5.7).
 
-    If its last datagram of the handshake is lost, what follows waits for that to come again. Kept with the
-    time of its arrival it need not come again itself.
+    If the client's last datagram of the handshake is lost, the following ones can be decrypted only after it
+    has been resent. As they are held, with their times of arrival, the client need not resend them too.
     """
 
     __slots__ = ("_bytes", "_datagrams")
@@ -36,17 +36,17 @@
 
     @property
     def bytes(self) -> int:
-        """The size of all of them."""
+        """The total size of the held datagrams."""
         return self._bytes
 
     def hold(self, datagram: Datagram) -> None:
-        """Keep a datagram if there is room; else it counts as lost."""
+        """Hold a datagram if there is room; else drop it, so that it counts as lost."""
         if self._bytes + len(datagram.data) <= MAX_HELD_BYTES:
             self._datagrams.append(datagram)
             self._bytes += len(datagram.data)
 
     def take(self) -> list[Datagram]:
-        """Return what is held, in its order, and hold nothing any more."""
+        """Remove and return the held datagrams, in order of arrival."""
         taken = self._datagrams
         self._datagrams = []
         self._bytes = 0
--- a/orchidferry/node/h3/quic_transport.py
+++ b/orchidferry/node/h3/quic_transport.py
@@ -1,7 +1,7 @@
-"""The I/O of a QUIC connection: datagrams in and out, and one timer. The library (aioquic) itself has none.
+"""The I/O of a QUIC connection: datagrams in and out, and one timer. The library (aioquic) does none.
 
-Time is `time.monotonic()`, as uvloop's clock stands still within an iteration and counts full milliseconds.
-What is used of the library's private attributes stands here and in `session.py`.
+Times are from `time.monotonic()`, because uvloop's clock stands still within an iteration of the event loop
+and counts full milliseconds. Only this module and `session.py` use private attributes of the library.
 """
 
 from __future__ import annotations
@@ -18,40 +18,47 @@
 from aioquic.quic.events import QuicEvent
 from aioquic.tls import Epoch
 
-Endpoint = tuple[Any, ...]  # a UDP peer, as the socket names it
+Endpoint = tuple[Any, ...]  # the socket address of a UDP peer: (host, port), with two more items for IPv6
 
 log = logging.getLogger("orchidferry")
-# The library logs a line or two for each connection.
+# At INFO the library logs a line or two for each connection.
 logging.getLogger("quic").setLevel(logging.WARNING)
 
 ALPN = "h3"
-CID_LENGTH = 8  # bytes of the connection ids that this side makes
-LONG_HEADER = b"\x80"  # first bytes from this on begin a long header (RFC 9000, section 17.2)
-LONG_HEADER_ID_OFFSET = 6  # of the destination connection id, in bytes
-SHORT_HEADER_ID_OFFSET = 1
-RESET_TOKEN_BYTES = 16  # bytes of a stateless reset token
-COPY_DELAY_S = 0.005  # so that losses which come together do not take both
-MAX_COPIED = 4  # datagrams of one flush
+CID_LENGTH = 8  # bytes of the connection ids that this side issues
+LONG_HEADER = b"\x80"  # the smallest first byte of a packet with a long header (RFC 9000, section 17.2)
+LONG_HEADER_ID_OFFSET = 6  # offset in bytes of the destination connection id in a long header
+SHORT_HEADER_ID_OFFSET = 1  # and in a short header
+RESET_TOKEN_BYTES = 16  # length of a stateless reset token
+COPY_DELAY_S = 0.005  # between a datagram and its copy, so that one burst of losses does not take both
+MAX_COPIED = 4  # datagrams of one flush that are copied at most
 
 
 def reset_token(key: bytes, cid: bytes) -> bytes:
-    """Return the token of a connection id's stateless reset (RFC 9000, section 10.3.2)."""
+    """Return the stateless reset token of a connection id (RFC 9000, section 10.3.2).
+
+    :param key: the listener's secret key for reset tokens.
+    :param cid: the connection id.
+    """
     return hmac.digest(key, cid, hashlib.sha256)[:RESET_TOKEN_BYTES]
 
 
 class ServerQuicConnection(QuicConnection):
-    """A server's connection whose stateless reset tokens are derived from its ids, so that none is kept."""
+    """A QUIC connection of the listener; its stateless reset tokens are derived from its connection ids.
+
+    So the listener can reset a connection without having stored its tokens.
+    """
 
-    def __init__(self, key: bytes, streams: int, **rest: Any) -> None:
+    def __init__(self, key: bytes, streams: int, **library_options: Any) -> None:
         """Create a `ServerQuicConnection`.
 
-        :param key: for the tokens.
+        :param key: the listener's secret key for reset tokens.
         :param streams: requests that may be open at once.
-        :param rest: for the library.
+        :param library_options: arguments of `QuicConnection`.
         """
         self._key = key
-        super().__init__(**rest)
-        # Each request that ends permits another one.
+        super().__init__(**library_options)
+        # The initial limit; the library permits another request for each one that ends.
         self._local_max_streams_bidi.value = self._local_max_streams_bidi.sent = streams
         self._host_cids[0].stateless_reset_token = reset_token(key, self.host_cid)
 
@@ -63,67 +70,73 @@
 
 
 def peer_reset_tokens(quic: QuicConnection) -> list[bytes]:
-    """Return the stateless reset tokens that the peer has sent."""
+    """Return the stateless reset tokens of the peer's connection ids."""
     ids: list[QuicConnectionId] = [quic._peer_cid, *quic._peer_cid_available]
     return [id.stateless_reset_token for id in ids if id.stateless_reset_token]
 
 
-def is_sent(quic: QuicConnection, stream_id: int) -> bool:
-    """Return whether the last byte of a stream, with its end, was sent at least once."""
+def is_fully_sent(quic: QuicConnection, stream_id: int) -> bool:
+    """Return whether the last byte of a stream and its FIN were sent at least once."""
     stream = quic._streams.get(stream_id)
     if stream is None:
-        return True  # all of it was acknowledged
+        return True  # the library discards a stream once all of it is acknowledged
     sender = stream.sender
     return sender._buffer_fin is not None and not sender._pending_eof and not len(sender._pending)
 
 
-def is_over(quic: QuicConnection, stream_id: int) -> bool:
-    """Return whether both directions of a stream have ended and all that was sent is acknowledged."""
+def is_stream_finished(quic: QuicConnection, stream_id: int) -> bool:
+    """Return whether both directions of a stream have ended and all sent data is acknowledged."""
     return stream_id not in quic._streams
 
 
 def peer_close_code(quic: QuicConnection) -> int | None:
-    """Return the code of the peer's close, once it has come; the library's event follows some time later."""
+    """Return the error code with which the peer closed the connection; None while it has not.
+
+    The library's `ConnectionTerminated` event follows only after the draining period.
+    """
     if quic._state is not QuicConnectionState.DRAINING or quic._close_event is None:
         return None
     return int(quic._close_event.error_code)
 
 
 def probe_timeout_ms(quic: QuicConnection) -> float:
-    """Return after how long a datagram that is not acknowledged is sent again (RFC 9002, section 6.2)."""
+    """Return the probe timeout (RFC 9002, section 6.2), after which unacknowledged data is sent again."""
     return 1000.0 * float(quic._loss.get_probe_timeout())
 
 
 def unanswered_probes(quic: QuicConnection) -> int:
-    """Return how many probe timeouts in a row have passed without an acknowledgement."""
+    """Return the number of consecutive probe timeouts without an acknowledgement."""
     return int(quic._loss._pto_count)
 
 
-def newest_packet(quic: QuicConnection) -> int:
-    """Return the greatest packet number received once the keys are agreed; -1 before."""
+def largest_packet_number(quic: QuicConnection) -> int:
+    """Return the largest packet number received with 1-RTT keys; -1 before the first such packet."""
     space = quic._spaces.get(Epoch.ONE_RTT)
     return int(space.largest_received_packet) if space is not None else -1
 
 
 def has_short_header(datagram: bytes) -> bool:
-    """Return whether a datagram begins with a packet that only the keys of a done handshake can open."""
+    """Return whether a datagram begins with a 1-RTT packet, which is readable only after the handshake."""
     return datagram[:1] < LONG_HEADER
 
 
 def is_confirmed(quic: QuicConnection) -> bool:
-    """Return whether a client knows that its server has its whole handshake (RFC 9001, section 4.1.2)."""
+    """Return whether a client's handshake is confirmed, that is complete at both ends (RFC 9001, 4.1.2)."""
     return bool(quic._handshake_confirmed)
 
 
-def is_from(quic: QuicConnection, datagram: bytes) -> bool:
-    """Return whether a datagram bears an id that only this connection and its path know."""
+def was_sent_by(quic: QuicConnection, datagram: bytes) -> bool:
+    """Return whether a connection sent a datagram.
+
+    The datagram then bears a connection id that only the two ends and the path between them know.
+    """
     ids = [id.cid for id in (quic._peer_cid, *quic._peer_cid_available) if id.cid]
     start = SHORT_HEADER_ID_OFFSET if has_short_header(datagram) else LONG_HEADER_ID_OFFSET
     return any(datagram.startswith(id, start) for id in ids)
 
 
 def streams_left(quic: QuicConnection) -> int:
-    """Return how many more requests the peer permits now."""
+    """Return the number of further requests that the peer's stream limit permits now."""
     return int(quic._remote_max_streams_bidi - quic._local_next_stream_id_bidi // 4)
 
 
@@ -142,7 +155,7 @@
 
 
 class ConnectionIdTable(Generic[Owner]):
-    """Connections by id; an id is valid until it is retired, or its connection ends."""
+    """Connections by connection id; an id is valid until it is retired or its connection ends."""
 
     def __init__(self) -> None:
         self._owners: dict[bytes, Owner] = {}
@@ -151,7 +164,7 @@
         return len(self._owners)
 
     def get(self, cid: bytes) -> Owner | None:
-        """Return the connection of an id."""
+        """Return the connection that an id belongs to; None for an unknown id."""
         return self._owners.get(cid)
 
     def add(self, cid: bytes, owner: Owner) -> None:
@@ -165,7 +178,7 @@
             owner.cids.discard(cid)
             del self._owners[cid]
 
-    def end(self, owner: Owner) -> None:
+    def remove_all(self, owner: Owner) -> None:
         """Remove all ids of a connection."""
         for cid in owner.cids:
             self._owners.pop(cid, None)
@@ -173,7 +186,7 @@
 
 
 class QuicTransport:
-    """Passes datagrams and time to a connection, and sends its datagrams."""
+    """Passes received datagrams and timer expirations to a QUIC connection, and sends its datagrams."""
 
     def __init__(
         self,
@@ -184,6 +197,13 @@
         on_flushed: Callable[[], None],
         on_failure: Callable[[], None],
     ) -> None:
+        """Create a `QuicTransport`.
+
+        :param sendto: sends a datagram to a peer.
+        :param on_event: handles an event of the connection.
+        :param on_flushed: called after each flush.
+        :param on_failure: called when handling the connection raised an exception.
+        """
         self.quic = quic
         self._loop = loop
         self._sendto = sendto
@@ -191,37 +211,38 @@
         self._on_flushed = on_flushed
         self._on_failure = on_failure
         self._timer: asyncio.TimerHandle | None = None
-        self._due_s = 0.0
+        self._due_s = 0.0  # when the timer expires, by `time.monotonic`
         self._flush_handle: asyncio.Handle | None = None
         self._copies_next_flush = False
         self._closed = False
 
     def receive(self, data: bytes, peer: Endpoint) -> None:
-        """Handle a datagram; an exception, also one inside the library, ends only this connection."""
+        """Handle a datagram; an exception, even one within the library, ends only this connection."""
         try:
             self.quic.receive_datagram(data, peer, now=time.monotonic())
             self._handle_events()
         except Exception:
-            log.exception("a QUIC connection, at a datagram")
+            log.exception("QUIC connection dropped: error while handling a datagram")
             return self._on_failure()
         self.flush_soon()
         return None
 
     def flush_soon(self) -> None:
-        """Send what there is to send, at the end of this iteration of the event loop."""
+        """Send pending datagrams once the callbacks that the event loop has scheduled so far have run."""
         if self._flush_handle is None and not self._closed:
             self._flush_handle = self._loop.call_soon(self.flush)
 
     def flush_twice_soon(self) -> None:
-        """Like `flush_soon`, for what has no time to be sent again after a probe timeout.
+        """Do as `flush_soon`, and send the datagrams once more after `COPY_DELAY_S`.
 
-        The copies of its datagrams are duplicates to the peer (RFC 9000, section 12.3).
+        For data that would come too late if it were resent only after a probe timeout. The peer discards the
+        copies as duplicates (RFC 9000, section 12.3).
         """
         self._copies_next_flush = True
         self.flush_soon()
 
     def flush(self) -> None:
-        """Send what there is to send now."""
+        """Send pending datagrams now."""
         if self._flush_handle is not None:
             self._flush_handle.cancel()
             self._flush_handle = None
@@ -235,7 +256,7 @@
                 self._loop.call_later(COPY_DELAY_S, self._send, datagrams[:MAX_COPIED])
             self._on_flushed()
         except Exception:
-            log.exception("a QUIC connection, sending")
+            log.exception("QUIC connection dropped: error while sending")
             return self._on_failure()
         if not self._closed:
             self._set_timer()
@@ -262,7 +283,7 @@
             self.quic.handle_timer(now=max(self._due_s, time.monotonic()))
             self._handle_events()
         except Exception:
-            log.exception("a QUIC connection, at its timer")
+            log.exception("QUIC connection dropped: error while handling its timer")
             return self._on_failure()
         self.flush()
         return None
@@ -271,8 +292,8 @@
         while (event := self.quic.next_event()) is not None:
             self._on_event(event)
 
-    def end(self) -> None:
-        """Cancel its timer, and send nothing more."""
+    def stop(self) -> None:
+        """Cancel the timer, and send nothing more."""
         self._closed = True
         for handle in (self._timer, self._flush_handle):
             if handle is not None:
--- a/orchidferry/node/h3/server_connection.py
+++ b/orchidferry/node/h3/server_connection.py
@@ -1,12 +1,12 @@
-"""A connection to a server in HTTP/3: one stream an attempt, each with exactly one outcome.
+"""An HTTP/3 connection to a server: one stream for each attempt, and exactly one result of each attempt.
 
-Outcomes follow the protocol:
+Without a response, the result says whether the server may have run the request:
 
-- never ran: the connection never came up, the last byte of the request was never sent, H3_REQUEST_REJECTED, a
-  GOAWAY that excludes the stream;
-- may have run: whatever else ends the stream once that byte was sent.
+- it did not run if the connection was never established, if the last byte of the request was never sent, if
+  the server reset the stream with H3_REQUEST_REJECTED, or if its GOAWAY excludes the stream;
+- it may have run if the stream ended in any other way after that byte was sent.
 
-An attempt is given up by resetting its stream; the connection stays open.
+An attempt is cancelled by resetting its stream; the connection stays open.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
     Endpoint,
     QuicTransport,
     is_confirmed,
-    is_over,
-    is_sent,
+    is_fully_sent,
+    is_stream_finished,
     new_stream,
     peer_close_code,
     peer_reset_tokens,
@@ -50,18 +50,20 @@
 if TYPE_CHECKING:
     from orchidferry.node.h3.upstream import Http3Upstream
 
-ORDERLY = (0, ErrorCode.H3_NO_ERROR)  # codes with which idle timeouts and planned ends close
-MIN_RESET = 21  # bytes of a stateless reset
-SUSPECT_PROBES = 3  # probe timeouts in a row, with 5% of datagrams lost about once in 1,000 packets
+ORDERLY_CODES = (0, ErrorCode.H3_NO_ERROR)  # error codes of idle timeouts and of planned closes
+MIN_STATELESS_RESET_BYTES = 21  # the smallest datagram that is a stateless reset
+# Consecutive probe timeouts after which a connection is suspect. With 5% of datagrams lost, a working
+# connection reaches them about once in 1,000 packets.
+SUSPECT_PROBES = 3
 
 log = logging.getLogger("orchidferry")
 
 
 def request_headers(message: Message, authority: bytes, timeout_ms: float) -> list[tuple[bytes, bytes]]:
-    """Return a request's headers as they are sent to a server.
+    """Return the HTTP/3 header fields of a request to a server.
 
-    :param authority: the server, as host and port.
-    :param timeout_ms: the budget that the server is told: what is left for this attempt.
+    :param authority: host and port of the server.
+    :param timeout_ms: the time limit of this attempt, which the server is told as its budget.
     """
     headers = [
         (b":method", message.method),
@@ -81,42 +83,42 @@
 
 
 @dataclass(slots=True, eq=False)
-class StreamAttempt:
-    """An attempt on a stream, and what has come of its response."""
+class AttemptStream:
+    """The stream of an attempt, and the part of its response that has been received."""
 
     attempt: Attempt
-    stream: int
-    sent_ms: float
-    status: int = 0
-    size: int = 0
+    id: int  # stream id
+    sent_ms: float  # when the request was sent, by the node's clock
+    status: int = 0  # 0 until the first response headers
+    size: int = 0  # bytes of the body received
     body: list[bytes] = field(default_factory=list)
     content_type: bytes | None = None
-    rejected: bool = False
-    report: dict[str, float] | None = None
-    chain: bytes | None = None
+    rejected: bool = False  # whether the server rejected the request (`x-rejected`)
+    report: dict[str, float] | None = None  # the server's load report
+    chain: bytes | None = None  # header about the server's own calls, in a chain of tiers
 
 
 class ServerConnection:
-    """A connection to a server, with any number of attempts."""
+    """A connection to a server, which carries any number of attempts."""
 
-    def __init__(self, routes: Http3Upstream, server: int, address: Address, peer: Endpoint) -> None:
+    def __init__(self, upstream: Http3Upstream, server: int, address: Address, peer: Endpoint) -> None:
         self.server = server
         self.address = address
         self.peer = peer
-        self.routes = routes
-        self.began_s = time.monotonic()
-        self.last_received_s = self.began_s
-        self.last_sent_s = self.began_s  # when the last attempt was sent
-        self.up = False  # whether the handshake is confirmed: the server reads what is sent
-        self.over = False
-        self.leaving = False  # whether it takes no more attempts
-        self.attempts: dict[int, StreamAttempt] = {}
-        self.cids: set[bytes] = set()
-        self.quic = QuicConnection(configuration=routes.configuration(address))
+        self.upstream = upstream
+        self.created_s = time.monotonic()
+        self.last_received_s = self.created_s  # when the last datagram was received
+        self.last_sent_s = self.created_s  # when the last attempt was sent
+        self.up = False  # whether the handshake is confirmed: from then on the server reads requests
+        self.closed = False
+        self.shutting_down = False  # whether the connection takes no new attempts
+        self.attempts: dict[int, AttemptStream] = {}  # by stream id
+        self.cids: set[bytes] = set()  # connection ids by which this connection receives datagrams
+        self.quic = QuicConnection(configuration=upstream.configuration(address))
         self.transport = QuicTransport(
             self.quic,
-            routes.loop,
-            routes.sendto,
+            upstream.loop,
+            upstream.sendto,
             self._on_event,
             self._on_flushed,
             lambda: self._on_terminated(False),
@@ -126,107 +128,106 @@
 
     def connect(self) -> None:
         """Send the first packet."""
-        routes = self.routes
-        routes.ids.add(self.quic.host_cid, self)
+        upstream = self.upstream
+        upstream.connection_ids.add(self.quic.host_cid, self)
         self.quic.connect(self.peer, now=time.monotonic())
         self.transport.flush()
 
     def receive(self, data: bytes) -> None:
-        """Handle a datagram."""
+        """Handle a datagram that was received on this connection."""
         self.last_received_s = time.monotonic()
-        self.routes.transports.received(self.server, now_ms())
+        self.upstream.transports.received(self.server, now_ms())
         self.transport.receive(data, self.peer)
-        if not self.up and not self.over and is_confirmed(self.quic):
+        if not self.up and not self.closed and is_confirmed(self.quic):
             self.up = True
-            self.routes.transports.connected(self.server, now_ms())
-        if not self.over and (code := peer_close_code(self.quic)) is not None:
-            self._on_terminated(
-                code in ORDERLY and self.up
-            )  # now, so that its attempts can be repeated elsewhere
+            self.upstream.transports.connected(self.server, now_ms())
+        if not self.closed and (code := peer_close_code(self.quic)) is not None:
+            # Not only at the library's event, so that the attempts can be repeated elsewhere at once.
+            self._on_terminated(code in ORDERLY_CODES and self.up)
 
     def probe(self) -> None:
-        """Send something that the server has to acknowledge."""
+        """Send a PING, which the server has to acknowledge."""
         self.quic.send_ping(0)
         self.transport.flush_soon()
 
     def can_send(self) -> bool:
-        """Return whether an attempt may be sent now."""
-        return self.up and not self.over and not self.leaving and streams_left(self.quic) > 0
+        """Return whether an attempt can be sent now."""
+        return self.up and not self.closed and not self.shutting_down and streams_left(self.quic) > 0
 
     def send_attempt(self, attempt: Attempt) -> None:
         """Send an attempt's request on a new stream."""
         assert self._session is not None
-        stream = new_stream(self.quic)
-        sent = self.attempts[stream] = StreamAttempt(attempt, stream, now_ms())
-        attempt.set_cancel_io(lambda: self._cancel(sent))
+        stream_id = new_stream(self.quic)
+        stream = self.attempts[stream_id] = AttemptStream(attempt, stream_id, now_ms())
+        attempt.set_cancel_io(lambda: self._cancel(stream))
         message = attempt.message
         self.last_sent_s = time.monotonic()
         self._session.send_headers(
-            stream,
+            stream_id,
             request_headers(message, self._authority, attempt.timeout_ms) + attempt.more,
             end_stream=not message.body,
         )
         if message.body:
-            self._session.send_data(stream, message.body, end_stream=True)
+            self._session.send_data(stream_id, message.body, end_stream=True)
         self.transport.flush()
 
-    def _cancel(self, sent: StreamAttempt) -> None:
-        """End the stream of an attempt that was given up; the connection stays open."""
-        if self._remove(sent.stream) is None:
+    def _cancel(self, stream: AttemptStream) -> None:
+        """Reset the stream of a cancelled attempt; the connection stays open."""
+        if self._remove(stream.id) is None:
             return
-        if self.routes.transports.timed_out(self.server, sent.sent_ms, now_ms()):
+        if self.upstream.transports.timed_out(self.server, stream.sent_ms, now_ms()):
             self.probe()
-        self._reset(sent.stream)
+        self._reset_stream(stream.id)
         self.transport.flush_soon()
 
-    def _reset(self, stream: int) -> None:
-        if not self.over and not is_over(self.quic, stream):
-            self.quic.stop_stream(stream, ErrorCode.H3_REQUEST_CANCELLED)
-            self.quic.reset_stream(stream, ErrorCode.H3_REQUEST_CANCELLED)
+    def _reset_stream(self, stream_id: int) -> None:
+        if not self.closed and not is_stream_finished(self.quic, stream_id):
+            self.quic.stop_stream(stream_id, ErrorCode.H3_REQUEST_CANCELLED)
+            self.quic.reset_stream(stream_id, ErrorCode.H3_REQUEST_CANCELLED)
         if self._session is not None:
-            self._session.forget(stream)
-            if not is_over(self.quic, stream):
-                self._session.ignore(stream, False)
-
-    def _remove(self, stream: int) -> StreamAttempt | None:
-        sent = self.attempts.pop(stream, None)
-        if self.leaving and not self.attempts:
-            self.routes.loop.call_soon(self.end)
-        return sent
-
-    def _finish(self, stream: int, result: Result, answer: UpstreamResponse | None = None) -> None:
-        sent = self._remove(stream)
-        if sent is not None:
-            sent.attempt.end(result, answer)
-
-    def _fail(self, stream: int) -> None:
-        """End an attempt without a response: it may have run if all of its request was sent."""
-        sent = self.attempts.get(stream)
-        if sent is not None:
-            written = sent.attempt.written or is_sent(self.quic, stream)
-            self._finish(stream, Result.RESET if written else Result.UNREACHABLE)
-
-    # Events
+            self._session.forget(stream_id)
+            if not is_stream_finished(self.quic, stream_id):
+                self._session.ignore(stream_id, False)
+
+    def _remove(self, stream_id: int) -> AttemptStream | None:
+        stream = self.attempts.pop(stream_id, None)
+        if self.shutting_down and not self.attempts:
+            self.upstream.loop.call_soon(self.close)
+        return stream
+
+    def _finish(self, stream_id: int, result: Result, response: UpstreamResponse | None = None) -> None:
+        stream = self._remove(stream_id)
+        if stream is not None:
+            stream.attempt.end(result, response)
+
+    def _fail(self, stream_id: int) -> None:
+        """End an attempt that got no response: the request may have run if all of it was sent."""
+        stream = self.attempts.get(stream_id)
+        if stream is not None:
+            written = stream.attempt.written or is_fully_sent(self.quic, stream_id)
+            self._finish(stream_id, Result.RESET if written else Result.UNREACHABLE)
+
+    # QUIC and HTTP/3 events
 
     def _on_event(self, event: QuicEvent) -> None:
         match event:
             case HandshakeCompleted():
-                self._session = Session(self.quic)  # it sends the settings
+                self._session = Session(self.quic)  # sends the SETTINGS frame
             case ConnectionIdIssued():
-                self.routes.ids.add(event.connection_id, self)
+                self.upstream.connection_ids.add(event.connection_id, self)
             case ConnectionIdRetired():
-                self.routes.ids.retire(event.connection_id, self)
+                self.upstream.connection_ids.retire(event.connection_id, self)
             case ConnectionTerminated():
-                self._on_terminated(event.error_code in ORDERLY and self.up)
+                self._on_terminated(event.error_code in ORDERLY_CODES and self.up)
             case StreamReset():
                 self._on_http_event(event)
-                sent = self.attempts.get(event.stream_id)
-                if sent is not None and event.error_code == ErrorCode.H3_REQUEST_REJECTED:
-                    # The server says that it did not run it, unless it answered something before.
-                    self._finish(event.stream_id, Result.RESET if sent.status else Result.REFUSED)
-                elif sent is not None:
+                stream = self.attempts.get(event.stream_id)
+                if stream is not None and event.error_code == ErrorCode.H3_REQUEST_REJECTED:
+                    # The request did not run, unless the server had already begun a response.
+                    self._finish(event.stream_id, Result.RESET if stream.status else Result.REFUSED)
+                elif stream is not None:
                     self._fail(event.stream_id)
-                if not is_over(self.quic, event.stream_id):
+                if not is_stream_finished(self.quic, event.stream_id):
                     self.quic.reset_stream(event.stream_id, ErrorCode.H3_REQUEST_CANCELLED)
             case _:
                 self._on_http_event(event)
@@ -234,105 +235,113 @@
     def _on_http_event(self, event: QuicEvent) -> None:
         if self._session is None:
             return
-        for found in self._session.take(event):
-            if isinstance(found, GoAway):
-                self._on_goaway(found.stream_id)
+        for h3_event in self._session.handle_quic_event(event):
+            if isinstance(h3_event, GoAway):
+                self._on_goaway(h3_event.stream_id)
                 continue
-            sent = self.attempts.get(getattr(found, "stream_id", -1))
-            if sent is None:
+            stream = self.attempts.get(getattr(h3_event, "stream_id", -1))
+            if stream is None:
                 continue
-            match found:
+            match h3_event:
                 case HeadersReceived():
-                    self._on_headers(sent, found)
+                    self._on_headers(stream, h3_event)
                 case DataReceived():
-                    sent.size += len(found.data)
-                    sent.body.append(found.data)
-                    if sent.size > MAX_BODY:
-                        self._on_malformed(sent)
+                    stream.size += len(h3_event.data)
+                    stream.body.append(h3_event.data)
+                    if stream.size > MAX_BODY:
+                        self._on_malformed(stream)
                         continue
                 case Malformed():
-                    self._on_malformed(sent)
+                    self._on_malformed(stream)
                     continue
-            if getattr(found, "stream_ended", False) and sent.stream in self.attempts:
-                self._on_complete(sent)
+            if getattr(h3_event, "stream_ended", False) and stream.id in self.attempts:
+                self._on_complete(stream)
 
-    def _on_headers(self, sent: StreamAttempt, found: HeadersReceived) -> None:
-        if sent.status >= 200:
+    def _on_headers(self, stream: AttemptStream, event: HeadersReceived) -> None:
+        if stream.status >= 200:
             return  # trailers
-        sent.rejected = False
-        sent.report = None
-        sent.content_type = None
-        sent.chain = None
-        for name, value in found.headers:
+        stream.rejected = False
+        stream.report = None
+        stream.content_type = None
+        stream.chain = None
+        for name, value in event.headers:
             match name:
                 case b":status":
-                    sent.status = int(value)  # three digits, as the library checked
+                    stream.status = int(value)  # the library has checked that it is three digits
                 case b"content-type":
-                    sent.content_type = value
+                    stream.content_type = value
                 case b"x-rejected":
-                    sent.rejected = value.strip() == b"1"
+                    stream.rejected = value.strip() == b"1"
                 case b"x-load-report":
-                    sent.report = read_report(value)
+                    stream.report = read_report(value)
                 case b"x-chain":
-                    sent.chain = value
-
-    def _on_complete(self, sent: StreamAttempt) -> None:
-        if sent.status < 200:  # an end without a response
-            return self._on_malformed(sent)
-        body = b"".join(sent.body)
-        answer = UpstreamResponse(sent.status, body, sent.content_type, sent.report, chain=sent.chain)
-        if not sent.attempt.written:  # a response proves that it was sent
-            sent.attempt.on_sent()
-        self._finish(sent.stream, classify_response(sent.status, sent.rejected), answer)
+                    stream.chain = value
+
+    def _on_complete(self, stream: AttemptStream) -> None:
+        if stream.status < 200:  # the stream ended without a final response
+            return self._on_malformed(stream)
+        body = b"".join(stream.body)
+        response = UpstreamResponse(
+            stream.status, body, stream.content_type, stream.report, chain=stream.chain
+        )
+        if not stream.attempt.written:  # a response proves that the request was sent
+            stream.attempt.on_sent()
+        self._finish(stream.id, classify_response(stream.status, stream.rejected), response)
         return None
 
-    def _on_malformed(self, sent: StreamAttempt) -> None:
-        self._reset(sent.stream)
-        sent.body.clear()
-        self._finish(sent.stream, Result.ERROR)
-
-    def _on_goaway(self, first: int) -> None:
-        """Handle a GOAWAY: attempts that it excludes never ran, the others may still be answered."""
-        self.leaving = True
-        for stream in [stream for stream in self.attempts if stream >= first]:
-            self._reset(stream)
-            self._finish(stream, Result.MOOT)
-        self.routes.stop_using(self)
+    def _on_malformed(self, stream: AttemptStream) -> None:
+        self._reset_stream(stream.id)
+        stream.body.clear()
+        self._finish(stream.id, Result.ERROR)
+
+    def _on_goaway(self, first_excluded: int) -> None:
+        """Handle a GOAWAY frame.
+
+        :param first_excluded: requests with this stream id or a greater one did not run; the server may still
+            answer the others.
+        """
+        self.shutting_down = True
+        for stream_id in [stream_id for stream_id in self.attempts if stream_id >= first_excluded]:
+            self._reset_stream(stream_id)
+            self._finish(stream_id, Result.MOOT)
+        self.upstream.stop_using(self)
         if not self.attempts:
-            self.routes.loop.call_soon(self.end)
+            self.upstream.loop.call_soon(self.close)
 
     def _on_flushed(self) -> None:
         if unanswered_probes(self.quic) >= SUSPECT_PROBES:
-            self.routes.transports.probes_unanswered(self.server, now_ms())
-        for sent in self.attempts.values():
-            if not sent.attempt.written and is_sent(self.quic, sent.stream):
-                sent.attempt.on_sent()
+            self.upstream.transports.probes_unanswered(self.server, now_ms())
+        for stream in self.attempts.values():
+            if not stream.attempt.written and is_fully_sent(self.quic, stream.id):
+                stream.attempt.on_sent()
 
-    # The end
+    # Closing
 
-    def reset_by(self, data: bytes) -> bool:
-        """Return whether a datagram is the server's stateless reset of it (RFC 9000, section 10.3)."""
-        return len(data) >= MIN_RESET and data[-RESET_TOKEN_BYTES:] in peer_reset_tokens(self.quic)
+    def is_stateless_reset(self, data: bytes) -> bool:
+        """Return whether a datagram is a stateless reset of this connection (RFC 9000, section 10.3)."""
+        return len(data) >= MIN_STATELESS_RESET_BYTES and data[-RESET_TOKEN_BYTES:] in peer_reset_tokens(
+            self.quic
+        )
 
-    def reset(self) -> None:
-        """Handle a stateless reset, or that its port is closed: the server has forgotten it."""
+    def on_reset(self) -> None:
+        """Handle a stateless reset or a closed port: the server no longer knows this connection."""
         self._on_terminated(False)
 
-    def end(self, orderly: bool = True) -> None:
-        """Close it; its attempts end.
+    def close(self, orderly: bool = True) -> None:
+        """Close the connection; its attempts end without a response.
 
-        :param orderly: False if it did not work, so that TCP is used for a while.
+        :param orderly: False if the connection failed: TCP is then used for the backoff time.
         """
-        if not self.over:
+        if not self.closed:
             self.quic.close(error_code=ErrorCode.H3_NO_ERROR)
             self.transport.flush()
             self._on_terminated(orderly)
 
     def _on_terminated(self, orderly: bool) -> None:
-        if self.over:
+        if self.closed:
             return
-        self.over = True
-        self.transport.end()
-        self.routes.connection_closed(self, orderly)
-        for stream in list(self.attempts):
-            self._fail(stream)
+        self.closed = True
+        self.transport.stop()
+        self.upstream.connection_closed(self, orderly)
+        for stream_id in list(self.attempts):
+            self._fail(stream_id)
--- a/tests/node/h3/test_decisions.py
+++ b/tests/node/h3/test_decisions.py
@@ -183,7 +183,10 @@
         ("[front]\n", "front.listen is missing"),
         ('[front]\nlisten = "here"', "front.listen must be HOST:PORT"),
         ('[front]\nlisten = "a:70000"', "front.listen"),
-        ('[front]\nlisten = "a:1"\ncertificate = "none.pem"', "front.certificate names no file"),
+        (
+            '[front]\nlisten = "a:1"\ncertificate = "none.pem"',
+            "front.certificate names a file that does not exist",
+        ),
         ("[servers]\nconnections = 0", "servers.connections must be"),
         ("[servers]\nconnections = true", "servers.connections must be"),
         ('[servers]\nca = ""', "servers.ca is missing"),
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -319,7 +319,7 @@
             await until(made.module_is_clean)
             seen = [one.id for server in servers for one in server.seen]
             assert sorted(seen, key=int) == [str(n) for n in range(50)]  # each once, none again
-            assert not listener(made).ids and not listener(made)._half_open
+            assert not listener(made).connection_ids and not listener(made)._half_open
 
     run(test())
 
@@ -459,9 +459,9 @@
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """Limits that a test can wait for."""
     monkeypatch.setattr(front, "SWEEP_S", 0.02)
-    for name in ("HANDSHAKE_S", "READ_S", "WRITE_S", "IDLE_S"):
+    for name in ("HANDSHAKE_TIMEOUT_S", "READ_TIMEOUT_S", "WRITE_TIMEOUT_S", "IDLE_TIMEOUT_S"):
         monkeypatch.setattr(client_connection, name, 0.3)
-    monkeypatch.setattr(front, "IDLE_S", 0.3)
+    monkeypatch.setattr(front, "IDLE_TIMEOUT_S", 0.3)
 
 
 @pytest.mark.usefixtures("soon")
@@ -529,7 +529,7 @@
             caller = await made.connect(wait=False)
             caller.path.black_hole = True  # its first packet is out; nothing follows
             await until(lambda: len(listener(made)._half_open) == 1)
-            await until(lambda: not listener(made)._connections and not listener(made).ids)
+            await until(lambda: not listener(made)._connections and not listener(made).connection_ids)
             assert not listener(made)._half_open
 
     run(test())
@@ -844,11 +844,11 @@
     from orchidferry.node.client_connection import LIMITS_S
 
     assert (LIMITS_S[Stage.NEW], LIMITS_S[Stage.READING]) == (
-        client_connection.HANDSHAKE_S,
-        client_connection.READ_S,
+        client_connection.HANDSHAKE_TIMEOUT_S,
+        client_connection.READ_TIMEOUT_S,
     )
     assert (LIMITS_S[Stage.LEAVING], LIMITS_S[Stage.IDLE]) == (
-        client_connection.WRITE_S,
-        client_connection.IDLE_S,
+        client_connection.WRITE_TIMEOUT_S,
+        client_connection.IDLE_TIMEOUT_S,
     )
     assert files().ca.is_file()
--- a/tests/node/h3/test_lost_answers.py
+++ b/tests/node/h3/test_lost_answers.py
@@ -22,7 +22,7 @@
 def test_an_answer_without_time_for_a_resend_survives_the_loss_of_its_datagram(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    plain = Connection.send_answer
+    plain = Connection.send_response
 
     async def test() -> None:
         async with scene(tmp_path, Server()) as made:
@@ -41,7 +41,7 @@
 
             await until(lambda: accepted.up and accepted.quic._loss._rtt_initialized)
             accepted.quic._loss._rtt_smoothed = LONG_RTT_S
-            monkeypatch.setattr(Connection, "send_answer", lose_first_datagram)
+            monkeypatch.setattr(Connection, "send_response", lose_first_datagram)
             asked = begin(connection, "short", budget="20")
             assert asked.waiting is not None
             outcome = await asyncio.wait_for(asked.waiting, LIMIT_S)
--- a/tests/node/h3/test_lost_datagrams.py
+++ b/tests/node/h3/test_lost_datagrams.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from orchidferry.node.h3.lost_datagrams import Loss, resend_delay_ms, time_on_its_way_ms
+from orchidferry.node.h3.lost_datagrams import Loss, resend_delay_ms, time_in_transit_ms
 
 
 @pytest.mark.parametrize(
@@ -34,4 +34,4 @@
 def test_a_request_was_sent_before_a_recent_loss_was_noticed(
     packets: int, age_ms: float, budget_ms: float, expected_ms: float
 ) -> None:
-    assert time_on_its_way_ms(30.0, Loss(packets, age_ms), budget_ms) == pytest.approx(expected_ms)
+    assert time_in_transit_ms(30.0, Loss(packets, age_ms), budget_ms) == pytest.approx(expected_ms)
--- a/tests/node/h3/test_lost_handshake.py
+++ b/tests/node/h3/test_lost_handshake.py
@@ -78,7 +78,7 @@
             assert {one.status for one in outcomes} <= {200, 503}  # a node that has just started refuses some
             assert 0 < held_bytes[0] < max(held_bytes) <= 4_096
             accepted = accepted_by(made)
-            assert not accepted._held
+            assert not accepted._held_datagrams
 
     run(test())
 
--- a/tests/node/h3/test_lost_servers.py
+++ b/tests/node/h3/test_lost_servers.py
@@ -44,9 +44,9 @@
         async with quic_scene(tmp_path) as (made, _):
             one = link(made)
             routes(made).port_unreachable(b"\x41" + b"n" * 30, one.peer)
-            assert one.up and not one.over and state(made) is State.UP
+            assert one.up and not one.closed and state(made) is State.UP
             routes(made).port_unreachable(b"\x41" + one.quic._peer_cid.cid + b"n" * 30, one.peer)
-            assert one.over and state(made) is State.BACKING_OFF
+            assert one.closed and state(made) is State.BACKING_OFF
 
     run(test())
 
--- a/tests/node/h3/test_upstream.py
+++ b/tests/node/h3/test_upstream.py
@@ -37,7 +37,7 @@
 def test_where_udp_is_dropped_no_request_waits_and_quic_is_tried_again_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "HANDSHAKE_S", 0.2)
+    monkeypatch.setattr(upstream, "HANDSHAKE_TIMEOUT_S", 0.2)
     monkeypatch.setattr(upstream, "SWEEP_S", 0.02)
     monkeypatch.setattr(transports, "BASE_BACKOFF_MS", 200.0)
 
@@ -54,7 +54,7 @@
                 await asyncio.sleep(0.05)
             await until(lambda: state(made) is State.BACKING_OFF)
             lost = script.quic.from_requesters.lost
-            assert lost > 0 and not routes(made)._connections and not routes(made).ids
+            assert lost > 0 and not routes(made)._connections and not routes(made).connection_ids
             script.quic.from_requesters.black_hole = False
             tries = 0
             while state(made) is not State.UP:
@@ -211,7 +211,7 @@
             script.hold.set()
             assert (await first).body == b"by quic"
             assert ended[-1] is Result.SERVED
-            await until(lambda: not routes(made)._leaving)
+            await until(lambda: not routes(made)._shutting_down)
             # A new connection comes up for what follows.
             assert (await made.world.ask("third")).status == 200
             await until(lambda: state(made) is State.UP)
@@ -305,7 +305,7 @@
             assert not ended and link(made).up
             transport.sendto(b"\x41" + b"n" * 30 + token, peer)
             assert (await asked).status == 502 and ended == [Result.RESET]
-            assert state(made) is State.BACKING_OFF and not routes(made).ids
+            assert state(made) is State.BACKING_OFF and not routes(made).connection_ids
             assert (await made.world.ask("next")).body == b"done"
 
     run(test())
@@ -339,7 +339,7 @@
             script.hold.set()
             kept = link(made)
             assert (await made.world.ask("next")).status == 200
-            assert kept.up and not kept.over and made.module_is_clean()
+            assert kept.up and not kept.closed and made.module_is_clean()
 
     run(test())
 
@@ -362,7 +362,7 @@
             for n in range(4):
                 assert (await made.world.ask(f"l{n}")).body == b"done"
             assert len(script.seen) == seen
-            await until(lambda: not routes(made)._connections and not routes(made)._leaving)
+            await until(lambda: not routes(made)._connections and not routes(made)._shutting_down)
             assert len(routes(made).transports) == 0
         script.stop()
 
