--- a/orchidferry/testkit/quic/__init__.py
+++ b/orchidferry/testkit/quic/__init__.py
@@ -1,5 +1,5 @@
-"""The kit's HTTP/3: servers, requesters, certificates, and a path between them that loses packets on purpose.
+"""HTTP/3 for the test kit: servers, clients, certificates, and scripted packet loss between them.
 
-On the library's stock HTTP/3 (aioquic), not on the node's own: what the node adds to it is tested from
-outside.
+It uses the stock HTTP/3 layer of the library (aioquic) rather than the node's own, so that tests check the
+node's additions from outside.
 """
--- a/orchidferry/testkit/quic/certs.py
+++ b/orchidferry/testkit/quic/certs.py
@@ -1,4 +1,4 @@
-"""Certificates for a run: an authority of its own and a server's certificate, on disk, good for a day."""
+"""Certificates for a run: a CA of its own and a server certificate, in files, valid for a day."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from cryptography.x509.oid import NameOID
 
 SERVER_NAME = "orchidferry.test"
-LIFE = datetime.timedelta(days=1)
+LIFETIME = datetime.timedelta(days=1)
 
 
 @dataclass(frozen=True, slots=True)
 class CertificateFiles:
-    """Where they are."""
+    """Paths of the PEM files."""
 
-    ca: Path
-    certificate: Path
-    key: Path
+    ca: Path  # certificate of the CA
+    certificate: Path  # certificate of the server
+    key: Path  # private key of the server
 
 
 def _name(text: str) -> x509.Name:
@@ -29,10 +29,14 @@
 
 
 def make(folder: Path, name: str = SERVER_NAME) -> CertificateFiles:
-    """Write an authority's certificate and a server's with its key into a folder."""
+    """Write a CA certificate, a server certificate and the server's private key into a folder.
+
+    :param folder: is created if it does not exist.
+    :param name: host name in the server certificate.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     now = datetime.datetime.now(datetime.UTC)
-    authority, own = ec.generate_private_key(ec.SECP256R1()), ec.generate_private_key(ec.SECP256R1())
+    ca_key, server_key = ec.generate_private_key(ec.SECP256R1()), ec.generate_private_key(ec.SECP256R1())
 
     def sign(subject: str, key: ec.EllipticCurvePublicKey, ca: bool) -> bytes:
         builder = (
@@ -42,11 +46,11 @@
             .public_key(key)
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - datetime.timedelta(hours=1))
-            .not_valid_after(now + LIFE)
+            .not_valid_after(now + LIFETIME)
             .add_extension(x509.BasicConstraints(ca=ca, path_length=None), critical=True)
             .add_extension(x509.SubjectKeyIdentifier.from_public_key(key), critical=False)
             .add_extension(
-                x509.AuthorityKeyIdentifier.from_issuer_public_key(authority.public_key()), critical=False
+                x509.AuthorityKeyIdentifier.from_issuer_public_key(ca_key.public_key()), critical=False
             )
         )
         if ca:
@@ -54,14 +58,14 @@
             builder = builder.add_extension(usage, critical=True)
         else:
             builder = builder.add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), critical=False)
-        return builder.sign(authority, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+        return builder.sign(ca_key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
 
     files = CertificateFiles(folder / "ca.pem", folder / "server.pem", folder / "server.key")
-    files.ca.write_bytes(sign("orchidferry rehearsal", authority.public_key(), True))
-    files.certificate.write_bytes(sign(name, own.public_key(), False))
+    files.ca.write_bytes(sign("orchidferry rehearsal", ca_key.public_key(), True))
+    files.certificate.write_bytes(sign(name, server_key.public_key(), False))
     files.key.touch(mode=0o600)
     files.key.write_bytes(
-        own.private_bytes(
+        server_key.private_bytes(
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
     )
--- a/orchidferry/testkit/quic/client.py
+++ b/orchidferry/testkit/quic/client.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP/3, with the interface of `orchidferry.testkit.wire.RequesterSide`."""
+"""The client side of HTTP/3, with the interface of `orchidferry.testkit.wire.RequesterSide`."""
 
 from __future__ import annotations
 
@@ -24,86 +24,98 @@
 
 from orchidferry.testkit.quic.certs import SERVER_NAME
 from orchidferry.testkit.quic.faults import PathConditions, PathFaults
-from orchidferry.testkit.quic.headers import Header, as_h3
-from orchidferry.testkit.quic.transport import IDLE_S, FaultyTransport, along
+from orchidferry.testkit.quic.headers import Header, to_h3
+from orchidferry.testkit.quic.transport import IDLE_TIMEOUT_S, FaultyTransport, send_through
 from orchidferry.testkit.wire import CONNECT_S, Address, Outcome
 
 
 @dataclass(eq=False)
 class RequesterStream:
-    """One request on a stream, with the face of `wire.RequesterSide`."""
+    """One request on a stream of its own, with the interface of `wire.RequesterSide`."""
 
     connection: RequesterConnection
-    alive: bool = True
-    used: int = 0
-    last_id: str = ""
+    alive: bool = True  # whether the request is neither finished nor cancelled
+    used: int = 0  # requests sent on it
+    last_id: str = ""  # id of the request
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: list[bytes] = field(default_factory=list)
-    stream: int = -1
-    waiting: asyncio.Future[Outcome] | None = None
+    stream_id: int = -1
+    outcome: asyncio.Future[Outcome] | None = None
 
     def ask(self, id: str, message: bytes) -> asyncio.Future[Outcome]:
-        """Send a request; its outcome. The caller gives it up by `drop`."""
+        """Send a request; the caller can cancel it by `drop`.
+
+        :param id: for the record.
+        :param message: the request in HTTP/1.1.
+        :returns: a future with its outcome.
+        """
         self.last_id = id
         self.used = self.used + 1
-        self.waiting = asyncio.get_running_loop().create_future()
-        headers, body = as_h3(message)
+        self.outcome = asyncio.get_running_loop().create_future()
+        headers, body = to_h3(message)
         connection = self.connection
         if connection.http is None:
-            self.end("closed")
-            return self.waiting
-        self.stream = connection.begin(self, headers, body)
-        return self.waiting
+            self.finish("closed")
+            return self.outcome
+        self.stream_id = connection.send_request(self, headers, body)
+        return self.outcome
+
+    def finish(self, how: str, with_connection: bool = False) -> None:
+        """Set the outcome of the request.
 
-    def end(self, how: str, with_connection: bool = False) -> None:
-        """Its outcome. Where a used connection ended as a whole, the request may not have been read."""
+        :param how: as in `wire.Outcome`.
+        :param with_connection: whether the whole connection ended. If the connection had been used before,
+            the node may not have read the request; the outcome then has `reused` set.
+        """
         self.alive = False
-        self.connection.streams.pop(self.stream, None)
-        if self.waiting is not None and not self.waiting.done():
-            reused = with_connection and self.stream > 0
+        self.connection.streams.pop(self.stream_id, None)
+        if self.outcome is not None and not self.outcome.done():
+            reused = with_connection and self.stream_id > 0
             body = b"".join(self.body)
-            self.waiting.set_result(Outcome(how, time.monotonic(), self.status, self.headers, body, reused))
+            self.outcome.set_result(Outcome(how, time.monotonic(), self.status, self.headers, body, reused))
 
     def drop(self) -> None:
-        """Take the request back, if it is not answered; its connection goes on."""
-        if self.alive and self.stream >= 0:
-            self.connection.cut(self.stream, ErrorCode.H3_REQUEST_CANCELLED)
+        """Cancel the request if it is not finished; its connection stays open."""
+        if self.alive and self.stream_id >= 0:
+            self.connection.reset_stream(self.stream_id, ErrorCode.H3_REQUEST_CANCELLED)
         self.alive = False
-        self.connection.streams.pop(self.stream, None)
+        self.connection.streams.pop(self.stream_id, None)
 
 
 class RequesterConnection(QuicConnectionProtocol):
-    """A connection to a node."""
+    """A client's connection to a node."""
 
     def __init__(self, quic: QuicConnection, on_extra: Callable[[str], None]) -> None:
         super().__init__(quic)
-        self.http: H3Connection | None = None
-        self.streams: dict[int, RequesterStream] = {}
-        self.path = PathFaults(0)
-        self.back = PathFaults(1)
-        self.up = False
-        self.used = time.monotonic()
-        self.unheard_since: float | None = None  # the first request since something was heard
-        self.closed_by: ConnectionTerminated | None = None
+        self.http: H3Connection | None = None  # None: requests can't be sent yet, or not any more
+        self.streams: dict[int, RequesterStream] = {}  # open requests by stream id
+        self.outgoing_path = PathFaults(0)
+        self.incoming_path = PathFaults(1)
+        self.up = False  # whether the handshake is complete
+        self.last_request = time.monotonic()
+        # When the first request after the last received datagram was sent; None if there is none
+        self.silent_since: float | None = None
+        self.closed_by: ConnectionTerminated | None = None  # the event that closed the connection
         self._on_extra = on_extra
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        faulty = FaultyTransport(cast(asyncio.DatagramTransport, transport), self.path)
+        """Wrap the transport, so that datagrams are sent through `outgoing_path`."""
+        faulty = FaultyTransport(cast(asyncio.DatagramTransport, transport), self.outgoing_path)
         super().connection_made(cast(asyncio.BaseTransport, faulty))
 
     def datagram_received(self, data: bytes | str, addr: Any) -> None:
-        """Take a datagram."""
-        along(self.back, self._deliver, data, addr)
+        """Receive a datagram through `incoming_path`."""
+        send_through(self.incoming_path, self._deliver, data, addr)
 
     def _deliver(self, data: bytes | str, addr: Any) -> None:
-        """Into the library, which passes over stateless resets (RFC 9000, section 10.3)."""
+        """Handle a datagram; the library ignores stateless resets (RFC 9000, section 10.3)."""
         assert isinstance(data, bytes)
-        self.unheard_since = None
+        self.silent_since = None
         quic = self._quic
         tokens = [id.stateless_reset_token for id in (quic._peer_cid, *quic._peer_cid_available)]
-        # Not once it was told of a close: the library speaks of that only when it is sure to be over.
+        # A stateless reset after the peer's CONNECTION_CLOSE is not handled: the library's event of the close
+        # follows only after the draining period.
         short = len(data) >= 21 and not data[0] & 0x80 and quic._close_event is None
         if short and self.closed_by is None and data[-16:] in [token for token in tokens if token]:
             self.http, self.closed_by = None, ConnectionTerminated(0, None, "stateless reset")
@@ -111,41 +123,41 @@
                 self._timer.cancel()
                 self._timer = None
             quic._state = QuicConnectionState.TERMINATED
-            self._all_end("reset")
+            self._finish_all("reset")
         elif self.closed_by is None:
             super().datagram_received(data, addr)
 
-    def _all_end(self, how: str) -> None:
-        for requester in list(self.streams.values()):
-            requester.end(how, True)
+    def _finish_all(self, how: str) -> None:
+        for stream in list(self.streams.values()):
+            stream.finish(how, True)
         if self._transport is not None:
             self._transport.close()
 
-    def begin(self, requester: RequesterStream, headers: list[Header], body: bytes) -> int:
-        """Send a request; returns the number of its stream."""
+    def send_request(self, stream: RequesterStream, headers: list[Header], body: bytes) -> int:
+        """Send a request; return its stream id."""
         assert self.http is not None
-        self.used = time.monotonic()
-        if self.unheard_since is None:
-            self.unheard_since = self.used
-        id = self._quic.get_next_available_stream_id()
-        self.streams[id] = requester
-        self.http.send_headers(id, headers, end_stream=not body)
+        self.last_request = time.monotonic()
+        if self.silent_since is None:
+            self.silent_since = self.last_request
+        stream_id = self._quic.get_next_available_stream_id()
+        self.streams[stream_id] = stream
+        self.http.send_headers(stream_id, headers, end_stream=not body)
         if body:
-            self.http.send_data(id, body, end_stream=True)
+            self.http.send_data(stream_id, body, end_stream=True)
         self.transmit()
-        return id
+        return stream_id
 
-    def cut(self, id: int, code: int) -> None:
-        """Take back a request: RESET_STREAM and STOP_SENDING."""
-        stream = self._quic._streams.get(id)
+    def reset_stream(self, stream_id: int, code: int) -> None:
+        """Cancel a request by RESET_STREAM and STOP_SENDING."""
+        stream = self._quic._streams.get(stream_id)
         if stream is not None:
-            self._quic.reset_stream(id, code)
+            self._quic.reset_stream(stream_id, code)
             if not stream.receiver.is_finished:
-                self._quic.stop_stream(id, code)
+                self._quic.stop_stream(stream_id, code)
             self.transmit()
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Take an event of the connection."""
+        """Handle an event of the connection."""
         if isinstance(event, ProtocolNegotiated) and self.http is None:
             self.http = H3Connection(self._quic)
         elif isinstance(event, HandshakeCompleted):
@@ -154,42 +166,42 @@
             self.http = None
             self.closed_by = event
             orderly = event.error_code in (0, ErrorCode.H3_NO_ERROR)
-            self._all_end("closed" if orderly else "reset")
+            self._finish_all("closed" if orderly else "reset")
         elif isinstance(event, StreamReset):
             reset = self.streams.get(event.stream_id)
             if reset is not None:
-                # Rejected: it was not looked at (RFC 9114, section 8.1), as a connection refused is.
+                # A rejected request was not processed (RFC 9114, section 8.1), as on a refused connection.
                 rejected = event.error_code == ErrorCode.H3_REQUEST_REJECTED
-                reset.end("refused" if rejected else "reset")
+                reset.finish("refused" if rejected else "reset")
         if self.http is None:
             return
-        for found in self.http.handle_event(event):
-            if not isinstance(found, HeadersReceived | DataReceived):
+        for h3_event in self.http.handle_event(event):
+            if not isinstance(h3_event, HeadersReceived | DataReceived):
                 continue
-            one = self.streams.get(found.stream_id)
-            if one is None:
-                continue  # taken back
-            if isinstance(found, DataReceived):
-                one.body.append(found.data)
+            stream = self.streams.get(h3_event.stream_id)
+            if stream is None:
+                continue  # cancelled
+            if isinstance(h3_event, DataReceived):
+                stream.body.append(h3_event.data)
             else:
-                fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in found.headers}
+                fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in h3_event.headers}
                 status = int(fields.pop(":status", "0"))
-                if one.status >= 200:
-                    self._on_extra(one.last_id)
-                one.status = status
-                one.headers = fields
-            if found.stream_ended:
-                one.end("answer" if one.status >= 200 else "broken")
+                if stream.status >= 200:
+                    self._on_extra(stream.last_id)
+                stream.status = status
+                stream.headers = fields
+            if h3_event.stream_ended:
+                stream.finish("answer" if stream.status >= 200 else "broken")
 
-    async def move(self) -> None:
-        """Go on from another address: a new socket, the same connection (RFC 9000, section 9)."""
+    async def migrate(self) -> None:
+        """Continue the connection from another socket and address (RFC 9000, section 9)."""
 
-        class Onward(asyncio.DatagramProtocol):
+        class Receiver(asyncio.DatagramProtocol):
             def datagram_received(_, data: bytes, addr: Any) -> None:  # noqa: N805
                 self.datagram_received(data, addr)
 
         old = self._transport
-        transport, _ = await self._loop.create_datagram_endpoint(Onward, local_addr=("0.0.0.0", 0))
+        transport, _ = await self._loop.create_datagram_endpoint(Receiver, local_addr=("0.0.0.0", 0))
         self.connection_made(transport)
         if old is not None:
             old.close()
@@ -197,11 +209,11 @@
         self.transmit()
 
     def drop(self) -> None:
-        """Close it, whatever is on it."""
+        """Close the connection; its open requests end as closed."""
         if self.closed_by is None:
             self.close(ErrorCode.H3_NO_ERROR)
-            for requester in list(self.streams.values()):
-                requester.end("closed")
+            for stream in list(self.streams.values()):
+                stream.finish("closed")
             if self._timer is not None:
                 self._timer.cancel()
                 self._timer = None
@@ -220,31 +232,47 @@
     ticket: SessionTicket | None = None,
     on_ticket: Callable[[SessionTicket], None] | None = None,
     wait: bool = True,
-    **changes: Any,
+    **options: Any,
 ) -> RequesterConnection:
-    """A connection to a node; `TimeoutError` or `OSError` where none comes up."""
+    """Open a connection to a node.
+
+    :param ca: path of the PEM file with the CA certificate.
+    :param on_extra: called with a request's id when a second response to it is received.
+    :param conditions: the faults of the path in both directions; None for none.
+    :param seed: of these faults.
+    :param limit_s: time limit in seconds of the handshake.
+    :param ticket: resume with this session ticket; requests before the end of the handshake are early data.
+    :param on_ticket: called with each session ticket that the node issues.
+    :param wait: whether to wait for the end of the handshake.
+    :param options: further arguments of `QuicConfiguration`.
+    :raises TimeoutError: if the handshake does not complete in time.
+    :raises OSError: if the connection fails.
+    """
     configuration = QuicConfiguration(
         is_client=True,
         alpn_protocols=["h3"],
         server_name=SERVER_NAME,
         session_ticket=ticket,
-        **({"idle_timeout": IDLE_S} | changes),
+        **({"idle_timeout": IDLE_TIMEOUT_S} | options),
     )
     configuration.load_verify_locations(ca)
     quic = QuicConnection(configuration=configuration, session_ticket_handler=on_ticket)
-    made = RequesterConnection(quic, on_extra)
+    connection = RequesterConnection(quic, on_extra)
     if conditions is not None:
-        made.path, made.back = PathFaults(2 * seed, conditions), PathFaults(2 * seed + 1, conditions)
+        connection.outgoing_path, connection.incoming_path = (
+            PathFaults(2 * seed, conditions),
+            PathFaults(2 * seed + 1, conditions),
+        )
     loop = asyncio.get_running_loop()
-    await loop.create_datagram_endpoint(lambda: made, local_addr=("0.0.0.0", 0))
-    made.connect(address)
+    await loop.create_datagram_endpoint(lambda: connection, local_addr=("0.0.0.0", 0))
+    connection.connect(address)
     if ticket is not None:
-        made.http = H3Connection(quic)  # what is asked now goes out as early data
+        connection.http = H3Connection(quic)  # requests from now on are sent as early data
     if wait:
         try:
             async with asyncio.timeout(limit_s):
-                await made.wait_connected()
+                await connection.wait_connected()
         except (TimeoutError, ConnectionError):
-            made.drop()
+            connection.drop()
             raise
-    return made
+    return connection
--- a/orchidferry/testkit/quic/headers.py
+++ b/orchidferry/testkit/quic/headers.py
@@ -1,17 +1,17 @@
-"""Requests in the form of HTTP/1.1, which the kit's record knows, as HTTP/3 has them."""
+"""Converts HTTP/1.1 requests, which the test kit generates, into HTTP/3 header fields and bodies."""
 
 from __future__ import annotations
 
 from orchidferry.testkit.quic.certs import SERVER_NAME
 
-Header = tuple[bytes, bytes]
+Header = tuple[bytes, bytes]  # name and value
 
 
-def as_h3(message: bytes) -> tuple[list[Header], bytes]:
-    """An HTTP/1.1 request's head and body, as HTTP/3 says them (RFC 9114, section 4.3)."""
+def to_h3(message: bytes) -> tuple[list[Header], bytes]:
+    """Return the header fields (RFC 9114, section 4.3) and the body of an HTTP/1.1 request."""
     head, _, body = message.partition(b"\r\n\r\n")
-    first, *lines = head.split(b"\r\n")
-    method, target, _ = first.split(b" ", 2)
+    request_line, *lines = head.split(b"\r\n")
+    method, target, _ = request_line.split(b" ", 2)
     headers = [
         (b":method", method),
         (b":scheme", b"https"),
--- a/orchidferry/testkit/quic/pool.py
+++ b/orchidferry/testkit/quic/pool.py
@@ -1,4 +1,4 @@
-"""A client's connections, with the interface of `orchidferry.testkit.wire.Pool`."""
+"""A client's HTTP/3 connections, with the interface of `orchidferry.testkit.wire.Pool`."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from orchidferry.testkit.quic.faults import PathConditions
 from orchidferry.testkit.wire import CONNECT_S, Address, Outcome
 
-IDLE_S = 5.0  # a connection without requests for so long is not used again
+MAX_IDLE_S = 5.0  # time without requests after which a connection is not used again
 
 
 class H3Pool:
-    """A requester's connections: one for each address, with many requests on it."""
+    """A client's connections: as a rule one for each address, which carries many requests at once."""
 
-    MAX_STREAMS = 64  # requests at once on one connection; more open another
-    SILENT_S = 1.0  # nothing heard for so long after a request: it is not trusted with another
+    MAX_STREAMS = 64  # open requests on one connection; for further ones another connection is opened
+    MAX_SILENCE_S = (
+        1.0  # time without a datagram after a request, after which a connection gets no further ones
+    )
 
     def __init__(
         self,
@@ -26,61 +28,71 @@
         conditions: PathConditions | None = None,
         seed: int = 0,
     ) -> None:
+        """Create an `H3Pool`.
+
+        :param on_extra: called with a request's id when a second response to it is received.
+        :param ca: path of the PEM file with the CA certificate.
+        :param conditions: the faults of the paths to the nodes; None for none.
+        :param seed: of these faults.
+        """
         self._on_extra = on_extra
         self._ca = ca
         self._conditions = conditions
         self._seed = seed
         self._open: dict[Address, list[RequesterConnection]] = {}
-        self._coming: dict[Address, asyncio.Task[RequesterConnection]] = {}
-        self._made = 0
+        self._connecting: dict[Address, asyncio.Task[RequesterConnection]] = {}
+        self._opened = 0  # connections so far, for their seeds
 
     async def connection(self, address: Address, fresh: bool = False) -> RequesterStream | Outcome:
-        """A stream to be, on a connection that is up, or the outcome of the failure to open one."""
+        """Return a stream for one request, on an open connection, or the outcome if none can be opened.
+
+        :param fresh: open a new connection for it.
+        """
         kept = self._open.setdefault(address, [])
         kept[:] = [c for c in kept if c.closed_by is None and c.http is not None]
         for connection in kept:
-            idle = time.monotonic() - connection.used > IDLE_S and not connection.streams
-            since = connection.unheard_since
-            silent = since is not None and time.monotonic() - since > self.SILENT_S
+            idle = time.monotonic() - connection.last_request > MAX_IDLE_S and not connection.streams
+            since = connection.silent_since
+            silent = since is not None and time.monotonic() - since > self.MAX_SILENCE_S
             if len(connection.streams) < self.MAX_STREAMS and not fresh and not idle and not silent:
                 return RequesterStream(connection)
-        coming = self._coming.get(address)
-        if coming is None:
-            self._made += 1
-            seed = self._seed * 1_000_003 + self._made
-            coming = asyncio.create_task(
+        connecting = self._connecting.get(address)
+        if connecting is None:
+            self._opened += 1
+            seed = self._seed * 1_000_003 + self._opened
+            connecting = asyncio.create_task(
                 connect(address, self._ca, self._on_extra, self._conditions, seed, limit_s=CONNECT_S)
             )
-            self._coming[address] = coming
-            coming.add_done_callback(lambda task: self._came(address, task))
+            self._connecting[address] = connecting
+            connecting.add_done_callback(lambda task: self._on_connected(address, task))
         try:
-            return RequesterStream(await asyncio.shield(coming))
+            return RequesterStream(await asyncio.shield(connecting))
         except TimeoutError:
             return Outcome("silent", time.monotonic())
-        except OSError:  # it came up and was closed at once, too
+        except OSError:  # also if the connection was closed right after its handshake
             return Outcome("refused", time.monotonic())
 
-    def _came(self, address: Address, task: asyncio.Task[RequesterConnection]) -> None:
-        self._coming.pop(address, None)
+    def _on_connected(self, address: Address, task: asyncio.Task[RequesterConnection]) -> None:
+        self._connecting.pop(address, None)
         if not task.cancelled() and task.exception() is None:
             self._open.setdefault(address, []).append(task.result())
 
     def put_back(self, address: Address, connection: RequesterStream) -> None:
-        """Nothing is kept of a stream; its connection stays."""
+        """Do nothing: a stream is not used again, and its connection stays in the pool."""
 
     def sweep(self) -> None:
-        """Close what has idled too long."""
-        before = time.monotonic() - IDLE_S
+        """Close the connections that have been idle for more than `MAX_IDLE_S`."""
+        before = time.monotonic() - MAX_IDLE_S
         for address, kept in list(self._open.items()):
-            for connection in [c for c in kept if not c.streams and c.used < before]:
+            for connection in [c for c in kept if not c.streams and c.last_request < before]:
                 connection.drop()
                 kept.remove(connection)
             if not kept:
                 del self._open[address]
 
     def close(self) -> None:
-        """Close all connections, and those that are coming up."""
-        for task in self._coming.values():
+        """Close all connections, also those with a handshake under way."""
+        for task in self._connecting.values():
             task.cancel()
         for kept in self._open.values():
             for connection in kept:
--- a/orchidferry/testkit/quic/transport.py
+++ b/orchidferry/testkit/quic/transport.py
@@ -1,4 +1,4 @@
-"""Datagrams along a scripted path, and the settings that both sides share."""
+"""Passes datagrams through a path with scripted faults; settings that the client and the server share."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 from orchidferry.testkit.quic.faults import PathFaults
 
-IDLE_S = 30.0  # after which a connection without traffic ends
+IDLE_TIMEOUT_S = 30.0  # of a QUIC connection without traffic
 
 
-def along(path: PathFaults, arrive: Callable[[Any, Any], None], data: Any, addr: Any) -> None:
-    """Let a datagram go by a scripted path: `arrive` is called for each copy that comes, when it does."""
-    for wait in path.copy_delays_s():
-        if wait:
-            asyncio.get_running_loop().call_later(wait, arrive, data, addr)
+def send_through(path: PathFaults, deliver: Callable[[Any, Any], None], data: Any, addr: Any) -> None:
+    """Send a datagram through a path: `deliver` is called for each copy that arrives, after its delay."""
+    for delay_s in path.copy_delays_s():
+        if delay_s:
+            asyncio.get_running_loop().call_later(delay_s, deliver, data, addr)
         else:
-            arrive(data, addr)
+            deliver(data, addr)
 
 
 class FaultyTransport:
-    """A UDP transport whose datagrams go by a scripted path."""
+    """A UDP transport that sends its datagrams through a path with scripted faults."""
 
     def __init__(self, transport: asyncio.DatagramTransport, path: PathFaults) -> None:
         self._transport = transport
         self._path = path
 
     def sendto(self, data: bytes, addr: Any = None) -> None:
-        """Send a datagram along the path."""
-        along(self._path, self._late, data, addr)
+        """Send a datagram through the path."""
+        send_through(self._path, self._deliver, data, addr)
 
-    def _late(self, data: bytes, addr: Any) -> None:
+    def _deliver(self, data: bytes, addr: Any) -> None:
         if not self._transport.is_closing():
             self._transport.sendto(data, addr)
 
--- a/tests/node/h3/__init__.py
+++ b/tests/node/h3/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/3 from outside: real UDP sockets on loopback, the library's stock peers, scripted faults."""
+"""HTTP/3 from outside: real UDP sockets on loopback, the library's stock HTTP/3 peers, scripted faults."""
--- a/tests/node/h3/test_decisions.py
+++ b/tests/node/h3/test_decisions.py
@@ -31,7 +31,7 @@
 from orchidferry.node.config import ConfigError
 from orchidferry.node.h3.settings import read_http3
 from orchidferry.testkit.quic import certs
-from orchidferry.testkit.quic.faults import CLEAN, PathConditions, PathFaults
+from orchidferry.testkit.quic.faults import NO_FAULTS, PathConditions, PathFaults
 
 
 def made(most: int = 10) -> Transports:
@@ -232,7 +232,7 @@
     assert all(0.01 <= wait <= 0.01 + 0.02 + 0.005 + 0.002 for delays_s in fates for wait in delays_s)
     two.black_hole = True
     assert [two.copy_delays_s() for _ in range(5)] == [[]] * 5
-    assert PathFaults(1, CLEAN).copy_delays_s() == [0.0]
+    assert PathFaults(1, NO_FAULTS).copy_delays_s() == [0.0]
     for bad in ({"loss": 1.1}, {"reorder": -0.1}, {"delay_s": -1.0}):
         with pytest.raises(ValueError):
             PathConditions(**bad)
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -21,13 +21,13 @@
 from orchidferry.node.h3.quic_transport import reset_token
 from orchidferry.testkit.quic import client
 from orchidferry.testkit.quic.faults import PathConditions
-from tests.node.h3.scene import Scene, ask, begin, files, scene
+from tests.node.h3.environment import H3Environment, ask, certificate_files, h3_environment, send_request
 from tests.node.peers import EFFECTS, LIMIT_S, RESET, Server, answer, effects, patient, run, until
 
 STREAM_LIMIT_ERROR = QuicErrorCode.STREAM_LIMIT_ERROR
 
 
-def listener(scene: Scene) -> Listener:
+def listener(scene: H3Environment) -> Listener:
     assert scene.node.h3_front is not None
     return scene.node.h3_front
 
@@ -44,7 +44,7 @@
     quic = connection._quic
     id = quic.get_next_available_stream_id()
     stream = client.RequesterStream(connection)
-    stream.stream, stream.waiting = id, asyncio.get_running_loop().create_future()
+    stream.stream_id, stream.outcome = id, asyncio.get_running_loop().create_future()
     connection.streams[id] = stream
     data = encode_frame(FrameType.HEADERS, http._encode_headers(id, headers))
     if body:
@@ -55,7 +55,7 @@
 
 
 async def outcome(connection: client.RequesterConnection, id: int) -> Any:
-    waiting = connection.streams[id].waiting
+    waiting = connection.streams[id].outcome
     assert waiting is not None
     return await asyncio.wait_for(waiting, LIMIT_S)
 
@@ -78,14 +78,14 @@
 def test_requests_of_all_classes_are_answered_and_books_are_clean(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
             for n, cls in enumerate(("read", "save", "pay")):
                 found = await ask(caller, f"{n}", cls, body=b"" if cls == "read" else b"x" * 40_000)
                 assert (found.status, found.body) == (200, b"done")
             assert [len(seen.body) for seen in server.seen] == [0, 40_000, 40_000]
-            assert made.module_is_clean()
-            await until(lambda: not any(c.streams for c in listener(made)._connections))
+            assert env.no_state_left()
+            await until(lambda: not any(c.streams for c in listener(env)._connections))
 
     run(test())
 
@@ -94,12 +94,12 @@
     """What the module lets in follows from its room at the start: nobody is answered before all asked."""
 
     async def test() -> None:
-        servers = [Server(name=f"s{n}") for n in range(8)]  # room for fewer calls at first than are made
+        servers = [Server(name=f"s{n}") for n in range(8)]  # room for fewer calls at first than are env
         for server in servers:
             server.gate.clear()
-        async with scene(tmp_path, *servers, siblings=1) as made:
-            caller = await made.connect()
-            waiting = [stream.waiting for n in range(60) if (stream := begin(caller, f"{n}")).waiting]
+        async with h3_environment(tmp_path, *servers, siblings=1) as env:
+            caller = await env.connect()
+            waiting = [stream.outcome for n in range(60) if (stream := send_request(caller, f"{n}")).outcome]
 
             def seen() -> list[str]:
                 return [one.id for server in servers for one in server.seen]
@@ -111,7 +111,7 @@
             assert {outcome.status for outcome in found} <= {200, 503}  # the module may have no room for all
             answered = [str(n) for n, outcome in enumerate(found) if outcome.status == 200]
             assert sorted(seen(), key=int) == answered and 20 < len(answered) < 60
-            assert made.module_is_clean()
+            assert env.no_state_left()
 
     run(test())
 
@@ -141,9 +141,9 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
-            other = begin(caller, "other")
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
+            other = send_request(caller, "other")
             await until(lambda: len(server.seen) == 1)
             headers = [(name, value) for name, value in GOOD if name not in change]
             headers += [(name, value) for name, value in change.items() if value is not None]
@@ -151,9 +151,9 @@
             found = await outcome(caller, raw(caller, pseudo))
             assert found.status == 400 and why.lower() in found.body.decode().lower()
             server.gate.set()
-            assert other.waiting is not None
-            assert (await asyncio.wait_for(other.waiting, LIMIT_S)).status == 200
-            assert len(server.seen) == 1 and made.module_is_clean()
+            assert other.outcome is not None
+            assert (await asyncio.wait_for(other.outcome, LIMIT_S)).status == 200
+            assert len(server.seen) == 1 and env.no_state_left()
 
     run(test())
 
@@ -161,8 +161,8 @@
 def test_a_body_of_more_or_less_than_was_claimed_is_malformed(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
             for length, body in ((b"10", b"five!"), (b"3", b"five!"), (b"70000", b"x")):
                 post = [(b":method", b"POST"), *GOOD[1:3], (b":path", b"/pay"), *GOOD[4:]]
                 found = await outcome(caller, raw(caller, [*post, (b"content-length", length)], body))
@@ -175,8 +175,8 @@
 def test_limits_of_headers_and_bodies_are_those_of_http1(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
             wide = [*GOOD, *((b"x-%d" % n, b"v" * 1000) for n in range(20))]
             assert (await outcome(caller, raw(caller, wide))).status == 431
             post = [(b":method", b"POST"), *GOOD[1:3], (b":path", b"/pay"), *GOOD[4:]]
@@ -190,12 +190,12 @@
 
 def test_a_header_block_without_end_is_cut_off_early(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            caller = await env.connect()
             quic = caller._quic
             id = quic.get_next_available_stream_id()
             stream = client.RequesterStream(
-                caller, stream=id, waiting=asyncio.get_running_loop().create_future()
+                caller, stream_id=id, outcome=asyncio.get_running_loop().create_future()
             )
             caller.streams[id] = stream
             quic.send_stream_data(
@@ -212,8 +212,8 @@
     """The node promises a table of 0: who fills one all the same loses the connection; nobody else does."""
 
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            other, caller = await made.connect(), await made.connect()
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            other, caller = await env.connect(), await env.connect()
             assert (await ask(caller, "first")).status == 200  # settings have come
             assert caller.http is not None
             assert (caller.http.received_settings or {}).get(Setting.QPACK_MAX_TABLE_CAPACITY, 0) == 0
@@ -234,20 +234,20 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
-            stream = begin(caller, "moving", "save", body=b"x" * 500)
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
+            stream = send_request(caller, "moving", "save", body=b"x" * 500)
             await until(lambda: len(server.seen) == 1)
-            connection = next(iter(listener(made)._connections))
+            connection = next(iter(listener(env)._connections))
             before = connection.quic._network_paths[0].addr
-            await caller.move()
+            await caller.migrate()
             await until(lambda: connection.quic._network_paths[0].addr != before)
             await until(lambda: connection.quic._network_paths[0].is_validated)
             server.gate.set()
-            assert stream.waiting is not None
-            assert (await asyncio.wait_for(stream.waiting, LIMIT_S)).status == 200
-            assert len(server.seen) == 1 and made.module_is_clean()
-            assert len(listener(made)._connections) == 1
+            assert stream.outcome is not None
+            assert (await asyncio.wait_for(stream.outcome, LIMIT_S)).status == 200
+            assert len(server.seen) == 1 and env.no_state_left()
+            assert len(listener(env)._connections) == 1
 
     run(test())
 
@@ -258,14 +258,14 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
-            stream = begin(caller, "first", "save", body=b"x")
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
+            stream = send_request(caller, "first", "save", body=b"x")
             await until(lambda: len(server.seen) == 1)
             stream.drop()
-            await until(lambda: not made.node._pending)
+            await until(lambda: not env.node._pending)
             server.gate.set()
-            await until(lambda: made.module_is_clean())
+            await until(lambda: env.no_state_left())
             assert len(server.seen) == 1  # never again on its own
             # The caller's own retry, under the same key, goes through; the server tells repeats by that key.
             again = "Idempotency-Key: key-first\r\nX-Again: 1\r\n"
@@ -285,15 +285,15 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
-            stream = begin(caller, "one", "pay")
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
+            stream = send_request(caller, "one", "pay")
             await until(lambda: len(server.seen) == 1)
-            caller._quic.stop_stream(stream.stream, ErrorCode.H3_REQUEST_CANCELLED)
+            caller._quic.stop_stream(stream.stream_id, ErrorCode.H3_REQUEST_CANCELLED)
             caller.transmit()
-            await until(lambda: not made.node._pending)
+            await until(lambda: not env.node._pending)
             server.gate.set()
-            await until(made.module_is_clean)
+            await until(env.no_state_left)
             assert len(server.seen) == 1 and (await ask(caller, "two")).status == 200
 
     run(test())
@@ -306,39 +306,39 @@
         servers = [Server(name=f"s{n}", group=n % 2) for n in range(16)]  # room for some 60 calls at first
         for server in servers:
             server.gate.clear()
-        async with scene(tmp_path, *servers, siblings=1, classes=effects()) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, *servers, siblings=1, classes=effects()) as env:
+            caller = await env.connect()
             for n in range(50):
-                begin(caller, f"{n}", EFFECTS[n % 5])
+                send_request(caller, f"{n}", EFFECTS[n % 5])
             await until(lambda: sum(len(server.seen) for server in servers) == 50)
-            assert len(made.node._pending) == 50
+            assert len(env.node._pending) == 50
             caller.drop()
-            await until(lambda: not made.node._pending and not listener(made)._connections)
+            await until(lambda: not env.node._pending and not listener(env)._connections)
             for server in servers:
                 server.gate.set()
-            await until(made.module_is_clean)
+            await until(env.no_state_left)
             seen = [one.id for server in servers for one in server.seen]
             assert sorted(seen, key=int) == [str(n) for n in range(50)]  # each once, none again
-            assert not listener(made).connection_ids and not listener(made)._half_open
+            assert not listener(env).connection_ids and not listener(env)._half_open
 
     run(test())
 
 
 def test_a_key_update_under_load_loses_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, *roomy(), classes=patient()) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, *roomy(), classes=patient()) as env:
+            caller = await env.connect()
             streams = []
             for n in range(40):
-                streams.append(begin(caller, f"{n}"))
+                streams.append(send_request(caller, f"{n}"))
                 if n in (10, 25):
-                    await until(lambda n=n: streams[n - 5].waiting.done())  # type: ignore[misc]
+                    await until(lambda n=n: streams[n - 5].outcome.done())  # type: ignore[misc]
                     caller.request_key_update()
             found = await asyncio.wait_for(
-                asyncio.gather(*(s.waiting for s in streams if s.waiting)), LIMIT_S
+                asyncio.gather(*(s.outcome for s in streams if s.outcome)), LIMIT_S
             )
             assert [one.status for one in found] == [200] * 40
-            connection = next(iter(listener(made)._connections))
+            connection = next(iter(listener(env)._connections))
             assert connection.quic._cryptos[Epoch.ONE_RTT].key_phase == 0  # 1, and back
 
     run(test())
@@ -348,16 +348,16 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            quic, tcp = await made.connect(), await made.world.caller()
-            first = begin(quic, "same", "save")
+        async with h3_environment(tmp_path, server) as env:
+            quic, tcp = await env.connect(), await env.world.caller()
+            first = send_request(quic, "same", "save")
             await until(lambda: len(server.seen) == 1)
             assert (await tcp.ask("same", "save")).status == 400
             server.gate.set()
-            assert first.waiting is not None
-            assert (await asyncio.wait_for(first.waiting, LIMIT_S)).status == 200
+            assert first.outcome is not None
+            assert (await asyncio.wait_for(first.outcome, LIMIT_S)).status == 200
             server.gate.clear()
-            tcp = await made.world.caller()
+            tcp = await env.world.caller()
             tcp.write(b"GET /read HTTP/1.1\r\nHost: x\r\nX-Call-Id: other\r\nX-Budget: 5\r\n\r\n")
             await until(lambda: len(server.seen) == 2)
             assert (await ask(quic, "other")).status == 400
@@ -376,21 +376,21 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server, siblings=1) as made:
-            caller = await made.connect()
-            streams = [begin(caller, f"{n}") for n in range(8)]
+        async with h3_environment(tmp_path, server, siblings=1) as env:
+            caller = await env.connect()
+            streams = [send_request(caller, f"{n}") for n in range(8)]
             await until(lambda: len(server.seen) == 3)
             await asyncio.sleep(0.05)
-            assert len(made.node._pending) == 3  # the others are still with their caller
+            assert len(env.node._pending) == 3  # the others are still with their caller
             server.gate.set()
-            await until(lambda: all(s.waiting is not None and s.waiting.done() for s in streams))
-            assert all(s.waiting is not None and s.waiting.result().status == 200 for s in streams)
+            await until(lambda: all(s.outcome is not None and s.outcome.done() for s in streams))
+            assert all(s.outcome is not None and s.outcome.result().status == 200 for s in streams)
             caller._quic._remote_max_streams_bidi = 1_000  # as if it had not read how many
             for n in range(20):
-                begin(caller, f"rude{n}")
+                send_request(caller, f"rude{n}")
             await until(lambda: caller.closed_by is not None)
             assert caller.closed_by is not None and caller.closed_by.error_code == STREAM_LIMIT_ERROR
-            await until(made.module_is_clean)
+            await until(env.no_state_left)
 
     run(test())
 
@@ -415,16 +415,16 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            rude = await made.connect()
-            other = await made.connect()
+        async with h3_environment(tmp_path, server) as env:
+            rude = await env.connect()
+            other = await env.connect()
             sent = 0
             began_s = asyncio.get_running_loop().time()
             while rude.closed_by is None:
                 for _ in range(20):
                     if rude.http is None:
                         break
-                    begin(rude, f"r{sent}").drop()
+                    send_request(rude, f"r{sent}").drop()
                     sent += 1
                 await asyncio.sleep(0.002)
             assert rude.closed_by.error_code == ErrorCode.H3_EXCESSIVE_LOAD
@@ -434,15 +434,15 @@
             assert len(begun) <= allowed + client_connection.MAX_STREAMS
             server.gate.set()
             assert (await ask(other, "other")).status == 200
-            await until(made.module_is_clean)
+            await until(env.no_state_left)
 
     run(test())
 
 
 def test_one_that_sends_nothing_but_nonsense_is_cut_off(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            caller = await env.connect()
             for _ in range(int(floods.MALFORMED_BURST) + 20):
                 if caller.http is None:
                     break
@@ -467,8 +467,8 @@
 @pytest.mark.usefixtures("soon")
 def test_a_request_that_does_not_come_whole_gets_408(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            caller = await env.connect()
             assert (await outcome(caller, raw(caller, GOOD, end=False))).status == 408
             assert (await ask(caller, "after")).status == 200
 
@@ -479,16 +479,16 @@
 def test_one_that_does_not_read_its_answer_is_given_up_and_leaves_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0", usual=answer(body=b"z" * 60_000))
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect(max_stream_data=2_000)
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect(max_stream_data=2_000)
             caller._quic._local_max_stream_data_bidi_local = 2_000
             # It grants no more room than that.
             caller._quic._write_stream_limits = lambda **_: None  # type: ignore[method-assign]
-            stream = begin(caller, "slow")
-            assert stream.waiting is not None
-            assert (await asyncio.wait_for(stream.waiting, LIMIT_S)).how == "reset"
-            await until(lambda: not any(c.streams for c in listener(made)._connections))
-            assert made.module_is_clean()
+            stream = send_request(caller, "slow")
+            assert stream.outcome is not None
+            assert (await asyncio.wait_for(stream.outcome, LIMIT_S)).how == "reset"
+            await until(lambda: not any(c.streams for c in listener(env)._connections))
+            assert env.no_state_left()
 
     run(test())
 
@@ -498,16 +498,16 @@
     async def test() -> None:
         server = Server(name="s0")
         server.pause_s = 0.6  # longer than the idle limit: an open request holds the connection
-        async with scene(tmp_path, server, classes=patient()) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, server, classes=patient()) as env:
+            caller = await env.connect()
             assert (await ask(caller, "long")).status == 200
             await until(lambda: caller.closed_by is not None)
             assert caller.closed_by is not None and caller.closed_by.error_code == ErrorCode.H3_NO_ERROR
-            assert not listener(made)._connections
+            assert not listener(env)._connections
             server.pause_s = 0.0
             # Races: each asks when the node may be closing it. It is answered, or was never looked at.
             for n in range(8):
-                caller = await made.connect()
+                caller = await env.connect()
                 await asyncio.sleep(0.27 + n * 0.01)
                 before = len(server.seen)
                 if caller.http is None:
@@ -517,7 +517,7 @@
                     assert len(server.seen) == before
                 else:
                     assert found.status == 200
-            await until(made.module_is_clean)
+            await until(env.no_state_left)
 
     run(test())
 
@@ -525,12 +525,12 @@
 @pytest.mark.usefixtures("soon")
 def test_a_handshake_that_stops_half_way_is_forgotten(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            caller = await made.connect(wait=False)
-            caller.path.black_hole = True  # its first packet is out; nothing follows
-            await until(lambda: len(listener(made)._half_open) == 1)
-            await until(lambda: not listener(made)._connections and not listener(made).connection_ids)
-            assert not listener(made)._half_open
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            caller = await env.connect(wait=False)
+            caller.outgoing_path.black_hole = True  # its first packet is out; nothing follows
+            await until(lambda: len(listener(env)._half_open) == 1)
+            await until(lambda: not listener(env)._connections and not listener(env).connection_ids)
+            assert not listener(env)._half_open
 
     run(test())
 
@@ -559,15 +559,15 @@
 
 def test_an_unknown_version_is_negotiated_and_a_small_packet_gets_no_answer(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            found = await talk(made.address, first_packet(0x1A2A3A4A))
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            found = await talk(env.address, first_packet(0x1A2A3A4A))
             assert len(found) == 1
             header = pull_quic_header(Buffer(data=found[0]), host_cid_length=8)
             assert header.version == 0 and header.supported_versions == [1, 0x6B3343CF]
             assert header.destination_cid == b"s" * 8
-            assert await talk(made.address, first_packet(0x1A2A3A4A, 600)) == []
+            assert await talk(env.address, first_packet(0x1A2A3A4A, 600)) == []
             # One that asks for the second version of QUIC is served.
-            caller = await made.connect(supported_versions=[0x6B3343CF])
+            caller = await env.connect(supported_versions=[0x6B3343CF])
             assert (await ask(caller, "v2")).status == 200
 
     run(test())
@@ -575,34 +575,34 @@
 
 def test_a_packet_of_no_connection_gets_a_stateless_reset_that_is_shorter(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
             stray = b"\x41" + b"c" * 8 + os.urandom(60)
-            (found,) = await talk(made.address, stray)
+            (found,) = await talk(env.address, stray)
             assert len(found) < len(stray) and found[0] & 0xC0 == 0x40
-            assert found[-16:] == reset_token(listener(made)._reset_key, b"c" * 8)
-            assert await talk(made.address, b"\x41" + b"c" * 8 + b"x" * 20) == []  # no ping-pong of resets
+            assert found[-16:] == reset_token(listener(env)._reset_key, b"c" * 8)
+            assert await talk(env.address, b"\x41" + b"c" * 8 + b"x" * 20) == []  # no ping-pong of resets
             # The token is the one that a connection was told of for its id.
-            caller = await made.connect()
-            connection = next(iter(listener(made)._connections))
+            caller = await env.connect()
+            connection = next(iter(listener(env)._connections))
             told = caller._quic._peer_cid.stateless_reset_token
-            assert told == reset_token(listener(made)._reset_key, connection.quic.host_cid)
+            assert told == reset_token(listener(env)._reset_key, connection.quic.host_cid)
 
     run(test())
 
 
 def test_a_node_that_starts_again_resets_what_its_last_life_had(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            caller = await env.connect()
             assert (await ask(caller, "first")).status == 200
-            connection = next(iter(listener(made)._connections))
+            connection = next(iter(listener(env)._connections))
             connection._on_terminated()  # as a process that is killed: without a word
-            lost = begin(caller, "second")
-            assert lost.waiting is not None
-            found = await asyncio.wait_for(lost.waiting, LIMIT_S)
+            lost = send_request(caller, "second")
+            assert lost.outcome is not None
+            found = await asyncio.wait_for(lost.outcome, LIMIT_S)
             assert (found.how, found.reused) == ("reset", True)  # at once, not at some time-out
-            other = Listener(listener(made)._front, {}, listener(made).accept, listener(made).node_page)
-            assert other._reset_key == listener(made)._reset_key
+            other = Listener(listener(env)._front, {}, listener(env).accept, listener(env).node_page)
+            assert other._reset_key == listener(env)._reset_key
 
     run(test())
 
@@ -613,19 +613,19 @@
     monkeypatch.setattr(floods, "UNVALIDATED_HALF_OPEN", 4)
 
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
             for n in range(4):  # these begin a handshake each, and never answer
-                (await made.connect(wait=False)).path.black_hole = True
-                await until(lambda n=n: len(listener(made)._half_open) == n + 1)  # type: ignore[misc]
-            found = await talk(made.address, first_packet(dcid=b"e" * 8))
+                (await env.connect(wait=False)).outgoing_path.black_hole = True
+                await until(lambda n=n: len(listener(env)._half_open) == n + 1)  # type: ignore[misc]
+            found = await talk(env.address, first_packet(dcid=b"e" * 8))
             assert len(found) == 1 and len(found[0]) < 1200
             assert pull_quic_header(Buffer(data=found[0]), host_cid_length=8).token  # a Retry
-            assert len(listener(made)._half_open) == 4
-            caller = await made.connect()  # one that can be reached proves it
+            assert len(listener(env)._half_open) == 4
+            caller = await env.connect()  # one that can be reached proves it
             assert caller._quic._retry_count == 1
             assert (await ask(caller, "proven")).status == 200
             monkeypatch.setattr(floods, "MAX_HALF_OPEN", 4)
-            assert await talk(made.address, first_packet(dcid=b"f" * 8)) == []
+            assert await talk(env.address, first_packet(dcid=b"f" * 8)) == []
 
     run(test())
 
@@ -634,16 +634,16 @@
     """RFC 9000, section 8.1: a spoofed first packet must not make the node a cannon."""
 
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
             sent: list[int] = []
-            ready = listener(made)
+            ready = listener(env)
             plain = ready.sendto
             ready.sendto = lambda data, peer: (sent.append(len(data)), plain(data, peer))[1]  # type: ignore
-            caller = await made.connect(wait=False)
-            caller.path.black_hole = caller.back.black_hole = True
+            caller = await env.connect(wait=False)
+            caller.outgoing_path.black_hole = caller.incoming_path.black_hole = True
             await until(lambda: len(sent) > 0)
             await asyncio.sleep(1.0)  # its retransmissions too
-            assert sum(sent) <= 3 * 1200 * max(1, caller.path.passed)
+            assert sum(sent) <= 3 * 1200 * max(1, caller.outgoing_path.passed)
 
     run(test())
 
@@ -651,26 +651,26 @@
 def test_early_data_is_for_what_is_safe_to_repeat_and_tickets_work_once(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server) as made:
+        async with h3_environment(tmp_path, server) as env:
             tickets: list[SessionTicket] = []
-            first = await made.connect(on_ticket=tickets.append)
+            first = await env.connect(on_ticket=tickets.append)
             assert (await ask(first, "first")).status == 200
             await until(lambda: len(tickets) > 0)
-            early = await made.connect(ticket=tickets[0], wait=False)
+            early = await env.connect(ticket=tickets[0], wait=False)
             # What is asked before the handshake is done goes out as early data.
             assert early.http is not None
-            read, save = begin(early, "early"), begin(early, "early-save", "save")
-            assert read.waiting is not None and save.waiting is not None
-            assert (await asyncio.wait_for(read.waiting, LIMIT_S)).status == 200
-            assert (await asyncio.wait_for(save.waiting, LIMIT_S)).status == 425
+            read, save = send_request(early, "early"), send_request(early, "early-save", "save")
+            assert read.outcome is not None and save.outcome is not None
+            assert (await asyncio.wait_for(read.outcome, LIMIT_S)).status == 200
+            assert (await asyncio.wait_for(save.outcome, LIMIT_S)).status == 425
             assert early._quic.tls.early_data_accepted
             assert (await ask(early, "after", "save")).status == 200  # the handshake is done by now
             assert [seen.id for seen in server.seen].count("early-save") == 0
             # The same ticket once more, as a replay would have it: no early data is read.
-            again = await made.connect(ticket=tickets[0], wait=False)
-            late = begin(again, "replayed")
-            assert late.waiting is not None
-            assert (await asyncio.wait_for(late.waiting, LIMIT_S)).status == 200
+            again = await env.connect(ticket=tickets[0], wait=False)
+            late = send_request(again, "replayed")
+            assert late.outcome is not None
+            assert (await asyncio.wait_for(late.outcome, LIMIT_S)).status == 200
             assert not again._quic.tls.early_data_accepted
 
     run(test())
@@ -680,39 +680,39 @@
     async def test() -> None:
         server = Server(name="s0")
         server.gate.clear()
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
-            held = begin(caller, "held", "save")
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
+            held = send_request(caller, "held", "save")
             await until(lambda: len(server.seen) == 1)
-            made.node._longest_ms = 1_500.0
-            stopping = asyncio.create_task(made.node.stop(0.05))
+            env.node._longest_ms = 1_500.0
+            stopping = asyncio.create_task(env.node.stop(0.05))
             await asyncio.sleep(0.1)
-            late = begin(caller, "late")  # the node serves on for a while
-            await until(lambda: len(made.node._pending) == 2)
-            await until(lambda: next(iter(listener(made)._connections))._closing)
-            refused = begin(caller, "refused")
-            assert refused.waiting is not None
-            assert (await asyncio.wait_for(refused.waiting, LIMIT_S)).how == "refused"
+            late = send_request(caller, "late")  # the node serves on for a while
+            await until(lambda: len(env.node._pending) == 2)
+            await until(lambda: next(iter(listener(env)._connections))._closing)
+            refused = send_request(caller, "refused")
+            assert refused.outcome is not None
+            assert (await asyncio.wait_for(refused.outcome, LIMIT_S)).how == "refused"
             server.gate.set()
-            assert held.waiting is not None and late.waiting is not None
-            assert (await asyncio.wait_for(held.waiting, LIMIT_S)).status == 200
-            assert (await asyncio.wait_for(late.waiting, LIMIT_S)).status == 200
+            assert held.outcome is not None and late.outcome is not None
+            assert (await asyncio.wait_for(held.outcome, LIMIT_S)).status == 200
+            assert (await asyncio.wait_for(late.outcome, LIMIT_S)).status == 200
             await until(lambda: caller.closed_by is not None)
             assert caller.closed_by is not None and caller.closed_by.error_code == ErrorCode.H3_NO_ERROR
             await stopping
-            assert not listener(made)._connections
-            made.world.node = None
+            assert not listener(env)._connections
+            env.world.node = None
 
     run(test())
 
 
 def test_answers_over_http1_say_where_http3_is(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            found = await made.world.ask("one")
-            assert found.headers["alt-svc"] == f'h3=":{made.address[1]}"; ma=60'
-        async with scene(tmp_path, Server(name="s0"), front=False) as made:
-            assert "alt-svc" not in (await made.world.ask("one")).headers
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            found = await env.world.ask("one")
+            assert found.headers["alt-svc"] == f'h3=":{env.address[1]}"; ma=60'
+        async with h3_environment(tmp_path, Server(name="s0"), front=False) as env:
+            assert "alt-svc" not in (await env.world.ask("one")).headers
 
     run(test())
 
@@ -720,19 +720,19 @@
 def test_at_the_most_connections_the_idlest_goes_for_a_new_one(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server, connections=3) as made:
-            callers = [await made.connect() for _ in range(3)]
+        async with h3_environment(tmp_path, server, connections=3) as env:
+            callers = [await env.connect() for _ in range(3)]
             for n in (1, 0, 2):
                 assert (await ask(callers[n], f"{n}")).status == 200
             server.gate.clear()
-            held = begin(callers[0], "held")
+            held = send_request(callers[0], "held")
             await until(lambda: len(server.seen) == 4)
-            another = await made.connect()
+            another = await env.connect()
             await until(lambda: callers[1].closed_by is not None)
             assert callers[0].closed_by is None and callers[2].closed_by is None
             server.gate.set()
-            assert held.waiting is not None
-            assert (await asyncio.wait_for(held.waiting, LIMIT_S)).status == 200
+            assert held.outcome is not None
+            assert (await asyncio.wait_for(held.outcome, LIMIT_S)).status == 200
             assert (await ask(another, "another")).status == 200
 
     run(test())
@@ -742,18 +742,18 @@
     async def test() -> None:
         from orchidferry.testkit.quic import certs
 
-        async with scene(tmp_path, Server(name="s0")) as made:
-            ready = listener(made)
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            ready = listener(env)
             new = certs.make(tmp_path / "new")
             ready._front = type(ready._front)(ready._front.listen, new.certificate, new.key, 64, 60)
-            made.node.reconfigure(made.node._config)
-            caller = await client.connect(made.address, str(new.ca), limit_s=LIMIT_S)
-            made.requesters.append(caller)
+            env.node.reconfigure(env.node._config)
+            caller = await client.connect(env.address, str(new.ca), limit_s=LIMIT_S)
+            env.connections.append(caller)
             assert (await ask(caller, "new")).status == 200
             new.certificate.write_text("no certificate\n")
-            made.node.reconfigure(made.node._config)
-            again = await client.connect(made.address, str(new.ca), limit_s=LIMIT_S)
-            made.requesters.append(again)
+            env.node.reconfigure(env.node._config)
+            again = await client.connect(env.address, str(new.ca), limit_s=LIMIT_S)
+            env.connections.append(again)
             assert (await ask(again, "old-stays")).status == 200
 
     run(test())
@@ -764,10 +764,10 @@
         from orchidferry.testkit.quic import certs
 
         stranger = certs.make(tmp_path / "stranger")
-        async with scene(tmp_path, Server(name="s0")) as made:
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
             with pytest.raises(ConnectionError):
-                await client.connect(made.address, str(stranger.ca), limit_s=LIMIT_S)
-            await until(lambda: not listener(made)._connections and not listener(made)._half_open)
+                await client.connect(env.address, str(stranger.ca), limit_s=LIMIT_S)
+            await until(lambda: not listener(env)._connections and not listener(env)._half_open)
 
     run(test())
 
@@ -775,17 +775,17 @@
 def test_a_lost_end_of_stream_is_sent_again_and_the_request_runs_once(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, server) as env:
+            caller = await env.connect()
             assert (await ask(caller, "before")).status == 200
-            caller.path.black_hole = True  # the packet with the end of the stream goes nowhere
-            stream = begin(caller, "lost", "save", body=b"x" * 100)
+            caller.outgoing_path.black_hole = True  # the packet with the end of the stream goes nowhere
+            stream = send_request(caller, "lost", "save", body=b"x" * 100)
             await asyncio.sleep(0.02)
-            assert caller.path.lost > 0 and len(server.seen) == 1
-            caller.path.black_hole = False
-            assert stream.waiting is not None
-            assert (await asyncio.wait_for(stream.waiting, LIMIT_S)).status == 200
-            assert [seen.id for seen in server.seen] == ["before", "lost"] and made.module_is_clean()
+            assert caller.outgoing_path.lost > 0 and len(server.seen) == 1
+            caller.outgoing_path.black_hole = False
+            assert stream.outcome is not None
+            assert (await asyncio.wait_for(stream.outcome, LIMIT_S)).status == 200
+            assert [seen.id for seen in server.seen] == ["before", "lost"] and env.no_state_left()
 
     run(test())
 
@@ -807,32 +807,32 @@
         servers = roomy()
         # With time limits of its own the node sends again what may run twice, once its machine stood still.
         calm: dict[str, Any] = {"classes": patient(), "permissions": {"may_cancel": False}}
-        async with scene(tmp_path, *servers, **calm) as made:
-            caller = await made.connect(conditions=conditions, seed=5)
+        async with h3_environment(tmp_path, *servers, **calm) as env:
+            caller = await env.connect(conditions=conditions, seed=5)
             for round in range(5):
-                streams = [begin(caller, f"{round}.{n}", ("read", "save")[n % 2]) for n in range(8)]
+                streams = [send_request(caller, f"{round}.{n}", ("read", "save")[n % 2]) for n in range(8)]
                 found = await asyncio.wait_for(
-                    asyncio.gather(*(s.waiting for s in streams if s.waiting)), LIMIT_S
+                    asyncio.gather(*(s.outcome for s in streams if s.outcome)), LIMIT_S
                 )
                 assert [one.status for one in found] == [200] * 8
-            assert sum(len(server.seen) for server in servers) == 40 and made.module_is_clean()
+            assert sum(len(server.seen) for server in servers) == 40 and env.no_state_left()
 
     run(test())
 
 
 def test_a_server_that_resets_behind_an_http3_caller_is_told_as_over_http1(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(RESET, name="s0")) as made:
-            assert (await made.ask("unsafe", "pay")).status == 502
-            assert made.module_is_clean()
+        async with h3_environment(tmp_path, Server(RESET, name="s0")) as env:
+            assert (await env.ask("unsafe", "pay")).status == 502
+            assert env.no_state_left()
 
     run(test())
 
 
 def test_the_nodes_own_paths_are_answered_over_http3(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server(name="s0")) as made:
-            caller = await made.connect()
+        async with h3_environment(tmp_path, Server(name="s0")) as env:
+            caller = await env.connect()
             own = [(b":path", b"/-/ready") if name == b":path" else (name, value) for name, value in GOOD]
             found = await outcome(caller, raw(caller, own))
             assert (found.status, found.body) == (200, b"ready")
@@ -851,4 +851,4 @@
         client_connection.WRITE_TIMEOUT_S,
         client_connection.IDLE_TIMEOUT_S,
     )
-    assert files().ca.is_file()
+    assert certificate_files().ca.is_file()
--- a/tests/node/h3/test_independent.py
+++ b/tests/node/h3/test_independent.py
@@ -9,7 +9,7 @@
 import pytest
 
 from orchidferry.testkit.quic.certs import SERVER_NAME
-from tests.node.h3.scene import files, scene
+from tests.node.h3.environment import certificate_files, h3_environment
 from tests.node.peers import Server, run
 
 curl = pytest.importorskip("curl_cffi")
@@ -26,7 +26,7 @@
 def session(address: tuple[str, int]) -> Any:
     return curl.Session(
         http_version=curl.CurlHttpVersion.V3ONLY,
-        verify=str(files().ca),
+        verify=str(certificate_files().ca),
         timeout=10,
         curl_options={curl.CurlOpt.RESOLVE: [f"{SERVER_NAME}:{address[1]}:{address[0]}"]},
     )
@@ -35,18 +35,18 @@
 def test_an_independent_implementation_is_served(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server) as made:
-            with session(made.address) as own:
+        async with h3_environment(tmp_path, server) as env:
+            with session(env.address) as own:
                 for n, cls in enumerate(("read", "save", "pay", "read")):
                     body = b"" if cls == "read" else b"b" * 50_000
-                    found = await asyncio.to_thread(fetch, own, made.address, f"{n}", cls, body)
+                    found = await asyncio.to_thread(fetch, own, env.address, f"{n}", cls, body)
                     assert (found.status_code, found.content) == (200, b"done")
                     assert found.http_version == curl.CurlHttpVersion.V3
-                bad = await asyncio.to_thread(fetch, own, made.address, "no such id!", "read", b"")
+                bad = await asyncio.to_thread(fetch, own, env.address, "no such id!", "read", b"")
                 assert bad.status_code == 400
-                after = await asyncio.to_thread(fetch, own, made.address, "after", "read", b"")
+                after = await asyncio.to_thread(fetch, own, env.address, "after", "read", b"")
                 assert after.status_code == 200
-            assert len(server.seen) == 5 and made.module_is_clean()
+            assert len(server.seen) == 5 and env.no_state_left()
 
     run(test())
 
@@ -54,12 +54,12 @@
 def test_independent_clients_side_by_side(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
-        async with scene(tmp_path, server, siblings=1) as made:
+        async with h3_environment(tmp_path, server, siblings=1) as env:
 
             def several(tag: int) -> list[int]:
-                with session(made.address) as own:
+                with session(env.address) as own:
                     return [
-                        fetch(own, made.address, f"{tag}.{n}", "save", b"x" * 900).status_code
+                        fetch(own, env.address, f"{tag}.{n}", "save", b"x" * 900).status_code
                         for n in range(10)
                     ]
 
@@ -67,6 +67,6 @@
             statuses = [status for one in found for status in one]
             assert len(statuses) == 40 and set(statuses) <= {200, 503} and statuses.count(200) >= 30
             seen = [one.id for one in server.seen]
-            assert len(seen) == len(set(seen)) and made.module_is_clean()
+            assert len(seen) == len(set(seen)) and env.no_state_left()
 
     run(test())
--- a/tests/node/h3/test_lost_answers.py
+++ b/tests/node/h3/test_lost_answers.py
@@ -13,7 +13,7 @@
 
 from orchidferry.node.h3.client_connection import Connection, RequestStream
 from orchidferry.node.reply import Reply
-from tests.node.h3.scene import accepted_by, begin, scene
+from tests.node.h3.environment import accepted_by, h3_environment, send_request
 from tests.node.peers import LIMIT_S, Server, run, until
 
 LONG_RTT_S = 4 * LIMIT_S  # a probe timeout after which nobody waits any more
@@ -25,9 +25,9 @@
     plain = Connection.send_response
 
     async def test() -> None:
-        async with scene(tmp_path, Server()) as made:
-            connection = await made.connect()
-            accepted = accepted_by(made)
+        async with h3_environment(tmp_path, Server()) as env:
+            connection = await env.connect()
+            accepted = accepted_by(env)
 
             lost: list[bytes] = []
 
@@ -42,9 +42,9 @@
             await until(lambda: accepted.up and accepted.quic._loss._rtt_initialized)
             accepted.quic._loss._rtt_smoothed = LONG_RTT_S
             monkeypatch.setattr(Connection, "send_response", lose_first_datagram)
-            asked = begin(connection, "short", budget="20")
-            assert asked.waiting is not None
-            outcome = await asyncio.wait_for(asked.waiting, LIMIT_S)
+            asked = send_request(connection, "short", budget="20")
+            assert asked.outcome is not None
+            outcome = await asyncio.wait_for(asked.outcome, LIMIT_S)
             assert lost
             assert outcome.status == 200
 
@@ -53,9 +53,9 @@
 
 def test_an_answer_with_time_for_a_resend_is_sent_once(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, Server()) as made:
-            connection = await made.connect()
-            accepted = accepted_by(made)
+        async with h3_environment(tmp_path, Server()) as env:
+            connection = await env.connect()
+            accepted = accepted_by(env)
             sent: list[bytes] = []
             plain = accepted.transport._sendto
 
@@ -64,9 +64,9 @@
                 plain(data, peer)
 
             accepted.transport._sendto = noted
-            asked = begin(connection, "long", budget="20")
-            assert asked.waiting is not None
-            assert (await asked.waiting).status == 200
+            asked = send_request(connection, "long", budget="20")
+            assert asked.outcome is not None
+            assert (await asked.outcome).status == 200
             await asyncio.sleep(0.05)
             assert len(sent) == len(set(sent)) >= 1
 
