--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -94,7 +94,7 @@
     """What the module lets in follows from its room at the start: nobody is answered before all asked."""
 
     async def test() -> None:
-        servers = [Server(name=f"s{n}") for n in range(8)]  # room for fewer calls at first than are env
+        servers = [Server(name=f"s{n}") for n in range(8)]  # initially room for fewer than 60 requests
         for server in servers:
             server.gate.clear()
         async with h3_environment(tmp_path, *servers, siblings=1) as env:
--- a/tests/node/h3/test_independent.py
+++ b/tests/node/h3/test_independent.py
@@ -1,4 +1,4 @@
-"""A client that shares no code with the server: libcurl with ngtcp2 and nghttp3 (curl_cffi)."""
+"""HTTP/3 clients that share no code with the node: libcurl with ngtcp2 and nghttp3 (curl_cffi)."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return session.post(url, headers=headers, data=body)
 
 
-def session(address: tuple[str, int]) -> Any:
+def new_session(address: tuple[str, int]) -> Any:
     return curl.Session(
         http_version=curl.CurlHttpVersion.V3ONLY,
         verify=str(certificate_files().ca),
@@ -36,37 +36,37 @@
     async def test() -> None:
         server = Server(name="s0")
         async with h3_environment(tmp_path, server) as env:
-            with session(env.address) as own:
+            with new_session(env.address) as session:
                 for n, cls in enumerate(("read", "save", "pay", "read")):
                     body = b"" if cls == "read" else b"b" * 50_000
-                    found = await asyncio.to_thread(fetch, own, env.address, f"{n}", cls, body)
-                    assert (found.status_code, found.content) == (200, b"done")
-                    assert found.http_version == curl.CurlHttpVersion.V3
-                bad = await asyncio.to_thread(fetch, own, env.address, "no such id!", "read", b"")
-                assert bad.status_code == 400
-                after = await asyncio.to_thread(fetch, own, env.address, "after", "read", b"")
+                    response = await asyncio.to_thread(fetch, session, env.address, f"{n}", cls, body)
+                    assert (response.status_code, response.content) == (200, b"done")
+                    assert response.http_version == curl.CurlHttpVersion.V3
+                invalid = await asyncio.to_thread(fetch, session, env.address, "no such id!", "read", b"")
+                assert invalid.status_code == 400
+                after = await asyncio.to_thread(fetch, session, env.address, "after", "read", b"")
                 assert after.status_code == 200
             assert len(server.seen) == 5 and env.no_state_left()
 
     run(test())
 
 
-def test_independent_clients_side_by_side(tmp_path: Path) -> None:
+def test_several_independent_clients_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s0")
         async with h3_environment(tmp_path, server, siblings=1) as env:
 
-            def several(tag: int) -> list[int]:
-                with session(env.address) as own:
+            def fetch_ten(client: int) -> list[int]:
+                with new_session(env.address) as session:
                     return [
-                        fetch(own, env.address, f"{tag}.{n}", "save", b"x" * 900).status_code
+                        fetch(session, env.address, f"{client}.{n}", "save", b"x" * 900).status_code
                         for n in range(10)
                     ]
 
-            found = await asyncio.gather(*(asyncio.to_thread(several, tag) for tag in range(4)))
-            statuses = [status for one in found for status in one]
+            by_client = await asyncio.gather(*(asyncio.to_thread(fetch_ten, client) for client in range(4)))
+            statuses = [status for client_statuses in by_client for status in client_statuses]
             assert len(statuses) == 40 and set(statuses) <= {200, 503} and statuses.count(200) >= 30
-            seen = [one.id for one in server.seen]
-            assert len(seen) == len(set(seen)) and env.no_state_left()
+            ids = [request.id for request in server.seen]
+            assert len(ids) == len(set(ids)) and env.no_state_left()
 
     run(test())
--- a/tests/node/h3/test_lost_datagrams.py
+++ b/tests/node/h3/test_lost_datagrams.py
@@ -1,4 +1,4 @@
-"""What of a request's time is set aside for lost datagrams."""
+"""How much of a request's budget is set aside for the resending of lost datagrams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     ("lost", "budget_ms", "expected_ms"),
     [(0, 3_000.0, 0.0), (1, 3_000.0, 30.0), (2, 3_000.0, 90.0), (3, 3_000.0, 150.0), (10**6, 480.0, 24.0)],
 )
-def test_probe_timeouts_double_and_take_a_twentieth_of_the_time_at_most(
+def test_probe_timeouts_double_and_take_at_most_a_twentieth_of_the_budget(
     lost: int, budget_ms: float, expected_ms: float
 ) -> None:
     assert resend_delay_ms(30.0, lost, budget_ms) == pytest.approx(expected_ms)
--- a/tests/node/h3/test_lost_handshake.py
+++ b/tests/node/h3/test_lost_handshake.py
@@ -1,9 +1,10 @@
-"""Requests that follow a handshake whose last datagram was lost: their clients have waited since they asked.
+"""Requests after a handshake with a lost last datagram: their budgets count from when they were sent.
 
-A client that has finished its side sends at once, and a server can read that only once the client's Finished
-has come. Ten requests that were sent within 11 ms reached a node in one moment, 300 ms later, as the datagram
-before them was lost: one had 957 ms, was counted from there, and its client had given up before the node's
-answer was due. Over 37,895 requests 64 were more than 150 ms on their way, 49 of these at a play's start.
+A client sends requests as soon as its own handshake is complete, but a server can decrypt them only after it
+has received the client's Finished message. In one run, that message was lost, and ten requests sent within 11
+ms were readable at the node only 300 ms later. The node counted the budget of one of them, 957 ms, from then,
+and the client gave up before the node's response was due. Of 37,895 requests 64 took more than 150 ms to
+arrive, 49 of these at the start of a run.
 """
 
 from __future__ import annotations
@@ -35,14 +36,15 @@
 
 
 async def connect_losing_finished(env: H3Environment) -> RequesterConnection:
-    """Return a connection that is up at its client, whose last datagram of the handshake was lost."""
+    """Return a connection with a handshake that is complete at the client; its last datagram was lost."""
     connection = await env.connect(wait=False)
-    plain = connection.quic_event_received
+    original = connection.quic_event_received
 
     def lose_finished(event: QuicEvent) -> None:
-        plain(event)
+        original(event)
         if isinstance(event, HandshakeCompleted):
-            connection.outgoing_path.black_hole = True  # what it sends before this iteration of the loop ends
+            # Loses the datagrams that the client sends before this iteration of the event loop ends.
+            connection.outgoing_path.black_hole = True
 
     connection.quic_event_received = lose_finished  # type: ignore[method-assign]
     await asyncio.wait_for(connection.wait_connected(), LIMIT_S)
@@ -50,15 +52,15 @@
     return connection
 
 
-def test_requests_that_wait_for_a_lost_end_of_the_handshake_count_from_their_arrival(tmp_path: Path) -> None:
+def test_requests_held_for_a_lost_end_of_the_handshake_count_from_when_they_were_sent(tmp_path: Path) -> None:
     async def test() -> None:
         async with h3_environment(tmp_path, Server(usual=HANG)) as env:
             connection = await connect_losing_finished(env)
-            asked_ms = now_ms()
+            sent_ms = now_ms()
             send_request(connection, "early", budget="1")
             ends_ms = await pending_ends_ms(env)
             assert connection.outgoing_path.lost >= 1
-            assert ends_ms <= asked_ms + SHORT_BUDGET_MS
+            assert ends_ms <= sent_ms + SHORT_BUDGET_MS
 
     run(test())
 
@@ -66,23 +68,26 @@
 def test_datagrams_before_the_end_of_the_handshake_are_held_up_to_a_bound(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A client could fill the node's memory with what nobody can read yet."""
-    plain = HeldDatagrams.hold
+    """Without the bound a client could fill the node's memory with datagrams that can't be decrypted yet."""
+    original = HeldDatagrams.hold
     held_bytes = []
 
-    def noted(held: HeldDatagrams, datagram: Datagram) -> None:
-        plain(held, datagram)
+    def record(held: HeldDatagrams, datagram: Datagram) -> None:
+        original(held, datagram)
         held_bytes.append(held.bytes)
 
-    monkeypatch.setattr(HeldDatagrams, "hold", noted)
+    monkeypatch.setattr(HeldDatagrams, "hold", record)
     monkeypatch.setattr(held_datagrams, "MAX_HELD_BYTES", 4_096)
 
     async def test() -> None:
         async with h3_environment(tmp_path, Server()) as env:
             connection = await connect_losing_finished(env)
-            asked = [send_request(connection, f"r{n}", "save", body=b"x" * 1_000) for n in range(30)]
-            outcomes = await asyncio.gather(*(one.outcome for one in asked if one.outcome is not None))
-            assert {one.status for one in outcomes} <= {200, 503}  # a node that has just started refuses some
+            streams = [send_request(connection, f"r{n}", "save", body=b"x" * 1_000) for n in range(30)]
+            outcomes = await asyncio.gather(
+                *(stream.outcome for stream in streams if stream.outcome is not None)
+            )
+            # A node that has just started rejects some requests.
+            assert {outcome.status for outcome in outcomes} <= {200, 503}
             assert 0 < held_bytes[0] < max(held_bytes) <= 4_096
             accepted = accepted_by(env)
             assert not accepted._held_datagrams
@@ -93,14 +98,14 @@
 def test_attempts_take_tcp_until_the_server_has_confirmed_the_handshake(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An attempt on a connection whose Finished was lost waits for a probe timeout, unread."""
-    plain = ServerConnection._on_event
+    """If the Finished message was lost, an attempt would stay unread at the server for a probe timeout."""
+    original = ServerConnection._on_event
 
     async def test() -> None:
         server, h3_server = Server(name="s0"), H3ScriptedServer()
 
         def lose_finished(connection: ServerConnection, event: QuicEvent) -> None:
-            plain(connection, event)
+            original(connection, event)
             if isinstance(event, HandshakeCompleted):
                 h3_server.quic.from_requesters.black_hole = True
 
--- a/tests/node/h3/test_process.py
+++ b/tests/node/h3/test_process.py
@@ -1,4 +1,4 @@
-"""The node as a process: what it imports with HTTP/3 off, how it starts and ends with it on."""
+"""The node as a process: its imports with HTTP/3 disabled, its start and shutdown with HTTP/3 enabled."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 def config(folder: Path) -> Path:
     path = folder / "node.json"
-    known: dict[str, Any] = {"index": 1, "snapshot": True, "endpoints": []}
+    snapshot: dict[str, Any] = {"index": 1, "snapshot": True, "endpoints": []}
     path.write_text(
         json.dumps(
             {
@@ -28,7 +28,7 @@
                 "discovery": "127.0.0.1:1",
                 "seed": "1",
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-                "known": known,
+                "known": snapshot,
                 "settings": settings(),
             }
         )
@@ -46,35 +46,41 @@
     )
 
 
-def test_with_http3_off_nothing_of_it_is_imported() -> None:
-    """Nor of the library and what it needs: small machines hold the node in 32 MB."""
+def test_with_http3_disabled_nothing_of_it_is_imported() -> None:
+    """Nor are the library and its dependencies: on small machines the node has to fit in 32 MB."""
     code = (
         "import sys, orchidferry.__main__, orchidferry.node.node; "
         "bad = [m for m in sys.modules if m.split('.')[0] in "
         "('aioquic', 'cryptography', 'pylsqpack', 'OpenSSL', 'curl_cffi') "
         "or m.startswith(('orchidferry.node.h3', 'orchidferry.testkit'))]; print(bad); sys.exit(bool(bad))"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 0, done.stdout + done.stderr
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert completed.returncode == 0, completed.stdout + completed.stderr
 
 
-@pytest.mark.parametrize(("text", "says"), [("front = 3", "front must be a table"), (None, "No such file")])
-def test_a_bad_file_ends_the_start_with_2_and_one_line(tmp_path: Path, text: str | None, says: str) -> None:
+@pytest.mark.parametrize(
+    ("text", "message"), [("front = 3", "front must be a table"), (None, "No such file")]
+)
+def test_an_invalid_file_ends_the_process_with_status_2_and_one_line(
+    tmp_path: Path, text: str | None, message: str
+) -> None:
     file = tmp_path / "http3.toml"
     if text is not None:
         file.write_text(text)
     process = start(tmp_path, ORCHIDFERRY_HTTP3=str(file))
     _, err = process.communicate(timeout=LIMIT_S)
-    assert process.returncode == 2 and err.count("\n") == 1 and "http3.toml" in err and says in err
+    assert process.returncode == 2 and err.count("\n") == 1 and "http3.toml" in err and message in err
 
 
-def test_it_starts_listens_and_ends_with_http3_on(tmp_path: Path) -> None:
+def test_the_node_starts_listens_and_shuts_down_with_http3_enabled(tmp_path: Path) -> None:
     from orchidferry.testkit.quic import certs
 
-    known = certs.make(tmp_path / "keys")
+    files = certs.make(tmp_path / "keys")
     file = tmp_path / "http3.toml"
     file.write_text(
-        f'[front]\nlisten = "127.0.0.1:0"\ncertificate = "{known.certificate}"\nkey = "{known.key}"\n'
+        f'[front]\nlisten = "127.0.0.1:0"\ncertificate = "{files.certificate}"\nkey = "{files.key}"\n'
         "[servers]\n"
     )
     process = start(tmp_path, ORCHIDFERRY_HTTP3=str(file))
--- a/tests/node/h3/test_rules.py
+++ b/tests/node/h3/test_rules.py
@@ -1,4 +1,4 @@
-"""One suite over both protocols: whole rehearsals, judged by the same rules from the same kind of record."""
+"""The same scenarios over HTTP/1.1 and HTTP/3: complete runs of the test kit, judged by the same rules."""
 
 from __future__ import annotations
 
@@ -30,14 +30,16 @@
 ) -> None:
     run, verdict = play(scenario(*incident, length="5s", network=network, discovery=QUICK))
     assert run.complete, run.why
-    by_name = verdict.rules
-    broken = {name: [repr(one) for one in by_name[name].violations] for name in verdict.broken_rules}
-    assert len(by_name) == 4 and not broken, (broken, verdict.lateness)
-    assert by_name["no_request_lost"].checked > 100 and by_name["no_effect_twice"].checked > 20
+    rules = verdict.rules
+    broken = {
+        name: [repr(violation) for violation in rules[name].violations] for name in verdict.broken_rules
+    }
+    assert len(rules) == 4 and not broken, (broken, verdict.lateness)
+    assert rules["no_request_lost"].checked > 100 and rules["no_effect_twice"].checked > 20
     if incident[0]["do"] == "drain":
-        assert by_name["drains_kept"].checked > 0 and by_name["cold_servers_spared"].checked > 0
-    asked = [fact.id for fact in run.facts if isinstance(fact, RequestSent) and fact.tier == 0]
+        assert rules["drains_kept"].checked > 0 and rules["cold_servers_spared"].checked > 0
+    sent = [fact.id for fact in run.facts if isinstance(fact, RequestSent) and fact.tier == 0]
     answered = [fact.id for fact in run.facts if isinstance(fact, ResponseReceived) and fact.tier == 0]
-    assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
-    assert len(answered) > 0.9 * len(asked) > 90
+    assert len(answered) == len(set(answered)) and set(answered) <= set(sent)
+    assert len(answered) > 0.9 * len(sent) > 90
     assert any(isinstance(fact, RequestReceived) for fact in run.facts)
