--- a/orchidferry/node/h3/settings.py
+++ b/orchidferry/node/h3/settings.py
@@ -34,9 +34,7 @@
 class Servers:
     """The table `servers`: connections to servers that support HTTP/3."""
 
-    ca: (
-        Path | None
-    )  # PEM file with the CA certificates that servers are verified with; None: the system's CAs
+    ca: Path | None  # PEM file with CA certificates, to verify servers; None: the system's CAs
     name: str | None  # name that the servers' certificates must have; None: the address of the server
     connections: int  # maximum number of servers with a connection
 
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -59,11 +59,20 @@
         h3_address: Callable[[int], Address | None],
         seed: int,
     ) -> None:
+        """Create an `Http3Upstream`.
+
+        :param tcp: the connections over TCP.
+        :param servers: the settings of HTTP/3 connections to servers.
+        :param keepalive_ms: how long servers keep an idle connection.
+        :param h3_address: returns the HTTP/3 address of a server by its id; None if it supports only TCP.
+        :param seed: of the backoff's jitter.
+        """
         self.loop = loop
         self._tcp = tcp
         self._servers = servers
         self._h3_address = h3_address
         self.transports = Transports(random.Random(seed), servers.connections)
+        # Idle time after which a connection is closed, before its server closes it
         self._idle_s = keepalive_ms * IDLE_LIMIT_FRACTION / 1000.0
         self._connections: dict[int, ServerConnection] = {}  # by server id: those that take new attempts
         self._shutting_down: dict[ServerConnection, None] = {}  # those that only finish their open attempts
--- a/orchidferry/testkit/quic/faults.py
+++ b/orchidferry/testkit/quic/faults.py
@@ -43,8 +43,7 @@
         """Return the delay in seconds of each copy of the next datagram; an empty list if it is lost."""
         conditions = self.conditions
         draw = self._rng.random
-        # The number of draws is fixed, so that later datagrams do not depend on what happened to earlier
-        # ones.
+        # Always four draws, so that the faults of later datagrams do not depend on those of earlier ones.
         loss_draw = draw()
         reorder_draw = draw()
         duplicate_draw = draw()
--- a/orchidferry/testkit/quic/pool.py
+++ b/orchidferry/testkit/quic/pool.py
@@ -17,9 +17,7 @@
     """A client's connections: as a rule one for each address, which carries many requests at once."""
 
     MAX_STREAMS = 64  # open requests on one connection; for further ones another connection is opened
-    MAX_SILENCE_S = (
-        1.0  # time without a datagram after a request, after which a connection gets no further ones
-    )
+    MAX_SILENCE_S = 1.0  # a connection that is silent for so long after a request gets no further ones
 
     def __init__(
         self,
@@ -46,7 +44,7 @@
     async def connection(self, address: Address, fresh: bool = False) -> RequesterStream | Outcome:
         """Return a stream for one request, on an open connection, or the outcome if none can be opened.
 
-        :param fresh: open a new connection for it.
+        :param fresh: use no connection that is open already.
         """
         kept = self._open.setdefault(address, [])
         kept[:] = [c for c in kept if c.closed_by is None and c.http is not None]
