--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -149,9 +149,9 @@
         self._upstream: UpstreamTransport = self._tcp
         http3 = extensions.http3
         if http3 is not None and http3.servers is not None:
-            from orchidferry.node.h3.upstream import Routes
+            from orchidferry.node.h3.upstream import Http3Upstream
 
-            self._upstream = Routes(
+            self._upstream = Http3Upstream(
                 self._loop,
                 self._tcp,
                 http3.servers,
@@ -287,7 +287,7 @@
         self._discovery.move(config.discovery)
         if self.h3_front is not None:
             try:
-                self.h3_front.reread()
+                self.h3_front.reload_certificate()
             except ConfigError as problem:
                 log.error("the old certificate stays: %s", problem)
 
--- a/tests/node/h3/test_lost_datagrams.py
+++ b/tests/node/h3/test_lost_datagrams.py
@@ -1,4 +1,4 @@
-"""What of a request's time is set aside for lost datagrams."""
+"""How much of a request's budget is set aside for the resending of lost datagrams."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import pytest
 
-from orchidferry.node.h3.lost_datagrams import Loss, resend_delay_ms, time_on_its_way_ms
+from orchidferry.node.h3.lost_datagrams import Loss, resend_delay_ms, time_in_transit_ms
 
 
 @pytest.mark.parametrize(
     ("lost", "budget_ms", "expected_ms"),
     [(0, 3_000.0, 0.0), (1, 3_000.0, 30.0), (2, 3_000.0, 90.0), (3, 3_000.0, 150.0), (10**6, 480.0, 24.0)],
 )
-def test_probe_timeouts_double_and_take_a_twentieth_of_the_time_at_most(
+def test_probe_timeouts_double_and_take_at_most_a_twentieth_of_the_budget(
     lost: int, budget_ms: float, expected_ms: float
 ) -> None:
     assert resend_delay_ms(30.0, lost, budget_ms) == pytest.approx(expected_ms)
@@ -34,4 +34,4 @@
 def test_a_request_was_sent_before_a_recent_loss_was_noticed(
     packets: int, age_ms: float, budget_ms: float, expected_ms: float
 ) -> None:
-    assert time_on_its_way_ms(30.0, Loss(packets, age_ms), budget_ms) == pytest.approx(expected_ms)
+    assert time_in_transit_ms(30.0, Loss(packets, age_ms), budget_ms) == pytest.approx(expected_ms)
