--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -209,7 +209,7 @@
         self._node.stop_sending(servers)
         self._list_later(servers)
 
-    def hear(self, listing: ServerListing) -> bool:
+    def handle_discovery(self, listing: ServerListing) -> bool:
         """Take the state of processes from discovery.
 
         :returns: False if discovery names the servers itself.
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -318,7 +318,11 @@
         self._list_feed.add(listing, kind, removed)
 
     def _on_discovery(self, listing: ServerListing | None, reason: str) -> None:
-        if listing is not None and self.control is not None and self.control.members.hear(listing):
+        if (
+            listing is not None
+            and self.control is not None
+            and self.control.members.handle_discovery(listing)
+        ):
             return
         if listing is not None:
             self.apply_listing(listing, api.ListKind.FULL if listing.complete else api.ListKind.CHANGES)
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -170,7 +170,9 @@
         many = [member(n) for n in range(LONG_CHANGE + 10)]
         before = changes(teller, whole(*many))
         assert await applied(members, before) == "" and teller.applied(before.number, "")
-        assert members.hear(ServerListing(0, False, [api.ServerEntry(7, health=api.Health.DRAINING)], {}))
+        assert members.handle_discovery(
+            ServerListing(0, False, [api.ServerEntry(7, health=api.Health.DRAINING)], {})
+        )
         assert not home.known[7]
         leaving = [member(n, api.Health.DRAINING) for n in range(5)]
         change = changes(teller, whole(*leaving, *many[100:]))
@@ -178,7 +180,7 @@
         said: list[str] = []
         members.apply(change, said.append)
         assert not said and not any(home.known[n] for n in range(100)) and home.known[100]
-        members.hear(
+        members.handle_discovery(
             ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {})
         )  # as discovery sees it
         await members.idle.wait()
@@ -200,7 +202,7 @@
         assert teller.applied(change.number, "no settings today")
         again = changes(teller, whole())  # the node's own file: no pool
         assert await applied(members, again) == "" and members.members is None and len(home.settings) == 1
-        assert not members.hear(ServerListing(0, True, [], {}))
+        assert not members.handle_discovery(ServerListing(0, True, [], {}))
 
     asyncio.run(test())
 
