--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -64,10 +64,10 @@
     """Wait for a version's ACK; when it came."""
     async with asyncio.timeout(WAIT_S):
         while True:
-            for word in service.words:
-                if word.label == label:
-                    if word.reason:
-                        raise ValueError(f"{label} was refused: {word.reason}")
+            for answer in service.answers:
+                if answer.label == label:
+                    if answer.reason:
+                        raise ValueError(f"{label} was refused: {answer.reason}")
                     return time.monotonic()
             service.changed.clear()
             await service.changed.wait()
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -35,7 +35,7 @@
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.control.messages import TYPES
 from orchidferry.testkit.control.files import Version, VersionFileError, from_form
-from orchidferry.testkit.control.service import Held, Service, Word
+from orchidferry.testkit.control.service import Held, NodeAnswer, Service
 from orchidferry.testkit.wire import get as ask
 
 NAME = "orchidferry.standin.v1.Rollout"
@@ -106,7 +106,7 @@
         self._lines: asyncio.Queue[dict[str, Any]] = asyncio.Queue(MAX_LINES)
         service.resources = held_of(base, None, service)
         service.label = base.version
-        service.on_word = self._on_word
+        service.on_answer = self._on_answer
         service.handlers = (*service.handlers, self._handler())
 
     def _handler(self) -> Any:
@@ -199,9 +199,9 @@
             await asyncio.gather(*(read(where) for where in doors))
             self._do(rollout, Tick())
 
-    def _on_word(self, word: Word) -> None:
-        if self.rollout is not None and word.label:
-            self._do(self.rollout, NodeAnswered(word.node, word.label, word.reason))
+    def _on_answer(self, answer: NodeAnswer) -> None:
+        if self.rollout is not None and answer.label:
+            self._do(self.rollout, NodeAnswered(answer.node, answer.label, answer.reason))
 
     def _tell(self, state: State, text: str) -> None:
         with contextlib.suppress(asyncio.QueueFull):  # nobody reads any more
--- a/orchidferry/testkit/control/script.py
+++ b/orchidferry/testkit/control/script.py
@@ -16,7 +16,7 @@
 from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import EDS, TYPES, node_message, pool_message
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.control.service import Service, Word
+from orchidferry.testkit.control.service import NodeAnswer, Service
 from orchidferry.testkit.scenario import Scenario
 
 # of a run's length: between them versions come, and after it nodes come to rest
@@ -105,21 +105,24 @@
 
 
 def outcome(
-    pushes: Sequence[Push], nodes: Sequence[str], words: Iterable[Word], up: Callable[[str, str], bool]
+    pushes: Sequence[Push],
+    nodes: Sequence[str],
+    answers: Iterable[NodeAnswer],
+    up: Callable[[str, str], bool],
 ) -> Outcome:
     """Judge it. `up(node, label)`: whether the node had a stream when that version came."""
     bad = {push.label for push in pushes if push.bad}
     found = Outcome(len(pushes), len(bad), {}, {node: {} for node in nodes})
     parts = {url: part.value for part, url in TYPES.items()}
-    for word in words:
-        if word.reason:
-            found.refused.setdefault(word.label, {})[word.node] = word.reason
-            if word.label not in bad:
-                found.problems.append(f"{word.node} refused {word.label}, which is good: {word.reason}")
-        elif word.label in bad:
-            found.problems.append(f"{word.node} took {word.label}, which is bad")
-        elif word.node in found.final:
-            found.final[word.node][parts[word.type_url]] = word.label
+    for answer in answers:
+        if answer.reason:
+            found.refused.setdefault(answer.label, {})[answer.node] = answer.reason
+            if answer.label not in bad:
+                found.problems.append(f"{answer.node} refused {answer.label}, which is good: {answer.reason}")
+        elif answer.label in bad:
+            found.problems.append(f"{answer.node} took {answer.label}, which is bad")
+        elif answer.node in found.final:
+            found.final[answer.node][parts[answer.type_url]] = answer.label
     for label in sorted(bad):
         for node in nodes:
             if up(node, label) and node not in found.refused.get(label, {}):
@@ -227,7 +230,7 @@
         return outcome(
             self.pushes,
             self._nodes,
-            self.service.words,
+            self.service.answers,
             lambda node, label: node in self._connected.get(label, ()) and self._stayed(node, label),
         )
 
--- a/orchidferry/testkit/control/service.py
+++ b/orchidferry/testkit/control/service.py
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Word:
+class NodeAnswer:
     """What a node said of a response."""
 
     node: str
@@ -55,9 +55,9 @@
     def __init__(self) -> None:
         self.resources: Held = {url: {} for url in TYPES.values()}
         self.views: dict[str, Held] = {}  # of nodes that are given something else than the rest
-        self.words: list[Word] = []
+        self.answers: list[NodeAnswer] = []
         self.handlers: tuple[grpc.GenericRpcHandler, ...] = ()  # of further services at the same address
-        self.on_word: Callable[[Word], None] | None = None
+        self.on_answer: Callable[[NodeAnswer], None] | None = None
         self.lines: list[Line] = []
         self.joined = 0  # streams so far
         self.label = ""
@@ -188,9 +188,9 @@
             if request.response_nonce:
                 label = line.labels.get(request.response_nonce, "")
                 reason = request.error_detail.message
-                self.words.append(Word(line.node, url, request.response_nonce, label, reason))
-                if self.on_word is not None:
-                    self.on_word(self.words[-1])
+                self.answers.append(NodeAnswer(line.node, url, request.response_nonce, label, reason))
+                if self.on_answer is not None:
+                    self.on_answer(self.answers[-1])
             if url in self.resources:
                 self._update(line, url)
             self.changed.set()
--- a/orchidferry/testkit/control/worker.py
+++ b/orchidferry/testkit/control/worker.py
@@ -90,11 +90,11 @@
         """A node that acknowledged a version that drains a server was told of it by then."""
         control = self._control
         draining = {push.label for push in control.pushes if push.drain}
-        for word in control.service.words[self._heard :]:
-            newest = control.service.resources[word.type_url].get(control.pool, ("",))
-            if word.label in draining and not word.reason and newest[0] == word.label:
-                self._put(word.node, control.drained, "leaving")
-        self._heard = len(control.service.words)
+        for answer in control.service.answers[self._heard :]:
+            newest = control.service.resources[answer.type_url].get(control.pool, ("",))
+            if answer.label in draining and not answer.reason and newest[0] == answer.label:
+                self._put(answer.node, control.drained, "leaving")
+        self._heard = len(control.service.answers)
 
     def on_second(self) -> None:
         """Nothing."""
--- a/tests/node/control/scene.py
+++ b/tests/node/control/scene.py
@@ -96,7 +96,7 @@
         for agent in made:
             agent.start()
         await until(lambda: all(a.held() == "v0" == a.held(Part.SETTINGS) for a in made))
-        await until(lambda: len(service.words) == 2 * len(made))  # and the service knows
+        await until(lambda: len(service.answers) == 2 * len(made))  # and the service knows
         yield service, made
     finally:
         for agent in made:
@@ -106,4 +106,4 @@
 
 def reasons(service: Service, label: str) -> list[str]:
     """What nodes said of a version; '' for an ACK."""
-    return [word.reason for word in service.words if word.label == label]
+    return [answer.reason for answer in service.answers if answer.label == label]
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -113,7 +113,9 @@
                 await until(lambda n=n: agent.held() == f"v{n}")  # type: ignore[misc]
                 assert service.lines[0].initial[EDS] == {POOL: f"v{n - 1}"}
             assert agent.held(Part.SETTINGS) == "v0"
-            assert len([word for word in service.words if "Extension" in word.type_url]) == 1  # once, ever
+            assert (
+                len([answer for answer in service.answers if "Extension" in answer.type_url]) == 1
+            )  # once, ever
             assert len(agent.applied) == 5 or len(agent.applied) == 4  # the first two may come as one
 
     run(test())
@@ -155,7 +157,7 @@
                 service.send_raw(line, again, nonce="same")
             service.push("v2", members(6))
             await until(lambda: agent.held() == "v2")
-            assert [word.nonce for word in service.words].count("same") == 1
+            assert [answer.nonce for answer in service.answers].count("same") == 1
             assert agent.versions.counts["offered"] == 4
 
     run(test())
@@ -168,8 +170,8 @@
                 service.push(f"f{n}", members(n % 40, 50))
             await until(lambda: agent.held() == "f999")
             assert len(agent.applied) < 40
-            await until(lambda: len([w for w in service.words if w.label[:1] == "f"]) == 1000)
-            assert not [w for w in service.words if w.reason]
+            await until(lambda: len([a for a in service.answers if a.label[:1] == "f"]) == 1000)
+            assert not [a for a in service.answers if a.reason]
             assert not any(agent.channel.resources._unanswered.values())
 
     run(test())
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -403,7 +403,7 @@
             made.config["known"]["endpoints"] = made.registry.whole = [listed.entry()]
             made.path.write_text(json.dumps(made.config))
             program = await Program.start(made)
-            await until(lambda: len(service.words) == 2)
+            await until(lambda: len(service.answers) == 2)
             await until(
                 lambda: kept(tmp_path / "state" / FORM.file_name) == {Part.MEMBERS: "v1", Part.SETTINGS: "v1"}
             )
--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -13,7 +13,7 @@
 from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import EDS, TYPES
 from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
-from orchidferry.testkit.control.service import Word
+from orchidferry.testkit.control.service import NodeAnswer
 from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, override, read_scenario
 from tests.balancing.test_wirehost import ROOT
 
@@ -33,21 +33,21 @@
     assert len(draw_cuts(HUNDRED)) == 5
 
 
-def words(*said: tuple[str, str, str]) -> list[Word]:
-    return [Word(node, EDS, "1", label, reason) for node, label, reason in said]
+def words(*said: tuple[str, str, str]) -> list[NodeAnswer]:
+    return [NodeAnswer(node, EDS, "1", label, reason) for node, label, reason in said]
 
 
 def test_what_does_not_come_to_one_last_good_version_is_told() -> None:
     pushes = draw_pushes(HUNDRED)
     bad = [p.label for p in pushes if p.bad]
     good = next(p.label for p in pushes if not p.bad)
-    whole = [Word(n, url, "1", "v100", "") for n in ("n0", "n1") for url in TYPES.values()]
+    whole = [NodeAnswer(n, url, "1", "v100", "") for n in ("n0", "n1") for url in TYPES.values()]
     refused = words(*((n, label, "unfit") for n in ("n0", "n1") for label in bad))
     sound = outcome(pushes, ("n0", "n1"), refused + whole, lambda node, label: True)
     assert sound.problems == [] and sound.sent == 100 and sound.bad == 10
     assert sound.final == {n: {part.value: "v100" for part in Part} for n in ("n0", "n1")}
 
-    def problems(said: list[Word]) -> str:
+    def problems(said: list[NodeAnswer]) -> str:
         return "; ".join(outcome(pushes, ("n0", "n1"), said, lambda node, label: True).problems)
 
     assert problems(refused[1:] + whole) == f"n0 did not refuse {bad[0]}"
