--- a/orchidferry/node/control/__init__.py
+++ b/orchidferry/node/control/__init__.py
@@ -1,1 +1,1 @@
-"""The channel to a control service: configuration in versions. Imported only where it is switched on."""
+"""The control channel: versioned configuration from a control service. Imported only if it is enabled."""
--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -1,6 +1,7 @@
-"""The agent: keeps a node's configuration up to date with the channel, the version rules and the store.
+"""The agent: keeps a node's configuration up to date with what a control service offers.
 
-Everything is decided in `orchidferry.balancing.versions`; here its actions are performed.
+`orchidferry.balancing.versions` makes all decisions. The agent hands it the events of the channel and of the
+node, and performs the actions that it returns.
 """
 
 from __future__ import annotations
@@ -29,18 +30,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeCalls:
-    """What the agent calls at its node."""
+class NodeCallbacks:
+    """The callbacks through which the agent acts on its node."""
 
-    # Applies a configuration, of which some parts have changed. Returns an empty text, or what went wrong;
-    # None if `Agent.node_applied` will be called with that.
+    # Applies a configuration, given the parts of it that have changed. Returns an empty text on success, a
+    # description of the failure, or None if the result will be passed to `Agent.node_applied` later.
     apply: Callable[[Configuration, frozenset[Part]], str | None]
-    drain: Callable[[tuple[int, ...]], None]  # sends nothing new to some servers
-    after_event: Callable[[], None] = _ignore  # called when the status may have changed
+    drain: Callable[[tuple[int, ...]], None]  # stops sending new requests to servers, given their ids
+    after_event: Callable[[], None] = _ignore  # called when the agent's status may have changed
 
 
 def file_configuration(control: Control, settings: api.Settings) -> Configuration:
-    """Return the configuration in the node's own file, which has no pool: discovery names the servers."""
+    """Return the configuration in the node's own file. It has no pool: discovery lists the servers.
+
+    :param settings: the node's settings in that file.
+    """
     return Configuration(Pools({}), NodeSettings(control.pools[0], settings))
 
 
@@ -51,15 +55,20 @@
         self,
         control: Control,
         file: Configuration,
-        node: NodeCalls,
+        node: NodeCallbacks,
         rng: random.Random | None = None,
         store: Store | None = None,
         applied: Configuration | None = None,
     ) -> None:
-        """Create a `Agent`.
+        """Create an `Agent`.
 
+        :param control: the settings of the control channel.
         :param file: the configuration in the node's own file.
-        :param applied: the configuration that the node has; it goes before one in the store.
+        :param node: callbacks of the node.
+        :param rng: draws the jitter of the channel's backoff.
+        :param store: holds the last good configuration; None: it is not saved.
+        :param applied: the configuration that the node has applied already; it takes precedence over the
+            one in the store.
         :raises ConfigError: if a certificate can't be read.
         """
         self._control = control
@@ -71,22 +80,22 @@
         self._store = store
         self._timers: set[asyncio.TimerHandle] = set()
         self._applying: events.Apply | None = None
-        self._unsaved: Configuration | None = None  # the newest one that waits to be saved
+        self._unsaved: Configuration | None = None  # the newest configuration that waits to be saved
         self._saving: asyncio.Task[None] | None = None
-        self._save_problem = ""  # why the last good one could not be saved the last time
+        self._save_problem = ""  # why the most recent save failed; empty if it succeeded
 
     def start(self) -> None:
-        """Open the stream, and wait for a first version."""
+        """Load the last good configuration, and open the stream to the control service."""
         saved = None
         if self._store is not None:
-            saved, line = self._store.load()
-            if line:
-                log.error("%s", line)
+            saved, problem = self._store.load()
+            if problem:
+                log.error("%s", problem)
         self._handle(events.Started(self._file, self._already_applied or saved))
         self.channel.start()
 
     async def close(self) -> None:
-        """Close the stream and the store; what is applied stays so."""
+        """Close the stream and the store. The node keeps the configuration that it has applied."""
         await self.channel.close()
         if self._saving is not None:
             await self._saving
@@ -96,7 +105,7 @@
             self._store.close()
 
     def status(self) -> dict[str, Any]:
-        """Return what `control status` shows of this node."""
+        """Return the status of this node's configuration, as `orchidferry control status` shows it."""
         status = self.versions.status()
         status |= {
             "node": self._control.node,
@@ -116,13 +125,13 @@
         pending = [event]
         while pending:
             for action in self.versions.handle(pending.pop(0), now_ms()):
-                raised = self._perform(action)
-                if raised is not None:
-                    pending.append(raised)
+                follow_up = self._perform(action)
+                if follow_up is not None:
+                    pending.append(follow_up)
         self._node.after_event()
 
     def _perform(self, action: events.Action) -> events.Event | None:
-        """Perform an action; return the event that it leads to, if there is one at once."""
+        """Perform an action; return the event that it causes, unless there is none or it comes later."""
         match action:
             case events.Apply():
                 self._applying = action
@@ -136,7 +145,7 @@
             case events.SaveLastGood():
                 self._save(action.configuration)
             case events.SetTimer():
-                self._wake(action.delay_ms)
+                self._set_timer(action.delay_ms)
             case events.Log():
                 log.warning("control: %s", action.text)
         return None
@@ -144,8 +153,8 @@
     def _apply(self, action: events.Apply) -> str | None:
         try:
             return self._node.apply(action.configuration, action.changed)
-        except Exception as problem:  # whatever is in it, the node serves on
-            log.exception("applying a configuration")
+        except Exception as problem:  # no content of a configuration may stop the node from serving
+            log.exception("control: applying a configuration failed")
             return f"{type(problem).__name__}: {problem}"
 
     def _applied(self, problem: str) -> events.Applied:
@@ -159,12 +168,17 @@
         return events.Applied(problem)
 
     def node_applied(self, problem: str) -> None:
-        """Learn how applying went, where `NodeCalls.apply` did not say; no effect if none is in progress."""
+        """Take the result of applying a configuration, if `NodeCallbacks.apply` returned None.
+
+        Has no effect if no configuration is being applied.
+
+        :param problem: why the configuration could not be applied; empty if it was.
+        """
         if self._applying is not None:
             self._handle(self._applied(problem))
 
     def _save(self, configuration: Configuration) -> None:
-        """Save it in a thread: a disk may be slow, and nothing waits for it."""
+        """Save a configuration in a thread, as a slow disk must not block the event loop."""
         self._unsaved = configuration
         if self._store is not None and self._saving is None:
             self._saving = asyncio.get_running_loop().create_task(self._write(self._store))
@@ -179,10 +193,10 @@
             self._save_problem = problem
         self._saving = None
 
-    def _wake(self, delay_ms: float) -> None:
-        def due() -> None:
+    def _set_timer(self, delay_ms: float) -> None:
+        def fire() -> None:
             self._timers.discard(timer)
             self._handle(events.TimerFired())
 
-        timer = asyncio.get_running_loop().call_later(delay_ms / 1000.0, due)
+        timer = asyncio.get_running_loop().call_later(delay_ms / 1000.0, fire)
         self._timers.add(timer)
--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -1,9 +1,9 @@
 """The stream to the control service: xDS v3, aggregated and incremental (delta ADS), over gRPC.
 
-It handles streams, nonces and resources, and not what a version means: each response becomes an `Offered` for
-`orchidferry.balancing.versions`, each `Answer` an ACK or NACK. A stream that fails is opened again after a
-backoff with full jitter, with the versions that are applied (`initial_resource_versions`), so that the
-service sends only what has changed.
+This module handles streams, nonces and resources, but doesn't judge versions: each response becomes an
+`Offered` for `orchidferry.balancing.versions`, and each `Answer` becomes an ACK or NACK. A stream that fails
+is reopened after a backoff with full jitter. Its first requests name the versions that are acknowledged
+(`initial_resource_versions`), so that the service sends only resources that have changed.
 """
 
 from __future__ import annotations
@@ -23,71 +23,72 @@
 from orchidferry.node.control.messages import PARTS, TYPES, ResourceDecodeError, read_node, read_pool
 from orchidferry.node.control.settings import Control, read_tls
 
-MAX_MESSAGE = 16 * 1024 * 1024  # bytes: some 40,000 members
-MAX_RESOURCES = 128  # of one response
-MAX_UNANSWERED = 1_024  # nonces of a part; a stream with more of them is ended
+MAX_MESSAGE = 16 * 1024 * 1024  # bytes of a response: enough for some 40,000 members
+MAX_RESOURCES = 128  # resources in one response
+MAX_UNANSWERED = 1_024  # unanswered responses of one part; a stream with more of them is ended
 
 # Backoff with full jitter: a random share of a limit that doubles with each failure
 BACK_OFF_S = 0.5
 MAX_BACK_OFF_S = 30.0
 MAX_DOUBLINGS = 16
-STEADY_S = 5.0  # a stream that was open for so long resets the backoff
+RESET_BACK_OFF_AFTER_S = 5.0  # a stream that was open for longer than this resets the backoff
 
-# Pings, as a service that vanished is silent
+# HTTP/2 pings, because a service that disappears without closing the connection sends no error
 KEEPALIVE_MS = 10_000
-KEEPALIVE_WAIT_MS = 5_000
-INVALID_ARGUMENT = 3  # google.rpc.Code, of a NACK's error_detail
+KEEPALIVE_TIMEOUT_MS = 5_000
+INVALID_ARGUMENT = 3  # the google.rpc.Code in the error_detail of a NACK
 
 log = logging.getLogger("orchidferry")
 
-Named = dict[str, tuple[str, Any]]  # resources by name: version and decoded content
+NamedResources = dict[str, tuple[str, Any]]  # the version and the decoded content of resources, by name
 
 
 def back_off_s(failures: int, chance: float) -> float:
-    """Return how long to wait before the next stream, in seconds.
+    """Return the delay before the next stream is opened, in seconds.
 
-    :param failures: streams in a row that failed.
+    :param failures: the number of consecutive streams that failed.
     :param chance: a random number from 0 to 1.
     """
     return chance * min(MAX_BACK_OFF_S, BACK_OFF_S * 2.0 ** min(failures, MAX_DOUBLINGS))
 
 
 class Resources:
-    """The resources of a stream; a response names only those that have changed."""
+    """The resources of a stream, assembled from responses that contain only the changed ones."""
 
     def __init__(self) -> None:
-        self.held: dict[Part, Named] = {part: {} for part in Part}  # acknowledged
-        self._offered: dict[Part, Named] = {part: {} for part in Part}  # with what was sent since
-        # By nonce, in order: the part as it is with that response.
-        self._unanswered: dict[Part, dict[str, Named]] = {part: {} for part in Part}
-        self._last: dict[Part, str] = {}  # the newest nonce
-        self._refused: dict[
-            Part, tuple[str, Named]
-        ] = {}  # the newest; it may be accepted once the other part has come
+        self.acknowledged: dict[Part, NamedResources] = {part: {} for part in Part}
+        # The acknowledged resources with the changes of all later responses.
+        self._offered: dict[Part, NamedResources] = {part: {} for part in Part}
+        # By nonce, in the order of the responses: all resources of the part after that response.
+        self._unanswered: dict[Part, dict[str, NamedResources]] = {part: {} for part in Part}
+        self._last_nonce: dict[Part, str] = {}  # the nonce of the newest response
+        # The nonce and resources of the newest refused offer; it may be accepted after all once the other
+        # part has changed.
+        self._refused: dict[Part, tuple[str, NamedResources]] = {}
 
     def restart(self) -> None:
-        """Forget what was not acknowledged, for a new stream."""
+        """Discard all resources that were not acknowledged, before a new stream is opened."""
         for part in Part:
-            self._offered[part] = dict(self.held[part])
+            self._offered[part] = dict(self.acknowledged[part])
             self._unanswered[part].clear()
         self._refused.clear()
-        self._last.clear()
+        self._last_nonce.clear()
 
     def versions(self, part: Part) -> dict[str, str]:
         """Return the versions of the acknowledged resources, by name."""
-        return {name: version for name, (version, _) in self.held[part].items()}
+        return {name: version for name, (version, _) in self.acknowledged[part].items()}
 
-    def _read(self, part: Part, response: Any) -> Named | str:
-        """Return the resources in a response, or why they can't be read."""
+    def _read(self, part: Part, response: Any) -> NamedResources | str:
+        """Return the resources in a response, or the reason why they can't be read."""
         if len(response.resources) > MAX_RESOURCES:
             return f"{len(response.resources)} resources, {MAX_RESOURCES} at most"
-        found: Named = {}
+        found: NamedResources = {}
         try:
             for resource in response.resources:
                 name = resource.name
                 packed = resource.resource
                 if part is Part.MEMBERS:
-                    _, known = self.held[part].get(name, ("", ()))
+                    _, known = self.acknowledged[part].get(name, ("", ()))
                     found[name] = resource.version, read_pool(name, packed, known)
                 else:
                     found[name] = resource.version, read_node(name, packed)
@@ -95,16 +96,17 @@
             return str(problem)
         return found
 
-    def take(self, part: Part, response: Any) -> Offered | None:
-        """Return a response as an offer of a complete part; None if it is a repeat.
+    def receive(self, part: Part, response: Any) -> Offered | None:
+        """Take a response, and return it as an offer of the complete part.
 
+        :returns: None if the response repeats the nonce of the one before it.
         :raises ResourceDecodeError: if too many responses are unanswered.
         """
         read = self._read(part, response)
         nonces = self._unanswered[part]
-        if response.nonce == self._last.get(part):
+        if response.nonce == self._last_nonce.get(part):
             return None
-        self._last[part] = response.nonce
+        self._last_nonce[part] = response.nonce
         if len(nonces) >= MAX_UNANSWERED:
             raise ResourceDecodeError(f"{len(nonces)} responses unanswered")
         before = self._offered[part]
@@ -122,18 +124,19 @@
         version = response.system_version_info or _joined_versions(changed)
         return Offered(part, version, response.nonce, content, problem)
 
-    def answered(self, answer: Answer) -> list[str]:
+    def record_answer(self, answer: Answer) -> list[str]:
         """Take the answer to an offer.
 
-        :returns: the nonces that it answers, with those of offers that were superseded.
+        :returns: the nonces to answer: that of the offer, after those of the offers that it superseded.
         """
         part = answer.part
         nonces = self._unanswered[answer.part]
-        if answer.nonce not in nonces:  # of another stream; or it was refused before, and is accepted now
+        # An unknown nonce belongs to an earlier stream, or to an offer that was refused and is accepted now.
+        if answer.nonce not in nonces:
             nonce, named = self._refused.get(part, ("", {}))
             if nonce != answer.nonce or answer.reason:
                 return []
-            self.held[part] = named
+            self.acknowledged[part] = named
             if not nonces:
                 self._offered[part] = dict(named)
             return [nonce]
@@ -144,21 +147,21 @@
             if nonce == answer.nonce:
                 break
         if not answer.reason:
-            self.held[part] = named
+            self.acknowledged[part] = named
         else:
             self._refused[part] = answer.nonce, named
-            if not nonces:  # else what came since is based on it
-                self._offered[part] = dict(self.held[part])
+            if not nonces:  # any later offers are based on the refused one
+                self._offered[part] = dict(self.acknowledged[part])
         return done
 
 
-def _joined_versions(resources: Named) -> str:
-    """Return a version for resources whose response has none."""
+def _joined_versions(resources: NamedResources) -> str:
+    """Return a version for a response that has none, made of the versions of the resources."""
     return ",".join(f"{name}={version}" for name, (version, _) in sorted(resources.items()))
 
 
-def _content(part: Part, resources: Named) -> tuple[Content | None, str]:
-    """Return the content of a part, or None and what is wrong with it."""
+def _content(part: Part, resources: NamedResources) -> tuple[Content | None, str]:
+    """Return the content of a part, or None and the reason why there is none."""
     if part is Part.MEMBERS:
         return Pools({name: members for name, (_, members) in resources.items()}), ""
     if not resources:
@@ -170,7 +173,7 @@
 
 
 class Channel:
-    """Keeps a stream to the control service."""
+    """Keeps a stream to the control service open."""
 
     def __init__(
         self,
@@ -181,8 +184,10 @@
     ) -> None:
         """Create a `Channel`.
 
+        :param control: the settings of the control channel.
         :param on_offer: called with each offer.
-        :param on_stream: called with whether a stream is open, when that changes.
+        :param on_stream: called with True when a stream has been opened, and with False when it has ended.
+        :param rng: draws the jitter of the backoff.
         :raises ConfigError: if a certificate can't be read.
         """
         self._control = control
@@ -190,27 +195,27 @@
         self._on_stream = on_stream
         self._rng = rng or random.Random()
         self.resources = Resources()
-        self.up = False
-        self.failures = 0  # streams in a row that ended soon
-        self._requests: asyncio.Queue[Any] | None = None  # to be sent on the open stream
+        self.up = False  # whether a stream is open
+        self.failures = 0  # consecutive streams that ended within RESET_BACK_OFF_AFTER_S
+        self._requests: asyncio.Queue[Any] | None = None  # requests to be sent on the open stream
         self._task: asyncio.Task[None] | None = None
         tls = read_tls(control)
         self._credentials = grpc.ssl_channel_credentials(*tls) if tls is not None else None
 
     def start(self) -> None:
-        """Keep a stream from now on."""
+        """Open a stream, and reopen it whenever it ends."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
-        """End the stream."""
+        """End the stream for good."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
 
     def answer(self, answer: Answer) -> None:
-        """Send the service an ACK or NACK, if the stream of the offer is open."""
-        for nonce in self.resources.answered(answer):
+        """Send the service an ACK or NACK, if the stream of the offer is still open."""
+        for nonce in self.resources.record_answer(answer):
             if self._requests is None:
                 continue
             request = discovery_pb2.DeltaDiscoveryRequest(type_url=TYPES[answer.part], response_nonce=nonce)
@@ -222,34 +227,34 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            began_s = loop.time()
+            started_s = loop.time()
             try:
                 await self._run_stream()
-                reason = "it ended the stream"
+                reason = "the service ended the stream"
             except grpc.RpcError as problem:
                 code = getattr(problem, "code", None)
                 details = getattr(problem, "details", None)
                 reason = f"{code().name if code else problem}: {(details() or '') if details else ''}"
             except ResourceDecodeError as problem:
                 reason = str(problem)
-            except Exception as problem:  # whatever came, the node serves on
-                log.exception("the control channel")
+            except Exception as problem:  # no message of the service may end the channel
+                log.exception("control service: the stream failed unexpectedly")
                 reason = type(problem).__name__
             finally:
                 self._requests = None
                 if self.up:
                     self.up = False
                     self._on_stream(False)
-            self.failures = 0 if loop.time() - began_s > STEADY_S else self.failures + 1
+            self.failures = 0 if loop.time() - started_s > RESET_BACK_OFF_AFTER_S else self.failures + 1
             wait_s = back_off_s(self.failures, self._rng.random())
-            log.warning("control service: %s; again in %.1f s", reason[:200], wait_s)
+            log.warning("control service: %s; reconnecting in %.1f s", reason[:200], wait_s)
             await asyncio.sleep(wait_s)
 
     async def _run_stream(self) -> None:
         """Open a stream and handle its responses until it ends.
 
-        :raises grpc.RpcError: if it fails.
-        :raises ResourceDecodeError: if it ends with another status than OK.
+        :raises grpc.RpcError: if the stream fails.
+        :raises ResourceDecodeError: if it ends with a status other than OK, or a response can't be taken.
         """
         async with self._open_channel() as channel:
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources()
@@ -258,9 +263,9 @@
             writer = asyncio.get_running_loop().create_task(self._write(call, requests))
             try:
                 while (response := await call.read()) is not grpc.aio.EOF:
-                    self._set_up()
+                    self._mark_up()
                     self._receive(response)
-                # An end without an error is a status too.
+                # A stream that ends without an RpcError may still have a status other than OK.
                 await call.code()
                 if (code := await call.code()) is not grpc.StatusCode.OK:
                     raise ResourceDecodeError(f"{code.name}: {await call.details()}")
@@ -276,9 +281,9 @@
         options = [
             ("grpc.max_receive_message_length", MAX_MESSAGE),
             ("grpc.keepalive_time_ms", KEEPALIVE_MS),
-            ("grpc.keepalive_timeout_ms", KEEPALIVE_WAIT_MS),
+            ("grpc.keepalive_timeout_ms", KEEPALIVE_TIMEOUT_MS),
             ("grpc.keepalive_permit_without_calls", 1),
-            ("grpc.enable_retries", 0),  # the backoff is this module's
+            ("grpc.enable_retries", 0),  # this module has a backoff of its own
             ("grpc.use_local_subchannel_pool", 1),
         ]
         if self._credentials is not None:
@@ -286,7 +291,7 @@
         return grpc.aio.insecure_channel(target, options)
 
     def _subscribe(self, requests: asyncio.Queue[Any]) -> None:
-        """Queue the first requests of a stream."""
+        """Queue the first requests of a stream, one for each part."""
         control = self._control
         self.resources.restart()
         for part, names in ((Part.MEMBERS, control.pools), (Part.SETTINGS, (control.settings,))):
@@ -303,20 +308,22 @@
     def _receive(self, response: Any) -> None:
         part = PARTS.get(response.type_url)
         if part is None:
-            log.warning("control service: sent a %.100r that nobody asked for", response.type_url)
+            log.warning(
+                "control service: ignored a response of type %.100r, not requested", response.type_url
+            )
             return
-        offer = self.resources.take(part, response)
+        offer = self.resources.receive(part, response)
         if offer is not None:
             self._on_offer(offer)
 
-    def _set_up(self) -> None:
+    def _mark_up(self) -> None:
         if not self.up:
             self.up = True
             self._on_stream(True)
 
     async def _write(self, call: Any, requests: asyncio.Queue[Any]) -> None:
         await call.write(await requests.get())
-        await call.initial_metadata()  # a service that has nothing new still sends its headers
-        self._set_up()
+        await call.initial_metadata()  # a service that has no new resources still sends its headers
+        self._mark_up()
         while True:
             await call.write(await requests.get())
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -1,8 +1,9 @@
 """The control helper of a node: `python -m orchidferry.node.control.helper`, started by `link.py`.
 
-It holds the stream, checks versions and saves the last good one; what is to be applied it sends to the node
-(see `pipe.py`). Standard input and output are the pipe; it ends when its input does. Signals to the whole
-process group are left to the node.
+The helper keeps the stream to the control service, checks versions, saves the last good configuration, and
+sends the node the changes to apply. It talks to the node over its standard input and output (see `pipe.py`),
+and exits when its input ends. It ignores SIGTERM, SIGINT and SIGHUP: where they are sent to the whole process
+group, handling them is up to the node.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.configuration import Configuration
-from orchidferry.node.control.agent import Agent, NodeCalls, file_configuration
+from orchidferry.node.control.agent import Agent, NodeCallbacks, file_configuration
 from orchidferry.node.control.pipe import (
     MAX_LINE,
     AppliedState,
@@ -36,49 +37,52 @@
 EXIT_OK = 0
 EXIT_USAGE = 2
 
-NICE = 5  # on one core with the node, requests come first
-APPLY_S = 30.0  # for the node to confirm a change; after that it is not known what the node has
-STATUS_S = 0.05  # changes of the status within that time are sent as one
-BEGIN_S = 10.0  # for the node to send what it has
-MAX_UNSENT = 64 * 1024  # bytes that wait in the pipe before more of a change is written
+NICE = 5  # a lower priority than the node's, so that requests come first if both share a core
+APPLY_TIMEOUT_S = 30.0  # for the node to confirm a change; after that, what the node has applied is unknown
+STATUS_INTERVAL_S = 0.05  # status changes within this time are sent as one
+INITIAL_STATE_TIMEOUT_S = 10.0  # for the node to send its settings and what it has applied
+MAX_UNSENT = 64 * 1024  # bytes that may be buffered for the pipe before the sending of a change pauses
 
-# For the helper of a node that was killed to unlock the directory
-LOCK_WAIT_S = 3.0
-LOCK_RETRY_S = 0.05
+LOCK_WAIT_S = 3.0  # for the helper of a node that was killed to unlock the state directory
+LOCK_RETRY_S = 0.05  # between attempts to lock the state directory
 
 log = logging.getLogger("orchidferry")
 
 
 class Helper:
-    """An agent, whose node is at the other end of the pipe."""
+    """An agent whose node is at the other end of the pipe."""
 
     def __init__(
         self,
         control: Control,
-        own: api.Settings,
+        file_settings: api.Settings,
         applied: Configuration | None,
         store: Store | None,
         out: asyncio.StreamWriter,
     ) -> None:
         """Create a `Helper`.
 
-        :param own: settings in the node's own file.
-        :param applied: the configuration that the node has; None: that of its own file.
-        :param out: to the node.
+        :param control: the settings of the control channel.
+        :param file_settings: the node's settings in its own file.
+        :param applied: the configuration that the node has applied; None: that of its own file.
+        :param store: holds the last good configuration; None: it is not saved.
+        :param out: the pipe to the node.
         """
         self._out = out
         self._writer = ChangeWriter()
-        calls = NodeCalls(self._apply, self._drain, self._schedule_status)
-        self.agent = Agent(control, file_configuration(control, own), calls, store=store, applied=applied)
+        callbacks = NodeCallbacks(self._apply, self._drain, self._schedule_status)
+        self.agent = Agent(
+            control, file_configuration(control, file_settings), callbacks, store=store, applied=applied
+        )
         self._sending: asyncio.Task[None] | None = None
         self._apply_timer: asyncio.TimerHandle | None = None
         self._status_timer: asyncio.TimerHandle | None = None
 
     def _apply(self, configuration: Configuration, _: Any) -> None:
-        """Send it to the node; `agent.node_applied` is called with its answer."""
+        """Send a configuration to the node; `agent.node_applied` is called with the node's answer."""
         loop = asyncio.get_running_loop()
         self._sending = loop.create_task(self._send(configuration))
-        self._apply_timer = loop.call_later(APPLY_S, self._on_apply_timeout)
+        self._apply_timer = loop.call_later(APPLY_TIMEOUT_S, self._on_apply_timeout)
 
     async def _send(self, configuration: Configuration) -> None:
         for data in self._writer.change(configuration):
@@ -87,8 +91,8 @@
                 await self._out.drain()
 
     def _on_apply_timeout(self) -> None:
-        self._writer.give_up()
-        self.agent.node_applied(f"the node did not say within {APPLY_S:g} s")
+        self._writer.forget()
+        self.agent.node_applied(f"the node did not confirm the change within {APPLY_TIMEOUT_S:g} s")
 
     def _drain(self, servers: tuple[int, ...]) -> None:
         self._out.write(self._writer.drain(servers))
@@ -96,19 +100,19 @@
     def _schedule_status(self) -> None:
         if self._status_timer is None:
             loop = asyncio.get_running_loop()
-            self._status_timer = loop.call_later(STATUS_S, self._send_status)
+            self._status_timer = loop.call_later(STATUS_INTERVAL_S, self._send_status)
 
     def _send_status(self) -> None:
         self._status_timer = None
         self._out.write(encode_line("status", status=self.agent.status()))
 
     def receive(self, message: dict[str, Any]) -> None:
-        """Take a message of the node.
+        """Handle a message of the node.
 
-        :raises PipeDecodeError: if it is none.
+        :raises PipeDecodeError: if it is not a message that a node sends.
         """
         if message["do"] != "applied":
-            raise PipeDecodeError(f"{message['do']!r} is none of the node's")
+            raise PipeDecodeError(f"{message['do']!r} is not a message of the node")
         problem = str(message["problem"])
         if self._writer.applied(message["n"], problem):
             if self._apply_timer is not None:
@@ -116,21 +120,22 @@
             self.agent.node_applied(problem)
 
 
-async def open_store(folder: Path | None, wait_s: float = LOCK_WAIT_S) -> Store | None:
-    """Open the directory of the last good configuration.
+async def open_store(directory: Path | None, wait_s: float = LOCK_WAIT_S) -> Store | None:
+    """Open the state directory, which holds the last good configuration.
 
-    :param wait_s: for a process that has locked it, and may be about to end.
-    :returns: None if there is no directory, or it can't be used; that is logged.
+    :param wait_s: how long to wait, in seconds, for a process that has locked the directory and may be
+        about to end.
+    :returns: None if no directory is set, or if it can't be used, which is logged.
     """
-    if folder is None:
+    if directory is None:
         return None
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + wait_s
+    deadline_s = loop.time() + wait_s
     while True:
         try:
-            return Store(folder)
+            return Store(directory)
         except StateLockedError as problem:
-            if loop.time() < until_s:
+            if loop.time() < deadline_s:
                 await asyncio.sleep(LOCK_RETRY_S)
                 continue
             log.error("the last good configuration is not kept: %s", problem)
@@ -140,7 +145,7 @@
 
 
 def control_from(values: dict[str, Any]) -> Control:
-    """Return the settings that `link.plain_control` was given."""
+    """Return the settings that `link.plain_control` returned as JSON values."""
     fields = dict(values)
     for name in ("state", "ca", "certificate", "key"):
         fields[name] = Path(fields[name]) if fields[name] is not None else None
@@ -149,15 +154,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Beginning:
-    """What the node sends first."""
+class _InitialState:
+    """The settings and the applied configuration, which the node sends first."""
 
     control: Control
-    own: api.Settings  # in the node's own file
-    applied: Configuration | None
+    file_settings: api.Settings  # the node's settings in its own file
+    applied: Configuration | None  # None: the configuration of the node's own file
 
 
-async def _read_beginning(reader: asyncio.StreamReader) -> _Beginning:
+async def _read_initial_state(reader: asyncio.StreamReader) -> _InitialState:
     begin = decode_line(await reader.readline())
     rows = list[Row]()
     while (message := decode_line(await reader.readline()))["do"] == "rows":
@@ -165,10 +170,10 @@
     control = control_from(begin["control"])
     held = begin["held"]
     applied = None
-    if held is not None and rows:  # without members discovery named the servers, and nothing is to be kept
+    if held is not None and rows:  # without members discovery lists the servers: there is nothing to restore
         state = AppliedState(held["pool"], held["versions"], settings_from(held["settings"]))
         applied = state.configuration(rows)
-    return _Beginning(control, settings_from(begin["own"]), applied)
+    return _InitialState(control, settings_from(begin["own"]), applied)
 
 
 async def _open_pipe() -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -180,7 +185,7 @@
 
 
 async def run() -> int:
-    """Serve the node until it ends.
+    """Serve the node until the node ends.
 
     :returns: the exit status.
     """
@@ -189,19 +194,19 @@
         loop.add_signal_handler(number, lambda: None)
     reader, out = await _open_pipe()
     try:
-        async with asyncio.timeout(BEGIN_S):
-            begin = await _read_beginning(reader)
+        async with asyncio.timeout(INITIAL_STATE_TIMEOUT_S):
+            begin = await _read_initial_state(reader)
     except (*MALFORMED_JSON_ERRORS, PipeDecodeError, TimeoutError) as problem:
         if reader.at_eof():
             return EXIT_OK  # the node has ended
-        print(f"orchidferry: the helper was told nothing that it can use: {problem}", file=sys.stderr)
+        print(f"orchidferry: control helper: can't use the node's first messages: {problem}", file=sys.stderr)
         return EXIT_USAGE
     name = begin.control.node
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format=f"%(asctime)s {name} %(levelname)s %(message)s"
     )
     store = await open_store(begin.control.state)
-    helper = Helper(begin.control, begin.own, begin.applied, store, out)
+    helper = Helper(begin.control, begin.file_settings, begin.applied, store, out)
     helper.agent.start()
     with contextlib.suppress(ConnectionError):
         while data := await reader.readline():
--- a/orchidferry/node/control/members.py
+++ b/orchidferry/node/control/members.py
@@ -1,9 +1,9 @@
-"""The members of a node's pool, as the control service names them, applied to a node that serves.
+"""Applies the members of a pool, as the control service lists them, to a node that serves requests.
 
-A change has two phases. At once: the settings are applied, and nothing new is sent to servers that drain or
-are gone. Then, in steps of under a millisecond with requests between them, the rest, which only adds to the
-servers that may be chosen. Drains announced ahead of a version, and the state that discovery reports of a
-process, hold through both.
+A change has two phases. The first is performed at once: the settings are applied, and no new requests are
+sent to servers that drain or are removed. The second does the rest, which only adds to the servers that may
+be chosen, in steps of under a millisecond with requests handled between them. Drains announced ahead of a
+version, and the health that discovery reports for a server, stay in force during both.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from orchidferry.node.server_listing import ServerListing
 
 IN_SERVICE = api.Health.IN_SERVICE
-LONG_CHANGE = 1_000  # rows; a garbage collection of what a shorter change makes takes under 1 ms
+MIN_LONG_CHANGE = 1_000  # rows; collecting the objects that a shorter change creates takes under 1 ms
 
 log = logging.getLogger("orchidferry")
 
 
 class NodeInterface(Protocol):
-    """What is asked of the node."""
+    """The methods of the node that `Members` calls. Servers are named by their ids."""
 
     def known_servers(self) -> Collection[int]:
         """Return the servers that are listed."""
@@ -46,7 +46,7 @@
         """Apply a list of servers."""
 
     def stop_sending(self, servers: Iterable[int]) -> None:
-        """Send nothing new to these servers."""
+        """Send no new requests to these servers."""
 
 
 class Members:
@@ -55,101 +55,108 @@
     def __init__(self, node: NodeInterface, loop: asyncio.AbstractEventLoop) -> None:
         self._node = node
         self._loop = loop
-        self.members: dict[int, Member] | None = None  # None: discovery names the servers
-        self._discovered: dict[int, api.Health] = {}  # by discovery, also of servers that are no members yet
-        self._draining: set[int] = set()  # get nothing new, by a version that is not completely applied
-        self._steps: deque[Callable[[], None]] = deque()
+        self.members: dict[int, Member] | None = None  # by server id; None: discovery lists the servers
+        # The health that discovery reports, by server id, also for servers that are not members yet.
+        self._discovered: dict[int, api.Health] = {}
+        # Servers that receive no new requests, because of a version that is announced or not fully applied.
+        self._draining: set[int] = set()
+        self._steps: deque[Callable[[], None]] = deque()  # steps that are still to be performed
         self._running = False  # whether a timer for the next step is set
-        self.idle = asyncio.Event()  # set while there are no steps
+        self.idle = asyncio.Event()  # set while no steps are queued
         self.idle.set()
 
     def rows(self) -> Iterable[list[Row]]:
         """Return all members, in batches."""
         return batches(map(member_row, list((self.members or {}).values())))
 
-    def apply(self, change: Change, done: Callable[[str], None]) -> None:
+    def apply(self, change: Change, on_done: Callable[[str], None]) -> None:
         """Apply a change.
 
-        :param done: called with an empty text when all of it is applied, or with what went wrong.
+        :param on_done: called with an empty text when the whole change is applied, or with a description of
+            what went wrong.
         """
-        done = self._without_collections(change, done)
+        on_done = self._without_garbage_collection(change, on_done)
         try:
             if change.settings is not None:
                 self._node.apply_settings(change.settings)
-            if not change.members:  # the node's own file names none
-                return done("")
-            self._begin(change, done)
-        except Exception as problem:  # whatever is in the change, the node serves on
-            log.exception("applying a configuration")
-            done(f"{type(problem).__name__}: {problem}")
-
-    def _without_collections(self, change: Change, done: Callable[[str], None]) -> Callable[[str], None]:
-        """Disable garbage collection during a long change, and exclude what it makes from later ones.
-
-        Members live until a version drops them, and are in no reference cycles. Objects of requests that are
-        in a cycle at that moment are kept forever too: a few for each long change.
-
-        :returns: what to call in place of `done`.
+            if not change.has_members:  # the configuration of the node's own file
+                return on_done("")
+            self._start_change(change, on_done)
+        except Exception as problem:  # no content of a change may stop the node from serving
+            log.exception("control: applying a configuration failed")
+            on_done(f"{type(problem).__name__}: {problem}")
+
+    def _without_garbage_collection(
+        self, change: Change, on_done: Callable[[str], None]
+    ) -> Callable[[str], None]:
+        """Disable garbage collection during a long change, and exclude its objects from later collections.
+
+        Members live until a version removes them, and are in no reference cycles. Objects of requests that
+        are in a reference cycle when the change ends are never freed: a few for each long change.
+
+        :returns: the function to call in place of `on_done`.
         """
-        if sum(map(len, change.rows)) < LONG_CHANGE:
-            return done
+        if sum(map(len, change.rows)) < MIN_LONG_CHANGE:
+            return on_done
         gc.disable()
 
         def enable(problem: str) -> None:
             gc.freeze()
             gc.enable()
-            done(problem)
+            on_done(problem)
 
         return enable
 
-    def _begin(self, change: Change, done: Callable[[str], None]) -> None:
+    def _start_change(self, change: Change, on_done: Callable[[str], None]) -> None:
         """Perform the first phase of a change, and queue the steps of the second."""
         first = self.members is None
-        removed = change.gone
-        stopped = set(change.away)
+        removed = change.removed
+        stopped = set(change.stopped)
         if change.complete:
-            left = self._not_in(change)
-            removed = list(batches(left))
-            stopped.update(left)
-        stale = [server for server in self._draining if server not in stopped]
+            missing = self._servers_missing_from(change)
+            removed = list(batches(missing))
+            stopped.update(missing)
+        unconfirmed = [server for server in self._draining if server not in stopped]
         self._draining = stopped
         if first:
-            self._take_over(change, stopped)
+            self._replace_discovery(change, stopped)
         else:
             self._node.stop_sending(stopped)
-        self._queue_steps(change, removed, stale, done)
+        self._queue_steps(change, removed, unconfirmed, on_done)
 
-    def _not_in(self, change: Change) -> list[int]:
-        """Return the servers that are known and that a complete change does not have."""
+    def _servers_missing_from(self, change: Change) -> list[int]:
+        """Return the known servers that a complete change does not list."""
         known = self._node.known_servers() if self.members is None else self.members
         listed = {row[0] for batch in change.rows for row in batch}
         return [server for server in known if server not in listed]
 
-    def _take_over(self, change: Change, stopped: set[int]) -> None:
-        """Name the servers from now on, which discovery did before."""
+    def _replace_discovery(self, change: Change, stopped: set[int]) -> None:
+        """Make the control service's members the node's servers, in place of the servers of discovery."""
         known = set(self._node.known_servers())
         self._discovered = {s: api.Health.DRAINING for s in known if not self._node.serves(s)}
         self._node.stop_sending(stopped)
-        # With a complete list the balancer learns that all later lists are about the servers known now.
+        # This list is complete, but has only members that are known already. It tells the balancer that all
+        # later lists refer to the servers known now.
         rows = [row for batch in change.rows for row in batch if row[0] in known]
         self.members = {row[0]: member_from(row) for row in rows}
         self._list(list(self.members), complete=True)
 
     def _queue_steps(
-        self, change: Change, removed: list[list[int]], stale: list[int], done: Callable[[str], None]
+        self, change: Change, removed: list[list[int]], unconfirmed: list[int], on_done: Callable[[str], None]
     ) -> None:
-        """Queue the second phase.
+        """Queue the steps of the second phase.
 
-        :param removed: servers that are no members any more, in batches.
-        :param stale: servers whose announced drain was not confirmed by a version.
+        :param removed: servers that are no longer members, in batches.
+        :param unconfirmed: servers with an announced drain that this version does not confirm.
+        :param on_done: called when the last step is done.
         """
         problems: list[str] = []
         steps: list[Callable[[], None]] = []
         steps += [functools.partial(self._remove, servers) for servers in removed]
         steps += [functools.partial(self._update, rows) for rows in change.rows]
-        steps += [functools.partial(self._list, servers) for servers in batches(stale)]
+        steps += [functools.partial(self._list, servers) for servers in batches(unconfirmed)]
         self._steps.extend(functools.partial(_run_guarded, step, problems) for step in steps)
-        self._steps.append(lambda: done(problems[0] if problems else ""))
+        self._steps.append(lambda: on_done(problems[0] if problems else ""))
         self._run_steps()
 
     def _run_steps(self) -> None:
@@ -162,9 +169,9 @@
         if self._steps:
             try:
                 self._steps.popleft()()
-            except Exception:  # the steps after it are run all the same
-                log.exception("listing members")
-        if self._steps:  # a timer, not call_soon: what has come on sockets meanwhile is handled first
+            except Exception:  # a failed step must not prevent the steps after it
+                log.exception("control: listing members failed")
+        if self._steps:  # a timer rather than call_soon, so that sockets that became ready are handled first
             self._loop.call_later(0.0, self._run_next_step)
         else:
             self._running = False
@@ -187,9 +194,9 @@
         self._list([member.entry.server for member in members])
 
     def _list(self, servers: list[int], complete: bool = False) -> None:
-        """List these members for the node, in the state that the service and discovery give them.
+        """List these members for the node, with the health that the control service and discovery report.
 
-        :param complete: whether all other servers are gone.
+        :param complete: whether the list is complete, so that the node removes all other servers.
         """
         members = self.members or {}
         known = [members[server] for server in servers if server in members]
@@ -202,17 +209,17 @@
         self._node.apply_listing(ServerListing(0, complete, entries, addresses), kind)
 
     def drain(self, servers: list[int]) -> None:
-        """Send nothing new to these servers, ahead of the version that drains them."""
+        """Send no new requests to these servers, ahead of the version that drains them."""
         if self.members is None:
-            return  # the service drains only servers that it has named
+            return  # the control service drains only servers that it has listed before
         self._draining.update(servers)
         self._node.stop_sending(servers)
-        self._list_later(servers)
+        self._queue_listing(servers)
 
     def handle_discovery(self, listing: ServerListing) -> bool:
-        """Take the state of processes from discovery.
+        """Take the health of servers from discovery.
 
-        :returns: False if discovery names the servers itself.
+        :returns: False if discovery lists the node's servers, and the list was not used here.
         """
         if self.members is None:
             return False
@@ -226,27 +233,30 @@
                 s for s, health in reported.items() if s in members and self._discovered.get(s) != health
             ]
             self._discovered |= reported
-            for entry in listing.entries:  # servers that are gone from both lists are forgotten
+            for entry in listing.entries:  # forgets servers that neither discovery nor the service lists
                 if entry.health is api.Health.GONE and entry.server not in members:
                     del self._discovered[entry.server]
         self._node.stop_sending(s for s in changed if reported.get(s, IN_SERVICE) is not IN_SERVICE)
-        self._list_later(changed)
+        self._queue_listing(changed)
         return True
 
-    def _list_later(self, servers: Iterable[int]) -> None:
+    def _queue_listing(self, servers: Iterable[int]) -> None:
         self._steps.extend(functools.partial(self._list, batch) for batch in batches(servers))
         if self._steps:
             self._run_steps()
 
 
 def _run_guarded(step: Callable[[], None], problems: list[str]) -> None:
-    """Run a step unless one before it failed; a failure is added to the problems."""
+    """Run a step, unless an earlier step of its change has failed.
+
+    :param problems: descriptions of the failures so far; a failure of this step is appended.
+    """
     if problems:
         return
     try:
         step()
     except Exception as problem:
-        log.exception("applying a configuration")
+        log.exception("control: applying a configuration failed")
         problems.append(f"{type(problem).__name__}: {problem}")
 
 
--- a/orchidferry/node/control/messages.py
+++ b/orchidferry/node/control/messages.py
@@ -1,11 +1,11 @@
-"""xDS resources as the balancer's values: pools (EDS) and the node's settings (ECDS).
+"""Converts xDS resources to the balancer's types: pools (EDS) and the node's settings (ECDS).
 
-Only published messages are used (`xds-protos`), with the meaning that xDS v3 gives their fields. What has no
-field there stands in an endpoint's metadata under `orchidferry`:
+Only published messages are used (`xds-protos`), with the meaning that xDS v3 gives their fields. Attributes
+for which xDS has no field are in an endpoint's metadata under the key `orchidferry`:
 
 - `endpoint.hostname`, or else the address, is the server's name; its locality's zone is its zone;
 - `load_balancing_weight` 100 is a full share; `metadata.orchidferry` may hold `type`, `group`, `since_ms`;
-- HEALTHY, UNKNOWN and DEGRADED are in service; DRAINING, UNHEALTHY and TIMEOUT get nothing new.
+- HEALTHY, UNKNOWN and DEGRADED are in service; DRAINING, UNHEALTHY and TIMEOUT receive no new requests.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from orchidferry.node.clock import unix_offset_ms
 from orchidferry.node.server_listing import server_id
 
-PREFIX = "type.googleapis.com/"
-EDS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
-ECDS = PREFIX + "envoy.config.core.v3.TypedExtensionConfig"
-NODE_SETTINGS = PREFIX + "orchidferry.v1.NodeSettings"
+TYPE_URL_PREFIX = "type.googleapis.com/"
+EDS = TYPE_URL_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
+ECDS = TYPE_URL_PREFIX + "envoy.config.core.v3.TypedExtensionConfig"
+NODE_SETTINGS = TYPE_URL_PREFIX + "orchidferry.v1.NodeSettings"
 TYPES = {Part.MEMBERS: EDS, Part.SETTINGS: ECDS}
 PARTS = {url: part for part, url in TYPES.items()}
-METADATA = "orchidferry"
-FULL_WEIGHT = 100.0  # a `load_balancing_weight` that is a full share
+METADATA_KEY = "orchidferry"
+FULL_WEIGHT = 100.0  # the `load_balancing_weight` of a full share
 MAX_PORT = 65535
-MAX_TEXT = 256  # characters of a name, zone or kind
+MAX_TEXT = 256  # characters of a name or host, and of a text that is quoted in an error
 
 HEALTH = {
     health_check_pb2.UNKNOWN: api.Health.IN_SERVICE,
@@ -50,7 +50,7 @@
 
 
 class ResourceDecodeError(OrchidferryError):
-    """A resource that can't be used; the text names it and its field."""
+    """A resource that can't be used; the text names the resource and the field."""
 
 
 def _unpack(packed: AnyMessage, url: str, message: Any, where: str) -> Any:
@@ -68,15 +68,16 @@
     if value is None:
         return 0.0
     if value.WhichOneof("kind") != "number_value":
-        raise ResourceDecodeError(f"{where}: metadata.{METADATA}.{name} must be a number")
+        raise ResourceDecodeError(f"{where}: metadata.{METADATA_KEY}.{name} must be a number")
     return float(value.number_value)
 
 
 def read_pool(name: str, packed: AnyMessage, known: tuple[Member, ...] = ()) -> tuple[Member, ...]:
     """Return the members of a pool.
 
-    :param name: of the resource.
-    :param known: the pool's members so far; one that has not changed is that very object in the result.
+    :param name: the name of the resource.
+    :param packed: the resource.
+    :param known: the pool's members so far. The result contains the same objects for unchanged members.
     :raises ResourceDecodeError: if the resource can't be used.
     """
     before = {member.entry.server: member for member in known}
@@ -99,21 +100,21 @@
 def _read_member(lb_endpoint: Any, zone: str, offset_ms: float, where: str) -> Member:
     """Read one endpoint of a cluster load assignment.
 
-    :param offset_ms: from Unix time to the node's clock.
-    :param where: names the endpoint in error texts.
+    :param offset_ms: what to add to a Unix time in milliseconds to get a time of the node's clock.
+    :param where: the name of the endpoint in error texts.
     """
     endpoint = lb_endpoint.endpoint
     address = endpoint.address.socket_address
     if not address.address or not 0 < address.port_value <= MAX_PORT:
         raise ResourceDecodeError(f"{where}: no address of host and port")
     if len(endpoint.hostname) > MAX_TEXT or len(address.address) > MAX_TEXT:
-        raise ResourceDecodeError(f"{where}: a name of more than {MAX_TEXT} characters")
+        raise ResourceDecodeError(f"{where}: a name or host of more than {MAX_TEXT} characters")
     if lb_endpoint.health_status not in HEALTH:
         raise ResourceDecodeError(f"{where}: health_status {lb_endpoint.health_status} is not known")
     kind = ""
     cell = 0
     since_ms = 0.0
-    metadata = lb_endpoint.metadata.filter_metadata.get(METADATA)
+    metadata = lb_endpoint.metadata.filter_metadata.get(METADATA_KEY)
     if metadata is not None:
         kind = metadata.fields["type"].string_value if "type" in metadata.fields else ""
         cell = int(_number(metadata, "group", where))
@@ -134,7 +135,7 @@
 
 
 def _restore_integers(value: Any) -> Any:
-    """Return a value with integers restored: `Struct` has floating-point numbers only."""
+    """Return a value with whole numbers as integers, as `Struct` has floating-point numbers only."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if isinstance(value, dict):
@@ -147,13 +148,14 @@
 def read_node(name: str, packed: AnyMessage) -> NodeSettings:
     """Return the node's settings.
 
-    :param name: of the resource.
+    :param name: the name of the resource.
+    :param packed: the resource.
     :raises ResourceDecodeError: if the resource can't be used.
     """
     where = f"settings {name!r}"
     outer = _unpack(packed, ECDS, extension_pb2.TypedExtensionConfig(), where)
     inner = _unpack(
-        outer.typed_config, PREFIX + "xds.type.v3.TypedStruct", typed_struct_pb2.TypedStruct(), where
+        outer.typed_config, TYPE_URL_PREFIX + "xds.type.v3.TypedStruct", typed_struct_pb2.TypedStruct(), where
     )
     if inner.type_url != NODE_SETTINGS:
         raise ResourceDecodeError(f"{where}: holds a {inner.type_url[:MAX_TEXT]!r}, not a {NODE_SETTINGS!r}")
@@ -165,9 +167,10 @@
 
 
 def pool_message(name: str, endpoints: Iterable[dict[str, Any]]) -> AnyMessage:
-    """Return a pool as a control service sends it.
+    """Return a pool as the resource that a control service sends.
 
-    :param endpoints: as discovery writes them.
+    :param name: the name of the pool.
+    :param endpoints: the servers, in the JSON format of discovery.
     """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
     statuses = {"active": health_check_pb2.HEALTHY, "leaving": health_check_pb2.DRAINING}
@@ -184,7 +187,7 @@
         added.endpoint.hostname = endpoint["name"]
         added.health_status = statuses[endpoint.get("status", "active")]
         added.load_balancing_weight.value = round(endpoint.get("weight", 1.0) * FULL_WEIGHT)
-        metadata = added.metadata.filter_metadata[METADATA]
+        metadata = added.metadata.filter_metadata[METADATA_KEY]
         metadata.update(
             {
                 "type": endpoint.get("type", ""),
@@ -198,7 +201,12 @@
 
 
 def node_message(name: str, pool: str, settings: dict[str, Any]) -> AnyMessage:
-    """Return the node's settings as a control service sends them."""
+    """Return a node's settings as the resource that a control service sends.
+
+    :param name: the name of the resource.
+    :param pool: the name of the pool that the node sends requests to.
+    :param settings: the settings, in the JSON format of the node's own file.
+    """
     inner = typed_struct_pb2.TypedStruct(type_url=NODE_SETTINGS)
     inner.value.update({"pool": pool, "settings": settings})
     outer = extension_pb2.TypedExtensionConfig(name=name)
--- a/orchidferry/node/control/pipe.py
+++ b/orchidferry/node/control/pipe.py
@@ -1,12 +1,12 @@
-"""The messages between a node and its control helper: lines of JSON, each short enough to delay nothing.
+"""The messages between a node and its control helper: lines of JSON, short enough not to delay requests.
 
-The helper (`helper.py`) holds the stream to the control service, checks versions and saves the last good one;
-the node applies them. A change is sent in batches, and is applied only when its last line has come:
+The helper (`helper.py`) keeps the stream to the control service, checks versions and saves the last good one;
+the node applies them. A change is sent in batches, and is applied only when its last line has arrived:
 
     helper to node: apply, rows..., gone..., commit; drain; status
     node to helper: begin, rows..., start; applied
 
-`ChangeWriter` makes the lines of a change, `ChangeReader` puts them together again. Neither has I/O.
+`ChangeWriter` encodes a change as lines, `ChangeReader` reassembles it. Neither does any I/O.
 """
 
 from __future__ import annotations
@@ -29,60 +29,61 @@
     settings_from,
 )
 
-BATCH_SIZE = 32  # members of a line, which the node applies in one go: some 1 ms
-MAX_LINE = 4 * 1024 * 1024  # bytes: the settings are one line, and 10,000 tenants take some 600 KB
+BATCH_SIZE = 32  # members in a line; the node applies them in one step, which takes some 1 ms
+MAX_LINE = 4 * 1024 * 1024  # bytes; all settings are in one line, and 10,000 tenants take some 600 KB
 
 IN_SERVICE = api.Health.IN_SERVICE
 
-Row = list[Any]  # a member, see `plain.member_row`
+Row = list[Any]  # a member as a list of values, see `plain.member_row`
 
 
 class PipeDecodeError(OrchidferryError):
-    """A line that can't be one of the other side's messages."""
+    """A line that is not a valid message of the other process."""
 
 
 def encode_line(do: str, **fields: Any) -> bytes:
     """Return a message as a line.
 
-    :param do: what the message is.
+    :param do: the kind of message.
     """
     return json.dumps({"do": do} | fields, separators=(",", ":")).encode() + b"\n"
 
 
 def decode_line(data: bytes) -> dict[str, Any]:
-    """Return the message in a line; its field `do` says what it is.
+    """Return the message in a line; its field `do` is the kind of message.
 
-    :raises PipeDecodeError: if there is none.
+    :raises PipeDecodeError: if the line is not a message.
     """
     try:
         message = json.loads(data)
     except ValueError:
         raise PipeDecodeError("not JSON") from None
     if not isinstance(message, dict) or not isinstance(message.get("do"), str):
-        raise PipeDecodeError("no message")
+        raise PipeDecodeError("not an object with a string field 'do'")
     return message
 
 
 def batches(items: Iterable[Any]) -> Iterator[list[Any]]:
     """Split items into lists of at most `BATCH_SIZE`."""
-    rest = iter(items)
-    while batch := list(itertools.islice(rest, BATCH_SIZE)):
+    iterator = iter(items)
+    while batch := list(itertools.islice(iterator, BATCH_SIZE)):
         yield batch
 
 
 @dataclass(slots=True)
 class Change:
-    """A change of the node's configuration."""
+    """A change of the node's configuration. Servers are named by their ids."""
 
-    number: int
-    pool: str
-    versions: dict[str, str]  # by part
+    number: int  # counts the changes that a helper sends, from 1
+    pool: str  # the name of the pool that the node sends requests to
+    versions: dict[str, str]  # the version of each part
     settings: api.Settings | None  # None: unchanged
-    members: bool  # False: no pool has come yet, and discovery names the servers
-    complete: bool  # whether the rows are all members; else those that differ
-    away: list[int]  # servers that get nothing new from now on
-    rows: list[list[Row]] = field(default_factory=list)  # in batches, servers that get nothing new first
-    gone: list[list[int]] = field(default_factory=list)  # servers that are no members any more, in batches
+    has_members: bool  # False: the control service has not sent a pool yet, and discovery lists the servers
+    complete: bool  # whether the rows are all members; if not, they are those that differ
+    stopped: list[int]  # servers that receive no new requests from now on
+    # Members in batches; those that receive no new requests come first.
+    rows: list[list[Row]] = field(default_factory=list)
+    removed: list[list[int]] = field(default_factory=list)  # servers that are no longer members, in batches
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,68 +91,70 @@
     """A change that the node has not confirmed yet."""
 
     number: int
-    members: dict[int, Member] | None
-    settings: api.Settings
+    members: dict[int, Member] | None  # all members after the change, by server id; None: no pool
+    settings: api.Settings  # the settings after the change
 
 
 class ChangeWriter:
-    """The helper's side: knows what the node has, and makes the lines that change it."""
+    """The helper's side: tracks what the node has applied, and encodes the changes to be sent to it."""
 
     def __init__(self) -> None:
-        self._number = 0
-        self._members: dict[int, Member] | None = None  # of the node; None: not known, so that all are sent
-        self._settings: api.Settings | None = None  # of the node; None: not known
-        self._drained: set[int] = set()  # ahead of a change
+        self._number = 0  # the number of the newest change
+        # The members that the node has, by server id; None: not known, so the next change has all members.
+        self._members: dict[int, Member] | None = None
+        self._settings: api.Settings | None = None  # the settings that the node has; None: not known
+        self._drained: set[int] = set()  # servers drained ahead of the next change
         self._sent: _SentChange | None = None
 
     def drain(self, servers: tuple[int, ...]) -> bytes:
-        """Return the line that has the node send nothing new to these servers."""
+        """Return the line that tells the node to send no new requests to these servers."""
         self._drained.update(servers)
         return encode_line("drain", servers=list(servers))
 
     def change(self, configuration: Configuration) -> Iterator[bytes]:
-        """Return the lines of the change to a configuration."""
+        """Return the lines of a change that leads from what the node has to a configuration."""
         self._number += 1
-        pooled = bool(configuration.pools.members)
+        has_members = bool(configuration.pools.members)
         settings = configuration.node.settings
-        after = {m.entry.server: m for m in configuration.members()} if pooled else None
-        before = self._members if self._members is not None and pooled else None
+        after = {m.entry.server: m for m in configuration.members()} if has_members else None
+        before = self._members if self._members is not None and has_members else None
         self._sent = _SentChange(self._number, after, settings)
         rows = list((after or {}).values())
-        gone = []
+        removed = []
         if before is not None and after is not None:
             rows = [m for s, m in after.items() if before.get(s) is not m or s in self._drained]
-            gone = [server for server in before if server not in after]
-        away = gone + [m.entry.server for m in rows if m.entry.health is not IN_SERVICE]
+            removed = [server for server in before if server not in after]
+        stopped = removed + [m.entry.server for m in rows if m.entry.health is not IN_SERVICE]
         rows.sort(key=lambda member: member.entry.health is IN_SERVICE)
         unchanged = settings == self._settings
         yield encode_line(
             "apply",
             n=self._number,
             pool=configuration.node.pool,
-            members=pooled,
+            members=has_members,
             whole=before is None,
-            away=away,
+            away=stopped,
             versions={part.value: text for part, text in configuration.versions.items()},
             settings=None if unchanged else plain(settings),
         )
         for batch in batches(map(member_row, rows)):
             yield encode_line("rows", rows=batch)
-        for servers in batches(gone):
+        for servers in batches(removed):
             yield encode_line("gone", servers=servers)
         yield encode_line("commit", n=self._number)
 
     def applied(self, number: int, problem: str) -> bool:
-        """Take the node's confirmation of a change.
+        """Handle the node's report that it has applied a change, or failed to.
 
-        :param problem: why it could not be applied; empty if it was.
-        :returns: whether it is for the change that was sent last.
+        :param number: the number of the change.
+        :param problem: why the change could not be applied; empty if it was.
+        :returns: whether the report is about the change that was sent last.
         """
         sent = self._sent
         if sent is None or sent.number != number:
             return False
         self._sent = None
-        if problem:  # part of it may be applied
+        if problem:  # a part of the change may have been applied
             self._members = None
             self._settings = None
         else:
@@ -160,25 +163,25 @@
             self._drained.clear()
         return True
 
-    def give_up(self) -> None:
-        """Forget what the node has, as it did not confirm a change in time."""
+    def forget(self) -> None:
+        """Discard what is known of the node, because it did not confirm a change in time."""
         self._sent = None
         self._members = None
         self._settings = None
 
 
 class ChangeReader:
-    """The node's side: puts together the lines of a change."""
+    """The node's side: reassembles changes from their lines."""
 
     def __init__(self) -> None:
         self._change: Change | None = None
-        self._count = 0  # members so far
+        self._item_count = 0  # rows and removed servers of the change so far
 
     def read(self, message: dict[str, Any]) -> Change | None:
         """Take one of the messages of a change.
 
-        :returns: the change, with its last message.
-        :raises PipeDecodeError: if the message does not belong there.
+        :returns: the complete change after its last message, else None.
+        :raises PipeDecodeError: if the message is malformed or not allowed at this point.
         """
         try:
             return self._read(message)
@@ -190,19 +193,19 @@
         do = message["do"]
         if do == "apply":
             self._change = self._start(message)
-            self._count = 0
+            self._item_count = 0
             return None
         change = self._change
         if change is None:
-            raise PipeDecodeError(f"{do}: no change is out")
+            raise PipeDecodeError(f"{do}: no change has begun")
         if do == "rows":
             change.rows.append(self._batch(message["rows"]))
             return None
         if do == "gone":
-            change.gone.append(self._batch(message["servers"]))
+            change.removed.append(self._batch(message["servers"]))
             return None
         if do != "commit" or message["n"] != change.number:
-            raise PipeDecodeError(f"{do} is not the end of change {change.number}")
+            raise PipeDecodeError(f"{do} does not end change {change.number}")
         self._change = None
         return change
 
@@ -220,25 +223,25 @@
         )
 
     def _batch(self, items: Any) -> list[Any]:
-        self._count += len(items)
-        if self._count > 2 * MAX_MEMBERS:
-            raise PipeDecodeError(f"{self._count} members in one change")
+        self._item_count += len(items)
+        if self._item_count > 2 * MAX_MEMBERS:
+            raise PipeDecodeError(f"{self._item_count} members in one change")
         return list(items)
 
 
 @dataclass(slots=True)
 class AppliedState:
-    """What a node has applied, for a helper that starts: its own pool, and the versions of all parts."""
+    """What a node has applied apart from the members, as it is sent to a helper that starts."""
 
-    pool: str
-    versions: dict[str, str]  # by part
+    pool: str  # the name of the pool that the node sends requests to
+    versions: dict[str, str]  # the version of each part
     settings: api.Settings
 
     def configuration(self, rows: Iterable[Row]) -> Configuration:
-        """Return it as a configuration.
+        """Return the applied configuration.
 
-        :param rows: the pool's members.
-        :raises Exception: one of `MALFORMED_JSON_ERRORS` if it is not complete.
+        :param rows: the members of the pool.
+        :raises Exception: one of `MALFORMED_JSON_ERRORS` if a row is malformed or a version is missing.
         """
         members = tuple(member_from(row) for row in rows)
         versions = {part: str(self.versions[part.value]) for part in Part}
--- a/orchidferry/node/control/plain.py
+++ b/orchidferry/node/control/plain.py
@@ -1,4 +1,4 @@
-"""Configurations as plain values, which JSON can hold: for the disk, and between helper and node."""
+"""Conversion of configurations to and from JSON values: for the disk, and between helper and node."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def plain(value: Any) -> Any:
-    """Return a value with dataclasses as objects and enums as their values.
+    """Return a value as JSON values: dataclasses become objects, and enums become their values.
 
-    The names of dataclass fields are stored on disk this way.
+    The keys are the names of the dataclass fields, so these names are part of the format on disk.
     """
     if isinstance(value, Enum):
         return value.value
@@ -31,10 +31,11 @@
 
 
 def dataclass_from(cls: type[Any], obj: Any, enums: dict[str, type[Enum]]) -> Any:
-    """Return a dataclass without nested ones from its object.
+    """Return the dataclass that an object describes. Dataclasses nested in it are not converted.
 
-    :param enums: the fields that are enums.
-    :raises Exception: one of `MALFORMED_JSON_ERRORS` if the object does not fit.
+    :param obj: the object, keyed by field name.
+    :param enums: the enum class of each field that is an enum, by field name.
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` if the object does not have the fields of the class.
     """
     if not isinstance(obj, dict):
         raise TypeError(f"{cls.__name__} must be an object")
@@ -42,9 +43,9 @@
 
 
 def settings_from(obj: Any) -> api.Settings:
-    """Return the settings that `plain` was given.
+    """Return the settings that `plain` encoded.
 
-    :raises Exception: one of `MALFORMED_JSON_ERRORS` for any other value.
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` if the value is not such an encoding.
     """
     fields = dict(obj)
     enums: dict[str, type[Enum]] = {"repeat": api.Repeat, "group": api.Group}
@@ -54,15 +55,15 @@
 
 
 def member_row(member: Member) -> list[Any]:
-    """Return a member as a row of values: shorter than an object, and read in a third of the time."""
+    """Return a member as a list of values: shorter than an object, and read in a third of the time."""
     e = member.entry
     return [e.server, e.zone, e.kind, e.cell, e.health.value, e.share, e.started_ms, *member.address]
 
 
 def member_from(row: Sequence[Any]) -> Member:
-    """Return the member in a row.
+    """Return the member that `member_row` encoded.
 
-    :raises Exception: one of `MALFORMED_JSON_ERRORS` if there is none.
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` if the row is malformed.
     """
     server, zone, kind, cell, health, share, started_ms, host, port = row
     entry = api.ServerEntry(server, zone, kind, cell, HEALTHS[health], share, started_ms)
--- a/orchidferry/node/control/store.py
+++ b/orchidferry/node/control/store.py
@@ -1,4 +1,4 @@
-"""The last good configuration on disk."""
+"""Saves the last good configuration on disk, so that a node can start without the control service."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     "to_json",
 ]
 
-MAX_FILE_BYTES = 64 * 1024 * 1024  # 40,000 members take some 12 MB
+MAX_FILE_BYTES = 64 * 1024 * 1024  # a configuration with 40,000 members takes some 12 MB
 
 
 def to_json(configuration: Configuration) -> dict[str, Any]:
     """Return a configuration as JSON values.
 
-    `started_ms` of members is left out, as its clock ends with the process.
+    `started_ms` of members is left out, because it is a time of a clock that is valid only in this process.
     """
     pools = {
         name: [_member_to_json(member) for member in members]
@@ -50,9 +50,9 @@
 
 
 def from_json(obj: Any) -> Configuration:
-    """Return the configuration that `to_json` was given.
+    """Return the configuration that `to_json` encoded.
 
-    :raises Exception: one of `MALFORMED_JSON_ERRORS` for any other value.
+    :raises Exception: one of `MALFORMED_JSON_ERRORS` if the value is not such an encoding.
     """
     settings = settings_from(obj["settings"])
     pools = {name: tuple(map(_member_from_json, members)) for name, members in obj["pools"].items()}
@@ -79,7 +79,7 @@
 
 
 def encode(configuration: Configuration) -> bytes:
-    """Return the content of the file."""
+    """Return the content of the file for a configuration."""
     return FORM.encode(configuration)
 
 
@@ -92,12 +92,14 @@
 
 
 class Store(state_store.StateStore[Configuration]):
-    """The directory of one node."""
+    """The state directory of one node."""
 
-    def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
+    def __init__(self, directory: Path, files: FileSystem | None = None) -> None:
         """Create a `Store`.
 
+        :param directory: created if it is missing, and locked.
+        :param files: the file operations; tests replace them.
         :raises StateLockedError: if another process has locked the directory.
-        :raises OSError: if it can't be created.
+        :raises OSError: if the directory can't be created or opened.
         """
-        super().__init__(folder, FORM, files)
+        super().__init__(directory, FORM, files)
--- a/tests/node/control/scene.py
+++ b/tests/node/control/scene.py
@@ -11,7 +11,7 @@
 
 from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
 from orchidferry.balancing.settings import read_settings
-from orchidferry.node.control.agent import Agent, NodeCalls
+from orchidferry.node.control.agent import Agent, NodeCallbacks
 from orchidferry.node.control.messages import node_message, pool_message
 from orchidferry.node.control.settings import Control
 from orchidferry.node.control.store import Store
@@ -68,7 +68,7 @@
             **options,
         )
         store = Store(state) if state is not None else None
-        calls = NodeCalls(self._note, self.drained.extend)
+        calls = NodeCallbacks(self._note, self.drained.extend)
         super().__init__(control, file(), calls, random.Random(1), store)
 
     def _note(self, whole: Configuration, changed: frozenset[Part]) -> str:
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -323,9 +323,9 @@
 def test_a_stream_with_too_many_unanswered_is_ended() -> None:
     resources = Resources()
     for n in range(channel_module.MAX_UNANSWERED):
-        resources.take(Part.MEMBERS, discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce=f"{n}"))
+        resources.receive(Part.MEMBERS, discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce=f"{n}"))
     with pytest.raises(ResourceDecodeError, match="1024 responses unanswered"):
-        resources.take(Part.MEMBERS, discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce="more"))
+        resources.receive(Part.MEMBERS, discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce="more"))
 
 
 def test_too_many_resources_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -333,7 +333,7 @@
     response = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce="1")
     for name in "ab":
         response.resources.add(name=name, version="1", resource=pool_message(name, []))
-    offer = Resources().take(Part.MEMBERS, response)
+    offer = Resources().receive(Part.MEMBERS, response)
     assert offer is not None and offer.problem == "2 resources, 1 at most"
 
 
@@ -341,7 +341,7 @@
     response = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, nonce=nonce)
     for name in names:
         response.resources.add(name=name, version=nonce, resource=pool_message(name, [endpoint(1)]))
-    resources.take(Part.MEMBERS, response)
+    resources.receive(Part.MEMBERS, response)
 
 
 def test_an_acknowledgement_takes_what_was_offered_by_then_and_no_more() -> None:
@@ -349,17 +349,17 @@
     taken(resources, "1", "a")
     taken(resources, "2", "b")
     taken(resources, "3", "c")
-    assert resources.answered(Answer(Part.MEMBERS, "", "2")) == ["1", "2"]  # the first was superseded
+    assert resources.record_answer(Answer(Part.MEMBERS, "", "2")) == ["1", "2"]  # the first was superseded
     assert resources.versions(Part.MEMBERS) == {"a": "1", "b": "2"}
-    assert resources.answered(Answer(Part.MEMBERS, "", "3", "unfit")) == ["3"]
+    assert resources.record_answer(Answer(Part.MEMBERS, "", "3", "unfit")) == ["3"]
     assert resources.versions(Part.MEMBERS) == {"a": "1", "b": "2"}
     taken(resources, "4", "d")
-    resources.answered(Answer(Part.MEMBERS, "", "4"))
+    resources.record_answer(Answer(Part.MEMBERS, "", "4"))
     assert resources.versions(Part.MEMBERS) == {"a": "1", "b": "2", "d": "4"}  # without what was refused
-    assert resources.answered(Answer(Part.MEMBERS, "", "3")) == ["3"]  # it fits by now
+    assert resources.record_answer(Answer(Part.MEMBERS, "", "3")) == ["3"]  # it fits by now
     assert resources.versions(Part.MEMBERS) == {"a": "1", "b": "2", "c": "3"}
     resources.restart()
-    assert resources.answered(Answer(Part.MEMBERS, "", "3")) == []  # another stream's
+    assert resources.record_answer(Answer(Part.MEMBERS, "", "3")) == []  # another stream's
 
 
 def test_the_back_off_has_full_jitter_and_a_most() -> None:
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -22,7 +22,7 @@
 from orchidferry.node.control import link as link_module
 from orchidferry.node.control.helper import Helper, control_from
 from orchidferry.node.control.link import Link, plain_control
-from orchidferry.node.control.members import LONG_CHANGE, Members
+from orchidferry.node.control.members import MIN_LONG_CHANGE, Members
 from orchidferry.node.control.pipe import (
     MAX_LINE,
     AppliedState,
@@ -167,7 +167,7 @@
         home = Home()
         teller = ChangeWriter()
         members = Members(home, asyncio.get_running_loop())
-        many = [member(n) for n in range(LONG_CHANGE + 10)]
+        many = [member(n) for n in range(MIN_LONG_CHANGE + 10)]
         before = changes(teller, whole(*many))
         assert await applied(members, before) == "" and teller.applied(before.number, "")
         assert members.handle_discovery(
@@ -176,7 +176,7 @@
         assert not home.known[7]
         leaving = [member(n, api.Health.DRAINING) for n in range(5)]
         change = changes(teller, whole(*leaving, *many[100:]))
-        assert not change.complete and len(change.away) == 100 and len(change.rows) == 1
+        assert not change.complete and len(change.stopped) == 100 and len(change.rows) == 1
         said: list[str] = []
         members.apply(change, said.append)
         assert not said and not any(home.known[n] for n in range(100)) and home.known[100]
@@ -184,7 +184,7 @@
             ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {})
         )  # as discovery sees it
         await members.idle.wait()
-        assert said == [""] and sorted(home.known) == [*range(5), *range(100, LONG_CHANGE + 10)]
+        assert said == [""] and sorted(home.known) == [*range(5), *range(100, MIN_LONG_CHANGE + 10)]
         assert not any(home.known[n] for n in range(5)) and gc.isenabled()
 
     asyncio.run(test())
@@ -196,7 +196,7 @@
         teller = ChangeWriter()
         members = Members(home, asyncio.get_running_loop())
         home.broken = {-1}
-        change = changes(teller, whole(*(member(n) for n in range(LONG_CHANGE))))
+        change = changes(teller, whole(*(member(n) for n in range(MIN_LONG_CHANGE))))
         assert "no settings today" in await applied(members, change) and gc.isenabled()
         home.broken = set()
         assert teller.applied(change.number, "no settings today")
@@ -259,7 +259,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(helper_module, "APPLY_S", 0.05)
+        monkeypatch.setattr(helper_module, "APPLY_TIMEOUT_S", 0.05)
         out, before = Out(), whole(member(1))
         control = Control(("127.0.0.1", 1), "n0", "", (POOL,), "entrada", None, 0.05)
         helper = Helper(control, before.node.settings, before, None, out)  # type: ignore[arg-type]
@@ -372,6 +372,6 @@
 
 
 def test_a_library_that_is_missing_is_told_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(link_module, "NEEDS", ("no_such_library",))
+    monkeypatch.setattr(link_module, "REQUIRED_MODULES", ("no_such_library",))
     with pytest.raises(ConfigError, match="no_such_library is not installed"):
         Link(CONTROL_PLAIN, whole().node.settings, Home(), asyncio.new_event_loop())
