--- a/orchidferry/testkit/control/files.py
+++ b/orchidferry/testkit/control/files.py
@@ -1,12 +1,12 @@
-"""A version of the configuration as an operator writes it: a file in TOML or JSON. No sockets.
+"""Files in TOML or JSON in which an operator writes a version of the configuration. No network I/O.
 
 version = "v8"
 
-[[pools.catalogo]]            # an endpoint, as discovery lists one
+[[pools.catalogo]]            # an endpoint of the pool `catalogo`, in the format of discovery
 name = "catalogo-1"
 address = "10.0.0.5:7000"
 
-[settings.entrada]            # a resource of settings, by the name that nodes ask for
+[settings.entrada]            # the settings resource `entrada`, to which nodes subscribe by this name
 pool = "catalogo"
 settings = { ... }            # as in NODE_CONFIG
 """
@@ -36,64 +36,70 @@
     read_pool,
 )
 from orchidferry.node.control.store import StateFileError, decode
-from orchidferry.node.control.store import to_json as stored
+from orchidferry.node.control.store import to_json as configuration_to_json
 
-Key = tuple[Part, str]  # a resource: its part and name
-MOST = 64 * 1024 * 1024  # bytes of a file
+Key = tuple[Part, str]  # identifies a resource by its part and name
+MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
 class VersionFileError(OrchidferryError):
-    """A file that is no version that could be meant; the text names the file and the field."""
+    """A file that does not contain a valid version; the text names the file and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """What one file says: resources in its own form, and as messages."""
+    """The version that a file contains."""
 
-    version: str
-    content: dict[Key, Any]
-    packed: dict[Key, AnyMessage]
+    version: str  # its name
+    content: dict[Key, Any]  # the resources as JSON values, in the format of the file
+    packed: dict[Key, AnyMessage]  # the same resources as xDS messages
 
-    def form(self) -> Json:
-        """The file's form again."""
-        found: Json = {"version": self.version, "pools": {}, "settings": {}}
+    def to_json(self) -> Json:
+        """Return the version in the format of the file."""
+        obj: Json = {"version": self.version, "pools": {}, "settings": {}}
         for (part, name), spec in self.content.items():
-            found["pools" if part is Part.MEMBERS else "settings"][name] = spec
-        return found
+            obj["pools" if part is Part.MEMBERS else "settings"][name] = spec
+        return obj
 
 
 def read_version(path: str) -> Version:
-    """Read a file; a node's `last-good` serves too."""
+    """Read the version in a file.
+
+    :raises VersionFileError: if the file can't be read, or contains no valid version.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
         raise VersionFileError(f"{path}: {problem.strerror}") from None
-    if len(data) > MOST:
-        raise VersionFileError(f"{path}: has {len(data)} bytes, {MOST} at most")
+    if len(data) > MAX_FILE_BYTES:
+        raise VersionFileError(f"{path}: has {len(data)} bytes, {MAX_FILE_BYTES} at most")
     try:
-        return from_form(_parsed(path, data))
+        return version_from_json(_parse(path, data))
     except (SettingsFormatError, VersionFileError) as problem:
         raise VersionFileError(f"{path}: {problem}") from None
 
 
-def _parsed(path: str, data: bytes) -> Json:
+def _parse(path: str, data: bytes) -> Json:
     try:
         if path.endswith(".toml"):
             return tomllib.loads(data.decode())
         if data.startswith(b"orchidferry "):
             raise VersionFileError(
-                f"is a {path.rpartition('/')[2]}: a node's own; it can be compared, not pushed"
+                f"is a node's {path.rpartition('/')[2]}, which can be compared, not pushed"
             )
-        found = json.loads(data)
+        obj = json.loads(data)
     except (ValueError, RecursionError) as problem:
         raise VersionFileError(f"neither TOML (.toml) nor JSON: {problem!s:.100}") from None
-    if not isinstance(found, dict):
+    if not isinstance(obj, dict):
         raise VersionFileError("must be an object")
-    return found
+    return obj
+
 
+def version_from_json(obj: Json) -> Version:
+    """Return the version in an object, after the checks of a node that don't need the node's own file.
 
-def from_form(obj: Json) -> Version:
-    """Check it as a node would, as far as that can be done without the node's own file."""
+    :raises VersionFileError: if the object is not a valid version.
+    """
     if unknown := sorted(obj.keys() - {"version", "pools", "settings"}):
         raise VersionFileError(f"{unknown[0]!r} is not known")
     version = get(obj, "version", str)
@@ -105,7 +111,7 @@
     try:
         for name, endpoints in get(obj, "pools", dict).items():
             key = Part.MEMBERS, name
-            content[key], packed[key] = endpoints, _pool(name, endpoints)
+            content[key], packed[key] = endpoints, _pool_message(name, endpoints)
             pools[name] = read_pool(name, packed[key])
         check_members(Pools(pools))
         for name, spec in get(obj, "settings", dict).items():
@@ -125,30 +131,32 @@
                 raise VersionFileError(f"{where}: {problem}") from None
     except (ResourceDecodeError, VersionError) as problem:
         raise VersionFileError(str(problem)) from None
-    except (ValueError, TypeError) as problem:  # what a message can't hold
-        raise VersionFileError(f"can't be made a message: {problem!s:.200}") from None
+    except (ValueError, TypeError) as problem:  # a value that does not fit its message field
+        raise VersionFileError(f"can't be encoded as xDS messages: {problem!s:.200}") from None
     return Version(version, content, packed)
 
 
-def _pool(name: str, endpoints: Any) -> AnyMessage:
+def _pool_message(name: str, endpoints: Any) -> AnyMessage:
     where = f"pools.{name}"
     if not isinstance(endpoints, list):
         raise VersionFileError(f"{where}: must be a list of endpoints")
-    for at, one in enumerate(endpoints):
-        if not isinstance(one, dict):
-            raise VersionFileError(f"{where}[{at}]: must be a table")
+    for index, endpoint in enumerate(endpoints):
+        if not isinstance(endpoint, dict):
+            raise VersionFileError(f"{where}[{index}]: must be a table")
         try:
-            get(one, "name", str)
-            parse_address(get(one, "address", str))
+            get(endpoint, "name", str)
+            parse_address(get(endpoint, "address", str))
         except SettingsFormatError as problem:
-            raise VersionFileError(f"{where}[{at}]: {problem}") from None
-        if one.get("status", "active") not in ("active", "leaving"):
-            raise VersionFileError(f"{where}[{at}]: 'status' is {one['status']!r:.40}, not active or leaving")
+            raise VersionFileError(f"{where}[{index}]: {problem}") from None
+        if endpoint.get("status", "active") not in ("active", "leaving"):
+            raise VersionFileError(
+                f"{where}[{index}]: 'status' is {endpoint['status']!r:.40}, not active or leaving"
+            )
     return pool_message(name, endpoints)
 
 
-def lines_of(form: Json) -> dict[str, list[str]]:
-    """A form as lines by resource: an endpoint, class or field each, in an order of their own."""
+def diff_lines(version: Json) -> dict[str, list[str]]:
+    """Return a version as sorted lines to compare, by resource: a line for each endpoint, class and field."""
 
     def text(value: Any) -> str:
         return json.dumps(value, sort_keys=True)
@@ -157,49 +165,56 @@
         if isinstance(value, dict) and value:
             for name in sorted(value):
                 yield from fields(f"{prefix}.{name}" if prefix else name, value[name])
-        elif isinstance(value, list) and value and all(isinstance(one, dict) for one in value):
-            for one in sorted(value, key=lambda one: str(one.get("name", text(one)))):
-                yield f"{prefix}[{one.get('name', '')}] = {text(one)}"
+        elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
+            for item in sorted(value, key=lambda item: str(item.get("name", text(item)))):
+                yield f"{prefix}[{item.get('name', '')}] = {text(item)}"
         else:
             yield f"{prefix} = {text(value)}"
 
-    found = {f"pools.{name}": list(fields("", spec)) for name, spec in form.get("pools", {}).items()}
-    return found | {
-        f"settings.{name}": list(fields("", spec)) for name, spec in form.get("settings", {}).items()
+    pools = {f"pools.{name}": list(fields("", spec)) for name, spec in version.get("pools", {}).items()}
+    return pools | {
+        f"settings.{name}": list(fields("", spec)) for name, spec in version.get("settings", {}).items()
     }
 
 
-def comparable(path: str) -> Json:
-    """A file's form for a comparison: a version's, or a node's `last-good`."""
+def read_comparable(path: str) -> Json:
+    """Return the version in a file for a comparison; the file may also be a node's `last-good`.
+
+    :raises VersionFileError: if the file can't be used.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
         raise VersionFileError(f"{path}: {problem.strerror}") from None
     if not data.startswith(b"orchidferry "):
-        return read_version(path).form()
+        return read_version(path).to_json()
     try:
-        kept = stored(decode(data))
+        saved = configuration_to_json(decode(data))
     except StateFileError as problem:
         raise VersionFileError(f"{path}: {problem}") from None
     return {
-        "version": " ".join(kept["versions"].values()),
-        "pools": kept["pools"],
-        "settings": {"": {"pool": kept["pool"], "settings": kept["settings"]}},
+        "version": " ".join(saved["versions"].values()),
+        "pools": saved["pools"],
+        "settings": {"": {"pool": saved["pool"], "settings": saved["settings"]}},
     }
 
 
 def differences(before: Json, after: Json, names: tuple[str, str]) -> list[str]:
-    """The lines of a unified diff, resource by resource; none if they mean the same."""
-    old = lines_of(before)
-    new = lines_of(after)
-    found: list[str] = []
+    """Return the lines of a unified diff of two versions, resource by resource.
+
+    :param names: what to call the two versions in the diff.
+    :returns: no lines if the versions are equivalent.
+    """
+    old = diff_lines(before)
+    new = diff_lines(after)
+    diff: list[str] = []
     for name in sorted(old.keys() | new.keys()):
-        ours = old.get(name, [])
-        theirs = new.get(name, [])
-        if ours == theirs and (name in old) == (name in new):
+        old_lines = old.get(name, [])
+        new_lines = new.get(name, [])
+        if old_lines == new_lines and (name in old) == (name in new):
             continue
         labels = (f"{names[0]} {name}", f"{names[1]} {name}")
-        found += list(difflib.unified_diff(ours, theirs, *labels, lineterm="", n=0)) or [
+        diff += list(difflib.unified_diff(old_lines, new_lines, *labels, lineterm="", n=0)) or [
             f"{'+' if name in new else '-'} {name} (empty)"
         ]
-    return found
+    return diff
--- a/orchidferry/testkit/control/operate.py
+++ b/orchidferry/testkit/control/operate.py
@@ -1,4 +1,4 @@
-"""`orchidferry control serve`, `push` and `diff`: the stand-in service and what operators do with it."""
+"""`orchidferry control serve`, `push` and `diff`: run the stand-in service, roll out and compare versions."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 from orchidferry.balancing.settings import SettingsFormatError
 from orchidferry.node.address import Address, parse_address
-from orchidferry.testkit.control.files import VersionFileError, comparable, differences, read_version
+from orchidferry.testkit.control.files import VersionFileError, differences, read_comparable, read_version
 from orchidferry.testkit.control.rollout_service import RolloutService, call
 from orchidferry.testkit.control.service import Service
 
-ASK_S = 5.0  # for what the service holds
-PUSH_S = 7 * 86_400.0  # for a whole rollout: its waves are watched for a day each at most
+HELD_TIMEOUT_S = 5.0  # for the service to return its version
+PUSH_TIMEOUT_S = 7 * 86_400.0  # for a whole rollout; each of its waves is observed for a day at most
 
 
-def _loopback(where: Address) -> Address:
-    if where[0] not in ("localhost", "::1") and not where[0].startswith("127."):
-        raise SettingsFormatError(f"{where[0]!r}: the stand-in serves loopback addresses only")
-    return where
+def _require_loopback(address: Address) -> Address:
+    if address[0] not in ("localhost", "::1") and not address[0].startswith("127."):
+        raise SettingsFormatError(f"{address[0]!r}: the stand-in service uses loopback addresses only")
+    return address
 
 
 async def _serve(args: argparse.Namespace) -> int:
     base = read_version(args.file)
     service = Service()
-    service.address = _loopback(parse_address(args.listen))
+    service.address = _require_loopback(parse_address(args.listen))
     RolloutService(service, base)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -50,9 +50,9 @@
 
 
 async def _push(args: argparse.Namespace) -> int:
-    pushed = read_version(args.file)  # what is bad in it is said here, with the file's name
+    version = read_version(args.file)  # reports errors here already, with the name of the file
     request = {
-        "file": pushed.form(),
+        "file": version.to_json(),
         "canary": args.canary,
         "widen": args.widen,
         "watch_s": args.watch,
@@ -61,40 +61,46 @@
     }
     console = Console(highlight=False)
     state = "offering"
-    async for found in call(_loopback(parse_address(args.to)), "Push", request, PUSH_S):
-        state = found["state"]
+    async for step in call(_require_loopback(parse_address(args.to)), "Push", request, PUSH_TIMEOUT_S):
+        state = step["state"]
         console.print(f"[bold]{state:9}[/] ", end="")
-        console.print(found["text"], markup=False, soft_wrap=True)
+        console.print(step["text"], markup=False, soft_wrap=True)
     return 0 if state == "done" else 1
 
 
-async def _form(what: str) -> Any:
-    """A file's form, or that of what a service at HOST:PORT holds."""
+async def _fetch_version(source: str) -> Any:
+    """Return the JSON form of the version in a file, or of the one that a service at HOST:PORT has.
+
+    :param source: the path of the file, or HOST:PORT.
+    """
     try:
-        where = _loopback(parse_address(what))
+        address = _require_loopback(parse_address(source))
     except SettingsFormatError:
-        return comparable(what)
-    async for found in call(where, "Held", {}, ASK_S):
-        return found["content"]
-    raise VersionFileError(f"{what}: says nothing")
+        return read_comparable(source)
+    async for answer in call(address, "Held", {}, HELD_TIMEOUT_S):
+        return answer["content"]
+    raise VersionFileError(f"{source}: no answer")
 
 
 async def _diff(args: argparse.Namespace) -> int:
-    before = await _form(args.before)
-    after = await _form(args.after)
-    found = differences(before, after, (args.before, args.after))
-    for text in found:
-        print(text)
-    if not found:
-        print(f"{before['version']} and {after['version']} mean the same")
-    return 1 if found else 0
+    before = await _fetch_version(args.before)
+    after = await _fetch_version(args.after)
+    lines = differences(before, after, (args.before, args.after))
+    for line in lines:
+        print(line)
+    if not lines:
+        print(f"{before['version']} and {after['version']} are equivalent")
+    return 1 if lines else 0
 
 
 def main(args: argparse.Namespace) -> int:
-    """The command; its exit status."""
-    what = {"serve": _serve, "push": _push, "diff": _diff}[args.what]
+    """Run the command.
+
+    :returns: the exit status.
+    """
+    command = {"serve": _serve, "push": _push, "diff": _diff}[args.what]
     try:
-        return asyncio.run(what(args))
+        return asyncio.run(command(args))
     except (VersionFileError, SettingsFormatError) as problem:
         print(f"orchidferry control {args.what}: {problem}", file=sys.stderr)
         return 2
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -1,8 +1,9 @@
-"""The operators' side of the stand-in service: push a version to some nodes first, and ask what it holds.
+"""The operators' interface of the stand-in service: roll out a version, and fetch the current one.
 
-Two calls over gRPC at the service's own address, JSON each way: `Push` (answers with a line for each step,
-until the rollout is over) and `Held`. What is decided stands in `orchidferry.balancing.rollout`. A rollout
-belongs to the call that began it: once that has gone, the version is taken back.
+Two gRPC methods at the address of the service, with messages in JSON: `Push` starts a rollout and streams a
+message for each of its steps until it ends; `Held` returns the current version. All decisions are made by
+`orchidferry.balancing.rollout`. A rollout belongs to the call that started it: if the call ends early, the
+version is rolled back.
 """
 
 from __future__ import annotations
@@ -34,47 +35,56 @@
 from orchidferry.balancing.settings import SettingsFormatError, get, get_optional
 from orchidferry.node.address import Address, parse_address
 from orchidferry.node.control.messages import TYPES
-from orchidferry.testkit.control.files import Version, VersionFileError, from_form
-from orchidferry.testkit.control.service import Held, NodeAnswer, Service
-from orchidferry.testkit.wire import get as ask
+from orchidferry.testkit.control.files import Version, VersionFileError, version_from_json
+from orchidferry.testkit.control.service import NodeAnswer, ResourcesByType, Service
+from orchidferry.testkit.wire import get as http_get
 
 NAME = "orchidferry.standin.v1.Rollout"
-DOOR_S = 1.0  # for a door's answer
-MAX_DOORS = 10_000
-AT_ONCE = 64
-MAX_LINES = 10_000  # of one rollout that wait to be read
+ADMIN_TIMEOUT_S = 1.0  # for a node to answer a request at its admin address
+MAX_ADMIN_ADDRESSES = 10_000
+MAX_CONCURRENT_REQUESTS = 64
+MAX_UNREAD_STEPS = 10_000  # steps of one rollout that the client has not read yet
 
 
 def now_ms() -> float:
-    """The time on the monotonic clock in milliseconds."""
+    """Return the time of the monotonic clock in milliseconds."""
     return time.monotonic() * 1000.0
 
 
-def _plain(data: bytes) -> Any:
+def _decode(data: bytes) -> Any:
     return json.loads(data)
 
 
-def _bytes(value: Any) -> bytes:
+def _encode(value: Any) -> bytes:
     return json.dumps(value).encode()
 
 
-def held_of(new: Version, base: Version | None, service: Service) -> Held:
-    """A version as the service's resources; what is as it was keeps the version that it came with."""
-    found: Held = {url: {} for url in TYPES.values()}
+def resources_of(new: Version, current: Version | None, service: Service) -> ResourcesByType:
+    """Return the resources of a new version.
+
+    :param current: the version that the service has; None: it has none yet.
+    :returns: the resources; those that are unchanged since the current version keep their own version, so
+        that they are not sent again.
+    """
+    resources: ResourcesByType = {url: {} for url in TYPES.values()}
     for key, spec in new.content.items():
         part, name = key
         old = service.resources[TYPES[part]].get(name)
-        same = old is not None and base is not None and base.content.get(key) == spec
-        found[TYPES[part]][name] = old if old is not None and same else (new.version, new.packed[key])
-    return found
+        same = old is not None and current is not None and current.content.get(key) == spec
+        resources[TYPES[part]][name] = old if old is not None and same else (new.version, new.packed[key])
+    return resources
+
 
+async def read_admin_pages(address: Address) -> tuple[str, NodeMetrics | None]:
+    """Read the name and the metrics of the node at an admin address.
 
-async def read_door(where: Address) -> tuple[str, NodeMetrics | None]:
-    """A node's name and figures, as its door tells them; ('', None) if it says nothing that can be read."""
+    :returns: the node's name, or an empty text if it can't be read; and its metrics, or None if they or the
+        name can't be read.
+    """
 
     async def page(target: str) -> tuple[int, bytes]:
-        found = await ask(where, target, DOOR_S)
-        return (found.status, found.body) if found.how == "answer" else (0, b"")
+        outcome = await http_get(address, target, ADMIN_TIMEOUT_S)
+        return (outcome.status, outcome.body) if outcome.how == "answer" else (0, b"")
 
     status, body = await page("/-/control")
     try:
@@ -95,147 +105,153 @@
 
 
 class RolloutService:
-    """Takes pushes, one at a time, to the nodes of a stand-in service."""
+    """Rolls versions out to the nodes of a stand-in service, one at a time."""
 
-    def __init__(self, service: Service, base: Version) -> None:
+    def __init__(self, service: Service, current: Version) -> None:
         self._service = service
-        self.base = base
+        self.current = current
         self.rollout: Rollout | None = None
-        self._new: Held = {}
-        self._pushed: Version | None = None
-        self._lines: asyncio.Queue[dict[str, Any]] = asyncio.Queue(MAX_LINES)
-        service.resources = held_of(base, None, service)
-        service.label = base.version
+        self._new_resources: ResourcesByType = {}
+        self._new_version: Version | None = None
+        self._steps: asyncio.Queue[dict[str, Any]] = asyncio.Queue(MAX_UNREAD_STEPS)
+        service.resources = resources_of(current, None, service)
+        service.label = current.version
         service.on_answer = self._on_answer
         service.handlers = (*service.handlers, self._handler())
 
     def _handler(self) -> Any:
         methods = {
-            "Push": grpc.unary_stream_rpc_method_handler(self.push, _plain, _bytes),
-            "Held": grpc.unary_unary_rpc_method_handler(self.held, _plain, _bytes),
+            "Push": grpc.unary_stream_rpc_method_handler(self.push, _decode, _encode),
+            "Held": grpc.unary_unary_rpc_method_handler(self.held, _decode, _encode),
         }
         return grpc.method_handlers_generic_handler(NAME, methods)
 
     async def held(self, _: Any, context: Any) -> dict[str, Any]:
-        """What the service holds, the nodes with a stream, and the rollout that is on."""
+        """Return the current version, the nodes that have a stream, and the status of the newest rollout."""
         return {
-            "content": self.base.form(),
-            "nodes": sorted({line.node for line in self._service.lines}),
+            "content": self.current.to_json(),
+            "nodes": sorted({stream.node for stream in self._service.streams}),
             "rollout": self.rollout.status() if self.rollout is not None else None,
         }
 
     async def push(self, request: Any, context: Any) -> AsyncIterator[dict[str, Any]]:
-        """Take a version to the nodes, a wave at a time; a line for each step."""
+        """Roll a version out to the nodes, wave by wave; yield a message for each step."""
         try:
-            new, plan, doors = self._read(request)
+            new, plan, admin_addresses = self._read(request)
         except (VersionFileError, SettingsFormatError, ValueError, AttributeError, TypeError) as problem:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(problem)[:500])
             return
         if self.rollout is not None and not self.rollout.ended:
-            busy = f"a push of {self.rollout.plan.version} is on"
+            busy = f"a push of {self.rollout.plan.version} is in progress"
             await context.abort(grpc.StatusCode.FAILED_PRECONDITION, busy)
         rollout = self.rollout = Rollout(plan)
-        self._pushed, self._new = new, held_of(new, self.base, self._service)
-        self._lines = asyncio.Queue(MAX_LINES)
-        looking = asyncio.get_running_loop().create_task(self._look(rollout, doors))
+        self._new_version, self._new_resources = new, resources_of(new, self.current, self._service)
+        self._steps = asyncio.Queue(MAX_UNREAD_STEPS)
+        observing = asyncio.get_running_loop().create_task(self._observe(rollout, admin_addresses))
         try:
-            while not rollout.ended or not self._lines.empty():
-                yield await self._lines.get()
+            while not rollout.ended or not self._steps.empty():
+                yield await self._steps.get()
         finally:
-            if not rollout.ended:  # whoever pushed has gone: nobody would see how it goes on
-                self._do(rollout, Abort("whoever pushed it has gone"))
+            if not rollout.ended:  # the client has gone, so nobody would see the rollout fail
+                self._handle(rollout, Abort("the client that pushed it has gone"))
             else:
-                looking.cancel()
+                observing.cancel()
 
     def _read(self, request: Any) -> tuple[Version, Plan, list[Address]]:
-        new = from_form(get(request, "file", dict))
-        if new.version == self.base.version:
-            raise VersionFileError(f"'version': {new.version!r} is what the service holds")
-        doors = [parse_address(one) for one in get_optional(request, "doors", list, [])]
-        if len(doors) > MAX_DOORS:
-            raise VersionFileError(f"{len(doors)} doors, {MAX_DOORS} at most")
+        new = version_from_json(get(request, "file", dict))
+        if new.version == self.current.version:
+            raise VersionFileError(f"'version': {new.version!r} is the version that the service has")
+        admin_addresses = [parse_address(text) for text in get_optional(request, "doors", list, [])]
+        if len(admin_addresses) > MAX_ADMIN_ADDRESSES:
+            raise VersionFileError(f"{len(admin_addresses)} admin addresses, {MAX_ADMIN_ADDRESSES} at most")
         plan = Plan(
             new.version,
             get(request, "canary", int),
             float(request.get("widen", 4.0)),
             float(request.get("watch_s", 10.0)) * 1000.0,
             int(request.get("least", 20)),
-            bool(doors),
+            bool(admin_addresses),
         )
-        return new, plan, doors
+        return new, plan, admin_addresses
 
     def _affected(self) -> tuple[str, ...]:
-        """The nodes with a stream that the version means something else to."""
+        """Return the nodes with a stream for which the new version changes a resource."""
         service = self._service
         return tuple(
             sorted(
                 {
-                    line.node
-                    for line in service.lines
-                    if service.wanted(line, self._new) != service.wanted(line, service.resources)
+                    stream.node
+                    for stream in service.streams
+                    if service.subscribed(stream, self._new_resources)
+                    != service.subscribed(stream, service.resources)
                 }
             )
         )
 
-    async def _look(self, rollout: Rollout, doors: list[Address]) -> None:
-        gate = asyncio.Semaphore(AT_ONCE)
+    async def _observe(self, rollout: Rollout, admin_addresses: list[Address]) -> None:
+        """Start a rollout, and pass it the state of the nodes' streams and metrics until it ends."""
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
         names: dict[Address, str] = {}
 
-        async def read(where: Address) -> None:
-            async with gate:
-                name, reading = await read_door(where)
-            names[where] = name or names.get(where, "")
-            if names[where]:
-                self._do(rollout, NodeObserved(names[where], reading))
+        async def read(address: Address) -> None:
+            async with semaphore:
+                name, metrics = await read_admin_pages(address)
+            names[address] = name or names.get(address, "")
+            if names[address]:
+                self._handle(rollout, NodeObserved(names[address], metrics))
 
-        await asyncio.gather(*(read(where) for where in doors))
-        unknown = [f"{at[0]}:{at[1]}" for at in doors if not names.get(at)]
+        await asyncio.gather(*(read(address) for address in admin_addresses))
+        unknown = [f"{address[0]}:{address[1]}" for address in admin_addresses if not names.get(address)]
         if unknown:
-            self._tell(rollout.state, f"{len(unknown)} doors say nothing, such as {unknown[0]}")
-        self._do(rollout, Start(self._affected()))
+            self._report(rollout.state, f"no answer at {len(unknown)} admin addresses, such as {unknown[0]}")
+        self._handle(rollout, Start(self._affected()))
         while not rollout.ended:
             await asyncio.sleep(TICK_MS / 1000.0)
-            self._do(rollout, StreamsChanged(frozenset(line.node for line in self._service.lines)))
-            await asyncio.gather(*(read(where) for where in doors))
-            self._do(rollout, Tick())
+            self._handle(rollout, StreamsChanged(frozenset(stream.node for stream in self._service.streams)))
+            await asyncio.gather(*(read(address) for address in admin_addresses))
+            self._handle(rollout, Tick())
 
     def _on_answer(self, answer: NodeAnswer) -> None:
         if self.rollout is not None and answer.label:
-            self._do(self.rollout, NodeAnswered(answer.node, answer.label, answer.reason))
+            self._handle(self.rollout, NodeAnswered(answer.node, answer.label, answer.reason))
 
-    def _tell(self, state: State, text: str) -> None:
-        with contextlib.suppress(asyncio.QueueFull):  # nobody reads any more
-            self._lines.put_nowait({"state": state.value, "text": text})
+    def _report(self, state: State, text: str) -> None:
+        with contextlib.suppress(asyncio.QueueFull):  # the client does not read the steps
+            self._steps.put_nowait({"state": state.value, "text": text})
 
-    def _do(self, rollout: Rollout, event: Any) -> None:
+    def _handle(self, rollout: Rollout, event: Any) -> None:
         service = self._service
         for action in rollout.handle(event, now_ms()):
             match action:
                 case Offer():
-                    service.views |= dict.fromkeys(action.nodes, self._new)
+                    service.node_resources |= dict.fromkeys(action.nodes, self._new_resources)
                     service.label = rollout.plan.version
                 case Withdraw():
                     for node in action.nodes:
-                        service.views.pop(node, None)
-                    service.label = self.base.version
+                        service.node_resources.pop(node, None)
+                    service.label = self.current.version
                 case Accept():
-                    assert self._pushed is not None
-                    service.resources = self._new
-                    self.base = self._pushed
-                    service.views.clear()
+                    assert self._new_version is not None
+                    service.resources = self._new_resources
+                    self.current = self._new_version
+                    service.node_resources.clear()
                 case Report():
-                    self._tell(action.state, action.text)
+                    self._report(action.state, action.text)
                     continue
             service.update()
 
 
-async def call(where: Address, method: str, request: dict[str, Any], wait_s: float) -> AsyncIterator[Any]:
-    """One call of the service, its answers one by one; `grpc.RpcError` with its reason where it refuses."""
-    async with grpc.aio.insecure_channel(f"{where[0]}:{where[1]}") as channel:
+async def call(address: Address, method: str, request: dict[str, Any], wait_s: float) -> AsyncIterator[Any]:
+    """Call a method of the service, and yield its answers.
+
+    :param wait_s: the time limit of the call, in seconds.
+    :raises grpc.RpcError: if the service refuses the call or can't be reached.
+    """
+    async with grpc.aio.insecure_channel(f"{address[0]}:{address[1]}") as channel:
         path = f"/{NAME}/{method}"
         if method == "Push":
-            stream = channel.unary_stream(path, _bytes, _plain)(request, timeout=wait_s)
-            async for found in stream:
-                yield found
+            answers = channel.unary_stream(path, _encode, _decode)(request, timeout=wait_s)
+            async for answer in answers:
+                yield answer
         else:
-            yield await channel.unary_unary(path, _bytes, _plain)(request, timeout=wait_s)
+            yield await channel.unary_unary(path, _encode, _decode)(request, timeout=wait_s)
--- a/orchidferry/testkit/control/script.py
+++ b/orchidferry/testkit/control/script.py
@@ -1,7 +1,7 @@
-"""A rehearsal's versions: what is pushed when, drawn by seed; and what the nodes made of it.
+"""The versions that a rehearsal pushes, drawn by seed, and the check of how the nodes answered them.
 
-`draw_pushes` and `outcome` have no I/O. Bad versions are bad in ten different ways, each named; the last
-push is good and brings every part, so that a node that was away can come to it.
+`draw_pushes` and `outcome` do no I/O. Each bad version has one of ten named faults. The last version is good
+and contains all parts, so that a node without a stream at earlier versions can end with it too.
 """
 
 from __future__ import annotations
@@ -19,12 +19,13 @@
 from orchidferry.testkit.control.service import NodeAnswer, Service
 from orchidferry.testkit.scenario import Scenario
 
-# of a run's length: between them versions come, and after it nodes come to rest
-FROM = 0.04
-TO = 0.88
-JITTER = 0.3  # of the time between two versions
-DRAIN_EVERY = 12  # versions: a good one that drains a server, which the next one of members brings back
-BAD = (
+# Versions are pushed between these fractions of a run's length; the rest is left for nodes to settle.
+FIRST_VERSION_AT = 0.04
+LAST_VERSION_AT = 0.88
+JITTER = 0.3  # as a fraction of the time between two versions
+# One good version in so many drains a server; the next version of the members puts it back in service.
+DRAIN_EVERY = 12
+FAULTS = (
     "no live server",
     "no such pool",
     "looser drain",
@@ -32,75 +33,75 @@
     "needs a restart",
     "shares over 1",
     "no address",
-    "another type",
-    "cut off",
+    "wrong type",
+    "truncated",
     "no classes",
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """One version: when, under which label, and how it is bad ('' for a good one)."""
+    """One version of the script."""
 
-    t: float
-    label: str
-    bad: str
-    part: Part
-    drain: bool = False
-    last: bool = False
+    t: float  # when it is pushed, in seconds from the start of the run
+    label: str  # the version's name
+    bad: str  # its fault, one of FAULTS; empty for a good version
+    part: Part  # the part that changes; the last version changes all parts
+    drain: bool = False  # whether it drains a server
+    last: bool = False  # whether it is the last version of the run
 
 
 def draw_pushes(scenario: Scenario) -> list[Push]:
-    """All versions of a run, in order of time; every way of being bad as often as any other."""
-    side = scenario.control
+    """Return all versions of a run, in order of time; each fault occurs about equally often."""
+    control = scenario.control
     seed = scenario.seed
-    if not side.versions:
+    if not control.versions:
         return []
-    span = scenario.length_s * (TO - FROM)
-    gap = span / side.versions
-    bad = set(seeded_random.sample(range(side.versions - 1), side.bad, seed, "bad versions"))
+    span = scenario.length_s * (LAST_VERSION_AT - FIRST_VERSION_AT)
+    gap = span / control.versions
+    bad = set(seeded_random.sample(range(control.versions - 1), control.bad, seed, "bad versions"))
     pushes = []
-    ways = 0
-    good = 0
-    for n in range(side.versions):
+    fault_count = 0
+    good_count = 0
+    for n in range(control.versions):
         shift = seeded_random.uniform(seed, "version", n, low=-JITTER, high=JITTER) * gap
-        t = scenario.length_s * FROM + (n + 0.5) * gap + shift
+        t = scenario.length_s * FIRST_VERSION_AT + (n + 0.5) * gap + shift
         label = f"v{n + 1:03}"
-        last = n == side.versions - 1
+        last = n == control.versions - 1
         if n in bad:
-            way = BAD[ways % len(BAD)]
-            ways += 1
+            fault = FAULTS[fault_count % len(FAULTS)]
+            fault_count += 1
             part = (
                 Part.MEMBERS
-                if way in ("no live server", "no address", "another type", "cut off")
+                if fault in ("no live server", "no address", "wrong type", "truncated")
                 else Part.SETTINGS
             )
-            pushes.append(Push(t, label, way, part))
+            pushes.append(Push(t, label, fault, part))
         else:
-            good += 1
-            part = Part.MEMBERS if good % 2 else Part.SETTINGS
-            drain = part is Part.MEMBERS and good % DRAIN_EVERY == 1 and not last
+            good_count += 1
+            part = Part.MEMBERS if good_count % 2 else Part.SETTINGS
+            drain = part is Part.MEMBERS and good_count % DRAIN_EVERY == 1 and not last
             pushes.append(Push(t, label, "", part, drain, last))
     return pushes
 
 
-def draw_cuts(scenario: Scenario) -> list[float]:
-    """When all streams are cut."""
-    side = scenario.control
+def draw_stream_end_times(scenario: Scenario) -> list[float]:
+    """Return the times at which all streams are ended, in seconds from the start of the run."""
+    control = scenario.control
     seed = scenario.seed
-    low = scenario.length_s * FROM
-    high = scenario.length_s * TO
-    return sorted(seeded_random.uniform(seed, "cut", n, low=low, high=high) for n in range(side.cuts))
+    low = scenario.length_s * FIRST_VERSION_AT
+    high = scenario.length_s * LAST_VERSION_AT
+    return sorted(seeded_random.uniform(seed, "cut", n, low=low, high=high) for n in range(control.cuts))
 
 
 @dataclass
 class Outcome:
-    """What became of all versions."""
+    """How the nodes answered all versions of a run."""
 
-    sent: int
-    bad: int
-    refused: dict[str, dict[str, str]]  # by version and node, the reason
-    final: dict[str, dict[str, str]]  # by node, the version of each part that it holds
+    sent: int  # versions pushed
+    bad: int  # bad versions among them
+    refused: dict[str, dict[str, str]]  # the reason of each refusal, by version and node
+    final: dict[str, dict[str, str]]  # the version that each node has in the end, by node and part
     problems: list[str] = field(default_factory=list)
 
 
@@ -108,74 +109,82 @@
     pushes: Sequence[Push],
     nodes: Sequence[str],
     answers: Iterable[NodeAnswer],
-    up: Callable[[str, str], bool],
+    connected: Callable[[str, str], bool],
 ) -> Outcome:
-    """Judge it. `up(node, label)`: whether the node had a stream when that version came."""
+    """Check the nodes' answers to the versions of a run.
+
+    :param pushes: the versions, in order.
+    :param nodes: the nodes' ids.
+    :param answers: all ACKs and NACKs, in order.
+    :param connected: called with a node and a version; whether the node had a stream when that version came.
+    """
     bad = {push.label for push in pushes if push.bad}
-    found = Outcome(len(pushes), len(bad), {}, {node: {} for node in nodes})
+    result = Outcome(len(pushes), len(bad), {}, {node: {} for node in nodes})
     parts = {url: part.value for part, url in TYPES.items()}
     for answer in answers:
         if answer.reason:
-            found.refused.setdefault(answer.label, {})[answer.node] = answer.reason
+            result.refused.setdefault(answer.label, {})[answer.node] = answer.reason
             if answer.label not in bad:
-                found.problems.append(f"{answer.node} refused {answer.label}, which is good: {answer.reason}")
+                result.problems.append(
+                    f"{answer.node} refused {answer.label}, which is good: {answer.reason}"
+                )
         elif answer.label in bad:
-            found.problems.append(f"{answer.node} took {answer.label}, which is bad")
-        elif answer.node in found.final:
-            found.final[answer.node][parts[answer.type_url]] = answer.label
+            result.problems.append(f"{answer.node} accepted {answer.label}, which is bad")
+        elif answer.node in result.final:
+            result.final[answer.node][parts[answer.type_url]] = answer.label
     for label in sorted(bad):
         for node in nodes:
-            if up(node, label) and node not in found.refused.get(label, {}):
-                found.problems.append(f"{node} did not refuse {label}")
+            if connected(node, label) and node not in result.refused.get(label, {}):
+                result.problems.append(f"{node} did not refuse {label}")
     last = pushes[-1].label if pushes else ""
     for node in nodes:
         for part in Part:
-            held = found.final[node].get(part.value, "nothing")
+            held = result.final[node].get(part.value, "nothing")
             if last and held != last:
-                found.problems.append(f"{node} ends on {held} of {part.value}, not on {last}")
-    return found
+                result.problems.append(f"{node} ends with {held} of {part.value}, not with {last}")
+    return result
 
 
-class Control:
-    """The service of a run, and its script."""
+class ScriptedService:
+    """The stand-in service of a run, and the script of what it pushes."""
 
     def __init__(
         self, scenario: Scenario, nodes: Sequence[str], settings: Callable[[int], dict[str, Any]]
     ) -> None:
         self.service = Service()
         self.pushes = draw_pushes(scenario)
-        self.cuts = draw_cuts(scenario)
+        self.stream_end_times = draw_stream_end_times(scenario)
         self.pool = scenario.tiers[0].name
         self._scenario = scenario
         self._nodes = nodes
         self._settings = settings
-        self._connected: dict[str, set[str]] = {}  # nodes that had a stream, by label
-        self.drained: str = ""  # the server that the newest version of members drains
+        self._connected: dict[str, set[str]] = {}  # the nodes that had a stream when a version came, by label
+        self.drained: str = ""  # the server that the newest version of the members drains; empty if none
 
-    def begin(self, endpoints: list[dict[str, Any]]) -> None:
-        """The first version, which all start with."""
-        self.service.push("v000", *self._members(endpoints), *self._good(0))
+    def push_initial(self, endpoints: list[dict[str, Any]]) -> None:
+        """Push the version that all nodes start with."""
+        self.service.push("v000", *self._members(endpoints), *self._good_settings(0))
 
     def _members(self, endpoints: list[dict[str, Any]]) -> list[tuple[Part, str, Any]]:
         return [(Part.MEMBERS, self.pool, pool_message(self.pool, endpoints))]
 
-    def _good(self, number: int) -> list[tuple[Part, str, Any]]:
-        """Settings that differ by version, and stay within what the node's file allows."""
+    def _good_settings(self, number: int) -> list[tuple[Part, str, Any]]:
+        """Return settings that differ between versions, within the limits of the nodes' own files."""
         changes = []
-        for at, node in enumerate(self._nodes):
-            settings = copy.deepcopy(self._settings(at))
+        for index, node in enumerate(self._nodes):
+            settings = copy.deepcopy(self._settings(index))
             for cls in settings["classes"]:
                 cls["objective_ms"] = round(cls["objective_ms"] * (1.0 + 0.01 * (number % 5)), 3)
             settings["permissions"]["connect_timeout_ms"] += number % 7
             changes.append((Part.SETTINGS, node, node_message(node, self.pool, settings)))
         return changes
 
-    def _bad_settings(self, way: str) -> list[tuple[Part, str, Any]]:
+    def _bad_settings(self, fault: str) -> list[tuple[Part, str, Any]]:
         changes = []
-        for at, node in enumerate(self._nodes):
-            settings = copy.deepcopy(self._settings(at))
+        for index, node in enumerate(self._nodes):
+            settings = copy.deepcopy(self._settings(index))
             pool = self.pool
-            match way:
+            match fault:
                 case "no such pool":
                     pool = "nowhere"
                 case "looser drain":
@@ -192,41 +201,46 @@
             changes.append((Part.SETTINGS, node, node_message(node, pool, settings)))
         return changes
 
-    def _bad_members(self, way: str, endpoints: list[dict[str, Any]]) -> list[tuple[Part, str, Any]]:
+    def _bad_members(self, fault: str, endpoints: list[dict[str, Any]]) -> list[tuple[Part, str, Any]]:
         packed = pool_message(self.pool, endpoints)
-        match way:
+        match fault:
             case "no live server":
-                packed = pool_message(self.pool, [one | {"status": "leaving"} for one in endpoints])
+                packed = pool_message(self.pool, [endpoint | {"status": "leaving"} for endpoint in endpoints])
             case "no address":
                 packed = pool_message(self.pool, [*endpoints, endpoints[0] | {"address": "127.0.0.1:0"}])
-            case "another type":
+            case "wrong type":
                 packed = AnyMessage(type_url=EDS + "2", value=packed.value)
-            case "cut off":
+            case "truncated":
                 packed = AnyMessage(type_url=EDS, value=packed.value[: len(packed.value) // 2 + 1])
         return [(Part.MEMBERS, self.pool, packed)]
 
     def push(self, push: Push, number: int, endpoints: list[dict[str, Any]]) -> None:
-        """Send one version."""
+        """Push a version.
+
+        :param number: the number of the version, from 1.
+        :param endpoints: the servers that run, in the format of discovery.
+        """
         changes: list[tuple[Part, str, Any]] = []
         if push.bad:
             bad = self._bad_settings(push.bad) if push.part is Part.SETTINGS else None
             changes = bad if bad is not None else self._bad_members(push.bad, endpoints)
         if not push.bad and (push.part is Part.SETTINGS or push.last):
-            changes += self._good(number)
+            changes += self._good_settings(number)
         if not push.bad and (push.part is Part.MEMBERS or push.last):
             self.drained = endpoints[number % len(endpoints)]["name"] if push.drain else ""
             weighted = [
-                one | {"weight": 1.0 - 0.01 * ((number + at) % 5)} for at, one in enumerate(endpoints)
+                endpoint | {"weight": 1.0 - 0.01 * ((number + index) % 5)}
+                for index, endpoint in enumerate(endpoints)
             ]
-            for one in weighted:
-                if one["name"] == self.drained:
-                    one["status"] = "leaving"
+            for endpoint in weighted:
+                if endpoint["name"] == self.drained:
+                    endpoint["status"] = "leaving"
             changes += self._members(weighted)
-        self._connected[push.label] = {line.node for line in self.service.lines}
+        self._connected[push.label] = {stream.node for stream in self.service.streams}
         self.service.push(push.label, *changes)
 
     def outcome(self) -> Outcome:
-        """What became of it, as the service saw it."""
+        """Return how the nodes answered, as recorded by the service."""
         return outcome(
             self.pushes,
             self._nodes,
@@ -235,7 +249,10 @@
         )
 
     def _stayed(self, node: str, label: str) -> bool:
-        """Whether it still had a stream when the next version came: one cut just then may have missed it."""
+        """Return whether a node still had a stream when the version after `label` came.
+
+        A node that lost its stream in between may have missed the version `label`.
+        """
         labels = [push.label for push in self.pushes]
-        at = labels.index(label) + 1
-        return at < len(labels) and node in self._connected.get(labels[at], ())
+        index = labels.index(label) + 1
+        return index < len(labels) and node in self._connected.get(labels[index], ())
--- a/orchidferry/testkit/control/status.py
+++ b/orchidferry/testkit/control/status.py
@@ -1,4 +1,4 @@
-"""`orchidferry control status`: what each node holds of its configuration, asked at its operators' door."""
+"""`orchidferry control status`: the configuration versions of nodes, fetched at their admin addresses."""
 
 from __future__ import annotations
 
@@ -16,65 +16,69 @@
 from orchidferry.node.address import parse_address
 from orchidferry.testkit import admin_client
 
-AT_ONCE = 64
-HEAD = ("node", "members", "settings", "from", "since", "stream", "last refusal, or what is wrong")
+MAX_CONCURRENT_REQUESTS = 64
+COLUMNS = ("node", "members", "settings", "from", "since", "stream", "last refusal, or what is wrong")
 
 
-async def ask(where: str) -> dict[str, Any]:
-    """One node's word, or `error` with why there is none."""
-    return await admin_client.fetch_state(parse_address(where), "/-/control", "has no control service")
+async def fetch_status(address: str) -> dict[str, Any]:
+    """Return the status of the node at an admin address; without an answer, `error` says why."""
+    return await admin_client.fetch_state(parse_address(address), "/-/control", "has no control service")
 
 
-async def ask_all(nodes: list[str]) -> list[dict[str, Any]]:
-    """All of them, so many at once, in their order."""
-    gate = asyncio.Semaphore(AT_ONCE)
+async def fetch_all(nodes: list[str]) -> list[dict[str, Any]]:
+    """Return the status of all nodes, in the order of their admin addresses."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-    async def one(where: str) -> dict[str, Any]:
-        async with gate:
-            return await ask(where)
+    async def fetch(address: str) -> dict[str, Any]:
+        async with semaphore:
+            return await fetch_status(address)
 
-    return list(await asyncio.gather(*(one(where) for where in nodes)))
+    return list(await asyncio.gather(*(fetch(address) for address in nodes)))
 
 
-def row(found: dict[str, Any]) -> list[str]:
-    """A node's line: what it holds, from where, for how long, and its last refusal."""
-    if "error" in found:
-        return ["", "", "", "", "", found["error"]]
-    since_s = max(0.0, (found["now_ms"] - found["since_ms"]) / 1000.0)
-    refused = found["refused"]
+def row(status: dict[str, Any]) -> list[str]:
+    """Return a node's row of the table without its first column."""
+    if "error" in status:
+        return ["", "", "", "", "", status["error"]]
+    since_s = max(0.0, (status["now_ms"] - status["since_ms"]) / 1000.0)
+    refused = status["refused"]
     last = f"{refused[-1]['part']} {refused[-1]['version']}: {refused[-1]['reason']}" if refused else ""
-    versions = found["versions"]
+    versions = status["versions"]
     return [
         versions["members"] or "-",
         versions["settings"] or "-",
-        found["source"],
+        status["source"],
         f"{since_s:.0f} s",
-        f"{found['stream']}, saved: {found['saved']}",
+        f"{status['stream']}, saved: {status['saved']}",
         last,
     ]
 
 
 def main(args: argparse.Namespace) -> int:
-    """The command: 0 if every node answered and all hold the same, 1 if not, 2 for bad usage."""
+    """Run the command.
+
+    :returns: the exit status: 0 if every node answered and all have the same versions, 1 if not, 2 for bad
+        usage.
+    """
     try:
-        for where in args.nodes:
-            parse_address(where)
+        for address in args.nodes:
+            parse_address(address)
     except SettingsFormatError as problem:
         print(f"orchidferry control status: {problem}", file=sys.stderr)
         return 2
-    found = asyncio.run(ask_all(args.nodes))
+    statuses = asyncio.run(fetch_all(args.nodes))
     if args.json:
-        print(json.dumps(dict(zip(args.nodes, found, strict=True)), indent=1))
+        print(json.dumps(dict(zip(args.nodes, statuses, strict=True)), indent=1))
     else:
         table = Table()
-        for name in HEAD:
+        for name in COLUMNS:
             table.add_column(name, overflow="fold")
-        for where, one in zip(args.nodes, found, strict=True):
-            table.add_row(f"{one.get('node', '?')} ({where})", *row(one))
+        for address, status in zip(args.nodes, statuses, strict=True):
+            table.add_row(f"{status.get('node', '?')} ({address})", *row(status))
         Console(width=None if sys.stdout.isatty() else 160).print(table)
-    held = Counter(json.dumps(one.get("versions")) for one in found)
-    if any("error" in one for one in found) or len(held) > 1:
+    configurations = Counter(json.dumps(status.get("versions")) for status in statuses)
+    if any("error" in status for status in statuses) or len(configurations) > 1:
         if not args.json:
-            print(f"{len(held)} different configurations over {len(found)} nodes")
+            print(f"{len(configurations)} different configurations over {len(statuses)} nodes")
         return 1
     return 0
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -86,7 +86,7 @@
             if isinstance(bad, tuple):
                 service.push("bad", bad)
             else:
-                for line in service.lines:
+                for line in service.streams:
                     service.send_raw(
                         line, discovery_pb2.DeltaDiscoveryResponse.FromString(bad.SerializeToString())
                     )
@@ -106,12 +106,12 @@
     async def test() -> None:
         async with scene({}) as (service, [agent]):
             for n in range(1, 4):
-                joined = service.joined
-                service.cut()
-                await until(lambda joined=joined: service.joined > joined and agent.channel.up)  # type: ignore[misc]
+                joined = service.streams_opened
+                service.end_streams()
+                await until(lambda joined=joined: service.streams_opened > joined and agent.channel.up)  # type: ignore[misc]
                 service.push(f"v{n}", members(n, n + 1))
                 await until(lambda n=n: agent.held() == f"v{n}")  # type: ignore[misc]
-                assert service.lines[0].initial[EDS] == {POOL: f"v{n - 1}"}
+                assert service.streams[0].initial_versions[EDS] == {POOL: f"v{n - 1}"}
             assert agent.held(Part.SETTINGS) == "v0"
             assert (
                 len([answer for answer in service.answers if "Extension" in answer.type_url]) == 1
@@ -133,7 +133,7 @@
             empty = Service()
             empty.address = service.address
             await empty.start()  # another life of it, that knows nothing
-            await until(lambda: empty.joined == 1)
+            await until(lambda: empty.streams_opened == 1)
             empty.push("e1")  # nothing to send
             await empty.stop()
             assert len(agent.applied) == applied and agent.held() == "v1"
@@ -150,7 +150,7 @@
         async with scene({}) as (service, [agent]):
             response = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS, system_version_info="v1")
             response.resources.add(name=POOL, version="v1", resource=members(5)[2])
-            line = service.lines[0]
+            line = service.streams[0]
             for _ in range(3):
                 again = discovery_pb2.DeltaDiscoveryResponse()
                 again.CopyFrom(response)
@@ -268,7 +268,7 @@
         await until(lambda: told.held() == "v1")
         await until(lambda: bare.channel.failures > 2 and plain.channel.failures > 2)
         assert not bare.applied and not plain.applied
-        assert {line.node for line in service.lines} == {"n0"}
+        assert {line.node for line in service.streams} == {"n0"}
         for agent in (told, bare, plain):
             await agent.close()
         await service.stop()
@@ -302,17 +302,17 @@
                     response = discovery_pb2.DeltaDiscoveryResponse.FromString(bytes(data))
                 except Exception:  # would be refused by gRPC itself
                     continue
-                await until(lambda: bool(service.lines))
+                await until(lambda: bool(service.streams))
                 sent += 1
-                service.send_raw(service.lines[0], response)
+                service.send_raw(service.streams[0], response)
             assert sent > 50
             huge = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS)
             huge.resources.add(name="x" * (channel_module.MAX_MESSAGE + 1), version="huge")
-            await until(lambda: bool(service.lines))
-            line = service.lines[0]
-            joined = service.joined
+            await until(lambda: bool(service.streams))
+            line = service.streams[0]
+            joined = service.streams_opened
             service.send_raw(line, huge)
-            await until(lambda: service.joined > joined)  # the stream broke, and another came
+            await until(lambda: service.streams_opened > joined)  # the stream broke, and another came
             service.push("after", members(3), node())
             await until(lambda: agent.held() == "after" == agent.held(Part.SETTINGS))
             assert [m.entry.server for m in agent.servers()] == [server_id("s3")]
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -191,7 +191,9 @@
         live = made.node = Node(read_config(str(made.path)), loop, Extensions(control=control))
         made.address = await live.frontend.listen(loop, ("127.0.0.1", 0))
         live.start()
-        await until(lambda: service.joined == 1 and live.control is not None and bool(live.control._versions))
+        await until(
+            lambda: service.streams_opened == 1 and live.control is not None and bool(live.control._versions)
+        )
         try:
             yield made, service
         finally:
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -20,12 +20,12 @@
 from orchidferry.testkit.control import rollout_service
 from orchidferry.testkit.control.files import (
     VersionFileError,
-    comparable,
     differences,
-    from_form,
+    read_comparable,
     read_version,
+    version_from_json,
 )
-from orchidferry.testkit.control.rollout_service import RolloutService, read_door
+from orchidferry.testkit.control.rollout_service import RolloutService, read_admin_pages
 from orchidferry.testkit.control.service import Service
 from tests.balancing.test_wirehost import ROOT
 from tests.node import peers
@@ -120,7 +120,7 @@
 async def fleet() -> AsyncIterator[Fleet]:
     """Four nodes that hold v1."""
     service = Service()
-    rollouts = RolloutService(service, from_form(form("v1", 1, 2)))
+    rollouts = RolloutService(service, version_from_json(form("v1", 1, 2)))
     await service.start()
     agents = [Told(service, f"n{at}", None) for at in range(NODES)]
     made = Fleet(service, rollouts, agents)
@@ -145,13 +145,13 @@
             code, out, err = await made.push(v2)
             assert code == 0, out + err
             assert "v2 is on all 4 nodes" in out and "wave 2 of 2" in out
-            assert made.held() == ["v2"] * NODES and made.rollouts.base.version == "v2"
+            assert made.held() == ["v2"] * NODES and made.rollouts.current.version == "v2"
             assert all(agent.held(Part.SETTINGS) == "v1" for agent in made.agents)  # as it was: not sent anew
 
             made.failing = {"v3"}
             code, out, _ = await made.push(write(tmp_path, form("v3", 4)))
             assert code == 1 and "answers failed" in out and "given back" in out
-            assert made.held() == ["v2"] * NODES and made.rollouts.base.version == "v2"
+            assert made.held() == ["v2"] * NODES and made.rollouts.current.version == "v2"
             assert (
                 sum(
                     any(m.entry.server == made.agents[0].servers()[-1].entry.server for m in c.members())
@@ -162,7 +162,7 @@
             )
 
             code, _, err = await made.push(v2)
-            assert code == 2 and "'v2' is what the service holds" in err and err.count("\n") == 1
+            assert code == 2 and "'v2' is the version that the service has" in err and err.count("\n") == 1
             late = Told(made.service, "late", None)
             late.start()
             await until(lambda: late.held() == "v2")
@@ -182,7 +182,9 @@
             for agent in made.agents:
                 agent.problem = ""
             assert (
-                not made.service.views and made.rollouts.rollout is not None and made.rollouts.rollout.ended
+                not made.service.node_resources
+                and made.rollouts.rollout is not None
+                and made.rollouts.rollout.ended
             )
 
     run(test())
@@ -207,7 +209,7 @@
             )
             await until(lambda: sorted(made.held()) == ["v1"] * (NODES - 1) + ["v2"])
             code, _, err = await made.push(path)
-            assert code == 2 and "a push of v2 is on" in err
+            assert code == 2 and "a push of v2 is in progress" in err
             process.kill()
             await process.wait()
             await until(lambda: made.held() == ["v1"] * NODES)
@@ -223,7 +225,7 @@
         for page in (None, lambda: (200, b"x"), lambda: (200, b"[]"), lambda: (200, b'{"node":"n"}')):
             door = AdminServer({b"/-/control": page} if page is not None else {})
             where = await door.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
-            name, reading = await read_door(where)
+            name, reading = await read_admin_pages(where)
             assert reading is None and name in ("", "n")
             door.close()
 
@@ -241,7 +243,7 @@
             assert "serving 'v1' on 127.0.0.1:" in line
             code, out, _ = await control("diff", where, new)
             assert code == 1 and [t[0] for t in out.splitlines()] == ["-", "+", "@", "+"] and '"s2"' in out
-            assert (await control("diff", where, old))[:2] == (0, "v1 and v1 mean the same\n")
+            assert (await control("diff", where, old))[:2] == (0, "v1 and v1 are equivalent\n")
             code, _, err = await control("serve", old, "--listen", where)
             assert code == 2 and "can't listen" in err and err.count("\n") == 1
         finally:
@@ -256,13 +258,13 @@
     assert store.save(file()) == ""
     store.close()
     path = str(tmp_path / "state" / "last-good")
-    assert differences(comparable(path), comparable(path), ("a", "b")) == []
-    assert differences(comparable(path), form("v", 1), ("a", "b"))
+    assert differences(read_comparable(path), read_comparable(path), ("a", "b")) == []
+    assert differences(read_comparable(path), form("v", 1), ("a", "b"))
     with pytest.raises(VersionFileError, match="can be compared, not pushed"):
         read_version(path)
     (tmp_path / "state" / "last-good").write_bytes(Path(path).read_bytes()[:-5])
     with pytest.raises(VersionFileError, match="is cut off"):
-        comparable(path)
+        read_comparable(path)
 
 
 def altered(**changes: Any) -> Json:
@@ -284,7 +286,7 @@
         ),
         (altered(pools={POOL: [endpoint(1, status="odd")]}), "'status' is 'odd'"),
         (altered(pools={POOL: [endpoint(1), endpoint(1)]}), "is there twice"),
-        (altered(pools={POOL: [endpoint(1, weight="x")]}), "can't be made a message"),
+        (altered(pools={POOL: [endpoint(1, weight="x")]}), "can't be encoded as xDS messages"),
         (altered(pools={POOL: [endpoint(1, status="leaving")]}), "names no live server"),
         (altered(pools={"b": [endpoint(1)]}), f"pool: '{POOL}' is none of b"),
         (altered(settings={"e": 1}), "settings.e: must be a table"),
@@ -310,4 +312,4 @@
     (tmp_path / "v.toml").write_text(
         'version = "v"\n[[pools.a]]\nname = "s"\naddress = "10.0.0.5:1"\n[settings]\n'
     )
-    assert read_version(str(tmp_path / "v.toml")).form()["pools"]["a"][0]["name"] == "s"
+    assert read_version(str(tmp_path / "v.toml")).to_json()["pools"]["a"][0]["name"] == "s"
--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -12,7 +12,7 @@
 
 from orchidferry.balancing.configuration import Part
 from orchidferry.node.control.messages import EDS, TYPES
-from orchidferry.testkit.control.script import BAD, draw_cuts, draw_pushes, outcome
+from orchidferry.testkit.control.script import FAULTS, draw_pushes, draw_stream_end_times, outcome
 from orchidferry.testkit.control.service import NodeAnswer
 from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, override, read_scenario
 from tests.balancing.test_wirehost import ROOT
@@ -22,15 +22,15 @@
 
 def test_a_script_is_its_seeds_and_bad_in_every_way() -> None:
     pushes = draw_pushes(HUNDRED)
-    assert pushes == draw_pushes(HUNDRED) and draw_cuts(HUNDRED) == draw_cuts(HUNDRED)
+    assert pushes == draw_pushes(HUNDRED) and draw_stream_end_times(HUNDRED) == draw_stream_end_times(HUNDRED)
     other = override(HUNDRED, 99)
-    assert pushes != draw_pushes(other) and draw_cuts(HUNDRED) != draw_cuts(other)
+    assert pushes != draw_pushes(other) and draw_stream_end_times(HUNDRED) != draw_stream_end_times(other)
     assert len(pushes) == 100 and [p.t for p in pushes] == sorted(p.t for p in pushes)
-    assert Counter(p.bad for p in pushes if p.bad) == Counter(BAD)
+    assert Counter(p.bad for p in pushes if p.bad) == Counter(FAULTS)
     assert not pushes[-1].bad and pushes[-1].last
     assert pushes[0].t > 0.0 and pushes[-1].t < HUNDRED.length_s * 0.9
     assert sum(p.drain for p in pushes) >= 3
-    assert len(draw_cuts(HUNDRED)) == 5
+    assert len(draw_stream_end_times(HUNDRED)) == 5
 
 
 def words(*said: tuple[str, str, str]) -> list[NodeAnswer]:
@@ -52,9 +52,11 @@
 
     assert problems(refused[1:] + whole) == f"n0 did not refuse {bad[0]}"
     assert f"n1 refused {good}, which is good: why" in problems(refused + whole + words(("n1", good, "why")))
-    assert f"n1 took {bad[3]}, which is bad" in problems(refused + whole + words(("n1", bad[3], "")))
-    assert "n1 ends on v099 of members, not on v100" in problems(refused + whole + words(("n1", "v099", "")))
-    assert "n1 ends on nothing of settings" in problems(refused + whole[:2] + whole[2:3])
+    assert f"n1 accepted {bad[3]}, which is bad" in problems(refused + whole + words(("n1", bad[3], "")))
+    assert "n1 ends with v099 of members, not with v100" in problems(
+        refused + whole + words(("n1", "v099", ""))
+    )
+    assert "n1 ends with nothing of settings" in problems(refused + whole[:2] + whole[2:3])
     away = outcome(pushes, ("n0", "n1"), refused[1:] + whole, lambda node, label: node != "n0")
     assert away.problems == []  # it had no stream then
 
