--- a/tests/node/control/scene.py
+++ b/tests/node/control/harness.py
@@ -1,4 +1,4 @@
-"""A control service, and agents whose node only notes what it is told."""
+"""A stand-in control service, and agents whose callbacks only record what they are called with."""
 
 from __future__ import annotations
 
@@ -32,31 +32,32 @@
 
 
 def endpoint(number: int, **changes: Any) -> dict[str, Any]:
+    """Return an endpoint in the format of discovery."""
     return {"name": f"s{number}", "address": f"127.0.0.1:{9000 + number}", "zone": "z1"} | changes
 
 
 def members(*numbers: int, **changes: Any) -> tuple[Part, str, Any]:
-    """A change of the pool."""
+    """Return a change of the pool to these endpoints, for `Service.push`."""
     return Part.MEMBERS, POOL, pool_message(POOL, [endpoint(n, **changes) for n in numbers])
 
 
 def node(pool: str = POOL, **changes: Any) -> tuple[Part, str, Any]:
-    """A change of the node's settings."""
+    """Return a change of the node's settings, for `Service.push`."""
     return Part.SETTINGS, "entrada", node_message("entrada", pool, peers.settings(**changes))
 
 
-def file() -> Configuration:
-    """What the node's own file says: no pool yet."""
+def file_configuration() -> Configuration:
+    """Return the configuration of the node's own file, which has no pool."""
     return Configuration(Pools({}), NodeSettings(POOL, read_settings(peers.settings())))
 
 
-class Told(Agent):
-    """An agent whose node notes what it is told, and can be made to fail."""
+class RecordingAgent(Agent):
+    """An agent whose callbacks record what they are called with, and can be made to fail."""
 
     def __init__(self, service: Service, name: str, state: Path | None, **options: Any) -> None:
         self.applied: list[Configuration] = []
         self.drained: list[int] = []
-        self.problem = ""
+        self.problem = ""  # the failure that applying a configuration reports; empty: it succeeds
         control = Control(
             service.address,
             name,
@@ -68,15 +69,15 @@
             **options,
         )
         store = Store(state) if state is not None else None
-        calls = NodeCallbacks(self._note, self.drained.extend)
-        super().__init__(control, file(), calls, random.Random(1), store)
+        calls = NodeCallbacks(self._record, self.drained.extend)
+        super().__init__(control, file_configuration(), calls, random.Random(1), store)
 
-    def _note(self, whole: Configuration, changed: frozenset[Part]) -> str:
+    def _record(self, configuration: Configuration, changed: frozenset[Part]) -> str:
         if not self.problem:
-            self.applied.append(whole)
+            self.applied.append(configuration)
         return self.problem
 
-    def held(self, part: Part = Part.MEMBERS) -> str:
+    def applied_version(self, part: Part = Part.MEMBERS) -> str:
         return self.versions.applied.versions[part] if self.versions.applied is not None else ""
 
     def servers(self) -> list[Member]:
@@ -84,26 +85,34 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(
-    *agents: dict[str, Any], credentials: Any = None
-) -> AsyncIterator[tuple[Service, list[Told]]]:
-    """A service that holds a first version, and agents that have it."""
+async def service_and_agents(
+    *agent_options: dict[str, Any], credentials: Any = None
+) -> AsyncIterator[tuple[Service, list[RecordingAgent]]]:
+    """Run a service with a first version `v0`, and agents that have applied it.
+
+    :param agent_options: the options of each `RecordingAgent`.
+    """
     service = Service()
     service.push("v0", members(1, 2), node())
     await service.start(credentials)
-    made = [Told(service, f"n{n}", options.pop("state", None), **options) for n, options in enumerate(agents)]
+    agents = [
+        RecordingAgent(service, f"n{n}", options.pop("state", None), **options)
+        for n, options in enumerate(agent_options)
+    ]
     try:
-        for agent in made:
+        for agent in agents:
             agent.start()
-        await until(lambda: all(a.held() == "v0" == a.held(Part.SETTINGS) for a in made))
-        await until(lambda: len(service.answers) == 2 * len(made))  # and the service knows
-        yield service, made
+        await until(
+            lambda: all(a.applied_version() == "v0" == a.applied_version(Part.SETTINGS) for a in agents)
+        )
+        await until(lambda: len(service.answers) == 2 * len(agents))  # all ACKs have arrived
+        yield service, agents
     finally:
-        for agent in made:
+        for agent in agents:
             await agent.close()
         await service.stop()
 
 
 def reasons(service: Service, label: str) -> list[str]:
-    """What nodes said of a version; '' for an ACK."""
+    """Return the reason in each node's answer to a version; empty for an ACK."""
     return [answer.reason for answer in service.answers if answer.label == label]
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -1,4 +1,4 @@
-"""The helper process of a node with a control service: what is said, and what becomes of a node."""
+"""The control helper: its messages, the changes that a node applies, and failures of the helper process."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 from orchidferry.node.control.settings import Control
 from orchidferry.node.server_listing import ServerListing
 from tests.node import peers
-from tests.node.control.scene import POOL, run
-from tests.node.control.test_live import becomes, pool, scene
+from tests.node.control.harness import POOL, run
+from tests.node.control.test_live import node_and_service, pool, push_and_wait
 from tests.node.peers import LIMIT_S, Server, until
 
 CONTROL = Control(("127.0.0.1", 1), "n0", "", (POOL,), "entrada", None, 0.1, Path("a"), Path("b"), Path("c"))
@@ -48,18 +48,19 @@
     return Member(api.ServerEntry(number, "z", "t", 1, health, share, 5.0), ("127.0.0.1", 9000 + number))
 
 
-def whole(*members: Member, **changes: Any) -> Configuration:
+def configuration(*members: Member, **changes: Any) -> Configuration:
+    """Return a configuration; without members it has no pool."""
     node = NodeSettings(POOL, read_settings(peers.settings(**changes)))
     return Configuration(Pools({POOL: members}) if members else Pools({}), node, dict.fromkeys(Part, "v"))
 
 
-class Home:
-    """A node that notes what it is told, and may fail."""
+class FakeNode:
+    """A node that records what is applied to it, and can be made to fail."""
 
     def __init__(self, known: dict[int, bool] | None = None) -> None:
-        self.known = dict(known or {})  # whether each may be sent to
+        self.known = dict(known or {})  # whether requests may be sent to each known server
         self.settings: list[api.Settings] = []
-        self.broken: set[int] = set()
+        self.broken: set[int] = set()  # servers whose listing fails; if there are any, settings fail too
 
     def known_servers(self) -> Any:
         return self.known.keys()
@@ -69,12 +70,12 @@
 
     def stop_sending(self, servers: Any) -> None:
         for server in servers:
-            if server in self.known:  # nothing new to what is not known either way
+            if server in self.known:  # unknown servers receive no requests anyway
                 self.known[server] = False
 
     def apply_settings(self, settings: api.Settings) -> None:
         if self.broken:
-            raise RuntimeError("no settings today")
+            raise RuntimeError("settings failed")
         self.settings.append(settings)
 
     def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
@@ -82,31 +83,34 @@
             self.known = {s: v for s, v in self.known.items() if s in listing.addresses}
         for entry in listing.entries:
             if entry.server in self.broken:
-                raise RuntimeError("not this one")
+                raise RuntimeError("listing failed")
             if entry.health is api.Health.GONE:
                 self.known.pop(entry.server, None)
             else:
                 self.known[entry.server] = entry.health is api.Health.IN_SERVICE
 
 
-def changes(teller: ChangeWriter, configuration: Configuration) -> Change:
-    taker = ChangeReader()
-    found = None
-    for data in teller.change(configuration):
-        assert found is None and len(data) < MAX_LINE
-        found = taker.read(decode_line(data))
-    assert found is not None
-    return found
+def encode_and_read(writer: ChangeWriter, configuration: Configuration) -> Change:
+    """Return the change to a configuration after it has been encoded and read again."""
+    reader = ChangeReader()
+    change = None
+    for data in writer.change(configuration):
+        assert change is None and len(data) < MAX_LINE
+        change = reader.read(decode_line(data))
+    assert change is not None
+    return change
 
 
-async def applied(members: Members, change: Change) -> str:
-    said: list[str] = []
-    members.apply(change, said.append)
+async def apply(members: Members, change: Change) -> str:
+    """Apply a change completely; return the problem that was reported."""
+    reported: list[str] = []
+    members.apply(change, reported.append)
     await members.idle.wait()
-    [problem] = said
+    [problem] = reported
     return problem
 
 
+# The members of successive versions: health and share by server id.
 FLEETS = strategies.lists(
     strategies.dictionaries(
         strategies.integers(0, 9),
@@ -123,20 +127,20 @@
 
 @settings(max_examples=100, deadline=None, phases=(Phase.explicit, Phase.generate))  # runs too slow to shrink
 @given(FLEETS, strategies.sets(strategies.integers(0, 5)), strategies.sets(strategies.integers(0, 5)))
-def test_whatever_comes_and_fails_a_node_holds_the_last_change_that_it_said_it_took(
+def test_after_any_changes_and_failures_a_node_has_the_last_change_that_it_confirmed(
     fleets: list[Any], failing: set[int], drained: set[int]
 ) -> None:
     async def test() -> None:
-        home = Home({3: True, 4: False, 20: True})
-        teller = ChangeWriter()
-        members = Members(home, asyncio.get_running_loop())
+        node = FakeNode({3: True, 4: False, 20: True})
+        writer = ChangeWriter()
+        members = Members(node, asyncio.get_running_loop())
         held: dict[int, Member] = {}
         for at, fleet in enumerate(fleets):
-            if at in drained:  # told ahead of a version that never comes, or of this one
-                told = (min(fleet),)
-                decode_line(teller.drain(told))
-                members.drain(list(told))
-                assert members.members is None or not any(home.known.get(s) for s in told)
+            if at in drained:  # announced ahead of this version, or of one that never comes
+                announced = (min(fleet),)
+                decode_line(writer.drain(announced))
+                members.drain(list(announced))
+                assert members.members is None or not any(node.known.get(s) for s in announced)
             made = [held.get(n) or member(n, *how) for n, how in fleet.items()]
             made = [
                 m
@@ -144,17 +148,17 @@
                 else member(m.entry.server, *fleet[m.entry.server])
                 for m in made
             ]
-            change = changes(teller, whole(*made))
-            home.broken = {made[0].entry.server} if at in failing else set()
-            problem = await applied(members, change)
-            home.broken = set()
-            assert teller.applied(change.number, problem) and not teller.applied(change.number, problem)
+            change = encode_and_read(writer, configuration(*made))
+            node.broken = {made[0].entry.server} if at in failing else set()
+            problem = await apply(members, change)
+            node.broken = set()
+            assert writer.applied(change.number, problem) and not writer.applied(change.number, problem)
             if problem:
                 continue
             held = {m.entry.server: m for m in made}
             assert members.members == held
-            draining = {4} if 4 in held else set()  # discovery's word from before
-            assert home.known == {
+            draining = {4} if 4 in held else set()  # drained by discovery before the first version
+            assert node.known == {
                 s: m.entry.health is api.Health.IN_SERVICE and s not in draining for s, m in held.items()
             }
         assert gc.isenabled()
@@ -162,46 +166,48 @@
     asyncio.run(test())
 
 
-def test_nothing_new_goes_to_what_leaves_from_the_moment_of_the_change_on() -> None:
+def test_a_change_stops_requests_to_drained_and_removed_servers_at_once() -> None:
     async def test() -> None:
-        home = Home()
-        teller = ChangeWriter()
-        members = Members(home, asyncio.get_running_loop())
+        node = FakeNode()
+        writer = ChangeWriter()
+        members = Members(node, asyncio.get_running_loop())
         many = [member(n) for n in range(MIN_LONG_CHANGE + 10)]
-        before = changes(teller, whole(*many))
-        assert await applied(members, before) == "" and teller.applied(before.number, "")
+        before = encode_and_read(writer, configuration(*many))
+        assert await apply(members, before) == "" and writer.applied(before.number, "")
         assert members.handle_discovery(
             ServerListing(0, False, [api.ServerEntry(7, health=api.Health.DRAINING)], {})
         )
-        assert not home.known[7]
+        assert not node.known[7]
         leaving = [member(n, api.Health.DRAINING) for n in range(5)]
-        change = changes(teller, whole(*leaving, *many[100:]))
+        change = encode_and_read(writer, configuration(*leaving, *many[100:]))
         assert not change.complete and len(change.stopped) == 100 and len(change.rows) == 1
-        said: list[str] = []
-        members.apply(change, said.append)
-        assert not said and not any(home.known[n] for n in range(100)) and home.known[100]
+        reported: list[str] = []
+        members.apply(change, reported.append)
+        assert not reported and not any(node.known[n] for n in range(100)) and node.known[100]
         members.handle_discovery(
             ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {})
-        )  # as discovery sees it
+        )  # the complete list of discovery
         await members.idle.wait()
-        assert said == [""] and sorted(home.known) == [*range(5), *range(100, MIN_LONG_CHANGE + 10)]
-        assert not any(home.known[n] for n in range(5)) and gc.isenabled()
+        assert reported == [""] and sorted(node.known) == [*range(5), *range(100, MIN_LONG_CHANGE + 10)]
+        assert not any(node.known[n] for n in range(5)) and gc.isenabled()
 
     asyncio.run(test())
 
 
-def test_settings_that_break_the_node_are_a_problem_and_leave_the_collector_on() -> None:
+def test_failing_settings_are_reported_and_garbage_collection_is_enabled_again() -> None:
     async def test() -> None:
-        home = Home()
-        teller = ChangeWriter()
-        members = Members(home, asyncio.get_running_loop())
-        home.broken = {-1}
-        change = changes(teller, whole(*(member(n) for n in range(MIN_LONG_CHANGE))))
-        assert "no settings today" in await applied(members, change) and gc.isenabled()
-        home.broken = set()
-        assert teller.applied(change.number, "no settings today")
-        again = changes(teller, whole())  # the node's own file: no pool
-        assert await applied(members, again) == "" and members.members is None and len(home.settings) == 1
+        node = FakeNode()
+        writer = ChangeWriter()
+        members = Members(node, asyncio.get_running_loop())
+        node.broken = {-1}
+        change = encode_and_read(writer, configuration(*(member(n) for n in range(MIN_LONG_CHANGE))))
+        assert "settings failed" in await apply(members, change) and gc.isenabled()
+        node.broken = set()
+        assert writer.applied(change.number, "settings failed")
+        without_pool = encode_and_read(writer, configuration())  # as in the node's own file
+        assert (
+            await apply(members, without_pool) == "" and members.members is None and len(node.settings) == 1
+        )
         assert not members.handle_discovery(ServerListing(0, True, [], {}))
 
     asyncio.run(test())
@@ -222,24 +228,24 @@
         ["apply", *[b'{"do":"gone","servers":[%s1]}\n' % (b"1," * 40_000)] * 3],
     ],
 )
-def test_lines_that_cannot_be_meant_are_told_as_such(lines: list[Any]) -> None:
-    taker = ChangeReader()
-    first = next(ChangeWriter().change(whole(member(1))))
+def test_invalid_lines_raise_a_pipe_decode_error(lines: list[Any]) -> None:
+    reader = ChangeReader()
+    first = next(ChangeWriter().change(configuration(member(1))))
     with pytest.raises(PipeDecodeError):
         for data in lines:
-            taker.read(decode_line(first if data == "apply" else data))
+            reader.read(decode_line(first if data == "apply" else data))
 
 
-def test_what_a_node_holds_is_whole_again_in_a_new_helper() -> None:
-    before = whole(member(1), member(2, api.Health.DRAINING, 0.5))
+def test_a_new_helper_restores_what_the_node_has_applied() -> None:
+    before = configuration(member(1), member(2, api.Health.DRAINING, 0.5))
     held = AppliedState(POOL, {part.value: "v" for part in Part}, before.node.settings)
     assert held.configuration(map(member_row, before.members())) == before
     assert control_from(plain_control(CONTROL)) == CONTROL
     assert [len(step) for step in batches(range(70))] == [32, 32, 6]
 
 
-class Out:
-    """The helper's end of the pipe."""
+class RecordingWriter:
+    """The helper's end of the pipe, which records the messages that the helper sends."""
 
     def __init__(self) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -255,17 +261,17 @@
         await asyncio.sleep(0)
 
 
-def test_a_node_that_says_nothing_of_a_change_is_told_all_of_it_the_next_time(
+def test_after_an_unconfirmed_change_the_next_change_is_complete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         monkeypatch.setattr(helper_module, "APPLY_TIMEOUT_S", 0.05)
-        out, before = Out(), whole(member(1))
+        out, before = RecordingWriter(), configuration(member(1))
         control = Control(("127.0.0.1", 1), "n0", "", (POOL,), "entrada", None, 0.05)
         helper = Helper(control, before.node.settings, before, None, out)  # type: ignore[arg-type]
         helper.agent.start()
         await until(lambda: any(line["do"] == "commit" for line in out.lines))
-        assert helper.agent.versions.applied is None  # it may be half in place
+        assert helper.agent.versions.applied is None  # it may be applied in part
         await until(lambda: helper.agent.versions.applied is not None)
         with pytest.raises(PipeDecodeError):
             helper.receive({"do": "what"})
@@ -276,39 +282,39 @@
     run(test())
 
 
-# Whole: a node, its helper, and what may happen to it
+# A node with a helper process, and failures of the helper
 
 
-def test_a_helper_that_is_killed_with_its_service_away_changes_nothing_and_another_takes_over(
+def test_a_killed_helper_is_replaced_and_the_node_keeps_its_configuration_without_the_service(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(link_module, "BACK_OFF_S", 0.01)
 
     async def test() -> None:
         listed, one, two = Server(name="listed"), Server(name="a"), Server(name="b")
-        async with scene(tmp_path, listed, one, two) as (made, service):
-            await becomes(service, made, "v1", pool(one))
+        async with node_and_service(tmp_path, listed, one, two) as (made, service):
+            await push_and_wait(service, made, "v1", pool(one))
             assert made.node is not None and made.node.control is not None
             link = made.node.control
             await service.stop()
             assert link.process is not None
             first = link.process.pid
-            link.process.send_signal(signal.SIGSTOP)  # hung: the node does not wait for it
+            link.process.send_signal(signal.SIGSTOP)  # the helper hangs; the node does not wait for it
             assert (await made.ask("h")).status == 200
             link.process.kill()
             await until(lambda: link.process is not None and link.process.pid != first)
             link.status = {}
-            # Past its first wait it would take what it has: that is what the node holds, not the node's file.
+            # After its first wait, the new helper uses what the node has applied, not the node's own file.
             await until(lambda: link.status.get("counts") is not None and link.status["since_ms"] > 0)
             assert [(await made.ask(f"a{n}")).status for n in range(3)] == [200] * 3
             assert len(one.seen) == 4 and not listed.seen and link.starts == 2
             assert link.status["versions"]["members"] == "v1"
             await service.start()
-            await becomes(service, made, "v2", pool(two))
+            await push_and_wait(service, made, "v2", pool(two))
             assert (await made.ask("z")).status == 200 and len(two.seen) == 1
-            for number in (signal.SIGTERM, signal.SIGHUP):  # sent to the whole group
+            for number in (signal.SIGTERM, signal.SIGHUP):  # as if sent to the whole process group
                 os.kill(link.process.pid, number)
-            await becomes(service, made, "v3", pool(one, two))
+            await push_and_wait(service, made, "v3", pool(one, two))
             process = link.process
             await link.close()
             assert process.returncode == 0
@@ -316,8 +322,8 @@
     run(test())
 
 
-class Draws(random.Random):
-    """A source of chance that draws the same number each time."""
+class ConstantRandom(random.Random):
+    """A random number generator that always returns the same number."""
 
     def __init__(self, number: float) -> None:
         super().__init__()
@@ -327,11 +333,12 @@
         return self._number
 
 
-# Once the page said that the helper is up, with `helper_starts` 2. The backoff is drawn from 0 s on, so the
-# next helper may be there before anybody asks: with a draw of 0 it had been started in all four cases. What
-# is checked here is the time before that: the backoff is longer than all else that the test waits for.
+# This test failed once because the status said that the helper is up, with `helper_starts` 2. The backoff is
+# drawn from 0 s on, so the next helper may have started before the status is read: with a draw of 0 it had
+# been started in all four cases. The test checks the time before that, so here the backoff lasts longer than
+# all other waits of the test.
 @pytest.mark.parametrize(
-    ("says", "word"),
+    ("script_body", "reason"),
     [
         ("echo hello", "can't be read: not JSON"),
         ("head -c 5000000 /dev/zero | tr '\\0' a", "a line of more than"),
@@ -339,27 +346,27 @@
         (None, "can't be started"),
     ],
 )
-def test_a_helper_that_makes_no_sense_is_ended_and_the_node_serves(
-    says: str | None,
-    word: str,
+def test_a_faulty_helper_is_ended_and_the_node_keeps_serving(
+    script_body: str | None,
+    reason: str,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
         script = tmp_path / "python"
-        if says is not None:
-            script.write_text(f"#!/bin/sh\n{says}\nexec sleep 60\n")
+        if script_body is not None:
+            script.write_text(f"#!/bin/sh\n{script_body}\nexec sleep 60\n")
             script.chmod(0o700)
         async with peers.world(tmp_path, Server(name="s")) as made:
             assert made.node is not None
             loop = asyncio.get_running_loop()
-            link = Link(CONTROL_PLAIN, made.node._config.settings, made.node, loop, Draws(1.0))
+            link = Link(CONTROL_WITHOUT_TLS, made.node._config.settings, made.node, loop, ConstantRandom(1.0))
             monkeypatch.setattr(link_module, "BACK_OFF_S", LIMIT_S)
             monkeypatch.setattr(link_module, "MAX_BACK_OFF_S", LIMIT_S)
             monkeypatch.setattr(sys, "executable", str(script))
             link.start()
-            await until(lambda: word in caplog.text)
+            await until(lambda: reason in caplog.text)
             assert (await made.ask("a")).status == 200
             assert b'"helper": "down"' in link.page() and link.starts == 1
             await asyncio.wait_for(link.close(), LIMIT_S)
@@ -368,10 +375,10 @@
     run(test())
 
 
-CONTROL_PLAIN = Control(("127.0.0.1", 1), "n0", "", (POOL,), "entrada", None, 0.1)
+CONTROL_WITHOUT_TLS = Control(("127.0.0.1", 1), "n0", "", (POOL,), "entrada", None, 0.1)
 
 
-def test_a_library_that_is_missing_is_told_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_library_raises_a_config_error_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(link_module, "REQUIRED_MODULES", ("no_such_library",))
     with pytest.raises(ConfigError, match="no_such_library is not installed"):
-        Link(CONTROL_PLAIN, whole().node.settings, Home(), asyncio.new_event_loop())
+        Link(CONTROL_WITHOUT_TLS, configuration().node.settings, FakeNode(), asyncio.new_event_loop())
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -1,4 +1,4 @@
-"""New settings and members under way: in the module, and in a node that serves."""
+"""Changes of settings and members while requests are pending: in the balancer, and in a node that serves."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.balancing import helpers
 from tests.balancing.helpers import KEYED, SAFE, UNSAFE, ends, sends
 from tests.node import peers
-from tests.node.control.scene import POOL, node, reasons, run
+from tests.node.control.harness import POOL, node, reasons, run
 from tests.node.peers import LIMIT_S, Server, World, request, until
 from tests.node.test_node import Program
 
@@ -39,14 +39,15 @@
 NEW = api.RequestClass("new", 1000.0, 3000.0, 1.0, repeat=api.Repeat.SAFE)
 
 
-# In the module
+# In the balancer
 
 
 def change(made: helpers.Node, **changes: Any) -> list[api.Action]:
+    """Apply changed settings to a balancer; return its actions."""
     return made.do(api.NewSettings(helpers.settings(**changes)))
 
 
-def test_what_is_learned_and_what_is_out_outlasts_new_settings() -> None:
+def test_learned_values_and_pending_requests_survive_new_settings() -> None:
     made = helpers.Node(start_capacity=1.0)
     made.serve(60)
     made.ask("open", "unsafe")
@@ -61,14 +62,14 @@
         id: (s.slowness, s.last_used_ms, dict(s.outstanding)) for id, s in module.server_set.servers.items()
     } == before
     assert (module.controller.tuned_rate, module.outliers.baseline_share, module.inflight) == (rate, share, 1)
-    made.end("open", api.Result.SERVED)  # of a class that is not there any more
+    made.end("open", api.Result.SERVED)  # a request of a class that no longer exists
     assert module.inflight == 0 and not module._calls
     assert sends(made.ask("n", "new"))
     made.end("n", api.Result.SERVED)
 
 
-def test_a_key_keeps_the_window_that_it_was_taken_under() -> None:
-    for old_ms, new_ms, again in ((2000.0, 10.0, True), (100.0, 2000.0, False)):
+def test_a_key_keeps_the_window_of_the_settings_it_was_accepted_under() -> None:
+    for old_ms, new_ms, resent in ((2000.0, 10.0, True), (100.0, 2000.0, False)):
         made = helpers.Node(classes=[dataclasses.replace(KEYED, window_ms=old_ms)])
         made.ask("k", "keyed")
         change(made, classes=[dataclasses.replace(KEYED, window_ms=new_ms)])
@@ -76,11 +77,11 @@
         made.now += 300.0
         for token in list(made.balancer._timers):
             actions += made.do(api.TimerFired(token))
-        assert bool(sends(actions)) is again, (old_ms, new_ms)
-        assert again or ends(actions)
+        assert bool(sends(actions)) is resent, (old_ms, new_ms)
+        assert resent or ends(actions)
 
 
-def test_a_class_that_becomes_unsafe_is_not_sent_twice_from_then_on() -> None:
+def test_a_request_is_not_resent_once_its_class_has_become_unsafe() -> None:
     made = helpers.Node(classes=[SAFE])
     change(made, classes=[dataclasses.replace(SAFE, repeat=api.Repeat.UNSAFE)])
     made.ask("u")
@@ -88,9 +89,9 @@
     assert isinstance(end, api.Fail)
 
 
-def test_a_group_that_was_not_needed_before_is_known_at_once() -> None:
+def test_servers_are_grouped_at_once_when_a_class_first_needs_the_group() -> None:
     made = helpers.Node(servers=6, classes=[SAFE])
-    change(made, classes=[KEYED])  # by cell
+    change(made, classes=[KEYED])  # this class groups servers by cell
     made.ask("k", "keyed")
     cell = made.sent["k"][0] % 2
     made.end("k", api.Result.ERROR)
@@ -102,7 +103,7 @@
     assert {len(bag) for bag in made.balancer.server_set._groups[api.Group.CELL].values()} == {4}
 
 
-def test_a_longer_warm_up_counts_for_servers_that_are_within_it() -> None:
+def test_a_longer_ramp_time_applies_to_servers_that_started_recently() -> None:
     made = helpers.Node(servers=1, ramp_time_ms=0.0)
     made.list_all(helpers.entries([1], started_ms=made.now))
     assert sum(bool(sends(made.ask(f"a{n}"))) for n in range(20)) >= 4
@@ -113,7 +114,7 @@
     assert sent <= 2  # rule 4's budget
 
 
-def test_quotas_of_tenants_that_stay_are_not_filled_up_anew() -> None:
+def test_quotas_of_unchanged_tenants_are_not_refilled() -> None:
     tenant = api.Tenant("t", 0.5, 1.0)
     made = helpers.Node(tenants=[tenant])
     made.ask("a", tenant="t")
@@ -136,34 +137,36 @@
         max_size=60,
     )
 )
-def test_whatever_settings_come_between_requests_the_books_stay_even(script: list[tuple[str, int]]) -> None:
+def test_no_request_stays_in_flight_after_any_sequence_of_settings_and_requests(
+    script: list[tuple[str, int]],
+) -> None:
     made = helpers.Node(start_capacity=1.0)
     open_ids: list[str] = []
 
-    def did(actions: list[api.Action]) -> None:  # any event may set a send off
+    def record(actions: list[api.Action]) -> None:  # any event may cause a send
         open_ids.extend(send.id for send in sends(actions))
 
     def fire(after_ms: float) -> None:
         for token in list(made.balancer._timers):
-            did(made.do(api.TimerFired(token), after_ms))
+            record(made.do(api.TimerFired(token), after_ms))
 
     for at, (what, number) in enumerate(script):
         names = list(made.balancer.classes)
         if what == "ask":
-            did(made.ask(f"r{at}", names[number % len(names)]))
+            record(made.ask(f"r{at}", names[number % len(names)]))
         elif what in ("end", "lose") and open_ids:
             result = api.Result.SERVED if what == "end" else api.Result.RESET
-            did(made.end(open_ids.pop(number % len(open_ids)), result, 5.0))
+            record(made.end(open_ids.pop(number % len(open_ids)), result, 5.0))
         elif what == "settings":
             some = [cls for n, cls in enumerate(CLASSES) if number >> n & 1] or [SAFE]
-            did(change(made, classes=some, max_attempts=1 + number % 3, ramp_time_ms=number * 10.0))
+            record(change(made, classes=some, max_attempts=1 + number % 3, ramp_time_ms=number * 10.0))
         elif what == "list":
-            did(made.list_all(helpers.entries(range(number % 7)), version=at + 2))
+            record(made.list_all(helpers.entries(range(number % 7)), version=at + 2))
         fire(0.0)
     for _ in range(200):
         if not open_ids:
             break
-        did(made.end(open_ids.pop(), api.Result.SERVED, 1.0))
+        record(made.end(open_ids.pop(), api.Result.SERVED, 1.0))
         fire(1.0)
     assert made.balancer.inflight == len(open_ids) == 0
 
@@ -176,8 +179,13 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(path: Path, *servers: Server, state: bool = False) -> AsyncIterator[tuple[World, Service]]:
-    """A node, its peers and a control service that says nothing yet; discovery lists the first server."""
+async def node_and_service(
+    path: Path, *servers: Server, state: bool = False
+) -> AsyncIterator[tuple[World, Service]]:
+    """Run a node, its peers and a control service without any versions; discovery lists the first server.
+
+    :param state: whether the node saves the last good configuration.
+    """
     service = Service()
     await service.start()
     async with peers.world(path, *servers, start=False) as made:
@@ -188,11 +196,15 @@
         control = Control(
             service.address, "n0", "", (POOL, "other"), "entrada", path / "state" if state else None, 0.1
         )
-        live = made.node = Node(read_config(str(made.path)), loop, Extensions(control=control))
-        made.address = await live.frontend.listen(loop, ("127.0.0.1", 0))
-        live.start()
+        running = made.node = Node(read_config(str(made.path)), loop, Extensions(control=control))
+        made.address = await running.frontend.listen(loop, ("127.0.0.1", 0))
+        running.start()
         await until(
-            lambda: service.streams_opened == 1 and live.control is not None and bool(live.control._versions)
+            lambda: (
+                service.streams_opened == 1
+                and running.control is not None
+                and bool(running.control._versions)
+            )
         )
         try:
             yield made, service
@@ -200,48 +212,51 @@
             await service.stop()
 
 
-async def becomes(service: Service, made: World, label: str, *changes: Any) -> None:
+async def push_and_wait(service: Service, made: World, label: str, *changes: Any) -> None:
+    """Push a version, and wait until the node has applied it."""
     service.push(label, *changes)
-    live = made.node
-    assert live is not None and live.control is not None
-    link = live.control
+    running = made.node
+    assert running is not None and running.control is not None
+    link = running.control
     parts = {change[0] for change in changes}
     await until(lambda: all(link._versions[part.value] == label for part in parts))
 
 
-def test_members_of_the_service_take_the_place_of_discoverys_and_nothing_held_is_lost(tmp_path: Path) -> None:
+def test_members_of_the_control_service_replace_those_of_discovery_and_no_request_is_lost(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
-        async with scene(tmp_path, old, new) as (made, service):
+        async with node_and_service(tmp_path, old, new) as (made, service):
             assert (await made.ask("before")).status == 200
             assert len(old.seen) == 1
             old.gate.clear()
             caller = await made.caller()
             caller.write(request("held", "pay"))
             await until(lambda: len(old.seen) == 2)
-            await becomes(service, made, "v1", pool(new))
+            await push_and_wait(service, made, "v1", pool(new))
             assert [(await made.ask(f"a{n}")).status for n in range(4)] == [200] * 4
             assert len(new.seen) == 4 and len(old.seen) == 2
             old.gate.set()
-            assert (await caller.read()).status == 200  # it was out before, and is answered
+            assert (await caller.read()).status == 200  # sent before the change, and answered
 
     run(test())
 
 
-def test_classes_that_come_go_and_change_count_for_what_is_taken_from_then_on(tmp_path: Path) -> None:
+def test_added_and_removed_classes_apply_to_requests_accepted_afterwards(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s")
-        async with scene(tmp_path, server) as (made, service):
+        async with node_and_service(tmp_path, server) as (made, service):
             assert (await made.ask("a", "save-new")).status == 400
             usual = peers.settings()["classes"]
             more = [*usual, next(c for c in usual if c["name"] == "save") | {"name": "save-new"}]
-            await becomes(service, made, "v1", pool(server), node(classes=more))
+            await push_and_wait(service, made, "v1", pool(server), node(classes=more))
             assert (await made.ask("b", "save-new")).status == 200
             server.gate.clear()
             caller = await made.caller()
             caller.write(request("open", "save-new"))
             await until(lambda: server.seen[-1].id == "open")
-            await becomes(service, made, "v2", node(classes=usual))
+            await push_and_wait(service, made, "v2", node(classes=usual))
             assert (await made.ask("c", "save-new")).status == 400
             server.gate.set()
             assert (await caller.read()).status == 200
@@ -252,22 +267,22 @@
     run(test())
 
 
-def test_a_drain_by_the_channel_and_one_by_discovery_both_count_at_once(tmp_path: Path) -> None:
+def test_drains_by_the_control_service_and_by_discovery_both_take_effect_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         one, two, three = (Server(name=name) for name in "abc")
-        async with scene(tmp_path, one, two, three) as (made, service):
-            await becomes(service, made, "v1", pool(one, two, three))
+        async with node_and_service(tmp_path, one, two, three) as (made, service):
+            await push_and_wait(service, made, "v1", pool(one, two, three))
             changed = [one.entry(status="leaving"), two.entry(), three.entry()]
-            await becomes(service, made, "v2", (Part.MEMBERS, POOL, pool_message(POOL, changed)))
+            await push_and_wait(service, made, "v2", (Part.MEMBERS, POOL, pool_message(POOL, changed)))
             for n in range(6):
                 assert (await made.ask(f"x{n}")).status == 200
             assert one.seen == []
             made.registry.tell(two.entry(status="leaving"))
-            live = made.node
-            assert live is not None
-            await until(lambda: server_id("b") not in live.servers.in_service)
+            running = made.node
+            assert running is not None
+            await until(lambda: server_id("b") not in running.servers.in_service)
             count = len(two.seen)
-            await becomes(
+            await push_and_wait(
                 service,
                 made,
                 "v3",
@@ -284,56 +299,61 @@
             )
             for n in range(6):
                 assert (await made.ask(f"y{n}")).status == 200
-            assert len(two.seen) == count and one.seen == []  # the service has it in service still
+            assert (
+                len(two.seen) == count and one.seen == []
+            )  # the control service still lists it as in service
             made.registry.tell(two.entry())
-            await until(lambda: server_id("b") in live.servers.in_service)
+            await until(lambda: server_id("b") in running.servers.in_service)
 
     run(test())
 
 
-def test_a_drain_whose_version_was_superseded_ends_with_the_next(tmp_path: Path) -> None:
-    """Its member was as before, so that it was not listed anew and got nothing any more."""
+def test_an_announced_drain_ends_if_the_next_version_does_not_have_it(tmp_path: Path) -> None:
+    """Guards against a server that receives no requests for good after its announced drain is superseded.
+
+    Its member was unchanged in the next version, so it was not listed again and stayed draining.
+    """
 
     async def test() -> None:
         one, two = Server(name="a"), Server(name="b")
-        async with scene(tmp_path, one, two) as (made, service):
-            await becomes(service, made, "v1", pool(one, two))
-            live = made.node
-            assert live is not None
-            assert live.control is not None
-            live.control.members.drain([server_id("b")])
-            assert server_id("b") not in live.servers.in_service
-            await becomes(service, made, "v2", pool(one, two))
-            await until(lambda: server_id("b") in live.servers.in_service)
+        async with node_and_service(tmp_path, one, two) as (made, service):
+            await push_and_wait(service, made, "v1", pool(one, two))
+            running = made.node
+            assert running is not None
+            assert running.control is not None
+            running.control.members.drain([server_id("b")])
+            assert server_id("b") not in running.servers.in_service
+            await push_and_wait(service, made, "v2", pool(one, two))
+            await until(lambda: server_id("b") in running.servers.in_service)
 
     run(test())
 
 
-def test_a_cold_server_by_the_channel_is_not_pushed_over(tmp_path: Path) -> None:
+def test_a_new_server_from_the_control_service_ramps_up_slowly(tmp_path: Path) -> None:
     async def test() -> None:
         warm = Server(name="warm")
         cold = Server(name="cold")
-        async with scene(tmp_path, warm, cold) as (made, service):
+        async with node_and_service(tmp_path, warm, cold) as (made, service):
             import time
 
             entries = [warm.entry(), cold.entry(since_ms=int(time.time() * 1000.0))]
-            await becomes(service, made, "v1", (Part.MEMBERS, POOL, pool_message(POOL, entries)))
-            live = made.node
-            assert live is not None
-            found = live._balancer.server_set.servers[server_id("cold")]
+            await push_and_wait(service, made, "v1", (Part.MEMBERS, POOL, pool_message(POOL, entries)))
+            running = made.node
+            assert running is not None
+            found = running._balancer.server_set.servers[server_id("cold")]
             assert found.started_ms is not None
             from orchidferry.node.clock import now_ms
 
-            assert live._balancer.slow_start.capacity_share(found, now_ms()) < 0.5
+            assert running._balancer.slow_start.capacity_share(found, now_ms()) < 0.5
 
     run(test())
 
 
-def test_bad_versions_and_an_outage_leave_the_node_serving(tmp_path: Path) -> None:
+def test_the_node_keeps_serving_after_a_bad_version_and_without_the_service(tmp_path: Path) -> None:
     async def test() -> None:
         one, two = Server(name="a"), Server(name="b")
-        async with scene(tmp_path, one, two, state=True) as (made, service):
-            await becomes(service, made, "v1", pool(one, two))
+        async with node_and_service(tmp_path, one, two, state=True) as (made, service):
+            await push_and_wait(service, made, "v1", pool(one, two))
             service.push("bad", pool(one, two, status="leaving"))
             await until(lambda: len(reasons(service, "bad")) == 1)
             assert "no live server" in reasons(service, "bad")[0]
@@ -344,15 +364,15 @@
     run(test())
 
 
-# The process
+# The process of a node
 
 
-def kept(path: Path) -> dict[Part, str]:
-    """The versions on disk, so far."""
+def saved_versions(path: Path) -> dict[Part, str]:
+    """Return the versions in the file of the last good configuration; empty if there is no file yet."""
     return dict(decode(path.read_bytes()).versions) if path.exists() else {}
 
 
-def test_with_the_channel_off_nothing_of_it_is_imported() -> None:
+def test_without_the_control_channel_none_of_its_modules_is_imported() -> None:
     code = (
         "import sys, orchidferry.__main__, orchidferry.node.node; "
         "bad = [m for m in sys.modules if m.split('.')[0] in ('grpc', 'google', 'envoy', 'xds') "
@@ -365,7 +385,7 @@
 
 
 @pytest.mark.parametrize("text", ["service = 3", None])
-def test_a_bad_file_of_the_operators_ends_the_start_with_2_and_one_line(
+def test_a_bad_settings_file_ends_the_start_with_status_2_and_one_line(
     text: str | None, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -387,7 +407,7 @@
     run(test())
 
 
-def test_a_node_that_was_killed_starts_with_the_last_good_one(
+def test_a_killed_node_restarts_with_the_last_good_configuration(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -407,13 +427,16 @@
             program = await Program.start(made)
             await until(lambda: len(service.answers) == 2)
             await until(
-                lambda: kept(tmp_path / "state" / FORM.file_name) == {Part.MEMBERS: "v1", Part.SETTINGS: "v1"}
+                lambda: (
+                    saved_versions(tmp_path / "state" / FORM.file_name)
+                    == {Part.MEMBERS: "v1", Part.SETTINGS: "v1"}
+                )
             )
             assert (await made.ask("a")).status == 200
             assert [len(member.seen), len(listed.seen)] == [1, 0]
             program.process.send_signal(signal.SIGKILL)
             await asyncio.wait_for(program.process.wait(), LIMIT_S)
-            await service.stop()  # and it has nobody to ask
+            await service.stop()  # the node starts without the control service
             program = await Program.start(made)
             async with asyncio.timeout(LIMIT_S):
                 n = 0
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -1,4 +1,4 @@
-"""`orchidferry control serve`, `push` and `diff`: a version taken to some nodes first, and on or back."""
+"""`orchidferry control serve`, `push` and `diff`: rollouts, rollbacks and comparisons."""
 
 from __future__ import annotations
 
@@ -29,31 +29,35 @@
 from orchidferry.testkit.control.service import Service
 from tests.balancing.test_wirehost import ROOT
 from tests.node import peers
-from tests.node.control.scene import POOL, Told, endpoint, file, run
+from tests.node.control.harness import POOL, RecordingAgent, endpoint, file_configuration, run
 from tests.node.peers import LIMIT_S, until
 
 NODES = 4
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_ticks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(rollout_service, "TICK_MS", 20.0)
 
 
-def form(version: str, *numbers: int, **changes: Any) -> Json:
-    """A version's file."""
+def version_json(version: str, *numbers: int, **changes: Any) -> Json:
+    """Return a version in the format of the file."""
     settings = {"entrada": {"pool": POOL, "settings": peers.settings(**changes)}}
     return {"version": version, "pools": {POOL: [endpoint(n) for n in numbers]}, "settings": settings}
 
 
-def write(folder: Path, made: Json) -> str:
-    path = folder / f"{made['version']}.json"
-    path.write_text(json.dumps(made))
+def write(directory: Path, version: Json) -> str:
+    """Write a version to a file; return its path."""
+    path = directory / f"{version['version']}.json"
+    path.write_text(json.dumps(version))
     return str(path)
 
 
 async def control(*args: str, ends: bool = True) -> Any:
-    """The command, as a process: its status and what it printed; or the process, if it is not to end."""
+    """Run the command in a process; return its exit status and what it printed to standard output and error.
+
+    :param ends: whether to wait for the end of the command; if not, the process is returned.
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -71,87 +75,100 @@
 
 
 class Fleet:
-    """A stand-in with its rollout service, agents with doors, and answers that nodes are made to count."""
+    """A stand-in service with its rollout service, agents with admin servers, and set metrics."""
 
-    def __init__(self, service: Service, rollouts: RolloutService, agents: list[Told]) -> None:
+    def __init__(self, service: Service, rollouts: RolloutService, agents: list[RecordingAgent]) -> None:
         self.service = service
         self.rollouts = rollouts
         self.agents = agents
-        self.where = f"{service.address[0]}:{service.address[1]}"
-        self.doors: list[str] = []
-        self.made: list[AdminServer] = []
-        self.failing: set[str] = set()  # versions under which answers fail
-        self._asked = dict.fromkeys(range(len(agents)), 0)
-        self._failed = dict.fromkeys(range(len(agents)), 0)
+        self.address = f"{service.address[0]}:{service.address[1]}"
+        self.admin_addresses: list[str] = []
+        self.admin_servers: list[AdminServer] = []
+        self.failing: set[str] = set()  # versions with which nodes report failed answers
+        self._requests = dict.fromkeys(range(len(agents)), 0)  # requests that each node reports, by index
+        self._failed = dict.fromkeys(range(len(agents)), 0)  # failed requests among them, by index
 
     async def open(self) -> None:
-        for at in range(len(self.agents)):
-            door = AdminServer(
+        for index in range(len(self.agents)):
+            server = AdminServer(
                 {
-                    b"/-/control": functools.partial(self._status, at),
+                    b"/-/control": functools.partial(self._status, index),
                     b"/-/ready": lambda: (200, b"ready\n"),
-                    b"/-/metrics": functools.partial(self._figures, at),
+                    b"/-/metrics": functools.partial(self._metrics, index),
                 }
             )
-            host, port = await door.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
-            self.made.append(door)
-            self.doors.append(f"{host}:{port}")
-
-    def _status(self, at: int) -> tuple[int, bytes]:
-        return 200, json.dumps(self.agents[at].status()).encode()
-
-    def _figures(self, at: int) -> tuple[int, bytes]:
-        self._asked[at] += 40  # with each look
-        if self.agents[at].held() in self.failing:
-            self._failed[at] += 30
-        good = self._asked[at] - self._failed[at]
-        text = f"node.calls.a.success={good}\nnode.calls.a.busy={self._failed[at]}\nnode.inflight=3\n"
+            host, port = await server.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
+            self.admin_servers.append(server)
+            self.admin_addresses.append(f"{host}:{port}")
+
+    def _status(self, index: int) -> tuple[int, bytes]:
+        return 200, json.dumps(self.agents[index].status()).encode()
+
+    def _metrics(self, index: int) -> tuple[int, bytes]:
+        self._requests[index] += 40  # with each read of the metrics
+        if self.agents[index].applied_version() in self.failing:
+            self._failed[index] += 30
+        good = self._requests[index] - self._failed[index]
+        text = f"node.calls.a.success={good}\nnode.calls.a.busy={self._failed[index]}\nnode.inflight=3\n"
         return 200, text.encode()
 
-    def held(self) -> list[str]:
-        return [agent.held() for agent in self.agents]
+    def versions(self) -> list[str]:
+        """Return the version of the members that each agent has applied."""
+        return [agent.applied_version() for agent in self.agents]
 
     async def push(self, path: str, *args: str) -> Any:
-        flags = ("--to", self.where, "--canary", "1", "--watch", "0.1", "--doors", *self.doors, *args)
+        """Run `control push` with a first wave of one node."""
+        flags = (
+            "--to",
+            self.address,
+            "--canary",
+            "1",
+            "--watch",
+            "0.1",
+            "--doors",
+            *self.admin_addresses,
+            *args,
+        )
         return await control("push", path, *flags)
 
 
 @contextlib.asynccontextmanager
 async def fleet() -> AsyncIterator[Fleet]:
-    """Four nodes that hold v1."""
+    """Run four agents that have applied the version `v1`."""
     service = Service()
-    rollouts = RolloutService(service, version_from_json(form("v1", 1, 2)))
+    rollouts = RolloutService(service, version_from_json(version_json("v1", 1, 2)))
     await service.start()
-    agents = [Told(service, f"n{at}", None) for at in range(NODES)]
+    agents = [RecordingAgent(service, f"n{at}", None) for at in range(NODES)]
     made = Fleet(service, rollouts, agents)
     try:
         for agent in agents:
             agent.start()
         await made.open()
-        await until(lambda: made.held() == ["v1"] * NODES)
+        await until(lambda: made.versions() == ["v1"] * NODES)
         yield made
     finally:
         for agent in agents:
             await agent.close()
-        for door in made.made:
-            door.close()
+        for server in made.admin_servers:
+            server.close()
         await service.stop()
 
 
-def test_a_sound_version_comes_to_all_nodes_and_one_that_fails_goes_back(tmp_path: Path) -> None:
+def test_a_good_version_reaches_all_nodes_and_one_with_failed_answers_is_rolled_back(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet() as made:
-            v2 = write(tmp_path, form("v2", 1, 2, 3))
+            v2 = write(tmp_path, version_json("v2", 1, 2, 3))
             code, out, err = await made.push(v2)
             assert code == 0, out + err
             assert "v2 is on all 4 nodes" in out and "wave 2 of 2" in out
-            assert made.held() == ["v2"] * NODES and made.rollouts.current.version == "v2"
-            assert all(agent.held(Part.SETTINGS) == "v1" for agent in made.agents)  # as it was: not sent anew
+            assert made.versions() == ["v2"] * NODES and made.rollouts.current.version == "v2"
+            # The settings are unchanged, so they are not sent again.
+            assert all(agent.applied_version(Part.SETTINGS) == "v1" for agent in made.agents)
 
             made.failing = {"v3"}
-            code, out, _ = await made.push(write(tmp_path, form("v3", 4)))
+            code, out, _ = await made.push(write(tmp_path, version_json("v3", 4)))
             assert code == 1 and "answers failed" in out and "given back" in out
-            assert made.held() == ["v2"] * NODES and made.rollouts.current.version == "v2"
+            assert made.versions() == ["v2"] * NODES and made.rollouts.current.version == "v2"
             assert (
                 sum(
                     any(m.entry.server == made.agents[0].servers()[-1].entry.server for m in c.members())
@@ -163,20 +180,20 @@
 
             code, _, err = await made.push(v2)
             assert code == 2 and "'v2' is the version that the service has" in err and err.count("\n") == 1
-            late = Told(made.service, "late", None)
+            late = RecordingAgent(made.service, "late", None)
             late.start()
-            await until(lambda: late.held() == "v2")
+            await until(lambda: late.applied_version() == "v2")
             await late.close()
 
     run(test())
 
 
-def test_a_refusal_takes_it_back_and_says_who_and_why(tmp_path: Path) -> None:
+def test_a_refusal_rolls_the_version_back_and_reports_the_node_and_the_reason(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet() as made:
             for agent in made.agents:
                 agent.problem = "no room"
-            code, out, _ = await made.push(write(tmp_path, form("v2", 9)))
+            code, out, _ = await made.push(write(tmp_path, version_json("v2", 9)))
             text = " ".join(out.split())
             assert code == 1 and "refused it: it could not be applied: no room" in text
             for agent in made.agents:
@@ -190,61 +207,61 @@
     run(test())
 
 
-def test_a_push_whose_command_is_killed_goes_back_by_itself(tmp_path: Path) -> None:
+def test_a_version_is_rolled_back_when_its_push_command_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet() as made:
-            path = write(tmp_path, form("v2", 9))
+            path = write(tmp_path, version_json("v2", 9))
             process = await control(
                 "push",
                 path,
                 "--to",
-                made.where,
+                made.address,
                 "--canary",
                 "1",
                 "--watch",
                 "60",
                 "--doors",
-                *made.doors,
+                *made.admin_addresses,
                 ends=False,
             )
-            await until(lambda: sorted(made.held()) == ["v1"] * (NODES - 1) + ["v2"])
+            await until(lambda: sorted(made.versions()) == ["v1"] * (NODES - 1) + ["v2"])
             code, _, err = await made.push(path)
             assert code == 2 and "a push of v2 is in progress" in err
             process.kill()
             await process.wait()
-            await until(lambda: made.held() == ["v1"] * NODES)
+            await until(lambda: made.versions() == ["v1"] * NODES)
             assert made.rollouts.rollout is not None and "has gone" in made.rollouts.rollout.reason
-            code, out, _ = await made.push(path)  # and the next one may come
+            code, out, _ = await made.push(path)  # the next push is accepted
             assert code == 0, out
 
     run(test())
 
 
-def test_what_a_door_says_that_cannot_be_read_is_nothing() -> None:
+def test_unreadable_admin_pages_give_no_metrics() -> None:
     async def test() -> None:
         for page in (None, lambda: (200, b"x"), lambda: (200, b"[]"), lambda: (200, b'{"node":"n"}')):
-            door = AdminServer({b"/-/control": page} if page is not None else {})
-            where = await door.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
-            name, reading = await read_admin_pages(where)
-            assert reading is None and name in ("", "n")
-            door.close()
+            server = AdminServer({b"/-/control": page} if page is not None else {})
+            address = await server.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
+            name, metrics = await read_admin_pages(address)
+            assert metrics is None and name in ("", "n")
+            server.close()
 
     run(test())
 
 
-def test_the_stand_in_is_served_by_a_command_and_compared_with_a_file(tmp_path: Path) -> None:
+def test_control_serve_and_control_diff_against_a_file(tmp_path: Path) -> None:
     async def test() -> None:
-        old = write(tmp_path, form("v1", 1))
-        new = write(tmp_path, form("v2", 1, 2))
+        old = write(tmp_path, version_json("v1", 1))
+        new = write(tmp_path, version_json("v2", 1, 2))
         process = await control("serve", old, "--seconds", "30", ends=False)
         try:
             line = (await asyncio.wait_for(process.stdout.readline(), LIMIT_S)).decode()
-            where = line.split()[-1]
+            address = line.split()[-1]
             assert "serving 'v1' on 127.0.0.1:" in line
-            code, out, _ = await control("diff", where, new)
+            code, out, _ = await control("diff", address, new)
             assert code == 1 and [t[0] for t in out.splitlines()] == ["-", "+", "@", "+"] and '"s2"' in out
-            assert (await control("diff", where, old))[:2] == (0, "v1 and v1 are equivalent\n")
-            code, _, err = await control("serve", old, "--listen", where)
+            assert (await control("diff", address, old))[:2] == (0, "v1 and v1 are equivalent\n")
+            code, _, err = await control("serve", old, "--listen", address)
             assert code == 2 and "can't listen" in err and err.count("\n") == 1
         finally:
             process.terminate()
@@ -253,13 +270,13 @@
     run(test())
 
 
-def test_a_nodes_last_good_can_be_compared_and_not_pushed(tmp_path: Path) -> None:
+def test_a_last_good_file_can_be_compared_but_not_pushed(tmp_path: Path) -> None:
     store = Store(tmp_path / "state")
-    assert store.save(file()) == ""
+    assert store.save(file_configuration()) == ""
     store.close()
     path = str(tmp_path / "state" / "last-good")
     assert differences(read_comparable(path), read_comparable(path), ("a", "b")) == []
-    assert differences(read_comparable(path), form("v", 1), ("a", "b"))
+    assert differences(read_comparable(path), version_json("v", 1), ("a", "b"))
     with pytest.raises(VersionFileError, match="can be compared, not pushed"):
         read_version(path)
     (tmp_path / "state" / "last-good").write_bytes(Path(path).read_bytes()[:-5])
@@ -267,8 +284,8 @@
         read_comparable(path)
 
 
-def altered(**changes: Any) -> Json:
-    return form("v", 1) | changes
+def version_json_with(**changes: Any) -> Json:
+    return version_json("v", 1) | changes
 
 
 @pytest.mark.parametrize(
@@ -276,25 +293,27 @@
     [
         ([], "must be an object"),
         ({}, "'version' is missing"),
-        (altered(version=""), "1 to 256 characters"),
-        (altered(colour=1), "'colour' is not known"),
-        (altered(pools={POOL: {}}), f"pools.{POOL}: must be a list"),
-        (altered(pools={POOL: [1]}), f"pools.{POOL}[0]: must be a table"),
+        (version_json_with(version=""), "1 to 256 characters"),
+        (version_json_with(colour=1), "'colour' is not known"),
+        (version_json_with(pools={POOL: {}}), f"pools.{POOL}: must be a list"),
+        (version_json_with(pools={POOL: [1]}), f"pools.{POOL}[0]: must be a table"),
         (
-            altered(pools={POOL: [endpoint(1, address="nowhere")]}),
+            version_json_with(pools={POOL: [endpoint(1, address="nowhere")]}),
             f"pools.{POOL}[0]: 'nowhere' is no address",
         ),
-        (altered(pools={POOL: [endpoint(1, status="odd")]}), "'status' is 'odd'"),
-        (altered(pools={POOL: [endpoint(1), endpoint(1)]}), "is there twice"),
-        (altered(pools={POOL: [endpoint(1, weight="x")]}), "can't be encoded as xDS messages"),
-        (altered(pools={POOL: [endpoint(1, status="leaving")]}), "names no live server"),
-        (altered(pools={"b": [endpoint(1)]}), f"pool: '{POOL}' is none of b"),
-        (altered(settings={"e": 1}), "settings.e: must be a table"),
-        (altered(settings={"e": {"pool": POOL}}), "settings.e: 'settings' is missing"),
-        (altered(settings={"e": {"pool": POOL, "settings": {}}}), "is missing"),
+        (version_json_with(pools={POOL: [endpoint(1, status="odd")]}), "'status' is 'odd'"),
+        (version_json_with(pools={POOL: [endpoint(1), endpoint(1)]}), "is there twice"),
+        (version_json_with(pools={POOL: [endpoint(1, weight="x")]}), "can't be encoded as xDS messages"),
+        (version_json_with(pools={POOL: [endpoint(1, status="leaving")]}), "names no live server"),
+        (version_json_with(pools={"b": [endpoint(1)]}), f"pool: '{POOL}' is none of b"),
+        (version_json_with(settings={"e": 1}), "settings.e: must be a table"),
+        (version_json_with(settings={"e": {"pool": POOL}}), "settings.e: 'settings' is missing"),
+        (version_json_with(settings={"e": {"pool": POOL, "settings": {}}}), "is missing"),
     ],
 )
-def test_a_file_that_cannot_be_meant_is_one_line_that_names_it(made: Any, words: str, tmp_path: Path) -> None:
+def test_the_error_for_an_invalid_version_names_the_file_and_the_field(
+    made: Any, words: str, tmp_path: Path
+) -> None:
     path = tmp_path / "v.json"
     path.write_text(json.dumps(made))
     with pytest.raises(VersionFileError) as problem:
@@ -302,7 +321,7 @@
     assert words in str(problem.value) and str(problem.value).startswith(str(path))
 
 
-def test_files_that_are_none_are_told_and_toml_is_read(tmp_path: Path) -> None:
+def test_unparsable_files_raise_an_error_and_toml_is_read(tmp_path: Path) -> None:
     for name, data in (("a.toml", b"version ="), ("a.json", b"\xff"), ("b.json", b"{")):
         (tmp_path / name).write_bytes(data)
         with pytest.raises(VersionFileError, match="neither TOML"):
--- a/tests/node/control/test_status.py
+++ b/tests/node/control/test_status.py
@@ -1,4 +1,4 @@
-"""`orchidferry control status`: nodes that agree, nodes that don't, and those that say nothing."""
+"""`orchidferry control status` of nodes with equal versions, with different ones, and without an answer."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 
 from orchidferry.node.admin_server import AdminServer
 from tests.balancing.test_wirehost import ROOT
-from tests.node.control.scene import members, node, run, scene
+from tests.node.control.harness import members, node, run, service_and_agents
 from tests.node.peers import LIMIT_S, until
 
 
-async def door(page: Any) -> tuple[AdminServer, str]:
-    made = AdminServer({b"/-/control": page} if page is not None else {})
-    host, port = await made.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
-    return made, f"{host}:{port}"
+async def start_admin_server(page: Any) -> tuple[AdminServer, str]:
+    """Start an admin server with a status page, or with none; return it and its HOST:PORT."""
+    server = AdminServer({b"/-/control": page} if page is not None else {})
+    host, port = await server.listen(asyncio.get_running_loop(), ("127.0.0.1", 0))
+    return server, f"{host}:{port}"
 
 
 async def status(*args: str) -> tuple[int, str, str]:
+    """Run the command; return its exit status and what it printed to standard output and error."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -36,14 +38,16 @@
     return process.returncode or 0, out.decode(), err.decode()
 
 
-def test_nodes_that_hold_the_same_and_one_that_lags_behind(tmp_path: Path) -> None:
+def test_exit_status_0_for_equal_versions_and_1_if_a_node_lags_behind(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene({"state": tmp_path}, {}) as (service, agents):
-            doors = [await door(lambda a=a: (200, json.dumps(a.status()).encode())) for a in agents]
-            where = [at for _, at in doors]
+        async with service_and_agents({"state": tmp_path}, {}) as (service, agents):
+            admin_servers = [
+                await start_admin_server(lambda a=a: (200, json.dumps(a.status()).encode())) for a in agents
+            ]
+            addresses = [address for _, address in admin_servers]
             service.push("bad", members(1, status="leaving"))
             await until(lambda: all(a.versions.refusals for a in agents))
-            code, out, _ = await status(*where)
+            code, out, _ = await status(*addresses)
             assert code == 0
             assert out.count("v0") == 4 and "bad: pool 'catalogo': names no live server" in " ".join(
                 out.split()
@@ -52,27 +56,27 @@
 
             agents[1].problem = "no room"
             service.push("v1", members(1, 2, 3), node())
-            await until(lambda: agents[0].held() == "v1")
-            code, out, _ = await status("--json", *where)
+            await until(lambda: agents[0].applied_version() == "v1")
+            code, out, _ = await status("--json", *addresses)
             found = list(json.loads(out).values())
             assert code == 1
             assert [one["versions"]["members"] for one in found] == ["v1", "v0"]
             assert "no room" in found[1]["refused"][-1]["reason"]
-            for made, _ in doors:
-                made.close()
+            for server, _ in admin_servers:
+                server.close()
 
     run(test())
 
 
-def test_nodes_that_say_nothing_are_told_apart() -> None:
+def test_the_reason_for_a_missing_status_is_shown() -> None:
     async def test() -> None:
-        plain, at_plain = await door(None)
-        odd, at_odd = await door(lambda: (200, b"hello"))
+        no_page, no_page_address = await start_admin_server(None)
+        no_json, no_json_address = await start_admin_server(lambda: (200, b"hello"))
         silent = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        at_silent = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
-        gone, at_gone = await door(None)
-        gone.close()
-        code, out, _ = await status(at_plain, at_odd, at_silent, at_gone)
+        silent_address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
+        closed, closed_address = await start_admin_server(None)
+        closed.close()
+        code, out, _ = await status(no_page_address, no_json_address, silent_address, closed_address)
         text = " ".join(out.replace("│", " ").split())
         assert code == 1
         for words in (
@@ -82,14 +86,14 @@
             "no answer: refused",
         ):
             assert words in text, words
-        plain.close()
-        odd.close()
+        no_page.close()
+        no_json.close()
         silent.close()
 
     run(test())
 
 
-def test_bad_usage_is_one_line() -> None:
+def test_bad_usage_prints_one_line() -> None:
     async def test() -> None:
         code, _, err = await status("nowhere")
         assert code == 2 and err.count("\n") == 1 and "'nowhere' is no address" in err
