--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -82,19 +82,19 @@
         """Return the resources in a response, or the reason why they can't be read."""
         if len(response.resources) > MAX_RESOURCES:
             return f"{len(response.resources)} resources, {MAX_RESOURCES} at most"
-        found: NamedResources = {}
+        resources: NamedResources = {}
         try:
             for resource in response.resources:
                 name = resource.name
                 packed = resource.resource
                 if part is Part.MEMBERS:
                     _, known = self.acknowledged[part].get(name, ("", ()))
-                    found[name] = resource.version, read_pool(name, packed, known)
+                    resources[name] = resource.version, read_pool(name, packed, known)
                 else:
-                    found[name] = resource.version, read_node(name, packed)
+                    resources[name] = resource.version, read_node(name, packed)
         except ResourceDecodeError as problem:
             return str(problem)
-        return found
+        return resources
 
     def receive(self, part: Part, response: Any) -> Offered | None:
         """Take a response, and return it as an offer of the complete part.
--- a/tests/node/control/test_channel.py
+++ b/tests/node/control/test_channel.py
@@ -95,9 +95,9 @@
 }
 
 
-@pytest.mark.parametrize(("bad", "words"), BAD_VERSIONS.values(), ids=BAD_VERSIONS.keys())
+@pytest.mark.parametrize(("bad", "expected"), BAD_VERSIONS.values(), ids=BAD_VERSIONS.keys())
 def test_every_node_refuses_a_bad_version_with_a_reason_and_applies_the_next_good_one(
-    bad: Any, words: str
+    bad: Any, expected: str
 ) -> None:
     async def test() -> None:
         async with service_and_agents({}, {}) as (service, agents):
@@ -109,14 +109,14 @@
                         stream, discovery_pb2.DeltaDiscoveryResponse.FromString(bad.SerializeToString())
                     )
             await until(lambda: len(reasons(service, "bad")) == 2)
-            assert all(words in reason for reason in reasons(service, "bad")), reasons(service, "bad")
+            assert all(expected in reason for reason in reasons(service, "bad")), reasons(service, "bad")
             for agent in agents:
                 assert len(agent.applied) <= 2 and (
                     agent.applied_version(),
                     agent.applied_version(Part.SETTINGS),
                 ) == ("v0", "v0")
                 [refused] = agent.status()["refused"]
-                assert refused["version"] == "bad" and words in refused["reason"]
+                assert refused["version"] == "bad" and expected in refused["reason"]
             service.push("v2", members(4), node())
             await until(
                 lambda: all(a.applied_version() == "v2" == a.applied_version(Part.SETTINGS) for a in agents)
@@ -136,9 +136,8 @@
                 await until(lambda n=n: agent.applied_version() == f"v{n}")  # type: ignore[misc]
                 assert service.streams[0].initial_versions[EDS] == {POOL: f"v{n - 1}"}
             assert agent.applied_version(Part.SETTINGS) == "v0"
-            assert (
-                len([answer for answer in service.answers if "Extension" in answer.type_url]) == 1
-            )  # sent only once
+            # The settings are sent only once.
+            assert len([answer for answer in service.answers if "Extension" in answer.type_url]) == 1
             assert len(agent.applied) == 5 or len(agent.applied) == 4  # the first two may be applied as one
 
     run(test())
@@ -432,20 +431,20 @@
 }
 
 
-@pytest.mark.parametrize(("text", "words"), BAD_FILES.values(), ids=BAD_FILES.keys())
+@pytest.mark.parametrize(("text", "expected"), BAD_FILES.values(), ids=BAD_FILES.keys())
 def test_the_error_for_an_unusable_settings_file_names_the_file(
-    text: str, words: str, tmp_path: Path
+    text: str, expected: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "control.toml"
     path.write_text(text)
-    with pytest.raises(ConfigError, match=words) as found:
+    with pytest.raises(ConfigError, match=expected) as found:
         read_control(str(path))
     assert str(path) in str(found.value) and "\n" not in str(found.value)
 
 
 def test_the_settings_file_in_deploy_is_valid() -> None:
-    made = read_control(str(Path(__file__).parents[3] / "deploy" / "control.toml"))
-    assert made.pools == ("catalogo",) and made.state is not None and made.key is not None
+    control = read_control(str(Path(__file__).parents[3] / "deploy" / "control.toml"))
+    assert control.pools == ("catalogo",) and control.state is not None and control.key is not None
 
 
 def test_a_channel_that_was_never_started_can_be_closed() -> None:
--- a/tests/node/control/test_helper.py
+++ b/tests/node/control/test_helper.py
@@ -55,7 +55,7 @@
 
 
 class FakeNode:
-    """A node that records what is applied to it, and can be made to fail."""
+    """A node that records what is applied to it, and can be listed to fail."""
 
     def __init__(self, known: dict[int, bool] | None = None) -> None:
         self.known = dict(known or {})  # whether requests may be sent to each known server
@@ -141,21 +141,21 @@
                 decode_line(writer.drain(announced))
                 members.drain(list(announced))
                 assert members.members is None or not any(node.known.get(s) for s in announced)
-            made = [held.get(n) or member(n, *how) for n, how in fleet.items()]
-            made = [
+            listed = [held.get(n) or member(n, *how) for n, how in fleet.items()]
+            listed = [
                 m
                 if (m.entry.health, m.entry.share) == fleet[m.entry.server]
                 else member(m.entry.server, *fleet[m.entry.server])
-                for m in made
+                for m in listed
             ]
-            change = encode_and_read(writer, configuration(*made))
-            node.broken = {made[0].entry.server} if at in failing else set()
+            change = encode_and_read(writer, configuration(*listed))
+            node.broken = {listed[0].entry.server} if at in failing else set()
             problem = await apply(members, change)
             node.broken = set()
             assert writer.applied(change.number, problem) and not writer.applied(change.number, problem)
             if problem:
                 continue
-            held = {m.entry.server: m for m in made}
+            held = {m.entry.server: m for m in listed}
             assert members.members == held
             draining = {4} if 4 in held else set()  # drained by discovery before the first version
             assert node.known == {
@@ -184,9 +184,8 @@
         reported: list[str] = []
         members.apply(change, reported.append)
         assert not reported and not any(node.known[n] for n in range(100)) and node.known[100]
-        members.handle_discovery(
-            ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {})
-        )  # the complete list of discovery
+        # A complete list of discovery, with the health that it reports.
+        members.handle_discovery(ServerListing(0, True, [api.ServerEntry(n) for n in range(100)], {}))
         await members.idle.wait()
         assert reported == [""] and sorted(node.known) == [*range(5), *range(100, MIN_LONG_CHANGE + 10)]
         assert not any(node.known[n] for n in range(5)) and gc.isenabled()
@@ -292,29 +291,29 @@
 
     async def test() -> None:
         listed, one, two = Server(name="listed"), Server(name="a"), Server(name="b")
-        async with node_and_service(tmp_path, listed, one, two) as (made, service):
-            await push_and_wait(service, made, "v1", pool(one))
-            assert made.node is not None and made.node.control is not None
-            link = made.node.control
+        async with node_and_service(tmp_path, listed, one, two) as (world, service):
+            await push_and_wait(service, world, "v1", pool(one))
+            assert world.node is not None and world.node.control is not None
+            link = world.node.control
             await service.stop()
             assert link.process is not None
             first = link.process.pid
             link.process.send_signal(signal.SIGSTOP)  # the helper hangs; the node does not wait for it
-            assert (await made.ask("h")).status == 200
+            assert (await world.ask("h")).status == 200
             link.process.kill()
             await until(lambda: link.process is not None and link.process.pid != first)
             link.status = {}
             # After its first wait, the new helper uses what the node has applied, not the node's own file.
             await until(lambda: link.status.get("counts") is not None and link.status["since_ms"] > 0)
-            assert [(await made.ask(f"a{n}")).status for n in range(3)] == [200] * 3
+            assert [(await world.ask(f"a{n}")).status for n in range(3)] == [200] * 3
             assert len(one.seen) == 4 and not listed.seen and link.starts == 2
             assert link.status["versions"]["members"] == "v1"
             await service.start()
-            await push_and_wait(service, made, "v2", pool(two))
-            assert (await made.ask("z")).status == 200 and len(two.seen) == 1
+            await push_and_wait(service, world, "v2", pool(two))
+            assert (await world.ask("z")).status == 200 and len(two.seen) == 1
             for number in (signal.SIGTERM, signal.SIGHUP):  # as if sent to the whole process group
                 os.kill(link.process.pid, number)
-            await push_and_wait(service, made, "v3", pool(one, two))
+            await push_and_wait(service, world, "v3", pool(one, two))
             process = link.process
             await link.close()
             assert process.returncode == 0
@@ -358,16 +357,18 @@
         if script_body is not None:
             script.write_text(f"#!/bin/sh\n{script_body}\nexec sleep 60\n")
             script.chmod(0o700)
-        async with peers.world(tmp_path, Server(name="s")) as made:
-            assert made.node is not None
+        async with peers.world(tmp_path, Server(name="s")) as world:
+            assert world.node is not None
             loop = asyncio.get_running_loop()
-            link = Link(CONTROL_WITHOUT_TLS, made.node._config.settings, made.node, loop, ConstantRandom(1.0))
+            link = Link(
+                CONTROL_WITHOUT_TLS, world.node._config.settings, world.node, loop, ConstantRandom(1.0)
+            )
             monkeypatch.setattr(link_module, "BACK_OFF_S", LIMIT_S)
             monkeypatch.setattr(link_module, "MAX_BACK_OFF_S", LIMIT_S)
             monkeypatch.setattr(sys, "executable", str(script))
             link.start()
             await until(lambda: reason in caplog.text)
-            assert (await made.ask("a")).status == 200
+            assert (await world.ask("a")).status == 200
             assert b'"helper": "down"' in link.page() and link.starts == 1
             await asyncio.wait_for(link.close(), LIMIT_S)
             assert link.process is None
--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -42,87 +42,91 @@
 # In the balancer
 
 
-def change(made: helpers.Node, **changes: Any) -> list[api.Action]:
+def change(driver: helpers.Node, **changes: Any) -> list[api.Action]:
     """Apply changed settings to a balancer; return its actions."""
-    return made.do(api.NewSettings(helpers.settings(**changes)))
+    return driver.do(api.NewSettings(helpers.settings(**changes)))
 
 
 def test_learned_values_and_pending_requests_survive_new_settings() -> None:
-    made = helpers.Node(start_capacity=1.0)
-    made.serve(60)
-    made.ask("open", "unsafe")
-    module = made.balancer
+    driver = helpers.Node(start_capacity=1.0)
+    driver.serve(60)
+    driver.ask("open", "unsafe")
+    balancer = driver.balancer
     before = {
-        id: (s.slowness, s.last_used_ms, dict(s.outstanding)) for id, s in module.server_set.servers.items()
+        id: (s.slowness, s.last_used_ms, dict(s.outstanding)) for id, s in balancer.server_set.servers.items()
     }
-    rate = module.controller.tuned_rate
-    share = module.outliers.baseline_share
-    change(made, start_capacity=1.0, classes=[SAFE, NEW], max_attempts=1)
+    rate = balancer.controller.tuned_rate
+    share = balancer.outliers.baseline_share
+    change(driver, start_capacity=1.0, classes=[SAFE, NEW], max_attempts=1)
     assert {
-        id: (s.slowness, s.last_used_ms, dict(s.outstanding)) for id, s in module.server_set.servers.items()
+        id: (s.slowness, s.last_used_ms, dict(s.outstanding)) for id, s in balancer.server_set.servers.items()
     } == before
-    assert (module.controller.tuned_rate, module.outliers.baseline_share, module.inflight) == (rate, share, 1)
-    made.end("open", api.Result.SERVED)  # a request of a class that no longer exists
-    assert module.inflight == 0 and not module._calls
-    assert sends(made.ask("n", "new"))
-    made.end("n", api.Result.SERVED)
+    assert (balancer.controller.tuned_rate, balancer.outliers.baseline_share, balancer.inflight) == (
+        rate,
+        share,
+        1,
+    )
+    driver.end("open", api.Result.SERVED)  # a request of a class that no longer exists
+    assert balancer.inflight == 0 and not balancer._calls
+    assert sends(driver.ask("n", "new"))
+    driver.end("n", api.Result.SERVED)
 
 
 def test_a_key_keeps_the_window_of_the_settings_it_was_accepted_under() -> None:
     for old_ms, new_ms, resent in ((2000.0, 10.0, True), (100.0, 2000.0, False)):
-        made = helpers.Node(classes=[dataclasses.replace(KEYED, window_ms=old_ms)])
-        made.ask("k", "keyed")
-        change(made, classes=[dataclasses.replace(KEYED, window_ms=new_ms)])
-        actions = made.end("k", api.Result.ERROR, 200.0)
-        made.now += 300.0
-        for token in list(made.balancer._timers):
-            actions += made.do(api.TimerFired(token))
+        driver = helpers.Node(classes=[dataclasses.replace(KEYED, window_ms=old_ms)])
+        driver.ask("k", "keyed")
+        change(driver, classes=[dataclasses.replace(KEYED, window_ms=new_ms)])
+        actions = driver.end("k", api.Result.ERROR, 200.0)
+        driver.now += 300.0
+        for token in list(driver.balancer._timers):
+            actions += driver.do(api.TimerFired(token))
         assert bool(sends(actions)) is resent, (old_ms, new_ms)
         assert resent or ends(actions)
 
 
 def test_a_request_is_not_resent_once_its_class_has_become_unsafe() -> None:
-    made = helpers.Node(classes=[SAFE])
-    change(made, classes=[dataclasses.replace(SAFE, repeat=api.Repeat.UNSAFE)])
-    made.ask("u")
-    [end] = ends(made.end("u", api.Result.RESET))
+    driver = helpers.Node(classes=[SAFE])
+    change(driver, classes=[dataclasses.replace(SAFE, repeat=api.Repeat.UNSAFE)])
+    driver.ask("u")
+    [end] = ends(driver.end("u", api.Result.RESET))
     assert isinstance(end, api.Fail)
 
 
 def test_servers_are_grouped_at_once_when_a_class_first_needs_the_group() -> None:
-    made = helpers.Node(servers=6, classes=[SAFE])
-    change(made, classes=[KEYED])  # this class groups servers by cell
-    made.ask("k", "keyed")
-    cell = made.sent["k"][0] % 2
-    made.end("k", api.Result.ERROR)
-    made.now += 100.0
-    for token in list(made.balancer._timers):
-        made.do(api.TimerFired(token))
-    assert [server % 2 for server in made.sent["k"]] == [cell] * len(made.sent["k"])
-    made.change(*helpers.entries([6, 7]))
-    assert {len(bag) for bag in made.balancer.server_set._groups[api.Group.CELL].values()} == {4}
+    driver = helpers.Node(servers=6, classes=[SAFE])
+    change(driver, classes=[KEYED])  # this class groups servers by cell
+    driver.ask("k", "keyed")
+    cell = driver.sent["k"][0] % 2
+    driver.end("k", api.Result.ERROR)
+    driver.now += 100.0
+    for token in list(driver.balancer._timers):
+        driver.do(api.TimerFired(token))
+    assert [server % 2 for server in driver.sent["k"]] == [cell] * len(driver.sent["k"])
+    driver.change(*helpers.entries([6, 7]))
+    assert {len(bag) for bag in driver.balancer.server_set._groups[api.Group.CELL].values()} == {4}
 
 
 def test_a_longer_ramp_time_applies_to_servers_that_started_recently() -> None:
-    made = helpers.Node(servers=1, ramp_time_ms=0.0)
-    made.list_all(helpers.entries([1], started_ms=made.now))
-    assert sum(bool(sends(made.ask(f"a{n}"))) for n in range(20)) >= 4
-    change(made, ramp_time_ms=60_000.0)
-    server = made.balancer.server_set.servers[1]
-    assert made.balancer.slow_start.capacity_share(server, made.now) < 0.3
-    sent = sum(bool(sends(made.ask(f"b{n}"))) for n in range(50))
+    driver = helpers.Node(servers=1, ramp_time_ms=0.0)
+    driver.list_all(helpers.entries([1], started_ms=driver.now))
+    assert sum(bool(sends(driver.ask(f"a{n}"))) for n in range(20)) >= 4
+    change(driver, ramp_time_ms=60_000.0)
+    server = driver.balancer.server_set.servers[1]
+    assert driver.balancer.slow_start.capacity_share(server, driver.now) < 0.3
+    sent = sum(bool(sends(driver.ask(f"b{n}"))) for n in range(50))
     assert sent <= 2  # rule 4's budget
 
 
 def test_quotas_of_unchanged_tenants_are_not_refilled() -> None:
     tenant = api.Tenant("t", 0.5, 1.0)
-    made = helpers.Node(tenants=[tenant])
-    made.ask("a", tenant="t")
-    change(made, tenants=[tenant, api.Tenant("u", 0.1, 5.0)])
-    assert set(made.balancer.admission.quotas) == {"t", "u"}
-    assert made.balancer.admission.quotas["t"][1].tokens < 1.0
-    change(made, tenants=[])
-    made.ask("b", tenant="t")
+    driver = helpers.Node(tenants=[tenant])
+    driver.ask("a", tenant="t")
+    change(driver, tenants=[tenant, api.Tenant("u", 0.1, 5.0)])
+    assert set(driver.balancer.admission.quotas) == {"t", "u"}
+    assert driver.balancer.admission.quotas["t"][1].tokens < 1.0
+    change(driver, tenants=[])
+    driver.ask("b", tenant="t")
 
 
 CLASSES = [SAFE, KEYED, UNSAFE, NEW, helpers.KEYED_ALL]
@@ -140,35 +144,35 @@
 def test_no_request_stays_in_flight_after_any_sequence_of_settings_and_requests(
     script: list[tuple[str, int]],
 ) -> None:
-    made = helpers.Node(start_capacity=1.0)
+    driver = helpers.Node(start_capacity=1.0)
     open_ids: list[str] = []
 
     def record(actions: list[api.Action]) -> None:  # any event may cause a send
         open_ids.extend(send.id for send in sends(actions))
 
     def fire(after_ms: float) -> None:
-        for token in list(made.balancer._timers):
-            record(made.do(api.TimerFired(token), after_ms))
+        for token in list(driver.balancer._timers):
+            record(driver.do(api.TimerFired(token), after_ms))
 
     for at, (what, number) in enumerate(script):
-        names = list(made.balancer.classes)
+        names = list(driver.balancer.classes)
         if what == "ask":
-            record(made.ask(f"r{at}", names[number % len(names)]))
+            record(driver.ask(f"r{at}", names[number % len(names)]))
         elif what in ("end", "lose") and open_ids:
             result = api.Result.SERVED if what == "end" else api.Result.RESET
-            record(made.end(open_ids.pop(number % len(open_ids)), result, 5.0))
+            record(driver.end(open_ids.pop(number % len(open_ids)), result, 5.0))
         elif what == "settings":
             some = [cls for n, cls in enumerate(CLASSES) if number >> n & 1] or [SAFE]
-            record(change(made, classes=some, max_attempts=1 + number % 3, ramp_time_ms=number * 10.0))
+            record(change(driver, classes=some, max_attempts=1 + number % 3, ramp_time_ms=number * 10.0))
         elif what == "list":
-            record(made.list_all(helpers.entries(range(number % 7)), version=at + 2))
+            record(driver.list_all(helpers.entries(range(number % 7)), version=at + 2))
         fire(0.0)
     for _ in range(200):
         if not open_ids:
             break
-        record(made.end(open_ids.pop(), api.Result.SERVED, 1.0))
+        record(driver.end(open_ids.pop(), api.Result.SERVED, 1.0))
         fire(1.0)
-    assert made.balancer.inflight == len(open_ids) == 0
+    assert driver.balancer.inflight == len(open_ids) == 0
 
 
 # In a node
@@ -188,16 +192,16 @@
     """
     service = Service()
     await service.start()
-    async with peers.world(path, *servers, start=False) as made:
-        made.registry.whole = [servers[0].entry()]
-        made.config["known"]["endpoints"] = made.registry.whole
-        made.path.write_text(json.dumps(made.config))
+    async with peers.world(path, *servers, start=False) as world:
+        world.registry.whole = [servers[0].entry()]
+        world.config["known"]["endpoints"] = world.registry.whole
+        world.path.write_text(json.dumps(world.config))
         loop = asyncio.get_running_loop()
         control = Control(
             service.address, "n0", "", (POOL, "other"), "entrada", path / "state" if state else None, 0.1
         )
-        running = made.node = Node(read_config(str(made.path)), loop, Extensions(control=control))
-        made.address = await running.frontend.listen(loop, ("127.0.0.1", 0))
+        running = world.node = Node(read_config(str(world.path)), loop, Extensions(control=control))
+        world.address = await running.frontend.listen(loop, ("127.0.0.1", 0))
         running.start()
         await until(
             lambda: (
@@ -207,15 +211,15 @@
             )
         )
         try:
-            yield made, service
+            yield world, service
         finally:
             await service.stop()
 
 
-async def push_and_wait(service: Service, made: World, label: str, *changes: Any) -> None:
+async def push_and_wait(service: Service, world: World, label: str, *changes: Any) -> None:
     """Push a version, and wait until the node has applied it."""
     service.push(label, *changes)
-    running = made.node
+    running = world.node
     assert running is not None and running.control is not None
     link = running.control
     parts = {change[0] for change in changes}
@@ -227,15 +231,15 @@
 ) -> None:
     async def test() -> None:
         old, new = Server(name="old"), Server(name="new")
-        async with node_and_service(tmp_path, old, new) as (made, service):
-            assert (await made.ask("before")).status == 200
+        async with node_and_service(tmp_path, old, new) as (world, service):
+            assert (await world.ask("before")).status == 200
             assert len(old.seen) == 1
             old.gate.clear()
-            caller = await made.caller()
+            caller = await world.caller()
             caller.write(request("held", "pay"))
             await until(lambda: len(old.seen) == 2)
-            await push_and_wait(service, made, "v1", pool(new))
-            assert [(await made.ask(f"a{n}")).status for n in range(4)] == [200] * 4
+            await push_and_wait(service, world, "v1", pool(new))
+            assert [(await world.ask(f"a{n}")).status for n in range(4)] == [200] * 4
             assert len(new.seen) == 4 and len(old.seen) == 2
             old.gate.set()
             assert (await caller.read()).status == 200  # sent before the change, and answered
@@ -246,23 +250,23 @@
 def test_added_and_removed_classes_apply_to_requests_accepted_afterwards(tmp_path: Path) -> None:
     async def test() -> None:
         server = Server(name="s")
-        async with node_and_service(tmp_path, server) as (made, service):
-            assert (await made.ask("a", "save-new")).status == 400
+        async with node_and_service(tmp_path, server) as (world, service):
+            assert (await world.ask("a", "save-new")).status == 400
             usual = peers.settings()["classes"]
             more = [*usual, next(c for c in usual if c["name"] == "save") | {"name": "save-new"}]
-            await push_and_wait(service, made, "v1", pool(server), node(classes=more))
-            assert (await made.ask("b", "save-new")).status == 200
+            await push_and_wait(service, world, "v1", pool(server), node(classes=more))
+            assert (await world.ask("b", "save-new")).status == 200
             server.gate.clear()
-            caller = await made.caller()
+            caller = await world.caller()
             caller.write(request("open", "save-new"))
             await until(lambda: server.seen[-1].id == "open")
-            await push_and_wait(service, made, "v2", node(classes=usual))
-            assert (await made.ask("c", "save-new")).status == 400
+            await push_and_wait(service, world, "v2", node(classes=usual))
+            assert (await world.ask("c", "save-new")).status == 400
             server.gate.set()
             assert (await caller.read()).status == 200
-            assert made.node is not None
-            assert b"node.calls.save-new.success=2\n" in made.node.render_metrics()
-            await until(lambda: made.node is not None and not made.node._balancer.inflight)
+            assert world.node is not None
+            assert b"node.calls.save-new.success=2\n" in world.node.render_metrics()
+            await until(lambda: world.node is not None and not world.node._balancer.inflight)
 
     run(test())
 
@@ -270,21 +274,21 @@
 def test_drains_by_the_control_service_and_by_discovery_both_take_effect_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         one, two, three = (Server(name=name) for name in "abc")
-        async with node_and_service(tmp_path, one, two, three) as (made, service):
-            await push_and_wait(service, made, "v1", pool(one, two, three))
+        async with node_and_service(tmp_path, one, two, three) as (world, service):
+            await push_and_wait(service, world, "v1", pool(one, two, three))
             changed = [one.entry(status="leaving"), two.entry(), three.entry()]
-            await push_and_wait(service, made, "v2", (Part.MEMBERS, POOL, pool_message(POOL, changed)))
+            await push_and_wait(service, world, "v2", (Part.MEMBERS, POOL, pool_message(POOL, changed)))
             for n in range(6):
-                assert (await made.ask(f"x{n}")).status == 200
+                assert (await world.ask(f"x{n}")).status == 200
             assert one.seen == []
-            made.registry.tell(two.entry(status="leaving"))
-            running = made.node
+            world.registry.tell(two.entry(status="leaving"))
+            running = world.node
             assert running is not None
             await until(lambda: server_id("b") not in running.servers.in_service)
             count = len(two.seen)
             await push_and_wait(
                 service,
-                made,
+                world,
                 "v3",
                 (
                     Part.MEMBERS,
@@ -298,11 +302,10 @@
                 ),
             )
             for n in range(6):
-                assert (await made.ask(f"y{n}")).status == 200
-            assert (
-                len(two.seen) == count and one.seen == []
-            )  # the control service still lists it as in service
-            made.registry.tell(two.entry())
+                assert (await world.ask(f"y{n}")).status == 200
+            # The control service still lists the server `two` as in service.
+            assert len(two.seen) == count and one.seen == []
+            world.registry.tell(two.entry())
             await until(lambda: server_id("b") in running.servers.in_service)
 
     run(test())
@@ -316,14 +319,14 @@
 
     async def test() -> None:
         one, two = Server(name="a"), Server(name="b")
-        async with node_and_service(tmp_path, one, two) as (made, service):
-            await push_and_wait(service, made, "v1", pool(one, two))
-            running = made.node
+        async with node_and_service(tmp_path, one, two) as (world, service):
+            await push_and_wait(service, world, "v1", pool(one, two))
+            running = world.node
             assert running is not None
             assert running.control is not None
             running.control.members.drain([server_id("b")])
             assert server_id("b") not in running.servers.in_service
-            await push_and_wait(service, made, "v2", pool(one, two))
+            await push_and_wait(service, world, "v2", pool(one, two))
             await until(lambda: server_id("b") in running.servers.in_service)
 
     run(test())
@@ -333,12 +336,12 @@
     async def test() -> None:
         warm = Server(name="warm")
         cold = Server(name="cold")
-        async with node_and_service(tmp_path, warm, cold) as (made, service):
+        async with node_and_service(tmp_path, warm, cold) as (world, service):
             import time
 
             entries = [warm.entry(), cold.entry(since_ms=int(time.time() * 1000.0))]
-            await push_and_wait(service, made, "v1", (Part.MEMBERS, POOL, pool_message(POOL, entries)))
-            running = made.node
+            await push_and_wait(service, world, "v1", (Part.MEMBERS, POOL, pool_message(POOL, entries)))
+            running = world.node
             assert running is not None
             found = running._balancer.server_set.servers[server_id("cold")]
             assert found.started_ms is not None
@@ -352,13 +355,13 @@
 def test_the_node_keeps_serving_after_a_bad_version_and_without_the_service(tmp_path: Path) -> None:
     async def test() -> None:
         one, two = Server(name="a"), Server(name="b")
-        async with node_and_service(tmp_path, one, two, state=True) as (made, service):
-            await push_and_wait(service, made, "v1", pool(one, two))
+        async with node_and_service(tmp_path, one, two, state=True) as (world, service):
+            await push_and_wait(service, world, "v1", pool(one, two))
             service.push("bad", pool(one, two, status="leaving"))
             await until(lambda: len(reasons(service, "bad")) == 1)
             assert "no live server" in reasons(service, "bad")[0]
             await service.stop()
-            assert [(await made.ask(f"a{n}")).status for n in range(6)] == [200] * 6
+            assert [(await world.ask(f"a{n}")).status for n in range(6)] == [200] * 6
             assert one.seen and two.seen
 
     run(test())
@@ -392,14 +395,14 @@
         file = tmp_path / "control.toml"
         if text is not None:
             file.write_text(text)
-        async with peers.world(tmp_path, Server(), start=False) as made:
+        async with peers.world(tmp_path, Server(), start=False) as world:
             done = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "orchidferry",
                 cwd=ROOT,
                 stderr=asyncio.subprocess.PIPE,
-                env=os.environ | {"NODE_CONFIG": str(made.path), "ORCHIDFERRY_CONTROL": str(file)},
+                env=os.environ | {"NODE_CONFIG": str(world.path), "ORCHIDFERRY_CONTROL": str(file)},
             )
             _, errors = await asyncio.wait_for(done.communicate(), LIMIT_S)
             assert done.returncode == 2 and errors.count(b"\n") == 1 and b"control.toml" in errors
@@ -420,11 +423,11 @@
             'settings = "entrada"\nstate = "state"\nfirst_wait_s = 0.5\n'
         )
         monkeypatch.setenv("ORCHIDFERRY_CONTROL", str(file))
-        async with peers.world(tmp_path, listed, member, start=False) as made:
+        async with peers.world(tmp_path, listed, member, start=False) as world:
             service.push("v1", pool(member), node())
-            made.config["known"]["endpoints"] = made.registry.whole = [listed.entry()]
-            made.path.write_text(json.dumps(made.config))
-            program = await Program.start(made)
+            world.config["known"]["endpoints"] = world.registry.whole = [listed.entry()]
+            world.path.write_text(json.dumps(world.config))
+            program = await Program.start(world)
             await until(lambda: len(service.answers) == 2)
             await until(
                 lambda: (
@@ -432,17 +435,17 @@
                     == {Part.MEMBERS: "v1", Part.SETTINGS: "v1"}
                 )
             )
-            assert (await made.ask("a")).status == 200
+            assert (await world.ask("a")).status == 200
             assert [len(member.seen), len(listed.seen)] == [1, 0]
             program.process.send_signal(signal.SIGKILL)
             await asyncio.wait_for(program.process.wait(), LIMIT_S)
             await service.stop()  # the node starts without the control service
-            program = await Program.start(made)
+            program = await Program.start(world)
             async with asyncio.timeout(LIMIT_S):
                 n = 0
                 while len(member.seen) < 2:
                     n += 1
-                    assert (await made.ask(f"b{n}")).status == 200
+                    assert (await world.ask(f"b{n}")).status == 200
                     await asyncio.sleep(0.05)
             program.process.terminate()
             assert await asyncio.wait_for(program.process.wait(), LIMIT_S) == 0
--- a/tests/node/control/test_push.py
+++ b/tests/node/control/test_push.py
@@ -133,54 +133,54 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet() -> AsyncIterator[Fleet]:
+async def running_fleet() -> AsyncIterator[Fleet]:
     """Run four agents that have applied the version `v1`."""
     service = Service()
     rollouts = RolloutService(service, version_from_json(version_json("v1", 1, 2)))
     await service.start()
     agents = [RecordingAgent(service, f"n{at}", None) for at in range(NODES)]
-    made = Fleet(service, rollouts, agents)
+    fleet = Fleet(service, rollouts, agents)
     try:
         for agent in agents:
             agent.start()
-        await made.open()
-        await until(lambda: made.versions() == ["v1"] * NODES)
-        yield made
+        await fleet.open()
+        await until(lambda: fleet.versions() == ["v1"] * NODES)
+        yield fleet
     finally:
         for agent in agents:
             await agent.close()
-        for server in made.admin_servers:
+        for server in fleet.admin_servers:
             server.close()
         await service.stop()
 
 
 def test_a_good_version_reaches_all_nodes_and_one_with_failed_answers_is_rolled_back(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet() as made:
+        async with running_fleet() as fleet:
             v2 = write(tmp_path, version_json("v2", 1, 2, 3))
-            code, out, err = await made.push(v2)
+            code, out, err = await fleet.push(v2)
             assert code == 0, out + err
             assert "v2 is on all 4 nodes" in out and "wave 2 of 2" in out
-            assert made.versions() == ["v2"] * NODES and made.rollouts.current.version == "v2"
+            assert fleet.versions() == ["v2"] * NODES and fleet.rollouts.current.version == "v2"
             # The settings are unchanged, so they are not sent again.
-            assert all(agent.applied_version(Part.SETTINGS) == "v1" for agent in made.agents)
+            assert all(agent.applied_version(Part.SETTINGS) == "v1" for agent in fleet.agents)
 
-            made.failing = {"v3"}
-            code, out, _ = await made.push(write(tmp_path, version_json("v3", 4)))
+            fleet.failing = {"v3"}
+            code, out, _ = await fleet.push(write(tmp_path, version_json("v3", 4)))
             assert code == 1 and "answers failed" in out and "given back" in out
-            assert made.versions() == ["v2"] * NODES and made.rollouts.current.version == "v2"
+            assert fleet.versions() == ["v2"] * NODES and fleet.rollouts.current.version == "v2"
             assert (
                 sum(
-                    any(m.entry.server == made.agents[0].servers()[-1].entry.server for m in c.members())
-                    for a in made.agents
+                    any(m.entry.server == fleet.agents[0].servers()[-1].entry.server for m in c.members())
+                    for a in fleet.agents
                     for c in a.applied
                 )
                 >= NODES
             )
 
-            code, _, err = await made.push(v2)
+            code, _, err = await fleet.push(v2)
             assert code == 2 and "'v2' is the version that the service has" in err and err.count("\n") == 1
-            late = RecordingAgent(made.service, "late", None)
+            late = RecordingAgent(fleet.service, "late", None)
             late.start()
             await until(lambda: late.applied_version() == "v2")
             await late.close()
@@ -190,18 +190,18 @@
 
 def test_a_refusal_rolls_the_version_back_and_reports_the_node_and_the_reason(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet() as made:
-            for agent in made.agents:
+        async with running_fleet() as fleet:
+            for agent in fleet.agents:
                 agent.problem = "no room"
-            code, out, _ = await made.push(write(tmp_path, version_json("v2", 9)))
+            code, out, _ = await fleet.push(write(tmp_path, version_json("v2", 9)))
             text = " ".join(out.split())
             assert code == 1 and "refused it: it could not be applied: no room" in text
-            for agent in made.agents:
+            for agent in fleet.agents:
                 agent.problem = ""
             assert (
-                not made.service.node_resources
-                and made.rollouts.rollout is not None
-                and made.rollouts.rollout.ended
+                not fleet.service.node_resources
+                and fleet.rollouts.rollout is not None
+                and fleet.rollouts.rollout.ended
             )
 
     run(test())
@@ -209,29 +209,29 @@
 
 def test_a_version_is_rolled_back_when_its_push_command_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet() as made:
+        async with running_fleet() as fleet:
             path = write(tmp_path, version_json("v2", 9))
             process = await control(
                 "push",
                 path,
                 "--to",
-                made.address,
+                fleet.address,
                 "--canary",
                 "1",
                 "--watch",
                 "60",
                 "--doors",
-                *made.admin_addresses,
+                *fleet.admin_addresses,
                 ends=False,
             )
-            await until(lambda: sorted(made.versions()) == ["v1"] * (NODES - 1) + ["v2"])
-            code, _, err = await made.push(path)
+            await until(lambda: sorted(fleet.versions()) == ["v1"] * (NODES - 1) + ["v2"])
+            code, _, err = await fleet.push(path)
             assert code == 2 and "a push of v2 is in progress" in err
             process.kill()
             await process.wait()
-            await until(lambda: made.versions() == ["v1"] * NODES)
-            assert made.rollouts.rollout is not None and "has gone" in made.rollouts.rollout.reason
-            code, out, _ = await made.push(path)  # the next push is accepted
+            await until(lambda: fleet.versions() == ["v1"] * NODES)
+            assert fleet.rollouts.rollout is not None and "has gone" in fleet.rollouts.rollout.reason
+            code, out, _ = await fleet.push(path)  # the next push is accepted
             assert code == 0, out
 
     run(test())
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "words"),
+    ("version", "expected"),
     [
         ([], "must be an object"),
         ({}, "'version' is missing"),
@@ -312,13 +312,13 @@
     ],
 )
 def test_the_error_for_an_invalid_version_names_the_file_and_the_field(
-    made: Any, words: str, tmp_path: Path
+    version: Any, expected: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "v.json"
-    path.write_text(json.dumps(made))
+    path.write_text(json.dumps(version))
     with pytest.raises(VersionFileError) as problem:
         read_version(str(path))
-    assert words in str(problem.value) and str(problem.value).startswith(str(path))
+    assert expected in str(problem.value) and str(problem.value).startswith(str(path))
 
 
 def test_unparsable_files_raise_an_error_and_toml_is_read(tmp_path: Path) -> None:
--- a/tests/node/control/test_rehearsal.py
+++ b/tests/node/control/test_rehearsal.py
@@ -17,24 +17,22 @@
 from orchidferry.testkit.scenario import Scenario, ScenarioError, load_scenario, override, read_scenario
 from tests.balancing.test_wirehost import ROOT
 
-HUNDRED_VERSIONS = load_scenario("hundred-versions")
+SCENARIO = load_scenario("hundred-versions")
 
 
 def test_the_script_depends_on_the_seed_and_has_every_fault() -> None:
-    pushes = draw_pushes(HUNDRED_VERSIONS)
-    assert pushes == draw_pushes(HUNDRED_VERSIONS) and draw_stream_end_times(
-        HUNDRED_VERSIONS
-    ) == draw_stream_end_times(HUNDRED_VERSIONS)
-    other = override(HUNDRED_VERSIONS, 99)
-    assert pushes != draw_pushes(other) and draw_stream_end_times(HUNDRED_VERSIONS) != draw_stream_end_times(
-        other
+    pushes = draw_pushes(SCENARIO)
+    assert pushes == draw_pushes(SCENARIO) and draw_stream_end_times(SCENARIO) == draw_stream_end_times(
+        SCENARIO
     )
+    other = override(SCENARIO, 99)
+    assert pushes != draw_pushes(other) and draw_stream_end_times(SCENARIO) != draw_stream_end_times(other)
     assert len(pushes) == 100 and [p.t for p in pushes] == sorted(p.t for p in pushes)
     assert Counter(p.bad for p in pushes if p.bad) == Counter(FAULTS)
     assert not pushes[-1].bad and pushes[-1].last
-    assert pushes[0].t > 0.0 and pushes[-1].t < HUNDRED_VERSIONS.length_s * 0.9
+    assert pushes[0].t > 0.0 and pushes[-1].t < SCENARIO.length_s * 0.9
     assert sum(p.drain for p in pushes) >= 3
-    assert len(draw_stream_end_times(HUNDRED_VERSIONS)) == 5
+    assert len(draw_stream_end_times(SCENARIO)) == 5
 
 
 def members_answers(*answers: tuple[str, str, str]) -> list[NodeAnswer]:
@@ -43,7 +41,7 @@
 
 
 def test_wrong_answers_and_nodes_without_the_last_version_are_problems() -> None:
-    pushes = draw_pushes(HUNDRED_VERSIONS)
+    pushes = draw_pushes(SCENARIO)
     bad = [p.label for p in pushes if p.bad]
     good = next(p.label for p in pushes if not p.bad)
     final = [NodeAnswer(n, url, "1", "v100", "") for n in ("n0", "n1") for url in TYPES.values()]
@@ -71,15 +69,17 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "words"),
+    ("table", "expected"),
     [
         ({"versions": 5}, "need service = true"),
         ({"service": True, "versions": 5, "bad": 5}, r"\[control\].bad: 5 of 5 versions"),
         ({"service": 1}, r"\[control\].service: 1 is neither"),
     ],
 )
-def test_an_invalid_control_table_raises_an_error_that_names_it(table: dict[str, object], words: str) -> None:
-    with pytest.raises(ScenarioError, match=words):
+def test_an_invalid_control_table_raises_an_error_that_names_it(
+    table: dict[str, object], expected: str
+) -> None:
+    with pytest.raises(ScenarioError, match=expected):
         read_scenario({"name": "x", "control": table}, "x.toml")
 
 
@@ -115,4 +115,4 @@
     assert control["final_versions"] == {n: {p.value: "v016" for p in Part} for n in ("n0", "n1")}
     assert control["refused"] >= 3 and set(control["reasons"]) <= {f"v{n:03}" for n in range(1, 16)}
     assert "16 versions, 3 bad" in done.stdout
-    assert isinstance(HUNDRED_VERSIONS, Scenario)
+    assert isinstance(SCENARIO, Scenario)
--- a/tests/node/control/test_status.py
+++ b/tests/node/control/test_status.py
@@ -79,13 +79,13 @@
         code, out, _ = await status(no_page_address, no_json_address, silent_address, closed_address)
         text = " ".join(out.replace("│", " ").split())
         assert code == 1
-        for words in (
+        for expected in (
             "has no control service",
             "not what a node says",
             "no answer: timeout",
             "no answer: refused",
         ):
-            assert words in text, words
+            assert expected in text, expected
         no_page.close()
         no_json.close()
         silent.close()
--- a/tests/node/control/test_store.py
+++ b/tests/node/control/test_store.py
@@ -14,7 +14,7 @@
 
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.configuration import Configuration, Member, NodeSettings, Part, Pools
-from orchidferry.node.control import store as module
+from orchidferry.node.control import store as store_module
 from orchidferry.node.control.store import (
     FORM,
     FileSystem,
@@ -201,7 +201,7 @@
         path.write_bytes(VALID)
         path.chmod(0o644 if what == "others may read it" else 0o600)
         if what == "huge":
-            monkeypatch.setattr(module, "FORM", dataclasses.replace(FORM, max_bytes=10))
+            monkeypatch.setattr(store_module, "FORM", dataclasses.replace(FORM, max_bytes=10))
     store = Store(tmp_path)
     found, line = store.load()
     assert found is None and "set aside as last-good.foreign.0" in line
