--- a/orchidferry/node/client_connection.py
+++ b/orchidferry/node/client_connection.py
@@ -1,7 +1,7 @@
-"""A client's connection in HTTP/1.1, and the limits of what it may wait for.
+"""A client's HTTP/1.1 connection, and the time limits of its stages.
 
 Whatever a client sends, only its own connection is affected. Requests that can't be served are answered here
-with errors, never with refusals (429, 503): those are the balancer's to give.
+with errors, never with refusals (429, 503): only the balancer refuses requests.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 if TYPE_CHECKING:
     from orchidferry.node.frontend import Frontend
 
-MAX_PIPELINED = 8  # requests sent ahead on one connection; the protocol sets no limit
-PROGRESS = 32 * 1024  # bytes that a client sends or reads after which the time of its stage begins anew
-TOO_LONG = "the body is too long"
+MAX_PIPELINED = 8  # pipelined requests that wait on one connection; the protocol sets no limit
+PROGRESS = 32 * 1024  # bytes after which a client that sends or reads has the time of its stage restarted
+BODY_TOO_LONG = "the body is too long"
 
 
 class Stage(Enum):
-    """What a client's connection waits for."""
+    """The stages of a client's connection; the value says what the connection waits for."""
 
     NEW = "its first request, complete"
     READING = "the rest of a request"
@@ -46,70 +46,70 @@
 # How long a stage may last, in seconds. SERVING and FLOWING have no limit of their own: requests end at their
 # deadline, and flows when they stall.
 LIMITS_S = {
-    # A silent or slow client is owed an error or a close within 3 s of connecting. A sound one may take 2 s
-    # for the headers, and then sends at 64 kB/s at least: each `PROGRESS` of a body restarts the time.
+    # A silent or slow client must get an error or a close within 3 s of connecting. A healthy client may take
+    # 2 s for the headers, and then sends at least 64 kB/s: each `PROGRESS` bytes of a body restart the time.
     Stage.NEW: 2.6,
     Stage.READING: 2.6,
-    Stage.IDLE: 10.0,  # many clients ask once and stay; a reconnect costs one that asks again little
+    Stage.IDLE: 10.0,  # many clients send one request and stay connected; a reconnect costs the others little
     Stage.BLOCKED: 8.0,  # some clients take seconds to read
     Stage.LEAVING: 2.0,
 }
 
 
-STAGES_OF_READING_CLIENTS = (Stage.BLOCKED, Stage.LEAVING)  # they last while the client still reads
+EXTENDABLE_STAGES = (Stage.BLOCKED, Stage.LEAVING)  # extended as long as the client makes progress
 
 
 class RequestHandle(Protocol):
-    """A request that the node has accepted, as its client's connection knows it."""
+    """A request that the node has accepted, as seen by its client's connection."""
 
     def client_disconnected(self) -> None:
-        """Learn that nobody waits for the answer."""
+        """Called when the client has disconnected and nobody waits for the answer."""
 
 
 Accept = Callable[[Message, Callable[[Reply], None]], RequestHandle]  # raises `RequestError`
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection in HTTP/1.1; answers are sent in the order of the requests, one at a time.
+    """A client's HTTP/1.1 connection; answers are sent in the order of the requests, one at a time.
 
-    It is a `Source` of a long request's body and a `Sink` of a long answer's. It waits for one thing at a
-    time, its stage, which the frontend limits.
+    It is the `Source` of a streamed request body and the `Sink` of a streamed answer body. At any time it is
+    in one stage, and the frontend limits how long the stage may last.
     """
 
     def __init__(self, frontend: Frontend) -> None:
-        self.stage: Stage | None = None  # None: it is not open
+        self.stage: Stage | None = None  # None: the connection is not open
         self._frontend = frontend
         self._transport: asyncio.Transport
         self._parser = httptools.HttpRequestParser(self)
-        self._queue: deque[Message | Reply] = deque()  # read, and not passed to the node yet
-        self._pending: RequestHandle | None = None  # the request that the node has
-        self._error_reply: Reply | None = None  # for input that can't be read; nothing is read after it
-        self._busy = False  # whether the node has a request, or its answer is being sent
-        self._closing = False  # whether it closes after the last answer
+        self._queue: deque[Message | Reply] = deque()  # requests read and not passed to the node yet
+        self._pending: RequestHandle | None = None  # the request that the node is serving
+        self._error_reply: Reply | None = None  # for malformed input; nothing is read after that
+        self._busy = False  # whether the node is serving a request, or its answer is being sent
+        self._closing = False  # whether the connection closes after the last answer
         self._input_closed = False  # whether input is ignored from now on
-        self._finished = False  # whether it closes now, after what was written
-        self._write_paused = False  # whether the client does not read
-        self._reading = False  # whether a request has begun and its end has not come
-        self._completed = False  # whether the last input ended a request
-        self._has_requested = False  # whether the node has had a request of it
-        self._source_paused = False  # whether a long request waits for its sink
-        self._request_flow: Flow | None = None  # the body of a long request
-        self._flow_message: Message | None = None  # that request
-        self._response_flow: Flow | None = None  # the body of a long answer
-        self._body_progress = 0  # bytes of a body since its stage was restarted
-        self._unsent_at_start = 0  # bytes that the client had to read when the time of its stage began
+        self._finished = False  # whether the connection closes once the written data is sent
+        self._write_paused = False  # whether the client does not read fast enough
+        self._reading = False  # whether the beginning of a request has arrived, but not its end
+        self._completed = False  # whether the last input completed a request
+        self._has_requested = False  # whether the node has accepted a request from this connection
+        self._source_paused = False  # whether a streamed request body waits for its sink
+        self._request_flow: Flow | None = None  # the body of a streamed request
+        self._flow_message: Message | None = None  # the request that `_request_flow` belongs to
+        self._response_flow: Flow | None = None  # the body of a streamed answer
+        self._body_progress = 0  # bytes of a body since the time of its stage was restarted
+        self._unsent_at_start = 0  # bytes not yet sent to the client when the time of its stage started
         self._opened_s = frontend.now_s()
-        self._end_reported = False  # whether the frontend knows that it ended with its client owed something
+        self._end_reported = False  # whether the frontend was told of an end with something still owed
         self._start_message()
 
     def _start_message(self) -> None:
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
-        self._head = 0  # bytes that came before all headers were complete
-        self._fields = 0  # bytes of the headers' names and values
-        self._size = 0  # bytes of the body
-        self._headers_done = False
+        self._head_bytes = 0  # bytes received before the headers were complete
+        self._header_bytes = 0  # bytes of the headers' names and values
+        self._body_bytes = 0  # bytes of the body received so far
+        self._headers_done = False  # whether all headers have been received
 
     # The socket
 
@@ -128,10 +128,10 @@
             self._reject(400, "upgrades are not supported")
         except httptools.HttpParserError:
             self._reject(400, "malformed HTTP")
-        # The parser passes on a header when it is complete: one without end shows only in the input's size.
+        # The parser reports a header only when it is complete: an endless one shows only in the input's size.
         if not self._headers_done and not self._completed:
-            self._head += len(data)
-            if self._head > self._frontend.max_header_bytes:
+            self._head_bytes += len(data)
+            if self._head_bytes > self._frontend.max_header_bytes:
                 self._reject(431, "headers too large")
         if self._error_reply is not None:
             self._close_with_error(self._error_reply)
@@ -140,14 +140,15 @@
         self._update_stage()
 
     def eof_received(self) -> None:
-        # The transport closes after what was written: a client that ends its sending has left.
+        # The transport closes once the written data is sent: a client that shuts down its sending side is
+        # taken to have left.
         self._input_closed = True
         self._closing = True
         self._finished = True
         self._update_stage()
 
     def pause_writing(self) -> None:
-        """Read nothing more from a client that does not read itself, and limit the time of that."""
+        """Stop reading from a client that does not read, and limit how long that may last."""
         self._write_paused = True
         self._transport.pause_reading()
         if self._response_flow is not None:
@@ -173,37 +174,40 @@
 
     @property
     def age_s(self) -> float:
-        """For how long it has been open."""
+        """How long the connection has been open, in seconds."""
         return self._frontend.now_s() - self._opened_s
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that were written and that the kernel has not taken yet."""
+        """Number of bytes that were written and that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size()
 
     def owed(self) -> Owed | None:
-        """What its client is owed; None if nothing."""
+        """Return what the client is still owed; None if nothing."""
         if self._response_flow is not None or self._write_paused or self.unsent_bytes:
             return Owed.REST_OF_RESPONSE
         return Owed.RESPONSE if self._busy or self._queue else None
 
     def is_evictable(self) -> bool:
-        """Whether it may be closed for another: its client is owed nothing, and has sent nothing more."""
+        """Return whether it may be closed for a new connection: nothing is owed and no input waits."""
         return self.owed() is None and not self._input_waiting()
 
     def _input_waiting(self) -> bool:
-        """Whether something that the client has sent, or its end, waits to be read by the event loop."""
+        """Return whether data or an end of file from the client waits to be read by the event loop."""
         return not self._transport.is_closing() and UnreadInput(self._transport).waits()
 
     def report_end(self, cause: EndCause, detail: str = "") -> None:
-        """Let the frontend know, once, if it ends while its client is owed something."""
+        """Report to the frontend, at most once, an end while the client is still owed something.
+
+        :param detail: what else is known, such as how the response failed.
+        """
         owed = self.owed()
         if owed is not None and not self._end_reported:
             self._end_reported = True
             self._frontend.ended_incomplete(self, cause, owed, detail)
 
     def _release_request(self) -> None:
-        """Notify the node that nobody waits for the request it has, and end both flows."""
+        """Notify the node that the client of the pending request is gone, and end both flows."""
         pending = self._pending
         self._pending = None
         self._busy = False
@@ -218,7 +222,7 @@
         if flow is not None:
             flow.cancel()
 
-    # The source of a long request's body
+    # `Source` of a streamed request body
 
     def pause(self) -> None:
         self._source_paused = True
@@ -233,9 +237,9 @@
             self._update_stage()
 
     def flow_cancelled(self) -> None:
-        """Drop what still comes, so that the client gets to read why."""
+        """Keep reading and drop the rest of the body, so that the client can read the error."""
 
-    # The sink of a long answer's body
+    # `Sink` of a streamed answer body
 
     def feed(self, data: bytes) -> None:
         if self._response_flow is not None and not self._transport.is_closing():
@@ -256,7 +260,7 @@
         self._update_stage()
 
     def flow_failed(self) -> None:
-        """Close, so that the client learns that the answer is not complete."""
+        """Close the connection, so that the client can tell that the answer is incomplete."""
         failure = self._response_flow.failure if self._response_flow is not None else None
         self.report_end(EndCause.RESPONSE_FAILED, failure.value if failure is not None else "")
         self._response_flow = None
@@ -268,10 +272,10 @@
         self._transport.close()
         self._update_stage()
 
-    # Stages and the end
+    # Stages and closing
 
     def _update_stage(self) -> None:
-        """Report to the frontend what the connection waits for now."""
+        """Determine the current stage and report it to the frontend."""
         if self._response_flow is not None and not self._finished and not self._transport.is_closing():
             stage = Stage.FLOWING
         elif self._finished or self._transport.is_closing():
@@ -279,7 +283,7 @@
         elif self._write_paused:
             stage = Stage.BLOCKED
         elif self._source_paused:
-            stage = Stage.SERVING  # it waits for the node to take more
+            stage = Stage.SERVING  # the connection waits for the node to accept more of the body
         elif self._request_flow is not None:
             stage = Stage.READING
         elif self._busy or self._queue:
@@ -288,27 +292,27 @@
             stage = Stage.NEW
         else:
             stage = Stage.READING if self._reading else Stage.IDLE
-        if stage is not self.stage and stage in STAGES_OF_READING_CLIENTS:
+        if stage is not self.stage and stage in EXTENDABLE_STAGES:
             self._unsent_at_start = self.unsent_bytes
         self._frontend.set_stage(self, stage)
 
     def close_gracefully(self) -> None:
-        """Close after the requests at hand; now if there are none."""
+        """Close after the current requests; at once if there are none."""
         self._closing = True
         if not self._busy and not self._reading and not self._queue:
             self._close_if_quiet()
 
     def _close_if_quiet(self) -> None:
-        """Close unless the client has just sent something: that is read, served and then closed."""
+        """Close unless input waits: a request in it is still served before the connection closes."""
         if not self._input_waiting():
             self._transport.close()
             self._update_stage()
 
     def _close_after_output(self) -> None:
-        """Close once all that was written is sent.
+        """Close once all written data is sent.
 
-        To close while input waits would reset the connection, and the kernel would drop what it has not sent.
-        So the sending side ends first, and the rest is read and dropped until the client closes.
+        Closing while input waits would reset the connection, and the kernel would drop unsent data. So the
+        sending side is shut down first, and input is read and dropped until the client closes.
         """
         if not self._input_waiting():
             return self._transport.close()
@@ -319,8 +323,8 @@
         return None
 
     def on_stage_timeout(self) -> None:
-        """End the connection, as its stage has lasted too long."""
-        if self.stage in STAGES_OF_READING_CLIENTS:
+        """End the connection because its stage has lasted too long."""
+        if self.stage in EXTENDABLE_STAGES:
             self._end_unless_client_reads()
         elif self._reading:
             self._close_with_error(Reply(408, b"the request took too long to come"))
@@ -329,7 +333,7 @@
             self._close_if_quiet()
 
     def _end_unless_client_reads(self) -> None:
-        """Give a client that still reads its response more time; end the connection of one that does not."""
+        """Extend the stage of a client that still reads its response; otherwise end the connection."""
         unsent = self.unsent_bytes
         wanted = min(PROGRESS, self._unsent_at_start)
         if unsent and self._unsent_at_start - unsent >= wanted:
@@ -339,14 +343,14 @@
             self.abort(EndCause.STAGE_TIMEOUT)
 
     def abort(self, cause: EndCause) -> None:
-        """Close now, whatever it carries."""
+        """Close at once, whatever is in progress."""
         self.report_end(cause)
         self._input_closed = True
         self._finished = True
-        self._frontend.connection_closed(self)  # now: its socket counts as free
+        self._frontend.connection_closed(self)  # at once, so that the socket counts as free
         self._transport.abort()
 
-    # The parser's calls. An exception in one of them would count as malformed HTTP.
+    # Callbacks of the parser, which takes an exception in one of them for malformed HTTP.
 
     def on_message_begin(self) -> None:
         self._reading = True
@@ -357,11 +361,11 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
-        self._fields += len(name) + len(value)
-        if self._fields > self._frontend.max_header_bytes:
+        self._header_bytes += len(name) + len(value)
+        if self._header_bytes > self._frontend.max_header_bytes:
             self._reject(431, "headers too large")
         elif self._headers_done:
-            return  # a trailer (RFC 9110, section 6.5) must not count as a header
+            return  # a trailer field (RFC 9110, section 6.5) must not be treated as a header
         elif name in self._frontend.unique_headers and name in self._headers:
             self._reject(400, "a header came twice")
         elif not self._input_closed:
@@ -378,13 +382,13 @@
                 self._reject(400, str(problem))
         length = self._headers.get(b"content-length")
         if length is not None and length.isdigit() and int(length[:12]) > self._frontend.body_limit:
-            self._reject(413, TOO_LONG)
+            self._reject(413, BODY_TOO_LONG)
         elif self._headers.get(b"expect", b"").lower() == b"100-continue" and not self._input_closed:
             self._send_continue()
         self._frontend.restart_stage(self)
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
+        self._body_bytes += len(body)
         self._body_progress += len(body)
         if self._body_progress >= PROGRESS:
             self._body_progress = 0
@@ -395,19 +399,19 @@
             try:
                 self._request_flow.push(body, self._frontend.now_s())
             except BodyTooLongError:
-                self._reject(413, TOO_LONG)
+                self._reject(413, BODY_TOO_LONG)
             return
         self._body.append(body)
-        if self._size > self._frontend.max_buffered_body:
+        if self._body_bytes > self._frontend.max_buffered_body:
             self._start_request_flow()
 
     def _send_continue(self) -> None:
-        """Let a client that waits for it send its body (RFC 9110, section 10.1.1)."""
+        """Send an interim 100 response to a client that waits for it (RFC 9110, section 10.1.1)."""
         if not self._busy and not self._queue and self._parser.get_http_version() != "1.0":
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _start_request_flow(self) -> None:
-        """Pass on a request whose body is too long to buffer; the rest of the body follows as it comes."""
+        """Pass on a request whose body is too long to buffer; the rest of the body is streamed."""
         length = self._headers.get(b"content-length")
         flow = Flow(
             self,
@@ -427,7 +431,7 @@
         except RequestError as problem:
             return self._reject(400, str(problem))
         except BodyTooLongError:
-            return self._reject(413, TOO_LONG)
+            return self._reject(413, BODY_TOO_LONG)
         self._request_flow = flow
         self._flow_message = message if isinstance(message, Message) else None
         self._queue.append(message)
@@ -460,7 +464,7 @@
             self._flow_message.arrived_ms = self._input_arrived_ms()
             self._flow_message = None
         flow.finish()
-        if self._closing and not self._busy and not self._queue:  # it was answered before
+        if self._closing and not self._busy and not self._queue:  # answered before the body was complete
             self._input_closed = True
             self._close_after_output()
 
@@ -477,11 +481,11 @@
         return message
 
     def _input_arrived_ms(self) -> float:
-        """Return when what is being read reached this machine at the latest, by the node's clock."""
+        """Return the latest possible arrival time of the input being read, by the node's clock, in ms."""
         return now_ms() - self._input_age.newest_ms()
 
     def _reject(self, status: int, reason: str) -> None:
-        """Keep an error for the client; the first one counts, and nothing after it is read."""
+        """Store an error reply for the client unless there is one already, and ignore further input."""
         if self._error_reply is None:
             self._input_closed = True
             self._error_reply = Reply(status, reason.encode())
@@ -489,8 +493,8 @@
     def _close_with_error(self, reply: Reply) -> None:
         """Send an error and close.
 
-        All other requests of the connection end with it: what the client sends next can't be understood any
-        more, and it need not wait for earlier answers to learn that.
+        All other requests of the connection are dropped: later input can't be parsed any more, and the error
+        is not delayed by answers to earlier requests.
         """
         self._input_closed = True
         self._closing = True
@@ -501,7 +505,7 @@
             return
         self._transport.write(render(reply, close=True))
         if self._reading and not self._completed:
-            # Closing now would reset the connection, and the error might never be read.
+            # Closing now would reset the connection, and the client might never read the error.
             self._transport.pause_reading()
             self._transport.write_eof()
         else:
@@ -524,17 +528,17 @@
             self._busy = False
             return self._close_with_error(Reply(400, str(problem).encode()))
         self._has_requested = True
-        if self._busy:  # it may have been answered at once
+        if self._busy:  # false if the request was answered at once
             self._pending = pending
         return None
 
     def _on_reply(self, reply: Reply) -> None:
-        """Send the node's answer to the request it has."""
+        """Send the node's answer to the pending request."""
         self._pending = None
         self._busy = False
         if reply.flow is not None:
             return self._start_streaming(reply, reply.flow)
-        if self._request_flow is not None:  # what still comes is dropped, and the connection ends with it
+        if self._request_flow is not None:  # the rest of the body is dropped, then the connection closes
             self._closing = True
             self._request_flow.fail()
             self.resume()
@@ -545,7 +549,7 @@
         return None
 
     def _start_streaming(self, reply: Reply, flow: Flow) -> None:
-        """Send the head of a long answer, and its body as it comes."""
+        """Send the head of an answer, and stream its body as it arrives."""
         if self._transport.is_closing():
             return flow.cancel()
         self._busy = True
@@ -557,7 +561,7 @@
         return None
 
     def _write_reply(self, reply: Reply) -> None:
-        early = self._request_flow is not None  # what still comes is dropped first
+        early = self._request_flow is not None  # answered early: the rest of the body is dropped first
         close = self._closing and not self._queue and (early or not self._reading)
         self._transport.write(render(reply, close, self._frontend.alt_svc))
         if close and not early:
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -1,6 +1,6 @@
-"""The client of discovery: keeps the list of servers up to date with a long-polling watch.
+"""The discovery client: keeps the list of servers up to date with a long-polling watch.
 
-One call is in flight at a time. When a call fails the owner is notified, and says when to subscribe again.
+One call is in flight at a time. When a call fails, the owner is notified and decides when to resubscribe.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from orchidferry.node.incremental import run_cooperatively
 from orchidferry.node.server_listing import ServerListing, decode_listing, parse_listing, read_listing
 
-# How long discovery may hold a watch open. A lost link is noticed only after that: in incident r32b5e5 first
-# calls were lost, and with 20 s all nodes sent through a whole release by the list they had started with.
-# A watch that is continued is no new call, so a short one costs discovery next to nothing.
+# How long discovery may hold a watch open. A lost network link is noticed only after that: in incident
+# r32b5e5 the first calls were lost, and with 20 s all nodes used the list that they had started with for a
+# whole release. Continuing a watch does not count as a new call, so a short watch costs discovery little.
 WATCH_MS = 2_500
-GRACE_MS = 1_500  # beyond that, for the answer: 2 s after the watch its changes count as known
-CALL_MS = 5_000  # for a call that discovery answers at once
-CONNECT_S = 1.0  # for a connection; a lost link would use up all the time of a watch
-MAX_RESPONSE_BYTES = 8 * 1024 * 1024  # some 40,000 entries
-LONG_BODY = 64 * 1024  # bytes; a longer list, of some 300 entries, is read in steps
+WATCH_GRACE_MS = 1_500  # additional time for the answer: the changes of a watch count as known 2 s after it
+CALL_TIMEOUT_MS = 5_000  # timeout of a call that discovery answers at once
+CONNECT_TIMEOUT_S = 1.0  # timeout for connecting; otherwise a lost link would use up a whole watch
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024  # about 40,000 entries
+LONG_LIST_BYTES = 64 * 1024  # bytes; a longer list, of more than about 300 entries, is decoded in steps
 
-LIST_ERRORS = (ValueError, RecursionError, SettingsFormatError)  # for a list that can't be read
+LIST_ERRORS = (ValueError, RecursionError, SettingsFormatError)  # raised for a list that can't be decoded
 
 
 def _parse_object(body: bytes) -> dict[str, Any]:
@@ -38,7 +38,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """A connection to discovery; passes complete responses, or the failure, to its owner."""
+    """A connection to discovery; passes complete responses and failures to its owner."""
 
     def __init__(self, owner: Discovery) -> None:
         self._owner = owner
@@ -48,7 +48,7 @@
     def _reset_response(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body: list[bytes] = []
-        self._size = 0  # bytes
+        self._size = 0  # bytes received for the response
         self._complete = False
         self._keep = False  # whether discovery keeps the connection open
 
@@ -66,16 +66,16 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            return self._owner.connection_failed(self, "an answer that can't be read")
+            return self._owner.connection_failed(self, "malformed HTTP response")
         if self._complete:
             status = self._parser.get_status_code()
             self._owner.response_received(self, status, b"".join(self._body), self._keep)
         elif self._size > MAX_RESPONSE_BYTES:
-            self._owner.connection_failed(self, "an answer without end")
+            self._owner.connection_failed(self, f"response longer than {MAX_RESPONSE_BYTES} bytes")
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._owner.connection_failed(self, "the connection broke")
+        self._owner.connection_failed(self, "connection lost")
 
     def on_body(self, body: bytes) -> None:
         self._body.append(body)
@@ -97,8 +97,9 @@
     ) -> None:
         """Create a `Discovery`.
 
-        :param index: discovery's version of the list that the node has.
-        :param on_update: called with each list or change in order; with None and the reason after a failure.
+        :param index: discovery's version number of the list that the node already has.
+        :param on_update: called with each list or set of changes and an empty text, in order; after a failure
+            with None and the reason.
         """
         self._loop = loop
         self._address = address
@@ -107,18 +108,19 @@
         self._needs_complete = False  # whether the next call asks for a complete list
         self._closed = False
         self._connection: _Connection | None = None
-        self._call: _Connection | asyncio.Task[None] | None = None  # what the call in flight waits for
+        # What the call in flight waits for: a response, or a task that connects or decodes; None: no call
+        self._call: _Connection | asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def subscribe(self) -> None:
-        """Watch from the present list on; no effect if a watch is in flight."""
+        """Watch for changes since the current list; no effect if a watch is in flight."""
         if self._call is None and not self._closed:
             self._start_call()
 
     def move(self, address: Address) -> None:
-        """Use another address from now on, and ask for a complete list first.
+        """Use another address from now on, and request a complete list first.
 
-        Versions there need not be those of the old address. The old address's call ends here.
+        The version numbers there may differ from those of the old address. A call in flight is abandoned.
         """
         if not self._closed:
             self._end_call()
@@ -138,8 +140,8 @@
         request = (
             f"GET /api/targets{query} HTTP/1.1\r\nHost: {self._address[0]}:{self._address[1]}\r\n\r\n"
         ).encode()
-        limit_ms = CALL_MS if self._needs_complete else WATCH_MS + GRACE_MS
-        # A lost link is silent, also on TCP: without a timeout the watch would wait forever.
+        limit_ms = CALL_TIMEOUT_MS if self._needs_complete else WATCH_MS + WATCH_GRACE_MS
+        # A lost network link causes no error, even with TCP: without a timeout the watch would hang forever.
         self._timer = self._loop.call_later(limit_ms / 1000.0, self._on_timeout)
         if self._connection is not None:
             self._call = self._connection
@@ -151,14 +153,14 @@
         task = self._call
         connection = _Connection(self)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: connection, *self._address)
-        except OSError as problem:  # also the timeout
+        except OSError as problem:  # includes `TimeoutError`
             if self._call is task:
-                self._fail(f"can't connect: {problem or 'no answer'}")
+                self._fail(f"can't connect: {problem or 'timed out'}")
             return
         finally:
-            # Cancelled, or too late: a connection that came up all the same is not used.
+            # The call was cancelled or replaced: a connection that opened nevertheless is not used.
             if self._call is not task and connection.transport is not None:
                 connection.transport.abort()
         if self._call is task:
@@ -166,7 +168,7 @@
             connection.send(request)
 
     def _on_timeout(self) -> None:
-        self._fail("no answer in time")
+        self._fail("no response within the time limit")
 
     def _end_call(self) -> None:
         if isinstance(self._call, asyncio.Task):
@@ -182,7 +184,7 @@
             connection.transport.abort()
 
     def connection_failed(self, connection: _Connection, reason: str) -> None:
-        """Drop a connection that can't be used any more; the call on it fails, if there is one."""
+        """Drop a connection that can no longer be used; a call in flight on it fails."""
         if connection is self._call:
             self._fail(reason)
         elif connection is self._connection:
@@ -194,21 +196,22 @@
         self._on_update(None, reason)
 
     def response_received(self, connection: _Connection, status: int, body: bytes, keep: bool) -> None:
-        """Take a response.
+        """Handle a complete response.
 
         :param keep: whether the connection stays open.
         """
         if connection is not self._call:
-            return self.connection_failed(connection, "an answer that nobody asked for")
+            return self.connection_failed(connection, "response without a request")
         if status != 200:
-            return self._fail(f"status {status}")
-        if len(body) <= LONG_BODY:
+            return self._fail(f"response status {status}")
+        if len(body) <= LONG_LIST_BYTES:
             try:
                 listing = read_listing(_parse_object(body))
             except LIST_ERRORS as problem:
-                return self._fail(f"a list that can't be read: {problem!s:.100}")
+                return self._fail(f"can't decode the server list: {problem!s:.100}")
             return self._take(listing, keep)
-        # A long list is read in steps, as requests are waiting; until then this call counts as in flight.
+        # A long list is decoded in steps, so that requests are served in between; meanwhile this call still
+        # counts as in flight.
         if self._timer is not None:
             self._timer.cancel()
         self._call = self._loop.create_task(self._read_in_steps(body, keep))
@@ -221,22 +224,22 @@
             listing = await run_cooperatively(decode_listing(obj))
         except LIST_ERRORS as problem:
             if self._call is task:
-                self._fail(f"a list that can't be read: {problem!s:.100}")
+                self._fail(f"can't decode the server list: {problem!s:.100}")
             return
         if self._call is task:  # the watch was not moved or closed meanwhile
             self._call = None
             self._take(listing, keep)
 
     def _take(self, listing: ServerListing, keep: bool) -> None:
-        """Continue the watch and pass on a list.
+        """Continue the watch, then pass on a list.
 
-        The next call comes first: a watch counts as continued only if it comes within 200 ms.
+        The next call is made first: discovery treats a watch as continued only if it arrives within 200 ms.
         """
         self._end_call()
         if not keep:
             self._disconnect()
         if not listing.complete and (self._needs_complete or listing.index < self._index):
-            self._needs_complete = True  # these are changes to another list than ours
+            self._needs_complete = True  # these changes apply to a different list than the node's
             return self._start_call()
         self._index = listing.index
         self._needs_complete = False
--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -1,9 +1,9 @@
-"""A body that is too long to buffer: it is passed on from its sender to its reader as it comes.
+"""Streaming of a request or response body that is too long to buffer.
 
-No sockets here. A source (`Source`) pushes chunks into a `Flow`; a sink (`Sink`) is fed them. A sink that
-can't take more blocks the flow, which pauses the source (back pressure). What has come is kept as long as the
-limit of one flow and the memory pool of all allow it, so that another sink can be fed all of it from the
-start; beyond that the flow is spent.
+This module uses no sockets. A `Source` pushes chunks into a `Flow`, which feeds them to a `Sink`. A sink that
+can't accept more blocks the flow, which pauses the source (back pressure). Received chunks are kept as long
+as the limit of each flow and the memory pool of all flows allow it, so that a retry can feed the whole body
+to another sink. Beyond that the flow is spent: its beginning is no longer available.
 """
 
 from __future__ import annotations
@@ -15,60 +15,60 @@
 
 from orchidferry.errors import OrchidferryError
 
-SHORT_BODY = 64 * 1024  # bytes; a body up to this is read completely; as much of a flow waits for a sink
-LONG_BODY = 32 * 1024 * 1024  # bytes of the longest body of a flow
-MAX_REPLAY_BYTES = 1024 * 1024  # of one flow that are kept for another sink
-POOL_MEMORY_FRACTION = 0.15  # of the node's memory, for what flows keep beyond the first `SHORT_BODY`
+SHORT_BODY = 64 * 1024  # longest body, in bytes, that is buffered; also how much of a flow waits for a sink
+LONG_BODY = 32 * 1024 * 1024  # longest body, in bytes, that a flow may have
+MAX_REPLAY_BYTES = 1024 * 1024  # most bytes of one flow that are kept for another sink
+POOL_MEMORY_FRACTION = 0.15  # share of the node's memory for replay data beyond the first `SHORT_BODY` bytes
 
-# A flow has ended if no byte moves for `STALL_S`, or if it is slower than `SLOWEST_B_S` on average since its
-# start; the average counts after `GRACE_S`.
+# A flow counts as stalled if no byte moves for `STALL_S` seconds, or if it is slower than `SLOWEST_B_S` bytes
+# per second on average since its start, with `GRACE_S` seconds in addition.
 STALL_S = 10.0
 SLOWEST_B_S = 16 * 1024
 GRACE_S = 20.0
 
 
 class BodyTooLongError(OrchidferryError):
-    """More came than a flow may have, or than its sender announced."""
+    """A body is longer than a flow may be, or than its sender announced."""
 
 
 class FlowFailure(Enum):
-    """Why the rest of a body never came."""
+    """Why the rest of a body never arrived."""
 
-    SOURCE_CLOSED = "source_closed"  # its sender's connection was closed
-    SOURCE_RESET = "source_reset"  # its sender's connection was reset
-    MALFORMED = "malformed"  # what came was not HTTP, or too long
-    TRUNCATED = "truncated"  # it ended before its stated length
-    DROPPED = "dropped"  # it was given up here
+    SOURCE_CLOSED = "source_closed"  # the sender's connection was closed
+    SOURCE_RESET = "source_reset"  # the sender's connection was reset
+    MALFORMED = "malformed"  # the input was not HTTP, or too long
+    TRUNCATED = "truncated"  # the body ended before its stated length
+    DROPPED = "dropped"  # this process gave up the flow
 
 
 class Source(Protocol):
-    """Where a body comes from."""
+    """The sender of a body."""
 
     def pause(self) -> None:
-        """Push nothing for now."""
+        """Stop pushing until `resume` is called."""
 
     def resume(self) -> None:
-        """Go on pushing."""
+        """Continue pushing."""
 
     def flow_cancelled(self) -> None:
-        """Learn that nobody takes the rest."""
+        """Called when the rest of the body is not wanted any more."""
 
 
 class Sink(Protocol):
-    """Where a body goes."""
+    """The receiver of a body."""
 
     def feed(self, data: bytes) -> None:
-        """Take a chunk."""
+        """Accept a chunk."""
 
     def end(self) -> None:
-        """Learn that the body is complete."""
+        """Called when the body is complete."""
 
     def flow_failed(self) -> None:
-        """Learn that the rest never comes."""
+        """Called when the rest of the body will never arrive."""
 
 
 class MemoryPool:
-    """Memory that all flows share, in bytes."""
+    """A memory budget in bytes that all flows share."""
 
     __slots__ = ("available",)
 
@@ -76,14 +76,14 @@
         self.available = size
 
     def reserve(self, size: int) -> bool:
-        """Reserve so many bytes; return whether there were as many."""
+        """Reserve a number of bytes; return whether they were available."""
         if size > self.available:
             return False
         self.available -= size
         return True
 
     def release(self, size: int) -> None:
-        """Return bytes that were reserved."""
+        """Release reserved bytes."""
         self.available += size
 
 
@@ -123,38 +123,39 @@
     ) -> None:
         """Create a `Flow`.
 
-        :param length: of the body in bytes; None if the sender does not say.
-        :param now_s: the time by the loop's clock.
-        :param pool: where memory for another sink is reserved; None: nothing is kept, as there is one sink.
-        :param max_length: in bytes, of a body whose length is not known; None: `LONG_BODY`.
+        :param length: length of the body in bytes; None if the sender does not announce it.
+        :param now_s: the current time by the loop's clock, in seconds.
+        :param pool: memory for replaying the body to another sink; None: there is only one sink, no replay.
+        :param max_length: maximum length in bytes if `length` is None; None: `LONG_BODY`.
         """
         self.source = source
         self.length = length
         self._pool = pool
         self._max_length = LONG_BODY if max_length is None else max_length
         self.received_bytes = 0
-        self.fed_bytes = 0  # to the present sink
-        self.complete = False  # whether the last byte has come
-        self.over = False  # whether nothing more happens
-        self.failure: FlowFailure | None = None  # why it failed, if it did
-        self.spent = False  # whether the beginning is not kept any more, and no other sink can be fed
+        self.fed_bytes = 0  # bytes fed to the current sink
+        self.complete = False  # whether the last byte has been received
+        self.over = False  # whether the flow was delivered, has failed or was cancelled
+        self.failure: FlowFailure | None = None  # why the flow failed, if it did
+        self.spent = False  # whether the beginning is no longer kept, so that no other sink can be fed
         self._sink_blocked = False
         self._source_paused = False
         self._replay: list[bytes] = []  # all chunks so far, for another sink
-        self._unfed: deque[bytes] = deque()  # chunks that came while there was no sink
-        self._reserved = 0  # bytes of the pool
+        self._unfed: deque[bytes] = deque()  # chunks received while no sink was attached
+        self._reserved = 0  # bytes reserved in the pool
         self._sink: Sink | None = None
-        self.on_complete: Callable[[], None] | None = None  # called when the last byte has come
-        self.on_over: Callable[[bool], None] | None = None  # called once, with whether all was delivered
+        self.on_complete: Callable[[], None] | None = None  # called when the last byte has been received
+        self.on_over: Callable[[bool], None] | None = None  # called once, with True if all was delivered
         self.started_s = now_s
         self.last_progress_s = now_s
 
-    # For the source
+    # Called by the source
 
     def push(self, data: bytes, now_s: float) -> None:
-        """Take a chunk from the source.
+        """Accept a chunk from the source.
 
-        :raises BodyTooLongError: if the body is too long; the source then has to end the flow.
+        :param now_s: the current time by the loop's clock, in seconds.
+        :raises BodyTooLongError: if the body is too long; the source must then end the flow.
         """
         if self.over:
             return
@@ -173,7 +174,7 @@
             self._sink.feed(data)
 
     def _keep(self, data: bytes) -> None:
-        """Keep a chunk if there is memory for all so far; else discard all that is kept."""
+        """Keep a chunk if there is memory for the whole body so far; otherwise discard all kept chunks."""
         if self._pool is None or self.spent:
             self.spent = True
             return
@@ -183,7 +184,7 @@
             self._replay.append(data)
         elif self._sink is not None or self.fed_bytes:
             self._discard_replay()
-        else:  # nothing was fed so far: the body is still complete
+        else:  # no sink has been fed yet, so the kept chunks are still needed in full
             self._replay.append(data)
 
     def _discard_replay(self) -> None:
@@ -194,7 +195,7 @@
         self._reserved = 0
 
     def finish(self) -> None:
-        """Learn that the last chunk has come."""
+        """Mark the body as complete: the last chunk was pushed."""
         if self.over or self.complete:
             return
         self.complete = True
@@ -204,17 +205,17 @@
             self._sink.end()
 
     def fail(self, failure: FlowFailure = FlowFailure.DROPPED) -> None:
-        """Learn that the rest never comes, and why."""
+        """End the flow because the rest of the body will never arrive."""
         if not self.over:
             self.failure = failure
         if self._end(False) and self._sink is not None:
             self._sink.flow_failed()
 
-    # For the sink
+    # Called by the sink
 
     def attach(self, sink: Sink) -> None:
-        """Feed a sink from the start: what is there now, and what comes later."""
-        assert self._sink is None and not (self.spent and self.fed_bytes), "its beginning is gone"
+        """Feed a sink from the beginning of the body: first the kept chunks, then those that follow."""
+        assert self._sink is None and not (self.spent and self.fed_bytes), "the beginning is gone"
         self._sink = sink
         self._sink_blocked = False
         self.fed_bytes = 0
@@ -222,7 +223,7 @@
         self._unfed.clear()
         for chunk in chunks:
             if self._sink is not sink:
-                return  # it was detached by a chunk
+                return  # the sink detached itself while it was fed
             self.fed_bytes += len(chunk)
             sink.feed(chunk)
         if self._sink is not sink:
@@ -235,20 +236,20 @@
             self._resume_source()
 
     def detach(self, sink: Sink) -> None:
-        """Feed this sink no more; another can be attached, unless the flow is spent."""
+        """Stop feeding this sink; another one can be attached, unless the flow is spent."""
         if self._sink is sink:
             self._sink = None
             if not self.complete and not self.over and self.received_bytes >= SHORT_BODY:
                 self._pause_source()
 
     def block(self) -> None:
-        """Learn that the sink can't take more now."""
+        """Pause the source because the sink can't accept more for now."""
         self._sink_blocked = True
         if not self.complete:
             self._pause_source()
 
     def unblock(self, now_s: float) -> None:
-        """Learn that the sink can take more again."""
+        """Resume the source because the sink can accept more again."""
         self._sink_blocked = False
         self.last_progress_s = now_s
         self._resume_source()
@@ -264,19 +265,19 @@
             self.source.resume()
 
     def cancel(self) -> None:
-        """End it because nobody takes the rest; the source is resumed, as it may drop what still comes."""
+        """End the flow because the rest is not wanted; the source resumes, to receive and drop the rest."""
         if self._end(False):
             self._resume_source()
             self.source.flow_cancelled()
 
     def delivered(self) -> None:
-        """End it because the sink has passed on all of it."""
+        """End the flow because the sink has passed on the whole body."""
         self._end(True)
 
-    # For the node
+    # Called by the node
 
     def abort(self) -> None:
-        """End it, and notify both sides."""
+        """End the flow and notify both the sink and the source."""
         sink = self._sink
         if self._end(False):
             if sink is not None:
@@ -284,7 +285,7 @@
             self.source.flow_cancelled()
 
     def _end(self, delivered: bool) -> bool:
-        """Be over; return whether it was not before."""
+        """End the flow; return False if it had ended before."""
         if self.over:
             return False
         self.over = True
@@ -295,7 +296,7 @@
         return True
 
     def can_start(self) -> bool:
-        """Return whether a sink can be fed from the start."""
+        """Return whether a sink can be fed from the beginning of the body."""
         return not self.over and not (self.spent and self.fed_bytes)
 
     def has_consumer(self) -> bool:
@@ -303,7 +304,7 @@
         return self.over or self._sink is not None
 
     def is_stalled(self, now_s: float) -> bool:
-        """Return whether it has stood still, or was slow, for too long."""
+        """Return whether no byte has moved for too long, or the average rate is too low."""
         allowed_s = GRACE_S + max(self.received_bytes, self.fed_bytes) / SLOWEST_B_S
         slow = now_s - self.started_s > allowed_s
         return not self.over and (slow or now_s - self.last_progress_s > STALL_S)
--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -1,8 +1,8 @@
-"""The listener for clients in HTTP/1.1, and the time limits of their connections.
+"""The HTTP/1.1 listener for clients, and the time limits of their connections.
 
-A connection waits for one thing at a time, its stage (see `client_connection`). The frontend keeps the
-connections of a stage in the order in which they came to it. One sweep ends those over their limit. When
-sockets run short, the first of a stage whose client is owed nothing is closed.
+At any time a connection is in one stage (see `client_connection`). The frontend keeps the connections of each
+stage in the order in which they entered it. A periodic sweep ends those that exceed the stage's time limit.
+When sockets run short, the oldest connection of a stage whose client is owed nothing is closed.
 """
 
 from __future__ import annotations
@@ -21,25 +21,26 @@
 from orchidferry.node.reply import Reply
 from orchidferry.node.request import SINGLE, Message, read_message
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-SWEEP_S = 0.2  # how often stages are checked; limits are late by so much at most
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+SWEEP_S = 0.2  # how often stages are checked; time limits are enforced at most this much late
 READY_PATH = b"/-/ready"
-NODE_PATHS = b"/-/"  # begins the paths of the node's own pages
+NODE_PATHS = b"/-/"  # prefix of the paths of the node's own pages
 
-# Where a connection to close for a new one is sought: clients that never asked, then the longest idle. The
-# stage does not tell that a client is owed nothing: a response may be handed over and not sent yet.
+# Stages that are searched for a connection to evict, in this order: clients that have not sent a request go
+# before idle ones. The stage alone does not show that a client is owed nothing: a response may have been
+# written and not be sent yet.
 EVICTION_ORDER = (Stage.LEAVING, Stage.NEW, Stage.IDLE)
-MAX_CANDIDATES = 8  # of each stage that are looked at, the oldest first: a crowd may come at once
+MAX_CANDIDATES = 8  # connections examined per stage, oldest first: many clients may connect at once
 
 
 class Frontend:
-    """The listener and all clients' connections."""
+    """The listener and the connections of all clients."""
 
     connection_class: type[ClientConnection] = ClientConnection
-    unique_headers = SINGLE  # headers that a request may have once
-    max_buffered_body = MAX_BODY  # bytes of a request that is read completely; a longer one is a flow
-    max_header_bytes = MAX_HEAD  # bytes of a head
-    max_body_bytes: int | None = None  # bytes of a body; None: `LONG_BODY`
+    unique_headers = SINGLE  # headers that a request may contain only once
+    max_buffered_body = MAX_BODY  # longest request body, in bytes, that is buffered; longer ones are streamed
+    max_header_bytes = MAX_HEAD  # maximum size of a request's first line and headers
+    max_body_bytes: int | None = None  # maximum size of a body; None: `LONG_BODY`
     limits_s = LIMITS_S  # how long each stage may last
 
     def __init__(
@@ -55,8 +56,8 @@
         :param classes: request classes by name.
         :param accept: passes a request to the node.
         :param ready: returns whether the node can serve requests.
-        :param max_connections: beyond it a connection whose client is owed nothing is closed.
-        :param pool: memory for long requests.
+        :param max_connections: limit on open connections, beyond which one that owes nothing is evicted.
+        :param pool: memory for replaying streamed request bodies.
         """
         self.classes = classes
         self.accept = accept
@@ -71,7 +72,7 @@
         self._closing = False
         self._empty = asyncio.Event()
         self.evicted = 0  # connections closed for new ones, at the limit
-        # Connections that ended while their client was owed something.
+        # Number of connections that ended while their client was still owed something.
         self.incomplete_ends: Counter[tuple[EndCause, Owed]] = Counter()
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: Address) -> Address:
@@ -91,7 +92,7 @@
 
     @property
     def body_limit(self) -> int:
-        """Bytes of the longest body that is accepted."""
+        """Maximum size of a body that is accepted, in bytes."""
         return LONG_BODY if self.max_body_bytes is None else self.max_body_bytes
 
     def count(self) -> int:
@@ -105,10 +106,10 @@
     def read(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, flow: Flow | None
     ) -> Message | Reply:
-        """Check a request.
+        """Validate a request.
 
         :param flow: the body, if it is too long to buffer; `body` is empty then.
-        :returns: the request, or the answer if the node itself has it.
+        :returns: the request, or the answer if it asks for one of the node's own pages.
         :raises RequestError: if the request can't be accepted.
         """
         if target.startswith(NODE_PATHS):
@@ -119,11 +120,11 @@
         """Answer a request for one of the node's own pages."""
         if path != READY_PATH:
             return Reply(404, b"no such path")
-        # Not 503, which would be a refusal of a request.
+        # Not 503, which would count as a refused request.
         return Reply(200, b"ready") if self._ready() and not self._not_ready else Reply(500, b"not ready")
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Add a connection; beyond the limit one whose client is owed nothing is closed."""
+        """Register a connection; beyond the limit, evict one whose client is owed nothing."""
         connection.stage = Stage.NEW
         self._stages[Stage.NEW][connection] = self._loop.time()
         if self._closing:
@@ -132,7 +133,7 @@
             self._evict(connection)
 
     def _evict(self, newest: ClientConnection) -> None:
-        """Close a connection whose client is owed nothing; the newest one if there is no other."""
+        """Close a connection whose client is owed nothing; the newest connection if there is no other."""
         self.evicted += 1
         self.report_eviction()
         oldest = (c for stage in EVICTION_ORDER for c in islice(self._stages[stage], MAX_CANDIDATES))
@@ -140,23 +141,23 @@
         next(others, newest).abort(EndCause.EVICTED)
 
     def set_stage(self, connection: ClientConnection, stage: Stage) -> None:
-        """Set what a connection waits for; if that is new, its time begins anew."""
+        """Set a connection's stage; a change of stage restarts its time."""
         if connection.stage is not None and connection.stage is not stage:
             del self._stages[connection.stage][connection]
             connection.stage = stage
             self._stages[stage][connection] = self._loop.time()
 
     def now_s(self) -> float:
-        """Return the time of the clock that stages and flows use."""
+        """Return the time of the clock that stages and flows use, in seconds."""
         return self._loop.time()
 
     def restart_stage(self, connection: ClientConnection) -> None:
-        """Let the time of a stage begin anew, as more of a request has come."""
+        """Restart the time of a stage that waits for a request, as more of the request has arrived."""
         if connection.stage is Stage.READING or connection.stage is Stage.NEW:
             self.extend_stage(connection)
 
     def extend_stage(self, connection: ClientConnection) -> None:
-        """Let the time of a connection's stage begin anew."""
+        """Restart the time of a connection's stage."""
         if connection.stage is not None:
             del self._stages[connection.stage][connection]
             self._stages[connection.stage][connection] = self._loop.time()
@@ -164,7 +165,7 @@
     def ended_incomplete(
         self, connection: ClientConnection, cause: EndCause, owed: Owed, detail: str
     ) -> None:
-        """Learn that a connection ends while its client is owed something."""
+        """Count and report a connection that ends while its client is still owed something."""
         self.incomplete_ends[cause, owed] += 1
         since_s = (
             self._loop.time() if connection.stage is None else self._stages[connection.stage][connection]
@@ -175,19 +176,19 @@
         )
 
     def report_eviction(self) -> None:
-        """Log that a connection is closed for a new one; a node in service only counts them."""
+        """Log an eviction, in subclasses; a node only counts evictions."""
 
     def report_open_connections(self) -> None:
-        """Report those whose client is owed something, as the process ends over them."""
+        """Report connections whose client is still owed something when the process ends."""
         for stage in Stage:
             for connection in self._stages[stage]:
                 connection.report_end(EndCause.SHUTDOWN)
 
     def report_incomplete_end(self, end: IncompleteEnd) -> None:
-        """Log such an end; a node in service only counts them."""
+        """Log an incomplete end, in subclasses; a node only counts them."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a connection."""
+        """Unregister a connection."""
         if connection.stage is not None:
             del self._stages[connection.stage][connection]
             connection.stage = None
@@ -208,16 +209,16 @@
                 connection.on_stage_timeout()
 
     def set_not_ready(self) -> None:
-        """Answer readiness checks with no from now on."""
+        """Answer readiness checks with "not ready" from now on."""
         self._not_ready = True
 
     def close_listener(self) -> None:
-        """Accept no more connections; the open ones are kept."""
+        """Stop accepting connections; the open ones are kept."""
         if self._server is not None:
             self._server.close()
 
     async def close_gracefully(self) -> None:
-        """Close idle connections, and the others after their last answer; wait until all are closed."""
+        """Close idle connections now and the others after their last answer, and wait for all of them."""
         self._closing = True
         for stage in Stage:
             for connection in list(self._stages[stage]):
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -1,8 +1,8 @@
-"""The node: turns what happens on sockets into events for the balancer, and performs its actions.
+"""The node: translates socket activity into events for the balancer, and performs the balancer's actions.
 
-Only this module calls `Balancer.handle`, with one event at a time. Every request that is accepted is answered
-exactly once, at the latest by a backstop at its deadline; every `Send` of the balancer ends in exactly one
-`AttemptEnded`.
+Only this module calls `Balancer.handle`, with one event at a time. Every accepted request is answered exactly
+once, at the latest by a backstop timer at its deadline. Every `Send` action of the balancer leads to exactly
+one `AttemptEnded` event.
 """
 
 from __future__ import annotations
@@ -42,38 +42,39 @@
 from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream import Upstream
 
-if TYPE_CHECKING:  # modules of features are imported only where they are switched on
+if TYPE_CHECKING:  # modules of optional features are imported at run time only if the feature is enabled
     from orchidferry.node.admin_server import AdminServer, PageHandler
     from orchidferry.node.chain.links import Links
     from orchidferry.node.control.link import Link
     from orchidferry.node.h3.front import Listener
 
-# Part of a request's budget that is spent before the request is read and while its answer is sent.
+# Part of a request's budget that is reserved for the time before the request is read and for sending its
+# answer.
 MARGIN_MS = 10.0
 
-# Part of a request's budget, at most, that is left for the node's own delays at its end
+# Largest share of a request's budget that is reserved for the node's own scheduling delays
 LATENESS_SHARE = 0.1
 
-# A planned end: connections still arrive for at least 0.4 s after SIGTERM. SIGKILL follows no sooner than
-# 0.7 s after the longest budget of a request, which is 3 s at most.
-ACCEPT_S = 0.45
-LONGEST_MS = 3_000.0
-KILL_MS = 700.0
-STOP_MARGIN_MS = 200.0  # between the last answer and SIGKILL
-LAST_MS = 800.0  # before the last answer connections are closed: a request until then can still be served
+# Graceful shutdown: new connections still arrive for at least 0.4 s after SIGTERM. SIGKILL follows no sooner
+# than 0.7 s after the longest budget of a request, which is 3 s at most.
+MIN_ACCEPT_S = 0.45  # how long new connections are accepted at least
+MAX_BUDGET_MS = 3_000.0  # the longest budget that a request may have
+KILL_DELAY_MS = 700.0  # time between the end of the longest budget and SIGKILL
+STOP_MARGIN_MS = 200.0  # time between the deadline of the last answer and SIGKILL
+CLOSE_LEAD_MS = 800.0  # how long before that deadline connections are closed: earlier requests are served
 
-# Shares of the limit of sockets
-SPARE_SOCKETS = 24  # listener, discovery, event loop, log, and sockets half closed
-CALLERS_SHARE = 0.55  # clients; the rest is for attempts and idle connections to servers
+# How the limit on open sockets is divided
+RESERVED_SOCKETS = 24  # for the listener, discovery, the event loop, the log, and half-closed sockets
+CLIENT_SOCKETS_SHARE = 0.55  # share of the limit for clients; the rest is for connections to servers
 
 FLOW_CHECK_S = 1.0  # how often a flow is checked for a stall
-SUBSCRIBE_RETRY_S = 0.5  # after a failure of the discovery agent, where lists come unasked
+SUBSCRIBE_RETRY_S = 0.5  # delay before resubscribing after discovery failed, if `follow_list` is off
 
 log = logging.getLogger("orchidferry")
 
 
 def _log_unhandled(event: api.Event) -> None:
-    log.exception("handling %s", type(event).__name__)
+    log.exception("unhandled exception while handling the event %s", type(event).__name__)
 
 
 class Node:
@@ -84,7 +85,7 @@
     ) -> None:
         """Create a `Node`.
 
-        :param extensions: optional features; None: there are none.
+        :param extensions: settings of the optional features; None if no feature is enabled.
         :raises ConfigError: if a feature can't be started with its settings.
         """
         extensions = extensions or Extensions()
@@ -94,18 +95,19 @@
         self._balancer = self._make_balancer(extensions)
         self._events = EventQueue(self._balancer.handle, self._perform, _log_unhandled)
         self.metrics = Metrics(self._balancer.classes)
-        self._streaming = 0  # answers whose body is being passed on
-        # Requests are keyed by a serial number, also towards the balancer: an attempt may outlast its
-        # request, and the client may use its id again.
-        self._serial = 0
-        self._pending: dict[str, PendingRequest] = {}
-        self.attempts: dict[tuple[str, int], RequestAttempt] = {}  # in flight
-        self._open_ids: set[str] = set()  # the clients' ids of the pending requests
+        self._streaming = 0  # number of answers whose body is being streamed to the client
+        # Requests are identified by a serial number, also in events and actions of the balancer: an attempt
+        # may outlive its request, and the client may then reuse the id of that request.
+        self._serial = 0  # of the newest request
+        self._pending: dict[str, PendingRequest] = {}  # by serial number
+        # Attempts in flight, by the serial number of the request and the number of the attempt
+        self.attempts: dict[tuple[str, int], RequestAttempt] = {}
+        self._open_ids: set[str] = set()  # ids that clients gave to the pending requests
         self.servers = ServerTable(lambda server: self._upstream.server_removed(server))
         self._list_feed = ServerListFeed(loop, self._handle)
         self._timers = TimerQueue(loop)
         self._longest_ms = 0.0  # the longest budget of a request so far
-        self._stop_ms = math.inf  # when all must be answered, once the node shuts down
+        self._stop_ms = math.inf  # when all requests must be answered, once the node shuts down
         self._make_upstream(extensions)
         self.control: Link | None = None
         if extensions.control is not None:
@@ -134,7 +136,7 @@
             return balancer
         from orchidferry.balancing.pools import Router
 
-        # A router has the interface of a balancer, and one balancer for each pool.
+        # A `Router` has the interface of a `Balancer`, and contains one balancer for each pool.
         return cast(Balancer, Router(settings, seed, extensions.pools, budgets))
 
     def _make_upstream(self, extensions: Extensions) -> None:
@@ -166,7 +168,7 @@
             classes,
             self.accept,
             lambda: bool(self.servers.in_service),
-            int(CALLERS_SHARE * self._config.sockets),
+            int(CLIENT_SOCKETS_SHARE * self._config.sockets),
             MemoryPool(int(POOL_MEMORY_FRACTION * self._config.memory_mb * 1e6)),
         )
         self._frontends: list[FrontendTransport] = [self.frontend]
@@ -192,14 +194,14 @@
             pages |= subsystem.pages()
         return AdminServer(pages)
 
-    # Pages
+    # Admin pages
 
     def ready(self) -> bool:
-        """Return whether requests can be served, and the node does not shut down."""
+        """Return whether requests can be served and the node is not shutting down."""
         return bool(self.servers.in_service) and self._stop_ms == math.inf
 
     def render_metrics(self) -> bytes:
-        """Return the metrics as text, as of now."""
+        """Return the current metrics as text."""
         down = self._balancer.avoided(now_ms())
         inflight = len(self._pending) + self._streaming
         return self.metrics.render(inflight, len(self.servers.addresses), down)
@@ -207,10 +209,10 @@
     def _control_page(self) -> tuple[int, bytes]:
         return (404, b"no control service\n") if self.control is None else (200, self.control.page())
 
-    # Start and end
+    # Start and shutdown
 
     def start(self) -> None:
-        """Start the balancer with the servers of the configuration, and everything beside it."""
+        """Start the balancer with the servers of the configuration, then discovery and the subsystems."""
         self.apply_listing(self._config.known, api.ListKind.SAVED)
         self._handle(api.Started())
         if not self._config.settings.follow_list:
@@ -220,29 +222,29 @@
         for subsystem in self._subsystems:
             subsystem.start()
 
-    async def stop(self, accept_s: float = ACCEPT_S) -> None:
-        """Serve on for a while, then finish all pending requests and close.
+    async def stop(self, accept_s: float = MIN_ACCEPT_S) -> None:
+        """Keep serving for a while, then finish all pending requests and close.
 
-        Clients go on using the connections they have, and may have no other node to go to. These are served
-        until just enough time is left to answer before the platform kills the node.
+        Clients keep using their open connections, and may have no other node to go to. They are served until
+        just enough time is left to answer before the platform kills the node.
 
-        :param accept_s: how long new connections are accepted in any case, in seconds.
+        :param accept_s: minimum time for which new connections are accepted, in seconds.
         """
         began_ms = now_ms()
         self._begin_stop()
         await asyncio.sleep(accept_s)
-        # The listener stays open as long as connections are served: a client that is refused a new one takes
-        # the node for dead and leaves its open ones too, and may have no other node to go to.
+        # The listener stays open as long as connections are served: a client whose new connection is refused
+        # considers the node dead and abandons its open connections too, and may have no other node.
         try:
-            async with asyncio.timeout((self._stop_ms - LAST_MS - now_ms()) / 1000.0):
+            async with asyncio.timeout((self._stop_ms - CLOSE_LEAD_MS - now_ms()) / 1000.0):
                 await asyncio.gather(*(front.wait_closed() for front in self._frontends))
         except TimeoutError:
-            log.info("closing connections %.0f ms after the signal", now_ms() - began_ms)
+            log.info("closing client connections %.0f ms after the stop signal", now_ms() - began_ms)
         await self._close_frontends()
         await self._close_rest()
 
     def _begin_stop(self) -> None:
-        grace_ms = KILL_MS - STOP_MARGIN_MS + min(LONGEST_MS, self._longest_ms or LONGEST_MS)
+        grace_ms = KILL_DELAY_MS - STOP_MARGIN_MS + min(MAX_BUDGET_MS, self._longest_ms or MAX_BUDGET_MS)
         self._stop_ms = now_ms() + grace_ms
         for request in self._pending.values():
             if request.ends_ms > self._stop_ms:
@@ -261,7 +263,7 @@
                 await asyncio.gather(*(front.close_gracefully() for front in self._frontends))
         except TimeoutError:
             for front in self._frontends:
-                front.abort()  # all is answered by now; these clients do not read
+                front.abort()  # all requests are answered by now; the remaining clients do not read
 
     async def _close_rest(self) -> None:
         if self.admin_server is not None:
@@ -278,21 +280,21 @@
     # Configuration
 
     def reconfigure(self, config: Config) -> None:
-        """Apply a configuration file that was read again: the address of discovery, and certificates."""
+        """Apply a reloaded configuration file: the address of discovery and the certificates."""
         old = self._config
         expected = dataclasses.replace(config, discovery=old.discovery, known=old.known, seed=old.seed)
         if expected != old:
-            log.warning("only a new address of discovery is taken without a restart")
+            log.warning("configuration reload: only a new discovery address applies without a restart")
         self._config = dataclasses.replace(old, discovery=config.discovery)
         self._discovery.move(config.discovery)
         if self.h3_front is not None:
             try:
                 self.h3_front.reread()
             except ConfigError as problem:
-                log.error("the old certificate stays: %s", problem)
+                log.error("can't reload the certificate, so the old certificate stays: %s", problem)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Apply settings of the control service; pending requests are not affected."""
+        """Apply settings from the control service; pending requests are not affected."""
         self._tcp.configure(settings.connect_timeout_ms, settings.keepalive_ms)
         self.metrics.add_classes(cls.name for cls in settings.classes)
         if settings != self._balancer.settings:
@@ -301,19 +303,19 @@
     # Servers
 
     def known_servers(self) -> Collection[int]:
-        """Return the servers that are listed."""
+        """Return the ids of the listed servers."""
         return self.servers.addresses.keys()
 
     def serves(self, server: int) -> bool:
-        """Return whether requests may be sent to a server."""
+        """Return whether new requests may be sent to a server."""
         return server in self.servers.in_service
 
     def stop_sending(self, servers: Iterable[int]) -> None:
-        """Send nothing new to these servers, whatever the balancer decides."""
+        """Send no new requests to these servers, whatever the balancer decides."""
         self.servers.stop_sending(servers)
 
     def apply_listing(self, listing: ServerListing, kind: api.ListKind) -> None:
-        """Apply a list of servers at once; the balancer is notified of a long one in several events."""
+        """Apply a list of servers at once; the balancer is notified of a long list in several events."""
         removed = self.servers.apply(listing, kind)
         self._list_feed.add(listing, kind, removed)
 
@@ -323,7 +325,7 @@
         if listing is not None:
             self.apply_listing(listing, api.ListKind.FULL if listing.complete else api.ListKind.CHANGES)
             return
-        log.info("discovery: %s", reason)
+        log.info("discovery failed: %s", reason)
         if self._config.settings.follow_list:
             self._handle(api.ServerList(api.ListKind.FAILED))
         else:
@@ -333,14 +335,15 @@
         frontends = sum(front.count() for front in self._frontends)
         admin = self.admin_server.count() if self.admin_server is not None else 0
         subsystems = sum(subsystem.count() for subsystem in self._subsystems)
-        used = SPARE_SOCKETS + frontends + admin + subsystems + self._upstream.count()
+        used = RESERVED_SOCKETS + frontends + admin + subsystems + self._upstream.count()
         return self._config.sockets - used
 
     # Requests
 
     def accept(self, message: Message, answer: Callable[[Reply], None]) -> PendingRequest:
-        """Accept a request; from now on exactly one call of `answer` is owed.
+        """Accept a request, which is then answered exactly once unless its client disconnects.
 
+        :param answer: called with the answer.
         :raises RequestError: if a request with the same id is pending.
         """
         if message.id in self._open_ids:
@@ -351,7 +354,7 @@
         id = str(self._serial)
         flow = message.flow
         ends_ms = self._due_ms(message, now)
-        if flow is not None and not flow.complete:  # until its end it may take as long as a flow may
+        if flow is not None and not flow.complete:  # the upload itself may take as long as a flow may last
             ends_ms += 1000.0 * ((flow.length or LONG_BODY) / SLOWEST_B_S + GRACE_S)
         request = PendingRequest(self, id, message, answer, min(ends_ms, self._stop_ms))
         if flow is not None:
@@ -376,23 +379,26 @@
         return request
 
     def _due_ms(self, message: Message, now: float) -> float:
-        """Return when an answer is due, so that it is in time if the node is as late as lately."""
+        """Return when an answer is due, with time reserved for delays as long as the recent ones."""
         late_ms = min(1000.0 * self._timers.lateness_s(), LATENESS_SHARE * message.budget_ms)
         return message.due_ms(now) - late_ms
 
     def _set_backstop(self, request: PendingRequest) -> None:
-        """Set the timer at the request's end, as it is now."""
+        """Set or replace the backstop timer at the request's deadline."""
         self._timers.cancel(request.backstop)
         left_s = (request.ends_ms - now_ms()) / 1000.0
         request.backstop = self._timers.schedule(left_s, request.deadline_passed)
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """Forget a request whose client waits no more."""
+        """Drop a request whose client has disconnected."""
         if self._remove(request):
             self._handle(api.ClientGone(request.id))
 
     def _remove(self, request: PendingRequest) -> bool:
-        """Remove a request if it is pending; whoever gets True must answer it, or knows that nobody waits."""
+        """Remove a request and return True if it is pending.
+
+        A caller that gets True must answer the request, unless its client has disconnected.
+        """
         if not request.owed:
             return False
         request.owed = False
@@ -408,39 +414,39 @@
         class_name = request.message.cls
         if reply.flow is None:
             self.metrics.count_request(class_name, reply.status)
-        else:  # only its end shows whether it is complete
+        else:  # only the end of the flow shows whether the answer is complete
             self._streaming += 1
             reply.flow.on_over = functools.partial(self._stream_ended, class_name)
             self._check_flow(reply.flow)
         request.answer(reply)
 
     def _stream_ended(self, class_name: str, complete: bool) -> None:
-        """Count an answer whose body was passed on."""
+        """Count an answer whose body was streamed to the client."""
         self._streaming -= 1
         self.metrics.count_request(class_name, 200 if complete else 502)
 
     def _check_flow(self, flow: Flow) -> None:
-        """End a flow that has stalled, or check it again later."""
+        """Abort a flow that has stalled, or check it again later."""
         if flow.is_stalled(self._loop.time()):
             flow.abort()
         elif not flow.over:
             self._timers.schedule(FLOW_CHECK_S, functools.partial(self._check_flow, flow))
 
     def _upload_received(self, request: PendingRequest) -> None:
-        """Start the budget of a long request when its last byte has come."""
+        """Start the budget of a streamed request when its last byte has arrived."""
         if request.owed:
             request.ends_ms = min(self._due_ms(request.message, now_ms()), self._stop_ms)
             self._set_backstop(request)
 
     def deadline_passed(self, request: PendingRequest) -> None:
-        """Fail a request that the balancer has not ended by its deadline, for whatever reason."""
+        """Fail a request that the balancer has not ended by its deadline, whatever the reason."""
         left_ms = request.ends_ms - now_ms()
-        if left_ms > 0.0:  # the loop's clock may run ahead, and a request must not fail early
+        if left_ms > 0.0:  # the loop's clock may be ahead of the node's, and a request must not fail early
             delay_s = left_ms / 1000.0 + 0.001
             request.backstop = self._timers.schedule(delay_s, request.deadline_passed)
         elif self._remove(request):
             log.warning(
-                "request %s was not ended by its deadline, late_ms=%.0f", request.message.id, -left_ms
+                "request %s had no outcome by its deadline, late_ms=%.0f", request.message.id, -left_ms
             )
             self.metrics.count_request(request.message.cls, 504)
             request.answer(Reply(504, b"no answer in time"))
@@ -449,7 +455,7 @@
     # The balancer
 
     def _handle(self, event: api.Event) -> None:
-        """Pass an event to the balancer and perform its actions, after any event before it."""
+        """Pass an event to the balancer after any queued events, and perform the resulting actions."""
         self._events.handle(event)
 
     def _perform(self, action: api.Action) -> None:
@@ -490,7 +496,7 @@
             return self._handle(
                 api.AttemptEnded(request.id, request.attempts, server, Result.MOOT, 0.0, False, spent=True)
             )
-        # At most what is left: an outcome must come before the answer is due.
+        # Limited to the time that is left: the attempt must end before the answer is due.
         timeout_ms = max(0.0, min(action.timeout_ms, request.ends_ms - MARGIN_MS - sent_ms))
         address = self.servers.addresses[server]
         attempt = RequestAttempt(self, request, server, address, timeout_ms, sent_ms)
@@ -500,7 +506,8 @@
         return None
 
     def _cancel_attempt(self, action: api.Cancel) -> None:
-        # An attempt that was moot before it began has no number here, but the balancer counts it.
+        # The balancer also counts attempts that were moot before they started, and these have no number here:
+        # so the newest attempt up to the balancer's number is the one to cancel.
         for number in range(action.attempt, -1, -1):
             attempt = self.attempts.get((action.id, number))
             if attempt is not None:
@@ -508,7 +515,7 @@
         return None
 
     def upload_sent(self, attempt: RequestAttempt) -> None:
-        """Notify the balancer that a server has all of a long request."""
+        """Notify the balancer that a streamed request was written to its server completely."""
         sent_ms = now_ms()
         left_ms = attempt.request.ends_ms - MARGIN_MS - sent_ms
         self._handle(attempt.restart_clock(left_ms, sent_ms))
--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -1,7 +1,8 @@
-"""Requests of clients: checked once, here, before anything relies on them.
+"""Validation of client requests, done once, before any other code relies on them.
 
-Ids, keys and targets are forwarded to servers as they came. A request is therefore rejected if a server could
-read it in another way than this node did: a header that came twice, a length beside chunks, odd characters.
+Ids, keys and targets are forwarded to servers unchanged. A request is therefore rejected if a server could
+interpret it differently than this node: a duplicate header, a Content-Length together with chunked coding, or
+unexpected characters.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from orchidferry.errors import OrchidferryError
 from orchidferry.node.flow import Flow
 
-# Each may come once: of two, a server might use the other one.
+# Headers that may occur only once: of two, a server might use the other one.
 SINGLE = frozenset(
     (
         b"host",
@@ -28,43 +29,43 @@
         b"x-again",
     )
 )
-TOKEN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # ids and keys: they become parts of a header again
-SECONDS = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # decimals as the protocol writes them; no signs, no 1_0
+TOKEN = re.compile(rb"[A-Za-z0-9._:~+/=-]{1,128}")  # ids and keys, which are written into headers again
+SECONDS = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # stricter than `float`, which accepts signs and 1_0
 
 
 @dataclass(slots=True)
 class Message:
-    """A request as it came in, with what is forwarded unchanged."""
+    """A validated request of a client, with the parts that are forwarded unchanged."""
 
     method: bytes
     target: bytes
     id: str
-    cls: str  # name of its request class
-    budget_ms: float  # time that its client waits for the answer
+    cls: str  # name of the request class
+    budget_ms: float  # how long the client waits for the answer
     tenant: str | None
-    again: bool  # whether the client says that it has sent the request before
+    again: bool  # whether the client states that it has sent the request before
     key: bytes | None  # idempotency key
     content_type: bytes | None
     body: bytes
-    flow: Flow | None = None  # the body, where it is too long to buffer; `body` is empty then
-    long_answer: bool = False  # whether the client can be sent a body of unknown length
-    chain: dict[bytes, bytes] | None = None  # all headers, where some are those of a chain of tiers
-    # When its last byte reached this machine, by the node's clock; None: just now. The node may have read it
-    # later, and the client counts from before.
+    flow: Flow | None = None  # the body, if it is too long to buffer; `body` is empty then
+    long_answer: bool = False  # whether the client supports answers of unknown length
+    chain: dict[bytes, bytes] | None = None  # all headers, if those of a chain of tiers may be among them
+    # When the last byte reached this machine, by the node's clock; None: just now. The node may have read it
+    # later, and the client's own count started before.
     arrived_ms: float | None = None
-    answer_margin_ms: float = 0.0  # how long before its client stops waiting the answer must be sent
+    answer_margin_ms: float = 0.0  # how long before the client stops waiting the answer must be sent
 
     def waiting_since_ms(self, now: float) -> float:
-        """Return since when its client waits, as far as is known.
+        """Return since when the client is known to wait, by the node's clock, in milliseconds.
 
-        :param now: by the node's clock, in milliseconds.
+        :param now: the current time by the node's clock, in milliseconds.
         """
         return now if self.arrived_ms is None else min(self.arrived_ms, now)
 
     def due_ms(self, now: float) -> float:
-        """Return until when the answer must be sent, by the node's clock.
+        """Return the time by which the answer must be sent, by the node's clock, in milliseconds.
 
-        :param now: by the same clock, in milliseconds.
+        :param now: the current time by the node's clock, in milliseconds.
         """
         return self.waiting_since_ms(now) + self.budget_ms - self.answer_margin_ms
 
@@ -74,12 +75,12 @@
 
 
 def check_framing(headers: dict[bytes, bytes], version: str) -> None:
-    """Check that headers leave no doubt where the body ends: else another request may hide in it.
+    """Check that the headers define unambiguously where the body ends, against request smuggling.
 
-    See RFC 9112, section 6.3, and 11.2 on request smuggling.
+    See RFC 9112, sections 6.3 and 11.2.
 
-    :param version: of HTTP, such as "1.1".
-    :raises RequestError: if they do.
+    :param version: the HTTP version, such as "1.1".
+    :raises RequestError: if the headers are ambiguous.
     """
     coding = headers.get(b"transfer-encoding")
     if coding is None:
@@ -98,9 +99,10 @@
     body: bytes,
     flow: Flow | None = None,
 ) -> Message:
-    """Check a request whose headers are complete, and its body too unless that is a flow.
+    """Validate a request whose headers are complete, and its body too unless that is streamed.
 
-    :param classes: request classes by name; the first segment of the path names one.
+    :param classes: request classes by name; the first segment of the path names the class.
+    :param flow: the body, if it is streamed; `body` is empty then.
     :raises RequestError: if the request can't be accepted.
     """
     cls, tenant = _class_and_tenant(classes, target, headers)
@@ -120,7 +122,7 @@
         target,
         request_id.decode(),
         cls.name,
-        # Nobody waits longer than the class's deadline: a longer budget would keep the request's state.
+        # No client waits longer than its class's deadline: a longer budget would only keep state too long.
         min(budget_s * 1000.0, cls.deadline_ms),
         tenant,
         headers.get(b"x-again") == b"1",
@@ -149,7 +151,7 @@
 
 
 def _idempotency_key(cls: api.RequestClass, headers: dict[bytes, bytes]) -> bytes | None:
-    """Return the key of a request, which it must have if servers recognize repeats by it, and only then."""
+    """Return the idempotency key of a request; requests of keyed classes must have one, others must not."""
     key = headers.get(b"idempotency-key")
     keyed = cls.repeat is api.Repeat.KEYED
     if (key is not None) != keyed or (key is not None and not TOKEN.fullmatch(key)):
--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers: attempts are sent on idle connections, or on new ones."""
+"""The pool of connections to servers: attempts are sent on idle connections or on new ones."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from orchidferry.node.timer_queue import TimerQueue
 from orchidferry.node.upstream_connection import UPLOAD_STALL_S, Connection
 
-# Of the servers' limit of idle time: a request that arrives as a server closes would end as a reset.
+# Share of the servers' keep-alive time after which idle connections are closed: a request that arrives just
+# as its server closes the connection would end as a reset.
 IDLE_LIMIT_FRACTION = 0.5
 SWEEP_S = 1.0  # how often connections that were idle for too long are closed
 
-# What connecting fails with for want of something at this node, whatever the server does.
+# Errors of connecting that mean a shortage of resources at this node and say nothing about the server.
 LOCAL_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 log = logging.getLogger("orchidferry")
@@ -27,7 +28,7 @@
     """All connections to servers."""
 
     connection_class: type[Connection] = Connection
-    local_ip: str | None = None  # the address that connections come from; None: the kernel's choice
+    local_ip: str | None = None  # source address of the connections; None: the kernel chooses
 
     def __init__(
         self,
@@ -39,7 +40,8 @@
     ) -> None:
         """Create a `Upstream`.
 
-        :param keepalive_ms: how long servers keep an idle connection.
+        :param connect_timeout_ms: how long a connection may take to open.
+        :param keepalive_ms: how long servers keep an idle connection open.
         :param free_sockets: returns how many more sockets the node may open.
         :param timers: for the timeouts of attempts.
         """
@@ -47,23 +49,24 @@
         self._free_sockets = free_sockets
         self.timers = timers
         self.configure(connect_timeout_ms, keepalive_ms)
-        self._idle: dict[int, list[Connection]] = {}  # by server, the one used last at the end; none is empty
-        self._idle_by_age: dict[Connection, None] = {}  # all of these, the longest idle first
+        # Idle connections by server, the most recently used one last; no list is empty
+        self._idle: dict[int, list[Connection]] = {}
+        self._idle_by_age: dict[Connection, None] = {}  # all idle connections, the longest idle one first
         self._open: set[Connection] = set()
         self._dials: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_S, self._sweep)
 
     def configure(self, connect_timeout_ms: float, keepalive_ms: float) -> None:
-        """Set the limits from now on."""
+        """Set new time limits; see `__init__`."""
         self._connect_timeout_s = connect_timeout_ms / 1000.0
         self._idle_limit_ms = keepalive_ms * IDLE_LIMIT_FRACTION
 
     def now_s(self) -> float:
-        """Return the time of the clock that flows use."""
+        """Return the time of the clock that flows use, in seconds."""
         return self._loop.time()
 
     def count(self) -> int:
-        """Return the number of sockets in use, with those that are being connected."""
+        """Return the number of sockets in use, including those that are being connected."""
         return len(self._open) + len(self._dials)
 
     def send(self, attempt: Attempt, fresh: bool = False) -> None:
@@ -75,15 +78,15 @@
         attempt.set_timeout(self.timers, wait_s)
         idle = self._idle.get(attempt.server, ())
         if fresh and idle:
-            idle[0].close()  # the new one takes its place, or they would add up
+            idle[0].close()  # replaced by the new connection, as idle connections would otherwise accumulate
         while idle and not fresh:
-            connection = idle.pop()  # the one used last, so that the others can grow old and be closed
+            connection = idle.pop()  # the most recently used one, so that surplus ones age and get closed
             self._idle_by_age.pop(connection, None)
             if connection.is_reusable() and connection.address == attempt.address:
                 return connection.send_attempt(attempt)
             connection.close()
         if self._free_sockets() <= 0 and not self.close_oldest_idle():
-            # This node's own shortage: the attempt never ran, and says nothing about the server.
+            # A shortage of sockets at this node: the attempt never ran and says nothing about the server.
             return attempt.end(Result.MOOT)
         dial = self._loop.create_task(self._dial(attempt))
         self._dials.add(dial)
@@ -92,7 +95,7 @@
         return None
 
     async def _dial(self, attempt: Attempt) -> None:
-        """Connect, and send an attempt if it still may be sent then."""
+        """Connect, then send the attempt if it may still be sent."""
         connection = self.connection_class(self, attempt.server, attempt.address)
         result = Result.UNREACHABLE
         kept = False
@@ -100,34 +103,34 @@
             async with asyncio.timeout(self._connect_timeout_s):
                 local = None if self.local_ip is None else (self.local_ip, 0)
                 await self._loop.create_connection(lambda: connection, *attempt.address, local_addr=local)
-            if connection.is_reusable():  # else it was lost at once
+            if connection.is_reusable():  # otherwise it was lost at once
                 self._open.add(connection)
                 kept = True
-                # Meanwhile the request may have ended, or its server may have left.
+                # While connecting, the request may have ended, or its server may have left.
                 if not attempt.over and attempt.may_send():
                     return connection.send_attempt(attempt)
                 self.return_connection(connection)
                 result = Result.MOOT
-        except OSError as problem:  # also a timeout
+        except OSError as problem:  # includes `TimeoutError`
             if problem.errno in LOCAL_SHORTAGE:
                 result = Result.MOOT
         except Exception:
-            log.exception("connecting to a server")
+            log.exception("unexpected error while connecting to a server")
             result = Result.RESET if attempt.written else Result.UNREACHABLE
         finally:
-            if not kept:  # cancelled or failed: a connection that came up all the same belongs to nobody
+            if not kept:  # cancelled or failed: the connection may have opened nevertheless
                 connection.close()
         attempt.end(result)
         return None
 
     def return_connection(self, connection: Connection) -> None:
-        """Keep a connection that has no attempt for the next one."""
+        """Put a connection whose attempt has ended back into the pool."""
         connection.idle_since = now_ms()
         self._idle_by_age[connection] = None
         self._idle.setdefault(connection.server, []).append(connection)
 
     def forget(self, connection: Connection) -> None:
-        """Remove a connection that is closed or about to be."""
+        """Remove a connection that is closed or about to be closed from the pool."""
         self._open.discard(connection)
         if connection in self._idle_by_age:
             del self._idle_by_age[connection]
@@ -142,7 +145,7 @@
             connection.close()
 
     def server_removed(self, server: int) -> None:
-        """Forget a server that is not listed any more."""
+        """Close the idle connections to a server that is no longer listed."""
         self.close_idle(server)
 
     def close(self) -> None:
@@ -151,7 +154,7 @@
             connection.close()
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that is idle for the longest time; return whether there was one."""
+        """Close the connection that has been idle for the longest time; return whether there was one."""
         oldest = next(iter(self._idle_by_age), None)
         if oldest is not None:
             oldest.close()
--- a/orchidferry/node/upstream_connection.py
+++ b/orchidferry/node/upstream_connection.py
@@ -1,7 +1,7 @@
-"""A connection to a server, in HTTP/1.1: one attempt at a time, each with exactly one outcome.
+"""An HTTP/1.1 connection to a server, which carries one attempt at a time, each with exactly one outcome.
 
-What an outcome says about whether the attempt ran decides what may be sent again. The line between "never
-ran" and "may have run" is drawn at the last byte written, as the protocol draws it.
+Whether a request may be retried depends on whether its attempt may have run. As the protocol defines it, an
+attempt never ran until the last byte of its request is written, and may have run from then on.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 if TYPE_CHECKING:
     from orchidferry.node.upstream import Upstream
 
-UPLOAD_STALL_S = 4.0  # an attempt is given up if its server takes nothing of a long request for so long
-UPLOAD_TIMER_SHARE = 1.0 / 8.0  # of that: the timeout is extended no more often
+UPLOAD_STALL_S = 4.0  # timeout of a streamed request whose server accepts no bytes
+UPLOAD_TIMER_SHARE = 1.0 / 8.0  # share of `UPLOAD_STALL_S` that must pass before the timeout is extended
 
 
 class Connection(asyncio.Protocol):
     """A connection to a server, which carries one attempt at a time.
 
-    It is a `Source` of a long response's body and a `Sink` of a long request's.
+    It is the `Source` of a streamed response body and the `Sink` of a streamed request body.
     """
 
     __slots__ = (
@@ -37,7 +37,7 @@
         "_chain",
         "_complete",
         "_framing_headers",
-        "_head",
+        "_head_bytes",
         "_in_body",
         "_keep",
         "_length",
@@ -49,10 +49,10 @@
         "_report",
         "_response_flow",
         "_server_closes",
-        "_size",
+        "_body_bytes",
         "_status",
         "_transport",
-        "_type",
+        "_content_type",
         "_unread_input",
         "_upload",
         "_uploaded_s",
@@ -62,39 +62,41 @@
         "server",
     )
 
-    max_buffered_body = MAX_BODY  # bytes of a response that is read completely; a longer one is a flow
+    max_buffered_body = (
+        MAX_BODY  # longest response body, in bytes, that is buffered; longer ones are streamed
+    )
 
     def __init__(self, upstream: Upstream, server: int, address: Address) -> None:
         self.server = server
         self.address = address
-        self.idle_since = 0.0  # by the node's clock, in ms
+        self.idle_since = 0.0  # when the connection became idle, by the node's clock, in ms
         self._upstream = upstream
         self._transport: asyncio.Transport
         self._attempt: Attempt | None = None
-        self._paused = False  # whether the socket takes no more for now
+        self._paused = False  # whether the socket's send buffer is full
         self._lost = True  # whether there is no open socket
-        self._upload: Flow | None = None  # the body of a long request
-        self._uploaded_s = 0.0  # when its timeout was extended last, by the loop's clock
-        self._response_flow: Flow | None = None  # the body of a long response
-        # One for all responses: a connection is kept only where the last one ended the message it parsed.
+        self._upload: Flow | None = None  # the body of a streamed request
+        self._uploaded_s = 0.0  # when the upload's timeout was last extended, by the loop's clock
+        self._response_flow: Flow | None = None  # the body of a streamed response
+        # One parser serves all responses: a connection is reused only if the last message ended cleanly.
         self._parser = httptools.HttpResponseParser(self)
         self._reset_response()
 
     def _reset_response(self) -> None:
         self._body: list[bytes] = []
-        self._size = 0  # bytes of the body
-        self._head = 0  # bytes before the body
+        self._body_bytes = 0  # bytes of the body received so far
+        self._head_bytes = 0  # bytes received before the body
         self._status = 0
-        self._type: bytes | None = None
-        self._report: dict[str, float] | None = None
-        self._chain: bytes | None = None
-        self._rejected = False  # whether the server says that it did not run the request
-        self._complete = False
-        self._in_body = False
+        self._content_type: bytes | None = None
+        self._report: dict[str, float] | None = None  # the server's load report
+        self._chain: bytes | None = None  # value of the header `X-Chain`
+        self._rejected = False  # whether the server states that it did not run the request
+        self._complete = False  # whether the whole response has been received
+        self._in_body = False  # whether all headers have been received
         self._malformed = False
         self._keep = False  # whether the connection may carry another attempt
-        self._framing_headers = 0  # headers that tell where the body ends
-        self._length: int | None = None
+        self._framing_headers = 0  # number of headers that determine where the body ends
+        self._length: int | None = None  # of the body in bytes; None: no Content-Length
         self._server_closes = False  # whether the server closes the connection after this response
 
     # The socket
@@ -103,8 +105,8 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         self._lost = False
         self._unread_input = UnreadInput(self._transport)
-        # Nothing may wait in the transport unnoticed: at a limit of 0 a write reaches the socket at once, and
-        # `pause_writing` is called if some of it did not fit.
+        # No data may wait in the transport unnoticed: with a limit of 0, `pause_writing` is called whenever
+        # the socket did not accept all of a write.
         self._transport.set_write_buffer_limits(0)
 
     def pause_writing(self) -> None:
@@ -121,16 +123,16 @@
 
     def data_received(self, data: bytes) -> None:
         if self._attempt is None and self._response_flow is None:
-            return self.close()  # unexpected: the next response on it could be another attempt's
+            return self.close()  # unexpected data could be mistaken for the response to the next attempt
         try:
             if not self._in_body:
-                self._head += len(data)
+                self._head_bytes += len(data)
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self._malformed = True
         except httptools.HttpParserError:
             self._malformed = self._malformed or not self._complete
-            self._keep = False  # more than the response came
+            self._keep = False  # data followed the response
         if self._response_flow is not None:
             if self._malformed:
                 self._response_flow.fail(FlowFailure.MALFORMED)
@@ -139,17 +141,17 @@
                 self._stream_finished()
         elif self._complete and not self._malformed:
             self._response_complete()
-        elif self._malformed or (not self._in_body and self._head > MAX_HEAD):
+        elif self._malformed or (not self._in_body and self._head_bytes > MAX_HEAD):
             self._finish_attempt(Result.ERROR, reuse=False)
         return None
 
     def eof_received(self) -> None:
-        return None  # the transport closes, and `connection_lost` reports
+        return None  # the transport closes, and `connection_lost` reports the outcome
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._lost = True
         self._upstream.forget(self)
-        if self._server_closes and self._in_body and exc is None:  # this is the end of the response
+        if self._server_closes and self._in_body and exc is None:  # the close marks the end of the response
             if self._response_flow is not None:
                 return self._stream_finished()
             if self._attempt is not None and not self._malformed:
@@ -163,7 +165,7 @@
         return None
 
     def close(self) -> None:
-        """Close now, without an outcome for the attempt that it carries."""
+        """Close at once, without reporting an outcome of the current attempt."""
         self._upstream.forget(self)
         self._attempt = None
         self._detach_upload()
@@ -173,11 +175,11 @@
     # Attempts
 
     def is_reusable(self) -> bool:
-        """Return whether a request may be written: the connection is open and nothing unread has come.
+        """Return whether a request may be written: the connection is open and has no unread input.
 
-        The event loop reads sockets only once an iteration. If the server has closed the connection or sent
-        something since, a request written now would end as a reset that may have run, so the socket itself
-        is asked.
+        The event loop reads sockets only once per iteration. If the server has closed the connection or sent
+        something since then, a request written now would end as a reset and count as one that may have run.
+        So the socket itself is polled.
         """
         if self._lost or self._transport.is_closing():
             return False
@@ -190,7 +192,7 @@
         attempt.set_cancel_io(self.close)
         self._transport.write(attempt.head_bytes())
         flow = attempt.message.flow
-        if self._transport.is_closing():  # the write itself failed
+        if self._transport.is_closing():  # the write failed
             self._finish_attempt(Result.UNREACHABLE, reuse=False)
         elif flow is not None:
             self._upload = flow
@@ -198,11 +200,11 @@
         elif not self._paused:
             attempt.on_sent()
 
-    # The sink of a long request's body
+    # `Sink` of a streamed request body
 
     def feed(self, data: bytes) -> None:
         if self._upload is None or self._transport.is_closing():
-            return  # its end is about to be reported
+            return  # the end of the connection is about to be reported
         self._transport.write(data if self._upload.length is not None else chunk(data))
         if self._paused:
             self._upload.block()
@@ -210,7 +212,7 @@
             self._upload_progressed()
 
     def _upload_progressed(self) -> None:
-        """Let the timeout begin anew, as some of the body was sent."""
+        """Extend the attempt's timeout, as the server has accepted some of the body."""
         now_s = self._upstream.now_s()
         if self._attempt is not None and now_s - self._uploaded_s > UPLOAD_STALL_S * UPLOAD_TIMER_SHARE:
             self._uploaded_s = now_s
@@ -233,7 +235,7 @@
         if flow is not None:
             flow.detach(self)
 
-    # The source of a long response's body
+    # `Source` of a streamed response body
 
     def pause(self) -> None:
         if not self._lost:
@@ -248,7 +250,7 @@
         self.close()
 
     def _stream_body(self) -> bool:
-        """Make a flow of the response's body, if its client can take one; return whether it can."""
+        """Start streaming the response body, if the client supports that; return whether it was started."""
         attempt = self._attempt
         wanted = attempt is not None and attempt.message.long_answer and attempt.written
         if not wanted or self._status != 200 or self._malformed or attempt is None:
@@ -264,7 +266,7 @@
         return True
 
     def _stream_finished(self) -> None:
-        """End the flow of a response whose last byte has come."""
+        """Finish the flow of a response whose last byte has arrived."""
         flow = self._response_flow
         self._response_flow = None
         if self._keep and not self._lost and not self._transport.is_closing():
@@ -279,10 +281,10 @@
     # Outcomes
 
     def _build_response(self, body: bytes, flow: Flow | None = None) -> UpstreamResponse:
-        return UpstreamResponse(self._status, body, self._type, self._report, flow, self._chain)
+        return UpstreamResponse(self._status, body, self._content_type, self._report, flow, self._chain)
 
     def _classify(self, answer: UpstreamResponse) -> Result:
-        """Return what a complete response means for the attempt."""
+        """Return the attempt's result that a complete response stands for."""
         return classify_response(answer.status, self._rejected)
 
     def _response_complete(self) -> None:
@@ -290,26 +292,26 @@
         self._finish_attempt(self._classify(answer), self._keep, answer)
 
     def _finish_attempt(self, result: Result, reuse: bool, answer: UpstreamResponse | None = None) -> None:
-        """Report the attempt's outcome, after this connection was returned or closed.
+        """Return this connection to the pool or close it, then report the attempt's outcome.
 
-        :param reuse: whether the connection may carry another attempt, as far as the response goes.
+        :param reuse: whether the response allows the connection to carry another attempt.
         """
         attempt = self._attempt
         self._attempt = None
         self._detach_upload()
-        # Whether anything unread has come is asked before the next use, as it may come until then.
+        # Unread input is checked for just before the next use, as it may arrive until then.
         written = attempt is not None and attempt.written
         if reuse and written and not self._paused and not self._lost and not self._transport.is_closing():
-            self._upstream.return_connection(self)  # first: what the outcome sets off may use it
+            self._upstream.return_connection(self)  # first, as a retry after this outcome may use it
         else:
             self.close()
         if attempt is not None:
             attempt.end(result, answer)
 
-    # The parser's calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        if self._complete:  # a second answer that nobody asked for
+        if self._complete:  # a second response without a request
             self._keep = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -323,7 +325,7 @@
                 self._length = int(value)
                 self._malformed = self._malformed or self._length > LONG_BODY
             case b"content-type":
-                self._type = value
+                self._content_type = value
             case b"connection":
                 self._server_closes = value.strip().lower() == b"close"
             case b"x-rejected":
@@ -337,7 +339,8 @@
         if not self._complete:
             self._status = self._parser.get_status_code()
             self._in_body = True
-            # With none the answer ends with the connection, if it says that it will; of two, one lies.
+            # Without a framing header the response ends with the connection, if `Connection: close` announces
+            # that. Two framing headers are ambiguous.
             self._server_closes = not self._framing_headers and self._server_closes
             self._malformed = self._malformed or (
                 self._status >= 200 and self._framing_headers != 1 and not self._server_closes
@@ -354,20 +357,20 @@
             except BodyTooLongError:
                 self._malformed = True
             return
-        self._size += len(body)
+        self._body_bytes += len(body)
         self._body.append(body)
-        if self._size > self.max_buffered_body and not self._stream_body():
+        if self._body_bytes > self.max_buffered_body and not self._stream_body():
             self._malformed = True
             self._body.clear()
 
     def on_message_complete(self) -> None:
         if self._complete:
             return
-        if 100 <= self._status < 200:  # an interim answer: the real one follows
+        if 100 <= self._status < 200:  # an interim response: the final one follows
             self._in_body = False
             self._rejected = False
             self._report = None
-            self._type = None
+            self._content_type = None
             self._framing_headers = 0
             self._length = None
             self._server_closes = False
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -109,8 +109,8 @@
 ) -> None:
     for stage in client_connection.LIMITS_S:
         monkeypatch.setitem(client_connection.LIMITS_S, stage, 1000.0)
-    monkeypatch.setattr(node, "LONGEST_MS", 300.0)
-    monkeypatch.setattr(node, "LAST_MS", 100.0)
+    monkeypatch.setattr(node, "MAX_BUDGET_MS", 300.0)
+    monkeypatch.setattr(node, "CLOSE_LEAD_MS", 100.0)
 
     async def test() -> None:
         server = Server()
@@ -151,7 +151,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its budget may reach past the kill: what that finds open is lost."""
-    monkeypatch.setattr(node, "LONGEST_MS", 300.0)
+    monkeypatch.setattr(node, "MAX_BUDGET_MS", 300.0)
 
     async def test() -> None:
         async with world(tmp_path, Server(usual=HANG)) as scene:
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -101,7 +101,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It used up the whole of a watch's 21.5 s."""
-    monkeypatch.setattr(discovery, "CONNECT_S", 0.1)
+    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         server = Server()
--- a/tests/node/test_server_listing.py
+++ b/tests/node/test_server_listing.py
@@ -53,7 +53,7 @@
 @pytest.fixture
 def small_steps(monkeypatch: pytest.MonkeyPatch) -> list[api.ServerList]:
     """Steps so small that a list of some dozens is long; what the module is told of lists."""
-    monkeypatch.setattr(discovery, "LONG_BODY", 1_000)
+    monkeypatch.setattr(discovery, "LONG_LIST_BYTES", 1_000)
     monkeypatch.setattr(server_listing, "ENTRIES_PER_STEP", 5)
     monkeypatch.setattr(server_table, "ENTRIES_PER_EVENT", 10)
     told: list[api.ServerList] = []
