--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -19,7 +19,7 @@
 from orchidferry.node.flow import LONG_BODY, Flow, MemoryPool
 from orchidferry.node.http1 import MAX_BODY, MAX_HEAD
 from orchidferry.node.reply import Reply
-from orchidferry.node.request import SINGLE, Message, read_message
+from orchidferry.node.request import UNIQUE_HEADERS, Message, read_message
 
 BACKLOG = 1024  # connections that the kernel queues until they are accepted
 SWEEP_S = 0.2  # how often stages are checked; time limits are enforced at most this much late
@@ -37,7 +37,7 @@
     """The listener and the connections of all clients."""
 
     connection_class: type[ClientConnection] = ClientConnection
-    unique_headers = SINGLE  # headers that a request may contain only once
+    unique_headers = UNIQUE_HEADERS  # headers that a request may contain only once
     max_buffered_body = MAX_BODY  # longest request body, in bytes, that is buffered; longer ones are streamed
     max_header_bytes = MAX_HEAD  # maximum size of a request's first line and headers
     max_body_bytes: int | None = None  # maximum size of a body; None: `LONG_BODY`
--- a/orchidferry/node/h3/client_connection.py
+++ b/orchidferry/node/h3/client_connection.py
@@ -53,7 +53,7 @@
 )
 from orchidferry.node.http1 import MAX_BODY, MAX_HEAD
 from orchidferry.node.reply import Reply
-from orchidferry.node.request import SINGLE, Message, RequestError, read_message
+from orchidferry.node.request import UNIQUE_HEADERS, Message, RequestError, read_message
 
 if TYPE_CHECKING:
     from orchidferry.node.h3.front import Listener
@@ -231,7 +231,7 @@
             elif name == b":path":
                 stream.target = value
             elif name[:1] != b":":
-                if name in SINGLE and name in stream.headers:
+                if name in UNIQUE_HEADERS and name in stream.headers:
                     return self._reject_request(stream, 400, "a header came twice")
                 stream.headers[name] = value.strip()
         if size > MAX_HEAD:
--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -16,7 +16,7 @@
 from orchidferry.node.flow import Flow
 
 # Headers that may occur only once: of two, a server might use the other one.
-SINGLE = frozenset(
+UNIQUE_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
