--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -32,7 +32,7 @@
 from orchidferry.mesh.settings import Settings
 from orchidferry.node.client_connection import RequestHandle
 from orchidferry.node.clock import now_ms
-from orchidferry.node.flow import LONG_BODY, MemoryPool
+from orchidferry.node.flow import MAX_STREAMED_BODY, MemoryPool
 from orchidferry.node.http1 import MAX_HEAD
 from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
@@ -316,7 +316,7 @@
         header_s = limits.get("header_timer_ms", DEFAULT_HEADER_TIMEOUT_MS) / 1000.0
         self._outbound.set_timeouts(idle_s, header_s)
         head = int(limits.get("max_header_bytes", MAX_HEAD))
-        body = int(limits.get("max_body_bytes", LONG_BODY))
+        body = int(limits.get("max_body_bytes", MAX_STREAMED_BODY))
         self._outbound.set_size_limits(head, body)
         # What a node took under limits that this one does not know any more, or not yet, is let in.
         self._inbound.set_size_limits(
--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -16,7 +16,7 @@
 from orchidferry.errors import OrchidferryError
 
 SHORT_BODY = 64 * 1024  # longest body, in bytes, that is buffered; also how much of a flow waits for a sink
-LONG_BODY = 32 * 1024 * 1024  # longest body, in bytes, that a flow may have
+MAX_STREAMED_BODY = 32 * 1024 * 1024  # longest body, in bytes, that a flow may have
 MAX_REPLAY_BYTES = 1024 * 1024  # most bytes of one flow that are kept for another sink
 POOL_MEMORY_FRACTION = 0.15  # share of the node's memory for replay data beyond the first `SHORT_BODY` bytes
 
@@ -126,12 +126,12 @@
         :param length: length of the body in bytes; None if the sender does not announce it.
         :param now_s: the current time by the loop's clock, in seconds.
         :param pool: memory for replaying the body to another sink; None: there is only one sink, no replay.
-        :param max_length: maximum length in bytes if `length` is None; None: `LONG_BODY`.
+        :param max_length: maximum length in bytes if `length` is None; None: `MAX_STREAMED_BODY`.
         """
         self.source = source
         self.length = length
         self._pool = pool
-        self._max_length = LONG_BODY if max_length is None else max_length
+        self._max_length = MAX_STREAMED_BODY if max_length is None else max_length
         self.received_bytes = 0
         self.fed_bytes = 0  # bytes fed to the current sink
         self.complete = False  # whether the last byte has been received
--- a/orchidferry/node/frontend.py
+++ b/orchidferry/node/frontend.py
@@ -16,7 +16,7 @@
 from orchidferry.node.address import Address
 from orchidferry.node.client_connection import LIMITS_S, Accept, ClientConnection, Stage
 from orchidferry.node.connection_end import EndCause, IncompleteEnd, Owed
-from orchidferry.node.flow import LONG_BODY, Flow, MemoryPool
+from orchidferry.node.flow import MAX_STREAMED_BODY, Flow, MemoryPool
 from orchidferry.node.http1 import MAX_BODY, MAX_HEAD
 from orchidferry.node.reply import Reply
 from orchidferry.node.request import UNIQUE_HEADERS, Message, read_message
@@ -40,7 +40,7 @@
     unique_headers = UNIQUE_HEADERS  # headers that a request may contain only once
     max_buffered_body = MAX_BODY  # longest request body, in bytes, that is buffered; longer ones are streamed
     max_header_bytes = MAX_HEAD  # maximum size of a request's first line and headers
-    max_body_bytes: int | None = None  # maximum size of a body; None: `LONG_BODY`
+    max_body_bytes: int | None = None  # maximum size of a body; None: `MAX_STREAMED_BODY`
     limits_s = LIMITS_S  # how long each stage may last
 
     def __init__(
@@ -93,7 +93,7 @@
     @property
     def body_limit(self) -> int:
         """Maximum size of a body that is accepted, in bytes."""
-        return LONG_BODY if self.max_body_bytes is None else self.max_body_bytes
+        return MAX_STREAMED_BODY if self.max_body_bytes is None else self.max_body_bytes
 
     def count(self) -> int:
         """Return the number of open connections."""
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -25,7 +25,7 @@
 from orchidferry.node.extensions import Extensions
 from orchidferry.node.flow import (
     GRACE_S,
-    LONG_BODY,
+    MAX_STREAMED_BODY,
     POOL_MEMORY_FRACTION,
     SLOWEST_B_S,
     Flow,
@@ -355,7 +355,7 @@
         flow = message.flow
         ends_ms = self._due_ms(message, now)
         if flow is not None and not flow.complete:  # the upload itself may take as long as a flow may last
-            ends_ms += 1000.0 * ((flow.length or LONG_BODY) / SLOWEST_B_S + GRACE_S)
+            ends_ms += 1000.0 * ((flow.length or MAX_STREAMED_BODY) / SLOWEST_B_S + GRACE_S)
         request = PendingRequest(self, id, message, answer, min(ends_ms, self._stop_ms))
         if flow is not None:
             flow.on_complete = functools.partial(self._upload_received, request)
--- a/orchidferry/node/upstream_connection.py
+++ b/orchidferry/node/upstream_connection.py
@@ -14,7 +14,7 @@
 from orchidferry.balancing.interface import Result
 from orchidferry.node.address import Address
 from orchidferry.node.attempt import Attempt, UpstreamResponse
-from orchidferry.node.flow import LONG_BODY, BodyTooLongError, Flow, FlowFailure
+from orchidferry.node.flow import MAX_STREAMED_BODY, BodyTooLongError, Flow, FlowFailure
 from orchidferry.node.http1 import LAST_CHUNK, MAX_BODY, MAX_HEAD, chunk, classify_response, read_report
 from orchidferry.node.unread_input import UnreadInput
 
@@ -323,7 +323,7 @@
             case b"content-length":
                 self._framing_headers += 1
                 self._length = int(value)
-                self._malformed = self._malformed or self._length > LONG_BODY
+                self._malformed = self._malformed or self._length > MAX_STREAMED_BODY
             case b"content-type":
                 self._content_type = value
             case b"connection":
--- a/tests/node/test_flow.py
+++ b/tests/node/test_flow.py
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("length", [SHORT_BODY, None], ids=["than was said", "than may flow"])
 def test_more_than_may_come_is_not_taken(length: int | None, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(flow_module, "LONG_BODY", SHORT_BODY)
+    monkeypatch.setattr(flow_module, "MAX_STREAMED_BODY", SHORT_BODY)
     flow, _ = made(None, length)
     sink = To(flow)
     flow.attach(sink)
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -365,7 +365,7 @@
     coding: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for module in (flow_module, frontend):
-        monkeypatch.setattr(module, "LONG_BODY", MB)
+        monkeypatch.setattr(module, "MAX_STREAMED_BODY", MB)
 
     async def test() -> None:
         server = LongServer()
@@ -512,7 +512,7 @@
 
 
 def test_an_answer_without_end_is_cut(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(flow_module, "LONG_BODY", MB)
+    monkeypatch.setattr(flow_module, "MAX_STREAMED_BODY", MB)
 
     async def test() -> None:
         server = LongServer(CODED["chunked"](LONG))
