--- a/orchidferry/node/flow.py
+++ b/orchidferry/node/flow.py
@@ -15,10 +15,12 @@
 
 from orchidferry.errors import OrchidferryError
 
-SHORT_BODY = 64 * 1024  # longest body, in bytes, that is buffered; also how much of a flow waits for a sink
+# Longest body, in bytes, that is buffered; also the number of bytes that a flow accepts before it has a sink
+MAX_BUFFERED_BODY = 64 * 1024
 MAX_STREAMED_BODY = 32 * 1024 * 1024  # longest body, in bytes, that a flow may have
 MAX_REPLAY_BYTES = 1024 * 1024  # most bytes of one flow that are kept for another sink
-POOL_MEMORY_FRACTION = 0.15  # share of the node's memory for replay data beyond the first `SHORT_BODY` bytes
+# Share of the node's memory for the chunks that flows keep beyond their first `MAX_BUFFERED_BODY` bytes
+POOL_MEMORY_FRACTION = 0.15
 
 # A flow counts as stalled if no byte moves for `STALL_S` seconds, or if it is slower than `SLOWEST_B_S` bytes
 # per second on average since its start, with `GRACE_S` seconds in addition.
@@ -167,7 +169,7 @@
         self._keep(data)
         if self._sink is None:
             self._unfed.append(data)
-            if self.received_bytes - self.fed_bytes >= SHORT_BODY:
+            if self.received_bytes - self.fed_bytes >= MAX_BUFFERED_BODY:
                 self._pause_source()
         else:
             self.fed_bytes += len(data)
@@ -178,7 +180,7 @@
         if self._pool is None or self.spent:
             self.spent = True
             return
-        needed = max(0, self.received_bytes - SHORT_BODY) - self._reserved
+        needed = max(0, self.received_bytes - MAX_BUFFERED_BODY) - self._reserved
         if self.received_bytes <= MAX_REPLAY_BYTES and self._pool.reserve(needed):
             self._reserved += needed
             self._replay.append(data)
@@ -239,7 +241,7 @@
         """Stop feeding this sink; another one can be attached, unless the flow is spent."""
         if self._sink is sink:
             self._sink = None
-            if not self.complete and not self.over and self.received_bytes >= SHORT_BODY:
+            if not self.complete and not self.over and self.received_bytes >= MAX_BUFFERED_BODY:
                 self._pause_source()
 
     def block(self) -> None:
--- a/orchidferry/node/http1.py
+++ b/orchidferry/node/http1.py
@@ -7,10 +7,10 @@
 
 from orchidferry.balancing.interface import Result
 from orchidferry.node.address import Address
-from orchidferry.node.flow import SHORT_BODY
+from orchidferry.node.flow import MAX_BUFFERED_BODY
 from orchidferry.node.request import Message
 
-MAX_BODY = SHORT_BODY
+MAX_BODY = MAX_BUFFERED_BODY
 MAX_HEAD = 16 * 1024  # bytes of a message's first line and headers
 MAX_REPORTED = 1e6  # of any value in a load report
 
--- a/tests/mesh/dataplane/test_attempt.py
+++ b/tests/mesh/dataplane/test_attempt.py
@@ -23,7 +23,7 @@
 from orchidferry.mesh.dataplane.attempt import TrackedAttempt
 from orchidferry.mesh.dataplane.connection_pool import HttpConnectionPool
 from orchidferry.mesh.dataplane.http_connection import HttpConnection
-from orchidferry.node.flow import SHORT_BODY, Flow
+from orchidferry.node.flow import MAX_BUFFERED_BODY, Flow
 from orchidferry.node.reply import Reply
 from orchidferry.node.timer_queue import TimerQueue
 from tests.mesh.fakes import patch_clock, proxied_request, route, service_client
@@ -295,7 +295,7 @@
     made.send(sent)
     for _ in range(8):
         loop.pass_ms(1_000.0)
-        flow.push(b"x" * SHORT_BODY, loop.time())
+        flow.push(b"x" * MAX_BUFFERED_BODY, loop.time())
     flow.finish()
     loop.pass_ms(5_900.0)
     assert sent.written and not sent.ends
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -21,7 +21,7 @@
 from orchidferry.mesh.dataplane.pending_request import PendingRequest
 from orchidferry.mesh.dataplane.service_client import ServiceClient
 from orchidferry.node.client_connection import ClientConnection, Stage
-from orchidferry.node.flow import SHORT_BODY, Flow, MemoryPool
+from orchidferry.node.flow import MAX_BUFFERED_BODY, Flow, MemoryPool
 from orchidferry.node.reply import Reply
 from orchidferry.node.request import Message
 from tests.mesh.dataplane.test_service_client import Scene as ServiceScene
@@ -169,7 +169,7 @@
 
 def upload(id: bytes) -> bytes:
     """A request whose body is too long to hold, but for its end."""
-    size = 2 * SHORT_BODY
+    size = 2 * MAX_BUFFERED_BODY
     return request(id, b"POST", b"Content-Length: %d\r\n" % (size + 9), b"x" * size)
 
 
@@ -231,7 +231,7 @@
     harness.send(
         upload(b"a")
         .replace(b"Content-Length: 131081", b"Transfer-Encoding: chunked")
-        .replace(b"\r\n\r\n", b"\r\n\r\n%x\r\n" % (2 * SHORT_BODY))
+        .replace(b"\r\n\r\n", b"\r\n\r\n%x\r\n" % (2 * MAX_BUFFERED_BODY))
     )
     harness.open[0].reply(404)
     harness.send(rest)
@@ -311,7 +311,7 @@
     harness = CallerHarness()
     harness.listener.set_size_limits(head, body)
     more = b"Kind: %b\r\nContent-Length: %d\r\n" % (b"x" * head_size, body_size)
-    harness.send(request(b"a", b"POST", more, b"y" * min(body_size, 2 * SHORT_BODY)))
+    harness.send(request(b"a", b"POST", more, b"y" * min(body_size, 2 * MAX_BUFFERED_BODY)))
     if status is None:
         assert [accepted.message.id for accepted in harness.taken] == [
             "a"
@@ -322,8 +322,8 @@
 
 def test_size_limits_bound_a_chunked_body() -> None:
     harness = CallerHarness()
-    harness.listener.set_size_limits(4_096, 3 * SHORT_BODY)
-    piece = b"%x\r\n%b\r\n" % (SHORT_BODY, b"y" * SHORT_BODY)
+    harness.listener.set_size_limits(4_096, 3 * MAX_BUFFERED_BODY)
+    piece = b"%x\r\n%b\r\n" % (MAX_BUFFERED_BODY, b"y" * MAX_BUFFERED_BODY)
     harness.send(request(b"a", b"POST", b"Transfer-Encoding: chunked\r\n", 3 * piece))
     assert harness.transport.written == b"" and len(harness.taken) == 1
     harness.send(piece)
--- a/tests/node/test_flow.py
+++ b/tests/node/test_flow.py
@@ -7,8 +7,8 @@
 from orchidferry.node import flow as flow_module
 from orchidferry.node.flow import (
     GRACE_S,
+    MAX_BUFFERED_BODY,
     MAX_REPLAY_BYTES,
-    SHORT_BODY,
     SLOWEST_B_S,
     STALL_S,
     BodyTooLongError,
@@ -16,7 +16,7 @@
     MemoryPool,
 )
 
-PIECE = b"x" * (SHORT_BODY // 2)
+PIECE = b"x" * (MAX_BUFFERED_BODY // 2)
 
 
 class From:
@@ -102,13 +102,13 @@
     first = To(flow, gives_up_at=2)
     flow.attach(first)
     for n in range(3):
-        flow.push(bytes([n]) * SHORT_BODY, 0.0)
-    assert len(first.got) == 2 * SHORT_BODY
+        flow.push(bytes([n]) * MAX_BUFFERED_BODY, 0.0)
+    assert len(first.got) == 2 * MAX_BUFFERED_BODY
     assert source.held  # nobody takes it now
     second = To(flow)
     assert flow.can_start()
     flow.attach(second)
-    assert second.got == b"".join(bytes([n]) * SHORT_BODY for n in range(3))
+    assert second.got == b"".join(bytes([n]) * MAX_BUFFERED_BODY for n in range(3))
     flow.finish()
     assert (first.ends, second.ends) == ([], ["end"])
 
@@ -131,11 +131,11 @@
 
 
 def test_the_pool_bounds_what_all_flows_keep_and_gets_all_of_it_back() -> None:
-    pool = MemoryPool(3 * SHORT_BODY)
+    pool = MemoryPool(3 * MAX_BUFFERED_BODY)
     flows = [made(pool)[0] for _ in range(4)]
     for flow in flows:
         flow.attach(To(flow))
-        for _ in range(4):  # the first two are free, each further one is half a SHORT_BODY of the pool's
+        for _ in range(4):  # two are free, each further one takes half a MAX_BUFFERED_BODY from the pool
             flow.push(PIECE, 0.0)
     assert [flow.spent for flow in flows] == [False, False, False, True]
     assert pool.available == 0
@@ -143,12 +143,12 @@
     flows[1].finish()
     flows[1].delivered()
     flows[2].abort()
-    assert pool.available == 3 * SHORT_BODY
+    assert pool.available == 3 * MAX_BUFFERED_BODY
 
 
-@pytest.mark.parametrize("length", [SHORT_BODY, None], ids=["than was said", "than may flow"])
+@pytest.mark.parametrize("length", [MAX_BUFFERED_BODY, None], ids=["than was said", "than may flow"])
 def test_more_than_may_come_is_not_taken(length: int | None, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(flow_module, "MAX_STREAMED_BODY", SHORT_BODY)
+    monkeypatch.setattr(flow_module, "MAX_STREAMED_BODY", MAX_BUFFERED_BODY)
     flow, _ = made(None, length)
     sink = To(flow)
     flow.attach(sink)
