--- a/orchidferry/mesh/control/control_api.py
+++ b/orchidferry/mesh/control/control_api.py
@@ -44,7 +44,7 @@
         cls="",
         budget_ms=0.0,
         tenant=None,
-        again=False,
+        client_retry=False,
         key=None,
         content_type=headers.get(b"content-type"),
         body=body,
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -370,7 +370,7 @@
                 message.cls,
                 ttl_ms,
                 message.tenant,
-                message.again,
+                message.client_retry,
                 flow is not None,
                 self.links.read(message) if self.links is not None else None,
                 message.key.decode("latin-1") if message.key is not None else None,
--- a/orchidferry/node/request.py
+++ b/orchidferry/node/request.py
@@ -43,7 +43,7 @@
     cls: str  # name of the request class
     budget_ms: float  # how long the client waits for the answer
     tenant: str | None
-    again: bool  # whether the client states that it has sent the request before
+    client_retry: bool  # whether the client states that it has sent the request before
     key: bytes | None  # idempotency key
     content_type: bytes | None
     body: bytes
