--- a/orchidferry/node/chain/links.py
+++ b/orchidferry/node/chain/links.py
@@ -9,7 +9,7 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.chain import Chain, loop_message
 from orchidferry.node.chain.settings import Setup
-from orchidferry.node.chain.wire import Headers, Wire, read_answer, write_answer
+from orchidferry.node.chain.wire import HeaderCodec, Headers, read_answer, write_answer
 
 if TYPE_CHECKING:
     from orchidferry.node.attempt import UpstreamResponse
@@ -29,7 +29,7 @@
         limits = setup.limits
         born = int(time.time())
         self.chain = Chain(limits, f"{limits.tier}-{limits.node}-{salt & 0xFFFF:x}-{born:x}-"[:MAX_ID_PREFIX])
-        self._wire = Wire(setup.keys)
+        self._wire = HeaderCodec(setup.keys)
         self._loop_logged_s = -LOOP_LOG_S
 
     def read(self, message: Message) -> api.Carried | None:
--- a/orchidferry/node/chain/wire.py
+++ b/orchidferry/node/chain/wire.py
@@ -39,7 +39,7 @@
 ANSWER = re.compile(rb"(below|kept); used=(\d{1,2})")
 
 
-class Wire:
+class HeaderCodec:
     """Writes and reads the headers of one node; `counts` has what was rejected, by reason."""
 
     def __init__(self, keys: tuple[tuple[str, bytes], ...], wall_s: Callable[[], float] = time.time) -> None:
--- a/orchidferry/testkit/bench/chain.py
+++ b/orchidferry/testkit/bench/chain.py
@@ -9,7 +9,7 @@
 
 from orchidferry.balancing.chain import Chain, Limits
 from orchidferry.balancing.interface import Result
-from orchidferry.node.chain.wire import Wire
+from orchidferry.node.chain.wire import HeaderCodec
 from orchidferry.testkit.model.chains import ChainSimulation, Scenario
 
 ROUNDS = 20_000
@@ -18,7 +18,7 @@
 def _cost() -> dict[str, Any]:
     """Microseconds of a request that one attempt serves: the module's part, and the headers'."""
     chain = Chain(Limits("catalogo", "n0", False), "x")
-    wire = Wire((("k1", b"k" * 32),))
+    wire = HeaderCodec((("k1", b"k" * 32),))
     first = Chain(Limits("entrada", "n0", True), "y")
     first.admit("0", None, "a", 1.0, 1e6, 0.0)
     came = dict(wire.write(first.send("0", 0.0), 1.0))
@@ -27,7 +27,7 @@
         id = str(n)
         now = float(n)
         began = time.perf_counter()
-        carried = Wire.read(wire, came) if n % 400 else Wire((("k1", b"k" * 32),)).read(came)
+        carried = HeaderCodec.read(wire, came) if n % 400 else HeaderCodec((("k1", b"k" * 32),)).read(came)
         read = time.perf_counter()
         chain.admit(id, carried, "a", 1.0, 1e6, now)
         chain.may_send(id, now)
--- a/tests/node/chain/test_links.py
+++ b/tests/node/chain/test_links.py
@@ -14,7 +14,7 @@
 from orchidferry.balancing.interface import Carried, Result
 from orchidferry.balancing.logic import Balancer
 from orchidferry.node.chain.settings import Setup, read_chain
-from orchidferry.node.chain.wire import MAX_CALLS, Wire, read_answer, write_answer
+from orchidferry.node.chain.wire import MAX_CALLS, HeaderCodec, read_answer, write_answer
 from orchidferry.node.config import ConfigError
 from tests.node.peers import Seen, Server, answer, run, world
 
@@ -264,32 +264,35 @@
     )
 )
 def test_what_goes_on_comes_back_the_same(carried: Carried) -> None:
-    assert Wire(KEYS, lambda: 1e9).read(dict(Wire(KEYS, lambda: 1e9).write(carried, 3.0))) == carried
+    assert (
+        HeaderCodec(KEYS, lambda: 1e9).read(dict(HeaderCodec(KEYS, lambda: 1e9).write(carried, 3.0)))
+        == carried
+    )
 
 
 @given(st.sampled_from([b"baggage", b"cdn-loop"]), st.integers(0, 200), st.binary(max_size=4))
 def test_whatever_is_changed_on_the_way_is_not_believed(name: bytes, at: int, put: bytes) -> None:
-    headers = dict(Wire(KEYS, lambda: 1e9).write(CARRIED, 3.0))
+    headers = dict(HeaderCodec(KEYS, lambda: 1e9).write(CARRIED, 3.0))
     old = headers[name]
     headers[name] = old[:at] + put + old[at + len(put) :]
-    found = Wire(KEYS, lambda: 1e9).read(headers)
+    found = HeaderCodec(KEYS, lambda: 1e9).read(headers)
     assert found is None or found == CARRIED  # members of other people's beside ours may change
 
 
 def test_keys_times_and_copies_of_a_tag() -> None:
     now = [1e9]
-    old, new = Wire(KEYS[1:], lambda: now[0]), Wire(KEYS, lambda: now[0])
+    old, new = HeaderCodec(KEYS[1:], lambda: now[0]), HeaderCodec(KEYS, lambda: now[0])
     theirs = dict(old.write(CARRIED, 3.0))
     assert new.read(theirs) == CARRIED  # the key before, in mid-request
     assert old.read(dict(new.write(CARRIED, 3.0))) is None and old.counts == {"an unknown key": 1}
-    assert Wire(()).read(theirs) is None and Wire(()).write(CARRIED, 1.0)[0][0] == b"cdn-loop"
+    assert HeaderCodec(()).read(theirs) is None and HeaderCodec(()).write(CARRIED, 1.0)[0][0] == b"cdn-loop"
     now[0] += 34.0
     assert new.read(theirs) is None and new.counts == {"a tag whose time is over": 1}
     now[0] -= 34.0
     for _ in range(MAX_CALLS - 1):
         assert new.read(theirs) == CARRIED
     assert new.read(theirs) is None and new.counts["a tag that came too often"] == 1
-    other = Wire((("k2", b"c" * 32),), lambda: now[0])
+    other = HeaderCodec((("k2", b"c" * 32),), lambda: now[0])
     assert new.read(dict(other.write(CARRIED, 3.0))) is None and new.counts["a tag that does not fit"] == 1
 
 
@@ -377,7 +380,9 @@
     async def test() -> None:
         server = Server(answer(), usual=answer(500, headers="X-Chain: below; used=0\r\n"))
         async with world(tmp_path, server) as scene:
-            tagged = "".join(f"{n.decode()}: {v.decode()}\r\n" for n, v in Wire(KEYS).write(CARRIED, 3.0))
+            tagged = "".join(
+                f"{n.decode()}: {v.decode()}\r\n" for n, v in HeaderCodec(KEYS).write(CARRIED, 3.0)
+            )
             assert (await scene.ask("r1", extra=tagged)).status == 200
             assert not {"baggage", "cdn-loop"} & server.seen[0].headers.keys()
             assert "x-chain" not in (await scene.ask("r2", "pay")).headers
