--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -214,7 +214,7 @@
             assert (await made.ask("before")).status == 200
             assert len(old.seen) == 1
             old.gate.clear()
-            caller = await made.caller()
+            caller = await made.client()
             caller.write(request("held", "pay"))
             await until(lambda: len(old.seen) == 2)
             await becomes(service, made, "v1", pool(new))
@@ -236,7 +236,7 @@
             await becomes(service, made, "v1", pool(server), node(classes=more))
             assert (await made.ask("b", "save-new")).status == 200
             server.gate.clear()
-            caller = await made.caller()
+            caller = await made.client()
             caller.write(request("open", "save-new"))
             await until(lambda: server.seen[-1].id == "open")
             await becomes(service, made, "v2", node(classes=usual))
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -349,7 +349,7 @@
         server = Server(name="s0")
         server.gate.clear()
         async with scene(tmp_path, server) as made:
-            quic, tcp = await made.connect(), await made.world.caller()
+            quic, tcp = await made.connect(), await made.world.client()
             first = begin(quic, "same", "save")
             await until(lambda: len(server.seen) == 1)
             assert (await tcp.ask("same", "save")).status == 400
@@ -357,7 +357,7 @@
             assert first.waiting is not None
             assert (await asyncio.wait_for(first.waiting, LIMIT_S)).status == 200
             server.gate.clear()
-            tcp = await made.world.caller()
+            tcp = await made.world.client()
             tcp.write(b"GET /read HTTP/1.1\r\nHost: x\r\nX-Call-Id: other\r\nX-Budget: 5\r\n\r\n")
             await until(lambda: len(server.seen) == 2)
             assert (await ask(quic, "other")).status == 400
--- a/tests/node/peers.py
+++ b/tests/node/peers.py
@@ -242,13 +242,13 @@
     address: tuple[str, int] = ("", 0)
     callers: list[Caller] = field(default_factory=list)
 
-    async def caller(self) -> Caller:
+    async def client(self) -> Caller:
         caller = Caller(*await asyncio.open_connection(*self.address))
         self.callers.append(caller)
         return caller
 
     async def ask(self, *args: Any, **kwargs: Any) -> Seen:
-        return await (await self.caller()).ask(*args, **kwargs)
+        return await (await self.client()).ask(*args, **kwargs)
 
 
 def settings(**changes: Any) -> dict[str, Any]:
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -68,7 +68,7 @@
         assert (await scene.ask("b", "pay", body=b"x")).status == 502
         assert (await scene.ask("c", "pay", budget="0.4", body=b"x")).status == 503
         server.gate.clear()
-        caller = await scene.caller()
+        caller = await scene.client()
         caller.write(request("d", "pay", body=b"x"))
         await until(lambda: any(seen.id == "d" for seen in server.seen))
         seen = await metrics(at)
@@ -126,7 +126,7 @@
             while (await get(at, "/-/ready"))[0] != 200:
                 await asyncio.sleep(0.01)
         server.gate.clear()
-        (await scene.caller()).write(request("held", "pay", body=b"x"))
+        (await scene.client()).write(request("held", "pay", body=b"x"))
         await until(lambda: len(server.seen) == 1)
         assert scene.node is not None
         stopping = asyncio.create_task(scene.node.stop(0.0))
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -43,7 +43,7 @@
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             if asked:
                 assert (await caller.ask("before")).status == 200
             caller.write(data)
@@ -59,7 +59,7 @@
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server) as scene:
-            silent, idle, waiting = [await scene.caller() for _ in range(3)]
+            silent, idle, waiting = [await scene.client() for _ in range(3)]
             assert (await idle.ask("idle")).status == 200
             server.gate.clear()
             waiting.write(request("waiting"))
@@ -93,7 +93,7 @@
 def test_a_huge_body_is_rejected_before_it_arrives_and_the_client_can_read_the_error(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(
                 b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100_000
             )
@@ -116,7 +116,7 @@
         server = Server()
         async with world(tmp_path, server) as scene:
             assert scene.node is not None
-            half, served = await scene.caller(), await scene.caller()
+            half, served = await scene.client(), await scene.client()
             half.write(INCOMPLETE_REQUESTS["half a body"])
             assert (await served.ask("before")).status == 200
             stopping = asyncio.ensure_future(scene.node.stop(0.0))
@@ -135,14 +135,14 @@
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
             assert scene.node is not None
-            kept = await scene.caller()
+            kept = await scene.client()
             assert (await kept.ask("a")).status == 200
             stopping = asyncio.create_task(scene.node.stop(0.0))
             await asyncio.sleep(0.1)
             assert (await scene.ask("b")).status == (await kept.ask("c")).status == 200
             await stopping
             with pytest.raises(ConnectionError):
-                await scene.caller()
+                await scene.client()
 
     run(test())
 
@@ -156,7 +156,7 @@
     async def test() -> None:
         async with world(tmp_path, Server(usual=HANG)) as scene:
             assert scene.node is not None
-            before, during = await scene.caller(), await scene.caller()
+            before, during = await scene.client(), await scene.client()
             before.write(request("a", "pay", budget="20"))
             await until(lambda: scene.node is not None and bool(scene.node._pending))
             stopping = asyncio.ensure_future(scene.node.stop(0.0))
@@ -175,13 +175,13 @@
         server = Server(answer(200, b"old"), answer(200, b"new"))
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            gone = await scene.caller()
+            gone = await scene.client()
             gone.write(request("a"))
             await until(lambda: len(server.seen) == 1)
             gone.writer.close()
             assert scene.node is not None
             await until(lambda: scene.node is not None and not scene.node._pending)
-            again = await scene.caller()
+            again = await scene.client()
             again.write(request("a"))
             await until(lambda: len(server.seen) == 2)
             server.gate.set()
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -43,7 +43,7 @@
         other.index = 1
         async with world(tmp_path, old, start=False) as scene:
             program = await Program.start(scene)
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("held", "pay"))
             await until(lambda: len(old.seen) == 1)
 
--- a/tests/node/test_lateness.py
+++ b/tests/node/test_lateness.py
@@ -41,7 +41,7 @@
         async with world(tmp_path, Server(usual=HANG)) as scene:
             node = scene.node
             assert node is not None
-            caller = await scene.caller()
+            caller = await scene.client()
             fired: list[float] = []
             node._timers.schedule(0.01, lambda: fired.append(now_ms()))
             time.sleep(BLOCKED_S)  # blocks the event loop
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -157,7 +157,7 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             whole = (
                 request("u", "save", body=LONG) if coding == "length" else chunked_request("u", "save", LONG)
             )
@@ -178,7 +178,7 @@
         server = LongServer()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             body = b"x" * (24 * MB)
             caller.write(request("u", "pay", body=body))
             await until(lambda: bool(server.heads))
@@ -205,7 +205,7 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             whole = request("u", "save", budget="0.6", body=LONG)
             for at in range(0, len(whole), len(whole) // 8):
                 caller.write(whole[at : at + len(whole) // 8])
@@ -218,7 +218,7 @@
 
 async def upload_in_two_parts(scene: World, whole: bytes, first_part_ended: Callable[[], bool]) -> Seen:
     """Send the first part of a request, and the rest once `first_part_ended()` is true; return the answer."""
-    caller = await scene.caller()
+    caller = await scene.client()
     caller.write(whole[:600_000])
     await until(first_part_ended)
     caller.write(whole[600_000:])
@@ -274,7 +274,7 @@
     async def test() -> None:
         servers = [LongServer(name=name, breaks_at=2 * MB + 1) for name in "ab"]
         async with world(tmp_path, *servers) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("u", "pay", body=LONG * 10))
             status, _, _ = await read_long(caller)
             assert status == 503
@@ -303,7 +303,7 @@
     async def test() -> None:
         server = LongServer(early=answer(503, headers="X-Rejected: 1\r\n"))
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             whole = request("u", "pay", budget="0.3", body=LONG * 2)
             caller.write(whole[: 2 * MB])
             head = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), LIMIT_S)
@@ -328,7 +328,7 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("u", "pay", body=LONG)[: 2 * MB])
             await until(lambda: server.read > MB)
             if how == "leaves":
@@ -354,7 +354,7 @@
         server = LongServer()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("u", "pay", body=b"x" * (24 * MB)))
             status, _, _ = await read_long(caller)
             assert status == 503
@@ -374,7 +374,7 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             whole = (
                 request("u", "pay", body=LONG) if coding == "length" else chunked_request("u", "pay", LONG)
             )
@@ -390,7 +390,7 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             whole = chunked_request("u", "pay", b"body" * 5000)
             trailer = b"X-Call-Id: other\r\nIdempotency-Key: k\r\n"
             caller.write(whole.replace(b"X-Trailer: t\r\n", trailer))
@@ -407,7 +407,7 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             whole = request("u", "save", body=LONG, extra="Expect: 100-continue\r\n")
             head = whole[: -len(LONG)]
             caller.write(head)
@@ -437,7 +437,7 @@
     async def test() -> None:
         server = LongServer(CODED[coding](LONG))
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             status, body, whole = await read_long(caller)
             assert (status, digest(body), whole) == (200, digest(LONG), True)
@@ -462,7 +462,7 @@
 
         server = Closing()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             status, body, whole = await read_long(caller)
             assert (status, digest(body), whole) == (200, digest(LONG), True)
@@ -504,7 +504,7 @@
     async def test() -> None:
         server = LongServer(CODED[coding](LONG)[: 2 * MB])
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             await until(lambda: server.written == 2 * MB)
             server.hang_up()
@@ -527,7 +527,7 @@
     async def test() -> None:
         server = LongServer(CODED["chunked"](LONG))
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             status, body, whole = await read_long(caller)
             assert status == 200 and not whole and len(body) <= MB
@@ -540,7 +540,7 @@
     async def test() -> None:
         server = LongServer(answer(200, b"z" * (30 * MB)))
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             await caller.reader.readexactly(1000)
             caller.writer.transport.abort()
@@ -558,7 +558,7 @@
     async def test() -> None:
         server = LongServer(answer(200, LONG)[: 2 * MB])  # and nothing after that
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             status, body, whole = await read_long(caller)
             assert status == 200 and not whole and body
@@ -574,7 +574,7 @@
         server.gate.clear()
 
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("u", "pay", body=b"x"))
             await until(lambda: bool(server.heads))
             caller.writer.transport.abort()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -237,7 +237,7 @@
         server = Server()
         probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
         async with world(tmp_path, server, known=False) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(probe)
             assert (await caller.read()).status == 500
             scene.registry.tell(server.entry(), snapshot=True)
@@ -301,7 +301,7 @@
         server = Server(answer(500))
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             await until(lambda: len(server.seen) == 1)
             caller.writer.close()
@@ -412,7 +412,7 @@
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            other, bad = await scene.caller(), await scene.caller()
+            other, bad = await scene.client(), await scene.client()
             other.write(request("other"))
             await until(lambda: len(server.seen) == 1)
             bad.write(data)
@@ -429,7 +429,7 @@
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            owner, other = await scene.caller(), await scene.caller()
+            owner, other = await scene.client(), await scene.client()
             owner.write(request("a"))
             await until(lambda: len(server.seen) == 1)
             assert (await other.ask("a")).status == 400
@@ -444,7 +444,7 @@
     async def test() -> None:
         server = Server(answer(200, b"1"), answer(200, b"2"))
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a") + request("b"))
             assert [(await caller.read()).body for _ in range(2)] == [b"1", b"2"]
 
@@ -459,7 +459,7 @@
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             caller.write(request("a"))
             await until(lambda: len(server.seen) == 1)
             caller.write(behind)
@@ -478,7 +478,7 @@
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server) as scene:
-            caller = await scene.caller()
+            caller = await scene.client()
             for byte in request("a", "pay", body=b"body"):
                 caller.write(bytes([byte]))
                 await caller.writer.drain()
@@ -496,9 +496,9 @@
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server, sockets=29) as scene:
-            first = await scene.caller()
+            first = await scene.client()
             for n in range(9):  # after 20 answers attempts would time out: 8 times a latency of nearly 0
-                await scene.caller()  # sends nothing: silent connections are evicted before idle ones
+                await scene.client()  # sends nothing: silent connections are evicted before idle ones
                 assert (await scene.ask(f"{n}")).status == 200
                 assert (await first.ask(f"first-{n}")).status == 200  # evicted by idle time, not by age
                 assert scene.node is not None
@@ -554,7 +554,7 @@
         server.gate.clear()
         async with world(tmp_path, server, start=False) as scene:
             program = await Program.start(scene)
-            used, held = await scene.caller(), await scene.caller()
+            used, held = await scene.client(), await scene.client()
             server.gate.set()
             assert (await used.ask("before")).status == 200
             server.gate.clear()
--- a/tests/node/test_platform.py
+++ b/tests/node/test_platform.py
@@ -92,7 +92,7 @@
         async with world(tmp_path, server, start=False) as scene:
             process = await started(tmp_path, scene)
             try:
-                caller: Caller = await scene.caller()
+                caller: Caller = await scene.client()
                 for n, cls in enumerate(("read", "save", "pay")):
                     assert (await caller.ask(f"id-{n}", cls)).status == 200
                 # Reload the configuration by SIGHUP, as the platform does under load.
