--- a/tests/node/peers.py
+++ b/tests/node/peers.py
@@ -1,4 +1,4 @@
-"""Scripted servers, discovery service and clients (callers) for tests over sockets on 127.0.0.1."""
+"""Scripted servers, discovery service and clients for tests over sockets on 127.0.0.1."""
 
 from __future__ import annotations
 
@@ -193,7 +193,7 @@
         return await self.updates.get()
 
 
-class Caller:
+class Client:
     """A connection of a client of the node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -240,12 +240,12 @@
     servers: list[Server]
     node: Node | None = None
     address: tuple[str, int] = ("", 0)
-    callers: list[Caller] = field(default_factory=list)
+    clients: list[Client] = field(default_factory=list)
 
-    async def client(self) -> Caller:
-        caller = Caller(*await asyncio.open_connection(*self.address))
-        self.callers.append(caller)
-        return caller
+    async def client(self) -> Client:
+        client = Client(*await asyncio.open_connection(*self.address))
+        self.clients.append(client)
+        return client
 
     async def ask(self, *args: Any, **kwargs: Any) -> Seen:
         return await (await self.client()).ask(*args, **kwargs)
@@ -327,8 +327,8 @@
     try:
         yield scene
     finally:
-        for caller in scene.callers:
-            caller.writer.close()
+        for client in scene.clients:
+            client.writer.close()
         for peer in (registry, *servers):
             await peer.stop()
         if scene.node is not None:
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -68,8 +68,8 @@
         assert (await scene.ask("b", "pay", body=b"x")).status == 502
         assert (await scene.ask("c", "pay", budget="0.4", body=b"x")).status == 503
         server.gate.clear()
-        caller = await scene.client()
-        caller.write(request("d", "pay", body=b"x"))
+        client = await scene.client()
+        client.write(request("d", "pay", body=b"x"))
         await until(lambda: any(seen.id == "d" for seen in server.seen))
         seen = await metrics(at)
         assert seen["node.calls.pay.success"] == 1
@@ -79,7 +79,7 @@
         assert seen["node.calls.read.backend_calls"] == 0
         assert seen["node.inflight"] == 1
         assert seen["node.hosts_listed"] == 1
-        caller.writer.close()
+        client.writer.close()
         async with asyncio.timeout(LIMIT_S):
             while (await metrics(at))["node.inflight"]:
                 await asyncio.sleep(0.01)
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -43,12 +43,12 @@
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             if asked:
-                assert (await caller.ask("before")).status == 200
-            caller.write(data)
-            assert (await caller.read()).status == 408
-            assert await caller.closed()
+                assert (await client.ask("before")).status == 200
+            client.write(data)
+            assert (await client.read()).status == 408
+            assert await client.closed()
             await until(lambda: open_connections(scene) == 0)
 
     run(test())
@@ -81,8 +81,8 @@
                 not_reading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 await asyncio.to_thread(not_reading.connect, scene.address)
                 await until(lambda: open_connections(scene) == 1)
-                [caller] = scene.node.frontend._stages[Stage.NEW]
-                own = caller._transport.get_extra_info("socket")
+                [client] = scene.node.frontend._stages[Stage.NEW]
+                own = client._transport.get_extra_info("socket")
                 own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 not_reading.sendall(b"".join(request(f"{n}") for n in range(8)))
                 await until(lambda: open_connections(scene) == 0)
@@ -93,12 +93,12 @@
 def test_a_huge_body_is_rejected_before_it_arrives_and_the_client_can_read_the_error(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
-            caller = await scene.client()
-            caller.write(
+            client = await scene.client()
+            client.write(
                 b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100_000
             )
-            assert (await caller.read()).status == 413
-            assert await caller.closed()
+            assert (await client.read()).status == 413
+            assert await client.closed()
 
     run(test())
 
@@ -205,7 +205,7 @@
                 assert (await scene.ask(f"{n}")).status == 200
                 scene.registry.tell(server.entry(name=f"s{n - 1}", status="left"), server.entry(name=f"s{n}"))
                 await until(lambda n=n: len(scene.registry.seen) == n + 1)  # type: ignore[misc]
-                scene.callers.pop().writer.close()
+                scene.clients.pop().writer.close()
             await until(lambda: open_connections(scene) == 0)
             own = scene.node
             module = scene.node._balancer
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -43,8 +43,8 @@
         other.index = 1
         async with world(tmp_path, old, start=False) as scene:
             program = await Program.start(scene)
-            caller = await scene.client()
-            caller.write(request("held", "pay"))
+            client = await scene.client()
+            client.write(request("held", "pay"))
             await until(lambda: len(old.seen) == 1)
 
             scene.path.write_text("{")
@@ -58,8 +58,8 @@
             assert [seen.target for seen in other.seen] == ["/api/targets", watch]
 
             old.gate.set()
-            assert (await caller.read()).status == 200
-            assert (await caller.ask("next")).status == 200  # on the same connection
+            assert (await client.read()).status == 200
+            assert (await client.ask("next")).status == 200  # on the same connection
             assert [seen.id for seen in new.seen] == ["next"]
 
             write(scene, scene.registry)  # and back again
--- a/tests/node/test_input_age.py
+++ b/tests/node/test_input_age.py
@@ -40,8 +40,8 @@
 def test_the_budget_of_a_request_read_late_counts_from_its_arrival(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, Server(usual=HANG)) as scene:
-            caller = await scene.client()
-            assert (await caller.ask("page", "no-such-class")).status == 400
+            client = await scene.client()
+            assert (await client.ask("page", "no-such-class")).status == 400
             with socket.create_connection(scene.address) as late:
                 sent_ms = send_to_a_busy_node(late, request("late", budget="5"))
                 [ends_ms] = await pending_ends_ms(scene)
--- a/tests/node/test_lateness.py
+++ b/tests/node/test_lateness.py
@@ -41,13 +41,13 @@
         async with world(tmp_path, Server(usual=HANG)) as scene:
             node = scene.node
             assert node is not None
-            caller = await scene.client()
+            client = await scene.client()
             fired: list[float] = []
             node._timers.schedule(0.01, lambda: fired.append(now_ms()))
             time.sleep(BLOCKED_S)  # blocks the event loop
             await until(lambda: bool(fired))
             sent_ms = now_ms()
-            caller.write(request("a", budget=f"{budget_s:g}"))
+            client.write(request("a", budget=f"{budget_s:g}"))
             await until(lambda: bool(node._pending))
             [pending] = node._pending.values()
             left_ms = pending.ends_ms - sent_ms
--- a/tests/node/test_long_bodies.py
+++ b/tests/node/test_long_bodies.py
@@ -15,7 +15,7 @@
 from orchidferry.node import client_connection, frontend, node, upstream, upstream_connection
 from orchidferry.node import flow as flow_module
 from orchidferry.node.attempt import Attempt
-from tests.node.peers import LIMIT_S, Caller, Seen, Server, World, answer, request, run, until, world
+from tests.node.peers import LIMIT_S, Client, Seen, Server, World, answer, request, run, until, world
 
 MB = 1024 * 1024
 LONG = bytes(range(256)) * (3 * MB // 256)
@@ -103,21 +103,21 @@
     return head + chunked(data)
 
 
-async def read_long(caller: Caller) -> tuple[int, bytes, bool]:
+async def read_long(client: Client) -> tuple[int, bytes, bool]:
     """Return the status, the body, and whether the body is complete."""
     async with asyncio.timeout(LIMIT_S):
-        head = (await caller.reader.readuntil(b"\r\n\r\n")).decode().lower()
+        head = (await client.reader.readuntil(b"\r\n\r\n")).decode().lower()
         status = int(head.split()[1])
         body = b""
         try:
             if "transfer-encoding: chunked" in head:
-                while size := int(await caller.reader.readline(), 16):
-                    body += await caller.reader.readexactly(size)
-                    await caller.reader.readline()
-                await caller.reader.readline()
+                while size := int(await client.reader.readline(), 16):
+                    body += await client.reader.readexactly(size)
+                    await client.reader.readline()
+                await client.reader.readline()
             else:
                 length = int(head.split("content-length:")[1].split("\r\n")[0])
-                body = await caller.reader.readexactly(length)
+                body = await client.reader.readexactly(length)
         except asyncio.IncompleteReadError as part:
             return status, body + part.partial, False
         except (ConnectionError, ValueError):
@@ -157,13 +157,13 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             whole = (
                 request("u", "save", body=LONG) if coding == "length" else chunked_request("u", "save", LONG)
             )
-            caller.write(whole + request("after"))  # with a pipelined request
-            assert (await caller.read()).status == 200
-            assert (await caller.read()).status == 200
+            client.write(whole + request("after"))  # with a pipelined request
+            assert (await client.read()).status == 200
+            assert (await client.read()).status == 200
             assert [digest(body) for body in server.whole] == [digest(LONG), digest(b"")]
             assert "X-Call-Id: u\r\n" in server.heads[0] and "Idempotency-Key: key-u\r\n" in server.heads[0]
             assert is_idle(scene)
@@ -178,9 +178,9 @@
         server = LongServer()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             body = b"x" * (24 * MB)
-            caller.write(request("u", "pay", body=body))
+            client.write(request("u", "pay", body=body))
             await until(lambda: bool(server.heads))
             assert scene.node is not None
             [pending] = scene.node._pending.values()
@@ -193,7 +193,7 @@
             assert size < 12 * MB  # of 24 MB: the kernel's buffers of both sockets, and little in the node
             assert sum(map(len, flow._replay)) + sum(map(len, flow._unfed)) <= flow_module.MAX_REPLAY_BYTES
             server.gate.set()
-            assert (await caller.read()).status == 200
+            assert (await client.read()).status == 200
             assert len(server.whole[0]) == 24 * MB
 
     run(test())
@@ -205,12 +205,12 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             whole = request("u", "save", budget="0.6", body=LONG)
             for at in range(0, len(whole), len(whole) // 8):
-                caller.write(whole[at : at + len(whole) // 8])
+                client.write(whole[at : at + len(whole) // 8])
                 await asyncio.sleep(0.15)
-            assert (await caller.read()).status == 200
+            assert (await client.read()).status == 200
             assert results == [Result.SERVED]
 
     run(test())
@@ -218,11 +218,11 @@
 
 async def upload_in_two_parts(scene: World, whole: bytes, first_part_ended: Callable[[], bool]) -> Seen:
     """Send the first part of a request, and the rest once `first_part_ended()` is true; return the answer."""
-    caller = await scene.client()
-    caller.write(whole[:600_000])
+    client = await scene.client()
+    client.write(whole[:600_000])
     await until(first_part_ended)
-    caller.write(whole[600_000:])
-    return await caller.read()
+    client.write(whole[600_000:])
+    return await client.read()
 
 
 def test_an_upload_that_breaks_early_is_retried_from_its_start(tmp_path: Path, results: list[Result]) -> None:
@@ -274,13 +274,13 @@
     async def test() -> None:
         servers = [LongServer(name=name, breaks_at=2 * MB + 1) for name in "ab"]
         async with world(tmp_path, *servers) as scene:
-            caller = await scene.client()
-            caller.write(request("u", "pay", body=LONG * 10))
-            status, _, _ = await read_long(caller)
+            client = await scene.client()
+            client.write(request("u", "pay", body=LONG * 10))
+            status, _, _ = await read_long(client)
             assert status == 503
             assert results == [Result.UNREACHABLE]
             assert sum(len(server.heads) for server in servers) == 1
-            assert await caller.closed()
+            assert await client.closed()
             assert is_idle(scene)
 
     run(test())
@@ -303,15 +303,15 @@
     async def test() -> None:
         server = LongServer(early=answer(503, headers="X-Rejected: 1\r\n"))
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             whole = request("u", "pay", budget="0.3", body=LONG * 2)
-            caller.write(whole[: 2 * MB])
-            head = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), LIMIT_S)
+            client.write(whole[: 2 * MB])
+            head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), LIMIT_S)
             assert head.split()[1] in (b"502", b"503")
             assert b"Connection: close" in head
-            caller.write(whole[2 * MB :])  # a client that reads only after it has sent all is not reset
+            client.write(whole[2 * MB :])  # a client that reads only after it has sent all is not reset
             async with asyncio.timeout(LIMIT_S):
-                await caller.reader.read()
+                await client.reader.read()
             assert is_idle(scene)
 
     run(test())
@@ -328,14 +328,14 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("u", "pay", body=LONG)[: 2 * MB])
+            client = await scene.client()
+            client.write(request("u", "pay", body=LONG)[: 2 * MB])
             await until(lambda: server.read > MB)
             if how == "leaves":
-                caller.writer.transport.abort()
+                client.writer.transport.abort()
             else:
-                assert (await caller.read()).status == 408
-                assert await caller.closed()
+                assert (await client.read()).status == 408
+                assert await client.closed()
             await until(lambda: server.lost == 1)
             await until(lambda: is_idle(scene))
             assert server.whole == [] and results == [Result.UNREACHABLE]
@@ -354,9 +354,9 @@
         server = LongServer()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("u", "pay", body=b"x" * (24 * MB)))
-            status, _, _ = await read_long(caller)
+            client = await scene.client()
+            client.write(request("u", "pay", body=b"x" * (24 * MB)))
+            status, _, _ = await read_long(client)
             assert status == 503
             assert results == [Result.UNREACHABLE]
             assert is_idle(scene)
@@ -374,12 +374,12 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             whole = (
                 request("u", "pay", body=LONG) if coding == "length" else chunked_request("u", "pay", LONG)
             )
-            caller.write(whole[: 2 * MB])
-            assert (await caller.read()).status == 413
+            client.write(whole[: 2 * MB])
+            assert (await client.read()).status == 413
             await until(lambda: is_idle(scene))
             assert server.whole == []
 
@@ -390,11 +390,11 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             whole = chunked_request("u", "pay", b"body" * 5000)
             trailer = b"X-Call-Id: other\r\nIdempotency-Key: k\r\n"
-            caller.write(whole.replace(b"X-Trailer: t\r\n", trailer))
-            assert (await caller.read()).status == 200
+            client.write(whole.replace(b"X-Trailer: t\r\n", trailer))
+            assert (await client.read()).status == 200
             assert server.whole == [b"body" * 5000]
             assert "X-Call-Id: u\r\n" in server.heads[0] and "dempotency" not in server.heads[0]
 
@@ -407,14 +407,14 @@
     async def test() -> None:
         server = LongServer()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             whole = request("u", "save", body=LONG, extra="Expect: 100-continue\r\n")
             head = whole[: -len(LONG)]
-            caller.write(head)
-            line = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), LIMIT_S)
+            client.write(head)
+            line = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), LIMIT_S)
             assert line == b"HTTP/1.1 100 Continue\r\n\r\n"
-            caller.write(LONG)
-            assert (await caller.read()).status == 200
+            client.write(LONG)
+            assert (await client.read()).status == 200
             assert server.whole == [LONG]
 
     run(test())
@@ -437,11 +437,11 @@
     async def test() -> None:
         server = LongServer(CODED[coding](LONG))
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
-            status, body, whole = await read_long(caller)
+            client = await scene.client()
+            client.write(request("a"))
+            status, body, whole = await read_long(client)
             assert (status, digest(body), whole) == (200, digest(LONG), True)
-            assert (await caller.ask("b")).status == 200
+            assert (await client.ask("b")).status == 200
             assert server.connections == 1
             assert is_idle(scene)
 
@@ -462,9 +462,9 @@
 
         server = Closing()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
-            status, body, whole = await read_long(caller)
+            client = await scene.client()
+            client.write(request("a"))
+            status, body, whole = await read_long(client)
             assert (status, digest(body), whole) == (200, digest(LONG), True)
             assert is_idle(scene)
 
@@ -504,11 +504,11 @@
     async def test() -> None:
         server = LongServer(CODED[coding](LONG)[: 2 * MB])
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
+            client = await scene.client()
+            client.write(request("a"))
             await until(lambda: server.written == 2 * MB)
             server.hang_up()
-            status, body, whole = await read_long(caller)
+            status, body, whole = await read_long(client)
             assert status == 200 and not whole and LONG.startswith(body)
             await until(lambda: is_idle(scene))
             assert scene.node is not None
@@ -527,9 +527,9 @@
     async def test() -> None:
         server = LongServer(CODED["chunked"](LONG))
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
-            status, body, whole = await read_long(caller)
+            client = await scene.client()
+            client.write(request("a"))
+            status, body, whole = await read_long(client)
             assert status == 200 and not whole and len(body) <= MB
             await until(lambda: is_idle(scene))
 
@@ -540,10 +540,10 @@
     async def test() -> None:
         server = LongServer(answer(200, b"z" * (30 * MB)))
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
-            await caller.reader.readexactly(1000)
-            caller.writer.transport.abort()
+            client = await scene.client()
+            client.write(request("a"))
+            await client.reader.readexactly(1000)
+            client.writer.transport.abort()
             await until(lambda: server.lost == 1)
             await until(lambda: is_idle(scene))
             assert server.written < 30 * MB
@@ -558,9 +558,9 @@
     async def test() -> None:
         server = LongServer(answer(200, LONG)[: 2 * MB])  # and nothing after that
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
-            status, body, whole = await read_long(caller)
+            client = await scene.client()
+            client.write(request("a"))
+            status, body, whole = await read_long(client)
             assert status == 200 and not whole and body
             await until(lambda: server.lost == 1)
             assert is_idle(scene)
@@ -574,10 +574,10 @@
         server.gate.clear()
 
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("u", "pay", body=b"x"))
+            client = await scene.client()
+            client.write(request("u", "pay", body=b"x"))
             await until(lambda: bool(server.heads))
-            caller.writer.transport.abort()
+            client.writer.transport.abort()
             assert scene.node is not None
             await until(lambda: scene.node is not None and not scene.node._pending)
             server.gate.set()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -237,13 +237,13 @@
         server = Server()
         probe = b"GET /-/ready HTTP/1.1\r\n\r\n"
         async with world(tmp_path, server, known=False) as scene:
-            caller = await scene.client()
-            caller.write(probe)
-            assert (await caller.read()).status == 500
+            client = await scene.client()
+            client.write(probe)
+            assert (await client.read()).status == 500
             scene.registry.tell(server.entry(), snapshot=True)
             await until(lambda: len(scene.registry.seen) == 2)
-            caller.write(probe)
-            assert (await caller.read()).status == 200
+            client.write(probe)
+            assert (await client.read()).status == 200
 
     run(test())
 
@@ -301,10 +301,10 @@
         server = Server(answer(500))
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
+            client = await scene.client()
+            client.write(request("a"))
             await until(lambda: len(server.seen) == 1)
-            caller.writer.close()
+            client.writer.close()
             assert scene.node is not None
             await until(lambda: not scene.node or not scene.node._pending)
             server.gate.set()
@@ -444,9 +444,9 @@
     async def test() -> None:
         server = Server(answer(200, b"1"), answer(200, b"2"))
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a") + request("b"))
-            assert [(await caller.read()).body for _ in range(2)] == [b"1", b"2"]
+            client = await scene.client()
+            client.write(request("a") + request("b"))
+            assert [(await client.read()).body for _ in range(2)] == [b"1", b"2"]
 
     run(test())
 
@@ -459,13 +459,13 @@
         server = Server()
         server.gate.clear()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
-            caller.write(request("a"))
+            client = await scene.client()
+            client.write(request("a"))
             await until(lambda: len(server.seen) == 1)
-            caller.write(behind)
-            reply = await caller.read()
+            client.write(behind)
+            reply = await client.read()
             assert reply.status == 400 and reply.headers["connection"] == "close"
-            assert await caller.closed()
+            assert await client.closed()
             assert scene.node is not None and not scene.node._pending and not scene.node._open_ids
             server.gate.set()
 
@@ -478,16 +478,16 @@
     async def test() -> None:
         server = Server()
         async with world(tmp_path, server) as scene:
-            caller = await scene.client()
+            client = await scene.client()
             for byte in request("a", "pay", body=b"body"):
-                caller.write(bytes([byte]))
-                await caller.writer.drain()
+                client.write(bytes([byte]))
+                await client.writer.drain()
                 await asyncio.sleep(0)
-            assert (await caller.read()).status == 200
+            assert (await client.read()).status == 200
             assert server.seen[0].body == b"body"
-            reply = await caller.ask("b", extra="Connection: close\r\n")
+            reply = await client.ask("b", extra="Connection: close\r\n")
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            assert await caller.closed()
+            assert await client.closed()
 
     run(test())
 
--- a/tests/node/test_platform.py
+++ b/tests/node/test_platform.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.node.peers import LIMIT_S, Caller, Server, World, request, run, world
+from tests.node.peers import LIMIT_S, Client, Server, World, request, run, world
 
 ROOT = Path(__file__).parents[2]
 
@@ -92,13 +92,13 @@
         async with world(tmp_path, server, start=False) as scene:
             process = await started(tmp_path, scene)
             try:
-                caller: Caller = await scene.client()
+                client: Client = await scene.client()
                 for n, cls in enumerate(("read", "save", "pay")):
-                    assert (await caller.ask(f"id-{n}", cls)).status == 200
+                    assert (await client.ask(f"id-{n}", cls)).status == 200
                 # Reload the configuration by SIGHUP, as the platform does under load.
                 process.send_signal(1)
-                caller.write(request("after"))
-                assert (await caller.read()).status == 200
+                client.write(request("after"))
+                assert (await client.read()).status == 200
                 pid = process.pid
                 command = proc(pid, "cmdline").read_bytes().split(b"\0")
                 assert command[0].endswith(b"python"), "the shell is still running: no exec"
--- a/tests/node/test_pool_settings.py
+++ b/tests/node/test_pool_settings.py
@@ -164,13 +164,13 @@
         async with world(tmp_path, old, new, pools=rules) as scene:
             scene.registry.tell(new.entry(type="v2"), old.entry())
             await until(lambda: len(scene.registry.seen) == 2)
-            caller = await scene.client()
+            client = await scene.client()
             for n in range(300):
-                await caller.ask(f"r{n}")
+                await client.ask(f"r{n}")
             assert new.seen and len(new.seen) < 150  # with three attempts per request
             count = len(new.seen)
             for n in range(50):
-                assert (await caller.ask(f"s{n}")).status == 200
+                assert (await client.ask(f"s{n}")).status == 200
             assert len(new.seen) == count
 
     run(test())
--- a/tests/node/test_upstream_connection.py
+++ b/tests/node/test_upstream_connection.py
@@ -208,7 +208,7 @@
         self._socket.close()
 
     def end_connection(self) -> None:
-        """End the connection, and block the caller, and so its event loop, until that is done."""
+        """End the connection, and block the calling thread, which runs the event loop, until that is done."""
         self._end.set()
         time.sleep(0.05)
 
