--- a/orchidferry/node/state_store.py
+++ b/orchidferry/node/state_store.py
@@ -89,7 +89,7 @@
         second_line, _, body = rest.partition(b"\n")
         expected, _, length = second_line.partition(b" ")
         if not length.isdigit() or len(body) < int(length[:MAX_DIGITS]):
-            raise StateFileError("truncated", f"is truncated at {len(data)} bytes")
+            raise StateFileError("truncated", f"is cut off at {len(data)} bytes")
         if len(body) != int(length[:MAX_DIGITS]) or checksum(body) != expected:
             raise StateFileError("corrupt", "does not match its length or checksum")
         return body
