--- a/orchidferry/node/client_connection.py
+++ b/orchidferry/node/client_connection.py
@@ -37,10 +37,10 @@
     NEW = "its first request, complete"
     READING = "the rest of a request"
     SERVING = "an answer from the node"
-    FLOWING = "the rest of a long answer, or the client to read it"
+    FLOWING = "the rest of a streamed answer, or the client to read it"
     IDLE = "the next request"
-    BLOCKED = "the client to read what it was sent"
-    LEAVING = "the client to read the last that it was sent"
+    BLOCKED = "the client to read the data that was sent"
+    LEAVING = "the client to read the last data that was sent, before the connection closes"
 
 
 # How long a stage may last, in seconds. SERVING and FLOWING have no limit of their own: requests end at their
@@ -66,7 +66,8 @@
         """Called when the client has disconnected and nobody waits for the answer."""
 
 
-Accept = Callable[[Message, Callable[[Reply], None]], RequestHandle]  # raises `RequestError`
+# Passes a request and a function that takes its answer to the node; raises `RequestError`
+Accept = Callable[[Message, Callable[[Reply], None]], RequestHandle]
 
 
 class ClientConnection(asyncio.Protocol):
@@ -114,7 +115,7 @@
     # The socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._input_age = InputAge(self._transport)
         self._frontend.connection_opened(self)
 
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -59,7 +59,7 @@
         self.transport.write(request)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
 
     def data_received(self, data: bytes) -> None:
         self._size += len(data)
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -57,11 +57,11 @@
 
 # Graceful shutdown: new connections still arrive for at least 0.4 s after SIGTERM. SIGKILL follows no sooner
 # than 0.7 s after the longest budget of a request, which is 3 s at most.
-MIN_ACCEPT_S = 0.45  # how long new connections are accepted at least
+MIN_ACCEPT_S = 0.45  # minimum time for which new connections are accepted after SIGTERM
 MAX_BUDGET_MS = 3_000.0  # the longest budget that a request may have
-KILL_DELAY_MS = 700.0  # time between the end of the longest budget and SIGKILL
+KILL_DELAY_MS = 700.0  # minimum time between the end of the longest budget and SIGKILL
 STOP_MARGIN_MS = 200.0  # time between the deadline of the last answer and SIGKILL
-CLOSE_LEAD_MS = 800.0  # how long before that deadline connections are closed: earlier requests are served
+CLOSE_LEAD_MS = 800.0  # how long before the deadline of the last answer connections start to be closed
 
 # How the limit on open sockets is divided
 RESERVED_SOCKETS = 24  # for the listener, discovery, the event loop, the log, and half-closed sockets
@@ -98,8 +98,8 @@
         self._streaming = 0  # number of answers whose body is being streamed to the client
         # Requests are identified by a serial number, also in events and actions of the balancer: an attempt
         # may outlive its request, and the client may then reuse the id of that request.
-        self._serial = 0  # of the newest request
-        self._pending: dict[str, PendingRequest] = {}  # by serial number
+        self._serial = 0  # serial number of the newest request
+        self._pending: dict[str, PendingRequest] = {}  # pending requests by serial number
         # Attempts in flight, by the serial number of the request and the number of the attempt
         self.attempts: dict[tuple[str, int], RequestAttempt] = {}
         self._open_ids: set[str] = set()  # ids that clients gave to the pending requests
--- a/orchidferry/node/upstream_connection.py
+++ b/orchidferry/node/upstream_connection.py
@@ -102,7 +102,7 @@
     # The socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._lost = False
         self._unread_input = UnreadInput(self._transport)
         # No data may wait in the transport unnoticed: with a limit of 0, `pause_writing` is called whenever
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -29,15 +29,15 @@
 
 
 INCOMPLETE_REQUESTS = {
-    "half a head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
-    "half a body": request("q", "pay", body=b"whole")[:-2],
-    "no end of chunks": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
+    "incomplete head": b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n",
+    "incomplete body": request("q", "pay", body=b"whole")[:-2],
+    "chunked body without end": b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n",
 }
 
 
 @pytest.mark.usefixtures("short_limits")
 @pytest.mark.parametrize("data", INCOMPLETE_REQUESTS.values(), ids=INCOMPLETE_REQUESTS.keys())
-@pytest.mark.parametrize("asked", [False, True], ids=["at first", "later"])
+@pytest.mark.parametrize("asked", [False, True], ids=["first request", "later request"])
 def test_an_incomplete_request_times_out_with_408(data: bytes, asked: bool, tmp_path: Path) -> None:
     """Without a time limit, an incomplete request occupied its socket forever."""
 
@@ -117,7 +117,7 @@
         async with world(tmp_path, server) as scene:
             assert scene.node is not None
             half, served = await scene.client(), await scene.client()
-            half.write(INCOMPLETE_REQUESTS["half a body"])
+            half.write(INCOMPLETE_REQUESTS["incomplete body"])
             assert (await served.ask("before")).status == 200
             stopping = asyncio.ensure_future(scene.node.stop(0.0))
             await asyncio.sleep(0)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -249,7 +249,7 @@
 
 
 def test_one_silent_connection_does_not_keep_requests_from_its_server(tmp_path: Path) -> None:
-    """Issue sulcast-porto-alegre 3646: after a call on a dead connection, a healthy server got no work."""
+    """Seen in sulcast-porto-alegre 3646: after a call on a dead connection, a healthy server got no work."""
 
     async def test() -> None:
         servers = [Server(name="s0"), half_dead := Server(name="s1")]
@@ -356,29 +356,32 @@
 
 
 BAD = {
-    "no HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
+    "not HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
     "bad version": (b"GET /read HTTP/9\r\n\r\n", 400),
     "no id": (b"GET /read HTTP/1.1\r\nX-Budget: 1\r\n\r\n", 400),
     "no budget": (b"GET /read HTTP/1.1\r\nX-Call-Id: q\r\n\r\n", 400),
     "bad budget": (request("q", budget="soon"), 400),
-    "no number": (request("q", budget="nan"), 400),
-    "endless budget": (request("q", budget="inf"), 400),
+    "budget not a number": (request("q", budget="nan"), 400),
+    "infinite budget": (request("q", budget="inf"), 400),
     "negative budget": (request("q", budget="-1"), 400),
-    "budget in Python's own form": (request("q", budget="1_0"), 400),
+    "budget with an underscore": (request("q", budget="1_0"), 400),
     "signed budget": (request("q", budget="+1"), 400),
-    "budget of nothing": (request("q", budget="0.0"), 400),
+    "zero budget": (request("q", budget="0.0"), 400),
     "two budgets": (request("q", extra="X-Budget: 2\r\n"), 400),
     "two ids": (request("q", extra="X-Call-Id: r\r\n"), 400),
-    "odd id": (request("q\xe9"), 400),
+    "id with a non-ASCII character": (request("q\xe9"), 400),
     "id with spaces": (request("q r"), 400),
     "long id": (request("q" * 129), 400),
     "long key": (request("q", "pay", extra="Idempotency-Key: " + "k" * 129 + "\r\n"), 400),
-    "key for a class without": (request("q", "pay", extra="Idempotency-Key: k\r\n"), 400),
+    "key for a class without keys": (request("q", "pay", extra="Idempotency-Key: k\r\n"), 400),
     "method of another class": (b"POST /read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
-    "GET for one that runs once": (b"GET /pay HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "GET for an unsafe class": (b"GET /pay HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
     "GET with a body": (request("q", body=b"body"), 400),
     "no path": (b"GET read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
-    "odd coding": (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+    "unsupported transfer coding": (
+        b"POST /pay HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+        400,
+    ),
     "chunks in HTTP/1.0": (b"POST /pay HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
     "chunks and length": (
         b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
@@ -387,9 +390,12 @@
     "unknown class": (request("q", "nonsense"), 400),
     "no class": (request("q", ""), 400),
     "keyed without a key": (b"POST /save HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
-    "method": (b"PUT /read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
-    "own path": (b"GET /-/nonsense HTTP/1.1\r\n\r\n", 404),
-    "announced body": (b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 33554433\r\n\r\n", 413),
+    "unsupported method": (b"PUT /read HTTP/1.1\r\nX-Call-Id: q\r\nX-Budget: 1\r\n\r\n", 400),
+    "unknown path of the node": (b"GET /-/nonsense HTTP/1.1\r\n\r\n", 404),
+    "announced body too long": (
+        b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nContent-Length: 33554433\r\n\r\n",
+        413,
+    ),
     "long chunks without a budget": (
         b"POST /pay HTTP/1.1\r\nX-Call-Id: q\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + b"x" * 65537,
         400,
--- a/tests/node/test_platform.py
+++ b/tests/node/test_platform.py
@@ -50,7 +50,7 @@
 libc = ctypes.CDLL(None, use_errno=True)
 given = Program(len(program), ctypes.addressof(held))
 if libc.prctl(38, 1, 0, 0, 0) or libc.prctl(22, 2, ctypes.byref(given), 0, 0):
-    raise SystemExit("no filter: " + os.strerror(ctypes.get_errno()))
+    raise SystemExit("can't install the seccomp filter: " + os.strerror(ctypes.get_errno()))
 """
 
 
