--- a/tests/node/control/test_live.py
+++ b/tests/node/control/test_live.py
@@ -235,7 +235,7 @@
             assert (await world.ask("before")).status == 200
             assert len(old.seen) == 1
             old.gate.clear()
-            caller = await world.caller()
+            caller = await world.client()
             caller.write(request("held", "pay"))
             await until(lambda: len(old.seen) == 2)
             await push_and_wait(service, world, "v1", pool(new))
@@ -257,7 +257,7 @@
             await push_and_wait(service, world, "v1", pool(server), node(classes=more))
             assert (await world.ask("b", "save-new")).status == 200
             server.gate.clear()
-            caller = await world.caller()
+            caller = await world.client()
             caller.write(request("open", "save-new"))
             await until(lambda: server.seen[-1].id == "open")
             await push_and_wait(service, world, "v2", node(classes=usual))
--- a/tests/node/h3/test_front.py
+++ b/tests/node/h3/test_front.py
@@ -358,7 +358,7 @@
         server = Server(name="s0")
         server.gate.clear()
         async with h3_environment(tmp_path, server) as env:
-            quic, tcp = await env.connect(), await env.world.caller()
+            quic, tcp = await env.connect(), await env.world.client()
             first = send_request(quic, "same", "save")
             await until(lambda: len(server.seen) == 1)
             assert (await tcp.ask("same", "save")).status == 400
@@ -366,7 +366,7 @@
             assert first.outcome is not None
             assert (await asyncio.wait_for(first.outcome, LIMIT_S)).status == 200
             server.gate.clear()
-            tcp = await env.world.caller()
+            tcp = await env.world.client()
             tcp.write(b"GET /read HTTP/1.1\r\nHost: x\r\nX-Call-Id: other\r\nX-Budget: 5\r\n\r\n")
             await until(lambda: len(server.seen) == 2)
             assert (await ask(quic, "other")).status == 400
