--- a/orchidferry/node/fleet/settings.py
+++ b/orchidferry/node/fleet/settings.py
@@ -73,7 +73,7 @@
     try:
         return str(ipaddress.ip_address(host)), port
     except ValueError:
-        raise SettingsFormatError(f"{field}: {host!r:.60} is not an IP address") from None
+        raise SettingsFormatError(f"{field}: {host!r:.60} is no IP address") from None
 
 
 def _decode(obj: Json, folder: Path, name: str) -> MemberSettings:
@@ -84,19 +84,19 @@
     :param name: name of the member, unless the file sets one.
     """
     if unknown := sorted(obj.keys() - KNOWN_FIELDS):
-        raise SettingsFormatError(f"{unknown[0]!r} is not a known field")
+        raise SettingsFormatError(f"{unknown[0]!r} is not known")
     listen = _ip_address("listen", get(obj, "listen", str))
     advertise = _ip_address("advertise", obj["advertise"]) if "advertise" in obj else listen
     if ipaddress.ip_address(advertise[0]).is_unspecified or not advertise[1]:
         raise SettingsFormatError(
-            "'advertise' must be the address and port at which peers reach this node, neither of them zero"
+            "'advertise' must say where peers reach this node: an address and a port, not 0"
         )
     seeds = get_optional(obj, "seeds", list, [])
     if len(seeds) > MAX_SEEDS:
-        raise SettingsFormatError(f"'seeds' has {len(seeds)} entries, but may have {MAX_SEEDS} at most")
+        raise SettingsFormatError(f"seeds: {len(seeds)}, {MAX_SEEDS} at most")
     keys = _path(obj, "keys", folder)
     if keys is None:
-        raise SettingsFormatError("'keys' is missing: the path of the file with the fleet's keys")
+        raise SettingsFormatError("'keys' is missing: the file with the fleet's keys")
     timing = scaled_timing(_probe_interval_ms(obj))
     max_nodes = _max_nodes(obj)
     own_name = _text(obj, "name", name, MAX_NAME)
@@ -172,16 +172,16 @@
     """
     try:
         if path.stat().st_mode & 0o077:
-            raise ConfigError(f"{path}: only its owner may have access to the file: chmod 600")
+            raise ConfigError(f"{path}: others than its owner may read it: chmod 600")
         lines = path.read_text(encoding="utf-8").splitlines()
     except OSError as problem:
         raise ConfigError(f"can't read the fleet's keys: {problem}") from None
     except UnicodeDecodeError as problem:
-        raise ConfigError(f"{path}: invalid UTF-8 at byte {problem.start}") from None
+        raise ConfigError(f"{path}: not UTF-8 at byte {problem.start}") from None
     try:
         keys = parse_keys([line for line in lines if line.strip() and not line.startswith("#")], MAX_KEYS)
     except SettingsFormatError as problem:
         raise ConfigError(f"{path}: {problem}") from None
     if not keys:
-        raise ConfigError(f"{path}: contains no key")
+        raise ConfigError(f"{path}: holds no key")
     return keys
--- a/orchidferry/node/h3/settings.py
+++ b/orchidferry/node/h3/settings.py
@@ -75,14 +75,14 @@
         """Read an integer from `minimum` to `maximum`."""
         value = self._unread.pop(key, default)
         if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
-            raise self.error(key, f"must be an integer from {minimum} to {maximum}")
+            raise self.error(key, f"must be a whole number within {minimum} to {maximum}")
         return value
 
     def file(self, key: str) -> Path:
         """Read the path of an existing file, relative to the directory of the settings file."""
         path = (self._file.parent / self.text(key)).resolve()
         if not path.is_file():
-            raise self.error(key, f"names a file that does not exist: {path.name}")
+            raise self.error(key, f"names no file: {path.name}")
         return path
 
     def has(self, key: str) -> bool:
@@ -111,7 +111,7 @@
     front = _read_front(file, tables["front"]) if "front" in tables else None
     servers = _read_servers(file, tables["servers"]) if "servers" in tables else None
     if front is None and servers is None:
-        raise ConfigError(f"{path}: neither front nor servers is present")
+        raise ConfigError(f"{path}: neither front nor servers is there")
     return Http3(front, servers)
 
 
