--- a/orchidferry/testkit/judge/__init__.py
+++ b/orchidferry/testkit/judge/__init__.py
@@ -1,5 +1,5 @@
-"""Judges the record of a run: which rules it broke, and how much of the value at stake was served.
+"""Judges the record of a run: which rules were violated, and which share of the requested value was served.
 
-The modules of this package judge a run of nodes between stand-in servers; `judge.mesh` judges a run of the
-mesh. All of them are pure: facts in, findings out.
+The modules of this package judge a run of load-balancing nodes in front of stand-in servers; `judge.mesh`
+judges a run of the service mesh. All of them are pure functions from recorded facts to findings.
 """
--- a/orchidferry/testkit/judge/fleet.py
+++ b/orchidferry/testkit/judge/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of nodes judged: false deaths, how soon deaths were known, and when views agreed.
+"""Judges fleet membership: false deaths, how soon real deaths were detected, and when the views agreed.
 
-Judged by what the kit itself saw of processes and links; the journals of nodes count for what a node
-believed, and for nothing else.
+The states of processes and links are those that the test kit observed. A node's journal is evidence only of
+what that node believed.
 """
 
 from __future__ import annotations
@@ -24,21 +24,25 @@
 from orchidferry.testkit.world.links import LinkFault
 
 MISSED_AFTER_S = 20.0
-"""A death that happened so shortly before the end is not expected to be known."""
+"""A death less than this long before the end of the run is not expected to be detected."""
 
 
 @dataclass(frozen=True, slots=True)
 class FalseDeath:
-    """A node that was taken for gone, though it ran and could be heard of."""
+    """A node believed another one gone although that one was running and reachable."""
 
     observer: str
     subject: str
-    at_s: float  # seconds since the load began
-    for_s: float
+    at_s: float  # start of the false belief, in seconds since the load began
+    for_s: float  # duration of the false belief, in seconds
 
 
 def find_false_deaths(views: FleetViews, agree_s: float) -> list[FalseDeath]:
-    """All false deaths, counted from `agree_s` after both could hear of each other again."""
+    """All false deaths.
+
+    :param agree_s: seconds for which observer and subject must have been reachable to each other, directly or
+        through other nodes, before a belief counts as false
+    """
     return [
         death
         for observer in views.views
@@ -70,22 +74,22 @@
 
 
 class Undetected(Enum):
-    """Why a node has no time in which it knew of a death."""
+    """Why a node has no detection time for a death."""
 
     MISSED = "missed"
-    NOT_EXPECTED = "not expected"  # it stopped, or the dead one was back, or the run was over too soon
+    NOT_EXPECTED = "not expected"  # the observer stopped, the dead node restarted, or the run ended too soon
 
 
 @dataclass(frozen=True, slots=True)
 class DeathDetection:
-    """How deaths became known."""
+    """How deaths were detected, over all pairs of a death and a surviving node."""
 
-    took_s: list[float]  # of each node that came to know of one, in ascending order
-    missed: int  # nodes that never knew, though they ran on
+    took_s: list[float]  # detection times, in ascending order
+    missed: int  # number of pairs in which the node kept running and never detected the death
 
 
 def measure_detection(trace: RunTrace, views: FleetViews) -> DeathDetection:
-    """How long each node that ran on took to believe that a killed one was gone."""
+    """Measure how long each node that kept running took to believe that a killed node was gone."""
     took_s: list[float] = []
     missed = 0
     for subject, stops in trace.node_stops.items():
@@ -93,11 +97,11 @@
             if stop.why != "killed" or subject not in views.views:
                 continue
             starts = trace.node_starts.get(subject, ())
-            back = min((trace.elapsed(t) for t in starts if t > stop.t), default=math.inf)
+            restarted = min((trace.elapsed(t) for t in starts if t > stop.t), default=math.inf)
             for observer in views.views:
                 if observer == subject:
                     continue
-                outcome = _time_to_detect(views, observer, subject, trace.elapsed(stop.t), back)
+                outcome = _time_to_detect(views, observer, subject, trace.elapsed(stop.t), restarted)
                 if outcome is Undetected.MISSED:
                     missed += 1
                 elif isinstance(outcome, float):
@@ -106,17 +110,17 @@
 
 
 def _time_to_detect(
-    views: FleetViews, observer: str, subject: str, died: float, back: float
+    views: FleetViews, observer: str, subject: str, died: float, restarted: float
 ) -> float | Undetected:
-    """Seconds from a death until one node knew of it.
+    """Seconds from a node's death until one observer believed it gone.
 
-    :param died: when, in seconds since the load began
-    :param back: when the dead one was up again
+    :param died: time of the death, in seconds since the load began
+    :param restarted: when the dead node was up again, on the same clock; infinite if it was not restarted
     """
     for n, t in enumerate(views.times):
         if t < died:
             continue
-        if observer not in views.running[n] or t >= back:
+        if observer not in views.running[n] or t >= restarted:
             return Undetected.NOT_EXPECTED
         state = views.views[observer][n].get(subject)
         if state is None or state.gone:
@@ -125,7 +129,11 @@
 
 
 def times_to_agree(views: FleetViews, heals: list[float], max_s: float) -> list[float | None]:
-    """For each of these times, how long until all views agree; None where they do not within `max_s`."""
+    """For each time at which a fault ended, the seconds until all views agreed.
+
+    :param heals: end times of faults, in seconds since the load began
+    :param max_s: seconds after which a value is None, as the views did not agree in time
+    """
     return [_time_to_agree(views, heal, max_s) for heal in heals]
 
 
@@ -139,7 +147,10 @@
 
 
 def heal_times(trace: RunTrace, links: tuple[LinkFault, ...]) -> list[float]:
-    """When something that isolated nodes was over, with nothing else like it going on."""
+    """End times of link cuts and node pauses at which no other cut or pause was active.
+
+    :returns: ascending, in seconds since the load began
+    """
     isolations = [(fault.t, fault.until) for fault in links if fault.cut and fault.until < math.inf]
     isolations += [
         (trace.elapsed(start), trace.elapsed(end))
@@ -152,15 +163,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetResult:
-    """What was found of a fleet."""
+    """The measurements of a fleet."""
 
     nodes: int
-    heals: list[float]
-    agreed_after_s: list[float | None]  # for each heal
+    heals: list[float]  # end times of isolating faults, in seconds since the load began
+    agreed_after_s: list[float | None]  # for each of `heals`; None: not in time
     false_deaths: list[FalseDeath]
     detection: DeathDetection
-    bytes_per_node_second: float | None
-    agreed_at_end: bool
+    bytes_per_node_second: float | None  # sent to peers by one running node; None if no node ran
+    agreed_at_end: bool  # whether the views agreed in the last sample
 
 
 def judge_fleet(
@@ -170,12 +181,12 @@
     zero: float,
     links: tuple[LinkFault, ...],
 ) -> tuple[dict[str, Any], FleetViews]:
-    """Judge the fleet of a run.
+    """Judge the fleet membership of a run.
 
     :param journals: the nodes' journals as JSON lines, by node
     :param zero: the record's zero on the journals' clock, in seconds
     :param links: the faults of the links between nodes
-    :returns: what stands under `fleet` in `--json`, and the views that it was drawn from
+    :returns: the object under `fleet` in `--json`, and the views from which it was computed
     """
     settings = trace.scenario.fleet
     entries = read_journals(journals, zero)
@@ -197,7 +208,7 @@
 
 
 def _problems(result: FleetResult, agree_s: float, false_s: float) -> list[str]:
-    """What is wrong with a fleet, a line each."""
+    """The problems of a fleet, one line each."""
     problems = [
         f"{death.observer} held {death.subject} for gone for {death.for_s:.1f} s "
         f"from {death.at_s:.1f} s on, though it was there"
--- a/orchidferry/testkit/judge/fleet_views.py
+++ b/orchidferry/testkit/judge/fleet_views.py
@@ -1,7 +1,7 @@
-"""What each node of a fleet believed of the others over a run, and whom it could hear of.
+"""Each node's view of its fleet over a run, and the nodes that it could receive information about.
 
-Beliefs are taken from the nodes' journals, process and link states from what the kit saw. Both are sampled
-every `STEP_S`.
+Views come from the nodes' journals; the states of processes and links are those that the test kit observed.
+Both are sampled every `STEP_S` seconds.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
 
 @dataclass(slots=True)
 class JournalEntry:
-    """A line of a node's journal."""
+    """One line of a node's journal: the membership status of a node, as the writing node sees it."""
 
     t: float  # seconds on the record's clock
-    incarnation: str  # of the process that wrote it
-    subject: str  # the node that it is about
+    incarnation: str  # of the process that wrote the line
+    subject: str  # name of the node whose status the line gives
     status: str
     subject_incarnation: str
-    about_itself: bool
+    about_itself: bool  # the line is about the node that wrote it
 
 
 class MemberState(NamedTuple):
-    """What a node believes of another one."""
+    """The state in which a node believes another one to be."""
 
     status: str
     incarnation: str
 
     @property
     def gone(self) -> bool:
-        """Whether the other is taken for not there."""
+        """Whether the other node is believed to have died or left."""
         return self.status in GONE_STATUSES
 
 
 NodeView = dict[str, MemberState]
-"""What a node believes of each other one that it has heard of."""
+"""A node's view: the believed state of each other node that it has heard of, by name."""
 
 
 def read_journals(journals: dict[str, list[str]], zero: float) -> dict[str, list[JournalEntry]]:
-    """Parse the nodes' journals; a last line that is cut off is what a killed process leaves.
+    """Parse the nodes' journals, skipping an incomplete last line, which a killed process may leave.
 
     :param journals: JSON lines, by node
     :param zero: the record's zero on the journals' clock, in seconds
@@ -72,27 +72,30 @@
 
 @dataclass(slots=True)
 class FleetViews:
-    """The views of all nodes, sampled."""
+    """The views of all nodes at each sampling time."""
 
-    times: list[float]  # seconds since the load began
-    views: dict[str, list[NodeView]]  # by observer, at each time
-    running: list[list[str]] = field(default_factory=list)  # the nodes that ran, at each time
+    times: list[float]  # sampling times, in seconds since the load began
+    views: dict[str, list[NodeView]]  # by observer, one per sampling time
+    running: list[list[str]] = field(default_factory=list)  # names of running nodes, one list per time
     reachable: list[dict[str, set[str]]] = field(
         default_factory=list
-    )  # at each time, whom each running node can hear of
+    )  # per sampling time: for each running node, those it is connected to, directly or through others
 
     def can_hear_of(self, sample: int, observer: str, subject: str) -> bool:
-        """Whether both ran, and some path led from one to the other."""
+        """Whether both nodes ran and the subject's messages could reach the observer, if through others.
+
+        :param sample: index of the sampling time
+        """
         return observer in self.reachable[sample] and subject in self.reachable[sample][observer]
 
 
 def sample_views(
     trace: RunTrace, journals: dict[str, list[JournalEntry]], links: tuple[LinkFault, ...], end: float
 ) -> FleetViews:
-    """Sample what each node believed of each other over the run.
+    """Sample each node's view of the others over the run.
 
     :param links: the faults of the links between nodes
-    :param end: when to stop, on the record's clock
+    :param end: time of the end of sampling, in seconds on the record's clock
     """
     nodes = sorted(journals)
     count = max(1, int((end - trace.start) / STEP_S))
@@ -113,7 +116,7 @@
 
 
 def _views_of(trace: RunTrace, entries: list[JournalEntry], times: list[float]) -> list[NodeView]:
-    """One node's view at each time."""
+    """One node's view at each sampling time."""
     found: list[NodeView] = []
     view: NodeView = {}
     incarnation = ""
@@ -122,7 +125,7 @@
         while read < len(entries) and entries[read].t <= trace.start + t:
             entry = entries[read]
             read += 1
-            if entry.incarnation != incarnation:  # another process, which knows nothing yet
+            if entry.incarnation != incarnation:  # the node was restarted, so its view is empty again
                 view = {}
                 incarnation = entry.incarnation
             if not entry.about_itself:
@@ -132,7 +135,7 @@
 
 
 def _running_spans(trace: RunTrace, node: str) -> list[tuple[float, float]]:
-    """From when to when a node was ready, and had not ended, been told to end or been stopped."""
+    """The spans in which a node was ready and was neither shutting down, ended nor paused."""
     ends = sorted(stop.t for stop in trace.node_stops.get(node, ()))
     spans = []
     for start in trace.node_starts.get(node, ()):
@@ -146,7 +149,7 @@
 
 
 def _reachability(running: list[str], links: tuple[LinkFault, ...], t: float) -> dict[str, set[str]]:
-    """Whom each running node can hear of, directly or through others."""
+    """For each running node, the nodes it is connected to at `t`, directly or through others."""
 
     def connected(one: str, other: str) -> bool:
         return passes(links, one, other, t)
@@ -155,7 +158,10 @@
 
 
 def views_agree(views: FleetViews, sample: int) -> bool:
-    """Whether all running nodes know of each other, and believe the same incarnations to be there."""
+    """Whether all running nodes know of each other and believe the same incarnations to be present.
+
+    :param sample: index of the sampling time
+    """
     running = views.running[sample]
     present = []
     for observer in running:
@@ -175,15 +181,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberCounts:
-    """Sizes of the fleet over time, as they are plotted."""
+    """Sizes of the fleet over time, for plotting."""
 
-    times: list[float]
-    running: list[int]
-    believed: dict[str, list[int | None]]  # by observer, itself counted; None while it does not run
+    times: list[float]  # sampling times, in seconds since the load began
+    running: list[int]  # number of running nodes
+    believed: dict[str, list[int | None]]  # fleet size by observer, itself included; None while it is down
 
 
 def count_members(views: FleetViews) -> MemberCounts:
-    """How many nodes ran, and how many each running one believed to be there."""
+    """Count the running nodes, and the nodes that each running node believed to be present."""
     believed: dict[str, list[int | None]] = {}
     for observer, samples in views.views.items():
         believed[observer] = [
--- a/orchidferry/testkit/judge/lateness.py
+++ b/orchidferry/testkit/judge/lateness.py
@@ -1,6 +1,7 @@
-"""How far the test kit itself fell behind, which makes a run say nothing of the nodes.
+"""How far the test kit itself fell behind its schedule; too much makes a run void.
 
-A client's latency counts from when it should have sent, so a slow generator looks like slow nodes.
+A client's latency counts from when its request was due, so a slow load generator looks like slow nodes. A
+void run gives no result about the nodes.
 """
 
 from __future__ import annotations
@@ -15,19 +16,20 @@
 
 @dataclass(slots=True)
 class Lateness:
-    """How far the kit fell behind."""
+    """How far the test kit fell behind."""
 
-    p99_s: float = 0.0  # of clients' first attempts, behind their time
-    max_s: float = 0.0
-    stall_s: float = 0.0  # the longest of a stand-in's event loop
-    starved: float = 0.0  # the largest fraction of a window that a node waited for a core
-    void: list[str] = field(default_factory=list)  # why the run says nothing; empty: it does
+    p99_s: float = 0.0  # 99th percentile of the delay of clients' first attempts after their due time
+    max_s: float = 0.0  # maximum of that delay
+    stall_s: float = 0.0  # longest stall of an event loop of the test kit
+    starved: float = 0.0  # largest fraction of a 2 s window in which a node waited for a CPU core
+    void: list[str] = field(default_factory=list)  # reasons why the run is void; empty if it is valid
 
 
 def measure_lateness(facts: list[Fact], limits: Limits, asked: int) -> Lateness:
-    """Measure the kit's lag, and compare it with the limits.
+    """Measure the lag of the test kit and compare it with the limits.
 
-    :param asked: how many first attempts there were; those in time are not in the record and count as 0
+    :param asked: number of first attempts; the record has only those sent late, and the others count with a
+        delay of 0
     """
     lags = [fact for fact in facts if isinstance(fact, Lag)]
     late = sorted(lag.amount for lag in lags if lag.kind == "late")
--- a/orchidferry/testkit/judge/mesh/__init__.py
+++ b/orchidferry/testkit/judge/mesh/__init__.py
@@ -1,6 +1,7 @@
-"""Judges the record of a run of the mesh by its operators' rules.
+"""Judges the record of a run of the service mesh by the rules promised to its operators.
 
-Only what the kit saw on its own sockets and of its own processes counts, no statement of a node. Each rule
-counts how often it could have been violated (`Finding.checked`). Rules with a time bound apply to connected
-machines alone: those to which nothing has happened for `contact_ms`, nor to the controllers.
+The record has only what the test kit observed on its own sockets and of the processes that it started,
+nothing that a node reported. Each rule counts how often it could have been violated (`Finding.checked`).
+Rules with a time bound apply only to connected machines: neither the machine nor the controllers had a fault
+within the last `contact_ms`.
 """
--- a/orchidferry/testkit/judge/mesh/configuration_rules.py
+++ b/orchidferry/testkit/judge/mesh/configuration_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the mesh on configurations: by which version requests are handled, what is read and confirmed."""
+"""Mesh rules on configurations: the version that handles a request, acknowledgements, and reads."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from orchidferry.testkit.mesh.configuration import Config, route_count
 from orchidferry.testkit.mesh.facts import Answered, Put, Read, Sent
 
-CONFLICT = 412
-"""The status of a version that another one has won against."""
+PRECONDITION_FAILED = 412
+"""The status of a version that was refused because a concurrent one was accepted on the same base."""
 
 ACK_PER_ROUTE_MS = 3.0
-"""How much longer an acknowledgement may take for each route of the configuration."""
+"""Additional time for an acknowledgement per route of the configuration, in milliseconds."""
 
-MIN_LOST_LEAVES = 3.0
-MAX_LOST_LEAVES_SHARE = 5.0
-"""One leave in so many may stay unacknowledged, and `MIN_LOST_LEAVES` in any case."""
+MIN_ALLOWED_LOST_DRAINS = 3.0
+DRAINS_PER_ALLOWED_LOSS = 5.0
+"""One drain notice in this many may stay unacknowledged, and `MIN_ALLOWED_LOST_DRAINS` in any case."""
 
 
 @dataclass(frozen=True, slots=True)
 class Handling:
-    """How a request was handled, which shows by which versions of the configuration it may have been."""
+    """How a request was handled, from which the possible versions of the configuration follow."""
 
-    t: float
-    services: frozenset[str] | None  # that executed it; None: it was answered with 404
+    t: float  # time of the first execution or of the answer, in seconds on the record's clock
+    services: frozenset[str] | None  # services that executed the request; None: it was answered with 404
     description: str
 
     def allowed_by(self, trace: MeshTrace, put: Put, sent: Sent) -> bool:
-        """Whether a version lets a request be handled so."""
+        """Whether a configuration version allows a request to be handled in this way."""
         rule = trace.route_of(put, sent)
         if self.services is None:
             return rule is None
@@ -41,7 +41,7 @@
 
 
 def handling_of(trace: MeshTrace, request_id: str) -> Handling | None:
-    """How a request was handled; None if that shows no version."""
+    """How a request was handled; None if it was neither executed nor answered with 404."""
     runs = trace.executed_runs_of(request_id)
     if runs:
         services = frozenset(run.arrived.service for run in runs)
@@ -53,7 +53,7 @@
 
 
 def configuration_consistent(trace: MeshTrace) -> Finding:
-    """A version is applied in time, stays, is the one that won, and is what is read."""
+    """Accepted versions are applied in time and never undone, refused ones are not, and reads are current."""
     finding = Finding()
     _check_applied(trace, finding)
     _check_acknowledged(trace, finding)
@@ -64,59 +64,62 @@
 
 @dataclass(frozen=True, slots=True)
 class _Handled:
-    """A request that was handled by some valid version."""
+    """A request that was handled as some accepted version allows."""
 
     sent: Sent
-    description: str
-    newest: int  # revision of the newest version that allows it
+    description: str  # how the request was handled
+    newest: int  # revision of the newest version that allows this handling
 
 
 def _check_applied(trace: MeshTrace, finding: Finding) -> None:
-    """Requests are handled by a version in force, and no process goes back to an older one."""
+    """Requests are handled by a version in force, and no process reverts to an older version."""
     valid = sorted((put for put in trace.puts if put.valid), key=lambda put: put.revision)
-    proper = [put for put in valid if put.status != CONFLICT]
-    refused = [put for put in trace.puts if not put.valid or put.status == CONFLICT]
-    seen: dict[str, list[tuple[float, int]]] = defaultdict(list)  # by machine: when, at least which version
+    accepted = [put for put in valid if put.status != PRECONDITION_FAILED]
+    refused = [put for put in trace.puts if not put.valid or put.status == PRECONDITION_FAILED]
+    applied: dict[str, list[tuple[float, int]]] = defaultdict(list)  # see `_check_no_reversion`
     handled: list[_Handled] = []
     for request_id, sent in trace.requests.items():
-        how = handling_of(trace, request_id)
-        if how is None:
+        handling = handling_of(trace, request_id)
+        if handling is None:
             continue
-        oldest = next((put.revision for put in proper if how.allowed_by(trace, put, sent)), None)
-        newest = next((put.revision for put in reversed(proper) if how.allowed_by(trace, put, sent)), None)
+        oldest = next((put.revision for put in accepted if handling.allowed_by(trace, put, sent)), None)
+        newest = next(
+            (put.revision for put in reversed(accepted) if handling.allowed_by(trace, put, sent)), None
+        )
         if newest is not None:
-            handled.append(_Handled(sent, how.description, newest))
-        _check_in_force(trace, finding, sent, how)
-        if oldest is None and any(how.allowed_by(trace, put, sent) for put in refused):
-            problem = f"{how.description}, as only a configuration that was refused has it"
-            trace.report(finding, how.t, request_id, problem)
+            handled.append(_Handled(sent, handling.description, newest))
+        _check_in_force(trace, finding, sent, handling)
+        if oldest is None and any(handling.allowed_by(trace, put, sent) for put in refused):
+            problem = f"{handling.description}, as only a configuration that was refused has it"
+            trace.report(finding, handling.t, request_id, problem)
         if oldest is not None and trace.runs_by_request.get(request_id) and oldest > valid[0].revision:
-            seen[sent.machine].append((how.t, oldest))
-    _check_no_reversion(trace, finding, seen, handled)
+            applied[sent.machine].append((handling.t, oldest))
+    _check_no_reversion(trace, finding, applied, handled)
 
 
-def _check_in_force(trace: MeshTrace, finding: Finding, sent: Sent, how: Handling) -> None:
-    """Report a request that no version in force allows to be handled so."""
+def _check_in_force(trace: MeshTrace, finding: Finding, sent: Sent, handling: Handling) -> None:
+    """Report a request that was handled in a way which no version in force allows."""
     current = trace.versions_in_force(sent.t, trace.end_time(sent.id))
-    if not current or not trace.were_connected(sent.t, how.t, sent.machine):
+    if not current or not trace.were_connected(sent.t, handling.t, sent.machine):
         return
     finding.checked += 1
-    if not any(how.allowed_by(trace, put, sent) for put in current):
+    if not any(handling.allowed_by(trace, put, sent) for put in current):
         revisions = [put.revision for put in current]
-        problem = f"{how.description} at {sent.machine}, as none of versions {revisions} has it"
-        trace.report(finding, how.t, sent.id, problem)
+        problem = f"{handling.description} at {sent.machine}, as none of versions {revisions} has it"
+        trace.report(finding, handling.t, sent.id, problem)
 
 
 def _check_no_reversion(
-    trace: MeshTrace, finding: Finding, seen: dict[str, list[tuple[float, int]]], handled: list[_Handled]
+    trace: MeshTrace, finding: Finding, applied: dict[str, list[tuple[float, int]]], handled: list[_Handled]
 ) -> None:
-    """Report requests handled by an older version than their machine had shown in the same process.
+    """Report requests handled by an older version than the same process had applied before.
 
-    :param seen: by machine, when which version at least was seen in force there
+    :param applied: by machine, the times at which a request proved that a version was applied there, each
+        with the lowest revision that the version can have
     """
     slack = trace.bounds.revert_slack_ms / 1000.0
     starts = process_starts(trace)
-    for machine, versions in seen.items():
+    for machine, versions in applied.items():
         versions.sort()
         for request in handled:
             sent = request.sent
@@ -130,7 +133,7 @@
 
 
 def process_starts(trace: MeshTrace) -> dict[str, list[float]]:
-    """When processes were started, by machine, in order."""
+    """The start times of processes in ascending order, by machine."""
     starts: dict[str, list[float]] = defaultdict(list)
     for fact in trace.processes:
         if fact.what == "start":
@@ -139,7 +142,7 @@
 
 
 def _check_acknowledged(trace: MeshTrace, finding: Finding) -> None:
-    """No invalid version is acknowledged, nor two on the same base or under the same revision."""
+    """No invalid version is acknowledged, nor two different ones on one base or with one revision number."""
     by_base: dict[int, Put] = {}
     by_revision: dict[int, Put] = {}
     for put in trace.puts:
@@ -158,15 +161,17 @@
 
 
 def _revision(config: Config) -> int:
-    """The revision that a configuration names; 0 if it names none."""
+    """The revision number in a configuration; 0 if it has none."""
     revision: int = config.get("revision_number", 0)
     return revision
 
 
 def _check_reads(trace: MeshTrace, finding: Finding) -> None:
-    """Whatever is read is as new as all that was acknowledged or read before it was asked for."""
+    """A read returns a version no older than any that was acknowledged or read before the read began."""
     refused = [
-        put for put in trace.puts if not put.valid or (put.status == CONFLICT and put.tries.count(";") < 2)
+        put
+        for put in trace.puts
+        if not put.valid or (put.status == PRECONDITION_FAILED and put.tries.count(";") < 2)
     ]
     known: list[tuple[float, int]] = [
         (put.acked, put.revision) for put in trace.acknowledged if put.acked is not None
@@ -176,8 +181,8 @@
             continue
         finding.checked += 1
         revision = _revision(read.config)
-        asked = read.t if read.asked is None else read.asked
-        newest = max((number for t, number in known if t < asked), default=0)
+        began = read.t if read.asked is None else read.asked
+        newest = max((number for t, number in known if t < began), default=0)
         if revision < newest:
             problem = f"read {revision}, after {newest} was acknowledged or read"
             trace.report(finding, read.t, "", problem)
@@ -189,12 +194,12 @@
 
 
 def _was_sent(trace: MeshTrace, read: Read) -> bool:
-    """Whether what was read is some configuration that an operator sent."""
+    """Whether the configuration that was read is one that an operator sent."""
     return any(put.config == read.config for put in trace.puts)
 
 
 def _check_final_read(trace: MeshTrace, finding: Finding) -> None:
-    """What is read after the traffic is the newest version that was acknowledged, or a later one."""
+    """A read after the end of the traffic returns the newest acknowledged version, or a later one."""
     final = [read for read in trace.reads if read.t >= trace.record.end]
     finding.checked += bool(final)
     if not final or not trace.acknowledged:
@@ -212,53 +217,57 @@
 
 
 def restarted_nodes_current(trace: MeshTrace) -> Finding:
-    """A node handles nothing by a version older than one acknowledged before its process started.
+    """A node does not handle requests by a version older than any acknowledged before its process started.
 
-    No fault excuses it: a node that can't know the newest version is not ready, and refuses what it is sent.
+    The rule holds during faults too: a node that cannot know the newest version is not ready, and refuses
+    requests.
     """
     finding = Finding()
     starts = process_starts(trace)
     oldest_allowed = {t: _acknowledged_before(trace, t) for times in starts.values() for t in times}
     for request_id, sent in trace.requests.items():
         times = starts.get(sent.machine, [])
-        process = bisect.bisect_right(times, sent.t)
-        if not process or not (oldest := oldest_allowed[times[process - 1]]):
+        process_count = bisect.bisect_right(times, sent.t)
+        if not process_count or not (oldest := oldest_allowed[times[process_count - 1]]):
             continue
-        how = handling_of(trace, request_id)
-        if how is None:
+        handling = handling_of(trace, request_id)
+        if handling is None:
             continue
         finding.checked += 1
         end = trace.end_time(request_id)
         versions = [
             put
             for put in trace.puts
-            if put.valid and put.status != CONFLICT and put.revision >= oldest and put.t <= end
+            if put.valid and put.status != PRECONDITION_FAILED and put.revision >= oldest and put.t <= end
         ]
-        if not any(how.allowed_by(trace, put, sent) for put in versions):
-            since = sent.t - times[process - 1]
+        if not any(handling.allowed_by(trace, put, sent) for put in versions):
+            since = sent.t - times[process_count - 1]
             where = f"at {sent.machine}, {since:.1f} s after its start"
-            problem = f"{how.description} {where}, as no version from {oldest} on has it"
-            trace.report(finding, how.t, request_id, problem)
+            problem = f"{handling.description} {where}, as no version from {oldest} on has it"
+            trace.report(finding, handling.t, request_id, problem)
     return finding
 
 
 def _acknowledged_before(trace: MeshTrace, t: float) -> int:
-    """The newest revision that was acknowledged before a time; 0 if there was none."""
+    """The newest revision that was acknowledged before `t`; 0 if there was none."""
     before = (put.revision for put in trace.acknowledged if put.acked is not None and put.acked < t)
     return max(before, default=0)
 
 
 def acknowledged_in_time(trace: MeshTrace) -> Finding:
-    """Proper versions and leaves are acknowledged in time, while the controllers are settled."""
+    """Acceptable versions are acknowledged in time while the controllers are settled; drain notices as well.
+
+    A drain notice is a server's message that it is about to stop.
+    """
     finding = Finding()
     for put in trace.puts:
-        if put.valid and put.status != CONFLICT:
+        if put.valid and put.status != PRECONDITION_FAILED:
             _check_acknowledgement_time(trace, finding, put)
-    leaves = [notice for notice in trace.notices if notice.state == "draining"]
-    servers = sorted({notice.server for notice in leaves})
+    drains = [notice for notice in trace.notices if notice.state == "draining"]
+    servers = sorted({notice.server for notice in drains})
     finding.checked += len(servers)
-    lost = [server for server in servers if not any(n.acked for n in leaves if n.server == server)]
-    allowed = max(MIN_LOST_LEAVES, len(servers) / MAX_LOST_LEAVES_SHARE)
+    lost = [server for server in servers if not any(n.acked for n in drains if n.server == server)]
+    allowed = max(MIN_ALLOWED_LOST_DRAINS, len(servers) / DRAINS_PER_ALLOWED_LOSS)
     if len(lost) > allowed or (servers and len(lost) == len(servers)):
         problem = f"the leaves of {', '.join(lost)} were not acknowledged"
         trace.report(finding, trace.record.end, "", problem)
@@ -266,8 +275,9 @@
 
 
 def _check_acknowledgement_time(trace: MeshTrace, finding: Finding, put: Put) -> None:
+    """Report a version that was not acknowledged within its bound, unless a fault excuses the delay."""
     bound = (trace.bounds.ack_ms + ACK_PER_ROUTE_MS * route_count(put.config)) / 1000.0
-    # One that is sent while the controllers are not settled has its time from when they are.
+    # For a version sent while the controllers are unsettled, the bound counts from when they have settled.
     unsettled = trace.disconnected.get(ALL_MACHINES, ())
     since = max([put.t, *(high for low, high in unsettled if low <= put.t < high)])
     faulty = any(fault.t < since + bound and fault.until > since for fault in trace.link_faults)
--- a/orchidferry/testkit/judge/mesh/connectivity.py
+++ b/orchidferry/testkit/judge/mesh/connectivity.py
@@ -1,7 +1,7 @@
-"""When machines of the mesh were disconnected, from what the kit did to processes and links.
+"""Computes when machines of the mesh were disconnected, from the faults that the test kit injected.
 
-Rules with a time bound apply to connected machines alone. A process that ends by itself counts as running all
-the time, and its restart as nothing.
+Rules with a time bound apply only to connected machines. The unexpected end of a process is no excuse: such a
+process counts as running throughout, and its restart is ignored.
 """
 
 from __future__ import annotations
@@ -14,30 +14,31 @@
 from orchidferry.testkit.mesh.facts import LinkFault, Process
 
 Link = tuple[str, str]
-"""The machine that sends and the one that receives."""
+"""A link in one direction: the sending machine and the receiving machine."""
 
 SpansByMachine = dict[str, list[tuple[float, float]]]
+"""By machine, the start and the end of each span, in seconds on the record's clock."""
 
 ALL_MACHINES = "*"
-"""The key of spans in which the controllers were unsettled, which concerns every machine."""
+"""The key of the spans in which the controllers were unsettled, which affects every machine."""
 
 
 @dataclass(frozen=True, slots=True)
 class FaultHistory:
-    """All that the kit did to processes and links in a run."""
+    """The process events and link faults of a run."""
 
     processes: list[Process]
     link_faults: list[LinkFault]
-    sidecars: frozenset[str]  # machines that are no controllers
+    sidecars: frozenset[str]  # machines that run a sidecar; all others are controllers
 
     def controllers(self, t: float) -> set[str]:
-        """The machines that are controllers at a time, whether they run or not."""
+        """The machines that are controllers at time `t`, whether or not their processes run."""
         removed = {fact.machine for fact in self.processes if fact.what == "removed" and fact.t <= t}
         started = {fact.machine for fact in self.processes if fact.what == "start" and fact.t <= t}
         return started - removed - self.sidecars
 
     def stopped(self, t: float) -> set[str]:
-        """Machines whose process was ended or paused by the kit, at a time."""
+        """The machines with a process that the test kit has ended or paused by time `t`."""
         found: set[str] = set()
         for fact in self.processes:
             if fact.t > t or fact.again:
@@ -49,7 +50,7 @@
         return found
 
     def controller_processes(self) -> Iterator[Process]:
-        """What the kit did to processes of controllers."""
+        """The actions of the test kit on processes of controllers."""
         for fact in self.processes:
             if fact.machine not in self.sidecars and not fact.again and fact.what not in ("exit", "ended"):
                 yield fact
@@ -61,7 +62,7 @@
                 yield fault
 
     def controller_states(self) -> Iterator[ControllerState]:
-        """The states of the controllers, one after another."""
+        """The states of the controllers, in order of time; a new one begins with each action or fault."""
         moments = {fact.t for fact in self.controller_processes()}
         for fault in self.controller_link_faults():
             moments |= {fault.t, fault.until}
@@ -81,22 +82,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerState:
-    """What the controllers were able to do from `t` to `until`."""
+    """The processes and links of the controllers from `t` to `until`."""
 
     t: float
     until: float
     controllers: set[str]
-    stopped: set[str]
-    broken_links: list[Link]
+    stopped: set[str]  # machines with a process that the test kit has ended or paused
+    broken_links: list[Link]  # cut links, and all links from stopped machines to controllers
 
     def without_majority(self) -> Iterator[str]:
-        """Controllers that run, and have no path both ways to a majority."""
+        """Controllers that run but have no links in both directions to a majority."""
         for name in self.controllers - self.stopped:
             if not reaches_majority(name, self.controllers, self.broken_links):
                 yield name
 
     def has_majority(self) -> bool:
-        """Whether some controller runs and has a path both ways to a majority."""
+        """Whether some running controller has links in both directions to a majority."""
         return any(
             reaches_majority(name, self.controllers, self.broken_links)
             for name in self.controllers - self.stopped
@@ -104,16 +105,16 @@
 
 
 def reaches_majority(name: str, controllers: set[str], broken_links: Iterable[Link]) -> bool:
-    """Whether a controller has a path both ways to over half of them, itself included."""
+    """Whether a controller, itself included, has links in both directions to over half of the controllers."""
     separated = {other for link in broken_links for one, other in (link, link[::-1]) if one == name}
     return 2 * len(controllers - separated) > len(controllers)
 
 
 def disconnected_spans(history: FaultHistory, contact_s: float) -> SpansByMachine:
-    """When each machine was disconnected.
+    """The spans in which each machine was disconnected.
 
     :param contact_s: seconds after a fault until a machine counts as connected again; included in the spans
-    :returns: spans by machine; those of `ALL_MACHINES` are when the controllers were unsettled
+    :returns: spans by machine; those of `ALL_MACHINES` are the times in which the controllers were unsettled
     """
     found: SpansByMachine = defaultdict(list)
     found[ALL_MACHINES] += _unsettled_spans(history, contact_s)
@@ -127,14 +128,14 @@
         }
         for link in fault.links:
             for machine, other in (link, link[::-1]):
-                # A cut counts where it is from a controller that reaches over half of them.
+                # A cut counts only if it separates the machine from a controller that reaches a majority.
                 if machine in history.sidecars and (fault.what != "cut" or other in controllers - isolated):
                     found[machine].append((fault.t, fault.until + contact_s))
     return found
 
 
 def _add_stopped_spans(found: SpansByMachine, history: FaultHistory, contact_s: float) -> None:
-    """Add when processes of sidecar machines were stopped or paused."""
+    """Add the spans in which processes of sidecar machines were stopped or paused."""
     stopped_at: dict[str, float] = {}
     for fact in history.processes:
         if fact.machine not in history.sidecars or fact.again:
@@ -148,10 +149,11 @@
 
 
 def _unsettled_spans(history: FaultHistory, contact_s: float) -> list[tuple[float, float]]:
-    """When the controllers were unsettled.
+    """The spans in which the controllers were unsettled.
 
-    They are from each thing that is done to them for the time of contact, while one of their links is slow,
-    and while none of them reaches a majority.
+    Controllers are unsettled for `contact_s` after each action on their processes and after the start and the
+    end of each fault of a link between them, while one of these links is slow, and while no controller
+    reaches a majority.
     """
     found = [(fact.t, fact.t + contact_s) for fact in history.controller_processes()]
     for fault in history.controller_link_faults():
@@ -164,7 +166,7 @@
 
 
 def spans_without_majority(history: FaultHistory) -> SpansByMachine:
-    """When each controller ran, but had no path both ways to a majority of them."""
+    """By controller, the spans in which it ran but had no links in both directions to a majority."""
     found: SpansByMachine = defaultdict(list)
     for state in history.controller_states():
         for name in state.without_majority():
--- a/orchidferry/testkit/judge/mesh/control_call_rules.py
+++ b/orchidferry/testkit/judge/mesh/control_call_rules.py
@@ -1,6 +1,6 @@
-"""Rules on operators' calls at controllers: what a change is answered, now and when it is sent again.
+"""Mesh rules on operators' calls to controllers: answers to changes and resent changes, and isolation.
 
-And how an isolated controller answers.
+A controller is isolated if it runs but does not reach a majority of the controllers.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from orchidferry.testkit.mesh.facts import ControlCall
 
 ISOLATION_NOTICED_S = 2.0
-"""A controller that lost its majority so long ago knows that it has."""
+"""Seconds after which a controller must have noticed that it has lost its majority."""
 
 STARTUP_S = 2.0
-"""How long after its start a process need not answer."""
+"""Seconds after the start of a process in which it need not answer."""
 
 NO_RESPONSE = ("timeout", "silent")
 SERVICE_UNAVAILABLE = 503
 RETRYABLE = (408, 429)
-"""Of the 4xx statuses those that don't refuse a change for good."""
+"""The 4xx statuses that do not refuse a change permanently."""
 
 
 def _confirms(call: ControlCall) -> bool:
@@ -33,12 +33,12 @@
 
 
 def _refuses(call: ControlCall) -> bool:
-    """Whether a call was refused for good."""
+    """Whether a call was refused permanently."""
     return 400 <= call.status < 500 and call.status not in RETRYABLE
 
 
 def _confirmation_times(trace: MeshTrace) -> dict[str, float]:
-    """When each content was first confirmed, whether the operator received the answer or not."""
+    """When each content was first confirmed, by its digest, whether or not the operator got the answer."""
     found: dict[str, float] = {}
     for call in trace.control_calls:
         if call.revision and _confirms(call):
@@ -47,7 +47,7 @@
 
 
 def resent_changes_accepted(trace: MeshTrace) -> Finding:
-    """A change that is in force, as an answer or a read has shown, is never refused when it is sent again."""
+    """A change that an answer or a read has shown to be in force is never refused when it is resent."""
     finding = Finding()
     known_at = _confirmation_times(trace)
     for read in trace.reads:
@@ -66,10 +66,10 @@
 
 
 def one_content_per_revision(trace: MeshTrace) -> Finding:
-    """Of two contents with one revision or one base at most one is ever confirmed.
+    """At most one of several contents with the same revision or the same base is ever confirmed.
 
-    That holds whether the operator received the answer or not. What was refused for good is not confirmed or
-    read later.
+    Confirmations count whether or not the operator received the answer. A content that was refused
+    permanently is neither confirmed nor read later.
     """
     finding = Finding()
     bases = {content_digest(put.config): put.base for put in trace.puts}
@@ -101,9 +101,9 @@
 
 
 def _check_refused_not_read(trace: MeshTrace, finding: Finding, refused: dict[str, ControlCall]) -> None:
-    """Report reads of what was refused for good.
+    """Report reads of a content that was refused permanently.
 
-    :param refused: the first refusal of each content
+    :param refused: the first refusal of each content, by its digest
     """
     for read in trace.reads:
         refusal = refused.get(content_digest(read.config)) if read.config is not None else None
@@ -114,7 +114,7 @@
 
 
 def _call_history(trace: MeshTrace, call: ControlCall) -> list[str]:
-    """All calls that carried the same content as this one, in order, as lines of text."""
+    """All calls that carried the same content as this one, in order, one line of text each."""
     same = [one for one in trace.control_calls if one.content == call.content]
     return [
         f"{trace.elapsed(one.t):9.3f} s  {one.operator} to {one.machine}: {one.status or one.how}"
@@ -124,7 +124,7 @@
 
 
 def calls_at_isolated_controllers(trace: MeshTrace) -> list[ControlCall]:
-    """Calls at controllers that ran and could be reached, but had long been without a majority."""
+    """Calls to running, reachable controllers that had been without a majority for `ISOLATION_NOTICED_S`."""
     found = []
     spans = spans_without_majority(trace.fault_history)
     for call in trace.control_calls:
@@ -142,7 +142,7 @@
 
 
 def isolated_controllers_refuse(trace: MeshTrace) -> Finding:
-    """A controller without a majority says so, and when to come back; it confirms nothing new."""
+    """A controller without a majority answers 503 with Retry-After, and confirms no new change."""
     finding = Finding()
     confirmed_at = _confirmation_times(trace)
     for call in calls_at_isolated_controllers(trace):
@@ -162,7 +162,7 @@
 
 
 def changes_between_resends(trace: MeshTrace) -> list[int]:
-    """For each change that was sent again after it was confirmed: how many others were confirmed between."""
+    """For each change resent after its confirmation, the number of others confirmed in between."""
     confirmed_at = _confirmation_times(trace)
     times = sorted(confirmed_at.values())
     found = []
@@ -173,12 +173,12 @@
 
 
 def _outcome(call: ControlCall) -> str:
-    """How a call ended, in a word or two."""
+    """How a call ended: the status and the error code, or the reason why there was no answer."""
     return " ".join(filter(None, (str(call.status), call.error))) if call.status else call.how
 
 
 def control_call_statistics(trace: MeshTrace) -> dict[str, Any]:
-    """Counts of operators' calls, as they stand in `--json`."""
+    """Counts of operators' calls, as they appear in `--json`."""
     isolated = calls_at_isolated_controllers(trace)
     answered = [call.until - call.t for call in isolated if call.how == "answer"]
     between = changes_between_resends(trace)
--- a/orchidferry/testkit/judge/mesh/request_rules.py
+++ b/orchidferry/testkit/judge/mesh/request_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the mesh on requests, what servers made of them, and answers."""
+"""Mesh rules on requests, their execution by servers, and their answers."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from orchidferry.testkit.mesh.facts import Answered, Sent
 
 REFUSALS = (408, 421, 429, 503)
-"""Statuses by which the mesh says that a request was not executed."""
+"""Statuses that promise that a request was not executed."""
 
 CONFLICT = 409
 
 MAX_UNDUE_REJECTIONS = 5
-"""Requests that the mesh may end with an error of its own, besides one in `REQUESTS_PER_REJECTION`."""
+"""Number of acceptable requests that the mesh may reject, in addition to one in `REQUESTS_PER_REJECTION`."""
 
 REQUESTS_PER_REJECTION = 500.0
 
 
 def answers_match_requests(trace: MeshTrace) -> Finding:
-    """A success is a server's complete answer to that very request; nothing comes that was not asked for."""
+    """A successful answer is a server's complete answer to the same request, and no stray bytes arrive."""
     finding = Finding()
     first_runs = _first_runs_by_key(trace)
     for request_id, end in trace.ends.items():
@@ -39,7 +39,7 @@
 def _answer_problem(
     trace: MeshTrace, request: Sent, answer: Answered, first_runs: dict[str, ServerRun]
 ) -> str:
-    """Why an answer is not the one to this request; empty if it is."""
+    """Why an answer does not belong to this request; empty if it does."""
     run = trace.runs_by_seal.get(answer.seal)
     if answer.attempt and answer.attempt != request.id:
         return f"the answer carries the id {answer.attempt}"
@@ -61,7 +61,7 @@
 
 
 def _first_runs_by_key(trace: MeshTrace) -> dict[str, ServerRun]:
-    """Of each idempotency key the run that began first."""
+    """The run that began first, by idempotency key."""
     found: dict[str, ServerRun] = {}
     for run in sorted(trace.executed_runs(), key=lambda run: run.began or 0.0):
         if run.arrived.key:
@@ -70,7 +70,7 @@
 
 
 def executed_as_sent(trace: MeshTrace) -> Finding:
-    """What is executed is what was sent, and names the service that sent it."""
+    """Servers execute requests as they were sent, with the Calling-Service header of the sending service."""
     finding = Finding()
     for run in trace.executed_runs():
         finding.checked += 1
@@ -97,7 +97,7 @@
 
 
 def executed_once(trace: MeshTrace) -> Finding:
-    """What is not idempotent is executed once: an attempt, and a key within its window."""
+    """Each attempt at a request that is not repeatable is executed once; so is each key within its window."""
     finding = Finding()
     executed_by_key: dict[str, list[Sent]] = defaultdict(list)
     for request_id in trace.runs_by_request:
@@ -121,7 +121,7 @@
 
 
 def refused_not_executed(trace: MeshTrace) -> Finding:
-    """What was refused has not been executed and never will be, and each server that read it said so."""
+    """A refused request has not been executed and never will be, and each server that read it rejected it."""
     finding = Finding()
     for request_id, end in trace.ends.items():
         sent = trace.requests[request_id]
@@ -142,7 +142,7 @@
 
 
 def few_undue_rejections(trace: MeshTrace) -> Finding:
-    """Proper requests are not ended by a 3xx or 4xx of the mesh's own, but for a few."""
+    """The mesh itself answers no more than a few acceptable requests with a 3xx or 4xx status."""
     finding = Finding()
     rejections: list[Answered] = []
     for request_id, sent in trace.requests.items():
@@ -164,7 +164,7 @@
         return False
     runs = trace.runs_by_request.get(sent.id, ())
     if any(run.done is not None and run.done.status == end.status for run in runs):
-        return False  # the server's own answer
+        return False  # the status came from the server
     versions = trace.versions_in_force(sent.t, end.t)
     if not versions or not all(trace.route_of(put, sent) for put in versions):
         return False
@@ -172,7 +172,7 @@
 
 
 def executed_where_routed(trace: MeshTrace) -> Finding:
-    """A service executes what some configuration routes to it, at the server that was meant."""
+    """A service executes only requests that some configuration routes to it, on the targeted server."""
     finding = Finding()
     for run in trace.executed_runs():
         finding.checked += 1
--- a/orchidferry/testkit/judge/mesh/service.py
+++ b/orchidferry/testkit/judge/mesh/service.py
@@ -1,4 +1,4 @@
-"""The measure of service of a run of the mesh."""
+"""Measures the service of a run of the mesh: the share of the requested value that was served."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 @dataclass(slots=True)
 class KindService:
-    """What became of the requests of one kind; retries belong to the first attempt."""
+    """Counts, value and latencies of the requests of one kind; retries count with their first attempt."""
 
     asked: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
     unanswered: int = 0
-    earned: float = 0.0
-    value: float = 0.0
-    latencies_ms: list[float] = field(default_factory=list)  # of what was served
+    earned: float = 0.0  # the part of `value` that answers earned
+    value: float = 0.0  # sum over all requests
+    latencies_ms: list[float] = field(default_factory=list)  # of served requests, from when each was due
 
     @property
     def service(self) -> float | None:
-        """The fraction of the value that was earned; None if nothing of value was asked."""
+        """The fraction of the value that was earned; None if the value is 0."""
         return self.earned / self.value if self.value else None
 
     def quantile_ms(self, q: float) -> float:
-        """A quantile of the latency of what was served; 0 if nothing was.
+        """A quantile of the latency of served requests, in milliseconds; 0 if none was served.
 
         :param q: from 0 to 1
         """
@@ -39,7 +39,7 @@
 
 
 def measure(trace: MeshTrace) -> dict[str, KindService]:
-    """The service of each kind of request, by how its last attempt ended."""
+    """Measure the service by kind of request; a request is served if any of its attempts was."""
     rows = {name: KindService() for name in trace.record.kinds}
     for attempts in client_attempts(trace):
         name = attempts[0].kind
--- a/orchidferry/testkit/judge/mesh/service_rules.py
+++ b/orchidferry/testkit/judge/mesh/service_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the mesh on retries, on its processes, and on recovery after a loss."""
+"""Mesh rules on retries, on processes, and on recovery after the final fault of a run."""
 
 from __future__ import annotations
 
@@ -14,36 +14,39 @@
 from orchidferry.testkit.mesh.schedule import CLOSING_FAULTS
 
 MIN_SERVED_SHARE = 0.25
-"""Of what is asked, that must be served after a closing loss and the time to recover from it."""
+"""Share of requests that must be served after the final fault of a run and the time to recover from it."""
 
 
 def retries_within_budget(trace: MeshTrace) -> Finding:
-    """A service's arrivals past the first of each request stay within what all nodes share."""
+    """Retries that reach a service stay within the retry budget that all nodes share."""
     finding = Finding()
     bounds = trace.bounds
     window = bounds.retry_window_s
-    requests = _request_times(trace)
+    requests_by_service = _request_times(trace)
     retries = _retry_arrivals(trace)
     finding.checked += sum(len(runs) for runs in trace.runs_by_request.values())
     for service, arrivals in retries.items():
         arrivals.sort()
         times = [t for t, _ in arrivals]
-        asked = sorted(requests[service])
+        request_times = sorted(requests_by_service[service])
         for n, (t, request_id) in enumerate(arrivals):
             count = n + 1 - bisect.bisect_left(times, t - window)
-            most_asked = max(
-                bisect.bisect_right(asked, t - back) - bisect.bisect_left(asked, t - back - window)
+            max_requests = max(
+                bisect.bisect_right(request_times, t - back)
+                - bisect.bisect_left(request_times, t - back - window)
                 for back in (0.0, window / 2.0, window)
             )
-            if count > bounds.retry_ratio * most_asked + bounds.retry_slack:
-                problem = f"{count} further arrivals at {service} in {window:g} s, for {most_asked} requests"
+            if count > bounds.retry_ratio * max_requests + bounds.retry_slack:
+                problem = (
+                    f"{count} further arrivals at {service} in {window:g} s, for {max_requests} requests"
+                )
                 trace.report(finding, t, request_id, problem)
                 break
     return finding
 
 
 def _request_times(trace: MeshTrace) -> dict[str, list[float]]:
-    """When requests were sent that some version in force routes to a service, by service."""
+    """By service, the times at which requests were sent that some version in force routes to the service."""
     found: dict[str, list[float]] = defaultdict(list)
     for sent in trace.requests.values():
         services: set[str] = set()
@@ -56,12 +59,13 @@
 
 
 def _retry_arrivals(trace: MeshTrace) -> dict[str, list[tuple[float, str]]]:
-    """Arrivals that would not be without retries: when and of which request, by service.
+    """Arrivals caused by retries, by service: the time and the id of the request.
 
-    Those are all but the first of a request, and those of calls that a repeated run makes.
+    These are all arrivals of a request except the first, and all arrivals of calls that a repeated execution
+    makes.
     """
     found: dict[str, list[tuple[float, str]]] = defaultdict(list)
-    run_numbers: dict[int, int] = {}  # of each arrival, how many runs of its request began before
+    run_numbers: dict[int, int] = {}  # by number of the arrival: how many runs of its request began before
     for request_id in trace.runs_by_request:
         executed = trace.executed_runs_of(request_id)
         run_numbers |= {run.arrived.n: number for number, run in enumerate(executed)}
@@ -75,7 +79,7 @@
 
 
 def processes_stay_up(trace: MeshTrace) -> Finding:
-    """No process ends by itself, and each ends when told to, within its grace."""
+    """No process exits on its own, and each one exits within the grace period after a SIGTERM."""
     finding = Finding()
     for fact in trace.processes:
         finding.checked += fact.what == "start"
@@ -88,7 +92,7 @@
 
 @dataclass(slots=True)
 class _Count:
-    """Client requests of a span of time."""
+    """Counts of client requests in a span of time."""
 
     asked: int = 0
     served: int = 0
@@ -103,7 +107,7 @@
 
 
 def service_recovers(trace: MeshTrace) -> Finding:
-    """After a closing loss and the time to recover enough is served, if it was before."""
+    """After the final fault and the time to recover, enough requests are served, if that was so before it."""
     finding = Finding()
     for event in trace.events:
         if event.do not in CLOSING_FAULTS:
@@ -125,7 +129,7 @@
 
 
 def client_attempts(trace: MeshTrace) -> Iterator[list[Sent]]:
-    """The attempts of each request whose answer counts: it is no probe, and was due within the traffic."""
+    """The attempts of each client request that counts: not a probe, and due before the end of the traffic."""
     for attempts in trace.attempts.values():
         first = attempts[0]
         if first.kind != PROBE and first.owed and first.first <= trace.record.end:
--- a/orchidferry/testkit/judge/mesh/trace.py
+++ b/orchidferry/testkit/judge/mesh/trace.py
@@ -39,22 +39,22 @@
 
 @dataclass(slots=True)
 class ServerRun:
-    """All that a server did with one request that reached it."""
+    """One arrival of a request at a server, with everything that the server did with it."""
 
     arrived: Arrived
-    began: float | None = None
+    began: float | None = None  # when execution began; None if it did not
     rejected: Rejected | None = None
     done: Done | None = None
-    dropped: float | None = None
+    dropped: float | None = None  # when the connection closed during execution; None if it did not
 
     @property
     def executed(self) -> bool:
-        """Whether the server began to work on it."""
+        """Whether the server began to execute the request."""
         return self.began is not None
 
 
 class MeshTrace:
-    """The facts of a run, by what they are about. All times are on the record's clock, in seconds."""
+    """The facts of a run, grouped by their subject. All times are in seconds on the record's clock."""
 
     def __init__(self, record: Record) -> None:
         """Index a record.
@@ -63,9 +63,9 @@
         """
         self.record = record
         self.bounds = record.bounds
-        self.requests: dict[str, Sent] = {}  # by id; each attempt has an id of its own
-        self.attempts: dict[str, list[Sent]] = defaultdict(list)  # by the id of the first of them
-        self.ends: dict[str, Answered | NoAnswer] = {}  # of requests, by id
+        self.requests: dict[str, Sent] = {}  # by id; each attempt has its own id
+        self.attempts: dict[str, list[Sent]] = defaultdict(list)  # by the id of the first attempt
+        self.ends: dict[str, Answered | NoAnswer] = {}  # how requests ended, by id
         self.extras: list[Extra] = []
         self.runs: dict[int, ServerRun] = {}  # by the number of the arrival
         self.runs_by_request: dict[str, list[ServerRun]] = defaultdict(list)
@@ -130,27 +130,27 @@
         return t - self.record.start
 
     def end_time(self, request_id: str) -> float:
-        """When its client saw the end of a request; if it never did, when the record ends."""
+        """When the client saw the end of a request; the end of the record if it never did."""
         end = self.ends.get(request_id)
         return self.record.end if end is None else end.t
 
     def executed_runs(self) -> Iterator[ServerRun]:
-        """All requests that servers began to work on."""
+        """All arrivals that servers began to execute."""
         return (run for run in self.runs.values() if run.executed)
 
     def executed_runs_of(self, request_id: str) -> list[ServerRun]:
-        """Where servers began to work on a request."""
+        """The arrivals of a request that servers began to execute."""
         return [run for run in self.runs_by_request.get(request_id, ()) if run.executed]
 
     def route_of(self, put: Put, request: Sent) -> Route | None:
-        """The route that a version of the configuration has for a request; None if it has none."""
+        """The route that a configuration version has for a request; None if it has none."""
         return self._routes[id(put)].find(request.host, request.path)
 
     def versions_in_force(self, start: float, end: float) -> list[Put]:
-        """The versions by which a request of this span may be handled.
+        """The versions by which a request that lasts from `start` to `end` may be handled.
 
-        Those are the newest that was acknowledged `config_apply_ms` before it, and all valid later ones that
-        were sent by its end.
+        These are the newest version that was acknowledged more than `config_apply_ms` before the start, and
+        all valid later versions that were sent by the end.
         """
         apply_s = self.bounds.config_apply_ms / 1000.0
         applied = [put for put in self.acknowledged if put.acked is not None and put.acked + apply_s < start]
@@ -162,12 +162,12 @@
         ]
 
     def were_connected(self, start: float, end: float, *machines: str) -> bool:
-        """Whether these machines and the controllers were connected all through a span."""
+        """Whether these machines and the controllers were connected for the whole span."""
         spans = [span for machine in (ALL_MACHINES, *machines) for span in self.disconnected.get(machine, ())]
         return not any(low < end and high > start for low, high in spans)
 
     def link_was_faulty(self, start: float, end: float, one: str, other: str) -> bool:
-        """Whether the link between two machines had a fault within the time of contact of a span."""
+        """Whether the link between two machines had a fault in a span or within `contact_s` before it."""
         pair = {one, other}
         return any(
             fault.t <= end
@@ -177,7 +177,7 @@
         )
 
     def had_unplanned_event(self, start: float, end: float) -> bool:
-        """Whether any fault or end of a process fell within the time of contact of a span."""
+        """Whether any fault or unexpected end of a process fell in a span or within `contact_s` before it."""
         return any(
             fact.what == "exit" and start - self.contact_s <= fact.t <= end for fact in self.processes
         ) or any(
@@ -186,13 +186,13 @@
         )
 
     def history(self, request_id: str) -> list[str]:
-        """All that the record has of a request, in order of time, as lines of text."""
+        """All recorded events of a request, in order of time, one line of text each."""
         lines: list[tuple[float, str]] = []
         if (sent := self.requests.get(request_id)) is not None:
             key = f", key {sent.key}" if sent.key else ""
             left = f"{sent.ends - sent.t:.3f} s left"
-            what = f"{sent.kind} sent at {sent.machine}: {sent.method} {sent.path}{key}, {left}"
-            lines.append((sent.t, what))
+            description = f"{sent.kind} sent at {sent.machine}: {sent.method} {sent.path}{key}, {left}"
+            lines.append((sent.t, description))
         for run in self.runs_by_request.get(request_id, ()):
             lines += _run_history(run)
         match self.ends.get(request_id):
@@ -205,10 +205,13 @@
     def report(
         self, finding: Finding, t: float, request_id: str, description: str, history: Sequence[str] = ()
     ) -> None:
-        """Add a violation to what is found of a rule.
+        """Add a violation to the finding of a rule.
 
-        :param request_id: the request whose history is given with it; empty if it is not about a request
-        :param history: the lines that are given where it is not
+        :param t: when it happened, on the record's clock
+        :param request_id: the request that violated the rule, whose events become the history; empty if the
+            violation does not concern a single request
+        :param description: the problem, in one line
+        :param history: the lines of the history if `request_id` is empty
         """
 
         def lines() -> list[str]:
@@ -218,7 +221,7 @@
 
 
 def _run_history(run: ServerRun) -> list[tuple[float, str]]:
-    """What a server did with a request, in words, with the time of each step."""
+    """The steps of a server's work on a request: time and description of each."""
     server = run.arrived.server
     lines = [(run.arrived.t, f"server {server} ({run.arrived.service}) read it")]
     if run.began is not None:
--- a/orchidferry/testkit/judge/mesh/verdict.py
+++ b/orchidferry/testkit/judge/mesh/verdict.py
@@ -39,10 +39,10 @@
 from orchidferry.testkit.mesh.facts import Record
 
 MAX_STALL_S = 0.25
-"""The longest that the kit may stall before its run says nothing."""
+"""Longest stall of the test kit in a valid run, in seconds; with a longer one the run is void."""
 
 MAX_STARVED = 0.25
-"""The largest fraction of two seconds that a process may wait for a core before a run says nothing."""
+"""Largest fraction of two seconds that a process may wait for a CPU core; beyond it the run is void."""
 
 RULES: dict[str, Callable[[MeshTrace], Finding]] = {
     "mixed": answers_match_requests,
@@ -69,16 +69,16 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """All that is judged of a run."""
+    """The result of judging a run."""
 
     record: Record
     trace: MeshTrace
-    rules: dict[str, Finding]
-    classes: dict[str, KindService]
+    rules: dict[str, Finding]  # by the rule's key in `--json`
+    classes: dict[str, KindService]  # by kind of request
 
     @property
     def service(self) -> float | None:
-        """The fraction of all value that was earned; None if nothing of value was asked."""
+        """The fraction of the total value that was earned; None if the total is 0."""
         value = sum(row.value for row in self.classes.values())
         return sum(row.earned for row in self.classes.values()) / value if value else None
 
@@ -89,7 +89,7 @@
 
     @property
     def void(self) -> str:
-        """Why the run says nothing; empty if it does."""
+        """Why the run is void, so that it gives no result about the mesh; empty if it is valid."""
         stall = self.record.stall_s
         starved = self.record.starved
         if stall > MAX_STALL_S:
@@ -98,12 +98,12 @@
 
     @property
     def served(self) -> int:
-        """How many client requests were served."""
+        """Number of client requests that were served."""
         return sum(row.served for row in self.classes.values())
 
     @property
     def passed(self) -> bool:
-        """Whether the run is complete, says something, and violated no rule."""
+        """Whether the run is complete and not void, served at least one request, and violated no rule."""
         return self.record.complete and not self.broken_rules and not self.void and self.served > 0
 
 
--- a/orchidferry/testkit/judge/mesh/verdict_json.py
+++ b/orchidferry/testkit/judge/mesh/verdict_json.py
@@ -1,4 +1,4 @@
-"""The JSON object of a verdict on the mesh, whose keys the operators' pages fix."""
+"""The JSON object of a verdict on the mesh; its keys are documented for operators and must not change."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def as_json(verdict: Verdict) -> dict[str, Any]:
-    """The object of `--json`; what stands under `mesh` and `run` is the kit's own."""
+    """The object of `--json`; its parts `mesh` and `run` are internal to the test kit and may change."""
     record = verdict.record
     trace = verdict.trace
     asked = sum(row.asked for row in verdict.classes.values())
@@ -59,8 +59,8 @@
 
 
 def mesh_statistics(trace: MeshTrace) -> dict[str, Any]:
-    """The mesh's own part: how soon it acknowledged what it was sent, and what it answered."""
-    leaves = [notice for notice in trace.notices if notice.state == "draining" and notice.acked is not None]
+    """The object under `mesh`: acknowledgement times of versions and drain notices, and counts of answers."""
+    drains = [notice for notice in trace.notices if notice.state == "draining" and notice.acked is not None]
     answers: dict[str, int] = defaultdict(int)
     for request_id, end in trace.ends.items():
         if trace.requests[request_id].kind != PROBE:
@@ -77,7 +77,7 @@
             for put in trace.puts
         ],
         "control_calls": control_call_statistics(trace),
-        "leaves_acked_ms": [round(((leave.acked or leave.t) - leave.t) * 1000.0, 1) for leave in leaves],
+        "leaves_acked_ms": [round(((drain.acked or drain.t) - drain.t) * 1000.0, 1) for drain in drains],
         "answers": dict(sorted(answers.items())),
         "turned_away": sum(run.rejected is not None for run in trace.runs.values()),
     }
--- a/orchidferry/testkit/judge/rules.py
+++ b/orchidferry/testkit/judge/rules.py
@@ -1,8 +1,9 @@
-"""The four rules of the nodes, judged from outside on a run's record.
+"""The four rules that nodes must keep, judged on the record of a run.
 
-No statement of a node counts here, only what clients, servers and the kit itself saw. Each rule counts how
-often it could have been violated (`Finding.checked`). `docs/design/rehearsal.md` says how each is judged and
-why; the bounds are the scenario's `[rules]`, which the nodes were given too.
+The record has only observations of clients, servers and the test kit itself, none that a node reported. Each
+rule counts how often it could have been violated (`Finding.checked`). `docs/design/rehearsal.md` explains how
+each rule is judged and why. The bounds come from `[rules]` of the scenario; the nodes are configured with the
+same values.
 """
 
 from __future__ import annotations
@@ -26,16 +27,19 @@
 REFUSALS = (429, 503)
 
 NODE_STOP_SLACK_S = 1.0
-"""How much later than its effect on connections the end of a process may stand in the record."""
+"""Seconds by which the record may show the end of a process later than its effect on connections."""
 
 START_SKEW_S = 0.25
-"""How far discovery's time of a server's start and the server's own time of it may differ."""
+"""Seconds by which discovery's time of a server's start may differ from the server's own time of it."""
 
 INFORMED_SHARE = 2.0 / 3.0
-"""Share of a cold server's work that must come from nodes that knew of its start, for it to count."""
+"""Minimum share of a cold server's work that comes from nodes that knew of its start.
+
+With a smaller share an overload of the server does not count as a violation.
+"""
 
 COLD_SLACK = 1.1
-"""Factor by which a cold server's budget may be exceeded by chance."""
+"""Factor by which the work sent to a cold server may exceed its budget by chance."""
 
 
 def _report(finding: Finding, trace: RunTrace, t: float, request: RequestKey, description: str) -> None:
@@ -47,14 +51,14 @@
 
 
 def no_request_lost(trace: RunTrace) -> Finding:
-    """Each request that a running node has taken gets exactly one final answer, in time."""
+    """Each request that a running node has accepted gets exactly one final answer, in time."""
     finding = Finding()
     rules = trace.scenario.rules
     slack = rules.answer_slack_s + rules.slack_s
     for request, events in trace.requester_events.items():
         sends = [fact for fact in events if isinstance(fact, RequestSent)]
         if not sends:
-            continue  # no node took it
+            continue  # no node accepted the request
         _check_single_answer(finding, trace, request, sends, events)
         deadline = sends[0].ends + slack
         answer = next((fact for fact in events if isinstance(fact, ResponseReceived)), None)
@@ -78,11 +82,11 @@
     sends: list[RequestSent],
     events: list[RequesterEvent],
 ) -> None:
-    """No connection closes under a request that was forwarded, and nothing follows its answer."""
+    """Report a connection that closed after its request was forwarded, and anything after the answer."""
     close = _close_after_forwarding(trace, request, sends, events)
     if close is not None:
-        what = f"node {close.node} sent it on and closed with no answer"
-        _report(finding, trace, close.t, request, what)
+        description = f"node {close.node} sent it on and closed with no answer"
+        _report(finding, trace, close.t, request, description)
     for fact in events:
         if isinstance(fact, ExtraBytes):
             _report(finding, trace, fact.t, request, "bytes came after its answer: a second one")
@@ -109,10 +113,11 @@
 def _close_after_forwarding(
     trace: RunTrace, request: RequestKey, sends: list[RequestSent], events: list[RequesterEvent]
 ) -> ConnectionClosed | None:
-    """A close after which the request had to be sent once more, though a server had it by then.
+    """The close of a connection that made the requester resend a request which a server had received by then.
 
     A node may close a persistent connection between requests. If the close crosses a request that the node
-    has not read, the requester sends it again; one that it has read and forwarded must be answered.
+    has not read, the requester resends the request. A request that the node has read and forwarded must be
+    answered.
     """
     for fact in events:
         if isinstance(fact, ConnectionClosed) and fact.t < sends[-1].t:
@@ -131,9 +136,9 @@
     events: list[RequesterEvent],
     deadline: float,
 ) -> str | None:
-    """Why a request with no answer is lost.
+    """Why a request with no answer counts as lost.
 
-    :returns: the reason; empty if the request is not lost; None if there is nothing to judge
+    :returns: the reason; empty if the request does not count as lost; None if it cannot be judged
     """
     last = sends[-1]
     node = last.node
@@ -142,26 +147,26 @@
     over = closes[0].t if closes else timeouts[0].t if timeouts else trace.end
     stop = trace.node_stop_between(node, sends[0].t - NODE_STOP_SLACK_S, over + NODE_STOP_SLACK_S)
     if stop is not None and stop.why in KILLED:
-        return None  # lost with the node: its caller has to ask again
+        return None  # lost because the test kit killed the node: the caller has to retry
     if trace.was_paused(node, sends[0].t - NODE_STOP_SLACK_S, over):
-        return None  # the node could do nothing, and its caller can ask again
+        return None  # the paused node could not answer, and the caller can retry
     if trace.node_was_dead(node, last.t):
-        return None  # over QUIC: nobody was there to take it
+        return None  # sent over QUIC to a node that was down, so no node accepted it
     if closes:
         return _loss_by_close(trace, request, node, closes[0])
     if timeouts:
         return "" if timeouts[0].left else f"node {node} took it, and no answer came before its time was up"
     if deadline > trace.end or trace.requester_died(node, sends[0].t):
-        return None  # still open at the end of the record, or nobody was left to see its answer
+        return None  # still open at the end of the record, or its sender was down and saw no answer
     return f"node {node} took it, and the record has no end of it"
 
 
 def _loss_by_close(trace: RunTrace, request: RequestKey, node: str, close: ConnectionClosed) -> str | None:
-    """As `_loss`, for a request whose last connection closed."""
+    """Why a request is lost if its last connection closed; returns the same as `_loss`."""
     if close.how in ("refused", "silent"):
-        return None  # the second attempt after a close that crossed the first: no node took it
+        return None  # resent after a close that crossed the request, and no node accepted the second attempt
     if not trace.arrivals.get(request) and trace.was_terminated(node, close.t):
-        return ""  # it crossed the close of a node that shuts down, and was not forwarded
+        return ""  # crossed the close by a node that shut down, and was not forwarded
     how = {"closed": "closed", "reset": "reset", "broken": "ended within an answer"}[close.how]
     return f"node {node} took it, and its connection was {how} with no whole answer"
 
@@ -170,7 +175,7 @@
 
 
 def no_effect_twice(trace: RunTrace) -> Finding:
-    """What may have run is sent again, or refused, only as its class allows; at every tier."""
+    """At every tier, a request that may have been executed is resent or refused only as its class allows."""
     finding = Finding()
     for request, arrivals in trace.arrivals.items():
         cls = trace.classes.get(arrivals[0].cls)
@@ -191,7 +196,7 @@
 
 
 def _was_rejected(trace: RunTrace, arrival: RequestReceived, t: float) -> bool:
-    """Whether it was known at a time that an arrival was never executed."""
+    """Whether it was known at `t` that the server had rejected an arrival without executing it."""
     rejected = trace.rejected_at(arrival)
     return rejected is not None and rejected <= t
 
@@ -199,7 +204,7 @@
 def _illegal_repeats(
     trace: RunTrace, cls: Class, arrivals: list[RequestReceived]
 ) -> Iterator[tuple[float, str]]:
-    """Arrivals that repeat an earlier one against the rules of their class: when, and in words."""
+    """Times and descriptions of arrivals that repeat an earlier one against the rules of their class."""
     for n, later in enumerate(arrivals):
         for earlier in arrivals[:n]:
             if _was_rejected(trace, earlier, later.first):
@@ -211,7 +216,7 @@
 
 
 def _repeat_problem(trace: RunTrace, cls: Class, earlier: RequestReceived, later: RequestReceived) -> str:
-    """Why one arrival must not follow another that may have been executed; empty if it may."""
+    """Why an arrival must not follow an earlier one that may have been executed; empty if it may."""
     if cls.repeat == "unsafe":
         return f"sent to {later.server} after {earlier.server} had it, where it may have run"
     if cls.group == "cell" and later.cell != earlier.cell:
@@ -226,14 +231,17 @@
 
 
 def _root(request_id: str) -> str:
-    """The id of the client's first attempt, which the ids of its retries begin with."""
+    """The id of a client request, the common prefix of the ids of its attempts."""
     return request_id.partition(".")[0]
 
 
 def _refused_after_execution(
     trace: RunTrace, request: RequestKey, answer: ResponseReceived, arrival: RequestReceived
 ) -> str:
-    """A refusal tells the client that a retry is harmless; here it was not."""
+    """Describe a refusal of a request that may have been executed.
+
+    A refusal tells the client that a retry is harmless, which is wrong in this case.
+    """
     text = f"refused ({answer.status}) though {arrival.server} had it and it may have run"
     if request.tier == 0 and trace.executions.get(request):
         root = _root(request.id)
@@ -248,12 +256,12 @@
 
 
 def unsafe_duplicates(trace: RunTrace) -> list[str]:
-    """Requests of unsafe classes that clients retried under a new id, with both executed.
+    """Requests of unsafe classes that clients retried under a new id, with more than one attempt executed.
 
-    No node can tie the two together, so rule 2 is judged by id: where the first was not refused, its client
-    took the risk itself. Where it was refused though it ran, rule 2 reports it.
+    No node can know that the two ids belong together, so rule 2 is judged by id: if the first attempt was not
+    refused, the client took the risk itself. If it was refused although it was executed, rule 2 reports it.
 
-    :returns: the roots of these requests, in order
+    :returns: the ids of these client requests without the attempt number, in order
     """
     refused = {
         request.id
@@ -272,7 +280,10 @@
 
 
 def drains_kept(trace: RunTrace) -> Finding:
-    """A server gets nothing new once the drain's grace is over, counted from when its node was told."""
+    """A server gets no new request after the grace period of its drain.
+
+    The grace period counts from when the forwarding node was told of the drain.
+    """
     finding = Finding()
     rules = trace.scenario.rules
     grace = rules.drain_grace_s + rules.slack_s
@@ -283,7 +294,7 @@
                 draining = False
             elif not draining:
                 draining = True
-                # It counts as checked only if the record goes on for long enough to see a violation.
+                # The drain counts as checked only if the record is long enough to show a violation.
                 finding.checked += fact.t + grace < trace.end
     for arrivals in trace.arrivals_by_server.values():
         for arrival in arrivals:
@@ -303,7 +314,7 @@
 
 
 def cold_servers_spared(trace: RunTrace) -> Finding:
-    """No server that has just started is sent more than its budget, by all nodes together."""
+    """All nodes together send no more than its budget to a server that has just started."""
     finding = Finding()
     for start in trace.server_starts:
         if not start.cold:
@@ -311,8 +322,8 @@
         warm = start.t + start.cold_for
         stops = trace.server_stops.get(start.server, ())
         stop = min((t for t in stops if t > start.t), default=trace.end)
-        reached = trace.arrivals_by_server.get(start.server, [])
-        arrivals = arrivals_between(reached, start.t, min(warm, stop))
+        all_arrivals = trace.arrivals_by_server.get(start.server, [])
+        arrivals = arrivals_between(all_arrivals, start.t, min(warm, stop))
         finding.checked += bool(arrivals)
         _check_cold_start(finding, trace, start, arrivals)
     return finding
@@ -321,7 +332,10 @@
 def _check_cold_start(
     finding: Finding, trace: RunTrace, start: ServerUp, arrivals: list[RequestReceived]
 ) -> None:
-    """Report the first arrival at which a cold server was over its budget; after it, it may have failed."""
+    """Report the first arrival that exceeded a cold server's budget.
+
+    Later arrivals are not judged, as the overload may have made the server fail.
+    """
     rules = trace.scenario.rules
     for n, arrival in enumerate(arrivals):
         window = [one for one in arrivals[: n + 1] if one.t > arrival.t - rules.overload_for_s]
@@ -333,7 +347,7 @@
             continue
         informed = sum(one.work for one in window if _was_informed(trace, start, one))
         if informed < INFORMED_SHARE * sent:
-            continue  # overloaded by nodes that could not know of its start
+            continue  # overloaded by nodes that could not know of the server's start
         nodes = len({trace.node_of(one) for one in window})
         description = (
             f"{start.server}, {arrival.t - start.t:.2f} s after its start, was sent {sent:.2f} core-seconds "
@@ -345,7 +359,7 @@
 
 
 def _was_informed(trace: RunTrace, start: ServerUp, arrival: RequestReceived) -> bool:
-    """Whether the node that sent a request had been told of this start of the server."""
+    """Whether the node that forwarded a request had been told of this start of the server."""
     node = trace.node_of(arrival)
     return node is not None and any(
         fact.t <= arrival.first and fact.since >= start.t - START_SKEW_S
--- a/orchidferry/testkit/judge/service.py
+++ b/orchidferry/testkit/judge/service.py
@@ -1,8 +1,9 @@
-"""The measure of service, and what became of each client request.
+"""Measures service, the share of requested value that was served, and the outcome of each client request.
 
-Service is the value answered within its latency target over the value asked for, from the first second on; an
-answer after that and before the client gives up earns its class's `late_worth`. A client's retries belong to
-its first attempt, and time counts from when that should have been sent. Quantiles are HdrHistogram's.
+Service is the value of requests answered within their latency target, divided by the value of all requests,
+from the first second of the load on. An answer that comes later, but before the client gives up, earns the
+fraction `late_worth` of its class. A client's retries belong to its first attempt, and latency counts from
+when the first attempt was due. Latency percentiles come from an HdrHistogram.
 """
 
 from __future__ import annotations
@@ -26,29 +27,29 @@
 
 
 class Outcome(StrEnum):
-    """What became of a client request."""
+    """The outcome of a client request."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
     UNANSWERED = "unanswered"
-    OPEN = "open"  # the record ends before the client would have given up
+    OPEN = "open"  # undecided: the record ends before the client would have given up
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's first attempt and what came of it, its retries counted in."""
+    """A client request: its first attempt and all retries of it."""
 
-    root: str
+    root: str  # id that the ids of all its attempts begin with
     cls: Class
-    t: float  # when it should have been sent, in seconds since the load began
+    t: float  # when the first attempt was due, in seconds since the load began
     outcome: Outcome
-    took_s: float  # until it was served
-    attempts: int
+    took_s: float  # latency from `t` until the request was served, in seconds; 0 if it was not
+    attempts: int  # number of attempts, retries included
 
     @property
     def earned(self) -> float:
-        """The value that its answer earned."""
+        """The value earned by the answer, reduced if it was late."""
         if self.outcome is not Outcome.SERVED or self.took_s > self.cls.gives_up_s:
             return 0.0
         return self.cls.worth * (1.0 if self.took_s <= self.cls.wanted_s else self.cls.late_worth)
@@ -56,22 +57,22 @@
 
 @dataclass(slots=True)
 class ClassService:
-    """What became of the client requests of one class."""
+    """Counts, value and latencies of the client requests of one class."""
 
-    asked: int = 0
+    asked: int = 0  # all client requests except the open ones
     served: int = 0
     refused: int = 0
     failed: int = 0
     unanswered: int = 0
     open: int = 0
-    value: float = 0.0
-    earned: float = 0.0
+    value: float = 0.0  # sum over all requests
+    earned: float = 0.0  # the part of `value` that answers earned
     latency_us: HdrHistogram = field(
         default_factory=lambda: HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, LATENCY_DIGITS)
     )
 
     def add(self, request: ClientRequest) -> None:
-        """Count a request; one that is open counts as nothing else."""
+        """Count a request; an open request counts only in `open`."""
         if request.outcome is Outcome.OPEN:
             self.open += 1
             return
@@ -92,36 +93,36 @@
 
     @property
     def service(self) -> float | None:
-        """The fraction of the value that was earned; None if nothing was asked."""
+        """The fraction of the value that was earned; None if there was no request."""
         return self.earned / self.value if self.value else None
 
     def quantile_ms(self, percent: float) -> float:
-        """A percentile of the latency of served requests; 0 if there were none."""
+        """A percentile of the latency of served requests, in milliseconds; 0 if none was served."""
         return self.latency_us.get_value_at_percentile(percent) / 1000.0 if self.served else 0.0
 
 
 @dataclass(slots=True)
 class Service:
-    """The measure of service over a run."""
+    """The service of a run."""
 
-    overall: float | None
-    worst_window: float | None  # the least service within any `WINDOW_S`
-    worst_window_at: float  # where that window begins, in seconds since the load began
-    worst_class: str | None
-    classes: dict[str, ClassService]
-    requests: list[ClientRequest]
+    overall: float | None  # None if there was no request
+    worst_window: float | None  # lowest service within any window of `WINDOW_S`
+    worst_window_at: float  # start of that window, in seconds since the load began
+    worst_class: str | None  # name of the class with the lowest service
+    classes: dict[str, ClassService]  # by name
+    requests: list[ClientRequest]  # in order of their due time
 
 
 def client_requests(trace: RunTrace) -> list[ClientRequest]:
-    """What became of each client request, in order of time."""
+    """All client requests with their outcomes, in order of their due time."""
     attempts: dict[str, list[RequestKey]] = defaultdict(list)
     for request in trace.requester_events:
         if request.tier == 0:
             attempts[request.id.partition(".")[0]].append(request)
     result = []
-    for wanted in trace.wanted:
-        cls = trace.classes[wanted.cls]
-        keys = sorted(attempts.get(wanted.root, ()), key=lambda key: trace.requester_events[key][0].t)
+    for scheduled in trace.scheduled:
+        cls = trace.classes[scheduled.cls]
+        keys = sorted(attempts.get(scheduled.root, ()), key=lambda key: trace.requester_events[key][0].t)
         outcome = Outcome.FAILED
         took_s = 0.0
         for key in keys:
@@ -130,15 +131,17 @@
                     break
                 outcome = _outcome(event)
                 if outcome is Outcome.SERVED:
-                    took_s = event.t - wanted.t
-        if outcome is not Outcome.SERVED and not trace.complete and wanted.t + cls.gives_up_s > trace.end:
+                    took_s = event.t - scheduled.t
+        if outcome is not Outcome.SERVED and not trace.complete and scheduled.t + cls.gives_up_s > trace.end:
             outcome = Outcome.OPEN
-        result.append(ClientRequest(wanted.root, cls, trace.elapsed(wanted.t), outcome, took_s, len(keys)))
+        result.append(
+            ClientRequest(scheduled.root, cls, trace.elapsed(scheduled.t), outcome, took_s, len(keys))
+        )
     return result
 
 
 def _outcome(event: RequesterEvent) -> Outcome:
-    """The outcome of a request if this event were the last of it."""
+    """The outcome of a client request if this event is its last one."""
     if isinstance(event, ResponseReceived):
         if event.status == 200 and event.sound:
             return Outcome.SERVED
@@ -147,7 +150,7 @@
 
 
 def service_of(requests: list[ClientRequest]) -> float | None:
-    """The fraction of these requests' value that was earned; None where none has a value."""
+    """The fraction of these requests' value that was earned; None if their total value is 0."""
     value = sum(one.cls.worth for one in requests if one.outcome is not Outcome.OPEN)
     return sum(one.earned for one in requests) / value if value else None
 
@@ -165,7 +168,7 @@
 
 
 def _worst_window(requests: list[ClientRequest], length_s: float) -> tuple[float | None, float]:
-    """The least service of what was asked within any window, and where that window begins."""
+    """The lowest service of the requests due in any window of `WINDOW_S`, and the start of that window."""
     worst = None
     worst_at = 0.0
     at = 0.0
--- a/orchidferry/testkit/judge/trace.py
+++ b/orchidferry/testkit/judge/trace.py
@@ -29,12 +29,12 @@
 from orchidferry.testkit.scenario import Class, Scenario
 
 RequesterEvent = RequestSent | ResponseReceived | ConnectionClosed | RequestTimedOut | ExtraBytes
-"""What the side that sends a request records of it."""
+"""The events of a request that its sender records: a client, or a server that calls the next tier."""
 
 MAX_HISTORY_LINES = 24
 
 KILLED = ("killed", "end")
-"""Reasons of `NodeDown` for which the node is not to blame: its callers have to ask again."""
+"""Values of `NodeDown.why` for a node that the test kit killed: open requests are lost, and callers retry."""
 
 
 class RequestKey(NamedTuple):
@@ -46,20 +46,20 @@
 
 @dataclass
 class RunTrace:
-    """The facts of a run, by what they are about. All times are on the record's clock, in seconds."""
+    """The facts of a run, grouped by their subject. All times are in seconds on the record's clock."""
 
     scenario: Scenario
-    start: float  # of the load
-    end: float  # of the record
-    complete: bool  # all clients came to their end
-    classes: dict[str, Class]
+    start: float  # when the load began
+    end: float  # when the record ends
+    complete: bool  # whether all clients finished
+    classes: dict[str, Class]  # request classes, by name
     requester_events: dict[RequestKey, list[RequesterEvent]] = field(
         default_factory=lambda: defaultdict(list)
     )
     arrivals: dict[RequestKey, list[RequestReceived]] = field(default_factory=lambda: defaultdict(list))
     executions: dict[RequestKey, list[ExecutionStarted]] = field(default_factory=lambda: defaultdict(list))
     completions: dict[RequestKey, list[ExecutionEnded]] = field(default_factory=lambda: defaultdict(list))
-    wanted: list[RequestScheduled] = field(default_factory=list)
+    scheduled: list[RequestScheduled] = field(default_factory=list)
     announcements: dict[tuple[str, str], list[StatusAnnounced]] = field(
         default_factory=lambda: defaultdict(list)
     )  # by node and server
@@ -72,21 +72,21 @@
     arrivals_by_server: dict[str, list[RequestReceived]] = field(default_factory=lambda: defaultdict(list))
 
     def node_of(self, arrival: RequestReceived) -> str | None:
-        """The node that sent a request to a server; None if the record has no sender of it."""
+        """The node that forwarded a request to a server; None if the record does not show it."""
         for fact in self.requester_events.get(RequestKey(arrival.tier, arrival.id), ()):
             if isinstance(fact, RequestSent):
                 return fact.node
         return None
 
     def rejected_at(self, arrival: RequestReceived) -> float | None:
-        """When its server rejected a request, so that its node could know; None if it may have run."""
+        """When a server rejected a request, and the node could know; None if it may have been executed."""
         for fact in self.completions.get(RequestKey(arrival.tier, arrival.id), ()):
             if fact.server == arrival.server and fact.t >= arrival.t:
                 return fact.t if fact.how == "rejected" else None
         return None
 
     def out_of_service_since(self, node: str, server: str, t: float) -> float | None:
-        """Since when a node knows, at `t`, that a server drains or is gone; None if it is in service."""
+        """Since when a node has known, at `t`, that a server drains or is gone; None if it is in service."""
         since: float | None = None
         for fact in self.announcements.get((node, server), ()):
             if fact.t > t:
@@ -98,30 +98,30 @@
         return since
 
     def node_stop_between(self, node: str, after: float, before: float) -> NodeDown | None:
-        """The first end of a node's process within a span of time, if there was one."""
+        """The first end of a node's process from `after` to `before`, if there was one."""
         for fact in self.node_stops.get(node, ()):
             if after <= fact.t <= before and fact.why != "term":
                 return fact
         return None
 
     def node_was_dead(self, node: str, t: float) -> bool:
-        """Whether a node had been killed by `t`, and was not up again.
+        """Whether a node had been killed before `t` and was not up again by then.
 
-        A datagram to a process that has ended is not refused, so its sender can't know.
+        Over QUIC a client cannot notice this: a datagram to a process that has ended is not refused.
         """
         ends = [fact.t for fact in self.node_stops.get(node, ()) if fact.why in KILLED and fact.t <= t]
         return bool(ends) and not any(ends[-1] <= up <= t for up in self.node_starts.get(node, ()))
 
     def was_paused(self, node: str, after: float, before: float) -> bool:
-        """Whether a node's process was stopped by a signal at any time within a span."""
+        """Whether a node's process was paused (SIGSTOP) at any time from `after` to `before`."""
         return any(start <= before and end >= after for start, end in self.node_pauses.get(node, ()))
 
     def was_terminated(self, node: str, before: float) -> bool:
-        """Whether a node had been sent SIGTERM before a time."""
+        """Whether a node had been sent SIGTERM by the time `before`."""
         return any(fact.why == "term" and fact.t <= before for fact in self.node_stops.get(node, ()))
 
     def requester_died(self, node: str, after: float) -> bool:
-        """Whether the server beside which the node runs went down, and with it the sender of its requests."""
+        """Whether the server beside a node, which sends the node's requests, went down after `after`."""
         server = node.partition("/")[0]
         return any(t >= after for t in self.server_stops.get(server, ()))
 
@@ -130,7 +130,7 @@
         return t - self.start
 
     def history(self, request: RequestKey) -> list[str]:
-        """All that the record has of a request, in order of time, as lines of text."""
+        """All recorded events of a request, in order of time, one line of text each."""
         facts: list[Fact] = [
             *self.requester_events.get(request, ()),
             *self.arrivals.get(request, ()),
@@ -175,7 +175,7 @@
     :param facts: in order of time
     :param start: when the load began
     :param end: when the record ends
-    :param complete: whether all clients came to their end
+    :param complete: whether all clients finished
     """
     trace = RunTrace(scenario, start, end, complete, {cls.name: cls for cls in scenario.classes})
     for fact in facts:
@@ -198,9 +198,9 @@
         case ExecutionEnded():
             trace.completions[RequestKey(fact.tier, fact.id)].append(fact)
         case RequestScheduled():
-            trace.wanted.append(fact)
+            trace.scheduled.append(fact)
         case StatusAnnounced():
-            # What is written to a paused node is read only when it goes on.
+            # A paused node reads an announcement only when it is resumed.
             pauses = trace.node_pauses.get(fact.node, ())
             received = max((end for start, end in pauses if start <= fact.t <= end), default=fact.t)
             trace.announcements[fact.node, fact.server].append(replace(fact, t=received))
@@ -217,7 +217,7 @@
 
 
 def arrivals_between(arrivals: list[RequestReceived], low: float, high: float) -> list[RequestReceived]:
-    """Those arrivals whose time is from `low` to `high`, both included.
+    """The arrivals from `low` to `high`, both included.
 
     :param arrivals: in order of time
     """
--- a/orchidferry/testkit/judge/verdict.py
+++ b/orchidferry/testkit/judge/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a run: rules, service, attempts, and whether the machine was fast enough to say anything."""
+"""The verdict on a run: rules, service, attempts, and whether the machine was fast enough for a valid run."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from orchidferry.testkit.scenario import Scenario
 
 FAULT_ONSET_S = 2.0
-"""Seconds into a fault until what was in flight before it is over."""
+"""Seconds after the start of a fault until the requests in flight at its start have ended."""
 
 
 @dataclass(slots=True)
 class Verdict:
-    """All that is judged of a run."""
+    """The result of judging a run."""
 
     scenario: Scenario
     trace: RunTrace
-    rules: dict[str, Finding]
+    rules: dict[str, Finding]  # by the rule's key in `--json`
     service: Service
-    arrivals_by_tier: list[int]
-    client_attempts: int  # requests that clients sent, retries counted
-    unsafe_duplicates: list[str]
+    arrivals_by_tier: list[int]  # number of requests that reached the servers of each tier
+    client_attempts: int  # number of requests that clients sent, retries included
+    unsafe_duplicates: list[str]  # see `unsafe_duplicates` in `judge.rules`
     lateness: Lateness
-    complete: bool
-    why: str  # the run is not complete
-    control: dict[str, Any] | None = None  # what became of a control service's versions
-    traffic: dict[str, Any] | None = None  # of a replay: what was sent, how late, and what was left out
-    fleet: dict[str, Any] | None = None  # of nodes that know of each other
-    views: FleetViews | None = None  # of theirs, over time
+    complete: bool  # whether all clients finished
+    why: str  # reason why the run is not complete; empty if it is
+    control: dict[str, Any] | None = None  # result of the control service's configuration versions, if any
+    traffic: dict[str, Any] | None = None  # of a replay: requests sent, their lateness, and those left out
+    fleet: dict[str, Any] | None = None  # result for the fleet membership, if the nodes form a fleet
+    views: FleetViews | None = None  # the nodes' membership views over time, if they form a fleet
 
     @property
     def broken_rules(self) -> list[str]:
@@ -45,18 +45,18 @@
 
     @property
     def passed(self) -> bool:
-        """Whether the run is complete, says something, and violated no rule."""
-        proven = all(part is None or not part["problems"] for part in (self.control, self.fleet))
-        return self.complete and not self.lateness.void and not self.broken_rules and proven
+        """Whether the run is complete and not void, and neither a rule nor a further check failed."""
+        no_problems = all(part is None or not part["problems"] for part in (self.control, self.fleet))
+        return self.complete and not self.lateness.void and not self.broken_rules and no_problems
 
     @property
     def client_requests(self) -> int:
-        """How many requests clients made, retries not counted."""
+        """Number of requests that clients made, retries not counted."""
         return sum(row.asked for row in self.service.classes.values())
 
     @property
     def arrivals_per_client_request(self) -> float:
-        """How many requests reached servers of any tier, for each client request."""
+        """Number of requests that reached servers of any tier, per client request."""
         return sum(self.arrivals_by_tier) / self.client_requests if self.client_requests else 0.0
 
 
@@ -66,10 +66,10 @@
     """Judge a record.
 
     :param facts: in order of time
-    :param start: when the load began
-    :param end: when the record ends
-    :param complete: whether all clients came to their end
-    :param why: the reason why they did not
+    :param start: when the load began, in seconds on the record's clock
+    :param end: when the record ends, on the same clock
+    :param complete: whether all clients finished
+    :param why: the reason why they did not; empty if they did
     """
     trace = build_trace(scenario, facts, start, end, complete)
     service = measure(trace)
@@ -87,7 +87,7 @@
         [arrivals[n] for n in range(len(scenario.tiers))],
         attempts,
         unsafe_duplicates(trace),
-        measure_lateness(facts, scenario.limits, len(trace.wanted)),
+        measure_lateness(facts, scenario.limits, len(trace.scheduled)),
         complete,
         why,
     )
@@ -95,22 +95,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultAttempts:
-    """What was asked and what reached servers while the longest fault lasted."""
+    """Client requests, and arrivals at servers, during the longest fault."""
 
-    fault: str
+    fault: str  # the kind of fault, as in the scenario's timeline
     start_s: float  # seconds since the load began
-    end_s: float
-    asked: int
+    end_s: float  # seconds since the load began
+    asked: int  # number of client requests that were due, retries not counted
     arrivals_by_tier: list[int]
 
     @property
     def per_client_request(self) -> float | None:
-        """Arrivals for each client request, to 4 digits; None if nothing was asked."""
+        """Arrivals per client request, rounded to 4 digits; None if there was no client request."""
         return round(sum(self.arrivals_by_tier) / self.asked, 4) if self.asked else None
 
 
 def attempts_during_fault(verdict: Verdict) -> FaultAttempts | None:
-    """Attempts from `FAULT_ONSET_S` into the longest fault until its end; None where none lasts longer."""
+    """Count attempts from `FAULT_ONSET_S` after the start of the longest fault until its end.
+
+    :returns: the counts; None if no fault lasted longer than `FAULT_ONSET_S`
+    """
     trace = verdict.trace
     fault = max(trace.incidents, key=lambda fact: fact.until - fact.t, default=None)
     if fault is None or fault.until - fault.t <= FAULT_ONSET_S:
@@ -121,26 +124,26 @@
     for arrivals in trace.arrivals.values():
         for arrival in arrivals:
             by_tier[arrival.tier] += start <= arrival.t < end
-    asked = sum(start <= wanted.t < end for wanted in trace.wanted)
+    asked = sum(start <= scheduled.t < end for scheduled in trace.scheduled)
     return FaultAttempts(fault.do, trace.elapsed(start), trace.elapsed(end), asked, by_tier)
 
 
 @dataclass(frozen=True, slots=True)
 class NewPoolLoad:
-    """What a new pool of servers carried."""
+    """The load that a new pool of servers received."""
 
-    requests: int  # client requests that reached it
-    value_fraction: float  # of all value asked for, to 5 digits
-    last_s: float | None  # when the last one came, in seconds since the load began, to 3 digits
+    requests: int  # number of client requests that reached the pool
+    value_fraction: float  # their value divided by that of all client requests, to 5 digits
+    last_s: float | None  # arrival of the last one, in seconds since the load began, to 3 digits
 
 
 def new_pool_load(verdict: Verdict) -> NewPoolLoad | None:
-    """What the new pool of the first tier carried; None if the scenario has none."""
+    """The load that the new pool of the first tier received; None if the scenario has no new pool."""
     scenario = verdict.scenario
     trace = verdict.trace
     if not scenario.pools.on:
         return None
-    # A server's name begins with its tier and its number there.
+    # A server's name begins with its tier's name and its number within the tier.
     prefix = f"{scenario.tiers[0].name}-"
     new_servers = {
         up.server
@@ -155,7 +158,7 @@
                 roots.add(arrival.id.partition(".")[0])
                 last = max(last or 0.0, trace.elapsed(arrival.t))
     values = {cls.name: cls.worth for cls in scenario.classes}
-    total = sum(values[wanted.cls] for wanted in trace.wanted)
-    carried = sum(values[wanted.cls] for wanted in trace.wanted if wanted.root in roots)
+    total = sum(values[scheduled.cls] for scheduled in trace.scheduled)
+    carried = sum(values[scheduled.cls] for scheduled in trace.scheduled if scheduled.root in roots)
     last_s = None if last is None else round(last, 3)
     return NewPoolLoad(len(roots), round(carried / max(total, 1e-9), 5), last_s)
--- a/orchidferry/testkit/judge/verdict_json.py
+++ b/orchidferry/testkit/judge/verdict_json.py
@@ -1,4 +1,4 @@
-"""The JSON object of a verdict, whose keys the operators' pages fix."""
+"""The JSON object of a verdict; its keys are documented for operators and must not change."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def rounded(value: float | None, digits: int = 4) -> float | None:
-    """A number as it is shown; None stays."""
+    """A number rounded for output, or None."""
     return None if value is None else round(value, digits)
 
 
 def as_json(verdict: Verdict) -> dict[str, Any]:
-    """The object of `--json`; what stands under `run` is the kit's own and not fixed by the pages."""
+    """The object of `--json`; its part under `run` is internal to the test kit and may change."""
     scenario = verdict.scenario
     trace = verdict.trace
     tiers = [tier.name for tier in scenario.tiers]
@@ -56,7 +56,7 @@
 
 
 def fault_as_json(verdict: Verdict) -> dict[str, Any] | None:
-    """Attempts while the longest fault lasted; None where there was none."""
+    """The attempts during the longest fault; None if there was no fault of sufficient length."""
     found = attempts_during_fault(verdict)
     if found is None:
         return None
@@ -71,7 +71,7 @@
 
 
 def new_pool_as_json(verdict: Verdict) -> dict[str, Any] | None:
-    """What a new pool carried; None where there was none."""
+    """The load that a new pool received; None if there was no new pool."""
     found = new_pool_load(verdict)
     if found is None:
         return None
