--- a/orchidferry/testkit/world/__init__.py
+++ b/orchidferry/testkit/world/__init__.py
@@ -1,1 +1,5 @@
-"""The processes of a run: stand-in servers, discovery, the fleet's links and real nodes."""
+"""The processes of a rehearsal.
+
+These are stand-in (simulated) servers, service discovery, a relay that injects faults into the links between
+nodes, and real nodes.
+"""
--- a/orchidferry/testkit/world/actions.py
+++ b/orchidferry/testkit/world/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of a run's plan on servers, nodes and discovery."""
+"""Executes the actions of a run's plan on servers, nodes and service discovery."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 WITHDRAW_AFTER_TERM_S = (0.2, 0.4)  # bounds of the delay after which clients no longer use a terminated node
 
 
-class ActionPlayer:
-    """Carries out actions on a deployment."""
+class ActionExecutor:
+    """Executes actions on a deployment."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
 
-    def play(self, action: Action) -> None:
-        """Carry out an action; what takes time continues as a background task."""
+    def execute(self, action: Action) -> None:
+        """Execute an action; an action that takes time continues in a background task."""
         if action.do in SERVER_FAULTS:
             self._set_fault(action)
         elif action.do in ("leave", "down", "crash", "up"):
-            self._play_on_server(action.do, action.whom)
+            self._execute_on_server(action.do, action.whom)
         elif action.do in ("discovery-down", "discovery-up"):
             self._deployment.discovery.set_down(action.do == "discovery-down")
         else:
-            self._play_on_node(action.do, action.whom)
+            self._execute_on_node(action.do, action.whom)
 
     def _set_fault(self, action: Action) -> None:
         if action.whom not in self._deployment.running:
@@ -34,7 +34,7 @@
         order = {"do": action.do, "whom": action.whom, "value": action.value, "entry": action.entry}
         self._deployment.worker_of(self._deployment.plan.server(action.whom)).send_order(order)
 
-    def _play_on_server(self, do: str, name: str) -> None:
+    def _execute_on_server(self, do: str, name: str) -> None:
         deployment = self._deployment
         server = deployment.plan.server(name)
         if do == "up":
@@ -46,7 +46,7 @@
             deployment.worker_of(server).send_order({"do": "down", "whom": name, "why": why})
             deployment.on_server_down(name)
 
-    def _play_on_node(self, do: str, name: str) -> None:
+    def _execute_on_node(self, do: str, name: str) -> None:
         deployment = self._deployment
         node = deployment.nodes[name]
         match do:
@@ -69,7 +69,7 @@
                     deployment.publish_usable_nodes()
 
     async def _start_server(self, server: Server) -> None:
-        """Start a server, cold, after its sidecar node."""
+        """Start a server with slow start, after its sidecar node is ready."""
         node = self._deployment.sidecar_node(server)
         if node is not None:
             await node.wait_ended()
@@ -82,7 +82,10 @@
         self._deployment.discovery.detach(node.name)
 
     async def _withdraw_node(self, name: str, between: tuple[float, float]) -> None:
-        """Withdraw a node from the clients after a random delay, unless its state has changed since."""
+        """Withdraw a node from the clients after a random delay, unless its state has changed by then.
+
+        :param between: bounds of the delay in seconds
+        """
         node = self._deployment.nodes[name]
         incarnation = node.incarnation
         paused_at = node.paused_at
--- a/orchidferry/testkit/world/addresses.py
+++ b/orchidferry/testkit/world/addresses.py
@@ -1,7 +1,7 @@
-"""Loopback addresses of a run: each server and node has an IP address of its own in 127.0.0.0/8.
+"""Loopback addresses of a run: each server and node has its own IP address in 127.0.0.0/8.
 
-A run claims a block 127.b.0.0/16 by a listener in it that stays open to its end. Concurrent runs have
-different blocks, and a server has the same address after a restart.
+A run claims a block 127.b.0.0/16 with a listening socket in the block that stays open until the run ends.
+Concurrent runs have different blocks, and a server has the same address after a restart.
 """
 
 from __future__ import annotations
@@ -11,26 +11,29 @@
 from orchidferry.errors import OrchidferryError
 from orchidferry.testkit.wire import Address
 
-# all below the kernel's range of ephemeral ports
+# All ports are below the kernel's range of ephemeral ports.
 SERVICE_PORT = 9000
 DISCOVERY_PORT = 8500
 CLAIM_PORT = 8499
 FIRST_BLOCK = 64
 LAST_BLOCK = 250
-# first index of the addresses of the servers' sidecar nodes, and of the first tier's nodes
-NODES_FROM = 20_000
-FRONT_NODES_FROM = 40_000
-HUB_FROM = 50_000  # first index of the hub's addresses, at which nodes reach each other
+# Index of the first address of each kind; servers begin at 0.
+SIDECAR_NODES_FROM = 20_000  # sidecar nodes of servers
+FRONT_NODES_FROM = 40_000  # front nodes, which clients use
+HUB_FROM = 50_000  # addresses of the hub, through which front nodes reach each other
 FLEET_PORT = 9100
 ADMIN_PORT = 9200
 
 
 class NoFreeAddressesError(OrchidferryError):
-    """All blocks are in use."""
+    """All address blocks are in use."""
 
 
 class Block:
-    """The addresses of one run."""
+    """The addresses of one run.
+
+    :param number: second byte of all addresses of the block
+    """
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -42,29 +45,32 @@
         """Return the address of a stand-in server."""
         return self._ip(number), SERVICE_PORT
 
-    def own_node(self, number: int) -> Address:
-        """Return the address of the sidecar node of a server."""
-        return self._ip(NODES_FROM + number), SERVICE_PORT
+    def sidecar_node(self, number: int) -> Address:
+        """Return the address of the sidecar node of a server.
+
+        :param number: the server's index over all tiers
+        """
+        return self._ip(SIDECAR_NODES_FROM + number), SERVICE_PORT
 
     def front_node(self, number: int) -> Address:
-        """Return the address at which clients reach a node of the first tier."""
+        """Return the address at which clients reach a front node."""
         return self._ip(FRONT_NODES_FROM + number), SERVICE_PORT
 
     def fleet_node(self, number: int) -> Address:
-        """Return the address at which a node of the first tier listens to its peers."""
+        """Return the address at which a front node listens for its peers."""
         return self._ip(FRONT_NODES_FROM + number), FLEET_PORT
 
     def fleet_hub(self, number: int) -> Address:
-        """Return the hub's address at which peers reach a node of the first tier."""
+        """Return the hub's address at which peers reach a front node."""
         return self._ip(HUB_FROM + number), FLEET_PORT
 
     def admin(self, number: int) -> Address:
-        """Return the address of the admin server of a node of the first tier."""
+        """Return the address of the admin server of a front node."""
         return self._ip(FRONT_NODES_FROM + number), ADMIN_PORT
 
     @staticmethod
     def discovery_for(node: Address) -> Address:
-        """Return the address at which only this node asks discovery."""
+        """Return the address of service discovery that only this node uses."""
         return node[0], DISCOVERY_PORT
 
 
--- a/orchidferry/testkit/world/child.py
+++ b/orchidferry/testkit/world/child.py
@@ -1,4 +1,4 @@
-"""Worker processes: orders go to their standard input, reports come from their standard output."""
+"""Worker processes of the test kit; they read orders from standard input and report on standard output."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from orchidferry.testkit.process import Order
 
-CLOSE_TIMEOUT_S = 5.0  # for a worker to write its record and end
+CLOSE_TIMEOUT_S = 5.0  # time for a worker to write its record and exit
 
 
 class Counts(NamedTuple):
-    """The numbers of requests that a process of clients has made, has had served, and has open."""
+    """Counts of client requests of one load generator process."""
 
-    asked: int = 0
+    asked: int = 0  # requests made, retries not counted
     served: int = 0
-    open: int = 0
+    open: int = 0  # requests that have not ended
 
 
 class Child:
@@ -29,7 +29,7 @@
         self.name = name
         self.process = process
         self.ready = asyncio.Event()
-        self.played = asyncio.Event()
+        self.load_ended = asyncio.Event()  # set when a load generator has ended all its requests
         self.counts = Counts()
         self.reader: asyncio.Task[None] | None = None
 
@@ -50,7 +50,7 @@
             self.reader.cancel()
 
     async def listen(self, on_report: OnReport, on_end: OnEnd) -> None:
-        """Pass on the worker's reports, and its exit status when it ends."""
+        """Pass the worker's reports to `on_report`, and its exit status to `on_end` when it ends."""
         assert self.process.stdout is not None
         while text := await self.process.stdout.readline():
             on_report(self, json.loads(text))
@@ -66,12 +66,12 @@
 ) -> Child:
     """Start a worker process.
 
-    :param folder: the run's folder, with the script
-    :param module: the worker's module
-    :param name: names its record and its log
-    :param index: its index among the workers of its kind
-    :param on_report: called with each of its reports
-    :param on_end: called with its exit status
+    :param folder: the run's folder, which contains the script for the workers
+    :param module: the Python module that the worker runs
+    :param name: name of the worker, and of the files of its record and its log
+    :param index: the worker's index among the workers of its kind
+    :param on_report: called with each report of the worker
+    :param on_end: called with the worker's exit status
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/orchidferry/testkit/world/deployment.py
+++ b/orchidferry/testkit/world/deployment.py
@@ -1,4 +1,4 @@
-"""The running parts of a rehearsal: servers, nodes, discovery and the kit's own processes."""
+"""The running parts of a rehearsal: servers, nodes, service discovery and the test kit's own processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.child import Child
 from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer
-from orchidferry.testkit.world.node_files import NEW_KIND, fleet_text
+from orchidferry.testkit.world.node_files import NEW_POOL_KIND, fleet_text
 from orchidferry.testkit.world.nodes import NodeProcess, NodeSpec
 from orchidferry.testkit.world.plan import Plan, Server, in_new_pool
 from orchidferry.testkit.world.worker import sidecar_of, worker_index
@@ -22,11 +22,14 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import Files
 
-STANDIN_KIND = "standin-1c"  # of a server's machine, as discovery names it
+STANDIN_KIND = "standin-1c"  # machine type of stand-in servers in discovery
 
 
 class Deployment:
-    """Starts and ends the parts of one run, and keeps their state."""
+    """Starts and ends the parts of one run, and keeps their state.
+
+    :param folder: the run's folder, for records, logs and the nodes' files
+    """
 
     def __init__(self, plan: Plan, folder: Path, block: Block) -> None:
         self.plan = plan
@@ -39,16 +42,16 @@
         self.workers: list[Child] = []
         self.clients: list[Child] = []
         self.nodes: dict[str, NodeProcess] = {}
-        self.usable_nodes: set[str] = set()  # nodes that clients may use
-        # start of each running server, in seconds of the record's clock; 0: before the load
+        self.usable_nodes: set[str] = set()  # names of the nodes that clients may use
+        # start time of each running server, in seconds on the record's clock; 0: before the load
         self.running: dict[str, float] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.aborted: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self.closing = False
         self.files: Files | None = None  # certificates, with HTTP/3
-        self.start = 0.0  # of the load, on the record's clock
-        self.control_at: tuple[str, int] | None = None  # where the control service listens
-        self._starting: dict[str, asyncio.Event] = {}
+        self.start = 0.0  # start of the load, in seconds on the record's clock; 0: not started
+        self.control_at: tuple[str, int] | None = None  # address of the control service
+        self._starting: dict[str, asyncio.Event] = {}  # by server; set when the server serves
 
     def abort(self, why: str) -> None:
         """End the run early; only the first reason is kept."""
@@ -56,7 +59,7 @@
             self.aborted.set_result(why)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a background task; it is cancelled at the end of the run, and its failure ends the run."""
+        """Run a background task; it is cancelled at the end of the run, and its failure aborts the run."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -76,9 +79,11 @@
         """Create a node, without starting it.
 
         :param tier: index of the tier whose servers the node uses
-        :param server: the server whose sidecar it is; None for a node of the front
+        :param number: the node's index among its siblings
+        :param siblings: number of nodes that use the same tier, this node included
+        :param server: the server that the node is a sidecar of; None for a front node
         """
-        address = self.block.front_node(number) if server is None else self.block.own_node(server.number)
+        address = self.block.front_node(number) if server is None else self.block.sidecar_node(server.number)
         spec = NodeSpec(name, tier, number, siblings, address, self.block.discovery_for(address))
         node = NodeProcess(spec, self.scenario, self.folder, self.recorder, self._on_node_exit, self.files)
         if server is None:
@@ -94,7 +99,7 @@
         self.abort(f"node {node.name} ended by itself ({why}){': ' + tail[-160:] if tail else ''}")
 
     def sidecar_node(self, server: Server) -> NodeProcess | None:
-        """Return the sidecar node of a server, created at the first call; None in the last tier."""
+        """Return the sidecar node of a server, created on the first call; None in the last tier."""
         sidecar = sidecar_of(self.scenario, self.block, server)
         if sidecar is None:
             return None
@@ -104,13 +109,13 @@
         return self.make_node(sidecar[0], server.tier + 1, server.position, siblings, server)
 
     async def start_node(self, node: NodeProcess) -> None:
-        """Start a node and wait until it is ready; the run ends if it fails."""
+        """Start a node and wait until it is ready; if that fails, the run is aborted."""
         await self.discovery.attach(node.name, node.spec.tier, node.spec.discovery)
         if not await node.start(self.discovery.known_list(node.spec.tier, node.name)) and not self.closing:
             self.abort(f"node {node.name} did not become ready: {' | '.join(node.log_tail(2))[-160:]}")
 
     def endpoints(self) -> list[dict[str, Any]]:
-        """Return the servers of the first tier in the form of the control service."""
+        """Return the servers of the first tier in the format of the control service."""
         listed = self.discovery.registries[0].servers.values()
         return [
             {
@@ -127,9 +132,9 @@
         ]
 
     def entry(self, server: Server, since: float, status: str = "active") -> ListedServer:
-        """Return a server in the form of discovery.
+        """Return a server's entry in the list of service discovery.
 
-        :param since: when it was started, in seconds of the record's clock; 0: before the run
+        :param since: start time of the server, in seconds on the record's clock; 0: before the run
         """
         host, port = self.block.server(server.number)
         zone = self.scenario.tiers[server.tier].zone
@@ -144,13 +149,13 @@
             status,
             since,
             address if h3 else "",
-            NEW_KIND if in_new_pool(self.scenario, server) else STANDIN_KIND,
+            NEW_POOL_KIND if in_new_pool(self.scenario, server) else STANDIN_KIND,
         )
 
     async def start_server(self, server: Server, cold: bool) -> None:
         """Start a server and wait until it serves.
 
-        :param cold: whether it begins with slow start
+        :param cold: whether the server begins with slow start
         """
         started = asyncio.Event()
         self._starting[server.name] = started
@@ -158,19 +163,19 @@
         await started.wait()
 
     async def start_first_servers(self, servers: list[Server]) -> None:
-        """List and start the servers that exist from the start of the run, warm."""
+        """List and start the servers that exist from the start of the run, at full capacity."""
         for server in servers:
             self.discovery.registries[server.tier].servers[server.name] = self.entry(server, 0.0)
         await asyncio.gather(*(self.start_server(server, False) for server in servers))
 
     def on_server_up(self, name: str) -> None:
-        """Note that a server serves."""
+        """Handle the report that a server serves."""
         self.running[name] = self.recorder.now() if self.start else 0.0
         if name in self._starting:
             self._starting.pop(name).set()
 
     def on_server_down(self, name: str) -> None:
-        """Note that a server has ended, and kill its sidecar node."""
+        """Handle the end of a server: list it as gone after a delay, and kill its sidecar node."""
         if self.closing or name not in self.running:
             return
         self.list_later(name, "left", self.scenario.discovery.notice)
@@ -186,7 +191,7 @@
             child.send_order({"do": "deal", "nodes": sorted(self.usable_nodes)})
 
     def list_later(self, name: str, status: str, between: tuple[float, float]) -> None:
-        """Change a server's status in discovery after a random delay.
+        """Change a server's status in service discovery after a random delay.
 
         :param between: bounds of the delay in seconds
         """
@@ -195,8 +200,8 @@
         self.discovery.list_later(entry, self.delay(between, name, status))
 
     def delay(self, between: tuple[float, float], *name: str) -> float:
-        """Draw a delay for a name.
+        """Draw a delay in seconds; the same seed and the same `name` always give the same delay.
 
-        :param between: bounds in seconds
+        :param between: bounds of the delay in seconds
         """
         return seeded_random.uniform(self.scenario.seed, "delay", *name, low=between[0], high=between[1])
--- a/orchidferry/testkit/world/director.py
+++ b/orchidferry/testkit/world/director.py
@@ -1,4 +1,4 @@
-"""Runs a rehearsal: starts all processes, carries out the plan, and ends all processes in any case."""
+"""Runs a rehearsal: starts all processes, executes the plan, and ends all processes in any case."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from orchidferry.testkit.scenario import Scenario
 from orchidferry.testkit.stop_signals import on_stop_signals
 from orchidferry.testkit.traffic.guard import new_key
-from orchidferry.testkit.world.actions import ActionPlayer
+from orchidferry.testkit.world.actions import ActionExecutor
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.child import CLOSE_TIMEOUT_S, Child, Counts, start_child
 from orchidferry.testkit.world.deployment import Deployment
@@ -28,23 +28,26 @@
 
 __all__ = ["RESULT", "Director", "Progress", "Run", "RunAbortedError", "rehearse"]
 
-START_TIMEOUT_S = 60.0  # for all processes to become ready
-MAX_CONCURRENT_STARTS = 8  # of nodes
-LEAD_S = 0.3  # from the order to play to the first arrival
-END_TIMEOUT_S = 15.0  # after the last client's deadline; the run is aborted then
-LATE_ANSWERS_S = 0.2  # for answers that arrive after their clients have ended
-MAX_NOTES = 20
-MAX_NOTE_LENGTH = 200
-RESULT = "control.json"  # of the control service's process, in the run's folder
+START_TIMEOUT_S = 60.0  # time for all processes to become ready
+MAX_CONCURRENT_STARTS = 8  # number of nodes that are started at the same time
+LEAD_S = 0.3  # time from the order to start the load to the start of the load
+END_TIMEOUT_S = 15.0  # time from the last client's deadline until the run is aborted
+LATE_ANSWERS_S = 0.2  # time to wait for answers that arrive after their clients have ended
+MAX_NOTES = 20  # number of error lines from the nodes' logs in the result
+MAX_NOTE_LENGTH = 200  # characters of one of these lines
+RESULT = "control.json"  # file in the run's folder to which the control service's process writes its result
 
 
 class Director:
-    """One run from its start to its end."""
+    """Controls one run from its start to its end: all processes, and the plan.
+
+    :param progress: updated while the run is under way
+    """
 
     def __init__(self, plan: Plan, folder: Path, block: Block, progress: Progress) -> None:
         self.deployment = Deployment(plan, folder, block)
         self.progress = progress
-        self._action_player = ActionPlayer(self.deployment)
+        self._action_executor = ActionExecutor(self.deployment)
         self._control: Child | None = None
         self._hub: Child | None = None
         self._control_listening = asyncio.Event()
@@ -65,7 +68,7 @@
             case "told":
                 self._result_written.set()
             case "played":
-                child.played.set()
+                child.load_ended.set()
             case "tick":
                 child.counts = Counts(report["asked"], report["served"], report["open"])
                 self._sum_counts()
@@ -95,7 +98,7 @@
             deployment.files = certs.make(deployment.folder / "certs")
         foreign = scenario.guard.target is not None
         await self._start_workers(foreign)
-        if foreign:  # no stand-in servers: all requests go to the one target
+        if foreign:  # a replay to an external target: no stand-in servers and no nodes are started
             deployment.usable_nodes = {"target"}
             return deployment.publish_usable_nodes()
         servers = [server for server in deployment.plan.servers if not server.starts_later]
@@ -111,7 +114,10 @@
         return None
 
     async def _start_workers(self, foreign: bool) -> None:
-        """Start the processes of clients, and of stand-in servers unless the target is foreign."""
+        """Start the worker processes of the clients and of the stand-in servers.
+
+        :param foreign: whether all requests go to an external target, so that no stand-in servers are needed
+        """
         deployment = self.deployment
         scenario = self.deployment.scenario
         key = new_key() if scenario.traffic and not foreign else ""
@@ -132,7 +138,7 @@
         await asyncio.gather(*(child.ready.wait() for child in children))
 
     async def _start_nodes(self, servers: list[Server]) -> None:
-        """Start the nodes of the front and the sidecar nodes of the servers."""
+        """Start the front nodes and the sidecar nodes of the servers."""
         deployment = self.deployment
         names = deployment.plan.nodes
         nodes = [deployment.make_node(name, 0, n, len(names), None) for n, name in enumerate(names)]
@@ -149,7 +155,7 @@
         await asyncio.gather(*(start(node) for node in nodes))
 
     async def _start_control(self) -> None:
-        """Start the control service in its own process, as gRPC's threads don't go with forks."""
+        """Start the control service in its own process, as gRPC's threads are incompatible with fork."""
         child = await self._start_child("orchidferry.testkit.control.worker", "control", 0)
         self._control = child
         await child.ready.wait()
@@ -157,7 +163,7 @@
         await self._control_listening.wait()
 
     async def control_result(self) -> dict[str, Any] | None:
-        """Return the result of the control service; None without one, or if it does not answer in time."""
+        """Return the result of the control service; None if there is none or it does not answer in time."""
         child = self._control
         if child is None or child.process.returncode is not None:
             return None
@@ -169,10 +175,10 @@
         result: dict[str, Any] = json.loads((self.deployment.folder / RESULT).read_text())
         return result
 
-    async def play(self) -> None:
-        """Carry out the plan.
+    async def run_plan(self) -> None:
+        """Run the load and execute the plan's actions until all clients have ended.
 
-        :raises RunAbortedError: if it can't be carried out to its end
+        :raises RunAbortedError: if the clients do not end in time
         """
         deployment = self.deployment
         start = deployment.recorder.now() + LEAD_S
@@ -193,7 +199,7 @@
             wait = monotonic_at(deployment.zero, start + action.t)
             if wait > 0:
                 await asyncio.sleep(wait)
-            self._action_player.play(action)
+            self._action_executor.execute(action)
         await self._wait_for_clients()
         await asyncio.sleep(LATE_ANSWERS_S)
 
@@ -204,12 +210,12 @@
         try:
             async with asyncio.timeout(max(0.0, monotonic_at(deployment.zero, end))):
                 for child in deployment.clients:
-                    await child.played.wait()
+                    await child.load_ended.wait()
         except TimeoutError:
             raise RunAbortedError("the clients did not come to their end") from None
 
     async def _monitor(self) -> None:
-        """Flush the record regularly, and measure this event loop's lag and the nodes' wait for a core."""
+        """Flush the record regularly; measure this event loop's lag and the nodes' waits for a CPU core."""
         loop = asyncio.get_running_loop()
         recorder = self.deployment.recorder
         sampled = loop.time()
@@ -232,14 +238,14 @@
                     node.sample_cpu(True)
 
     async def until_aborted(self) -> None:
-        """Wait until the run is ended early.
+        """Wait until the run is aborted.
 
         :raises RunAbortedError: with the reason
         """
         raise RunAbortedError(await asyncio.shield(self.deployment.aborted))
 
     async def close(self) -> None:
-        """End all processes and close all ports, in whatever state they are."""
+        """End all processes and close all ports, whatever their state."""
         self.deployment.closing = True
         self.progress.phase = "ending"
         for task in set(self.deployment.tasks):
@@ -247,7 +253,7 @@
         for node in self.deployment.nodes.values():
             node.sample_cpu(False)
         services = [child for child in (self._control, self._hub) if child is not None]
-        # Clients first: their last answers are the nodes' own, not those of a shutdown.
+        # Clients end first, so that the shutdown of nodes and servers does not affect their last requests.
         children = [*self.deployment.clients, *services, *self.deployment.workers]
         for child in children:
             child.send_order({"do": "close"})
@@ -262,7 +268,7 @@
         self.deployment.recorder.close()
 
     def cpu_s(self) -> float:
-        """Return the CPU seconds that the nodes have used."""
+        """Return the CPU time that the nodes have used, in seconds."""
         return sum(node.cpu_s for node in self.deployment.nodes.values())
 
     def processes(self) -> int:
@@ -274,7 +280,7 @@
         return len(self.deployment.workers) + len(self.deployment.clients)
 
     def journals(self) -> dict[str, list[str]]:
-        """Return the fleet journals, by node."""
+        """Return the lines of the nodes' journals of fleet membership, by node."""
         return {
             name: node.journal()
             for name, node in self.deployment.nodes.items()
@@ -296,12 +302,13 @@
 async def rehearse(scenario: Scenario, progress: Progress, keep: Path | None = None) -> Run:
     """Run a scenario once.
 
-    SIGINT, SIGTERM and the unexpected end of a process end the run early; the result has what was recorded
-    until then.
+    SIGINT, SIGTERM and the unexpected end of a process abort the run; the result then contains the facts
+    recorded so far.
 
-    :param keep: a folder in which the record and the nodes' logs are kept
-    :raises ValueError: if the timeline comes to too much
-    :raises NoFreeAddressesError: if all blocks of addresses are in use
+    :param progress: updated while the run is under way
+    :param keep: a folder in which the record and the nodes' logs are kept; None: they are deleted at the end
+    :raises ValueError: if the timeline gives too many servers or actions
+    :raises NoFreeAddressesError: if all address blocks are in use
     """
     plan = draw(scenario)
     block, reservation = claim()
@@ -341,12 +348,12 @@
 
 
 async def _run_to_end(director: Director) -> tuple[float, str | None]:
-    """Start and play a run.
+    """Start all processes and run the plan.
 
-    :returns: when it ended, in seconds of the record's clock, and the reason if it was aborted
+    :returns: when the run ended, in seconds on the record's clock, and the reason if it was aborted
     """
     loop = asyncio.get_running_loop()
-    work = loop.create_task(_start_and_play(director))
+    work = loop.create_task(_start_and_run_plan(director))
     aborted = loop.create_task(director.until_aborted())
     done, _ = await asyncio.wait({work, aborted}, return_when=asyncio.FIRST_COMPLETED)
     end = director.deployment.recorder.now()
@@ -361,15 +368,15 @@
     return end, None
 
 
-def _release(block: socket.socket) -> None:
+def _release(reservation: socket.socket) -> None:
     with contextlib.suppress(OSError):
-        block.close()
+        reservation.close()
 
 
-async def _start_and_play(director: Director) -> None:
+async def _start_and_run_plan(director: Director) -> None:
     try:
         async with asyncio.timeout(START_TIMEOUT_S):
             await director.start()
     except TimeoutError:
         raise RunAbortedError(f"not all came up within {START_TIMEOUT_S:g} s") from None
-    await director.play()
+    await director.run_plan()
--- a/orchidferry/testkit/world/discovery.py
+++ b/orchidferry/testkit/world/discovery.py
@@ -1,7 +1,7 @@
 """A stand-in for service discovery: server lists and long polls, with delays and outages.
 
-`Registry` holds the list of one tier and is free of I/O; `DiscoveryService` serves it over HTTP. Each node
-asks at its own address, so that the record can name the node that was notified.
+`Registry` holds the server list of one tier and is free of I/O; `DiscoveryService` serves the lists over
+HTTP. Each node has its own address of discovery, so that the record can name the node that was notified.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from orchidferry.testkit.record import Recorder, StatusAnnounced
 from orchidferry.testkit.wire import Address, Request, ServerSide
 
-MAX_WAIT_MS = 60_000
-MAX_CHANGES = 10_000  # that are kept: a watch with an older index gets a snapshot
-ASSUMED_KNOWN_AFTER_S = 6.0  # each node counts as notified of a change after this
-DOWN_RETRY_S = 0.2  # until a change is tried again that came during an outage
+MAX_WAIT_MS = 60_000  # longest wait of a long poll
+MAX_CHANGES = 10_000  # number of changes that a registry keeps; a watch with an older index gets a snapshot
+ASSUMED_KNOWN_AFTER_S = 6.0  # time after a change from which each node counts as notified of it
+DOWN_RETRY_S = 0.2  # time until a change that fell into an outage is tried again
 
 
 @dataclass(slots=True)
 class ListedServer:
-    """A server as it is listed."""
+    """A server's entry in the list."""
 
     name: str
     tier: int
@@ -31,13 +31,13 @@
     zone: str
     cell: int
     status: str = "active"
-    since: float = 0.0  # seconds of the record's clock; 0: before the run
-    h3: str = ""  # its HTTP/3 address, if it has one
-    kind: str = "standin-1c"
+    since: float = 0.0  # start time of the server, in seconds on the record's clock; 0: before the run
+    h3: str = ""  # HTTP/3 address; empty if the server has none
+    kind: str = "standin-1c"  # machine type
 
 
 class Changes(NamedTuple):
-    """What a node is sent: all servers, or those that changed."""
+    """The content of an answer to a node: all servers (a snapshot), or those that changed."""
 
     is_snapshot: bool
     servers: list[ListedServer]
@@ -47,9 +47,9 @@
 class Registry:
     """The server list of one tier, with its latest changes in order."""
 
-    index: int = 1
-    servers: dict[str, ListedServer] = field(default_factory=dict)
-    changes: list[tuple[int, ListedServer]] = field(default_factory=list)
+    index: int = 1  # number of the latest change
+    servers: dict[str, ListedServer] = field(default_factory=dict)  # by name
+    changes: list[tuple[int, ListedServer]] = field(default_factory=list)  # each with its index
 
     def change(self, entry: ListedServer) -> None:
         """Add or replace a server, or remove it if its status is `left`."""
@@ -62,9 +62,9 @@
         del self.changes[:-MAX_CHANGES]
 
     def since(self, index: int | None) -> Changes:
-        """Return what a node that has seen an index must be sent.
+        """Return the changes after an index, or a snapshot if these changes are not kept any more.
 
-        :param index: the last index that the node has seen, or None
+        :param index: the last index that the node has seen; None gives a snapshot
         """
         oldest = self.changes[0][0] - 1 if self.changes else self.index
         if index is None or index > self.index or index < oldest:
@@ -82,25 +82,29 @@
     """A long poll that waits for a change."""
 
     connection: ServerSide
-    index: int
-    timer: asyncio.TimerHandle
+    index: int  # the last index that the node has seen
+    timer: asyncio.TimerHandle  # ends the long poll
 
 
 @dataclass
 class Subscriber:
-    """A node that asks discovery, with its connections and what it has been sent."""
+    """A node that uses discovery, with its connections and the statuses that it was sent."""
 
     name: str
-    tier: int
-    server: asyncio.Server | None = None
+    tier: int  # index of the tier with the servers that the node uses
+    server: asyncio.Server | None = None  # listener at the address of discovery for this node
     connections: set[ServerSide] = field(default_factory=set)
     watches: list[Watch] = field(default_factory=list)
     announced: dict[str, tuple[str, float]] = field(default_factory=dict)  # status and since, by server
-    up: bool = True
+    up: bool = True  # whether the node's process runs
 
 
 class DiscoveryService:
-    """Serves the lists of all tiers, with one listener for each node."""
+    """Serves the lists of all tiers, with one listener for each node.
+
+    :param tiers: number of tiers
+    :param unix_at_zero: Unix time of the record's zero, in seconds
+    """
 
     def __init__(self, tiers: int, recorder: Recorder, unix_at_zero: float) -> None:
         self.registries = [Registry() for _ in range(tiers)]
@@ -111,9 +115,10 @@
         self._loop = asyncio.get_running_loop()
 
     async def attach(self, node: str, tier: int, address: Address) -> None:
-        """Start to serve a node, also after its restart under the same name and address.
+        """Start to serve a node, also after a restart of the node under the same name and address.
 
-        :param tier: the tier whose servers the node uses
+        :param tier: index of the tier with the servers that the node uses
+        :param address: the address of discovery for this node
         """
         subscriber = self._subscribers.setdefault(node, Subscriber(node, tier))
         subscriber.announced.clear()
@@ -130,12 +135,16 @@
         )
 
     def detach(self, node: str) -> None:
-        """Stop to serve a node whose process has ended; it no longer counts as notified."""
+        """Stop serving a node whose process has ended; it no longer counts as notified of changes."""
         if node in self._subscribers:
             self._close_subscriber(self._subscribers[node])
 
     def _close_subscriber(self, subscriber: Subscriber) -> None:
-        """Free the address, as a server that returns with a new name has a new node at the same address."""
+        """Close a node's listener, connections and watches.
+
+        This frees the address: a server that is restarted under a new name has a new sidecar node at the same
+        address.
+        """
         subscriber.up = False
         if subscriber.server is not None:
             subscriber.server.close()
@@ -146,7 +155,7 @@
             connection.reset()
 
     def known_list(self, tier: int, node: str) -> dict[str, Any]:
-        """Return the list for a node's configuration file, and record the node as notified of it."""
+        """Return the server list for a node's configuration file, and record the node as notified of it."""
         registry = self.registries[tier]
         snapshot = registry.since(None)
         body = self._response(registry, snapshot)
@@ -169,7 +178,7 @@
                 self._loop.call_later(ASSUMED_KNOWN_AFTER_S, self._assume_known, subscriber, entry)
 
     def notify_watches(self, tier: int) -> None:
-        """Answer all watches of a tier with what has changed."""
+        """Answer all watches of a tier with the changes since their index."""
         for subscriber in self._subscribers.values():
             if subscriber.tier == tier:
                 for watch in list(subscriber.watches):
@@ -183,7 +192,7 @@
                 self._record_announced(subscriber, Changes(False, [entry]), True)
 
     def set_down(self, down: bool) -> None:
-        """Begin or end an outage; its beginning resets all connections."""
+        """Begin or end an outage; the beginning resets all connections."""
         self.down = down
         if down:
             for subscriber in self._subscribers.values():
@@ -257,7 +266,7 @@
     def _record_announced(self, subscriber: Subscriber, changes: Changes, assumed: bool) -> None:
         """Record each status that is new to a node.
 
-        :param assumed: whether the node only counts as notified, by the time that has passed
+        :param assumed: whether the node was sent nothing, but counts as notified because of the time passed
         """
         now = self._recorder.now()
         statuses = {entry.name: (entry.status, entry.since) for entry in changes.servers}
--- a/orchidferry/testkit/world/hub.py
+++ b/orchidferry/testkit/world/hub.py
@@ -1,7 +1,7 @@
 """Worker process that relays the traffic between the nodes of a fleet and applies link faults to it.
 
-The hub has an address for each node, at which its peers reach it, and each node sends from its own IP
-address: the hub knows the sender and the receiver. The number of delayed datagrams is bounded.
+The hub has one address per node, at which the node's peers reach that node, and each node sends from its own
+IP address. The hub therefore knows sender and receiver. The number of delayed datagrams is bounded.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from orchidferry.testkit.world.addresses import Block
 from orchidferry.testkit.world.links import Links
 
-MAX_DATAGRAM = 65_536
-MAX_DELAYED_DATAGRAMS = 50_000  # more are dropped, as by a full queue
-READS_PER_EVENT = 64
+MAX_DATAGRAM = 65_536  # bytes
+MAX_DELAYED_DATAGRAMS = 50_000  # further datagrams are dropped, as by a full queue
+READS_PER_EVENT = 64  # maximum number of datagrams read from a socket at once
 STREAM_CHUNK_BYTES = 16 * 1024
-PARTITION_POLL_S = 0.05  # how often a stream is tried again during a partition
-MAX_STREAM_S = 60.0  # after which a connection is closed
+PARTITION_POLL_S = 0.05  # interval at which a stream is retried during a partition
+MAX_STREAM_S = 60.0  # age at which a TCP connection is closed
 
 
 class Hub:
@@ -64,7 +64,7 @@
             self._servers.append(await asyncio.start_server(serve, *block.fleet_hub(n)))
 
     def _elapsed_s(self) -> float:
-        """Return the seconds since the load began; -1 before, when only permanent faults are active."""
+        """Return the seconds since the load began; -1 before that, when only permanent faults are active."""
         return self._recorder.now() - self._start if self._start < math.inf else -1.0
 
     def _on_readable(self, udp: socket.socket, to: str) -> None:
@@ -123,7 +123,7 @@
             writer.write_eof()
 
     async def handle_order(self, order: Order) -> None:
-        """Carry out an order of the director: `play` names the start of the load."""
+        """Carry out an order of the director: `play` gives the start time of the load."""
         if order["do"] == "play":
             self._start = float(order["at"])
 
--- a/orchidferry/testkit/world/links.py
+++ b/orchidferry/testkit/world/links.py
@@ -13,10 +13,10 @@
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.quic.faults import PathConditions, PathFaults
 
-# of a link without a fault
+# Delay and jitter of a link without a fault.
 DELAY_S = 0.0002
 JITTER_S = 0.0006
-MIN_RETRANSMISSION_TIMEOUT_S = 0.2  # of TCP, on most systems
+MIN_RETRANSMISSION_TIMEOUT_S = 0.2  # minimum retransmission timeout of TCP on most systems
 MAX_RETRANSMISSION_TIMEOUT_S = 10.0
 
 
@@ -28,23 +28,23 @@
     until: float
     one: frozenset[str]
     other: frozenset[str]
-    one_way: bool = False  # only messages from `one` to `other`
-    cut: bool = False  # nothing gets through
-    loss: float = 0.0  # fractions of datagrams
-    duplicate: float = 0.0
-    reorder: float = 0.0
-    late: float = 0.0  # fraction that is delayed by `late_s`
+    one_way: bool = False  # the fault affects only messages from `one` to `other`
+    cut: bool = False  # partition: no message gets through
+    loss: float = 0.0  # fraction of datagrams that are lost
+    duplicate: float = 0.0  # fraction of datagrams that are duplicated
+    reorder: float = 0.0  # fraction of datagrams that are reordered
+    late: float = 0.0  # fraction of datagrams that are delayed by `late_s`
     late_s: float = 0.0
-    rate: float = 0.0  # bytes a second; 0: unlimited
-    flap_s: float = 0.0  # length of each of the phases in which it is in turn active and inactive; 0: always
+    rate: float = 0.0  # bandwidth limit in bytes per second; 0: unlimited
+    flap_s: float = 0.0  # length of the alternating active and inactive phases; 0: always active
 
     def is_active(self, t: float) -> bool:
-        """Return whether the fault is active at a time, in seconds since the load began."""
+        """Return whether the fault is active at `t`, in seconds since the load began."""
         in_inactive_phase = self.flap_s and int((t - self.t) / self.flap_s) % 2
         return self.t <= t < self.until and not in_inactive_phase
 
     def affects(self, sender: str, to: str, t: float) -> bool:
-        """Return whether the fault affects messages from one node to another at a time."""
+        """Return whether the fault affects messages from `sender` to `to` at `t`."""
         if not self.is_active(t):
             return False
         return (sender in self.one and to in self.other) or (
@@ -53,7 +53,7 @@
 
 
 def passes(faults: Iterable[LinkFault], sender: str, to: str, t: float) -> bool:
-    """Return whether no partition separates one node from another in this direction."""
+    """Return whether no partition blocks messages from `sender` to `to` at `t`."""
     return not any(fault.cut and fault.affects(sender, to, t) for fault in faults)
 
 
@@ -64,9 +64,9 @@
         self._faults = tuple(faults)
         self._seed = seed
         self._paths: dict[tuple[str, str], tuple[PathFaults, random.Random]] = {}
-        self._free_at: dict[tuple[str, str], float] = {}  # when a link with a rate limit has sent its queue
-        self._active: list[LinkFault] = []
-        self._active_span = (0.0, 0.0)  # the time in which `_active` is valid
+        self._free_at: dict[tuple[str, str], float] = {}  # when a rate-limited link will have sent its queue
+        self._active: list[LinkFault] = []  # cached result of `_active_faults`
+        self._active_span = (0.0, 0.0)  # time span in which `_active` is valid
 
     def _active_faults(self, t: float) -> list[LinkFault]:
         if not self._active_span[0] <= t < self._active_span[1]:
@@ -89,10 +89,10 @@
         return path
 
     def datagram(self, sender: str, to: str, size: int, t: float) -> list[float]:
-        """Return the delay of each copy of a datagram in seconds; nothing if it is lost.
+        """Return the delay of each copy of a datagram in seconds; an empty list if the datagram is lost.
 
-        :param size: bytes
-        :param t: seconds since the load began
+        :param size: size of the datagram in bytes
+        :param t: time of sending, in seconds since the load began
         """
         faults = [fault for fault in self._active_faults(t) if fault.affects(sender, to, t)]
         path, lateness_random = self._path(sender, to)
@@ -122,8 +122,8 @@
     def stream(self, sender: str, to: str, size: int, t: float) -> float | None:
         """Return the delay of a chunk of a TCP stream in seconds; None during a partition.
 
-        :param size: bytes
-        :param t: seconds since the load began
+        :param size: size of the chunk in bytes
+        :param t: time of sending, in seconds since the load began
         """
         faults = [fault for fault in self._active_faults(t) if fault.affects(sender, to, t)]
         if any(fault.cut for fault in faults):
@@ -139,9 +139,9 @@
 
 
 def reachable(nodes: Iterable[str], sender: str, passes_: Callable[[str, str], bool]) -> set[str]:
-    """Return the nodes that are connected to a node, directly or through others, in both directions.
+    """Return the nodes that are connected to `sender` in both directions, directly or through others.
 
-    :param passes_: whether messages pass from one node to another
+    :param passes_: tells whether messages pass from its first argument, a node, to its second
     """
     found = {sender}
     frontier = [sender]
--- a/orchidferry/testkit/world/machine.py
+++ b/orchidferry/testkit/world/machine.py
@@ -3,9 +3,10 @@
 `Machine.handle` takes an event and returns the actions that follow from it, in order. The same events give
 the same actions: random values are drawn by name (`orchidferry.testkit.seeded_random`).
 
-A request takes a slot, or waits in the queue, or is rejected. Its work is divided into equal phases, one more
-than it makes calls to the next tier. A phase occupies a core from its start to its end; the slot is occupied
-during calls as well. Cores run at the server's speed, reduced while it warms up or is slowed by a fault.
+A request takes a slot, waits in the queue, or is rejected. Its work is divided into equal phases: one more
+than the number of its calls to the next tier, which are made between the phases. A phase occupies a core from
+its start to its end; the slot is occupied during calls as well. Cores run at the server's speed, reduced
+while the server warms up or is slowed by a fault.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.scenario import Class, Rules, Tier
 
-REPEAT_WORK_S = 0.002  # to find that a key has been seen
-FAILURE_WORK_S = 0.005  # of a request that fails by a fault
+REPEAT_WORK_S = 0.002  # work, in core-seconds, to detect that an operation key has been seen
+FAILURE_WORK_S = 0.005  # work, in core-seconds, of a request that fails because of a fault
 WARM_UP_STEP_S = 0.05  # longest interval between updates while the server warms up
-OVERLOAD_TOLERANCE = 1.1  # factor on the load that a cold server bears, for random variation
+OVERLOAD_TOLERANCE = 1.1  # factor on the load that a cold server can bear, for random variation
 WORK_EPSILON_S = 1e-6  # remaining work below this counts as done
-MAX_KEYS = 200_000  # kept by one cell; the oldest are evicted first
+MAX_KEYS = 200_000  # number of keys that one cell keeps; the oldest are evicted first
 
 
 @dataclass(slots=True)
@@ -31,9 +32,9 @@
 
     id: str
     cls: Class
-    root: str  # names its random values: the same for every attempt of a call
-    key: str
-    ends: float  # its deadline, in seconds of the clock of `now`
+    root: str  # name for drawing random values; the same for every attempt of a call
+    key: str  # operation key (idempotency key)
+    ends: float  # deadline, on the clock of `now` in `Machine.handle`
 
 
 @dataclass(slots=True)
@@ -46,14 +47,14 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client of a request has disconnected: a queued request is dropped, a running one continues."""
+    """The client of a request has disconnected; a queued request is dropped, a running one continues."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Woken:
-    """The time of the last `WakeAt` has come."""
+    """The time of the latest `WakeAt` has been reached."""
 
 
 @dataclass(slots=True)
@@ -61,8 +62,8 @@
     """The faults that affect the server from now on; by default none."""
 
     slowdown: float = 1.0  # factor on the time that work takes
-    failure_rate: float = 0.0  # fraction of requests that fail at once
-    frozen: bool = False  # no work is done
+    failure_rate: float = 0.0  # fraction of requests that fail with little work and no effect
+    frozen: bool = False  # the server does no work
 
 
 Event = Arrived | CallDone | ClientGone | Woken | ServerFaults
@@ -80,7 +81,7 @@
     """Call the next tier; the result is returned as `CallDone`."""
 
     id: str
-    number: int
+    number: int  # index of the call among the request's calls
 
 
 @dataclass(slots=True)
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class WakeAt:
-    """Send `Woken` at this time; a later `WakeAt` replaces it."""
+    """Request the event `Woken` at time `t`; a later `WakeAt` replaces this one."""
 
     t: float
 
@@ -113,19 +114,19 @@
     id: str
     cls: Class
     key: str
-    ends: float
-    phase_work_s: float  # core-seconds
-    calls: int
+    ends: float  # deadline
+    phase_work_s: float  # work of one phase, in core-seconds
+    calls: int  # total number of calls to the next tier
     calls_made: int = 0
-    remaining_work_s: float = 0.0  # of the phase that is on a core
+    remaining_work_s: float = 0.0  # of the current phase, in core-seconds
     begun: bool = False
-    repeat: bool = False
-    fails: bool = False
+    repeat: bool = False  # its operation key had been seen, so it has no effect
+    fails: bool = False  # a fault makes the request fail
     client_gone: bool = False
 
 
 class SeenKeys:
-    """The operation keys that the servers of one cell have seen, with the time of each."""
+    """The operation keys that a group of servers, such as a cell, has seen, with the time of each."""
 
     def __init__(self) -> None:
         self._seen: dict[str, float] = {}
@@ -143,18 +144,18 @@
 
 
 def draw_work(seed: int, cls: Class, tier: Tier, root: str) -> float:
-    """Draw the work of one visit to a tier.
+    """Draw the work of one request at a tier.
 
-    :param root: names the request, without its attempt
+    :param root: id of the request without the number of the attempt
     :returns: core-seconds
     """
     return seeded_random.log_normal(cls.work_s * tier.work, cls.spread, seed, "work", tier.name, root)
 
 
 def draw_call_count(seed: int, tier: Tier, root: str, last: bool) -> int:
-    """Draw how many calls a visit to a tier makes to the next one.
+    """Draw the number of calls that one request at a tier makes to the next tier.
 
-    :param root: names the request, without its attempt
+    :param root: id of the request without the number of the attempt
     :param last: whether there is no next tier
     """
     if last:
@@ -170,11 +171,11 @@
     name: str
     tier: Tier
     last: bool  # whether there is no next tier
-    speed: float
+    speed: float  # core-seconds of work that a core does per second
     seed: int
     rules: Rules
-    keys_of: Callable[[Class], SeenKeys]  # the keys among which repeats of a class are found
-    cold_since: float | None = None  # when it started cold; None: it is warm
+    keys_of: Callable[[Class], SeenKeys]  # gives the seen keys with which requests of a class are compared
+    cold_since: float | None = None  # start time of a server in slow start; None: no slow start
     faults: ServerFaults = field(default_factory=ServerFaults)
 
 
@@ -183,17 +184,19 @@
 
     def __init__(self, parameters: ServerParameters, now: float) -> None:
         self.parameters = parameters
-        self.jobs: dict[str, Job] = {}  # that occupy a slot
+        self.jobs: dict[str, Job] = {}  # jobs that occupy a slot, by request id
         self.queue: deque[Job] = deque()
         self.collapsed = False
-        self._ready: deque[Job] = deque()  # waiting for a core
-        self._cores: list[Job] = []
-        self._updated_at = now  # up to when the work on cores is counted
-        self._cold_load: deque[tuple[float, float]] = deque()  # arrivals while cold: time and core-seconds
-        self._cold_load_s = 0.0
+        self._ready: deque[Job] = deque()  # jobs that wait for a core
+        self._cores: list[Job] = []  # jobs that occupy a core
+        self._updated_at = now  # time up to which the work on cores has been counted
+        self._cold_load: deque[tuple[float, float]] = (
+            deque()
+        )  # recent arrivals while cold: time, core-seconds
+        self._cold_load_s = 0.0  # sum of the core-seconds in `_cold_load`
 
     def capacity_share(self, now: float) -> float:
-        """Return the fraction of the full capacity that is available: below 1 during slow start."""
+        """Return the available fraction of the full capacity, which is below 1 during slow start."""
         since = self.parameters.cold_since
         tier = self.parameters.tier
         if since is None:
@@ -203,7 +206,7 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Handle an event.
 
-        :param now: seconds of any monotonic clock
+        :param now: seconds on any monotonic clock, the same in all calls
         :returns: the actions that follow, in order
         """
         actions: list[Action] = []
@@ -232,7 +235,7 @@
         return 0.0 if faults.frozen else self.parameters.speed * self.capacity_share(now) / faults.slowdown
 
     def _advance(self, now: float, actions: list[Action]) -> None:
-        """Count the work done since the last event, and end the phases that are complete."""
+        """Count the work done since the last event, and end the completed phases."""
         passed = now - self._updated_at
         rate = (self._rate(self._updated_at) + self._rate(now)) / 2.0
         self._updated_at = now
@@ -288,7 +291,7 @@
         self._ready.append(job)
 
     def _begin(self, job: Job, now: float, actions: list[Action]) -> None:
-        """Start work on a request; its key counts as seen from now on, as it has not run before."""
+        """Start work on a request; only from now on does its key count as seen."""
         job.begun = True
         if job.fails:
             return
@@ -325,7 +328,7 @@
         while self.queue and len(self.jobs) < self.parameters.tier.slots:
             job = self.queue.popleft()
             if now > job.ends:
-                actions.append(Finish(job.id, "rejected"))  # its deadline has passed before it ran
+                actions.append(Finish(job.id, "rejected"))  # the deadline passed in the queue
             else:
                 self._admit(job)
         while self._ready and len(self._cores) < self.parameters.tier.cores:
@@ -338,7 +341,7 @@
             self._cores.append(job)
 
     def _next_wake(self, now: float) -> float | None:
-        """Return when the state has to be updated: at the end of the first phase on a core at the latest."""
+        """Return when the state must be updated next: at the latest when the first phase on a core ends."""
         rate = self._rate(now)
         if not self._cores or not rate:
             return None
@@ -346,7 +349,10 @@
         return now + (wait if self.capacity_share(now) >= 1.0 else min(wait, WARM_UP_STEP_S))
 
     def _collapses_under(self, work: float, now: float) -> bool:
-        """Return whether a cold server collapses; work counts whether or not it is rejected."""
+        """Return whether a cold server collapses under an arrival; rejected arrivals count as well.
+
+        :param work: core-seconds of the arrival
+        """
         share = self.capacity_share(now)
         rules = self.parameters.rules
         if share >= 1.0:
--- a/orchidferry/testkit/world/node_files.py
+++ b/orchidferry/testkit/world/node_files.py
@@ -1,4 +1,4 @@
-"""The files that a node is started with: its settings, and one file for each optional part."""
+"""The files with which a node is started: its settings, and one file for each optional feature."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import Files
 
-NEW_KIND = "standin-new"  # of servers of the pool that traffic is moved to
-MOVE_FRACTIONS = (0.1, 0.25, 0.5, 1.0)  # steps of a move after its first one
+NEW_POOL_KIND = "standin-new"  # machine type of the servers in the new pool, to which traffic is moved
+MOVE_FRACTIONS = (0.1, 0.25, 0.5, 1.0)  # fractions of traffic in the steps of a move after its first step
 
 
 def class_settings(cls: Class) -> dict[str, Any]:
-    """Return a class in the form of the node's settings."""
+    """Return a request class in the format of the node's settings."""
     return {
         "name": cls.name,
         "objective_ms": cls.wanted_s * 1000.0,
@@ -36,11 +36,11 @@
 
 
 def settings(scenario: Scenario, tier: int, siblings: int, number: int) -> dict[str, Any]:
-    """Return a node's start-up settings; they reveal nothing of the seed, the faults or the servers' speeds.
+    """Return a node's start-up settings, which do not reveal the seed, the faults or the servers' speeds.
 
-    :param tier: index of the tier whose servers the node uses
-    :param siblings: the number of nodes like it, itself included
-    :param number: its index among these
+    :param tier: index of the tier with the servers that the node uses
+    :param siblings: number of nodes that use the same tier, this node included
+    :param number: the node's index among its siblings
     """
     rules = scenario.rules
     used_tier = scenario.tiers[tier]
@@ -53,7 +53,7 @@
         "clients": {"marks_retry": True},
         "dcs": [used_tier.zone],
         "locality": used_tier.zone,
-        "host_types": ["standin-1c", NEW_KIND],
+        "host_types": ["standin-1c", NEW_POOL_KIND],
         "family": "chain",
         "family_info": {"passes_deadline": scenario.node.passes_deadline},
         "membership_mode": "on_request",
@@ -93,7 +93,7 @@
 
 
 def http3_text(listen: str, files: Files) -> str:
-    """Return the file that enables HTTP/3 towards clients and servers."""
+    """Return the text of the file that enables HTTP/3 for clients and servers."""
     from orchidferry.testkit.quic.certs import NAME
 
     return (
@@ -103,22 +103,22 @@
 
 
 def chain_text(scenario: Scenario, name: str, tier: int, siblings: int) -> str:
-    """Return the file that makes a node part of a chain of tiers; all nodes have the same key."""
-    side = scenario.chain
+    """Return the text of the file that makes a node part of a chain of tiers; all nodes have the same key."""
+    chain = scenario.chain
     key = "".join(f"{seeded_random.integer(scenario.seed, 'chain', n):016x}" for n in range(2))
     return (
         f'tier = "{scenario.tiers[tier].name}"\nnode = "{name.replace("/", ".")}"\n'
-        f"first = {str(tier == 0).lower()}\nextra = {side.extra}\nshare = {side.share}\n"
-        f"shed = {str(side.shed).lower()}\n"
-        f'floor_per_s = {side.floor}\nnodes = {siblings}\nkeys = ["k1={key}"]\n'
+        f"first = {str(tier == 0).lower()}\nextra = {chain.extra}\nshare = {chain.share}\n"
+        f"shed = {str(chain.shed).lower()}\n"
+        f'floor_per_s = {chain.floor}\nnodes = {siblings}\nkeys = ["k1={key}"]\n'
     )
 
 
 def fleet_text(scenario: Scenario, block: Block, name: str, number: int, nodes: int) -> str:
-    """Return the fleet file of a node, which listens at its own address and advertises the hub's.
+    """Return the text of a node's fleet file: the node listens at its own address and advertises the hub's.
 
     :param number: the node's index among the nodes of the fleet
-    :param nodes: the number of these
+    :param nodes: number of nodes in the fleet
     """
 
     def text(address: Address) -> str:
@@ -135,30 +135,30 @@
 
 
 def control_text(control: Address, name: str, pool: str) -> str:
-    """Return the file of a node that takes its configuration from a control service.
+    """Return the text of the file that makes a node take its configuration from a control service.
 
     :param control: the address of the control service
-    :param pool: the tier whose servers the node uses
+    :param pool: name of the tier with the servers that the node uses
     """
     return (
         f'service = "{control[0]}:{control[1]}"\nnode = "{name}"\n'
         f'pools = ["{pool}"]\nsettings = "{name}"\n'
-        'state = "state"\n'  # relative to the file, and kept over restarts
+        'state = "state"\n'  # path relative to this file; kept over restarts of the node
     )
 
 
 def fleet_keys_text(scenario: Scenario) -> str:
-    """Return the file of the key that all nodes of a fleet share."""
+    """Return the text of the file with the key that all nodes of a fleet share."""
     return f"k1={seeded_random.integer(scenario.seed, 'fleet'):032x}\n"
 
 
 def pools_text(scenario: Scenario) -> str:
-    """Return the file of a node that moves its traffic from the old pool to the new one."""
-    side = scenario.pools
-    steps = [side.first, *(step for step in MOVE_FRACTIONS if step > side.first)]
+    """Return the text of the file that makes a node move its traffic from the old pool to the new one."""
+    pools = scenario.pools
+    steps = [pools.first, *(step for step in MOVE_FRACTIONS if step > pools.first)]
     return (
-        f'[[pool]]\nname = "old"\n[[pool]]\nname = "new"\nkinds = ["{NEW_KIND}"]\n'
+        f'[[pool]]\nname = "old"\n[[pool]]\nname = "new"\nkinds = ["{NEW_POOL_KIND}"]\n'
         '[move]\nto = "new"\n'
         f"steps = {steps}\n"
-        f'step_ms = {side.step_s * 1_000.0}\nrare = "{side.rare}"\n'
+        f'step_ms = {pools.step_s * 1_000.0}\nrare = "{pools.rare}"\n'
     )
--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes as processes: their start, signals and end."""
+"""Runs real nodes as processes: starts them, sends them signals and records their end."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 
 READY_TIMEOUT_S = 20.0
 READY_POLL_S = 0.03
-TERM_TIMEOUT_S = 5.0  # beyond the longest deadline of a request; the node is killed after it
-CPU_SAMPLE_S = 2.0  # interval over which a node's wait for a core is measured
-MIN_STARVED_FRACTION = 0.02  # of the interval; a shorter wait is not recorded
-LOG_TAIL_BYTES = 256 * 1024  # of a node's log that are read
+TERM_TIMEOUT_S = 5.0  # time from SIGTERM to SIGKILL; longer than the longest time limit of an attempt
+CPU_SAMPLE_S = 2.0  # interval over which a node's wait for a CPU core is measured
+MIN_STARVED_FRACTION = 0.02  # shortest wait that is recorded, as a fraction of the interval
+LOG_TAIL_BYTES = 256 * 1024  # length of the end of a node's log that is read
 PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def in_child(sockets: int) -> None:
-    """Prepare a child process before its program starts; the kernel kills it when its parent ends.
+    """Prepare a child process before its program starts, so that the kernel kills it when its parent ends.
 
-    :param sockets: its limit on file descriptors
+    :param sockets: limit on the number of file descriptors of the child
     """
     resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
@@ -54,12 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """Which node to run, and where.
+    """The identity and the addresses of a node.
 
-    :param tier: index of the tier whose servers the node uses
-    :param number: its index among the nodes like it
-    :param siblings: how many of these there are
-    :param discovery: the address at which it asks discovery
+    :param tier: index of the tier with the servers that the node uses
+    :param number: the node's index among its siblings
+    :param siblings: number of nodes that use the same tier, this node included
+    :param address: the address at which the node listens for clients
+    :param discovery: the address of service discovery for this node
     """
 
     name: str
@@ -73,7 +74,7 @@
 class NodeProcess:
     """One node, over all its restarts.
 
-    :param folder: the run's folder; the node has a folder of its own in it
+    :param folder: the run's folder, which contains a folder for the node
     :param on_exit: called with the node and the reason if its process ends unexpectedly
     :param files: the certificates, with HTTP/3
     """
@@ -94,34 +95,36 @@
         self._on_exit = on_exit
         self._files = files
         self._folder = folder / spec.name.replace("/", "_")
-        self.control: Address | None = None  # of its control service
-        self.fleet_text: Callable[[], str] | None = None  # gives its fleet file
-        self.admin: Address | None = None  # where its admin server listens
-        self.paused_at: float | None = None
-        self.incarnation = 0
+        self.control: Address | None = None  # address of the control service; None: the node has none
+        self.fleet_text: Callable[[], str] | None = None  # returns the text of the fleet file; None: no fleet
+        self.admin: Address | None = None  # address of the node's admin server; None: it has none
+        self.paused_at: float | None = None  # on the record's clock; None: not paused
+        self.incarnation = 0  # number of starts
         self.ready = False
-        self._expected_end: str | None = None  # the reason, once its process is to end
+        self._expected_end: str | None = (
+            None  # reason for an end caused by the test kit; None: no end expected
+        )
         self._process: asyncio.subprocess.Process | None = None
         self._watcher: asyncio.Task[None] | None = None
-        self._waited_s = 0.0  # for a core, up to the last sample
-        self._cpu_before_s = 0.0  # of its earlier incarnations
-        self._cpu_now_s = 0.0  # of this one, up to the last sample
+        self._waited_s = 0.0  # wait of this incarnation for a CPU core, up to the last sample
+        self._cpu_before_s = 0.0  # CPU time of the earlier incarnations
+        self._cpu_now_s = 0.0  # CPU time of this incarnation, up to the last sample
 
     @property
     def cpu_s(self) -> float:
-        """The CPU seconds of all its incarnations, up to the last sample of each."""
+        """The CPU time of all incarnations in seconds, up to the last sample of each."""
         return self._cpu_before_s + self._cpu_now_s
 
     @property
     def pid(self) -> int | None:
-        """The id of its process, if that runs."""
+        """The id of the node's process; None if it does not run."""
         return self._process.pid if self._process is not None and self._process.returncode is None else None
 
     async def start(self, known: dict[str, Any]) -> bool:
         """Start the node and wait until it is ready.
 
         :param known: the server list for its configuration
-        :returns: False if it ended or did not become ready in time
+        :returns: False if the node ended or did not become ready in time
         """
         self.incarnation += 1
         self._expected_end = None
@@ -179,7 +182,7 @@
         }
 
     def _write_optional_files(self) -> dict[str, str]:
-        """Write the files of the parts that are on; return the environment variables that name them."""
+        """Write the files of the enabled features; return the environment variables with their paths."""
         spec = self.spec
         scenario = self._scenario
         env: dict[str, str] = {}
@@ -233,9 +236,9 @@
             self._on_exit(self, why)
 
     def kill(self, why: str = "killed") -> None:
-        """Kill the node with its children.
+        """Kill the node and its child processes.
 
-        :param why: the reason for the record
+        :param why: the reason to record
         """
         if self.pid is not None:
             self._expected_end = why
@@ -243,20 +246,20 @@
                 os.killpg(self.pid, signal.SIGKILL)
 
     def pause(self) -> None:
-        """Suspend its process."""
+        """Pause the node's process (SIGSTOP)."""
         if self.pid is not None:
             self.paused_at = self._recorder.now()
             os.kill(self.pid, signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Resume its process."""
+        """Resume the node's process (SIGCONT), and record the pause."""
         if self.pid is not None and self.paused_at is not None:
             os.kill(self.pid, signal.SIGCONT)
             self._recorder.put(NodePaused(self.paused_at, self._recorder.now(), self.name))
         self.paused_at = None
 
     def journal(self) -> list[str]:
-        """Return the lines of its fleet journal, over all its incarnations."""
+        """Return the lines of the node's journal of fleet membership, over all incarnations."""
         found: list[str] = []
         for name in ("fleet.journal.1", "fleet.journal"):
             with contextlib.suppress(OSError):
@@ -264,7 +267,7 @@
         return found
 
     async def stop(self) -> None:
-        """Terminate its process, and kill it after a timeout."""
+        """Terminate the node's process (SIGTERM), and kill it after a timeout."""
         process = self._process
         if process is None or self.pid is None:
             return
@@ -277,12 +280,12 @@
             self.kill("ended late")
 
     async def wait_ended(self) -> None:
-        """Wait until its process has ended and this is recorded."""
+        """Wait until the node's process has ended and its end is recorded."""
         if self._watcher is not None:
             await self._watcher
 
     def sample_cpu(self, record: bool) -> None:
-        """Read its CPU time and its wait for a core from the kernel.
+        """Read the node's CPU time and its wait for a CPU core from the kernel.
 
         :param record: whether to record a long wait since the last sample
         """
@@ -293,7 +296,7 @@
                 int(field) for field in Path(f"/proc/{self.pid}/schedstat").read_text().split()
             )
         except (OSError, ValueError):
-            return  # the process has ended, or the kernel has no such statistics
+            return  # the process has ended, or the kernel does not provide these statistics
         starved = (waited_ns / 1e9 - self._waited_s) / CPU_SAMPLE_S
         self._waited_s = waited_ns / 1e9
         self._cpu_now_s = ran_ns / 1e9
@@ -301,7 +304,7 @@
             self._recorder.put(Lag(self._recorder.now(), self.name, "starved", starved))
 
     def log_lines(self) -> list[str]:
-        """Return the last lines of its log, up to a limit in bytes."""
+        """Return the last lines of the node's log, at most `LOG_TAIL_BYTES`."""
         try:
             data = (self._folder / "log").read_bytes()[-LOG_TAIL_BYTES:]
         except OSError:
@@ -309,8 +312,8 @@
         return data.decode("utf-8", "replace").splitlines()
 
     def log_tail(self, lines: int) -> list[str]:
-        """Return the last lines of its log, as the likely reason of its end.
+        """Return the last lines of the node's log, which probably show the reason of its end.
 
-        :param lines: at most this many
+        :param lines: maximum number of lines
         """
         return self.log_lines()[-lines:]
--- a/orchidferry/testkit/world/plan.py
+++ b/orchidferry/testkit/world/plan.py
@@ -14,40 +14,42 @@
 
 RESTART_AFTER_S = 1.0  # default time from a server's stop to its start in a rolling restart
 SERVER_FAULTS = ("slow", "errors", "freeze", "silent", "resets")
-MAX_ACTIONS = 50_000  # of a timeline; pauses add up
+MAX_ACTIONS = 50_000  # limit on the actions of a timeline; entries with short pauses give many
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
     """A stand-in server.
 
-    One with `starts_later` is started by an action, cold; any other serves from the start of the run, warm.
+    A server with `starts_later` is started by an action, with slow start. Any other server serves from the
+    start of the run, at full capacity.
     """
 
     name: str
-    tier: int
-    cell: int
-    speed: float
-    position: int  # index in its tier; a renamed server keeps it
-    number: int  # index in all tiers, which gives its address
+    tier: int  # index of its tier
+    cell: int  # index of its cell in the tier
+    speed: float  # core-seconds of work that a core does per second
+    position: int  # index in the tier; a renamed server keeps it
+    number: int  # index over all tiers, which determines its address
     starts_later: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """One action on a server, a node or discovery."""
+    """One action on a server, a node or service discovery."""
 
     t: float  # seconds since the load began
-    # one of SERVER_FAULTS; leave, down, crash, up; kill, term, start, pause, resume; discovery-down, -up
+    # one of `SERVER_FAULTS`; for servers also leave, down, crash, up; for nodes kill, term, start, pause,
+    # resume; for discovery discovery-down, discovery-up
     do: str
-    whom: str
-    value: float = 0.0  # of a fault: a factor, a fraction, or 1; 0 ends it
-    entry: int = -1  # index in the timeline, as faults of one kind may overlap
+    whom: str  # name of the server or node, or `discovery`
+    value: float = 0.0  # strength of a fault (a factor, a fraction, or 1); 0 ends the fault
+    entry: int = -1  # index of the fault's timeline entry, as faults of one kind may overlap
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedIncident:
-    """An entry of the timeline in the form of reports; times are seconds since the load began."""
+    """An entry of the timeline, as reports show it; times are in seconds since the load began."""
 
     t: float
     until: float
@@ -61,22 +63,25 @@
 
     scenario: Scenario
     servers: tuple[Server, ...]
-    nodes: tuple[str, ...]  # of the front, which clients use
+    nodes: tuple[str, ...]  # names of the front nodes, which clients use
     actions: tuple[Action, ...]
     incidents: tuple[PlannedIncident, ...]
-    bursts: tuple[tuple[float, float, float], ...]  # start and end in seconds, and factor on the rate
-    links: tuple[LinkFault, ...] = ()  # between the nodes of the front
+    bursts: tuple[tuple[float, float, float], ...]  # start and end in seconds, and factor on the request rate
+    links: tuple[LinkFault, ...] = ()  # faults of the links between front nodes
 
     def server(self, name: str) -> Server:
         """Return the server with a name.
 
-        :raises StopIteration: if there is none
+        :raises StopIteration: if no server has this name
         """
         return next(server for server in self.servers if server.name == name)
 
 
 def in_new_pool(scenario: Scenario, server: Server) -> bool:
-    """Return whether a server is in the pool that traffic is moved to: the end of the first tier."""
+    """Return whether a server is in the new pool, to which traffic is moved.
+
+    The new pool consists of the last servers of the first tier.
+    """
     return scenario.pools.on and server.tier == 0 and server.position >= scenario.new_from
 
 
@@ -87,9 +92,9 @@
     actions: list[Action] = field(default_factory=list)
     incidents: list[PlannedIncident] = field(default_factory=list)
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
-    renames: dict[str, int] = field(default_factory=dict)
-    removed: set[str] = field(default_factory=set)
-    numbers: dict[tuple[int, int], int] = field(default_factory=dict)
+    renames: dict[str, int] = field(default_factory=dict)  # number of renames, by the server's old name
+    removed: set[str] = field(default_factory=set)  # names of servers that do not return
+    numbers: dict[tuple[int, int], int] = field(default_factory=dict)  # `Server.number` by tier and position
     links: list[LinkFault] = field(default_factory=list)
 
     def add_server(self, tier: int, position: int, name: str, starts_later: bool) -> Server:
@@ -101,13 +106,13 @@
         server = Server(name, tier, position % cells, speed, position, number, starts_later)
         self.servers.append(server)
         if len(self.servers) > MAX_SERVERS:
-            raise ValueError(f"timeline: over {MAX_SERVERS} servers, new ones counted")
+            raise ValueError(f"timeline: more than {MAX_SERVERS} servers, including those it adds")
         return server
 
     def add_action(self, t: float, do: str, whom: str, value: float = 0.0, entry: int = -1) -> None:
         self.actions.append(Action(t, do, whom, value, entry))
         if len(self.actions) > MAX_ACTIONS:
-            raise ValueError(f"timeline: comes to over {MAX_ACTIONS} acts; are pauses too short?")
+            raise ValueError(f"timeline: gives more than {MAX_ACTIONS} actions; are pauses too short?")
 
 
 def server_name(seed: int, tier: str, position: int, incarnation: int) -> str:
@@ -136,11 +141,11 @@
             _on_links(builder, number, entry, nodes)
         else:
             _on_all(builder, entry)
-    actions = tuple(sorted(builder.actions, key=lambda act: act.t))
+    actions = tuple(sorted(builder.actions, key=lambda action: action.t))
     incidents = tuple(sorted(builder.incidents, key=lambda entry: entry.t))
     if scenario.fleet.on and scenario.fleet.loss:
-        every = frozenset(nodes)
-        builder.links.append(LinkFault(-math.inf, math.inf, every, every, loss=scenario.fleet.loss))
+        all_nodes = frozenset(nodes)
+        builder.links.append(LinkFault(-math.inf, math.inf, all_nodes, all_nodes, loss=scenario.fleet.loss))
     links = tuple(builder.links)
     return Plan(scenario, tuple(builder.servers), nodes, actions, incidents, tuple(builder.bursts), links)
 
@@ -161,7 +166,7 @@
     if entry.new:
         present = [s for s in present if in_new_pool(scenario, s)]
     if entry.do == "add":
-        return _add(builder, entry, tier)
+        return _add_new_servers(builder, entry, tier)
     total = len(present)
     default = total if entry.do in ("stall", "rolling-restart") else 1
     targets = seeded_random.sample(
@@ -174,7 +179,7 @@
     for position, server in enumerate(targets):
         _add_server_fault(builder, number, entry, server, position)
     if entry.do in ("drain", "rolling-restart"):
-        end = max(act.t for act in builder.actions if act.whom in {s.name for s in targets})
+        end = max(action.t for action in builder.actions if action.whom in {s.name for s in targets})
     builder.incidents.append(PlannedIncident(entry.at_s, end, entry.do, whom))
     return None
 
@@ -185,11 +190,11 @@
     at = entry.at_s
     end = entry.at_s + entry.for_s
     name = server.name
-    act = builder.add_action
+    add_action = builder.add_action
 
     def add_fault(do: str, value: float) -> None:
-        act(at, do, name, value, number)
-        act(end, do, name, 0.0, number)
+        add_action(at, do, name, value, number)
+        add_action(end, do, name, 0.0, number)
 
     match entry.do:
         case "slow":
@@ -203,20 +208,20 @@
         case "pauses":
             _add_pauses(builder, number, entry, name)
         case "crash":
-            act(at, "crash", name)
+            add_action(at, "crash", name)
             if entry.back_s:
                 _add_restart(builder, entry, server, at + entry.back_s)
         case "drain":
-            act(at, "leave", name)
-            act(at + entry.after_s, "down", name)
+            add_action(at, "leave", name)
+            add_action(at + entry.after_s, "down", name)
             if entry.back_s:
                 _add_restart(builder, entry, server, at + entry.after_s + entry.back_s)
             else:
                 builder.removed.add(name)
         case "rolling-restart":
             start = at + position * entry.gap_s
-            act(start, "leave", name)
-            act(start + entry.after_s, "down", name)
+            add_action(start, "leave", name)
+            add_action(start + entry.after_s, "down", name)
             _add_restart(builder, entry, server, start + entry.after_s + (entry.back_s or RESTART_AFTER_S))
 
 
@@ -232,7 +237,7 @@
 
 
 def _add_restart(builder: _PlanBuilder, entry: TimelineEntry, server: Server, t: float) -> None:
-    """Start a server again, cold, at its address: with its name, or with a new one."""
+    """Start a server again at its address, with slow start, under its old name or a new one."""
     name = server.name
     if entry.renamed:
         tier = builder.scenario.tiers[server.tier]
@@ -244,7 +249,7 @@
     builder.add_action(t, "up", name)
 
 
-def _add(builder: _PlanBuilder, entry: TimelineEntry, tier: int) -> None:
+def _add_new_servers(builder: _PlanBuilder, entry: TimelineEntry, tier: int) -> None:
     next_position = 1 + max(s.position for s in builder.servers if s.tier == tier)
     tier_name = builder.scenario.tiers[tier].name
     for n in range(entry.count):
@@ -277,9 +282,9 @@
 
 
 def zone_of(scenario: Scenario, number: int) -> str:
-    """Return the zone of a node of the front.
+    """Return the zone of a front node.
 
-    :param number: its index
+    :param number: the node's index
     """
     return chr(ord("a") + number % scenario.fleet.zones)
 
--- a/orchidferry/testkit/world/run.py
+++ b/orchidferry/testkit/world/run.py
@@ -11,19 +11,19 @@
 
 
 class RunAbortedError(OrchidferryError):
-    """The run can't be continued; the text names the reason."""
+    """The run was aborted; the text gives the reason."""
 
 
 @dataclass
 class Progress:
-    """The progress of a run, updated while it is under way; `t` is seconds since the load began."""
+    """The progress of a run, updated while it is under way."""
 
     phase: str = "starting"
-    t: float = 0.0
-    asked: int = 0
-    served: int = 0
-    open: int = 0
-    incidents: list[tuple[float, float, str]] = field(default_factory=list)
+    t: float = 0.0  # seconds since the load began
+    asked: int = 0  # client requests made, retries not counted
+    served: int = 0  # client requests served
+    open: int = 0  # client requests that have not ended
+    incidents: list[tuple[float, float, str]] = field(default_factory=list)  # start, end, description
 
 
 @dataclass
@@ -32,16 +32,16 @@
 
     plan: Plan
     facts: list[Fact]
-    start: float  # of the load, in seconds of the record's clock
-    end: float  # of the record
-    complete: bool
-    why: str = ""  # it is not complete
-    interrupted: bool = False
-    nodes_cpu_s: float = 0.0
-    processes: int = 0
-    notes: list[str] = field(default_factory=list)
-    control: dict[str, Any] | None = None  # the result of the control service, if there was one
+    start: float  # when the load began, in seconds on the record's clock
+    end: float  # when the record ends, on the same clock
+    complete: bool  # whether all clients finished
+    why: str = ""  # reason why the run is not complete; empty if it is
+    interrupted: bool = False  # whether a signal ended the run
+    nodes_cpu_s: float = 0.0  # CPU time of all nodes
+    processes: int = 0  # number of processes of nodes, clients and servers
+    notes: list[str] = field(default_factory=list)  # error lines from the nodes' logs
+    control: dict[str, Any] | None = None  # result of the control service; None if there was none
     journals: dict[str, list[str]] = field(
         default_factory=dict
-    )  # the nodes' journals of their fleet, by node
+    )  # lines of the nodes' journals of fleet membership, by node
     zero: float = 0.0  # the record's zero on the monotonic clock, in seconds
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -1,4 +1,4 @@
-"""A stand-in server on a socket: its model, its connections and its calls to the next tier."""
+"""A stand-in server with sockets: its model, its connections and its calls to the next tier."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
     from orchidferry.testkit.quic.certs import Files
     from orchidferry.testkit.quic.server import H3Server, ServerStream
 
-BACKLOG = 1024
-RESET_EXECUTED_FRACTION = 0.5  # of the requests whose connection is reset; their answer is lost
+BACKLOG = 1024  # limit on connections that wait to be accepted
+RESET_EXECUTED_FRACTION = 0.5  # fraction of requests on reset connections that are executed all the same
 REJECTED_HEADER = "X-Rejected: 1\r\n"
-CHAIN_REQUEST_HEADERS = ("baggage", "cdn-loop")  # copied from a request to its calls of the next tier
-CHAIN_RESPONSE = re.compile(r"(below|kept); used=(\d{1,2})")  # header X-Chain of the answers to these
+CHAIN_REQUEST_HEADERS = ("baggage", "cdn-loop")  # copied from a request to its calls to the next tier
+CHAIN_RESPONSE = re.compile(r"(below|kept); used=(\d{1,2})")  # header X-Chain of the answers to these calls
 
 
 @dataclass(slots=True)
@@ -48,31 +48,31 @@
     """A request that has not been answered."""
 
     connection: ServerSide | ServerStream
-    root: str
+    root: str  # id without the number of the attempt
     cls: Class
-    object: str
-    received: float  # seconds of the record's clock
-    chain_headers: tuple[str, ...] = ()  # for its calls
-    next_tier_overloaded: bool = False
-    retries_used: int = 0  # by its calls
+    object: str  # index of the requested object, in hexadecimal
+    received: float  # seconds on the record's clock
+    chain_headers: tuple[str, ...] = ()  # headers to copy to the request's calls
+    next_tier_overloaded: bool = False  # whether an answer to its calls reported an overload
+    retries_used: int = 0  # number of retries that the answers to its calls reported
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerContext:
-    """What the servers of one worker process share."""
+    """The objects that the servers of one worker process share."""
 
     scenario: Scenario
     recorder: Recorder
     sender: RequestSender
     files: Files | None = None  # certificates, with HTTP/3
-    proof_key: str = ""
+    proof_key: str = ""  # secret that proves to a replay that the test kit started this server
 
 
 class StandIn:
-    """One server from its start to its end.
+    """One stand-in server from its start to its end.
 
-    :param keys_of: the keys among which repeats of a class are found
-    :param node: name and address of the node for its calls; None in the last tier
+    :param keys_of: gives the seen keys with which requests of a class are compared
+    :param node: name and address of the sidecar node for the server's calls; None in the last tier
     :param on_collapse: called with the server's name if it collapses under overload
     """
 
@@ -96,19 +96,19 @@
         self._quic: H3Server | None = None
         self._classes = {cls.name: cls for cls in context.scenario.classes}
         self._loop = asyncio.get_running_loop()
-        # ids of the requests that are unanswered, by connection
+        # ids of the unanswered requests, by connection
         self._connections: dict[ServerSide | ServerStream, set[str]] = {}
-        self._pending: dict[str, PendingRequest] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._faults: dict[tuple[str, int], float] = {}
-        self._timer: asyncio.TimerHandle | None = None
+        self._pending: dict[str, PendingRequest] = {}  # by request id
+        self._tasks: set[asyncio.Task[None]] = set()  # calls to the next tier
+        self._faults: dict[tuple[str, int], float] = {}  # strength by kind and index of the timeline entry
+        self._timer: asyncio.TimerHandle | None = None  # for the latest `WakeAt` of the model
         self._listener: asyncio.Server | None = None
-        self._calls = 0
+        self._calls = 0  # number of calls made, for unique ids
         self._machine: machine.Machine
         self.is_open = False
 
     async def start(self, address: Address, cold: bool) -> None:
-        """Start to serve.
+        """Start serving.
 
         :param cold: whether the server begins with slow start
         """
@@ -150,9 +150,9 @@
         )
 
     def stop(self, why: str) -> None:
-        """End the server: connections are reset, new ones refused, its requests are lost.
+        """End the server: connections are reset, new ones are refused, and open requests are lost.
 
-        :param why: the reason for the record
+        :param why: the reason to record
         """
         if not self.is_open:
             return
@@ -177,8 +177,9 @@
     def set_fault(self, kind: str, value: float, entry: int) -> None:
         """Begin or end a fault; faults of one kind may overlap.
 
-        :param value: the fault's strength; 0 ends it
-        :param entry: index of the timeline's entry that the fault belongs to
+        :param kind: one of `SERVER_FAULTS` in `world.plan`
+        :param value: the fault's strength; 0 ends the fault
+        :param entry: index of the timeline entry to which the fault belongs
         """
         was_silent = self._strongest("silent")
         if value:
@@ -186,7 +187,7 @@
         else:
             self._faults.pop((kind, entry), None)
         if was_silent and not self._strongest("silent"):
-            # The server is reachable again, and does not know the connections from before.
+            # Reset the old connections, as a server does that is reachable again and has lost their state.
             for connection in list(self._connections):
                 connection.reset()
         if self._quic is not None:
@@ -236,7 +237,7 @@
         if id in self._pending:  # a duplicate of a request that is being processed
             self._recorder.put(ExecutionEnded(self._recorder.now(), server.tier, server.name, id, "rejected"))
             return connection.answer(503, b"", REJECTED_HEADER)
-        if not connection.transport.is_closing():  # else it runs, but its answer is lost
+        if not connection.transport.is_closing():  # otherwise the request runs, but its answer is lost
             self._connections.get(connection, set()).add(id)
         root = request_root(id)
         item = query.removeprefix("obj=")
@@ -250,7 +251,7 @@
         return None
 
     def _record_received(self, request: Request, id: str, cls: Class, key: str) -> float:
-        """Record a request, and return when it was received, in seconds of the record's clock."""
+        """Record a request, and return when it was received, in seconds on the record's clock."""
         zero = self._recorder.zero
         server = self.server
         tier = self._scenario.tiers[server.tier]
@@ -264,7 +265,10 @@
         return received
 
     def _is_dropped_by_reset(self, connection: ServerSide | ServerStream, id: str) -> bool:
-        """Reset the connection if a fault says so; return whether the request is not executed either."""
+        """Reset the connection if a fault requires it.
+
+        :returns: whether the request is dropped with its connection, and not executed
+        """
         seed = self._scenario.seed
         name = self.server.name
         if seeded_random.uniform(seed, "reset", name, id) >= self._strongest("resets"):
@@ -309,8 +313,9 @@
             return
         is_reachable = pending.connection.open and not self._strongest("silent")
         if how == "rejected" and not is_reachable:
-            how = "lost"  # a rejection that is not delivered proves nothing to a node
-        # Recorded before it is sent: a node may act on the answer before this process runs again.
+            how = "lost"  # a rejection that is not delivered does not tell the node that nothing was executed
+        # The end is recorded before the answer is sent, as a node may act on the answer before this process
+        # runs again.
         self._recorder.put(ExecutionEnded(self._recorder.now(), self.server.tier, self.server.name, id, how))
         if not is_reachable:
             return
@@ -371,7 +376,7 @@
 
 
 def _chain_response(pending: PendingRequest) -> str:
-    """Return the header of a failed answer that reports on the calls below; empty without a report."""
+    """Return the header of an error answer that reports on the calls to the next tier, or an empty string."""
     if not pending.next_tier_overloaded and not pending.retries_used:
         return ""
     state = "below" if pending.next_tier_overloaded else "kept"
--- a/orchidferry/testkit/world/worker.py
+++ b/orchidferry/testkit/world/worker.py
@@ -1,4 +1,4 @@
-"""Worker process of stand-in servers. Servers of one cell run in one process, as they share their keys."""
+"""Worker process of stand-in servers; the servers of one cell run in one process, as they share seen keys."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def worker_index(scenario: Scenario, server: Server) -> int:
-    """Return the index of the worker that runs a server; servers that share keys have the same one."""
+    """Return the index of the worker that runs a server; servers that share seen keys run in the same one."""
     shared_beyond_cell = any(cls.repeat == "keyed" and cls.group != "cell" for cls in scenario.classes)
     return (server.tier if shared_beyond_cell else server.tier * 7 + server.cell) % scenario.workers
 
 
 def sidecar_of(scenario: Scenario, block: Block, server: Server) -> tuple[str, Address] | None:
-    """Return name and address of the sidecar node for a server's calls; None in the last tier."""
+    """Return name and address of the sidecar node that forwards a server's calls; None in the last tier."""
     if server.tier == len(scenario.tiers) - 1:
         return None
-    return f"{server.name}/node", block.own_node(server.number)
+    return f"{server.name}/node", block.sidecar_node(server.number)
 
 
 class StandInWorker:
@@ -51,14 +51,14 @@
         return self._keys.setdefault(scope, SeenKeys())
 
     async def handle_order(self, order: Order) -> None:
-        """Carry out an order of the director: start or stop a server, or begin or end a fault of it."""
+        """Carry out an order of the director: start or stop a server, or begin or end a fault of a server."""
         server = self._servers[order["whom"]]
         if order["do"] == "up":
             await self._start(server, bool(order["cold"]))
             return
         running = self._running.get(server.name)
         if running is None:
-            return  # it has collapsed, or has not started yet
+            return  # the server has collapsed, or has not started yet
         if order["do"] in SERVER_FAULTS:
             running.set_fault(order["do"], float(order["value"]), int(order["entry"]))
         elif order["do"] == "down":
--- a/tests/testkit/test_world.py
+++ b/tests/testkit/test_world.py
@@ -316,7 +316,7 @@
     assert one.number != two.number
     first.close()
     second.close()
-    addresses = [one.server(n) for n in range(5000)] + [one.own_node(n) for n in range(5000)]
+    addresses = [one.server(n) for n in range(5000)] + [one.sidecar_node(n) for n in range(5000)]
     addresses += [one.front_node(n) for n in range(500)]
     assert len(set(addresses)) == len(addresses)
     assert all(0 < int(part) < 255 for host, _ in addresses for part in host.split(".")[2:])
--- a/tests/testkit/world/test_plan.py
+++ b/tests/testkit/world/test_plan.py
@@ -67,5 +67,5 @@
 
 def test_a_timeline_that_comes_to_too_much_is_turned_away() -> None:
     entry = {"at": "1s", "do": "pauses", "every": "1ms", "length": "1ms", "for": "59s", "share": 1.0}
-    with pytest.raises(ValueError, match="comes to over"):
+    with pytest.raises(ValueError, match="gives more than 50000 actions"):
         draw(scenario(timeline=[entry]))
