--- a/orchidferry/testkit/clients/__init__.py
+++ b/orchidferry/testkit/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: the schedule of the arrivals, and the clients that send them."""
+"""Open-loop load: the schedule of request arrivals, and the clients that send the requests."""
--- a/orchidferry/testkit/clients/generator.py
+++ b/orchidferry/testkit/clients/generator.py
@@ -1,7 +1,8 @@
 """Worker process of the clients: an open-loop load generator.
 
-Latency counts from when a request was due, not from when it was sent. A late generator makes its own results
-worse, and records that (`Lag`), but can't hide a stalled node (coordinated omission).
+Latency counts from when a request was due, not from when it was sent. A generator that falls behind therefore
+makes the measured latency worse, and records its lag (`Lag`), but cannot hide a stalled node (coordinated
+omission).
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from orchidferry.testkit.wire import Address, Outcome
 from orchidferry.testkit.world.addresses import Block
 
-MIN_LAG_S = 0.002  # recorded when a request starts later than it was due by this
-MAX_RETRY_AFTER_S = 10.0  # longer advice is cut to this
-MAX_OPEN_REQUESTS = 50_000  # beyond this the generator itself is the bottleneck
-MIN_ATTEMPT_S = 0.01  # before the client gives up; with less left it makes no further attempt
+MIN_LAG_S = 0.002  # smallest delay of a request after its due time that is recorded
+MAX_RETRY_AFTER_S = 10.0  # limit on the delay that a client takes from a Retry-After header
+MAX_OPEN_REQUESTS = 50_000  # beyond this, the generator itself is the bottleneck and sends no more
+MIN_ATTEMPT_S = 0.01  # time left until the client gives up below which it makes no further attempt
 
 
 class Clients:
-    """The clients of one process: with n processes, each takes every n-th arrival."""
+    """The clients of one process; with n processes, each process takes every n-th arrival."""
 
     def __init__(
         self, script: WorkerScript, block: Block, recorder: Recorder, send_report: SendReport, index: int
@@ -39,25 +40,25 @@
         self._recorder = recorder
         self._send_report = send_report
         self._arrivals = (
-            self._from_recordings(index) if self._scenario.traffic else self._drawn(script, index)
+            self._recorded_arrivals(index) if self._scenario.traffic else self._drawn_arrivals(script, index)
         )
         self._sender = RequestSender(self._scenario, recorder, script.files, script.proof_key)
         self._guard = self._scenario.guard
         self._paths = dict(self._scenario.paths)
-        self._nodes: list[str] = []  # that clients may use
+        self._nodes: list[str] = []  # names of the nodes that clients may use
         self._node_numbers = {name: number for number, name in enumerate(script.plan.nodes)}
-        self._open: set[asyncio.Task[None]] = set()
+        self._open: set[asyncio.Task[None]] = set()  # clients that have not ended
         self._pacer = Pacer()
         self._loop = asyncio.get_running_loop()
         self._load_task: asyncio.Task[None] | None = None
-        # first attempts made and attempts served so far, for the progress display
+        # Number of first attempts made and of attempts served so far, for the progress display.
         self._started_count = 0
         self._served_count = 0
 
-    def _drawn(self, script: WorkerScript, index: int) -> Iterator[Arrival]:
+    def _drawn_arrivals(self, script: WorkerScript, index: int) -> Iterator[Arrival]:
         return iter(arrivals(script.plan)[index :: self._scenario.clients.processes])
 
-    def _from_recordings(self, index: int) -> Iterator[Arrival]:
+    def _recorded_arrivals(self, index: int) -> Iterator[Arrival]:
         from orchidferry.testkit.traffic.replay import replayed_arrivals
 
         remaining = replayed_arrivals(self._scenario, index, self._scenario.clients.processes)
@@ -66,19 +67,19 @@
         return itertools.chain(first, remaining)
 
     async def handle_order(self, order: Order) -> None:
-        """Carry out an order of the director: `deal` names the usable nodes, `play` starts the load."""
+        """Carry out an order of the director: `deal` gives the usable nodes, `play` starts the load."""
         if order["do"] == "deal":
             self._nodes = list(order["nodes"])
         elif order["do"] == "play":
             self._load_task = self._loop.create_task(self._offer_load(float(order["at"])))
 
     async def _offer_load(self, start: float) -> None:
-        """Start each arrival's client when it is due, and wait until all have ended.
+        """Start a client for each arrival when the arrival is due, and wait until all clients have ended.
 
-        :param start: when the load begins, in seconds of the record's clock
+        :param start: when the load begins, in seconds on the record's clock
         """
         now = self._recorder.now
-        # A replay records the lag of every request, as its report has their distribution.
+        # A replay records the lag of every request, as its report shows the distribution of the lags.
         min_lag_s = -1.0 if self._scenario.traffic else MIN_LAG_S
         for arrival in self._arrivals:
             due = start + arrival.t
@@ -110,9 +111,9 @@
         return self._block.front_node(self._node_numbers[node])
 
     async def _run_client(self, arrival: Arrival, due: float) -> None:
-        """Make the first attempt of an arrival and its retries.
+        """Make the first attempt of an arrival, and its retries.
 
-        :param due: when the first attempt should start, in seconds of the record's clock
+        :param due: when the first attempt should start, in seconds on the record's clock
         """
         scenario = self._scenario
         cls = arrival.cls
@@ -139,7 +140,7 @@
             intended = now() + backoff_s
 
     async def _send(self, attempt: Attempt, arrival: Arrival) -> Outcome:
-        """Send one attempt to a node chosen at random from the usable ones."""
+        """Send one attempt to a randomly chosen usable node."""
         if not self._nodes:
             return Outcome("refused", 0.0)
         drawn = seeded_random.uniform(self._scenario.seed, "deal", attempt.id, high=len(self._nodes))
@@ -151,7 +152,8 @@
         target = ""
         method = ""
         if self._guard.target is not None:
-            # Checked for each attempt, in addition to the selection of the requests: nothing bypasses it.
+            # The permission is checked for each attempt, in addition to the selection of the requests, so
+            # that no request can bypass it.
             if self._guard.permission(attempt.cls.name, attempt.cls.repeat) is not Permission.MARKED:
                 raise RuntimeError(f"{attempt.cls.name} may not be sent to {self._guard.target}")
             key = f"{key}-{self._scenario.run}"
@@ -173,12 +175,12 @@
     def _retry_backoff_s(self, arrival: Arrival, outcome: Outcome, abandoned: bool) -> float | None:
         """Decide whether a client retries.
 
-        Idempotent requests, and keyed ones whose repeats every server drops, are retried after any failure;
-        the rest only after a rejection or if no node accepted the attempt. Some clients retry an unsafe
-        request nevertheless, without knowing whether it ran.
+        Idempotent requests, and requests with an operation key by which every server drops repeats, are
+        retried after any failure. Others are retried only after a rejection, or if no node accepted the
+        attempt. Some clients retry an unsafe request nevertheless, without knowing whether it was executed.
 
         :param abandoned: whether the client abandons this attempt before its timeout
-        :returns: seconds until the retry, or None without one
+        :returns: seconds until the retry; None if the client does not retry
         """
         clients = self._scenario.clients
         cls = arrival.cls
@@ -199,7 +201,7 @@
         return backoff_s
 
     def on_second(self) -> None:
-        """Close idle connections and report the progress."""
+        """Close idle connections, and report the progress."""
         self._sender.sweep()
         if self._load_task is not None:
             counts = {"asked": self._started_count, "served": self._served_count, "open": len(self._open)}
--- a/orchidferry/testkit/clients/pacer.py
+++ b/orchidferry/testkit/clients/pacer.py
@@ -1,6 +1,6 @@
-"""Precise waits by timerfd (timerfd_create(2)), as event loops round theirs to milliseconds.
+"""Precise waits with timerfd_create(2), as the timers of event loops are rounded to milliseconds.
 
-At a thousand requests a second a millisecond is the whole gap between two of them.
+At a thousand requests per second, a millisecond is the whole interval between two requests.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 class _TimerSpec(ctypes.Structure):
-    """struct itimerspec: interval, then value."""
+    """The C structure itimerspec: the interval, then the initial expiration (value)."""
 
     _fields_ = tuple((name, ctypes.c_long) for name in ("interval_s", "interval_ns", "value_s", "value_ns"))
 
 
 class Pacer:
-    """Waits for points in time, one wait at a time. Its owner closes it."""
+    """Waits for points in time, one wait at a time. The owner must call `close`."""
 
     def __init__(self) -> None:
-        """Create a timer; must be called in the event loop.
+        """Create a timer; must be called in a running event loop.
 
-        :raises OSError: if the kernel gives none
+        :raises OSError: if the kernel cannot create the timer
         """
         self._fd = _libc.timerfd_create(CLOCK_MONOTONIC, os.O_NONBLOCK | os.O_CLOEXEC)
         if self._fd < 0:
@@ -44,9 +44,9 @@
             self._expired.set_result(None)
 
     async def until(self, t: float) -> None:
-        """Wait until a time of the monotonic clock; returns at once if it has passed.
+        """Wait until `t`, in seconds on the monotonic clock; return at once if that time has passed.
 
-        :raises OSError: if the timer can't be set
+        :raises OSError: if the timer cannot be set
         """
         if t <= time.monotonic():
             return
--- a/orchidferry/testkit/clients/schedule.py
+++ b/orchidferry/testkit/clients/schedule.py
@@ -1,7 +1,7 @@
-"""The arrivals of the open loop, drawn ahead of the run from its seed. Free of I/O.
+"""The arrivals of the open-loop load, drawn before the run from its seed. Free of I/O.
 
-Arrivals are a Poisson process whose rate follows the load's shape, by thinning (Lewis and Shedler, 1979).
-They do not depend on how earlier requests ended.
+Arrivals are a Poisson process with a rate that follows the load's shape, drawn by thinning (Lewis and
+Shedler, 1979), or evenly spaced. They do not depend on the outcome of earlier requests.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 from orchidferry.testkit.scenario import Class, Clients
 from orchidferry.testkit.world.plan import Plan
 
-HIGH_PHASE_FRACTION = 0.3  # of a period, in which a bursty load is above its mean
-ZIPF_EXPONENT = 0.9  # of the objects' popularity
-EVEN_STEPS_PER_ARRIVAL = 8.0  # of the numeric integration of the rate
-# an impatient client leaves after a part of its attempt's timeout
+HIGH_PHASE_FRACTION = 0.3  # fraction of a period in which a bursty load is above its mean
+ZIPF_EXPONENT = 0.9  # exponent of the Zipf distribution of the objects' popularity
+EVEN_STEPS_PER_ARRIVAL = 8.0  # integration steps per arrival when the rate is integrated numerically
+# An impatient client abandons an attempt after a fraction of its timeout between these bounds.
 MIN_ABANDONED_FRACTION = 0.02
 MAX_ABANDONED_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's first attempt at a request, with what is drawn for it and its retries."""
+    """A client request: its due time, and the client's behaviour for all attempts."""
 
-    t: float  # seconds from the start of the load
-    root: str
+    t: float  # when the first attempt is due, in seconds since the load began
+    root: str  # id that the ids of all attempts begin with
     cls: Class
-    object: int
+    object: int  # index of the requested object
     attempt_timeout_s: float
     honours_retry_after: bool
-    retries_unsafe: bool  # although the failed attempt may have run
+    retries_unsafe: bool  # the client retries even if the failed attempt may have been executed
 
 
 def rate_at(plan: Plan, t: float) -> float:
-    """The rate that the load is to have at a time.
+    """The target rate of the load at `t`.
 
-    :param t: seconds from the start of the load
-    :returns: first attempts a second
+    :param t: seconds since the load began
+    :returns: first attempts per second
     """
     load = plan.scenario.load
     rate = load.rate
     if load.shape == "bursty":
         is_high = (t / load.period_s) % 1.0 < HIGH_PHASE_FRACTION
-        # Above the mean for a short while and below it for the rest, so that the mean stays.
+        # The rate is above the mean for a short phase and below it for the rest, so that the mean stays.
         rate *= (
             1.0 + load.swing
             if is_high
@@ -64,7 +64,7 @@
 def arrival_times(plan: Plan) -> Iterator[float]:
     """Generate the times of all arrivals.
 
-    :returns: seconds from the start of the load, in ascending order
+    :returns: times in seconds since the load began, in ascending order
     """
     load = plan.scenario.load
     length_s = plan.scenario.length_s
@@ -72,10 +72,10 @@
     max_rate = load.rate * (1.0 + load.swing) * factor
     rng = seeded_random.generator(plan.scenario.seed, "arrivals")
     t = 0.0
-    expected = 0.0  # arrivals since the last one, by the integral of the rate
+    expected = 0.0  # integral of the rate since the last arrival
     while True:
         if load.arrivals == "even":
-            # One arrival each time the integral of the rate passes an integer.
+            # There is one arrival each time the integral of the rate reaches an integer.
             step = 1.0 / max_rate / EVEN_STEPS_PER_ARRIVAL
             while expected < 1.0 and t < length_s:
                 expected += rate_at(plan, t) * step
@@ -90,7 +90,7 @@
 
 
 def arrivals(plan: Plan) -> list[Arrival]:
-    """Draw all first attempts of a run.
+    """Draw all client requests of a run.
 
     :returns: the arrivals, in ascending order of time
     """
@@ -126,7 +126,7 @@
     """Draw when an impatient client abandons an attempt.
 
     :param timeout_s: the attempt's timeout in seconds
-    :returns: seconds from the attempt's start, or None if the client waits for the timeout
+    :returns: seconds from the start of the attempt; None if the client waits for the timeout
     """
     if seeded_random.uniform(seed, "impatient", attempt_id) >= clients.impatient:
         return None
