--- a/tests/testkit/clients/test_schedule.py
+++ b/tests/testkit/clients/test_schedule.py
@@ -1,4 +1,4 @@
-"""The arrivals of the open loop, and the clients' impatience."""
+"""The arrivals of the open-loop load, and the attempts that impatient clients abandon."""
 
 from __future__ import annotations
 
@@ -18,31 +18,35 @@
     return read_scenario({"name": "x", "length": "60s"} | changes, "x")
 
 
-def test_arrivals_have_the_rate_the_mix_and_the_gaps_that_were_asked_for() -> None:
+def test_arrivals_have_the_configured_rate_class_mix_and_poisson_gaps() -> None:
     plan = draw(scenario(load={"rate": 100}))
-    some = arrivals(plan)
-    assert len(some) == pytest.approx(6000, rel=0.05)
-    shares = Counter(a.cls.name for a in some)
+    all_arrivals = arrivals(plan)
+    assert len(all_arrivals) == pytest.approx(6000, rel=0.05)
+    shares = Counter(a.cls.name for a in all_arrivals)
     for cls in plan.scenario.classes:
-        assert shares[cls.name] / len(some) == pytest.approx(cls.share, abs=0.03)
-    gaps = [b.t - a.t for a, b in itertools.pairwise(some)]
-    assert statistics.stdev(gaps) == pytest.approx(statistics.mean(gaps), rel=0.1)  # as Poisson's are
-    assert all(0.42 * a.cls.gives_up_s <= a.attempt_timeout_s <= 0.55 * a.cls.gives_up_s for a in some)
+        assert shares[cls.name] / len(all_arrivals) == pytest.approx(cls.share, abs=0.03)
+    gaps = [b.t - a.t for a, b in itertools.pairwise(all_arrivals)]
+    assert statistics.stdev(gaps) == pytest.approx(
+        statistics.mean(gaps), rel=0.1
+    )  # as the intervals of a Poisson process are
+    assert all(
+        0.42 * a.cls.gives_up_s <= a.attempt_timeout_s <= 0.55 * a.cls.gives_up_s for a in all_arrivals
+    )
 
 
 def test_even_arrivals_are_evenly_spaced() -> None:
-    some = arrivals(draw(scenario(load={"rate": 50, "arrivals": "even"})))
-    gaps = [b.t - a.t for a, b in itertools.pairwise(some)]
-    assert len(some) == pytest.approx(3000, abs=2)
+    all_arrivals = arrivals(draw(scenario(load={"rate": 50, "arrivals": "even"})))
+    gaps = [b.t - a.t for a, b in itertools.pairwise(all_arrivals)]
+    assert len(all_arrivals) == pytest.approx(3000, abs=2)
     assert max(gaps) < 0.03
 
 
-def test_a_burst_is_in_the_arrivals_while_it_lasts() -> None:
+def test_burst_multiplies_the_rate_while_it_lasts() -> None:
     burst = {"at": "20s", "do": "burst", "factor": 3, "for": "20s"}
-    some = arrivals(draw(scenario(load={"rate": 50}, timeline=[burst])))
-    within = sum(20.0 <= a.t < 40.0 for a in some)
+    all_arrivals = arrivals(draw(scenario(load={"rate": 50}, timeline=[burst])))
+    within = sum(20.0 <= a.t < 40.0 for a in all_arrivals)
     assert within == pytest.approx(3000, rel=0.08)
-    assert len(some) - within == pytest.approx(2000, rel=0.08)
+    assert len(all_arrivals) - within == pytest.approx(2000, rel=0.08)
 
 
 @pytest.mark.parametrize("shape", ["bursty", "ramp"])
@@ -53,9 +57,9 @@
     assert max(rates) > 1.5 * min(rates)
 
 
-def test_some_clients_are_impatient() -> None:
+def test_impatient_clients_abandon_attempts_before_the_timeout() -> None:
     one = scenario(clients={"impatient": 0.1})
     waits = [abandoned_after(one.clients, 1, f"r{n}", 2.0) for n in range(5000)]
-    gone = [w for w in waits if w is not None]
-    assert len(gone) == pytest.approx(500, rel=0.15)
-    assert all(0.0 < w < 2.0 for w in gone)
+    abandoned = [w for w in waits if w is not None]
+    assert len(abandoned) == pytest.approx(500, rel=0.15)
+    assert all(0.0 < w < 2.0 for w in abandoned)
--- a/tests/testkit/world/test_machine.py
+++ b/tests/testkit/world/test_machine.py
@@ -1,4 +1,4 @@
-"""The inside of a stand-in server, event by event."""
+"""The model of a stand-in server, event by event."""
 
 from __future__ import annotations
 
@@ -28,184 +28,188 @@
 TIER = Tier("t", 1, 1.0, 1.0, cores=1, slots=2, room=1, speed=(1.0, 1.0))
 
 
-class Bench:
-    """A machine with a clock that goes from one wake-up to the next."""
+class MachineDriver:
+    """Sends events to a machine and advances its clock from one wake-up to the next."""
 
     def __init__(self, tier: Tier = TIER, last: bool = True, cold: bool = False) -> None:
         self.keys = machine.SeenKeys()
-        figures = machine.ServerParameters(
+        parameters = machine.ServerParameters(
             "s", tier, last, 1.0, 1, SCENARIO.rules, lambda cls: self.keys, 0.0 if cold else None
         )
-        self.machine = machine.Machine(figures, 0.0)
+        self.machine = machine.Machine(parameters, 0.0)
         self.now = 0.0
         self.wake: float | None = None
-        self.log: list[tuple[float, Action]] = []
+        self.timed_actions: list[tuple[float, Action]] = []
 
-    def do(self, event: machine.Event, at: float | None = None) -> list[Action]:
+    def handle(self, event: machine.Event, at: float | None = None) -> list[Action]:
         if at is not None:
             self.run(at)
             self.now = at
         actions = self.machine.handle(event, self.now)
         self.wake = next((a.t for a in actions if isinstance(a, WakeAt)), None)
-        self.log += [(self.now, a) for a in actions]
+        self.timed_actions += [(self.now, a) for a in actions]
         return actions
 
     def run(self, until: float) -> None:
         while self.wake is not None and self.wake <= until:
             self.now = self.wake
-            self.do(Woken())
+            self.handle(Woken())
 
     def arrive(
         self, id: str, cls: Class = SAFE, at: float | None = None, ends: float = 100.0
     ) -> list[Action]:
-        return self.do(Arrived(id, cls, id, f"k-{id[0]}", ends), at)
+        return self.handle(Arrived(id, cls, id, f"k-{id[0]}", ends), at)
 
     def finished(self) -> dict[str, tuple[str, float]]:
-        return {a.id: (a.how, round(t, 3)) for t, a in self.log if isinstance(a, Finish)}
+        return {a.id: (a.how, round(t, 3)) for t, a in self.timed_actions if isinstance(a, Finish)}
 
 
-def test_one_core_works_one_after_another() -> None:
-    bench = Bench()
-    bench.arrive("a")
-    bench.arrive("b")
-    bench.run(10.0)
-    assert bench.finished() == {"a": ("served", 0.1), "b": ("served", 0.2)}
+def test_one_core_executes_requests_one_after_another() -> None:
+    driver = MachineDriver()
+    driver.arrive("a")
+    driver.arrive("b")
+    driver.run(10.0)
+    assert driver.finished() == {"a": ("served", 0.1), "b": ("served", 0.2)}
 
 
-def test_beyond_slots_and_room_it_turns_away_unseen() -> None:
-    bench = Bench()
+def test_request_beyond_slots_and_queue_is_rejected_without_execution() -> None:
+    driver = MachineDriver()
     for id in "abcd":
-        bench.arrive(id)
-    assert bench.finished() == {"d": ("rejected", 0.0)}
-    bench.run(10.0)
-    assert bench.finished()["c"] == ("served", 0.3)
-    assert not any(isinstance(a, Begin) and a.id == "d" for _, a in bench.log)
-
-
-def test_what_is_over_by_the_time_it_would_begin_is_turned_away() -> None:
-    bench = Bench()
-    bench.arrive("a")
-    bench.arrive("b", ends=0.05)
-    bench.run(10.0)
-    assert bench.finished()["b"] == ("rejected", 0.1)
-
-
-def test_a_call_to_the_next_tier_keeps_the_slot_and_frees_the_core() -> None:
-    bench = Bench(replace(TIER, slots=2, room=0), last=False)
-    bench.arrive("a")
-    bench.run(0.05)
-    assert any(isinstance(a, Call) and a.id == "a" for _, a in bench.log)
-    bench.arrive("b", at=0.06)
-    bench.run(0.2)
-    assert sum(isinstance(a, Call) for _, a in bench.log) == 2  # b had the core meanwhile
-    assert bench.arrive("c")[0] == Finish("c", "rejected")  # and both keep their slots
-    bench.do(CallDone("a", True), at=0.5)
-    bench.do(CallDone("b", False), at=0.52)
-    bench.run(1.0)
-    assert bench.finished() == {"c": ("rejected", 0.11), "a": ("served", 0.55), "b": ("error", 0.52)}
-
-
-def test_a_slow_server_takes_so_many_times_as_long_from_then_on() -> None:
-    bench = Bench()
-    bench.arrive("a")
-    bench.do(ServerFaults(slowdown=4.0), at=0.05)
-    bench.run(10.0)
-    assert bench.finished() == {"a": ("served", 0.25)}
-
-
-def test_a_server_that_stands_still_goes_on_where_it_was() -> None:
-    bench = Bench()
-    bench.arrive("a")
-    bench.do(ServerFaults(frozen=True), at=0.04)
-    assert bench.wake is None
-    bench.arrive("b", at=1.0)
-    bench.do(ServerFaults(), at=2.0)
-    bench.run(10.0)
-    assert bench.finished() == {"a": ("served", 2.06), "b": ("served", 2.16)}
-
-
-def test_a_server_that_fails_says_so_at_once_and_never_begins() -> None:
-    bench = Bench()
-    bench.do(ServerFaults(failure_rate=1.0))
-    bench.arrive("a", KEYED)
-    bench.run(1.0)
-    assert bench.finished() == {"a": ("error", 0.005)}
-    assert not any(isinstance(a, Begin) for _, a in bench.log)
-    bench.do(ServerFaults())
-    bench.arrive("a2", KEYED)
-    bench.run(2.0)
-    assert bench.finished()["a2"][0] == "served"  # its key had not been used up
-
-
-def test_a_key_is_dropped_within_its_window_and_not_after_it() -> None:
-    bench = Bench()
-    bench.arrive("a", KEYED)
-    bench.arrive("a-again", KEYED, at=1.0)
-    bench.arrive("a-late", KEYED, at=KEYED.window_s + 0.1)
-    bench.run(20.0)
-    hows = {id: how for id, (how, _) in bench.finished().items()}
-    assert hows == {"a": "served", "a-again": "repeat", "a-late": "served"}
-    assert [a.id for _, a in bench.log if isinstance(a, Begin)] == ["a", "a-late"]
-
-
-def test_a_key_counts_from_the_beginning_of_work_not_from_the_waiting_room() -> None:
-    bench = Bench(replace(TIER, slots=1, room=2))
-    bench.arrive("x")
-    bench.arrive("a", KEYED)
-    bench.do(ClientGone("a"))  # leaves the room: it has never run
-    bench.arrive("a-again", KEYED, at=0.2)
-    bench.run(5.0)
-    assert bench.finished()["a-again"][0] == "served"
-
-
-def test_two_copies_of_a_key_in_work_at_once_have_one_effect() -> None:
-    bench = Bench()
-    bench.arrive("a1", KEYED)
-    bench.arrive("a2", KEYED)
-    bench.run(5.0)
-    assert [a.id for _, a in bench.log if isinstance(a, Begin)] == ["a1"]
-    assert bench.finished()["a2"][0] == "repeat"
-
-
-def test_a_cold_server_is_slow_at_first_and_warm_after_its_ramp() -> None:
-    bench = Bench(cold=True)
-    bench.arrive("a", at=0.001)
-    bench.run(1.0)
-    assert bench.finished()["a"][1] == pytest.approx(0.1 / 0.345, abs=0.02)
-    assert bench.machine.capacity_share(0.0) == pytest.approx(0.34)
-    assert bench.machine.capacity_share(TIER.cold_for_s / 2) == pytest.approx(0.67)
-    bench.arrive("b", at=9.0)
-    bench.run(10.0)
-    assert bench.finished()["b"][1] == pytest.approx(9.1)
-
-
-def test_a_cold_server_pushed_past_its_multiple_falls_and_stays_down() -> None:
-    bench = Bench(cold=True)
+        driver.arrive(id)
+    assert driver.finished() == {"d": ("rejected", 0.0)}
+    driver.run(10.0)
+    assert driver.finished()["c"] == ("served", 0.3)
+    assert not any(isinstance(a, Begin) and a.id == "d" for _, a in driver.timed_actions)
+
+
+def test_request_past_its_deadline_is_rejected_instead_of_begun() -> None:
+    driver = MachineDriver()
+    driver.arrive("a")
+    driver.arrive("b", ends=0.05)
+    driver.run(10.0)
+    assert driver.finished()["b"] == ("rejected", 0.1)
+
+
+def test_call_to_the_next_tier_keeps_the_slot_and_frees_the_core() -> None:
+    driver = MachineDriver(replace(TIER, slots=2, room=0), last=False)
+    driver.arrive("a")
+    driver.run(0.05)
+    assert any(isinstance(a, Call) and a.id == "a" for _, a in driver.timed_actions)
+    driver.arrive("b", at=0.06)
+    driver.run(0.2)
+    assert (
+        sum(isinstance(a, Call) for _, a in driver.timed_actions) == 2
+    )  # b used the core while a's call was open
+    assert driver.arrive("c")[0] == Finish("c", "rejected")  # a and b keep their slots during their calls
+    driver.handle(CallDone("a", True), at=0.5)
+    driver.handle(CallDone("b", False), at=0.52)
+    driver.run(1.0)
+    assert driver.finished() == {"c": ("rejected", 0.11), "a": ("served", 0.55), "b": ("error", 0.52)}
+
+
+def test_slowdown_stretches_the_remaining_work() -> None:
+    driver = MachineDriver()
+    driver.arrive("a")
+    driver.handle(ServerFaults(slowdown=4.0), at=0.05)
+    driver.run(10.0)
+    assert driver.finished() == {"a": ("served", 0.25)}
+
+
+def test_frozen_server_continues_where_it_stopped() -> None:
+    driver = MachineDriver()
+    driver.arrive("a")
+    driver.handle(ServerFaults(frozen=True), at=0.04)
+    assert driver.wake is None
+    driver.arrive("b", at=1.0)
+    driver.handle(ServerFaults(), at=2.0)
+    driver.run(10.0)
+    assert driver.finished() == {"a": ("served", 2.06), "b": ("served", 2.16)}
+
+
+def test_failing_request_ends_early_and_never_begins() -> None:
+    driver = MachineDriver()
+    driver.handle(ServerFaults(failure_rate=1.0))
+    driver.arrive("a", KEYED)
+    driver.run(1.0)
+    assert driver.finished() == {"a": ("error", 0.005)}
+    assert not any(isinstance(a, Begin) for _, a in driver.timed_actions)
+    driver.handle(ServerFaults())
+    driver.arrive("a2", KEYED)
+    driver.run(2.0)
+    assert (
+        driver.finished()["a2"][0] == "served"
+    )  # the failed request with the same key did not count as seen
+
+
+def test_repeated_key_is_dropped_only_within_its_window() -> None:
+    driver = MachineDriver()
+    driver.arrive("a", KEYED)
+    driver.arrive("a-again", KEYED, at=1.0)
+    driver.arrive("a-late", KEYED, at=KEYED.window_s + 0.1)
+    driver.run(20.0)
+    outcomes = {id: how for id, (how, _) in driver.finished().items()}
+    assert outcomes == {"a": "served", "a-again": "repeat", "a-late": "served"}
+    assert [a.id for _, a in driver.timed_actions if isinstance(a, Begin)] == ["a", "a-late"]
+
+
+def test_key_counts_as_seen_from_the_start_of_work_and_not_in_the_queue() -> None:
+    driver = MachineDriver(replace(TIER, slots=1, room=2))
+    driver.arrive("x")
+    driver.arrive("a", KEYED)
+    driver.handle(ClientGone("a"))  # dropped from the queue, so it was never executed
+    driver.arrive("a-again", KEYED, at=0.2)
+    driver.run(5.0)
+    assert driver.finished()["a-again"][0] == "served"
+
+
+def test_concurrent_requests_with_one_key_have_one_effect() -> None:
+    driver = MachineDriver()
+    driver.arrive("a1", KEYED)
+    driver.arrive("a2", KEYED)
+    driver.run(5.0)
+    assert [a.id for _, a in driver.timed_actions if isinstance(a, Begin)] == ["a1"]
+    assert driver.finished()["a2"][0] == "repeat"
+
+
+def test_cold_server_reaches_full_capacity_after_slow_start() -> None:
+    driver = MachineDriver(cold=True)
+    driver.arrive("a", at=0.001)
+    driver.run(1.0)
+    assert driver.finished()["a"][1] == pytest.approx(0.1 / 0.345, abs=0.02)
+    assert driver.machine.capacity_share(0.0) == pytest.approx(0.34)
+    assert driver.machine.capacity_share(TIER.cold_for_s / 2) == pytest.approx(0.67)
+    driver.arrive("b", at=9.0)
+    driver.run(10.0)
+    assert driver.finished()["b"][1] == pytest.approx(9.1)
+
+
+def test_overloaded_cold_server_collapses_for_good() -> None:
+    driver = MachineDriver(cold=True)
     actions: list[Action] = []
-    for n in range(20):  # 2 core-seconds at once; 1.1 times 3 times 0.34 is what it bears
-        actions += bench.arrive(f"x{n}", at=0.01)
-        if bench.machine.collapsed:
+    for n in range(20):  # 2 core-seconds at once; the server can bear 1.1 * 3 * 0.34
+        actions += driver.arrive(f"x{n}", at=0.01)
+        if driver.machine.collapsed:
             break
     assert n == 11
     assert actions[-1] == Collapse()
-    assert bench.arrive("y", at=20.0) == []
+    assert driver.arrive("y", at=20.0) == []
 
 
-def test_a_warm_server_bears_any_push() -> None:
-    bench = Bench()
+def test_warm_server_does_not_collapse() -> None:
+    driver = MachineDriver()
     for n in range(200):
-        bench.arrive(f"x{n}")
-    assert not bench.machine.collapsed
-    assert len(bench.finished()) == 197
+        driver.arrive(f"x{n}")
+    assert not driver.machine.collapsed
+    assert len(driver.finished()) == 197
 
 
-def test_the_same_events_give_the_same_actions() -> None:
-    def play() -> list[tuple[float, Action]]:
-        bench = Bench(replace(TIER, slots=5, room=5))
-        bench.do(ServerFaults(failure_rate=0.3, slowdown=1.5))
+def test_same_events_give_same_actions() -> None:
+    def run_events() -> list[tuple[float, Action]]:
+        driver = MachineDriver(replace(TIER, slots=5, room=5))
+        driver.handle(ServerFaults(failure_rate=0.3, slowdown=1.5))
         for n in range(50):
-            bench.arrive(f"{n}", (SAFE, KEYED)[n % 2], at=n * 0.03)
-        bench.run(60.0)
-        return bench.log
+            driver.arrive(f"{n}", (SAFE, KEYED)[n % 2], at=n * 0.03)
+        driver.run(60.0)
+        return driver.timed_actions
 
-    assert play() == play()
+    assert run_events() == run_events()
--- a/tests/testkit/world/test_plan.py
+++ b/tests/testkit/world/test_plan.py
@@ -1,4 +1,4 @@
-"""What is drawn from a seed: the script, the arrivals, the work."""
+"""The values drawn from a seed: the plan, the arrivals, and the work of requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("name", shipped())
-def test_the_same_seed_draws_the_same_script_and_arrivals_and_another_does_not(name: str) -> None:
+def test_plan_and_arrivals_are_reproducible_and_depend_on_the_seed(name: str) -> None:
     one = load_scenario(name)
     plan = draw(one)
     assert plan == draw(one)
@@ -29,13 +29,13 @@
     assert arrivals(other) != arrivals(plan)
 
 
-def test_work_is_log_normal_with_the_mean_and_spread_given() -> None:
+def test_log_normal_has_the_given_mean_and_spread() -> None:
     sample = [seeded_random.log_normal(0.1, 0.5, 7, "work", n) for n in range(20_000)]
     assert statistics.mean(sample) == pytest.approx(0.1, rel=0.02)
     assert statistics.stdev(sample) == pytest.approx(0.05, rel=0.05)
 
 
-def test_a_requests_work_and_calls_do_not_depend_on_which_server_or_attempt_it_is() -> None:
+def test_work_and_calls_depend_on_the_request_and_not_on_server_or_attempt() -> None:
     one = scenario()
     tier = one.tiers[0]
     cls = one.classes[0]
@@ -45,14 +45,14 @@
     assert statistics.mean(calls) == pytest.approx(tier.calls, rel=0.05)
 
 
-def test_troubles_strike_as_many_as_was_said_and_end() -> None:
+def test_fault_affects_the_given_share_of_servers_and_ends() -> None:
     entry = {"at": "5s", "do": "slow", "tier": "registro", "share": 0.3, "factor": 4, "for": "2s"}
     actions = draw(scenario(timeline=[entry])).actions
     assert [(a.t, a.value) for a in actions] == [(5.0, 4.0)] * 3 + [(7.0, 0.0)] * 3
     assert len({a.whom for a in actions}) == 3
 
 
-def test_a_rolling_restart_touches_each_server_once_in_order() -> None:
+def test_rolling_restart_restarts_each_server_once_in_order() -> None:
     entry = {"at": "5s", "do": "rolling-restart", "tier": "entrada", "gap": "4s", "renamed": True}
     plan = draw(scenario(timeline=[entry]))
     assert [a.t for a in plan.actions if a.do == "leave"] == [5.0 + 4.0 * n for n in range(6)]
@@ -60,12 +60,12 @@
     assert len(set(ups)) == 6
     for name in ups:
         assert plan.server(name).starts_later
-    # The new one stands at the old one's address.
+    # A renamed server has the address of the old one.
     numbers = [s.number for s in plan.servers if s.tier == 0]
     assert sorted(numbers) == sorted([*range(6), *range(6)])
 
 
-def test_a_timeline_that_comes_to_too_much_is_turned_away() -> None:
+def test_timeline_with_too_many_actions_is_rejected() -> None:
     entry = {"at": "1s", "do": "pauses", "every": "1ms", "length": "1ms", "for": "59s", "share": 1.0}
     with pytest.raises(ValueError, match="gives more than 50000 actions"):
         draw(scenario(timeline=[entry]))
