--- a/orchidferry/testkit/judge/mesh/configuration_rules.py
+++ b/orchidferry/testkit/judge/mesh/configuration_rules.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Handled:
-    """A request that was handled as some accepted version allows."""
+    """A request that was handled as some version allows that is valid and was not refused."""
 
     sent: Sent
     description: str  # how the request was handled
@@ -74,7 +74,7 @@
 def _check_applied(trace: MeshTrace, finding: Finding) -> None:
     """Requests are handled by a version in force, and no process reverts to an older version."""
     valid = sorted((put for put in trace.puts if put.valid), key=lambda put: put.revision)
-    accepted = [put for put in valid if put.status != PRECONDITION_FAILED]
+    acceptable = [put for put in valid if put.status != PRECONDITION_FAILED]
     refused = [put for put in trace.puts if not put.valid or put.status == PRECONDITION_FAILED]
     applied: dict[str, list[tuple[float, int]]] = defaultdict(list)  # see `_check_no_reversion`
     handled: list[_Handled] = []
@@ -82,9 +82,9 @@
         handling = handling_of(trace, request_id)
         if handling is None:
             continue
-        oldest = next((put.revision for put in accepted if handling.allowed_by(trace, put, sent)), None)
+        oldest = next((put.revision for put in acceptable if handling.allowed_by(trace, put, sent)), None)
         newest = next(
-            (put.revision for put in reversed(accepted) if handling.allowed_by(trace, put, sent)), None
+            (put.revision for put in reversed(acceptable) if handling.allowed_by(trace, put, sent)), None
         )
         if newest is not None:
             handled.append(_Handled(sent, handling.description, newest))
--- a/orchidferry/testkit/judge/mesh/request_rules.py
+++ b/orchidferry/testkit/judge/mesh/request_rules.py
@@ -97,7 +97,7 @@
 
 
 def executed_once(trace: MeshTrace) -> Finding:
-    """Each attempt at a request that is not repeatable is executed once; so is each key within its window."""
+    """Attempts at non-repeatable requests, and keys within their window, are executed at most once."""
     finding = Finding()
     executed_by_key: dict[str, list[Sent]] = defaultdict(list)
     for request_id in trace.runs_by_request:
--- a/orchidferry/testkit/world/machine.py
+++ b/orchidferry/testkit/world/machine.py
@@ -190,9 +190,8 @@
         self._ready: deque[Job] = deque()  # jobs that wait for a core
         self._cores: list[Job] = []  # jobs that occupy a core
         self._updated_at = now  # time up to which the work on cores has been counted
-        self._cold_load: deque[tuple[float, float]] = (
-            deque()
-        )  # recent arrivals while cold: time, core-seconds
+        # Recent arrivals while cold: time and core-seconds of each.
+        self._cold_load: deque[tuple[float, float]] = deque()
         self._cold_load_s = 0.0  # sum of the core-seconds in `_cold_load`
 
     def capacity_share(self, now: float) -> float:
--- a/tests/testkit/clients/test_schedule.py
+++ b/tests/testkit/clients/test_schedule.py
@@ -26,9 +26,8 @@
     for cls in plan.scenario.classes:
         assert shares[cls.name] / len(all_arrivals) == pytest.approx(cls.share, abs=0.03)
     gaps = [b.t - a.t for a, b in itertools.pairwise(all_arrivals)]
-    assert statistics.stdev(gaps) == pytest.approx(
-        statistics.mean(gaps), rel=0.1
-    )  # as the intervals of a Poisson process are
+    # The intervals of a Poisson process have a standard deviation equal to their mean.
+    assert statistics.stdev(gaps) == pytest.approx(statistics.mean(gaps), rel=0.1)
     assert all(
         0.42 * a.cls.gives_up_s <= a.attempt_timeout_s <= 0.55 * a.cls.gives_up_s for a in all_arrivals
     )
--- a/tests/testkit/judge/test_verdict.py
+++ b/tests/testkit/judge/test_verdict.py
@@ -397,9 +397,8 @@
 
 def test_drain_counts_from_announcement_to_the_sending_node() -> None:
     run = clean()
-    run.put(
-        StatusAnnounced(8.0, "n1", "a", "leaving", 0.0, False)
-    )  # n1 was told, and n0, which sends, was not
+    # The drain is announced to n1 and not to n0, which sends the request.
+    run.put(StatusAnnounced(8.0, "n1", "a", "leaving", 0.0, False))
     run.ask("x.0", "ler-feed", 30.0)
     run.arrive("x.0", "ler-feed", 30.01, server="a")
     run.answer("x.0", 30.2)
@@ -484,9 +483,8 @@
     run = RecordBuilder()
     run.put(RequestScheduled(1.0, "r0", "ler-feed"))
     run.put(RequestSent(1.9, 0, "r0.0", "ler-feed", "n0", "r0", 0, 1.0, 2.5))  # 0.9 s late
-    run.answer(
-        "r0.0", 2.3
-    )  # 0.4 s after the request was sent, but 1.3 s after it was due; the target is 1.2 s
+    # Answered 0.4 s after the request was sent, but 1.3 s after it was due; the target is 1.2 s.
+    run.answer("r0.0", 2.3)
     service = run.judge().service
     assert service.requests[0].took_s == pytest.approx(1.3)
     assert service.overall == pytest.approx(0.2)
--- a/tests/testkit/world/test_machine.py
+++ b/tests/testkit/world/test_machine.py
@@ -97,9 +97,8 @@
     assert any(isinstance(a, Call) and a.id == "a" for _, a in driver.timed_actions)
     driver.arrive("b", at=0.06)
     driver.run(0.2)
-    assert (
-        sum(isinstance(a, Call) for _, a in driver.timed_actions) == 2
-    )  # b used the core while a's call was open
+    # b used the core while a's call was open.
+    assert sum(isinstance(a, Call) for _, a in driver.timed_actions) == 2
     assert driver.arrive("c")[0] == Finish("c", "rejected")  # a and b keep their slots during their calls
     driver.handle(CallDone("a", True), at=0.5)
     driver.handle(CallDone("b", False), at=0.52)
@@ -136,9 +135,8 @@
     driver.handle(ServerFaults())
     driver.arrive("a2", KEYED)
     driver.run(2.0)
-    assert (
-        driver.finished()["a2"][0] == "served"
-    )  # the failed request with the same key did not count as seen
+    # The failed request with the same key did not count as seen.
+    assert driver.finished()["a2"][0] == "served"
 
 
 def test_repeated_key_is_dropped_only_within_its_window() -> None:
