--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -31,7 +31,7 @@
 from orchidferry.testkit.mesh.processes import ROOT, Node
 from orchidferry.testkit.wire import Outcome, get
 from orchidferry.testkit.world.addresses import Block, claim
-from orchidferry.testkit.world.nodes import in_child
+from orchidferry.testkit.world.nodes import prepare_child
 
 SEED = 1
 HOST = "api.internal"
@@ -181,7 +181,7 @@
             limit=2**24,
             stderr=(self.folder / "bench.log").open("ab"),
             start_new_session=True,
-            preexec_fn=partial(in_child, DESCRIPTORS),
+            preexec_fn=partial(prepare_child, DESCRIPTORS),
         )
         self._own_processes.append(process)
         assert process.stdin is not None and process.stdout is not None
--- a/orchidferry/testkit/capacity/run.py
+++ b/orchidferry/testkit/capacity/run.py
@@ -20,7 +20,7 @@
 from orchidferry.testkit.capacity.plan import Plan, services_of
 from orchidferry.testkit.mesh.processes import ROOT
 from orchidferry.testkit.stop_signals import StoppedBySignalError, until_stopped
-from orchidferry.testkit.world.nodes import in_child
+from orchidferry.testkit.world.nodes import prepare_child
 
 MAX_LINE = 2**20
 SHARE_OF_ROUND = 0.6  # of the seconds of a round, for calls and for claims: many loads are asked by turns
@@ -40,7 +40,7 @@
         limit=MAX_LINE,
         env=os.environ | {"PYTHONHASHSEED": "0"},
         start_new_session=True,
-        preexec_fn=partial(in_child, DESCRIPTORS),
+        preexec_fn=partial(prepare_child, DESCRIPTORS),
     )
     try:
         out, problem = await process.communicate()
--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -43,7 +43,7 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-def in_child(sockets: int) -> None:
+def prepare_child(sockets: int) -> None:
     """Prepare a child process before its program starts, so that the kernel kills it when its parent ends.
 
     :param sockets: limit on the number of file descriptors of the child
@@ -141,7 +141,7 @@
                     stdin=asyncio.subprocess.DEVNULL,
                     stdout=log,
                     stderr=log,
-                    preexec_fn=partial(in_child, self._scenario.node.sockets),
+                    preexec_fn=partial(prepare_child, self._scenario.node.sockets),
                     start_new_session=True,
                 )
             except OSError as problem:
