--- a/orchidferry/testkit/world/nodes.py
+++ b/orchidferry/testkit/world/nodes.py
@@ -38,7 +38,7 @@
 TERM_TIMEOUT_S = 5.0  # time from SIGTERM to SIGKILL; longer than the longest time limit of an attempt
 CPU_SAMPLE_S = 2.0  # interval over which a node's wait for a CPU core is measured
 MIN_STARVED_FRACTION = 0.02  # shortest wait that is recorded, as a fraction of the interval
-LOG_TAIL_BYTES = 256 * 1024  # length of the end of a node's log that is read
+LOG_TAIL_BYTES = 256 * 1024  # number of bytes that are read from the end of a node's log
 PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None, use_errno=True)
 
@@ -101,9 +101,7 @@
         self.paused_at: float | None = None  # on the record's clock; None: not paused
         self.incarnation = 0  # number of starts
         self.ready = False
-        self._expected_end: str | None = (
-            None  # reason for an end caused by the test kit; None: no end expected
-        )
+        self._expected_end: str | None = None  # reason of an end that the test kit causes; otherwise None
         self._process: asyncio.subprocess.Process | None = None
         self._watcher: asyncio.Task[None] | None = None
         self._waited_s = 0.0  # wait of this incarnation for a CPU core, up to the last sample
--- a/orchidferry/testkit/world/standin.py
+++ b/orchidferry/testkit/world/standin.py
@@ -37,7 +37,7 @@
     from orchidferry.testkit.quic.server import H3Server, ServerStream
 
 BACKLOG = 1024  # limit on connections that wait to be accepted
-RESET_EXECUTED_FRACTION = 0.5  # fraction of requests on reset connections that are executed all the same
+RESET_EXECUTED_FRACTION = 0.5  # fraction of requests on reset connections that are executed, but unanswered
 REJECTED_HEADER = "X-Rejected: 1\r\n"
 CHAIN_REQUEST_HEADERS = ("baggage", "cdn-loop")  # copied from a request to its calls to the next tier
 CHAIN_RESPONSE = re.compile(r"(below|kept); used=(\d{1,2})")  # header X-Chain of the answers to these calls
