--- a/orchidferry/testkit/bench/__init__.py
+++ b/orchidferry/testkit/bench/__init__.py
@@ -1,4 +1,4 @@
-"""`orchidferry bench`: measurements that are too long for CI, each printed with the machine's size."""
+"""`orchidferry bench`: measurements that take too long for CI, each printed with the size of the machine."""
 
 from __future__ import annotations
 
@@ -28,18 +28,21 @@
     "peers",
     "replay",
     "worth",
-)  # measurements with a module of their own
+)  # each measurement is a module of that name in this package
 
 
 def machine() -> str:
-    """This machine's size, for whoever reads the figures elsewhere."""
+    """Return the size of this machine, which figures need to be comparable: cores, memory, Python version."""
     pages = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     python = ".".join(map(str, sys.version_info[:3]))
     return f"{len(os.sched_getaffinity(0))} cores, {pages / GIB:.0f} GiB, Python {python}"
 
 
 def main(args: argparse.Namespace) -> int:
-    """Run the command; its exit status."""
+    """Run the command.
+
+    :returns: the exit status: 0, 1 if a row is marked as broken, 2 for bad input, 130 if interrupted.
+    """
     try:
         rows = _rows(args)
     except (ScenarioError, ValueError) as problem:
@@ -54,12 +57,12 @@
 
 def _rows(args: argparse.Namespace) -> list[dict[str, Any]]:
     if args.what == "libraries" and (args.requests < 100 or args.turns < 1):
-        raise ValueError("--requests must be 100 at least, --turns 1")
+        raise ValueError("--requests must be at least 100, --turns at least 1")
     scenario = load_scenario(args.scenario) if args.what in ("spread", "retries") else None
     if scenario is not None and not 1 <= args.runs <= 100:
         raise ValueError(f"--runs {args.runs}: not within 1 to 100")
     print(f"{args.what}: {machine()}", flush=True)
-    if args.what in MODULES:  # each brings what it needs only where it is asked for
+    if args.what in MODULES:  # imported here, so that only the selected measurement needs its libraries
         rows: list[dict[str, Any]] = importlib.import_module(f"orchidferry.testkit.bench.{args.what}").main(
             args
         )
--- a/orchidferry/testkit/bench/kit.py
+++ b/orchidferry/testkit/bench/kit.py
@@ -1,7 +1,7 @@
-"""Measurements of the kit itself: what it drives, how much one seed varies, what retries cost.
+"""Measurements of the test kit itself: its capacity, the variation of one seed, the effect of retries.
 
-`rehearsal` finds out what this machine can drive before a run is void; `spread` plays one seed several
-times; `retries` tells what a scenario costs with and without retries.
+`rehearsal` finds the largest load that this machine can drive before a run becomes void; `spread` runs one
+seed several times; `retries` compares a scenario with and without retries.
 """
 
 from __future__ import annotations
@@ -17,38 +17,48 @@
 from orchidferry.testkit.scenario import Class, Scenario, Tier
 from orchidferry.testkit.world.director import Progress, Run, rehearse
 
-RUN_S = 8.0  # of load for each size that is tried
-# What a kit can drive is told by short work: long work measures the servers that it plays.
-QUICK = Class("ler-feed", 1.0, 0.002, 1.2, 3.0, "safe", spread=0.3, group="all")
+RUN_S = 8.0  # duration of the load of each size
+# The capacity of the kit shows with short requests: long ones measure the simulated servers instead.
+SHORT_REQUESTS = Class("ler-feed", 1.0, 0.002, 1.2, 3.0, "safe", spread=0.3, group="all")
 FIRST_RATE = 500.0
 FIRST_SERVERS = 100
 FIRST_NODES = 8
-MAX_TRIES = 8  # of one size after another: each is twice the last
+MAX_SIZES = 8  # sizes of one dimension; each is twice the one before
 
 
 def play(scenario: Scenario) -> tuple[Run, Verdict]:
-    """One run and its verdict."""
+    """Run a scenario once, and judge it."""
     run = uvloop.run(rehearse(scenario, Progress()))
     return run, judge(scenario, run.facts, run.start, run.end, run.complete, run.why)
 
 
-def played(scenario: Scenario) -> tuple[Run, Verdict]:
-    """The same; `InterruptedError` if a signal stopped it, as the measurement is over then."""
+def play_uninterrupted(scenario: Scenario) -> tuple[Run, Verdict]:
+    """Run a scenario once, and judge it.
+
+    :raises InterruptedError: if a signal stopped the run, which ends the measurement.
+    """
     run, verdict = play(scenario)
     if run.interrupted:
         raise InterruptedError
     return run, verdict
 
 
-def small(
+def plain_scenario(
     name: str, rate: float, servers: int, tiers: int, nodes: int, workers: int, clients: int
 ) -> Scenario:
-    """A plain load on so many servers."""
-    made = tuple(
+    """Make a scenario of short requests without faults.
+
+    :param rate: requests per second.
+    :param servers: servers in each tier.
+    :param nodes: front nodes.
+    :param workers: processes that simulate the servers.
+    :param clients: processes that simulate the clients.
+    """
+    tier_list = tuple(
         Tier(f"tier{n}", servers, 1.0 / tiers, 1.0, slots=100, room=100, speed=(1.0, 1.0))
         for n in range(tiers)
     )
-    base = Scenario(name, length_s=RUN_S, seed=1, classes=(QUICK,), tiers=made, workers=workers)
+    base = Scenario(name, length_s=RUN_S, seed=1, classes=(SHORT_REQUESTS,), tiers=tier_list, workers=workers)
     return replace(
         base,
         load=replace(base.load, rate=rate),
@@ -58,32 +68,32 @@
 
 
 def sizes() -> Iterator[tuple[str, Callable[[int], Scenario]]]:
-    """What grows, and the scenario of its n-th size."""
+    """Yield a description of each dimension that grows, and a function that makes its n-th scenario."""
     yield (
         "requests a second (1 tier, 80 servers, 4 nodes; 3 stand-in and 3 client processes)",
-        lambda n: small("rate", FIRST_RATE * 2**n, 80, 1, 4, 3, 3),
+        lambda n: plain_scenario("rate", FIRST_RATE * 2**n, 80, 1, 4, 3, 3),
     )
     yield (
         "servers (1 tier, 2 nodes, 200 requests a second; 2 stand-in processes)",
-        lambda n: small("servers", 200.0, FIRST_SERVERS * 2**n, 1, 2, 2, 1),
+        lambda n: plain_scenario("servers", 200.0, FIRST_SERVERS * 2**n, 1, 2, 2, 1),
     )
     yield (
         "nodes, a process each (2 tiers, so that each upper server has one, 100 requests a second)",
-        lambda n: small("nodes", 100.0, FIRST_NODES * 2**n - 2, 2, 2, 2, 1),
+        lambda n: plain_scenario("nodes", 100.0, FIRST_NODES * 2**n - 2, 2, 2, 2, 1),
     )
 
 
 def capacity() -> list[dict[str, Any]]:
-    """Grow one thing at a time until a run is void."""
+    """Grow one dimension at a time until a run is void."""
     rows: list[dict[str, Any]] = []
     for what, scenario_of in sizes():
         print(f"\n{what}")
-        for n in range(MAX_TRIES):
+        for n in range(MAX_SIZES):
             try:
                 scenario = scenario_of(n)
-                run, verdict = played(scenario)
+                run, verdict = play_uninterrupted(scenario)
             except ValueError as problem:
-                print(f"  not tried: {problem}")
+                print(f"  skipped: {problem}")
                 break
             void = verdict.lateness.void or ([run.why] if not run.complete else [])
             row = {
@@ -103,7 +113,7 @@
             print(
                 f"  {row['rate']:6g}/s, {row['servers']:5} servers, {row['nodes']:4} nodes: "
                 f"service {verdict.service.overall or 0.0:.3f}, late {row['late_p99_ms']:.1f} ms at p99, "
-                f"longest stall {row['stall_ms']:.0f} ms, node waited {row['starved']:.0%}"
+                f"longest stall {row['stall_ms']:.0f} ms, a node waited {row['starved']:.0%} for a core"
                 + (f"  VOID: {'; '.join(void)}" if void else ""),
                 flush=True,
             )
@@ -113,10 +123,10 @@
 
 
 def spread(scenario: Scenario, runs: int) -> list[dict[str, Any]]:
-    """The same seed, several times."""
+    """Run the same seed several times."""
     rows: list[dict[str, Any]] = []
     for n in range(runs):
-        run, verdict = played(scenario)
+        run, verdict = play_uninterrupted(scenario)
         row: dict[str, Any] = {
             "run": n + 1,
             "complete": run.complete,
@@ -129,7 +139,7 @@
         rows.append(row)
         print(
             f"  run {n + 1}: service {row['service']:.4f}, worst 10 s {row['worst_10s']:.4f}, "
-            f"{row['attempts']:.3f} attempts a request, broken {row['broken'] or 'none'}",
+            f"{row['attempts']:.3f} attempts per request, rules broken {row['broken'] or 'none'}",
             flush=True,
         )
     values = [float(row["service"] or 0.0) for row in rows]
@@ -142,20 +152,25 @@
 
 
 def retries(scenario: Scenario, runs: int) -> list[dict[str, Any]]:
-    """With and without retries of the nodes and of the clients, by turns."""
+    """Run a scenario with and without retries by the nodes and by the clients."""
     rows: list[dict[str, Any]] = []
-    own = scenario.node.attempts
-    asked = scenario.clients.retries
-    for attempts, asked_again in ((own, asked), (own, 0), (1, asked), (1, 0)):
-        one = replace(
+    scenario_attempts = scenario.node.attempts
+    scenario_retries = scenario.clients.retries
+    for attempts, client_retries in (
+        (scenario_attempts, scenario_retries),
+        (scenario_attempts, 0),
+        (1, scenario_retries),
+        (1, 0),
+    ):
+        variant = replace(
             scenario,
             node=replace(scenario.node, attempts=attempts),
-            clients=replace(scenario.clients, retries=asked_again),
+            clients=replace(scenario.clients, retries=client_retries),
         )
-        verdicts = [played(one)[1] for _ in range(runs)]
+        verdicts = [play_uninterrupted(variant)[1] for _ in range(runs)]
         row: dict[str, Any] = {
             "node_attempts": attempts,
-            "client_retries": asked_again,
+            "client_retries": client_retries,
             "service": statistics.mean(v.service.overall or 0.0 for v in verdicts),
             "worst_10s": statistics.mean(v.service.worst_window or 0.0 for v in verdicts),
             "attempts": statistics.mean(v.arrivals_per_client_request for v in verdicts),
@@ -167,8 +182,8 @@
         }
         rows.append(row)
         print(
-            f"  attempts of a node {attempts}, retries of a client {asked_again}: service "
-            f"{row['service']:.4f}, worst 10 s {row['worst_10s']:.4f}, {row['attempts']:.2f} attempts a "
+            f"  at most {attempts} attempts by a node, {client_retries} retries by a client: service "
+            f"{row['service']:.4f}, worst 10 s {row['worst_10s']:.4f}, {row['attempts']:.2f} attempts per "
             f"request, p99 {', '.join(f'{n} {v:.0f} ms' for n, v in row['p99_ms'].items())}",
             flush=True,
         )
--- a/orchidferry/testkit/bench/open_loop.py
+++ b/orchidferry/testkit/bench/open_loop.py
@@ -1,6 +1,6 @@
-"""An open loop of requests: sent at a fixed rate, whatever becomes of those before.
+"""An open-loop load generator: requests are sent at a fixed rate, independent of earlier responses.
 
-Requests are those of the rehearsals' usual classes; every answer is checked.
+The requests are of the rehearsals' default classes, and every response is checked.
 """
 
 from __future__ import annotations
@@ -18,34 +18,35 @@
 from orchidferry.testkit.wire import Address, Outcome, Pool
 
 BUDGET_S = 2.0
-GRACE_S = 0.5  # beyond the budget, for the answer to come
+GRACE_S = 0.5  # wait for a response beyond the request's budget
 BODY = b"x" * 100
 READS = "ler-feed"
-MIX = ((READS, 6), ("salvar-episodio", 3), ("repasse-socio", 1))  # classes of ten requests
+MIX = ((READS, 6), ("salvar-episodio", 3), ("repasse-socio", 1))  # requests of each class among ten
 
-WriteRequest = Callable[[int, str], bytes]  # renders the request of a number, with an id
+WriteRequest = Callable[[int, str], bytes]  # encodes a request, given its number and its id
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What came of a load. The names of the fields are keys of `--json`."""
-
-    asked: int
-    failed: int
-    why: dict[str, int]  # failures by status, or by how they ended
-    late_p99_ms: float  # by which requests were sent too late
-    p50_ms: float | None  # None: none was answered
+    """The results of a load. The names of the fields are keys of `--json`."""
+
+    asked: int  # requests that were sent
+    failed: int  # requests without a correct response in time
+    why: dict[str, int]  # failures by HTTP status, or by the kind of failure without one
+    late_p99_ms: float  # delay of the sending behind its schedule
+    # times to the response; None if no request was answered
+    p50_ms: float | None
     p99_ms: float | None
     most_ms: float | None
 
 
 def scenario() -> Scenario:
-    """Its classes, rules and settings are the rehearsals' usual ones."""
+    """Return a scenario with the default classes, rules and settings of rehearsals."""
     return read_scenario({"name": "forward"}, "forward")
 
 
 def request_writer(mix: bool) -> WriteRequest:
-    """Requests of the usual mix of classes, or reads alone."""
+    """Return an encoder of requests: of the default mix of classes, or of reads only."""
     classes = {cls.name: cls for cls in scenario().classes}
     names = [name for name, count in MIX for _ in range(count)] if mix else [READS]
 
@@ -64,12 +65,13 @@
     write: WriteRequest | None = None,
     pool: Any = None,
 ) -> LoadReport:
-    """Offer a load at one rate, and wait for all outcomes.
+    """Offer a load at a constant rate, and wait for all outcomes.
 
-    :param rate: requests a second.
-    :param tag: tells the ids of this load from those of others.
-    :param write: renders the requests; reads, if None.
-    :param pool: of connections, which is closed in the end; of HTTP/1.1, if None.
+    :param rate: requests per second.
+    :param seconds: duration of the load.
+    :param tag: prefix of the request ids, which distinguishes them from those of other loads.
+    :param write: encodes the requests; None for reads.
+    :param pool: the connection pool, which is closed at the end; None for a new one of HTTP/1.1.
     """
     pool = Pool(lambda _: None) if pool is None else pool
     write = request_writer(False) if write is None else write
@@ -86,11 +88,11 @@
         self._write = write
         self._pool = pool
         self._seed = scenario().seed
-        self._took_s: list[float] = []
+        self._latencies_s: list[float] = []
         self._failures: Counter[str] = Counter()
 
     async def run(self, rate: float, seconds: float) -> LoadReport:
-        """Send all requests at their time, and wait for the last outcome."""
+        """Send each request at its scheduled time, and wait for the last outcome."""
         start_s = time.monotonic()
         tasks: set[asyncio.Task[None]] = set()
         late_s: list[float] = []
@@ -100,14 +102,14 @@
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
             late_s.append(max(0.0, -monotonic_at(start_s, number / rate)))
-            task = asyncio.create_task(self._ask(number))
+            task = asyncio.create_task(self._send_request(number))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         while tasks:
             await asyncio.wait(set(tasks))
         return self._report(late_s)
 
-    async def _ask(self, number: int) -> None:
+    async def _send_request(self, number: int) -> None:
         id = f"{self._tag}{number}.0"
         started_s = time.monotonic()
         connection = await self._pool.connection(self._address)
@@ -118,7 +120,7 @@
         await asyncio.wait({answer}, timeout=BUDGET_S + GRACE_S)
         outcome = answer.result() if answer.done() else Outcome("timeout", 0.0)
         if outcome.status == 200 and outcome.body == expected_body(self._seed, id):
-            self._took_s.append(time.monotonic() - started_s)
+            self._latencies_s.append(time.monotonic() - started_s)
             self._pool.put_back(self._address, connection)
         else:
             self._failures[str(outcome.status or outcome.how)] += 1
@@ -126,13 +128,13 @@
 
     def _report(self, late_s: list[float]) -> LoadReport:
         late_s.sort()
-        took_s = sorted(self._took_s)
+        latencies_s = sorted(self._latencies_s)
         return LoadReport(
             len(late_s),
             self._failures.total(),
             dict(self._failures),
             late_s[int(0.99 * len(late_s))] * 1e3,
-            took_s[len(took_s) // 2] * 1e3 if took_s else None,
-            took_s[int(0.99 * len(took_s))] * 1e3 if took_s else None,
-            took_s[-1] * 1e3 if took_s else None,
+            latencies_s[len(latencies_s) // 2] * 1e3 if latencies_s else None,
+            latencies_s[int(0.99 * len(latencies_s))] * 1e3 if latencies_s else None,
+            latencies_s[-1] * 1e3 if latencies_s else None,
         )
--- a/orchidferry/testkit/bench/process_usage.py
+++ b/orchidferry/testkit/bench/process_usage.py
@@ -1,4 +1,4 @@
-"""What processes use of the machine, by the kernel's accounts; how long a disk takes to sync."""
+"""Resource usage of processes from the kernel's accounting, and the sync time of a disk."""
 
 from __future__ import annotations
 
@@ -15,29 +15,32 @@
 
 @dataclass(frozen=True, slots=True)
 class CpuTime:
-    """Seconds that a process has used, by all its threads."""
+    """CPU time of a process, summed over its threads, in seconds."""
 
-    cpu: float
-    waited: float  # ready to run, with no core free
+    cpu: float  # running
+    waited: float  # runnable, but waiting for a free core
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What some processes have used over a time."""
+    """CPU usage of some processes over an interval."""
 
-    cpu_s: list[float]  # of each process
-    waited: float  # the largest fraction of the time that one of them waited for a core
+    cpu_s: list[float]  # of each process, in seconds
+    waited: float  # the largest fraction of the interval for which one of the processes waited for a core
 
 
 def cpu_time(pid: int) -> CpuTime:
-    """What a process has used so far, by all its threads: a controller's disk has one of its own."""
-    accounts = [file.read_text().split() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
-    cpu, waited = (sum(int(account[field]) for account in accounts) / NANOSECONDS for field in (0, 1))
+    """Return the CPU time of a process so far.
+
+    All threads count, because a controller writes to its disk in a separate thread.
+    """
+    schedstats = [file.read_text().split() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
+    cpu, waited = (sum(int(values[field]) for values in schedstats) / NANOSECONDS for field in (0, 1))
     return CpuTime(cpu, waited)
 
 
 class CpuMeter:
-    """What some processes use from now on."""
+    """Measures the CPU usage of some processes from its creation on."""
 
     def __init__(self, pids: list[int]) -> None:
         self._pids = pids
@@ -45,7 +48,7 @@
         self._before = [cpu_time(pid) for pid in pids]
 
     def read(self) -> Usage:
-        """What they have used since the meter was made."""
+        """Return the usage since the meter was created."""
         now = [cpu_time(pid) for pid in self._pids]
         duration_s = time.monotonic() - self._started_s
         pairs = list(zip(now, self._before, strict=True))
@@ -54,20 +57,23 @@
 
 
 def peak_memory_mb(pid: int) -> float:
-    """The most memory that a process has had."""
+    """Return the peak resident memory of a process, in MiB."""
     status = Path(f"/proc/{pid}/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
     return int(line.split()[1]) / KIB_PER_MIB
 
 
 def written_bytes(pid: int) -> int:
-    """What a process has caused to be written to disk."""
+    """Return the bytes that a process has caused to be written to disk."""
     lines = Path(f"/proc/{pid}/io").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("write_bytes")).split()[1])
 
 
 def disk_sync_ms(folder: str, count: int = 40) -> list[float]:
-    """How long one write of 4 KiB and its sync take in a folder, `count` times."""
+    """Measure `count` times how long a write of 4 KiB and its sync take in a folder.
+
+    :returns: the durations in milliseconds.
+    """
     took_ms = []
     with tempfile.TemporaryFile(dir=folder) as file:
         for _ in range(count):
--- a/orchidferry/testkit/bench/worth.py
+++ b/orchidferry/testkit/bench/worth.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import Any
 
-from orchidferry.testkit.bench.kit import played
+from orchidferry.testkit.bench.kit import play_uninterrupted
 from orchidferry.testkit.judge.verdict_json import as_json
 from orchidferry.testkit.scenario import ChainSettings, Scenario, load_scenario, override
 
@@ -56,7 +56,7 @@
     for seed in range(1, args.runs + 1):
         for name, side in VARIANTS.items():
             scenario = replace(override(base, seed), chain=side)
-            _, verdict = played(scenario)
+            _, verdict = play_uninterrupted(scenario)
             found = as_json(verdict)
             classes = {cls: row["service"] for cls, row in found["classes"].items()}
             rows.append(
