--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -1,9 +1,9 @@
-"""`orchidferry bench apply`: what a version of the configuration costs a node that serves, by fleet size.
+"""`orchidferry bench apply`: the cost of applying a configuration version on a serving node, by fleet size.
 
-A real node, a stand-in control service in this process, ten real servers; all other members are further
-names at their addresses. Measured are the time from a push to its acknowledgement, the longest that a
-request took meanwhile (asked from a process of its own), the node's CPU and memory: for a whole pool that
-is new, for one in which a tenth of the members changed weight, and for settings alone.
+The setup is a real node, a stand-in control service in this process, and ten real servers; all further pool
+members are other names at the addresses of these servers. Measured are the time from a push to its
+acknowledgement, the longest request meanwhile (sent by a separate process), and the node's CPU and memory:
+for a new pool, for a pool in which a tenth of the members changed weight, and for a change of settings only.
 """
 
 from __future__ import annotations
@@ -34,21 +34,24 @@
 from orchidferry.testkit.world.node_files import settings
 
 SIZES = (10, 1_000, 10_000)
-TURNS = 12  # of one size: the first is a whole pool, each further one changes a tenth
-REAL = 10
-RATE = 200.0
-LOOK_S = 4.0
-WAIT_S = 30.0
+VERSIONS = 12  # versions after a pool's first: each changes a tenth of the members, the last also settings
+REAL_SERVERS = 10  # servers that listen
+RATE = 200.0  # requests per second
+LOAD_S = 4.0  # duration of the load around each push
+TIMEOUT_S = 30.0  # for the acknowledgement of one version
 POOL = "entrada"
 
 
 def endpoints(bench: Bench, count: int, changed: int) -> list[dict[str, Any]]:
-    """So many names at the real servers' addresses; of every ten the first has another weight."""
-    found = []
+    """Return `count` endpoints at the addresses of the real servers.
+
+    :param changed: if not 0, the first of every ten endpoints has another weight.
+    """
+    result = []
     for n in range(count):
-        host, port = bench.servers[n % REAL]
+        host, port = bench.servers[n % REAL_SERVERS]
         weight = 0.9 if changed and n % 10 == 0 else 1.0
-        found.append(
+        result.append(
             {
                 "name": f"s{n}",
                 "address": f"{host}:{port}",
@@ -57,30 +60,38 @@
                 "weight": weight,
             }
         )
-    return found
+    return result
+
 
+async def wait_for_ack(service: Service, label: str) -> float:
+    """Wait for the ACK of a version.
 
-async def acknowledged(service: Service, label: str) -> float:
-    """Wait for a version's ACK; when it came."""
-    async with asyncio.timeout(WAIT_S):
+    :returns: its time on the monotonic clock.
+    :raises ValueError: if the node rejected the version.
+    """
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             for answer in service.answers:
                 if answer.label == label:
                     if answer.reason:
-                        raise ValueError(f"{label} was refused: {answer.reason}")
+                        raise ValueError(f"the node rejected version {label}: {answer.reason}")
                     return time.monotonic()
             service.changed.clear()
             await service.changed.wait()
 
 
 async def measure(count: int, keep: bool) -> list[dict[str, Any]]:
-    """One fleet size; `keep`: with the last good one written to disk."""
+    """Measure one fleet size with a real node.
+
+    :param count: members of the pool.
+    :param keep: whether the node saves the last good configuration to disk.
+    """
     block, held = claim()
     rows = []
     service = Service()
     with tempfile.TemporaryDirectory(prefix="orchidferry-bench-") as name:
         folder = Path(name)
-        bench = Bench(block, folder, REAL)
+        bench = Bench(block, folder, REAL_SERVERS)
         try:
             await bench.start_servers()
             port = (await service.start())[1]
@@ -90,28 +101,28 @@
                 + ('state = "state"\n' if keep else "")
             )
             process, address = await bench.start("node", control=control)
-            usual = settings(scenario(), 0, 1, 0)
-            service.push("v0", (Part.MEMBERS, POOL, pool_message(POOL, endpoints(bench, REAL, 0))))
-            await acknowledged(service, "v0")
+            default_settings = settings(scenario(), 0, 1, 0)
+            service.push("v0", (Part.MEMBERS, POOL, pool_message(POOL, endpoints(bench, REAL_SERVERS, 0))))
+            await wait_for_ack(service, "v0")
             await offer_load(address, RATE, 2.0, "w")
-            versions: list[tuple[str, list[tuple[Part, str, Any]]]] = [
+            pushes: list[tuple[str, list[tuple[Part, str, Any]]]] = [
                 ("nothing", []),
                 ("a whole pool", [(Part.MEMBERS, POOL, pool_message(POOL, endpoints(bench, count, 0)))]),
-                ("nothing, with it", []),  # requests go to servers that no connection is up to yet
+                ("nothing, with it", []),  # requests still open new connections to the new members
                 ("a tenth changed", [(Part.MEMBERS, POOL, pool_message(POOL, endpoints(bench, count, 1)))]),
-                ("settings", [(Part.SETTINGS, "n0", node_message("n0", POOL, usual))]),
+                ("settings", [(Part.SETTINGS, "n0", node_message("n0", POOL, default_settings))]),
             ]
-            for n, (what, changes) in enumerate(versions, 1):
-                asking = asyncio.ensure_future(bench.offer_elsewhere(address, RATE, LOOK_S, f"m{n}-"))
-                await asyncio.sleep(1.5)  # a second and more to start in
+            for n, (what, changes) in enumerate(pushes, 1):
+                load = asyncio.ensure_future(bench.offer_elsewhere(address, RATE, LOAD_S, f"m{n}-"))
+                await asyncio.sleep(1.5)  # the load generator needs more than a second to start
                 before = cpu_s(process.pid)
-                began = time.monotonic()
+                started_s = time.monotonic()
                 took = 0.0
                 if changes:
                     service.push(f"v{n}", *changes)
-                    took = await acknowledged(service, f"v{n}") - began
+                    took = await wait_for_ack(service, f"v{n}") - started_s
                 cpu = cpu_s(process.pid) - before
-                row = asdict(await asking) | {
+                row = asdict(await load) | {
                     "what": what,
                     "members": count,
                     "saved": keep,
@@ -133,8 +144,11 @@
     return rows
 
 
-def versions(count: int, number: int) -> Configuration:
-    """A configuration of so many members; a tenth of them differs between an even and an odd number."""
+def make_configuration(count: int, number: int) -> Configuration:
+    """Make a configuration of `count` members.
+
+    :param number: of the version; a tenth of the members differ between even and odd numbers.
+    """
     members = tuple(
         Member(
             api.ServerEntry(n + 1, "sala-poa", "", n // 8, share=0.9 if number % 2 and not n % 10 else 1.0),
@@ -142,26 +156,28 @@
         )
         for n in range(count)
     )
-    usual = settings(scenario(), 0, 1, 0)
-    usual["permissions"]["connect_timeout_ms"] += number // TURNS
-    usual["classes"][0]["objective_ms"] += number // TURNS
-    made = read_settings(usual)
-    return Configuration(Pools({POOL: members}), NodeSettings(POOL, made))
+    default_settings = settings(scenario(), 0, 1, 0)
+    default_settings["permissions"]["connect_timeout_ms"] += number // VERSIONS
+    default_settings["classes"][0]["objective_ms"] += number // VERSIONS
+    parsed = read_settings(default_settings)
+    return Configuration(Pools({POOL: members}), NodeSettings(POOL, parsed))
 
 
-async def turns(count: int) -> list[dict[str, Any]]:
-    """The longest turn of a node's loop while it applies, in CPU of its thread: what other work waits for.
+async def measure_loop(count: int) -> list[dict[str, Any]]:
+    """Measure how long the node's event loop is blocked while it applies configurations.
 
-    A `Node` and a `Link` as they ship, on the standard event loop, fed with a helper's lines.
+    A callback of the loop blocks all other work; its duration is measured in CPU time of the thread. The
+    `Node` and the `Link` are the production classes, on the standard event loop, fed with lines as the
+    control helper writes them.
     """
     loop = asyncio.get_running_loop()
     longest = [0.0, 0.0]
     run = asyncio.Handle._run
 
     def timed(handle: asyncio.Handle) -> None:
-        began = time.thread_time()
+        started_s = time.thread_time()
         run(handle)
-        took = time.thread_time() - began
+        took = time.thread_time() - started_s
         longest[0], longest[1] = max(longest[0], took), longest[1] + took
 
     freeze_startup_objects()
@@ -173,61 +189,64 @@
         1000,
         64.0,
         ServerListing(0, True, [], {}),
-        versions(1, 0).node.settings,
+        make_configuration(1, 0).node.settings,
     )
     node = Node(config, loop)
     control = Control(("127.0.0.1", 1), "n0", "", (POOL,), "n0", None, 1.0)
-    link, teller, rows = Link(control, config.settings, node, loop), ChangeWriter(), []
+    link, writer, rows = Link(control, config.settings, node, loop), ChangeWriter(), []
     node.control = link
     node._handle(api.Started())
-    last = versions(count, 0)
-    for turn in range(TURNS + 1):
-        whole = versions(count, turn)
-        what = "a whole pool" if not turn else "a tenth changed" if turn < TURNS else "and settings"
-        if turn:  # as the channel has it: what is as it was is the same object
+    last = make_configuration(count, 0)
+    for number in range(VERSIONS + 1):
+        whole = make_configuration(count, number)
+        what = "a whole pool" if not number else "a tenth changed" if number < VERSIONS else "and settings"
+        if number:  # as on the control channel: an unchanged member stays the same object
             before = {m.entry.server: m for m in last.members()}
             same = [before[m.entry.server] if before[m.entry.server] == m else m for m in whole.members()]
             whole = Configuration(Pools({POOL: tuple(same)}), whole.node)
-        last, said = whole, list[bytes]()
+        last, replies = whole, list[bytes]()
         reader = asyncio.StreamReader()
-        for data in teller.change(whole):
+        for data in writer.change(whole):
             reader.feed_data(data)
         reader.feed_eof()
         asyncio.Handle._run = timed  # type: ignore
         try:
-            await asyncio.sleep(0)  # what was made ready here is no turn of the node's
+            await asyncio.sleep(0)  # run callbacks that the setup scheduled, which are no work of the node
             longest[:] = [0.0, 0.0]
-            async with asyncio.timeout(WAIT_S):
-                await link.follow(reader, said.append)
+            async with asyncio.timeout(TIMEOUT_S):
+                await link.follow(reader, replies.append)
                 await link.members.idle.wait()
         finally:
             asyncio.Handle._run = run  # type: ignore
-        assert said and teller.applied(turn + 1, "")
+        assert replies and writer.applied(number + 1, "")
         rows.append({"members": count, "what": what, "turn_ms": longest[0] * 1e3, "all_ms": longest[1] * 1e3})
     node._discovery.close()
     return rows
 
 
-def show_turns() -> list[dict[str, Any]]:
-    """Measure and print them."""
+def measure_loops() -> list[dict[str, Any]]:
+    """Measure the event loop of a node for all sizes, and print the results."""
     rows = []
     for count in SIZES:
-        found = asyncio.run(turns(count))
-        for what in dict.fromkeys(row["what"] for row in found):
-            took = sorted(row["turn_ms"] for row in found if row["what"] == what)
-            whole = sorted(row["all_ms"] for row in found if row["what"] == what)
+        result = asyncio.run(measure_loop(count))
+        for what in dict.fromkeys(row["what"] for row in result):
+            took = sorted(row["turn_ms"] for row in result if row["what"] == what)
+            whole = sorted(row["all_ms"] for row in result if row["what"] == what)
             print(
-                f"{count:6} members, {what:16} longest turn of the loop {took[len(took) // 2]:.2f} ms, "
-                f"{took[-1]:.2f} at most of {len(took)}; {whole[len(whole) // 2]:.1f} ms in all",
+                f"{count:6} members, {what:16} longest callback: median {took[len(took) // 2]:.2f} ms, "
+                f"maximum {took[-1]:.2f} of {len(took)}; all callbacks {whole[len(whole) // 2]:.1f} ms",
                 flush=True,
             )
-        rows += found
+        rows += result
     return rows
 
 
 def main(args: argparse.Namespace) -> list[dict[str, Any]]:
-    """The command; its figures."""
-    rows: list[dict[str, Any]] = show_turns()
+    """Run the command.
+
+    :returns: the rows of `--json`.
+    """
+    rows: list[dict[str, Any]] = measure_loops()
     for count in SIZES:
         for keep in (False, True):
             rows += asyncio.run(measure(count, keep))
--- a/orchidferry/testkit/bench/forward.py
+++ b/orchidferry/testkit/bench/forward.py
@@ -1,8 +1,8 @@
-"""`orchidferry bench forward`: the whole node beside a bare forwarder, at the same offered rate, by turns.
+"""`orchidferry bench forward`: the complete node against a bare forwarder, alternating, at the same rate.
 
-Servers answer at once from a process of their own, so that what is measured is the forwarding. CPU is the
-kernel's count for the process (`/proc/PID/schedstat`); its answers are checked, and a run in which the asking
-side fell behind is said to be so.
+The servers run in a separate process and answer at once, so that only the forwarding is measured. CPU time is
+the kernel's count for the process (`/proc/PID/schedstat`). Every response is checked, and a row notes when
+the load generator fell behind its schedule.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from orchidferry.testkit.bench.open_loop import offer_load, request_writer
 from orchidferry.testkit.world.addresses import Block, claim
 
-SIZES = (10, 1_000)  # servers, where none are named
+SIZES = (10, 1_000)  # numbers of servers to measure, unless `--servers` gives one
 
 
 async def measure(
@@ -32,23 +32,24 @@
     """Start a forwarder, offer it a load after a warm-up, and stop it.
 
     :param what: `node`, `bare`, or `before` for the node of another checkout.
-    :param rate: requests a second.
-    :param mix: whether the load is the usual mix of classes, else reads alone.
-    :param path: of the other checkout.
-    :returns: the fields of the `LoadReport`, and the CPU and memory that were used.
+    :param rate: requests per second.
+    :param seconds: duration of the measured load.
+    :param mix: whether the load is the default mix of classes; otherwise it is reads only.
+    :param path: the folder of the other checkout; None for this one.
+    :returns: the fields of the `LoadReport`, and the CPU time and memory that the forwarder used.
     """
     process, address = await bench.start(what, path)
     write = request_writer(mix)
     await offer_load(address, rate, WARM_S, "w", write)
     before = cpu_s(process.pid)
-    began = time.monotonic()
+    started_s = time.monotonic()
     report = await offer_load(address, rate, seconds, "m", write)
-    spent = cpu_s(process.pid) - before
+    spent_cpu_s = cpu_s(process.pid) - before
     result = asdict(report) | {
         "what": what,
         "rate": rate,
-        "cpu_us": spent / report.asked * 1e6,
-        "cpu_share": spent / (time.monotonic() - began),
+        "cpu_us": spent_cpu_s / report.asked * 1e6,
+        "cpu_share": spent_cpu_s / (time.monotonic() - started_s),
         "rss_kb": rss_kb(process.pid),
     }
     await bench.stop(process)
@@ -58,14 +59,18 @@
 async def compare(
     servers: int, rate: float, seconds: float, turns: int, mix: bool, against: str | None
 ) -> list[dict[str, Any]]:
-    """Measure the node, the bare forwarder, and another checkout's node if one is named, by turns.
-
-    :param servers: that the nodes list.
-    :param turns: how often each is measured; a row has the medians.
-    :returns: a row for each, with the keys of `--json`.
+    """Measure the node, the bare forwarder, and another checkout's node if one is named, alternating.
+
+    :param servers: number of servers that the nodes list.
+    :param rate: requests per second.
+    :param seconds: duration of each load.
+    :param turns: how often each forwarder is measured; a row has the medians.
+    :param mix: whether the load is the default mix of classes; otherwise it is reads only.
+    :param against: the folder of another checkout.
+    :returns: a row for each forwarder, with the keys of `--json`.
     """
-    block, claimed_block = claim()
-    found: dict[str, list[dict[str, Any]]] = {}
+    block, block_claim = claim()
+    measurements: dict[str, list[dict[str, Any]]] = {}
     with tempfile.TemporaryDirectory(prefix="orchidferry-bench-") as folder:
         bench = Bench(block, Path(folder), servers)
         try:
@@ -74,30 +79,30 @@
             for _ in range(turns):
                 for what, path in forwarders:
                     row = await measure(bench, what, rate, seconds, mix, path)
-                    found.setdefault(what, []).append(row)
+                    measurements.setdefault(what, []).append(row)
         finally:
             await bench.close()
-            claimed_block.close()
-    bare_cpu_us = statistics.median(row["cpu_us"] for row in found["bare"])
+            block_claim.close()
+    bare_cpu_us = statistics.median(row["cpu_us"] for row in measurements["bare"])
     rows = []
-    for what, measured in found.items():
+    for what, repeats in measurements.items():
         load = {"what": what, "servers": servers, "rate": rate, "mix": mix, "turns": turns}
-        row = load | _median_row(measured, bare_cpu_us)
+        row = load | _median_row(repeats, bare_cpu_us)
         rows.append(row)
         _print_row(row)
     return rows
 
 
-def _median_row(measured: list[dict[str, Any]], bare_cpu_us: float) -> dict[str, Any]:
-    cpu_us = statistics.median(row["cpu_us"] for row in measured)
+def _median_row(repeats: list[dict[str, Any]], bare_cpu_us: float) -> dict[str, Any]:
+    cpu_us = statistics.median(row["cpu_us"] for row in repeats)
     return {
         "cpu_us": cpu_us,
         "ratio": cpu_us / bare_cpu_us,
-        "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in measured),
-        "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in measured),
-        "failed": sum(row["failed"] for row in measured),
-        "late_p99_ms": max(row["late_p99_ms"] for row in measured),
-        "rss_kb": max(row["rss_kb"] for row in measured),
+        "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in repeats),
+        "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in repeats),
+        "failed": sum(row["failed"] for row in repeats),
+        "late_p99_ms": max(row["late_p99_ms"] for row in repeats),
+        "rss_kb": max(row["rss_kb"] for row in repeats),
         "most_per_s": 1e6 / cpu_us,
     }
 
@@ -105,8 +110,8 @@
 def _print_row(row: dict[str, Any]) -> None:
     print(
         f"{row['servers']:6} servers, {row['rate']:g}/s, {'mix' if row['mix'] else 'reads'}: {row['what']:6} "
-        f"{row['cpu_us']:7.1f} us of CPU a request "
-        f"({row['ratio']:.2f} times bare, {row['most_per_s']:.0f}/s a core), "
+        f"{row['cpu_us']:7.1f} us of CPU per request "
+        f"({row['ratio']:.2f} times bare, {row['most_per_s']:.0f}/s per core), "
         f"p50 {row['p50_ms']:.2f} ms, p99 {row['p99_ms']:.2f} ms, {row['rss_kb'] / 1024:.1f} MB, "
         f"{row['failed']} failed{lateness_text(row['late_p99_ms'])}",
         flush=True,
@@ -134,7 +139,7 @@
 
 
 def _run_process(arguments: list[str]) -> None:
-    """Run a process of a bench.
+    """Run a helper process of a measurement.
 
     :param arguments: `serve BLOCK COUNT [CERTIFICATES]` or `ask HOST PORT RATE SECONDS TAG`.
     """
--- a/orchidferry/testkit/bench/worth.py
+++ b/orchidferry/testkit/bench/worth.py
@@ -1,7 +1,7 @@
-"""`orchidferry bench worth`: a last tier that is too small, and what is made of it.
+"""`orchidferry bench worth`: the worth that a chain of tiers serves while its last tier is overloaded.
 
-Beside the service by class stands the best that could be made of that load: a fractional knapsack (Dantzig,
-1957) over what a class is worth for the work that it is to the last tier.
+The service by class is compared with the optimum for that load: a fractional knapsack (Dantzig, 1957) over
+the worth of a class per unit of work that its requests cause in the last tier.
 """
 
 from __future__ import annotations
@@ -23,58 +23,66 @@
 }
 
 
-def best(scenario: Scenario, tier: int) -> tuple[float, dict[str, float]]:
-    """The most worth that a tier's capacity can bear, as a share of all, and by class what is served."""
-    figures = scenario.tiers[tier]
-    visits = 1.0
-    for above in scenario.tiers[:tier]:
-        visits *= above.calls
-    room = figures.servers * figures.cores * sum(figures.speed) / 2.0
+def best_service(scenario: Scenario, tier: int) -> tuple[float, dict[str, float]]:
+    """Compute the largest worth that the capacity of a tier allows.
+
+    :param tier: index of the tier.
+    :returns: that worth as a fraction of the total, and the served fraction of each class.
+    """
+    tier_settings = scenario.tiers[tier]
+    calls_per_request = 1.0
+    for upper_tier in scenario.tiers[:tier]:
+        calls_per_request *= upper_tier.calls
+    capacity = tier_settings.servers * tier_settings.cores * sum(tier_settings.speed) / 2.0
     rate = scenario.load.rate
-    worth = 0.0
-    earned = 0.0
+    total_worth = 0.0
+    served_worth = 0.0
     shares = {}
     by_value = sorted(scenario.classes, key=lambda cls: cls.worth / cls.work_s, reverse=True)
     for cls in by_value:
-        asks = rate * cls.share * cls.work_s * figures.work * visits  # core-seconds a second
-        shares[cls.name] = min(1.0, room / asks)
-        room = max(0.0, room - asks)
-        worth += cls.share * cls.worth
-        earned += cls.share * cls.worth * shares[cls.name]
-    return earned / worth, shares
+        # in core-seconds per second
+        demand = rate * cls.share * cls.work_s * tier_settings.work * calls_per_request
+        shares[cls.name] = min(1.0, capacity / demand)
+        capacity = max(0.0, capacity - demand)
+        total_worth += cls.share * cls.worth
+        served_worth += cls.share * cls.worth * shares[cls.name]
+    return served_worth / total_worth, shares
 
 
 def main(args: argparse.Namespace) -> list[dict[str, Any]]:
-    """The command; its figures."""
+    """Run the command.
+
+    :returns: the rows of `--json`.
+    """
     if not 1 <= args.runs <= 20:
         raise ValueError("--runs must be within 1 and 20")
     base = load_scenario("short-last-tier")
-    most, shares = best(base, len(base.tiers) - 1)
-    told = ", ".join(f"{name} {share:.2f}" for name, share in shares.items())
-    print(f"the most that its capacity can bear: {most:.3f} ({told})")
-    rows: list[dict[str, Any]] = [{"what": "best", "service": most, "classes": shares}]
+    optimum, shares = best_service(base, len(base.tiers) - 1)
+    text = ", ".join(f"{name} {share:.2f}" for name, share in shares.items())
+    print(f"optimum for the capacity of the last tier: {optimum:.3f} ({text})")
+    rows: list[dict[str, Any]] = [{"what": "best", "service": optimum, "classes": shares}]
     for seed in range(1, args.runs + 1):
-        for name, side in VARIANTS.items():
-            scenario = replace(override(base, seed), chain=side)
+        for name, chain_settings in VARIANTS.items():
+            scenario = replace(override(base, seed), chain=chain_settings)
             _, verdict = play_uninterrupted(scenario)
-            found = as_json(verdict)
-            classes = {cls: row["service"] for cls, row in found["classes"].items()}
+            verdict_json = as_json(verdict)
+            classes = {cls: row["service"] for cls, row in verdict_json["classes"].items()}
             rows.append(
                 {
                     "what": name,
                     "seed": seed,
-                    "service": found["service"],
+                    "service": verdict_json["service"],
                     "classes": classes,
-                    "attempts": found["attempts"],
+                    "attempts": verdict_json["attempts"],
                     "broken": verdict.broken_rules,
                     "void": verdict.lateness.void,
                 }
             )
-            told = ", ".join(f"{cls} {value:.2f}" for cls, value in classes.items())
-            bad = "".join(f"; {what}" for what in [*verdict.broken_rules, *verdict.lateness.void])
+            text = ", ".join(f"{cls} {value:.2f}" for cls, value in classes.items())
+            problems = "".join(f"; {problem}" for problem in [*verdict.broken_rules, *verdict.lateness.void])
             print(
-                f"{name:24} seed {seed}: service {found['service']:.3f} ({told}), "
-                f"{found['attempts']['per_client_request']:.2f} attempts for each{bad}",
+                f"{name:24} seed {seed}: service {verdict_json['service']:.3f} ({text}), "
+                f"{verdict_json['attempts']['per_client_request']:.2f} attempts per request{problems}",
                 flush=True,
             )
     return rows
