--- a/orchidferry/testkit/bench/bare.py
+++ b/orchidferry/testkit/bench/bare.py
@@ -1,7 +1,7 @@
-"""A bare forwarder on the node's own libraries: uvloop, httptools, kept connections, the next server in turn.
+"""A minimal round-robin forwarder on the libraries of the node: uvloop, httptools, persistent connections.
 
-What `bench forward` measures the node against: it decides nothing, holds no deadline and retries nothing.
-`python -m orchidferry.testkit.bench.bare HOST:PORT SERVER...`
+The baseline of `bench forward`: it has no load balancing, no deadlines and no retries.
+`python -m orchidferry.testkit.bench.bare HOST:PORT` reads the addresses of the servers from standard input.
 """
 
 from __future__ import annotations
@@ -19,58 +19,58 @@
 
 
 def address(text: str) -> Address:
-    """The address that a text names."""
+    """Parse `HOST:PORT`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-class Server(asyncio.Protocol):
-    """A connection to a server; it carries one request at a time."""
+class ServerConnection(asyncio.Protocol):
+    """A connection to a server, which carries one request at a time."""
 
-    def __init__(self, pool: deque[Server]) -> None:
+    def __init__(self, pool: deque[ServerConnection]) -> None:
         self._pool = pool
         self.transport: asyncio.Transport
-        self.caller: Caller | None = None
+        self.client: ClientConnection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def carry(self, caller: Caller, message: bytes) -> None:
-        """Write a request, and remember whose response comes next."""
-        self.caller = caller
+    def send(self, client: ClientConnection, message: bytes) -> None:
+        """Write a request, and remember the client that waits for its response."""
+        self.client = client
         self._parser = httptools.HttpResponseParser(self)
         self._body: list[bytes] = []
         self._done = False
         self.transport.write(message)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received data."""
         self._parser.feed_data(data)
-        if self._done and self.caller is not None:
-            caller = self.caller
-            self.caller = None
+        if self._done and self.client is not None:
+            client = self.client
+            self.client = None
             self._pool.append(self)
-            caller.answer(self._parser.get_status_code(), b"".join(self._body))
+            client.answer(self._parser.get_status_code(), b"".join(self._body))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The message has come completely."""
+        """The response is complete."""
         self._done = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Remove the closed connection from its pool, and answer a pending request with 502."""
         if self in self._pool:
             self._pool.remove(self)
-        if self.caller is not None:
-            self.caller.answer(502, b"")
+        if self.client is not None:
+            self.client.answer(502, b"")
 
 
-class Caller(asyncio.Protocol):
-    """A caller's connection."""
+class ClientConnection(asyncio.Protocol):
+    """A connection from a client."""
 
     def __init__(self, forwarder: Forwarder) -> None:
         self._forwarder = forwarder
@@ -78,34 +78,34 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received data."""
         self._parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Start a new request."""
         self._target = b""
         self._headers: list[bytes] = []
         self._body: list[bytes] = []
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header, except for those that the forwarder sets itself."""
         if name.lower() not in (b"host", b"content-length", b"connection"):
             self._headers += [name, b": ", value, b"\r\n"]
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The message has come completely."""
+        """Forward the complete request."""
         body = b"".join(self._body)
         method = self._parser.get_method()
         length = b"Content-Length: %d\r\n" % len(body) if body or method != b"GET" else b""
@@ -118,38 +118,42 @@
 
 
 class Forwarder:
-    """All of it."""
+    """Forwards requests to the servers in turn, over a pool of connections to each."""
 
     def __init__(self, servers: list[Address]) -> None:
-        self._turn = itertools.cycle(servers)
-        self._pools: dict[Address, deque[Server]] = {server: deque() for server in servers}
+        self._next_server = itertools.cycle(servers)
+        self._pools: dict[Address, deque[ServerConnection]] = {server: deque() for server in servers}
         self._dials: set[asyncio.Task[None]] = set()
 
-    def forward(self, caller: Caller, message: bytes) -> None:
+    def forward(self, client: ClientConnection, message: bytes) -> None:
         """Send a request to the next server in turn."""
-        server = next(self._turn)
+        server = next(self._next_server)
         pool = self._pools[server]
         if pool:
-            pool.pop().carry(caller, message)
+            pool.pop().send(client, message)
         else:
-            dial = asyncio.get_running_loop().create_task(self._dial(server, pool, caller, message))
+            dial = asyncio.get_running_loop().create_task(self._dial(server, pool, client, message))
             self._dials.add(dial)
             dial.add_done_callback(self._dials.discard)
 
-    async def _dial(self, server: Address, pool: deque[Server], caller: Caller, message: bytes) -> None:
-        made = Server(pool)
+    async def _dial(
+        self, server: Address, pool: deque[ServerConnection], client: ClientConnection, message: bytes
+    ) -> None:
+        connection = ServerConnection(pool)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: made, *server)
+            await asyncio.get_running_loop().create_connection(lambda: connection, *server)
         except OSError:
-            return caller.answer(502, b"")
-        made.carry(caller, message)
+            return client.answer(502, b"")
+        connection.send(client, message)
         return None
 
 
 async def run(listen: Address, servers: list[Address]) -> None:
-    """Forward requests until the process is ended."""
+    """Forward requests until the process is killed."""
     forwarder = Forwarder(servers)
-    server = await asyncio.get_running_loop().create_server(lambda: Caller(forwarder), *listen, backlog=1024)
+    server = await asyncio.get_running_loop().create_server(
+        lambda: ClientConnection(forwarder), *listen, backlog=1024
+    )
     await server.serve_forever()
 
 
--- a/orchidferry/testkit/bench/fleet.py
+++ b/orchidferry/testkit/bench/fleet.py
@@ -1,6 +1,6 @@
 """`orchidferry bench fleet`.
 
-Rehearsals of a fleet over many seeds, and the same with nodes that know nothing of each other beside them.
+Rehearsals of a fleet over many seeds, compared with rehearsals whose nodes do not know of each other.
 """
 
 from __future__ import annotations
@@ -18,13 +18,18 @@
 
 from orchidferry.testkit.scenario import load_scenario
 
-RUN_S = 180.0  # that one may take
+REHEARSAL_TIMEOUT_S = 180.0
 
 
 async def _run(scenario: str, seed: int, off: bool, folder: Path) -> dict[str, Any]:
-    """One rehearsal in a process of its own; what it says, or `error`."""
+    """Run one rehearsal in a separate process.
+
+    :param off: whether the nodes run without fleet membership.
+    :param folder: the folder for the verdict.
+    :returns: the verdict, or an object with the key `error` if there is none.
+    """
     out = folder / f"{scenario}-{seed}-{off}.json"
-    more = ["--no-fleet"] if off else []
+    options = ["--no-fleet"] if off else []
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -35,44 +40,44 @@
         str(seed),
         "--json",
         str(out),
-        *more,
+        *options,
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await asyncio.wait_for(process.wait(), RUN_S)
+        await asyncio.wait_for(process.wait(), REHEARSAL_TIMEOUT_S)
     except TimeoutError:
         process.kill()
         await process.wait()
     try:
-        found: dict[str, Any] = json.loads(out.read_text())
+        verdict: dict[str, Any] = json.loads(out.read_text())
     except (OSError, ValueError):
-        found = {"error": f"status {process.returncode} and no verdict"}
-    return found | {"off": off, "status": process.returncode}
+        verdict = {"error": f"exit status {process.returncode} and no verdict"}
+    return verdict | {"off": off, "status": process.returncode}
 
 
-def summary(scenario: str, found: list[dict[str, Any]]) -> dict[str, Any]:
-    """All runs of one scenario in one object."""
-    whole = [one for one in found if "error" not in one and one["complete"] and not one["run"]["void"]]
-    on, off = ([one for one in whole if one["off"] is which] for which in (False, True))
+def summary(scenario: str, results: list[dict[str, Any]]) -> dict[str, Any]:
+    """Summarize all runs of one scenario."""
+    valid = [one for one in results if "error" not in one and one["complete"] and not one["run"]["void"]]
+    on, off = ([one for one in valid if one["off"] is which] for which in (False, True))
     fleets = [one["fleet"] for one in on]
 
     def worst(key: str) -> float | None:
         values = [one[key] for one in fleets if one[key] is not None]
         return max(values, default=None)
 
-    def service(some: list[dict[str, Any]]) -> dict[str, float] | None:
-        values = [one["service"] for one in some]
+    def service(verdicts: list[dict[str, Any]]) -> dict[str, float] | None:
+        values = [one["service"] for one in verdicts]
         if not values:
             return None
-        spread = statistics.stdev(values) if len(values) > 1 else 0.0
-        return {"mean": round(statistics.mean(values), 4), "stdev": round(spread, 4), "runs": len(values)}
+        deviation = statistics.stdev(values) if len(values) > 1 else 0.0
+        return {"mean": round(statistics.mean(values), 4), "stdev": round(deviation, 4), "runs": len(values)}
 
     return {
         "scenario": scenario,
-        "runs": len(found),
-        "void_or_cut": len(found) - len(whole),
-        "rules_broken": sum(not rule["held"] for one in whole for rule in one["rules"].values()),
+        "runs": len(results),
+        "void_or_cut": len(results) - len(valid),
+        "rules_broken": sum(not rule["held"] for one in valid for rule in one["rules"].values()),
         "problems": [f"seed {one['seed']}: {text}" for one in on for text in one["fleet"]["problems"]],
         "views_agree_after_s": worst("views_agree_after_s"),
         "false_deaths": sum(fleet["false_deaths"] for fleet in fleets),
@@ -86,21 +91,21 @@
 
 
 async def _all(args: argparse.Namespace, console: Console) -> list[dict[str, Any]]:
-    gate = asyncio.Semaphore(args.at_once)
+    semaphore = asyncio.Semaphore(args.at_once)
     results = []
     with tempfile.TemporaryDirectory() as folder:
 
         async def one(scenario: str, seed: int, off: bool) -> dict[str, Any]:
-            async with gate:
-                found = await _run(scenario, seed, off, Path(folder))
-                said = (
-                    found.get("error")
-                    or found["run"]["void"]
-                    or found.get("fleet", {}).get("problems")
-                    or "held"
+            async with semaphore:
+                verdict = await _run(scenario, seed, off, Path(folder))
+                outcome = (
+                    verdict.get("error")
+                    or verdict["run"]["void"]
+                    or verdict.get("fleet", {}).get("problems")
+                    or "passed"
                 )
-                console.print(f"{scenario} seed {seed}{' off' if off else ''}: {said}", markup=False)
-                return found
+                console.print(f"{scenario} seed {seed}{' off' if off else ''}: {outcome}", markup=False)
+                return verdict
 
         for scenario in args.scenarios:
             jobs = [one(scenario, seed, False) for seed in range(1, args.seeds + 1)]
@@ -110,9 +115,12 @@
 
 
 def main(args: argparse.Namespace) -> list[dict[str, Any]]:
-    """The measurement; a row is broken if a rule was, or something of the fleet did not hold."""
+    """Run the command; a row is broken if a rule was, or if a check of the fleet failed.
+
+    :returns: the rows of `--json`.
+    """
     if args.seeds < 1 or args.off < 0 or not 1 <= args.at_once <= 8:
-        raise ValueError("--seeds must be 1 at least, --off 0, --at-once 1 to 8")
+        raise ValueError("--seeds must be at least 1, --off at least 0, --at-once 1 to 8")
     for name in args.scenarios:
         load_scenario(name)
     console = Console(highlight=False)
@@ -120,5 +128,5 @@
     for one in results:
         one["broken"] = bool(one["rules_broken"] or one["problems"])
         console.print(json.dumps(one, indent=1), markup=False)
-    console.print(f"{args.at_once} rehearsals at once")
+    console.print(f"rehearsals at the same time: {args.at_once}")
     return results
--- a/orchidferry/testkit/bench/forward_bench.py
+++ b/orchidferry/testkit/bench/forward_bench.py
@@ -1,6 +1,6 @@
-"""What `bench forward` and its HTTP/3 variant share: the processes of one measurement, and their accounts.
+"""The processes of one measurement and their resource usage, for `bench forward` and its HTTP/3 variant.
 
-Servers answer at once, in a process of their own, so that what is measured is the forwarding.
+The servers run in a separate process and answer at once, so that only the forwarding is measured.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.quic.certs import CertificateFiles
 
-WARM_S = 2.0  # of load before what counts: connections come up, the node learns
-LATE_MS = 20.0  # a load generator that was later than this at p99 measured itself
+WARM_S = 2.0  # load before a measurement: connections are opened, and the node learns about its servers
+LATE_MS = 20.0  # a load generator that is later than this at p99 measures its own delays
 READY_S = 20.0  # for a process to become ready
 READY_POLL_S = 0.05
 NANOSECONDS = 1e9
 SERVERS_A_GROUP = 8
-ENTRY_POINT = "orchidferry.testkit.bench.forward"  # run with `python -m`, it serves or offers a load
+ENTRY_POINT = "orchidferry.testkit.bench.forward"  # run with `python -m`: answers requests or offers a load
 
 
 async def serve(addresses: list[Address], files: CertificateFiles | None = None) -> None:
-    """Answer every request at once, until standard input ends; `ready` is printed when all listen.
+    """Answer every request at once, until standard input ends; print `ready` once all addresses listen.
 
-    :param addresses: to listen at.
-    :param files: certificates, to answer over HTTP/3 at the same addresses too; None for HTTP/1.1 alone.
+    :param addresses: the addresses to listen at.
+    :param files: certificates, to answer over HTTP/3 at the same addresses too; None for HTTP/1.1 only.
     """
     loop = asyncio.get_running_loop()
     seed = scenario().seed
@@ -43,7 +43,7 @@
     def requested(connection: Any, request: Request) -> None:
         attempt_id = request.headers.get("attempt-id")
         headers = ""
-        if attempt_id is not None:  # a mesh wants both
+        if attempt_id is not None:  # a mesh node requires both headers
             headers = f"Attempt-Id: {attempt_id}\r\nServer-Seal: {attempt_id}\r\n"
         connection.answer(200, expected_body(seed, request.headers.get("x-call-id", "")), headers)
 
@@ -62,21 +62,21 @@
 
 
 def cpu_s(pid: int) -> float:
-    """:returns: the CPU seconds that the main thread of a process has used (`/proc/PID/schedstat`)."""
+    """Return the CPU seconds that the main thread of a process has used (`/proc/PID/schedstat`)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / NANOSECONDS
 
 
 def rss_kb(pid: int) -> int:
-    """:returns: the resident memory of a process, in KiB."""
+    """Return the resident memory of a process, in KiB."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
 
 
 class Bench:
-    """The processes of one measurement: servers, and the forwarders that are started in turn.
+    """The processes of one measurement: servers, and the forwarders that are started one after another.
 
-    :param block: of addresses, for servers and forwarders.
-    :param folder: for the nodes' settings and logs.
+    :param block: the block of loopback addresses for servers and forwarders.
+    :param folder: the folder for the nodes' settings and logs.
     :param servers: how many servers the nodes list.
     """
 
@@ -87,9 +87,9 @@
         self._running: list[asyncio.subprocess.Process] = []
 
     async def start_servers(self, files: CertificateFiles | None = None) -> None:
-        """Start the process that answers for all servers, and wait until it listens.
+        """Start the process that answers for all servers, and wait until it is ready.
 
-        :param files: certificates, for HTTP/3 too.
+        :param files: certificates, if the servers answer over HTTP/3 too.
         :raises TimeoutError: if it is not ready in time.
         """
         process = await asyncio.create_subprocess_exec(
@@ -118,12 +118,12 @@
     ) -> tuple[asyncio.subprocess.Process, Address]:
         """Start a forwarder, and wait until it is ready.
 
-        :param what: `bare` for the bare forwarder; any other name is that of a node, for the error.
-        :param python_path: of the checkout whose node is started; None for this one.
-        :param discovery: address of the node's discovery; None: nobody answers there.
+        :param what: `bare` for the bare forwarder; any other name starts a node, and appears in an error.
+        :param python_path: the checkout whose node is started; None for this one.
+        :param discovery: the address of the node's discovery service; None for one where nothing listens.
         :param files: certificates, for a node that speaks HTTP/3 to clients.
         :param servers_h3: whether the node's servers are listed with HTTP/3.
-        :param control: settings file of the node's control channel.
+        :param control: the settings file of the node's control channel; None for a node without one.
         :returns: the process and the address at which it listens.
         :raises ValueError: if it does not become ready in time.
         """
@@ -176,7 +176,7 @@
         )
 
     def _config(self, address: Address, discovery: Address | None, h3: bool = False) -> dict[str, Any]:
-        host, port = discovery or (address[0], 1)  # nobody answers there
+        host, port = discovery or (address[0], 1)  # nothing listens at port 1
         entries = [
             {
                 "name": f"s{n}",
@@ -202,10 +202,11 @@
         }
 
     async def offer_elsewhere(self, address: Address, rate: float, seconds: float, tag: str) -> LoadReport:
-        """Offer a load of reads from a process of its own.
+        """Offer a load of reads from a separate process.
 
-        :param rate: requests a second.
-        :param tag: tells the ids of this load from those of others.
+        :param rate: requests per second.
+        :param seconds: duration of the load.
+        :param tag: prefix of the request ids, which distinguishes them from those of other loads.
         """
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -225,7 +226,7 @@
         return LoadReport(**json.loads(out))
 
     async def stop(self, process: asyncio.subprocess.Process) -> None:
-        """Kill a process that this bench started, unless it has ended, and wait for its end."""
+        """Kill a process that this object started, unless it has ended, and wait for its end."""
         if process.returncode is None:
             process.kill()
         await process.wait()
@@ -244,9 +245,9 @@
         if outcome.how == "answer" and (what == "bare" or outcome.status == 200):
             return
         await asyncio.sleep(READY_POLL_S)
-    raise ValueError(f"the {what} did not become ready")
+    raise ValueError(f"the forwarder {what!r} did not become ready within {READY_S:g} s")
 
 
 def lateness_text(late_ms: float) -> str:
-    """:returns: what a printed row adds if the load generator was late; empty if it was not."""
-    return f"; the asking side was {late_ms:.0f} ms late" if late_ms > LATE_MS else ""
+    """Return the note of a printed row about a late load generator; empty if it was not late."""
+    return f"; the load generator was {late_ms:.0f} ms late" if late_ms > LATE_MS else ""
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -1,8 +1,8 @@
-"""`orchidferry bench forward --protocol h3`: HTTP/3 beside HTTP/1.1 in one run, by turns.
+"""`orchidferry bench forward --protocol h3`: HTTP/3 against HTTP/1.1 in one run, alternating.
 
-CPU a request of the node at the same offered rate: HTTP/1.1 both ways, HTTP/3 from callers with one and
-with many streams a connection, HTTP/3 both ways; memory a caller's connection; and what floods cost other
-callers.
+CPU per request of the node at the same offered rate: HTTP/1.1 on both sides, HTTP/3 from clients with one and
+with many streams per connection, HTTP/3 on both sides; memory per client connection; and the effect of floods
+on other clients.
 """
 
 from __future__ import annotations
@@ -31,15 +31,14 @@
 from orchidferry.testkit.world.addresses import claim
 
 SERVERS = 10
-CONNECTIONS = 200  # for the memory of one
-# of each flood, beside so many requests a second of another caller
-FLOOD_S = 8.0
-FLOOD_RATE = 100.0
-GOOD_S = 1.0  # within which an answer counts as served
+CONNECTIONS = 200  # connections held open to measure the memory of one
+FLOOD_S = 8.0  # duration of each flood
+OTHER_CLIENT_RATE = 100.0  # requests per second of another client during a flood
+GOOD_S = 1.0  # time within which a response counts as served
 
 
 class NarrowPool(H3Pool):
-    """One request at a time on each connection, as HTTP/1.1 has it."""
+    """One request at a time on each connection, as with HTTP/1.1."""
 
     MAX_STREAMS = 1
 
@@ -52,7 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolCase:
-    """A measurement: the protocol of the clients, and that of the servers."""
+    """A measurement: the protocol of the clients and of the servers.
+
+    :ivar pool: makes the connection pool of the clients, given the path of the CA certificate.
+    :ivar servers_h3: whether the servers speak HTTP/3.
+    """
 
     name: str
     pool: Callable[[str], Any]
@@ -67,7 +70,7 @@
 )
 
 
-async def _turn(
+async def _measure_case(
     bench: Bench, files: certs.CertificateFiles, case: ProtocolCase, rate: float, seconds: float
 ) -> dict[str, Any]:
     process, address = await bench.start("node", files=files, servers_h3=case.servers_h3)
@@ -81,34 +84,34 @@
     return result
 
 
-async def _costs(
+async def _measure_cpu(
     bench: Bench, files: certs.CertificateFiles, args: argparse.Namespace
 ) -> list[dict[str, Any]]:
-    found: dict[str, list[dict[str, Any]]] = {case.name: [] for case in PROTOCOL_CASES}
+    measurements: dict[str, list[dict[str, Any]]] = {case.name: [] for case in PROTOCOL_CASES}
     for _ in range(args.turns):
         for case in PROTOCOL_CASES:
-            found[case.name].append(await _turn(bench, files, case, args.rate, args.seconds))
+            measurements[case.name].append(await _measure_case(bench, files, case, args.rate, args.seconds))
     rows = []
-    base = statistics.median(row["cpu_us"] for row in found["h1"])
-    for name, some in found.items():
-        cpu = statistics.median(row["cpu_us"] for row in some)
-        late_ms = max(row["late_p99_ms"] for row in some)
-        failed = sum(row["failed"] for row in some)
+    base = statistics.median(row["cpu_us"] for row in measurements["h1"])
+    for name, repeats in measurements.items():
+        cpu = statistics.median(row["cpu_us"] for row in repeats)
+        late_ms = max(row["late_p99_ms"] for row in repeats)
+        failed = sum(row["failed"] for row in repeats)
         row = {
             "what": name,
             "rate": args.rate,
             "turns": args.turns,
             "cpu_us": cpu,
             "ratio": cpu / base,
-            "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in some),
-            "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in some),
+            "p50_ms": statistics.median(row["p50_ms"] or 0.0 for row in repeats),
+            "p99_ms": statistics.median(row["p99_ms"] or 0.0 for row in repeats),
             "failed": failed,
             "late_p99_ms": late_ms,
-            "rss_kb": max(row["rss_kb"] for row in some),
+            "rss_kb": max(row["rss_kb"] for row in repeats),
         }
         rows.append(row)
         print(
-            f"{name:16} {cpu:7.0f} us of CPU a request ({row['ratio']:.2f} times h1), "
+            f"{name:16} {cpu:7.0f} us of CPU per request ({row['ratio']:.2f} times h1), "
             f"p50 {row['p50_ms']:.2f} ms, p99 {row['p99_ms']:.2f} ms, {row['rss_kb'] / 1024:.1f} MB, "
             f"{failed} failed{lateness_text(late_ms)}",
             flush=True,
@@ -116,7 +119,7 @@
     return rows
 
 
-async def _memory(bench: Bench, files: certs.CertificateFiles) -> list[dict[str, Any]]:
+async def _measure_memory(bench: Bench, files: certs.CertificateFiles) -> list[dict[str, Any]]:
     """Measure the node's memory for each client connection that has carried one request."""
     rows = []
     for name in ("h1", "h3"):
@@ -125,9 +128,9 @@
         pools: list[Any] = [
             Pool(lambda _: None) if name == "h1" else H3Pool(lambda _: None, ca) for _ in range(CONNECTIONS)
         ]
-        first = await ask_once(pools[0], address, "first")
+        first = await request_once(pools[0], address, "first")
         before = rss_kb(process.pid)
-        outcomes = [first] + [await ask_once(pool, address, f"{n}") for n, pool in enumerate(pools[1:])]
+        outcomes = [first] + [await request_once(pool, address, f"{n}") for n, pool in enumerate(pools[1:])]
         kb = (rss_kb(process.pid) - before) / (CONNECTIONS - 1)
         answered = sum(outcome.status == 200 for outcome in outcomes)
         what = f"connection, {name}"
@@ -139,34 +142,37 @@
     return rows
 
 
-async def ask_once(pool: Any, address: Address, id: str) -> Outcome:
+async def request_once(pool: Any, address: Address, id: str) -> Outcome:
     """Send one read, and keep its connection if it was answered.
 
-    :param id: of the call; the request's first attempt has it as a prefix.
-    :returns: the outcome; `timeout` if there was none within the budget.
+    :param id: of the call; the id of the request's first attempt is derived from it.
+    :returns: the outcome; `timeout` if there was no response within the budget.
     """
-    one = scenario()
-    cls = next(cls for cls in one.classes if cls.name == "ler-feed")
+    defaults = scenario()
+    cls = next(cls for cls in defaults.classes if cls.name == "ler-feed")
     connection = await pool.connection(address)
     if isinstance(connection, Outcome):
         return connection
-    waiting = connection.ask(id, encode_request(cls, f"{id}.0", "k", 1, BUDGET_S, False, b""))
-    await asyncio.wait({waiting}, timeout=BUDGET_S)
-    if not waiting.done():
+    response = connection.ask(id, encode_request(cls, f"{id}.0", "k", 1, BUDGET_S, False, b""))
+    await asyncio.wait({response}, timeout=BUDGET_S)
+    if not response.done():
         return Outcome("timeout", time.monotonic())
     pool.put_back(address, connection)
-    found: Outcome = waiting.result()
-    return found
+    outcome: Outcome = response.result()
+    return outcome
 
 
-async def _calm(address: Address, ca: str, until: float) -> int:
+async def _no_flood(address: Address, ca: str, until: float) -> int:
     while time.monotonic() < until:
         await asyncio.sleep(0.05)
     return 0
 
 
-async def _first_packets(address: Address, ca: str, until: float) -> int:
-    """First packets that lead nowhere, as fast as one socket sends them."""
+async def _flood_initial_packets(address: Address, ca: str, until: float) -> int:
+    """Send QUIC Initial packets that never complete a handshake, as fast as one socket allows.
+
+    :returns: the number of packets sent.
+    """
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, remote_addr=address)
     sent = 0
@@ -180,67 +186,70 @@
     return sent
 
 
-async def _resets(address: Address, ca: str, until: float) -> int:
-    """Streams opened and reset as fast as they can be, on a new connection whenever one is closed."""
-    one = scenario()
-    cls = next(cls for cls in one.classes if cls.name == "ler-feed")
+async def _flood_resets(address: Address, ca: str, until: float) -> int:
+    """Open and reset streams as fast as possible, on a new connection whenever one is closed.
+
+    :returns: the number of streams.
+    """
+    defaults = scenario()
+    cls = next(cls for cls in defaults.classes if cls.name == "ler-feed")
     sent = 0
     while time.monotonic() < until:
         try:
-            caller: RequesterConnection = await connect(address, ca, limit_s=1.0)
+            connection: RequesterConnection = await connect(address, ca, limit_s=1.0)
         except (OSError, TimeoutError):
             await asyncio.sleep(0.05)
             continue
-        while time.monotonic() < until and caller.http is not None:
+        while time.monotonic() < until and connection.http is not None:
             for _ in range(20):
-                if caller.http is None:
+                if connection.http is None:
                     break
-                stream = RequesterStream(caller)
+                stream = RequesterStream(connection)
                 stream.ask("", encode_request(cls, f"f{sent}.0", "k", 1, BUDGET_S, False, b""))
                 stream.drop()
                 sent += 1
             await asyncio.sleep(0.005)
-        caller.drop()
+        connection.drop()
     return sent
 
 
 FLOODS: tuple[tuple[str, Callable[[Address, str, float], Awaitable[int]]], ...] = (
-    ("calm", _calm),
-    ("first packets", _first_packets),
-    ("resets", _resets),
+    ("calm", _no_flood),
+    ("first packets", _flood_initial_packets),
+    ("resets", _flood_resets),
 )
 
 
 async def _offer_beside_flood(address: Address, ca: str, until: float) -> tuple[int, int]:
-    """Send another client's requests beside a flood.
+    """Send requests of another client during a flood.
 
     :returns: how many were sent, and how many were answered correctly in time.
     """
     pool = WidePool(lambda _: None, ca)
-    one = scenario()
+    defaults = scenario()
     asked = good = 0
     tasks: set[asyncio.Task[None]] = set()
 
     async def ask(number: int) -> None:
         nonlocal good
-        began = time.monotonic()
-        outcome = await ask_once(pool, address, f"o{number}")
-        sound = outcome.status == 200 and outcome.body == expected_body(one.seed, f"o{number}.0")
-        good += sound and time.monotonic() - began <= GOOD_S
+        started_s = time.monotonic()
+        outcome = await request_once(pool, address, f"o{number}")
+        correct = outcome.status == 200 and outcome.body == expected_body(defaults.seed, f"o{number}.0")
+        good += correct and time.monotonic() - started_s <= GOOD_S
 
     while time.monotonic() < until:
         asked += 1
         task = asyncio.create_task(ask(asked))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
-        await asyncio.sleep(1.0 / FLOOD_RATE)
+        await asyncio.sleep(1.0 / OTHER_CLIENT_RATE)
     while tasks:
         await asyncio.wait(set(tasks))
     pool.close()
     return asked, good
 
 
-async def _floods(bench: Bench, files: certs.CertificateFiles) -> list[dict[str, Any]]:
+async def _measure_floods(bench: Bench, files: certs.CertificateFiles) -> list[dict[str, Any]]:
     rows = []
     ca = str(files.ca)
     for name, flood in FLOODS:
@@ -256,8 +265,8 @@
             {"what": f"flood, {name}", "sent": sent, "asked": asked, "good": good, "cpu_share": share}
         )
         print(
-            f"flood, {name}: {sent / FLOOD_S:.0f} a second; other callers {good} of {asked} in {GOOD_S:g} s "
-            f"({100.0 * good / asked:.2f} %), node at {100.0 * share:.0f} % of a core",
+            f"flood, {name}: {sent / FLOOD_S:.0f} per second; another client: {good} of {asked} "
+            f"in {GOOD_S:g} s ({100.0 * good / asked:.2f} %), node at {100.0 * share:.0f} % of a core",
             flush=True,
         )
         await bench.stop(process)
@@ -265,18 +274,18 @@
 
 
 async def _measure_all(args: argparse.Namespace) -> list[dict[str, Any]]:
-    block, claimed_block = claim()
+    block, block_claim = claim()
     with tempfile.TemporaryDirectory(prefix="orchidferry-bench-") as folder:
         files = certs.make(Path(folder) / "certs")
         bench = Bench(block, Path(folder), args.servers or SERVERS)
         try:
             await bench.start_servers(files)
-            rows = await _costs(bench, files, args)
-            rows += await _memory(bench, files)
-            rows += await _floods(bench, files)
+            rows = await _measure_cpu(bench, files, args)
+            rows += await _measure_memory(bench, files)
+            rows += await _measure_floods(bench, files)
         finally:
             await bench.close()
-            claimed_block.close()
+            block_claim.close()
     return rows
 
 
@@ -287,5 +296,7 @@
     :raises ValueError: for options that HTTP/3 is not measured with.
     """
     if args.mix or args.against:
-        raise ValueError("--protocol h3 measures reads of this checkout: no --mix, no --against")
+        raise ValueError(
+            "--protocol h3 measures reads of this checkout only: neither --mix nor --against can be used"
+        )
     return uvloop.run(_measure_all(args))
