--- a/orchidferry/testkit/bench/claim_load.py
+++ b/orchidferry/testkit/bench/claim_load.py
@@ -1,4 +1,4 @@
-"""What the bench and its claimer process tell each other: a JSON object a line."""
+"""Messages between the benchmark and its claimer process: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimerSetup:
-    """Where the controllers are, and the address of the claimer."""
+    """The addresses of the controllers and of the claimer."""
 
-    seeds: list[str]
-    port: int
-    ip: str
+    seeds: list[str]  # IP addresses of the controllers
+    port: int  # of the controllers
+    ip: str  # of the claimer
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimLoad:
     """A load of claims, each of a new key."""
 
-    tag: str  # tells the keys of one load from those of others
-    rate: float  # claims a second; 0: `max_concurrent` are always under way
-    seconds: float
-    max_concurrent: int
-    max_claims: int
-    stored_bytes: int = 0  # of the answer that is stored under each key
+    tag: str  # distinguishes the keys of this load from those of others
+    rate: float  # claims per second; 0 keeps `max_concurrent` claims in flight
+    seconds: float  # duration
+    max_concurrent: int  # claims in flight; only used if `rate` is 0
+    max_claims: int  # after which the load ends early
+    stored_bytes: int = 0  # size of the response that is stored under each key; 0 stores none
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimReport:
-    """What came of a load."""
+    """The results of a load of claims."""
 
-    asked: int
-    granted: int
-    seconds: float
-    took_s: list[float]  # of each claim that was granted, from when it was due
-    late_s: list[float]  # by which each claim was made too late
-    claimer_cpu_s: float
+    asked: int  # claims made
+    granted: int  # claims granted
+    seconds: float  # duration of the load
+    took_s: list[float]  # latency of each granted claim, measured from its scheduled time
+    late_s: list[float]  # delay of each claim behind its scheduled time
+    claimer_cpu_s: float  # CPU time of the claimer during the load
 
 
 def encode_line(message: ClaimerSetup | ClaimLoad | ClaimReport) -> bytes:
-    """A message as a line.
+    """Encode a message as a line.
 
     >>> ClaimerSetup(**json.loads(encode_line(ClaimerSetup(["10.0.0.1"], 80, "10.0.0.2"))))
     ClaimerSetup(seeds=['10.0.0.1'], port=80, ip='10.0.0.2')
--- a/orchidferry/testkit/bench/counting_relay.py
+++ b/orchidferry/testkit/bench/counting_relay.py
@@ -7,15 +7,15 @@
 
 import cbor2
 
-LENGTH_BYTES = 4  # in front of each message
+LENGTH_BYTES = 4  # of the length prefix of each message
 
 
 class CountingRelay:
-    """Counts what nodes and one controller send each other, and forwards it."""
+    """Forwards messages between nodes and one controller, and counts their bytes."""
 
     def __init__(self) -> None:
-        self.up = Counter[str]()  # bytes to the controller, by kind of message
-        self.down = Counter[str]()  # bytes from the controller
+        self.up = Counter[str]()  # bytes sent to the controller, by kind of message
+        self.down = Counter[str]()  # bytes sent by the controller, by kind of message
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
@@ -24,10 +24,13 @@
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
-                far_reader, far_writer = await asyncio.open_connection(*controller)
+                controller_reader, controller_writer = await asyncio.open_connection(*controller)
             except OSError:
                 return writer.transport.abort()
-            for source, sink, counts in ((reader, far_writer, self.up), (far_reader, writer, self.down)):
+            for source, sink, counts in (
+                (reader, controller_writer, self.up),
+                (controller_reader, writer, self.down),
+            ):
                 task = asyncio.get_running_loop().create_task(forward_messages(source, sink, counts))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
@@ -36,12 +39,12 @@
         self._server = await asyncio.start_server(serve, *listen)
 
     def clear(self) -> None:
-        """Count from 0 again."""
+        """Reset the counts."""
         self.up.clear()
         self.down.clear()
 
     def close(self) -> None:
-        """End it and all that it forwards."""
+        """Stop listening, and stop forwarding on all connections."""
         if self._server is not None:
             self._server.close()
         for task in set(self._tasks):
@@ -51,7 +54,7 @@
 async def forward_messages(
     source: asyncio.StreamReader, sink: asyncio.StreamWriter, counts: Counter[str]
 ) -> None:
-    """Forward messages one by one until the source ends; each is counted with the bytes of its length."""
+    """Forward messages until the source ends; the length prefix counts as part of each message."""
     try:
         while True:
             length = await source.readexactly(LENGTH_BYTES)
--- a/orchidferry/testkit/bench/mesh.py
+++ b/orchidferry/testkit/bench/mesh.py
@@ -1,7 +1,8 @@
-"""`orchidferry bench mesh`: what the mesh costs, real processes on loopback; large meshes in virtual time.
+"""`orchidferry bench mesh`: the cost of a mesh of real processes on loopback; large meshes in virtual time.
 
-Every figure is the median of its repeats, with the smallest and the largest. CPU is the kernel's count for
-the process (`/proc/PID/task/*/schedstat`), so it bears other work on the machine better than a time does.
+Every figure is the median of its repeats, with the minimum and the maximum. CPU time is the kernel's count
+for the process (`/proc/PID/task/*/schedstat`), which other work on the machine distorts less than elapsed
+time.
 """
 
 from __future__ import annotations
@@ -24,9 +25,13 @@
 
 MIN_NODES = 3
 MAX_NODES = 10_000
-LOGARITHMIC_FROM = 50.0  # times the smallest median of a panel: the scale is logarithmic beyond
+LOGARITHMIC_FROM = (
+    50.0  # ratio of a panel's largest to its smallest median, above which its scale is logarithmic
+)
 
-Measurement = Callable[[float, int], Coroutine[Any, Any, list[Row]]]  # by seconds and turns
+Measurement = Callable[
+    [float, int], Coroutine[Any, Any, list[Row]]
+]  # given the seconds of each measurement and the number of repeats
 
 MEASUREMENTS: dict[str, Measurement] = {
     "claims": measure_claims,
@@ -38,9 +43,10 @@
 
 
 def main(args: argparse.Namespace) -> list[Row]:
-    """Run the command; its rows. A row is broken if claims or requests failed or a node missed a change.
+    """Run the command. A row is broken if claims or requests failed, or a node missed a change.
 
-    :raises ValueError: for options that can't be used, in one line.
+    :returns: the rows of `--json`.
+    :raises ValueError: if an option is invalid.
     """
     names = selected(args.only)
     nodes = [int(text) for text in args.nodes.split(",")]
@@ -52,16 +58,17 @@
         rows += uvloop.run(until_stopped(MEASUREMENTS[name](args.seconds, args.turns)))
         if name == "news":
             rows += measure_virtual(nodes)
-        print(f"  in {time.monotonic() - started_s:.0f} s", flush=True)
+        print(f"  took {time.monotonic() - started_s:.0f} s", flush=True)
     if args.plot:
         plot(rows, args.plot)
     return rows
 
 
 def selected(only: str | None) -> list[str]:
-    """The measurements that are asked for.
+    """Return the names of the selected measurements.
 
-    :raises ValueError: names one that is unknown.
+    :param only: names separated by commas; None for all.
+    :raises ValueError: if a name is unknown.
     """
     names = list(MEASUREMENTS) if only is None else only.split(",")
     for name in names:
@@ -72,7 +79,7 @@
 
 def _check(args: argparse.Namespace, nodes: list[int]) -> None:
     if not all(MIN_NODES <= count <= MAX_NODES for count in nodes):
-        raise ValueError(f"--nodes must be {MIN_NODES} to {MAX_NODES}, with commas between")
+        raise ValueError(f"--nodes must be {MIN_NODES} to {MAX_NODES}, separated by commas")
     if not 0.5 <= args.seconds <= 20.0 or not 1 <= args.turns <= 10:
         raise ValueError("--seconds must be within 0.5 to 20, --turns 1 to 10")
     if args.plot and not Path(args.plot).resolve().parent.is_dir():
@@ -82,9 +89,9 @@
 
 
 def plot(rows: list[Row], path: str) -> None:
-    """Draw a panel for each unit: medians as bars, the smallest and the largest as lines across their ends.
+    """Draw a panel for each unit: medians as bars, with error bars from the minimum to the maximum.
 
-    A panel whose medians lie far apart has a logarithmic scale, linear below its smallest.
+    A panel with widely different medians has a logarithmic scale, which is linear below the smallest median.
     """
     from matplotlib.figure import Figure
 
--- a/orchidferry/testkit/bench/mesh_claims.py
+++ b/orchidferry/testkit/bench/mesh_claims.py
@@ -1,4 +1,4 @@
-"""`bench mesh`, claims: operation keys claimed of one controller and of three."""
+"""`bench mesh`, claims: throughput and latency of claims of operation keys at one and three controllers."""
 
 from __future__ import annotations
 
@@ -13,49 +13,49 @@
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row, quantile
 from orchidferry.testkit.bench.process_usage import CpuMeter, disk_sync_ms, written_bytes
 
-RATES = (150.0, 500.0)  # claims a second that are offered
-MAX_CONCURRENT = 512  # claims under way where the largest rate is measured
-MIN_GRANTED = 0.99  # of what is asked; below that a row is broken
-MAX_CLAIMS = 40_000  # of one load
-STORED_BODY_BYTES = 600
-SYNC_MS = 1.0  # that each commit takes longer on a disk in memory: a core machine's sync
-CORE_MACHINE_CPU = 0.645  # of a core: what a core machine has
-# Where controllers write.
+RATES = (150.0, 500.0)  # offered claims per second
+MAX_CONCURRENT = 512  # concurrent claims while the maximum rate is measured
+MIN_GRANTED = 0.99  # fraction of the claims; a row with fewer granted ones is broken
+MAX_CLAIMS = 40_000  # claims of one load
+STORED_BODY_BYTES = 600  # size of a stored response
+SYNC_MS = 1.0  # added to each commit on a disk in memory, to simulate the sync of a core machine's disk
+CORE_MACHINE_CPU = 0.645  # fraction of a core that a core machine has
+# The disks that controllers write to.
 MEMORY_DISK = "1 ms a sync"
 OWN_DISK = "this disk"
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A load that is offered to the controllers."""
+    """A load of claims offered to the controllers."""
 
     name: str
-    rate: float  # claims a second; 0: `MAX_CONCURRENT` are always under way
-    stored_bytes: int  # of the answer that is stored under each key
+    rate: float  # claims per second; 0 keeps `MAX_CONCURRENT` claims in flight
+    stored_bytes: int  # size of the response that is stored under each key
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What came of one load, and what it cost the controllers."""
+    """The results of one load, and the resource usage of the controllers."""
 
     report: ClaimReport
-    controller_us: list[float]  # CPU a claim, of each controller
-    controller_busy: list[float]  # fraction of a core, of each controller
-    waited: float  # fraction of the time that a controller waited for a core
-    written: list[float]  # bytes a claim, of each controller; 0 where the disk is in memory
+    controller_us: list[float]  # CPU per claim, of each controller
+    controller_busy: list[float]  # fraction of a core that each controller used
+    waited: float  # the largest fraction of time for which a controller waited for a core
+    written: list[float]  # bytes per claim that each controller wrote; 0 for a disk in memory
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What is measured."""
+    """The fleets, rates and disks that are measured."""
 
-    groups: Sequence[int] = (1, 3)  # controllers
+    groups: Sequence[int] = (1, 3)  # numbers of controllers
     rates: Sequence[float] = RATES
     disks: Sequence[str] = (MEMORY_DISK, OWN_DISK)
-    max_rate: bool = True  # whether the largest rate is measured
+    max_rate: bool = True  # whether the maximum rate is measured too
 
     def loads(self, own_disk: bool) -> list[Load]:
-        """The loads of one fleet."""
+        """Return the loads that are offered to one fleet."""
         loads = [Load(f"{rate:g}/s", rate, 0) for rate in self.rates]
         if self.max_rate:
             loads.append(Load(f"{MAX_CONCURRENT} at once", 0.0, 0))
@@ -67,10 +67,10 @@
 
 
 async def measure_claims(seconds: float, turns: int, options: Options | None = None) -> list[Row]:
-    """Claim keys at rates and as fast as they go; each turn with new disks.
+    """Claim keys at fixed rates and at the maximum rate; each repeat starts with empty disks.
 
-    The disk is in memory, with a commit 1 ms longer, as a core machine's is; the largest group's is also the
-    folder for temporary files.
+    The disk is in memory, and commits take 1 ms longer, as on a core machine. The largest group is also
+    measured on the disk of the folder for temporary files.
     """
     options = options or Options()
     results: dict[str, list[LoadResult]] = {}
@@ -80,7 +80,7 @@
             largest = controllers == max(options.groups)
             for disk in options.disks if largest else options.disks[:1]:
                 stored += await _measure_fleet(controllers, disk, seconds, options, results)
-    rows = [row for name, some in results.items() for row in claim_rows(name, some)]
+    rows = [row for name, repeats in results.items() for row in claim_rows(name, repeats)]
     if stored:
         rows.append(figure_row("claims", "kept on disk", "bytes a claim", stored))
     if OWN_DISK in options.disks:
@@ -92,7 +92,10 @@
 async def _measure_fleet(
     controllers: int, disk: str, seconds: float, options: Options, results: dict[str, list[LoadResult]]
 ) -> list[float]:
-    """Offer all loads to one fleet; bytes that each controller stores for a claim, after the largest rate."""
+    """Offer all loads to one fleet.
+
+    :returns: the stored bytes per claim of each controller after the load at the maximum rate.
+    """
     own_disk = disk == OWN_DISK
     folder = tempfile.gettempdir() if own_disk else None
     sync_ms = 0.0 if own_disk else SYNC_MS
@@ -132,13 +135,13 @@
 
 
 def claim_rows(name: str, results: list[LoadResult]) -> list[Row]:
-    """The rows of one load from its repeats; broken if too few claims were granted."""
+    """Make the rows of one load from its repeats; the first is broken if too few claims were granted."""
     reports = [result.report for result in results]
     asked = sum(report.asked for report in reports)
     granted = sum(report.granted for report in reports)
-    lost: Row = {"ungranted": asked - granted} if granted < asked else {}
+    details: Row = {"ungranted": asked - granted} if granted < asked else {}
     if granted < MIN_GRANTED * asked:
-        lost["broken"] = True
+        details["broken"] = True
     cpu_us = [cpu_us for result in results for cpu_us in result.controller_us]
     max_rate = CORE_MACHINE_CPU / statistics.median(cpu_us) * 1e6
     took_ms = [[took_s * 1e3 for took_s in report.took_s] for report in reports if report.took_s]
@@ -152,17 +155,17 @@
             controller_busy=f"{max(busy for result in results for busy in result.controller_busy):.0%}",
             claimer_busy=f"{max(report.claimer_cpu_s / report.seconds for report in reports):.0%}",
             waited_for_a_core=f"{max(result.waited for result in results):.0%}",
-            **lost,
+            **details,
         ),
         figure_row(
             "claims", f"{name}: CPU of a controller", "us a claim", cpu_us, core_machine=f"{max_rate:.0f}/s"
         ),
-        figure_row("claims", f"{name}: p50", "ms", [quantile(some, 0.5) for some in took_ms]),
+        figure_row("claims", f"{name}: p50", "ms", [quantile(times_ms, 0.5) for times_ms in took_ms]),
         figure_row(
             "claims",
             f"{name}: p99",
             "ms",
-            [quantile(some, 0.99) for some in took_ms],
+            [quantile(times_ms, 0.99) for times_ms in took_ms],
             asked_late_p99_ms=round(late_ms, 2),
         ),
     ]
--- a/orchidferry/testkit/bench/mesh_propagation.py
+++ b/orchidferry/testkit/bench/mesh_propagation.py
@@ -15,43 +15,49 @@
 from orchidferry.testkit.mesh.day import Machine
 from orchidferry.testkit.wire import Outcome
 
-SERVERS = (11, 1)  # of the two services, one a node; the one is drained
-CONFIGURATIONS = 8
-DRAINS = 4
-POLL_S = 0.006
+SERVERS = (11, 1)  # of the two services, each beside a node; the single server of the second one is drained
+CONFIGURATIONS = 8  # configuration changes that are measured
+DRAINS = 4  # drains that are measured
+POLL_S = 0.006  # between two requests to a node
 PROPAGATION_TIMEOUT_S = 5.0
 REQUEST_TIMEOUT_MS = 1_000
 REQUEST_GRACE_S = 0.5
-DRAINED_PREFIX = "/alone/"  # leads to the service with one server
-# Of the model in virtual time.
+DRAINED_PREFIX = "/alone/"  # route to the service with a single server
+# The model in virtual time.
 MODEL = "orchidferry.testkit.bench.mesh_news"
 ZONES = 3
 SEED = 1
 VIRTUAL_CHANGES = 20  # of each kind
 
-Change = Callable[[], Awaitable[float]]  # makes a change; when it was acknowledged
+Change = Callable[[], Awaitable[float]]  # makes a change, and returns the time of its acknowledgement
 
 
 class TargetPoller:
-    """Polls all nodes for one target, over a connection each, until each node's answer has changed.
+    """Polls all nodes with requests for one target, over a connection to each, until their responses change.
 
-    Where a success is wanted, a node has changed when it came; where the end of them is, when that request
-    was sent, as a node may hold one that no server is there for.
+    If a success is awaited, a node has changed when the first successful response arrives. If a failure is
+    awaited, it has changed when the first failing request is sent, as a node may hold a request while there
+    is no server for it.
     """
 
     def __init__(self, fleet: Fleet, target: str, wanted: bool) -> None:
-        """`wanted`: whether a success is waited for, or the end of them."""
+        """Make a poller.
+
+        :param target: the request target.
+        :param wanted: whether a successful response is awaited; otherwise a failure.
+        """
         self._fleet = fleet
         self._target = target
         self._wanted = wanted
-        self._changed_s: dict[str, float] = {}  # by machine
+        self._changed_s: dict[str, float] = {}  # time of each node's change, by machine
 
     async def poll_until_changed(self, change: Change | None = None) -> list[float]:
-        """Poll until each node has changed, or for as long as that may take.
+        """Poll until all nodes have changed or the time-out has passed.
 
-        :param change: is made meanwhile, if there is one.
-        :returns: ms from its acknowledgement, or from now, of each node that has changed.
-        :raises ValueError: if a node changed before that was asked for.
+        :param change: makes the change after the polling has started; None if there is nothing to make.
+        :returns: for each node that has changed, the time in ms since the acknowledgement of the change, or
+            since this call if there is no change to make.
+        :raises ValueError: if a node changed before the change was made.
         """
         fleet = self._fleet
         acknowledged_s = time.monotonic()
@@ -60,7 +66,7 @@
             if change is not None:
                 await asyncio.sleep(5.0 * POLL_S)
                 if self._changed_s:
-                    raise ValueError(f"{next(iter(self._changed_s))} knew of a change before it was made")
+                    raise ValueError(f"{next(iter(self._changed_s))} acted on a change before it was made")
                 acknowledged_s = await change()
             await asyncio.wait(polls, timeout=PROPAGATION_TIMEOUT_S)
         finally:
@@ -73,11 +79,14 @@
         number = 0
         while machine.name not in self._changed_s:
             number += 1
-            if await self._ask(machine, f"p{machine.number}-{number}"):
+            if await self._send_request(machine, f"p{machine.number}-{number}"):
                 await asyncio.sleep(POLL_S)
 
-    async def _ask(self, machine: Machine, id: str) -> bool:
-        """Send one request and record what it tells; False if it was not answered in time."""
+    async def _send_request(self, machine: Machine, id: str) -> bool:
+        """Send one request, and record the time of a changed response.
+
+        :returns: False if there was no response in time.
+        """
         pool = self._fleet.scene.pool(machine)
         address = (machine.ip, self._fleet.ports.outbound)
         request = (
@@ -101,7 +110,11 @@
 
 
 async def measure_propagation(seconds: float, turns: int) -> list[Row]:
-    """Time from an acknowledgement until nodes act on it, real processes."""
+    """Measure the time from the acknowledgement of a change until nodes act on it, with real processes.
+
+    :param seconds: not used.
+    :param turns: not used.
+    """
     async with Fleet(3, SERVERS, SYNC_MS) as fleet:
         nodes = len(fleet.sidecars)
         routes = [*fleet.routes(), (DRAINED_PREFIX, fleet.sidecars[-1].service, "idempotent")]
@@ -121,7 +134,7 @@
 
 
 async def _drain(fleet: Fleet, number: int) -> list[float]:
-    """Drain the lone server, then have another one in its place."""
+    """Drain the single server of the second service, then replace it by a new one."""
     machine = fleet.sidecars[-1]
     await TargetPoller(fleet, DRAINED_PREFIX, True).poll_until_changed()
 
@@ -139,7 +152,11 @@
 
 
 def propagation_rows(name: str, nodes: int, changes: list[list[float]]) -> list[Row]:
-    """The rows of some changes, each the times of its nodes; broken where a node never acted on one."""
+    """Make the rows of some changes.
+
+    :param changes: for each change, the times of the nodes that acted on it; if there are fewer than `nodes`,
+        the first row is broken.
+    """
     complete = [times_ms for times_ms in changes if len(times_ms) == nodes]
     missed = len(changes) - len(complete)
     details: Row = {"broken": True, "unknown_at": missed} if missed else {}
@@ -153,9 +170,12 @@
 
 
 def measure_virtual(sizes: list[int]) -> list[Row]:
-    """What the model of propagation in large meshes gives, in virtual time, where that is installed."""
+    """Measure the propagation in large meshes with the model in virtual time, if its module is installed.
+
+    :param sizes: numbers of nodes.
+    """
     if importlib.util.find_spec(MODEL) is None:
-        print(f"  no {MODEL}: nothing of larger meshes")
+        print(f"  module {MODEL} is not installed: large meshes are skipped")
         return []
     from loguru import logger
 
--- a/orchidferry/testkit/bench/mesh_requests.py
+++ b/orchidferry/testkit/bench/mesh_requests.py
@@ -1,4 +1,4 @@
-"""`bench mesh`, requests: CPU a request of a mesh node, beside the bare forwarder and the present node."""
+"""`bench mesh`, requests: CPU per request of a mesh node, the bare forwarder and the standalone node."""
 
 from __future__ import annotations
 
@@ -15,14 +15,21 @@
 from orchidferry.testkit.exchange import RequestOptions, encode_request
 from orchidferry.testkit.wire import Address
 
-RATE = 300.0  # requests a second offered to a forwarder
+RATE = 300.0  # requests per second offered to a forwarder
 WARM_UP_S = 0.6
-REPORTED_WAIT = 0.02  # fraction of the time that a process waited for a core, beyond which a row says so
-BASELINE = "bare forwarder, reads"  # what others are compared with
+REPORTED_WAIT = 0.02  # a row reports the fraction of time for which a process waited for a core above this
+BASELINE = "bare forwarder, reads"  # the row that the ratios of all rows refer to
 
 
 def request_writer(class_name: str, prefix: str, keyed: bool) -> WriteRequest:
-    """Requests that the present node and the mesh both read: the same bytes go to all."""
+    """Return an encoder of requests that the standalone node and a mesh node both understand.
+
+    All forwarders receive the same bytes.
+
+    :param class_name: class of the requests.
+    :param prefix: path prefix of the route.
+    :param keyed: whether each request has an operation key.
+    """
     cls = next(cls for cls in scenario().classes if cls.name == class_name)
 
     def write(number: int, id: str) -> bytes:
@@ -50,16 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What came of one load of requests, and what it cost."""
+    """The results of one load of requests, and its resource usage."""
 
     report: LoadReport
-    cpu_us: list[float]  # a request, of each process on the way
-    controller_us: list[float]  # a request, of each controller
-    waited: float  # fraction of the time that a process waited for a core
+    cpu_us: list[float]  # CPU per request, of each process on the path
+    controller_us: list[float]  # CPU per request, of each controller
+    waited: float  # the largest fraction of time for which a process on the path waited for a core
 
 
 class RequestBench:
-    """Offers loads to forwarders, and measures the processes that forward."""
+    """Offers loads to forwarders, and measures the forwarding processes.
+
+    :ivar results: the results of each forwarder, by its name in the rows.
+    """
 
     def __init__(self, fleet: Fleet, seconds: float) -> None:
         self._fleet = fleet
@@ -68,7 +78,11 @@
         self.results: dict[str, list[LoadResult]] = {}
 
     async def offer(self, name: str, address: Address, pids: list[int], write: WriteRequest) -> None:
-        """Offer a load at an address, after a warm-up; `pids` are the processes on the way."""
+        """Offer a load at an address, after a warm-up.
+
+        :param name: of the forwarder, in the rows.
+        :param pids: the processes on the path of the requests.
+        """
         self._loads += 1
         await offer_load(address, RATE, WARM_UP_S, f"w{self._loads}-", write)
         controllers = self._fleet.meter(self._fleet.cores)
@@ -85,32 +99,32 @@
 
 
 async def measure_requests(seconds: float, turns: int) -> list[Row]:
-    """CPU a request of each forwarder, by turns."""
+    """Measure the CPU per request of each forwarder, alternating."""
     async with Fleet(3, (1, 1), SYNC_MS) as fleet:
         bench = RequestBench(fleet, seconds)
-        others = forward_bench.Bench(fleet.block, fleet.folder, 0)
-        others.servers = [(fleet.sidecars[0].ip, fleet.ports.application)]
+        other_forwarders = forward_bench.Bench(fleet.block, fleet.folder, 0)
+        other_forwarders.servers = [(fleet.sidecars[0].ip, fleet.ports.application)]
         try:
             for _ in range(turns):
-                await _offer_to_others(bench, others)
+                await _offer_to_other_forwarders(bench, other_forwarders)
                 await _offer_to_mesh(bench, fleet)
         finally:
-            await others.close()
+            await other_forwarders.close()
     return request_rows(bench.results)
 
 
-async def _offer_to_others(bench: RequestBench, others: forward_bench.Bench) -> None:
-    process, address = await others.start("bare")
+async def _offer_to_other_forwarders(bench: RequestBench, other_forwarders: forward_bench.Bench) -> None:
+    process, address = await other_forwarders.start("bare")
     await bench.offer(BASELINE, address, [process.pid], READS)
-    await others.stop(process)
-    process, address = await others.start("node")
+    await other_forwarders.stop(process)
+    process, address = await other_forwarders.start("node")
     await bench.offer("present node, reads", address, [process.pid], READS)
     await bench.offer("present node, keyed", address, [process.pid], SAVES)
-    await others.stop(process)
+    await other_forwarders.stop(process)
 
 
 async def _offer_to_mesh(bench: RequestBench, fleet: Fleet) -> None:
-    near, far = fleet.sidecars  # the server that all requests go to stands beside the first
+    near, far = fleet.sidecars  # the server of all requests runs beside the first sidecar
     near_pid, far_pid = (fleet.pids([machine])[0] for machine in (near, far))
     for kind, write in (("reads", READS), ("keyed", SAVES)):
         address = (near.ip, fleet.ports.outbound)
@@ -120,19 +134,19 @@
 
 
 def request_rows(results: dict[str, list[LoadResult]]) -> list[Row]:
-    """The rows of all turns."""
+    """Make the rows of all forwarders from their repeats."""
     baseline_us = statistics.median(sum(result.cpu_us) for result in results[BASELINE])
     rows = []
-    for name, some in results.items():
-        total_us = [sum(result.cpu_us) for result in some]
+    for name, repeats in results.items():
+        total_us = [sum(result.cpu_us) for result in repeats]
         ratio = round(statistics.median(total_us) / baseline_us, 2)
-        details = _details(name, some)
+        details = _details(name, repeats)
         rows.append(figure_row("requests", f"{name}: CPU", "us a request", total_us, ratio=ratio, **details))
         rows.append(
-            figure_row("requests", f"{name}: p50", "ms", [result.report.p50_ms or 0.0 for result in some])
+            figure_row("requests", f"{name}: p50", "ms", [result.report.p50_ms or 0.0 for result in repeats])
         )
         rows.append(
-            figure_row("requests", f"{name}: p99", "ms", [result.report.p99_ms or 0.0 for result in some])
+            figure_row("requests", f"{name}: p99", "ms", [result.report.p99_ms or 0.0 for result in repeats])
         )
     return rows
 
--- a/orchidferry/testkit/bench/mesh_resources.py
+++ b/orchidferry/testkit/bench/mesh_resources.py
@@ -1,4 +1,4 @@
-"""`bench mesh`, memory and bytes: what nodes and controllers need, and what they send while idle."""
+"""`bench mesh`, memory and bytes: memory and CPU of nodes and controllers, and their traffic while idle."""
 
 from __future__ import annotations
 
@@ -12,16 +12,20 @@
 from orchidferry.testkit.bench.mesh_rows import Row, figure_row
 from orchidferry.testkit.bench.open_loop import offer_load
 
-KEYS = 50_000  # claimed for the memory row
-CLAIM_S = 28.0  # for all of them
-SETTLE_S = 2.5  # after the start, before a mesh is idle
-# Servers of the two services, one a node.
+KEYS = 50_000  # keys claimed before the memory of a controller is measured
+CLAIM_S = 28.0  # duration of the load that claims them
+SETTLE_S = 2.5  # after the start of a mesh, until it is idle
+# Numbers of servers of the two services; each server has a node.
 SMALL_FLEET = (3, 3)
 LARGE_FLEET = (6, 6)
 
 
 async def measure_memory(seconds: float, turns: int) -> list[Row]:
-    """Peak memory of a node and a controller, idle and after load: one fleet, over its processes."""
+    """Measure the memory of nodes and controllers, idle and after load; one fleet is measured once.
+
+    :param seconds: duration of each load.
+    :param turns: not used.
+    """
     async with Fleet(3, (1, 1)) as fleet:
         claimer = await fleet.claimer()
         await asyncio.sleep(SETTLE_S)
@@ -61,7 +65,7 @@
 
 
 async def measure_idle_traffic(seconds: float, turns: int) -> list[Row]:
-    """Bytes that nodes and controllers exchange while nothing happens, counted by a relay between them."""
+    """Measure the bytes that nodes and controllers exchange while idle, counted by a relay between them."""
     rows = []
     for servers in (SMALL_FLEET, LARGE_FLEET):
         async with Fleet(3, servers, SYNC_MS, relay=True) as fleet:
--- a/orchidferry/testkit/bench/mesh_rows.py
+++ b/orchidferry/testkit/bench/mesh_rows.py
@@ -1,4 +1,4 @@
-"""Rows of `orchidferry bench mesh`: a figure over its repeats, as printed and as it goes into `--json`."""
+"""Rows of `orchidferry bench mesh`: a figure over its repeats, printed and written to `--json`."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 
 
 def quantile(values: Sequence[float], q: float) -> float:
-    """The smallest of the values that a fraction `q` of them do not exceed.
+    """Return the smallest of the values that at least a fraction `q` of them do not exceed.
 
     >>> quantile([3, 1, 2, 4], 0.5), quantile([5], 0.99), quantile(range(1, 101), 0.99)
     (2, 5, 99)
     """
-    found = nearest_rank(sorted(values), q)
-    assert found is not None, "there are no values"
-    return found
+    value = nearest_rank(sorted(values), q)
+    assert value is not None, "quantile of no values"
+    return value
 
 
 def figure_row(what: str, name: str, unit: str, values: Sequence[float], **details: Any) -> Row:
     """Make and print the row of a figure.
 
-    :param what: the measurement that it belongs to.
-    :param values: one of each repeat.
-    :param details: further fields; `broken` marks a row that fails the run.
+    :param what: name of the measurement.
+    :param name: name of the figure.
+    :param unit: unit of the values.
+    :param values: one value per repeat.
+    :param details: further fields; `broken` marks a row that makes the command fail.
     :raises ValueError: if nothing was measured.
     """
     if not values:
