--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -1,7 +1,7 @@
-"""A mesh for the bench: controllers and nodes as processes on loopback, stand-in servers, all ended with it.
+"""A mesh for benchmarks: controllers, nodes and stand-in servers as processes on loopback.
 
-What nodes and controllers send each other can be counted by a relay between them: the nodes' settings then
-name its port as the internal one.
+A relay between nodes and controllers can count the bytes that they exchange: the nodes' settings then
+name the relay's port as the internal one.
 """
 
 from __future__ import annotations
@@ -35,24 +35,28 @@
 
 SEED = 1
 HOST = "api.internal"
-READY_S = 20.0
-END_S = 10.0
-HEARTBEAT_S = 1.0
-SLOTS = 64  # of each server: a gate is not to hold anything here
-DESCRIPTORS = 4_096
-# A folder in memory, if there is one: other work on this machine's disk is no part of what a mesh costs.
+READY_S = 20.0  # time-out for the start of the processes
+END_S = 10.0  # time-out for the end of the processes
+HEARTBEAT_S = 1.0  # between two heartbeats of a server
+SLOTS = 64  # capacity of each server, so large that no node has to queue requests
+DESCRIPTORS = 4_096  # limit of file descriptors of a helper process
+# A folder in memory, if there is one, so that other work on this machine's disk does not distort the figures.
 DISK = os.environ.get("ORCHIDFERRY_BENCH_DISK", "")
-RELAY_PORT_OFFSET = 20  # of the relay's port from that of a machine's readiness listener
+RELAY_PORT_OFFSET = 20  # from the port of a machine's readiness listener to that of its relay
 LOAD_MODULE = "orchidferry.testkit.bench.mesh_load"
-# Classes of the forwarding bench, as routes.
+# Path prefixes of the routes, named after the request classes of the forwarding benchmark.
 FEED = "/ler-feed/"
 SAVE = "/salvar-episodio/"
 KEYED = "keyed"
-Route = tuple[str, str, str]  # prefix, service, type
+Route = tuple[str, str, str]  # path prefix, service, route type
 
 
 def configuration(revision: int, routes: list[Route], services: list[str]) -> dict[str, Any]:
-    """A configuration with these routes of one host."""
+    """Make a configuration with these routes of one host.
+
+    :param revision: number of the revision.
+    :param services: names of the services.
+    """
     rules = [
         {
             "identifier": f"r{n}",
@@ -73,7 +77,7 @@
 
 
 class Fleet:
-    """An asynchronous context: the processes run within it, and are ended after it in any case."""
+    """The processes of a mesh, as an asynchronous context manager that stops them on exit in any case."""
 
     def __init__(
         self,
@@ -84,14 +88,14 @@
         relay: bool = False,
         proxy_command: Callable[[Path, str], tuple[str, ...]] | None = None,
     ) -> None:
-        """Nothing is started before the context is entered.
+        """Prepare a fleet; its processes start when the context is entered.
 
-        :param cores: controllers.
-        :param servers: how many servers each of the two services has, one beside each proxy.
+        :param cores: number of controllers.
+        :param servers: how many servers each of the two services has; each runs beside a proxy of its own.
         :param sync_ms: how much longer a controller's commit takes.
-        :param disk: the folder of their files, if not the one that `ORCHIDFERRY_BENCH_DISK` names.
-        :param relay: whether relays count what controllers and proxies send each other.
-        :param proxy_command: the command of a proxy, by the fleet's folder and the name of its machine.
+        :param disk: the folder for the files; None for the one that `ORCHIDFERRY_BENCH_DISK` names.
+        :param relay: whether relays count the bytes that controllers and proxies exchange.
+        :param proxy_command: makes the command of a proxy, given the fleet's folder and the machine's name.
         """
         self._day = Day("bench", "", 0.0, (), cores=cores, servers=servers)
         self._sync_ms = sync_ms
@@ -105,7 +109,7 @@
         self._failure = ""
         self.relays: list[CountingRelay] = []
         self.nodes: dict[str, Node] = {}
-        self.servers: dict[str, tuple[str, str]] = {}  # id and state of each machine's server
+        self.servers: dict[str, tuple[str, str]] = {}  # instance id and state of the server, by machine
         self.revision = 0
 
     async def __aenter__(self) -> Fleet:
@@ -125,7 +129,8 @@
 
     async def _start(self) -> None:
         block: Block = self.block
-        cores, sidecars = machines(self._day, block.number, SEED)  # with no links of the kit between
+        # The machines are connected directly, without the test kit's simulated links.
+        cores, sidecars = machines(self._day, block.number, SEED)
         self.cores = [replace(machine, bind=machine.ip) for machine in cores]
         self.sidecars = [replace(machine, bind=machine.ip) for machine in sidecars]
         self.ports: Ports = free_ports([m.ip for m in (*self.cores, *self.sidecars)])
@@ -133,7 +138,9 @@
         proxy_context = await self._start_relays() if self._relay else self.scene
         for machine in (*self.cores, *self.sidecars):
             context = self.scene if machine.role == "core" else proxy_context
-            node = Node(context, self._day, machine, self.cores[:3], self.folder, self._ended, lambda _: None)
+            node = Node(
+                context, self._day, machine, self.cores[:3], self.folder, self._exited, lambda _: None
+            )
             if machine.role == "core" and self._sync_ms:
                 node.command = (sys.executable, "-B", "-m", LOAD_MODULE, "slow", str(self._sync_ms))
             if machine.role == "sidecar" and self._proxy_command is not None:
@@ -147,7 +154,10 @@
             await self._until_ready()
 
     async def _start_relays(self) -> RunContext:
-        """Start a relay before each controller; the context of the nodes that use them."""
+        """Start a relay in front of each controller.
+
+        :returns: the context of the nodes that use the relays.
+        """
         relayed = self.ports._replace(internal=self.ports.ready + RELAY_PORT_OFFSET)
         for controller in self.cores:
             relay = CountingRelay()
@@ -155,13 +165,14 @@
             await relay.start((controller.ip, relayed.internal), (controller.ip, self.ports.internal))
         return RunContext(SEED, relayed, lambda _: None, self.scene.zero)
 
-    def _ended(self, node: Node, status: int) -> None:
-        self._failure = f"{node.machine.name} ended by itself (status {status}): {' | '.join(node.tail(2))}"
+    def _exited(self, node: Node, status: int) -> None:
+        tail = " | ".join(node.tail(2))
+        self._failure = f"{node.machine.name} exited unexpectedly (status {status}): {tail}"
 
     def check(self) -> None:
-        """Check that all processes of the mesh run.
+        """Check that all processes of the mesh are running.
 
-        :raises ValueError: names one that has ended.
+        :raises ValueError: if one has exited.
         """
         if self._failure:
             raise ValueError(self._failure)
@@ -169,7 +180,11 @@
     async def _start_own_process(
         self, *arguments: str, first_input: bytes = b""
     ) -> asyncio.subprocess.Process:
-        """Start a process of `mesh_load`, and wait until it says that it is ready."""
+        """Start a process of `mesh_load`, and wait until it reports that it is ready.
+
+        :param first_input: is written to its standard input.
+        :raises ValueError: if it exits before.
+        """
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -192,7 +207,10 @@
         return process
 
     async def claimer(self, number: int = 0) -> asyncio.subprocess.Process:
-        """Start a claimer of keys; `load` then gives it loads."""
+        """Start a claimer of keys, to which `load` then passes loads.
+
+        :param number: distinguishes its address from those of other claimers.
+        """
         controllers = [machine.ip for machine in self.cores]
         ip = f"127.{self.block.number}.30.{number + 1}"
         setup = ClaimerSetup(controllers, self.ports.internal, ip)
@@ -201,20 +219,23 @@
     async def load(self, claimer: asyncio.subprocess.Process, load: ClaimLoad) -> ClaimReport:
         """Have a claimer make the claims of a load.
 
-        :raises ValueError: if a process of the mesh, or the claimer, has ended.
+        :raises ValueError: if a process of the mesh or the claimer has exited.
         """
         assert claimer.stdin is not None and claimer.stdout is not None
         claimer.stdin.write(encode_line(load))
         line = await asyncio.wait_for(claimer.stdout.readline(), load.seconds + READY_S)
         self.check()
         if not line:
-            raise ValueError("a claimer ended by itself")
+            raise ValueError("a claimer exited unexpectedly")
         return ClaimReport(**json.loads(line))
 
     # Servers and configurations
 
     async def send_heartbeat(self, machine: Machine) -> bool:
-        """Send a heartbeat of a machine's server to its node; whether it was acknowledged."""
+        """Send a heartbeat of a machine's server to its node.
+
+        :returns: whether it was acknowledged.
+        """
         self._sequence += 1
         id, state = self.servers[machine.name]
         payload = {
@@ -234,7 +255,11 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     async def put(self, routes: list[Route]) -> float:
-        """Put a configuration with these routes in force; when that was acknowledged."""
+        """Store a configuration with these routes.
+
+        :returns: the time of the acknowledgement.
+        :raises ValueError: if there is no acknowledgement in time.
+        """
         base = self.revision
         self.revision = self.revision + 1
         services = sorted({m.service for m in self.sidecars})
@@ -248,10 +273,10 @@
             if last.how == "answer" and last.status == 200:
                 return last.t
             await asyncio.sleep(0.1)
-        raise ValueError(f"no configuration was taken: {last.status} {last.body[:200]!r}")
+        raise ValueError(f"no configuration was acknowledged: {last.status} {last.body[:200]!r}")
 
     def routes(self) -> list[Route]:
-        """The usual routes: reads (`FEED`) and keyed requests (`SAVE`) of the first service."""
+        """Return the default routes: reads (`FEED`) and keyed requests (`SAVE`) of the first service."""
         first = self.sidecars[0].service
         return [(FEED, first, "idempotent"), (SAVE, first, KEYED)]
 
@@ -271,34 +296,34 @@
                 await asyncio.sleep(0.05)
 
     def spawn(self, work: Any) -> asyncio.Task[None]:
-        """Run a coroutine until the fleet's end at most."""
+        """Run a coroutine, which is cancelled when the fleet is closed."""
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # Resources that it uses
+    # Resource usage
 
-    def pids(self, some: list[Machine]) -> list[int]:
-        """The ids of these machines' processes."""
+    def pids(self, machines: list[Machine]) -> list[int]:
+        """Return the ids of these machines' processes."""
         self.check()
-        return [pid for m in some if (pid := self.nodes[m.name].pid) is not None]
+        return [pid for m in machines if (pid := self.nodes[m.name].pid) is not None]
 
-    def meter(self, some: list[Machine]) -> CpuMeter:
-        """A meter of what these machines' processes use from now on."""
-        return CpuMeter(self.pids(some))
+    def meter(self, machines: list[Machine]) -> CpuMeter:
+        """Start measuring the CPU usage of these machines' processes."""
+        return CpuMeter(self.pids(machines))
 
-    def peaks(self, some: list[Machine]) -> list[float]:
-        """The peak memory of each machine's process, MB."""
-        return [peak_memory_mb(pid) for pid in self.pids(some)]
+    def peaks(self, machines: list[Machine]) -> list[float]:
+        """Return the peak memory of each machine's process, in MiB."""
+        return [peak_memory_mb(pid) for pid in self.pids(machines)]
 
     def stored(self) -> list[int]:
-        """Bytes that each controller's files take on disk."""
+        """Return the bytes that the files of each controller take on disk."""
         folders = [self.folder / machine.name / "data" for machine in self.cores]
-        return [sum(f.stat().st_blocks * 512 for f in one.rglob("*") if f.is_file()) for one in folders]
+        return [sum(f.stat().st_blocks * 512 for f in folder.rglob("*") if f.is_file()) for folder in folders]
 
     async def close(self) -> None:
-        """End all processes, and remove their files."""
+        """Kill all processes, and remove their files."""
         for task in set(self._tasks):
             task.cancel()
         for node in self.nodes.values():
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -1,4 +1,4 @@
-"""The bench's own processes: stand-in servers, a claimer of operation keys, a controller with slower commits.
+"""Processes of the benchmark: stand-in servers, a claimer of operation keys, a controller with slow commits.
 
 `python -m orchidferry.testkit.bench.mesh_load servers HOST:PORT...|claims|slow MS`
 """
@@ -24,24 +24,24 @@
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.testkit.bench.claim_load import ClaimerSetup, ClaimLoad, ClaimReport, encode_line
 
-CLAIM_TIMEOUT_S = 1.0  # for one key
-MAX_LOAD_S = 30.0
-CONNECTED_S = 10.0  # until all controllers are connected and grant a key
-TICK_S = 0.001
+CLAIM_TIMEOUT_S = 1.0  # of one claim
+MAX_LOAD_S = 30.0  # duration at which a load ends in any case
+CONNECTED_S = 10.0  # time-out until all controllers are connected and a key is granted
+TICK_S = 0.001  # resolution of the scheduled times
 ZONE = "sala-a"
 
 
 def key_of(tag: str, number: int) -> str:
-    """A key of a load; keys come in no order, as clients draw them."""
+    """Return a key of a load; keys are unordered, like the random ones of clients."""
     return hashlib.blake2b(f"{tag} {number}".encode(), digest_size=16).hexdigest()
 
 
 def _do_nothing() -> None:
-    """No claim is to follow."""
+    """Make no further claim after an outcome."""
 
 
 class Claimer:
-    """One node's claims, with nothing else of a node."""
+    """The claims of one node, without the rest of the node."""
 
     def __init__(self, control_client: ControlClient) -> None:
         self._control_client = control_client
@@ -52,7 +52,7 @@
         self._late_s: list[float] = []
 
     async def run(self, load: ClaimLoad) -> ClaimReport:
-        """Make the claims of a load, each timed from when it was due, and wait for all outcomes."""
+        """Make the claims of a load, and wait for all outcomes; latencies count from the scheduled times."""
         self._took_s = []
         self._late_s = []
         self.outcomes = Counter()
@@ -101,7 +101,7 @@
 
 
 def claimer_settings(setup: ClaimerSetup) -> Settings:
-    """As much of a node's settings as its links to controllers need."""
+    """Return the settings of a node that its links to controllers need."""
     return Settings(
         name=f"claimer-{setup.ip}",
         role="proxy",
@@ -119,7 +119,7 @@
 
 
 async def run_claimer() -> None:
-    """Read the setup from the first line of the standard input, then run one load a line."""
+    """Read the setup from the first line of standard input, then run a load for each further line."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -142,35 +142,38 @@
 
 
 async def run_servers(addresses: list[tuple[str, int]]) -> None:
-    """Answer at once, until the standard input ends."""
+    """Answer every request at once, until standard input ends."""
     from orchidferry.testkit.bench.forward_bench import serve
 
     await serve(addresses)
 
 
 def run_slow_controller(extra_s: float) -> int:
-    """Run a controller whose commits take so much longer, in the thread of its disk as a sync does."""
+    """Run a controller whose commits take `extra_s` longer, in its disk thread, as with a slow sync."""
     from orchidferry.mesh.__main__ import main
 
     commit = Store._commit
 
     def slow_commit(self: Store, writes: Any) -> list[bool] | None:
-        done = commit(self, writes)
+        results = commit(self, writes)
         time.sleep(extra_s)
-        return done
+        return results
 
     Store._commit = slow_commit  # type: ignore[method-assign]
     return main(["controller"])
 
 
 def main(arguments: list[str]) -> int:
-    """Run the process that the first argument names; its exit status."""
-    what, *rest = arguments
-    if what == "servers":
+    """Run the process that the first argument names.
+
+    :returns: its exit status.
+    """
+    process_kind, *rest = arguments
+    if process_kind == "servers":
         addresses = [(host, int(port)) for host, _, port in (text.rpartition(":") for text in rest)]
         uvloop.run(run_servers(addresses))
         return 0
-    if what == "claims":
+    if process_kind == "claims":
         uvloop.run(run_claimer())
         return 0
     return run_slow_controller(float(rest[0]) / 1000.0)
