--- a/orchidferry/testkit/bench/drawn_days.py
+++ b/orchidferry/testkit/bench/drawn_days.py
@@ -1,10 +1,11 @@
-"""Days of trouble for the operators' bench, drawn by a seed.
+"""Generates random fault-injection days for the operators' test bench from a seed.
 
 `python -m orchidferry.testkit.bench.drawn_days SITE DIR`.
 
-Each file holds one day, written as a `[[day]]` of the site file SITE is. A day has a theme, one for each of
-the ways in which control has failed elsewhere, and other troubles beside it, so that several come together
-and each may come twice. The kinds and their fields are those that the bench lists for a site.
+Each file contains one day in the format of a `[[day]]` in the site file SITE. A day has a theme, one for each
+way in which control planes have failed elsewhere, and further faults beside those of the theme, so that
+several faults overlap and each may occur twice. The kinds of faults and their
+fields are those that the bench defines for a site.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 import defopt  # type: ignore[import-untyped]
 import tomli_w
 
-Entry = dict[str, Any]  # one trouble of a day, in the fields of the bench
+Entry = dict[str, Any]  # one fault or planned operation of a day, with the fields of the bench
 
 PLANNED_KINDS = frozenset(
     {
@@ -35,33 +36,33 @@
         "seed_turnover",
     }
 )
-CONTRACTS = {"idle_race": "pool", "srv_flap": "health"}  # kinds that a site has only under a contract
-FIRST_S = 1.5  # from the start of traffic to the first trouble
-TARGET = ("leader", "reader", "turn", "seed", "")  # which machine a trouble of the core strikes
-MEANWHILE = ("meet", "race", "hard", "drain", "")  # what is sent to it around that
-CUT = ("one_way", "seeds", "both", "all", "near", "lure", "oldest", "reset", "refuse", "")
-CHANGE = ("route", "weights", "timeout", "idle")
-SPOILT = ("", "extra", "extra late", "unframed", "early")
-INVALID = ("cut_short", "unknown_service", "same_place", "old_version", "same_version", "stale_match")
+CONTRACTS = {"idle_race": "pool", "srv_flap": "health"}  # kinds that occur only at sites with that contract
+FIRST_S = 1.5  # earliest time of a fault after the start of traffic
+TARGETS = ("leader", "reader", "turn", "seed", "")  # the machine that a fault of the core hits
+CALLS = ("meet", "race", "hard", "drain", "")  # calls that are sent to that machine around the fault
+CUT_SCOPES = ("one_way", "seeds", "both", "all", "near", "lure", "oldest", "reset", "refuse", "")
+CONFIGURATION_CHANGES = ("route", "weights", "timeout", "idle")
+GARBLED_RESPONSES = ("", "extra", "extra late", "unframed", "early")
+INVALID_CONFIGS = ("cut_short", "unknown_service", "same_place", "old_version", "same_version", "stale_match")
 
 
 def words(rng: random.Random, *choices: tuple[str, ...]) -> str:
-    """A `how` field of one word out of each group."""
+    """Make a `how` field with one word of each group."""
     return " ".join(filter(None, (rng.choice(group) for group in choices)))
 
 
 def between(rng: random.Random, low: float, high: float) -> float:
-    """A number between two bounds, short enough to read."""
+    """Draw a number between two bounds, rounded to two decimals for readability."""
     return round(rng.uniform(low, high), 2)
 
 
 def _core_kill(rng: random.Random) -> Entry:
-    how = words(rng, ("power", ""), TARGET, MEANWHILE)
+    how = words(rng, ("power", ""), TARGETS, CALLS)
     return {"on": "core", "count": rng.randint(1, 2), "for_s": between(rng, 0.5, 5), "how": how}
 
 
 def _core_cut(rng: random.Random) -> Entry:
-    how = words(rng, TARGET, MEANWHILE, CUT)
+    how = words(rng, TARGETS, CALLS, CUT_SCOPES)
     return {"count": rng.randint(1, 2), "for_s": between(rng, 2, 8), "how": how}
 
 
@@ -88,9 +89,9 @@
 
 def _rolling_restart(rng: random.Random) -> Entry:
     if rng.random() < 0.4:
-        how = words(rng, ("busy", "remove", ""), MEANWHILE)
+        how = words(rng, ("busy", "remove", ""), CALLS)
         return {"on": "core", "share": 1.0, "x": 1.0, "gap_s": between(rng, 1.5, 4), "how": how}
-    how = words(rng, ("busy", ""), MEANWHILE)
+    how = words(rng, ("busy", ""), CALLS)
     gap_s = between(rng, 0.4, 1.5)
     at_once = float(rng.randint(1, 4))
     return {"share": between(rng, 0.3, 1), "x": at_once, "gap_s": gap_s, "how": how}
@@ -110,7 +111,7 @@
         "for_s": 5.0,
         "how": rng.choice(("", "reset")),
     },
-    "bad_config": lambda rng: {"count": rng.randint(1, 5), "gap_s": 0.5, "how": rng.choice(INVALID)},
+    "bad_config": lambda rng: {"count": rng.randint(1, 5), "gap_s": 0.5, "how": rng.choice(INVALID_CONFIGS)},
     "big_config": lambda rng: {"count": rng.choice((100, 350))},
     "burst": lambda rng: {"x": between(rng, 1.3, 2), "for_s": 3.0},
     "clock_step": lambda rng: {
@@ -119,7 +120,7 @@
         "for_s": 5.0,
         "how": rng.choice(("", "back", "ahead")),
     },
-    "config_change": lambda rng: {"how": rng.choice(CHANGE)},
+    "config_change": lambda rng: {"how": rng.choice(CONFIGURATION_CHANGES)},
     "config_race": lambda rng: {"count": rng.randint(2, 8), "gap_s": between(rng, 0.2, 1.2)},
     "config_storm": _storm,
     "core_cut": _core_cut,
@@ -130,7 +131,7 @@
         "share": 0.5,
         "x": 0.03,
         "for_s": 5.0,
-        "how": rng.choice(SPOILT),
+        "how": rng.choice(GARBLED_RESPONSES),
     },
     "give_up": lambda rng: {"share": 0.2, "for_s": 5.0},
     "herd_kill": lambda rng: rng.choice(
@@ -150,14 +151,14 @@
     "node_freeze": lambda rng: rng.choice(
         (
             {"share": 0.15, "for_s": between(rng, 0.5, 6)},
-            {"on": "core", "count": 1, "for_s": between(rng, 0.5, 6), "how": words(rng, TARGET, MEANWHILE)},
+            {"on": "core", "count": 1, "for_s": between(rng, 0.5, 6), "how": words(rng, TARGETS, CALLS)},
         )
     ),
     "node_kill": lambda rng: rng.choice((_core_kill(rng), {"share": 0.2, "for_s": 3.0})),
     "node_slow": lambda rng: rng.choice(
         (
             {"share": 0.15, "x": 5.0, "for_s": 5.0},
-            {"on": "core", "count": 1, "x": 5.0, "for_s": 5.0, "how": words(rng, TARGET)},
+            {"on": "core", "count": 1, "x": 5.0, "for_s": 5.0, "how": words(rng, TARGETS)},
         )
     ),
     "release": lambda rng: {"share": 0.5, "x": float(rng.randint(1, 4)), "gap_s": 1.0},
@@ -172,7 +173,7 @@
     "srv_flap": lambda rng: {"share": 0.1, "gap_s": 1.4, "for_s": 6.0},
 }
 
-# The troubles of each theme, at least; `core_cut 20` is one of 20 seconds from early on.
+# The faults that every day of a theme has; `core_cut 20` is a cut of 20 seconds in the day's first quarter.
 THEMES: dict[str, tuple[str, ...]] = {
     "isolated": ("core_cut 20", "config_storm", "config_race", "roll_term", "ack_lost"),
     "one-number": ("config_race", "config_race", "ack_lost", "after_ack_kill", "node_freeze"),
@@ -192,12 +193,14 @@
 )
 
 
-def troubles(theme: str, length_s: float, contracts: Collection[str], rng: random.Random) -> Iterator[Entry]:
-    """The entries of a day of one theme, each with its moment."""
+def draw_entries(
+    theme: str, length_s: float, contracts: Collection[str], rng: random.Random
+) -> Iterator[Entry]:
+    """Draw the entries of a day of one theme, each with its time."""
     others = rng.choices(sorted(KINDS), k=rng.randint(2, 4 if THEMES[theme] else 8))
     kinds = [kind for kind in (*THEMES[theme], *others) if CONTRACTS.get(kind, "base") in contracts]
     if rng.random() < 0.5:
-        kinds.append(rng.choice(kinds))  # the same trouble twice
+        kinds.append(rng.choice(kinds))  # the same kind of fault twice
     for kind in kinds:
         if kind == "core_cut 20":
             yield {"at": between(rng, FIRST_S, length_s / 4), "kind": "core_cut", **_long_cut(rng)}
@@ -206,11 +209,11 @@
 
 
 def draw(site: dict[str, Any], theme: str, seed: int) -> dict[str, Any]:
-    """One day of a site, with the traffic of one of its own days."""
+    """Draw one day of a site, with the traffic of one of the site's own days."""
     rng = random.Random(f"{site['name']} {theme} {seed}")
     base = rng.choice([day for day in site["day"] if day["slot"] != "scale"])
-    drawn = troubles(theme, site["length_s"], site["contracts"], rng)
-    entries = sorted(drawn, key=lambda entry: float(entry["at"]))
+    unsorted = draw_entries(theme, site["length_s"], site["contracts"], rng)
+    entries = sorted(unsorted, key=lambda entry: float(entry["at"]))
     day = {key: value for key, value in base.items() if key not in ("plan", "faults", "closing")}
     day |= {
         "name": f"{theme}-{seed}",
@@ -230,16 +233,16 @@
     """Write days of each theme.
 
     :param site: the operators' site file
-    :param folder: where the files go, one a day
+    :param folder: the folder for the files, one for each day
     :param first: the first seed
-    :param count: seeds for each theme
+    :param count: number of seeds for each theme
     """
-    told = tomllib.loads(site.read_text())
+    site_settings = tomllib.loads(site.read_text())
     folder.mkdir(parents=True, exist_ok=True)
     for seed in range(first, first + count):
         for theme in THEMES:
-            day = draw(told, theme, seed)
-            file = folder / f"{told['name']}-{day['name']}.toml"
+            day = draw(site_settings, theme, seed)
+            file = folder / f"{site_settings['name']}-{day['name']}.toml"
             file.write_text(tomli_w.dumps({"day": [day]}))
 
 
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -1,11 +1,12 @@
-"""`python -m orchidferry.testkit.bench.second_loss`.
+"""`python -m orchidferry.testkit.bench.second_loss`: recovery time of a replica after the loss of its disk.
 
-How long a replica that lost its disk, or a newcomer in the place of one that leaves, takes to hold all keys
-and to grant again.
+Measures the time until a replica that lost its disk, or a new replica that replaces a leaving one, holds all
+operation keys and grants claims again, while keyed requests continue.
 
-The shipping shards in virtual time. Each step's processor time is measured here (messages packed and read,
-lmdb transactions) and charged to its machine at `SHARE` of a core; a commit takes `SYNC_S` and a page for
-each record longer, a message `HOP_S` and its bytes. Keyed calls go on meanwhile.
+The production shards run in virtual time. The processor time of each step (encoding and decoding of messages,
+lmdb transactions) is measured on this machine and charged to the simulated one, which has the fraction
+`CPU_SHARE` of a core. A commit additionally takes `SYNC_S` and the writing of at least a page for each
+record; a message takes `HOP_S` and the transmission of its bytes.
 """
 
 from __future__ import annotations
@@ -37,26 +38,26 @@
 from orchidferry.mesh.wire.messages import Heartbeat, HeartbeatAck, KeyAnswer, KeyClaim, Message, ShardMessage
 from orchidferry.mesh.wire.shard_messages import Handoff, KeyPage, KeyRecords
 
-DISK = "ORCHIDFERRY_BENCH_DISK"  # names a folder in memory, as for `orchidferry bench mesh`
-SHARE = 0.245  # of a core: what a controller has
-SYNC_S = 0.001
-DISK_BYTES_S = 60e6
-PAGE = 4_096  # of the store: what the least write costs
-HOP_S = 0.0005
-LINK_BYTES_S = 125e6
-BEAT_S = 0.4
-TICK_S = 0.05
-WINDOW_S = 60.0
-KEPT_S = 140.0
-ANSWER = 1_500  # bytes
-RUN_S = 0.05  # from a grant to the run's answer
-SETTLE_S = 2.5  # before the loss
-MAX_S = 40.0  # after it
-MAX_KEYS = 1_000_000
+DISK = "ORCHIDFERRY_BENCH_DISK"  # environment variable: a folder in memory, as for `orchidferry bench mesh`
+CPU_SHARE = 0.245  # fraction of a core that a controller has
+SYNC_S = 0.001  # duration of a disk sync
+DISK_BYTES_S = 60e6  # write throughput of a disk
+PAGE_BYTES = 4_096  # page size of the store: the minimum cost of a write
+HOP_S = 0.0005  # one-way latency between machines
+LINK_BYTES_S = 125e6  # throughput of a link
+HEARTBEAT_S = 0.4  # between two heartbeats
+TICK_S = 0.05  # between two ticks of the shards
+WINDOW_S = 60.0  # key window of the shards
+KEPT_S = 140.0  # the keys of this duration are stored before the run starts
+ANSWER_BYTES = 1_500  # size of a stored response
+CALL_S = 0.05  # from a claim to the answer of the call
+SETTLE_S = 2.5  # from the start of the run to the loss
+MAX_S = 40.0  # from the loss to the end of the run at the latest
+MAX_KEYS = 1_000_000  # limit of keys in a shard
 
 
 class World:
-    """Machines, and what is to come."""
+    """The simulated machines, the virtual clock and the queue of events."""
 
     def __init__(self, replicas: int, spare: int, rate: float, seed: int, folder: str) -> None:
         self.now, self._count, self._queue = 1.0, 0, list[tuple[float, int, Callable[[], None]]]()
@@ -66,57 +67,57 @@
         names = "abcdefghi"[: replicas + spare]
         self.seeds = tuple(names[:replicas])
         self.machines = {name: Machine(name, self, name in self.seeds, folder) for name in names}
-        self.granted: dict[str, set[str]] = {}  # keys and who said yours
+        self.granted: dict[str, set[str]] = {}  # machines that granted each key
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        """Have something called at a time."""
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback at a time."""
         self._count += 1
-        heapq.heappush(self._queue, (when, self._count, what))
+        heapq.heappush(self._queue, (when, self._count, callback))
 
     def play(self, until: float, done: Callable[[], bool] = lambda: False) -> None:
-        """Go on until then, or until it is done."""
+        """Run all events up to a time, or until `done` returns true."""
         while self._queue and self._queue[0][0] <= until and not done():
-            self.now, _, what = heapq.heappop(self._queue)
-            what()
+            self.now, _, callback = heapq.heappop(self._queue)
+            callback()
 
-    def preload(self) -> None:
-        """All keys that a day leaves behind, at all founders."""
+    def store_earlier_keys(self) -> None:
+        """Store the keys of the last `KEPT_S` at all founders."""
         for number in range(int(self.rate * KEPT_S)):
             key = key_of(number)
             for name in self.seeds:
                 shard = self.machines[name].shards[shard_state.shard_of(key)]
-                shard.load_key(key, [f"node {number}", 0, [200, [], self.rng.randbytes(ANSWER)]])
+                shard.load_key(key, [f"node {number}", 0, [200, [], self.rng.randbytes(ANSWER_BYTES)]])
 
     def claim(self) -> None:
-        """A node claims a key at all controllers, and tells them the answer once it ran."""
+        """Claim a key at all controllers, and report the answer of its call to them later."""
         self.at(self.now + self.rng.expovariate(self.rate), self.claim)
         self.claims += 1
         key, holder = key_of(-self.claims), f"node {self.claims}"
-        answer = [200, [], self.rng.randbytes(ANSWER)]
+        answer = [200, [], self.rng.randbytes(ANSWER_BYTES)]
         for machine in self.machines.values():
             if machine.alive:
                 shard = machine.shards[shard_state.shard_of(key)]
                 machine.claim(shard, key, holder)
-                self.at(self.now + RUN_S, lambda m=machine, s=shard: m.done(s, key, holder, answer))  # type: ignore[misc]
+                self.at(self.now + CALL_S, lambda m=machine, s=shard: m.record_answer(s, key, holder, answer))  # type: ignore[misc]
 
 
 def key_of(number: int) -> str:
-    """Keys come in no order."""
+    """Return the key of a number; keys are unordered."""
     return hashlib.blake2b(str(number).encode(), digest_size=16).hexdigest()
 
 
 @dataclass
 class Cost:
-    """What one machine has spent since it was last asked."""
+    """The resources that one machine has used since the loss."""
 
     cpu_s: float = 0.0
-    sent: int = 0
-    written: int = 0
-    pages: int = 0
+    sent: int = 0  # bytes
+    written: int = 0  # bytes
+    pages: int = 0  # received messages with key records
 
 
 class Machine:
-    """A controller's process with its disk, on a processor of its own."""
+    """A controller's process with its disk and a processor of its own."""
 
     def __init__(self, name: str, world: World, founder: bool, folder: str) -> None:
         self.name = name
@@ -124,15 +125,15 @@
         self.founder = founder
         self.folder = folder
         self.alive = False
-        self.life = 0
-        self.free_s = 0.0
+        self.incarnation = 0  # number of starts
+        self.free_s = 0.0  # when the processor is free
         self.disk_busy = False
         self.cost = Cost()
 
     def start(self, founder: bool) -> None:
-        """A new memory, on an empty disk."""
+        """Start the process with empty memory and an empty disk."""
         self.alive = True
-        self.life = self.life + 1
+        self.incarnation = self.incarnation + 1
         self.free_s, self.disk_busy, self.jobs = self.world.now, False, list[tuple[Shard, WriteRecords]]()
         self.env = open_environment(tempfile.mkdtemp(dir=self.folder))
         with self.env.begin(write=True) as txn:
@@ -140,39 +141,43 @@
             write_seal(txn, self.dbs)
         self.peers = Peers(self.world.now)
         rng = self.world.rng
-        first = shard_state.genesis(self.world.seeds)
+        initial_state = shard_state.genesis(self.world.seeds)
         self.shards = dict[int, Shard]()
         for number in shard_state.KEY_SHARDS:
-            kept = AcceptorState(shard_state.FOUNDER_DISK_ID if founder else rng.randrange(2, 2**50))
-            parameters = ShardParameters(number, self.name, first, len(self.world.seeds), WINDOW_S, MAX_KEYS)
-            self.shards[number] = Shard(parameters, kept, founder, self.peers, rng)
-            self.jobs.append((self.shards[number], WriteRecords(initial_records(number, kept, founder))))
-        self.beats = dict[int, float]()
+            acceptor = AcceptorState(shard_state.FOUNDER_DISK_ID if founder else rng.randrange(2, 2**50))
+            parameters = ShardParameters(
+                number, self.name, initial_state, len(self.world.seeds), WINDOW_S, MAX_KEYS
+            )
+            self.shards[number] = Shard(parameters, acceptor, founder, self.peers, rng)
+            self.jobs.append((self.shards[number], WriteRecords(initial_records(number, acceptor, founder))))
+        self.heartbeats_s = dict[int, float]()
         self.number = 0
-        self._each(BEAT_S, self.beat, self.life)
-        self._each(TICK_S, self.tick, self.life)
+        self._repeat(HEARTBEAT_S, self.send_heartbeat, self.incarnation)
+        self._repeat(TICK_S, self.tick, self.incarnation)
 
-    def _each(self, every_s: float, what: Callable[[], None], life: int) -> None:
-        if self.alive and self.life == life:
-            self.run(what)
-            self.world.at(self.world.now + every_s, lambda: self._each(every_s, what, life))
+    def _repeat(self, every_s: float, callback: Callable[[], None], incarnation: int) -> None:
+        if self.alive and self.incarnation == incarnation:
+            self.run(callback)
+            self.world.at(self.world.now + every_s, lambda: self._repeat(every_s, callback, incarnation))
 
-    def run(self, what: Callable[[], Any]) -> None:
-        """Do it as soon as the processor is free, and charge it."""
-        life, start = self.life, max(self.world.now, self.free_s)
+    def run(self, callback: Callable[[], Any]) -> None:
+        """Run a callback as soon as the processor is free, and charge its processor time."""
+        incarnation, start = self.incarnation, max(self.world.now, self.free_s)
         if start > self.world.now:
-            return self.world.at(start, lambda: self.run(what) if self.alive and self.life == life else None)
-        began = time.thread_time()
-        what()
-        took = time.thread_time() - began
-        self.cost.cpu_s += took
-        self.free_s = self.world.now + took / SHARE
+            return self.world.at(
+                start, lambda: self.run(callback) if self.alive and self.incarnation == incarnation else None
+            )
+        start_s = time.thread_time()
+        callback()
+        spent_s = time.thread_time() - start_s
+        self.cost.cpu_s += spent_s
+        self.free_s = self.world.now + spent_s / CPU_SHARE
         if self.jobs and not self.disk_busy:
             self.commit()
         return None
 
-    def do(self, shard: Shard, actions: list[Action]) -> None:
-        """What a shard wants done."""
+    def execute(self, shard: Shard, actions: list[Action]) -> None:
+        """Execute the actions of a shard."""
         for action in actions:
             if isinstance(action, SendMessage | SendReply) and isinstance(action.to, str):
                 self.send(action.to, action.message)
@@ -180,70 +185,71 @@
                 self.jobs.append((shard, action))
 
     def send(self, to: str, message: Message) -> None:
-        """To another machine; encoded here, decoded there."""
+        """Send a message to another machine; the sender encodes it, the receiver decodes it."""
         other, data, sender = self.world.machines[to], encode(message)[LENGTH_BYTES:], self.name
         self.cost.sent += len(data)
-        life = other.life
+        incarnation = other.incarnation
         arrives = max(self.world.now, self.free_s) + HOP_S + len(data) / LINK_BYTES_S
 
-        def take() -> None:
-            if other.alive and other.life == life:
-                other.run(lambda: other.heard(sender, decode(data)))
+        def deliver() -> None:
+            if other.alive and other.incarnation == incarnation:
+                other.run(lambda: other.receive(sender, decode(data)))
 
-        self.world.at(arrives, take)
+        self.world.at(arrives, deliver)
 
     def commit(self) -> None:
-        """All that waits, in one transaction."""
+        """Write all waiting records in one transaction."""
         jobs = self.jobs
         self.jobs = []
         self.disk_busy = True
-        life, size, began = self.life, 0, time.thread_time()
+        incarnation, size, start_s = self.incarnation, 0, time.thread_time()
         with self.env.begin(write=True) as txn:
             write_seal(txn, self.dbs)
             for _, write in jobs:
                 for name, key, value in write.puts:
-                    size += max(PAGE, len(key) + len(value or b""))  # keys come in no order
+                    # Keys are unordered, so each record writes at least a page of its own.
+                    size += max(PAGE_BYTES, len(key) + len(value or b""))
                     if value is None:
                         txn.delete(key, db=self.dbs[name])
                     else:
                         txn.put(key, add_checksum(name, key, value), db=self.dbs[name])
-        took = time.thread_time() - began
-        self.cost.cpu_s += took
+        spent_s = time.thread_time() - start_s
+        self.cost.cpu_s += spent_s
         self.cost.written += size
-        self.free_s = max(self.free_s, self.world.now) + took / SHARE
+        self.free_s = max(self.free_s, self.world.now) + spent_s / CPU_SHARE
 
-        def told() -> None:
+        def on_committed() -> None:
             self.disk_busy = False
             for shard, write in jobs:
                 if write.completion is not None:
-                    self.do(shard, shard.write_finished(write.completion, True, self.world.now))
+                    self.execute(shard, shard.write_finished(write.completion, True, self.world.now))
 
-        def synced() -> None:
-            if self.alive and self.life == life:
-                self.run(told)
+        def on_synced() -> None:
+            if self.alive and self.incarnation == incarnation:
+                self.run(on_committed)
 
-        self.world.at(self.free_s + SYNC_S + size / DISK_BYTES_S, synced)
+        self.world.at(self.free_s + SYNC_S + size / DISK_BYTES_S, on_synced)
 
-    # What comes
+    # Events
 
     def tick(self) -> None:
-        """Let each shard do what is due."""
+        """Pass the time to all shards, and execute their actions."""
         for shard in self.shards.values():
-            self.do(shard, shard.tick(self.world.now))
+            self.execute(shard, shard.tick(self.world.now))
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat to the others."""
         self.number += 1
-        self.beats[self.number] = self.world.now
+        self.heartbeats_s[self.number] = self.world.now
         versions = [s.known.version for s in self.shards.values()]
         learning = [n for n, s in self.shards.items() if not s.has_learned(self.world.now)]
-        beat = Heartbeat(self.name, self.number, True, versions, self.peers.stopping, learning)
+        heartbeat = Heartbeat(self.name, self.number, True, versions, self.peers.stopping, learning)
         for other in self.world.machines.values():
             if other is not self and other.alive:
-                self.send(other.name, beat)
+                self.send(other.name, heartbeat)
 
-    def heard(self, sender: str, message: Message) -> None:
-        """Take a message."""
+    def receive(self, sender: str, message: Message) -> None:
+        """Handle a message."""
         now = self.world.now
         match message:
             case Heartbeat():
@@ -253,95 +259,102 @@
                 fences = [s.accepted_fencing_token for s in self.shards.values()]
                 self.send(sender, HeartbeatAck(self.name, message.number, fences))
                 for shard, version in zip(self.shards.values(), message.versions, strict=True):
-                    self.do(shard, shard.heartbeat_received(version, sender))
+                    self.execute(shard, shard.heartbeat_received(version, sender))
             case HeartbeatAck():
                 for shard, fence in zip(self.shards.values(), message.fencing_tokens, strict=True):
-                    shard.heartbeat_acknowledged(sender, self.beats.get(message.number, 0.0), fence)
+                    shard.heartbeat_acknowledged(sender, self.heartbeats_s.get(message.number, 0.0), fence)
             case ShardMessage():
                 self.cost.pages += isinstance(message.body, KeyPage | KeyRecords | Handoff)
                 shard = self.shards[message.shard]
-                self.do(shard, shard.receive(sender, message.body, now))
+                self.execute(shard, shard.receive(sender, message.body, now))
 
     def claim(self, shard: Shard, key: str, holder: str) -> None:
         """Claim a key."""
-        under = shard.body.epoch
+        epoch_at_claim = shard.body.epoch
 
         def claim() -> None:
-            message = KeyClaim(0, under, key, holder)
-            self.do(shard, shard.claim_key(None, message, True, self.world.now))
+            message = KeyClaim(0, epoch_at_claim, key, holder)
+            self.execute(shard, shard.claim_key(None, message, True, self.world.now))
 
         self.run(claim)
 
-    def done(self, shard: Shard, key: str, holder: str, answer: Any) -> None:
+    def record_answer(self, shard: Shard, key: str, holder: str, answer: Any) -> None:
         """Record the answer of a key."""
         if self.alive and shard in self.shards.values():
 
             def record() -> None:
                 message = KeyAnswer(key, holder, cbor2.loads(cbor2.dumps(answer)))
-                self.do(shard, shard.record_answer(message, self.world.now))
+                self.execute(shard, shard.record_answer(message, self.world.now))
 
             self.run(record)
 
     @property
     def keys(self) -> int:
-        """How many keys it holds."""
+        """Number of keys that the machine holds."""
         return sum(len(shard.operation_keys.records) for shard in self.shards.values())
 
     @property
     def grants(self) -> bool:
-        """Whether it grants keys now."""
+        """Whether all shards of the machine grant claims now."""
         return all(shard.grants(shard.body.epoch) for shard in self.shards.values())
 
 
-def measured(how: str, replicas: int, rate: float, seed: int, folder: str) -> dict[str, Any]:
-    """One loss: `wiped`, `two wiped` or `leaves`."""
+def measure_loss(how: str, replicas: int, rate: float, seed: int, folder: str) -> dict[str, Any]:
+    """Simulate one loss.
+
+    :param how: `wiped` (a replica loses its disk), `two wiped`, or `leaves` (a new replica replaces one).
+    :param rate: keyed requests per second.
+    :returns: a row of figures.
+    """
     world = World(replicas, int(how == "leaves"), rate, seed, folder)
     for name in world.seeds:
         world.machines[name].start(True)
-    world.preload()
+    world.store_earlier_keys()
     gc.collect()
     gc.freeze()
     world.at(world.now + 0.5, world.claim)
     world.play(world.now + SETTLE_S)
     lost = [world.machines[name] for name in world.seeds[: 2 if how == "two wiped" else 1]]
-    back = lost
+    replacements = lost
     if how == "leaves":
         lost[0].peers.stopping = True
-        back = [world.machines["abcdefghi"[replicas]]]
-    for machine in back:
+        replacements = [world.machines["abcdefghi"[replicas]]]
+    for machine in replacements:
         machine.alive = False
         machine.start(False)
-    began = world.now
-    others = [m for m in world.machines.values() if m.alive and m not in back and m not in lost]
+    start_s = world.now
+    sources = [m for m in world.machines.values() if m.alive and m not in replacements and m not in lost]
     for machine in world.machines.values():
         machine.cost = Cost()
-    at: list[float] = []
+    granting_s: list[float] = []
 
     def done() -> bool:
-        at.extend([world.now - began] * (len([m for m in back if m.grants]) - len(at)))
-        return len(at) == len(back)
-
-    world.play(began + MAX_S, done)
-    held = min(m.keys for m in back) / max(1, max(m.keys for m in others))
-    sender = max(others, key=lambda m: m.cost.cpu_s)
+        granting_s.extend(
+            [world.now - start_s] * (len([m for m in replacements if m.grants]) - len(granting_s))
+        )
+        return len(granting_s) == len(replacements)
+
+    world.play(start_s + MAX_S, done)
+    held = min(m.keys for m in replacements) / max(1, max(m.keys for m in sources))
+    sender = max(sources, key=lambda m: m.cost.cpu_s)
     return {
         "how": how,
         "replicas": replicas,
         "rate": rate,
-        "keys": max(m.keys for m in others),
+        "keys": max(m.keys for m in sources),
         "share held": held,
-        "granting after s": at[-1] if len(at) == len(back) else None,
-        "newcomer cpu s": max(m.cost.cpu_s for m in back),
+        "granting after s": granting_s[-1] if len(granting_s) == len(replacements) else None,
+        "newcomer cpu s": max(m.cost.cpu_s for m in replacements),
         "most of a source cpu s": sender.cost.cpu_s,
         "MB sent by all": sum(m.cost.sent for m in world.machines.values()) / 1e6,
-        "newcomer MB written": max(m.cost.written for m in back) / 1e6,
+        "newcomer MB written": max(m.cost.written for m in replacements) / 1e6,
     }
 
 
 def main() -> int:
-    """Print a row a loss."""
+    """Print a row for each loss."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--rate", type=float, action="append", help="keyed calls a second")
+    parser.add_argument("--rate", type=float, action="append", help="keyed requests per second")
     parser.add_argument("--replicas", type=int, action="append")
     parser.add_argument("--how", action="append", choices=("wiped", "two wiped", "leaves"))
     parser.add_argument("--seed", type=int, default=1)
@@ -352,9 +365,9 @@
                 continue
             for rate in args.rate or [100.0, 150.0]:
                 with tempfile.TemporaryDirectory(dir=os.environ.get(DISK)) as folder:
-                    row = measured(how, replicas, rate, args.seed, folder)
-                    told = (f"{k} {v:.3g}" if isinstance(v, float) else f"{k} {v}" for k, v in row.items())
-                    print("; ".join(told), flush=True)
+                    row = measure_loss(how, replicas, rate, args.seed, folder)
+                    text = (f"{k} {v:.3g}" if isinstance(v, float) else f"{k} {v}" for k, v in row.items())
+                    print("; ".join(text), flush=True)
     return 0
 
 
