--- a/orchidferry/testkit/report/page.py
+++ b/orchidferry/testkit/report/page.py
@@ -1,4 +1,4 @@
-"""The report of a run as a self-contained HTML page: tables, and plots as SVG."""
+"""The report of a run as a self-contained HTML page with tables and SVG plots."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
         f"<style>{STYLE}</style>",
         f"<h1>Rehearsal: {escape(scenario.name)}</h1>",
         f"<p>{escape(scenario.about)}. Seed {scenario.seed}, {scenario.length_s:g} s of arrivals, "
-        f"{scenario.load.rate:g} first tries a second.</p>",
+        f"{scenario.load.rate:g} first attempts per second.</p>",
     ]
     if not verdict.complete:
-        elements.append(f"<div class=banner>Cut off: {escape(verdict.why)}. What was seen until then:</div>")
+        elements.append(f"<div class=banner>Cut off: {escape(verdict.why)}. Results up to then:</div>")
     for why in verdict.lateness.void:
         elements.append(f"<div class=banner>Void: {escape(why)}. The machine was too slow.</div>")
     elements += [
@@ -64,12 +64,12 @@
 def _table(head: list[str], rows: list[list[str]], kind: str = "") -> str:
     """Return a table.
 
-    :param head: cells as HTML, like those of the rows
-    :param kind: its class in the style sheet
+    :param head: the header cells as HTML, like those of the rows
+    :param kind: the CSS class of the table
     """
-    top = "".join(f"<th>{cell}</th>" for cell in head)
+    head_cells = "".join(f"<th>{cell}</th>" for cell in head)
     body = "".join("<tr>" + "".join(f"<td>{cell}</td>" for cell in row) + "</tr>" for row in rows)
-    return f"<table class='{kind}'><tr>{top}</tr>{body}</table>"
+    return f"<table class='{kind}'><tr>{head_cells}</tr>{body}</table>"
 
 
 def _rules(verdict: Verdict) -> str:
@@ -86,7 +86,7 @@
                 f"<p class=fail>{TITLES[name]}: {escape(violation.request)} to {escape(tier)} "
                 f"at {violation.t:.3f} s: {escape(violation.description)}</p><pre>{escape(history)}</pre>"
             )
-    return _table(["rule", "verdict", "checked", "breaks"], rows) + "".join(histories)
+    return _table(["rule", "verdict", "checked", "violations"], rows) + "".join(histories)
 
 
 def _classes(verdict: Verdict) -> str:
@@ -94,35 +94,35 @@
 
 
 def _traffic(verdict: Verdict) -> str:
-    """Return what a replay sent beside what was recorded; empty for other runs."""
-    found = verdict.traffic
-    if found is None:
+    """Return tables that compare replayed with recorded traffic; empty for other runs."""
+    figures = verdict.traffic
+    if figures is None:
         return ""
     mix = [
-        [escape(name), percent(share), percent(found["mix"].get(name, 0.0))]
-        for name, share in found["recorded_mix"].items()
+        [escape(name), percent(share), percent(figures["mix"].get(name, 0.0))]
+        for name, share in figures["recorded_mix"].items()
     ]
     gaps = [
-        [q, f"{found['recorded_gaps_ms'].get(q, 0.0):.2f}", f"{value:.2f}", f"{found['lag_ms'][q]:.2f}"]
-        for q, value in found["gaps_ms"].items()
+        [q, f"{figures['recorded_gaps_ms'].get(q, 0.0):.2f}", f"{value:.2f}", f"{figures['lag_ms'][q]:.2f}"]
+        for q, value in figures["gaps_ms"].items()
     ]
-    left = "".join(f"<li>{count} left out: {escape(why)}</li>" for why, count in found["skipped"].items())
+    left = "".join(f"<li>{count} left out: {escape(why)}</li>" for why, count in figures["skipped"].items())
     return (
         f"<h2>Recorded traffic</h2>{_table(['class', 'recorded', 'sent'], mix)}<p></p>"
-        f"{_table(['between requests, ms', 'recorded', 'sent', 'sent late by'], gaps)}<ul>{left}</ul>"
+        f"{_table(['gap between requests, ms', 'recorded', 'sent', 'sending lag'], gaps)}<ul>{left}</ul>"
     )
 
 
 def _fleet(verdict: Verdict) -> str:
-    """Plot how many nodes each node took for present, beside those that were running."""
-    found = verdict.fleet
+    """Plot how many nodes each node believed to be present, and how many were running."""
+    figures = verdict.fleet
     views = verdict.views
-    if found is None or views is None:
+    if figures is None or views is None:
         return ""
     members = count_members(views)
     with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": "rehearsal", "font.size": 9}):
-        drawing = Figure(figsize=(10, 3.2), layout="constrained")
-        axis: Any = drawing.subplots()
+        figure = Figure(figsize=(10, 3.2), layout="constrained")
+        axis: Any = figure.subplots()
         for n, (node, counts) in enumerate(members.believed.items()):
             values = [float("nan") if count is None else count + 0.02 * n for count in counts]
             axis.step(members.times, values, where="post", linewidth=0.9, label=node)
@@ -136,19 +136,19 @@
             label="running",
         )
         axis.set_ylim(0, len(members.believed) + 1)
-        axis.set_ylabel("nodes held for here")
-        axis.set_xlabel("seconds since the load began")
+        axis.set_ylabel("nodes believed present")
+        axis.set_xlabel("seconds since the start of the load")
         axis.legend(loc="lower right", fontsize=7, ncols=5, framealpha=0.8)
         _shade_incidents(verdict, [axis])
         out = io.StringIO()
-        drawing.savefig(out, format="svg", metadata={"Date": None})
+        figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
     rows = [
         [escape(name.replace("_", " ")), escape(str(value))]
-        for name, value in found.items()
+        for name, value in figures.items()
         if name != "problems"
     ]
-    problems = "".join(f"<p class=fail>{escape(one)}</p>" for one in found["problems"])
+    problems = "".join(f"<p class=fail>{escape(one)}</p>" for one in figures["problems"])
     return f"<h2>Fleet</h2>{problems}{text[text.index('<svg') :]}{_table(['', ''], rows)}"
 
 
@@ -165,25 +165,25 @@
         ]
         for fact in trace.incidents
     ]
-    return _table(["what", "from", "to", "whom"], rows, "words")
+    return _table(["incident", "from", "to", "target"], rows, "words")
 
 
 def _plots(verdict: Verdict) -> str:
-    """Plot latency, service, requests in flight and attempts by tier, below a strip of the incidents."""
+    """Plot latency, service, requests in flight and attempts by tier, below a timeline of the incidents."""
     run_series = series(verdict)
     rows = max(1, len(verdict.trace.incidents))
     with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": "rehearsal", "font.size": 9}):
-        drawing = Figure(figsize=(10, 10 + 0.2 * rows), layout="constrained")
+        figure = Figure(figsize=(10, 10 + 0.2 * rows), layout="constrained")
         heights = [0.35 + 0.2 * rows, 2.4, 2.4, 2.4, 2.4]
-        axes: Any = drawing.subplots(5, 1, sharex=True, height_ratios=heights)
-        strip, latency, service, flight, attempts = axes
+        axes: Any = figure.subplots(5, 1, sharex=True, height_ratios=heights)
+        timeline, latency, service, flight, attempts = axes
         _plot_clients(run_series, latency, service, flight)
         _plot_attempts(verdict, run_series, attempts)
-        _draw_incidents(verdict, strip, axes[1:])
+        _draw_incidents(verdict, timeline, axes[1:])
         for axis in (latency, flight, attempts):
             axis.legend(loc="upper right", fontsize=8, framealpha=0.8)
         out = io.StringIO()
-        drawing.savefig(out, format="svg", metadata={"Date": None})
+        figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
     return text[text.index("<svg") :]
 
@@ -194,7 +194,7 @@
     for q in QUANTILES:
         values = [nan if v is None else v for v in run_series.latency_ms[q]]
         latency.plot(run_series.times, values, label=f"p{100 * q:g}")
-    latency.set_ylabel("time to the answer, ms")
+    latency.set_ylabel("response time, ms")
     latency.set_yscale("log")
     latency.yaxis.set_major_formatter("{x:g}")
     latency.yaxis.set_minor_formatter("{x:g}")
@@ -203,37 +203,37 @@
     service.set_ylim(-3, 103)
     service.set_ylabel("service, %")
     flight.step(run_series.times, run_series.in_flight, where="post", label="in flight")
-    flight.step(run_series.times, run_series.asked, where="post", label="first tries a second")
+    flight.step(run_series.times, run_series.asked, where="post", label="first attempts per second")
     flight.set_ylabel("clients' requests")
 
 
 def _plot_attempts(verdict: Verdict, run_series: Series, attempts: Any) -> None:
     """Plot the attempts that arrive at each tier, and those that it rejects."""
-    for tier, sent, turned in zip(
+    for tier, sent, rejected in zip(
         verdict.scenario.tiers, run_series.attempts, run_series.rejected, strict=True
     ):
-        (drawn,) = attempts.step(run_series.times, sent, where="post", label=tier.name)
-        if any(turned):
-            label = f"{tier.name}, turned away"
-            colour = drawn.get_color()
-            attempts.step(run_series.times, turned, where="post", linestyle=":", color=colour, label=label)
-    attempts.set_ylabel("attempts a second")
-    attempts.set_xlabel("seconds since the load began")
+        (line,) = attempts.step(run_series.times, sent, where="post", label=tier.name)
+        if any(rejected):
+            label = f"{tier.name}, rejected"
+            colour = line.get_color()
+            attempts.step(run_series.times, rejected, where="post", linestyle=":", color=colour, label=label)
+    attempts.set_ylabel("attempts per second")
+    attempts.set_xlabel("seconds since the start of the load")
 
 
-def _draw_incidents(verdict: Verdict, strip: Any, axes: Any) -> None:
+def _draw_incidents(verdict: Verdict, timeline: Any, axes: Any) -> None:
     """Draw each incident as a bar with its name, and shade it in the other plots."""
     trace = verdict.trace
     for n, fact in enumerate(trace.incidents):
         start = trace.elapsed(fact.t)
         end = max(trace.elapsed(fact.until), trace.elapsed(fact.t) + 0.1)
         colour = FAULT_COLOURS[n % len(FAULT_COLOURS)]
-        strip.barh(n, end - start, left=start, height=0.7, color=colour, alpha=0.6)
-        strip.text(start, n, f"{fact.do} ", fontsize=8, ha="right", va="center")
-    strip.set_ylim(len(trace.incidents) - 0.4, -0.6)
-    strip.set_yticks([])
-    strip.set_frame_on(False)
-    strip.set_ylabel("faults")
+        timeline.barh(n, end - start, left=start, height=0.7, color=colour, alpha=0.6)
+        timeline.text(start, n, f"{fact.do} ", fontsize=8, ha="right", va="center")
+    timeline.set_ylim(len(trace.incidents) - 0.4, -0.6)
+    timeline.set_yticks([])
+    timeline.set_frame_on(False)
+    timeline.set_ylabel("faults")
     _shade_incidents(verdict, axes)
 
 
--- a/orchidferry/testkit/report/series.py
+++ b/orchidferry/testkit/report/series.py
@@ -1,4 +1,4 @@
-"""Statistics over the time of a run, as reports plot them."""
+"""Time series of a run for the plots of reports."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True)
 class Series:
-    """Time series; each list has a value for each step of time, None where nothing was measured."""
+    """Time series; each list has one value per time step, None where there is no measurement."""
 
     step_s: float
-    times: list[float] = field(default_factory=list)  # start of each step, in seconds
-    asked: list[float] = field(default_factory=list)  # first attempts a second
-    service: list[float | None] = field(default_factory=list)  # of the requests due in the step
-    # of the served requests, by quantile
+    times: list[float] = field(default_factory=list)  # start of each step, in seconds of the load
+    asked: list[float] = field(default_factory=list)  # first attempts per second
+    service: list[float | None] = field(default_factory=list)  # service of the requests due in the step
+    # quantiles of the latency of served requests
     latency_ms: dict[float, list[float | None]] = field(default_factory=dict)
     in_flight: list[float] = field(default_factory=list)  # clients' attempts at the end of the step
-    attempts: list[list[float]] = field(default_factory=list)  # by tier, a second
-    rejected: list[list[float]] = field(default_factory=list)  # by tier, a second
+    attempts: list[list[float]] = field(default_factory=list)  # attempts per second, by tier
+    rejected: list[list[float]] = field(default_factory=list)  # rejected attempts per second, by tier
 
 
 def quantile(ordered: list[float], q: float) -> float | None:
@@ -85,7 +85,7 @@
             continue
         is_in_flight = False
         for fact in events:
-            # An attempt ends once, also if a close crosses it and a refused connection follows.
+            # An attempt ends only once, even if a crossing close and a refused connection both follow.
             if isinstance(fact, RequestSent) and not is_in_flight:
                 change[step(fact.t)] += 1
                 is_in_flight = True
--- a/orchidferry/testkit/report/tables.py
+++ b/orchidferry/testkit/report/tables.py
@@ -1,4 +1,4 @@
-"""Texts and table rows that the terminal report and the HTML page share. Free of I/O."""
+"""Texts and table rows that the terminal report and the HTML page share. Does no I/O."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 def result_text(finding: Finding) -> str:
-    """Return the result of a rule; one without anything to check counts neither as kept nor as violated."""
+    """Return the result of a rule; a rule with nothing to check neither passes nor fails."""
     if not finding.passed:
         return "FAIL"
     return "pass" if finding.checked else "nothing to check"
 
 
 def summary(verdict: Verdict) -> str:
-    """Return a sentence that sums up a run."""
+    """Return a one-sentence summary of a run."""
     service = verdict.service
     scenario = verdict.scenario
     tiers = ", ".join(
@@ -46,6 +46,6 @@
     return (
         f"service {percent(service.overall)}, worst 10 s {percent(service.worst_window)} (from "
         f"{service.worst_window_at:g} s), worst class {service.worst_class or '-'}; "
-        f"{verdict.client_requests} first tries, {verdict.client_attempts} with retries, "
-        f"{verdict.arrivals_per_client_request:.2f} attempts for each ({tiers})"
+        f"{verdict.client_requests} first attempts, {verdict.client_attempts} with retries, "
+        f"{verdict.arrivals_per_client_request:.2f} attempts per request ({tiers})"
     )
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -1,4 +1,4 @@
-"""The terminal report of a run: its progress, and tables and a timeline at its end."""
+"""The terminal report of a run: its progress, and finally tables and a timeline."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from orchidferry.testkit.world.director import Progress
 
 BLOCKS = " ▁▂▃▄▅▆▇█"
-LINE_INTERVAL_S = 5.0  # of progress lines, if the output is no terminal
-LIVE_INTERVAL_S = 0.25  # of updates of the live line
+LINE_INTERVAL_S = 5.0  # between progress lines if the output is not a terminal
+LIVE_INTERVAL_S = 0.25  # between updates of the live line
 TIMELINE_WIDTH = 60  # characters
 COLOURS = {"pass": "green", "FAIL": "bold red", "nothing to check": "yellow"}
-MAX_VIOLATIONS = 3  # of a rule that are printed with their history
+MAX_VIOLATIONS = 3  # violations of a rule, or problems of another check, that are printed
 
 
 def status_line(scenario: Scenario, progress: Progress) -> str:
-    """Return one line about the progress of a run."""
+    """Return a progress line of a run."""
     if progress.phase != "playing":
         return f"{scenario.name}: {progress.phase}"
     active = [what for start, end, what in progress.incidents if start <= progress.t <= max(end, start + 1.0)]
@@ -40,7 +40,7 @@
 
 
 async def watch(console: Console, scenario: Scenario, progress: Progress) -> None:
-    """Show the progress until cancelled: a live line on a terminal, else a line at intervals."""
+    """Show the progress until cancelled: a live line on a terminal, otherwise a line at intervals."""
     if not console.is_terminal:
         while True:
             await asyncio.sleep(LINE_INTERVAL_S)
@@ -56,19 +56,19 @@
 def show(console: Console, verdict: Verdict) -> None:
     """Print the complete report of a run."""
     if not verdict.complete:
-        console.print(f"[bold red]cut off[/]: {escape(verdict.why)}; what was seen until then:")
+        console.print(f"[bold red]cut off[/]: {escape(verdict.why)}; results up to then:")
     for why in verdict.lateness.void:
         console.print(
-            f"[bold red]void[/]: {escape(why)}: the machine was too slow; this run says nothing of the nodes"
+            f"[bold red]void[/]: {escape(why)}: the machine was too slow; the run tells nothing of the nodes"
         )
     console.print(_classes(verdict))
     console.print(summary(verdict), highlight=False)
-    if (found := attempts_during_fault(verdict)) is not None and found.asked:
-        tiers = zip(verdict.scenario.tiers, found.arrivals_by_tier, strict=True)
-        shares = ", ".join(f"{tier.name} {count / found.asked:.2f}" for tier, count in tiers)
+    if (figures := attempts_during_fault(verdict)) is not None and figures.asked:
+        tiers = zip(verdict.scenario.tiers, figures.arrivals_by_tier, strict=True)
+        shares = ", ".join(f"{tier.name} {count / figures.asked:.2f}" for tier, count in tiers)
         console.print(
-            f"in the {found.fault}, from 2 s on: {found.asked} first tries, "
-            f"{found.per_client_request:.2f} attempts for each ({shares})",
+            f"in the {figures.fault}, from 2 s on: {figures.asked} first attempts, "
+            f"{figures.per_client_request:.2f} attempts per request ({shares})",
             highlight=False,
         )
     console.print()
@@ -78,7 +78,7 @@
     if verdict.unsafe_duplicates:
         roots = ", ".join(verdict.unsafe_duplicates[:5])
         console.print(
-            f"{len(verdict.unsafe_duplicates)} unsafe first tries ran twice, as their clients asked again "
+            f"{len(verdict.unsafe_duplicates)} unsafe requests ran twice because their clients retried "
             f"after a failure, which no rule forbids: {roots}"
         )
     if (moved := new_pool_load(verdict)) is not None:
@@ -92,61 +92,61 @@
 
 
 def _traffic(console: Console, verdict: Verdict) -> None:
-    """Print what a replay sent beside what was recorded."""
-    found = verdict.traffic
-    if found is None:
+    """Print a comparison of replayed with recorded traffic."""
+    figures = verdict.traffic
+    if figures is None:
         return
     table = Table("class", "recorded", "sent")
-    for name, share in found["recorded_mix"].items():
-        table.add_row(name, f"{share:.2%}", f"{found['mix'].get(name, 0.0):.2%}")
+    for name, share in figures["recorded_mix"].items():
+        table.add_row(name, f"{share:.2%}", f"{figures['mix'].get(name, 0.0):.2%}")
     console.print(table)
-    lag = ", ".join(f"{name} {value:.2f}" for name, value in found["lag_ms"].items())
-    console.print(f"{found['sent']} requests replayed; late by, ms: {lag}", highlight=False)
-    both = ((name, found["recorded_gaps_ms"].get(name, 0.0)) for name in found["gaps_ms"])
-    gaps = ", ".join(f"{name} {found['gaps_ms'][name]:.2f} ({value:.2f})" for name, value in both)
-    console.print(f"between requests (as recorded), ms: {gaps}", highlight=False)
-    for reason, count in found["skipped"].items():
+    lag = ", ".join(f"{name} {value:.2f}" for name, value in figures["lag_ms"].items())
+    console.print(f"{figures['sent']} requests replayed; sending lag in ms: {lag}", highlight=False)
+    both = ((name, figures["recorded_gaps_ms"].get(name, 0.0)) for name in figures["gaps_ms"])
+    gaps = ", ".join(f"{name} {figures['gaps_ms'][name]:.2f} ({value:.2f})" for name, value in both)
+    console.print(f"gaps between requests (as recorded) in ms: {gaps}", highlight=False)
+    for reason, count in figures["skipped"].items():
         console.print(f"left out: {count} ({reason})", highlight=False)
 
 
 def _fleet(console: Console, verdict: Verdict) -> None:
-    """Print how well the nodes knew each other."""
-    found = verdict.fleet
-    if found is None:
+    """Print how well the nodes' member lists agreed with the nodes that were running."""
+    figures = verdict.fleet
+    if figures is None:
         return
 
     def seconds(value: float | None) -> str:
         return "-" if value is None else f"{value:.1f} s"
 
-    agreed, longest = seconds(found["views_agree_after_s"]), seconds(found["false_longest_s"])
-    p50, p99 = seconds(found["known_dead_p50_s"]), seconds(found["known_dead_p99_s"])
+    agreed, longest = seconds(figures["views_agree_after_s"]), seconds(figures["false_longest_s"])
+    p50, p99 = seconds(figures["known_dead_p50_s"]), seconds(figures["known_dead_p99_s"])
     console.print(
-        f"fleet of {found['nodes']}: views agreed {agreed} after {found['heals']} heals; "
-        f"{found['false_deaths']} held for gone though there (longest {longest}); "
-        f"deaths known after {p50}, p99 {p99} ({found['deaths_known']}); "
-        f"{found['bytes_a_node_s']} bytes a node a second",
+        f"fleet of {figures['nodes']}: views agreed {agreed} after {figures['heals']} heals; "
+        f"{figures['false_deaths']} false deaths (longest {longest}); "
+        f"deaths known after {p50}, p99 {p99} ({figures['deaths_known']}); "
+        f"{figures['bytes_a_node_s']} bytes per node and second",
         highlight=False,
     )
-    for problem in found["problems"][:MAX_VIOLATIONS]:
+    for problem in figures["problems"][:MAX_VIOLATIONS]:
         console.print(f"[bold red]fleet[/]: {escape(problem)}", highlight=False)
 
 
 def _control(console: Console, verdict: Verdict) -> None:
-    """Print which versions of a control service the nodes have."""
-    found = verdict.control
-    if found is None:
+    """Print which configuration versions the nodes have at the end."""
+    figures = verdict.control
+    if figures is None:
         return
-    finals = Counter(tuple(sorted(versions.items())) for versions in found["final_versions"].values())
+    finals = Counter(tuple(sorted(versions.items())) for versions in figures["final_versions"].values())
     ends = "; ".join(
         f"{count} nodes on {', '.join(f'{name} {version}' for name, version in versions) or 'nothing'}"
         for versions, count in finals.most_common(MAX_VIOLATIONS)
     )
     console.print(
-        f"{found['sent']} versions, {found['bad']} bad, {found['refused']} refusals over "
-        f"{len(found['final_versions'])} nodes and {found['streams']} streams; at the end {ends}",
+        f"{figures['sent']} versions, {figures['bad']} bad, {figures['refused']} rejections over "
+        f"{len(figures['final_versions'])} nodes and {figures['streams']} streams; at the end {ends}",
         highlight=False,
     )
-    for problem in found["problems"][:MAX_VIOLATIONS]:
+    for problem in figures["problems"][:MAX_VIOLATIONS]:
         console.print(f"[bold red]versions[/]: {escape(problem)}", highlight=False)
 
 
@@ -160,7 +160,7 @@
 
 
 def _timeline(console: Console, verdict: Verdict) -> None:
-    """Print the service over time, with a bar below for each incident."""
+    """Print the service over time, and a bar for each incident below it."""
     length = max(verdict.trace.end - verdict.trace.start, 0.1)
     run_series = series(verdict, length / TIMELINE_WIDTH)
     bars = "".join(
@@ -186,7 +186,7 @@
     table.add_column("rule")
     table.add_column("verdict")
     table.add_column("checked", justify="right")
-    table.add_column("breaks", justify="right")
+    table.add_column("violations", justify="right")
     for name, finding in verdict.rules.items():
         result = result_text(finding)
         colour = COLOURS[result]
