--- a/orchidferry/testkit/arguments/__init__.py
+++ b/orchidferry/testkit/arguments/__init__.py
@@ -1,1 +1,1 @@
-"""Arguments of commands whose packages need the kit's libraries, which a request for help must not import."""
+"""Arguments of commands, separate from their packages, so that `--help` imports none of their libraries."""
--- a/tests/testkit/bench/test_counting_relay.py
+++ b/tests/testkit/bench/test_counting_relay.py
@@ -13,7 +13,7 @@
 
 
 class Sink:
-    """Records what is written."""
+    """A stream writer that records the written data."""
 
     def __init__(self) -> None:
         self.written = b""
--- a/tests/testkit/bench/test_mesh_claims.py
+++ b/tests/testkit/bench/test_mesh_claims.py
@@ -1,4 +1,4 @@
-"""Rows of claims, and one small measurement of a real controller."""
+"""Rows of the claims benchmark, and a small measurement of a real controller."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def result(asked: int, granted: int) -> LoadResult:
-    """A load of two seconds, of whose claims the n-th took n milliseconds."""
+    """Make the result of a load of two seconds; the n-th granted claim took n milliseconds."""
     took_s = [0.001 * n for n in range(1, granted + 1)]
     return LoadResult(
         ClaimReport(asked, granted, seconds=2.0, took_s=took_s, late_s=[0.0], claimer_cpu_s=0.1),
@@ -26,7 +26,7 @@
     )
 
 
-def test_rows_of_claims_have_rates_and_what_was_not_granted() -> None:
+def test_rows_of_claims_have_rates_and_the_number_of_ungranted_claims() -> None:
     rows = claim_rows("x", [result(100, 100), result(100, 90)])
     by = {row["name"].partition(": ")[2]: row for row in rows}
     granted = by["granted"]
--- a/tests/testkit/bench/test_mesh_fleet.py
+++ b/tests/testkit/bench/test_mesh_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet end with it."""
+"""A fleet stops its processes and removes its files on exit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from orchidferry.testkit.bench.process_usage import cpu_time
 
 
-def test_a_fleet_ends_whatever_fails_in_it() -> None:
+def test_a_fleet_stops_its_processes_after_an_error() -> None:
     pids: list[int] = []
     folder = Path()
 
--- a/tests/testkit/bench/test_mesh_propagation.py
+++ b/tests/testkit/bench/test_mesh_propagation.py
@@ -1,4 +1,4 @@
-"""Rows of the propagation of changes."""
+"""Rows of the propagation benchmark."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from orchidferry.testkit.bench.mesh_propagation import propagation_rows
 
 
-def test_a_change_that_a_node_missed_breaks_its_row() -> None:
+def test_a_row_is_broken_if_a_node_missed_a_change() -> None:
     good = [1.0, 2.0]
     bad = [1.0]
     assert not any("broken" in row for row in propagation_rows("x", 2, [good]))
--- a/tests/testkit/bench/test_mesh_requests.py
+++ b/tests/testkit/bench/test_mesh_requests.py
@@ -1,4 +1,4 @@
-"""Rows of requests through the forwarders."""
+"""Rows of the request benchmark."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 
 
 def result(*cpu_us: float) -> LoadResult:
-    """A hundred requests without a failure, by processes that used so much CPU for each."""
+    """Make the result of a hundred successful requests.
+
+    :param cpu_us: CPU per request of each process on the path.
+    """
     report = LoadReport(asked=100, failed=0, why={}, late_p99_ms=1.0, p50_ms=1.0, p99_ms=2.0, most_ms=3.0)
     return LoadResult(report, list(cpu_us), controller_us=[7.0], waited=0.0)
 
 
-def test_rows_of_requests_add_machines_and_compare_with_the_bare_forwarder() -> None:
+def test_rows_of_requests_sum_machines_and_compare_with_the_bare_forwarder() -> None:
     two_machines = result(300.0, 200.0)
     two_machines = replace(two_machines, report=replace(two_machines.report, failed=2, why={"503": 2}))
     results = {
--- a/tests/testkit/bench/test_open_loop.py
+++ b/tests/testkit/bench/test_open_loop.py
@@ -1,4 +1,4 @@
-"""The open loop: requests at their time, and the report of what became of them."""
+"""The open-loop load generator: which requests it sends, and the report of their outcomes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakePool:
-    """Connections whose n-th answer has a status of a list; a status of 0 is a failed connect."""
+    """A connection pool whose n-th request gets the n-th status; a status of 0 is a failed connect."""
 
     def __init__(self, statuses: list[int]) -> None:
         self.statuses = statuses
@@ -49,13 +49,13 @@
 
 
 def run(statuses: list[int]) -> tuple[LoadReport, FakePool]:
-    """The report of as many requests as there are statuses, at 1,000 a second."""
+    """Offer one request per status, at 1,000 requests per second."""
     pool = FakePool(statuses)
     report = asyncio.run(offer_load(ADDRESS, 1_000.0, len(statuses) / 1_000.0, "t", pool=pool))
     return report, pool
 
 
-def test_each_request_is_counted_once_and_its_connection_kept_or_dropped() -> None:
+def test_each_request_is_counted_once_and_its_connection_returned_or_dropped() -> None:
     report, pool = run([200, 503, 0, 200, 503])
     assert (report.asked, report.failed, report.why) == (5, 3, {"503": 2, "refused": 1})
     assert pool.ids == ["t0.0", "t1.0", "", "t3.0", "t4.0"]
@@ -63,13 +63,13 @@
     assert report.p50_ms is not None and report.p50_ms <= (report.most_ms or 0.0)
 
 
-def test_a_load_without_an_answer_has_no_times() -> None:
+def test_a_load_without_a_successful_response_has_no_latencies() -> None:
     report, _ = run([503, 503])
     assert (report.p50_ms, report.p99_ms, report.most_ms) == (None, None, None)
 
 
 @pytest.mark.parametrize(("mix", "targets"), [(False, {"ler-feed": 10}), (True, None)])
-def test_requests_are_reads_or_the_usual_mix(mix: bool, targets: dict[str, int] | None) -> None:
+def test_requests_are_reads_or_the_default_mix(mix: bool, targets: dict[str, int] | None) -> None:
     write = request_writer(mix)
     found: dict[str, int] = {}
     for number in range(10):
--- a/tests/testkit/test_drawn_days.py
+++ b/tests/testkit/test_drawn_days.py
@@ -1,4 +1,4 @@
-"""Days of trouble drawn for the operators' bench: whole, within the day, the same for the same seed."""
+"""Fault-injection days for the operators' bench: complete, within the day's length, reproducible by seed."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("theme", drawn_days.THEMES)
 @pytest.mark.parametrize("seed", range(30))
-def test_a_day_has_the_troubles_of_its_theme_within_its_length(theme: str, seed: int) -> None:
+def test_a_day_has_the_faults_of_its_theme_within_its_length(theme: str, seed: int) -> None:
     day = drawn_days.draw(SITE, theme, seed)
     assert day == drawn_days.draw(SITE, theme, seed)
     assert day["traffic"] == SITE["day"][0]["traffic"]  # type: ignore[index]
@@ -42,14 +42,14 @@
     assert {entry["kind"] for entry in day["plan"]} <= drawn_days.PLANNED_KINDS
     assert not {entry["kind"] for entry in day["faults"]} & drawn_days.PLANNED_KINDS
     kinds = [entry["kind"] for entry in entries]
-    assert "srv_flap" not in kinds  # this site has no contract on health
-    for wanted in drawn_days.THEMES[theme]:
-        assert wanted.split()[0] in kinds
+    assert "srv_flap" not in kinds  # this site does not have the contract `health`
+    for required in drawn_days.THEMES[theme]:
+        assert required.split()[0] in kinds
     if "core_cut 20" in drawn_days.THEMES[theme]:
         assert any(entry["kind"] == "core_cut" and entry["for_s"] == 20.0 for entry in day["faults"])
 
 
-def test_the_files_are_read_as_they_were_drawn(tmp_path: Path) -> None:
+def test_the_written_files_contain_the_drawn_days(tmp_path: Path) -> None:
     site = tmp_path / "small.toml"
     site.write_text(tomli_w.dumps(SITE))
     drawn_days.main(site, tmp_path / "days", first=3, count=2)
