--- a/orchidferry/testkit/bench/fleet.py
+++ b/orchidferry/testkit/bench/fleet.py
@@ -102,7 +102,7 @@
                     verdict.get("error")
                     or verdict["run"]["void"]
                     or verdict.get("fleet", {}).get("problems")
-                    or "passed"
+                    or "held"
                 )
                 console.print(f"{scenario} seed {seed}{' off' if off else ''}: {outcome}", markup=False)
                 return verdict
--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -166,8 +166,9 @@
         return RunContext(SEED, relayed, lambda _: None, self.scene.zero)
 
     def _exited(self, node: Node, status: int) -> None:
-        tail = " | ".join(node.tail(2))
-        self._failure = f"{node.machine.name} exited unexpectedly (status {status}): {tail}"
+        self._failure = (
+            f"{node.machine.name} exited unexpectedly (status {status}): {' | '.join(node.tail(2))}"
+        )
 
     def check(self) -> None:
         """Check that all processes of the mesh are running.
--- a/orchidferry/testkit/report/page.py
+++ b/orchidferry/testkit/report/page.py
@@ -86,7 +86,7 @@
                 f"<p class=fail>{TITLES[name]}: {escape(violation.request)} to {escape(tier)} "
                 f"at {violation.t:.3f} s: {escape(violation.description)}</p><pre>{escape(history)}</pre>"
             )
-    return _table(["rule", "verdict", "checked", "violations"], rows) + "".join(histories)
+    return _table(["rule", "verdict", "checked", "breaks"], rows) + "".join(histories)
 
 
 def _classes(verdict: Verdict) -> str:
@@ -165,7 +165,7 @@
         ]
         for fact in trace.incidents
     ]
-    return _table(["incident", "from", "to", "target"], rows, "words")
+    return _table(["what", "from", "to", "whom"], rows, "words")
 
 
 def _plots(verdict: Verdict) -> str:
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -186,7 +186,7 @@
     table.add_column("rule")
     table.add_column("verdict")
     table.add_column("checked", justify="right")
-    table.add_column("violations", justify="right")
+    table.add_column("breaks", justify="right")
     for name, finding in verdict.rules.items():
         result = result_text(finding)
         colour = COLOURS[result]
