--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -75,7 +75,7 @@
     taken: bool = False  # whether the order was acknowledged
 
 
-class Duel:
+class ConcurrentOrders:
     """One run of concurrent orders."""
 
     def __init__(self, conditions: Conditions, seed: int) -> None:
@@ -269,7 +269,7 @@
     for conditions in CONDITIONS:
         if args.only not in conditions.name:
             continue
-        runs = [Duel(conditions, seed) for seed in range(args.seeds)]
+        runs = [ConcurrentOrders(conditions, seed) for seed in range(args.seeds)]
         for run in runs:
             run.play()
         late = sum(run.last_ms > ACK_MS for run in runs)
--- a/tests/testkit/explore/test_one_number.py
+++ b/tests/testkit/explore/test_one_number.py
@@ -40,7 +40,7 @@
 def test_orders_that_meet_end_inside_the_bound(name: str) -> None:
     """Eight at once: one is acknowledged, all others know that they lost, well inside `ack_ms`."""
     for seed in range(5):
-        run = order_duels.Duel(CONDITIONS[name], seed)
+        run = order_duels.ConcurrentOrders(CONDITIONS[name], seed)
         run.play()
         assert run.whole and run.last_ms < order_duels.ACK_MS / 2
 
@@ -55,14 +55,14 @@
         return []
 
     monkeypatch.setattr(Proposer, "_resend", give_up)
-    run = order_duels.Duel(CONDITIONS["links of 200 ms one way, 3 controllers"], 0)
+    run = order_duels.ConcurrentOrders(CONDITIONS["links of 200 ms one way, 3 controllers"], 0)
     run.play()
     assert not run.whole
 
 
 def test_copies_of_one_order_at_one_controller_take_one_round() -> None:
     """Eight at once share one proposal, and all are told the same."""
-    run = order_duels.Duel(order_duels.Conditions("copies", same=True, at_owner=True), 1)
+    run = order_duels.ConcurrentOrders(order_duels.Conditions("copies", same=True, at_owner=True), 1)
     run.play()
     assert run.whole and all(operator.taken for operator in run.operators)
     assert len(run.ballots) == 1
