--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -241,7 +241,7 @@
         return max(o.clear_ms if o.clear_ms >= 0.0 else float("inf") for o in self.operators)
 
     @property
-    def whole(self) -> bool:
+    def is_consistent(self) -> bool:
         """Whether exactly one content was acknowledged, and all operators have a definite answer."""
         taken = {o.order.digest for o in self.operators if o.taken}
         return len(taken) == 1 and self.last_ms < float("inf")
@@ -273,7 +273,7 @@
         for run in runs:
             run.play()
         late = sum(run.last_ms > ACK_MS for run in runs)
-        broken = sum(not run.whole for run in runs)
+        broken = sum(not run.is_consistent for run in runs)
         bad += late + broken
         rounds = sum(len(run.ballots) for run in runs) / len(runs)
         first = quantile_text(run.first_ms for run in runs)
--- a/tests/testkit/explore/test_one_number.py
+++ b/tests/testkit/explore/test_one_number.py
@@ -42,7 +42,7 @@
     for seed in range(5):
         run = order_duels.ConcurrentOrders(CONDITIONS[name], seed)
         run.play()
-        assert run.whole and run.last_ms < order_duels.ACK_MS / 2
+        assert run.is_consistent and run.last_ms < order_duels.ACK_MS / 2
 
 
 def test_rounds_that_are_given_up_too_early_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -57,12 +57,12 @@
     monkeypatch.setattr(Proposer, "_resend", give_up)
     run = order_duels.ConcurrentOrders(CONDITIONS["links of 200 ms one way, 3 controllers"], 0)
     run.play()
-    assert not run.whole
+    assert not run.is_consistent
 
 
 def test_copies_of_one_order_at_one_controller_take_one_round() -> None:
     """Eight at once share one proposal, and all are told the same."""
     run = order_duels.ConcurrentOrders(order_duels.Conditions("copies", same=True, at_owner=True), 1)
     run.play()
-    assert run.whole and all(operator.taken for operator in run.operators)
+    assert run.is_consistent and all(operator.taken for operator in run.operators)
     assert len(run.ballots) == 1
