--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -72,7 +72,7 @@
     tries: int = 0  # requests sent
     awaited_id: str = ""  # id of the request in flight; empty if there is none
     clear_ms: float = -1.0  # time of the definite answer since the orders were sent; negative: none yet
-    taken: bool = False  # whether the order was acknowledged
+    acknowledged: bool = False  # whether the order was acknowledged
 
 
 class ConcurrentOrders:
@@ -187,7 +187,7 @@
                     self._at(pause_s * (0.5 + self.rng.random()), self._send, operator)
                 else:
                     operator.clear_ms = (self.now - self._began_s) * 1e3
-                    operator.taken = not end.why
+                    operator.acknowledged = not end.why
                 return
 
     # Operators
@@ -233,7 +233,7 @@
     @property
     def first_ms(self) -> float:
         """Time in ms at which the first order was acknowledged; infinite for never."""
-        return min((o.clear_ms for o in self.operators if o.taken), default=float("inf"))
+        return min((o.clear_ms for o in self.operators if o.acknowledged), default=float("inf"))
 
     @property
     def last_ms(self) -> float:
@@ -243,8 +243,8 @@
     @property
     def is_consistent(self) -> bool:
         """Whether exactly one content was acknowledged, and all operators have a definite answer."""
-        taken = {o.order.digest for o in self.operators if o.taken}
-        return len(taken) == 1 and self.last_ms < float("inf")
+        acknowledged = {o.order.digest for o in self.operators if o.acknowledged}
+        return len(acknowledged) == 1 and self.last_ms < float("inf")
 
 
 def quantile_text(values: Iterable[float]) -> str:
--- a/tests/testkit/explore/test_one_number.py
+++ b/tests/testkit/explore/test_one_number.py
@@ -64,5 +64,5 @@
     """Eight at once share one proposal, and all are told the same."""
     run = order_duels.ConcurrentOrders(order_duels.Conditions("copies", same=True, at_owner=True), 1)
     run.play()
-    assert run.is_consistent and all(operator.taken for operator in run.operators)
+    assert run.is_consistent and all(operator.acknowledged for operator in run.operators)
     assert len(run.ballots) == 1
