--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -134,10 +134,10 @@
         self.cores = [replace(machine, bind=machine.ip) for machine in cores]
         self.sidecars = [replace(machine, bind=machine.ip) for machine in sidecars]
         self.ports: Ports = free_ports([m.ip for m in (*self.cores, *self.sidecars)])
-        self.scene = RunContext(SEED, self.ports, lambda _: None, time.monotonic())
-        proxy_context = await self._start_relays() if self._relay else self.scene
+        self.run_context = RunContext(SEED, self.ports, lambda _: None, time.monotonic())
+        proxy_context = await self._start_relays() if self._relay else self.run_context
         for machine in (*self.cores, *self.sidecars):
-            context = self.scene if machine.role == "core" else proxy_context
+            context = self.run_context if machine.role == "core" else proxy_context
             node = Node(
                 context, self._day, machine, self.cores[:3], self.folder, self._exited, lambda _: None
             )
@@ -163,7 +163,7 @@
             relay = CountingRelay()
             self.relays.append(relay)
             await relay.start((controller.ip, relayed.internal), (controller.ip, self.ports.internal))
-        return RunContext(SEED, relayed, lambda _: None, self.scene.zero)
+        return RunContext(SEED, relayed, lambda _: None, self.run_context.zero)
 
     def _exited(self, node: Node, status: int) -> None:
         self._failure = (
@@ -246,7 +246,7 @@
         }
         where = (machine.ip, self.ports.control)
         path = f"/orchidferry/instances/{id}"
-        outcome, _ = await call(self.scene.pool(machine), where, "PUT", path, payload)
+        outcome, _ = await call(self.run_context.pool(machine), where, "PUT", path, payload)
         return outcome.how == "answer" and outcome.status == 200
 
     async def _send_heartbeats(self) -> None:
@@ -269,7 +269,7 @@
         last = Outcome("none", 0.0)
         while time.monotonic() < until:
             where = (self.cores[0].ip, self.ports.control)
-            pool = self.scene.pool(self.cores[0])
+            pool = self.run_context.pool(self.cores[0])
             last, _ = await call(pool, where, "PUT", "/orchidferry/configuration", body, base, 5.0)
             if last.how == "answer" and last.status == 200:
                 return last.t
@@ -342,7 +342,7 @@
                 for node in self.nodes.values():
                     while node.pid is not None:
                         await asyncio.sleep(0.01)
-        if hasattr(self, "scene"):
-            self.scene.close()
+        if hasattr(self, "run_context"):
+            self.run_context.close()
         self._address_claim.close()
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/orchidferry/testkit/bench/mesh_propagation.py
+++ b/orchidferry/testkit/bench/mesh_propagation.py
@@ -87,7 +87,7 @@
 
         :returns: False if there was no response in time.
         """
-        pool = self._fleet.scene.pool(machine)
+        pool = self._fleet.run_context.pool(machine)
         address = (machine.ip, self._fleet.ports.outbound)
         request = (
             f"GET {self._target} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {id}\r\n"
--- a/orchidferry/testkit/capacity/processes.py
+++ b/orchidferry/testkit/capacity/processes.py
@@ -158,7 +158,13 @@
         until = time.monotonic() + READY_S
         while time.monotonic() < until:
             outcome, _ = await call(
-                fleet.scene.pool(fleet.cores[0]), where, "PUT", "/orchidferry/configuration", body, base, 5.0
+                fleet.run_context.pool(fleet.cores[0]),
+                where,
+                "PUT",
+                "/orchidferry/configuration",
+                body,
+                base,
+                5.0,
             )
             if outcome.how == "answer" and outcome.status == 200:
                 return outcome.t
