--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -33,7 +33,7 @@
 from orchidferry.testkit.world.addresses import claim
 from orchidferry.testkit.world.node_files import settings
 
-SIZES = (10, 1_000, 10_000)
+SIZES = (10, 1_000, 10_000)  # members of the pool
 VERSIONS = 12  # versions after a pool's first: each changes a tenth of the members, the last also settings
 REAL_SERVERS = 10  # servers that listen
 RATE = 200.0  # requests per second
--- a/orchidferry/testkit/bench/chain.py
+++ b/orchidferry/testkit/bench/chain.py
@@ -12,7 +12,7 @@
 from orchidferry.node.chain.wire import Wire
 from orchidferry.testkit.model.chains import ChainSimulation, Scenario
 
-ROUNDS = 20_000
+ROUNDS = 20_000  # requests over which the cost is averaged
 
 
 def _cost() -> dict[str, Any]:
--- a/orchidferry/testkit/bench/decisions.py
+++ b/orchidferry/testkit/bench/decisions.py
@@ -23,8 +23,8 @@
 from orchidferry.balancing import interface as api
 from orchidferry.balancing.logic import Balancer
 
-SIZES = (10, 100, 1_000, 10_000)
-COPIES = (1, 50)
+SIZES = (10, 100, 1_000, 10_000)  # servers of the fleet
+COPIES = (1, 50)  # nodes that share the servers
 TROUBLES = ("steady", "slow", "ejected", "rolling")
 GAP_MS = 20.0  # between two requests
 SERVED_MS = 50.0  # duration of a served attempt
--- a/orchidferry/testkit/bench/drawn_days.py
+++ b/orchidferry/testkit/bench/drawn_days.py
@@ -182,6 +182,7 @@
     "calls": ("garble", "answer_lost", "reset_conns", "idle_race", "replace_with_reuse", "release"),
     "any": (),
 }
+# The faults that may end a day.
 CLOSINGS = (
     {"kind": "power_off_all"},
     {"kind": "kill_all"},
--- a/orchidferry/testkit/bench/kit.py
+++ b/orchidferry/testkit/bench/kit.py
@@ -20,7 +20,8 @@
 RUN_S = 8.0  # duration of the load of each size
 # The capacity of the kit shows with short requests: long ones measure the simulated servers instead.
 SHORT_REQUESTS = Class("ler-feed", 1.0, 0.002, 1.2, 3.0, "safe", spread=0.3, group="all")
-FIRST_RATE = 500.0
+# The smallest size of each dimension.
+FIRST_RATE = 500.0  # requests per second
 FIRST_SERVERS = 100
 FIRST_NODES = 8
 MAX_SIZES = 8  # sizes of one dimension; each is twice the one before
@@ -123,7 +124,7 @@
 
 
 def spread(scenario: Scenario, runs: int) -> list[dict[str, Any]]:
-    """Run the same seed several times."""
+    """Run a scenario several times with the same seed."""
     rows: list[dict[str, Any]] = []
     for n in range(runs):
         run, verdict = play_uninterrupted(scenario)
--- a/orchidferry/testkit/bench/lists.py
+++ b/orchidferry/testkit/bench/lists.py
@@ -23,7 +23,7 @@
 from orchidferry.testkit.world.addresses import Block, claim
 from orchidferry.testkit.world.discovery import DiscoveryService, ListedServer
 
-SIZES = (10, 1_000, 10_000)
+SIZES = (10, 1_000, 10_000)  # servers of the list
 REAL_SERVERS = 10  # servers that listen
 RATE = 200.0  # requests per second
 LOAD_S = 4.0  # duration of the load around each list
--- a/orchidferry/testkit/bench/mesh.py
+++ b/orchidferry/testkit/bench/mesh.py
@@ -25,13 +25,11 @@
 
 MIN_NODES = 3
 MAX_NODES = 10_000
-LOGARITHMIC_FROM = (
-    50.0  # ratio of a panel's largest to its smallest median, above which its scale is logarithmic
-)
+# Ratio of a panel's largest median to its smallest above which the scale of the panel is logarithmic.
+LOGARITHMIC_FROM = 50.0
 
-Measurement = Callable[
-    [float, int], Coroutine[Any, Any, list[Row]]
-]  # given the seconds of each measurement and the number of repeats
+# Makes the rows of a measurement, given the seconds of each load and the number of repeats.
+Measurement = Callable[[float, int], Coroutine[Any, Any, list[Row]]]
 
 MEASUREMENTS: dict[str, Measurement] = {
     "claims": measure_claims,
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -41,7 +41,7 @@
 
 
 class Claimer:
-    """The claims of one node, without the rest of the node."""
+    """Makes claims like one node, without the rest of a node."""
 
     def __init__(self, control_client: ControlClient) -> None:
         self._control_client = control_client
--- a/orchidferry/testkit/bench/moves.py
+++ b/orchidferry/testkit/bench/moves.py
@@ -29,7 +29,7 @@
     "1.3 times as slow": {"new_pool": PoolBehaviour(time_factor=1.3)},
     "slow for 30 s, cold": {"new_pool": PoolBehaviour(warmup_s=30.0)},
 }
-REQUESTS = 5_000
+REQUESTS = 5_000  # requests over which the cost is averaged
 
 
 def _simulate(task: tuple[str, int]) -> Outcome:
--- a/orchidferry/testkit/bench/quic.py
+++ b/orchidferry/testkit/bench/quic.py
@@ -30,7 +30,7 @@
 from orchidferry.testkit.wire import Address, Outcome, Pool
 from orchidferry.testkit.world.addresses import claim
 
-SERVERS = 10
+SERVERS = 10  # number of servers, unless `--servers` gives one
 CONNECTIONS = 200  # connections held open to measure the memory of one
 FLOOD_S = 8.0  # duration of each flood
 OTHER_CLIENT_RATE = 100.0  # requests per second of another client during a flood
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -59,7 +59,7 @@
         console.print(f"[bold red]cut off[/]: {escape(verdict.why)}; results up to then:")
     for why in verdict.lateness.void:
         console.print(
-            f"[bold red]void[/]: {escape(why)}: the machine was too slow; the run tells nothing of the nodes"
+            f"[bold red]void[/]: {escape(why)}: the machine was too slow; the run says nothing of the nodes"
         )
     console.print(_classes(verdict))
     console.print(summary(verdict), highlight=False)
