--- a/orchidferry/testkit/bench/decisions.py
+++ b/orchidferry/testkit/bench/decisions.py
@@ -25,7 +25,7 @@
 
 SIZES = (10, 100, 1_000, 10_000)  # servers of the fleet
 COPIES = (1, 50)  # nodes that share the servers
-TROUBLES = ("steady", "slow", "ejected", "rolling")
+FLEET_STATES = ("steady", "slow", "ejected", "rolling")
 GAP_MS = 20.0  # between two requests
 SERVED_MS = 50.0  # duration of a served attempt
 SLOW_FACTOR = 8.0  # how much longer an attempt takes on a slow server
@@ -43,7 +43,7 @@
 
     :param servers: servers in the list.
     :param copies: nodes that share the servers.
-    :param trouble: the state of the fleet, one of `TROUBLES`.
+    :param trouble: the state of the fleet, one of `FLEET_STATES`.
     :ivar spent_s: time spent within `Balancer.handle`.
     :ivar longest_s: the longest single call of it.
     """
@@ -176,7 +176,7 @@
 def rows(requests: int, against: str | None) -> list[dict[str, Any]]:
     """Measure all sizes and states, alternating with the other checkout if one is named."""
     result = []
-    for trouble in TROUBLES:
+    for trouble in FLEET_STATES:
         for copies in COPIES:
             for servers in SIZES:
                 row = measure(servers, copies, trouble, requests)
--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -248,7 +248,7 @@
 
 
 def test_a_measurement_of_decisions_counts_requests_and_changes() -> None:
-    for trouble in decisions.TROUBLES:
+    for trouble in decisions.FLEET_STATES:
         row = decisions.measure(10, 1, trouble, 60)
         assert row["requests"] == 60
         assert 0.0 < row["request_us"] < 1e5 and 0.0 < row["change_ms"] < 1e3
