--- a/orchidferry/testkit/bench/decisions.py
+++ b/orchidferry/testkit/bench/decisions.py
@@ -43,12 +43,12 @@
 
     :param servers: servers in the list.
     :param copies: nodes that share the servers.
-    :param trouble: the state of the fleet, one of `FLEET_STATES`.
+    :param fleet_state: the state of the fleet, one of `FLEET_STATES`.
     :ivar spent_s: time spent within `Balancer.handle`.
     :ivar longest_s: the longest single call of it.
     """
 
-    def __init__(self, servers: int, copies: int, trouble: str) -> None:
+    def __init__(self, servers: int, copies: int, fleet_state: str) -> None:
         read = api.RequestClass("ler-feed", 1200.0, 3000.0, 1.0, repeat=api.Repeat.SAFE)
         save = api.RequestClass(
             "salvar-episodio", 1500.0, 4000.0, 2.0, 0.5, api.Repeat.KEYED, api.Group.CELL, 6000.0
@@ -67,10 +67,10 @@
         self.rng = random.Random(1)
         self.ids = [self.rng.getrandbits(64) for _ in range(servers)]
         self.cells = max(1, servers // 8)
-        affected = max(1, round(servers * (SLOW_SHARE if trouble == "slow" else EJECTED_SHARE)))
-        self.slow = set(self.ids[:affected]) if trouble == "slow" else set()
-        self.failing = set(self.ids[:affected]) if trouble == "ejected" else set()
-        self.rolling = trouble == "rolling"
+        affected = max(1, round(servers * (SLOW_SHARE if fleet_state == "slow" else EJECTED_SHARE)))
+        self.slow = set(self.ids[:affected]) if fleet_state == "slow" else set()
+        self.failing = set(self.ids[:affected]) if fleet_state == "ejected" else set()
+        self.rolling = fleet_state == "rolling"
         self.balancer = Balancer(settings, 1)
         self.now = 1.0
         self.spent_s = 0.0
@@ -138,9 +138,9 @@
         self.handle_event(api.ServerList(api.ListKind.CHANGES, 2 + number, [self.entry(id, health, started)]))
 
 
-def measure(servers: int, copies: int, trouble: str, requests: int) -> dict[str, Any]:
+def measure(servers: int, copies: int, fleet_state: str, requests: int) -> dict[str, Any]:
     """Measure the microseconds per request and the milliseconds per list change of one fleet in one state."""
-    bench = Bench(servers, copies, trouble)
+    bench = Bench(servers, copies, fleet_state)
     list_ms = bench.longest_s * 1e3
     for n in range(min(WARM_UP, requests)):
         bench.request(n)
@@ -164,7 +164,7 @@
     return {
         "servers": servers,
         "copies": copies,
-        "state": trouble,
+        "state": fleet_state,
         "requests": measured,
         "request_us": request_us,
         "change_ms": statistics.median(times) * 1e3,
@@ -176,17 +176,17 @@
 def rows(requests: int, against: str | None) -> list[dict[str, Any]]:
     """Measure all sizes and states, alternating with the other checkout if one is named."""
     result = []
-    for trouble in FLEET_STATES:
+    for fleet_state in FLEET_STATES:
         for copies in COPIES:
             for servers in SIZES:
-                row = measure(servers, copies, trouble, requests)
+                row = measure(servers, copies, fleet_state, requests)
                 line = (
-                    f"{trouble:8} {copies:3} copies {servers:6} servers: {row['request_us']:8.1f} us per "
+                    f"{fleet_state:8} {copies:3} copies {servers:6} servers: {row['request_us']:8.1f} us per "
                     f"request, {row['change_ms']:8.3f} ms per change, longest event of the first list "
                     f"{row['list_event_most_ms']:.1f} ms"
                 )
                 if against is not None:
-                    other = measure_in_checkout(against, servers, copies, trouble, requests)
+                    other = measure_in_checkout(against, servers, copies, fleet_state, requests)
                     row["against"] = other
                     line += f"; other checkout {other['request_us']:.1f} us, {other['change_ms']:.3f} ms"
                 print(line, flush=True)
@@ -195,10 +195,10 @@
 
 
 def measure_in_checkout(
-    folder: str, servers: int, copies: int, trouble: str, requests: int
+    folder: str, servers: int, copies: int, fleet_state: str, requests: int
 ) -> dict[str, Any]:
     """Make the same measurement with the balancing module of another checkout."""
-    command = [sys.executable, __file__, str(servers), str(copies), trouble, str(requests)]
+    command = [sys.executable, __file__, str(servers), str(copies), fleet_state, str(requests)]
     env = os.environ | {"PYTHONPATH": folder}
     process = subprocess.run(command, env=env, capture_output=True, text=True, timeout=600, check=True)
     row: dict[str, Any] = json.loads(process.stdout)
