--- a/orchidferry/testkit/traffic/block_reader.py
+++ b/orchidferry/testkit/traffic/block_reader.py
@@ -1,4 +1,8 @@
-"""Blocks of access logs made into rows, in a process of their own."""
+"""Converts blocks of access logs to rows of a recording, in worker processes.
+
+A block is parsed all at once where the log format and the block allow it (the fast path); other lines are
+parsed one by one (the slow path), with the same rows as the result.
+"""
 
 from __future__ import annotations
 
@@ -29,35 +33,35 @@
 from orchidferry.testkit.traffic.row_columns import ClockJump, Columns, FastRows
 from orchidferry.testkit.traffic.sources import MAX_LINE, Block
 
-MAX_CACHED = 10_000  # requests, clients and hashes that a process remembers
+MAX_CACHED = 10_000  # entries of each cache of a worker process: requests, clients, hashes
 NUMBER = re.compile(rb"\d{1,15}(?:\.\d{1,9})?")
-MAX_SIZE_DIGITS = 15
-NEWLINE = 10
-# what a hash stands for
+MAX_SIZE_DIGITS = 15  # of a number of bytes
+NEWLINE = 10  # code of the line feed
+# Kinds of hashes: the same text has different hashes as a client and as an object.
 CLIENT = 0
 OBJECT = 1
 
-
 Array = np.ndarray[Any, Any]
 
 
 @dataclass
 class BlockRows:
-    """The rows of a block, and what else was found in it."""
+    """The rows of a block, its rejected lines, and observations for the report."""
 
     rows: Rows
-    rejects: list[tuple[int, str]]
-    shapes: dict[str, int]
-    first_s: float  # logged times, to see a clock jump
+    rejects: list[tuple[int, str]]  # line number and reason
+    shapes: dict[str, int]  # number of requests in no class, by method, NUL and path
+    # Logged end of the first and the last request (seconds since 1970), to detect clock jumps between blocks
+    first_s: float
     last_s: float
-    back: list[ClockJump]
+    clock_jumps: list[ClockJump]
 
 
-_reader: BlockReader | None = None  # of this process
+_reader: BlockReader | None = None  # the reader of this worker process
 
 
 class Memo(dict[Any, Any]):
-    """A function's results, cached for so many arguments."""
+    """Caches the results of a function for up to `MAX_CACHED` arguments; then the cache is cleared."""
 
     def __init__(self, make: Callable[[Any], Any]) -> None:
         super().__init__()
@@ -78,24 +82,30 @@
 
 
 def _floats(texts: Sequence[bytes]) -> Array:
-    """Numbers in plain digits; -1 for what is none. (What else float() reads, goes the long way.)."""
+    """Parse numbers in plain digits; -1 for other texts, including other forms that `float` accepts.
+
+    Those forms are left to the slow path.
+    """
     try:
         if not b"".join(texts).translate(None, b"0123456789."):
             return np.array(list(map(float, texts)))
     except ValueError:
-        pass  # one of them is none
+        pass  # at least one text is not a number
     return np.array([float(one) if NUMBER.fullmatch(one) else -1.0 for one in texts])
 
 
 def _size(text: bytes) -> int:
-    """A number of bytes; -1 for what is none."""
+    """Parse a number of bytes; `-` is 0, and any other text is -1."""
     if text.isdigit() and len(text) <= MAX_SIZE_DIGITS:
         return int(text)
     return 0 if text == b"-" else -1
 
 
 def _match_lines(layout: Layout, data: bytes) -> list[Any] | None:
-    """The groups of each line; None where a line is too long, or lines can't be told apart."""
+    """Match the pattern of a layout with each line.
+
+    :returns: the groups of each line; None if a line is too long, or there is not one match for each line.
+    """
     ends = np.flatnonzero(np.frombuffer(data, np.uint8) == NEWLINE)
     if np.diff(ends, prepend=-1, append=len(data)).max() > MAX_LINE:
         return None
@@ -104,14 +114,17 @@
 
 
 class BlockReader:
-    """Makes rows of entries, and of whole blocks where a format's usual fields are all that matter."""
+    """Converts entries to rows, and whole blocks at once if the format has a layout (see `Layout`).
+
+    :param plan: of the import.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.zone = ZoneInfo(plan.zone)
         self.parse: Parser = compile_format(plan.form, self.zone)
         self.layout = layout_of(plan.form, plan.classes.wanted_fields())
-        self.numbers = {kind.name: at for at, kind in enumerate(plan.classes.kinds)}
+        self.class_numbers = {rule.name: at for at, rule in enumerate(plan.classes.rules)}
         self._hashes: dict[tuple[int, str], int] = {}
         self._requests = Memo(self._request)
         self._clients = Memo(self._client)
@@ -121,7 +134,7 @@
         self._times = Memo(_clf)
 
     def hash(self, kind: int, text: str) -> int:
-        """:returns: the keyed hash of a client or an object, of 64 bits; 0 for an empty text."""
+        """:returns: the keyed 64-bit hash of a client or an object; 0 for an empty text."""
         if not text:
             return 0
         key = kind, text
@@ -137,26 +150,31 @@
         return found
 
     def classify(self, method: str, target: str) -> tuple[int, int, str]:
-        """A request's class and object, and its shape where it is of none."""
+        """Find the class of a request.
+
+        :returns: the number of its class, the hash of its object, and, if no class matches, its method and
+            path, separated by NUL; otherwise an empty text.
+        """
         path = target.partition("?")[0]
-        kind = self.plan.classes.kind_of(method, path)
-        number = len(self.numbers) if kind is None else self.numbers[kind.name]
-        return number, self.hash(OBJECT, target), "" if kind is not None else f"{method}\0{path[:1024]}"
+        rule = self.plan.classes.match(method, path)
+        number = len(self.class_numbers) if rule is None else self.class_numbers[rule.name]
+        return number, self.hash(OBJECT, target), "" if rule is not None else f"{method}\0{path[:1024]}"
 
     def add(self, columns: Columns, shapes: Counter[str], line: int, entry: Entry) -> None:
         """Add the row of an entry.
 
-        :param shapes: counts the shape of a request that is in no class.
+        :param columns: the row is appended to them.
+        :param shapes: counts the requests that are in no class.
         :param line: number of the entry in its file.
         """
-        cls, thing, shape = self.classify(entry.method, entry.target)
+        cls, object_hash, shape = self.classify(entry.method, entry.target)
         if shape:
             shapes[shape] += 1
         columns.t.append(entry.start)
-        columns.step.append(entry.step_s)
+        columns.resolution_s.append(entry.resolution_s)
         columns.took.append(-1.0 if entry.took_s is None else entry.took_s)
         columns.client.append(self.hash(CLIENT, self.plan.classes.client_of(entry)))
-        columns.object.append(thing)
+        columns.object.append(object_hash)
         columns.sent.append(entry.sent)
         columns.received.append(entry.received)
         columns.cls.append(cls)
@@ -165,7 +183,7 @@
         columns.line.append(line)
 
     def _request(self, text: bytes) -> tuple[int, int, str]:
-        """Class, object and shape of a request line; class -1 for one that needs the long way."""
+        """Classify a request line, as `classify` does; the class is -1 if the line needs the slow path."""
         try:
             return self.classify(*split_request(unescaped(text.decode())))
         except (ValueError, EntryError):
@@ -183,11 +201,13 @@
     def add_block(
         self, columns: Columns, shapes: Counter[str], block: Block
     ) -> list[tuple[int, bytes]] | None:
-        """Make rows of a block's lines all at once, and return the lines for which `add` is needed.
+        """Convert the lines of a block to rows all at once (the fast path).
+
+        The rows are the same as those that `add` makes from the entry of each line, in an eighth of the time:
+        a pattern is matched in one pass over the block, and requests, clients and times are parsed only if
+        they are not in a cache.
 
-        None: all of them. The rows are those that `add` makes of each line's entry, in an eighth of the time:
-        one pass of a pattern over the block, and work on requests, clients and times only where they were
-        not seen before.
+        :returns: number and text of the lines that must be parsed one by one; None if these are all lines.
         """
         layout = self.layout
         data = block.data
@@ -199,7 +219,7 @@
         if found is None:
             return None
         groups = list(zip(*found, strict=True))
-        requests = [self._requests[one] for one in groups[layout.request]]
+        requests = [self._requests[line] for line in groups[layout.request]]
         numbers, objects, shape = zip(*requests, strict=True)
         agents = groups[layout.agent] if layout.agent >= 0 else itertools.repeat(b"")
         clients = [self._clients[one] for one in zip(groups[layout.address], agents, strict=False)]
@@ -214,18 +234,18 @@
         class_column, status_column, sent_column = (
             np.array(one, np.int64) for one in (numbers, statuses, sent)
         )
-        thing = np.array(objects, np.uint64)
-        client = np.array(clients, np.object_)
-        known = np.not_equal(client, -1).astype(np.bool_)
-        usable &= (class_column >= 0) & (status_column >= 0) & (sent_column >= 0) & known
+        object_column = np.array(objects, np.uint64)
+        client_column = np.array(clients, np.object_)
+        identified = np.not_equal(client_column, -1).astype(np.bool_)
+        usable &= (class_column >= 0) & (status_column >= 0) & (sent_column >= 0) & identified
         at = np.flatnonzero(usable)
-        started = start - np.maximum(took, 0.0) if layout.ends else start
+        started = start - np.maximum(took, 0.0) if layout.logged_at_end else start
         columns.fast = FastRows(
             block.first + at,
             started[at],
             took[at],
-            client[at].astype(np.uint64),
-            thing[at],
+            client_column[at].astype(np.uint64),
+            object_column[at],
             sent_column[at],
             class_column[at],
             status_column[at],
@@ -239,8 +259,11 @@
         return [(block.first + int(n), lines[n]) for n in np.flatnonzero(~usable)]
 
     def _starts(self, layout: Layout, texts: Sequence[bytes]) -> tuple[Array, Array]:
-        """The logged times, and which of them can be used as they are."""
-        if layout.epoch:  # a whole number of seconds has to be looked at: is it one, or only written so?
+        """Parse logged times.
+
+        :returns: the times, and a mask of those that need no slow path.
+        """
+        if layout.epoch:  # whole seconds take the slow path, which finds the resolution of the time
             start = _floats(texts)
             return start, (start >= EARLIEST) & (start <= LATEST) & (start % 1.0 != 0.0)
         start = np.array([self._times[one] for one in texts])
@@ -254,11 +277,15 @@
         at: tuple[int, int],
         shift_s: float,
     ) -> BlockRows:
-        """A block's rows; `at`: number of the file and of the block's first line."""
+        """Make the rows of a block.
+
+        :param at: number of the file, and number of the block's first line.
+        :param shift_s: added to all times.
+        """
         timed = columns.rows(shift_s, np.random.default_rng([self.plan.seed, *at]))
         ends = (0, -1) if len(columns.t) else ()
         first, last = [float(columns.t[n] + max(0.0, columns.took[n])) for n in ends] or [0.0, 0.0]
-        return BlockRows(timed.rows, rejects, dict(shapes), first, last, timed.jumps)
+        return BlockRows(timed.rows, rejects, dict(shapes), first, last, timed.clock_jumps)
 
 
 def start_worker(plan: Plan) -> None:
@@ -267,14 +294,15 @@
     :param plan: of the import.
     """
     global _reader
-    gc.disable()  # nothing here has cycles, and a block makes a hundred thousand tuples
+    gc.disable()  # no reference cycles arise here, and a block allocates a hundred thousand tuples
     _reader = BlockReader(plan)
 
 
 def rows_of_lines(file: int, block: Block, shift_s: float) -> BlockRows:
-    """Make rows of a block of lines of a log.
+    """Convert a block of log lines to rows.
 
     :param file: number of the file in the plan.
+    :param block: the lines.
     :param shift_s: added to all times.
     """
     assert _reader is not None
@@ -287,7 +315,7 @@
             rejects.append((number, "a line that is too long"))
             continue
         if not line or line[:1] == b"#":
-            continue  # empty, or a comment such as W3C's
+            continue  # an empty line, or a comment such as the directives of a W3C extended log
         try:
             _reader.add(columns, shapes, number, _reader.parse(line))
         except EntryError as reason:
@@ -295,23 +323,23 @@
     return _reader.finish(columns, shapes, rejects, (file, block.first), shift_s)
 
 
-def rows_of_entries(file: int, first: int, found: list[Entry | str], shift_s: float) -> BlockRows:
-    """Make rows of entries of a HAR.
+def rows_of_entries(file: int, first: int, entries: list[Entry | str], shift_s: float) -> BlockRows:
+    """Convert entries of a HAR to rows.
 
     :param file: number of the file in the plan.
     :param first: number of the first entry in the file.
-    :param found: the entries; a text is the reason why one was rejected.
+    :param entries: the entries; a text is the reason why an entry was rejected.
     :param shift_s: added to all times.
     """
     assert _reader is not None
     columns = Columns()
     shapes = Counter[str]()
     rejects = list[tuple[int, str]]()
-    for number, one in enumerate(found, first):
-        if isinstance(one, str):
-            rejects.append((number, one))
+    for number, entry in enumerate(entries, first):
+        if isinstance(entry, str):
+            rejects.append((number, entry))
             continue
-        # A HAR is one browser's: where nothing in it tells clients apart, the file is the client.
-        known = _reader.plan.classes.client_of(one)
-        _reader.add(columns, shapes, number, one if known else replace(one, address=f"file {file}"))
+        # A HAR is of one browser: if an entry does not identify its client, the file does.
+        known = _reader.plan.classes.client_of(entry)
+        _reader.add(columns, shapes, number, entry if known else replace(entry, address=f"file {file}"))
     return _reader.finish(columns, shapes, rejects, (file, first), shift_s)
--- a/orchidferry/testkit/traffic/classes.py
+++ b/orchidferry/testkit/traffic/classes.py
@@ -1,16 +1,18 @@
-"""Which class a recorded request is of: a file of `[[class]]` tables, or one proposed from the traffic.
+"""Classes of recorded requests: reads classes files, and proposes one from the traffic.
+
+A classes file is TOML:
 
     [[class]]
     name = "ler-feed"
-    path = "/feeds/*"            # a glob: * within a part, ** over parts; or a regex as "re:^/feeds/"
-    method = "GET"               # one, a list, or left out for all
+    path = "/feeds/*"            # a glob: * within a segment, ** across segments; or a regex: "re:^/feeds/"
+    method = "GET"               # a method or a list of them; default: all methods
     repeat = "safe"              # safe, keyed or unsafe
-    worth = 1.0                  # optional, as wanted_s and gives_up_s are
+    worth = 1.0                  # optional, like wanted_s and gives_up_s
 
-    [identity]                   # optional: what a client is told by, the first that a request has
+    [identity]                   # optional: what identifies a client; the first that a request has is used
     from = ["cookie:sid", "header:x-client", "address+agent"]
 
-The first class that fits is a request's.
+A request belongs to the first class that matches it.
 """
 
 from __future__ import annotations
@@ -27,15 +29,16 @@
 from orchidferry.testkit.traffic.entry import METHOD, Entry
 
 MAX_CLASSES = 256
-MAX_PATTERN = 1_024
-MAX_SHAPES = 10_000  # counted at once; rarer ones make room for new ones
+MAX_PATTERN = 1_024  # characters of a path pattern
+MAX_SHAPES = 10_000  # shapes that are counted at once; the rarest are evicted
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 REPEATS = ("safe", "keyed", "unsafe")
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS", "TRACE")  # RFC 9110, section 9.2.1
-IDEMPOTENT = ("PUT", "DELETE")  # section 9.2.2: these too may be sent again
+IDEMPOTENT = ("PUT", "DELETE")  # RFC 9110, section 9.2.2: may be sent again as well
+# Numeric keys of a class, with their minimum and maximum; keys that end in _s are in seconds.
 NUMBERS = {"worth": (0.0, 1e6), "wanted_s": (0.001, 3_600.0), "gives_up_s": (0.001, 3_600.0)}
 DEFAULT_IDENTITY = ("address+agent",)
-# Parts of a path that are of one object: numbers, hex, UUIDs, and long words with digits in them.
+# Path segments that identify an object: numbers, hex, UUIDs, and long words that contain digits
 OBJECT = re.compile(r"\d+|[0-9a-fA-F]{8,}|[0-9a-fA-F-]{32,36}|(?=[^/]*\d)[\w.~%-]{16,}")
 
 
@@ -44,34 +47,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One class of requests."""
+class ClassRule:
+    """One class of a classes file, and the requests that it matches."""
 
     name: str
-    pattern: re.Pattern[str]
-    methods: frozenset[str]  # empty: all
-    repeat: str
-    path: str = ""  # as it was written
+    pattern: re.Pattern[str]  # of the path
+    methods: frozenset[str]  # in upper case; empty: all methods
+    repeat: str  # safe, keyed or unsafe
+    path: str = ""  # the glob or regex as written in the file
     worth: float = 1.0
-    wanted_s: float = 1.0
-    gives_up_s: float = 5.0
+    wanted_s: float = 1.0  # time within which an answer is wanted
+    gives_up_s: float = 5.0  # time after which a client gives up
 
 
 @dataclass(frozen=True, slots=True)
 class Classes:
-    """All classes, and what identifies a client."""
+    """All classes of a file, and what identifies a client."""
 
-    kinds: tuple[Kind, ...]
+    rules: tuple[ClassRule, ...]
     identity: tuple[str, ...] = DEFAULT_IDENTITY
-    _cache: dict[tuple[str, str], Kind | None] = field(default_factory=dict, compare=False, repr=False)
+    _cache: dict[tuple[str, str], ClassRule | None] = field(default_factory=dict, compare=False, repr=False)
 
-    def kind_of(self, method: str, path: str) -> Kind | None:
-        """:returns: the first class that a request matches; None if there is none."""
+    def match(self, method: str, path: str) -> ClassRule | None:
+        """:returns: the first class that matches a request; None if none does."""
         key = method, path
         if key in self._cache:
             return self._cache[key]
         found = next(
-            (k for k in self.kinds if (not k.methods or method in k.methods) and k.pattern.search(path)), None
+            (
+                rule
+                for rule in self.rules
+                if (not rule.methods or method in rule.methods) and rule.pattern.search(path)
+            ),
+            None,
         )
         if len(self._cache) >= MAX_SHAPES:
             self._cache.clear()
@@ -79,11 +87,11 @@
         return found
 
     def wanted_fields(self) -> frozenset[str]:
-        """:returns: headers and cookies that identify clients, in lower case."""
+        """:returns: names of the headers and cookies that identify clients, in lower case."""
         return frozenset(one.partition(":")[2] for one in self.identity if ":" in one)
 
     def client_of(self, entry: Entry) -> str:
-        """:returns: what identifies the client of a request; empty if nothing of it was logged."""
+        """:returns: a text that identifies the client of a request; empty if none of it was logged."""
         for one in self.identity:
             if ":" in one:
                 value = (entry.fields or {}).get(one.partition(":")[2], "")
@@ -97,7 +105,7 @@
 
 
 def glob(text: str) -> str:
-    """:returns: a path's glob as a regex: `*` and `?` match within a segment, `**` over segments."""
+    """:returns: a path's glob as a regex: `*` and `?` match within a segment, `**` across segments."""
     found = []
     for part in re.split(r"(\*\*|\*|\?)", text):
         found.append({"**": ".*", "*": "[^/]*", "?": "[^/]"}.get(part, re.escape(part)))
@@ -137,15 +145,15 @@
     rows = obj.get("class")
     if not isinstance(rows, list) or not rows or len(rows) > MAX_CLASSES:
         raise ClassesFileError(f"[[class]]: 1 to {MAX_CLASSES} of them are needed")
-    kinds: list[Kind] = []
+    rules: list[ClassRule] = []
     for at, row in enumerate(rows):
-        kinds.append(_kind(row, f"class[{at}]"))
-        if kinds[-1].name in {kind.name for kind in kinds[:-1]}:
-            raise ClassesFileError(f"class[{at}]: name {kinds[-1].name!r} is there twice")
-    return Classes(tuple(kinds), _identity(obj.get("identity", {})))
+        rules.append(_rule(row, f"class[{at}]"))
+        if rules[-1].name in {rule.name for rule in rules[:-1]}:
+            raise ClassesFileError(f"class[{at}]: name {rules[-1].name!r} is there twice")
+    return Classes(tuple(rules), _identity(obj.get("identity", {})))
 
 
-def _kind(row: Any, where: str) -> Kind:
+def _rule(row: Any, where: str) -> ClassRule:
     if not isinstance(row, dict):
         raise ClassesFileError(f"{where}: must be a table")
     if unknown := sorted(row.keys() - {"name", "path", "method", "repeat", *NUMBERS}):
@@ -170,7 +178,7 @@
     if "wanted_s" in numbers and "gives_up_s" not in numbers:
         numbers["gives_up_s"] = max(5.0, numbers["wanted_s"])
     methods = _methods(row.get("method", []), where)
-    return Kind(name, _pattern(row.get("path"), where), methods, repeat, row["path"], **numbers)
+    return ClassRule(name, _pattern(row.get("path"), where), methods, repeat, row["path"], **numbers)
 
 
 def _identity(obj: Any) -> tuple[str, ...]:
@@ -187,7 +195,7 @@
 
 
 def shape_of(method: str, path: str) -> str:
-    """:returns: a request's shape: its method and path, with `*` for segments that name one object."""
+    """:returns: a request's shape: its method and path, with `*` for segments that identify an object."""
     parts = path.split("/")
     if len(parts) > 12:
         parts = [*parts[:12], "**"]
@@ -195,7 +203,12 @@
 
 
 class Shapes:
-    """The most frequent shapes in bounded memory, after Space-Saving (Metwally, Agrawal, El Abbadi, 2005)."""
+    """Counts the most frequent shapes in bounded memory.
+
+    A variant of the Space-Saving algorithm (Metwally, Agrawal, El Abbadi, 2005).
+
+    :param capacity: maximum number of shapes that are counted at once.
+    """
 
     def __init__(self, capacity: int = MAX_SHAPES) -> None:
         self._capacity = capacity
@@ -205,27 +218,34 @@
     def add(self, method: str, path: str, count: int = 1) -> None:
         """Count a request.
 
-        Past the bound the rarest tenth goes, and what comes then takes the count of its most frequent with
-        it: a count is never too low, and too high by no more than that.
+        At the capacity, the rarest tenth of the shapes is evicted, and the new shape starts with the highest
+        count among the evicted ones. So a count is never too low, and too high by at most that count.
+
+        :param count: number of such requests.
         """
         self.total += count
         shape = shape_of(method, path)
         if shape not in self.counts and len(self.counts) >= self._capacity:
-            rare = self.counts.most_common()[: -self._capacity // 10 - 1 : -1]  # a tenth at once
+            rare = self.counts.most_common()[: -self._capacity // 10 - 1 : -1]  # rarest first
             for name, _ in rare:
                 del self.counts[name]
             count += rare[-1][1]
         self.counts[shape] += count
 
     def most(self, count: int) -> list[tuple[str, int]]:
-        """:returns: the `count` most frequent shapes, each with an upper bound of its number."""
+        """:returns: the `count` most frequent shapes, each with an upper bound of its count."""
         return self.counts.most_common(count)
 
 
-def propose(shapes: Iterable[tuple[str, int]], total: int, least: float = 0.002) -> str:
-    """A file of classes for this traffic, to be looked through by whoever knows it.
+def propose(shapes: Iterable[tuple[str, int]], total: int, min_share: float = 0.002) -> str:
+    """Write a classes file for this traffic, to be reviewed by somebody who knows the service.
+
+    Methods that are safe in HTTP are proposed as safe, PUT and DELETE as keyed, and all others as unsafe.
 
-    What HTTP calls safe is safe; PUT and DELETE are proposed as keyed; all else as unsafe.
+    :param shapes: frequent shapes with their counts.
+    :param total: number of all requests.
+    :param min_share: rarer shapes get one class for each method.
+    :returns: the content of the file.
     """
     lines = [
         "# Proposed from recorded traffic. Look through `repeat`: only you know what may be sent twice.",
@@ -235,7 +255,7 @@
     rest: dict[str, int] = {}
     for shape, count in sorted(shapes, key=lambda one: (-one[1], one[0])):
         method, _, path = shape.partition(" ")
-        if count < least * total or len(names) >= MAX_CLASSES - 8:
+        if count < min_share * total or len(names) >= MAX_CLASSES - 8:
             rest[method] = rest.get(method, 0) + count
             continue
         lines += _proposal(method, path, count / max(1, total), names)
@@ -265,12 +285,12 @@
 
 
 def _numbered(base: str) -> Iterator[str]:
-    """A name, then the same with a number, from 2 on."""
+    """Iterate over a name, and the same name with the suffixes -2, -3 and so on."""
     yield base
     yield from (f"{base}-{number}" for number in itertools.count(2))
 
 
 def mix(counts: Mapping[str, int]) -> dict[str, float]:
-    """:returns: the fraction of the requests by class, in order of the names; empty without requests."""
+    """:returns: the fraction of the requests by class, sorted by name; empty if there are no requests."""
     total = sum(counts.values())
     return {name: count / total for name, count in sorted(counts.items())} if total else {}
--- a/orchidferry/testkit/traffic/entry.py
+++ b/orchidferry/testkit/traffic/entry.py
@@ -38,7 +38,7 @@
     agent: str = ""
     host: str = ""
     fields: Mapping[str, str] | None = None  # headers and cookies that were asked for, by lower-case name
-    step_s: float = 0.0  # how finely its time was logged: 1.0 for whole seconds, 0 for a HAR's
+    resolution_s: float = 0.0  # how finely its time was logged: 1.0 for whole seconds, 0 for a HAR's
     aborted: bool = False  # the client went away
 
     @property
--- a/orchidferry/testkit/traffic/import_command.py
+++ b/orchidferry/testkit/traffic/import_command.py
@@ -164,8 +164,8 @@
         "reasons": dict(report.rejects),
         "mix": mix(report.mix),
         "seconds": report.seconds,
-        "ties": report.ties,
-        "ties_by_chance": report.ties_by_chance,
+        "ties": report.matched_retries,
+        "ties_by_chance": report.false_matches,
         "spread": report.spread,
         "notes": report.notes,
         "unmatched": dict(report.unmatched.most(MAX_ROWS_SHOWN)),
@@ -178,7 +178,7 @@
     read_mb = report.read / BYTES_PER_MB
     console.print(
         f"{report.rows} requests over {report.seconds:.0f} s, {read_mb:.1f} MB in {took_s:.1f} s; "
-        f"{report.ties} retries tied, some {report.ties_by_chance:.0f} of them by chance"
+        f"{report.matched_retries} retries matched, about {report.false_matches:.0f} of them by chance"
     )
     if report.spread:
         console.print(f"{report.spread} were logged to the second only: spread within it, by --seed")
--- a/orchidferry/testkit/traffic/import_plan.py
+++ b/orchidferry/testkit/traffic/import_plan.py
@@ -47,8 +47,8 @@
     mix: Counter[str] = field(default_factory=Counter)
     notes: list[str] = field(default_factory=list)
     seconds: float = 0.0
-    ties: int = 0
-    ties_by_chance: float = 0.0  # estimated
+    matched_retries: int = 0
+    false_matches: float = 0.0  # estimated number of matched retries that are no retries
     spread: int = 0  # rows whose time was spread within a second
 
     def note(self, text: str) -> None:
--- a/orchidferry/testkit/traffic/importing.py
+++ b/orchidferry/testkit/traffic/importing.py
@@ -1,8 +1,8 @@
-"""From files to a recording: parsed in processes, sorted by time on disk, retries tied, written.
+"""Imports log files into a recording: parses, sorts by time, matches retries, and writes the rows.
 
-Memory is that of the blocks under way and one slice of time, whatever the files' size: each process makes
-rows of a block, runs of rows are sorted and spilled to a temporary directory, and slices of them are merged
-in order.
+Worker processes parse blocks of the files into rows. Runs of rows are sorted and spilled to a temporary
+directory, then merged slice by slice in order of time. Memory use does not depend on the size of the files:
+it is bounded by the blocks in progress and one slice of rows.
 """
 
 from __future__ import annotations
@@ -33,21 +33,24 @@
 
 __all__ = ["Plan", "Report", "TooManyRejectedError", "import_files", "is_har"]
 
-AHEAD = 2  # blocks for each process that are read ahead of it
-MAX_REJECTS = 1_000_000  # lines of the rejects file; past that they are counted only
-GAP_S = 300.0  # without any request: reported
-HAR_BLOCK = 2_000
-UNMATCHED = "other"
+BLOCKS_PER_WORKER = 2  # blocks per worker process that may be submitted and not yet collected
+MAX_REJECTS = 1_000_000  # entries written to the rejects file; further rejected lines are only counted
+GAP_S = 300.0  # a longer time without any request is reported
+HAR_BLOCK = 2_000  # entries of a HAR that are converted at once
+UNMATCHED = "other"  # name of the class for requests that match no class
 
 
 def is_har(source: Source) -> bool:
-    """:returns: whether a file begins like a HAR: an object whose first key is `log`."""
+    """:returns: whether a file starts like a HAR: with an object that has `log` as its first key."""
     head = next(iter(source.chunks()), b"")[:4096].lstrip(b"\xef\xbb\xbf \t\r\n")
     return head[:1] == b"{" and head[1:].lstrip().startswith(b'"log"')
 
 
 def _jobs(plan: Plan, report: Report) -> Iterator[tuple[int, Callable[..., BlockRows], tuple[Any, ...]]]:
-    """Blocks of all files, with what makes rows of them; lines are counted here."""
+    """Iterate over the blocks of all files, and count their lines in the report.
+
+    :returns: number of the file in the plan, function that converts a block to rows, and its arguments.
+    """
     shifts = dict(plan.shifts)
     for file, path in enumerate(plan.files):
         shift_s = shifts.get(path.name, 0.0)
@@ -55,9 +58,9 @@
         source = Source(path)
         if har:
             number = 1
-            found = read_har(source.chunks(), plan.classes.wanted_fields())
-            plain = (str(one) if isinstance(one, EntryError) else one for one in found)
-            while batch := list(itertools.islice(plain, HAR_BLOCK)):
+            entries = read_har(source.chunks(), plan.classes.wanted_fields())
+            picklable = (str(entry) if isinstance(entry, EntryError) else entry for entry in entries)
+            while batch := list(itertools.islice(picklable, HAR_BLOCK)):
                 report.lines += len(batch)
                 yield file, rows_of_entries, (file, number, batch, shift_s)
                 number += len(batch)
@@ -71,87 +74,95 @@
 
 
 def _results(plan: Plan, report: Report) -> Iterator[tuple[int, BlockRows]]:
-    """What came of all blocks, in their order, with so many under way."""
+    """Convert all blocks to rows in worker processes, with a bounded number of blocks in progress.
+
+    :returns: number of the file in the plan, and rows of the block, in the order of the blocks.
+    """
     workers = plan.workers or len(os.sched_getaffinity(0))
     gc.collect()
-    gc.freeze()  # what a collection touches is shared no more
-    context = multiprocessing.get_context("fork")  # numpy and the rest are there already, and shared
+    gc.freeze()  # a collection in a worker would write to the shared pages, which copies them
+    context = multiprocessing.get_context("fork")  # workers share the modules that are already loaded
     with concurrent.futures.ProcessPoolExecutor(workers, context, start_worker, (plan,)) as pool:
-        waiting: list[tuple[int, concurrent.futures.Future[BlockRows]]] = []
-        for file, what, args in _jobs(plan, report):
-            waiting.append((file, pool.submit(what, *args)))
-            if len(waiting) > AHEAD * workers:
-                number, future = waiting.pop(0)
+        pending: list[tuple[int, concurrent.futures.Future[BlockRows]]] = []
+        for file, convert, args in _jobs(plan, report):
+            pending.append((file, pool.submit(convert, *args)))
+            if len(pending) > BLOCKS_PER_WORKER * workers:
+                number, future = pending.pop(0)
                 yield number, future.result()
-        while waiting:
-            number, future = waiting.pop(0)
+        while pending:
+            number, future = pending.pop(0)
             yield number, future.result()
 
 
 def import_files(
-    plan: Plan, to: Path, rejects: Path, watch: Callable[[Report], None] = lambda _: None
+    plan: Plan, to: Path, rejects: Path, on_progress: Callable[[Report], None] = lambda _: None
 ) -> Report:
-    """Make a recording; if the import fails, none is left.
+    """Import files into a recording; if the import fails, no recording is left.
 
+    :param plan: the files to import, and the settings of the import.
     :param to: path of the recording.
     :param rejects: path of the list of rejected lines.
-    :param watch: called with the report so far, after each block.
-    :returns: what was imported.
-    :raises TooManyRejectedError: if more was rejected than the plan allows.
+    :param on_progress: called after each block with the report so far.
+    :returns: the report of the import.
+    :raises TooManyRejectedError: if more lines were rejected than the plan allows.
     :raises SourceError: if a file can't be read.
     :raises OSError: if the recording can't be written.
     """
     report = Report()
     with tempfile.TemporaryDirectory(prefix="orchidferry-import-", dir=to.parent) as name:
         runs = SortedRuns(Path(name))
-        with rejects.open("w", encoding="utf-8") as out:
-            _collect(plan, report, runs, out, watch)
-        bad = sum(report.rejects.values())
-        asked = bad + runs.total
-        if not runs.total or bad > plan.share * asked:
+        with rejects.open("w", encoding="utf-8") as rejects_file:
+            _collect(plan, report, runs, rejects_file, on_progress)
+        rejected = sum(report.rejects.values())
+        total = rejected + runs.total
+        if not runs.total or rejected > plan.share * total:
             reasons = ", ".join(f"{count} {reason}" for reason, count in report.rejects.most_common(3))
             raise TooManyRejectedError(
-                f"{bad} of {asked} can't be read ({plan.share:.0%} may be): {reasons or 'nothing there'}"
+                f"{rejected} of {total} can't be read ({plan.share:.0%} may be): {reasons or 'nothing there'}"
             )
         _write(plan, report, runs, to)
     return report
 
 
-def _collect(plan: Plan, report: Report, runs: SortedRuns, out: Any, watch: Callable[[Report], None]) -> None:
+def _collect(
+    plan: Plan, report: Report, runs: SortedRuns, rejects_file: Any, on_progress: Callable[[Report], None]
+) -> None:
+    """Read all files, and add their rows to `runs` and their rejected lines to the rejects file."""
     names = [path.name for path in plan.files]
-    newest = dict.fromkeys(range(len(names)), 0.0)
-    kept = 0
-    for file, found in _results(plan, report):
-        runs.put(found.rows)
+    # Latest logged time so far, by number of the file
+    newest_s = dict.fromkeys(range(len(names)), 0.0)
+    written = 0
+    for file, block in _results(plan, report):
+        runs.put(block.rows)
         report.rows = runs.total
-        for number, reason in found.rejects:
+        for number, reason in block.rejects:
             report.rejects[reason] += 1
-            if kept < MAX_REJECTS:  # where it is and why; its text may hold what must not be kept
-                out.write(json.dumps({"file": names[file], "line": number, "reason": reason}) + "\n")
-                kept += 1
-        for shape, count in found.shapes.items():
+            if written < MAX_REJECTS:  # without its text, which may contain personal data
+                rejects_file.write(json.dumps({"file": names[file], "line": number, "reason": reason}) + "\n")
+                written += 1
+        for shape, count in block.shapes.items():
             method, _, path = shape.partition("\0")
             report.unmatched.add(method, path, count)
-        for jump in found.back:
+        for jump in block.clock_jumps:
             report.note(f"{names[file]}: line {jump.line}: time goes back by {jump.by_s:.0f} s")
-        if found.first_s and newest[file] - found.first_s > row_columns.JUMP_S:
-            report.note(f"{names[file]}: time goes back by {newest[file] - found.first_s:.0f} s")
-            newest[file] = found.last_s
-        newest[file] = max(newest[file], found.last_s)
-        watch(report)
+        if block.first_s and newest_s[file] - block.first_s > row_columns.JUMP_S:
+            report.note(f"{names[file]}: time goes back by {newest_s[file] - block.first_s:.0f} s")
+            newest_s[file] = block.last_s
+        newest_s[file] = max(newest_s[file], block.last_s)
+        on_progress(report)
 
 
 def _class_table(plan: Plan, report: Report) -> list[dict[str, Any]]:
-    """The classes as a recording names them, with one for what matches none."""
+    """:returns: the classes for the header of the recording, with `UNMATCHED` if any request matched none."""
     table: list[dict[str, Any]] = [
         {
-            "name": kind.name,
-            "repeat": kind.repeat,
-            "worth": kind.worth,
-            "wanted_s": kind.wanted_s,
-            "gives_up_s": kind.gives_up_s,
+            "name": rule.name,
+            "repeat": rule.repeat,
+            "worth": rule.worth,
+            "wanted_s": rule.wanted_s,
+            "gives_up_s": rule.gives_up_s,
         }
-        for kind in plan.classes.kinds
+        for rule in plan.classes.rules
     ]
     if report.unmatched.total:
         table.append(
@@ -161,6 +172,7 @@
 
 
 def _write(plan: Plan, report: Report, runs: SortedRuns, to: Path) -> None:
+    """Match retries in the sorted rows, and write the recording."""
     table = _class_table(plan, report)
     names = [row["name"] for row in table]
     report.seconds = (runs.last - runs.first) / 1e6
@@ -168,33 +180,34 @@
     header = Header(table, runs.total, report.seconds, began, plan.window_s, list(report.notes))
     writer = Writer(to, header)
     matcher = RetryMatcher(plan.window_s)
-    behind = concurrent.futures.ThreadPoolExecutor(1)  # compresses one slice while the next is tied
+    # Compresses a slice while retries are matched in the next one
+    compressor = concurrent.futures.ThreadPoolExecutor(1)
     try:
-        before = runs.first
-        putting: concurrent.futures.Future[None] | None = None
+        previous = runs.first
+        pending_write: concurrent.futures.Future[None] | None = None
         for rows in prefetched(runs.slices()):
-            edges = np.concatenate([[before], rows["t"]]).astype(np.int64)
-            before = int(edges[-1])
-            for at in np.flatnonzero(np.diff(edges) > GAP_S * 1e6):
-                at_s = (edges[at] - runs.first) / 1e6
-                gap_s = (edges[at + 1] - edges[at]) / 1e6
+            times = np.concatenate([[previous], rows["t"]]).astype(np.int64)
+            previous = int(times[-1])
+            for at in np.flatnonzero(np.diff(times) > GAP_S * 1e6):
+                at_s = (times[at] - runs.first) / 1e6
+                gap_s = (times[at + 1] - times[at]) / 1e6
                 report.note(f"nothing for {gap_s:.0f} s from {at_s:.0f} s on")
             rows["t"] -= np.uint64(runs.first)
             matched = matcher.match(rows)
             report.spread += int(((matched["flags"] & SPREAD) != 0).sum())
-            for number, count in enumerate(np.bincount(matched["cls"], minlength=len(names))):
-                report.mix[names[number]] += int(count)
-            if putting is not None:
-                putting.result()
-            putting = behind.submit(writer.put, matched)
-        if putting is not None:
-            putting.result()
-        report.ties = matcher.statistics.ties
-        report.ties_by_chance = matcher.statistics.by_chance
+            for cls, count in enumerate(np.bincount(matched["cls"], minlength=len(names))):
+                report.mix[names[cls]] += int(count)
+            if pending_write is not None:
+                pending_write.result()
+            pending_write = compressor.submit(writer.put, matched)
+        if pending_write is not None:
+            pending_write.result()
+        report.matched_retries = matcher.statistics.matches
+        report.false_matches = matcher.statistics.false_matches
         writer.close()
     except BaseException:
-        behind.shutdown()
+        compressor.shutdown()
         writer.discard()
         raise
     finally:
-        behind.shutdown()
+        compressor.shutdown()
--- a/orchidferry/testkit/traffic/log_fields.py
+++ b/orchidferry/testkit/traffic/log_fields.py
@@ -37,7 +37,7 @@
     "spread",
 )
 NEEDED = ({"start", "end"}, {"request", "target"})  # one of each
-SPREAD_STEP_S = 1e-9  # above 0, so that it shows, and less than a recording's microsecond
+SPREAD_RESOLUTION_S = 1e-9  # above 0, so that it shows, and less than a recording's microsecond
 NO_ANSWER = (0, 499)  # statuses of requests whose client left
 
 
@@ -56,10 +56,10 @@
     if took_s is not None:
         took_s = duration(took_s)
     if "end" in values:
-        start, step = any_time(values["end"], zone)
+        start, resolution_s = any_time(values["end"], zone)
         start -= took_s or 0.0
     else:
-        start, step = any_time(values.get("start"), zone)
+        start, resolution_s = any_time(values.get("start"), zone)
     if "request" in values:
         method, target = split_request(values["request"])
     else:
@@ -67,7 +67,7 @@
         target = target_of(str(values.get("target", "")))
     status = status_of(int(number(values.get("status"))))
     if values.get("spread"):
-        step = SPREAD_STEP_S
+        resolution_s = SPREAD_RESOLUTION_S
     fields = {key: str(value)[:MAX_TEXT] for key, value in values.items() if key not in KEYS}
     return Entry(
         start,
@@ -81,7 +81,7 @@
         str(values.get("agent", ""))[:MAX_TEXT],
         str(values.get("host", ""))[:MAX_TEXT],
         fields or None,
-        step,
+        resolution_s,
         status in NO_ANSWER or bool(values.get("aborted")),
     )
 
--- a/orchidferry/testkit/traffic/recording.py
+++ b/orchidferry/testkit/traffic/recording.py
@@ -1,13 +1,15 @@
-r"""A recording: requests over time as rows, in one compressed file that is checked when it is read.
-
-    orchidferry recording 1\\n          the magic, and the format's version
-    {"classes": [...], ...}\\n          the header: JSON, what the rows mean
-    rows                                `ROW` each, little-endian, in order of time; then
-    end BLAKE2B COUNT\\n                of all rows' bytes, behind a row whose time is `END`
-
-all of it compressed by zstd (RFC 8878). Times count from the first request, in microseconds. Clients and
-objects are keyed hashes whose key is not kept: who asked for what can't be found out, how often and how
-popular can. Paths, queries, addresses, cookies and bodies are nowhere in it.
+r"""The file format of recordings: requests as rows in order of time, compressed and with a checksum.
+
+    orchidferry recording 1\\n          magic and format version
+    {"classes": [...], ...}\\n          header: the fields of `Header` as JSON
+    rows                                each as in `ROW`, little-endian, in order of time
+    end marker                          a row with the time `END`
+    end BLAKE2B COUNT\\n                checksum of the bytes of all rows before the marker, and their number
+
+The whole file is compressed with zstd (RFC 8878). Times are in microseconds since the first request. Clients
+and objects are keyed hashes, and the key is not stored: a recording shows how often a client sends requests
+and how popular an object is, but not who or what they are. It contains no paths, queries, addresses, cookies
+or bodies.
 """
 
 from __future__ import annotations
@@ -43,24 +45,26 @@
         ("number", "u1"),
     ]
 )
-# took: us, NO_TIME if not known; sent, received: bytes, MOST at most; chain: number of the first try among
-# all; number: which try it is, from 0.
+# t: microseconds since the first request; client, object: hashes, 0 if unknown; took: duration in
+# microseconds, NO_TIME if unknown; sent, received: bytes of the bodies, at most MAX_BYTES; chain: position of
+# the first attempt among all rows (32 bits); cls: number of the class in the header; flags: bits, see below;
+# number: number of the attempt, 0 for the first.
 NO_TIME = 0xFFFF_FFFF
 MAX_BYTES = 0xFFFF_FFFF
-# flags: the client went away; its time was spread within a logged second
-ABORTED = 1
-SPREAD = 2
-END = 0xFFFF_FFFF_FFFF_FFFF
-BLOCK = 65_536  # rows of one read or write
-MAX_HEADER = 1024 * 1024
-LEVEL = 3
+# Bits of the flags
+ABORTED = 1  # the client closed the connection before the answer
+SPREAD = 2  # the time was logged in whole seconds, and a random fraction of a second was added
+END = 0xFFFF_FFFF_FFFF_FFFF  # time of the row that marks the end of the rows
+BLOCK = 65_536  # rows of one read
+MAX_HEADER = 1024 * 1024  # bytes
+LEVEL = 3  # of the compression
 
 T = TypeVar("T")
 Rows = np.ndarray[Any, Any]
 
 
 def prefetched(items: Iterator[T]) -> Iterator[T]:
-    """Iterate over `items`, with the next one made by a thread while one is used.
+    """Iterate over `items`, while a thread produces the next item.
 
     :param items: iterated over by the thread alone.
     :returns: the same items, in their order.
@@ -74,22 +78,23 @@
 
 
 class RecordingError(OrchidferryError):
-    """A file is no recording, or a damaged one; the text names it."""
+    """A file is not a recording, or is damaged; the text names the file."""
 
 
 @dataclass
 class Header:
-    """The metadata of a recording: its classes, its length, and remarks of the import.
+    """The metadata of a recording: its classes, its length, and notes of the import.
 
     The names of the fields are keys of the stored JSON.
     """
 
-    classes: list[dict[str, Any]]  # name, repeat, worth, wanted_s, gives_up_s; rows name them by number
-    rows: int = 0  # 0: not known before the end
-    seconds: float = 0.0  # of the first request to the last
-    began: str = ""  # the day and hour of its start in UTC; nothing finer is kept
-    window_s: float = 0.0  # within which retries were tied
-    notes: list[str] = field(default_factory=list)  # gaps, jumps of clocks, what was left out
+    # Classes with the keys name, repeat, worth, wanted_s and gives_up_s; rows refer to them by position
+    classes: list[dict[str, Any]]
+    rows: int = 0  # number of rows; 0 if it was unknown when the header was written
+    seconds: float = 0.0  # time from the first request to the last
+    began: str = ""  # weekday and hour of the first request in UTC; the exact time is not stored
+    window_s: float = 0.0  # maximum time from the end of a failed request to its retry
+    notes: list[str] = field(default_factory=list)  # about gaps, clock jumps and unreadable input
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -100,7 +105,7 @@
     """Writes a recording to a temporary file, which `close` renames.
 
     :param path: of the recording.
-    :param header: written first.
+    :param header: the metadata, written first.
     """
 
     def __init__(self, path: Path, header: Header) -> None:
@@ -109,25 +114,25 @@
         self._file = zstd.ZstdFile(self._partial, "w", level=LEVEL)
         self._file.write(b"%b %d\n" % (MAGIC, FORMAT))
         self._file.write(json.dumps(asdict(header)).encode() + b"\n")
-        self._sum = hashlib.blake2b(digest_size=32)
-        self._count = 0
-        self._last = 0
+        self._checksum = hashlib.blake2b(digest_size=32)
+        self._row_count = 0
+        self._last_us = 0
 
     def put(self, rows: Rows) -> None:
         """Append rows.
 
-        :param rows: in order of time, none before those that were appended.
-        :raises ValueError: if they are out of order.
+        :param rows: in order of time, none earlier than the rows that were already appended.
+        :raises ValueError: if the rows are out of order.
         """
         if not len(rows):
             return
         times = rows["t"]
-        if int(times[0]) < self._last or (np.diff(times.astype(np.int64)) < 0).any():
+        if int(times[0]) < self._last_us or (np.diff(times.astype(np.int64)) < 0).any():
             raise ValueError("rows out of order")
-        self._last = int(times[-1])
+        self._last_us = int(times[-1])
         data = np.ascontiguousarray(rows).tobytes()
-        self._sum.update(data)
-        self._count += len(rows)
+        self._checksum.update(data)
+        self._row_count += len(rows)
         self._file.write(data)
 
     def close(self) -> None:
@@ -135,7 +140,7 @@
         end = np.zeros(1, ROW)
         end["t"] = END
         self._file.write(end.tobytes())
-        self._file.write(b"end %b %d\n" % (self._sum.hexdigest().encode(), self._count))
+        self._file.write(b"end %b %d\n" % (self._checksum.hexdigest().encode(), self._row_count))
         self._file.close()
         self._partial.replace(self._path)
 
@@ -149,7 +154,7 @@
     """Reads a recording in blocks.
 
     :param path: of the recording.
-    :raises RecordingError: if the file is no recording.
+    :raises RecordingError: if the file is not a recording.
     """
 
     def __init__(self, path: Path) -> None:
@@ -174,12 +179,12 @@
             raise RecordingError(f"{self._path}: is no recording: {problem!s:.80}") from None
 
     def blocks(self, from_s: float = 0.0, to_s: float = math.inf) -> Iterator[Rows]:
-        """Iterate over the rows of a range of times; the complete file is checked on the way.
+        """Iterate over the rows of a time range; the checksum of the complete file is verified at the end.
 
         :param from_s: start of the range, seconds from the first request.
-        :param to_s: end of the range, which is not in it.
+        :param to_s: end of the range (exclusive), seconds from the first request.
         :returns: blocks of rows, none of them empty.
-        :raises RecordingError: if the file is cut off, damaged or does not fit its checksum.
+        :raises RecordingError: if the file is truncated or damaged, or its checksum does not match.
         """
         if self._file.closed:
             self.header = self._open()
--- a/orchidferry/testkit/traffic/row_columns.py
+++ b/orchidferry/testkit/traffic/row_columns.py
@@ -24,7 +24,7 @@
     """Rows in order of time."""
 
     rows: Rows
-    jumps: list[ClockJump]
+    clock_jumps: list[ClockJump]
 
 
 @dataclass
@@ -39,7 +39,7 @@
     sent: Any
     cls: Any
     status: Any
-    step: float
+    resolution_s: float
 
 
 class Columns:
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.t: list[float] = []
-        self.step: list[float] = []
+        self.resolution_s: list[float] = []
         self.took: list[float] = []  # seconds, below 0: not known
         self.client: list[int] = []
         self.object: list[int] = []
@@ -65,12 +65,12 @@
         if fast is None:
             return
         order = np.argsort(np.concatenate([fast.line, np.array(self.line, np.int64)]), kind="stable")
-        step = np.full(len(fast.line), fast.step)
+        resolution_s = np.full(len(fast.line), fast.resolution_s)
         nothing = np.zeros(len(fast.line), np.int64)
         for name, values in (
             ("line", fast.line),
             ("t", fast.t),
-            ("step", step),
+            ("resolution_s", resolution_s),
             ("took", fast.took),
             ("client", fast.client),
             ("object", fast.object),
@@ -98,7 +98,7 @@
             return TimedRows(found, [])
         start = np.array(self.t)
         took = np.array(self.took)
-        step = np.array(self.step)
+        resolution_s = np.array(self.resolution_s)
         said = start + np.maximum(took, 0.0)
         before = np.maximum.accumulate(said)
         fell = before - said
@@ -106,7 +106,7 @@
         # Only where it begins to be behind: all that follows is behind as well.
         at = np.flatnonzero((fell > JUMP_S) & (np.diff(fell, prepend=0.0) > JUMP_S))[:MAX_JUMPS]
         back = [ClockJump(int(self.line[n]), float(fell[n])) for n in at]
-        spread = rng.random(count) * step
+        spread = rng.random(count) * resolution_s
         found["t"] = np.rint((start + shift_s + spread) * 1e6).astype(np.uint64)
         found["took"] = np.where(took < 0.0, NO_TIME, np.minimum(np.rint(took * 1e6), NO_TIME - 1))
         found["client"] = np.array(self.client, np.uint64)
@@ -115,5 +115,5 @@
         found["received"] = np.minimum(np.array(self.received, np.int64), MAX_BYTES)
         found["cls"] = self.cls
         found["status"] = self.status
-        found["flags"] = np.where(self.aborted, ABORTED, 0) | np.where(step > 0.0, SPREAD, 0)
+        found["flags"] = np.where(self.aborted, ABORTED, 0) | np.where(resolution_s > 0.0, SPREAD, 0)
         return TimedRows(found[np.argsort(found["t"], kind="stable")], back)
--- a/orchidferry/testkit/traffic/string_formats.py
+++ b/orchidferry/testkit/traffic/string_formats.py
@@ -186,7 +186,7 @@
     pattern: re.Pattern[bytes]  # matches every line of a block; the last group is one in another form
     time: int
     epoch: bool  # seconds since 1970 with a fraction, else CLF's
-    ends: bool  # of the request's end
+    logged_at_end: bool  # of the request's end
     request: int
     status: int
     sent: int
--- a/tests/testkit/traffic/test_classes.py
+++ b/tests/testkit/traffic/test_classes.py
@@ -60,12 +60,12 @@
 )
 def test_the_first_class_that_fits_is_a_requests(method: str, path: str, name: str | None) -> None:
     for _ in range(2):  # and it is remembered
-        found = CLASSES.kind_of(method, path)
+        found = CLASSES.match(method, path)
         assert (found.name if found else None) == name
 
 
 def test_what_is_left_out_has_a_default_that_goes_with_the_rest() -> None:
-    feed, save, rest = CLASSES.kinds
+    feed, save, rest = CLASSES.rules
     assert (feed.worth, feed.wanted_s, feed.gives_up_s, rest.methods) == (0.5, 1.0, 5.0, frozenset())
     assert (save.wanted_s, save.gives_up_s) == (6.0, 6.0)
 
@@ -85,7 +85,7 @@
         "10.0.0.7\0curl",
     ]
     nobody = Entry(1e9, None, "GET", "/", 200, 0, 0, agent="curl")
-    assert Classes(CLASSES.kinds).client_of(nobody) == ""
+    assert Classes(CLASSES.rules).client_of(nobody) == ""
 
 
 BASE = 'name = "a"\npath = "/a"\nrepeat = "safe"\n'
@@ -161,8 +161,8 @@
         shapes.add(method, "/" + "/".join(parts))
     text = propose(shapes.most(100), shapes.total, 0.1)
     classes = read_classes(text.encode())
-    assert len(tomllib.loads(text)["class"]) == len({kind.name for kind in classes.kinds})
+    assert len(tomllib.loads(text)["class"]) == len({rule.name for rule in classes.rules})
     for method, _ in requests:
-        assert method in {m for kind in classes.kinds for m in kind.methods}
-    for kind in classes.kinds:
-        assert kind.repeat == {"GET": "safe", "PUT": "keyed"}.get(next(iter(kind.methods)), "unsafe")
+        assert method in {m for rule in classes.rules for m in rule.methods}
+    for rule in classes.rules:
+        assert rule.repeat == {"GET": "safe", "PUT": "keyed"}.get(next(iter(rule.methods)), "unsafe")
--- a/tests/testkit/traffic/test_importing.py
+++ b/tests/testkit/traffic/test_importing.py
@@ -191,7 +191,7 @@
         assert [int(found["chain"][at]) for at in range(len(rows)) if not numbers[at]] == [
             at for at in range(len(rows)) if not numbers[at]
         ]
-    assert matcher.statistics.ties == sum(number > 0 for number in numbers)
+    assert matcher.statistics.matches == sum(number > 0 for number in numbers)
 
 
 # The file
@@ -372,5 +372,5 @@
         if not short:
             block_reader._reader.layout = None
         made = block_reader.rows_of_lines(0, block, 0.0)
-        found.append((made.rows.tobytes(), made.rejects, made.shapes, made.back))
+        found.append((made.rows.tobytes(), made.rejects, made.shapes, made.clock_jumps))
     assert found[0] == found[1]
--- a/tests/testkit/traffic/test_readers.py
+++ b/tests/testkit/traffic/test_readers.py
@@ -33,7 +33,7 @@
 )
 
 READ: list[tuple[str, str, dict[str, Any]]] = [
-    ("common", CLF, {"address": "10.0.0.7", "sent": 512, "took_s": None, "step_s": 1.0}),
+    ("common", CLF, {"address": "10.0.0.7", "sent": 512, "took_s": None, "resolution_s": 1.0}),
     ("combined", COMBINED, {"agent": 'curl/8 "beta"'}),
     ("combined", COMBINED.replace('\\"', '"'), {"agent": 'curl/8 "beta"'}),  # a server that escapes nothing
     ("combined", COMBINED.replace("10.0.0.7", "2001:db8::7"), {"address": "2001:db8::7"}),
@@ -45,7 +45,7 @@
     (
         "%{usec}t %m %U%q %s %B %{ms}T %v",
         "1791633336000000 GET /feeds/7?x=1 200 512 1500 front",
-        {"took_s": 1.5, "host": "front", "step_s": 0.0},
+        {"took_s": 1.5, "host": "front", "resolution_s": 0.0},
     ),
     (
         NGINX,
@@ -55,7 +55,7 @@
     (
         "$msec|$request_method|$request_uri|$status|$body_bytes_sent|$request_time",
         "1791633337.500|GET|/feeds/7?x=1|200|512|1.500",
-        {"took_s": 1.5, "step_s": 0.0},
+        {"took_s": 1.5, "resolution_s": 0.0},
     ),
     (
         JSON,
@@ -74,7 +74,7 @@
     (
         JSON,
         json.dumps({"ts": T0 * 1e3, "req.method": "GET", "req.uri": "http://a.b/feeds/7?x=1#f", "st": "200"}),
-        {"took_s": None, "step_s": 0.0},
+        {"took_s": None, "resolution_s": 0.0},
     ),
     (
         "tab:end=1,took=2:ms,method=3,target=4,status=5",
