--- a/orchidferry/testkit/traffic/command.py
+++ b/orchidferry/testkit/traffic/command.py
@@ -1,4 +1,4 @@
-"""`orchidferry traffic`: runs the command that the arguments name."""
+"""Runs the commands of `orchidferry traffic`."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from orchidferry.testkit.traffic.sources import SourceError
 from orchidferry.testkit.traffic.totals import read_totals, summarize
 
-MAX_RATE = 100_000.0  # first attempts a second that `generate` draws
-MAX_DURATION_S = 86_400.0
+MAX_RATE = 100_000.0  # first attempts per second in generated traffic
+MAX_DURATION_S = 86_400.0  # length of generated traffic
 
 
 def main(args: argparse.Namespace) -> int:
     """Run a command of `orchidferry traffic`.
 
-    :param args: of the command line; `what` names the command.
-    :returns: the exit status: 1 if too much was rejected, 2 if an argument or a file can't be used.
+    :param args: the command-line arguments; `what` is the name of the command.
+    :returns: the exit status: 1 if too many lines were rejected, 2 if an argument or a file can't be used.
     """
     commands = {
         "import": run_import,
@@ -56,7 +56,7 @@
     totals = read_totals(recording)
     summary = summarize(totals)
     if args.report is not None:
-        from orchidferry.testkit.traffic.page import render_page  # it needs matplotlib
+        from orchidferry.testkit.traffic.page import render_page  # imported here: needs matplotlib
 
         Path(args.report).write_text(render_page(recording.name, totals, summary), encoding="utf-8")
     if args.json:
@@ -70,7 +70,7 @@
     console = Console(highlight=False)
     console.print(
         f"{summary['requests']} requests over {summary['seconds']:.0f} s from a {summary['began']}, "
-        f"{summary['rate']['mean']:.1f} a second, {summary['rate']['most']} in the busiest; "
+        f"{summary['rate']['mean']:.1f} per second, {summary['rate']['most']} in the busiest second; "
         f"{summary['clients']} clients, {summary['objects']} objects, {summary['failed']} failed, "
         f"{summary['retries']} retries"
     )
@@ -80,7 +80,9 @@
     console.print(table)
     for key in ("popularity", "busiest_clients"):
         shares = ", ".join(f"{rank}: {share:.1%}" for rank, share in summary[key].items())
-        console.print(f"share of the first {'objects' if key == 'popularity' else 'clients'}, {shares}")
+        console.print(
+            f"share of the most frequent {'objects' if key == 'popularity' else 'clients'}, {shares}"
+        )
     if summary["gaps_ms"]:
         gaps = ", ".join(f"{name} {value:.2f} ms" for name, value in summary["gaps_ms"].items())
         console.print(f"between requests: {gaps}")
@@ -100,7 +102,7 @@
     finally:
         partial.unlink(missing_ok=True)
     options = f"--format '{export.LOG_FORMAT}' --classes {to}.classes.toml"
-    print(f"{to}, {to}.classes.toml; to read it back: {options}")
+    print(f"{to}, {to}.classes.toml; to import it again: {options}")
     return 0
 
 
@@ -122,5 +124,5 @@
     with (folder / "traffic.har").open("wb") as out:
         out.writelines(generate.har(generate.requests(args.rate, args.seconds, args.seed)))
     (folder / "classes.toml").write_text(generate.CLASSES, encoding="utf-8")
-    print(f"{folder}: access.log, traffic.har, classes.toml; the log's format:\n{generate.LOG_FORMAT}")
+    print(f"{folder}: access.log, traffic.har, classes.toml; log format:\n{generate.LOG_FORMAT}")
     return 0
--- a/orchidferry/testkit/traffic/entry.py
+++ b/orchidferry/testkit/traffic/entry.py
@@ -1,4 +1,4 @@
-"""One request of a log, as all readers parse it, and the checks of its values."""
+"""One logged request, as the parsers of all formats return it, and checks of its values."""
 
 from __future__ import annotations
 
@@ -9,37 +9,36 @@
 from orchidferry.errors import OrchidferryError
 
 METHOD = re.compile(r"[A-Za-z0-9_-]{1,32}")
-# characters: longer ones are no request that a server takes
-MAX_TARGET = 8_192
-MAX_TEXT = 1_024
+MAX_TARGET = 8_192  # characters of a request target; servers do not accept longer ones
+MAX_TEXT = 1_024  # characters of any other text; longer ones are cut off
 MAX_SIZE = 1 << 50  # bytes of a body
-MAX_SECONDS = 86_400.0  # of one request: more is another unit, or another field
-# 2000 to 2100: what is outside is no time of a request
+MAX_SECONDS = 86_400.0  # duration of a request; a larger value has another unit or is another field
+# Range of valid request times, in seconds since 1970: the years 2000 to 2099
 EARLIEST = 946_684_800.0
 LATEST = 4_102_444_800.0
 
 
 class EntryError(OrchidferryError):
-    """A line or entry that is not a request; the text is the reason, the same for all of its kind."""
+    """A line or entry is not a request; the text is the reason, the same for all lines with this fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One request as it was logged. Nothing of its text is kept in a recording as it is."""
+    """One request as it was logged. A recording stores none of its texts."""
 
     start: float  # seconds since 1970, UTC
-    took_s: float | None  # None: not logged
+    took_s: float | None  # duration; None: not logged
     method: str
-    target: str  # path and query; of an absolute form its path and query alone
+    target: str  # path and query, also if the request target was in absolute form
     status: int  # 0: no answer
-    sent: int  # bytes of the answer's body
-    received: int  # bytes of the request's body
-    address: str = ""
-    agent: str = ""
+    sent: int  # bytes of the response body
+    received: int  # bytes of the request body
+    address: str = ""  # of the client
+    agent: str = ""  # User-Agent
     host: str = ""
-    fields: Mapping[str, str] | None = None  # headers and cookies that were asked for, by lower-case name
-    resolution_s: float = 0.0  # how finely its time was logged: 1.0 for whole seconds, 0 for a HAR's
-    aborted: bool = False  # the client went away
+    fields: Mapping[str, str] | None = None  # the headers and cookies to keep, by lower-case name
+    resolution_s: float = 0.0  # resolution of the logged time: 1.0 for whole seconds, 0.0 for a finer one
+    aborted: bool = False  # the client closed the connection before the answer
 
     @property
     def path(self) -> str:
@@ -51,7 +50,7 @@
     """Check a method (RFC 9110, section 9.1).
 
     :returns: the method in upper case.
-    :raises EntryError: if the text is no method.
+    :raises EntryError: if the text is not a method.
     """
     if (
         not text
@@ -64,7 +63,7 @@
 
 
 def target_of(text: str) -> str:
-    """Take path and query from any form of request target (RFC 9112, section 3.2).
+    """Extract path and query from any form of request target (RFC 9112, section 3.2).
 
     :raises EntryError: if the target is too long, or has no path.
     """
@@ -82,21 +81,23 @@
     raise EntryError("a target that is no path")
 
 
-def moment(seconds: float) -> float:
+def check_time(seconds: float) -> float:
     """Check the time of a request.
 
     :param seconds: since 1970, UTC.
-    :raises EntryError: if it is not within 2000 to 2100.
+    :returns: the same time.
+    :raises EntryError: if the time is not in the years 2000 to 2099.
     """
     if not EARLIEST <= seconds <= LATEST:
         raise EntryError("a time out of range")
     return seconds
 
 
-def duration(seconds: float) -> float:
+def check_duration(seconds: float) -> float:
     """Check the duration of a request.
 
-    :raises EntryError: if it is negative, or more than a day.
+    :returns: the same duration.
+    :raises EntryError: if the duration is negative, or more than a day.
     """
     if not 0.0 <= seconds <= MAX_SECONDS:
         raise EntryError("a duration out of range")
@@ -106,9 +107,9 @@
 def size_of(number: int) -> int:
     """Check the size of a body.
 
-    :param number: of bytes; negative if unknown.
+    :param number: bytes of the body; negative if unknown.
     :returns: the size; 0 if unknown.
-    :raises EntryError: if it is out of range.
+    :raises EntryError: if the size is out of range.
     """
     if number > MAX_SIZE:
         raise EntryError("a size out of range")
@@ -116,10 +117,11 @@
 
 
 def status_of(number: int) -> int:
-    """Check a status, those outside RFC 9110 such as 499 included.
+    """Check a status code; codes that RFC 9110 does not define, such as 499, are valid too.
 
     :param number: the status; 0 for no answer.
-    :raises EntryError: if it has not three digits.
+    :returns: the same status.
+    :raises EntryError: if the status does not have three digits.
     """
     if number and not 100 <= number <= 999:
         raise EntryError("a status out of range")
--- a/orchidferry/testkit/traffic/errors.py
+++ b/orchidferry/testkit/traffic/errors.py
@@ -6,4 +6,4 @@
 
 
 class UsageError(OrchidferryError):
-    """An argument of the command line can't be used; the text says which, in one line."""
+    """A command-line argument can't be used; the text names it, in one line."""
--- a/orchidferry/testkit/traffic/export.py
+++ b/orchidferry/testkit/traffic/export.py
@@ -1,8 +1,8 @@
-"""A recording as a log again: JSON lines, with the classes file and the form that an import reads it by.
+"""Exports a recording as a log of JSON lines, with the log format and classes file to import it again.
 
-For tools that read logs, and as the proof that a recording holds what it says: an import of it gives the same
-recording, but for the hashes, whose key is a new one each time. Clients and objects are written as their
-hashes; no text of the first log is there to be written.
+Other tools can read this log. A test imports it again to check that a recording is complete: the result is
+the same recording except for the hashes, as each import draws a new key. Clients and objects are exported as
+their hashes; a recording contains no text of the original log.
 """
 
 from __future__ import annotations
@@ -20,12 +20,14 @@
     "json:start=t,took=took_us:us,method=method,target=target,status=status,sent=sent,received=received,"
     "aborted=aborted,spread=spread,x-client=client"
 )
-BEGAN = int(datetime(2026, 1, 5, tzinfo=UTC).timestamp() * 1e6)  # us; a Monday: no recording keeps its date
-METHODS = {"safe": "GET", "keyed": "PUT"}
+BEGAN = int(
+    datetime(2026, 1, 5, tzinfo=UTC).timestamp() * 1e6
+)  # us since 1970; an arbitrary Monday, as a recording does not contain its date
+METHODS = {"safe": "GET", "keyed": "PUT"}  # by `repeat` of the class; others: POST
 
 
 def classes_text(header: Header) -> str:
-    """:returns: the classes file that an import of the exported log needs."""
+    """:returns: the classes file with which the exported log can be imported."""
     lines = []
     for row in header.classes:
         lines += [
@@ -40,21 +42,21 @@
 
 
 def lines(header: Header, blocks: Iterator[Rows]) -> Iterator[bytes]:
-    """Render rows as a log of JSON lines.
+    """Format rows as a log of JSON lines.
 
     :param header: of the recording.
-    :param blocks: its rows.
+    :param blocks: the rows of the recording.
     :returns: a line for each request; times are in seconds since 1970, to the microsecond.
     """
     names = [(f"/{row['name']}/", METHODS.get(row["repeat"], "POST")) for row in header.classes]
     for rows in blocks:
-        for t, client, thing, took, sent, received, _, cls, status, flags, _ in rows.tolist():
+        for t, client, object_hash, took, sent, received, _, cls, status, flags, _ in rows.tolist():
             path, method = names[cls]
             seconds, microseconds = divmod(BEGAN + t, 1_000_000)
             row: dict[str, Any] = {
                 "t": f"{seconds}.{microseconds:06d}",
                 "method": method,
-                "target": f"{path}{thing:x}",
+                "target": f"{path}{object_hash:x}",
                 "status": status,
                 "sent": sent,
                 "received": received,
@@ -71,9 +73,9 @@
 
 
 def first_difference(one: Rows, other: Rows) -> str:
-    """Compare two recordings, but for the hashes of clients and objects.
+    """Compare two recordings; hashes of clients and objects only have to correspond one to one.
 
-    :returns: the first difference; empty if there is none.
+    :returns: a description of the first difference; empty if there is none.
     """
     if len(one) != len(other):
         return f"{len(one)} and {len(other)} requests"
--- a/orchidferry/testkit/traffic/generate.py
+++ b/orchidferry/testkit/traffic/generate.py
@@ -1,8 +1,8 @@
-"""Logs and HARs of a Monday morning that never was, with the truth beside them. Drawn from a seed.
+"""Generates synthetic logs and HARs of a Monday morning from a seed, together with the ground truth.
 
-A show publishes: within a minute its feed is asked for many times as often, episodes follow, and both fall
-off again. Clients come and go, ask for what is popular (Zipf), and ask again after failures, which come in a
-spell. What is written is what a server would log; `GeneratedRequest` says which request was a retry of which.
+Twice a show publishes: the request rate rises to a multiple within a minute, and falls off again. Clients
+request popular objects more often (Zipf), and retry failed requests. Most failures occur in one period. The
+logs contain what a server would write; `GeneratedRequest` also tells which request is a retry of which.
 """
 
 from __future__ import annotations
@@ -50,37 +50,43 @@
     '$remote_addr - - [$time_local] "$request" $status $body_bytes_sent "-" "$http_user_agent" '
     "$request_time $msec"
 )
+# Fraction of the requests, and mean duration, by class
 SHARES = (("ler-feed", 0.8), ("salvar-episodio", 0.17), ("repasse-socio", 0.03))
 MEAN_S = {"ler-feed": 0.08, "salvar-episodio": 0.2, "repasse-socio": 0.4}
 START_TIME_S = 1_791_201_600.0  # Monday, 5 October 2026, 12:00 UTC
-# times the usual rate at a publication, and how it comes and goes
-SPIKE = 6.0
-RISE_S = 30.0
-FALL_S = 240.0
-RETRIES = 3
-RETRY_S = 1.0
-SPELL = (0.35, 0.45, 0.25)  # from, to (shares of the time), and how many requests fail within it
-FAIL = 0.004  # and without it
-STATUSES = (502, 503, 504, 499)
+SPIKE = 6.0  # additional rate at a publication, as a multiple of the usual rate
+RISE_S = 30.0  # duration of the linear rise of a spike
+FALL_S = 240.0  # time constant of the exponential decay of a spike
+MAX_RETRIES = 3  # retries of one request
+RETRY_DELAY_S = 1.0  # mean delay of the first retry; it doubles with each further retry
+# Start and end of the period with many failures, as fractions of the time, and the fraction that fails in it
+FAILURE_PERIOD = (0.35, 0.45, 0.25)
+FAILURE_RATE = 0.004  # fraction of the requests that fail at other times
+FAILURE_STATUSES = (502, 503, 504, 499)
 
 
 @dataclass(frozen=True, slots=True)
 class GeneratedRequest:
-    """One request as it was."""
+    """One request, with the ground truth about retries."""
 
-    t: float  # its start, seconds from the first moment
+    t: float  # start of the request, in seconds since the start of the traffic
     took_s: float
     cls: str
-    client: int
-    object: int
+    client: int  # number of the client
+    object: int  # number of the object, in order of popularity
     status: int
-    sent: int
-    root: int  # number of its first try
-    number: int  # which try it is
+    sent: int  # bytes of the response body
+    root: int  # number of its first attempt among all first attempts
+    number: int  # number of the attempt, from 0
 
 
 def rate_at(t: float, rate: float, seconds: float) -> float:
-    """First tries a second: a third and two thirds into it something is published."""
+    """Compute the rate of first attempts, with publications after one and two thirds of the time.
+
+    :param t: seconds since the start of the traffic.
+    :param rate: the usual rate of first attempts per second.
+    :param seconds: length of the traffic.
+    """
     found = rate
     for at in (seconds / 3.0, seconds * 2.0 / 3.0):
         if at <= t < at + RISE_S:
@@ -93,62 +99,81 @@
 def requests(
     rate: float, seconds: float, seed: int, clients: int = 5_000, objects: int = 2_000
 ) -> Iterator[GeneratedRequest]:
-    """All requests in order of their start. First tries are a Poisson process by thinning."""
+    """Generate all requests in order of their start.
+
+    First attempts are a Poisson process with a varying rate, drawn by thinning.
+
+    :param rate: the usual rate of first attempts per second.
+    :param seconds: length of the traffic.
+    :param seed: of all random values.
+    :param clients: number of clients.
+    :param objects: number of objects.
+    """
     rng = seeded_random.generator(seed, "traffic")
-    popular = list(itertools.accumulate((n + 1) ** -0.9 for n in range(objects)))
+    cumulative_popularity = list(itertools.accumulate((n + 1) ** -0.9 for n in range(objects)))
     classes = list(itertools.accumulate(share for _, share in SHARES))
-    later: list[tuple[float, int, GeneratedRequest]] = []  # retries that are still to come
+    scheduled_retries: list[tuple[float, int, GeneratedRequest]] = []  # heap of retries, by time
     t = 0.0
     root = 0
     max_rate = rate * (1.0 + 2.0 * SPIKE)
     serial = itertools.count()
     while True:
         t += rng.expovariate(max_rate)
-        while later and later[0][0] <= min(t, seconds):
-            again = heapq.heappop(later)[2]
-            yield again
-            _plan_retry(again, rng, later, serial, seconds)
+        while scheduled_retries and scheduled_retries[0][0] <= min(t, seconds):
+            retry = heapq.heappop(scheduled_retries)[2]
+            yield retry
+            _schedule_retry(retry, rng, scheduled_retries, serial, seconds)
         if t >= seconds:
             return
         if rng.random() * max_rate >= rate_at(t, rate, seconds):
             continue
         name = SHARES[min(bisect.bisect(classes, rng.random()), len(SHARES) - 1)][0]
-        thing = bisect.bisect(popular, rng.random() * popular[-1])
-        first = _made(t, name, rng.randrange(clients), min(thing, objects - 1), root, 0, rng, seconds)
+        object_number = bisect.bisect(cumulative_popularity, rng.random() * cumulative_popularity[-1])
+        first = _draw_request(
+            t, name, rng.randrange(clients), min(object_number, objects - 1), root, 0, rng, seconds
+        )
         root += 1
         yield first
-        _plan_retry(first, rng, later, serial, seconds)
+        _schedule_retry(first, rng, scheduled_retries, serial, seconds)
 
 
-def _made(
-    t: float, name: str, client: int, thing: int, root: int, number: int, rng: Random, seconds: float
+def _draw_request(
+    t: float, name: str, client: int, object_number: int, root: int, number: int, rng: Random, seconds: float
 ) -> GeneratedRequest:
-    in_spell = SPELL[0] <= t / seconds < SPELL[1]
-    fails = rng.random() < (SPELL[2] if in_spell else FAIL)
-    status = rng.choice(STATUSES) if fails else 200
+    in_failure_period = FAILURE_PERIOD[0] <= t / seconds < FAILURE_PERIOD[1]
+    fails = rng.random() < (FAILURE_PERIOD[2] if in_failure_period else FAILURE_RATE)
+    status = rng.choice(FAILURE_STATUSES) if fails else 200
     took_s = rng.expovariate(1.0 / MEAN_S[name]) + 0.002
     return GeneratedRequest(
-        t, took_s, name, client, thing, status, 0 if fails else rng.randrange(200, 60_000), root, number
+        t,
+        took_s,
+        name,
+        client,
+        object_number,
+        status,
+        0 if fails else rng.randrange(200, 60_000),
+        root,
+        number,
     )
 
 
-def _plan_retry(
+def _schedule_retry(
     one: GeneratedRequest,
     rng: Random,
-    later: list[tuple[float, int, GeneratedRequest]],
+    scheduled_retries: list[tuple[float, int, GeneratedRequest]],
     serial: Iterator[int],
     seconds: float,
 ) -> None:
-    """Clients ask for what failed again, with a back-off; not for what may not be sent twice."""
-    if one.status == 200 or one.number >= RETRIES or one.cls == "repasse-socio":
+    """Schedule the retry of a failed request with exponential backoff, except for the unsafe class."""
+    if one.status == 200 or one.number >= MAX_RETRIES or one.cls == "repasse-socio":
         return
-    at = one.t + one.took_s + RETRY_S * 2.0**one.number * (0.5 + rng.random())
-    made = _made(at, one.cls, one.client, one.object, one.root, one.number + 1, rng, seconds)
-    heapq.heappush(later, (at, next(serial), made))
+    at = one.t + one.took_s + RETRY_DELAY_S * 2.0**one.number * (0.5 + rng.random())
+    retry = _draw_request(at, one.cls, one.client, one.object, one.root, one.number + 1, rng, seconds)
+    heapq.heappush(scheduled_retries, (at, next(serial), retry))
 
 
 def target(one: GeneratedRequest) -> tuple[str, str]:
-    """Method and target as the client wrote them."""
+    """:returns: method and request target."""
     match one.cls:
         case "ler-feed":
             return "GET", f"/feeds/{one.object}?page={one.object % 3}"
@@ -159,7 +184,7 @@
 
 
 def address(client: int) -> str:
-    """Some clients have IPv6."""
+    """:returns: the IP address of a client; one in five has IPv6."""
     return (
         f"2001:db8::{client:x}"
         if client % 5 == 0
@@ -168,7 +193,7 @@
 
 
 def log_lines(found: Iterator[GeneratedRequest]) -> Iterator[bytes]:
-    """Lines in `LOG_FORMAT`, in the order in which a server writes them: by the end of each."""
+    """Format requests as lines in `LOG_FORMAT`, in the order in which a server logs them: by their end."""
     out: list[tuple[float, int, GeneratedRequest]] = []
     for number, one in enumerate(found):
         heapq.heappush(out, (one.t + one.took_s, number, one))
@@ -189,16 +214,16 @@
 
 
 def har(found: Iterator[GeneratedRequest]) -> Iterator[bytes]:
-    """The same as a HAR, piece by piece."""
+    """Format requests as a HAR, in chunks."""
     yield b'{"log": {"version": "1.2", "creator": {"name": "rehearsal", "version": "1"}, "entries": ['
     for number, one in enumerate(found):
         method, path = target(one)
         started = datetime.fromtimestamp(START_TIME_S + one.t, UTC).isoformat(timespec="milliseconds")
-        gone = one.status == 499
+        aborted = one.status == 499
         yield (b"," if number else b"") + json.dumps(
             {
                 "startedDateTime": started,
-                "time": -1 if gone else one.took_s * 1e3,
+                "time": -1 if aborted else one.took_s * 1e3,
                 "_resourceType": "fetch",
                 "request": {
                     "method": method,
@@ -208,7 +233,7 @@
                     "cookies": [{"name": "sid", "value": f"c{one.client}"}],
                 },
                 "response": {
-                    "status": 0 if gone else one.status,
+                    "status": 0 if aborted else one.status,
                     "bodySize": one.sent,
                     "content": {"size": one.sent},
                 },
--- a/orchidferry/testkit/traffic/guard.py
+++ b/orchidferry/testkit/traffic/guard.py
@@ -1,11 +1,12 @@
-"""What of recorded traffic may be sent where. Free of I/O.
-
-A recording may hold what must not happen again: payments, messages, deletions. So a class that is unsafe to
-repeat goes to servers that the kit itself started and that prove it, connection by connection: before the
-first such request on a connection its other end must answer a nonce with the HMAC (RFC 2104) under the run's
-own key, which only the kit's processes hold. To any other target unsafe classes are left out, unless both
-class and target are named by hand, and then each request says what it is. A target is one address, written as
-such: nothing is looked up, no proxy is asked, and no redirect is followed, so there is no second place.
+"""Decides which classes of recorded requests may be sent to which servers. No I/O.
+
+A recording may contain requests that must not be executed again: payments, messages, deletions. So
+requests of an unsafe class are sent only to servers that the kit started itself, and only on connections on
+which the server has proved this: before the first such request, it must answer a nonce with its HMAC (RFC
+2104) under the key of the run, which only the kit's processes have. Other targets get no unsafe classes,
+unless the user names both class and target; each request then carries a header that marks it as replayed and
+names its class. A target is a single IP address: there is no name resolution, no proxy is used and no
+redirect is followed, so that requests can't reach any other server.
 """
 
 from __future__ import annotations
@@ -22,41 +23,41 @@
 
 from orchidferry.errors import OrchidferryError
 
-PROOF_CLASS = "kit-proof"  # as the nodes of a replay know it: safe, and answered at once by any stand-in
-MARK = "X-Replayed"  # header of every request to a target that is not the kit's own
+PROOF_CLASS = "kit-proof"  # class of the proof requests; safe, and answered at once by any stand-in server
+MARK = "X-Replayed"  # header of every request to a target that the kit did not start
 NONCE_BYTES = 16
 KEY_BYTES = 32
 NONCE = re.compile(f"[0-9a-f]{{{2 * NONCE_BYTES}}}")
 
 
 class TargetError(OrchidferryError):
-    """A target that can't be used, in one line."""
+    """A target can't be used; the text says why, in one line."""
 
 
 class Permission(Enum):
-    """What may be done with the requests of a class."""
+    """Whether and how the requests of a class may be sent."""
 
     SEND = "send"
-    PROVEN = "proven"  # on connections whose other end has proven to be the kit's own
-    MARKED = "marked"  # named by hand: sent with a mark
-    LEFT_OUT = "left out"
+    PROVEN = "proven"  # sent on connections to servers that have proved that the kit started them
+    MARKED = "marked"  # sent with the header `MARK`
+    LEFT_OUT = "left out"  # not sent
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One address that is not the kit's own."""
+    """The address of one server that the kit did not start."""
 
     host: str  # an IP address
     port: int
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port, as sockets take them."""
+        """Host and port, as the functions of sockets take them."""
         return self.host, self.port
 
     @property
     def loopback(self) -> bool:
-        """Whether the address is of this machine alone."""
+        """Whether the address is a loopback address."""
         return ipaddress.ip_address(self.host).is_loopback
 
     def __str__(self) -> str:
@@ -66,8 +67,8 @@
 def read_target(url: str) -> Target:
     """Parse a target.
 
-    Names are refused, as a name may mean another machine by the time that it is looked up again; `localhost`
-    is 127.0.0.1, without a look-up.
+    Host names are rejected, as a name may resolve to another machine at the next look-up. `localhost` is
+    taken for 127.0.0.1, without a look-up.
 
     :param url: `http://ADDRESS[:PORT]`.
     :raises TargetError: for any other text.
@@ -97,13 +98,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """Decides for the classes of one run."""
+    """Decides which classes may be sent in one run."""
 
-    target: Target | None = None  # None: the kit's own world
-    named: frozenset[str] = field(default_factory=frozenset)  # classes, by hand, for this very target
+    target: Target | None = None  # None: servers that the kit starts
+    # Classes that the user allows for this target
+    named: frozenset[str] = field(default_factory=frozenset)
 
     def permission(self, name: str, repeat: str) -> Permission:
-        """Decide what may be done with the requests of a class.
+        """Decide whether and how the requests of a class may be sent.
 
         :param name: of the class.
         :param repeat: `safe`, `keyed` or `unsafe`; any other text counts as unsafe.
@@ -117,10 +119,10 @@
 
 
 def read_guard(target: str | None, names: Iterable[str]) -> Guard:
-    """Make a guard from the options of the command line.
+    """Make a guard from command-line options.
 
-    :param target: the URL of the target; None for the kit's own world.
-    :param names: classes that may be sent, each as `CLASS@URL` with the URL of the target.
+    :param target: the URL of the target; None for servers that the kit starts.
+    :param names: classes that the user allows, each as `CLASS@URL` with the URL of the target.
     :raises TargetError: if an option can't be used.
     """
     found = None if target is None else read_target(target)
@@ -138,7 +140,7 @@
 
 
 def new_key() -> str:
-    """Draw the key of one run.
+    """Draw the secret key of one run.
 
     :returns: the key, as hex.
     """
@@ -154,9 +156,9 @@
 
 
 def proof(key: str, nonce: str) -> bytes:
-    """Compute the answer to a nonce, which needs the key (HMAC, RFC 2104).
+    """Compute the answer to a nonce: its HMAC (RFC 2104) under the key.
 
-    :returns: the answer; empty if there is no key, or `nonce` is none.
+    :returns: the answer; empty if `key` is empty or `nonce` is not a nonce.
     """
     if not key or not NONCE.fullmatch(nonce):
         return b""
@@ -166,7 +168,7 @@
 def proven(key: str, nonce: str, answer: bytes) -> bool:
     """Verify an answer to a nonce, in constant time.
 
-    :returns: whether its sender has the key.
+    :returns: whether the sender of the answer has the key.
     """
     expected = proof(key, nonce)
     return bool(expected) and hmac.compare_digest(expected, answer)
--- a/orchidferry/testkit/traffic/har.py
+++ b/orchidferry/testkit/traffic/har.py
@@ -1,7 +1,8 @@
-"""HAR 1.2 as browsers export it, an entry at a time: a file of gigabytes takes the memory of one entry.
+"""Reads HAR 1.2 files, as browsers export them, entry by entry: memory use is that of one entry.
 
-Read by ijson, which streams. A file that is cut off gives what came whole. What browsers add (`_error`,
-`_resourceType`, `_webSocketMessages`, ...) is known where it says that an entry is no request and answer.
+The JSON is parsed incrementally with ijson. A truncated file yields its complete entries. Of the fields that
+browsers add (`_error`, `_resourceType`, `_webSocketMessages`, ...), only those are read that show that an
+entry is not a request with a response.
 """
 
 from __future__ import annotations
@@ -16,38 +17,38 @@
     MAX_TEXT,
     Entry,
     EntryError,
-    duration,
+    check_duration,
+    check_time,
     method_of,
-    moment,
     size_of,
     status_of,
     target_of,
 )
 from orchidferry.testkit.traffic.log_values import address_of
 
-MAX_DEPTH = 64
+MAX_DEPTH = 64  # of nested objects and arrays
 SCHEMES = ("http://", "https://")
 
 
-class _Stream:
-    """Chunks as the file that ijson wants."""
+class _ChunkFile:
+    """A file object over chunks, as ijson needs it."""
 
     def __init__(self, chunks: Iterable[bytes]) -> None:
         self._chunks = iter(chunks)
-        self._left = b""
+        self._rest = b""
 
     def read(self, size: int = -1) -> bytes:
-        if not self._left:
-            self._left = next(self._chunks, b"")
+        if not self._rest:
+            self._rest = next(self._chunks, b"")
         if size < 0:
-            size = len(self._left)
-        data = self._left[:size]
-        self._left = self._left[size:]
+            size = len(self._rest)
+        data = self._rest[:size]
+        self._rest = self._rest[size:]
         return data
 
 
-def _shallow(events: Iterable[tuple[str, Any]]) -> Iterator[tuple[str, Any]]:
-    """Stop at a depth that no HAR has: paths to where one is grow with it, and would fill all memory."""
+def _limit_depth(events: Iterable[tuple[str, Any]]) -> Iterator[tuple[str, Any]]:
+    """Raise `RecursionError` at a depth that no HAR has: ijson's memory use grows with the depth."""
     depth = 0
     for event in events:
         kind = event[0]
@@ -85,8 +86,9 @@
 def entry_of(obj: Any, wanted: frozenset[str] = frozenset()) -> Entry:
     """Parse one object of `log.entries`.
 
-    :param wanted: headers and cookies to keep, in lower case.
-    :raises EntryError: if it is no request.
+    :param obj: the parsed JSON of the entry.
+    :param wanted: names of the headers and cookies to keep, in lower case.
+    :raises EntryError: if the object is not a request with a response.
     """
     if not isinstance(obj, dict) or not isinstance(obj.get("request"), dict):
         raise EntryError("an entry without a request")
@@ -116,8 +118,8 @@
     host = url.partition("://")[2].partition("/")[0].partition("?")[0].rpartition("@")[2]
     extra = {name: value for name, value in fields.items() if name in wanted}
     return Entry(
-        moment(at.timestamp()),
-        duration(took_ms / 1000.0) if took_ms >= 0.0 else None,
+        check_time(at.timestamp()),
+        check_duration(took_ms / 1000.0) if took_ms >= 0.0 else None,
         method_of(str(request.get("method", ""))),
         target_of(url),
         status,
@@ -135,13 +137,14 @@
 def read_har(chunks: Iterable[bytes], wanted: frozenset[str] = frozenset()) -> Iterator[Entry | EntryError]:
     """Parse a HAR.
 
-    :param wanted: headers and cookies to keep, in lower case.
-    :returns: the entries in the file's order, with an `EntryError` in place of each that is no request; a
-        last one if the file is cut off.
+    :param chunks: the content of the file.
+    :param wanted: names of the headers and cookies to keep, in lower case.
+    :returns: the entries in the order of the file, with an `EntryError` in place of each that is not a
+        request, and a last `EntryError` if the file is truncated.
     """
     found = 0
     try:
-        events = _shallow(ijson.basic_parse(_Stream(chunks), use_float=True))
+        events = _limit_depth(ijson.basic_parse(_ChunkFile(chunks), use_float=True))
         for obj in ijson.items(ijson.parse(events), "log.entries.item"):
             found += 1
             try:
--- a/orchidferry/testkit/traffic/import_command.py
+++ b/orchidferry/testkit/traffic/import_command.py
@@ -22,23 +22,24 @@
 from orchidferry.testkit.traffic.log_fields import Parser
 from orchidferry.testkit.traffic.sources import Source
 
-MAX_ROWS_SHOWN = 10  # of a table of reasons or paths
-MAX_PROPOSED_SHAPES = 200
-COMPLETE_LINES = 100_000  # of a file that all count for a proposal; of those after them, one in so many
+MAX_ROWS_SHOWN = 10  # printed reasons of rejected lines, and printed paths without a class
+MAX_PROPOSED_SHAPES = 200  # most frequent shapes from which classes are proposed
+# Classes are proposed from the first COMPLETE_LINES lines of a file, and one in SAMPLED_LINES of the rest
+COMPLETE_LINES = 100_000
 SAMPLED_LINES = 20
-MAX_SHIFT_S = 1e8
-MAX_WINDOW_S = 3_600.0
+MAX_SHIFT_S = 1e8  # largest absolute value of `--shift`
+MAX_WINDOW_S = 3_600.0  # largest value of `--window`
 BYTES_PER_MB = 1e6
-MIN_TOOK_S = 1e-3  # for the speed at the start
+MIN_TOOK_S = 1e-3  # avoids a division by zero in the speed that is shown at the start
 
 
 def run_import(args: argparse.Namespace) -> int:
     """Import access logs and HAR files into a recording.
 
-    :param args: of the command line.
+    :param args: the command-line arguments.
     :returns: the exit status.
     :raises UsageError: if an argument can't be used.
-    :raises TooManyRejectedError: if more was rejected than may be.
+    :raises TooManyRejectedError: if too many lines were rejected.
     """
     plan = _plan(args)
     console = Console(highlight=False)
@@ -52,6 +53,7 @@
 
 
 def _plan(args: argparse.Namespace) -> Plan:
+    """Check the arguments, and make the plan of the import."""
     files = tuple(Path(name) for name in args.files)
     _zone(args.zone)
     compile_format(args.format)
@@ -109,11 +111,12 @@
     text = _proposal(args, files)
     path = Path(args.to + ".classes.toml")
     path.write_text(text, encoding="utf-8")
-    print(f"no --classes: proposed in {path}, from {len(files)} files; look through it and import again")
+    print(f"no --classes: proposed in {path}, from {len(files)} files; review the file and import again")
     return read_classes(text.encode())
 
 
 def _proposal(args: argparse.Namespace, files: tuple[Path, ...]) -> str:
+    """:returns: the content of a classes file for the traffic in the files."""
     shapes = Shapes()
     parse = compile_format(args.format, _zone(args.zone))
     for path in files:
@@ -157,7 +160,7 @@
 
 
 def _report_json(report: Report, took_s: float) -> dict[str, Any]:
-    """:returns: the report, with the keys of `--json`."""
+    """:returns: the report as `--json` writes it."""
     return {
         "requests": report.rows,
         "rejected": sum(report.rejects.values()),
@@ -181,7 +184,7 @@
         f"{report.matched_retries} retries matched, about {report.false_matches:.0f} of them by chance"
     )
     if report.spread:
-        console.print(f"{report.spread} were logged to the second only: spread within it, by --seed")
+        console.print(f"{report.spread} were logged in whole seconds: a random fraction was added, by --seed")
     table = Table("class", "share", "requests")
     for name, count in report.mix.most_common():
         table.add_row(name, f"{count / max(1, report.rows):.2%}", str(count))
--- a/orchidferry/testkit/traffic/import_plan.py
+++ b/orchidferry/testkit/traffic/import_plan.py
@@ -1,4 +1,4 @@
-"""What an import of access logs is to do, and what it has done."""
+"""The plan and the report of an import of access logs."""
 
 from __future__ import annotations
 
@@ -11,47 +11,48 @@
 from orchidferry.testkit.traffic.classes import Classes, Shapes
 from orchidferry.testkit.traffic.retries import WINDOW_S
 
-REJECTED_SHARE = 0.05  # of what was read that may be rejected
-MAX_NOTES = 50
+REJECTED_SHARE = 0.05  # default of the fraction of lines that may be rejected
+MAX_NOTES = 50  # of a report
 
 
 class TooManyRejectedError(OrchidferryError):
-    """More was rejected than may be; the text says how much, and for which reasons."""
+    """Too many lines were rejected; the text tells how many, and the most frequent reasons."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What to import, and how. `key` is that of the hashes, and is kept in memory alone."""
+    """The files to import, and the settings of the import."""
 
     files: tuple[Path, ...]
-    form: str  # of logs; HARs are recognized by their content
+    form: str  # log format, see `formats`; HARs are recognized by their content
     classes: Classes
-    zone: str = "UTC"
-    seed: int = 0  # of times spread within a second
-    shifts: tuple[tuple[str, float], ...] = ()  # seconds that a file's clock is put on, by name
-    window_s: float = WINDOW_S
-    share: float = REJECTED_SHARE
-    workers: int = 0  # 0: as many as there are cores
+    zone: str = "UTC"  # time zone of times without a zone
+    seed: int = 0  # of the random fractions that are added to times in whole seconds
+    shifts: tuple[tuple[str, float], ...] = ()  # name of a file, and seconds to add to its times
+    window_s: float = WINDOW_S  # maximum time from the end of a failed request to its retry
+    share: float = REJECTED_SHARE  # fraction of lines that may be rejected
+    workers: int = 0  # number of worker processes; 0: one per core
+    # Key of the hashes of clients and objects; it is kept only in memory
     key: bytes = field(default_factory=lambda: secrets.token_bytes(32))
 
 
 @dataclass
 class Report:
-    """What an import did."""
-
-    read: int = 0  # bytes, uncompressed
-    lines: int = 0
-    rows: int = 0
-    rejects: Counter[str] = field(default_factory=Counter)
-    unmatched: Shapes = field(default_factory=Shapes)
-    mix: Counter[str] = field(default_factory=Counter)
-    notes: list[str] = field(default_factory=list)
-    seconds: float = 0.0
+    """The counts and notes of an import."""
+
+    read: int = 0  # uncompressed bytes that were read
+    lines: int = 0  # lines of logs and entries of HARs that were read
+    rows: int = 0  # imported requests
+    rejects: Counter[str] = field(default_factory=Counter)  # rejected lines, by reason
+    unmatched: Shapes = field(default_factory=Shapes)  # shapes of the requests that match no class
+    mix: Counter[str] = field(default_factory=Counter)  # imported requests, by class
+    notes: list[str] = field(default_factory=list)  # about gaps, clock jumps and damaged files
+    seconds: float = 0.0  # time from the first request to the last
     matched_retries: int = 0
     false_matches: float = 0.0  # estimated number of matched retries that are no retries
-    spread: int = 0  # rows whose time was spread within a second
+    spread: int = 0  # requests logged in whole seconds, with a random fraction added to the time
 
     def note(self, text: str) -> None:
-        """Add a remark for the reader of the report; those after the first `MAX_NOTES` are dropped."""
+        """Add a note; notes after the first `MAX_NOTES` are dropped."""
         if len(self.notes) < MAX_NOTES:
             self.notes.append(text)
--- a/orchidferry/testkit/traffic/log_fields.py
+++ b/orchidferry/testkit/traffic/log_fields.py
@@ -1,4 +1,4 @@
-"""The fields of an access log's format, and the entry that their values make. No I/O."""
+"""The fields of an access log format, and the construction of entries from their values. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from orchidferry.testkit.traffic.entry import (
     MAX_TEXT,
     Entry,
-    duration,
+    check_duration,
     method_of,
     size_of,
     status_of,
@@ -36,25 +36,25 @@
     "aborted",
     "spread",
 )
-NEEDED = ({"start", "end"}, {"request", "target"})  # one of each
-SPREAD_RESOLUTION_S = 1e-9  # above 0, so that it shows, and less than a recording's microsecond
-NO_ANSWER = (0, 499)  # statuses of requests whose client left
+NEEDED = ({"start", "end"}, {"request", "target"})  # a format has at least one key of each set
+SPREAD_RESOLUTION_S = 1e-9  # above 0, which sets the flag `SPREAD`, and below the microsecond of a recording
+NO_ANSWER = (0, 499)  # statuses of requests that the client aborted
 
 
 class LogFormatError(OrchidferryError):
-    """A log format can't be used; the text names the part of it."""
+    """A log format can't be used; the text names the faulty part of the format."""
 
 
-def build(values: Mapping[str, Any], zone: tzinfo) -> Entry:
-    """Make an entry of a line's values.
+def build_entry(values: Mapping[str, Any], zone: tzinfo) -> Entry:
+    """Make an entry from the values of a line.
 
-    :param values: by the keys of `KEYS`; others are headers and cookies. `took` is in seconds.
-    :param zone: of times that name none.
+    :param values: values by the keys in `KEYS`; other keys are headers and cookies. `took` is in seconds.
+    :param zone: time zone of times without a zone.
     :raises EntryError: if a value can't be used.
     """
     took_s = values.get("took")
     if took_s is not None:
-        took_s = duration(took_s)
+        took_s = check_duration(took_s)
     if "end" in values:
         start, resolution_s = any_time(values["end"], zone)
         start -= took_s or 0.0
@@ -87,10 +87,10 @@
 
 
 def require_keys(keys: set[str], text: str) -> None:
-    """Check that a format names what an entry needs.
+    """Check that a format has the keys that an entry needs.
 
-    :param keys: that the format names.
-    :param text: the format, for the error.
+    :param keys: the keys that the format has.
+    :param text: the format, for the error text.
     :raises LogFormatError: if a key is missing.
     """
     for one in NEEDED:
--- a/orchidferry/testkit/traffic/mapped_formats.py
+++ b/orchidferry/testkit/traffic/mapped_formats.py
@@ -1,4 +1,4 @@
-"""Forms given as a map from keys to fields: JSON objects, and columns. No I/O."""
+"""Log formats that map keys to fields: JSON objects, and columns. No I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,19 @@
 from typing import Any
 
 from orchidferry.testkit.traffic.entry import Entry, EntryError
-from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser, build, require_keys
+from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser, build_entry, require_keys
 from orchidferry.testkit.traffic.log_values import UNITS, number
 
+# Field of JSON or number of a column, and optionally its unit
 FIELD = re.compile(r"([\w.@+-]+?)(?::(s|ms|us|ns))?")
 
 
-def _map(text: str) -> dict[str, tuple[list[str], float]]:
+def _parse_mapping(text: str) -> dict[str, tuple[list[str], float]]:
+    """Parse `KEY=FIELD,...`.
+
+    :returns: by key, the names of the fields and their unit in seconds; only `took` may have several fields.
+    :raises LogFormatError: if the text is not a mapping, or lacks a key that an entry needs.
+    """
     found: dict[str, tuple[list[str], float]] = {}
     for one in text.split(","):
         key, equals, value = one.strip().partition("=")
@@ -31,22 +37,33 @@
 
 
 def _took(values: Sequence[Any], unit: float) -> float | None:
-    """A duration that may be the sum of several fields; ALB writes -1 for one that never came to be."""
+    """Add up the fields of a duration; ALB writes -1 for a phase that was not reached.
+
+    :param values: of the fields.
+    :param unit: of the fields, in seconds.
+    :returns: seconds; None if no field has a value.
+    """
     numbers = [number(value) for value in values if value not in ("-", "", None)]
     return sum(max(0.0, one) for one in numbers) * unit if numbers else None
 
 
 def json_format(text: str, zone: tzinfo) -> Parser:
-    """The parser of a JSON object a line."""
-    fields = _map(text)
+    """Compile a format with one JSON object per line.
+
+    :param text: the mapping, without `json:`.
+    :param zone: time zone of times without a zone.
+    :returns: the parser of a line.
+    :raises LogFormatError: if the format can't be used.
+    """
+    fields = _parse_mapping(text)
     paths = {key: ([name.split(".") for name in names], unit) for key, (names, unit) in fields.items()}
 
-    def reach(obj: Any, path: Sequence[str]) -> Any:
+    def look_up(obj: Any, path: Sequence[str]) -> Any:
         for at, name in enumerate(path):
             if not isinstance(obj, dict):
                 return None
             if name not in obj:
-                return obj.get(".".join(path[at:]))  # a key that has dots itself
+                return obj.get(".".join(path[at:]))  # the key itself contains dots
             obj = obj[name]
         return obj
 
@@ -59,20 +76,27 @@
             raise EntryError("JSON that is no object")
         values: dict[str, Any] = {}
         for key, (names, unit) in paths.items():
-            got = [reach(obj, path) for path in names]
-            value = _took(got, unit) if key == "took" else got[0]
+            found = [look_up(obj, path) for path in names]
+            value = _took(found, unit) if key == "took" else found[0]
             if value is not None:
                 values[key] = value
         if isinstance(values.get("request"), str) or "request" not in values:
-            return build(values, zone)
+            return build_entry(values, zone)
         raise EntryError("a request line that can't be read")
 
     return parse
 
 
 def column_format(text: str, separator: str, zone: tzinfo) -> Parser:
-    """The parser of columns."""
-    fields = _map(text)
+    """Compile a format with columns.
+
+    :param text: the mapping, without `tab:` or `space:`.
+    :param separator: of the columns.
+    :param zone: time zone of times without a zone.
+    :returns: the parser of a line.
+    :raises LogFormatError: if the format can't be used.
+    """
+    fields = _parse_mapping(text)
     columns: dict[str, tuple[list[int], float]] = {}
     for key, (names, unit) in fields.items():
         try:
@@ -95,6 +119,6 @@
             value = _took([row[n] for n in at], unit) if key == "took" else row[at[0]]
             if value is not None and value != "-":
                 values[key] = value
-        return build(values, zone)
+        return build_entry(values, zone)
 
     return parse
--- a/orchidferry/testkit/traffic/row_columns.py
+++ b/orchidferry/testkit/traffic/row_columns.py
@@ -1,4 +1,4 @@
-"""Columns of a recording's rows, while a block of a log is read."""
+"""The columns of the rows of one block, which are collected while the block is parsed."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from orchidferry.testkit.traffic.recording import ABORTED, MAX_BYTES, NO_TIME, ROW, SPREAD, Rows
 
-JUMP_S = 60.0  # a clock that goes back by more is reported
-MAX_JUMPS = 10  # of a block
+JUMP_S = 60.0  # a logged time that goes back by more is reported
+MAX_JUMPS = 10  # reported jumps of a block
 
 
 class ClockJump(NamedTuple):
-    """A line at which the time of a log went back, and by how much."""
+    """A line at which the logged time goes back."""
 
-    line: int
-    by_s: float
+    line: int  # number of the line
+    by_s: float  # difference to the latest time before the line
 
 
 class TimedRows(NamedTuple):
-    """Rows in order of time."""
+    """Rows in order of time, and the clock jumps in their log."""
 
     rows: Rows
     clock_jumps: list[ClockJump]
@@ -29,9 +29,9 @@
 
 @dataclass
 class FastRows:
-    """Rows that were made of a block all at once, in order: the lines' numbers, and what `Columns` holds."""
+    """The columns of the rows from the fast path, as arrays in order of the lines; see `Columns`."""
 
-    line: Any
+    line: Any  # numbers of the lines
     t: Any
     took: Any
     client: Any
@@ -39,34 +39,34 @@
     sent: Any
     cls: Any
     status: Any
-    resolution_s: float
+    resolution_s: float  # of all times
 
 
 class Columns:
-    """Rows as they are made, a list for each column; `fast`: those that were made all at once."""
+    """The rows of a block, as a list for each column."""
 
     def __init__(self) -> None:
-        self.t: list[float] = []
-        self.resolution_s: list[float] = []
-        self.took: list[float] = []  # seconds, below 0: not known
-        self.client: list[int] = []
-        self.object: list[int] = []
-        self.sent: list[int] = []
-        self.received: list[int] = []
-        self.cls: list[int] = []
+        self.t: list[float] = []  # start of the request, seconds since 1970
+        self.resolution_s: list[float] = []  # of the logged time; 0.0 for a finer one than whole seconds
+        self.took: list[float] = []  # duration in seconds; negative: unknown
+        self.client: list[int] = []  # hash
+        self.object: list[int] = []  # hash
+        self.sent: list[int] = []  # bytes of the response body
+        self.received: list[int] = []  # bytes of the request body
+        self.cls: list[int] = []  # number of the class
         self.status: list[int] = []
         self.aborted: list[bool] = []
-        self.line: list[int] = []
-        self.fast: FastRows | None = None
+        self.line: list[int] = []  # number of the line in its file
+        self.fast: FastRows | None = None  # the rows from the fast path, until `join` merges them
 
     def join(self) -> None:
-        """Merge the fast rows with the others, in order of their lines."""
+        """Merge the rows from the fast path with the others, in order of their lines."""
         fast = self.fast
         if fast is None:
             return
         order = np.argsort(np.concatenate([fast.line, np.array(self.line, np.int64)]), kind="stable")
         resolution_s = np.full(len(fast.line), fast.resolution_s)
-        nothing = np.zeros(len(fast.line), np.int64)
+        zeros = np.zeros(len(fast.line), np.int64)
         for name, values in (
             ("line", fast.line),
             ("t", fast.t),
@@ -75,7 +75,7 @@
             ("client", fast.client),
             ("object", fast.object),
             ("sent", fast.sent),
-            ("received", nothing),
+            ("received", zeros),
             ("cls", fast.cls),
             ("status", fast.status),
             ("aborted", fast.status == 499),
@@ -85,11 +85,11 @@
         self.fast = None
 
     def rows(self, shift_s: float, rng: np.random.Generator) -> TimedRows:
-        """Make the rows.
+        """Convert the columns to rows.
 
         :param shift_s: added to all times.
-        :param rng: for the part of a second that was not logged.
-        :returns: the rows in order of time, and where the clock went back.
+        :param rng: draws the random fraction that is added to a time in whole seconds.
+        :returns: the rows in order of time, and the clock jumps.
         """
         self.join()
         count = len(self.t)
@@ -99,15 +99,15 @@
         start = np.array(self.t)
         took = np.array(self.took)
         resolution_s = np.array(self.resolution_s)
-        said = start + np.maximum(took, 0.0)
-        before = np.maximum.accumulate(said)
-        fell = before - said
-        fell[1:] = before[:-1] - said[1:]
-        # Only where it begins to be behind: all that follows is behind as well.
-        at = np.flatnonzero((fell > JUMP_S) & (np.diff(fell, prepend=0.0) > JUMP_S))[:MAX_JUMPS]
-        back = [ClockJump(int(self.line[n]), float(fell[n])) for n in at]
-        spread = rng.random(count) * resolution_s
-        found["t"] = np.rint((start + shift_s + spread) * 1e6).astype(np.uint64)
+        ended = start + np.maximum(took, 0.0)
+        latest = np.maximum.accumulate(ended)
+        behind_s = latest - ended
+        behind_s[1:] = latest[:-1] - ended[1:]
+        # Only the first line after a jump is reported; the lines that follow it are behind as well.
+        at = np.flatnonzero((behind_s > JUMP_S) & (np.diff(behind_s, prepend=0.0) > JUMP_S))[:MAX_JUMPS]
+        clock_jumps = [ClockJump(int(self.line[n]), float(behind_s[n])) for n in at]
+        fractions_s = rng.random(count) * resolution_s
+        found["t"] = np.rint((start + shift_s + fractions_s) * 1e6).astype(np.uint64)
         found["took"] = np.where(took < 0.0, NO_TIME, np.minimum(np.rint(took * 1e6), NO_TIME - 1))
         found["client"] = np.array(self.client, np.uint64)
         found["object"] = np.array(self.object, np.uint64)
@@ -116,4 +116,4 @@
         found["cls"] = self.cls
         found["status"] = self.status
         found["flags"] = np.where(self.aborted, ABORTED, 0) | np.where(resolution_s > 0.0, SPREAD, 0)
-        return TimedRows(found[np.argsort(found["t"], kind="stable")], back)
+        return TimedRows(found[np.argsort(found["t"], kind="stable")], clock_jumps)
--- a/orchidferry/testkit/traffic/sources.py
+++ b/orchidferry/testkit/traffic/sources.py
@@ -1,8 +1,8 @@
-"""Files of any size as lines, in constant memory: plain, gzip or zstd, by their first bytes.
+"""Reads files of any size line by line in constant memory: plain, gzip or zstd, detected by magic numbers.
 
-Lines come in blocks with the number of their first, so that a reader may hand blocks to other processes.
-A line longer than `MAX_LINE` is dropped as it is read, whatever its length; a compressed file that ends in
-the middle gives what was whole.
+Lines are read in blocks with the number of the first line, so that other processes can parse them. A line
+longer than `MAX_LINE` is dropped while it is read, so that its length does not matter. A truncated compressed
+file yields the data before the end.
 """
 
 from __future__ import annotations
@@ -18,29 +18,30 @@
 
 from orchidferry.errors import OrchidferryError
 
-MAX_LINE = 64 * 1024  # bytes: an access log's lines have some hundreds
-BLOCK = 512 * 1024  # bytes read in one go
+MAX_LINE = 64 * 1024  # bytes; lines of access logs usually have some hundreds
+BLOCK = 512 * 1024  # bytes that are read at once
+# Magic numbers
 GZIP = b"\x1f\x8b"
 ZSTD = b"\x28\xb5\x2f\xfd"
 DAMAGED = "the compressed file ends in the middle or is damaged"
 
 
 class SourceError(OrchidferryError):
-    """A file can't be read at all; the text names it."""
+    """A file can't be read; the text names the file."""
 
 
 @dataclass(slots=True)
 class Block:
-    """Complete lines of a file, without the end of the last."""
+    """Some complete lines of a file."""
 
     first: int  # number of the first line, from 1
-    data: bytes  # without the end of the last line
-    count: int  # of lines
-    dropped: bool = False  # the first line was longer than `MAX_LINE`: what is here is not all of it
+    data: bytes  # the lines, without the line break of the last one
+    count: int  # number of lines
+    dropped: bool = False  # whether the first line was too long: `data` has only its end
 
     @property
     def lines(self) -> list[bytes | None]:
-        """The lines; None for one that was too long."""
+        """The lines; None for a line that is longer than `MAX_LINE`."""
         lines: list[bytes | None] = [
             line if len(line) <= MAX_LINE else None for line in self.data.split(b"\n")
         ]
@@ -51,17 +52,17 @@
 
 @dataclass(slots=True)
 class Source:
-    """A file to read; `problem` says, after the last block, why it ended early."""
+    """A file that is read."""
 
     path: Path
-    problem: str = ""
-    read: int = 0  # bytes, uncompressed
+    problem: str = ""  # after the last block: why the data ended early; empty if the file is complete
+    read: int = 0  # uncompressed bytes that were read
     _carry: bytes = field(default=b"", repr=False)
 
     def open(self) -> Any:
         """Open the file for reading its uncompressed bytes.
 
-        :raises SourceError: if it can't be opened, or needs a library that is not there.
+        :raises SourceError: if the file can't be opened, or the library that decompresses it is missing.
         """
         try:
             raw = self.path.open("rb")
@@ -80,7 +81,7 @@
         return raw
 
     def chunks(self) -> Iterator[bytes]:
-        """Read the uncompressed bytes, up to the first damage.
+        """Read the uncompressed bytes, up to the first damaged part.
 
         :returns: chunks of at most `BLOCK` bytes.
         :raises SourceError: if the file can't be opened.
@@ -92,7 +93,7 @@
                 except (EOFError, OSError, zlib.error, lzma.LZMAError):
                     self.problem = DAMAGED
                     return
-                except Exception as problem:  # zstd's own error has no name in common with these
+                except Exception as problem:  # `ZstdError` is not imported, as the library is optional
                     if type(problem).__name__ != "ZstdError":
                         raise
                     self.problem = DAMAGED
@@ -103,7 +104,7 @@
                 yield data
 
     def blocks(self) -> Iterator[Block]:
-        """Read the lines; the last one may lack its end.
+        """Read the lines; the last one may lack its line break.
 
         :returns: blocks of lines, in the order of the file.
         :raises SourceError: if the file can't be opened.
@@ -115,7 +116,7 @@
             data = carry + data
             end = data.rfind(b"\n")
             if end < 0:
-                if len(data) > MAX_LINE:  # its rest is dropped as it comes
+                if len(data) > MAX_LINE:  # the rest of the line is dropped when it is read
                     dropping = True
                 carry = b"" if dropping else data
                 continue
--- a/orchidferry/testkit/traffic/string_formats.py
+++ b/orchidferry/testkit/traffic/string_formats.py
@@ -1,4 +1,4 @@
-"""Forms given as a format string of Apache or nginx, which becomes a pattern. No I/O."""
+"""Log formats given as format strings of Apache or nginx, which are compiled to regexes. No I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from typing import Any
 
 from orchidferry.testkit.traffic.entry import Entry, EntryError
-from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser, build, require_keys
+from orchidferry.testkit.traffic.log_fields import LogFormatError, Parser, build_entry, require_keys
 from orchidferry.testkit.traffic.log_values import CLF_TIME, UNITS, number, unescaped
 
-MAX_FIELDS = 64
-MAX_QUOTES = 24  # of a line that is not in the strict form
-QUOTED = r'[^"\\\n]*+(?:\\.[^"\\\n]*+)*+'  # what stands between quotes, with a server's escapes
+MAX_FIELDS = 64  # fields of a format
+MAX_QUOTES = 24  # quotes in a line that the strict pattern does not match
+QUOTED = r'[^"\\\n]*+(?:\\.[^"\\\n]*+)*+'  # text between quotes, with the escapes of a server
 
 APACHE = re.compile(r"%([!\d,]*)([<>]?)(?:\{([^}]*)\})?(\^[A-Za-z]{2}|[A-Za-z%])")
 NGINX = re.compile(r"\$(?:\{(\w+)\}|(\w+))")
 
+# Keys of the fields, see `formats`, optionally with a unit; `query` is appended to the target
 APACHE_KEYS = {
     "h": "address",
     "a": "address",
@@ -59,6 +60,7 @@
 
 
 def _apache_key(match: re.Match[str]) -> str:
+    """:returns: the key of an Apache directive; empty if its value is not needed."""
     name = match[3]
     kind = match[4]
     if kind == "t" and name:
@@ -78,7 +80,10 @@
 
 
 def _parts(text: str) -> list[tuple[str, str]]:
-    """Literals and keys in their order: ("text", literal) or ("key", key, '' for one that is not needed)."""
+    """Split a format string into literals and fields.
+
+    :returns: ("text", literal) or ("key", key) in their order; the key is empty if the field is not needed.
+    """
     nginx = "$" in text and "%" not in text
     found: list[tuple[str, str]] = []
     at = 0
@@ -110,7 +115,11 @@
 
 
 def _pattern(parts: Sequence[tuple[str, str]], quoted: str) -> str:
-    """The pattern of a format; `quoted` is what stands between quotes."""
+    """Build the regex of a format.
+
+    :param parts: the literals and keys of the format.
+    :param quoted: the regex of a field between quotes.
+    """
     found = []
     for at, (kind, value) in enumerate(parts):
         if kind == "text":
@@ -118,7 +127,8 @@
             continue
         before = parts[at - 1][1] if at else ""
         after = parts[at + 1][1] if at + 1 < len(parts) else ""
-        # Possessive, as what follows is never in the class: nothing to go back for, nothing to remember.
+        # Possessive quantifiers: the character after the field is never in its class, so that backtracking
+        # can't help, and would only cost time and memory.
         if before.endswith('"') and after.startswith('"'):
             inner = quoted
         elif before.endswith("[") and after.startswith("]"):
@@ -134,7 +144,13 @@
 
 
 def string_format(text: str, zone: tzinfo) -> Parser:
-    """The parser of an Apache or nginx format string."""
+    """Compile an Apache or nginx format string.
+
+    :param text: the format string.
+    :param zone: time zone of times without a zone.
+    :returns: the parser of a line.
+    :raises LogFormatError: if the format can't be used.
+    """
     parts = _parts(text)
     keys = [value for kind, value in parts if kind == "key"]
     if len(keys) > MAX_FIELDS:
@@ -143,7 +159,8 @@
         raise LogFormatError(f"{text!r:.60} names no field")
     require_keys({key.partition(":")[0] for key in keys if key}, text)
     strict = re.compile(_pattern(parts, QUOTED))
-    # Servers that escape nothing write a `"` as it is. Read so only where there is one way to read it.
+    # Some servers do not escape quotes in fields. Such a line is accepted only if it can be read in one way:
+    # if the lazy and the greedy pattern give the same fields.
     lazy = re.compile(_pattern(parts, r".*?"))
     greedy = re.compile(_pattern(parts, r".*"))
 
@@ -151,7 +168,7 @@
         text = line.decode("utf-8", "replace").rstrip("\r")
         match = strict.fullmatch(text)
         if match is None:
-            # Bounded, as it is tried at every quote: a line made for it would take hours.
+            # The patterns backtrack at every quote: without this limit, a crafted line would take hours.
             if text.count('"') > MAX_QUOTES:
                 raise EntryError("quotes that can be read in two ways")
             match = lazy.fullmatch(text)
@@ -165,44 +182,49 @@
             if key and (value != "-" or key == "sent") and (value or key not in values):
                 name, _, unit = key.partition(":")
                 if name in ("start", "end") and name in values and "." not in value:
-                    continue  # the same time again, less finely
+                    continue  # the time is there already, with a finer resolution
                 values[name] = number(value) * UNITS[unit] if unit else unescaped(value)
         if "query" in values and "request" not in values:
             query = str(values["query"]).lstrip("?")
             if query and "?" not in values.get("target", ""):
                 values["target"] = f"{values.get('target', '')}?{query}"
         values.pop("query", None)
-        if "request" in keys and "request" not in values:  # `-`: the server could read none
+        if "request" in keys and "request" not in values:  # `-`: the server could not parse it
             raise EntryError("a request line that can't be read")
-        return build(values, zone)
+        return build_entry(values, zone)
 
     return parse
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Where the usual fields of a string format stand among its pattern's groups; -1: nowhere."""
+    """Positions of the usual fields of a format among the groups of its regex; -1: not in the format."""
 
-    pattern: re.Pattern[bytes]  # matches every line of a block; the last group is one in another form
+    pattern: re.Pattern[bytes]  # matches every line of a block; the last group is a line in another format
     time: int
-    epoch: bool  # seconds since 1970 with a fraction, else CLF's
-    logged_at_end: bool  # of the request's end
+    epoch: bool  # whether the time is Unix time with a fraction, else in the Common Log Format
+    logged_at_end: bool  # whether the time is that of the end of the request
     request: int
     status: int
     sent: int
     address: int
     agent: int
     took: int
-    unit: float  # of it, in seconds
+    unit: float  # unit of `took`, in seconds
 
 
 def string_layout(text: str, wanted: frozenset[str]) -> Layout | None:
-    """The layout of a format string, if all that matters in it are usual fields; None else."""
+    """Find the layout of a format string.
+
+    :param text: the format string.
+    :param wanted: names of headers and cookies that must be read.
+    :returns: the layout; None if the format needs more than the usual fields.
+    """
     parts = _parts(text)
     names = [value.partition(":") for kind, value in parts if kind == "key"]
     unusual = {"method", "target", "query", "received"} | wanted
     keys = [name for name, _, _ in names]
-    at = {key: n for n, key in enumerate(keys)}  # of a time that is there twice, the last
+    at = {key: n for n, key in enumerate(keys)}  # if there are two times, the last one
     units = [unit for name, _, unit in names if name == "took"]
     if set(keys) & unusual or ("start" in at) == ("end" in at) or len(units) > 1:
         return None
@@ -213,7 +235,7 @@
     if ("%{" in text and re.search(r"%\{[^}]*\}t", text)) or "time_iso8601" in text:
         return None
     if epochs and text.rfind("$msec") < max(text.rfind("$time_local"), 0):
-        return None  # the finer one comes first
+        return None  # `at` has the position of the coarser time, which comes last
     return Layout(
         re.compile(rb"^(?:%b|(.*))$" % _pattern(parts, QUOTED).encode(), re.MULTILINE),
         at[side],
--- a/orchidferry/testkit/traffic/totals.py
+++ b/orchidferry/testkit/traffic/totals.py
@@ -12,16 +12,16 @@
 from orchidferry.testkit.traffic.recording import Header, Reader, Rows
 from orchidferry.testkit.traffic.retries import failed
 
-TOP_RANKS = (1, 10, 100, 1_000)  # whose share of all requests is reported
-GAP_EDGES = np.logspace(0, 9, 1_801)  # us, of the histogram of gaps: steps of 1.2 %
+TOP_RANKS = (1, 10, 100, 1_000)  # the share of the most frequent 1, 10, ... hashes is reported
+GAP_EDGES = np.logspace(0, 9, 1_801)  # bin edges of the histogram of gaps, in us: steps of 1.2 %
 QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99}
 US_PER_S = 1_000_000
 US_PER_MS = 1e3
-MIN_DURATION_S = 1e-6  # for the mean rate of a recording whose requests have one time
+MIN_DURATION_S = 1e-6  # avoids a division by zero if all requests have the same time
 
 
 class HashCounter:
-    """How often each of many hashes occurred, in 16 bytes for each; 0 is no hash and is not counted."""
+    """Counts occurrences of hashes, with 16 bytes per hash; 0 means unknown and is not counted."""
 
     def __init__(self) -> None:
         self._ids = np.zeros(0, np.uint64)
@@ -43,7 +43,7 @@
         return np.sort(self._counts)[::-1]
 
     def top_shares(self) -> dict[str, float]:
-        """:returns: the fraction of all occurrences that the first 1, 10, 100 and 1000 hashes have."""
+        """:returns: the fraction of all occurrences of the 1, 10, 100 and 1000 most frequent hashes."""
         ranked = self.ranked()
         total = max(1, int(ranked.sum()))
         return {str(rank): float(ranked[:rank].sum()) / total for rank in TOP_RANKS if rank <= len(ranked)}
@@ -54,10 +54,10 @@
     """Totals of a recording, summed block by block."""
 
     header: Header
-    per_second: Any  # requests, by class and second
+    per_second: Any  # number of requests, by class and second
     retries_per_second: Any
     failed_per_second: Any
-    gaps: Any  # between requests: a histogram over `GAP_EDGES`
+    gaps: Any  # histogram of the gaps between requests, with the bins of `GAP_EDGES`
     clients: HashCounter = field(default_factory=HashCounter)
     objects: HashCounter = field(default_factory=HashCounter)
 
@@ -67,8 +67,9 @@
         return [row["name"] for row in self.header.classes]
 
     def add(self, rows: Rows, last_us: int | None) -> int:
-        """Add a block of rows, which follows those added before.
+        """Add a block of rows, which follows the rows added before.
 
+        :param rows: in order of time.
         :param last_us: the time of the row before the block; None for the first block.
         :returns: the time of the block's last row, in microseconds.
         """
@@ -79,7 +80,7 @@
         self.failed_per_second += self._by_second(times[failed(rows)])
         steps = np.diff(times, prepend=times[:1] if last_us is None else last_us)
         if last_us is None:
-            steps = steps[1:]  # the first row follows none
+            steps = steps[1:]  # there is no gap before the first row
         self.gaps += np.bincount(np.digitize(steps, GAP_EDGES), minlength=len(GAP_EDGES) + 1)
         self.clients.add(rows["client"])
         self.objects.add(rows["object"])
@@ -91,10 +92,10 @@
 
 
 def read_totals(path: Path) -> Totals:
-    """Sum up a recording in one pass; the memory grows with its seconds, clients and objects.
+    """Compute the totals of a recording in one pass; memory use grows with the seconds, clients and objects.
 
     :param path: of the recording.
-    :raises RecordingError: if it can't be read.
+    :raises RecordingError: if the recording can't be read.
     """
     reader = Reader(path)
     seconds = int(reader.header.seconds) + 1
@@ -115,7 +116,7 @@
     """Summarize a recording, as `show --json` prints it.
 
     :param path: of the recording.
-    :raises RecordingError: if it can't be read.
+    :raises RecordingError: if the recording can't be read.
     """
     return summarize(read_totals(path))
 
