--- a/orchidferry/testkit/traffic/__init__.py
+++ b/orchidferry/testkit/traffic/__init__.py
@@ -48,7 +48,7 @@
         type=int,
         default=0,
         metavar="N",
-        help="of random fractions added to times in whole seconds (0)",
+        help="seed of the random fractions added to times in whole seconds (0)",
     )
     parser.add_argument(
         "--shift", action="append", default=[], metavar="FILE=S", help="add seconds to all times of a file"
@@ -62,7 +62,7 @@
         type=float,
         default=0.05,
         metavar="SHARE",
-        help="of lines that may be rejected (0.05)",
+        help="share of the lines that may be rejected (0.05)",
     )
     parser.add_argument(
         "--workers", type=int, default=0, metavar="N", help="processes (default: one per core)"
@@ -110,12 +110,14 @@
         "--scenario",
         default="replay",
         metavar="SCENARIO|FILE.toml",
-        help="servers, nodes and faults (replay)",
+        help="scenario with servers, nodes and faults (replay)",
     )
     replay_arguments(parser, named=False)
-    parser.add_argument("--seed", type=int, metavar="N", help="instead of the scenario's seed")
-    parser.add_argument("--seconds", type=float, metavar="S", help="longest time of arrivals")
-    parser.add_argument("--protocol", choices=("h1", "h3"), help="of clients and servers")
+    parser.add_argument("--seed", type=int, metavar="N", help="seed, instead of the scenario's")
+    parser.add_argument(
+        "--seconds", type=float, metavar="S", help="maximum time in which new requests arrive"
+    )
+    parser.add_argument("--protocol", choices=("h1", "h3"), help="protocol of clients and servers")
     parser.add_argument("--json", metavar="FILE", help="write the verdict there, complete or not")
     parser.add_argument("--report", metavar="FILE.html", help="write a page with plots there")
     parser.add_argument("--keep", metavar="FOLDER", help="keep the run's record and the nodes' logs there")
@@ -148,7 +150,7 @@
     parser.add_argument(
         "--seconds", type=float, default=3_600.0, metavar="S", help="length of the traffic (3600)"
     )
-    parser.add_argument("--seed", type=int, default=7, metavar="N", help="of the random traffic (7)")
+    parser.add_argument("--seed", type=int, default=7, metavar="N", help="seed of the traffic (7)")
 
 
 def replay_arguments(parser: Any, named: bool = True) -> None:
@@ -165,12 +167,15 @@
             metavar="FILE",
             help="recording to replay; repeat to superimpose",
         )
-    parser.add_argument("--speed", type=float, metavar="X", help="factor of the recorded speed (1)")
+    parser.add_argument("--speed", type=float, metavar="X", help="multiple of the recorded speed (1)")
     parser.add_argument("--from", dest="from_", metavar="T", help="start in the recording, such as 10m")
     parser.add_argument("--to", metavar="T", help="end in the recording, such as 20m")
     parser.add_argument("--loop", action="store_true", help="repeat until the scenario's end")
     parser.add_argument(
-        "--scale", type=float, metavar="SHARE", help="of clients, with all of their requests (1)"
+        "--scale",
+        type=float,
+        metavar="SHARE",
+        help="share of the clients to replay, with all of their requests (1)",
     )
     parser.add_argument(
         "--retries",
--- a/tests/testkit/traffic/test_classes.py
+++ b/tests/testkit/traffic/test_classes.py
@@ -1,4 +1,4 @@
-"""Classes of recorded requests: the file, what fits what, shapes, and a proposal that is such a file."""
+"""Classes of recorded requests: classes files, matching, shapes, and proposed classes files."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
         ("OPTIONS", "*", None),
     ],
 )
-def test_the_first_class_that_fits_is_a_requests(method: str, path: str, name: str | None) -> None:
-    for _ in range(2):  # and it is remembered
+def test_a_request_belongs_to_the_first_matching_class(method: str, path: str, name: str | None) -> None:
+    for _ in range(2):  # the second time from the cache
         found = CLASSES.match(method, path)
         assert (found.name if found else None) == name
 
 
-def test_what_is_left_out_has_a_default_that_goes_with_the_rest() -> None:
+def test_missing_keys_have_defaults_consistent_with_the_other_keys() -> None:
     feed, save, rest = CLASSES.rules
     assert (feed.worth, feed.wanted_s, feed.gives_up_s, rest.methods) == (0.5, 1.0, 5.0, frozenset())
     assert (save.wanted_s, save.gives_up_s) == (6.0, 6.0)
@@ -74,25 +74,25 @@
     return Entry(1e9, None, "GET", "/", 200, 0, 0, "10.0.0.7", "curl", "h", fields or None)
 
 
-def test_a_client_is_told_by_the_first_thing_that_a_request_has() -> None:
+def test_a_client_is_identified_by_the_first_identity_that_its_request_has() -> None:
     assert CLASSES.wanted_fields() == {"sid", "x-client"}
-    one = entry(sid="s", **{"x-client": "c"})
-    two = entry(sid="-", **{"x-client": "c"})
-    three = entry()
-    assert [CLASSES.client_of(e) for e in (one, two, three)] == [
+    with_cookie = entry(sid="s", **{"x-client": "c"})
+    with_header = entry(sid="-", **{"x-client": "c"})
+    with_neither = entry()
+    assert [CLASSES.client_of(e) for e in (with_cookie, with_header, with_neither)] == [
         "cookie:sid=s",
         "header:x-client=c",
         "10.0.0.7\0curl",
     ]
-    nobody = Entry(1e9, None, "GET", "/", 200, 0, 0, agent="curl")
-    assert Classes(CLASSES.rules).client_of(nobody) == ""
+    unidentified = Entry(1e9, None, "GET", "/", 200, 0, 0, agent="curl")
+    assert Classes(CLASSES.rules).client_of(unidentified) == ""
 
 
 BASE = 'name = "a"\npath = "/a"\nrepeat = "safe"\n'
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, message",
     [
         ("[[class]", "not TOML"),
         ("x = 1", "'x' is not known"),
@@ -115,8 +115,8 @@
         (f"[[class]]\n{BASE}[identity]\nfrom = []", "identity.from: None"),
     ],
 )
-def test_a_file_that_cannot_be_names_class_and_field(text: str, words: str) -> None:
-    with pytest.raises(ClassesFileError, match=words):
+def test_errors_of_classes_files_name_class_and_field(text: str, message: str) -> None:
+    with pytest.raises(ClassesFileError, match=message):
         read_classes(text.encode())
 
 
@@ -132,11 +132,11 @@
         ("/a" * 20, "/a" * 11 + "/**"),
     ],
 )
-def test_shapes_leave_out_what_is_of_one_object(path: str, shape: str) -> None:
+def test_shapes_replace_segments_that_identify_an_object(path: str, shape: str) -> None:
     assert shape_of("GET", path) == f"GET {shape}"
 
 
-def test_frequent_shapes_stay_known_in_bounded_memory_whatever_comes() -> None:
+def test_frequent_shapes_are_counted_exactly_in_bounded_memory() -> None:
     shapes = Shapes(100)
     for n in range(20_000):
         shapes.add("GET", f"/page-{'abcdefghij'[n % 10]}{chr(97 + n // 10 % 26)}{chr(97 + n // 260 % 26)}")
@@ -152,8 +152,8 @@
 
 @settings(max_examples=200, deadline=None)
 @given(strategies.lists(strategies.tuples(METHODS, strategies.lists(PARTS, max_size=4)), min_size=1))
-@example([("GET", ["2:"]), ("GET", [""]), ("GET", [":"])])  # `get-2` by its path, and by its number
-def test_a_proposal_is_a_file_of_classes_that_names_all_of_the_traffic(
+@example([("GET", ["2:"]), ("GET", [""]), ("GET", [":"])])  # `get-2` from a path, and from a suffix
+def test_a_proposal_is_a_valid_classes_file_that_covers_all_methods(
     requests: list[tuple[str, list[str]]],
 ) -> None:
     shapes = Shapes()
--- a/tests/testkit/traffic/test_readers.py
+++ b/tests/testkit/traffic/test_readers.py
@@ -1,4 +1,4 @@
-"""Readers of logs and HAR files: what they make of every form, and of what is none."""
+"""Readers of logs and HAR files: every format, and input that is rejected."""
 
 from __future__ import annotations
 
@@ -32,10 +32,14 @@
     '"GET https://front:443/feeds/7?x=1 HTTP/1.1" "curl/8 ""beta"""'
 )
 
-READ: list[tuple[str, str, dict[str, Any]]] = [
+VALID: list[tuple[str, str, dict[str, Any]]] = [
     ("common", CLF, {"address": "10.0.0.7", "sent": 512, "took_s": None, "resolution_s": 1.0}),
     ("combined", COMBINED, {"agent": 'curl/8 "beta"'}),
-    ("combined", COMBINED.replace('\\"', '"'), {"agent": 'curl/8 "beta"'}),  # a server that escapes nothing
+    (
+        "combined",
+        COMBINED.replace('\\"', '"'),
+        {"agent": 'curl/8 "beta"'},
+    ),  # a server that does not escape quotes
     ("combined", COMBINED.replace("10.0.0.7", "2001:db8::7"), {"address": "2001:db8::7"}),
     (
         '%h %t "%r" %>s %b %D %{X-Client}i',
@@ -85,8 +89,8 @@
 ]
 
 
-@pytest.mark.parametrize("form, line, fields", READ)
-def test_every_form_gives_the_same_request(form: str, line: str, fields: dict[str, Any]) -> None:
+@pytest.mark.parametrize("form, line, fields", VALID)
+def test_every_format_gives_the_same_request(form: str, line: str, fields: dict[str, Any]) -> None:
     found = compile_format(form)(line.encode())
     assert (found.start, found.method, found.target, found.status) == (T0, "GET", "/feeds/7?x=1", 200)
     for name, value in fields.items():
@@ -105,7 +109,7 @@
     ("common", CLF.replace("/feeds/7", "/" + "a" * 9000), "a target that is too long"),
     ("common", CLF.replace(" 200 ", " 99 "), "a status out of range"),
     ("common", CLF.replace(" 200 ", " 2x0 "), "a number that can't be read"),
-    # A path that tries to be two fields: with an answer of its own, and with a whole line of its own.
+    # A path that contains quotes, so that it could be read as further fields of the line
     (
         "combined",
         COMBINED.replace("/feeds/7", '/a HTTP/1.1" 200 9 "-" "x'),
@@ -129,14 +133,14 @@
 
 
 @pytest.mark.parametrize("form, line, reason", REJECTED)
-def test_what_is_no_request_is_told_by_its_reason(form: str, line: str, reason: str) -> None:
+def test_a_rejected_line_has_a_reason(form: str, line: str, reason: str) -> None:
     with pytest.raises(EntryError) as problem:
         compile_format(form)(line.encode())
     assert str(problem.value) == reason
 
 
 @pytest.mark.parametrize(
-    "form, words",
+    "form, message",
     [
         ("", "names no field"),
         ("plain words", "names no field"),
@@ -152,12 +156,12 @@
         ("tab:start=0,target=2", "columns are numbers"),
     ],
 )
-def test_a_form_that_cannot_be_names_its_part(form: str, words: str) -> None:
-    with pytest.raises(LogFormatError, match=words):
+def test_errors_of_formats_name_the_faulty_part(form: str, message: str) -> None:
+    with pytest.raises(LogFormatError, match=message):
         compile_format(form)
 
 
-def test_times_without_a_zone_are_of_the_one_that_is_told() -> None:
+def test_times_without_a_zone_are_in_the_given_zone() -> None:
     zone = ZoneInfo("America/Sao_Paulo")
     form = "tab:start=1,target=2"
     assert compile_format(form, zone)(b"2026-10-10 08:55:36\t/a").start == T0
@@ -177,7 +181,7 @@
 LINES = strategies.one_of(
     strategies.binary(max_size=300),
     strategies.tuples(
-        strategies.sampled_from([line for _, line, _ in READ]),
+        strategies.sampled_from([line for _, line, _ in VALID]),
         strategies.integers(0, 200),
         strategies.integers(0, 30),
         strategies.binary(max_size=20),
@@ -187,7 +191,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(LINES, strategies.sampled_from(PARSERS))
-def test_any_bytes_give_a_request_in_range_or_a_reject(line: bytes, parse: Callable[[bytes], Entry]) -> None:
+def test_any_bytes_give_a_valid_request_or_are_rejected(line: bytes, parse: Callable[[bytes], Entry]) -> None:
     try:
         found = parse(line)
     except EntryError as reason:
@@ -201,6 +205,7 @@
 
 
 def har_entry(**changes: Any) -> dict[str, Any]:
+    """An entry of a HAR; `changes` are values by key, as `KEY` or `KEY__KEY`."""
     made: dict[str, Any] = {
         "startedDateTime": "2026-10-10T08:55:36.000-03:00",
         "time": 1500.0,
@@ -220,7 +225,7 @@
     return made
 
 
-def test_a_har_entry_is_the_same_request_and_keeps_only_what_was_asked_for() -> None:
+def test_a_har_entry_gives_the_same_request_with_only_the_wanted_fields() -> None:
     found = entry_of(har_entry(), frozenset({"sid"}))
     assert (found.start, found.target, found.took_s, found.sent) == (T0, "/feeds/7?x=1", 1.5, 512)
     assert (found.host, found.agent, found.fields) == ("front.example:8443", "Firefox", {"sid": "s1"})
@@ -243,7 +248,7 @@
         ({"time": 1e12}, "a duration out of range"),
     ],
 )
-def test_a_har_entry_that_is_no_request_is_told(changes: dict[str, Any], reason: str) -> None:
+def test_a_rejected_har_entry_has_a_reason(changes: dict[str, Any], reason: str) -> None:
     with pytest.raises(EntryError) as problem:
         entry_of(har_entry(**changes))
     assert str(problem.value) == reason
@@ -253,11 +258,11 @@
     return list(read_har(data[at : at + step] for at in range(0, len(data), step)))
 
 
-def test_a_har_that_is_cut_off_gives_what_came_whole_wherever_it_is_cut() -> None:
-    whole = json.dumps(
+def test_a_truncated_har_yields_its_complete_entries() -> None:
+    complete = json.dumps(
         {"log": {"entries": [har_entry(), har_entry(request__url="about:blank"), har_entry()]}}
     )
-    data = whole.encode()
+    data = complete.encode()
     assert [type(one) for one in har(data)] == [Entry, EntryError, Entry]
     counts = set()
     for at in [*range(0, len(data) - 20, 13), *range(len(data) - 20, len(data) - 1)]:
@@ -265,15 +270,15 @@
         assert isinstance(found[-1], EntryError)
         counts.add(sum(isinstance(one, Entry) for one in found))
     assert counts == {0, 1, 2}
-    for none in (b"", b"[]", b'{"log": {}}', b"\xff\xfe", b"[" * 100_000):
-        [reject] = har(none, 1000)
+    for invalid in (b"", b"[]", b'{"log": {}}', b"\xff\xfe", b"[" * 100_000):
+        [reject] = har(invalid, 1000)
         assert isinstance(reject, EntryError)
 
 
 # Files
 
 
-PACK: dict[str, Callable[[bytes], bytes]] = {"plain": bytes, "gzip": gzip.compress, "zstd": zstd.compress}
+COMPRESS: dict[str, Callable[[bytes], bytes]] = {"plain": bytes, "gzip": gzip.compress, "zstd": zstd.compress}
 
 
 def read(path: Path) -> tuple[list[bytes | None], str]:
@@ -285,30 +290,34 @@
     return lines, source.problem
 
 
-@pytest.mark.parametrize("pack", PACK)
-def test_lines_come_whole_in_any_packing_and_one_of_10_mb_is_dropped(pack: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("compression", COMPRESS)
+def test_lines_of_compressed_files_are_complete_and_too_long_lines_are_dropped(
+    compression: str, tmp_path: Path
+) -> None:
     rows = [b"line %d" % n * 9 for n in range(40_000)]
     rows[20_000] = b"x" * 10_000_000
     rows[30_000] = b"y" * (MAX_LINE + 1)
-    rows[-1] = b"the last, without its end"
+    rows[-1] = b"the last, without line break"
     path = tmp_path / "log"
-    path.write_bytes(PACK[pack](b"\n".join(rows)))
+    path.write_bytes(COMPRESS[compression](b"\n".join(rows)))
     lines, problem = read(path)
     assert problem == "" and len(lines) == len(rows)
     assert [at for at, line in enumerate(lines) if line is None] == [20_000, 30_000]
     assert all(a == b for a, b in zip(lines, rows, strict=True) if a is not None)
 
 
-@pytest.mark.parametrize("pack", ["gzip", "zstd"])
-def test_half_a_packed_file_gives_its_whole_lines_and_says_so(pack: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("compression", ["gzip", "zstd"])
+def test_a_truncated_compressed_file_yields_its_complete_lines_and_a_note(
+    compression: str, tmp_path: Path
+) -> None:
     rows = b"\n".join(json.dumps([n, n * 7919 % 104729]).encode() for n in range(200_000))
-    packed = PACK[pack](rows)
+    compressed = COMPRESS[compression](rows)
     path = tmp_path / "log"
     for data in (
-        packed[: len(packed) // 2],
-        packed[:-3],
-        packed[:9],
-        packed[:500] + b"\0" * 99 + packed[600:],
+        compressed[: len(compressed) // 2],
+        compressed[:-3],
+        compressed[:9],
+        compressed[:500] + b"\0" * 99 + compressed[600:],
     ):
         path.write_bytes(data)
         lines, problem = read(path)
--- a/tests/testkit/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -1,4 +1,4 @@
-"""Replays: what is chosen of a recording, and that it is sent as it was recorded."""
+"""Replays: which requests of a recording are selected, and that they are sent as recorded."""
 
 from __future__ import annotations
 
@@ -28,33 +28,44 @@
 from tests.testkit.test_run import LIMITS, PLAYS_MOST, TIERS, play
 from tests.testkit.traffic.test_guard import Peer
 
-KINDS: list[dict[str, Any]] = [
+CLASSES_TABLE: list[dict[str, Any]] = [
     {"name": "ler-feed", "repeat": "safe", "worth": 1.0, "wanted_s": 1.0, "gives_up_s": 2.0},
     {"name": "salvar-episodio", "repeat": "keyed", "worth": 2.0, "wanted_s": 1.0, "gives_up_s": 2.0},
     {"name": "repasse-socio", "repeat": "unsafe", "worth": 8.0, "wanted_s": 1.0, "gives_up_s": 2.0},
 ]
 
 
-def record(path: Path, count: int = 200, seconds: float = 4.0, kinds: Any = KINDS, **columns: Any) -> Rows:
-    """A recording of evenly spread requests by 20 clients."""
+def record(
+    path: Path, count: int = 200, seconds: float = 4.0, classes: Any = CLASSES_TABLE, **columns: Any
+) -> Rows:
+    """Write a recording of evenly spaced requests by 20 clients.
+
+    :param columns: values of columns of the rows.
+    :returns: the rows.
+    """
     rows = np.zeros(count, ROW)
     rows["t"] = np.linspace(0, seconds * 1e6, count)
     rows["client"], rows["object"] = 1 + np.arange(count) % 20, np.arange(count) % 7
-    rows["took"], rows["status"], rows["cls"] = 20_000, 200, np.arange(count) % len(kinds)
+    rows["took"], rows["status"], rows["cls"] = 20_000, 200, np.arange(count) % len(classes)
     rows["chain"] = np.arange(count)
     for name, values in columns.items():
         rows[name] = values
-    writer = Writer(path, Header(kinds, count, seconds))
+    writer = Writer(path, Header(classes, count, seconds))
     writer.put(rows)
     writer.close()
     return rows
 
 
-def laid(path: Path, name: str = "a.rec", **table: Any) -> Scenario:
-    one = read_scenario(
+def replay_scenario(path: Path, name: str = "a.rec", **table: Any) -> Scenario:
+    """A scenario that replays a recording.
+
+    :param path: the folder of the recording.
+    :param table: keys of the table `[[traffic]]`.
+    """
+    scenario = read_scenario(
         {"name": "replayed", "length": "1h", "tier": TIERS, "limits": LIMITS, "workers": 1}, "x"
     )
-    return replace(one, traffic=(read_traffic({"recording": str(path / name)} | table, "--"),))
+    return replace(scenario, traffic=(read_traffic({"recording": str(path / name)} | table, "--"),))
 
 
 @pytest.mark.parametrize(
@@ -68,46 +79,52 @@
         ({"from": "3s", "at": "250ms"}, 50, 0.25, 1.25),
     ],
 )
-def test_a_cut_is_played_at_its_speed(
+def test_a_time_range_is_replayed_at_the_given_speed(
     table: dict[str, Any], count: int, first: float, last: float, tmp_path: Path
 ) -> None:
     record(tmp_path / "a.rec")
-    scenario, preview = resolve(laid(tmp_path, **table))
+    scenario, preview = resolve(replay_scenario(tmp_path, **table))
     found = list(replayed_arrivals(scenario))
     assert len(found) == count == sum(preview.sent.values())
     assert abs(found[0].t - first) < 0.03 and abs(found[-1].t - last) < 0.05
     assert [one.t for one in found] == sorted(one.t for one in found)
     assert abs(scenario.length_s - last) < 0.05 and abs(scenario.load.rate - count / last) < 0.02 * count
     assert len({one.root for one in found}) == count
-    # Two processes of clients send the same as one.
+    # Two client processes together send the same requests as a single one.
     halves = [one for index in (0, 1) for one in replayed_arrivals(scenario, index, 2)]
     assert sorted(halves, key=lambda one: one.t) == found
 
 
-def test_a_loop_goes_on_to_the_runs_end_and_two_recordings_lie_over_each_other(tmp_path: Path) -> None:
+def test_a_loop_repeats_until_the_end_and_two_recordings_are_superimposed(tmp_path: Path) -> None:
     record(tmp_path / "a.rec")
-    record(tmp_path / "b.rec", count=10, kinds=KINDS[:1])
-    one = laid(tmp_path, loop=True)
+    record(tmp_path / "b.rec", count=10, classes=CLASSES_TABLE[:1])
+    one = replay_scenario(tmp_path, loop=True)
     scenario, preview = resolve(replace(one, length_s=10.0))
     times = [arrival.t for arrival in replayed_arrivals(scenario)]
     assert scenario.length_s == 10.0 and abs(len(times) - 500) <= 2 and times == sorted(times)
     assert preview.skipped["after the end"] >= 99
-    both = replace(one, traffic=(laid(tmp_path).traffic[0], laid(tmp_path, "b.rec", at="10s").traffic[0]))
+    both = replace(
+        one,
+        traffic=(
+            replay_scenario(tmp_path).traffic[0],
+            replay_scenario(tmp_path, "b.rec", at="10s").traffic[0],
+        ),
+    )
     scenario, _ = resolve(both)
     found = list(replayed_arrivals(scenario))
     assert len(found) == 210 and {a.cls.name for a in found[-10:]} == {"ler-feed"}
     assert abs(scenario.length_s - 14.0) < 0.01
 
 
-def test_a_sample_is_of_clients_with_all_they_ask(tmp_path: Path) -> None:
+def test_a_sample_has_all_requests_of_its_clients(tmp_path: Path) -> None:
     rows = record(tmp_path / "a.rec", count=4_000, client=np.random.default_rng(1).integers(1, 500, 4_000))
-    _, preview = resolve(laid(tmp_path, scale=0.3))
+    _, preview = resolve(replay_scenario(tmp_path, scale=0.3))
     everyone = np.arange(1, 2_001).astype(np.uint64)
     assert all(0.25 < in_sample(everyone, seed, 0.3).mean() < 0.35 for seed in range(50))
     assert sum(preview.sent.values()) + preview.skipped["sampled"] == 4_000 == sum(preview.recorded.values())
     assert 0.2 < sum(preview.sent.values()) / 4_000 < 0.4
     small, large = (in_sample(rows["client"], 5, scale) for scale in (0.2, 0.6))
-    assert (large | ~small).all()  # a larger sample holds all of a smaller one
+    assert (large | ~small).all()  # a larger sample contains every smaller one
     by_client: dict[int, set[bool]] = {}
     for client, taken in zip(rows["client"].tolist(), large.tolist(), strict=True):
         by_client.setdefault(client, set()).add(taken)
@@ -119,33 +136,37 @@
     retries: str, sent: int, own: int, tmp_path: Path
 ) -> None:
     record(tmp_path / "a.rec", number=(np.arange(200) % 4 == 3).astype(np.uint8))
-    scenario, preview = resolve(laid(tmp_path, retries=retries))
+    scenario, preview = resolve(replay_scenario(tmp_path, retries=retries))
     assert (sum(preview.sent.values()), preview.skipped["retries"]) == (sent, 200 - sent)
     assert scenario.clients.retries == own
     assert len(list(replayed_arrivals(scenario))) == sent
 
 
 @pytest.mark.parametrize(
-    ("table", "kinds", "words"),
+    ("table", "classes", "message"),
     [
-        ({"from": "9s"}, KINDS, "nothing from 9 s on; it has 4 s"),
-        ({}, [KINDS[2] | {"repeat": "safe"}], "class 'repasse-socio' is safe there, and unsafe elsewhere"),
-        ({"scale": 0.0001}, KINDS, "nothing is left to send"),
+        ({"from": "9s"}, CLASSES_TABLE, "nothing from 9 s on; it has 4 s"),
+        (
+            {},
+            [CLASSES_TABLE[2] | {"repeat": "safe"}],
+            "class 'repasse-socio' is safe there, and unsafe elsewhere",
+        ),
+        ({"scale": 0.0001}, CLASSES_TABLE, "nothing is left to send"),
     ],
 )
-def test_what_can_not_be_played_is_told_in_a_line(
-    table: dict[str, Any], kinds: Any, words: str, tmp_path: Path
+def test_scenarios_that_cannot_be_replayed_are_rejected(
+    table: dict[str, Any], classes: Any, message: str, tmp_path: Path
 ) -> None:
-    record(tmp_path / "a.rec", kinds=kinds)
-    one = laid(tmp_path, **table)
-    if kinds is not KINDS:
+    record(tmp_path / "a.rec", classes=classes)
+    one = replay_scenario(tmp_path, **table)
+    if classes is not CLASSES_TABLE:
         one = replace(one, classes=tuple(replace(cls) for cls in Scenario("x").classes[::-1]))
-    with pytest.raises(ScenarioError, match=words):
+    with pytest.raises(ScenarioError, match=message):
         resolve(one)
 
 
 @pytest.mark.parametrize(
-    ("arguments", "words"),
+    ("arguments", "message"),
     [
         (["a.rec", "--speed", "0"], "--speed: 0.0 is not within"),
         (["a.rec", "--from", "3"], "--from: '3' is no duration"),
@@ -163,22 +184,22 @@
     ],
 )
 def test_bad_usage_is_one_line_and_status_2(
-    arguments: list[str], words: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: Any
+    arguments: list[str], message: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: Any
 ) -> None:
     record(tmp_path / "a.rec")
-    whole = (tmp_path / "a.rec").read_bytes()
-    (tmp_path / "cut.rec").write_bytes(whole[: len(whole) * 2 // 3])
+    complete = (tmp_path / "a.rec").read_bytes()
+    (tmp_path / "cut.rec").write_bytes(complete[: len(complete) * 2 // 3])
     (tmp_path / "bad.toml").write_text('[[class]]\nname = "a"\npath = "café/*"\nrepeat = "safe"\n')
     monkeypatch.chdir(tmp_path)
     monkeypatch.setattr(sys, "argv", ["orchidferry", "traffic", "replay", *arguments])
     assert main() == 2
-    told = capsys.readouterr().err
-    assert words in told and told.count("\n") == 1, told
+    error = capsys.readouterr().err
+    assert message in error and error.count("\n") == 1, error
 
 
-def test_a_replay_in_the_kits_world_sends_all_classes_and_breaks_no_rule(tmp_path: Path) -> None:
+def test_a_replay_to_servers_of_the_kit_sends_all_classes_and_breaks_no_rule(tmp_path: Path) -> None:
     record(tmp_path / "a.rec", count=120, seconds=2.0)
-    scenario, preview = resolve(laid(tmp_path))
+    scenario, preview = resolve(replay_scenario(tmp_path))
     run, verdict = play(scenario)
     assert run.complete, run.why
     assert not verdict.broken_rules and verdict.client_requests == 120 == sum(preview.sent.values())
@@ -186,10 +207,10 @@
     assert unsafe.asked == 40 and unsafe.served >= 36
     assert not any(
         "kit-proof" in id for _, id in verdict.trace.arrivals
-    )  # proofs are no requests of the run's
+    )  # proof requests are not counted as requests of the run
 
 
-def test_pages_of_a_recording_and_a_replay_tell_what_was_sent(
+def test_the_pages_of_a_recording_and_a_replay_show_the_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: Any
 ) -> None:
     record(tmp_path / "a.rec", number=(np.arange(200) % 4 == 3).astype(np.uint8))
@@ -199,8 +220,12 @@
     )
     assert main() == 0 and "50 retries" in capsys.readouterr().out
     text = page.read_text()
-    assert all(kind["name"] in text for kind in KINDS) and "200 requests over 4 s" in text and "<svg" in text
-    scenario, preview = resolve(laid(tmp_path))
+    assert (
+        all(row["name"] in text for row in CLASSES_TABLE)
+        and "200 requests over 4 s" in text
+        and "<svg" in text
+    )
+    scenario, preview = resolve(replay_scenario(tmp_path))
     verdict = judge(
         scenario, [RequestScheduled(1.0, "r0", "ler-feed"), RequestScheduled(2.0, "r1", "ler-feed")], 0.0, 3.0
     )
@@ -210,14 +235,18 @@
     assert verdict.traffic["lag_ms"]["most"] == 3.0 and verdict.traffic["mix"] == {"ler-feed": 1.0}
 
 
-def test_another_target_gets_marked_requests_and_no_unsafe_ones(tmp_path: Path) -> None:
+def test_a_target_gets_marked_requests_and_no_unsafe_ones(tmp_path: Path) -> None:
     record(tmp_path / "a.rec", count=60, seconds=1.0)
     (tmp_path / "c.toml").write_text(CLASSES)
 
     async def replay(*more: str) -> tuple[Peer, dict[str, Any]]:
-        """One whose clients asked late is void, as where the machine stood still, and is played again."""
+        """Replay to a target.
+
+        A run is void if its clients sent requests late, for example because the machine stalled. It is
+        then repeated.
+        """
         for _ in range(PLAYS_MOST):
-            peer = await Peer(lambda _: (200, b"ok", "")).up()
+            peer = await Peer(lambda _: (200, b"ok", "")).start()
             target = f"http://127.0.0.1:{peer.address[1]}"
             options = ["--target", target, "--json", str(tmp_path / "v.json"), *more]
             command = [sys.executable, "-c", RUN, "traffic", "replay", str(tmp_path / "a.rec"), *options]
@@ -225,7 +254,7 @@
             process = await asyncio.create_subprocess_exec(*command, stdout=subprocess.DEVNULL)
             async with asyncio.timeout(60.0):
                 status = await process.wait()
-            await peer.down()
+            await peer.stop()
             found: dict[str, Any] = json.loads((tmp_path / "v.json").read_text())
             if not found["run"]["void"]:
                 break
@@ -248,7 +277,7 @@
     }
 
 
-def test_paths_are_the_classes_own_and_never_a_recordings() -> None:
+def test_paths_come_from_the_classes_file() -> None:
     found = dict(paths_of(read_classes(CLASSES.encode())))
     assert found["ler-feed"] == ("GET", "/feeds/*") and found["repasse-socio"] == ("POST", "/repasses")
     assert read_guard("http://127.0.0.1:80", []).target == read_guard("http://localhost", []).target
