--- a/orchidferry/testkit/traffic/__init__.py
+++ b/orchidferry/testkit/traffic/__init__.py
@@ -14,16 +14,16 @@
 
     :param traffic: the argument parser of `orchidferry traffic`.
     """
-    kinds = traffic.add_subparsers(dest="what", metavar="WHAT", required=True)
-    _add_import(kinds)
-    _add_show(kinds)
-    _add_export(kinds)
-    _add_replay(kinds)
-    _add_generate(kinds)
+    subparsers = traffic.add_subparsers(dest="what", metavar="WHAT", required=True)
+    _add_import(subparsers)
+    _add_show(subparsers)
+    _add_export(subparsers)
+    _add_replay(subparsers)
+    _add_generate(subparsers)
 
 
-def _add_import(kinds: Any) -> None:
-    parser = kinds.add_parser(
+def _add_import(subparsers: Any) -> None:
+    parser = subparsers.add_parser(
         "import",
         help="import access logs and HAR files into a recording",
         description="Reads plain, gzip and zstd files in constant memory. Clients and objects are stored as "
@@ -54,7 +54,11 @@
         "--shift", action="append", default=[], metavar="FILE=S", help="add seconds to all times of a file"
     )
     parser.add_argument(
-        "--window", type=float, default=30.0, metavar="S", help="longest time before a retry (30)"
+        "--window",
+        type=float,
+        default=30.0,
+        metavar="S",
+        help="maximum time from a failed request to its retry (30)",
     )
     parser.add_argument("--rejects", metavar="FILE", help="list of rejected lines (RECORDING.rejects.jsonl)")
     parser.add_argument(
@@ -70,8 +74,8 @@
     parser.add_argument("--json", metavar="FILE", help="write the import's report there")
 
 
-def _add_show(kinds: Any) -> None:
-    parser = kinds.add_parser(
+def _add_show(subparsers: Any) -> None:
+    parser = subparsers.add_parser(
         "show",
         help="show statistics of a recording",
         epilog="example: orchidferry traffic show monday.rec; exit status: 0 done, 2 not a recording",
@@ -81,8 +85,8 @@
     parser.add_argument("--report", metavar="FILE.html", help="write a page with plots there")
 
 
-def _add_export(kinds: Any) -> None:
-    parser = kinds.add_parser(
+def _add_export(subparsers: Any) -> None:
+    parser = subparsers.add_parser(
         "export",
         help="export a recording as a log of JSON lines, with its classes file",
         description="Writes FILE and FILE.classes.toml. The log contains no more than the recording: clients "
@@ -94,8 +98,8 @@
     parser.add_argument("--to", required=True, metavar="FILE")
 
 
-def _add_replay(kinds: Any) -> None:
-    parser = kinds.add_parser(
+def _add_replay(subparsers: Any) -> None:
+    parser = subparsers.add_parser(
         "replay",
         help="replay recordings as the load of a rehearsal, or of one target",
         description="Sends the recorded requests at their recorded times with the rehearsal's clients: to "
@@ -136,8 +140,8 @@
     )
 
 
-def _add_generate(kinds: Any) -> None:
-    parser = kinds.add_parser(
+def _add_generate(subparsers: Any) -> None:
+    parser = subparsers.add_parser(
         "generate",
         help="generate a log and a HAR of a morning with publication spikes",
         epilog="example: orchidferry traffic generate monday --rate 50 --seconds 3600; exit status: 0 done, "
--- a/orchidferry/testkit/traffic/block_reader.py
+++ b/orchidferry/testkit/traffic/block_reader.py
@@ -37,7 +37,7 @@
 NUMBER = re.compile(rb"\d{1,15}(?:\.\d{1,9})?")
 MAX_SIZE_DIGITS = 15  # of a number of bytes
 NEWLINE = 10  # code of the line feed
-# Kinds of hashes: the same text has different hashes as a client and as an object.
+# Kinds of hashes: the same text has different hashes as a client and as an object
 CLIENT = 0
 OBJECT = 1
 
@@ -63,18 +63,19 @@
 class Memo(dict[Any, Any]):
     """Caches the results of a function for up to `MAX_CACHED` arguments; then the cache is cleared."""
 
-    def __init__(self, make: Callable[[Any], Any]) -> None:
+    def __init__(self, function: Callable[[Any], Any]) -> None:
         super().__init__()
-        self._make = make
+        self._function = function
 
     def __missing__(self, key: Any) -> Any:
         if len(self) >= MAX_CACHED:
             self.clear()
-        found = self[key] = self._make(key)
+        found = self[key] = self._function(key)
         return found
 
 
 def _clf(text: bytes) -> float:
+    """Parse a time of the Common Log Format; 0.0 for other texts."""
     try:
         return clf_time(text.decode())
     except (ValueError, EntryError):
@@ -190,6 +191,7 @@
             return -1, 0, ""
 
     def _client(self, pair: tuple[bytes, bytes]) -> int:
+        """:returns: the hash of a client, from its address and agent; -1 if the line needs the slow path."""
         try:
             address, agent = (part.decode() for part in pair)
         except ValueError:
--- a/orchidferry/testkit/traffic/classes.py
+++ b/orchidferry/testkit/traffic/classes.py
@@ -232,7 +232,7 @@
             count += rare[-1][1]
         self.counts[shape] += count
 
-    def most(self, count: int) -> list[tuple[str, int]]:
+    def most_common(self, count: int) -> list[tuple[str, int]]:
         """:returns: the `count` most frequent shapes, each with an upper bound of its count."""
         return self.counts.most_common(count)
 
--- a/orchidferry/testkit/traffic/entry.py
+++ b/orchidferry/testkit/traffic/entry.py
@@ -13,7 +13,7 @@
 MAX_TEXT = 1_024  # characters of any other text; longer ones are cut off
 MAX_SIZE = 1 << 50  # bytes of a body
 MAX_SECONDS = 86_400.0  # duration of a request; a larger value has another unit or is another field
-# Range of valid request times, in seconds since 1970: the years 2000 to 2099
+# Valid request times are from 2000 to 2100; in seconds since 1970
 EARLIEST = 946_684_800.0
 LATEST = 4_102_444_800.0
 
@@ -86,7 +86,7 @@
 
     :param seconds: since 1970, UTC.
     :returns: the same time.
-    :raises EntryError: if the time is not in the years 2000 to 2099.
+    :raises EntryError: if the time is not within 2000 to 2100.
     """
     if not EARLIEST <= seconds <= LATEST:
         raise EntryError("a time out of range")
--- a/orchidferry/testkit/traffic/import_command.py
+++ b/orchidferry/testkit/traffic/import_command.py
@@ -126,7 +126,7 @@
             _count_log_shapes(Source(path), parse, shapes)
     if not shapes.total:
         raise UsageError(f"{files[0]}: nothing in it can be read as {args.format[:60]!r}")
-    return propose(shapes.most(MAX_PROPOSED_SHAPES), shapes.total)
+    return propose(shapes.most_common(MAX_PROPOSED_SHAPES), shapes.total)
 
 
 def _count_har_shapes(source: Source, shapes: Shapes) -> None:
@@ -171,7 +171,7 @@
         "ties_by_chance": report.false_matches,
         "spread": report.spread,
         "notes": report.notes,
-        "unmatched": dict(report.unmatched.most(MAX_ROWS_SHOWN)),
+        "unmatched": dict(report.unmatched.most_common(MAX_ROWS_SHOWN)),
         "bytes": report.read,
         "took_s": took_s,
     }
@@ -190,7 +190,7 @@
         table.add_row(name, f"{count / max(1, report.rows):.2%}", str(count))
     console.print(table)
     for title, rows in (
-        ("not in any class", report.unmatched.most(MAX_ROWS_SHOWN)),
+        ("not in any class", report.unmatched.most_common(MAX_ROWS_SHOWN)),
         ("rejected", report.rejects.most_common(MAX_ROWS_SHOWN)),
     ):
         for text, count in rows:
--- a/orchidferry/testkit/traffic/import_plan.py
+++ b/orchidferry/testkit/traffic/import_plan.py
@@ -32,7 +32,7 @@
     window_s: float = WINDOW_S  # maximum time from the end of a failed request to its retry
     share: float = REJECTED_SHARE  # fraction of lines that may be rejected
     workers: int = 0  # number of worker processes; 0: one per core
-    # Key of the hashes of clients and objects; it is kept only in memory
+    # Key of the hashes of clients and objects, which is kept only in memory
     key: bytes = field(default_factory=lambda: secrets.token_bytes(32))
 
 
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -145,12 +145,12 @@
     """:returns: time in seconds, name of the class, hash of the client and of the object, for each row."""
     for times, rows in blocks:
         for at in range(0, len(rows), SLICE):
-            some = rows[at : at + SLICE]
+            part = rows[at : at + SLICE]
             for t, cls, client, obj in zip(
                 times[at : at + SLICE].tolist(),
-                some["cls"].tolist(),
-                some["client"].tolist(),
-                some["object"].tolist(),
+                part["cls"].tolist(),
+                part["client"].tolist(),
+                part["object"].tolist(),
                 strict=True,
             ):
                 yield t, names[cls], client, obj
@@ -239,9 +239,9 @@
         if seen >= WORK_SAMPLE:
             break
         for number in range(len(names)):
-            some = succeeded["took"][succeeded["cls"] == number]
-            if len(some):
-                took.setdefault(number, []).append(some)
+            durations = succeeded["took"][succeeded["cls"] == number]
+            if len(durations):
+                took.setdefault(number, []).append(durations)
     return {names[n]: float(np.median(np.concatenate(parts))) / 1e6 for n, parts in took.items()}
 
 
--- a/orchidferry/testkit/traffic/retries.py
+++ b/orchidferry/testkit/traffic/retries.py
@@ -81,33 +81,33 @@
         if not count:
             return rows
         self._next += count
-        old = len(self._carry)
+        carried = len(self._carry)
         both = np.concatenate([self._carry, rows])
-        both["chain"][old:] = (self._next - count + np.arange(count)) & 0xFFFF_FFFF
-        both["number"][old:] = 0
+        both["chain"][carried:] = (self._next - count + np.arange(count)) & 0xFFFF_FFFF
+        both["number"][carried:] = 0
         start = both["t"].astype(np.int64)
         end = start + np.where(both["took"] == NO_TIME, 0, both["took"])
-        self._match_pairs(both, start, end, old)
+        self._match_pairs(both, start, end, carried)
         keep = (end + self._window_us >= int(start[-1])) & (both["client"] != 0)
         self._carry = both[keep]
-        return both[old:]
+        return both[carried:]
 
-    def _match_pairs(self, both: Rows, start: Array, end: Array, old: int) -> None:
-        """Set `chain` and `number` of the retries in `both`; its first `old` rows are matched already."""
+    def _match_pairs(self, both: Rows, start: Array, end: Array, carried: int) -> None:
+        """Set `chain` and `number` of the retries in `both`; its first `carried` rows are already matched."""
         has_failed = failed(both)
         sampled = np.ones(len(both), np.bool_)
-        if len(both) - old > SAMPLE_FROM:
+        if len(both) - carried > SAMPLE_FROM:
             sampled = (both["client"] & np.uint64(SAMPLE - 1)) == 0
         earlier, later = _consecutive(_keys(both), has_failed, sampled)
         # A time logged in whole seconds may be off by up to 1 s in either direction.
         spread = ((both["flags"][earlier] | both["flags"][later]) & SPREAD) != 0
         gap = start[later] - end[earlier]
         in_window = (gap >= -np.where(spread, SPREAD_US, 0) - SLACK_US) & (gap <= self._window_us)
-        in_window &= (both["client"][earlier] != 0) & (later >= old)
+        in_window &= (both["client"][earlier] != 0) & (later >= carried)
         self.statistics.matches += int((in_window & has_failed[earlier]).sum())
-        self.statistics.failures += int(has_failed[old:].sum())
+        self.statistics.failures += int(has_failed[carried:].sum())
         self.statistics.repeats += int((in_window & ~has_failed[earlier] & sampled[later]).sum())
-        self.statistics.successes += int((~has_failed[old:] & sampled[old:]).sum())
+        self.statistics.successes += int((~has_failed[carried:] & sampled[carried:]).sum())
         chain = both["chain"]
         number = both["number"]
         matched = np.flatnonzero(in_window & has_failed[earlier])
--- a/orchidferry/testkit/traffic/string_formats.py
+++ b/orchidferry/testkit/traffic/string_formats.py
@@ -202,7 +202,7 @@
 
     pattern: re.Pattern[bytes]  # matches every line of a block; the last group is a line in another format
     time: int
-    epoch: bool  # whether the time is Unix time with a fraction, else in the Common Log Format
+    epoch: bool  # whether the time is in seconds since 1970 with a fraction, else in the Common Log Format
     logged_at_end: bool  # whether the time is that of the end of the request
     request: int
     status: int
--- a/tests/testkit/traffic/test_classes.py
+++ b/tests/testkit/traffic/test_classes.py
@@ -142,7 +142,7 @@
         shapes.add("GET", f"/page-{'abcdefghij'[n % 10]}{chr(97 + n // 10 % 26)}{chr(97 + n // 260 % 26)}")
         shapes.add("GET", f"/feeds/{n}")
     assert len(shapes.counts) <= 100 < MAX_SHAPES and shapes.total == 40_000
-    [(name, count)] = shapes.most(1)
+    [(name, count)] = shapes.most_common(1)
     assert name == "GET /feeds/*" and count == 20_000
 
 
@@ -159,7 +159,7 @@
     shapes = Shapes()
     for method, parts in requests:
         shapes.add(method, "/" + "/".join(parts))
-    text = propose(shapes.most(100), shapes.total, 0.1)
+    text = propose(shapes.most_common(100), shapes.total, 0.1)
     classes = read_classes(text.encode())
     assert len(tomllib.loads(text)["class"]) == len({rule.name for rule in classes.rules})
     for method, _ in requests:
--- a/tests/testkit/traffic/test_importing.py
+++ b/tests/testkit/traffic/test_importing.py
@@ -67,8 +67,9 @@
     """The start of a request (milliseconds since 1970) as the log or the HAR gives it."""
     if form == "har":
         return int((generate.START_TIME_S + request.t) * 1e3)
-    end_s = round(generate.START_TIME_S + request.t + request.took_s, 3)
-    return round(1e3 * (end_s - round(request.took_s, 3)))
+    return round(
+        1e3 * (round(generate.START_TIME_S + request.t + request.took_s, 3) - round(request.took_s, 3))
+    )
 
 
 @pytest.mark.parametrize("form", ["log", "har"])
@@ -107,8 +108,10 @@
     )
     assert sum(expected.values()) > 50
     correct = sum((matched & expected).values())
-    assert correct >= 0.99 * sum(expected.values())
-    assert sum(matched.values()) <= 1.01 * sum(expected.values()) + 1
+    assert (
+        correct >= 0.99 * sum(expected.values())
+        and sum(matched.values()) <= 1.01 * sum(expected.values()) + 1
+    )
 
 
 def test_random_fractions_are_added_to_whole_seconds_and_reported(tmp_path: Path) -> None:
--- a/tests/testkit/traffic/test_readers.py
+++ b/tests/testkit/traffic/test_readers.py
@@ -297,7 +297,7 @@
     rows = [b"line %d" % n * 9 for n in range(40_000)]
     rows[20_000] = b"x" * 10_000_000
     rows[30_000] = b"y" * (MAX_LINE + 1)
-    rows[-1] = b"the last, without line break"
+    rows[-1] = b"the last, without its end"
     path = tmp_path / "log"
     path.write_bytes(COMPRESS[compression](b"\n".join(rows)))
     lines, problem = read(path)
