--- a/orchidferry/testkit/mesh/__init__.py
+++ b/orchidferry/testkit/mesh/__init__.py
@@ -1,5 +1,5 @@
-"""The mesh on loopback.
+"""Runs a complete mesh on the loopback interface and records what its clients and servers observe.
 
-Machines with addresses of their own, real processes of both roles, and between them stand-in servers, an
-operator, clients and a prober, all in one process of the kit.
+Each simulated machine has a loopback address of its own. Controllers and proxies run as real processes; the
+stand-in application servers, the operators, the clients and the readiness prober all run in the kit's process.
 """
--- a/orchidferry/testkit/mesh/command.py
+++ b/orchidferry/testkit/mesh/command.py
@@ -153,9 +153,9 @@
         await asyncio.sleep(PROGRESS_INTERVAL_S)
         line = f"{day.name}: {progress.phase}"
         if progress.phase == PLAYING:
-            action = f"  !! {progress.now}" if progress.now else ""
+            action = f"  !! {progress.current_action}" if progress.current_action else ""
             line += (
-                f" {progress.t:.0f} of {seconds:g} s, "
+                f" {progress.traffic_s:.0f} of {seconds:g} s, "
                 f"asked {progress.asked}, served {progress.served}{action}"
             )
         console.print(line, markup=False, highlight=False)
--- a/orchidferry/testkit/mesh/links.py
+++ b/orchidferry/testkit/mesh/links.py
@@ -1,7 +1,7 @@
-"""Links with faults between the mesh's processes: a relay of the kit's own in front of each machine.
+"""Network links between the mesh's processes, with fault injection by a relay in front of each machine.
 
-A machine is known by its `ip`, where the relay listens; its process listens at `bind`, and dials from there,
-so that the relay knows by the source who dials.
+A machine's public address is `Machine.ip`, where the relay listens. Its process listens on `Machine.bind` and
+dials from that address, so the relay identifies the dialling machine by the source address.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
     """All relays of a run. Memory is bounded by `relay.MAX_CONNECTIONS` and `relay.MAX_BUFFERED`."""
 
     def __init__(self, ports: Ports) -> None:
-        """Create links between no machines; must be called in the event loop that carries them.
+        """Create the links without any machine; must be called in the event loop of the connections.
 
-        :param ports: of every machine
+        :param ports: the ports that all machines use
         """
         self._ports = ports
         self._state = RelayState()
@@ -26,20 +26,22 @@
 
     @property
     def connection_count(self) -> int:
-        """How many connections are relayed now."""
+        """The number of open relayed connections."""
         return len(self._state.connections)
 
     def add_machine(self, machine: Machine) -> None:
-        """Relay to a machine from when its process listens."""
+        """Add the relays of a machine, which start to listen once its process does."""
         self.add_dialler(machine.name, machine.bind)
-        served = self._ports.inbound if machine.role == "sidecar" else self._ports.control
-        listeners = [RelayListener(self._state, machine, port) for port in (self._ports.internal, served)]
+        public_port = self._ports.inbound if machine.role == "sidecar" else self._ports.control
+        listeners = [
+            RelayListener(self._state, machine, port) for port in (self._ports.internal, public_port)
+        ]
         self._listeners[machine.name] = listeners
         for listener in listeners:
             listener.refuse()
 
     def add_dialler(self, name: str, ip: str) -> str:
-        """Know someone by the address that they dial from.
+        """Register the source address of a participant, so that link faults can apply to its connections.
 
         :returns: the address
         """
@@ -47,26 +49,26 @@
         return ip
 
     def on_process_ended(self, machine: Machine) -> None:
-        """Refuse connections to a machine, as one without a process does."""
+        """Refuse connections to a machine, as its kernel would without a listening process."""
         for listener in self._listeners.get(machine.name, ()):
             listener.refuse()
 
     def set_condition(self, directions: Iterable[Direction], condition: LinkCondition) -> None:
-        """Change the condition of links; where they are healthy again, what was held up goes on."""
+        """Change the condition of links; data held up by a cut that has ended is passed on."""
         for direction in directions:
             self._state.set_condition(direction, condition)
         for connection in list(self._state.connections):
             connection.on_condition_changed()
 
     def reset(self, directions: Iterable[Direction]) -> None:
-        """End all connections between these machines, in either direction, with a reset."""
+        """Reset all connections between these pairs of machines, whichever side dialled."""
         links = {frozenset(direction) for direction in directions}
         for connection in list(self._state.connections):
-            if frozenset(connection.near.direction) in links:
+            if frozenset(connection.dialler_end.direction) in links:
                 connection.end(reset=True)
 
     def close(self) -> None:
-        """End all listeners and connections."""
+        """Close all listeners and connections."""
         for listeners in self._listeners.values():
             for listener in listeners:
                 listener.close()
--- a/orchidferry/testkit/mesh/processes.py
+++ b/orchidferry/testkit/mesh/processes.py
@@ -1,4 +1,4 @@
-"""The mesh's own processes: start, signals, end, and what they use."""
+"""The mesh's own processes: how they are started, signalled and ended, and their resource usage."""
 
 from __future__ import annotations
 
@@ -23,35 +23,45 @@
     "core": (sys.executable, "-B", "-m", "orchidferry.mesh", "controller"),
     "sidecar": (sys.executable, "-B", "-m", "orchidferry.mesh", "proxy"),
 }
-"""Commands by the class of machine."""
+"""The command line of a process, by the class of its machine."""
 
 ROOT = Path(orchidferry.__file__).parents[1]
+"""The folder that contains the package; the processes' working directory."""
+
 KILL_TIMEOUT_S = 10.0
-"""In which a process that was killed has ended, on a slow machine too."""
+"""How long a killed process may take to end; long enough for a slow machine."""
 
 USAGE_WINDOW_S = 2.0
-"""The least time over which a process's wait for a core is measured, and from its start to the first one."""
+"""The shortest window over which a process's wait for a CPU core is measured, and the delay from the start of
+the process to the first window."""
 
 MAX_SEEDS = 3
-"""Controllers that a settings file names."""
+"""How many seed controllers a settings file names at most."""
 
 INTERPRETER_START_S = 0.5
-"""In which an interpreter has started, on a slow machine too."""
+"""How long the Python interpreter may take to start; long enough for a slow machine."""
 
 RESTART_DELAY_S = 0.5
+"""From the unexpected end of a process to its restart."""
+
 MAX_STARTS = 20
-"""Starts of one machine's process over a run."""
+"""How often one machine's process may be started in a run; if it then ends by itself, the run is aborted."""
 
 LIBRARIES = ("cbor2", "lmdb", "loguru", "marshmallow")
+"""Third-party libraries that the mesh's processes import."""
+
 BUILT_DEPENDENCIES = "target/deps"
-"""Of the deployment's build; where there is none, the extra `mesh` is installed."""
+"""Where the deployment's build puts these libraries; without this folder the extra `mesh` is needed."""
 
 PASSED_ENVIRONMENT = ("PATH", "HOME", "LANG")
+"""Environment variables that the processes inherit."""
+
 LOG_TAIL_BYTES = 8192
+"""How many bytes at the end of a log are read."""
 
 
 def missing_library() -> str:
-    """A library that the mesh's processes need and can't have; empty if there is none."""
+    """The name of a library that the mesh's processes need and that is not installed; empty if all are."""
     if (ROOT / BUILT_DEPENDENCIES).is_dir():
         return ""
     return next((name for name in LIBRARIES if importlib.util.find_spec(name) is None), "")
@@ -71,13 +81,13 @@
         on_ended: Callable[[Machine], None],
         first_start: bool = True,
     ) -> None:
-        """Create a node whose process was not started.
+        """Create a node without starting its process.
 
-        :param seeds: the controllers; may change while the run goes on
-        :param folder: of the run; the node's files are in one of its own there
-        :param on_died: called with the exit status of a process that ended by itself
-        :param on_ended: called at each end of a process
-        :param first_start: the first process founds the system together with the others
+        :param seeds: the controllers; the list may change during the run
+        :param folder: the folder of the run; the node's files go to a subfolder with the machine's name
+        :param on_died: called with the node and the exit status when a process ends by itself
+        :param on_ended: called whenever a process has ended, for whatever reason
+        :param first_start: the node's first process takes part in bootstrapping the cluster
         """
         self.machine = machine
         self.command: tuple[str, ...] = COMMANDS[machine.role]
@@ -87,23 +97,23 @@
         self._on_died = on_died
         self._on_ended = on_ended
         self._first_start = first_start
-        self.first_seed: Machine | None = None  # named before the others in its settings file
+        self.first_seed: Machine | None = None  # listed before the other seeds in the settings file
         self._home = folder / machine.name
         self._process: ChildProcess | None = None
         self._watcher: asyncio.Task[None] | None = None
-        self._end_expected = False
-        self.stopping = False  # its process was terminated, and none was started since
-        self.starts = 0
-        self.cpu_s = 0.0  # of all its processes
-        self.peak_memory_mb = 0.0
-        self.starved = 0.0  # the fraction of the last window that it waited for a core
-        self._last_sample: tuple[float, float] | None = None  # when, and the seconds waited by then
-        self._started_at = 0.0
-        self._past_cpu_s = 0.0  # of its earlier processes
+        self._end_expected = False  # the kit has ended the process
+        self.stopping = False  # the process was sent SIGTERM, and no other was started since
+        self.starts = 0  # how many processes were started so far
+        self.cpu_s = 0.0  # CPU time of all processes of this node
+        self.peak_memory_mb = 0.0  # largest resident set size of these processes
+        self.starved = 0.0  # fraction of the last window for which the process waited for a CPU core
+        self._last_sample: tuple[float, float] | None = None  # time of the sample; seconds waited until then
+        self._started_at = 0.0  # on the run's clock
+        self._past_cpu_s = 0.0  # CPU time of this node's earlier processes
 
     @property
     def pid(self) -> int | None:
-        """The number of its process; None if none runs."""
+        """The id of the running process; None if there is none."""
         process = self._process
         return process.pid if process is not None and process.returncode is None else None
 
@@ -111,7 +121,7 @@
         self._context.record(Process(self._context.now(), self.machine.name, what, again))
 
     def write_settings(self) -> Path:
-        """Write its settings file by the list of controllers, which may have changed; returns its path."""
+        """Write the settings file, with the current list of controllers as seeds; returns its path."""
         data = self._home / "data"
         data.mkdir(parents=True, exist_ok=True)
         path = self._home / "local.toml"
@@ -123,13 +133,13 @@
         return path
 
     def wipe(self) -> None:
-        """Empty its disk; its process must have ended."""
+        """Delete the stored data of the machine; its process must have ended."""
         shutil.rmtree(self._home / "data", ignore_errors=True)
 
     async def start(self, again: bool = False) -> None:
-        """Start its process, unless it runs.
+        """Start the process unless it is running.
 
-        :param again: it ended by itself before
+        :param again: whether the previous process ended by itself, for the record
         """
         if self.pid is not None:
             return
@@ -147,7 +157,7 @@
             self._process = await spawn(self.command, env, ROOT, log, max_descriptors)
         self._record("start", again)
         self._past_cpu_s = self.cpu_s
-        self._last_sample = None  # its first seconds are no measure: it starts, and is not connected
+        self._last_sample = None  # usage during start-up, before it is connected, is not representative
         self._started_at = self._context.now()
         self._watcher = asyncio.get_running_loop().create_task(self._watch(self._process))
 
@@ -160,7 +170,7 @@
         self._on_died(self, status)
 
     def read_usage(self) -> None:
-        """Read what its process has used, from the kernel's accounting in /proc."""
+        """Sample the CPU time, wait for a core and peak memory of the process from /proc."""
         if self.pid is None:
             return
         with contextlib.suppress(OSError, ValueError, IndexError):
@@ -173,9 +183,9 @@
                     self.peak_memory_mb = max(self.peak_memory_mb, int(line.split()[1]) / 1024.0)
 
     def _sample_waiting(self, waited_s: float) -> None:
-        """Measure the fraction of time that it waited for a core, once a window is over.
+        """At the end of a window, compute the fraction of it for which the process waited for a CPU core.
 
-        :param waited_s: since its start
+        :param waited_s: how long the process has waited for a core since its start
         """
         now = self._context.now()
         if self._last_sample is None:
@@ -188,9 +198,9 @@
             self._last_sample = now, waited_s
 
     def kill(self, what: str = "killed") -> None:
-        """Kill its process at once, with whatever it started.
+        """Kill the process group of the process with SIGKILL.
 
-        :param what: how the record names it
+        :param what: the value of `Process.what` in the record
         """
         self.read_usage()
         if self.pid is not None:
@@ -200,30 +210,31 @@
                 os.killpg(self.pid, signal.SIGKILL)
 
     async def wait_ended(self) -> None:
-        """Wait for the end of its process, once it was killed."""
+        """Wait until a process that was killed has ended."""
         if self._process is not None:
             await asyncio.wait_for(self._process.wait(), KILL_TIMEOUT_S)
 
     def pause(self) -> None:
-        """Stop its process where it is (SIGSTOP)."""
+        """Suspend the process (SIGSTOP)."""
         self._signal(signal.SIGSTOP, "paused")
 
     def resume(self) -> None:
-        """Let its process go on (SIGCONT)."""
+        """Resume the suspended process (SIGCONT)."""
         self._signal(signal.SIGCONT, "resumed")
 
     def reload(self) -> None:
-        """Write its settings file anew, and have its process read it (SIGHUP).
+        """Rewrite the settings file, and have the process reload it (SIGHUP).
 
-        While the interpreter itself starts no program can handle a signal, so the process is spared then.
+        A process whose interpreter may still be starting is signalled only if it has installed a handler:
+        otherwise SIGHUP would end it, as no Python program can handle signals that early.
         """
         self.write_settings()
-        young = self._context.now() - self._started_at < INTERPRETER_START_S
-        if not young or self._handles_reload():
+        may_be_starting = self._context.now() - self._started_at < INTERPRETER_START_S
+        if not may_be_starting or self._handles_reload():
             self._signal(signal.SIGHUP, "reloaded")
 
     def _handles_reload(self) -> bool:
-        """Whether its process has a handler of SIGHUP by now, as the kernel says."""
+        """Whether the process has installed a handler for SIGHUP, according to /proc."""
         with contextlib.suppress(OSError, ValueError):
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("SigCgt:"):
@@ -236,7 +247,7 @@
             self._record(what)
 
     async def stop(self) -> None:
-        """Terminate its process (SIGTERM), and kill it after its grace."""
+        """Terminate the process (SIGTERM), and kill it if it has not ended after the grace time."""
         self.read_usage()
         process = self._process
         if process is None or self.pid is None:
@@ -254,7 +265,10 @@
             await process.wait()
 
     def tail(self, lines: int) -> list[str]:
-        """The last lines of its log."""
+        """The last lines of the process's log.
+
+        :param lines: how many at most
+        """
         try:
             text = (self._home / "log").read_bytes()[-LOG_TAIL_BYTES:].decode("utf-8", "replace")
         except OSError:
--- a/orchidferry/testkit/mesh/run.py
+++ b/orchidferry/testkit/mesh/run.py
@@ -1,4 +1,4 @@
-"""The course of a day on the mesh: start, traffic with the schedule's actions, reading back, end."""
+"""The phases of a run: start-up, traffic with scheduled actions, reading the configuration back, shutdown."""
 
 from __future__ import annotations
 
@@ -15,49 +15,50 @@
 from orchidferry.testkit.mesh.schedule import UNPLANNED, schedule
 
 MAX_START_S = 10.0
-"""From the machines' start to the traffic, at most; earlier where all are ready."""
+"""The longest wait for all machines to become ready after their start; the run continues once all are."""
 
 WARM_UP_S = 3.0
-"""After that: servers have said that they are warm."""
+"""From the end of the start-up to the traffic, so that all servers have announced that they are warm."""
 
 FIRST_CHANGE_LIMIT_S = MAX_START_S + 5.0
 START_POLL_S = 0.05
 MONITOR_INTERVAL_S = 0.02
 SWEEP_INTERVAL_S = 1.0
 DRAIN_S = 6.0
-"""For what is open after the last arrival."""
+"""How long requests that are in flight after the last arrival are waited for."""
 
 PLAYING = "playing"
+"""The phase of `Progress` in which the traffic runs."""
 
 
 class RunAbortedError(OrchidferryError):
-    """The run can't go on; the text says why."""
+    """The run can't continue; the message gives the reason."""
 
 
 @dataclass
 class Progress:
-    """What a watcher is shown."""
+    """The progress of a run, for display."""
 
     phase: str = "starting"
-    t: float = 0.0  # seconds of traffic
-    asked: int = 0
-    served: int = 0
-    now: str = ""  # the action in progress
+    traffic_s: float = 0.0  # since the start of the traffic
+    asked: int = 0  # client requests made so far
+    served: int = 0  # client requests answered with success so far
+    current_action: str = ""  # name of the scheduled action in progress; empty: none
 
 
 class DayRun:
-    """Plays a day in an environment."""
+    """Runs a scenario in an environment."""
 
     def __init__(self, env: Environment, progress: Progress) -> None:
         """Prepare a run.
 
-        :param progress: is kept up to date
+        :param progress: updated during the run
         """
         self.env = env
         self._progress = progress
 
     async def play(self) -> None:
-        """Play the day from start to end, but for the shutdown.
+        """Run the scenario up to, but not including, the shutdown.
 
         :raises RunAbortedError: if no machine becomes ready
         """
@@ -73,7 +74,7 @@
         await sessions
         await env.clients.drain(DRAIN_S)
         env.record.end = env.context.now()
-        self._progress.phase = "reading back"
+        self._progress.phase = "reading the configuration back"
         await env.operator.read_for(env.day.bounds.contact_ms / 1000.0)
 
     async def close(self) -> None:
@@ -82,7 +83,7 @@
         await self.env.close()
 
     async def _start(self) -> None:
-        """Start all parts, send the first configuration, and wait until machines are ready."""
+        """Start all parts, send the first configuration, and wait until the machines are ready."""
         env = self.env
         await asyncio.gather(*(node.start() for node in env.nodes.values()))
         started = env.context.now()
@@ -101,9 +102,12 @@
             raise RunAbortedError(f"no machine was ready within {MAX_START_S:g} s of the start")
 
     async def _play_schedule(self, start: float) -> None:
-        """Play one action after another; after a fault what was lost has the time to catch up.
+        """Execute the scheduled actions in order.
 
-        :param start: of the traffic
+        Unless the scenario lets actions overlap, each starts after the end of the previous one, and after a
+        fault the machines get `catch_up_s` to recover.
+
+        :param start: the start of the traffic, in seconds on the run's clock
         """
         env = self.env
         earliest = 0.0
@@ -123,32 +127,32 @@
         now = env.context.now()
         event = Event(now, now + scheduled.for_s, scheduled.action, scheduled.target)
         env.record.facts.append(event)
-        self._progress.now = scheduled.action
+        self._progress.current_action = scheduled.action
         event.whom = await action(env, scheduled) or event.whom
         event.until = max(event.until, env.context.now())
-        self._progress.now = ""
+        self._progress.current_action = ""
 
     async def _monitor(self) -> None:
-        """Keep track of the event loop's lateness, of progress, and once a second of processes."""
+        """Measure the event loop's lag, update the progress, and once a second sample the processes."""
         env = self.env
         loop = asyncio.get_running_loop()
-        swept = 0.0
+        last_sweep = 0.0
         while True:
             due = loop.time() + MONITOR_INTERVAL_S
             await asyncio.sleep(MONITOR_INTERVAL_S)
-            late = loop.time() - due
+            lag = loop.time() - due
             now = env.context.now()
             if self._progress.phase == PLAYING:
-                env.record.stall_s = max(env.record.stall_s, late)
-                self._progress.t = now - env.record.start
+                env.record.stall_s = max(env.record.stall_s, lag)
+                self._progress.traffic_s = now - env.record.start
                 self._progress.asked = env.clients.counts["asked"]
                 self._progress.served = env.clients.counts["served"]
-            if now - swept > SWEEP_INTERVAL_S:
-                swept = now
+            if now - last_sweep > SWEEP_INTERVAL_S:
+                last_sweep = now
                 self._sweep()
 
     def _sweep(self) -> None:
-        """Close idle connections, and read what processes use."""
+        """Close idle connections, and sample the resource usage of the processes."""
         env = self.env
         env.context.sweep()
         for server in env.servers.values():
--- a/orchidferry/testkit/mesh/session.py
+++ b/orchidferry/testkit/mesh/session.py
@@ -1,4 +1,4 @@
-"""One run on the mesh from beginning to end, bounded in time; all processes end with it in any case."""
+"""One run on the mesh, bounded in time; all its processes are ended with it, also when it fails."""
 
 from __future__ import annotations
 
@@ -19,46 +19,47 @@
 from orchidferry.testkit.world.addresses import claim
 
 EXTRA_TIME_S = 45.0
-"""Beyond the traffic: a run that has not ended by then is aborted."""
+"""A run that has not ended this long after its traffic is aborted."""
 
 CLOSE_TIMEOUT_S = 4.0
-"""Beyond their grace, in which all processes have been ended."""
+"""How long the shutdown may take beyond the processes' grace time."""
 
 SIGNALS = (signal.SIGINT, signal.SIGTERM)
 MAX_LOG_LINES = 200
-"""Lines of a process's log that are searched."""
+"""How many of the last lines of a process's log are searched for exceptions."""
 
 MAX_LINE_LENGTH = 200
+"""Characters of a log line that are reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What the kernel says that the processes of a machine have used."""
+    """Resource usage of all processes of one machine, from the kernel's accounting."""
 
     cpu_s: float
-    peak_memory_mb: float
+    peak_memory_mb: float  # the largest resident set size of one process
 
 
 @dataclass
 class CompletedRun:
-    """A run's record, and what the kernel said of its processes."""
+    """The record of a run, and the resource usage and logged exceptions of its processes."""
 
     record: Record
-    interrupted: bool = False
-    usage: dict[str, ProcessUsage] = field(default_factory=dict)  # by machine
-    logged_problems: list[str] = field(default_factory=list)
+    interrupted: bool = False  # by SIGINT or SIGTERM
+    usage: dict[str, ProcessUsage] = field(default_factory=dict)  # by machine name
+    logged_problems: list[str] = field(default_factory=list)  # log lines that report an exception
 
 
 async def play(
     day: Day, seed: int, seconds: float, progress: Progress, keep: Path | None = None
 ) -> CompletedRun:
-    """Play a day once. SIGINT and SIGTERM end it early; what was seen until then is judged.
+    """Run a scenario once. SIGINT and SIGTERM end it early; the record up to then is still judged.
 
-    :param seconds: of traffic
-    :param progress: is kept up to date
-    :param keep: a folder for the record and the processes' files; None: they are deleted
+    :param seconds: duration of the traffic
+    :param progress: updated during the run
+    :param keep: a folder in which the record and the processes' files are kept; None: they are deleted
     """
-    block, held = claim()
+    block, reservation = claim()
     folder = Path(tempfile.mkdtemp(prefix="orchidferry-mesh-")) if keep is None else keep
     env: Environment | None = None
     try:
@@ -66,10 +67,10 @@
         run = DayRun(env, progress)
         with _abort_on_signals(env) as received:
             _collect_garbage_rarely()
-            why = await _play_until(run, seconds + EXTRA_TIME_S)
-            env.record.complete = not why
-            env.record.why = why
-            # How the mesh shuts down is recorded, but what clients see of it is not judged.
+            abort_reason = await _play_until(run, seconds + EXTRA_TIME_S)
+            env.record.complete = not abort_reason
+            env.record.why = abort_reason
+            # The shutdown is recorded too, but its effects on clients are not judged.
             await asyncio.wait_for(run.close(), day.bounds.grace_s + CLOSE_TIMEOUT_S)
         if keep is not None:
             (keep / "record.jsonl").write_text(env.record.lines())
@@ -79,14 +80,14 @@
         if env is not None:
             env.kill()
         with contextlib.suppress(OSError):
-            held.close()
+            reservation.close()
         if keep is None:
             shutil.rmtree(folder, ignore_errors=True)
 
 
 @contextlib.contextmanager
 def _abort_on_signals(env: Environment) -> Iterator[list[int]]:
-    """Abort the run on `SIGNALS`; yields a list of those that came."""
+    """Abort the run on `SIGNALS`; yields the list of received signals, which grows as they arrive."""
     loop = asyncio.get_running_loop()
     received: list[int] = []
 
@@ -104,36 +105,42 @@
 
 
 def _collect_garbage_rarely() -> None:
-    """The record only grows: to look through it again and again would stall the run."""
+    """Exempt existing objects from garbage collection, and collect less often.
+
+    The record only grows, so repeated collections that traverse it would stall the event loop for nothing.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 50, 100)
 
 
 async def _play_until(run: DayRun, limit_s: float) -> str:
-    """Play the day; returns why it did not come to its end, or an empty text."""
+    """Run the scenario; returns the reason why it did not finish, or an empty text.
+
+    :param limit_s: the run is aborted after this time
+    """
     loop = asyncio.get_running_loop()
     work: asyncio.Task[object] = loop.create_task(run.play())
     aborted: asyncio.Task[object] = loop.create_task(run.env.until_aborted())
     done, _ = await asyncio.wait([work, aborted], timeout=limit_s, return_when=asyncio.FIRST_COMPLETED)
     record = run.env.record
     record.end = record.end or run.env.context.now()
-    why = "" if work in done else "it did not come to its end"
+    abort_reason = "" if work in done else f"the run did not finish within {limit_s:g} s"
     if work not in done and aborted in done:
-        why = str(aborted.result())
+        abort_reason = str(aborted.result())
     aborted.cancel()
     work.cancel()
     try:
         await work
-    except RunAbortedError as reason:
-        why = str(reason)
+    except RunAbortedError as error:
+        abort_reason = str(error)
     except asyncio.CancelledError:
         pass
-    return why
+    return abort_reason
 
 
 def _logged_problems(env: Environment) -> list[str]:
-    """Lines of processes' logs that report an exception."""
+    """Lines of the processes' logs that report an exception."""
     return [
         f"{name}: {line[:MAX_LINE_LENGTH]}"
         for name, node in env.nodes.items()
