--- a/orchidferry/testkit/mesh/actions/__init__.py
+++ b/orchidferry/testkit/mesh/actions/__init__.py
@@ -1,7 +1,7 @@
-"""What a scheduled action of a day does: planned work, and faults of processes, disks and links.
+"""The actions that a schedule can name: planned operations, and faults of processes, disks and links.
 
-An action is a coroutine function of the environment and the line of the schedule. It returns in words what it
-was done to. One that causes a fault ends it itself, also when it is cancelled.
+An action is a coroutine function that takes the environment and the entry of the schedule. It returns a text
+that describes its targets. An action that causes a fault also ends it, even when it is cancelled.
 """
 
 from __future__ import annotations
@@ -17,4 +17,4 @@
 ACTIONS: dict[str, Action] = (
     PLANNED_ACTIONS | PROCESS_ACTIONS | LINK_ACTIONS | CLOSING_ACTIONS | ISOLATION_ACTIONS | ROLLING_ACTIONS
 )
-"""All actions, by their names in schedules and records."""
+"""All actions by the names that schedules and records use."""
--- a/orchidferry/testkit/mesh/actions/closing.py
+++ b/orchidferry/testkit/mesh/actions/closing.py
@@ -1,25 +1,32 @@
-"""Faults that close a day: a loss right after a configuration was acknowledged."""
+"""Faults at the end of a scenario: controllers are lost right after they acknowledged a configuration."""
 
 from __future__ import annotations
 
 from orchidferry.testkit import seeded_random
 from orchidferry.testkit.mesh.actions.processes import kill_and_restart
-from orchidferry.testkit.mesh.actions.targets import Action, choose, controllers_to_lose, live_sidecars
+from orchidferry.testkit.mesh.actions.targets import Action, controllers_to_lose, live_sidecars, random_index
 from orchidferry.testkit.mesh.configuration import build_configuration
 from orchidferry.testkit.mesh.day import ScheduledAction
 from orchidferry.testkit.mesh.environment import Environment
 from orchidferry.testkit.mesh.revisions import LAST_REVISION
 
 WIPED_ALONE_SHARE = 0.5
-"""Of closing wipes, those in which the other controllers go on; else all are killed at once."""
+"""The chance that the other controllers keep running during a wipe; otherwise all are killed at once."""
 
 READ_LIMIT_S = 5.0
+"""How long reading the newest revision is tried."""
+
 CHANGE_LIMIT_S = 8.0
+"""How long a change is retried until it gets a definite answer."""
+
 NOT_ACKNOWLEDGED = " (nothing was acknowledged)"
 
 
 async def _last_change_acknowledged(env: Environment) -> bool:
-    """Send a configuration on top of the newest, with the first one's routes; whether it was acknowledged."""
+    """Send a last configuration, based on the newest one and with the routes of the first.
+
+    :returns: whether it was acknowledged
+    """
     await env.changes.stop()
     base = await env.operator.newest_revision(READ_LIMIT_S)
     if base is None:
@@ -31,9 +38,9 @@
 
 
 async def _kill_all(env: Environment, scheduled: ScheduledAction) -> str:
-    """Every process of all machines is killed; by the seed those of the controllers alone."""
+    """Kill and restart the processes of all machines or, under some seeds, of the controllers alone."""
     acknowledged = await _last_change_acknowledged(env)
-    controllers_only = choose(env, scheduled, 3) == 0
+    controllers_only = random_index(env, scheduled, 3) == 0
     machines = env.cores if controllers_only else [*env.cores, *live_sidecars(env)]
     nodes = [env.nodes[machine.name] for machine in machines]
     done = await kill_and_restart(nodes, scheduled.for_s)
@@ -41,7 +48,7 @@
 
 
 async def _wipe_controllers(env: Environment, scheduled: ScheduledAction) -> str:
-    """Controllers lose their disks; by the seed all others are killed too."""
+    """Wipe the disks of some controllers; under some seeds the others are killed too."""
     acknowledged = await _last_change_acknowledged(env)
     wiped = controllers_to_lose(env, scheduled)
     alone = seeded_random.uniform(env.seed, "alone") < WIPED_ALONE_SHARE
--- a/orchidferry/testkit/mesh/actions/isolation.py
+++ b/orchidferry/testkit/mesh/actions/isolation.py
@@ -1,7 +1,7 @@
-"""Actions of the worst days.
+"""Actions of the `worst-days` scenarios.
 
-A stream of changes, hundreds of them in a row, controllers isolated under it, and connections that break off
-under calls that are not idempotent.
+A continuous stream of configuration changes, hundreds of changes in quick succession, the isolation of
+controllers during such changes, and connections that are reset during non-idempotent calls.
 """
 
 from __future__ import annotations
@@ -16,30 +16,31 @@
     impose_fault,
     reversed_directions,
 )
-from orchidferry.testkit.mesh.actions.targets import Action, choose, live_sidecars
+from orchidferry.testkit.mesh.actions.targets import Action, live_sidecars, random_index
 from orchidferry.testkit.mesh.day import Machine, ScheduledAction
 from orchidferry.testkit.mesh.environment import Environment
 from orchidferry.testkit.mesh.relay import Direction, LinkCondition
 
 ROLLING_RESTART_SHARE = 0.5
-"""Of isolations, those during which all nodes are restarted in turn; else some at any moment."""
+"""The chance that all proxies are restarted in turn during an isolation; else a few restart at random."""
 
 ROLLING_PAUSE_S = 0.5
-"""From one node's new start to the next one's end."""
+"""From the start of one proxy to the termination of the next."""
 
 RESTARTS = 3
-"""Nodes that are restarted during an isolation without a rolling restart."""
+"""How many proxies are restarted during an isolation without a rolling restart."""
 
 SIGTERM_SHARE = 0.5
-"""Of restarts, those that begin with SIGTERM in place of a kill."""
+"""The fraction of these restarts that begin with SIGTERM rather than SIGKILL."""
 
 CHANGES_IN_A_ROW = 300
 FIRST_BROKEN_CHUNK = 2
 LAST_BROKEN_CHUNK = 4
+"""Bounds of the chunk in whose middle connections between proxies are reset; see `LinkCondition`."""
 
 
-class IsolationWay(Enum):
-    """The directions in which a controller is isolated, in the words of records."""
+class IsolationDirection(Enum):
+    """The directions in which a controller is isolated, with the texts that records have."""
 
     BOTH = "both ways"
     INWARDS = "to it"
@@ -47,24 +48,24 @@
 
 
 async def _start_changes(env: Environment, scheduled: ScheduledAction) -> str:
-    """Operators begin to send changes, and go on until the closing loss."""
+    """Start the stream of changes, which continues until the fault at the end of the scenario."""
     env.changes.start()
     return ""
 
 
 async def _change_in_a_row(env: Environment, scheduled: ScheduledAction) -> str:
-    """Changes, each once the one before is acknowledged; then some from before them again."""
+    """Send many changes, each as soon as the previous one is acknowledged, then resend some earlier ones."""
     return await env.changes.change_in_a_row(CHANGES_IN_A_ROW, scheduled.for_s)
 
 
 async def _resend_changes(env: Environment, scheduled: ScheduledAction) -> str:
-    """Changes that were acknowledged are sent again."""
+    """Resend some changes that were acknowledged earlier."""
     await env.changes.resend_some()
     return ""
 
 
 def controllers_to_isolate(env: Environment, scheduled: ScheduledAction) -> list[Machine]:
-    """Controllers by the seed, no more than may be lost at once."""
+    """The controllers that the schedule names, or some chosen by the seed, at most `Day.tolerance`."""
     if scheduled.target:
         return [env.nodes[name].machine for name in scheduled.target.split()]
     count = 1 + int(seeded_random.uniform(env.seed, "isolated", high=env.day.tolerance))
@@ -72,23 +73,27 @@
 
 
 def links_to_cut(env: Environment, machines: list[Machine]) -> LinkSelection:
-    """The links that isolate controllers: from the others or from all machines, in a way by the seed."""
+    """The links to cut so that controllers are isolated.
+
+    The seed determines whether they are isolated from the other controllers or from all machines, and in
+    which directions.
+    """
     from_all = seeded_random.uniform(env.seed, "isolate", "far") < 0.5
     far = [*env.cores, *live_sidecars(env)] if from_all else env.cores
     directions = [(one.name, other.name) for one in machines for other in far if other is not one]
-    ways = tuple(IsolationWay)
-    way = ways[int(seeded_random.uniform(env.seed, "isolate", "way", high=len(ways)))]
-    if way is IsolationWay.BOTH:
+    choices = tuple(IsolationDirection)
+    chosen = choices[int(seeded_random.uniform(env.seed, "isolate", "way", high=len(choices)))]
+    if chosen is IsolationDirection.BOTH:
         directions = both_ways(directions)
-    elif way is IsolationWay.INWARDS:
+    elif chosen is IsolationDirection.INWARDS:
         directions = reversed_directions(directions)
     names = " ".join(machine.name for machine in machines)
     far_names = "all" if from_all else "the other controllers"
-    return LinkSelection(directions, f"{names} from {far_names}, {way.value}")
+    return LinkSelection(directions, f"{names} from {far_names}, {chosen.value}")
 
 
 async def _isolate(env: Environment, scheduled: ScheduledAction) -> str:
-    """Controllers are isolated; meanwhile a service's servers are replaced, and nodes are restarted."""
+    """Isolate controllers; meanwhile replace the servers of one service and restart proxies."""
     isolated = controllers_to_isolate(env, scheduled)
     links = links_to_cut(env, isolated)
     env.changes.isolated = isolated
@@ -107,10 +112,13 @@
 
 
 async def _restart_one(env: Environment, isolated: Machine, number: int, for_s: float) -> str:
-    """Restart a node; every other one has the isolated controller as its first seed.
+    """Restart a proxy at a random moment of an isolation.
+
+    For every second restart the isolated controller is the proxy's first seed.
 
-    :param number: of the restart, from 0
-    :param for_s: how long the isolation lasts
+    :param number: number of the restart, from 0
+    :param for_s: duration of the isolation
+    :returns: a description for the record
     """
     low = (0.1 + 0.25 * number) * for_s
     await asyncio.sleep(seeded_random.uniform(env.seed, "restart", number, low=low, high=low + 0.15 * for_s))
@@ -128,9 +136,12 @@
 
 
 async def _rolling_restart(env: Environment, isolated: Machine, for_s: float) -> str:
-    """Restart all nodes in turn, while there is time.
+    """Restart all proxies one after another, as many as fit into the duration.
 
-    Every other one has the isolated controller as its first seed.
+    For every second proxy the isolated controller is its first seed.
+
+    :param for_s: duration of the isolation
+    :returns: a description for the record
     """
     until = env.context.now() + for_s
     restarted = 0
@@ -147,9 +158,12 @@
 
 
 async def _replace_servers(env: Environment, for_s: float) -> str:
-    """Replace the servers of one service one after another, while there is time.
+    """Replace the servers of one service one after another, as many as fit into the duration.
+
+    Each is drained and deregistered, then its successor starts at the same address.
 
-    Each leaves, and another one starts at its address.
+    :param for_s: duration of the isolation
+    :returns: a description for the record
     """
     until = env.context.now() + for_s
     replaced = 0
@@ -166,33 +180,33 @@
     return f"{replaced} servers of {service}"
 
 
-def _links_that_break(env: Environment) -> list[Direction]:
-    """One direction, by the seed, of each link between two nodes.
+def _links_to_reset(env: Environment) -> list[Direction]:
+    """One direction, chosen by the seed, of each link between two proxies.
 
-    Requests break off on the connections that its sender has dialled, answers on the others.
+    On connections dialled by the sending side requests are interrupted, on the others responses.
     """
     names = [machine.name for machine in live_sidecars(env)]
     found = []
     for n, one in enumerate(names):
         for other in names[n + 1 :]:
-            forth = seeded_random.uniform(env.seed, "broken", one, other) < 0.5
-            found.append((one, other) if forth else (other, one))
+            forward = seeded_random.uniform(env.seed, "broken", one, other) < 0.5
+            found.append((one, other) if forward else (other, one))
     return found
 
 
 async def _reset_calls(env: Environment, scheduled: ScheduledAction) -> str:
-    """Servers break off calls that are not idempotent.
+    """Make servers inject faults into non-idempotent calls.
 
-    In the first half connections between nodes are reset in the middle of what they carry, too.
+    In the first half of the duration connections between proxies are reset in the middle of a chunk, too.
     """
     servers = [server for server in env.servers.values() if not server.closed]
     chunks = LAST_BROKEN_CHUNK - FIRST_BROKEN_CHUNK + 1
-    chunk = FIRST_BROKEN_CHUNK + choose(env, scheduled, chunks, "chunk")
+    chunk = FIRST_BROKEN_CHUNK + random_index(env, scheduled, chunks, "chunk")
     half_s = scheduled.for_s / 2.0
     for server in servers:
         server.faulty = True
     try:
-        await impose_fault(env, "reset", _links_that_break(env), LinkCondition(broken_chunk=chunk), half_s)
+        await impose_fault(env, "reset", _links_to_reset(env), LinkCondition(broken_chunk=chunk), half_s)
         await asyncio.sleep(half_s)
     finally:
         for server in servers:
--- a/orchidferry/testkit/mesh/actions/links.py
+++ b/orchidferry/testkit/mesh/actions/links.py
@@ -6,39 +6,42 @@
 from dataclasses import dataclass
 
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.mesh.actions.targets import Action, any_machine, choose, live_sidecars
+from orchidferry.testkit.mesh.actions.targets import Action, live_sidecars, random_index, target_machine
 from orchidferry.testkit.mesh.day import ScheduledAction
 from orchidferry.testkit.mesh.environment import Environment
 from orchidferry.testkit.mesh.facts import LinkFault
 from orchidferry.testkit.mesh.relay import HEALTHY, Direction, LinkCondition
 
 MIN_DELAY_S = 0.02
-"""The least delay of slow links, each way."""
+"""The shortest one-way delay of slow links."""
 
 MAX_DELAY_S = 0.4
 RESETS = 3
+"""How many times in a row connections are reset."""
+
 RESET_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class LinkSelection:
-    """Links that a fault strikes, as directions away from some machines, and in words."""
+    """The links that a fault affects."""
 
     directions: list[Direction]
-    description: str
+    description: str  # for the record
 
 
 def _links_of_one_machine(env: Environment, scheduled: ScheduledAction) -> LinkSelection:
-    """A machine's links to all others, to all controllers, or to one controller.
+    """The directions from one machine to all others, to all controllers, or to one controller.
 
-    Never more than one controller is isolated from the others by them.
+    Cutting them isolates at most one controller from the other controllers. For a machine that the schedule
+    names they are always those to all others.
     """
-    machine = any_machine(env, scheduled)
+    machine = target_machine(env, scheduled)
     others = [m for m in (*env.cores, *live_sidecars(env)) if m.name != machine.name]
     controllers = [m for m in env.cores if m.name != machine.name]
-    shape = 0 if scheduled.target else choose(env, scheduled, 3, "shape")
+    shape = 0 if scheduled.target else random_index(env, scheduled, 3, "shape")
     if shape == 2:
-        controllers = [controllers[choose(env, scheduled, len(controllers), "other")]]
+        controllers = [controllers[random_index(env, scheduled, len(controllers), "other")]]
     far = others if shape == 0 else controllers
     far_names = "all" if shape == 0 else " ".join(m.name for m in far)
     return LinkSelection([(machine.name, m.name) for m in far], f"{machine.name} from {far_names}")
@@ -57,9 +60,10 @@
 async def impose_fault(
     env: Environment, kind: str, directions: list[Direction], condition: LinkCondition, for_s: float
 ) -> None:
-    """Have links in a condition for a while, and record the fault.
+    """Set the condition of links for a while, and record the fault.
 
-    :param kind: cut, slow or reset, as the record names it
+    :param kind: `LinkFault.what` in the record: cut, slow or reset
+    :param for_s: duration of the fault
     """
     now = env.context.now()
     fault = LinkFault(now, now + for_s, kind, directions)
@@ -73,23 +77,23 @@
 
 
 async def _cut(env: Environment, scheduled: ScheduledAction) -> str:
-    """Links are cut both ways: silence."""
+    """Cut links in both directions."""
     links = _links_of_one_machine(env, scheduled)
     await impose_fault(env, "cut", both_ways(links.directions), LinkCondition(cut=True), scheduled.for_s)
     return links.description
 
 
 async def _cut_one_way(env: Environment, scheduled: ScheduledAction) -> str:
-    """Links are cut one way, by the seed to the machine or from it."""
+    """Cut links in one direction: to or from the machine, chosen by the seed."""
     links = _links_of_one_machine(env, scheduled)
-    inwards = choose(env, scheduled, 2, "way") == 0
+    inwards = random_index(env, scheduled, 2, "way") == 0
     directions = reversed_directions(links.directions) if inwards else links.directions
     await impose_fault(env, "cut", directions, LinkCondition(cut=True), scheduled.for_s)
     return f"{links.description}, {'to' if inwards else 'from'} it"
 
 
 async def _slow_links(env: Environment, scheduled: ScheduledAction) -> str:
-    """Links are slow, each way."""
+    """Delay data on links in both directions."""
     links = _links_of_one_machine(env, scheduled)
     time = f"{scheduled.at:.4f}"
     delay_s = seeded_random.uniform(env.seed, "late", time, low=MIN_DELAY_S, high=MAX_DELAY_S)
@@ -99,7 +103,7 @@
 
 
 async def _reset_links(env: Environment, scheduled: ScheduledAction) -> str:
-    """All connections are reset, some times in a row."""
+    """Reset all connections on links, `RESETS` times."""
     links = _links_of_one_machine(env, scheduled)
     for n in range(RESETS):
         now = env.context.now()
--- a/orchidferry/testkit/mesh/actions/planned.py
+++ b/orchidferry/testkit/mesh/actions/planned.py
@@ -1,4 +1,4 @@
-"""Planned work: a server leaves, configurations change."""
+"""Planned operations: a server is drained, configurations change."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 from orchidferry.testkit.mesh.servers import Server
 
 CHANGE_LIMIT_S = 8.0
-"""How long a change is sent until it has a clear answer."""
+"""How long a change is retried until it gets a definite answer."""
 
 REFUSAL_LIMIT_S = 3.0
-"""The same of a change that must be refused."""
+"""How long a change that must be rejected is retried until it gets a definite answer."""
 
 APPLY_MARGIN_S = 0.2
+"""Beyond `config_apply_ms`, until the nodes are asked which configuration is in force."""
 
 
 def _server_to_drain(env: Environment, scheduled: ScheduledAction) -> Server:
-    """The one that is named, or one of the largest service."""
+    """The server that the schedule names, or one of the largest service, chosen by the seed."""
     if scheduled.target:
         return env.servers[scheduled.target]
     servers = [s for s in env.servers.values() if s.machine.service == env.sidecars[0].service]
@@ -35,17 +36,17 @@
 
 
 async def _drain(env: Environment, scheduled: ScheduledAction) -> str:
-    """A server leaves as planned; its machine's process is terminated after it."""
+    """Drain and deregister a server, then terminate the proxy of its machine."""
     server = _server_to_drain(env, scheduled)
     await server.leave()
     node = env.nodes[server.machine.name]
     await node.stop()
-    env.platform.gone.add(server.machine.name)
+    env.platform.removed.add(server.machine.name)
     return server.machine.name
 
 
 async def _change(env: Environment, scheduled: ScheduledAction) -> str:
-    """The configuration changes; another operator builds on the version before it, and comes too late."""
+    """Change the configuration, then have another operator send a change based on the superseded version."""
     apply_s = env.day.bounds.config_apply_ms / 1000.0
     second = build_configuration(env.day, env.seed, SECOND_REVISION, True)
     put = await env.operator.put(second, FIRST_REVISION, True, CHANGE_LIMIT_S)
@@ -59,7 +60,7 @@
 
 
 async def _invalid_change(env: Environment, scheduled: ScheduledAction) -> str:
-    """An invalid configuration is sent."""
+    """Send an invalid configuration."""
     invalid = make_invalid(build_configuration(env.day, env.seed, INVALID_REVISION, True), INVALID_REVISION)
     await env.other_operator.put(invalid, SECOND_REVISION, False, REFUSAL_LIMIT_S)
     return str(INVALID_REVISION)
--- a/orchidferry/testkit/mesh/actions/processes.py
+++ b/orchidferry/testkit/mesh/actions/processes.py
@@ -7,10 +7,10 @@
 
 from orchidferry.testkit.mesh.actions.targets import (
     Action,
-    any_controller,
-    any_machine,
-    choose,
     controllers_to_lose,
+    random_index,
+    target_controller,
+    target_machine,
 )
 from orchidferry.testkit.mesh.day import Machine, ScheduledAction, core_machine
 from orchidferry.testkit.mesh.environment import Environment
@@ -18,11 +18,12 @@
 from orchidferry.testkit.mesh.processes import Node
 
 MAX_CORE_NUMBER = 300
+"""Upper bound of the numbers of controllers' machines, replacements included."""
 
 
 def _named_nodes(env: Environment, scheduled: ScheduledAction) -> list[Node]:
-    """The nodes that are named, or one by the seed."""
-    names = scheduled.target.split() or [any_machine(env, scheduled).name]
+    """The nodes that the schedule names, or one chosen by the seed."""
+    names = scheduled.target.split() or [target_machine(env, scheduled).name]
     return [env.nodes[name] for name in names]
 
 
@@ -31,17 +32,21 @@
 
 
 async def _restart(nodes: list[Node], after_s: float) -> None:
-    """Wait for the ends of processes that were killed, and start them again."""
+    """Wait until processes that were killed have ended, and start them again.
+
+    :param after_s: from the end of the last one to the start
+    """
     await asyncio.gather(*(node.wait_ended() for node in nodes))
     await asyncio.sleep(after_s)
     await asyncio.gather(*(node.start() for node in nodes))
 
 
 async def kill_and_restart(nodes: list[Node], down_s: float, wiped: Sequence[Node] = ()) -> str:
-    """Kill processes, empty the disks of some, and start them again.
+    """Kill processes, wipe the disks of some, and start all again.
 
-    :param down_s: from the last one's end to the start
-    :returns: whose processes they were, in words
+    :param down_s: from the end of the last one to the start
+    :param wiped: those of the nodes whose disks are wiped
+    :returns: a description of the nodes for the record
     """
     for node in nodes:
         node.kill()
@@ -53,12 +58,12 @@
 
 
 async def _kill(env: Environment, scheduled: ScheduledAction) -> str:
-    """Processes are killed, and come back."""
+    """Kill and restart processes."""
     return await kill_and_restart(_named_nodes(env, scheduled), scheduled.for_s)
 
 
 async def _pause(env: Environment, scheduled: ScheduledAction) -> str:
-    """Processes are stopped where they are, and go on."""
+    """Suspend processes, and resume them."""
     nodes = _named_nodes(env, scheduled)
     for node in nodes:
         node.pause()
@@ -71,37 +76,40 @@
 
 
 async def _wipe(env: Environment, scheduled: ScheduledAction) -> str:
-    """Controllers are killed and lose their disks; they come back at their addresses."""
+    """Kill controllers, wipe their disks, and restart them at the same addresses."""
     nodes = controllers_to_lose(env, scheduled)
     return await kill_and_restart(nodes, scheduled.for_s, nodes)
 
 
 async def _kill_controllers(env: Environment, scheduled: ScheduledAction) -> str:
-    """All controllers are killed at once; their disks stay."""
+    """Kill all controllers at once, and restart them with their stored data."""
     return await kill_and_restart(
         [env.nodes[core_machine.name] for core_machine in env.cores], scheduled.for_s
     )
 
 
 def _successor(env: Environment, old: Machine) -> tuple[int, Machine]:
-    """The old machine's index in the operators' list, and a new one of its zone at another address."""
+    """Find a replacement for a controller's machine.
+
+    :returns: the old machine's index in the list of controllers, and a new machine in the same zone
+    """
     index = next(n for n, machine in enumerate(env.cores) if machine.name == old.name)
     candidates = (core_machine(env.block, number) for number in range(index % 3, MAX_CORE_NUMBER, 3))
     return index, next(machine for machine in candidates if machine.name not in env.nodes)
 
 
 async def _replace(env: Environment, scheduled: ScheduledAction) -> str:
-    """A controller's machine is lost for good, with SIGTERM or without.
+    """Remove a controller's machine for good, and start an empty one at another address.
 
-    An empty one comes at another address.
+    The seed determines whether the old process gets SIGTERM or is killed.
     """
-    old = any_controller(env, scheduled)
-    if choose(env, scheduled, 2, "told"):
+    old = target_controller(env, scheduled)
+    if random_index(env, scheduled, 2, "told"):
         await old.stop()
     else:
         old.kill()
         await old.wait_ended()
-    _note_removed(env, old)
+    _record_removed(env, old)
     index, new = _successor(env, old.machine)
     env.cores[index] = new
     env.record.cores += (new.name,)
@@ -112,8 +120,8 @@
 
 
 async def _replace_planned(env: Environment, scheduled: ScheduledAction) -> str:
-    """An empty controller comes at another address; once it has caught up the old one is terminated."""
-    old = any_controller(env, scheduled)
+    """Start an empty controller at another address, and terminate the old one after `catch_up_s`."""
+    old = target_controller(env, scheduled)
     index, new = _successor(env, old.machine)
     env.record.cores += (new.name,)
     await env.add_machine(new, first_start=False).start()
@@ -121,16 +129,19 @@
     env.cores[index] = new
     _write_settings(env, old)
     await old.stop()
-    _note_removed(env, old)
+    _record_removed(env, old)
     return f"{old.machine.name} by {new.name}"
 
 
-def _note_removed(env: Environment, node: Node) -> None:
+def _record_removed(env: Environment, node: Node) -> None:
     env.context.record(Process(env.context.now(), node.machine.name, "removed"))
 
 
 def _write_settings(env: Environment, old: Node) -> None:
-    """Write the settings of all but the old node anew: live processes reload them, others will read them."""
+    """Rewrite the settings files of all nodes but the old one.
+
+    Running processes reload the file; the others read it at their next start.
+    """
     for node in env.nodes.values():
         if node is not old:
             node.write_settings()
--- a/orchidferry/testkit/mesh/actions/rolling.py
+++ b/orchidferry/testkit/mesh/actions/rolling.py
@@ -1,25 +1,28 @@
-"""Planned work on processes, with their servers and callers left as they are: restarts and reloads."""
+"""Planned restarts and reloads of processes, while servers and clients keep running."""
 
 from __future__ import annotations
 
 import asyncio
 
 from orchidferry.testkit import seeded_random
-from orchidferry.testkit.mesh.actions.targets import Action, choose, live_sidecars
+from orchidferry.testkit.mesh.actions.targets import Action, live_sidecars, random_index
 from orchidferry.testkit.mesh.day import ScheduledAction
 from orchidferry.testkit.mesh.environment import Environment
 
 RELOAD_SHARE = 0.5
-"""Of all processes, those that are told to reload their settings."""
+"""The fraction of processes that reload their settings in one action."""
 
 RELOAD_GAP_S = 0.05
-"""From one process to the next."""
+"""The pause between the reloads of two processes."""
 
 
 async def _restart(env: Environment, scheduled: ScheduledAction) -> str:
-    """A proxy is terminated, and started again once it has ended; not while it is restarted already."""
+    """Terminate a proxy, and start it again once it has ended; does nothing if it is being restarted already.
+
+    :returns: the name of the machine; empty if nothing was done
+    """
     machines = live_sidecars(env)
-    node = env.nodes[machines[choose(env, scheduled, len(machines))].name]
+    node = env.nodes[machines[random_index(env, scheduled, len(machines))].name]
     if node.stopping or node.pid is None:
         return ""
     await node.stop()
@@ -28,7 +31,7 @@
 
 
 async def _reload(env: Environment, scheduled: ScheduledAction) -> str:
-    """Processes get SIGHUP, one after another; their settings files are written anew."""
+    """Rewrite the settings files of some processes, and have each reload it (SIGHUP)."""
     reloaded = []
     for name, node in list(env.nodes.items()):
         if seeded_random.uniform(env.seed, "reload", name, f"{scheduled.at:.4f}") < RELOAD_SHARE:
@@ -39,7 +42,7 @@
 
 
 async def _stop_changes(env: Environment, scheduled: ScheduledAction) -> str:
-    """Operators send no more changes."""
+    """Stop the stream of changes."""
     await env.changes.stop()
     return ""
 
--- a/orchidferry/testkit/mesh/clients.py
+++ b/orchidferry/testkit/mesh/clients.py
@@ -1,4 +1,4 @@
-"""Clients at each machine's `outbound` port, as an open loop, and the platform's prober of readiness."""
+"""Open-loop clients of the machines' `outbound` ports, and the readiness probes of the platform."""
 
 from __future__ import annotations
 
@@ -23,51 +23,62 @@
 
 READINESS_INTERVAL_S = 1.0
 STARTUP_READINESS_INTERVAL_S = 0.2
-"""While not all machines have been ready once."""
+"""The interval until every machine has been ready once."""
 
 READINESS_TIMEOUT_S = 1.0
 MAX_MISSES = 2
-"""Probes in a row that fail before a machine gets no new work."""
+"""After this many consecutive failed probes a machine counts as not ready."""
 
 MIN_RETRY_BACKOFF_S = 0.05
+"""The pause before the first retry of a request; doubled for each further one."""
+
 RETRY_AFTER_SHARE = 1.0 / 3.0
-"""Of the time that remains, for which Retry-After is heeded."""
+"""The longest pause that Retry-After can cause, as a fraction of the time until the request's deadline."""
 
 REPEAT_SHARE = 0.2
-"""Of keyed requests, those that are sent again after a success."""
+"""The fraction of keyed requests that are sent again after they have succeeded."""
 
 CHUNKED_SHARE = 0.25
+"""The fraction of requests with a body that use chunked transfer encoding."""
+
 ROUTE_PROBE_TIMEOUT_S = 2.0
 MIN_BODY_BYTES = 100
 MAX_BODY_BYTES = 2_000
 REFUSALS = (408, 421, 429, 503)
+"""Status codes of requests that were rejected without being executed."""
+
 NOT_RETRIED = (400, 401, 404, 413, 431)
+"""Status codes after which a client does not retry, as another attempt would fail in the same way."""
 
 
 class Platform:
-    """Decides which machines get new work, by their readiness."""
+    """The platform on which the mesh runs: directs new requests to machines according to their readiness."""
 
     def __init__(self, context: RunContext, machines: list[Machine]) -> None:
-        """Create a platform to which no machine is ready."""
+        """Create a platform that regards no machine as ready yet."""
         self._context = context
         self._machines = machines
+        # Consecutive failed readiness probes by machine name.
         self._misses = {machine.name: MAX_MISSES for machine in machines}
-        self.seen_ready: set[str] = set()  # machines that were ready once
-        self.gone: set[str] = set()  # machines that were removed with their server
+        self.seen_ready: set[str] = set()  # names of machines that have been ready at least once
+        self.removed: set[str] = set()  # names of machines that were removed after their server was drained
 
     def available(self) -> list[Machine]:
-        """The machines that get new work: the ready ones; all of a zone where fewer than half are."""
+        """The machines that get new requests.
+
+        These are the ready ones of each zone, or all of the zone if fewer than half are ready.
+        """
         found = []
         for zone in dict.fromkeys(machine.zone for machine in self._machines):
-            machines = [m for m in self._machines if m.zone == zone and m.name not in self.gone]
+            machines = [m for m in self._machines if m.zone == zone and m.name not in self.removed]
             ready = [m for m in machines if self._misses[m.name] < MAX_MISSES]
             found += ready if len(ready) * 2 >= len(machines) else machines
         return found
 
     async def probe_readiness(self) -> None:
-        """Probe all machines again and again."""
+        """Probe the readiness of all machines periodically, until cancelled."""
         while True:
-            await asyncio.gather(*(self._probe(m) for m in self._machines if m.name not in self.gone))
+            await asyncio.gather(*(self._probe(m) for m in self._machines if m.name not in self.removed))
             all_seen = len(self.seen_ready) == len(self._machines)
             await asyncio.sleep(READINESS_INTERVAL_S if all_seen else STARTUP_READINESS_INTERVAL_S)
 
@@ -83,17 +94,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """When a client makes a request."""
+    """The time and kind of one client request."""
 
     t: float  # seconds since the start of the traffic
-    number: int
+    number: int  # position in the order of time, from 0
     kind: Kind
 
 
 def arrivals(seed: int, seconds: float) -> list[Arrival]:
-    """All clients' requests in order of time: a Poisson process for each kind.
+    """The requests of all clients in order of time, as a Poisson process for each kind of request.
 
-    :param seconds: of traffic
+    :param seconds: duration of the traffic
     """
     found: list[tuple[float, Kind]] = []
     for kind in KINDS:
@@ -110,27 +121,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """What all attempts of one request have in common."""
+    """The properties that all attempts of one request have in common."""
 
     kind: Kind
-    root: str  # names the request in the record
-    subject: str  # names what it is about: the same for a repeat
-    key: str
-    due: float  # on the run's clock
-    ends: float
-    counts: bool  # its value is part of the measure of service
+    root: str  # identifies the request in the record
+    subject: str  # determines path, query and body; the same for a request and its repeat
+    key: str  # the operation key; empty: none
+    due: float  # when its first attempt should be sent, on the run's clock
+    deadline: float  # on the run's clock
+    counts: bool  # whether it is part of the measured service level
 
 
 class Clients:
-    """All clients of a run."""
+    """All clients of a run, except those of `sessions`."""
 
     def __init__(
         self, context: RunContext, platform: Platform, seconds: float, repeat_after_s: tuple[float, float]
     ) -> None:
-        """Create clients that have not begun.
+        """Create the clients; `play` starts them.
 
-        :param seconds: of traffic
-        :param repeat_after_s: the least and the greatest time until a keyed request is repeated
+        :param seconds: duration of the traffic
+        :param repeat_after_s: bounds of the time from the success of a keyed request to its repeat
         """
         self._context = context
         self._platform = platform
@@ -138,12 +149,12 @@
         self._arrivals = arrivals(context.seed, seconds)
         self._tasks = TaskSet()
         self._probe_count = 0
-        self.counts = Counter[str]()  # asked and served, so far
+        self.counts = Counter[str]()  # "asked" and "served": requests made and requests that succeeded
 
     async def play(self, start: float) -> None:
-        """Make all requests at their times.
+        """Send all requests at their times.
 
-        :param start: of the traffic, on the run's clock
+        :param start: the start of the traffic, on the run's clock
         """
         for arrival in self._arrivals:
             wait = start + arrival.t - self._context.now()
@@ -152,15 +163,18 @@
             self._tasks.spawn(self._request(arrival, start + arrival.t))
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait for what is open."""
+        """Wait for the requests in flight."""
         await self._tasks.wait(timeout_s)
 
     def close(self) -> None:
-        """Cancel what is open."""
+        """Cancel the requests in flight."""
         self._tasks.cancel()
 
-    def _any_machine(self, name: str, other_than: Machine | None = None) -> Machine | None:
-        """A machine by the seed and a name; None if there is none."""
+    def _random_machine(self, name: str, other_than: Machine | None = None) -> Machine | None:
+        """An available machine, chosen by the seed and a name; None if there is none.
+
+        :param other_than: this machine is not chosen
+        """
         available = self._platform.available()
         machines = [m for m in available if other_than is None or m.name != other_than.name]
         if not machines:
@@ -168,7 +182,7 @@
         return machines[int(seeded_random.uniform(self._context.seed, "machine", name, high=len(machines)))]
 
     async def _request(self, arrival: Arrival, due: float) -> None:
-        """Make a request with its retries, and for some keyed ones a repeat after a success."""
+        """Send a request with its retries; some keyed requests are repeated after they have succeeded."""
         seed = self._context.seed
         kind = arrival.kind
         root = f"r{arrival.number}"
@@ -188,37 +202,38 @@
     async def _attempts(
         self, request: ClientRequest, other_than: Machine | None = None
     ) -> tuple[Machine | None, bool]:
-        """Send a request until it is served, its time is up, or a retry is not allowed.
+        """Send a request until it succeeds, its deadline passes, or no further retry is allowed.
 
-        :returns: the machine that was used last, and whether it was served
+        :param other_than: the first attempt does not go to this machine
+        :returns: the machine of the last attempt, and whether the request succeeded
         """
         context = self._context
         kind = request.kind
-        machine = self._any_machine(request.root, other_than)
+        machine = self._random_machine(request.root, other_than)
         backoff = MIN_RETRY_BACKOFF_S
         body = b"" if kind.repeatable else self.body(request.subject)
         chunked = seeded_random.uniform(context.seed, "chunks", request.root) < CHUNKED_SHARE
         for number in range(1 + kind.repeats):
-            if machine is None or request.ends - context.now() < MIN_REMAINING_S:
+            if machine is None or request.deadline - context.now() < MIN_REMAINING_S:
                 break
             if machine.name not in {m.name for m in self._platform.available()}:
-                machine = self._any_machine(f"{request.root}.{number}") or machine
+                machine = self._random_machine(f"{request.root}.{number}") or machine
             sent = self.attempt(request, number, machine, body)
             outcome = await context.send(machine, sent, body, chunked, number > 0)
             if outcome.how == "answer" and 200 <= outcome.status < 300:
                 return machine, True
             if not may_retry(kind, outcome):
                 break
-            remaining = request.ends - context.now()
+            remaining = request.deadline - context.now()
             pause = backoff
             if outcome.status in REFUSALS:
                 pause = max(pause, min(_retry_after(outcome), remaining * RETRY_AFTER_SHARE))
             backoff *= 2.0
-            await asyncio.sleep(max(0.0, min(pause, request.ends - context.now())))
+            await asyncio.sleep(max(0.0, min(pause, request.deadline - context.now())))
         return machine, False
 
     def attempt(self, request: ClientRequest, number: int, machine: Machine, body: bytes) -> Sent:
-        """The record of an attempt at a machine, which is not sent yet.
+        """Create the record entry of an attempt that is about to be sent to a machine.
 
         :param number: how many attempts of the request were made before
         """
@@ -236,19 +251,24 @@
             digest(body),
             request.key,
             kind.repeatable,
-            request.ends,
+            request.deadline,
             request.root,
             request.due,
             owed=request.counts,
         )
 
     def body(self, name: str) -> bytes:
-        """A body by the seed and a name."""
+        """A pseudo-random body, derived from the seed and a name."""
         rng = Random(seeded_random.integer(self._context.seed, "body", name))
         return rng.randbytes(rng.randint(MIN_BODY_BYTES, MAX_BODY_BYTES))
 
     async def probe_routes(self, paths: tuple[str, ...] = (RETIRED_PATH, ADDED_PATH, UNROUTED_PATH)) -> None:
-        """Ask every node for paths that show which configuration is in force there; they earn nothing."""
+        """Send requests to every node whose outcome shows which configuration is in force there.
+
+        They do not count towards the measured service level.
+
+        :param paths: prefixes of routes that only some configurations have
+        """
         context = self._context
         for machine in self._platform.available():
             for path in paths:
@@ -278,17 +298,20 @@
 
 
 def may_retry(kind: Kind, outcome: Outcome) -> bool:
-    """Whether a client may retry a request after this outcome."""
+    """Whether a client may retry a request after this outcome.
+
+    A non-idempotent request may be retried only if it certainly was not executed.
+    """
     if outcome.how == "timeout" or (outcome.how == "answer" and outcome.status in NOT_RETRIED):
         return False
     if kind.route_type == "non_idempotent":
-        not_taken = outcome.how in ("refused", "silent")
-        return not_taken or (outcome.how == "answer" and outcome.status in REFUSALS)
+        never_sent = outcome.how in ("refused", "silent")  # no connection was established
+        return never_sent or (outcome.how == "answer" and outcome.status in REFUSALS)
     return True
 
 
 def _retry_after(outcome: Outcome) -> float:
-    """The seconds of Retry-After; 0 if there is none."""
+    """The value of the Retry-After header in seconds; 0 if there is none or it is not a number."""
     try:
         return float(outcome.headers.get("retry-after", "0"))
     except ValueError:
--- a/orchidferry/testkit/mesh/context.py
+++ b/orchidferry/testkit/mesh/context.py
@@ -1,4 +1,4 @@
-"""What the kit's parts share in a run: seed, clock, record, and requests at machines' `outbound` ports."""
+"""Shared by the kit's parts during a run: seed, clock, record, and requests to the `outbound` ports."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from orchidferry.testkit.wire import Outcome, Pool
 
 MIN_REMAINING_S = 0.02
-"""With less time than that nobody begins an attempt."""
+"""No attempt is begun with less than this until its deadline."""
 
 
 class RunContext:
-    """What all of the kit's parts in a run share."""
+    """State and functions that all of the kit's parts share during a run."""
 
     def __init__(self, seed: int, ports: Ports, record: Callable[[Fact], None], zero: float) -> None:
         """Create the context of a run.
 
-        :param record: is called with each fact
-        :param zero: the run's zero on the monotonic clock, in seconds
+        :param record: called with each fact that is to be recorded
+        :param zero: the time on the monotonic clock, in seconds, at which the run's clock is 0
         """
         self.seed = seed
         self.ports = ports
         self.record = record
         self.zero = zero
-        self.arrival_numbers = itertools.count(1)
-        self._pools: dict[str, Pool] = {}
+        self.arrival_numbers = itertools.count(1)  # of requests at servers, over the whole run
+        self._pools: dict[str, Pool] = {}  # by the name of the machine, or of the machine and a number
 
     def now(self) -> float:
-        """Seconds since the run's zero."""
+        """The run's clock, in seconds."""
         return time.monotonic() - self.zero
 
     def pool(self, machine: Machine) -> Pool:
-        """The pool of connections that come from a machine."""
+        """The shared pool of connections whose source address is that of a machine."""
         if machine.name not in self._pools:
             self._pools[machine.name] = Pool(self._on_extra_bytes, machine.ip)
         return self._pools[machine.name]
@@ -45,7 +45,7 @@
         self.record(Extra(self.now(), request_id))
 
     def sweep(self) -> None:
-        """Close connections that have idled for too long."""
+        """Close connections that have been idle for too long."""
         for pool in self._pools.values():
             pool.sweep()
 
@@ -55,10 +55,10 @@
             pool.close()
 
     def separate_pool(self, machine: Machine, receive_buffer: int, read_pause_s: float) -> Pool:
-        """A new pool of connections from a machine; it is swept and closed with the others.
+        """Create another pool of connections from a machine, which is swept and closed with the others.
 
-        :param receive_buffer: bytes of a response that the kernel takes before they are read
-        :param read_pause_s: between the first bytes of a response and the rest
+        :param receive_buffer: size of the sockets' receive buffers, in bytes
+        :param read_pause_s: the pause between reading the first bytes of a response and the rest
         """
         pool = Pool(self._on_extra_bytes, machine.ip, receive_buffer, read_pause_s)
         self._pools[f"{machine.name} {len(self._pools)}"] = pool
@@ -73,12 +73,12 @@
         fresh: bool,
         pool: Pool | None = None,
     ) -> Outcome:
-        """Make one attempt, for as long as its client waits, and record what came of it.
+        """Make one attempt, wait for its outcome until its deadline at most, and record both.
 
-        :param machine: at whose `outbound` it is sent
-        :param chunked: its body is sent in chunks
-        :param fresh: on a new connection
-        :param pool: of the connections that may carry it; None: that of the machine
+        :param machine: the machine to whose `outbound` port the attempt is sent
+        :param chunked: use chunked transfer encoding for the body
+        :param fresh: use a new connection
+        :param pool: the pool of connections to use; None: the shared one of the machine
         """
         outcome = await self._send(machine, sent, body, chunked, fresh, pool or self.pool(machine))
         if outcome.how == "answer":
@@ -107,7 +107,7 @@
         connection = await pool.connection(address, fresh)
         if isinstance(connection, Outcome):
             return connection
-        sent.t = self.now()  # its first byte is not written before
+        sent.t = self.now()  # the attempt begins with its first byte, not with the wait for a connection
         answer = connection.ask(sent.id, encode_request(sent, self.now(), body, chunked))
         try:
             async with asyncio.timeout(max(0.0, sent.ends - self.now())):
@@ -121,15 +121,15 @@
             raise
         if outcome.how == "answer":
             if "timeout=" in outcome.headers.get("keep-alive", ""):
-                connection.drop()  # it may close at any time, and must not cross the next request
+                connection.drop()  # the server may close it at any time, also while the next request is sent
             pool.put_back(address, connection)
         return outcome
 
 
 def encode_request(sent: Sent, now: float, body: bytes, chunked: bool) -> bytes:
-    """The bytes of a request as clients and servers write it.
+    """Encode a request as HTTP/1.1.
 
-    :param now: on the run's clock, for the time that remains
+    :param now: the current time on the run's clock, for the header Time-Remaining
     """
     lines = [
         f"{sent.method} {sent.path} HTTP/1.1",
--- a/orchidferry/testkit/mesh/registration.py
+++ b/orchidferry/testkit/mesh/registration.py
@@ -1,4 +1,4 @@
-"""A stand-in server's membership in the list of servers: its heartbeats and its planned leave."""
+"""Registration of a stand-in server with the mesh: its heartbeats, its draining and its deregistration."""
 
 from __future__ import annotations
 
@@ -12,18 +12,23 @@
 from orchidferry.testkit.wire import Address
 
 COLD_S = 2.0
-"""How long a server is cold from its start."""
+"""How long a server is cold after its start."""
 
 SERVE_BEYOND_DRAIN_S = 0.6
-"""How long a leaving server serves beyond `drain_ms`."""
+"""How much longer than `drain_ms` a draining server keeps serving."""
 
 MAX_LEAVE_S = 6.0
-"""After that a server goes without an acknowledgement of its leave."""
+"""A server whose draining has not been acknowledged by then leaves nevertheless."""
 
 MAX_ACKNOWLEDGEMENT_BYTES = 4096
+"""A longer body does not count as an acknowledgement."""
+
 HEARTBEAT_RETRY_S = 0.3
+"""From a heartbeat that was not acknowledged to the next one."""
+
 MIN_LEAVE_BACKOFF_S = 0.1
 MAX_LEAVE_BACKOFF_S = 1.0
+"""Bounds of the pause before announcing the draining again."""
 
 IN_SERVICE = "in_service"
 DRAINING = "draining"
@@ -31,16 +36,16 @@
 
 
 class Registration:
-    """Registers one incarnation of a server with the node of its machine, and with whom that names."""
+    """Registers one incarnation of a server with its machine's proxy, or with a node that the proxy names."""
 
     def __init__(
         self, context: RunContext, day: Day, machine: Machine, id: str, address: Address, slots: int
     ) -> None:
         """Create the registration of a server that has not started.
 
-        :param id: of the incarnation
+        :param id: id of this incarnation of the server
         :param address: where the server listens
-        :param slots: how many requests it serves at a time
+        :param slots: how many requests the server executes at once
         """
         self._context = context
         self._day = day
@@ -49,30 +54,30 @@
         self._address = address
         self._slots = slots
         self.state = IN_SERVICE
-        self._sequence = 0
-        self._heartbeat_address: Address | None = None  # None: the node of its machine
+        self._sequence = 0  # number of the last call
+        self._heartbeat_address: Address | None = None  # None: the control port of the machine's own proxy
         self._started_at = context.now()
 
     def on_started(self) -> None:
-        """Take note that the server starts now."""
+        """Note the start of the server, from which it is cold for a while."""
         self._started_at = self._context.now()
 
     @property
     def cold_remaining_s(self) -> float:
-        """For how much longer the server is cold."""
+        """How much longer the server is cold, in seconds."""
         return max(0.0, COLD_S - (self._context.now() - self._started_at))
 
     async def send_heartbeats(self) -> None:
-        """Send heartbeats while the server is in service."""
+        """Send periodic heartbeats while the server is in service."""
         interval = self._day.beat_ms / 1000.0
         while self.state == IN_SERVICE:
             acknowledged = await self._send(IN_SERVICE)
             await asyncio.sleep(interval if acknowledged else HEARTBEAT_RETRY_S)
 
     async def leave(self) -> bool:
-        """Announce the leave, wait for what the server still serves, and deregister it.
+        """Announce that the server drains, wait while it serves its last requests, and deregister it.
 
-        :returns: whether the leave was acknowledged
+        :returns: whether the announcement was acknowledged
         """
         self.state = DRAINING
         backoff = MIN_LEAVE_BACKOFF_S
@@ -89,7 +94,7 @@
         return acknowledged
 
     async def _send(self, state: str) -> bool:
-        """Make one call, and record it; whether it was acknowledged."""
+        """Announce a state to the mesh, and record the call; returns whether it was acknowledged."""
         context = self._context
         self._sequence += 1
         address = self._heartbeat_address or (self._machine.bind, context.ports.control)
@@ -114,7 +119,7 @@
         return acknowledged
 
     def _instance_record(self, state: str, sequence: int) -> dict[str, object]:
-        """What a heartbeat carries."""
+        """The JSON body of a heartbeat."""
         return {
             "address": f"{self._address[0]}:{self._address[1]}",
             "information": {
@@ -132,7 +137,7 @@
 
 
 def _heartbeat_address(body: bytes) -> Address | None:
-    """Where an acknowledgement says that heartbeats should go; None if it names no address."""
+    """The address to which an acknowledgement directs further heartbeats; None if it names none."""
     try:
         ip, _, port = json.loads(body).get("beat_address", "").rpartition(":")
         return (ip, int(port)) if ip else None
--- a/orchidferry/testkit/mesh/relay.py
+++ b/orchidferry/testkit/mesh/relay.py
@@ -166,10 +166,8 @@
         self._transport = None
         self._peer_ended = True
         self._peer_reset = exc is not None
-        if self._state.condition(
-            self.direction
-        ).cut:  # data in transit is lost, as its sender can't resend it
-            self._buffer.clear()
+        if self._state.condition(self.direction).cut:
+            self._buffer.clear()  # data in transit is lost, as its sender is gone and can't resend it
         self.other.discard_buffer()
         self.flush()
 
--- a/orchidferry/testkit/mesh/servers.py
+++ b/orchidferry/testkit/mesh/servers.py
@@ -1,4 +1,7 @@
-"""Stand-in application servers, one on each sidecar machine, as the operators' pages describe servers."""
+"""Stand-in application servers, one on each sidecar machine.
+
+They follow the protocol between proxies and applications that the operators' documentation describes.
+"""
 
 from __future__ import annotations
 
@@ -18,48 +21,56 @@
 from orchidferry.testkit.wire import Address, Request, ServerSide
 
 IDLE_TIMEOUT_S = 5
-"""After which a server closes a connection; it announces that."""
+"""How long a connection may idle before the server closes it; announced in the Keep-Alive header."""
 
 QUEUE_PER_SLOT = 2
+"""How many requests may wait for each execution slot; further ones are rejected."""
+
 COLD_FACTOR = 2.0
-"""How much slower a cold server is."""
+"""How many times as long a cold server executes a request."""
 
 MIN_SPEED = 0.8
 MAX_SPEED = 1.25
+"""Bounds of a server's speed, relative to the nominal one."""
+
 WORK_VARIATION = 0.4
-"""The coefficient of variation of the work of a request."""
+"""The coefficient of variation of the execution time of requests."""
 
 RESET_DELAY_S = 0.005
-"""From half an answer to the reset, so that the half arrives."""
+"""From the first half of a response to the reset, so that the client gets that half before the reset."""
 
 SILENCE_BEYOND_DEADLINE_S = 0.5
+"""How long a server with the fault `CallFault.SILENT` keeps the connection open after the deadline."""
+
 CLOSE_SHARE = 0.02
-"""Of answers, those that end their connection."""
+"""The fraction of responses after which the server closes the connection."""
 
 CHUNKED_SHARE = 0.3
-"""Of the answers to downloads."""
+"""The fraction of responses to downloads that use chunked transfer encoding."""
 
 LARGE_RESPONSE_BYTES = 5_000_000
-"""More than the kernel takes at once for a peer that has not read yet."""
+"""Nominal size of a large download; more than the kernel buffers for a peer that is not reading."""
 
 ERROR_BODY_BYTES = 20
 HEALTH_PATH = "/health"
 HEALTH_TIMEOUT_S = 1.0
 HEALTH_WORK_S = 0.001
 DEFAULT_REMAINING_MS = "1000"
+"""The time budget of a request without a Time-Remaining header."""
+
 KINDS_BY_NAME = {kind.name: kind for kind in KINDS}
 
 
 @dataclass(slots=True)
 class _Job:
-    """A request that a server has accepted or is about to reject."""
+    """A request that a server has received and not answered yet."""
 
-    number: int  # of its arrival; 0: a health probe
+    number: int  # of the arrival, counted over the whole run; 0: a health probe
     connection: ServerSide
     request: Request
     kind: Kind
-    ends: float
-    task: asyncio.Task[None] | None = None
+    deadline: float  # on the run's clock
+    task: asyncio.Task[None] | None = None  # executes the request; None: it is queued
     fault: CallFault | None = None
 
     @property
@@ -71,9 +82,9 @@
     """One incarnation of a server."""
 
     def __init__(self, context: RunContext, day: Day, machine: Machine, incarnation: int = 0) -> None:
-        """Create a server that has not started.
+        """Create a server without starting it.
 
-        :param incarnation: how many servers there were on this machine before
+        :param incarnation: how many servers this machine had before
         """
         self._context = context
         self._day = day
@@ -86,18 +97,19 @@
         seed = context.seed
         self._speed = seeded_random.uniform(seed, "speed", machine.name, low=MIN_SPEED, high=MAX_SPEED)
         self._registration = Registration(context, day, machine, self.id, self.address, self._slots)
-        self.faulty = False  # calls that are not idempotent break off here, see `call_faults`
+        self.faulty = False  # inject the faults of `call_faults` into calls that are not idempotent
         self.closed = False
         self._kinds_by_prefix = {path_prefix(context.seed, kind.name): kind for kind in KINDS}
-        self._jobs: dict[ServerSide, _Job] = {}  # executed or queued
+        self._jobs: dict[ServerSide, _Job] = {}  # requests that are queued or executed, by connection
         self._queue: deque[_Job] = deque()
-        self._executing = 0
-        self._idle_since: dict[ServerSide, float] = {}  # of all connections
+        self._executing = 0  # number of occupied execution slots
+        # All open connections, each with the time at which it was opened or last became idle.
+        self._idle_since: dict[ServerSide, float] = {}
         self._server: asyncio.Server | None = None
         self._tasks = TaskSet()
 
     async def start(self) -> None:
-        """Listen, and begin to send heartbeats."""
+        """Start to listen and to send heartbeats."""
         loop = asyncio.get_running_loop()
         self._registration.on_started()
         self._server = await loop.create_server(
@@ -107,14 +119,14 @@
 
     @property
     def in_service(self) -> bool:
-        """Whether it takes new requests, and is not draining."""
+        """Whether the server is registered as in service rather than draining."""
         return self._registration.state == IN_SERVICE
 
     # Connections
 
     def _on_connected(self, connection: ServerSide) -> None:
         peer = (connection.transport.get_extra_info("peername") or ("",))[0]
-        foreign = peer not in (self.machine.ip, "127.0.0.1")  # only its own machine may reach it
+        foreign = peer not in (self.machine.ip, "127.0.0.1")  # only its own machine may connect to a server
         if foreign or len(self._idle_since) >= self._day.max_connections:
             connection.reset()
         self._idle_since[connection] = self._context.now()
@@ -136,10 +148,10 @@
             self._idle_since[connection] = self._context.now()
 
     def sweep(self) -> None:
-        """Close connections that have idled for too long; to be called every second."""
-        before = self._context.now() - IDLE_TIMEOUT_S
+        """Close connections that have been idle for `IDLE_TIMEOUT_S`; to be called every second."""
+        oldest = self._context.now() - IDLE_TIMEOUT_S
         for connection, since in list(self._idle_since.items()):
-            if since < before and connection not in self._jobs:
+            if since < oldest and connection not in self._jobs:
                 connection.transport.close()
 
     # Requests
@@ -157,14 +169,14 @@
         kind = next((kind for path, kind in prefixes if request.target.startswith(path)), KINDS[0])
         job = _Job(next(self._context.arrival_numbers), connection, request, kind, now)
         self._record_arrival(job, now)
-        status = self._refusal(job, now)
+        status = self._check(job, now)
         if status:
             self._reject(job, status)
             return
         if self.faulty and not kind.repeatable:
             job.fault = call_fault(self._context.seed, job.id)
         if job.fault is CallFault.RESET_BEFORE_EXECUTION:
-            self._break_off(job)
+            self._reset_connection(job)
             return
         self._accept(job)
 
@@ -187,8 +199,11 @@
             )
         )
 
-    def _refusal(self, job: _Job, now: float) -> int:
-        """The status by which a request is refused, or 0; sets the time by which it must end."""
+    def _check(self, job: _Job, now: float) -> int:
+        """Check the headers of a request and set its deadline.
+
+        :returns: the status with which the request must be rejected, or 0
+        """
         headers = job.request.headers
         target = headers.get("target-instance", "")
         if not job.id:
@@ -199,17 +214,17 @@
             remaining_ms = float(headers.get("time-remaining", DEFAULT_REMAINING_MS))
         except ValueError:
             return 400
-        job.ends = now + max(0.0, remaining_ms) / 1000.0
+        job.deadline = now + max(0.0, remaining_ms) / 1000.0
         return 0
 
-    def _break_off(self, job: _Job) -> None:
-        """Reset the connection of a request; an execution in progress ends with it."""
+    def _reset_connection(self, job: _Job) -> None:
+        """Abandon a request, and reset its connection."""
         self._jobs.pop(job.connection, None)
         self._context.record(Dropped(self._context.now(), job.number))
         job.connection.reset()
 
     def _accept(self, job: _Job) -> None:
-        """Execute a request in a slot, queue it, or reject it if the queue is full."""
+        """Queue a request and execute it once a slot is free; reject it if the queue is full."""
         if self._executing >= self._slots and len(self._queue) >= self._slots * QUEUE_PER_SLOT:
             self._reject(job, 503)
             return
@@ -220,7 +235,7 @@
     def _fill_slots(self) -> None:
         while self._queue and self._executing < self._slots:
             job = self._queue.popleft()
-            if job.ends <= self._context.now():
+            if job.deadline <= self._context.now():
                 self._jobs.pop(job.connection, None)
                 self._reject(job, 503)
                 continue
@@ -228,16 +243,16 @@
             job.task = self._tasks.spawn(self._serve(job))
 
     def _reject(self, job: _Job, status: int) -> None:
-        """Answer that a request was not executed, and never will be."""
+        """Send an error response with the promise that the request was not and never will be executed."""
         if job.number:
             self._context.record(Rejected(self._context.now(), job.number, status))
-        names_itself = status == 421 or not job.number
-        instance = f"Answering-Instance: {self.id}\r\n" if names_itself else ""
+        sends_instance = status == 421 or not job.number
+        instance = f"Answering-Instance: {self.id}\r\n" if sends_instance else ""
         job.connection.answer(status, b"", f"Attempt-Id: {job.id}\r\nNot-Executed: 1\r\n{instance}")
         self._mark_idle(job.connection)
 
     async def _serve(self, job: _Job) -> None:
-        """Execute one request in a slot."""
+        """Execute one request or health probe in a slot, and free the slot."""
         try:
             if job.number == 0:
                 await asyncio.sleep(HEALTH_WORK_S)
@@ -252,29 +267,29 @@
             if not self.closed:
                 self._fill_slots()
 
-    def _work_s(self, job: _Job) -> float:
-        """How long a request is executed."""
+    def _execution_time_s(self, job: _Job) -> float:
+        """The simulated execution time of a request, in seconds, without calls to other services."""
         mean = job.kind.work_ms / 1000.0
         work = seeded_random.log_normal(mean, WORK_VARIATION, self._context.seed, "work", job.id)
         factor = COLD_FACTOR if self._registration.cold_remaining_s else 1.0
         return work * factor / self._speed
 
     async def _execute(self, job: _Job) -> None:
-        """Work, call another service in the middle for some, answer."""
+        """Simulate the execution of a request, some with a call to another service halfway, and respond."""
         context = self._context
         context.record(Began(context.now(), job.number))
         status = 200
-        half_s = self._work_s(job) / 2.0
+        half_s = self._execution_time_s(job) / 2.0
         calls = job.kind.calls and seeded_random.uniform(context.seed, "calls", job.id) < job.kind.calls_share
-        await asyncio.sleep(max(0.0, min(half_s, job.ends - context.now())))
-        if calls and context.now() < job.ends:
+        await asyncio.sleep(max(0.0, min(half_s, job.deadline - context.now())))
+        if calls and context.now() < job.deadline:
             served = await self._call_service(job, KINDS_BY_NAME[job.kind.calls])
             status = 200 if served else 500
         if job.fault is CallFault.RESET_DURING_EXECUTION:
-            self._break_off(job)
+            self._reset_connection(job)
             return
-        await asyncio.sleep(max(0.0, min(half_s, job.ends - context.now())))
-        if context.now() >= job.ends:
+        await asyncio.sleep(max(0.0, min(half_s, job.deadline - context.now())))
+        if context.now() >= job.deadline:
             status = 504
         if job.fault is None:
             self._answer(job, status)
@@ -283,15 +298,15 @@
             self._answer_half(job, status)
             await asyncio.sleep(RESET_DELAY_S)
         elif job.fault is CallFault.SILENT:
-            await asyncio.sleep(max(0.0, job.ends - context.now()) + SILENCE_BEYOND_DEADLINE_S)
-        self._break_off(job)
+            await asyncio.sleep(max(0.0, job.deadline - context.now()) + SILENCE_BEYOND_DEADLINE_S)
+        self._reset_connection(job)
 
     async def _call_service(self, job: _Job, kind: Kind) -> bool:
-        """Call another service by the own machine's node; whether it was served."""
+        """Call another service through the proxy on the same machine; returns whether it succeeded."""
         context = self._context
         now = context.now()
-        ends = min(job.ends, now + kind.deadline_ms / 1000.0)
-        if ends - now < MIN_REMAINING_S:
+        deadline = min(job.deadline, now + kind.deadline_ms / 1000.0)
+        if deadline - now < MIN_REMAINING_S:
             return False
         root = f"c{job.number}"
         sent = Sent(
@@ -305,7 +320,7 @@
             digest(b""),
             "",
             kind.repeatable,
-            ends,
+            deadline,
             root,
             now,
             job.number,
@@ -313,9 +328,10 @@
         outcome = await context.send(self.machine, sent, b"", False, False)
         return outcome.how == "answer" and 200 <= outcome.status < 300
 
-    # Answers
+    # Responses
 
     def _answer(self, job: _Job, status: int) -> None:
+        """Send a complete response, with a seal that identifies it in the record."""
         context = self._context
         factor = seeded_random.uniform(context.seed, "size", job.id, low=0.8, high=1.2)
         download = job.kind.route_type == "download"
@@ -341,25 +357,25 @@
         job.connection.transport.write(head.encode() + b"".join(parts) + b"0\r\n\r\n")
 
     def _answer_half(self, job: _Job, status: int) -> None:
-        """Write the head of an answer and half of its body."""
+        """Send the head of a response and the first half of its body."""
         body = Random(job.number).randbytes(job.kind.size)
         head = f"HTTP/1.1 {status} -\r\nAttempt-Id: {job.id}\r\nContent-Length: {len(body)}\r\n\r\n"
         if not job.connection.transport.is_closing():
             job.connection.transport.write(head.encode() + body[: len(body) // 2])
 
-    # Its end
+    # Shutdown
 
     async def leave(self) -> None:
-        """Leave as planned, then close."""
+        """Drain and deregister the server, then close it."""
         await self._registration.leave()
         self.close()
 
     def successor(self) -> Server:
-        """The next server on its machine, not started yet."""
+        """Create the next incarnation of the server on the same machine, without starting it."""
         return Server(self._context, self._day, self.machine, self._incarnation + 1)
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Close the listener and all connections immediately."""
         if self.closed:
             return
         self.closed = True
--- a/orchidferry/testkit/mesh/session.py
+++ b/orchidferry/testkit/mesh/session.py
@@ -125,7 +125,7 @@
     done, _ = await asyncio.wait([work, aborted], timeout=limit_s, return_when=asyncio.FIRST_COMPLETED)
     record = run.env.record
     record.end = record.end or run.env.context.now()
-    abort_reason = "" if work in done else f"the run did not finish within {limit_s:g} s"
+    abort_reason = "" if work in done else "the run exceeded its time limit"
     if work not in done and aborted in done:
         abort_reason = str(aborted.result())
     aborted.cancel()
--- a/orchidferry/testkit/mesh/sessions.py
+++ b/orchidferry/testkit/mesh/sessions.py
@@ -1,4 +1,7 @@
-"""Callers that stay at one machine, ready or not, and use its connections until its process is gone."""
+"""Clients that each stay with one machine, whatever its readiness, and keep its connections in use.
+
+They show whether a planned restart of a proxy cuts requests on connections that are still in use.
+"""
 
 from __future__ import annotations
 
@@ -12,34 +15,36 @@
 from orchidferry.testkit.wire import Pool
 
 RECEIVE_BUFFER_BYTES = 4096
-"""Small, so that a response of some size is on its way for a while."""
+"""Size of a socket's receive buffer: small, so that the transfer of a large response takes a while."""
 
 READ_PAUSE_S = 0.02
-"""Between the first bytes of a response and the rest."""
+"""The pause between reading the first bytes of a response and the rest."""
 
 FRESH_SHARE = 0.3
-"""Of requests, those on a new connection, beside which an earlier one stays idle."""
+"""The fraction of requests sent on a new connection, while an earlier connection stays idle."""
 
 DOWNLOAD_SHARE = 0.5
+"""The fraction of requests that are downloads."""
+
 MAX_PAUSE_S = 0.06
-"""Between two requests of a caller."""
+"""The longest pause between two requests of a client."""
 
 RECONNECT_S = 0.02
-"""After a connection could not be opened."""
+"""The pause after a connection could not be opened."""
 
 DOWNLOAD = next(kind for kind in KINDS if kind.route_type == "download")
 OTHERS = [kind for kind in KINDS if kind.rate and kind is not DOWNLOAD]
 
 
 class Sessions:
-    """All such callers of a run."""
+    """All clients of a run that stay with one machine each."""
 
     def __init__(
         self, context: RunContext, clients: Clients, machines: list[Machine], per_machine: int
     ) -> None:
-        """Create callers that have not begun.
+        """Create the clients; `play` starts them.
 
-        :param per_machine: how many there are at each machine
+        :param per_machine: the number of clients at each machine
         """
         self._context = context
         self._clients = clients
@@ -47,9 +52,9 @@
         self._per_machine = per_machine
 
     async def play(self, until: float) -> None:
-        """Make requests, each caller one at a time.
+        """Send requests, each client one at a time.
 
-        :param until: on the run's clock; what is open then is waited for
+        :param until: when the clients stop, on the run's clock; requests in flight are waited for
         """
         await asyncio.gather(
             *(
@@ -69,7 +74,7 @@
             await asyncio.sleep(RECONNECT_S if how == "refused" else rng.uniform(0.0, MAX_PAUSE_S))
 
     async def _request(self, machine: Machine, root: str, rng: Random, pool: Pool) -> str:
-        """Make a request once; returns how it ended."""
+        """Send a request without retries; returns `Outcome.how`."""
         kind = DOWNLOAD if rng.random() < DOWNLOAD_SHARE else rng.choice(OTHERS)
         now = self._context.now()
         key = f"k-{root}" if kind.route_type == "keyed" else ""
--- a/orchidferry/testkit/mesh/spawn.py
+++ b/orchidferry/testkit/mesh/spawn.py
@@ -1,4 +1,4 @@
-"""Child processes that are started in a thread and without a fork.
+"""Starts child processes in a worker thread, without a `preexec_fn` that would force a fork.
 
 Eight forks at once in the event loop's thread stalled the kit for a second.
 """
@@ -19,14 +19,15 @@
 resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 ctypes.CDLL(None).prctl(1, 9, 0, 0, 0)
 os.execv(sys.argv[2], sys.argv[2:])"""
-"""Runs before the program: sets its limit of descriptors, and has it killed when the kit ends (PDEATHSIG)."""
+"""Runs in the child before the program: sets the limit of file descriptors, and has the kernel kill the child
+when the kit ends (PR_SET_PDEATHSIG with SIGKILL)."""
 
 
 class ChildProcess:
-    """A process that was started, and its end."""
+    """A child process whose end can be awaited."""
 
     def __init__(self, process: subprocess.Popen[bytes]) -> None:
-        """Watch a process; must be called in the event loop."""
+        """Watch a running process; must be called in the event loop."""
         self._process = process
         self.pid = process.pid
         self._loop = asyncio.get_running_loop()
@@ -43,11 +44,11 @@
 
     @property
     def returncode(self) -> int | None:
-        """The exit status; None while it runs; a negative number is that of a signal."""
+        """The exit status; None while the process runs; -N if signal N ended it."""
         return self._exit_status.result() if self._exit_status.done() else None
 
     async def wait(self) -> int:
-        """Wait for its end; returns its exit status."""
+        """Wait for the end of the process; returns its exit status."""
         return await asyncio.shield(self._exit_status)
 
     def send_signal(self, number: int) -> None:
@@ -62,10 +63,13 @@
 ) -> ChildProcess:
     """Start a process in a session of its own.
 
-    The thread that starts it lives as long as the loop, and the process no longer than that thread.
+    PR_SET_PDEATHSIG ends the process with the thread that started it. That is a thread of the event loop's
+    default executor, which lives as long as the loop.
 
-    :param log: takes its output
-    :param max_descriptors: its limit of open files
+    :param env: the environment variables of the process
+    :param cwd: its working directory
+    :param log: the file for its output and errors
+    :param max_descriptors: its limit of open file descriptors
     """
     launch = [sys.executable, "-S", "-E", "-c", LAUNCHER, str(max_descriptors), *command]
 
--- a/tests/testkit/mesh/test_worst_days.py
+++ b/tests/testkit/mesh/test_worst_days.py
@@ -110,7 +110,7 @@
     drawn = set()
     counts = set()
     for seed in range(100):
-        platform = SimpleNamespace(gone=())
+        platform = SimpleNamespace(removed=())
         env: Any = SimpleNamespace(seed=seed, day=day, cores=cores, sidecars=sidecars, platform=platform)
         chosen = controllers_to_isolate(env, ScheduledAction(0.1, "isolate"))
         links = links_to_cut(env, chosen)
