--- a/orchidferry/testkit/mesh/actions/targets.py
+++ b/orchidferry/testkit/mesh/actions/targets.py
@@ -27,7 +27,7 @@
 
 
 def target_machine(env: Environment, scheduled: ScheduledAction) -> Machine:
-    """The machine that the schedule names, or one chosen by the seed (with a chance of 3 in 4 a controller)."""
+    """The machine that the schedule names, or one chosen by the seed (a controller in 3 of 4 cases)."""
     if scheduled.target:
         return env.nodes[scheduled.target].machine
     machines = env.cores if random_index(env, scheduled, 4, "role") else live_sidecars(env)
--- a/orchidferry/testkit/mesh/changes.py
+++ b/orchidferry/testkit/mesh/changes.py
@@ -1,6 +1,6 @@
-"""A stream of changes by two operators: races for one revision, lost answers, changes sent again.
+"""A stream of configuration changes by two operators, with races for one revision, lost answers and resends.
 
-Both build on the newest version that one of them has heard to be acknowledged or has read.
+Both operators base their changes on the newest version that either has seen acknowledged or has read.
 """
 
 from __future__ import annotations
@@ -18,47 +18,51 @@
 from orchidferry.testkit.mesh.revisions import FIRST_REVISION
 
 MIN_PAUSE_S = 0.5
-"""From one change to the next."""
+"""The shortest pause from one change to the next."""
 
 MAX_PAUSE_S = 1.0
 READ_INTERVAL_S = 0.3
 PROBE_INTERVAL_S = 1.0
 CHANGE_LIMIT_S = 6.0
-"""How long a change is sent until it has a clear answer."""
+"""How long a change is retried until it gets a definite answer."""
 
 MAX_IN_FLIGHT = 8
+"""How many changes may be in flight, resends included."""
+
 MAX_NEW_CALLS = 3
-"""The calls that one change may begin: its own, one that races with it, and one that is sent again."""
+"""How many of these one step may start: a change, one that races with it, and a resend of an earlier one."""
 
 RACE_SHARE = 0.3
-"""Of changes, those that race with another."""
+"""The fraction of changes that race with a change of the other operator."""
 
 SAME_REVISION_SHARE = 0.6
-"""Of races, those for one revision."""
+"""The fraction of races in which both changes have the same revision."""
 
 LOST_ANSWER_SHARE = 0.25
+"""The fraction of changes whose first response is lost."""
+
 RESEND_SHARE = 0.5
-"""Of changes, those beside which an earlier one is sent again."""
+"""The fraction of changes along with which an earlier one is resent."""
 
-LONG_AGO = 66
-"""Changes since: what remembers some dozens has forgotten such a change."""
+OLD_CHANGE_AGE = 66
+"""How many changes ago an old change was acknowledged: a history of some dozen entries no longer has it."""
 
 ISOLATED_SHARE = 0.3
-"""Of changes, those that go to an isolated controller first, while there is one."""
+"""The fraction of changes that are sent to an isolated controller first, while there is one."""
 
 MAX_REVISION_STEP = 3
 RESENDS_AFTER_MANY = 3
-"""Changes from before many in a row that are sent again after them, to each controller."""
+"""How many earlier changes are resent to each controller after many changes in a row."""
 
 FINAL_RESENDS = 8
-"""Earlier changes that are sent again at a day's end."""
+"""How many earlier changes are resent at the end of a scenario."""
 
 PROBED_VERSIONS = 6
-"""Versions since the route of one was dropped."""
+"""The oldest of this many versions is probed too; its own route has been dropped by then."""
 
 
 class ChangeStream:
-    """The stream of changes; its random choices depend on the seed and the number of the change."""
+    """The stream of changes; its random choices derive from the seed and the number of the change."""
 
     def __init__(
         self,
@@ -69,10 +73,10 @@
         clients: Clients,
         spawn: Callable[[Awaitable[object]], asyncio.Task[None]],
     ) -> None:
-        """Create a stream that has not started.
+        """Create a stream without starting it.
 
-        :param cores: the controllers; may change while the run goes on
-        :param spawn: runs something in the background; if it fails, the run ends
+        :param cores: the controllers; the list may change during the run
+        :param spawn: runs an awaitable in the background; the run is aborted if that fails
         """
         self._context = context
         self._day = day
@@ -81,35 +85,36 @@
         self._clients = clients
         self._spawn = spawn
         self._newest: Config = build_configuration(day, context.seed, FIRST_REVISION, False)
-        self._revision = FIRST_REVISION
+        self._revision = FIRST_REVISION  # the highest revision known or assigned so far
         self._acknowledged: list[Put] = []
         self._in_flight: set[asyncio.Task[None]] = set()
         self._loops: list[asyncio.Task[None]] = []
-        self._suspended = False  # many changes in a row are made; the stream waits
-        self.isolated: list[Machine] = []  # controllers that are isolated now
+        self._suspended = False  # no new changes, as `change_in_a_row` is running
+        self.isolated: list[Machine] = []  # the controllers that are currently isolated
 
     def next_revision(self) -> int:
-        """A revision that no version has; they climb in uneven steps."""
+        """Assign the next revision; revisions increase in steps of 1 to `MAX_REVISION_STEP`."""
         self._revision += 1 + int(self._uniform("step", self._revision, high=MAX_REVISION_STEP))
         return self._revision
 
     def start(self) -> None:
-        """Begin, and go on until `stop`."""
+        """Start the stream, which runs until `stop`."""
         loops = [self._change_loop(), self._probe_loop(), *map(self._read_loop, self._operators)]
         self._loops = [self._spawn(loop) for loop in loops]
 
     async def stop(self) -> None:
-        """Begin nothing more, and wait for the changes in flight."""
+        """Start no more changes, and wait for those in flight."""
         for task in self._loops:
             task.cancel()
         self._loops = []
         await self._wait_in_flight()
 
     async def change_in_a_row(self, count: int, limit_s: float) -> str:
-        """Make many changes in a row, then send the last from before them again at each controller.
+        """Send many changes, each once the previous one has its answer, then resend the last earlier ones.
 
-        :param limit_s: how long changes are made
-        :returns: how many were acknowledged, in words
+        :param count: how many changes are to be acknowledged
+        :param limit_s: the time after which no further change is sent
+        :returns: the number of acknowledged changes, as a text for the record
         """
         earlier = self._acknowledged[-RESENDS_AFTER_MANY:]
         acknowledged = 0
@@ -128,7 +133,7 @@
         return f"{acknowledged} in a row"
 
     async def resend_some(self) -> None:
-        """Send some of the acknowledged changes once more, the first and the last among them."""
+        """Resend evenly spaced acknowledged changes, including the first and the last."""
         count = len(self._acknowledged)
         steps = FINAL_RESENDS - 1
         chosen = sorted({n * (count - 1) // steps for n in range(FINAL_RESENDS)}) if count else []
@@ -143,7 +148,7 @@
         return seeded_random.uniform(self._context.seed, "changes", *purpose, high=high)
 
     def _first_controller(self, *purpose: object) -> Machine | None:
-        """An isolated controller for some changes, while there is one; None: any."""
+        """For some changes an isolated controller, which is to be called first; None: any controller."""
         if not self.isolated or self._uniform("to", *purpose) >= ISOLATED_SHARE:
             return None
         return self.isolated[int(self._uniform("which", *purpose, high=len(self.isolated)))]
@@ -158,7 +163,7 @@
                 self._begin_change(number)
 
     def _begin_change(self, number: int) -> None:
-        """Send a change, for some another one that races with it, and for some an earlier one again."""
+        """Start one change; for some also a change of the other operator at the same time, or a resend."""
         revision = self.next_revision()
         first = number % 2
         lost = self._answer_is_lost(number)
@@ -174,12 +179,12 @@
             self._send(self._operators[first].resend(earlier, controller))
 
     def _index_to_resend(self, number: int) -> int:
-        """Which acknowledged change is sent again: the last, any, or one of long ago."""
+        """The index of the acknowledged change to resend: the last one, any, or an old one."""
         choice = int(self._uniform("old", number, high=3))
         count = len(self._acknowledged)
         if choice == 0:
             return count - 1
-        candidates = count - LONG_AGO if choice == 2 and count > LONG_AGO else count
+        candidates = count - OLD_CHANGE_AGE if choice == 2 and count > OLD_CHANGE_AGE else count
         return int(self._uniform("any", number, high=candidates))
 
     def _send(self, work: Awaitable[object]) -> None:
@@ -191,11 +196,12 @@
         return self._uniform("lost", number, tag) < LOST_ANSWER_SHARE
 
     async def _change(self, operator_index: int, revision: int, tag: str, number: int, lost: bool) -> bool:
-        """Send a change on top of the newest version; whether it was acknowledged.
+        """Send a change based on the newest version; returns whether it was acknowledged.
 
-        :param tag: tells contents of one revision apart
-        :param number: of the change, on which random choices depend
-        :param lost: its first clear answer is lost
+        :param operator_index: which of the two operators sends it
+        :param tag: tells different contents of the same revision apart
+        :param number: number of the change, from which random choices derive
+        :param lost: whether its first response is lost
         """
         newest = self._newest
         base = int(newest["revision_number"])
@@ -211,7 +217,7 @@
         return put.acked is not None
 
     def _build_on(self, config: Config) -> None:
-        """Build the next changes on a version, if it is newer."""
+        """Base further changes on a version if it is newer than the current base."""
         if config["revision_number"] > self._newest["revision_number"]:
             self._newest = config
             self._revision = max(self._revision, config["revision_number"])
@@ -222,7 +228,7 @@
             await asyncio.sleep(READ_INTERVAL_S)
 
     async def _probe_loop(self) -> None:
-        """Ask nodes for the routes of the newest version, and for one that was dropped."""
+        """Probe the nodes for routes of the newest version, and for a route that has been dropped."""
         own_routes: list[str] = []
         while True:
             await asyncio.sleep(PROBE_INTERVAL_S)
--- a/orchidferry/testkit/mesh/command.py
+++ b/orchidferry/testkit/mesh/command.py
@@ -1,4 +1,4 @@
-"""`orchidferry rehearse mesh-...`: from the command line to a verdict on the mesh."""
+"""The command `orchidferry rehearse` for scenarios of the mesh: runs one and prints the verdict."""
 
 from __future__ import annotations
 
@@ -29,9 +29,10 @@
 MAX_SECONDS = 600.0
 PROGRESS_INTERVAL_S = 5.0
 PLAIN_WIDTH = 120
-"""Characters of a line where the output is no terminal."""
+"""The width of the output in characters if it is not a terminal."""
 
 UNSUPPORTED_OPTIONS = ("report", "protocol", "loss", "recording", "target", "classes", "no_fleet")
+"""Options of `orchidferry rehearse` that do not apply to scenarios of the mesh."""
 
 
 def main(args: argparse.Namespace) -> int:
@@ -62,7 +63,7 @@
 def _run_one(
     console: Console, day: Day, seed: int, seconds: float, keep: Path | None
 ) -> tuple[dict[str, Any], int]:
-    """Play a day once; returns the JSON object and the exit status."""
+    """Run a scenario once; returns the object for `--json` and the exit status."""
     verdict, completed = _play_and_judge(console, day, seed, seconds, keep, show_progress=True)
     show(console, verdict, completed)
     found = as_json(verdict) | {"usage": usage_as_json(completed)}
@@ -74,7 +75,7 @@
 def _run_seeds(
     console: Console, day: Day, seed_range: range, seconds: float, keep: Path | None
 ) -> tuple[dict[str, Any], int]:
-    """Play a day under each seed; returns the JSON object and the exit status."""
+    """Run a scenario once for each seed; returns the object for `--json` and the exit status."""
 
     def play_seed(seed: int) -> tuple[Verdict, CompletedRun]:
         folder = None if keep is None else keep / f"seed-{seed}"
@@ -97,15 +98,15 @@
 
 
 def _seed_and_seconds(args: argparse.Namespace, day: Day) -> tuple[int, float]:
-    """The seed and the length that the command line asks for.
+    """The seed and the duration of the traffic in seconds, from the command line or by default.
 
-    :raises UsageError: if an option does not suit
+    :raises UsageError: if an option is invalid or does not apply to the mesh
     """
     for name in UNSUPPORTED_OPTIONS:
         if getattr(args, name, None):
-            raise UsageError(f"--{name.replace('_', '-')}: is not for {day.name}")
+            raise UsageError(f"--{name.replace('_', '-')}: not supported by {day.name}")
     if library := missing_library():
-        raise UsageError(f"{day.name}: {library} is not installed; the extra mesh brings it")
+        raise UsageError(f"{day.name}: {library} is not installed; install the extra mesh")
     seed = DEFAULT_SEED if args.seed is None else args.seed
     seconds = day.seconds if args.seconds is None else args.seconds
     if args.seeds is not None and not 1 <= args.seeds <= seeds.MAX_SEEDS:
@@ -118,7 +119,7 @@
 
 
 def _check_writable(path: Path) -> None:
-    """Find out before the run whether a file can be written."""
+    """Check before the run that the file for `--json` can be written."""
     try:
         with path.open("a"):
             pass
@@ -127,7 +128,7 @@
 
 
 def _write_json(path: Path, found: dict[str, Any]) -> None:
-    """Write a file completely or not at all."""
+    """Write a file atomically, by renaming a temporary one."""
     part = path.with_name(path.name + ".part")
     part.write_text(json.dumps(found, indent=1) + "\n")
     part.replace(path)
@@ -148,7 +149,7 @@
 
 
 async def _print_progress(console: Console, day: Day, seconds: float, progress: Progress) -> None:
-    """Print a line now and then, until cancelled."""
+    """Print a line of progress every `PROGRESS_INTERVAL_S`, until cancelled."""
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL_S)
         line = f"{day.name}: {progress.phase}"
@@ -162,7 +163,7 @@
 
 
 def usage_as_json(completed: CompletedRun) -> dict[str, dict[str, float]]:
-    """CPU seconds and most megabytes of the processes of each machine."""
+    """CPU seconds and peak memory in MB of the processes of each machine, for `--json`."""
     return {
         name: {"cpu_s": round(use.cpu_s, 2), "most_mb": round(use.peak_memory_mb, 1)}
         for name, use in sorted(completed.usage.items())
--- a/orchidferry/testkit/mesh/configuration.py
+++ b/orchidferry/testkit/mesh/configuration.py
@@ -1,4 +1,4 @@
-"""Configurations as the operator sends them, and the route that one has for a request."""
+"""The configurations that operators send, and the look-up of a request's route in them."""
 
 from __future__ import annotations
 
@@ -12,29 +12,39 @@
 
 Config = dict[str, Any]
 RETIRED_PATH = "/retired/"
+"""Prefix of a route that only unchanged configurations have; see `build_configuration`."""
+
 ADDED_PATH = "/added/"
+"""Prefix of a route that only changed configurations have."""
+
 UNROUTED_PATH = "/never/"
-# prefix of versions' own routes; how many of them a version has
+"""Prefix for which no configuration has a route."""
+
 VERSION_PREFIX = "/version-"
+"""Prefix of the routes that identify versions; see `next_version`."""
+
 MAX_VERSION_ROUTES = 4
-REVISIONS_PER_MOVE = 24  # in numbers of versions: how often routes move to other services and back
+"""How many such routes a version has at most: its own and those of earlier versions."""
+
+REVISIONS_PER_MOVE = 24
+"""After how many revisions the routes change as in `build_configuration`, or change back."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
     """A route of a configuration."""
 
-    services: frozenset[str]
+    services: frozenset[str]  # names of the services among which its requests are split
     route_type: str
 
 
 def host_name(seed: int) -> str:
-    """The host that all requests of a run name."""
+    """The host name of all requests of a run, derived from the seed."""
     return f"h{seeded_random.integer(seed, 'host_name') & 0xFFFFFF:06x}.example"
 
 
 def path_prefix(seed: int, kind: str) -> str:
-    """The prefix of the paths of a kind of request."""
+    """The path prefix of a kind of request, derived from the seed."""
     return f"/p{seeded_random.integer(seed, 'path', kind) & 0xFFFFFF:06x}/"
 
 
@@ -50,10 +60,13 @@
 
 
 def build_configuration(day: Day, seed: int, revision: int, changed: bool) -> Config:
-    """The day's first configuration, or the one after the change.
+    """Build the first configuration of a run, or the one after the planned change.
+
+    The change moves the route of `stream-read` to the other service, splits the traffic of `audio-download`
+    between both, removes one route and adds another. Each of these differences shows, at the servers or in
+    the response, which of the two configurations a node has applied.
 
-    The change moves the streams' route to the other service, splits the downloads' one, and adds and
-    drops a route: each shows at servers or in an answer which of the two a node went by.
+    :param changed: whether to build the one after the change
     """
     first, second = service_names(day, seed)[:2]
     rules = []
@@ -94,20 +107,21 @@
 
 
 def version_routes(config: Config) -> list[str]:
-    """The prefixes of routes that show by name which version they came with, newest first."""
+    """The prefixes of a configuration's routes that identify versions, newest first."""
     rules = config["access_points"][0]["rule_set"]
     found = [rule["criteria"]["path_prefix"] for rule in rules]
     return [path for path in found if path.startswith(VERSION_PREFIX)]
 
 
 def next_version(day: Day, seed: int, revision: int, before: Config, tag: str = "") -> Config:
-    """A version on top of another.
+    """Build a version based on another one.
 
-    It has a route of its own, those of the versions before it for a while, and now and then the change of
-    `build_configuration`.
+    It has a route that identifies it and those of the last versions before it, so that a response shows which
+    version a node has applied. The change of `build_configuration` comes and goes every `REVISIONS_PER_MOVE`
+    revisions.
 
-    :param before: the version that it builds on
-    :param tag: tells contents of one revision apart
+    :param before: the version on which it is based
+    :param tag: tells different contents of the same revision apart
     """
     config = build_configuration(day, seed, revision, revision // REVISIONS_PER_MOVE % 2 == 1)
     paths = [f"{VERSION_PREFIX}{revision}{tag}/", *version_routes(before)][:MAX_VERSION_ROUTES]
@@ -117,7 +131,7 @@
 
 
 def make_invalid(config: Config, revision: int) -> Config:
-    """A copy that is invalid: a route names a service that does not exist."""
+    """Make an invalid copy of a configuration, in which a route names a service that does not exist."""
     rule = config["access_points"][0]["rule_set"][0]
     wrong = rule | {"treatment": rule["treatment"] | {"service_name": "no-such-service"}}
     point = config["access_points"][0]
@@ -126,7 +140,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration, for many look-ups."""
+    """The routes of one configuration, prepared for many look-ups."""
 
     def __init__(self, config: Config) -> None:
         self._by_host: dict[str, list[tuple[str, Route]]] = {}
@@ -134,10 +148,13 @@
             rules = self._by_host.setdefault(point["host_name"], [])
             rules += [(rule["criteria"]["path_prefix"], _rule(rule)) for rule in point["rule_set"]]
         for rules in self._by_host.values():
-            rules.sort(key=lambda one: -len(one[0]))  # stable: of two alike the first counts
+            rules.sort(key=lambda one: -len(one[0]))  # stable: of equal prefixes the first one wins
 
     def find(self, name: str, path: str) -> Route | None:
-        """The route of a request: of that host, the longest prefix that begins its path."""
+        """The route of a request: the one of its host with the longest matching path prefix.
+
+        :param name: the host name of the request
+        """
         for path_prefix, rule in self._by_host.get(name, ()):
             if path.startswith(path_prefix):
                 return rule
@@ -152,19 +169,19 @@
 
 
 def find_route(config: Config, name: str, path: str) -> Route | None:
-    """The route of one request in a configuration."""
+    """Look up the route of one request in a configuration; see `RouteTable.find`."""
     return RouteTable(config).find(name, path)
 
 
 def content_digest(config: Config) -> str:
-    """A digest of all that a configuration says.
+    """A digest of the content of a configuration, which does not depend on the order of keys.
 
-    >>> content({"a": 1, "b": 2}) == content({"b": 2, "a": 1})
+    >>> content_digest({"a": 1, "b": 2}) == content_digest({"b": 2, "a": 1})
     True
     """
     return hashlib.blake2b(json.dumps(config, sort_keys=True).encode(), digest_size=8).hexdigest()
 
 
 def route_count(config: Config) -> int:
-    """How many routes a configuration has."""
+    """The number of routes in a configuration."""
     return sum(len(point["rule_set"]) for point in config["access_points"])
--- a/orchidferry/testkit/mesh/control_api.py
+++ b/orchidferry/testkit/mesh/control_api.py
@@ -1,4 +1,4 @@
-"""Calls of servers and operators at the mesh's control interface."""
+"""Client of the mesh's HTTP control API, for servers and operators."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 
 MAX_REDIRECTS = 2
 CALL_TIMEOUT_S = 1.0
+"""For each request, redirects counted separately."""
+
 TEMPORARY_REDIRECT = 307
 
 
 @dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """A request at the control interface."""
+    """A request to the control API."""
 
     method: str
     path: str
     payload: Any = None  # sent as JSON; None: no body
-    if_match: int | None = None  # the base revision
+    if_match: int | None = None  # the revision on which a change is based; sent as If-Match
 
     def encode(self, address: Address) -> bytes:
-        """The bytes of the request on a connection of its own."""
+        """Encode the request as HTTP/1.1, with `Connection: close`."""
         body = b"" if self.payload is None else json.dumps(self.payload).encode()
         lines = [
             f"{self.method} {self.path} HTTP/1.1",
@@ -49,12 +51,12 @@
     if_match: int | None = None,
     timeout_s: float = CALL_TIMEOUT_S,
 ) -> tuple[Outcome, Address]:
-    """Call the control interface, each time on a connection of its own; follows redirects.
+    """Call the control API, with a new connection for each request; follows redirects.
 
     :param payload: sent as JSON; None: no body
-    :param if_match: the base revision of a change
-    :param timeout_s: of each request
-    :returns: the outcome, and the address that it came from
+    :param if_match: the revision on which a change is based; None: no If-Match header
+    :param timeout_s: the time-out of each request
+    :returns: the outcome, and the address that was called last
     """
     request = ControlRequest(method, path, payload, if_match)
     for hop in range(1 + MAX_REDIRECTS):
--- a/orchidferry/testkit/mesh/day.py
+++ b/orchidferry/testkit/mesh/day.py
@@ -1,6 +1,6 @@
-"""What a day on the mesh is made of: machines, services, kinds of request, and a schedule of actions.
+"""The scenarios of the mesh, called days: machines, services, kinds of request, and a schedule of actions.
 
-A new scenario is an entry of `DAYS`; `actions.ACTIONS` has what a schedule may name.
+To add a scenario, add an entry to `DAYS`. The actions that a schedule can name are in `actions.ACTIONS`.
 """
 
 from __future__ import annotations
@@ -11,12 +11,18 @@
 from orchidferry.testkit import seeded_random
 
 ZONES = ("sala-a", "sala-b", "sala-c")
+"""Names of the zones, over which machines are spread evenly."""
+
 REGION = "sul"
+"""The region of all zones."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The bounds of the rules, as `bound_set` of a settings file has them."""
+    """The limits of the platform's rules, as in `term_settings.bound_set` of a settings file.
+
+    Names that end in `_ms` or `_s` are in milliseconds or seconds. The verdict checks them, too.
+    """
 
     seed_lag_s: float = 3
     reuse_after_s: float = 2
@@ -41,57 +47,63 @@
     """A kind of request."""
 
     name: str
-    route_type: str
-    service: int  # number of the service that it goes to at first
-    rate: float  # first tries a second; 0: servers alone ask it
-    work_ms: float
-    aim_ms: float
-    deadline_ms: float
-    worth: float = 1.0
-    late: float = 0.3
-    repeats: int = 1  # further tries of a client
-    size: int = 600  # bytes of an answer, about
-    calls: str = ""  # a kind that its server asks for while it runs,
-    calls_share: float = 0.0  # in so many of its runs
+    route_type: str  # idempotent, keyed, non_idempotent or download
+    service: int  # index of the service to which it is routed at first
+    rate: float  # mean requests per second of all clients; 0: only servers send it
+    work_ms: float  # mean execution time
+    aim_ms: float  # latency target: a success within this time earns the full value
+    deadline_ms: float  # time after which the client no longer waits
+    worth: float = 1.0  # value of a success within the latency target
+    late: float = 0.3  # value of a later success
+    repeats: int = 1  # how many times a client retries at most
+    size: int = 600  # nominal size of a response body in bytes
+    calls: str = (
+        ""  # name of the kind that its server sends to another service while executing it; empty: none
+    )
+    calls_share: float = 0.0  # fraction of its executions with such a call
 
     @property
     def repeatable(self) -> bool:
-        """Whether it is idempotent."""
+        """Whether the request is idempotent."""
         return self.route_type in ("idempotent", "download")
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledAction:
-    """A line of a day's schedule: when to do what, to which machine, and for how long."""
+    """An entry of a schedule: an action, its start, its targets and its duration."""
 
-    at: float  # a fraction of the traffic's time
+    at: float  # start, as a fraction of the duration of the traffic
     action: str  # a key of `actions.ACTIONS`
-    target: str = ""  # names of machines; empty: the action chooses by the seed
-    for_s: float = 0.0
+    target: str = ""  # names of machines, separated by spaces; empty: chosen by the seed
+    for_s: float = 0.0  # duration of the fault
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """A scenario."""
+    """A scenario of the mesh."""
 
     name: str
-    about: str
-    seconds: float  # of traffic
+    about: str  # description, in a line
+    seconds: float  # default duration of the traffic
     schedule: tuple[ScheduledAction, ...]
-    cores: int = 3
-    servers: tuple[int, ...] = (4, 2)  # of each service, one a machine
-    slots: tuple[int, ...] = (3, 4)
-    service_base_names: tuple[str, ...] = ("catalogo", "midia")
+    cores: int = 3  # number of controllers
+    servers: tuple[int, ...] = (
+        4,
+        2,
+    )  # number of servers of each service, each on a sidecar machine of its own
+    slots: tuple[int, ...] = (3, 4)  # how many requests a server of each service executes at once
+    service_base_names: tuple[str, ...] = ("catalogo", "midia")  # see `service_names`
     bounds: Bounds = field(default_factory=Bounds)
-    beat_ms: int = 1500
-    max_connections: int = 130
-    drawn: str = ""  # losses, worst or soak: the schedule is drawn by the seed, in place of `schedule`
-    overlapping: bool = False  # an action does not wait for the end of the one before
-    sessions: int = 0  # callers that stay at each sidecar machine, whatever its readiness
-    large_share: float = 0.0  # of downloads, those whose response no socket's buffer holds
-    proxy_descriptors: int = 0  # that a proxy may have open; 0: as many as on any day
-    again_s: tuple[float, float] = (0.1, 2.5)  # how much later a keyed request is sent once more
-    tolerance: int = 1  # controllers that may be lost at once
+    heartbeat_ms: int = 1500  # interval of the servers' heartbeats
+    max_connections: int = 130  # to each server
+    generated: str = ""  # losses, worst or soak: the seed determines the schedule; empty: `schedule` is used
+    overlapping: bool = False  # actions do not wait for the end of the previous one
+    sessions: int = 0  # clients that stay with each sidecar machine, whatever its readiness
+    large_share: float = 0.0  # fraction of downloads whose response exceeds every socket buffer
+    proxy_descriptors: int = 0  # a proxy's limit of open file descriptors; 0: that of `settings_file.LIMITS`
+    # Bounds of the time from the success of a keyed request to its repeat.
+    repeat_after_s: tuple[float, float] = (0.1, 2.5)
+    tolerance: int = 1  # how many controllers may be lost at once
 
 
 KINDS = (
@@ -102,14 +114,15 @@
     Kind("stream-read", "idempotent", 1, 12.0, 45, 300, 1200, 2.0, 0.6),
     Kind("tally-read", "idempotent", 1, 0.0, 30, 200, 600, 0.0, 0.3, repeats=0),
 )
-PROBE = "probe"  # the kind of what asks which configuration is in force; earns nothing
+PROBE = "probe"
+"""The kind of requests that show which configuration is in force; they have no value."""
 
 DAYS = {
     day.name: day
     for day in (
         Day(
             "mesh-calm",
-            "the mesh on a quiet day: 3 core and 6 sidecar machines, one server leaves, one change",
+            "the mesh without faults: 3 controllers and 6 proxies, one server is drained, one change",
             24.0,
             (
                 ScheduledAction(0.25, "drain"),
@@ -119,21 +132,21 @@
         ),
         Day(
             "mesh-loss",
-            "the same, with a table of losses drawn by the seed: processes, links, disks, a closing one",
+            "the same with random faults of processes, links and disks, and a last one at the end",
             60.0,
             (),
             bounds=Bounds(recovery_s=6),
-            drawn="losses",
-            again_s=(0.1, 15.0),
+            generated="losses",
+            repeat_after_s=(0.1, 15.0),
         ),
         Day(
             "worst-days",
-            "a controller cut off for 20 s under a stream of changes, replacements, wipes, a closing loss",
+            "a controller isolated for 20 s during a stream of changes, replacements, wipes, a last fault",
             105.0,
             (),
             bounds=Bounds(recovery_s=6),
-            drawn="worst",
-            again_s=(0.1, 15.0),
+            generated="worst",
+            repeat_after_s=(0.1, 15.0),
         ),
         Day(
             "worst-days-two",
@@ -142,17 +155,17 @@
             (),
             cores=5,
             bounds=Bounds(recovery_s=6),
-            drawn="worst",
-            again_s=(0.1, 15.0),
+            generated="worst",
+            repeat_after_s=(0.1, 15.0),
             tolerance=2,
         ),
         Day(
             "mesh-soak",
-            "planned work only, in series that overlap: restarts, SIGHUPs, changes; callers that stay",
+            "overlapping restarts, reloads and changes, without faults, under clients with open connections",
             16.0,
             (),
             servers=(5, 4),
-            drawn="soak",
+            generated="soak",
             overlapping=True,
             sessions=5,
             large_share=0.06,
@@ -165,7 +178,7 @@
             (),
             cores=5,
             servers=(50, 25),
-            drawn="soak",
+            generated="soak",
             overlapping=True,
             sessions=1,
             large_share=0.06,
@@ -178,22 +191,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A machine: an address of its own, and the same ports on each."""
+    """A simulated machine, with loopback addresses of its own; all machines use the same ports."""
 
     name: str
-    role: str  # core or sidecar
+    role: str  # core (for a controller) or sidecar (for a proxy and its server)
     zone: str
-    ip: str  # by which the others know it: there the kit's relays listen
-    bind: str  # of its process's own sockets
-    service: str = ""
-    number: int = 0
+    ip: str  # public address, on which the kit's relays and the machine's server listen
+    bind: str  # address of the process's own sockets
+    service: str = ""  # service of the machine's server; empty: a controller's machine
+    number: int = 0  # number of a sidecar machine, from 0
 
 
 def core_machine(block: int, n: int) -> Machine:
-    """A controller's machine.
+    """Create the machine of a controller.
 
-    :param block: of addresses, that of the run
-    :param n: the number of the machine, from 0
+    :param block: the block of loopback addresses of the run
+    :param n: number of the controller, from 0
     """
     zone = ZONES[n % 3]
     return Machine(
@@ -202,7 +215,7 @@
 
 
 def machines(day: Day, block: int, seed: int) -> tuple[list[Machine], list[Machine]]:
-    """The controllers' and the sidecar machines of a day, spread over the zones."""
+    """Create the controllers' and the sidecar machines of a scenario, spread over the zones."""
     cores = [core_machine(block, n) for n in range(day.cores)]
     services = [
         name for name, count in zip(service_names(day, seed), day.servers, strict=True) for _ in range(count)
@@ -223,7 +236,7 @@
 
 
 def service_names(day: Day, seed: int) -> list[str]:
-    """The services' names, which differ by the seed."""
+    """The names of the services: the base names with a suffix that depends on the seed."""
     hashes = {name: seeded_random.integer(seed, "service", name) & 0xFFFF for name in day.service_base_names}
     return [f"{name}-{hashed:04x}" for name, hashed in hashes.items()]
 
@@ -236,14 +249,14 @@
     application: int
     inbound: int
     outbound: int
-    internal: int  # the first of them
+    internal: int  # the first internal port, for connections between processes of the mesh
 
     @property
     def last_internal(self) -> int:
-        """The last port of those for members' own traffic."""
+        """The last internal port."""
         return self.internal + 15
 
 
 def ports_from(base: int) -> Ports:
-    """Six ports in a row from `base`."""
+    """Consecutive ports, starting with `base`."""
     return Ports(*range(base, base + 6))
--- a/orchidferry/testkit/mesh/environment.py
+++ b/orchidferry/testkit/mesh/environment.py
@@ -1,4 +1,4 @@
-"""All of the kit's parts in a run on the mesh: processes, links, servers, clients, operators."""
+"""All components of a run on the mesh: processes, links, servers, clients, operators."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
 LAST_PORT = 12000
 PORT_STEP = 60
 INTERNAL_PROBE_OFFSET = 20
+"""Offset of the last internal port from the first port: it is checked for being free, too."""
+
 LOG_TAIL_CHARACTERS = 200
+"""How much of a log is quoted when the run is aborted because its process ended."""
 
 
 def free_ports(ips: list[str]) -> Ports:
-    """Ports that are free at all of these addresses.
+    """Find a range of ports that is free at all of these addresses.
 
-    :raises NoFreeAddressesError: if there are none
+    :raises NoFreeAddressesError: if there is none
     """
     for base in range(FIRST_PORT, LAST_PORT, PORT_STEP):
         try:
@@ -48,38 +51,39 @@
 
 
 class Environment:
-    """The parts of a run, and what keeps them going: tasks, restarts, and the reason to abort."""
+    """The components of a run, with its background tasks, restarts of processes, and the reason to abort."""
 
     def __init__(self, day: Day, seed: int, seconds: float, block: Block, folder: Path) -> None:
-        """Create all parts, none of them started; must be called in the run's event loop.
+        """Create all components without starting them; must be called in the run's event loop.
 
-        :param seconds: how long the traffic lasts
-        :param block: the addresses of the run
-        :param folder: for settings, logs and disks of the processes
+        :param seconds: duration of the traffic
+        :param block: the block of loopback addresses of the run
+        :param folder: where the processes' settings, logs and stored data go
         """
         self.day = day
         self.seed = seed
         self.seconds = seconds
         self.block = block.number
         self._folder = folder
-        self.cores, self.sidecars = machines(day, block.number, seed)  # the first as the operators list them
-        every = [*self.cores, *self.sidecars]
+        # Actions that replace a controller update the list of controllers, which operators and nodes share.
+        self.cores, self.sidecars = machines(day, block.number, seed)
+        all_machines = [*self.cores, *self.sidecars]
         self.record = _empty_record(day, seed, self.cores, self.sidecars)
-        free = free_ports([ip for machine in every for ip in (machine.ip, machine.bind)])
-        self.context = RunContext(seed, free, self.record.facts.append, time.monotonic())
-        self.links = Links(free)
+        ports = free_ports([ip for machine in all_machines for ip in (machine.ip, machine.bind)])
+        self.context = RunContext(seed, ports, self.record.facts.append, time.monotonic())
+        self.links = Links(ports)
         self.nodes: dict[str, Node] = {}
-        for machine in every:
+        for machine in all_machines:
             self.add_machine(machine, first_start=True)
         self.servers = {machine.name: Server(self.context, day, machine) for machine in self.sidecars}
         self.platform = Platform(self.context, self.sidecars)
-        self.clients = Clients(self.context, self.platform, seconds, day.again_s)
+        self.clients = Clients(self.context, self.platform, seconds, day.repeat_after_s)
         self.sessions = Sessions(self.context, self.clients, self.sidecars, day.sessions)
         self.operator = self._new_operator(1)
         self.other_operator = self._new_operator(2)
         operators = (self.operator, self.other_operator)
         self.changes = ChangeStream(self.context, day, self.cores, operators, self.clients, self.spawn)
-        self.starting = True  # until the traffic begins
+        self.starting = True  # until the traffic starts; a process that ends by itself then aborts the run
         self._aborted: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self._tasks = TaskSet(self._on_task_failed)
         self._closing = False
@@ -90,9 +94,9 @@
         return Operator(self.context, self.cores, name, ip)
 
     def add_machine(self, machine: Machine, first_start: bool) -> Node:
-        """Add a machine with its relays and its process, which is not started yet.
+        """Add a machine with its relays, and a node whose process is not started yet.
 
-        :param first_start: it founds the system together with the others
+        :param first_start: whether the node's first process takes part in bootstrapping the cluster
         """
         on_ended = self.links.on_process_ended
         node = Node(
@@ -103,16 +107,16 @@
         return node
 
     def abort(self, reason: str) -> None:
-        """Have the run end before its time; the first reason counts."""
+        """Abort the run; only the first call's reason is kept."""
         if not self._aborted.done():
             self._aborted.set_result(reason)
 
     async def until_aborted(self) -> str:
-        """Wait until the run has to end before its time; returns the reason."""
+        """Wait until the run is aborted; returns the reason."""
         return await asyncio.shield(self._aborted)
 
     def spawn(self, work: Awaitable[object]) -> asyncio.Task[None]:
-        """Run something in the background; if it fails, the run is aborted."""
+        """Run an awaitable in the background; the run is aborted if it fails."""
 
         async def run() -> None:
             await work
@@ -120,7 +124,7 @@
         return self._tasks.spawn(run())
 
     def _on_task_failed(self, problem: BaseException) -> None:
-        self.abort(f"the kit failed: {problem!r:.200}")
+        self.abort(f"internal error of the test kit: {problem!r:.200}")
 
     def _on_died(self, node: Node, status: int) -> None:
         """Restart a process that ended by itself, as the platform does."""
@@ -138,7 +142,7 @@
             await node.start(again=True)
 
     async def close(self) -> None:
-        """Shut all parts down in order."""
+        """Shut all components down in order."""
         self._closing = True
         self.clients.close()
         self._tasks.cancel()
@@ -149,7 +153,7 @@
         self.context.close()
 
     def kill(self) -> None:
-        """Kill the processes that are still there."""
+        """Kill the processes that are still running."""
         for node in self.nodes.values():
             node.kill("killed")
 
--- a/orchidferry/testkit/mesh/facts.py
+++ b/orchidferry/testkit/mesh/facts.py
@@ -1,6 +1,8 @@
-"""The record of a run on the mesh: only what the kit saw on its own sockets and of its own processes.
+"""The record of a run on the mesh: a list of facts that the kit observed on its own sockets and processes.
 
-Times are seconds since the run's zero. `n` numbers the arrivals of requests at servers, over the whole run.
+The verdict on a run is computed from these facts alone. The names of classes and fields are part of the
+format of stored records. In all facts `t` is a time in seconds on the run's clock, `id` is the id of an
+attempt, and `n` is the number of a request's arrival at a server, counted over the whole run.
 """
 
 from __future__ import annotations
@@ -14,49 +16,50 @@
 
 
 def digest(body: bytes) -> str:
-    """A short digest of a body."""
+    """A short digest of a body, by which the record identifies it."""
     return hashlib.blake2b(body, digest_size=8).hexdigest()
 
 
 @dataclass(slots=True)
 class Sent:
-    """An attempt was begun at a machine's `outbound`, by a client or (`parent`) by the server there."""
+    """An attempt was sent to a machine's `outbound` port, by a client or by the server on that machine."""
 
     t: float
     id: str
-    kind: str
+    kind: str  # name of the kind of request
     machine: str
     host: str
     method: str
     path: str
-    digest: str
-    key: str
-    repeatable: bool
-    ends: float  # nobody waits after this
-    root: str  # the first try's number; the same for all tries
-    first: float  # when the first try should have been sent
-    parent: int = 0  # the arrival whose run makes this call; 0: a client's
-    owed: bool = True  # its worth counts
+    digest: str  # of the body
+    key: str  # the operation key; empty: none
+    repeatable: bool  # the request is idempotent
+    ends: float  # the deadline, after which the sender no longer waits
+    root: str  # identifies the request; the same for all its attempts
+    first: float  # when the first attempt of the request should have been sent
+    parent: int = 0  # number of the arrival during whose execution the server sends this; 0: from a client
+    owed: bool = True  # whether it counts towards the measured service level
 
 
 @dataclass(slots=True)
 class Answered:
-    """A complete answer came."""
+    """The sender of an attempt received a complete response."""
 
     t: float
     id: str
     status: int
-    seal: str
-    digest: str
-    attempt: str  # the id that it carries
-    retry_after: str = ""
+    seal: str  # the header Server-Seal, which identifies the server's response
+    digest: str  # of the body
+    attempt: str  # the header Attempt-Id
+    retry_after: str = ""  # the header Retry-After
 
 
 @dataclass(slots=True)
 class NoAnswer:
-    """There was no complete answer.
+    """The sender of an attempt received no complete response.
 
-    `how`: refused, silent (no connection), closed, reset, broken, timeout (the client left).
+    `how`: refused or silent (no connection was established), closed, reset, broken (in the middle of the
+    response), or timeout (the sender stopped waiting).
     """
 
     t: float
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True)
 class Extra:
-    """Bytes came that no request waited for, on the connection that last carried this one."""
+    """Unexpected bytes arrived on an idle connection, whose last attempt was this one."""
 
     t: float
     id: str
@@ -74,25 +77,25 @@
 
 @dataclass(slots=True)
 class Arrived:
-    """A server has read a complete request."""
+    """A server received a complete request."""
 
     t: float
     n: int
     id: str
-    server: str
+    server: str  # id of the server's incarnation
     service: str
     machine: str
     method: str
     path: str
-    digest: str
-    calling: str
-    key: str
-    target: str
+    digest: str  # of the body
+    calling: str  # the header Calling-Service
+    key: str  # the header Operation-Key
+    target: str  # the header Target-Instance
 
 
 @dataclass(slots=True)
 class Began:
-    """A server has begun to execute a request."""
+    """A server began to execute a request."""
 
     t: float
     n: int
@@ -100,7 +103,7 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """A server answered that it has not executed the request, and never will."""
+    """A server rejected a request, promising that it was not and never will be executed."""
 
     t: float
     n: int
@@ -109,18 +112,18 @@
 
 @dataclass(slots=True)
 class Done:
-    """A server wrote its complete answer."""
+    """A server executed a request and wrote a complete response."""
 
     t: float
     n: int
     status: int
-    seal: str
-    digest: str
+    seal: str  # identifies this response
+    digest: str  # of the body
 
 
 @dataclass(slots=True)
 class Dropped:
-    """The connection closed under an execution, which ended with it."""
+    """The connection of a request was lost before its response; the server abandoned the request."""
 
     t: float
     n: int
@@ -128,108 +131,109 @@
 
 @dataclass(slots=True)
 class Notice:
-    """A server's call: in_service, draining, gone; `acked` when, None if it was not; `by` that address."""
+    """A server announced its state to the mesh: by a heartbeat, the start of draining, or deregistration."""
 
     t: float
-    server: str
+    server: str  # id of the server's incarnation
     machine: str
-    state: str
-    sequence: int
-    acked: float | None
-    by: str
+    state: str  # in_service, draining or gone
+    sequence: int  # number of the call of this incarnation
+    acked: float | None  # when the call was acknowledged; None: it was not
+    by: str  # the address that answered, or was called last
 
 
 @dataclass(slots=True)
 class ServerEnd:
-    """A server has closed its listener."""
+    """A server closed its listener."""
 
     t: float
-    server: str
+    server: str  # id of the server's incarnation
 
 
 @dataclass(slots=True)
 class Put:
-    """A configuration was sent, first at `t`; `acked` when it was taken; `status` of the last answer."""
+    """An operator sent a configuration, in one or more calls; `t` is the time of the first."""
 
     t: float
     operator: str
     revision: int
-    base: int
-    valid: bool
+    base: int  # the revision on which the change is based
+    valid: bool  # whether the mesh must accept it as valid
     config: Config
-    until: float
-    acked: float | None
-    status: int  # 0: no clear answer
-    tries: str = ""  # how each call ended, and where it went
+    until: float  # when the operator stopped sending it
+    acked: float | None  # when it was acknowledged; None: it was not
+    status: int  # of the last response; 0: no definite answer
+    tries: str = ""  # address and outcome of each call
 
 
 @dataclass(slots=True)
 class Read:
-    """The configuration was asked for; None: it did not come."""
+    """An operator read the newest configuration, or tried to; `t` is the time of the answer."""
 
     t: float
-    config: Config | None
+    config: Config | None  # None: the read failed
     asked: float | None = None  # when the call was begun; None: not known
 
 
 @dataclass(slots=True)
 class ControlCall:
-    """One call of an operator at one controller: an order sent (for the first time or again) or a reading."""
+    """A call of an operator to a controller: a change, sent for the first time or again, or a read."""
 
     t: float
-    until: float
+    until: float  # when the call ended
     operator: str
-    machine: str  # the last that it went to
-    revision: int  # 0: a reading
-    content: str  # digest of what was sent
-    status: int  # 0: no answer
-    how: str  # answer, or why there was none: timeout, refused, reset, closed, silent, broken
-    lost: bool = False  # the kit lost the answer on its way: the operator has heard nothing
-    error: str = ""  # the kind of refusal that the answer names
-    retry_after: str = ""  # when to come back, as the answer says it
+    machine: str  # the controller that answered or was called last, after redirects
+    revision: int  # of the change; 0: a read
+    content: str  # digest of the configuration that was sent; empty: a read
+    status: int  # 0: no response
+    how: str  # answer, or why there was no response: timeout, refused, reset, closed, silent, broken
+    lost: bool = False  # the kit discarded the response: for the operator the call timed out
+    error: str = ""  # the kind of error that the response names
+    retry_after: str = ""  # the header Retry-After
 
 
 @dataclass(slots=True)
 class Ready:
-    """A probe of a machine's readiness was answered, or failed."""
+    """A readiness probe of a machine was answered, or failed."""
 
     t: float
     machine: str
-    ok: bool
+    ok: bool  # the machine is ready
 
 
 @dataclass(slots=True)
 class Process:
-    """What became of a process.
+    """A process was started, was signalled or ended.
 
-    `what`: start, term, killed, paused, resumed, ended (as it was asked to), exit (by itself), late (killed
-    after its grace time), removed (its machine is gone for good). `again`: started after an end of its own.
+    `what`: start, term (sent SIGTERM), killed, paused, resumed, reloaded (sent SIGHUP), ended (after
+    SIGTERM), exit (by itself), late (killed after the grace time), or removed (its machine is removed for
+    good).
     """
 
     t: float
     machine: str
     what: str
-    again: bool = False
+    again: bool = False  # for a start: whether the previous process ended by itself
 
 
 @dataclass(slots=True)
 class LinkFault:
-    """A fault of links between machines; `links`: by direction, who sends and who receives."""
+    """A fault of links between machines."""
 
     t: float
     until: float
-    what: str  # cut, slow, reset
-    links: list[tuple[str, str]]
+    what: str  # cut, slow or reset
+    links: list[tuple[str, str]]  # the directions: names of the sending and the receiving machine
 
 
 @dataclass(slots=True)
 class Event:
-    """A line of the day's schedule, as it was played."""
+    """An action of the schedule, as it was executed."""
 
     t: float
     until: float
-    do: str
-    whom: str
+    do: str  # name of the action
+    whom: str  # a description of its targets
 
 
 Fact = (
@@ -255,33 +259,35 @@
 
 
 STORED_NAMES: dict[type, str] = {LinkFault: "Harm", NoAnswer: "Cut", Rejected: "Turned"}
-"""The names in records of those facts whose class has another name."""
+"""Names in stored records of the facts whose class is named differently."""
 
 
 def stored_name(kind: type[Fact]) -> str:
-    """The name of a kind of fact in records."""
+    """The name of a class of facts in stored records."""
     return STORED_NAMES.get(kind, kind.__name__)
 
 
 @dataclass(slots=True)
 class Record:
-    """The record of a run, from which it is judged."""
+    """The record of a run, on which its verdict is based."""
 
     scenario: str
     seed: int
     bounds: Bounds
-    kinds: dict[str, Kind]
-    services: dict[str, str]  # of each sidecar machine
-    cores: tuple[str, ...]
+    kinds: dict[str, Kind]  # kinds of request by name
+    services: dict[str, str]  # service names by the name of the sidecar machine
+    cores: tuple[str, ...]  # names of the controllers' machines, including replacements
     facts: list[Fact] = field(default_factory=list)
-    start: float = 0.0  # of the traffic
-    end: float = 0.0
-    complete: bool = True
-    why: str = ""  # it is not
-    stall_s: float = 0.0  # the longest that the kit itself stood still
-    starved: float = 0.0  # the largest share of a second or two that a process waited for a core
+    start: float = 0.0  # start of the traffic
+    end: float = 0.0  # end of the traffic
+    complete: bool = True  # the run was not aborted
+    why: str = ""  # the reason for which the run was aborted
+    stall_s: float = 0.0  # the longest lag of the kit's event loop
+    starved: float = (
+        0.0  # the largest fraction of a window of about 2 s for which a process waited for a core
+    )
 
     def lines(self) -> str:
-        """The facts as JSON lines, in order of time."""
+        """The facts as JSON lines, ordered by time."""
         facts = sorted(self.facts, key=lambda fact: fact.t)
         return "".join(json.dumps({"fact": stored_name(type(fact)), **asdict(fact)}) + "\n" for fact in facts)
--- a/orchidferry/testkit/mesh/operator.py
+++ b/orchidferry/testkit/mesh/operator.py
@@ -1,4 +1,4 @@
-"""The operators: each sends configurations to any controller, and reads the newest back."""
+"""Simulated operators, who send configurations to any of the controllers and read the newest one back."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from orchidferry.testkit.wire import Address, Outcome, Pool
 
 FINAL_STATUSES = (400, 409, 412, 413, 422)
-"""Answers that refuse a change for good."""
+"""Status codes that reject a change for good."""
 
 RETRYABLE_STATUSES = (408, 429)
 MAX_OTHER_REFUSALS = 3
-"""After so many 4xx of another kind an operator gives up."""
+"""After this many responses with any other 4xx status an operator gives up."""
 
 CONFIGURATION_PATH = "/orchidferry/configuration"
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
 READ_INTERVAL_S = 0.5
+"""From one read of the newest version to the next in `Operator.read_for`."""
 
 
 def error_kind(outcome: Outcome) -> str:
-    """The kind of refusal that an answer names; empty if it names none."""
+    """The kind of error that a response names in its JSON body; empty if it names none."""
     if outcome.how != "answer" or outcome.status < 400:
         return ""
     try:
@@ -39,24 +40,24 @@
 
 
 class Operator:
-    """An operator, who records each call, and what came of each change."""
+    """A simulated operator; records each call and the outcome of each change."""
 
     def __init__(self, context: RunContext, cores: list[Machine], name: str, ip: str) -> None:
         """Create an operator.
 
-        :param cores: the controllers that are called; may change while the run goes on
-        :param name: tells the operators apart
-        :param ip: where its calls come from, by which the kit's relays know it
+        :param cores: the controllers that it calls; the list may change during the run
+        :param name: name of the operator in the record
+        :param ip: source address of its calls, by which the kit's relays recognise it
         """
         self._context = context
         self._cores = cores
         self.name = name
         self._pool = Pool(lambda _: None, ip)
-        self._controller_names: dict[str, str] = {}  # by address
-        self._calls = 0
+        self._controller_names: dict[str, str] = {}  # by IP address
+        self._calls = 0  # number of calls so far
 
     def _address(self, controller: Machine | None = None) -> Address:
-        """The address of a controller, or of one by the seed and the number of the call."""
+        """The control address of a controller; None: of one chosen by the seed and the number of the call."""
         self._controller_names |= {machine.ip: machine.name for machine in self._cores}
         self._calls += 1
         if controller is None:
@@ -68,8 +69,8 @@
     async def _call(self, address: Address, change: Put | None, lose_answer: bool = False) -> Outcome:
         """Make one call, and record it.
 
-        :param change: what is sent; None: the newest configuration is read
-        :param lose_answer: the operator receives nothing of an answer
+        :param change: the change to send; None: read the newest configuration
+        :param lose_answer: discard the response, so that the call times out for the operator
         """
         context = self._context
         began = context.now()
@@ -110,13 +111,14 @@
         first: Machine | None = None,
         lost_answers: int = 0,
     ) -> Put:
-        """Send a version until it has a clear answer.
-
-        :param base: the revision that it builds on
-        :param valid: whether the mesh must accept it
-        :param limit_s: how long it is tried
-        :param first: the controller that is called first; None: any
-        :param lost_answers: how many of its clear answers are lost on their way
+        """Send a configuration until it is accepted or rejected for good.
+
+        :param base: the revision on which it is based
+        :param valid: whether the configuration is valid, for the record
+        :param limit_s: how long sending is retried
+        :param first: the controller to call first; None: any
+        :param lost_answers: for how many calls the kit discards the response
+        :returns: the entry in the record, with the outcome
         """
         context = self._context
         backoff = MIN_BACKOFF_S
@@ -148,20 +150,26 @@
         return put
 
     async def resend(self, change: Put, controller: Machine | None = None) -> None:
-        """Send a change once more as it was; what comes of it is in the record of calls alone."""
+        """Send a change once more, unmodified; the outcome is recorded only as a `ControlCall`.
+
+        :param controller: the controller to call; None: any
+        """
         now = self._context.now()
         copy = Put(now, self.name, change.revision, change.base, True, change.config, 0.0, None, 0)
         await self._call(self._address(controller), copy)
 
     async def read_for(self, for_s: float) -> None:
-        """Read the newest version again and again."""
+        """Read the newest configuration periodically.
+
+        :param for_s: for how long, in seconds
+        """
         until = self._context.now() + for_s
         while self._context.now() < until:
             await self.read()
             await asyncio.sleep(READ_INTERVAL_S)
 
     async def newest_revision(self, limit_s: float) -> int | None:
-        """The revision that is read first; None if none comes in time."""
+        """Read the newest revision, retrying failed reads; None if none succeeds within `limit_s`."""
         until = self._context.now() + limit_s
         while self._context.now() < until:
             found = await self.read()
@@ -171,7 +179,7 @@
         return None
 
     async def read(self) -> Config | None:
-        """Read the newest version once; None if it did not come."""
+        """Read the newest configuration once; None if the read failed."""
         asked = self._context.now()
         found = None
         outcome = await self._call(self._address(), None)
--- a/orchidferry/testkit/mesh/registration.py
+++ b/orchidferry/testkit/mesh/registration.py
@@ -69,7 +69,7 @@
 
     async def send_heartbeats(self) -> None:
         """Send periodic heartbeats while the server is in service."""
-        interval = self._day.beat_ms / 1000.0
+        interval = self._day.heartbeat_ms / 1000.0
         while self.state == IN_SERVICE:
             acknowledged = await self._send(IN_SERVICE)
             await asyncio.sleep(interval if acknowledged else HEARTBEAT_RETRY_S)
--- a/orchidferry/testkit/mesh/schedule.py
+++ b/orchidferry/testkit/mesh/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a day's actions: as it is written, or drawn by the seed."""
+"""The schedule of a run's actions: the one that the scenario lists, or one generated from the seed."""
 
 from __future__ import annotations
 
@@ -18,12 +18,16 @@
     "replace": 0.5,
     "kill-core": 0.5,
 }
-"""What may be lost in the middle of a drawn day, and for how long, in seconds."""
+"""The faults that a generated schedule can have before its closing fault, with their durations."""
 
 CLOSING_FAULTS = ("after-ack-kill", "after-ack-wipe")
+"""Faults at the end of a schedule, one of which is chosen."""
+
 UNPLANNED = frozenset((*FAULT_DURATIONS_S, *CLOSING_FAULTS, "isolate", "reset-calls"))
+"""All actions that are faults rather than planned operations."""
+
 PLANNED_DURATIONS_S = {"change": 3.5, "drain": 6.0}
-"""How long planned work takes, about, in seconds; each comes once."""
+"""Planned operations with their approximate durations; each occurs once in a schedule with faults."""
 
 FIRST_ACTION_S = 1.0
 """From the start of the traffic to the first action."""
@@ -32,25 +36,27 @@
 """From the closing fault to the end of the traffic."""
 
 RESTART_S = 0.6
-"""What a process takes to come back, about."""
+"""Approximate time that a process takes to restart."""
 
 
 def schedule(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
-    """All actions of a day, in order; they run one after another, so their times are the earliest ones.
+    """All actions of a run, in order of time.
+
+    An action can start later than scheduled: it waits for the previous one unless `Day.overlapping` is set.
 
-    :param seconds: of traffic
+    :param seconds: duration of the traffic
     """
-    if day.drawn == "soak":
+    if day.generated == "soak":
         return _soak_day(day, seed, seconds)
-    if day.drawn == "worst":
+    if day.generated == "worst":
         return _worst_day(day, seed, seconds)
-    if day.drawn:
+    if day.generated:
         return _with_faults(day, seed, seconds)
     return sorted(day.schedule, key=lambda scheduled: scheduled.at)
 
 
 def _with_faults(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
-    """Planned work among as many faults as there is time for, each before a calm; a closing fault."""
+    """Planned operations and as many faults as fit, each fault with time to recover; then a closing fault."""
     rng = Random(seeded_random.integer(seed, "table", day.name))
     faults = rng.sample(sorted(FAULT_DURATIONS_S), len(FAULT_DURATIONS_S))
     remaining_s = seconds - CLOSING_BEFORE_END_S - FIRST_ACTION_S - sum(PLANNED_DURATIONS_S.values())
@@ -73,26 +79,28 @@
 
 
 def _duration_s(day: Day, action: str) -> float:
-    """How long an action takes; for a fault with the time to restart and to catch up."""
+    """The duration of an action in seconds; for a fault including the time to restart and catch up."""
     if action in PLANNED_DURATIONS_S:
         return PLANNED_DURATIONS_S[action]
     return FAULT_DURATIONS_S[action] + RESTART_S + day.bounds.catch_up_s
 
 
 ISOLATED_S = 20.0
-"""How long controllers are isolated."""
+"""For how long controllers are isolated."""
 
 MANY_CHANGES_S = 12.0
-"""How long changes are made in a row, at most."""
+"""For how long at most changes are sent in quick succession."""
 
 RESET_CALLS_S = 6.0
 WORST_DURATIONS_S = {"isolate": ISOLATED_S, "many-changes": MANY_CHANGES_S, "reset-calls": RESET_CALLS_S}
 SHORT_S = 0.5
-"""The duration of the other actions."""
+"""The duration of actions without a duration of their own."""
 
 WORST_CLOSING_BEFORE_END_S = 20.0
+"""As `CLOSING_BEFORE_END_S`, in the worst-days scenarios."""
+
 RESEND_BEFORE_END_S = 6.0
-"""From the last resends to the end of the traffic."""
+"""From the final resends of changes to the end of the traffic."""
 
 WORST_BLOCKS = (
     ("isolate",),
@@ -101,13 +109,14 @@
     ("many-changes",),
     ("reset-calls",),
 )
+"""Groups of consecutive actions in the worst-days scenarios; the seed determines the order of the groups."""
 
 
 def _worst_day(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
-    """A stream of changes, and under it in an order by the seed what else goes wrong.
+    """The schedule of the worst-days scenarios: a stream of changes, and the groups of `WORST_BLOCKS`.
 
-    That is an isolation, replacements with a loss right after each, hundreds of changes, calls broken off.
-    Then comes a closing fault, and changes are sent again after it.
+    A replacement is followed by a wipe, with or without time to catch up in between if the replacement was
+    planned. A closing fault comes at the end, and changes are resent after it.
     """
     rng = Random(seeded_random.integer(seed, "table", day.name))
     blocks = rng.sample(WORST_BLOCKS, len(WORST_BLOCKS))
@@ -116,7 +125,7 @@
     for block in blocks:
         for action in block:
             for_s = WORST_DURATIONS_S.get(action, SHORT_S)
-            # Distinct times tell two actions of one kind apart, in what they draw.
+            # The times must differ: random choices of two actions of the same name derive from them.
             found.append(ScheduledAction(t / seconds, action, for_s=for_s))
             t += for_s + RESTART_S
             if action != "replace-planned" or rng.random() < 0.5:
@@ -131,16 +140,18 @@
 
 
 RESTARTS_PER_MACHINE_S = 0.12
-"""Of a soak: how often a second a proxy is restarted, about."""
+"""The mean rate of restarts per second in a soak test, for each server."""
 
 MAX_RESTARTS_PER_S = 4.0
+"""Upper bound of the mean rate of restarts in a soak test, over all proxies."""
+
 RELOADS_PER_S = 0.5
 LAST_RESTART_BEFORE_END_S = 1.0
 STOP_CHANGES_BEFORE_END_S = 0.5
 
 
 def _soak_day(day: Day, seed: int, seconds: float) -> list[ScheduledAction]:
-    """A stream of changes, and over all of it restarts of proxies and reloads at times by the seed."""
+    """The schedule of a soak test: a stream of changes, and proxy restarts and reloads at random times."""
     rng = Random(seeded_random.integer(seed, "table", day.name))
     last_s = seconds - LAST_RESTART_BEFORE_END_S
     restarts_per_s = min(MAX_RESTARTS_PER_S, RESTARTS_PER_MACHINE_S * sum(day.servers))
--- a/orchidferry/testkit/mesh/seeds.py
+++ b/orchidferry/testkit/mesh/seeds.py
@@ -1,4 +1,4 @@
-"""`--seeds N`: a day of the mesh under one seed after another, a line each, and a summary of them."""
+"""`--seeds N`: runs a scenario of the mesh once for each of N seeds; prints a line for each and a summary."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 
 MAX_SEEDS = 1_000
 INTERRUPTED = 130
+"""Exit status after SIGINT or SIGTERM."""
+
 PlayDay = Callable[[int], tuple[Verdict, CompletedRun]]
-"""Plays and judges a day under a seed."""
+"""Runs a scenario with a seed, and judges the run."""
 
 Report = Callable[[Verdict, CompletedRun], None]
-"""Shows the whole report of a run that did not pass."""
+"""Prints the complete report of a run that did not pass."""
 
 
 def result_word(verdict: Verdict) -> str:
-    """How a run ended, in a word or two; a broken rule says more than that the run is void."""
+    """The result of a run in a word or two; broken rules take precedence over a void run."""
     if verdict.broken_rules:
         return "BROKEN " + " ".join(verdict.broken_rules) + (" (void)" if verdict.void else "")
     if not verdict.record.complete:
@@ -39,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSummary:
-    """What is kept of a run, whose record may be large."""
+    """The part of a verdict that is kept after its run; the record itself may be large."""
 
     seed: int
-    result: str
+    result: str  # see `result_word`
     passed: bool
     broken_rules: list[str]
-    service: float
-    checked: dict[str, int]  # by rule
-    actions: list[str]
+    service: float  # the service level, from 0 to 1
+    checked: dict[str, int]  # number of checks by rule
+    actions: list[str]  # names of the executed actions
 
 
 def summarize(verdict: Verdict) -> RunSummary:
-    """What is kept of a run."""
+    """Extract from a verdict what is kept of its run."""
     return RunSummary(
         verdict.record.seed,
         result_word(verdict),
@@ -64,22 +66,22 @@
 
 
 def run_line(run: RunSummary, verdict: Verdict) -> str:
-    """A run in one line."""
+    """The line that is printed for a run."""
     record = verdict.record
     puts = verdict.trace.puts
     acknowledged = sum(put.acked is not None for put in puts)
     return (
         f"seed {run.seed}: {run.result}; service {percent(run.service)}, "
-        f"{len(verdict.trace.requests)} tries, "
+        f"{len(verdict.trace.requests)} attempts, "
         f"{acknowledged} of {len(puts)} versions acknowledged, "
-        f"{run.checked['twice']} runs of what may run once, "
+        f"{run.checked['twice']} checks of rule twice, "
         f"stall {record.stall_s * 1000.0:.0f} ms, starved {record.starved:.2f}"
         f"{_control_calls(verdict.trace)}; {', '.join(run.actions)}"
     )
 
 
 def _control_calls(trace: MeshTrace) -> str:
-    """Calls at isolated controllers by their answers, and changes sent again; empty if there were none."""
+    """The answers of isolated controllers, and the number of resent changes; empty if there were neither."""
     found = control_call_statistics(trace)
     text = ""
     if found["alone"]:
@@ -87,12 +89,12 @@
         text += f"; isolated: {answers}, {found['alone_slowest_ms']:.0f} ms at most"
     if found["sent_again"]:
         others = found["sent_again_after_most"]
-        text += f"; {found['sent_again']} orders sent again, after up to {others} others"
+        text += f"; {found['sent_again']} changes resent, after up to {others} others"
     return text
 
 
 def summary_lines(runs: list[RunSummary]) -> list[str]:
-    """What all runs come to, a line each."""
+    """The lines of the summary over all runs."""
     results = Counter(run.result.split()[0] for run in runs)
     rules = Counter(name for run in runs for name in run.broken_rules)
     service = sorted(run.service for run in runs)
@@ -103,23 +105,25 @@
     median = percent(service[len(service) // 2])
     return [
         f"{len(runs)} seeds: " + ", ".join(f"{count} {name}" for name, count in sorted(results.items())),
-        f"service {percent(service[0])} to {percent(service[-1])}, {median} in the middle",
+        f"service {percent(service[0])} to {percent(service[-1])}, median {median}",
         "checked: " + ", ".join(f"{name} {count}" for name, count in checked.items()),
-        "played: " + ", ".join(f"{name} {count}" for name, count in actions.most_common()),
+        "actions: " + ", ".join(f"{name} {count}" for name, count in actions.most_common()),
         "rules broken: " + (", ".join(f"{name} in {n}" for name, n in rules.items()) or "none"),
     ]
 
 
 def run(console: Console, seeds: range, play: PlayDay, report: Report) -> tuple[list[dict[str, Any]], int]:
-    """Play a day under each seed.
+    """Run a scenario once for each seed.
 
-    :returns: the JSON objects of the runs, and the exit status
+    :param play: runs the scenario with a seed
+    :param report: prints the report of a run that did not pass
+    :returns: the objects for `--json`, one for each run, and the exit status
     """
     runs: list[RunSummary] = []
     objects: list[dict[str, Any]] = []
     interrupted = False
     for seed in seeds:
-        gc.unfreeze()  # each run freezes what it finds: the one before must not stay
+        gc.unfreeze()  # each run freezes the existing objects; those of the previous run must be collected
         gc.collect()
         verdict, completed = play(seed)
         summary = summarize(verdict)
--- a/orchidferry/testkit/mesh/settings_file.py
+++ b/orchidferry/testkit/mesh/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings files of the mesh's processes, as their operators write them."""
+"""Generates the settings files of the mesh's processes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from orchidferry.testkit.mesh.day import REGION, ZONES, Day, Machine, Ports
 
 ROLES = {"core": "controller", "sidecar": "proxy"}
-"""Roles of processes by the class of their machine."""
+"""The role of a process by the class of its machine."""
 
 LIMITS: dict[str, dict[str, Any]] = {
     "core": {
@@ -28,11 +28,11 @@
         "disk_mb": 0,
     },
 }
-"""Limits of machines by their class."""
+"""Resource limits of a machine by its class."""
 
 
 def limits(day: Day, role: str) -> dict[str, Any]:
-    """The limits of a day's machines of a class."""
+    """The resource limits of machines of a class in a scenario."""
     if role == "sidecar" and day.proxy_descriptors:
         return LIMITS[role] | {"file_descriptors": day.proxy_descriptors}
     return LIMITS[role]
@@ -50,7 +50,10 @@
 
 
 def to_toml(tables: dict[str, dict[str, Any]]) -> str:
-    """Tables of plain values as TOML."""
+    """Format tables as TOML.
+
+    :param tables: by name; values are strings, numbers, booleans, or lists of these
+    """
     parts = []
     for name, table in tables.items():
         lines = (f"{key} = {_toml_value(value)}\n" for key, value in table.items())
@@ -61,11 +64,11 @@
 def settings(
     day: Day, ports: Ports, machine: Machine, seeds: list[Machine], first_start: bool, data: Path
 ) -> str:
-    """A process's settings file.
+    """The text of a process's settings file.
 
-    :param seeds: controllers that it names
-    :param first_start: the process founds the system together with the others
-    :param data: the folder of its stored data; for controllers alone
+    :param seeds: the controllers to list as seed nodes
+    :param first_start: whether the process takes part in bootstrapping the cluster
+    :param data: the folder for stored data; used by controllers only
     """
     is_sidecar = machine.role == "sidecar"
     listeners = ("inbound", "outbound", "ready", "control") if is_sidecar else ("control",)
@@ -83,7 +86,7 @@
             "platform_settings": {
                 "discovery": "static_list",
                 "entry": "static_list",
-                "beat_interval_ms": day.beat_ms,
+                "beat_interval_ms": day.heartbeat_ms,
             },
             "term_settings": {"contract_list": CONTRACTS},
             "term_settings.tolerance": {"machines": day.tolerance, "zones": 0, "regions": 0},
--- a/orchidferry/testkit/mesh/terminal_report.py
+++ b/orchidferry/testkit/mesh/terminal_report.py
@@ -1,4 +1,4 @@
-"""The report of a run on the mesh in the terminal."""
+"""Prints the report of a run on the mesh to the terminal."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from orchidferry.testkit.report.tables import CLASS_HEAD, percent
 
 MAX_VIOLATIONS = 3
-"""Violations of one rule that are shown."""
+"""How many violations of one rule are printed."""
 
 MAX_LOGGED_PROBLEMS = 5
+"""How many log lines with an exception are printed."""
 
 
 def show(console: Console, verdict: Verdict, completed: CompletedRun) -> None:
-    """Print the whole report of a run."""
+    """Print the complete report of a run."""
     record = verdict.record
     if not record.complete:
         console.print(f"[bold red]cut off[/]: {escape(record.why)}; what was seen until then:")
     if verdict.void:
-        console.print(f"[bold red]void[/]: {verdict.void}: this run says nothing of the mesh")
+        console.print(f"[bold red]void[/]: {verdict.void}: this run allows no conclusions about the mesh")
     console.print(_class_table(verdict))
     console.print(_summary(verdict, completed), highlight=False)
     for event in verdict.trace.events:
@@ -34,7 +35,7 @@
     for name, finding in verdict.rules.items():
         _show_violations(console, name, finding)
     for problem in completed.logged_problems[:MAX_LOGGED_PROBLEMS]:
-        console.print(f"logged at {problem}", markup=False, highlight=False)
+        console.print(f"logged by {problem}", markup=False, highlight=False)
     if verdict.passed:
         console.print("[bold green]no rule broken[/]")
 
@@ -53,7 +54,7 @@
 
 
 def _summary(verdict: Verdict, completed: CompletedRun) -> str:
-    """A run in a sentence: service, requests, answers, what the processes used."""
+    """A run in one sentence: service level, requests, answers, resource usage of the processes."""
     found = as_json(verdict)
     requests = found["requests"]
     answers = ", ".join(f"{name}: {count}" for name, count in found["mesh"]["answers"].items())
@@ -62,9 +63,9 @@
     cores_s = sum(use.cpu_s for use in usage.values()) - sidecars_s
     peak_mb = max((use.peak_memory_mb for use in usage.values()), default=0.0)
     return (
-        f"service {percent(verdict.service)}; {requests['asked']} first tries, {requests['tries']} tries, "
-        f"{found['attempts']['per_client_request']:.2f} arrivals for each; answers {answers}; "
-        f"{sidecars_s:.1f} CPU s on sidecars, {cores_s:.1f} on the core, {peak_mb:.0f} MB at most"
+        f"service {percent(verdict.service)}; {requests['asked']} requests, {requests['tries']} attempts, "
+        f"{found['attempts']['per_client_request']:.2f} arrivals per request; answers {answers}; "
+        f"{sidecars_s:.1f} CPU s on sidecars, {cores_s:.1f} on controllers, {peak_mb:.0f} MB peak memory"
     )
 
 
@@ -80,14 +81,14 @@
     table.add_column("rule", justify="left")
     table.add_column("verdict", justify="left")
     table.add_column("checked", justify="right")
-    table.add_column("breaks", justify="right")
+    table.add_column("violations", justify="right")
     for name, finding in verdict.rules.items():
         table.add_row(name, _rule_result(finding), str(finding.checked), str(finding.violation_count))
     return table
 
 
 def _rule_result(finding: Finding) -> str:
-    """A rule's result; one with nothing to check was not confirmed."""
+    """The result of a rule; one without anything to check counts neither as kept nor as violated."""
     if not finding.passed:
         return "[bold red]FAIL[/]"
     return "[green]pass[/]" if finding.checked else "[yellow]nothing to check[/]"
--- a/tests/testkit/judge/test_mesh.py
+++ b/tests/testkit/judge/test_mesh.py
@@ -635,6 +635,6 @@
         "seed 2: BROKEN twice",
         "seed 3: void",
     ]
-    assert "; isolated: 1 503, 100 ms at most; 1 orders sent again, after up to 0 others; " in lines[0]
+    assert "; isolated: 1 503, 100 ms at most; 1 changes resent, after up to 0 others; " in lines[0]
     assert "3 seeds: 1 BROKEN, 1 held, 1 void" in lines
     assert lines[-1] == "rules broken: twice in 1"
--- a/tests/testkit/mesh/test_soak.py
+++ b/tests/testkit/mesh/test_soak.py
@@ -19,7 +19,7 @@
 TIMELESS_RULES = ("cut", "mixed", "unasked", "twice", "refused", "route", "stays_up")
 """What breaks these is a fault however slow the machine was."""
 
-SOAKS = [day for day in DAYS.values() if day.drawn == "soak"]
+SOAKS = [day for day in DAYS.values() if day.generated == "soak"]
 
 
 def soak(seed: int, folder: Path) -> Verdict:
--- a/tests/testkit/mesh/test_worst_days.py
+++ b/tests/testkit/mesh/test_worst_days.py
@@ -18,7 +18,7 @@
 from orchidferry.testkit.mesh import servers
 from orchidferry.testkit.mesh.actions.isolation import controllers_to_isolate, links_to_cut
 from orchidferry.testkit.mesh.call_faults import CallFault, call_fault
-from orchidferry.testkit.mesh.changes import LONG_AGO, RESENDS_AFTER_MANY, ChangeStream
+from orchidferry.testkit.mesh.changes import OLD_CHANGE_AGE, RESENDS_AFTER_MANY, ChangeStream
 from orchidferry.testkit.mesh.configuration import (
     MAX_VERSION_ROUTES,
     build_configuration,
@@ -42,7 +42,7 @@
 from orchidferry.testkit.wire import Outcome, Request, RequesterSide, ServerSide
 from orchidferry.testkit.world.addresses import claim
 
-WORST = [day for day in DAYS.values() if day.drawn == "worst"]
+WORST = [day for day in DAYS.values() if day.generated == "worst"]
 
 
 @pytest.mark.parametrize("day", WORST, ids=[day.name for day in WORST])
@@ -98,7 +98,7 @@
         config = build_configuration(day, 7, 3, False)
         changes._acknowledged = [Put(0.0, "o", n, 0, True, config, 0.0, 0.0, 200) for n in range(100)]
         chosen = [changes._index_to_resend(turn) for turn in range(300)]
-        assert chosen.count(99) > 60 and sum(n <= 100 - LONG_AGO for n in chosen) > 60
+        assert chosen.count(99) > 60 and sum(n <= 100 - OLD_CHANGE_AGE for n in chosen) > 60
         assert len(set(chosen)) > 50
 
     asyncio.run(main())
