--- a/orchidferry/testkit/fleet/status.py
+++ b/orchidferry/testkit/fleet/status.py
@@ -1,4 +1,4 @@
-"""`orchidferry fleet status`: one node's view of its fleet."""
+"""The command `orchidferry fleet status`: prints the members of a fleet as one node sees them."""
 
 from __future__ import annotations
 
@@ -15,16 +15,21 @@
 from orchidferry.node.address import Address, parse_address
 from orchidferry.testkit import admin_client
 
-HEAD = ("node", "status", "phase", "zone", "version", "address", "incarnation", "for", "by the word of")
+HEAD = ("node", "status", "phase", "zone", "version", "address", "incarnation", "for", "reported by")
+"""Column titles of the table; `for` is the time since the last change of status."""
 
 
 async def ask(where: Address) -> dict[str, Any]:
-    """What a node says of its fleet, or `error` with why there is nothing."""
-    return await admin_client.fetch_state(where, "/-/fleet", "takes no part in a fleet")
+    """Fetch a node's view of its fleet.
+
+    :param where: the node's admin address
+    :returns: the node's answer, or a dict with the reason of the failure as `error`
+    """
+    return await admin_client.fetch_state(where, "/-/fleet", "is not part of a fleet")
 
 
 def row(member: dict[str, Any]) -> list[str]:
-    """A member's cells, under `HEAD`."""
+    """The cells of a member's row, in the columns of `HEAD`."""
     for_s = f"{member['for_s']:.0f} s" if "for_s" in member else "-"
     return [
         member["name"],
@@ -40,7 +45,7 @@
 
 
 def main(args: argparse.Namespace) -> int:
-    """The command."""
+    """Run the command; returns its exit status."""
     try:
         where = parse_address(args.node)
     except SettingsFormatError as problem:
@@ -62,11 +67,11 @@
             table.add_row(*row(member))
         console = Console(width=None if sys.stdout.isatty() else 160)
         console.print(table)
-        refused = sum(count for name, count in found["counts"].items() if name.startswith("refused_"))
-        here = sum(member["status"] in ("alive", "suspect") for member in members)
+        rejected = sum(count for name, count in found["counts"].items() if name.startswith("refused_"))
+        present = sum(member["status"] in ("alive", "suspect") for member in members)
         console.print(
-            f"{found['state']}; {here} others here; own health {found['score']} of 8 (0 is best); "
-            f"keys {', '.join(found['keys'])}; {refused} messages refused",
+            f"{found['state']}; {present} others present; own health {found['score']} of 8 (0 is best); "
+            f"keys {', '.join(found['keys'])}; {rejected} messages rejected",
             highlight=False,
         )
     bad = found["state"] != "joined" or any(member["status"] in ("suspect", "lost") for member in members)
--- a/orchidferry/testkit/scenario/__init__.py
+++ b/orchidferry/testkit/scenario/__init__.py
@@ -1,8 +1,8 @@
-"""A scenario: topology, load, seed and timeline as typed values, checked when a file is loaded.
+"""Scenarios: topology, load, seed and timeline as typed values, which are validated when a file is loaded.
 
-What the values mean for each server and second is drawn in `orchidferry.testkit.world.plan` and
-`orchidferry.testkit.clients.schedule`. `ScenarioError` says in one line what is wrong, by file and field.
-Times are seconds inside; files write them with a unit: "250ms", "8s", "2m".
+`orchidferry.testkit.world.plan` and `orchidferry.testkit.clients.schedule` derive the events of servers and
+clients from a scenario. The message of a `ScenarioError` is one line that names file and field. Attributes
+hold times in seconds; files give them with a unit, such as "250ms", "8s" or "2m".
 """
 
 from orchidferry.testkit.scenario.checks import MAX_SECONDS
--- a/orchidferry/testkit/scenario/checks.py
+++ b/orchidferry/testkit/scenario/checks.py
@@ -1,4 +1,4 @@
-"""Checks of what must hold between the fields of a scenario, which no single field shows."""
+"""Consistency checks across the fields of a scenario."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 from orchidferry.testkit.scenario.values import shown
 
 MAX_SECONDS = 3_600.0
+"""Longest duration of a scenario's arrivals."""
+
 MAX_RECORDINGS = 8
-"""Recordings that are laid over each other."""
+"""How many recordings can be replayed at the same time."""
 
 SHARES_TOLERANCE = 0.01
-"""How far the sum of the classes' shares may be from 1."""
+"""How far the sum of the classes' shares may deviate from 1."""
 
 
 def check_scenario(scenario: Scenario) -> None:
-    """Check that the fields of a scenario fit together.
+    """Check that the fields of a scenario are consistent.
 
-    :raises ScenarioValueError: naming the field that does not fit
+    :raises ScenarioValueError: naming the field that is inconsistent with others
     """
     if not scenario.tiers:
         raise ScenarioValueError("tier: at least one is needed")
@@ -34,12 +36,12 @@
 
 
 def _check_control(scenario: Scenario) -> None:
-    side = scenario.control
-    if (side.versions or side.cuts) and not side.service:
+    control = scenario.control
+    if (control.versions or control.cuts) and not control.service:
         raise ScenarioValueError("[control]: versions and cuts need service = true")
-    if side.bad >= max(1, side.versions) and side.bad:
+    if control.bad >= max(1, control.versions) and control.bad:
         raise ScenarioValueError(
-            f"[control].bad: {side.bad} of {side.versions} versions; the last one is good"
+            f"[control].bad: {control.bad} of {control.versions} versions; the last one must be valid"
         )
 
 
@@ -59,7 +61,7 @@
 def _check_distinct(table: str, names: list[str]) -> None:
     for n, name in enumerate(names):
         if name in names[:n]:
-            raise ScenarioValueError(f"{table}[{n}].name: {name!r} comes twice")
+            raise ScenarioValueError(f"{table}[{n}].name: {name!r} is used twice")
 
 
 def _check_size(scenario: Scenario) -> None:
@@ -68,25 +70,27 @@
     if sum(tier.servers for tier in scenario.tiers) > MAX_SERVERS:
         raise ScenarioValueError(f"tier: over {MAX_SERVERS} servers in all")
     if scenario.fleet.on and scenario.front.nodes < 2:
-        raise ScenarioValueError("[fleet].on: a fleet has two nodes at least, see [front].nodes")
+        raise ScenarioValueError("[fleet].on: a fleet needs two nodes at least, see [front].nodes")
     nodes = scenario.front.nodes + sum(tier.servers for tier in scenario.tiers[:-1])
     if nodes > MAX_NODES:
         raise ScenarioValueError(
-            f"tier: {nodes} nodes in all (each server but the last tier's has one); {MAX_NODES} at most"
+            f"tier: {nodes} nodes in all (each server has one, except in the last tier); {MAX_NODES} at most"
         )
 
 
 def _check_traffic(scenario: Scenario) -> None:
     if len(scenario.traffic) > MAX_RECORDINGS:
         raise ScenarioValueError(f"traffic: over {MAX_RECORDINGS} recordings")
-    for n, laid in enumerate(scenario.traffic):
-        if laid.to_s <= laid.from_s:
+    for n, recording in enumerate(scenario.traffic):
+        if recording.to_s <= recording.from_s:
             raise ScenarioValueError(f"traffic[{n}].to: is not after from")
-        if laid.retries != scenario.traffic[0].retries:
-            raise ScenarioValueError(f"traffic[{n}].retries: {laid.retries!r}, and others have another")
+        if recording.retries != scenario.traffic[0].retries:
+            raise ScenarioValueError(
+                f"traffic[{n}].retries: {recording.retries!r} differs from the other recordings"
+            )
     if scenario.traffic and any(step.do == "burst" for step in scenario.timeline):
         raise ScenarioValueError(
-            "timeline: a burst is of drawn arrivals; recorded ones have theirs (speed, a second recording)"
+            "timeline: burst needs generated arrivals; for recorded ones use speed or a second recording"
         )
 
 
@@ -99,9 +103,11 @@
 def _check_step(scenario: Scenario, step: TimelineEntry, where: str, zones: set[str]) -> None:
     target = FAULT_TYPES[step.do].on
     if target == "links" and not scenario.fleet.on:
-        raise ScenarioValueError(f"{where}.do: {step.do!r} strikes links, and [fleet] is not on")
+        raise ScenarioValueError(f"{where}.do: {step.do!r} affects links, but [fleet] is not on")
     if step.zone and step.zone not in zones:
-        raise ScenarioValueError(f"{where}.zone: no zone {shown(step.zone)} of {scenario.fleet.zones}")
+        raise ScenarioValueError(
+            f"{where}.zone: no zone {shown(step.zone)}; the fleet has {scenario.fleet.zones}"
+        )
     if step.at_s >= scenario.length_s:
         raise ScenarioValueError(f"{where}.at: not before the end at {scenario.length_s:g} s")
     if step.count and target == "servers" and step.do != "add":
--- a/orchidferry/testkit/scenario/errors.py
+++ b/orchidferry/testkit/scenario/errors.py
@@ -6,8 +6,8 @@
 
 
 class ScenarioError(OrchidferryError):
-    """A scenario that can't be played; the text names file and field."""
+    """A scenario that can't be run; the message names file and field."""
 
 
 class ScenarioValueError(OrchidferryError):
-    """What is wrong with a value; whoever reads the table adds the file."""
+    """An invalid value or an invalid combination of values; the file is added by the code that catches it."""
--- a/orchidferry/testkit/scenario/model.py
+++ b/orchidferry/testkit/scenario/model.py
@@ -1,4 +1,4 @@
-"""A whole scenario as one typed value, with its defaults."""
+"""The dataclass `Scenario`, which holds a complete scenario, with its defaults."""
 
 from __future__ import annotations
 
@@ -50,13 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scenario: topology, load, timeline, and all else that is set for a run."""
+    """A scenario: topology, load, timeline, and all other settings of a run."""
 
     name: str = setting(short_name)
-    about: str = setting(line_of_text, "a scenario of one's own")
-    length_s: float = setting(
-        POSITIVE_S, 20.0, file_key="length"
-    )  # of arrivals; the run ends when all is answered
+    about: str = setting(line_of_text, "a custom scenario")  # description, in a line
+    # Duration of the arrivals; the run ends once all requests are answered.
+    length_s: float = setting(POSITIVE_S, 20.0, file_key="length")
     seed: int = setting(integer(0, 2**63 - 1), 1)
     classes: tuple[Class, ...] = field(default_factory=_default_classes)
     tiers: tuple[Tier, ...] = field(default_factory=_default_tiers)
@@ -74,18 +73,18 @@
     limits: Limits = field(default_factory=Limits)
     timeline: tuple[TimelineEntry, ...] = ()
     traffic: tuple[Traffic, ...] = ()
-    # From the command line alone: where recorded traffic may go, methods and paths there, the run's id.
-    guard: Guard = field(default_factory=Guard)
-    paths: tuple[tuple[str, tuple[str, str]], ...] = ()
-    run: str = ""
-    workers: int = setting(integer(1, 32), 2)  # processes that the stand-in servers share
+    # The next three are set by the command line only.
+    guard: Guard = field(default_factory=Guard)  # the targets to which recorded traffic may be sent
+    paths: tuple[tuple[str, tuple[str, str]], ...] = ()  # method and path for each class there
+    run: str = ""  # the run's id
+    workers: int = setting(integer(1, 32), 2)  # number of processes that run the stand-in servers
 
     @property
     def new_from(self) -> int:
-        """The index of the first tier's first server of the new pool; behind the last if there is none."""
+        """The index of the new pool's first server in the first tier; the tier's size if there is none."""
         servers = self.tiers[0].servers
         return servers - round(self.pools.share * servers) if self.pools.on else servers
 
     def tier_number(self, name: str) -> int:
-        """The index of the tier of that name."""
+        """The index of the tier with a name."""
         return next(n for n, tier in enumerate(self.tiers) if tier.name == name)
--- a/orchidferry/testkit/scenario/overrides.py
+++ b/orchidferry/testkit/scenario/overrides.py
@@ -1,4 +1,4 @@
-"""Scenarios with some values replaced, as the command line asks for."""
+"""Replaces values of a scenario by options of the command line."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     protocol: str | None = None,
     loss: float | None = None,
 ) -> Scenario:
-    """A scenario with other values where some are given, checked again.
+    """Replace the values that are given, and validate the scenario again.
 
-    :param length_s: of arrivals
+    :param length_s: duration of the arrivals in seconds
     :param protocol: h1 or h3
-    :param loss: the fraction of datagrams that are lost
-    :raises ScenarioError: if the values do not fit together, such as the timeline with the length
+    :param loss: fraction of datagrams that are lost
+    :raises ScenarioError: if the values are inconsistent, such as a timeline that exceeds the duration
     """
     changed = scenario if seed is None else replace(scenario, seed=seed)
     if protocol is not None:
--- a/orchidferry/testkit/scenario/reading.py
+++ b/orchidferry/testkit/scenario/reading.py
@@ -1,4 +1,4 @@
-"""Scenario files: TOML read into a `Scenario`, table by table, and checked."""
+"""Reads scenario files: converts TOML into a `Scenario`, table by table, and validates it."""
 
 from __future__ import annotations
 
@@ -34,10 +34,13 @@
 Table = dict[str, Any]
 
 MAX_FILE = 256 * 1024
-"""Bytes: a scenario is a page; anything larger is another file."""
+"""Size limit of a scenario file in bytes; scenarios take about a page, so a larger file is something else."""
 
 MAX_STEPS = 1_000
+"""How many entries a timeline may have."""
+
 SHIPPED = Path(__file__).parents[1] / "scenarios"
+"""Folder of the scenarios that come with the kit."""
 
 TABLES: dict[str, type[Any]] = {
     "load": Load,
@@ -53,11 +56,11 @@
     "pools": PoolSettings,
     "fleet": FleetSettings,
 }
-"""Tables by their name in the file, which is the attribute's."""
+"""Classes of tables by their name, which is the same in files and as attribute of `Scenario`."""
 
 
 class TableList(NamedTuple):
-    """A list of tables of one kind, and the attribute that holds it."""
+    """The class of the tables of a list, and the attribute of `Scenario` that holds them."""
 
     attribute: str
     kind: type[Any]
@@ -69,18 +72,22 @@
     "traffic": TableList("traffic", Traffic),
 }
 TIMELINE = "timeline"
-"""A list too, which is read once the tiers are known."""
+"""Another list of tables, which is read last, as the tiers must be known."""
 
 
 def _read_table(kind: type[T], table: object, where: str) -> tuple[T, frozenset[str]]:
-    """A table as a dataclass, with the names of the keys that it had."""
+    """Read a table into a dataclass.
+
+    :param where: what errors call the table
+    :returns: the dataclass, and the keys that the table had
+    """
     if not isinstance(table, dict):
-        raise ScenarioValueError(f"{where}: {shown(table)} is no table")
+        raise ScenarioValueError(f"{where}: {shown(table)} is not a table")
     known = {f.metadata["file_key"] or f.name: f for f in fields(kind) if "reader" in f.metadata}  # type: ignore[arg-type]
     values: Table = {}
     for given, value in table.items():
         if given not in known:
-            raise ScenarioValueError(f"{where}.{given}: no such field; there are {', '.join(sorted(known))}")
+            raise ScenarioValueError(f"{where}.{given}: no such field; known: {', '.join(sorted(known))}")
         try:
             values[known[given].name] = known[given].metadata["reader"](value)
         except ScenarioValueError as problem:
@@ -96,14 +103,14 @@
     fault = FAULT_TYPES.get(step.do)
     if fault is None:
         raise ScenarioValueError(
-            f"{where}.do: no such fault {shown(step.do)}; there are {', '.join(sorted(FAULT_TYPES))}"
+            f"{where}.do: no such fault {shown(step.do)}; known: {', '.join(sorted(FAULT_TYPES))}"
         )
     for missing in sorted(fault.needs - given):
-        raise ScenarioValueError(f"{where}.{missing}: is missing; {step.do!r} needs it")
+        raise ScenarioValueError(f"{where}.{missing}: is missing; {step.do!r} requires it")
     for other in sorted(given - fault.needs - fault.may - {"at", "do"}):
         raise ScenarioValueError(f"{where}.{other}: {step.do!r} has no such field")
     if {"share", "count"} <= given:
-        raise ScenarioValueError(f"{where}.count: share and count together")
+        raise ScenarioValueError(f"{where}.count: share and count exclude each other")
     if step.share == 0.0:
         raise ScenarioValueError(f"{where}.share: must be above 0")
     if step.tier and step.tier not in {tier.name for tier in tiers}:
@@ -116,8 +123,8 @@
 def read_scenario(obj: Table, where: str) -> Scenario:
     """Read a scenario from the tables of a TOML file.
 
-    :param where: what the file is called in errors
-    :raises ScenarioError: if it can't be played
+    :param where: what errors call the file
+    :raises ScenarioError: if the scenario is invalid
     """
     try:
         scenario = replace(_read_top_level(obj), **_read_parts(obj))
@@ -135,7 +142,7 @@
 
 
 def _read_parts(obj: Table) -> Table:
-    """The tables and lists of tables that the file has, by attribute."""
+    """Read the tables and lists of tables, except the timeline; returns them by attribute of `Scenario`."""
     parts: Table = {}
     for table, kind in TABLES.items():
         if table in obj:
@@ -159,8 +166,8 @@
 def read_traffic(table: Table, where: str) -> Traffic:
     """Read one entry of `[[traffic]]`, from a file or the command line.
 
-    :param where: what the entry is called in errors
-    :raises ScenarioError: naming the field that is wrong
+    :param where: what errors call the entry
+    :raises ScenarioError: naming the invalid field
     """
     try:
         return _read_table(Traffic, table, where)[0]
@@ -170,25 +177,26 @@
 
 def _list_of_tables(value: object, where: str) -> list[object]:
     if not isinstance(value, list):
-        raise ScenarioValueError(f"{where}: {shown(value)} is no list of tables; write [[{where}]]")
+        raise ScenarioValueError(f"{where}: {shown(value)} is not a list of tables; write [[{where}]]")
     return value
 
 
 def shipped() -> dict[str, Path]:
-    """The scenarios that come with the kit, by name."""
+    """Files of the scenarios that come with the kit, by name."""
     return {path.stem: path for path in sorted(SHIPPED.glob("*.toml"))}
 
 
 def load_scenario(wanted: str) -> Scenario:
-    """Load a shipped scenario by its name, or one by its path.
+    """Load a scenario.
 
-    :raises ScenarioError: if there is none, or it can't be played
+    :param wanted: the name of one that comes with the kit, or the path of a file that ends in `.toml`
+    :raises ScenarioError: if there is no such scenario, or it is invalid
     """
     path = shipped().get(wanted)
     if path is None:
         if not wanted.endswith(".toml"):
             raise ScenarioError(
-                f"{shown(wanted)[1:-1]}: no such scenario; --list tells which there are, a file ends in .toml"
+                f"{shown(wanted)[1:-1]}: no such scenario; --list prints all names, file names end in .toml"
             )
         path = Path(wanted)
     scenario = read_scenario(_read_toml(path), str(path))
@@ -203,7 +211,7 @@
     except OSError as problem:
         raise ScenarioError(f"{path}: {problem.strerror}") from None
     if len(data) > MAX_FILE:
-        raise ScenarioError(f"{path}: over {MAX_FILE // 1024} KiB, which is no scenario")
+        raise ScenarioError(f"{path}: over {MAX_FILE // 1024} KiB, too large for a scenario file")
     try:
         return tomllib.loads(data.decode())
     except UnicodeDecodeError as problem:
--- a/tests/testkit/scenario/test_reading.py
+++ b/tests/testkit/scenario/test_reading.py
@@ -26,30 +26,30 @@
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        ('name = "x"\nlength = "20"\n', "top level.length: '20' is no duration"),
-        ('name = "x"\nlength = "20d"\n', "top level.length: '20d' is no duration"),
-        ('name = "x"\nlength = 20\n', "top level.length: 20 is no duration"),
+        ('name = "x"\nlength = "20"\n', "top level.length: '20' is not a duration"),
+        ('name = "x"\nlength = "20d"\n', "top level.length: '20d' is not a duration"),
+        ('name = "x"\nlength = 20\n', "top level.length: 20 is not a duration"),
         ('name = "x"\nlength = "0s"\n', "top level.length: '0s' must be above 0"),
         ("length = '20s'\n", "top level.name: is missing"),
         ('name = "X Y"\n', "top level.name"),
         ('name = "x"\nspeed = 3\n', "top level.speed: no such field"),
-        ('name = "x"\nload = 3\n', "[load]: 3 is no table"),
+        ('name = "x"\nload = 3\n', "[load]: 3 is not a table"),
         ('name = "x"\n[load]\nrate = -1\n', "[load].rate: -1 is not within"),
-        ('name = "x"\n[load]\nrate = nan\n', "[load].rate: nan is no number"),
-        ('name = "x"\n[load]\nrate = true\n', "[load].rate: True is no number"),
-        ('name = "x"\n[load]\nshape = "round"\n', "[load].shape: 'round' is none of steady"),
+        ('name = "x"\n[load]\nrate = nan\n', "[load].rate: nan is not a number"),
+        ('name = "x"\n[load]\nrate = true\n', "[load].rate: True is not a number"),
+        ('name = "x"\n[load]\nshape = "round"\n', "[load].shape: 'round' is not one of steady"),
         ('name = "x"\ntier = []\n', "tier: at least one is needed"),
-        ('name = "x"\ntier = 3\n', "tier: 3 is no list of tables; write [[tier]]"),
+        ('name = "x"\ntier = 3\n', "tier: 3 is not a list of tables; write [[tier]]"),
         ('name = "x"\n[[tier]]\nname = "a"\nservers = 2\n', "tier[0].work: is missing"),
         ('name = "x"\n[[tier]]\nname = "a"\nservers = 0\nwork = 1\n', "tier[0].servers: 0 is not within"),
         (SLOW.replace('"slow"', '"meteor"'), "timeline[0].do: no such fault 'meteor'"),
-        (SLOW.replace("factor = 2\n", ""), "timeline[0].factor: is missing; 'slow' needs it"),
+        (SLOW.replace("factor = 2\n", ""), "timeline[0].factor: is missing; 'slow' requires it"),
         (SLOW + "share = -0.5\n", "timeline[0].share: -0.5 is not within 0 to 1"),
         (SLOW + "share = 0\n", "timeline[0].share: must be above 0"),
         (SLOW + 'length = "1s"\n', "timeline[0].length: 'slow' has no such field"),
         (SLOW + 'tier = "nowhere"\n', "timeline[0].tier: no tier 'nowhere'"),
         (SLOW + "count = 7\n", "timeline[0].count: entrada has 6 servers"),
-        (SLOW + "count = 1\nshare = 0.5\n", "timeline[0].count: share and count together"),
+        (SLOW + "count = 1\nshare = 0.5\n", "timeline[0].count: share and count exclude each other"),
         (SLOW.replace('"3s"', '"30s"'), "timeline[0].at: not before the end"),
         ('name = "x"\n[discovery]\nnotice = ["3s", "1s"]\n', "[discovery].notice"),
         ('name = "x"\n[node]\ncommand = []\n', "[node].command"),
@@ -70,7 +70,7 @@
     cls = {"name": "a", "share": 0.5, "work": "10ms", "wanted": "1s", "gives_up": "2s", "repeat": "safe"}
     with pytest.raises(ScenarioError, match=r"class: the shares sum to 0\.5"):
         read_scenario({"name": "x", "class": [cls]}, "x")
-    with pytest.raises(ScenarioError, match=r"class\[1\]\.name: 'a' comes twice"):
+    with pytest.raises(ScenarioError, match=r"class\[1\]\.name: 'a' is used twice"):
         read_scenario({"name": "x", "class": [cls, cls]}, "x")
     with pytest.raises(ScenarioError, match=r"class\[0\]\.gives_up: is less than wanted"):
         read_scenario({"name": "x", "class": [cls | {"share": 1.0, "gives_up": "500ms"}]}, "x")
--- a/tests/testkit/traffic/test_replay.py
+++ b/tests/testkit/traffic/test_replay.py
@@ -148,12 +148,12 @@
     ("arguments", "words"),
     [
         (["a.rec", "--speed", "0"], "--speed: 0.0 is not within"),
-        (["a.rec", "--from", "3"], "--from: '3' is no duration"),
+        (["a.rec", "--from", "3"], "--from: '3' is not a duration"),
         (["a.rec", "--from", "3s", "--to", "2s"], "traffic[0].to: is not after from"),
         (["a.rec", "--scale", "2"], "--scale: 2.0 is not within"),
         (["none.rec"], "none.rec: No such file"),
         (["cut.rec"], "cut.rec: is no recording"),
-        (["a.rec", "--scenario", "burst"], "a burst is of drawn arrivals"),
+        (["a.rec", "--scenario", "burst"], "burst needs generated arrivals"),
         (["a.rec", "--scenario", "drain", "--target", "http://127.0.0.1:1"], "has a timeline"),
         (["a.rec", "--target", "http://10.0.0.1"], "nothing is left to send"),
         (
