--- a/orchidferry/testkit/scenario/tables.py
+++ b/orchidferry/testkit/scenario/tables.py
@@ -32,7 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Class:
-    """One class of requests; `repeat`, `group` and `window_s` say when a request may be executed again."""
+    """One class of requests.
+
+    `repeat`, `group` and `window_s` determine when a second execution is allowed (rule 2, no effect twice).
+    """
 
     name: str = setting(short_name)
     share: float = setting(SHARE)  # fraction of all requests, retries excluded
--- a/tests/testkit/mesh/test_soak.py
+++ b/tests/testkit/mesh/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak on real processes: planned work in series that overlap, and nothing is cut."""
+"""A short soak test on real processes: overlapping planned restarts, reloads and changes cut no request."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from orchidferry.testkit.mesh.session import play
 
 SECONDS = 8.0
-MAX_PLAYS = 4  # of a seed, while the machine was too busy for its verdict to say all
+MAX_RUNS = 4  # runs of a seed; a run is repeated while its verdict is void as the machine was too busy
 TIMELESS_RULES = ("cut", "mixed", "unasked", "twice", "refused", "route", "stays_up")
-"""What breaks these is a fault however slow the machine was."""
+"""Rules without time limits: a violation is a fault of the mesh, however slow the machine was."""
 
 SOAKS = [day for day in DAYS.values() if day.generated == "soak"]
 
 
 def soak(seed: int, folder: Path) -> Verdict:
-    """The verdict on the first play that says something, or on the last; timeless rules hold in each."""
-    for number in range(MAX_PLAYS):
+    """The verdict on the first run that is not void, or on the last; all runs must keep `TIMELESS_RULES`."""
+    for number in range(MAX_RUNS):
         kept = folder / f"play-{number}"
         kept.mkdir()
         completed = uvloop.run(play(DAYS["mesh-soak"], seed, SECONDS, Progress(), kept))
         verdict = judge(completed.record)
-        found = {rule: verdict.rules[rule].violations for rule in TIMELESS_RULES}
-        assert not any(found.values()), found
+        violations = {rule: verdict.rules[rule].violations for rule in TIMELESS_RULES}
+        assert not any(violations.values()), violations
         if not verdict.void:
             break
     return verdict
@@ -40,15 +40,15 @@
 def test_restarts_reloads_and_changes_cut_nothing(seed: int, tmp_path: Path) -> None:
     verdict = soak(seed, tmp_path)
     assert verdict.record.complete, verdict.record.why
-    found = {rule: finding.violations for rule, finding in verdict.rules.items() if not finding.passed}
-    assert not found
+    broken = {rule: finding.violations for rule, finding in verdict.rules.items() if not finding.passed}
+    assert not broken
     assert verdict.rules["cut"].checked and verdict.rules["lost"].checked
 
 
 @pytest.mark.parametrize("day", SOAKS, ids=[day.name for day in SOAKS])
-def test_the_series_of_a_soak_overlap_and_differ_by_the_seed(day: Day) -> None:
-    """Restarts take seconds: some begin before the ones before them can have ended."""
-    drawn = set()
+def test_restarts_of_a_soak_test_overlap_and_differ_by_the_seed(day: Day) -> None:
+    """A restart takes seconds, so some begin before the previous ones can have ended."""
+    series = set()
     for seed in range(200):
         found = schedule(day, seed, day.seconds)
         assert found == schedule(day, seed, day.seconds)
@@ -56,6 +56,6 @@
         assert {one.action for one in found} >= {"restart"}
         times = [one.at * day.seconds for one in found if one.action == "restart"]
         assert times == sorted(times)
-        drawn.add(tuple(times))
+        series.add(tuple(times))
         assert any(b - a < 2.0 for a, b in itertools.pairwise(times))
-    assert len(drawn) == 200
+    assert len(series) == 200
--- a/tests/testkit/mesh/test_worst_days.py
+++ b/tests/testkit/mesh/test_worst_days.py
@@ -1,4 +1,4 @@
-"""The worst days as they are drawn: tables, versions that show themselves, settings of a larger tolerance."""
+"""The worst-days scenarios: schedules, identifiable versions, isolations, resends, and faulty servers."""
 
 from __future__ import annotations
 
@@ -46,33 +46,33 @@
 
 
 @pytest.mark.parametrize("day", WORST, ids=[day.name for day in WORST])
-def test_each_schedule_has_all_its_actions_and_the_orders_differ(day: Day) -> None:
-    drawn = set()
+def test_each_schedule_has_all_actions_and_the_orders_differ(day: Day) -> None:
+    orders = set()
     for seed in range(2400):
         found = schedule(day, seed, day.seconds)
         assert found == schedule(day, seed, day.seconds)
-        whats = [one.action for one in found]
-        assert sorted(whats[1:-2]) == sorted(what for block in WORST_BLOCKS for what in block)
-        assert whats[0] == "changes" and whats[-2] in CLOSING_FAULTS and whats[-1] == "send-again"
+        actions = [one.action for one in found]
+        assert sorted(actions[1:-2]) == sorted(action for block in WORST_BLOCKS for action in block)
+        assert actions[0] == "changes" and actions[-2] in CLOSING_FAULTS and actions[-1] == "send-again"
         assert {one.for_s for one in found if one.action == "isolate"} == {ISOLATED_S}
         assert found[-2].at * day.seconds >= found[-3].at * day.seconds + found[-3].for_s
         for one, following_one in itertools.pairwise(found):
             gap_s = (following_one.at - one.at) * day.seconds
             planned = one.action in ("replace-planned", "changes", *CLOSING_FAULTS)
             assert gap_s >= one.for_s + (0.0 if planned else day.bounds.catch_up_s)
-        drawn.add(tuple(whats))
-    assert len(drawn) == 240  # orders of five blocks, two closing losses
+        orders.add(tuple(actions))
+    assert len(orders) == 240  # 120 orders of five blocks, two closing faults
 
 
 @pytest.mark.parametrize("day", WORST, ids=[day.name for day in WORST])
-def test_settings_say_what_may_be_lost_and_name_a_controller_first(day: Day) -> None:
+def test_settings_have_the_tolerance_from_which_the_group_size_follows(day: Day) -> None:
     cores, sidecars = machines(day, 64, 7)
     assert len(cores) == 2 * day.tolerance + 1
     text = settings(day, ports_from(8140), sidecars[0], cores[1 : MAX_SEEDS + 1], True, Path("/data"))
     assert parse_settings(tomllib.loads(text)).group_size == len(cores)
 
 
-def test_versions_tell_themselves_and_their_forerunners_apart() -> None:
+def test_versions_are_identified_by_their_routes() -> None:
     day = DAYS["worst-days"]
     versions = [build_configuration(DAYS["worst-days"], 7, 3, False)]
     for number in range(5, 80, 3):
@@ -83,18 +83,18 @@
     for n in range(MAX_VERSION_ROUTES, len(versions)):
         own = version_routes(versions[n])[0]
         host = versions[n]["access_points"][0]["host_name"]
-        having = [find_route(one, host, own + "x") is not None for one in versions]
-        assert having == [n <= other < n + MAX_VERSION_ROUTES for other in range(len(versions))]
+        has_route = [find_route(one, host, own + "x") is not None for one in versions]
+        assert has_route == [n <= other < n + MAX_VERSION_ROUTES for other in range(len(versions))]
     race = [next_version(day, 7, 99, versions[-1], tag) for tag in ("", "b")]
     assert content_digest(race[0]) != content_digest(race[1])
 
 
-def test_old_orders_that_are_sent_again_are_the_last_any_or_one_of_long_ago() -> None:
+def test_resent_changes_are_the_last_any_or_an_old_one() -> None:
     async def main() -> None:
         day = DAYS["worst-days"]
-        nobody = Any
+        unused = Any
         context: Any = type("Scene", (), {"seed": 7})
-        changes = ChangeStream(context, day, [], (nobody, nobody), nobody, nobody)  # type: ignore[arg-type]
+        changes = ChangeStream(context, day, [], (unused, unused), unused, unused)  # type: ignore[arg-type]
         config = build_configuration(day, 7, 3, False)
         changes._acknowledged = [Put(0.0, "o", n, 0, True, config, 0.0, 0.0, 200) for n in range(100)]
         chosen = [changes._index_to_resend(turn) for turn in range(300)]
@@ -105,51 +105,51 @@
 
 
 @pytest.mark.parametrize("day", WORST, ids=[day.name for day in WORST])
-def test_isolations_cut_no_more_than_may_be_lost_in_all_ways(day: Day) -> None:
+def test_isolations_stay_within_the_tolerance_and_occur_in_all_variants(day: Day) -> None:
     cores, sidecars = machines(day, 64, 7)
-    drawn = set()
+    variants = set()
     counts = set()
     for seed in range(100):
         platform = SimpleNamespace(removed=())
         env: Any = SimpleNamespace(seed=seed, day=day, cores=cores, sidecars=sidecars, platform=platform)
         chosen = controllers_to_isolate(env, ScheduledAction(0.1, "isolate"))
         links = links_to_cut(env, chosen)
-        pairs, words = links.directions, links.description
+        pairs, description = links.directions, links.description
         names = {one.name for one in chosen}
         controllers = {one.name for one in cores}
         assert 1 <= len(names) <= day.tolerance
         assert pairs and all(names & set(pair) for pair in pairs)
-        # From every other controller, in one direction at least.
+        # Cut from every other controller, in at least one direction.
         assert {frozenset(pair) for pair in pairs} >= {
             frozenset((one, other)) for one in names for other in controllers - names
         }
-        with_nodes = any(not set(pair) <= controllers for pair in pairs)
-        assert with_nodes == ("from all" in words)
-        drawn.add((with_nodes, words.rsplit(", ", 1)[1]))
+        with_sidecars = any(not set(pair) <= controllers for pair in pairs)
+        assert with_sidecars == ("from all" in description)
+        variants.add((with_sidecars, description.rsplit(", ", 1)[1]))
         counts.add(len(names))
-    assert len(drawn) == 6 and counts == set(range(1, day.tolerance + 1))
+    assert len(variants) == 6 and counts == set(range(1, day.tolerance + 1))
 
 
-def test_an_order_whose_answer_is_lost_is_sent_again_as_it_was() -> None:
+def test_a_change_whose_answer_is_lost_is_resent_unmodified() -> None:
     day, facts, bodies = DAYS["worst-days"], list[Fact](), list[bytes]()
     config = build_configuration(day, 7, 5, False)
 
     async def main() -> Put:
-        block, held = claim()
-        with contextlib.closing(held):
+        block, reservation = claim()
+        with contextlib.closing(reservation):
             cores, _ = machines(day, block.number, 7)
-            places = free_ports([machine.ip for machine in cores])
+            ports = free_ports([machine.ip for machine in cores])
 
-            def asked(connection: ServerSide, request: Request) -> None:
+            def on_request(connection: ServerSide, request: Request) -> None:
                 bodies.append(request.body + request.headers["if-match"].encode())
                 connection.answer(200, b"{}")
 
-            def side() -> ServerSide:
-                return ServerSide(asked, lambda _: None, lambda _: None)
+            def protocol() -> ServerSide:
+                return ServerSide(on_request, lambda _: None, lambda _: None)
 
             loop = asyncio.get_running_loop()
-            listeners = [await loop.create_server(side, one.ip, places.control) for one in cores]
-            context = RunContext(7, places, facts.append, time.monotonic())
+            listeners = [await loop.create_server(protocol, one.ip, ports.control) for one in cores]
+            context = RunContext(7, ports, facts.append, time.monotonic())
             operator = Operator(context, cores, "operator-1", f"127.{block.number}.200.1")
             put = await operator.put(config, 3, True, 10.0, cores[2], lost_answers=1)
             await operator.resend(put, cores[1])
@@ -167,47 +167,47 @@
     assert put.acked is not None and put.acked - put.t >= CALL_TIMEOUT_S and put.status == 200
 
 
-def test_many_changes_build_on_each_other_and_older_orders_are_sent_again_everywhere() -> None:
+def test_many_changes_build_on_each_other_and_earlier_ones_are_resent_to_each_controller() -> None:
     day, resent = DAYS["worst-days"], list[tuple[int, str]]()
-    orders = list[tuple[int, int]]()
+    sent = list[tuple[int, int]]()  # base and revision
 
-    class Acknowledging:
+    class AcknowledgingOperator:
         async def put(self, config: Any, base: int, *_: Any) -> Put:
-            orders.append((base, config["revision_number"]))
+            sent.append((base, config["revision_number"]))
             return Put(0.0, "o", config["revision_number"], base, True, config, 0.0, 0.0, 200)
 
-        async def resend(self, order: Put, at: Any) -> None:
-            resent.append((order.revision, at.name))
+        async def resend(self, change: Put, controller: Any) -> None:
+            resent.append((change.revision, controller.name))
 
     async def main() -> str:
         context: Any = SimpleNamespace(seed=7, now=lambda: 0.0)
-        operators: Any = (Acknowledging(), Acknowledging())
-        nobody: Any = None
+        operators: Any = (AcknowledgingOperator(), AcknowledgingOperator())
+        unused: Any = None
         cores, _ = machines(day, 64, 7)
-        changes = ChangeStream(context, day, cores, operators, nobody, nobody)
+        changes = ChangeStream(context, day, cores, operators, unused, unused)
         await changes.change_in_a_row(RESENDS_AFTER_MANY, 1.0)
         return await changes.change_in_a_row(200, 1.0)
 
     assert asyncio.run(main()) == "200 in a row"
-    assert len(orders) == 200 + RESENDS_AFTER_MANY and orders[0][0] == FIRST_REVISION
-    assert all(before[1] == after[0] < after[1] for before, after in itertools.pairwise(orders))
-    assert {revision for revision, _ in resent} == {revision for _, revision in orders[:RESENDS_AFTER_MANY]}
+    assert len(sent) == 200 + RESENDS_AFTER_MANY and sent[0][0] == FIRST_REVISION
+    assert all(before[1] == after[0] < after[1] for before, after in itertools.pairwise(sent))
+    assert {revision for revision, _ in resent} == {revision for _, revision in sent[:RESENDS_AFTER_MANY]}
     assert len(resent) == len(set(resent)) == RESENDS_AFTER_MANY * day.cores
 
 
 @pytest.mark.parametrize("fault", CallFault)
-def test_a_faulty_server_breaks_off_calls_that_may_not_be_repeated(
+def test_a_faulty_server_injects_its_faults_into_non_idempotent_calls(
     fault: CallFault, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What it did is in the record, and nobody hears a whole answer."""
+    """The record has how far the execution got, and the client gets no complete response."""
     monkeypatch.setattr(servers, "SILENCE_BEYOND_DEADLINE_S", 0.0)
     day, facts = DAYS["worst-days"], list[Fact]()
     id = next(id for id in map(str, range(1000)) if call_fault(7, id) is fault)
     charge = next(kind for kind in KINDS if kind.route_type == "non_idempotent")
 
     async def main() -> list[Outcome]:
-        block, held = claim()
-        with contextlib.closing(held):
+        block, reservation = claim()
+        with contextlib.closing(reservation):
             machine = machines(day, block.number, 7)[1][0]
             context = RunContext(7, free_ports([machine.ip]), facts.append, time.monotonic())
             server = Server(context, day, machine)
@@ -232,26 +232,28 @@
                 )
                 connection = await context.pool(machine).connection(server.address)
                 assert isinstance(connection, RequesterSide)
-                asked = connection.ask(sent.id, encode_request(sent, context.now(), b"", False))
-                outcomes.append(await asked)
+                outcome = connection.ask(sent.id, encode_request(sent, context.now(), b"", False))
+                outcomes.append(await outcome)
             server.close()
             context.close()
             return outcomes
 
-    broken, sound = asyncio.run(main())
-    assert sound.how == "answer" and sound.status == 200
-    assert broken.how == ("broken" if fault is CallFault.RESET_DURING_ANSWER else "reset")
+    faulty, normal = asyncio.run(main())
+    assert normal.how == "answer" and normal.status == 200
+    assert faulty.how == ("broken" if fault is CallFault.RESET_DURING_ANSWER else "reset")
     number = next(fact.n for fact in facts if isinstance(fact, Arrived) and fact.id == id)
-    own = [type(fact) for fact in facts if getattr(fact, "n", None) == number]
+    kinds = [type(fact) for fact in facts if getattr(fact, "n", None) == number]
     assert (
-        own == [Arrived, Dropped] if fault is CallFault.RESET_BEFORE_EXECUTION else [Arrived, Began, Dropped]
+        kinds == [Arrived, Dropped]
+        if fault is CallFault.RESET_BEFORE_EXECUTION
+        else [Arrived, Began, Dropped]
     )
 
 
-def test_a_servers_successor_starts_at_its_address_as_another_one() -> None:
+def test_a_servers_successor_starts_at_the_same_address_with_another_id() -> None:
     async def main() -> None:
-        block, held = claim()
-        with contextlib.closing(held):
+        block, reservation = claim()
+        with contextlib.closing(reservation):
             machine = machines(DAYS["worst-days"], block.number, 7)[1][0]
             context = RunContext(7, free_ports([machine.ip]), list[Fact]().append, time.monotonic())
             ids = set[str]()
--- a/tests/testkit/scenario/test_reading.py
+++ b/tests/testkit/scenario/test_reading.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is wrong with one is told in one line that names file and field."""
+"""Scenario files: errors are one line that names file and field."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         ("name = \n", "not TOML"),
     ],
 )
-def test_a_bad_file_is_told_by_file_and_field(tmp_path: Path, text: str, words: str) -> None:
+def test_errors_name_file_and_field(tmp_path: Path, text: str, words: str) -> None:
     path = tmp_path / "mine.toml"
     path.write_text(text)
     with pytest.raises(ScenarioError) as caught:
@@ -66,7 +66,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_shares_of_classes_must_make_a_whole(tmp_path: Path) -> None:
+def test_classes_must_be_consistent(tmp_path: Path) -> None:
     cls = {"name": "a", "share": 0.5, "work": "10ms", "wanted": "1s", "gives_up": "2s", "repeat": "safe"}
     with pytest.raises(ScenarioError, match=r"class: the shares sum to 0\.5"):
         read_scenario({"name": "x", "class": [cls]}, "x")
@@ -76,7 +76,7 @@
         read_scenario({"name": "x", "class": [cls | {"share": 1.0, "gives_up": "500ms"}]}, "x")
 
 
-def test_ten_megabytes_of_noise_are_turned_away(tmp_path: Path) -> None:
+def test_files_that_are_too_large_or_not_text_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "noise.toml"
     path.write_bytes(random.Random(1).randbytes(10 * 1024 * 1024))
     with pytest.raises(ScenarioError, match=f"over {MAX_FILE // 1024} KiB"):
@@ -86,7 +86,7 @@
         load_scenario(str(path))
 
 
-def test_a_file_that_is_not_there_and_a_name_that_is_none(tmp_path: Path) -> None:
+def test_missing_files_and_unknown_names_are_reported(tmp_path: Path) -> None:
     with pytest.raises(ScenarioError, match="No such file"):
         load_scenario(str(tmp_path / "none.toml"))
     with pytest.raises(ScenarioError, match="slow-serve: no such scenario"):
@@ -94,18 +94,18 @@
 
 
 @given(st.text(max_size=300))
-def test_any_text_is_a_scenario_or_a_clean_refusal(text: str) -> None:
+def test_any_toml_is_accepted_or_rejected_in_one_line(text: str) -> None:
     try:
         obj = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError):
         return
     try:
         draw(read_scenario(obj, "x"))
-    except (ScenarioError, ValueError) as problem:
-        assert "\n" not in str(problem)
+    except (ScenarioError, ValueError) as error:
+        assert "\n" not in str(error)
 
 
-def test_those_that_are_shipped_are_all_sound_and_between_them_use_every_fault() -> None:
+def test_shipped_scenarios_are_valid_and_together_use_every_fault() -> None:
     assert len(shipped()) >= 13
     used = set()
     for name in shipped():
