--- a/orchidferry/testkit/mesh/call_faults.py
+++ b/orchidferry/testkit/mesh/call_faults.py
@@ -17,7 +17,7 @@
     RESET_DURING_EXECUTION = "connection reset in the middle of the execution"
     RESET_AFTER_EXECUTION = "executed, connection reset before any byte of the response"
     RESET_DURING_ANSWER = "executed, connection reset in the middle of the response"
-    SILENT = "executed, no response until after the deadline"
+    SILENT = "executed, no response, connection reset after the deadline"
 
 
 _FAULTS = tuple(CallFault)
--- a/orchidferry/testkit/mesh/operator.py
+++ b/orchidferry/testkit/mesh/operator.py
@@ -117,7 +117,7 @@
         :param valid: whether the configuration is valid, for the record
         :param limit_s: how long sending is retried
         :param first: the controller to call first; None: any
-        :param lost_answers: for how many calls the kit discards the response
+        :param lost_answers: for how many calls the kit discards the response, if there is one
         :returns: the entry in the record, with the outcome
         """
         context = self._context
--- a/orchidferry/testkit/mesh/run.py
+++ b/orchidferry/testkit/mesh/run.py
@@ -21,6 +21,8 @@
 """From the end of the start-up to the traffic, so that all servers have announced that they are warm."""
 
 FIRST_CHANGE_LIMIT_S = MAX_START_S + 5.0
+"""How long the first configuration is retried until it gets a definite answer."""
+
 START_POLL_S = 0.05
 MONITOR_INTERVAL_S = 0.02
 SWEEP_INTERVAL_S = 1.0
--- a/orchidferry/testkit/mesh/terminal_report.py
+++ b/orchidferry/testkit/mesh/terminal_report.py
@@ -81,7 +81,7 @@
     table.add_column("rule", justify="left")
     table.add_column("verdict", justify="left")
     table.add_column("checked", justify="right")
-    table.add_column("violations", justify="right")
+    table.add_column("breaks", justify="right")
     for name, finding in verdict.rules.items():
         table.add_row(name, _rule_result(finding), str(finding.checked), str(finding.violation_count))
     return table
