--- a/orchidferry/testkit/explore/breaks.py
+++ b/orchidferry/testkit/explore/breaks.py
@@ -1,6 +1,6 @@
-"""Deliberate breaks of the node and the module, applied at run time: each must be caught.
+"""Deliberate breaks of the node and its balancer (mutations), each of which the exploration must detect.
 
-None of them stands in the code that ships; `broken` puts one in place and takes it out again.
+They are monkeypatches: `broken` applies one and reverts it afterwards. None of them is in the shipping code.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from orchidferry.node import client_connection, node, pending_request, timer_queue, upstream_connection
 from orchidferry.node import reply as reply_module
 
-Patch = tuple[Any, str, Any]  # where, what, and what stands there instead
+Patch = tuple[Any, str, Any]  # the owner of an attribute, the attribute's name, and its replacement
 
 
 def _answer_twice() -> list[Patch]:
@@ -66,7 +66,7 @@
 
 
 def _never_ran_early() -> list[Patch]:
-    """What broke after the last byte counts as if it had not run."""
+    """A connection lost after the last byte of a request counts as proof that the request did not run."""
     return [
         (logic, "NEVER_RAN", frozenset((Result.REFUSED, Result.UNREACHABLE, Result.MOOT, Result.RESET))),
         (upstream_connection.Connection, "connection_lost", _lost_as_unreachable()),
@@ -153,7 +153,7 @@
 
 
 def _reuse_unread() -> list[Patch]:
-    """A connection is used again whatever has come on it, and its loss then counts as nothing sent."""
+    """A connection is reused even with unread input, and its loss then counts as if nothing had been sent."""
     return [(upstream_connection.Connection, "is_reusable", lambda self: True)]
 
 
@@ -190,39 +190,45 @@
 
 
 BREAKS: dict[str, tuple[str, Callable[[], list[Patch]]]] = {
-    "answer-twice": ("an answer of 200 is written twice", _answer_twice),
+    "answer-twice": ("an answer with status 200 is written twice", _answer_twice),
     "lose-answer": ("a failed request is dropped without its answer", _lose_answer),
-    "late-backstop": ("the backstop stands 400 ms behind the deadline, and attempts run on", _late_backstop),
-    "resend-unsafe": ("every class may be sent again after anything", _resend_unsafe),
-    "never-ran-early": ("a connection lost after the last byte proves that nothing ran", _never_ran_early),
-    "no-late-check": ("nothing is asked between connecting and sending", _no_late_check),
-    "ignore-drain": ("a server that drains counts as in service", _ignore_drain),
+    "late-backstop": (
+        "the backstop timer fires 400 ms after the deadline, and attempts go on",
+        _late_backstop,
+    ),
+    "resend-unsafe": ("a request of any class may be retried after any failure", _resend_unsafe),
+    "never-ran-early": (
+        "a connection lost after the last byte counts as proof that nothing ran",
+        _never_ran_early,
+    ),
+    "no-late-check": ("`may_send` is not checked between connecting and sending", _no_late_check),
+    "ignore-drain": ("a draining server counts as in service", _ignore_drain),
     "forget-gone": ("a server that has left stays in the list", _forget_gone),
-    "lose-client-gone": ("the module is not told that a caller has left", _lose_client_gone),
-    "leak-attempt": ("an attempt that was reset stays in the books", _leak_attempt),
+    "lose-client-gone": ("the balancer is not told that a client has disconnected", _lose_client_gone),
+    "leak-attempt": ("an attempt that was reset is not removed", _leak_attempt),
     "swallow-end": ("the end of a refused attempt is not reported", _swallow_end),
     "end-twice": ("the end of an attempt that timed out is reported twice", _end_twice),
-    "reuse-unread": ("a connection is used again with bytes, or its end, unread", _reuse_unread),
-    "refuse-what-may-have-run": ("503 for what may have run", _refuse_what_may_have_run),
-    "window-off": ("a key counts ten times as long as its servers keep it", _window_off),
+    "reuse-unread": ("a connection is reused with unread input or an unread end of file", _reuse_unread),
+    "refuse-what-may-have-run": ("a request that may have run is answered 503", _refuse_what_may_have_run),
+    "window-off": ("a keyed request may be retried ten times as long as servers keep its key", _window_off),
     "any-group": ("a keyed request may go to any group of servers", _any_group),
     "hot-cold": ("a cold server has no budget", _hot_cold),
-    "leak-timer": ("no time limit is ever called off", _leak_timer),
+    "leak-timer": ("no timer is ever cancelled", _leak_timer),
 }
 
 
 @contextmanager
 def broken(name: str) -> Iterator[None]:
-    """The code with one of the breaks in it while this lasts; none for ''."""
+    """Apply one of `BREAKS` to the shipping code while the context lasts; "" for none."""
     if not name:
         yield
         return
-    old: list[Patch] = []
-    for where, what, new in BREAKS[name][1]():
-        old.append((where, what, getattr(where, what)))
-        setattr(where, what, new)
+    originals: list[Patch] = []
+    for owner, attribute, replacement in BREAKS[name][1]():
+        originals.append((owner, attribute, getattr(owner, attribute)))
+        setattr(owner, attribute, replacement)
     try:
         yield
     finally:
-        for where, what, was in reversed(old):
-            setattr(where, what, was)
+        for owner, attribute, original in reversed(originals):
+            setattr(owner, attribute, original)
--- a/orchidferry/testkit/explore/command.py
+++ b/orchidferry/testkit/explore/command.py
@@ -1,4 +1,4 @@
-"""`orchidferry explore`: from the command line to a verdict."""
+"""The command `orchidferry explore`: runs the explorations and reports their results."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class _UsageError(OrchidferryError):
-    """What can't be done as asked, in one line."""
+    """A wrong use of the command; the message is one line."""
 
 
 def main(args: argparse.Namespace) -> int:
-    """Run the command; its exit status."""
+    """Run the command and return its exit status."""
     if args.of.startswith("mesh-") or args.of == "worst-days":
-        return _mesh(args)
+        return _explore_mesh(args)
     if args.of != "node":
-        return _pure(args)
+        return _explore_modules(args)
     if args.list_breaks:
         for name, (about, _) in BREAKS.items():
             print(f"{name:26} {about}")
@@ -39,7 +39,7 @@
     console = Console(highlight=False)
     try:
         if args.break_ and args.break_ not in BREAKS:
-            raise _UsageError(f"--break {args.break_}: no such break; --list-breaks tells them")
+            raise _UsageError(f"--break {args.break_}: no such break; --list-breaks lists them")
         if args.replay is not None:
             return _replay(console, Path(args.replay))
         kinds = tuple((args.kinds or "pay,save,read").split(","))
@@ -48,17 +48,17 @@
             raise _UsageError(f"--kinds: {unknown[0]!r} is none of pay, read, save")
         if args.seconds <= 0 or (args.walk is not None and args.walk <= 0):
             raise _UsageError("--seconds and --walk must be above 0")
-        found = _explore(console, size, args)
+        found = _explore_node(console, size, args)
     except (_UsageError, ValueError) as problem:
         print(f"orchidferry explore: {problem}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 130
-    return _tell(console, size, found, args)
+    return _report_node(console, size, found, args)
 
 
-def _pure(args: argparse.Namespace) -> int:
-    """Every interleaving of a small world of pure modules."""
+def _explore_modules(args: argparse.Namespace) -> int:
+    """Explore a world of modules without I/O: a fleet or slots."""
     from orchidferry.testkit.explore import fleet, slots
 
     breaks = {
@@ -84,7 +84,7 @@
         task = progress.add_task("exploring", total=None)
 
         def watch(found: SearchResult) -> None:
-            progress.update(task, description=f"{found.states} states, {found.runs} runs to their end")
+            progress.update(task, description=f"{found.states} states, {found.runs} complete runs")
 
         if args.of == "fleet":
             found = fleet.search(
@@ -100,12 +100,12 @@
                 watch=watch,
                 workers=args.workers,
             )
-    about = f", {found.succeeded} of them with every slot granted and back" if args.of == "slots" else ""
-    return _told(console, args, found, about)
+    about = f", {found.succeeded} of them with every slot granted and returned" if args.of == "slots" else ""
+    return _report_search(console, args, found, about)
 
 
-def _told(console: Console, args: argparse.Namespace, found: SearchResult, about: str) -> int:
-    """Say what was found; the exit status."""
+def _report_search(console: Console, args: argparse.Namespace, found: SearchResult, about: str) -> int:
+    """Report the result of a search and return the exit status."""
     if args.json is not None:
         obj = {
             "format": 1,
@@ -119,19 +119,19 @@
             "seconds": round(found.seconds, 1),
         }
         Path(args.json).write_text(json.dumps(obj, indent=1) + "\n", encoding="utf-8")
-    told = f"{found.states} states, {found.runs} runs to their end{about}"
-    console.print(f"{told}, in {found.seconds:.1f} s")
+    summary = f"{found.states} states, {found.runs} complete runs{about}"
+    console.print(f"{summary}, in {found.seconds:.1f} s")
     for line in found.story:
         console.print(f"  {line}", markup=False)
     if found.violations:
         return 1
-    whole = f"exhausted: every interleaving of up to {args.faults} faults; all properties hold"
-    console.print(whole if found.exhausted else "not exhausted: its time was over")
+    verdict = f"exhausted: every interleaving of up to {args.faults} faults; all properties hold"
+    console.print(verdict if found.exhausted else "not exhausted: the time limit was reached")
     return 0
 
 
-def _mesh(args: argparse.Namespace) -> int:
-    """Every interleaving of the controllers of one shard, scene by scene."""
+def _explore_mesh(args: argparse.Namespace) -> int:
+    """Explore the controllers of one shard, scene by scene."""
     from orchidferry.testkit.explore import mesh, worst_days
 
     source: Any = worst_days if args.of == "worst-days" else mesh
@@ -162,54 +162,62 @@
         for name in wanted:
 
             def watch(found: SearchResult, name: str = name) -> None:
-                told = f"{name}: {found.states} states, {found.runs} runs to their end"
-                progress.update(task, description=told)
+                progress_text = f"{name}: {found.states} states, {found.runs} complete runs"
+                progress.update(task, description=progress_text)
 
             left_s = args.seconds - total.seconds
             found = source.search(name, args.faults, kinds, args.break_, left_s, watch, args.workers)
             console.print(
-                f"{name:12} {found.states} states, {found.runs} runs, {found.succeeded} of them as wished, "
+                f"{name:12} {found.states} states, {found.runs} runs, {found.succeeded} of them succeeded, "
                 f"in {found.seconds:.1f} s{'' if found.exhausted or found.story else ', not exhausted'}"
             )
             total.add(found)
             if found.violations:
                 break
-    return _told(console, args, total, f", {total.succeeded} of them as wished")
+    return _report_search(console, args, total, f", {total.succeeded} of them succeeded")
 
 
-def _explore(console: Console, size: WorldSize, args: argparse.Namespace) -> Totals:
+def _explore_node(console: Console, size: WorldSize, args: argparse.Namespace) -> Totals:
     began = time.monotonic()
     with Progress(TextColumn("{task.description}"), console=console, transient=True) as progress:
         task = progress.add_task("exploring", total=None)
-        level = [size.events]
+        current_events = [size.events]
 
         def watch(totals: Totals) -> None:
             rate = totals.states / max(0.1, time.monotonic() - began)
-            told = f"{totals.states} states, {totals.transitions} transitions, depth {totals.depth}"
-            progress.update(task, description=f"{level[0]} events: {told}, {rate:.0f} states/s")
+            progress_text = f"{totals.states} states, {totals.transitions} transitions, depth {totals.depth}"
+            progress.update(
+                task, description=f"{current_events[0]} events: {progress_text}, {rate:.0f} states/s"
+            )
 
         if args.walk is not None:
             return random_walk.random_walk(size, args.walk, args.seed, args.break_, watch)
         found = Totals()
-        # By the number of disturbances: what few of them do is found first, and told by the shortest story.
+        # Few disturbances come first, so that the first counterexample has the shortest story.
         for events in range(0 if args.keep is None else size.events, size.events + 1):
-            level[0] = events
+            current_events[0] = events
             one = replace(size, events=events)
             left_s = args.seconds - (time.monotonic() - began)
             keep = Path(args.keep) if args.keep is not None else None
             found = search.search(
-                one, args.workers, not args.no_merge, args.break_, limit_s=left_s, watch=watch, keep=keep
+                one,
+                args.workers,
+                not args.no_merge,
+                args.break_,
+                limit_s=left_s,
+                watch=watch,
+                resume_file=keep,
             )
-            if found.counterexample is not None or found.why:
+            if found.counterexample is not None or found.cut_reason:
                 break
-            extent = "all walked" if found.exhausted else f"not all walked: {found.gap}"
+            extent = "all explored" if found.exhausted else f"not all explored: {found.incomplete_reason}"
             console.print(f"{events} events: {found.states} states, {found.seconds:.1f} s, {extent}")
         found.seconds = time.monotonic() - began
         return found
 
 
 def as_json(size: WorldSize, found: Totals) -> dict[str, Any]:
-    """The agreed object."""
+    """Return the result as the object that `--json` writes."""
     return {
         "format": 1,
         "clients": size.clients,
@@ -220,7 +228,7 @@
         "depth": found.depth,
         "runs": found.runs,
         "exhausted": found.exhausted,
-        "why": found.gap,
+        "why": found.incomplete_reason,
         "seconds": round(found.seconds, 1),
         "properties": {
             name: {"text": text, "held": not found.violations[name], "violations": found.violations[name]}
@@ -231,13 +239,13 @@
     }
 
 
-def _tell(console: Console, size: WorldSize, found: Totals, args: argparse.Namespace) -> int:
+def _report_node(console: Console, size: WorldSize, found: Totals, args: argparse.Namespace) -> int:
     obj = as_json(size, found)
     if args.json is not None:
         Path(args.json).write_text(json.dumps(obj, indent=1) + "\n", encoding="utf-8")
     console.print(
         f"{found.states} states, {found.transitions} transitions, {found.runs} runs, depth {found.depth}, "
-        f"{len(found.outcomes)} different ends, in {found.seconds:.1f} s"
+        f"{len(found.outcomes)} different outcomes, in {found.seconds:.1f} s"
     )
     if found.counterexample is None:
         if args.walk is not None:
@@ -245,16 +253,16 @@
         elif found.exhausted:
             console.print(f"exhausted: every interleaving of up to {size.events} events; all properties hold")
         else:
-            console.print(f"not exhausted: {found.gap}")
+            console.print(f"not exhausted: {found.incomplete_reason}")
         return 0
-    _story(console, found.counterexample)
+    _print_counterexample(console, found.counterexample)
     if args.out is not None:
         counterexample.write(Path(args.out), found.counterexample)
-        console.print(f"written to {args.out}; again: orchidferry explore --replay {args.out}")
+        console.print(f"written to {args.out}; to replay it: orchidferry explore --replay {args.out}")
     return 1
 
 
-def _story(console: Console, found: dict[str, Any]) -> None:
+def _print_counterexample(console: Console, found: dict[str, Any]) -> None:
     violation = found["violation"]
     console.print(f"broken: {violation['name']}: {violation['what']}", markup=False)
     console.print(f"  ({PROPERTIES.get(violation['name'], '')})", markup=False)
@@ -266,7 +274,7 @@
 
 
 def _replay(console: Console, path: Path) -> int:
-    """Play a counterexample again, step by step."""
+    """Replay a counterexample and print its story."""
     try:
         found = json.loads(path.read_text(encoding="utf-8"))
         size = WorldSize(**found["small"] | {"kinds": tuple(found["small"]["kinds"])})
--- a/orchidferry/testkit/explore/counterexample.py
+++ b/orchidferry/testkit/explore/counterexample.py
@@ -1,4 +1,4 @@
-"""A counterexample: the choices of a run that breaks a property, for people and to be played again."""
+"""Counterexamples: runs that violate a property, as readable reports that can be replayed."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from orchidferry.testkit.explore.world_size import WorldSize
 
 FORMAT = 1
-START_S = 1_000.0  # the time of the world at the beginning of a run
+START_S = 1_000.0  # the world's virtual time at the start of a run
 
 
 def play(size: WorldSize, path: list[str], break_: str = "", to_end: bool = False) -> World:
-    """Play a run by its path, and finish it if nothing more can come.
+    """Replay a run by its path, and finish it if no action is left.
 
-    :param to_end: finish it whatever could come, unless a property is broken.
+    :param break_: the deliberate break that is in force; "" for none.
+    :param to_end: whether to finish it even if actions are left, unless a property is violated.
     """
     with broken(break_):
         world = World(size)
         for label in path:
-            world.do(label)
+            world.apply(label)
         if world.over or not world.actions() or (to_end and not world.violations):
             world.finish()
     return world
@@ -33,9 +34,9 @@
 def describe(
     size: WorldSize, path: list[str], world: World, violation: Violation, break_: str
 ) -> dict[str, Any]:
-    """Return a counterexample as `--replay` reads it.
+    """Return a counterexample in the format that `--replay` reads.
 
-    :param world: in which the path was played.
+    :param world: the world in which the path was played.
     """
     return {
         "format": FORMAT,
@@ -48,7 +49,7 @@
 
 
 def write(path: Path, counterexample: dict[str, Any]) -> None:
-    """Write a counterexample to a file, whole or not at all."""
+    """Write a counterexample to a file atomically."""
     part = path.with_name(path.name + ".part")
     part.write_text(json.dumps(counterexample, indent=1) + "\n", encoding="utf-8")
     part.replace(path)
--- a/orchidferry/testkit/explore/loop.py
+++ b/orchidferry/testkit/explore/loop.py
@@ -1,9 +1,9 @@
-"""An event loop of virtual time with transports in memory. Nothing waits, nothing leaves the process.
+"""An asyncio event loop with virtual time and in-memory transports: no real waiting, no real network.
 
-It keeps what asyncio promises and no more: callbacks that are ready run in the order in which they became so,
-timers in the order of their times and, of one time, of their making. What asyncio and TCP leave open (when a
-peer's bytes come, when a connection is up, when time passes) is not decided here: `Wire`s and the clock move
-only when the explorer says so.
+The loop gives only the guarantees that asyncio gives: ready callbacks run in the order in which they became
+ready; timers fire in the order of their due times, and timers with equal due times in the order of creation.
+What asyncio and TCP leave open (when a peer's bytes arrive, when a connection is established, when time
+passes) is decided by the explorer, which moves the `FakeTransport`s and the clock explicitly.
 """
 
 from __future__ import annotations
@@ -20,57 +20,57 @@
 from orchidferry.errors import OrchidferryError
 
 Address = tuple[str, int]
-MAX_TURNS = 20_000  # callbacks between two choices: more is a loop that never rests
+MAX_CALLBACKS = 20_000  # run without a choice in between; more means that the loop never becomes idle
 
 
-class LoopNeverRestsError(OrchidferryError):
-    """The loop does not come to rest."""
+class LoopNeverIdleError(OrchidferryError):
+    """The loop always has another ready callback and never becomes idle."""
 
 
-class Wire(asyncio.Transport):
-    """The node's end of a connection; the other end is the explorer's.
+class FakeTransport(asyncio.Transport):
+    """The node's end of a connection; the explorer plays the peer at the other end.
 
-    What the node writes stands in `out`; `feed`, `eof` and `lose` are what the peer does.
+    `written` holds what the node wrote; `feed`, `feed_eof` and `feed_reset` are what the peer does.
     """
 
-    def __init__(self, loop: Loop, protocol: asyncio.Protocol, address: Address | None) -> None:
+    def __init__(self, loop: VirtualTimeLoop, protocol: asyncio.Protocol, address: Address | None) -> None:
         super().__init__()
         self.loop = loop
         self.protocol = protocol
         self.address = address
-        self.out = bytearray()
+        self.written = bytearray()
         self.closing = self.lost = self.eof_written = False
-        self.unread = False  # the peer has sent, or closed, and the node has not been told yet
-        self.number = loop.number(address)
+        self.unread = False  # the peer has sent data or closed, and the protocol has not been called yet
+        self.number = loop.next_number(address)
 
     # The node's side
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Keep what the node writes."""
+        """Append to the bytes that the node has written."""
         if not self.closing:
-            self.out += data
+            self.written += data
 
     def write_eof(self) -> None:
-        """Note that the node ends its sending."""
+        """Record that the node has closed its sending direction."""
         self.eof_written = True
 
     def can_write_eof(self) -> bool:
-        """It can."""
+        """Return True: the transport supports half-close."""
         return True
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing is ever held back here."""
+        """Do nothing: writes are never buffered."""
 
     def get_write_buffer_size(self) -> int:
-        """Nothing is ever held back here."""
+        """Return 0: writes are never buffered."""
         return 0
 
     def is_closing(self) -> bool:
-        """Whether the node has closed it, or it is lost."""
+        """Return whether the node has closed the connection or lost it."""
         return self.closing
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection; the protocol is told in the next iteration."""
         if not self.closing:
             self.closing = True
             self.loop.call_soon(self._lost, None)
@@ -78,21 +78,21 @@
     abort = close
 
     def pause_reading(self) -> None:
-        """Peers here send no more than is read."""
+        """Do nothing: simulated peers never send more than is read."""
 
     def resume_reading(self) -> None:
-        """See `pause_reading`."""
+        """Do nothing, like `pause_reading`."""
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The wire itself stands for the socket."""
+        """Return the transport itself in place of its socket."""
         return self if name == "socket" else default
 
     def fileno(self) -> int:
-        """Its number."""
+        """Return the connection's number."""
         return self.number
 
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
-        """Tell nothing of a kernel: what comes is read in the same moment.
+        """Report every socket option as unsupported: there is no kernel buffer that could hold unread input.
 
         :raises OSError: always.
         """
@@ -103,10 +103,10 @@
             self.lost = self.closing = True
             self.protocol.connection_lost(problem)
 
-    # The peer's side: the bytes are on their way at once, and read in the loop's own time
+    # The peer's side: input is queued at once, and the protocol gets it in the next iteration of the loop
 
     def feed(self, data: bytes) -> None:
-        """The peer has sent something."""
+        """Deliver bytes that the peer has sent."""
         self.unread = True
         self.loop.call_soon(self._read, data)
 
@@ -115,8 +115,8 @@
         if not self.closing:
             self.protocol.data_received(data)
 
-    def eof(self) -> None:
-        """The peer has closed."""
+    def feed_eof(self) -> None:
+        """Deliver the peer's end of file."""
         self.unread = True
         self.loop.call_soon(self._read_eof)
 
@@ -124,8 +124,8 @@
         if not self.closing and not self.protocol.eof_received():
             self.close()
 
-    def lose(self) -> None:
-        """The peer has reset it."""
+    def feed_reset(self) -> None:
+        """Deliver a connection reset by the peer."""
         self.unread = True
         self.loop.call_soon(self._reset)
 
@@ -134,24 +134,26 @@
         self._lost(ConnectionResetError(104, "reset"))
 
 
-class Poll:
-    """`select.poll` over wires."""
+class FakePoll:
+    """A `select.poll` object over fake transports."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self._loop = loop
-        self._wire: Wire | None = None
+        self._polled: FakeTransport | None = None
 
     def register(self, number: int, events: int) -> None:
-        """Look at the wire of that number."""
-        self._wire = next((wire for wire in self._loop.wires if wire.number == number), None)
+        """Watch the transport with this number."""
+        self._polled = next(
+            (transport for transport in self._loop.transports if transport.number == number), None
+        )
 
     def poll(self, timeout: float) -> list[int]:
-        """Something where the wire has input that was not read."""
-        return [1] if self._wire is not None and self._wire.unread else []
+        """Return one entry if the transport has unread input, else none."""
+        return [1] if self._polled is not None and self._polled.unread else []
 
 
 class Listener:
-    """What `create_server` gives."""
+    """A listening socket, as `create_server` returns it."""
 
     def __init__(self, make: Callable[[], asyncio.Protocol], address: Address) -> None:
         self.make = make
@@ -160,27 +162,27 @@
         self.sockets = [self]
 
     def getsockname(self) -> Address:
-        """The address."""
+        """Return the address that is listened on."""
         return self.address
 
     def close(self) -> None:
-        """Close it."""
+        """Stop listening."""
         self.open = False
 
 
 class Dial:
-    """A connection that the node opens, until it is up or not."""
+    """An outgoing connection attempt of the node that has neither succeeded nor failed yet."""
 
     def __init__(
-        self, make: Callable[[], asyncio.Protocol], address: Address, done: asyncio.Future[Wire]
+        self, make: Callable[[], asyncio.Protocol], address: Address, done: asyncio.Future[FakeTransport]
     ) -> None:
         self.make = make
         self.address = address
         self.done = done
 
 
-class Loop(asyncio.AbstractEventLoop):
-    """The loop itself."""
+class VirtualTimeLoop(asyncio.AbstractEventLoop):
+    """An event loop whose clock and connections move only when the explorer moves them."""
 
     def __init__(self, start_s: float = 1_000.0) -> None:
         self.now = start_s
@@ -188,14 +190,14 @@
         self.timers: list[tuple[float, int, asyncio.TimerHandle]] = []
         self._serial = itertools.count()
         self._numbers: Counter[Address | None] = Counter()
-        self.wires: list[Wire] = []
+        self.transports: list[FakeTransport] = []
         self.dials: list[Dial] = []
         self.listeners: list[Listener] = []
         self.tasks: list[asyncio.Task[Any]] = []
-        self.problems: list[str] = []  # what nobody caught
+        self.unhandled_errors: list[str] = []  # reported by `call_exception_handler`
 
-    def number(self, address: Address | None) -> int:
-        """One that tells connections apart, and does not depend on the order in which others came up."""
+    def next_number(self, address: Address | None) -> int:
+        """Return a number for a new connection, independent of connections to other addresses."""
         self._numbers[address] += 1
         place = int(address[0].rpartition(".")[2]) + 1 if address is not None else 0
         return 1_000 * place + self._numbers[address]
@@ -207,19 +209,19 @@
         return self.now
 
     def get_debug(self) -> bool:
-        """Never."""
+        """Return False: debug mode is off."""
         return False
 
     def is_running(self) -> bool:
-        """It counts as running."""
+        """Return True: the loop always counts as running."""
         return True
 
     def is_closed(self) -> bool:
-        """It never closes."""
+        """Return False: the loop is never closed."""
         return False
 
     def call_soon(self, callback: Any, *args: Any, context: Context | None = None) -> asyncio.Handle:  # type: ignore[override]
-        """Call back in the next iteration."""
+        """Schedule a callback for the next iteration."""
         handle = asyncio.Handle(callback, args, self, context)
         self.ready.append(handle)
         return handle
@@ -227,7 +229,7 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """Call back at a time."""
+        """Schedule a callback at a virtual time in seconds."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         heapq.heappush(self.timers, (when, next(self._serial), handle))
         return handle
@@ -235,113 +237,116 @@
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Any, *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """Call back after a delay."""
+        """Schedule a callback after a delay in seconds."""
         return self.call_at(self.now + max(0.0, delay), callback, *args, context=context)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Cancelled ones are passed over when they come up."""
+        """Do nothing: cancelled timers are skipped when they are due."""
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Return a new future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Any, *, name: str | None = None, context: Context | None = None) -> Any:
-        """A task of this loop; it is kept until it is done."""
+        """Return a new task of this loop; `tasks` holds it until it is done."""
         task = asyncio.Task(coro, loop=self, name=name, context=context)
         self.tasks.append(task)
         return task
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep an error that nobody handled."""
-        self.problems.append(f"{context.get('message')}: {context.get('exception')!r}"[:300])
+        """Record an unhandled error."""
+        self.unhandled_errors.append(f"{context.get('message')}: {context.get('exception')!r}"[:300])
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep an error that nobody handled."""
+        """Record an unhandled error."""
         self.call_exception_handler(context)
 
     async def create_connection(self, make: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
-        """Dial: the explorer says what comes of it."""
-        done: asyncio.Future[Wire] = self.create_future()
+        """Start a connection attempt and wait for the explorer to complete or refuse it."""
+        done: asyncio.Future[FakeTransport] = self.create_future()
         dial = Dial(make, (host, port), done)
         self.dials.append(dial)
         try:
-            wire = await done
+            transport = await done
         finally:
             if dial in self.dials:
                 self.dials.remove(dial)
-        return wire, wire.protocol
+        return transport, transport.protocol
 
     async def create_server(self, make: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
-        """Listen."""
+        """Listen on an address; the explorer opens the connections."""
         listener = Listener(make, (host, port))
         self.listeners.append(listener)
         return listener
 
-    # The explorer's hand
+    # For the explorer
 
-    def up(self, dial: Dial) -> None:
-        """A connection that the node opens is up."""
+    def complete_dial(self, dial: Dial) -> None:
+        """Establish a connection that the node has dialled."""
         self.dials.remove(dial)
         if dial.done.done():
             return
-        wire = Wire(self, dial.make(), dial.address)
-        self.wires.append(wire)
-        # As asyncio does: the protocol hears of it first, whoever dialled a turn later.
-        self.call_soon(wire.protocol.connection_made, wire)
-        self.call_soon(lambda: None if dial.done.done() else dial.done.set_result(wire))
-
-    def refuse(self, dial: Dial) -> None:
-        """Nobody listens there."""
+        transport = FakeTransport(self, dial.make(), dial.address)
+        self.transports.append(transport)
+        # As in asyncio: `connection_made` runs first, and the dialling coroutine resumes an iteration later.
+        self.call_soon(transport.protocol.connection_made, transport)
+        self.call_soon(lambda: None if dial.done.done() else dial.done.set_result(transport))
+
+    def refuse_dial(self, dial: Dial) -> None:
+        """Refuse a connection that the node has dialled."""
         self.dials.remove(dial)
         if not dial.done.done():
             dial.done.set_exception(ConnectionRefusedError(111, "refused"))
 
-    def accept(self, listener: Listener) -> Wire:
-        """A caller has connected."""
-        wire = Wire(self, listener.make(), None)
-        self.wires.append(wire)
-        self.call_soon(wire.protocol.connection_made, wire)
-        return wire
+    def accept(self, listener: Listener) -> FakeTransport:
+        """Open a connection from a client to a listener."""
+        transport = FakeTransport(self, listener.make(), None)
+        self.transports.append(transport)
+        self.call_soon(transport.protocol.connection_made, transport)
+        return transport
 
-    def settle(self) -> None:
-        """Run all that is ready, up to rest. `LoopNeverRestsError` if there is none."""
+    def run_until_idle(self) -> None:
+        """Run callbacks until none is ready.
+
+        :raises LoopNeverIdleError: after `MAX_CALLBACKS` callbacks
+        """
         asyncio._set_running_loop(self)
         try:
-            for _ in range(MAX_TURNS):
+            for _ in range(MAX_CALLBACKS):
                 if not self.ready:
                     break
                 handle = self.ready.popleft()
                 if not handle.cancelled():
                     handle._run()
             else:
-                raise LoopNeverRestsError(f"{MAX_TURNS} callbacks without rest")
+                raise LoopNeverIdleError(f"the loop was not idle after {MAX_CALLBACKS} callbacks")
         finally:
             asyncio._set_running_loop(None)
         self.tasks = [task for task in self.tasks if not task.done()]
 
     def next_timer(self) -> float | None:
-        """When the next timer that was not called off is due."""
+        """Return when the next timer is due that was not cancelled; None for none."""
         while self.timers and self.timers[0][2].cancelled():
             heapq.heappop(self.timers)
         return self.timers[0][0] if self.timers else None
 
-    def pass_to(self, t: float) -> None:
-        """Let time pass up to `t`; all that is due runs, each at its time."""
+    def advance_to(self, t: float) -> None:
+        """Advance the clock to `t`, running each timer that becomes due at its due time."""
         while (due := self.next_timer()) is not None and due <= t:
             self.now = max(self.now, due)
             while self.timers and self.timers[0][0] <= self.now:
                 _, _, handle = heapq.heappop(self.timers)
                 if not handle.cancelled():
                     self.ready.append(handle)
-            self.settle()
+            self.run_until_idle()
         self.now = max(self.now, t)
 
-    def run(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Begin a task; it goes as far as it gets without a choice."""
+    def start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Start a task and run the loop until it is idle."""
         asyncio._set_running_loop(self)
         try:
             task: asyncio.Task[Any] = self.create_task(work)
         finally:
             asyncio._set_running_loop(None)
-        self.settle()
+        self.run_until_idle()
         return task
--- a/orchidferry/testkit/explore/properties.py
+++ b/orchidferry/testkit/explore/properties.py
@@ -1,4 +1,4 @@
-"""What must hold in every run of a world, and what did not."""
+"""The properties that must hold in every run of a world, and their violations."""
 
 from __future__ import annotations
 
@@ -6,20 +6,24 @@
 
 PROPERTIES = {
     "one-answer": "rule 1, no request lost: exactly one final answer for each request, in time",
-    "no-effect-twice": "rule 2: nothing that may have run is sent again beyond its class, group and window",
-    "drains-kept": "rule 3: nothing new goes to a server once its drain or its end was told",
+    "no-effect-twice": "rule 2: what may have run is sent again only as its class, group and window allow",
+    "drains-kept": "rule 3: no new request goes to a server that was reported draining or gone",
     "cold-spared": "rule 4: a cold server gets no more than its budget",
     "one-end": "the node's contract: each Send ends in exactly one AttemptEnded",
-    "harmless-refusals": "rule 1: 503 only where asking again does no harm",
-    "nothing-left": "counters return to nothing; no timer, task or connection without an owner",
-    "no-exception": "nothing raises unseen, and no line of the log is an error",
-    "at-rest": "the loop comes to rest",
+    "harmless-refusals": "rule 1: 503 only where a retry does no harm",
+    "nothing-left": "counters return to zero; no timer, task or connection is leaked",
+    "no-exception": "no exception is unhandled, and no error is logged",
+    "at-rest": "the event loop becomes idle",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A property that does not hold."""
+    """A violation of a property.
+
+    :ivar name: of the property
+    :ivar what: what has happened
+    """
 
     name: str
     what: str
--- a/orchidferry/testkit/explore/random_walk.py
+++ b/orchidferry/testkit/explore/random_walk.py
@@ -1,4 +1,4 @@
-"""Random runs of a small world, and how a run that breaks a property is made shorter."""
+"""Random runs of a small world, and the shrinking of a run that violates a property."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from orchidferry.testkit.explore.breaks import broken
 from orchidferry.testkit.explore.counterexample import describe, play
-from orchidferry.testkit.explore.loop import LoopNeverRestsError
+from orchidferry.testkit.explore.loop import LoopNeverIdleError
 from orchidferry.testkit.explore.search_totals import MAX_DEPTH, Totals
 from orchidferry.testkit.explore.world import World
 from orchidferry.testkit.explore.world_size import WorldSize
 
 RUNS_PER_REPORT = 50
 COST_WEIGHT = 0.3
-"""How much an action's cost lowers its priority."""
+"""By how much an action's cost lowers its priority."""
 
 
 def random_walk(
@@ -25,12 +25,14 @@
     break_: str = "",
     watch: Callable[[Totals], None] = lambda _: None,
 ) -> Totals:
-    """Play random runs for a while, until one breaks a property.
+    """Play random runs until one violates a property or the time is over.
 
-    Actions come by the priorities of PCT (Burckhardt et al., 2010): each kind of action has one, and a few
-    times in a run the first of them falls to the last.
+    Actions are scheduled as in PCT (probabilistic concurrency testing, Burckhardt et al., 2010): each action
+    has a random priority, and a few times in a run the action with the highest priority gets the lowest.
 
-    :param watch: is given the totals now and then.
+    :param seconds: the time limit.
+    :param break_: the deliberate break that is in force; "" for none.
+    :param watch: called with the totals after every `RUNS_PER_REPORT` runs.
     """
     totals = Totals()
     began_s = time.monotonic()
@@ -54,7 +56,7 @@
 
 
 def _random_run(size: WorldSize, rng: random.Random) -> tuple[list[str], World]:
-    """Play one run; return its path and the world at its end."""
+    """Play one random run; return its path and the world at its end."""
     path: list[str] = []
     world = World(size)
     priorities: dict[str, float] = {}
@@ -67,7 +69,7 @@
             priorities[label] = -1.0
             label = max((label for label, _ in actions), key=priorities.__getitem__)
         path.append(label)
-        world.do(label)
+        world.apply(label)
         if len(path) >= MAX_DEPTH:
             return path, world
     if not world.violations:
@@ -76,17 +78,18 @@
 
 
 def shrink(size: WorldSize, path: list[str], name: str, break_: str) -> list[str]:
-    """Return a shorter path to the same violation.
+    """Return a shorter path that violates the same property.
 
-    Parts are left out while it stays one, halves first (ddmin of Zeller and Hildebrandt, 2002).
+    Parts of the path are removed as long as the violation remains, halves first (delta debugging with ddmin,
+    Zeller and Hildebrandt, 2002).
 
-    :param name: of the violation.
+    :param name: the violated property.
     """
 
     def fails(shorter: list[str]) -> bool:
         try:
             world = play(size, shorter, break_, to_end=True)
-        except (ValueError, IndexError, StopIteration, LoopNeverRestsError):
+        except (ValueError, IndexError, StopIteration, LoopNeverIdleError):
             return False
         return any(violation.name == name for violation in world.violations)
 
--- a/orchidferry/testkit/explore/kept_search.py
+++ b/orchidferry/testkit/explore/saved_search.py
@@ -1,4 +1,4 @@
-"""A search that was cut, in a file from which the next one goes on."""
+"""Saving an interrupted search to a file, and loading it to resume the search."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def save(path: Path, size: WorldSize, seen: StateTable | None, totals: Totals) -> None:
-    """Keep what a search that was cut has; one that has nothing left leaves no file.
+    """Save an interrupted search; remove the file if there is nothing left to resume.
 
-    :param seen: the states that were seen; None if they are not told apart.
+    :param seen: the states that were visited; None without merging.
     """
-    if not totals.rest or totals.counterexample is not None:
+    if not totals.remaining_paths or totals.counterexample is not None:
         path.unlink(missing_ok=True)
         return
     head = {
         "format": FORMAT,
         "small": asdict(size),
-        "rest": totals.rest,
+        "rest": totals.remaining_paths,
         "outcomes": sorted(totals.outcomes),
         **{name: getattr(totals, name) for name in COUNTED},
     }
@@ -38,21 +38,21 @@
 
 
 def load(path: Path, size: WorldSize, seen: StateTable | None) -> tuple[Totals, list[list[str]]]:
-    """Return the totals so far and the paths that are left; the states go to `seen`.
+    """Return a saved search's totals and remaining paths, and add its visited states to `seen`.
 
-    :raises ValueError: if it is the search of another world, or none.
+    :raises ValueError: if the file is no saved search, or is that of a world of another size.
     """
     try:
         with np.load(path) as data:
             head = json.loads(str(data["head"]))
             states = data["states"]
     except (OSError, KeyError, ValueError) as problem:
-        raise ValueError(f"{path}: no search that can be gone on with: {problem!s:.80}") from None
+        raise ValueError(f"{path}: is no saved search: {problem!s:.80}") from None
     if head.get("format") != FORMAT or head["small"] != json.loads(json.dumps(asdict(size))):
         raise ValueError(f"{path}: is of another world")
     if seen is not None:
         for state in states.tolist():
             seen.add(state)
-    # Files of earlier builds do not count runs that were too long.
+    # Files of earlier versions have no `too_long`.
     totals = Totals(**{name: head.get(name, 0) for name in COUNTED}, outcomes=set(head["outcomes"]))
     return totals, head["rest"]
--- a/orchidferry/testkit/explore/search_totals.py
+++ b/orchidferry/testkit/explore/search_totals.py
@@ -1,4 +1,4 @@
-"""What a search over the choices of a small world has done and found."""
+"""The totals and findings of a search over the runs of a small world."""
 
 from __future__ import annotations
 
@@ -7,33 +7,40 @@
 from typing import Any
 
 MAX_DEPTH = 60
-"""Choices in one run; a longer one is left."""
+"""The most choices in one run; a longer run is abandoned."""
 
 COUNTED = ("states", "transitions", "runs", "depth", "too_long")
-"""The numbers that a search which is cut keeps for the next one."""
+"""The totals that an interrupted search saves for the one that resumes it."""
 
 
 @dataclass
 class Totals:
-    """What a search, or a part of it, has done."""
+    """The totals of a search or of a part of it.
+
+    :ivar too_long: runs that were abandoned after `MAX_DEPTH` choices
+    :ivar counterexample: the shortest that was found
+    :ivar outcomes: the different `World.outcome`s, as JSON
+    :ivar cut_reason: why the search ended early; "" if it did not
+    :ivar remaining_paths: paths that were not explored when the search ended early
+    """
 
     states: int = 0
     transitions: int = 0
     runs: int = 0
     depth: int = 0
-    too_long: int = 0  # runs that were left after `MAX_DEPTH` choices
+    too_long: int = 0
     exhausted: bool = False
     violations: Counter[str] = field(default_factory=Counter)
-    counterexample: dict[str, Any] | None = None  # the shortest
+    counterexample: dict[str, Any] | None = None
     outcomes: set[str] = field(default_factory=set)
     seconds: float = 0.0
-    why: str = ""  # the whole search was cut
-    rest: list[list[str]] = field(default_factory=list)  # paths that were left then
+    cut_reason: str = ""
+    remaining_paths: list[list[str]] = field(default_factory=list)
 
     @property
-    def gap(self) -> str:
-        """Why not all was walked; empty if it was."""
-        return self.why or (f"a run of over {MAX_DEPTH} choices" if self.too_long else "")
+    def incomplete_reason(self) -> str:
+        """Return why not all runs were explored to their end; "" if they were."""
+        return self.cut_reason or (f"a run of over {MAX_DEPTH} choices" if self.too_long else "")
 
     def add(self, other: Totals) -> None:
         """Add the totals of another part of the search."""
@@ -44,12 +51,12 @@
         self.too_long += other.too_long
         self.violations += other.violations
         self.outcomes |= other.outcomes
-        self.rest += other.rest
+        self.remaining_paths += other.remaining_paths
         if other.counterexample is not None:
             self.add_counterexample(other.counterexample)
 
     def add_counterexample(self, found: dict[str, Any]) -> None:
-        """Keep a counterexample if it is the shortest."""
+        """Keep a counterexample if it is shorter than the one before."""
         shortest = self.counterexample
         if shortest is None or len(found["path"]) < len(shortest["path"]):
             self.counterexample = found
--- a/orchidferry/testkit/explore/state.py
+++ b/orchidferry/testkit/explore/state.py
@@ -1,21 +1,20 @@
-"""A state of the small world as a fingerprint: equal ones have the same futures.
+"""Fingerprints of the states of a small world; states with equal fingerprints have the same futures.
 
-All that node, module and peers hold is walked, in the order in which it is held: fields of the classes of
-`orchidferry.balancing`, `orchidferry.node` and this package, containers, coroutines with their place and
-locals, futures,
-callbacks that wait and timers with their times. Objects are named by the order in which they are met, so that
-two worlds that hold the same in the same way are one.
+All objects that the node, its balancer and its peers hold are traversed, in the order in which they are held:
+fields of the classes of `orchidferry.balancing`, `orchidferry.node` and this package, containers, coroutines
+with their positions and locals, futures, scheduled callbacks, and timers with their due times. Objects are
+numbered in the order in which they are met, so that equal object graphs have equal fingerprints.
 
 Left out, and why that is sound:
 
-- times that have passed with no one to read them stand in it all the same; nothing of the clock is left out
-  but its history;
-- parsers of httptools, whose state is in C: at rest no message is half read here, as peers send whole ones;
-- the explorer's own story, what the properties have seen beyond what they still compare with, and counts for
-  operators (`Metrics`), which nothing decides by;
-- the modules' code, loggers, and the handler that is wrapped round the module.
+- the history of the clock; the current time and all stored times are included, even if nothing reads them;
+- httptools parsers, whose state is in C: when the loop is idle, only a client's request that arrives in two
+  parts is half parsed, and its missing part is included;
+- the story, observations that no property compares with any more, and counts for operators (`Metrics`), on
+  which no decision depends;
+- the modules' code, loggers, and the wrapper around `Balancer.handle`.
 
-Chance is not in it: here it always falls in the middle.
+Random generators are left out: here they always return 0.5.
 """
 
 from __future__ import annotations
@@ -29,19 +28,21 @@
 from collections import deque
 from typing import Any
 
-from orchidferry.testkit.explore.loop import Loop
+from orchidferry.testkit.explore.loop import VirtualTimeLoop
 from orchidferry.testkit.explore.world import World
 
 OURS = ("orchidferry.balancing", "orchidferry.node", "orchidferry.testkit.explore")
 SKIPPED = frozenset(("Metrics", "Logger", "HttpRequestParser", "HttpResponseParser", "ErrorLines", "Context"))
-SKIPPED_FIELDS = frozenset(("handle",))  # of the module: the wrapper round it
+SKIPPED_FIELDS = frozenset(("handle",))  # the wrapper around `Balancer.handle`
 
 
-class _Walk:
+class _ObjectGraph:
+    """The description of an object graph, from which its fingerprint is computed."""
+
     def __init__(self) -> None:
         self.out: list[str] = []
         self._met: dict[int, int] = {}
-        self._keep: list[Any] = []  # ids stay those of what was met
+        self._keep: list[Any] = []  # keeps the objects that were met alive, so that their ids stay unique
 
     def add(self, value: Any) -> None:
         out = self.out
@@ -104,8 +105,8 @@
                 self.out.append(f"{value.when()!r} {value.cancelled()}")
             case asyncio.Handle() | random.Random() | types.ModuleType() | type():
                 pass
-            case Loop():
-                pass  # its timers and wires are added by themselves
+            case VirtualTimeLoop():
+                pass  # its timers and transports are added in `fingerprint`
             case _ if kind.__name__ in SKIPPED:
                 pass
             case _ if kind.__module__.startswith(OURS) or kind.__module__.startswith("asyncio"):
@@ -129,7 +130,7 @@
 
 
 def _plain(value: Any) -> str:
-    """Of a set's members: those that are hashed by their value, or else by kind and number."""
+    """Return the text of a set's member: its value, or else its class and connection number."""
     if isinstance(value, str | int | bytes | tuple | enum.Enum):
         return repr(value)
     transport = getattr(value, "_transport", None)
@@ -147,30 +148,50 @@
 
 
 def fingerprint(world: World) -> int:
-    """64 bits of the world's state at rest. Two that differ share one by chance once in some billions."""
-    walk = _Walk()
+    """Return a 64-bit fingerprint of the world's state while its loop is idle; never 0.
+
+    Two different states have the same fingerprint by chance about once in some billions of cases.
+    """
+    graph = _ObjectGraph()
     loop = world.loop
-    walk.add((world.left_events, world.left_late, repr(loop.now), world.index))
-    walk.add((world.closed_loop, world.hung_up, world.whole, tuple(client.rest for client in world.clients)))
-    walk.add(
+    graph.add((world.events_left, world.late_waits_left, repr(loop.now), world.index))
+    graph.add(
+        (
+            world.retries_denied,
+            world.reconfigured,
+            world.full_list_requested,
+            tuple(client.unsent for client in world.clients),
+        )
+    )
+    graph.add(
         [
-            (c.number, c.left, c.asked_s, tuple(status for _, status in c.answers), c.closed_s, c.wire)
+            (
+                c.number,
+                c.disconnected,
+                c.sent_s,
+                tuple(status for _, status in c.answers),
+                c.closed_s,
+                c.transport,
+            )
             for c in world.clients
         ]
     )
-    carried = [(one.client, one.got_s, one.server, one.wire.number, one.ended) for one in world.carried]
-    walk.add(sorted(carried))
-    walk.add(world.told)
-    walk.add(world.cold_s)
-    walk.add([world.watch, world.stopping])
-    walk.add(sorted((wire.number, data) for wire, data in world.crossing))
-    walk.add(world.node)
-    walk.add(sorted((dial.address, dial.done.done()) for dial in loop.dials))
-    walk.add(sorted(loop.wires, key=lambda wire: wire.number))
+    server_requests = [
+        (request.client, request.received_s, request.server, request.transport.number, request.ended)
+        for request in world.server_requests
+    ]
+    graph.add(sorted(server_requests))
+    graph.add(world.listed)
+    graph.add(world.cold_since_s)
+    graph.add([world.discovery_transport, world.stopping])
+    graph.add(sorted((transport.number, data) for transport, data in world.delayed_input))
+    graph.add(world.node)
+    graph.add(sorted((dial.address, dial.done.done()) for dial in loop.dials))
+    graph.add(sorted(loop.transports, key=lambda transport: transport.number))
     timers = sorted((when, serial, handle) for when, serial, handle in loop.timers if not handle.cancelled())
     for when, _, handle in timers:
-        walk.out.append(repr(when))
-        walk.add(handle._callback)  # type: ignore[attr-defined]
-        walk.add(tuple(handle._args))
-    digest = hashlib.blake2b("\0".join(walk.out).encode(), digest_size=8).digest()
+        graph.out.append(repr(when))
+        graph.add(handle._callback)  # type: ignore[attr-defined]
+        graph.add(tuple(handle._args))
+    digest = hashlib.blake2b("\0".join(graph.out).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") or 1
--- a/orchidferry/testkit/explore/state_table.py
+++ b/orchidferry/testkit/explore/state_table.py
@@ -1,4 +1,4 @@
-"""The states that a search has explored, in memory that its processes share."""
+"""The table of states that a search has explored, in memory shared by its processes."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 import numpy as np
 
-SLOTS = 1 << 24  # 128 MB, filled by a half at most
+SLOTS = 1 << 24  # 128 MB; at most half of the slots are to be filled
 SLOT_BYTES = 8
 EMPTY_SLOT = 0
-MAX_PROBES = 64  # slots that are looked at for one state
+MAX_PROBES = 64  # slots that are examined for one state
 
 
 def state_key(fingerprint: bytes) -> int:
-    """Return the key of a state in the table, which is never that of an empty slot."""
+    """Return the key of a state in the table, which is never `EMPTY_SLOT`."""
     digest = hashlib.blake2b(fingerprint, digest_size=SLOT_BYTES).digest()
     return int.from_bytes(digest, "little") or 1
 
 
 class StateTable:
-    """Keys of states, in a hash table with open addressing and without locks.
+    """A hash table of state keys with open addressing and without locks.
 
-    Processes that are forked share it. Two of them that write one slot at the same moment lose one entry, and
-    one state is explored twice.
+    Forked processes share it. If two of them write the same slot at the same moment, one entry is lost and
+    its state is explored twice.
     """
 
     def __init__(self, slots: int = SLOTS) -> None:
-        """:param slots: a power of two; memory is taken as it is filled"""
+        """:param slots: a power of two; memory is allocated as slots are filled"""
         self._table = np.frombuffer(mmap.mmap(-1, slots * SLOT_BYTES), np.uint64)
         self._mask = slots - 1
 
     def add(self, key: int) -> bool:
         """Add a state.
 
-        :returns: whether it is new; a full table says so of every state
+        :returns: whether the state is new; a full table reports every unknown state as new
         """
         table = self._table
         position = key & self._mask
--- a/orchidferry/testkit/explore/world.py
+++ b/orchidferry/testkit/explore/world.py
@@ -1,6 +1,7 @@
-"""A small world round one real node: what may happen next, and what must never have happened.
+"""A small simulated environment of one real node: the possible next actions, and the checks at the end.
 
-At rest, `actions` lists all that may come next. `do` plays one, up to rest again.
+Whenever the event loop is idle, `actions` lists what may happen next; `apply` plays one action until the loop
+is idle again.
 """
 
 from __future__ import annotations
@@ -10,112 +11,119 @@
 from orchidferry.testkit.explore.world_actions import ACTIONS
 from orchidferry.testkit.explore.world_state import WorldState
 
-END_S = 8.0  # after the last choice: all that is under way must have come to its end
+END_S = 8.0  # after the last choice, in virtual time: all requests must have ended by then
 
 
 class World(WorldState):
-    """One run that can be played on."""
+    """One run, which is played action by action."""
 
     def actions(self) -> list[tuple[str, int]]:
-        """All that may come next, with what each costs; what is sound first."""
-        free: list[tuple[str, int]] = []
-        odd: list[tuple[str, int]] = []
+        """Return all actions that may happen next with their costs, undisturbed operation first.
+
+        An action costs 1 if it is a disturbance, else 0.
+        """
+        undisturbed: list[tuple[str, int]] = []
+        disturbances: list[tuple[str, int]] = []
         listening = any(listener.open for listener in self.loop.listeners)
         for client in self.clients:
-            if client.wire is None and listening:
-                free.append((f"ask c{client.number}", 0))
-                odd.append((f"begin c{client.number}", 1))
-            elif client.rest and not client.left and client.closed_s is None:
-                free.append((f"rest c{client.number}", 0))
-                odd.append((f"leave c{client.number}", 1))
-            elif client.waits:
-                odd.append((f"leave c{client.number}", 1))
+            if client.transport is None and listening:
+                undisturbed.append((f"ask c{client.number}", 0))
+                disturbances.append((f"begin c{client.number}", 1))
+            elif client.unsent and not client.disconnected and client.closed_s is None:
+                undisturbed.append((f"rest c{client.number}", 0))
+                disturbances.append((f"leave c{client.number}", 1))
+            elif client.is_waiting:
+                disturbances.append((f"leave c{client.number}", 1))
         for n in range(len(self.loop.dials)):
-            free.append((f"up {n}", 0))
-            odd.append((f"refuse {n}", 1))
-        for n, one in enumerate(self.carried):
-            if not one.ended:
-                free.append((f"serve {n}", 0))
-                odd += [(f"{how} {n}", 1) for how in ("fail", "turn-away", "reset", "close", "cross")]
-        for n, _ in self.idle_wires():
-            odd += [(f"drop {n}", 1), (f"drop-crossing {n}", 1), (f"stray {n}", 1)]
-        if self.watch is not None:
+            undisturbed.append((f"up {n}", 0))
+            disturbances.append((f"refuse {n}", 1))
+        for n, request in enumerate(self.server_requests):
+            if not request.ended:
+                undisturbed.append((f"serve {n}", 0))
+                disturbances += [
+                    (f"{how} {n}", 1) for how in ("fail", "turn-away", "reset", "close", "cross")
+                ]
+        for n, _ in self.idle_connections():
+            disturbances += [(f"drop {n}", 1), (f"drop-crossing {n}", 1), (f"stray {n}", 1)]
+        if self.discovery_transport is not None:
             for place in range(self.size.servers):
-                if self.told[place][1] == "active":
-                    odd += [(f"drain s{place}", 1), (f"gone s{place}", 1)]
-                elif self.told[place][1] == "left":
-                    odd.append((f"back s{place}", 1))
+                if self.listed[place][1] == "active":
+                    disturbances += [(f"drain s{place}", 1), (f"gone s{place}", 1)]
+                elif self.listed[place][1] == "left":
+                    disturbances.append((f"back s{place}", 1))
         if self.stopping is None:
-            odd.append(("stop", 1))
-        if not self.closed_loop:
-            odd.append(("no-retry", 1))
-        if self.watch is not None and not self.hung_up:
-            odd.append(("hup", 1))
+            disturbances.append(("stop", 1))
+        if not self.retries_denied:
+            disturbances.append(("no-retry", 1))
+        if self.discovery_transport is not None and not self.reconfigured:
+            disturbances.append(("hup", 1))
         due = self.next_due()
-        if due is not None and any(c.waits for c in self.clients):
-            if not free:
-                free.append(("wait", 0))
-            elif self.left_late:
-                odd.append(("wait", 1))
-        return free + (odd if self.left_events else [])
+        if due is not None and any(c.is_waiting for c in self.clients):
+            if not undisturbed:
+                undisturbed.append(("wait", 0))
+            elif self.late_waits_left:
+                disturbances.append(("wait", 1))
+        return undisturbed + (disturbances if self.events_left else [])
 
-    def do(self, label: str) -> None:
-        """Play one of the actions."""
+    def apply(self, label: str) -> None:
+        """Play one of `actions`, by its label."""
         cost = next((cost for name, cost in self.actions() if name == label), None)
         if cost is None:
-            raise ValueError(f"{label!r} can't happen here")
-        self.left_events -= cost
+            raise ValueError(f"action {label!r} is not possible in this state")
+        self.events_left -= cost
         verb, _, what = label.partition(" ")
         if verb == "wait" and cost:
-            self.left_late -= 1
-        with self.inside():
-            crossing = self.crossing
-            self.crossing = []
+            self.late_waits_left -= 1
+        with self.patched_modules():
+            delayed = self.delayed_input
+            self.delayed_input = []
             ACTIONS[verb](self, what)
-            if crossing:  # what was on its way is read once the node has done what this made it do
-                self.loop.settle()
-                self.deliver(crossing)
-            self.settle()
+            if delayed:  # the node reads it only after it has handled the action
+                self.loop.run_until_idle()
+                self.deliver_delayed(delayed)
+            self.run_until_idle()
 
     # The end
 
     def finish(self) -> None:
-        """All that is under way comes to its end; then nothing may be left."""
-        with self.inside():
-            self.deliver(self.crossing)
-            self.crossing = []
+        """Let all requests end, stop the node, and check that nothing is left over."""
+        with self.patched_modules():
+            self.deliver_delayed(self.delayed_input)
+            self.delayed_input = []
             end = self.loop.now + END_S
             while self.loop.now < end:
-                self.settle()
+                self.run_until_idle()
                 due = self.loop.next_timer()
                 if due is None or due > end:
                     break
-                self.loop.pass_to(due)
-            self.settle()
+                self.loop.advance_to(due)
+            self.run_until_idle()
             for client in self.clients:
                 if (
-                    client.wire is not None
-                    and not client.left
+                    client.transport is not None
+                    and not client.disconnected
                     and not client.answers
-                    and not client.rest
+                    and not client.unsent
                     and client.closed_s is None
                 ):
-                    self.report("one-answer", f"{client.id} never gets an answer")
-            self._left()
+                    self.report_violation("one-answer", f"{client.id} never got an answer")
+            self._check_leftovers()
             if self.stopping is None:
-                self.stopping = self.loop.run(self.node.stop(0.0))
-            self.loop.pass_to(self.loop.now + END_S)
-            self.settle()
+                self.stopping = self.loop.start_task(self.node.stop(0.0))
+            self.loop.advance_to(self.loop.now + END_S)
+            self.run_until_idle()
             if not self.stopping.done():
-                self.report("nothing-left", "the node does not come to its end")
+                self.report_violation("nothing-left", "the node did not stop")
             elif not self.stopping.cancelled() and (problem := self.stopping.exception()) is not None:
-                self.report("no-exception", f"stopping: {problem!r}")
-            if self.loop.wires:
-                self.report("nothing-left", f"{len(self.loop.wires)} connections are open after the end")
+                self.report_violation("no-exception", f"stopping: {problem!r}")
+            if self.loop.transports:
+                self.report_violation(
+                    "nothing-left", f"{len(self.loop.transports)} connections are open after the node stopped"
+                )
             if self.loop.tasks:
-                self.report("nothing-left", f"tasks are left: {self.loop.tasks[0]!r:.120}")
+                self.report_violation("nothing-left", f"a task is still running: {self.loop.tasks[0]!r:.120}")
 
-    def _left(self) -> None:
+    def _check_leftovers(self) -> None:
         node = self.node
         balancer = self.node._balancer
         counts = {
@@ -131,22 +139,25 @@
             "calls out at servers": sum(
                 len(server.outstanding) for server in balancer.server_set.servers.values()
             ),
-            "sends without an end": sum(self.sends.values()),
+            "sends without an end": sum(self.open_sends.values()),
         }
         for what, count in counts.items():
             if count:
-                self.report("nothing-left", f"{what}: {count}")
+                self.report_violation("nothing-left", f"{what}: {count}")
 
     @property
     def over(self) -> bool:
-        """Whether nothing more can be asked, or is under way."""
-        asked = all(client.wire is not None for client in self.clients) or self.stopping is not None
-        return asked and not any(client.waits or client.rest for client in self.clients)
+        """Whether no client can send a request any more and none waits for an answer."""
+        asked = all(client.transport is not None for client in self.clients) or self.stopping is not None
+        return asked and not any(client.is_waiting or client.unsent for client in self.clients)
 
     def outcome(self) -> tuple[Any, ...]:
-        """What came of it, for comparisons."""
+        """Return each client's answers and each server's requests, to compare runs."""
         clients = tuple(
-            (c.left, tuple(status for _, status in c.answers), c.wire is not None) for c in self.clients
+            (c.disconnected, tuple(status for _, status in c.answers), c.transport is not None)
+            for c in self.clients
+        )
+        ran = tuple(
+            sorted((request.client, request.server, request.ended) for request in self.server_requests)
         )
-        ran = tuple(sorted((one.client, one.server, one.ended) for one in self.carried))
         return clients, ran
--- a/orchidferry/testkit/explore/world_node.py
+++ b/orchidferry/testkit/explore/world_node.py
@@ -1,4 +1,4 @@
-"""The node of a world: its configuration, and what stands in for the clock, the sockets' state and chance."""
+"""The node of a world: its configuration, and stand-ins for time, polling and randomness."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from orchidferry.node.config import Config
 from orchidferry.node.node import MARGIN_MS
 from orchidferry.node.server_listing import read_listing
-from orchidferry.testkit.explore.loop import Loop, Poll
+from orchidferry.testkit.explore.loop import FakePoll, VirtualTimeLoop
 from orchidferry.testkit.explore.world_size import WorldSize
 
 DISCOVERY = ("10.9.9.9", 1)
@@ -28,7 +28,7 @@
 
 
 class FixedRandom(random.Random):
-    """Chance that always falls in the middle: jitter is no choice worth exploring."""
+    """A random generator that always returns 0.5: jitter is not explored."""
 
     def random(self) -> float:
         """Always 0.5."""
@@ -36,31 +36,31 @@
 
 
 class ErrorLines(logging.Handler):
-    """Keeps the lines of the log that report an error or an overdue request."""
+    """A log handler that collects records of errors and of missed deadlines."""
 
     def __init__(self) -> None:
         super().__init__(logging.WARNING)
         self.lines: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a record that reports an error."""
+        """Collect a record that reports an error or a missed deadline."""
         if record.levelno >= logging.ERROR or "deadline" in record.getMessage():
-            trouble = record.exc_info[1] if record.exc_info else None
-            self.lines.append(record.getMessage() + (f": {trouble!r}" if trouble else ""))
+            error = record.exc_info[1] if record.exc_info else None
+            self.lines.append(record.getMessage() + (f": {error!r}" if error else ""))
 
 
 class FakeTime:
-    """What `orchidferry.node.clock` takes for the module `time`."""
+    """Stands in for the module `time` in `orchidferry.node.clock`."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self._loop = loop
 
     def monotonic(self) -> float:
-        """The virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._loop.now
 
     def time(self) -> float:
-        """The virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._loop.now
 
     def __getattr__(self, name: str) -> Any:
@@ -68,25 +68,25 @@
 
 
 class FakeSelect:
-    """What `orchidferry.node.unread_input` takes for the module `select`."""
+    """Stands in for the module `select` in `orchidferry.node.unread_input`."""
 
     POLLIN = 1
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self._loop = loop
 
-    def poll(self) -> Poll:
-        """A poll object over the loop's connections."""
-        return Poll(self._loop)
+    def poll(self) -> FakePoll:
+        """Return a poll object for the loop's connections."""
+        return FakePoll(self._loop)
 
 
 def no_retries(now: float) -> float:
-    """The probability of a retry where the delay loop allows none."""
+    """Return 0.0, in place of the delay controller's retry probability."""
     return 0.0
 
 
 def server_entry(server: int) -> dict[str, Any]:
-    """A server as discovery lists it."""
+    """Return a server's entry in discovery's list."""
     return {
         "name": f"s{server}",
         "address": f"10.1.0.{server}:80",
@@ -100,7 +100,7 @@
 
 
 def node_config(size: WorldSize) -> Config:
-    """The configuration of the node, which knows all servers from the start."""
+    """Return the node's configuration, which lists all servers from the start."""
     classes = [
         api.RequestClass(
             name,
--- a/orchidferry/testkit/explore/world_search.py
+++ b/orchidferry/testkit/explore/world_search.py
@@ -1,7 +1,8 @@
-"""Depth-first search through a small world of modules without I/O, in several processes.
+"""Depth-first search over all runs of a small world of modules without I/O, in several processes.
 
-A world says what may come next (`actions`; the first comes without a fault), applies it, and reports what it
-violates. It is copied by pickling, so it holds no function that can't be pickled by name.
+A world lists the actions that may happen next (the first of them without a fault), applies them, and reports
+the properties that it violates. Worlds are copied by pickling, so all functions that they hold must be
+picklable by name.
 """
 
 from __future__ import annotations
@@ -19,47 +20,55 @@
 
 from orchidferry.testkit.explore.state_table import SLOTS, StateTable, state_key
 
-MIN_SHARED = 256  # worlds that are left, from which on the processes of a search go on by themselves
+MIN_SHARED = 256  # open branches from which on the search is shared out to several processes
 
 
 class ExploredWorld(Protocol):
-    """A world that a search explores."""
+    """A world that a search explores.
+
+    :ivar story: what has happened, in lines
+    :ivar violations: the violated properties, each as its name, a colon, and what has happened
+    """
 
     story: list[str]
     violations: list[str]
 
     @property
     def over(self) -> bool:
-        """Whether there are no more choices: the rest is for `finish`."""
+        """Whether no choices are left; only `finish` is left to do."""
 
     def actions(self) -> list[str]:
-        """Return what may come next."""
+        """Return the actions that may happen next; at least one, the first without a fault."""
 
     def apply(self, label: str) -> None:
-        """Have one of `actions` happen."""
+        """Play one of `actions`."""
 
     def finish(self) -> None:
-        """Do what comes after the last choice."""
+        """Do what follows the last choice, and check the end."""
 
     def fingerprint(self) -> bytes:
-        """Return the same bytes for worlds that have the same futures."""
+        """Return a digest of the state; worlds with equal digests have the same futures."""
 
     def succeeded(self) -> bool:
-        """Return whether the run came to the end that one would wish for."""
+        """Return whether the run ended as without faults."""
 
 
-BreakContext = Callable[[str], AbstractContextManager[None]]  # has the deliberate break of a name in force
+BreakContext = Callable[
+    [str], AbstractContextManager[None]
+]  # applies the deliberate break of a name; "" for none
 
 
 @dataclass
 class SearchResult:
-    """What a search has found.
+    """The result of a search, or of a part of it.
 
-    :ivar runs: that came to their end
-    :ivar succeeded: of these, those that came to the end that one would wish for
-    :ivar exhausted: whether all was explored
+    :ivar states: different states that were explored
+    :ivar runs: runs that were played to their end
+    :ivar succeeded: runs that ended as without faults
+    :ivar exhausted: whether all runs were explored
     :ivar violations: how often each property was violated, by its name
-    :ivar story: of the first violation
+    :ivar story: of the first run that violated a property, with the violations
+    :ivar seconds: that the search took
     """
 
     states: int = 0
@@ -71,7 +80,7 @@
     seconds: float = 0.0
 
     def add(self, part: SearchResult) -> None:
-        """Add what another part of the search has found."""
+        """Add the result of another part of the search."""
         self.states += part.states
         self.runs += part.runs
         self.succeeded += part.succeeded
@@ -82,14 +91,14 @@
 
 
 class _Branch(NamedTuple):
-    """A pickled world, and the action to apply to it; "" for none."""
+    """A pickled world, and the action to play next in it; "" for none."""
 
     world: bytes
     label: str
 
 
 class _Job(NamedTuple):
-    """A process's part of a search: all that follows from one branch."""
+    """A part of a search for one process: all runs that follow from one branch."""
 
     branch: _Branch
     broken: BreakContext
@@ -97,7 +106,7 @@
     until_s: float
 
 
-_table: StateTable | None = None  # of the search that this process has a part in
+_table: StateTable | None = None  # of the running search; forked worker processes inherit it
 
 
 def search(
@@ -108,15 +117,16 @@
     watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
 ) -> SearchResult:
-    """Explore all that a world can do; the search ends with the first violation.
+    """Explore all runs of a world; the search ends with the first violation.
 
-    Its processes share the table of states, so what two of them reach is explored by the first one.
+    The processes share the table of states, so each state is explored only by the first that reaches it.
 
-    :param begin: returns the world at its start
-    :param break_name: of the deliberate break that is in force; "" for none
-    :param limit_s: after which the search ends, in seconds
-    :param watch: called with the result so far
-    :param workers: processes; 0 for one a core
+    :param begin: returns the world in its initial state
+    :param broken: returns the context manager that applies a deliberate break
+    :param break_name: the deliberate break that is in force; "" for none
+    :param limit_s: the time limit in seconds
+    :param watch: called with the result so far, whenever a part is explored
+    :param workers: processes; 0 for one per core
     """
     global _table
     result = SearchResult()
@@ -144,7 +154,7 @@
 
 
 def _run_job(job: _Job) -> SearchResult:
-    """Explore all that follows from one branch, but what any process has explored before."""
+    """Explore all runs that follow from one branch, except states that any process has explored before."""
     result = SearchResult()
     assert _table is not None
     with job.broken(job.break_name):
@@ -156,13 +166,13 @@
 def _explore(
     branches: list[_Branch], result: SearchResult, table: StateTable, until_s: float, enough: float
 ) -> list[_Branch]:
-    """Explore branches until none or enough are left, or a property is violated.
+    """Explore branches until none or enough are left, the time is over, or a property is violated.
 
-    It goes depth first. Where the rest is to be shared out, what branches off early comes first: its stories
-    are the shortest.
+    The order is depth first. While branches are collected for sharing out, the oldest is taken first, as
+    early branches give the shortest stories.
 
-    :param enough: branches that end it; infinite for none
-    :returns: the branches that are left
+    :param enough: the number of open branches that ends the exploration; infinite for no such limit
+    :returns: the branches that were not explored
     """
     while branches and len(branches) < enough and time.monotonic() < until_s:
         branch = branches.pop(0 if enough < math.inf else -1)
@@ -178,9 +188,9 @@
 
 
 def _run(world: ExploredWorld, result: SearchResult, table: StateTable) -> list[_Branch]:
-    """Run a world by its first actions to its end, a violation or a state that was explored before.
+    """Play a world's first actions up to its end, a violation or a state that was explored before.
 
-    :returns: the branches that it has passed
+    :returns: the other branches on the way
     """
     passed: list[_Branch] = []
     while not world.violations:
--- a/orchidferry/testkit/explore/world_size.py
+++ b/orchidferry/testkit/explore/world_size.py
@@ -1,4 +1,4 @@
-"""The size of a world that is explored."""
+"""The size of the world of one node that is explored."""
 
 from __future__ import annotations
 
@@ -7,18 +7,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WorldSize:
-    """The size of a world. Each client asks once."""
+    """The size of a world. Each client sends one request.
+
+    :ivar events: disturbances in one run
+    :ivar kinds: of the clients' requests (`pay`, `save`, `read`), assigned in turn
+    :ivar attempts: at one request at most
+    :ivar cold: servers that have just started
+    :ivar late: how often time may advance although a peer could act; each counts as a disturbance
+    """
 
     clients: int = 2
     servers: int = 2
-    events: int = 3  # disturbances in one run
-    kinds: tuple[str, ...] = ("pay", "save", "read")  # of the clients, in turn
+    events: int = 3
+    kinds: tuple[str, ...] = ("pay", "save", "read")
     attempts: int = 2
-    cold: int = 0  # servers that have just started
-    late: int = 2  # times that it may let time pass though somebody could act, each a disturbance
+    cold: int = 0
+    late: int = 2
 
     def __post_init__(self) -> None:
-        """Refuse what can't be meant."""
+        """Check the ranges of the sizes."""
         for name, low, high in (("clients", 1, 4), ("servers", 1, 4), ("events", 0, 6), ("attempts", 1, 4)):
             if not low <= getattr(self, name) <= high:
                 raise ValueError(f"{name}: {getattr(self, name)} is not within {low} to {high}")
--- a/tests/testkit/explore/test_explore.py
+++ b/tests/testkit/explore/test_explore.py
@@ -28,7 +28,7 @@
 
 def test_all_of_a_small_world_is_walked_and_no_property_is_broken() -> None:
     found = search(SMALL, workers=2, slots=SLOTS, limit_s=60.0)
-    assert found.exhausted, (found.why, found.counterexample)
+    assert found.exhausted, (found.cut_reason, found.counterexample)
     assert found.states > 500 and len(found.outcomes) > 20
 
 
@@ -61,7 +61,7 @@
         world = World(SMALL)
         while not world.over and (actions := world.actions()):
             path.append(rng.choice(actions)[0])
-            world.do(path[-1])
+            world.apply(path[-1])
         assert fingerprint(play(SMALL, path[:-1])) == fingerprint(play(SMALL, path[:-1]))
         assert play(SMALL, path).outcome() == play(SMALL, path).outcome()
     served = ["ask c0", "ask c1", "up 0", "up 0"]
@@ -71,11 +71,11 @@
 def test_a_search_that_is_cut_goes_on_from_where_it_was(tmp_path: Path) -> None:
     keep = tmp_path / "kept"
     size = WorldSize(events=1)
-    cut = search(size, workers=1, slots=SLOTS, limit_s=0.3, keep=keep)
-    assert not cut.exhausted and cut.why and keep.exists()
+    cut = search(size, workers=1, slots=SLOTS, limit_s=0.3, resume_file=keep)
+    assert not cut.exhausted and cut.cut_reason and keep.exists()
     with pytest.raises(ValueError, match="is of another world"):
-        search(replace(size, clients=1), workers=1, slots=SLOTS, keep=keep)
-    rest = search(size, workers=2, slots=SLOTS, limit_s=60.0, keep=keep)
+        search(replace(size, clients=1), workers=1, slots=SLOTS, resume_file=keep)
+    rest = search(size, workers=2, slots=SLOTS, limit_s=60.0, resume_file=keep)
     assert rest.exhausted and rest.states >= cut.states and not keep.exists()
     assert rest.outcomes == search(size, workers=2, slots=SLOTS, limit_s=60.0).outcomes
 
@@ -95,7 +95,7 @@
     assert seen.add(7) and not seen.add(7) and set(seen.keys()) == {7}
     # Few states told apart: the whole tree is walked, and that must be a small one.
     cut = search(WorldSize(events=0), workers=1, slots=1 << 4, limit_s=60.0)
-    assert cut.states > 1 << 4 and not cut.exhausted and "table" in cut.why
+    assert cut.states > 1 << 4 and not cut.exhausted and "table" in cut.cut_reason
 
 
 @pytest.mark.parametrize(
