--- a/orchidferry/testkit/explore/controller.py
+++ b/orchidferry/testkit/explore/controller.py
@@ -1,7 +1,7 @@
-"""A controller's process with its disk in memory, around one shipping `Shard`.
+"""A simulated controller process with an in-memory disk, around one shipping `Shard`.
 
-It carries out the shard's actions as `orchidferry.mesh.control.controller.Controller` does, and leaves the
-clock, the random generator and the way between processes to its host.
+It executes the shard's actions as `orchidferry.mesh.control.controller.Controller` does. Its host provides
+the clock, the random generator and the transport of messages.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyRelease
 from orchidferry.mesh.wire.shard_messages import ShardBody
 
-WINDOW_S = 60.0
-MAX_KEYS = 1_000
-SEEDS = ("a", "b", "c")
-MAX_BEATS = 16  # heartbeats that may be acknowledged yet
+WINDOW_S = 60.0  # minimum time for which operation keys are kept
+MAX_KEYS = 1_000  # operation keys that a shard may hold
+SEEDS = ("a", "b", "c")  # the founders' names
+MAX_UNACKNOWLEDGED = 16  # heartbeats whose acknowledgements are awaited
 
 
 class ControllerCall(StrEnum):
-    """The methods of a `Controller` that take messages, by which these are sent."""
+    """The methods of a `Controller` that handle messages; a message's kind is the method's name."""
 
     RECEIVE = "receive"
     HEARTBEAT = "receive_heartbeat"
@@ -47,33 +47,35 @@
 
 
 class ControllerHost(Protocol):
-    """The world in which a controller's process runs."""
+    """The simulation in which a controller's process runs."""
 
     now: float
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """Have a controller's method called, later or never.
+        """Send a message: a call of a controller's method that may be delayed or lost.
 
         :param kind: a `ControllerCall`
-        :param message: its arguments
+        :param message: the method's arguments
         """
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """Have a controller's answer sent."""
+        """Send a controller's reply."""
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """Take note that a controller knows a newer state."""
+        """Handle that a controller knows a newer state."""
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """Take the end of a request that was made at a controller."""
+        """Handle the end of a request that was made at a controller."""
 
 
 class Controller:
-    """A process with its disk, which writes when it is told to.
+    """A controller's process with its disk; pending writes complete only when the host completes them.
 
     :ivar disk: the records on disk, by database and key
-    :ivar writes: that are pending, the oldest first
-    :ivar beats: when the heartbeats were sent that may be acknowledged yet, by number
+    :ivar alive: whether the process runs
+    :ivar writes: the pending writes, the oldest first
+    :ivar heartbeat_sent_s: when each heartbeat was sent that may still be acknowledged, by number
+    :ivar count: the number of the last heartbeat that was sent
     """
 
     def __init__(
@@ -85,11 +87,11 @@
         rng: random.Random,
         seeds: tuple[str, ...] = SEEDS,
     ) -> None:
-        """Start with an empty disk.
+        """Start the process with an empty disk.
 
-        :param founder: whether it is of the group at the very first start
+        :param founder: whether it belongs to the initial group
         :param number: of the shard
-        :param seeds: the founders, as many as the group should have
+        :param seeds: the founders; their number is the target size of the group
         """
         self.name = name
         self.world = world
@@ -102,7 +104,7 @@
         self.start()
 
     def write_to_disk(self, puts: list[RecordWrite]) -> None:
-        """Have records on disk at once."""
+        """Put records on disk at once."""
         for name, key, value in puts:
             if value is None:
                 self.disk.pop((name, key), None)
@@ -110,19 +112,21 @@
                 self.disk[name, key] = value
 
     def start(self) -> None:
-        """Start the process, with what is on disk."""
+        """Start the process with the records that are on disk."""
         self.alive = True
         self.writes: list[WriteRecords] = []
         self.peers = Peers(self.world.now)
-        self.beats: dict[int, float] = {}
-        self.count = 0  # number of the heartbeat that was sent last
-        kept = shard_state_codec.unpack_acceptor_state(
+        self.heartbeat_sent_s: dict[int, float] = {}
+        self.count = 0
+        acceptor_state = shard_state_codec.unpack_acceptor_state(
             unpack(self.disk["about", f"kept/{self.number}".encode()])
         )
-        caught = ("about", f"caught/{self.number}".encode()) in self.disk
-        first = shard_state.genesis(self.seeds)
-        parameters = ShardParameters(self.number, self.name, first, len(self.seeds), WINDOW_S, MAX_KEYS)
-        self.shard = Shard(parameters, kept, caught, self.peers, self.rng)
+        caught_up = ("about", f"caught/{self.number}".encode()) in self.disk
+        initial_state = shard_state.genesis(self.seeds)
+        parameters = ShardParameters(
+            self.number, self.name, initial_state, len(self.seeds), WINDOW_S, MAX_KEYS
+        )
+        self.shard = Shard(parameters, acceptor_state, caught_up, self.peers, self.rng)
         for (name, key), value in self.disk.items():
             if name == "slips":
                 self.shard.load_key(key.decode(), unpack(value))
@@ -130,13 +134,13 @@
         self.shard.load_orders(orders_of(self.number, rows))
 
     def wipe(self) -> None:
-        """Empty the disk, and begin a new one."""
+        """Replace the disk by an empty one."""
         self.disk = {}
         disk_id = self.rng.randrange(2, 2**50)
         self.write_to_disk(initial_records(self.number, AcceptorState(disk_id), False))
 
     def execute(self, actions: list[Action]) -> None:
-        """Carry out the shard's actions, in their order."""
+        """Execute the shard's actions, in order."""
         for action in actions:
             match action:
                 case SendMessage():
@@ -152,22 +156,22 @@
                     self.world.request_ended(self.name, action)
 
     def complete_write(self) -> None:
-        """Have the oldest pending write reach the disk."""
+        """Complete the oldest pending write."""
         write = self.writes.pop(0)
         self.write_to_disk(write.puts)
         if write.completion is not None:
             self.execute(self.shard.write_finished(write.completion, True, self.world.now))
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the shard's due work."""
         self.execute(self.shard.tick(self.world.now))
 
     def send_heartbeats(self, names: Iterable[str]) -> None:
         """Send a heartbeat to other controllers."""
         self.count += 1
-        self.beats[self.count] = self.world.now
-        if len(self.beats) > MAX_BEATS:
-            del self.beats[next(iter(self.beats))]
+        self.heartbeat_sent_s[self.count] = self.world.now
+        if len(self.heartbeat_sent_s) > MAX_UNACKNOWLEDGED:
+            del self.heartbeat_sent_s[next(iter(self.heartbeat_sent_s))]
         for name in names:
             known = self.shard.known.version
             learned = self.shard.has_learned(self.world.now)
@@ -177,13 +181,19 @@
     # Messages
 
     def receive(self, sender: str, message: ShardBody) -> None:
-        """Take a message of another controller's shard."""
+        """Handle a message from another controller's shard."""
         self.execute(self.shard.receive(sender, message, self.world.now))
 
     def receive_heartbeat(
         self, sender: str, number: int, fit: bool, version: int, leaves: bool, learned: bool
     ) -> None:
-        """Take a heartbeat, and acknowledge it."""
+        """Handle a heartbeat and acknowledge it.
+
+        :param fit: whether the sender can own a shard
+        :param version: the newest version of the state that the sender knows
+        :param leaves: whether the sender is stopping
+        :param learned: whether the sender has caught up in this shard
+        """
         self.peers.heard_s[sender] = self.world.now
         (self.peers.leaving.add if leaves else self.peers.leaving.discard)(sender)
         self.peers.learning[sender] = () if learned else (self.number,)
@@ -193,19 +203,19 @@
         self.execute(self.shard.heartbeat_received(version, sender))
 
     def receive_heartbeat_ack(self, sender: str, number: int, fencing_token: int) -> None:
-        """Take the acknowledgement of a heartbeat."""
-        if number in self.beats:
-            self.shard.heartbeat_acknowledged(sender, self.beats[number], fencing_token)
+        """Handle the acknowledgement of a heartbeat."""
+        if number in self.heartbeat_sent_s:
+            self.shard.heartbeat_acknowledged(sender, self.heartbeat_sent_s[number], fencing_token)
 
     def claim_key(self, reply_to: Any, request: int, epoch: int, key: str, holder: str) -> None:
-        """Take a node's claim of an operation key."""
+        """Handle a node's claim of an operation key."""
         claim = KeyClaim(request, epoch, key, holder)
         self.execute(self.shard.claim_key(reply_to, claim, True, self.world.now))
 
     def record_answer(self, key: str, holder: str, answer: Any) -> None:
-        """Take the answer of a key's first run."""
+        """Handle the answer of a key's first run."""
         self.execute(self.shard.record_answer(KeyAnswer(key, holder, answer), self.world.now))
 
     def release_key(self, reply_to: Any, number: int, key: str, holder: str) -> None:
-        """Take a node's release of an operation key."""
+        """Handle a node's release of an operation key."""
         self.execute(self.shard.release_key(reply_to, KeyRelease(number, key, holder), self.world.now))
--- a/orchidferry/testkit/explore/dead_messages.py
+++ b/orchidferry/testkit/explore/dead_messages.py
@@ -1,9 +1,8 @@
-"""Messages under way that change nothing any more, whenever they come, and answers nothing.
+"""Dead messages: messages in flight that will have no effect and get no reply, whenever they are delivered.
 
-Delivering one commutes with all else that may happen, and so does losing it or holding it up: an
-exploration may take it for delivered as soon as it is dead, and nothing that can be told apart is left out.
-Each rule here rests on something that only rises while the receiver lives; a receiver that dies loses what
-was on its way to it.
+Delivering, losing or delaying a dead message commutes with all other actions. An exploration may therefore
+discard a message as soon as it is dead, without missing any distinguishable run. Each rule here relies on a
+value that only increases while the receiver runs; when the receiver dies, messages to it are lost anyway.
 """
 
 from __future__ import annotations
@@ -20,17 +19,17 @@
     ShardBody,
 )
 
-VERSION_AT = 0  # of a packed state
+VERSION_AT = 0  # index of the version in a packed state
 
 
 def is_dead(message: ShardBody, receiver: Shard) -> bool:
-    """Whether a message between replicas does nothing at its receiver, now and later."""
+    """Return whether a message between replicas has no effect at its receiver, now and later."""
     match message:
-        case DecidedState():  # versions that are known only rise
+        case DecidedState():  # known versions only increase
             return message.state is not None and message.state[VERSION_AT] <= receiver.known.version
         case DecidedBallot():
             return message.version <= receiver.known.version
-        case AcceptedState():  # each reading has a number of its own
+        case AcceptedState():  # each quorum read has its own number
             reading = receiver.reader.reads.current
             return reading is None or reading.number != message.reading
         case RegisterMessage(body=RegisterPromise() | RegisterAccepted()):  # each round has its own ballot
@@ -39,6 +38,6 @@
 
 
 def ballot_of_round(shard: Shard) -> Ballot | None:
-    """The ballot of the round that a shard's proposer runs; None for none."""
+    """Return the ballot of the running round of a shard's proposer; None if no round runs."""
     round_ = shard.register.proposer._round
     return round_.ballot if round_ is not None else None
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -1,7 +1,7 @@
-"""Every interleaving of a few controllers of one shard of the mesh's state and their clients, with faults.
+"""Exploration of all interleavings of one shard's controllers and their clients, with faults.
 
-The world runs the shipping `Shard` and `OperationKeyClient`, in the steps of `mesh_world`. What is judged
-is what clients were told and what controllers sent, not the controllers' own view.
+The world runs the shipping `Shard` and `OperationKeyClient`, in the steps of `mesh_world`. The properties are
+checked on the answers that clients got and the messages that controllers sent, not on controllers' own views.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 
 __all__ = ["BREAKS", "KINDS", "SCENES", "Break", "MeshWorld", "Scene", "begin", "broken", "search"]
 
-# Of a client of the configuration
-MAX_TRIES = 8
-MIN_READ_TRIES = 3  # that are left when it begins to read
-CLIENT_TIMEOUT_S = 1.5  # after which it goes on
-CHANGE_TIMEOUT_S = 1.2  # for which a controller tries to have a change decided
-UNREACHABLE_PAUSE_S = 0.3
-STEP_PAUSE_S = 0.01
+# Of a `ConfigurationClient`
+MAX_TRIES = 8  # of its calls, after which it gives up
+MIN_READ_TRIES = 3  # calls that it has left at least when it starts reading
+CLIENT_TIMEOUT_S = 1.5  # for an answer, after which it takes its next step
+CHANGE_TIMEOUT_S = 1.2  # within which a controller tries to get a change decided
+UNREACHABLE_PAUSE_S = 0.3  # before it calls again after a controller was down
+STEP_PAUSE_S = 0.01  # between its steps
 
 for _module in (
     proposer,
@@ -68,14 +68,16 @@
 class MeshWorld(ControllersWorld):
     """Controllers, with clients of the configuration and nodes that claim a key.
 
-    :ivar acknowledged_by_base: the client whose change was acknowledged, by the version that it builds on
+    :ivar acknowledged_by_base: the client of each acknowledged change, by the version it is based on
+    :ivar newest_acknowledged: the highest revision that was acknowledged to any client
     :ivar granted_attempts: attempts that were granted the key and have not released it
+    :ivar script: the remaining steps of the scene's script, with their times
     """
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
-        """Play a scene until a controller does the singleton roles of the shard.
+        """Start the controllers and run until one of them owns the shard, which begins the scene.
 
-        :param faults: that may come at most, beside those of the scene's script
+        :param faults: how many faults may happen at most, besides those of the scene's script
         :param kinds: of these faults
         """
         super().__init__(scene, kinds, shard_state.shard_of(KEY) if scene.key_requests else scene.shard)
@@ -103,13 +105,13 @@
 
     @property
     def over(self) -> bool:
-        """Whether all clients are done and the scene has lasted long enough."""
+        """Whether all clients are done and the scene's minimum duration is over."""
         done = all(one.step == "over" for one in self.clients)
         done = done and all(one.outcome for one in self.key_requests)
         return done and self.now >= self.began_s + self.scene.min_duration_s - ROUNDING_S
 
     def succeeded(self) -> bool:
-        """Return whether all clients were served as if there had been no fault."""
+        """Return whether all clients were served as without faults."""
         if self.clients:
             return all(one.read for one in self.clients) and bool(self.acknowledged_by_base)
         if self.key_requests:
@@ -118,16 +120,16 @@
         return len(self._owners()) == 1
 
     def finish(self) -> None:
-        """Do nothing: nothing comes after the clients' last step."""
+        """Do nothing: nothing happens after the clients' last step."""
 
     def fingerprint(self) -> bytes:
-        """Return the same bytes for worlds that have the same futures."""
+        """Return a digest of the state; worlds with equal digests have the same futures."""
         return mesh_fingerprint.fingerprint_of(self)
 
     # Nodes
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """Put a controller's answer to another one, or to a node, on its way."""
+        """Send a controller's reply to another controller or a node."""
         message = answer.message
         if isinstance(message, KeyGrant):
             self._check_grant(name, message)
@@ -144,20 +146,20 @@
             self._deliver_to_node(message)
             return
         super()._deliver(message)
-        if message.what == ControllerCall.CLAIM_KEY:
+        if message.method == ControllerCall.CLAIM_KEY:
             controller = self.controllers[message.to]
-            if message.message[2] != controller.shard.body.epoch:
+            if message.arguments[2] != controller.shard.body.epoch:
                 self._send_group(controller, message.sender)
 
     def _deliver_to_node(self, message: MessageInFlight) -> None:
         claims = self.nodes[message.to].claims
-        match message.what:
+        match message.method:
             case "grant":
-                claims.handle_grant(message.sender, KeyGrant(*message.message))
+                claims.handle_grant(message.sender, KeyGrant(*message.arguments))
             case "dropped":
-                claims.releases.acknowledge(message.sender, *message.message)
+                claims.releases.acknowledge(message.sender, *message.arguments)
             case _:
-                number, group = message.message
+                number, group = message.arguments
                 claims.update_group(number, group, self.now)
 
     def _tick_nodes(self) -> None:
@@ -168,7 +170,7 @@
             node.claims.tick(self.now)
 
     def _send_group(self, controller: Controller, node: str) -> None:
-        """Send a node the shard's group, where the controller knows a newer one."""
+        """Send a node the shard's group if the controller knows a newer one than the node."""
         body = controller.shard.body
         known = self.nodes[node].claims.groups[controller.number]
         is_newer = body.epoch > known.epoch or body.fencing_token > known.fencing_token
@@ -179,40 +181,40 @@
             self.next_messages.append(message)
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """Take a controller's word that it knows a newer state, and have it send the nodes the group."""
+        """Handle that a controller knows a newer state: check it, and send the group to the nodes."""
         super().state_changed(name, changed)
         for node in self.nodes:
             self._send_group(self.controllers[name], node)
 
     def key_granted(self, request: KeyRequest) -> None:
-        """Record that an attempt may run; the key is granted to one at most."""
+        """Record that an attempt was granted the key, and check that no other attempt holds it."""
         if self.granted_attempts:
             self.report_violation(
-                f"two-tries: the key is {self.granted_attempts[0]}'s, and {request.holder}'s"
+                f"two-tries: the key was granted to {self.granted_attempts[0]} and {request.holder}"
             )
         self.granted_attempts.append(request.holder)
 
     def _check_grant(self, name: str, grant: KeyGrant) -> None:
-        """Check that a controller that has forgotten grants nothing."""
+        """Check that a controller that lost its records grants no key before it has caught up."""
         if grant.outcome != ClaimOutcome.GRANTED or name not in self.sources_heard:
             return
         if not self._has_learned(name):
             sources = sorted(self.sources_heard[name])
-            self.report_violation(f"abstains: {name} grants a key, and has learned from {sources}")
+            self.report_violation(f"abstains: {name} grants a key, but has only learned from {sources}")
 
-    # Clients of the configuration
+    # Configuration clients
 
     def _client_dues_s(self) -> list[float]:
-        """Return when clients and the script have something due."""
+        """Return the times at which clients and the script have something to do."""
         if self.began_s == math.inf:
             return []
         dues = [self.began_s + one.due_s for one in self.key_requests if not one.began]
-        dues += [one.until_s for one in self.clients if one.step != "over"]
+        dues += [one.next_step_s for one in self.clients if one.step != "over"]
         dues += [self.began_s + since_s for since_s, _ in self.script]
         return dues
 
     def _run_clients(self) -> None:
-        """Do what the script and the clients have due."""
+        """Run the due steps of the script and of the clients."""
         if self.began_s == math.inf:
             return
         due_s = self.now - self.began_s + ROUNDING_S
@@ -222,9 +224,9 @@
             if not request.began and request.due_s <= due_s:
                 request.begin()
         for client in self.clients:
-            if client.step == "over" or self.now < client.until_s:
+            if client.step == "over" or self.now < client.next_step_s:
                 continue
-            if client.waits:  # it was not answered
+            if client.pending_request:  # its time-out is over
                 self._advance_client(client)
             else:
                 self._send_request(client)
@@ -233,7 +235,7 @@
         kind, *about = step.split()
         match kind:
             case "down":
-                self.log(f"{about[0]} goes away")
+                self.log(f"{about[0]} goes down")
                 self.stop_process(about[0], math.inf)
             case "up":
                 self.start_process(about[0])
@@ -241,39 +243,39 @@
                 self._apply_fault(kind, about)
 
     def _send_request(self, client: ConfigurationClient) -> None:
-        name = client.at if client.step == "put" else client.then
+        name = client.put_at if client.step == "put" else client.read_at
         controller = self.controllers[name]
         client.tries += 1
         if client.tries > MAX_TRIES:
             client.step = "over"
         elif not self._is_running(name):
-            client.until_s = self.now + UNREACHABLE_PAUSE_S
+            client.next_step_s = self.now + UNREACHABLE_PAUSE_S
         else:
             id = f"{client.name}{client.tries}"
-            client.waits = f"{name} {id}"
-            client.until_s = self.now + CLIENT_TIMEOUT_S
+            client.pending_request = f"{name} {id}"
+            client.next_step_s = self.now + CLIENT_TIMEOUT_S
             if client.step == "read":
-                client.newest = self.newest_acknowledged
+                client.acknowledged_before = self.newest_acknowledged
                 controller.execute(controller.shard.request_read(id, self.now))
             else:
                 change = client.change()
                 controller.execute(controller.shard.request_change(id, change, CHANGE_TIMEOUT_S, self.now))
 
     def _advance_client(self, client: ConfigurationClient, settled: bool = False) -> None:
-        """Have a client go on with its next step.
+        """Move a client to its next step.
 
-        :param settled: whether it knows what became of its change
+        :param settled: whether it knows whether its change was committed
         """
         next_steps = {"put": "read" if settled else "again", "again": "read", "read": "over"}
         client.step = next_steps[client.step]
-        client.waits = ""
-        client.until_s = self.now + STEP_PAUSE_S
+        client.pending_request = ""
+        client.next_step_s = self.now + STEP_PAUSE_S
         if client.step == "read":
             client.tries = min(client.tries, MAX_TRIES - MIN_READ_TRIES)
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """Take the end of a request that a client made at a controller."""
-        client = next((one for one in self.clients if one.waits == f"{name} {end.id}"), None)
+        """Handle the end of a client's request at a controller."""
+        client = next((one for one in self.clients if one.pending_request == f"{name} {end.id}"), None)
         if client is None:
             return
         if end.value is not None:
@@ -283,25 +285,27 @@
                 self._change_acknowledged(client)
             self._advance_client(client, end.value is not None)
         elif end.value is None:
-            client.waits = ""
-            client.until_s = self.now + STEP_PAUSE_S
+            client.pending_request = ""
+            client.next_step_s = self.now + STEP_PAUSE_S
         else:
             revision = shard_state.body(end.value).revision
             self.log(f"{client.name} reads {revision}")
-            if revision < client.newest:
-                self.report_violation(f"older: {client.newest} was acknowledged before it was read")
+            if revision < client.acknowledged_before:
+                self.report_violation(
+                    f"older: {client.acknowledged_before} had been acknowledged before {revision} was read"
+                )
             client.read = True
             self._advance_client(client)
 
     def _change_acknowledged(self, client: ConfigurationClient) -> None:
-        self.log(f"{client.name} is told that its configuration was taken")
+        self.log(f"{client.name}'s configuration is acknowledged")
         if self.acknowledged_by_base.setdefault(0, client.name) != client.name:
-            self.report_violation("two-puts: two changes of one version were acknowledged")
+            self.report_violation("two-puts: two changes based on one version were acknowledged")
         self.newest_acknowledged = max(self.newest_acknowledged, client.revision)
 
 
 def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> MeshWorld:
-    """Return a scene's world, as soon as a controller does the singleton roles of the shard."""
+    """Return a scene's world at the start of the scene, when a controller owns the shard."""
     one = SCENES[scene]
     return MeshWorld(one, faults, tuple(k for k in kinds if k in one.kinds))
 
@@ -315,5 +319,9 @@
     watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
 ) -> SearchResult:
-    """Explore all of a scene; the parameters are those of `world_search.search`."""
+    """Explore all runs of a scene; the other parameters are those of `world_search.search`.
+
+    :param faults: how many faults may happen in a run, besides those of the scene's script
+    :param kinds: of these faults
+    """
     return world_search.search(lambda: begin(scene, faults, kinds), broken, break_, limit_s, watch, workers)
--- a/orchidferry/testkit/explore/mesh_actors.py
+++ b/orchidferry/testkit/explore/mesh_actors.py
@@ -1,4 +1,4 @@
-"""What takes part in the exploration of the mesh beside its controllers: messages, clients and nodes."""
+"""The messages, clients and nodes of the exploration of the mesh."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class SequentialRandom(Middle):
-    """A generator whose numbers are in the middle of their range; each integer that it draws is a new one."""
+    """A deterministic generator: floats are 0.5, and each integer that it draws is a new one."""
 
     def __init__(self, count: int = 0) -> None:
-        """:param count: the integer that was drawn last"""
+        """:param count: the last integer that was drawn"""
         super().__init__(0)
         self.count = count
 
@@ -41,54 +41,61 @@
 
 @dataclass
 class MessageInFlight:
-    """A message between two processes.
+    """A message between two processes that has not been delivered.
 
-    :param what: the method of the receiver that takes it
-    :param message: the arguments of that method
-    :param back: whether it is an answer, over the link that its receiver opened
-    :param late: whether it is delayed until nothing else is under way
+    :param method: the receiver's method that handles it
+    :param arguments: of that method
+    :param is_reply: whether it is a reply, over the link that its receiver opened
+    :param late: whether it is delayed until nothing else is in flight
     """
 
     sender: str
     to: str
-    what: str
-    message: tuple[Any, ...]
-    back: bool = False
+    method: str
+    arguments: tuple[Any, ...]
+    is_reply: bool = False
     late: bool = False
 
     def __str__(self) -> str:
         """Return the message's kind, sender and receiver."""
-        kind = tag_of(self.message[-1]) if self.what == ControllerCall.RECEIVE else self.what
+        kind = tag_of(self.arguments[-1]) if self.method == ControllerCall.RECEIVE else self.method
         return f"{kind} from {self.sender} to {self.to}"
 
 
 @dataclass
 class ConfigurationClient:
-    """A client that puts a configuration on top of version 0, and reads.
-
-    :param at: the controller at which it puts
-    :param then: the controller at which it puts again, if it was not answered, and reads
+    """A client that puts a configuration based on version 0, and then reads.
+
+    :param put_at: the controller at which it puts
+    :param read_at: the controller at which it puts again, if its first put was not answered, and reads
+    :param revision: of its configuration
+    :ivar step: `put`, `again` (its second put), `read` or `over`
+    :ivar pending_request: the controller and the id of the request that it waits for; "" for none
+    :ivar next_step_s: when it takes its next step, or gives up waiting
+    :ivar acknowledged_before: the highest revision that was acknowledged to any client before it read
+    :ivar tries: its calls so far
+    :ivar read: whether it has read
     """
 
     name: str
-    at: str
-    then: str
+    put_at: str
+    read_at: str
     revision: int
-    step: str = "put"  # put, again, read, over
-    waits: str = ""  # the request that it waits for
-    until_s: float = 0.0
-    newest: int = 0  # revision that was acknowledged to any client before it read
+    step: str = "put"
+    pending_request: str = ""
+    next_step_s: float = 0.0
+    acknowledged_before: int = 0
     tries: int = 0
     read: bool = False
 
     def change(self) -> shard_state.PutConfiguration:
-        """Return the change that it asks for, the same each time."""
+        """Return the change that it requests, the same for each put."""
         content = self.name.encode()
         return shard_state.PutConfiguration(content, self.revision, content, 0)
 
 
 class KeyNode:
-    """A node with its client of operation keys."""
+    """A node with its operation key client."""
 
     def __init__(self, name: str, world: MeshWorld) -> None:
         self.name = name
@@ -96,7 +103,7 @@
         self.claims = OperationKeyClient(world.scene.seeds, self.send, WINDOW_S)
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message to a controller, as the method that takes it."""
+        """Send a message to a controller, as a call of the method that handles it."""
         match message:
             case KeyClaim():
                 self.world.send(
@@ -114,42 +121,47 @@
 
 @dataclass
 class KeyRequest:
-    """An attempt at a request with the key, at some node.
+    """An attempt at a request with the operation key, at some node.
 
     :param holder: the attempt's name
-    :param due_s: when it claims the key, since the scene began
-    :param how: what becomes of its run: `done`, `broke` or `drop`; a subclass of the world may have more
+    :param due_s: when it claims the key, in seconds since the scene began
+    :param run_outcome: `done`: the run is answered; `broke`: it breaks off; `drop`: it does not run, and the
+        key is released; a subclass of the world may have more
+    :ivar began: whether the key was claimed
+    :ivar outcome: the `ClaimOutcome`; "" while the claim is in flight
     """
 
     world: MeshWorld = field(repr=False)
     holder: str
     node: str
     due_s: float
-    how: str
+    run_outcome: str
     began: bool = False
-    outcome: str = ""  # a `ClaimOutcome`; "" while the claim is in flight
+    outcome: str = ""
 
     def begin(self) -> None:
         """Claim the key."""
         self.began = True
-        self.world.log(f"{self.holder} claims at {self.node}")
+        self.world.log(f"{self.holder} claims the key at {self.node}")
         timeout_s = self.world.scene.claim_timeout_s
         self.world.nodes[self.node].claims.claim(KEY, self.holder, timeout_s, self.on_claimed, self.world.now)
 
     def on_claimed(self, outcome: ClaimOutcome, answer: Any) -> None:
-        """Run if the key was granted; judge an answer that was repeated."""
+        """Run the attempt if the key was granted; check an answer that was replayed."""
         world = self.world
         self.outcome = outcome
-        world.log(f"{self.holder} is told {outcome}{'' if answer is None else f' and the answer {answer}'}")
+        world.log(
+            f"{self.holder}'s claim: {outcome}{'' if answer is None else f', with the answer {answer}'}"
+        )
         if outcome is ClaimOutcome.GRANTED:
             world.key_granted(self)
             client = world.nodes[self.node].claims
-            if self.how == "done":
+            if self.run_outcome == "done":
                 client.record_answer(KEY, self.holder, self.holder)
-            elif self.how == "drop":
+            elif self.run_outcome == "drop":
                 world.granted_attempts.remove(self.holder)
                 client.release(KEY, self.holder)
         elif answer is not None and answer != next(iter(world.granted_attempts), None):
             world.report_violation(
-                f"answer: {self.holder} is told the answer {answer}, and {world.granted_attempts} ran"
+                f"answer: {self.holder} gets the answer {answer}, but {world.granted_attempts} ran"
             )
--- a/orchidferry/testkit/explore/mesh_breaks.py
+++ b/orchidferry/testkit/explore/mesh_breaks.py
@@ -1,4 +1,4 @@
-"""Deliberate breaks of the mesh's shipping code, each of which the exploration of a small scene catches."""
+"""Deliberate breaks of the mesh's shipping code (mutations), each of which is detected by its scene."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from orchidferry.testkit.explore.controller import Controller
 
 
-def _same_disk_id(self: Controller) -> None:
-    memory = self.shard.voter.disk_id
+def _wipe_keeping_disk_id(self: Controller) -> None:
+    disk_id = self.shard.voter.disk_id
     self.disk = {}
-    self.write_to_disk(initial_records(self.number, AcceptorState(memory), False))
+    self.write_to_disk(initial_records(self.number, AcceptorState(disk_id), False))
 
 
-def _caught_up_after_wipe(self: Controller) -> None:
+def _wipe_counting_as_caught_up(self: Controller) -> None:
     self.disk = {}
     self.write_to_disk(initial_records(self.number, AcceptorState(self.rng.randrange(2, 2**50)), True))
 
 
-def _unsynced(self: Controller, actions: list[Action]) -> None:
+def _finish_writes_early(self: Controller, actions: list[Action]) -> None:
     for action in actions:
         if isinstance(action, WriteRecords) and action.completion is not None:
-            _do(self, [WriteRecords(action.puts)])
+            _execute(self, [WriteRecords(action.puts)])
             self.execute(self.shard.write_finished(action.completion, True, self.world.now))
         else:
-            _do(self, [action])
+            _execute(self, [action])
 
 
 def _forgets_promise(self: Acceptor, message: Any, sender: str) -> list[register.Action]:
@@ -47,7 +47,7 @@
     return _handle(self, message, sender)
 
 
-def _not_read(self: Proposer, round_: Any, now: float) -> list[register.Action]:
+def _ignore_accepted_values(self: Proposer, round_: Any, now: float) -> list[register.Action]:
     round_.promises = {
         v: replace(p, accepted=register.NO_BALLOT, value=None) for v, p in round_.promises.items()
     }
@@ -80,12 +80,12 @@
 
 def _long_lease(self: Shard, now: float) -> int | None:
     with mock.patch.object(owner_lease, "LEASE_S", 5.0):
-        return _owns(self, now)
+        return _original_owns(self, now)
 
 
 def _owns_at_once(self: Shard, now: float) -> int | None:
     self._owner_lease.from_s = -math.inf
-    return _owns(self, now)
+    return _original_owns(self, now)
 
 
 def _voters_without_new_token(self: shard_state.AdmitVoter, before: Value) -> Value | str:
@@ -108,13 +108,13 @@
     self: GrantCount, controller: str, epoch_: int, outcome: str, answer: Any
 ) -> ClaimOutcome | None:
     granted = ClaimOutcome.GRANTED
-    return granted if outcome == granted else _add(self, controller, epoch_, outcome, answer)
+    return granted if outcome == granted else _add_answer(self, controller, epoch_, outcome, answer)
 
 
 def _counts_any_epoch(
     self: GrantCount, controller: str, epoch_: int, outcome: str, answer: Any
 ) -> ClaimOutcome | None:
-    return _add(self, controller, self.epoch, outcome, answer)
+    return _add_answer(self, controller, self.epoch, outcome, answer)
 
 
 def _keeps_counting(self: GrantCount, epoch_: int, group: tuple[str, ...]) -> None:
@@ -131,15 +131,15 @@
 
 
 def _joins_as_before(self: Shard) -> None:
-    caught = self.standing.caught_up
+    caught_up = self.standing.caught_up
     self.standing.caught_up = False
     _join(self)
-    self.standing.caught_up = caught
+    self.standing.caught_up = caught_up
 
 
 def _releases_any(self: OperationKeys, key: str, holder: str) -> bool:
-    had = self.records.get(key)
-    return _release(self, key, had.holder if had is not None else holder)
+    record = self.records.get(key)
+    return _release(self, key, record.holder if record is not None else holder)
 
 
 def _grants_before_write(self: Shard, *args: Any) -> list[Action]:
@@ -148,26 +148,26 @@
 
 
 _admit = shard_state.AdmitVoter.__call__
-_owns = Shard.owns
-_do = Controller.execute
+_original_owns = Shard.owns
+_execute = Controller.execute
 _handle = Acceptor.handle
 _promised = Proposer._promised
 _verdict = OrderHistory.verdict
 _own = shard_state.TakeOwnership.__call__
-_add = GrantCount.add
+_add_answer = GrantCount.add
 _join = Shard._ask_to_join
 _release = OperationKeys.release
 _claim = Shard.claim_key
 
 
-Patch = tuple[Any, str, Any]  # the owner of an attribute, its name, and what takes its place
+Patch = tuple[Any, str, Any]  # the owner of an attribute, the attribute's name, and its replacement
 
 
 @dataclass(frozen=True)
 class Break:
-    """A deliberate break of the shipping code, and the small world that catches it.
+    """A deliberate break of the shipping code, and the scene that detects it.
 
-    :param faults: that the world has at most
+    :param faults: how many faults may happen in a run of the scene
     :param kinds: of these faults
     """
 
@@ -181,26 +181,26 @@
 def deliberate_break(
     description: str, scene: str, *patches: Patch, faults: int = 0, kinds: str = ""
 ) -> Break:
-    """Return a break that its scene catches.
+    """Return a break that its scene detects.
 
-    :param faults: that it takes, as a rule none
-    :param kinds: of these faults, parted by blanks
+    :param faults: how many faults its detection takes
+    :param kinds: of these faults, separated by spaces
     """
     return Break(description, scene, faults, tuple(kinds.split()), patches)
 
 
 BREAKS = {
     "vote-forgotten": deliberate_break(
-        "an empty disk votes as before",
+        "a controller with an empty disk keeps its old disk id",
         "puts",
-        (Controller, "wipe", _same_disk_id),
+        (Controller, "wipe", _wipe_keeping_disk_id),
         faults=2,
         kinds="wipe lose",
     ),
     "unsynced": deliberate_break(
-        "promises leave before they are on disk",
+        "promises are sent before they are on disk",
         "puts",
-        (Controller, "execute", _unsynced),
+        (Controller, "execute", _finish_writes_early),
         faults=2,
         kinds="kill lose",
     ),
@@ -208,37 +208,41 @@
         "promises are not kept", "puts", (Acceptor, "handle", _forgets_promise)
     ),
     "not-read": deliberate_break(
-        "what was accepted is not taken up", "puts", (Proposer, "_promised", _not_read)
+        "a proposer ignores values that were accepted",
+        "puts",
+        (Proposer, "_promised", _ignore_accepted_values),
     ),
     "any-voter": deliberate_break(
-        "any one voter is enough for a round",
+        "one voter is enough for a round",
         "puts",
         (proposer, "has_majority", _any_majority),
         faults=1,
         kinds="cut",
     ),
     "any-reading": deliberate_break(
-        "any one voter is enough for a reading",
+        "one voter is enough for a quorum read",
         "puts",
         (quorum_read, "has_majority", _any_majority),
         faults=1,
         kinds="cut",
     ),
     "any-version": deliberate_break(
-        "a configuration is taken on top of any", "puts", (OrderHistory, "verdict", _any_version)
+        "a configuration is committed whatever version it is based on",
+        "puts",
+        (OrderHistory, "verdict", _any_version),
     ),
     "alone": deliberate_break(
-        "an owner asks nobody", "duties", (Shard, "owns", _owns_without_lease), faults=1, kinds="cut"
+        "an owner needs no lease", "duties", (Shard, "owns", _owns_without_lease), faults=1, kinds="cut"
     ),
     "from-arrival": deliberate_break(
-        "a lease runs from when a pulse came",
+        "a lease runs from the arrival of a heartbeat's acknowledgement",
         "duties",
         (Controller, "receive_heartbeat_ack", _lease_from_arrival),
         faults=1,
         kinds="freeze",
     ),
     "long-lease": deliberate_break(
-        "a lease is longer than the next one waits",
+        "a lease is longer than the time that a new owner waits",
         "duties",
         (Shard, "owns", _long_lease),
         faults=1,
@@ -248,28 +252,28 @@
         "a new owner does not wait", "unwell", (Shard, "owns", _owns_at_once), faults=1, kinds="cut"
     ),
     "voters-unfenced": deliberate_break(
-        "a change of voters leaves the fence",
+        "a change of voters keeps the fencing token",
         "apart",
         (shard_state.AdmitVoter, "__call__", _voters_without_new_token),
         faults=1,
         kinds="lose",
     ),
     "same-fence": deliberate_break(
-        "fences do not rise",
+        "fencing tokens do not increase",
         "duties",
         (shard_state.TakeOwnership, "__call__", _same_token),
         faults=1,
         kinds="cut",
     ),
     "any-one": deliberate_break(
-        "any one controller grants a key",
+        "one controller's grant of a key is enough",
         "answered",
         (GrantCount, "add", _granted_by_one),
         faults=1,
         kinds="lose",
     ),
     "mixed": deliberate_break(
-        "words of two epochs count together",
+        "grants of two epochs are counted together",
         "epochs",
         (GrantCount, "add", _counts_any_epoch),
         (GrantCount, "restart", _keeps_counting),
@@ -277,36 +281,36 @@
     "remembers": deliberate_break(
         "an empty disk counts as caught up",
         "answered",
-        (Controller, "wipe", _caught_up_after_wipe),
+        (Controller, "wipe", _wipe_counting_as_caught_up),
         (Standing, "is_removed", _never_removed),
         (Shard, "_ask_to_join", _joins_as_before),
         faults=1,
         kinds="wipe",
     ),
     "one-source": deliberate_break(
-        "one other is enough to learn from", "learning", (shard_state, "sources_needed", _one_source)
+        "one source is enough to catch up", "learning", (shard_state, "sources_needed", _one_source)
     ),
     "back-as-before": deliberate_break(
-        "one that was put out comes back as caught up",
+        "a removed voter comes back as caught up",
         "moved",
         (Standing, "is_removed", _never_removed),
         (Shard, "_ask_to_join", _joins_as_before),
         (Shard, "ready", True),
     ),
     "drops-any": deliberate_break(
-        "any try may give a key back", "broken-off", (OperationKeys, "release", _releases_any)
+        "any attempt may release a key", "broken-off", (OperationKeys, "release", _releases_any)
     ),
     "at-its-word": deliberate_break(
-        "a grant leaves before its record is written",
+        "a grant is sent before its record is written",
         "slow",
         (Shard, "claim_key", _grants_before_write),
         faults=1,
         kinds="kill",
     ),
     "unsynced-keys": deliberate_break(
-        "a grant leaves before it is on disk",
+        "a grant is sent before it is on disk",
         "missed",
-        (Controller, "execute", _unsynced),
+        (Controller, "execute", _finish_writes_early),
         faults=1,
         kinds="kill",
     ),
@@ -315,7 +319,7 @@
 
 @contextlib.contextmanager
 def in_force(broken_by: Break | None) -> Iterator[None]:
-    """Have a deliberate break in force; None for none."""
+    """Apply a deliberate break while the context lasts; None for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in broken_by.patches if broken_by is not None else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
@@ -323,5 +327,5 @@
 
 
 def broken(name: str) -> contextlib.AbstractContextManager[None]:
-    """Have one of `BREAKS` in force; "" for none."""
+    """Apply one of `BREAKS` while the context lasts; "" for none."""
     return in_force(BREAKS[name] if name else None)
--- a/orchidferry/testkit/explore/mesh_faults.py
+++ b/orchidferry/testkit/explore/mesh_faults.py
@@ -1,7 +1,7 @@
-"""The faults that may come in the exploration of the mesh: which are possible, and what each does.
+"""The faults that may happen in the exploration of the mesh: which are possible, and how each is applied.
 
-A fault is named by its kind and what it happens to, such as `kill a`, `cut a b` or `lose 0`; a number is the
-position of a message in flight.
+A fault's label is its kind and its target, such as `kill a`, `cut a b` or `lose 0`; a number is the position
+of a message in flight.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.explore.mesh_world import ControllersWorld
 
-RESTART_S = 0.1  # for which a process that was killed is down
-MAX_PARTIAL_WRITES = 3  # pending writes of which any part may reach the disk at a power loss
+RESTART_S = 0.1  # how long a killed process is down
+MAX_PARTIAL_WRITES = 3  # pending writes of which any subset may reach the disk at a power loss
 
 
 def possible_faults(world: ControllersWorld, receiver: str, items: list[str]) -> Iterator[str]:
-    """Yield the faults that may come now, of all kinds.
+    """Yield the faults of all kinds that may happen now.
 
-    :param receiver: the process that takes something next; "" if nothing is under way
-    :param items: the choices of what it takes
+    :param receiver: the process that is the next to handle something; "" if nothing is in flight
+    :param items: the choices of what it handles
     """
     yield from _message_faults(items)
     yield from _process_faults(world, receiver)
     if receiver and receiver == world.last_receiver:
-        return  # the same link faults were offered before what it took last
+        return  # the same link faults were already offered before the last item that the receiver handled
     yield from _link_faults(world, receiver)
 
 
 def _message_faults(items: list[str]) -> Iterator[str]:
     for item in items:
-        kind, about = item.split()
+        kind, target = item.split()
         if kind == "deliver":
-            yield f"lose {about}"
-        yield f"late {about}"
+            yield f"lose {target}"
+        yield f"late {target}"
 
 
 def _process_faults(world: ControllersWorld, receiver: str) -> Iterator[str]:
@@ -54,7 +54,10 @@
 
 
 def _others_remember(world: ControllersWorld, name: str) -> bool:
-    """Return whether all voters but one are alive and have forgotten nothing."""
+    """Return whether all other voters are alive and have lost no records.
+
+    :param name: the voter to leave out
+    """
     voters = world.newest_state.voters
     return all(
         controller.alive
@@ -80,12 +83,12 @@
             yield f"oneway {one} {other}"
 
 
-def apply_fault(world: ControllersWorld, kind: str, about: list[str]) -> None:
-    """Have a fault happen.
+def apply_fault(world: ControllersWorld, kind: str, target: list[str]) -> None:
+    """Apply a fault.
 
-    :param about: a message's position, or a process's name, with what else belongs to the kind
+    :param target: the rest of the fault's label: a message's position, or a process and further arguments
     """
-    name = about[0]
+    name = target[0]
     until_s = world.now + world.scene.fault_duration_s
     match kind:
         case "lose":
@@ -97,25 +100,28 @@
         case "kill" | "wipe":
             _kill(world, name, wipe=kind == "wipe")
         case "power":
-            _lose_power(world, name, written_mask=int(about[1]))
-        case "freeze":  # what it has just sent is acknowledged, and waits for it
+            _lose_power(world, name, written_mask=int(target[1]))
+        case "freeze":  # it has just sent heartbeats, and their acknowledgements wait until it thaws
             world.frozen_until[name] = until_s
             world.send_heartbeats(name)
-        case "beat":  # its partitions end, and new links bring a heartbeat
+        case "beat":  # the process's partitions end, and it sends heartbeats over new links
             world.partitions = {pair: end for pair, end in world.partitions.items() if name not in pair}
             world.send_heartbeats(name)
         case "unfit":
             peers = world.controllers[name].peers
             peers.fit = not peers.fit
         case "cut":
-            pairs = _pairs(world, about)
+            pairs = _pairs(world, target)
             _partition(world, [*pairs, *((to, sender) for sender, to in pairs)], until_s)
         case "oneway":
-            _partition(world, _pairs(world, about), until_s)
+            _partition(world, _pairs(world, target), until_s)
 
 
 def _kill(world: ControllersWorld, name: str, wipe: bool) -> None:
-    """End a controller's process, which starts again soon; `wipe`: with an empty disk."""
+    """Kill a controller's process, which restarts after `RESTART_S`.
+
+    :param wipe: whether it restarts with an empty disk
+    """
     world.stop_process(name, RESTART_S)
     if wipe:
         world.controllers[name].wipe()
@@ -123,9 +129,9 @@
 
 
 def _lose_power(world: ControllersWorld, name: str, written_mask: int) -> None:
-    """End a controller's process while some of its pending writes reach the disk.
+    """Kill a controller's process while some of its pending writes reach the disk.
 
-    :param written_mask: a bit for each of them, the first one's the lowest
+    :param written_mask: the writes that reach the disk, one bit each, the oldest write at the lowest bit
     """
     controller = world.controllers[name]
     for position, write in enumerate(controller.writes):
@@ -134,15 +140,15 @@
     world.stop_process(name, RESTART_S)
 
 
-def _pairs(world: ControllersWorld, about: list[str]) -> list[tuple[str, str]]:
-    """Return the links, from and to, that a partition is about."""
-    if len(about) > 1:
-        return [(about[0], about[1])]
-    return [(about[0], other) for other in (*world.controllers, *world.nodes) if other != about[0]]
+def _pairs(world: ControllersWorld, target: list[str]) -> list[tuple[str, str]]:
+    """Return the links, as sender and receiver, that a partition cuts."""
+    if len(target) > 1:
+        return [(target[0], target[1])]
+    return [(target[0], other) for other in (*world.controllers, *world.nodes) if other != target[0]]
 
 
 def _partition(world: ControllersWorld, pairs: list[tuple[str, str]], until_s: float) -> None:
-    """Cut links for a time; what is in flight on them is lost."""
+    """Cut links until a time; messages in flight on them are lost."""
     world.partitions |= dict.fromkeys(pairs, until_s)
     world.messages = [one for one in world.messages if (one.sender, one.to) not in pairs]
     world.next_messages = [one for one in world.next_messages if (one.sender, one.to) not in pairs]
--- a/orchidferry/testkit/explore/mesh_fingerprint.py
+++ b/orchidferry/testkit/explore/mesh_fingerprint.py
@@ -1,7 +1,7 @@
-"""Fingerprints of the mesh's explored worlds: worlds with equal ones have equal futures.
+"""Fingerprints of the mesh's explored worlds; worlds with equal fingerprints have the same futures.
 
-So what decides nothing is left out of a fingerprint: the order of messages on different links, and the
-process that took something last where nothing is left for it to take, or no fault is left.
+State that influences no future is left out of a fingerprint: the order of messages on different links, and
+the process that was the last to handle something, unless it has more to handle and faults are left.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     from orchidferry.testkit.explore.mesh import MeshWorld
 
 DIGEST_BYTES = 16
-# Of a shard and its parts: told by other fields, set by each event, or of use in a round alone.
+# Fields of a shard and its parts: implied by other fields, set by each event, or used only within a round.
 NOT_IN_FINGERPRINT = (
     "acceptor",
     "context",
@@ -45,9 +45,9 @@
 
 
 def pickle_by_fields(module: ModuleType) -> None:
-    """Have a module's slotted dataclasses pickled by their fields, in a third of the time.
+    """Register picklers for a module's slotted dataclasses that take a third of the time.
 
-    :param module: its classes and those that it imports
+    :param module: the module; the classes that it imports are included
     """
     for kind in vars(module).values():
         if isinstance(kind, type) and is_dataclass(kind) and "__slots__" in vars(kind):
@@ -61,7 +61,7 @@
 
 
 def fingerprint_of(world: MeshWorld) -> bytes:
-    """Return the fingerprint of a world: all that it holds but its story, with the times."""
+    """Return the fingerprint of a world: a digest of its state and its times, without its story."""
     receiver, _ = world.next_items()
     same_receiver = bool(world.faults_left and receiver and receiver == world.last_receiver)
     parts: list[Any] = [
@@ -93,12 +93,12 @@
 
 
 def by_link(messages: list[MessageInFlight]) -> list[MessageInFlight]:
-    """Return messages in order of their links, those of one link in the order in which they were sent."""
-    return sorted(messages, key=lambda one: (one.to, one.sender, one.back))
+    """Return messages sorted by their links, and those on one link in the order of sending."""
+    return sorted(messages, key=lambda one: (one.to, one.sender, one.is_reply))
 
 
 def _controller_parts(controller: Controller) -> list[Any]:
-    """Return what decides the future of a controller's process and its disk."""
+    """Return the state of a controller's process and its disk that influences the future."""
     shard = controller.shard
     kept = shard.register.acceptor.state
     references = shard.register.references
@@ -109,7 +109,7 @@
         controller.alive,
         sorted(controller.disk.items()),
         controller.writes,
-        controller.beats,
+        controller.heartbeat_sent_s,
         controller.peers,
         controller.rng,
         kept,
@@ -119,7 +119,7 @@
 
 
 def _identities(controller: Controller) -> list[bool]:
-    """Return which of two equal objects is meant, where the shard compares them by identity."""
+    """Return the results of the identity comparisons that the shard may make between equal objects."""
     shard = controller.shard
     records = shard.operation_keys.records
     kept = shard.register.acceptor.state
@@ -134,7 +134,7 @@
 
 
 def _node_parts(node: KeyNode, shard_number: int) -> list[Any]:
-    """Return what decides the future of a node's claims and releases."""
+    """Return the state of a node's claims and releases that influences the future."""
     claims = node.claims
     releases = claims.releases
     pending = claims._pending.values()
@@ -148,9 +148,9 @@
 
 
 def _without_finished_round(part: Any) -> Any:
-    """Return a part of a proposer without what it does not look at any more.
+    """Return a part of a proposer without fields that are not read any more.
 
-    Once a round has its state, who was asked to promise and what they answered.
+    Once a round has chosen its state, the voters that were asked for promises and the promises are not read.
     """
     if type(part) is proposer._Round and part.after is not None:
         return replace(part, promises={}, asked=set())
@@ -158,7 +158,7 @@
 
 
 def _canonical(value: Any) -> Any:
-    """Return a value in tuples, so that equal ones look alike, however they came to be."""
+    """Return a value as nested tuples that are equal for equal values, however these were built."""
     kind = type(value)
     if kind in (str, int, float, bool, bytes, NoneType):
         return value
@@ -181,7 +181,7 @@
 
 
 def _names_of(kind: Any) -> tuple[str, ...]:
-    """Return the names of a dataclass's or a message's fields; none for another class."""
+    """Return the field names of a dataclass or message class; none for other classes."""
     if issubclass(kind, msgspec.Struct):
         names: tuple[str, ...] = kind.__struct_fields__
         return names
--- a/orchidferry/testkit/explore/mesh_scenes.py
+++ b/orchidferry/testkit/explore/mesh_scenes.py
@@ -1,4 +1,10 @@
-"""The scenes that the exploration of the mesh's state plays, and the kinds of fault that may come in them."""
+"""The scenes of the exploration of the mesh, and the kinds of fault that may happen in them.
+
+Kinds of fault: `kill` (the process restarts soon), `power` (a kill while some pending writes reach the disk),
+`wipe` (a kill with loss of the disk), `cut` and `oneway` (partitions in both directions or one), `freeze` (a
+paused process), `unfit` (a controller becomes unfit as owner, or fit again), `beat` (a process's partitions
+end, and it sends heartbeats), `lose` and `late` (a lost or delayed message; `late` also delays a disk's writes).
+"""
 
 from __future__ import annotations
 
@@ -11,21 +17,22 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """A small world that is explored, with what its clients do.
+    """A small world that is explored: its controllers, clients and scripted faults.
 
-    :param command: the value of `--of` that explores it
-    :param fault_duration_s: how long a partition or a frozen process lasts
-    :param clients: of the configuration: the controller at which each puts, and that at which it reads
-    :param key_requests: with one key: the node, when it claims, and what becomes of the run (`done`, `broke`,
-        `drop`)
-    :param claim_timeout_s: for which a node claims the key
-    :param min_duration_s: how long the scene lasts at least
-    :param script: what happens in any case, and when: a fault, or `down` or `up` with a controller
-    :param shard: its number, where there is no key request
-    :param spare_controllers: that are in no group, named after those of the group
-    :param any_disk_loss: whether a disk may be lost at any time, not only while all others remember
-    :param kinds: of the faults that may come
-    :param group_size: of the group at its start, whose controllers are named from a on
+    :param command: the value of `--of` that explores this scene
+    :param description: what happens, for lists of scenes
+    :param fault_duration_s: how long a partition or the freeze of a process lasts, in seconds
+    :param clients: of the configuration: the controller at which each one puts, and at which it reads
+    :param key_requests: attempts with one operation key: the node, the time of its claim in seconds, and the
+        outcome of the run (`done`, `broke`, `drop`)
+    :param claim_timeout_s: how long a node tries to claim the key, in seconds
+    :param min_duration_s: the minimum duration of the scene in seconds
+    :param script: scripted events with their times in seconds: a fault, or `down` or `up` with a controller
+    :param shard: the shard's number, for scenes without key requests
+    :param spare_controllers: the number of controllers outside the group, named after those of the group
+    :param any_disk_loss: whether a disk may be lost at any time, not only while all other disks are intact
+    :param kinds: of the faults that may happen
+    :param group_size: controllers in the group at the start, named from `a` on
     """
 
     command: str
@@ -44,21 +51,21 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """The founders' names."""
+        """Return the founders' names."""
         return tuple("abcdefghi"[: self.group_size])
 
 
 SCENES = {
     "puts": Scene(
         "mesh-shards",
-        "two put a configuration on one version at two controllers, and read at others",
+        "two clients put a configuration based on one version at two controllers, and read at others",
         1.0,
         clients=(("a", "b"), ("b", "c")),
     ),
-    "duties": Scene("mesh-shards", "the duties of the shard move", 4.2, min_duration_s=6.0, kinds=KINDS),
+    "duties": Scene("mesh-shards", "the ownership of the shard moves", 4.2, min_duration_s=6.0, kinds=KINDS),
     "unwell": Scene(
         "mesh-shards",
-        "an owner can't do its duties for a while",
+        "an owner is unfit for a while",
         1.0,
         min_duration_s=2.0,
         script=((0.1, "unfit b"), (0.5, "unfit b")),
@@ -66,7 +73,7 @@
     ),
     "comes-back": Scene(
         "mesh-shards",
-        "an owner is cut off, and heard again while another one takes its duties",
+        "an owner is cut off, and heard again while another controller takes over",
         3.4,
         min_duration_s=4.4,
         script=((0.0, "cut a b"), (0.0, "cut b c")),
@@ -74,8 +81,8 @@
     ),
     "apart": Scene(
         "mesh-shards",
-        "one is replaced while it is cut off, and is heard again by the owner alone",
-        # of this shard a is the owner, and b the next one
+        "a voter is replaced while it is cut off, and is heard again by the owner alone",
+        # The owner of this shard is a, and b is next in line.
         6.2,
         min_duration_s=8.0,
         spare_controllers=1,
@@ -93,7 +100,7 @@
     ),
     "replace": Scene(
         "mesh-shards",
-        "one is away, a spare one takes its place, it comes back",
+        "a voter is down, a spare controller replaces it, and it comes back",
         1.0,
         clients=(("a", "d"),),
         min_duration_s=4.8,
@@ -102,25 +109,25 @@
     ),
     "answered": Scene(
         "mesh-keys",
-        "two try one key at once, runs are answered, a third one comes later",
+        "two attempts claim a key at once, runs are answered, a third attempt comes later",
         1.0,
         key_requests=(("m", 0.0, "done"), ("n", 0.0, "done"), ("m", 2.4, "done")),
     ),
     "broken-off": Scene(
         "mesh-keys",
-        "a run breaks off, two try its key again",
+        "a run breaks off, and two attempts claim its key again",
         1.0,
         key_requests=(("m", 0.0, "broke"), ("n", 0.0, "broke"), ("n", 2.4, "broke")),
     ),
     "given-back": Scene(
         "mesh-keys",
-        "a key is given back unrun, and tried again by two",
+        "a key is released without a run, and two attempts claim it again",
         1.0,
         key_requests=(("m", 0.0, "drop"), ("m", 0.9, "done"), ("n", 0.9, "done")),
     ),
     "moved": Scene(
         "mesh-keys",
-        "one is replaced, a key is claimed, that one comes back, it is tried again",
+        "a voter is replaced, a key is claimed, the voter comes back, and the key is claimed again",
         1.0,
         key_requests=(("m", 3.4, "broke"), ("n", 8.0, "broke")),
         spare_controllers=1,
@@ -128,28 +135,28 @@
     ),
     "missed": Scene(
         "mesh-keys",
-        "a controller does not hear of a claim",
+        "a controller misses a claim",
         1.0,
         key_requests=(("m", 0.0, "broke"), ("n", 1.0, "broke")),
         script=((0.0, "cut m c"),),
     ),
     "slow": Scene(
         "mesh-keys",
-        "a controller does not hear of a claim, and the disk of another one is slow",
+        "a controller misses a claim, and the disk of another controller is slow",
         1.0,
         key_requests=(("m", 0.0, "broke"), ("n", 1.0, "broke")),
         script=((0.0, "cut m c"), (0.0, "late a")),
     ),
     "learning": Scene(
         "mesh-keys",
-        "one that granted a key forgets it, and can hear only one that missed it",
+        "a controller that granted a key loses its disk, and reaches only one that missed the claim",
         2.0,
         key_requests=(("m", 0.0, "broke"), ("n", 1.6, "broke")),
         script=((0.0, "cut m c"), (0.1, "wipe b"), (0.1, "cut a b")),
     ),
     "epochs": Scene(
         "mesh-keys",
-        "the group changes while a claim is out",
+        "the group changes while a claim is in flight",
         1.4,
         key_requests=(("m", 0.0, "broke"), ("n", 1.2, "broke")),
         claim_timeout_s=2.2,
@@ -157,7 +164,7 @@
     ),
     "beyond": Scene(
         "mesh-keys",
-        "as answered, where any disks may be lost: whoever forgot says nothing",
+        "as `answered`, but any disks may be lost: controllers that lost their records abstain",
         1.0,
         key_requests=(("m", 0.0, "broke"), ("n", 2.4, "broke")),
         any_disk_loss=True,
--- a/orchidferry/testkit/explore/mesh_world.py
+++ b/orchidferry/testkit/explore/mesh_world.py
@@ -1,9 +1,9 @@
-"""Controllers of one shard with what is between them, in steps that an exploration can choose.
+"""Controllers of one shard, their links and disks, in steps that an exploration can choose.
 
-Each message takes one step, as does each write to a disk. Of what comes to one process in one step (messages,
-in order on each link, and the result of a write) every order is a choice; what comes to different processes
-commutes. Time moves when nothing is under way: to the next grid point, where heartbeats are sent and all
-tick, or to what a shard has due sooner.
+Each message takes one step, as does each write to a disk. Of the items that reach one process in one step
+(messages, in order on each link, and completed writes) every order is a choice; items for different processes
+commute. Time advances when nothing is in flight: to the next grid point, where heartbeats are sent and all
+processes tick, or to an earlier time at which a shard has something due.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from orchidferry.testkit.explore.mesh_scenes import Scene
 
 START_S = 1.0
-GRID_S = 0.4  # between heartbeats, and what a shard does now and then
+GRID_S = 0.4  # between heartbeats, and between periodic ticks
 MIN_TIME_STEP_S = 0.02
 ROUNDING_S = 1e-6
 CONTROLLER_NAMES = tuple("abcdefghij")
@@ -34,27 +34,37 @@
 class ControllersWorld(ABC):
     """Controllers of one shard, the messages between them, the time, and the faults.
 
-    It judges what must hold whatever clients do: decided states are one chain, and one controller at most
-    does the singleton roles. A subclass adds the clients.
-
-    :ivar messages: that are delivered in this step
-    :ivar next_messages: that were sent in this step, and are delivered in the next
-    :ivar writes_ready: how many writes of each controller were begun before this step
-    :ivar last_receiver: the process that took something last in this step
-    :ivar partitions: when each link, from and to, carries messages again
-    :ivar nodes: the clients that have links to the controllers
-    :ivar owner_by_token: the controllers that did the singleton roles, by fencing token
-    :ivar sources_heard: controllers that have forgotten, and those that sent them all keys since
+    It checks properties that must hold whatever clients do: the decided states are one chain, and at most one
+    controller owns the shard. A subclass adds the clients.
+
+    :ivar scene: the scene that is played
+    :ivar faults_left: how many faults may still happen
+    :ivar kinds: of these faults
+    :ivar number: of the shard
+    :ivar began_s: when the scene began; infinite before that
+    :ivar messages: messages that are delivered in this step
+    :ivar next_messages: messages that were sent in this step and are delivered in the next
+    :ivar writes_ready: how many pending writes of each controller were begun before this step
+    :ivar slow_disks: controllers with delayed disk writes
+    :ivar last_receiver: the process that was the last to handle something in this step
+    :ivar partitions: for each link that is cut (sender and receiver), when it carries messages again
+    :ivar frozen_until: when each frozen process goes on
+    :ivar down_until: when each process that is down restarts
+    :ivar grid_index: of the last grid point
+    :ivar nodes: the nodes, which have links to the controllers
+    :ivar decided_states: the states that were decided, by version
+    :ivar owner_by_token: the controllers that owned the shard, by fencing token
+    :ivar sources_heard: for each controller that lost or missed records, the ones that sent it all keys since
     """
 
     def __init__(self, scene: Scene, kinds: tuple[str, ...], shard_number: int) -> None:
-        """:param kinds: of the faults that may come, beside those of the scene's script"""
+        """:param kinds: of the faults that may happen, besides those of the scene's script"""
         self.scene = scene
         self.faults_left = 0
         self.kinds = kinds
         self.number = shard_number
         self.now = START_S
-        self.began_s = math.inf  # of the scene
+        self.began_s = math.inf
         self.story: list[str] = []
         self.violations: list[str] = []
         self.messages: list[MessageInFlight] = []
@@ -68,7 +78,7 @@
         self.grid_index = 0
         self.controllers: dict[str, Controller] = {}
         self.nodes: dict[str, KeyNode] = {}
-        self.decided_states: dict[int, Value] = {}  # by version
+        self.decided_states: dict[int, Value] = {}
         self.owner_by_token: dict[int, str] = {}
         self.sources_heard: dict[str, set[str]] = {}
 
@@ -88,7 +98,7 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Whether nothing is under way."""
+        """Whether no message is in flight and no write is pending."""
         writes = any(controller.writes for controller in self.controllers.values())
         return not (self.messages or self.next_messages or writes)
 
@@ -100,11 +110,11 @@
         return self.decided_states[max(self.decided_states)]
 
     def log(self, line: str) -> None:
-        """Add a line to the story of this run."""
+        """Add a line to the run's story."""
         self.story.append(f"{(self.now - self.began_s) * 1000.0:7.0f} ms  {line}")
 
     def report_violation(self, line: str) -> None:
-        """Report that a property is broken.
+        """Record that a property is violated.
 
         :param line: the property's name, a colon, and what has happened
         """
@@ -113,11 +123,14 @@
     # Choices
 
     def next_items(self) -> tuple[str, list[str]]:
-        """Return the first process that has something to take, and the choices of what it takes first."""
+        """Return the first process with items to handle, and the choices of the item that it handles first.
+
+        An item is `deliver` with a message's position, or `disk` with the process's name.
+        """
         heads: dict[tuple[str, str, bool], int] = {}
         for position, message in enumerate(self.messages):
             if not message.late and message.to not in self.frozen_until:
-                heads.setdefault((message.to, message.sender, message.back), position)
+                heads.setdefault((message.to, message.sender, message.is_reply), position)
         disks = [
             name
             for name, count in self.writes_ready.items()
@@ -130,7 +143,7 @@
         return receiver, items
 
     def actions(self) -> list[str]:
-        """Return what may come next; the first comes without a fault."""
+        """Return the actions that may happen next, the first without a fault."""
         receiver, items = self.next_items()
         anything_late = any(one.late for one in self.messages) or bool(self.slow_disks)
         idle = ["wait", "come"] if anything_late and not receiver else ["wait"]
@@ -138,7 +151,7 @@
         return (items or idle) + [one for one in faults if one.split()[0] in self.kinds]
 
     def apply(self, label: str) -> None:
-        """Have one of `actions` happen."""
+        """Play one of `actions`."""
         kind, *about = label.split()
         match kind:
             case "deliver":
@@ -157,7 +170,7 @@
         self._check_properties()
 
     def _begin_step(self) -> None:
-        """Begin the next step, where this one is over."""
+        """Begin the next step if nothing is left to handle in this one."""
         if not self.next_items()[0]:
             self.messages = self.messages + self.next_messages
             self.next_messages = []
@@ -165,24 +178,24 @@
             self.writes_ready = {name: len(one.writes) for name, one in self.controllers.items() if one.alive}
 
     def _discard_dead_messages(self) -> None:
-        """Take messages for delivered that change nothing any more."""
+        """Remove messages that change nothing any more, as if they were delivered."""
         self.messages = [one for one in self.messages if not self._is_dead(one)]
         self.next_messages = [one for one in self.next_messages if not self._is_dead(one)]
 
     def _is_dead(self, message: MessageInFlight) -> bool:
         receiver = self.controllers.get(message.to)
-        if message.what != ControllerCall.RECEIVE or receiver is None:
+        if message.method != ControllerCall.RECEIVE or receiver is None:
             return False
-        return is_dead(message.message[1], receiver.shard)
+        return is_dead(message.arguments[1], receiver.shard)
 
     def _release_late(self) -> None:
-        """Let what was late come now."""
+        """Release delayed messages and delayed disk writes."""
         for message in self.messages:
             message.late = False
         self.slow_disks.clear()
 
     def _apply_fault(self, kind: str, about: list[str]) -> None:
-        """Have a fault happen, and log it."""
+        """Apply a fault and log it."""
         is_message = about[0].isdigit()
         self.log(f"{kind}: {self.messages[int(about[0])]}" if is_message else " ".join([kind, *about]))
         mesh_faults.apply_fault(self, kind, about)
@@ -190,9 +203,9 @@
     # Processes
 
     def stop_process(self, name: str, for_s: float) -> None:
-        """End a controller's process: what it sent is on its way, what was sent to it is lost.
+        """Stop a controller's process: messages that it sent stay in flight, messages to it are lost.
 
-        :param for_s: when it starts again, in seconds from now
+        :param for_s: for how long it is down, in seconds
         """
         controller = self.controllers[name]
         controller.alive = False
@@ -210,7 +223,7 @@
             self.controllers[name].start()
 
     def send_heartbeats(self, name: str) -> None:
-        """Have a controller that is alive send its heartbeats."""
+        """Have a controller send heartbeats to the others, if it is alive."""
         controller = self.controllers[name]
         if controller.alive:
             controller.send_heartbeats(other for other in self.controllers if other != name)
@@ -226,16 +239,16 @@
     # Time
 
     def _advance_time(self) -> None:
-        """Move time, as nothing is under way, and do what is due then."""
+        """Advance time, as nothing is in flight, and run whatever is due then."""
         self.now = max(self.now + MIN_TIME_STEP_S, math.ceil(self._next_due_s() * 1000.0) / 1000.0)
         self._end_faults()
         for message in [
             one
             for one in self.messages
-            if one.what == ControllerCall.HEARTBEAT_ACK and one.to not in self.frozen_until
+            if one.method == ControllerCall.HEARTBEAT_ACK and one.to not in self.frozen_until
         ]:
             self.messages.remove(message)
-            self.controllers[message.to].receive_heartbeat_ack(*message.message)
+            self.controllers[message.to].receive_heartbeat_ack(*message.arguments)
         on_grid = self.now >= self._next_grid_s() - ROUNDING_S
         if on_grid:
             self.grid_index += 1
@@ -253,7 +266,7 @@
         return START_S + (self.grid_index + 1) * GRID_S
 
     def _next_due_s(self) -> float:
-        """Return when something is due next."""
+        """Return when the next event is due."""
         dues = [
             self._next_grid_s(),
             *self.partitions.values(),
@@ -264,7 +277,7 @@
         return min([*dues, *self._client_dues_s()])
 
     def _end_faults(self) -> None:
-        """End the faults whose time is over."""
+        """End the faults that have lasted their time."""
         now = self.now
         self.partitions = {pair: until_s for pair, until_s in self.partitions.items() if until_s > now}
         self.frozen_until = {name: until_s for name, until_s in self.frozen_until.items() if until_s > now}
@@ -278,14 +291,14 @@
         return (sender, to) not in self.partitions and (controller is None or controller.alive)
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """Put a message to a controller on its way; heartbeats take no time.
+        """Send a message to a controller; heartbeats are delivered at once.
 
-        :param kind: the method of the controller that takes it
+        :param kind: the controller's method that handles the message
         """
         if to not in self.controllers or not self._reaches(sender, to):
             return
         if kind == ControllerCall.HEARTBEAT and to in self.frozen_until:
-            return  # it gets the next one
+            return  # a frozen process does not get this heartbeat, only later ones
         if kind == ControllerCall.HEARTBEAT or (
             kind == ControllerCall.HEARTBEAT_ACK and to not in self.frozen_until
         ):
@@ -294,7 +307,7 @@
             self.next_messages.append(MessageInFlight(sender, to, kind, message))
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """Put a controller's answer to another one on its way."""
+        """Send a controller's reply to another controller."""
         assert isinstance(answer.message, ShardMessage)
         if self._reaches(name, answer.to):
             message = (name, answer.message.body)
@@ -302,13 +315,13 @@
 
     def _deliver(self, message: MessageInFlight) -> None:
         self.last_receiver = message.to
-        if message.what == ControllerCall.RECEIVE:
+        if message.method == ControllerCall.RECEIVE:
             self._record_source(message)
-        getattr(self.controllers[message.to], message.what)(*message.message)
+        getattr(self.controllers[message.to], message.method)(*message.arguments)
 
     def _record_source(self, message: MessageInFlight) -> None:
-        """Remember who has sent all keys to a controller that forgot, once that is a voter again."""
-        page = message.message[1]
+        """Record a controller that has sent all keys to one that lost its records and is a voter again."""
+        page = message.arguments[1]
         sources = self.sources_heard.get(message.to)
         if sources is not None and isinstance(page, KeyPage) and page.last and page.as_voter:
             sources.add(message.sender)
@@ -317,28 +330,29 @@
 
     @abstractmethod
     def _run_clients(self) -> None:
-        """Do what clients and the script have due."""
+        """Run the due steps of the script and of the clients."""
 
     @abstractmethod
     def _client_dues_s(self) -> list[float]:
-        """Return when clients and the script have something due."""
+        """Return the times at which clients and the script have something to do."""
 
     @abstractmethod
     def _tick_nodes(self) -> None:
-        """Let time pass at the nodes, at each grid point."""
+        """Run the nodes' periodic work, at each grid point."""
 
     @abstractmethod
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """Take the end of a request that was made at a controller."""
+        """Handle the end of a client's request at a controller."""
 
     # Properties
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """Take a controller's word that it knows a newer state; all states are one chain."""
+        """Handle that a controller knows a newer state, and check that all states are one chain."""
         self._record_decided(changed.new)
         if epoch(changed.new) > epoch(changed.old):
             self.log(f"{name} learns of epoch {epoch(changed.new)}")
-            for controller in self.controllers.values():  # whoever is left out misses what is granted
+            # Controllers outside the new group miss the keys that it grants.
+            for controller in self.controllers.values():
                 if controller.shard.voter not in changed.new.voters and changed.new == self.newest_state:
                     self.sources_heard[controller.name] = set()
 
@@ -347,7 +361,7 @@
             self.report_violation(f"chain: two states of version {value.version} were decided")
 
     def _owners(self) -> list[tuple[Controller, int]]:
-        """Return the controllers that do the singleton roles now, with their fencing tokens."""
+        """Return the controllers that own the shard now, with their fencing tokens."""
         found: list[tuple[Controller, int]] = []
         for controller in self.controllers.values():
             token = controller.shard.owns(self.now) if controller.alive else None
@@ -359,16 +373,19 @@
         owners = self._owners()
         if len(owners) > 1:
             names = " and ".join(controller.name for controller, _ in owners)
-            self.report_violation(f"two-owners: {names} do the duties")
+            self.report_violation(f"two-owners: {names} own the shard at once")
         for controller, token in owners:
             recorded = self.owner_by_token.setdefault(token, controller.name)
             if recorded != controller.name or token < max(self.owner_by_token):
-                self.report_violation(f"fence: {controller.name} does the duties under fence {token}")
+                self.report_violation(
+                    f"fence: {controller.name} owns the shard with fencing token {token},"
+                    " which is another controller's or superseded"
+                )
         for name in list(self.sources_heard):
             if self.controllers[name].shard.standing.caught_up and self._has_learned(name):
                 del self.sources_heard[name]
 
     def _has_learned(self, name: str) -> bool:
-        """Return whether a controller that forgot has heard so many that no majority is missed."""
+        """Return whether a controller that lost its records has learned from a member of each majority."""
         group_size = self.scene.group_size
         return len(self.sources_heard[name]) >= group_size - group_size // 2
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -42,7 +42,7 @@
         operators[0].reads = self.reads
         at, since_s = self.reader
         if at:
-            operators.append(Operator("r", [], at, step="read", until_s=self.began_s + since_s))
+            operators.append(Operator("r", [], at, step="read", next_step_s=self.began_s + since_s))
 
     def apply(self, label: str) -> None:
         """Play one of the actions, by its label."""
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -151,10 +151,10 @@
             self.next_messages.append(MessageInFlight("operator", at, "call", (id,)))
 
     def _deliver(self, mail: MessageInFlight) -> None:
-        if mail.what != "call":
+        if mail.method != "call":
             return super()._deliver(mail)
         self.last_receiver = mail.to
-        attempt = self.attempts[mail.message[0]]
+        attempt = self.attempts[mail.arguments[0]]
         attempt.arrived_s = self.now
         operator = self.operators[attempt.operator]
         shard = self.controllers[attempt.at].shard
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -58,11 +58,11 @@
     sends: list[Send]
     reads: str  # where it reads, by turns
     step: str = "send"  # read, over
-    waits: str = ""
-    until_s: float = 0.0
+    pending_request: str = ""
+    next_step_s: float = 0.0
     tries: int = 0
     told: list[str] = field(default_factory=list)  # of each order: taken, refused, unclear; of the reading
-    newest: int = 0  # acknowledged to anybody before it read
+    acknowledged_before: int = 0
 
     @property
     def read(self) -> bool:
@@ -99,7 +99,7 @@
         operator: Operator = client
         send = operator.sends[0] if operator.sends else None
         if send is not None and self.now < self.began_s + send.not_before_s - 1e-6:
-            operator.until_s = self.began_s + send.not_before_s
+            operator.next_step_s = self.began_s + send.not_before_s
             return None
         at = send.at if send is not None else operator.reads
         name = at[operator.tries % len(at)]
@@ -108,32 +108,32 @@
         if operator.tries > TRIES:
             return self._hears(operator, "unclear")
         if not controller.alive or name in self.frozen_until:
-            operator.until_s = self.now + PAUSE_S
+            operator.next_step_s = self.now + PAUSE_S
             return None
         id = f"{operator.name}.{len(operator.told)}.{operator.tries}"
-        operator.waits = f"{name} {id}"
-        operator.until_s = self.now + SILENCE_S
+        operator.pending_request = f"{name} {id}"
+        operator.next_step_s = self.now + SILENCE_S
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
             if send is not None:
                 controller.execute(controller.shard.request_change(id, send.order.change(), 1.2, self.now))
             else:
-                operator.newest = max((order.number for order in self.acknowledged), default=0)
+                operator.acknowledged_before = max((order.number for order in self.acknowledged), default=0)
                 controller.execute(controller.shard.request_read(id, self.now))
         return None
 
     def _advance_client(self, client: Any, settled: bool = False) -> None:
         """No answer in time: the same again, to the next controller."""
-        client.waits = ""
-        client.until_s = self.now
+        client.pending_request = ""
+        client.next_step_s = self.now
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
         """Take the end of a request that was made at a controller."""
-        operator: Any = next((o for o in self.clients if o.waits == f"{name} {end.id}"), None)
+        operator: Any = next((o for o in self.clients if o.pending_request == f"{name} {end.id}"), None)
         if operator is None:
             return
         pause_s = SILENCE_S if end.why == OUT_OF_CONTACT else PAUSE_S  # said at once: the same pace
-        operator.waits = ""
-        operator.until_s = self.now + pause_s
+        operator.pending_request = ""
+        operator.next_step_s = self.now + pause_s
         if end.value is None or end.why == shard_state.UNKNOWN_ORDER:
             self.log(f"{operator.name} has no clear answer from {name}")
             return
@@ -145,11 +145,12 @@
     def _reads(self, operator: Operator, state: shard_state.Body) -> None:
         self.log(f"{operator.name} reads {state.revision}")
         if (
-            state.revision < operator.newest
+            state.revision < operator.acknowledged_before
             or self.chain.get(state.revision, "") != state.compressed_text.decode()
         ):
             self.report_violation(
-                f"read: {state.revision} {state.compressed_text!r}, and {operator.newest} was acknowledged"
+                f"read: {state.revision} {state.compressed_text!r},"
+                f" but {operator.acknowledged_before} had been acknowledged"
             )
         operator.step = "over"
         operator.told.append("read")
@@ -157,7 +158,7 @@
     def _hears(self, operator: Operator, what: str) -> None:
         operator.told.append(what)
         operator.tries = 0
-        operator.until_s = self.now + 0.02
+        operator.next_step_s = self.now + 0.02
         if operator.step == "read":
             operator.step = "over"
             return
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -42,7 +42,7 @@
     def key_granted(self, one: KeyRequest) -> None:
         """Take note that a key was granted."""
         super().key_granted(one)
-        if one.how == ANSWER_AT_ONE:
+        if one.run_outcome == ANSWER_AT_ONE:
             self.send(one.node, "a", ControllerCall.RECORD_ANSWER, KEY, one.holder, one.holder)
 
     def _apply_fault(self, what: str, about: list[str]) -> None:
@@ -88,7 +88,7 @@
             len(self.newest_state.voters) if self.all_voters_hold else len(self.newest_state.voters) // 2 + 1
         ):
             return f"{' and '.join(holders) or 'nobody'} alone hold the key"
-        if any(one.how == ANSWER_AT_ONE for one in self.key_requests):
+        if any(one.run_outcome == ANSWER_AT_ONE for one in self.key_requests):
             records = [shard.operation_keys.records.get(KEY) for shard in self._voters()]
             return (
                 ""
--- a/tests/testkit/explore/test_reductions.py
+++ b/tests/testkit/explore/test_reductions.py
@@ -77,7 +77,7 @@
     assert len(world.messages) < 2 or world.fingerprint() == before
     first = world.messages[0]
     world.messages[:0] = [
-        MessageInFlight(first.sender, first.to, ControllerCall.RECEIVE, ("x", ["know?", 9]), first.back)
+        MessageInFlight(first.sender, first.to, ControllerCall.RECEIVE, ("x", ["know?", 9]), first.is_reply)
     ]
     ahead = world.fingerprint()
     world.messages[:2] = world.messages[1::-1]
