--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -232,15 +232,15 @@
                 self._send_request(client)
 
     def _run_script_step(self, step: str) -> None:
-        kind, *about = step.split()
+        kind, *target = step.split()
         match kind:
             case "down":
-                self.log(f"{about[0]} goes down")
-                self.stop_process(about[0], math.inf)
+                self.log(f"{target[0]} goes down")
+                self.stop_process(target[0], math.inf)
             case "up":
-                self.start_process(about[0])
+                self.start_process(target[0])
             case _:
-                self._apply_fault(kind, about)
+                self._apply_fault(kind, target)
 
     def _send_request(self, client: ConfigurationClient) -> None:
         name = client.put_at if client.step == "put" else client.read_at
--- a/orchidferry/testkit/explore/mesh_scenes.py
+++ b/orchidferry/testkit/explore/mesh_scenes.py
@@ -3,7 +3,7 @@
 Kinds of fault: `kill` (the process restarts soon), `power` (a kill while some pending writes reach the disk),
 `wipe` (a kill with loss of the disk), `cut` and `oneway` (partitions in both directions or one), `freeze` (a
 paused process), `unfit` (a controller becomes unfit as owner, or fit again), `beat` (a process's partitions
-end, and it sends heartbeats), `lose` and `late` (a lost or delayed message; `late` also delays a disk's writes).
+end, and it sends heartbeats), `lose` and `late` (a lost or delayed message; `late` also delays disk writes).
 """
 
 from __future__ import annotations
--- a/orchidferry/testkit/explore/mesh_world.py
+++ b/orchidferry/testkit/explore/mesh_world.py
@@ -152,19 +152,19 @@
 
     def apply(self, label: str) -> None:
         """Play one of `actions`."""
-        kind, *about = label.split()
+        kind, *target = label.split()
         match kind:
             case "deliver":
-                self._deliver(self.messages.pop(int(about[0])))
+                self._deliver(self.messages.pop(int(target[0])))
             case "disk":
-                self._complete_write(about[0])
+                self._complete_write(target[0])
             case "wait":
                 self._advance_time()
             case "come":
                 self._release_late()
             case _:
                 self.faults_left -= 1
-                self._apply_fault(kind, about)
+                self._apply_fault(kind, target)
         self._discard_dead_messages()
         self._begin_step()
         self._check_properties()
@@ -194,11 +194,11 @@
             message.late = False
         self.slow_disks.clear()
 
-    def _apply_fault(self, kind: str, about: list[str]) -> None:
+    def _apply_fault(self, kind: str, target: list[str]) -> None:
         """Apply a fault and log it."""
-        is_message = about[0].isdigit()
-        self.log(f"{kind}: {self.messages[int(about[0])]}" if is_message else " ".join([kind, *about]))
-        mesh_faults.apply_fault(self, kind, about)
+        is_message = target[0].isdigit()
+        self.log(f"{kind}: {self.messages[int(target[0])]}" if is_message else " ".join([kind, *target]))
+        mesh_faults.apply_fault(self, kind, target)
 
     # Processes
 
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -1,8 +1,9 @@
-"""Many changes, and members that missed most of them: a dark replica, a wiped one, an owner that was killed.
+"""Replicas that missed many changes: by a partition, by the loss of a disk, or while the owner was down.
 
-A state lists two orders here, so that four changes are to these worlds what hundreds are to a group. Judged
-beside what `Orders` judges: at the end of a day without a fault of its own, all replicas that live know the
-newest state, one of them does the duties, and nobody did them by a fence that had been given away.
+A state lists only two orders here, so four changes have the effect that hundreds have in a real group. Beside
+the properties of `OrdersWorld` it is checked that, at the end of a run without further faults, all running
+replicas know the newest state and exactly one of them owns the shard, and that no controller ever owned it
+with a superseded fencing token.
 """
 
 from __future__ import annotations
@@ -19,22 +20,29 @@
 from orchidferry.mesh.control.value_references import ValueReferences
 from orchidferry.testkit.explore.mesh import Break, Scene
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
-from orchidferry.testkit.explore.worst_days.one_number import Operator, Order, Orders, Send
-from orchidferry.testkit.explore.worst_days.play import Play
+from orchidferry.testkit.explore.worst_days.one_number import Operator, Order, OrdersWorld, Submission
+from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-LISTED = 2  # orders that a state lists
+LISTED = 2  # orders that a state lists in these scenes
 
 
-def _climb(at: str, *not_before_s: float) -> tuple[Send, ...]:
-    """Orders from 1 on, each on the one before."""
-    return tuple(Send(Order(n + 1, f"c{n + 1}", n), at, due) for n, due in enumerate(not_before_s))
+def _chain_of_orders(at: str, *not_before_s: float) -> tuple[Submission, ...]:
+    """Return submissions of orders from number 1 on, each based on the one before.
 
+    :param not_before_s: the earliest time of each, in seconds since the scene began
+    """
+    return tuple(Submission(Order(n + 1, f"c{n + 1}", n), at, due) for n, due in enumerate(not_before_s))
+
+
+class ManyChangesWorld(OrdersWorld):
+    """A world that checks that all replicas are up to date at the end.
 
-class Hundreds(Orders):
-    """Ends with all replicas up to date."""
+    :cvar reads: the controllers at which the operator reads at the end, in turn
+    :cvar reader: another client that only reads: at which controller, and when; "" for none
+    """
 
-    reads = "cba"  # where the operator reads at the end, by turns
-    reader: tuple[str, float] = ("", 0.0)  # another one only reads: where, and when
+    reads = "cba"
+    reader: tuple[str, float] = ("", 0.0)
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
         super().__init__(scene, faults, kinds)
@@ -45,15 +53,15 @@
             operators.append(Operator("r", [], at, step="read", next_step_s=self.began_s + since_s))
 
     def apply(self, label: str) -> None:
-        """Play one of the actions, by its label."""
+        """SceneSetup one of the actions, by its label."""
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
-            super(Orders, self).apply(label)
+            super(OrdersWorld, self).apply(label)
 
     def _behind(self) -> str:
         newest = self.newest_state.version
         voters = self.newest_state.voters
         if self.refused:
-            return f"{self.refused} could be taken and were refused"
+            return f"{self.refused} were refused, but could be committed"
         holders = [
             name
             for name, one in self.controllers.items()
@@ -68,77 +76,82 @@
         if behind:
             return f"{' and '.join(behind)} did not catch up"
         owners = [name for name, shard in alive.items() if shard.owns(self.now) is not None]
-        return "" if len(owners) == 1 else f"duties are done by {owners}"
+        return "" if len(owners) == 1 else f"the shard is owned by {owners}"
 
     def succeeded(self) -> bool:
-        """Whether this run shows what the scene is about."""
+        """Return whether the run ended as without faults."""
         return super().succeeded() and not self._behind()
 
     def finish(self) -> None:
-        """Let all that is under way come to its end, and judge it."""
+        """Check the properties that must hold at the end of the run."""
         super().finish()
         if self.unharmed and (behind := self._behind()):
             self.report_violation(f"behind: {behind}")
 
 
-class Dark(Hundreds):
-    """c misses three of four changes and is asked to read meanwhile.
+class DarkReplica(ManyChangesWorld):
+    """Controller c misses three of four changes, and gets a read meanwhile.
 
-    Once it is back it is asked at once to take a change and to read, and the owner is killed.
+    As soon as it is reachable again, it gets a change and a read, and the owner is killed.
     """
 
     reader = ("c", 0.8)
-    sends = ((*_climb("a", 0.0, 0.2, 0.2, 0.2), Send(Order(5, "c5", 4), "c", 1.32)),)
+    submissions = ((*_chain_of_orders("a", 0.0, 0.2, 0.2, 0.2), Submission(Order(5, "c5", 4), "c", 1.32)),)
 
 
-class Unasked(Hundreds):
-    """c misses three of four changes, and nobody asks it for anything when it is back."""
+class UnaskedReplica(ManyChangesWorld):
+    """Controller c misses three of four changes, and gets no request when it is reachable again."""
 
     reads = "ab"
-    sends = (_climb("a", 0.0, 0.2, 0.2, 0.2),)
+    submissions = (_chain_of_orders("a", 0.0, 0.2, 0.2, 0.2),)
 
 
-class Wiped(Hundreds):
-    """c loses its disk after three changes, and the owner is killed once c has a place again."""
+class WipedReplica(ManyChangesWorld):
+    """Controller c loses its disk after three changes, and the owner is killed once c is a voter again."""
 
     reader = ("c", 0.5)
-    sends = ((*_climb("a", 0.0, 0.0, 0.0, 2.0), Send(Order(5, "c5", 4), "c", 2.4)),)
+    submissions = ((*_chain_of_orders("a", 0.0, 0.0, 0.0, 2.0), Submission(Order(5, "c5", 4), "c", 2.4)),)
 
 
-class KilledOwner(Hundreds):
-    """The owner is down through three of four changes.
+class KilledOwner(ManyChangesWorld):
+    """The owner is down during three of four changes.
 
-    Another controller owns the shard when it comes back with its old disk.
+    When it comes back with its old disk, another controller owns the shard.
     """
 
     reader = ("b", 4.1)
-    sends = ((*_climb("a", 0.0, 0.2, 0.2, 0.2), Send(Order(5, "c5", 4), "b", 4.12)),)
+    submissions = ((*_chain_of_orders("a", 0.0, 0.2, 0.2, 0.2), Submission(Order(5, "c5", 4), "b", 4.12)),)
 
 
 _KINDS = ("kill", "power", "wipe", "cut", "oneway", "freeze", "lose", "late")
 
 
-def _scene(about: str, min_duration_s: float, script: tuple[tuple[float, str], ...]) -> Scene:
-    return Scene("worst-days", about, 1.2, min_duration_s=min_duration_s, script=script, kinds=_KINDS)
+def _scene(description: str, min_duration_s: float, script: tuple[tuple[float, str], ...]) -> Scene:
+    return Scene("worst-days", description, 1.2, min_duration_s=min_duration_s, script=script, kinds=_KINDS)
 
 
-SCENES: dict[str, Play] = {
-    "hundreds-dark": Play(
+SCENES: dict[str, SceneSetup] = {
+    "hundreds-dark": SceneSetup(
         _scene(
-            "a dark replica is asked to take a change and to read", 2.8, ((0.1, "cut c"), (1.7, "kill b"))
+            "a replica that was unreachable gets a change and a read", 2.8, ((0.1, "cut c"), (1.7, "kill b"))
         ),
-        Dark,
+        DarkReplica,
+    ),
+    "hundreds-unasked": SceneSetup(
+        _scene("a replica that was unreachable catches up without requests", 2.4, ((0.1, "cut c"),)),
+        UnaskedReplica,
     ),
-    "hundreds-unasked": Play(_scene("a dark replica catches up by itself", 2.4, ((0.1, "cut c"),)), Unasked),
-    "hundreds-wiped": Play(
+    "hundreds-wiped": SceneSetup(
         _scene(
-            "a replica is wiped, and the owner killed soon after", 3.4, ((0.3, "wipe c"), (1.8, "kill b"))
+            "a replica loses its disk, and the owner is killed soon after",
+            3.4,
+            ((0.3, "wipe c"), (1.8, "kill b")),
         ),
-        Wiped,
+        WipedReplica,
     ),
-    "hundreds-owner": Play(
+    "hundreds-owner": SceneSetup(
         _scene(
-            "an owner comes back with an old disk after another took its duties",
+            "an owner comes back with its old disk after another controller took over",
             5.6,
             ((0.1, "down b"), (4.1, "up b")),
         ),
@@ -150,8 +163,8 @@
 # Deliberate breaks
 
 
-def _owns_by_its_disk(self: Shard, now: float) -> int | None:
-    """The fence on its own disk is enough."""
+def _owns_by_stored_token(self: Shard, now: float) -> int | None:
+    """Return the fencing token on the controller's own disk, without a lease."""
     value = self.accepted_value
     state = shard_state.body(value) if value is not None else self.body
     return state.fencing_token if state.owner == self.name else None
@@ -161,11 +174,11 @@
     self.end([reader], self.register.known, "")
 
 
-def _tells_nothing(self: Replica, version: int, name: str) -> list[Any]:
+def _ignore_heartbeat(self: Replica, version: int, name: str) -> list[Any]:
     return []
 
 
-def _names_all(self: Acceptor, message: Prepare | Accept, sender: str) -> list[Any]:
+def _reference_all_values(self: Acceptor, message: Prepare | Accept, sender: str) -> list[Any]:
     found = _handle(self, message, sender)
     if sender == self.name:
         return found
@@ -177,7 +190,7 @@
     ]
 
 
-def _nothing_for_unknown(self: ValueReferences, sender: str, promise: Promise) -> Promise:
+def _resolve_nothing(self: ValueReferences, sender: str, promise: Promise) -> Promise:
     return promise
 
 
@@ -186,20 +199,24 @@
 
 BREAKS: dict[str, Break] = {
     "leads-with-old": deliberate_break(
-        "an owner acts by the fence on its own disk", "hundreds-owner", (Shard, "owns", _owns_by_its_disk)
+        "an owner relies on the fencing token on its own disk",
+        "hundreds-owner",
+        (Shard, "owns", _owns_by_stored_token),
     ),
     "reads-own": deliberate_break(
-        "a replica answers readings from what it knows", "hundreds-dark", (RegisterReader, "read", _reads_own)
+        "a replica answers reads from the state that it knows",
+        "hundreds-dark",
+        (RegisterReader, "read", _reads_own),
     ),
     "never-catches-up": deliberate_break(
-        "a replica that is behind asks for nothing",
+        "a replica that is behind does not ask for newer states",
         "hundreds-unasked",
-        (Replica, "heartbeat_received", _tells_nothing),
+        (Replica, "heartbeat_received", _ignore_heartbeat),
     ),
     "named-is-nothing": deliberate_break(
-        "a state that a promise names by its ballot counts as none",
+        "a state that a promise references by its ballot counts as none",
         "hundreds-dark",
-        (Acceptor, "handle", _names_all),
-        (ValueReferences, "resolve", _nothing_for_unknown),
+        (Acceptor, "handle", _reference_all_values),
+        (ValueReferences, "resolve", _resolve_nothing),
     ),
 }
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -1,7 +1,8 @@
-"""A controller that is cut off from the others for long neither confirms anything nor hands out old state.
+"""A controller that is partitioned from the others neither acknowledges changes nor returns stale state.
 
-Operators call one controller after another, as the operators' page has it: on after an answer that is not
-clear, and after a second of silence. Calls that come to a frozen process wait in its buffers.
+Operators call one controller after another, as the operators' guide prescribes: they go on to the next one
+after an indefinite answer, and after one second without an answer. Calls to a frozen process wait in its
+buffers.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from orchidferry.testkit.explore.mesh import Break, MeshWorld, Scene
 from orchidferry.testkit.explore.mesh_actors import MessageInFlight
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
-from orchidferry.testkit.explore.worst_days.play import Play
+from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-SILENCE_S = 1.0  # after which a caller goes on to another controller
-PROMPT_S = 0.05  # for an answer to a call once there is no contact
-PAUSE_S = 0.1  # of a caller before its next try
-MAX_TRIES = 12
+SILENCE_S = 1.0  # without an answer, after which an operator calls another controller
+PROMPT_S = 0.05  # time limit for answering a call once the controller has lost contact
+PAUSE_S = 0.1  # before an operator's next call after an indefinite answer
+MAX_TRIES = 12  # calls of an operator, after which it gives up
 REFUSALS = (shard_state.OTHER_VERSION, shard_state.OLD_VERSION)
 
 
@@ -34,8 +35,8 @@
 class IsolatedScene(Scene):
     """A scene with operators.
 
-    `operators`: name, `put` or `read`, a revision, and the controllers that it calls in turn; the script's
-    `call NAME` begins its first call.
+    :param operators: for each one its name, `put` or `read`, a revision, and the controllers that it calls in
+        turn; the script's `call NAME` starts its first call
     """
 
     operators: tuple[tuple[str, str, int, str], ...] = ()
@@ -43,92 +44,113 @@
 
 @dataclass
 class Operator:
-    """One operator with one order or one reading."""
+    """An operator with one order or one read.
+
+    :param action: `put` or `read`
+    :param revision: of its order
+    :param route: the controllers that it calls, in turn
+    :ivar tries: its calls so far
+    :ivar outcome: `confirmed`, `refused`, `read` or `gave up`; "" before that
+    :ivar next_s: when it makes its next call; infinite before its first call is started
+    """
 
     name: str
-    what: str
+    action: str
     revision: int
     route: str
     tries: int = 0
     outcome: str = ""
-    next_s: float = float("inf")  # when it calls again
+    next_s: float = float("inf")
 
     def change(self) -> shard_state.PutConfiguration:
-        """Its order, the same in every call."""
+        """Return its order, the same in every call."""
         mark = self.name.encode()
         return shard_state.PutConfiguration(mark, self.revision, mark, 0)
 
 
 @dataclass
-class Attempt:
-    """One call of an operator at a controller."""
+class Call:
+    """A call of an operator to a controller.
+
+    :param operator: the operator's name
+    :param at: the controller's name
+    :param asked_s: when the call was made
+    :param newest: the highest revision that was acknowledged to any operator before the call
+    :ivar arrived_s: when the controller's process handled it; infinite before that
+    """
 
     id: str
     operator: str
     at: str
     asked_s: float
-    newest: int  # revision that was acknowledged to anybody before
-    arrived_s: float = float("inf")  # when the controller's process took it
+    newest: int
+    arrived_s: float = float("inf")
 
 
 @dataclass
-class Record:
-    """What was seen from outside."""
+class Observations:
+    """Observations from outside the controllers.
+
+    :ivar sent: when each heartbeat was sent, by sender and number
+    :ivar acknowledged: when the newest acknowledged heartbeat was sent, by its sender and its receiver
+    :ivar refused: number and digest of orders that were refused
+    :ivar thawed: when each process was last unfrozen
+    """
 
-    sent: dict[tuple[str, int], float] = field(default_factory=dict)  # beats: sender, number, when
-    acknowledged: dict[str, dict[str, float]] = field(default_factory=dict)  # by sender, by who heard
-    never: set[tuple[int, bytes]] = field(default_factory=set)  # orders that were refused
+    sent: dict[tuple[str, int], float] = field(default_factory=dict)
+    acknowledged: dict[str, dict[str, float]] = field(default_factory=dict)
+    refused: set[tuple[int, bytes]] = field(default_factory=set)
     thawed: dict[str, float] = field(default_factory=dict)
 
 
 class IsolatedWorld(MeshWorld):
-    """Operators at controllers that lose contact with the others."""
+    """A world of operators and controllers that lose contact with each other."""
 
     scene: IsolatedScene
 
     def __init__(self, scene: IsolatedScene, faults: int, kinds: tuple[str, ...]) -> None:
         self.operators = {one[0]: Operator(*one) for one in scene.operators}
-        self.attempts: dict[str, Attempt] = {}
-        self.record = Record()
+        self.calls: dict[str, Call] = {}
+        self.observed = Observations()
         super().__init__(scene, faults, kinds)
 
     @property
     def over(self) -> bool:
-        """Whether nothing more can happen."""
+        """Whether the scene is over, all operators are done, and all calls that arrived are answered."""
         asked = all(one.outcome for one in self.operators.values())
-        owed = any(one.arrived_s < float("inf") for one in self.attempts.values())  # others were lost
+        owed = any(one.arrived_s < float("inf") for one in self.calls.values())
         return super().over and asked and not owed
 
     def succeeded(self) -> bool:
-        """Whether this run shows what the scene is about."""
+        """Return whether the run ended as without faults."""
         return all(one.outcome in ("confirmed", "refused", "read") for one in self.operators.values())
 
     def fingerprint(self) -> bytes:
-        """A digest of the state: equal ones have the same futures."""
-        held = (
+        """Return a digest of the state; worlds with equal digests have the same futures."""
+        observed = (
             sorted(map(repr, self.operators.values())),
-            sorted(map(repr, self.attempts.values())),
-            sorted(self.record.sent.items()),
-            sorted(self.record.never),
-            sorted(self.record.thawed.items()),
-            [(name, sorted(times.items())) for name, times in sorted(self.record.acknowledged.items())],
+            sorted(map(repr, self.calls.values())),
+            sorted(self.observed.sent.items()),
+            sorted(self.observed.refused),
+            sorted(self.observed.thawed.items()),
+            [(name, sorted(times.items())) for name, times in sorted(self.observed.acknowledged.items())],
         )
-        return hashlib.blake2b(super().fingerprint() + repr(held).encode(), digest_size=16).digest()
+        return hashlib.blake2b(super().fingerprint() + repr(observed).encode(), digest_size=16).digest()
 
     # Operators
 
-    def _apply_fault(self, what: str, about: list[str]) -> None:
-        if what == "call":
-            self.operators[about[0]].next_s = self.now
+    def _apply_fault(self, kind: str, target: list[str]) -> None:
+        if kind == "call":
+            self.operators[target[0]].next_s = self.now
         else:
-            super()._apply_fault(what, about)
+            super()._apply_fault(kind, target)
 
     def stop_process(self, name: str, for_s: float) -> None:
-        """Let a controller do nothing for a time."""
+        """Stop a controller's process; the operators see their calls to it fail."""
         super().stop_process(name, for_s)
-        for attempt in [one for one in self.attempts.values() if one.at == name]:
-            del self.attempts[attempt.id]
-            self._unclear(self.operators[attempt.operator], attempt)
+        for call in [one for one in self.calls.values() if one.at == name]:
+            del self.calls[call.id]
+            self._indefinite_answer(self.operators[call.operator], call)
 
     def _run_clients(self) -> None:
         super()._run_clients()
@@ -146,44 +168,44 @@
         else:
             operator.next_s = self.now + SILENCE_S
             id = f"{operator.name}{operator.tries}"
-            self.attempts[id] = Attempt(id, operator.name, at, self.now, self.newest_acknowledged)
+            self.calls[id] = Call(id, operator.name, at, self.now, self.newest_acknowledged)
             self.log(f"{operator.name} calls {at}")
             self.next_messages.append(MessageInFlight("operator", at, "call", (id,)))
 
-    def _deliver(self, mail: MessageInFlight) -> None:
-        if mail.method != "call":
-            return super()._deliver(mail)
-        self.last_receiver = mail.to
-        attempt = self.attempts[mail.arguments[0]]
-        attempt.arrived_s = self.now
-        operator = self.operators[attempt.operator]
-        shard = self.controllers[attempt.at].shard
-        if operator.what == "read":
-            actions = shard.request_read(attempt.id, self.now)
+    def _deliver(self, message: MessageInFlight) -> None:
+        if message.method != "call":
+            return super()._deliver(message)
+        self.last_receiver = message.to
+        call = self.calls[message.arguments[0]]
+        call.arrived_s = self.now
+        operator = self.operators[call.operator]
+        shard = self.controllers[call.at].shard
+        if operator.action == "read":
+            actions = shard.request_read(call.id, self.now)
         else:
-            actions = shard.request_change(attempt.id, operator.change(), 4.0, self.now)
-        self.controllers[attempt.at].execute(actions)
+            actions = shard.request_change(call.id, operator.change(), 4.0, self.now)
+        self.controllers[call.at].execute(actions)
         return None
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """Take the end of a request that was made at a controller."""
-        attempt = self.attempts.pop(end.id, None)
-        if attempt is None:
+        """Handle the end of a client's request at a controller."""
+        call = self.calls.pop(end.id, None)
+        if call is None:
             return None
-        operator = self.operators[attempt.operator]
+        operator = self.operators[call.operator]
         if end.value is None:
-            return self._unclear(operator, attempt)
+            return self._indefinite_answer(operator, call)
         self._record_decided(end.value)
         if self.now - self._contact_s(name) > CONTACT_S + 1e-6:
             self.report_violation(
-                f"contact: {name} serves {operator.name}, and was last heard {self._ago(name)} ago"
+                f"contact: {name} serves {operator.name}, but its last contact was {self._ago(name)} ago"
             )
-        if operator.what == "read":
+        if operator.action == "read":
             found = shard_state.body(end.value).revision
             self.log(f"{operator.name} reads {found} at {name}")
-            if found < attempt.newest:
+            if found < call.newest:
                 self.report_violation(
-                    f"older: {attempt.newest} was acknowledged before {operator.name} asked"
+                    f"older: {call.newest} had been acknowledged before {operator.name} read {found}"
                 )
             operator.outcome = operator.outcome or "read"
         elif end.why:
@@ -194,64 +216,64 @@
             self._confirmed(operator)
         return None
 
-    def _unclear(self, operator: Operator, attempt: Attempt) -> None:
-        """It calls the next one, unless it has done so already after a second of silence."""
-        self.log(f"{operator.name} has no clear answer of {attempt.at}")
-        if not operator.outcome and attempt.id == f"{operator.name}{operator.tries}":
+    def _indefinite_answer(self, operator: Operator, call: Call) -> None:
+        """Handle an indefinite answer: the operator calls the next controller, unless it already has."""
+        self.log(f"{operator.name} gets no definite answer from {call.at}")
+        if not operator.outcome and call.id == f"{operator.name}{operator.tries}":
             operator.next_s = self.now + PAUSE_S
 
     def _confirmed(self, operator: Operator) -> None:
         change = operator.change()
         mark = (change.revision, change.digest)
         if self.acknowledged_by_base.setdefault(0, operator.name) != operator.name:
-            self.report_violation("two-puts: two changes of one version were acknowledged")
+            self.report_violation("two-puts: two changes based on one version were acknowledged")
         voters = {voter.name for voter in self.newest_state.voters}
         holders = [name for name in voters if mark in self._stored_orders(name)]
         if 2 * len(holders) <= len(voters):
             self.report_violation(
-                f"undecided: {operator.name} is confirmed, and only {holders} have it on disk"
+                f"undecided: {operator.name} is confirmed, but only {holders} have its order on disk"
             )
         self.newest_acknowledged = max(self.newest_acknowledged, operator.revision)
         operator.outcome = operator.outcome or "confirmed"
 
     def _refused(self, operator: Operator) -> None:
         change = operator.change()
-        self.record.never.add((change.revision, change.digest))
+        self.observed.refused.add((change.revision, change.digest))
         operator.outcome = operator.outcome or "refused"
         for value in self.decided_states.values():
-            self._look_at_refused(value)
+            self._check_refused(value)
 
-    def _look_at_refused(self, value: Any) -> None:
-        for mark in self.record.never.intersection(shard_state.body(value).orders):
-            self.report_violation(f"refused: {mark[0]} is in force after it was refused")
+    def _check_refused(self, value: Any) -> None:
+        for mark in self.observed.refused.intersection(shard_state.body(value).orders):
+            self.report_violation(f"refused: order {mark[0]} is committed, but was refused")
 
     def _record_decided(self, value: Any) -> None:
         super()._record_decided(value)
-        self._look_at_refused(value)
+        self._check_refused(value)
 
     def _stored_orders(self, name: str) -> tuple[tuple[int, bytes], ...]:
         packed = self.controllers[name].disk.get(("about", f"kept/{self.number}".encode()))
         kept = shard_state_codec.unpack_acceptor_state(unpack(packed)) if packed is not None else None
         return shard_state.body(kept.value).orders if kept is not None and kept.value is not None else ()
 
-    # Contact, as it is seen from outside
+    # Contact, as observed from outside the controllers
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """Send a message."""
+        """Send a message, and record heartbeats and their acknowledgements."""
         if kind == ControllerCall.HEARTBEAT:
-            self.record.sent[sender, message[1]] = self.now
-            old = [key for key, when in self.record.sent.items() if when < self.now - 10.0]
+            self.observed.sent[sender, message[1]] = self.now
+            old = [key for key, when in self.observed.sent.items() if when < self.now - 10.0]
             for key in old:
-                del self.record.sent[key]
+                del self.observed.sent[key]
         elif kind == ControllerCall.HEARTBEAT_ACK and self._reaches(sender, to):
-            when = self.record.sent.get((to, message[1]), float("-inf"))
-            times = self.record.acknowledged.setdefault(to, {})
+            when = self.observed.sent.get((to, message[1]), float("-inf"))
+            times = self.observed.acknowledged.setdefault(to, {})
             times[sender] = max(when, times.get(sender, when))
         super().send(sender, to, kind, *message)
 
     def _contact_s(self, name: str) -> float:
-        """When the newest beat was sent that a majority acknowledged, whenever that came."""
-        times = self.record.acknowledged.get(name, {})
+        """Return when the newest heartbeat was sent that a majority acknowledged."""
+        times = self.observed.acknowledged.get(name, {})
         voters = self.controllers[name].shard.known.voters
         newest = sorted((times.get(v.name, float("-inf")) for v in voters if v.name != name), reverse=True)
         return newest[len(voters) // 2 - 1] if len(voters) > 1 else self.now
@@ -263,44 +285,48 @@
         frozen = set(self.frozen_until)
         before = self.now
         super()._advance_time()
-        self.record.thawed |= dict.fromkeys(frozen - set(self.frozen_until), self.now)
+        self.observed.thawed |= dict.fromkeys(frozen - set(self.frozen_until), self.now)
         if before > self.began_s:
-            self._judge_silence()
+            self._check_answers_without_contact()
 
-    def _judge_silence(self) -> None:
-        """Whoever has no contact answers at once."""
-        for attempt in self.attempts.values():
-            if attempt.at in self.frozen_until or attempt.arrived_s == float("inf"):
+    def _check_answers_without_contact(self) -> None:
+        """Check that controllers without contact answer calls promptly."""
+        for call in self.calls.values():
+            if call.at in self.frozen_until or call.arrived_s == float("inf"):
                 continue
-            lost_s = self._contact_s(attempt.at) + CONTACT_S
-            since_s = max(lost_s, attempt.arrived_s, self.record.thawed.get(attempt.at, lost_s))
+            lost_s = self._contact_s(call.at) + CONTACT_S
+            since_s = max(lost_s, call.arrived_s, self.observed.thawed.get(call.at, lost_s))
             if self.now - since_s > PROMPT_S + 1e-6:
                 self.report_violation(
-                    f"silent: {attempt.at} owes {attempt.operator} an answer without contact"
+                    f"silent: {call.at} has no contact and has not answered {call.operator}"
                 )
 
 
-def _scene(about: str, fault_duration_s: float, operators: str, script: str, **more: Any) -> Play:
-    """`operators`: `name what revision route`, `script`: `seconds what`, each parted by commas."""
+def _scene(description: str, fault_duration_s: float, operators: str, script: str, **more: Any) -> SceneSetup:
+    """Return a scene with operators.
+
+    :param operators: `NAME ACTION REVISION ROUTE` for each operator, separated by commas
+    :param script: `SECONDS EVENT` for each event, separated by commas
+    """
     calls = [one.split() for one in operators.split(",")]
     steps = [one.split(maxsplit=1) for one in script.split(",")]
     scene = IsolatedScene(
         "worst-days",
-        about,
+        description,
         fault_duration_s,
-        operators=tuple((name, what, int(revision), route) for name, what, revision, route in calls),
-        script=tuple((float(at), what) for at, what in steps),
+        operators=tuple((name, action, int(revision), route) for name, action, revision, route in calls),
+        script=tuple((float(at), event) for at, event in steps),
         **more,
     )
-    return Play(scene, IsolatedWorld)
+    return SceneSetup(scene, IsolatedWorld)
 
 
 TWO_ORDERS = "p put 2 ab, q put 3 bc, r read 0 ac"
 CUT_FIVE = ", ".join(f"0.1 cut {one} {other}" for one in "ab" for other in "cde")
 
-SCENES: dict[str, Play] = {
+SCENES: dict[str, SceneSetup] = {
     "isolated": _scene(
-        "one is cut off for 20 s; orders and readings come to it and to others before and during that",
+        "a controller is cut off for 20 s; it and others get orders and reads before and during that",
         20.0,
         TWO_ORDERS + ", s read 0 ab",
         "0.0 call p, 0.01 cut a, 0.4 call q, 3.0 call r, 12.0 call s",
@@ -316,7 +342,7 @@
         kinds=("lose", "kill"),
     ),
     "isolated-at-once": _scene(
-        "one is cut off at any moment of an order's rounds",
+        "a controller is cut off at any moment of an order's rounds",
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.0 call r, 1.4 call q",
@@ -324,7 +350,7 @@
         kinds=("cut", "oneway", "beat"),
     ),
     "isolated-unheard": _scene(
-        "one is heard by nobody, and hears all",
+        "no other controller hears one that hears all others",
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.0 oneway a b, 0.0 oneway a c, 0.6 call r, 1.6 call q",
@@ -332,7 +358,7 @@
         kinds=("lose", "cut"),
     ),
     "isolated-deaf": _scene(
-        "one hears nobody, and is heard by all",
+        "a controller hears no other, and all others hear it",
         2.0,
         TWO_ORDERS,
         "0.0 call p, 0.0 oneway b a, 0.0 oneway c a, 0.6 call r, 1.6 call q",
@@ -340,7 +366,7 @@
         kinds=("lose", "cut"),
     ),
     "frozen": _scene(
-        "one is frozen for 5 s with an order under way, and finds calls and acknowledgements as it wakes",
+        "a controller is frozen for 5 s during an order, and then handles buffered calls and replies",
         5.0,
         "p put 2 ab, q put 3 bc, r read 0 a",
         "0.0 call p, 0.0 freeze a, 4.5 call r, 4.5 call q",
@@ -356,7 +382,7 @@
         kinds=("lose", "cut"),
     ),
     "halves": _scene(
-        "five replicas, two of them cut off from the other three",
+        "five replicas, of which two are partitioned from the other three",
         2.0,
         "p put 2 ac, q put 3 cd, r read 0 bd",
         f"0.0 call p, {CUT_FIVE}, 0.4 call q, 1.6 call r",
@@ -367,16 +393,16 @@
 }
 
 
-def _always(self: Contact, *_: Any) -> bool:
+def _always_in_contact(self: Contact, *_: Any) -> bool:
     return True
 
 
-def _from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
+def _contact_from_arrival(self: Controller, sender: str, number: int, fence: int) -> None:
     self.shard.heartbeat_acknowledged(sender, self.world.now, fence)
 
 
 def _keeps_waiting(self: Replica) -> None:
-    """Those that wait are not told."""
+    """Leave the pending requests without an answer."""
 
 
 def _any_one(self: Contact, voters: Any, own: Any) -> float:
@@ -384,22 +410,22 @@
 
 
 def _local_read(self: Shard, id: str, now: float) -> list[Action]:
-    """Only contact is asked for, and no round is run."""
+    """Answer a read after checking contact, without a quorum read."""
     return [RequestEnded(id, self.known if self.in_contact(now) else None, "")]
 
 
 def _confirms_early(self: Shard, id: str, *args: Any) -> list[Action]:
-    """Contact is taken for a majority's vote."""
+    """Acknowledge a change after checking contact, without a majority's votes."""
     change: shard_state.Change = args[0]
-    actions = _ask(self, id, *args)
+    actions = _request_change(self, id, *args)
     after = change(self.known)
     if isinstance(after, str) or not self.in_contact(self.context.now):
         return actions
     return [*actions, RequestEnded(id, after, "")]
 
 
-def _says_refused(self: Replica) -> None:
-    """What contact was lost over is told as refused, and goes on."""
+def _report_as_refused(self: Replica) -> None:
+    """Report pending requests as refused when contact is lost, while their proposals go on."""
     for proposal in self.register.proposals.values():
         if proposal.purpose is Purpose.REQUEST:
             self.context.actions += [
@@ -408,36 +434,40 @@
             proposal.waiting = []
 
 
-_ask = Shard.request_change
+_request_change = Shard.request_change
 
 
 BREAKS: dict[str, Break] = {
     "serves-without-contact": deliberate_break(
-        "contact is not asked for", "isolated", (Contact, "holds", _always)
+        "contact is not checked", "isolated", (Contact, "holds", _always_in_contact)
     ),
     "contact-from-arrival": deliberate_break(
-        "contact runs from when an acknowledgement came",
+        "contact is counted from the arrival of an acknowledgement",
         "frozen",
-        (Controller, "receive_heartbeat_ack", _from_arrival),
+        (Controller, "receive_heartbeat_ack", _contact_from_arrival),
     ),
     "silent-wait": deliberate_break(
-        "who waits is not told that contact is lost", "isolated", (Replica, "_end_requests", _keeps_waiting)
+        "pending requests are not answered when contact is lost",
+        "isolated",
+        (Replica, "_end_requests", _keeps_waiting),
     ),
     "contact-with-one": deliberate_break(
-        "one other is enough for contact", "halves", (Contact, "since_s", _any_one)
+        "one other controller is enough for contact", "halves", (Contact, "since_s", _any_one)
     ),
     "reads-by-contact": deliberate_break(
-        "a reading is answered by contact alone", "isolated-briefly", (Shard, "request_read", _local_read)
+        "a read is answered after a check of contact alone",
+        "isolated-briefly",
+        (Shard, "request_read", _local_read),
     ),
     "confirms-by-contact": deliberate_break(
-        "an order is confirmed by contact alone",
+        "an order is confirmed after a check of contact alone",
         "isolated-briefly",
         (Shard, "request_change", _confirms_early),
     ),
     "unclear-as-refused": deliberate_break(
-        "what is unclear is told as refused",
+        "an indefinite outcome is reported as refused",
         "isolated-at-once",
-        (Replica, "_end_requests", _says_refused),
+        (Replica, "_end_requests", _report_as_refused),
         faults=1,
         kinds="cut oneway",
     ),
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -1,8 +1,8 @@
-"""Orders under one number: one content is taken, and whoever sends it again hears so.
+"""Conflicting and repeated orders: of those with one number one is committed, and every resend is told so.
 
-Judged: of two orders on one version, or under one number, one at most is acknowledged; what is acknowledged
-is in the chain of states; what is in the chain is never refused, however late it is sent again; and a reading
-at the end brings what was taken last, none older than was acknowledged.
+Checked: of two orders with the same base version or the same number at most one is acknowledged; every
+acknowledged order is in the chain of states; an order in the chain is never refused, however late it is sent
+again; and a read at the end returns the newest state, which is not older than any acknowledged one.
 """
 
 from __future__ import annotations
@@ -19,94 +19,120 @@
 from orchidferry.mesh.control.order_requests import OrderRequests
 from orchidferry.testkit.explore.mesh import Break, MeshWorld, Scene
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
-from orchidferry.testkit.explore.worst_days.play import Play
+from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-LISTED = 3  # orders that a state lists in these scenes, so that lists are cut early
-SILENCE_S = 1.0  # after which an order is sent again
-PAUSE_S = 0.1  # after an unclear answer
-TRIES = 8
+LISTED = 3  # orders that a state lists in these scenes, so that lists are truncated early
+SILENCE_S = 1.0  # without an answer, after which an order is sent again
+PAUSE_S = 0.1  # before an order is sent again after an unclear answer
+TRIES = 8  # calls for one order or read, after which its outcome is unclear
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """A configuration under a number, on top of a version."""
+    """A configuration with a number.
+
+    :param number: the configuration's revision
+    :param content: its text
+    :param base: the revision that it is based on
+    """
 
     number: int
     content: str
     base: int
 
     def change(self) -> shard_state.PutConfiguration:
-        """It, for a replica."""
+        """Return the order as a replica takes it."""
         mark = self.content.encode()
         return shard_state.PutConfiguration(mark, self.number, mark, self.base)
 
 
 @dataclass(slots=True)
-class Send:
-    """An order that is sent until its answer is clear. `at`: the controllers that are asked, by turns."""
+class Submission:
+    """An order that is sent until its answer is definite.
+
+    :param at: the controllers that it is sent to, in turn
+    :param not_before_s: the earliest time at which it is sent, in seconds since the scene began
+    """
 
     order: Order
     at: str
-    not_before_s: float = 0.0  # since the scene began
+    not_before_s: float = 0.0
 
 
 @dataclass
 class Operator:
-    """Sends its orders one after the other, and reads what is in force at the end."""
+    """A client that sends its orders one after the other, and reads the state at the end.
+
+    :param reads: the controllers at which it reads, in turn
+    :ivar step: `send`, `read` or `over`
+    :ivar pending_request: the controller and the id of the request that it waits for; "" for none
+    :ivar next_step_s: when it makes its next call
+    :ivar tries: calls for the current order or read
+    :ivar told: of each order, `taken`, `refused` or `unclear`, and of the read, `read` or `unclear`
+    :ivar acknowledged_before: the highest number that was acknowledged to any operator before it read
+    """
 
     name: str
-    sends: list[Send]
-    reads: str  # where it reads, by turns
-    step: str = "send"  # read, over
+    submissions: list[Submission]
+    reads: str
+    step: str = "send"
     pending_request: str = ""
     next_step_s: float = 0.0
     tries: int = 0
-    told: list[str] = field(default_factory=list)  # of each order: taken, refused, unclear; of the reading
+    told: list[str] = field(default_factory=list)
     acknowledged_before: int = 0
 
     @property
     def read(self) -> bool:
-        """Whether it knows of all its orders where they stand."""
+        """Whether it is done and knows the outcome of all its orders."""
         return self.step == "over" and "unclear" not in self.told
 
 
-class Orders(MeshWorld):
-    """Operators whose orders are judged beside the chain of states."""
+class OrdersWorld(MeshWorld):
+    """A world of operators, which checks the answers to their orders against the chain of states.
 
-    sends: tuple[tuple[Send, ...], ...] = ()  # by operator
-    must_hear = True  # without a fault each order has a clear answer
+    :cvar submissions: each operator's orders
+    :cvar must_hear: whether each order must get a definite answer if no fault may happen
+    :ivar chain: the committed contents, by number
+    :ivar acknowledged: orders that were acknowledged
+    :ivar refused: orders that were refused
+    :ivar unharmed: whether no fault may happen, besides those of the scene's script
+    """
+
+    submissions: tuple[tuple[Submission, ...], ...] = ()
+    must_hear = True
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
-        self.chain: dict[int, str] = {}  # content by number, of each state that was decided
+        self.chain: dict[int, str] = {}
         self.acknowledged: list[Order] = []
         self.refused: list[Order] = []
         self.unharmed = not faults
         super().__init__(scene, faults, kinds)
         operators = [
-            Operator(f"o{n}", [replace(one) for one in sends], "cba"[n:] + "cba"[:n])
-            for n, sends in enumerate(self.sends)
+            Operator(f"o{n}", [replace(one) for one in submissions], "cba"[n:] + "cba"[:n])
+            for n, submissions in enumerate(self.submissions)
         ]
         self.clients = operators  # type: ignore[assignment]
         self._run_clients()
         self._begin_step()
 
     def apply(self, label: str) -> None:
-        """Play one of the actions, by its label."""
+        """SceneSetup one of the actions, by its label."""
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
             super().apply(label)
 
     def _send_request(self, client: Any) -> None:
         operator: Operator = client
-        send = operator.sends[0] if operator.sends else None
-        if send is not None and self.now < self.began_s + send.not_before_s - 1e-6:
-            operator.next_step_s = self.began_s + send.not_before_s
+        submission = operator.submissions[0] if operator.submissions else None
+        if submission is not None and self.now < self.began_s + submission.not_before_s - 1e-6:
+            operator.next_step_s = self.began_s + submission.not_before_s
             return None
-        at = send.at if send is not None else operator.reads
+        at = submission.at if submission is not None else operator.reads
         name = at[operator.tries % len(at)]
         operator.tries += 1
         controller = self.controllers[name]
         if operator.tries > TRIES:
-            return self._hears(operator, "unclear")
+            return self._finish_order(operator, "unclear")
         if not controller.alive or name in self.frozen_until:
             operator.next_step_s = self.now + PAUSE_S
             return None
@@ -114,35 +140,38 @@
         operator.pending_request = f"{name} {id}"
         operator.next_step_s = self.now + SILENCE_S
         with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
-            if send is not None:
-                controller.execute(controller.shard.request_change(id, send.order.change(), 1.2, self.now))
+            if submission is not None:
+                controller.execute(
+                    controller.shard.request_change(id, submission.order.change(), 1.2, self.now)
+                )
             else:
                 operator.acknowledged_before = max((order.number for order in self.acknowledged), default=0)
                 controller.execute(controller.shard.request_read(id, self.now))
         return None
 
     def _advance_client(self, client: Any, settled: bool = False) -> None:
-        """No answer in time: the same again, to the next controller."""
+        """Send the same request to the next controller, after a time-out."""
         client.pending_request = ""
         client.next_step_s = self.now
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """Take the end of a request that was made at a controller."""
+        """Handle the end of a client's request at a controller."""
         operator: Any = next((o for o in self.clients if o.pending_request == f"{name} {end.id}"), None)
         if operator is None:
             return
-        pause_s = SILENCE_S if end.why == OUT_OF_CONTACT else PAUSE_S  # said at once: the same pace
+        # A controller without contact answers at once; waiting as for no answer keeps the pace of the calls.
+        pause_s = SILENCE_S if end.why == OUT_OF_CONTACT else PAUSE_S
         operator.pending_request = ""
         operator.next_step_s = self.now + pause_s
         if end.value is None or end.why == shard_state.UNKNOWN_ORDER:
-            self.log(f"{operator.name} has no clear answer from {name}")
+            self.log(f"{operator.name} gets no definite answer from {name}")
             return
         if operator.step == "read":
-            self._reads(operator, shard_state.body(end.value))
+            self._check_read(operator, shard_state.body(end.value))
         else:
-            self._hears(operator, "refused" if end.why else "taken")
+            self._finish_order(operator, "refused" if end.why else "taken")
 
-    def _reads(self, operator: Operator, state: shard_state.Body) -> None:
+    def _check_read(self, operator: Operator, state: shard_state.Body) -> None:
         self.log(f"{operator.name} reads {state.revision}")
         if (
             state.revision < operator.acknowledged_before
@@ -150,143 +179,168 @@
         ):
             self.report_violation(
                 f"read: {state.revision} {state.compressed_text!r},"
-                f" but {operator.acknowledged_before} had been acknowledged"
+                f" but {operator.acknowledged_before} had been acknowledged before"
             )
         operator.step = "over"
         operator.told.append("read")
 
-    def _hears(self, operator: Operator, what: str) -> None:
-        operator.told.append(what)
+    def _finish_order(self, operator: Operator, outcome: str) -> None:
+        operator.told.append(outcome)
         operator.tries = 0
         operator.next_step_s = self.now + 0.02
         if operator.step == "read":
             operator.step = "over"
             return
-        order = operator.sends.pop(0).order
-        operator.step = "send" if operator.sends else "read"
-        self.log(f"{operator.name} is told {what}: {order.number} {order.content!r} on {order.base}")
-        if what == "taken":
+        order = operator.submissions.pop(0).order
+        operator.step = "send" if operator.submissions else "read"
+        self.log(
+            f"{operator.name} is told {outcome}: order {order.number} {order.content!r} based on {order.base}"
+        )
+        if outcome == "taken":
             if self.chain.get(order.number) != order.content:
-                self.report_violation(f"not-there: {order} was acknowledged, and was not taken")
+                self.report_violation(f"not-there: {order} was acknowledged, but was not committed")
             for other in self.acknowledged:
                 if other != order and (other.base == order.base or other.number == order.number):
                     self.report_violation(f"two-orders: {order} and {other} were acknowledged")
             self.acknowledged.append(order)
-        elif what == "refused":
+        elif outcome == "refused":
             self.refused.append(order)
-        self._judge_refused()
+        self._check_refused()
 
-    def _judge_refused(self) -> None:
-        sent = {send.order for sends in self.sends for send in sends}
+    def _check_refused(self) -> None:
+        sent = {submission.order for submissions in self.submissions for submission in submissions}
         for order in self.refused:
-            built_on = max((number for number in self.chain if number < order.number), default=0)
-            on_that = replace(order, base=built_on)
-            if self.chain.get(order.number) == order.content and (on_that == order or on_that not in sent):
-                self.report_violation(f"refused: {order} was refused, and was taken")
+            committed_base = max((number for number in self.chain if number < order.number), default=0)
+            with_committed_base = replace(order, base=committed_base)
+            if self.chain.get(order.number) == order.content and (
+                with_committed_base == order or with_committed_base not in sent
+            ):
+                self.report_violation(f"refused: {order} was refused, but was committed")
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """Take note that a controller knows a newer state."""
+        """Handle that a controller knows a newer state, and record its order."""
         super().state_changed(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
             self.chain[state.revision] = state.compressed_text.decode()
-            self._judge_refused()
+            self._check_refused()
 
     def fingerprint(self) -> bytes:
-        """A digest of the state: equal ones have the same futures."""
-        judged = repr((sorted(self.chain.items()), self.acknowledged, self.refused))
-        return super().fingerprint() + judged.encode()
+        """Return a digest of the state; worlds with equal digests have the same futures."""
+        checked = repr((sorted(self.chain.items()), self.acknowledged, self.refused))
+        return super().fingerprint() + checked.encode()
 
     def succeeded(self) -> bool:
-        """Whether this run shows what the scene is about."""
+        """Return whether the run ended as without faults."""
         return all(operator.read for operator in self.clients) and bool(self.acknowledged)
 
     def finish(self) -> None:
-        """Let all that is under way come to its end, and judge it."""
+        """Check the properties that must hold at the end of the run."""
         if self.unharmed and self.must_hear and not self.succeeded():
             self.report_violation(f"unclear: {[operator.told for operator in self.clients]}")  # type: ignore[attr-defined]
 
 
-def _first(content: str, number: int = 1) -> Order:
+def _order_on_nothing(content: str, number: int = 1) -> Order:
     return Order(number, content, 0)
 
 
-def _climb(most: int) -> list[Order]:
-    """Orders 1 to `most`, each on the one before."""
-    return [Order(n, f"c{n}", n - 1) for n in range(1, most + 1)]
+def _chain_of_orders(last: int) -> list[Order]:
+    """Return orders 1 to `last`, each based on the one before."""
+    return [Order(n, f"c{n}", n - 1) for n in range(1, last + 1)]
 
 
-class TwoContents(Orders):
-    """Two contents under one number, at two controllers, each sent again elsewhere."""
+class TwoContents(OrdersWorld):
+    """Two contents with one number are sent to two controllers, and each again to another controller."""
 
-    sends = (
-        (Send(_first("x"), "ab"), Send(_first("x"), "c")),
-        (Send(_first("y"), "bc"), Send(_first("y"), "a")),
+    submissions = (
+        (Submission(_order_on_nothing("x"), "ab"), Submission(_order_on_nothing("x"), "c")),
+        (Submission(_order_on_nothing("y"), "bc"), Submission(_order_on_nothing("y"), "a")),
     )
 
 
-class TwoNumbers(Orders):
-    """Two orders on one version under two numbers, at two controllers, each sent again elsewhere."""
+class TwoNumbers(OrdersWorld):
+    """Two orders with one base and two numbers are sent to two controllers, and each again to another one."""
 
-    sends = (
-        (Send(_first("x", 2), "ab"), Send(_first("x", 2), "c")),
-        (Send(_first("y"), "bc"), Send(_first("y"), "a")),
+    submissions = (
+        (Submission(_order_on_nothing("x", 2), "ab"), Submission(_order_on_nothing("x", 2), "c")),
+        (Submission(_order_on_nothing("y"), "bc"), Submission(_order_on_nothing("y"), "a")),
     )
 
 
-class Minority(Orders):
-    """An order reaches one replica, which is asked again while the others take another one."""
+class Minority(OrdersWorld):
+    """An order reaches one replica, and is sent to it again while the others commit another order."""
 
-    sends = ((Send(_first("x"), "aab"),), (Send(_first("y"), "bc", 0.1),))
+    submissions = (
+        (Submission(_order_on_nothing("x"), "aab"),),
+        (Submission(_order_on_nothing("y"), "bc", 0.1),),
+    )
 
 
-class SameTwice(Orders):
-    """One order at two controllers at once, and again when it was acknowledged."""
+class SameTwice(OrdersWorld):
+    """One order is sent to two controllers at once, and again after it was acknowledged."""
 
-    sends = ((Send(_first("x"), "abc"), Send(_first("x"), "ca")), (Send(_first("x"), "bca"),))
+    submissions = (
+        (Submission(_order_on_nothing("x"), "abc"), Submission(_order_on_nothing("x"), "ca")),
+        (Submission(_order_on_nothing("x"), "bca"),),
+    )
 
 
-class OtherBase(Orders):
-    """An order that was refused is sent on another base, is taken, and comes once more as it first was."""
+class OtherBase(OrdersWorld):
+    """A refused order is sent again with another base, is committed, and is sent once more as at first."""
 
-    sends = (
+    submissions = (
         (
-            Send(_first("c1"), "ab"),
-            Send(Order(2, "c2", 1), "bc"),
-            Send(Order(2, "c2", 0), "cab"),
-            Send(Order(2, "c2", 1), "cab"),
+            Submission(_order_on_nothing("c1"), "ab"),
+            Submission(Order(2, "c2", 1), "bc"),
+            Submission(Order(2, "c2", 0), "cab"),
+            Submission(Order(2, "c2", 1), "cab"),
         ),
     )
 
 
-class LongAgo(Orders):
-    """The first order is sent again after more others than a state lists."""
+class LongAgo(OrdersWorld):
+    """The first order is sent again after more other orders than a state lists."""
 
-    sends = ((*(Send(order, "ab") for order in _climb(5)), Send(_first("c1"), "bca")),)
+    submissions = (
+        (
+            *(Submission(order, "ab") for order in _chain_of_orders(5)),
+            Submission(_order_on_nothing("c1"), "bca"),
+        ),
+    )
 
 
-class Dark(Orders):
-    """An order that one replica missed, with others after it, is sent again to that one."""
+class MissedOrder(OrdersWorld):
+    """An order that one replica missed, along with later ones, is sent again to that replica."""
 
-    sends = (
+    submissions = (
         (
-            *(Send(order, "ab") for order in _climb(1)),
-            *(Send(order, "ab", 0.1) for order in _climb(5)[1:]),
-            Send(Order(2, "c2", 1), "c", 1.3),
+            *(Submission(order, "ab") for order in _chain_of_orders(1)),
+            *(Submission(order, "ab", 0.1) for order in _chain_of_orders(5)[1:]),
+            Submission(Order(2, "c2", 1), "c", 1.3),
         ),
     )
 
 
-class Wiped(Orders):
-    """The first order is sent again to a replica that has lost its disk meanwhile."""
+class WipedReplica(OrdersWorld):
+    """The first order is sent again to a replica that has lost its disk in the meantime."""
 
-    sends = ((*(Send(order, "ab") for order in _climb(5)), Send(_first("c1"), "c", 0.3)),)
+    submissions = (
+        (
+            *(Submission(order, "ab") for order in _chain_of_orders(5)),
+            Submission(_order_on_nothing("c1"), "c", 0.3),
+        ),
+    )
 
 
-class AllKilled(Orders):
+class AllKilled(OrdersWorld):
     """The first order is sent again after all replicas were killed."""
 
-    sends = ((*(Send(order, "ab") for order in _climb(6)), Send(_first("c1"), "abc", 0.3)),)
+    submissions = (
+        (
+            *(Submission(order, "ab") for order in _chain_of_orders(6)),
+            Submission(_order_on_nothing("c1"), "abc", 0.3),
+        ),
+    )
 
 
 _KINDS = ("kill", "power", "wipe", "cut", "oneway", "freeze", "lose", "late")
@@ -295,20 +349,30 @@
 _KILL_ALL = ((0.1, "kill a"), (0.1, "kill b"), (0.1, "kill c"))
 
 
-def _scene(about: str, script: tuple[tuple[float, str], ...] = (), kinds: tuple[str, ...] = _KINDS) -> Scene:
-    return Scene("worst-days", about, 1.2, script=script, kinds=kinds)
+def _scene(
+    description: str, script: tuple[tuple[float, str], ...] = (), kinds: tuple[str, ...] = _KINDS
+) -> Scene:
+    return Scene("worst-days", description, 1.2, script=script, kinds=kinds)
 
 
-SCENES: dict[str, Play] = {
-    "two-contents": Play(_scene("two contents under one number at two controllers"), TwoContents),
-    "two-numbers": Play(_scene("two orders on one version at two controllers"), TwoNumbers),
-    "minority": Play(_scene("an order that one replica accepted, and another order"), Minority),
-    "same-twice": Play(_scene("one order at two controllers at once, and again"), SameTwice),
-    "other-base": Play(_scene("an order comes on another base, and again on its first"), OtherBase),
-    "long-ago": Play(_scene("an order is sent again after more others than states list"), LongAgo),
-    "dark-replica": Play(_scene("an order comes again to a replica that missed it", _CUT_C), Dark),
-    "wiped-replica": Play(_scene("an order comes again to a replica that was wiped", _WIPE_C), Wiped),
-    "all-killed": Play(_scene("an order comes again after all were killed", _KILL_ALL), AllKilled),
+SCENES: dict[str, SceneSetup] = {
+    "two-contents": SceneSetup(_scene("two contents with one number at two controllers"), TwoContents),
+    "two-numbers": SceneSetup(_scene("two orders with one base version at two controllers"), TwoNumbers),
+    "minority": SceneSetup(_scene("an order that one replica accepted, and another order"), Minority),
+    "same-twice": SceneSetup(_scene("one order at two controllers at once, and again later"), SameTwice),
+    "other-base": SceneSetup(
+        _scene("an order is sent with another base, and again with its first one"), OtherBase
+    ),
+    "long-ago": SceneSetup(_scene("an order is sent again after more others than a state lists"), LongAgo),
+    "dark-replica": SceneSetup(
+        _scene("an order is sent again to a replica that missed it", _CUT_C), MissedOrder
+    ),
+    "wiped-replica": SceneSetup(
+        _scene("an order is sent again to a replica that lost its disk", _WIPE_C), WipedReplica
+    ),
+    "all-killed": SceneSetup(
+        _scene("an order is sent again after all controllers were killed", _KILL_ALL), AllKilled
+    ),
 }
 
 
@@ -364,31 +428,35 @@
 
 BREAKS: dict[str, Break] = {
     "number-only": deliberate_break(
-        "digests are not compared", "two-contents", (OrderHistory, "verdict", _number_only)
+        "digests of contents are not compared", "two-contents", (OrderHistory, "verdict", _number_only)
     ),
     "any-version": deliberate_break(
-        "an order is taken on top of any version", "two-numbers", (OrderHistory, "verdict", _any_version)
+        "an order is committed whatever version it is based on",
+        "two-numbers",
+        (OrderHistory, "verdict", _any_version),
     ),
     "any-base": deliberate_break(
-        "bases are not compared", "other-base", (OrderHistory, "verdict", _any_base)
+        "base versions are not compared", "other-base", (OrderHistory, "verdict", _any_base)
     ),
     "short-memory": deliberate_break(
-        "what is older than remembered is refused", "dark-replica", (OrderHistory, "verdict", _short_memory)
+        "an order older than the history is refused", "dark-replica", (OrderHistory, "verdict", _short_memory)
     ),
     "gap-unseen": deliberate_break(
-        "a list that does not reach what is known is joined to it",
+        "a list is merged despite a gap to the known history",
         "dark-replica",
         (OrderHistory, "merge", _gap_unseen),
         (OrderHistory, "_forget", _never),
     ),
     "not-asked": deliberate_break(
-        "a replica that forgot asks nobody", "wiped-replica", (OrderRequests, "ask_for_older", _never)
+        "a replica whose history is too short asks no other replica",
+        "wiped-replica",
+        (OrderRequests, "ask_for_older", _never),
     ),
     "not-saved": deliberate_break(
-        "orders are not put on disk", "all-killed", (OrderLog, "take_unsaved", _nothing_saved)
+        "orders are not saved to disk", "all-killed", (OrderLog, "take_unsaved", _nothing_saved)
     ),
     "told-early": deliberate_break(
-        "an order counts as taken once its replica has accepted it",
+        "an order counts as committed once one replica has accepted it",
         "minority",
         (OrderRequests, "request", _told_before_decided),
         faults=1,
--- a/orchidferry/testkit/explore/worst_days/play.py
+++ b/orchidferry/testkit/explore/worst_days/scene_setup.py
@@ -1,4 +1,4 @@
-"""What a scene of the worst days is made of."""
+"""A scene of the worst days with its world."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 @dataclass(frozen=True)
-class Play:
-    """A scene, and the world that plays it."""
+class SceneSetup:
+    """A scene, and the class of the world that plays it."""
 
     scene: Scene
     world: type[MeshWorld] = MeshWorld
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -1,4 +1,4 @@
-"""A second loss right after a repair or a replacement, and members that leave."""
+"""A second loss right after a repair or a replacement of a controller, and controllers that leave."""
 
 from __future__ import annotations
 
@@ -18,21 +18,25 @@
 from orchidferry.testkit.explore.mesh_actors import KEY, KeyRequest
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
 from orchidferry.testkit.explore.mesh_fingerprint import by_link
-from orchidferry.testkit.explore.worst_days.play import Play
+from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-STOP_S = 1.0  # for which a controller that was told to end stays at least
-GRACE_S = 5.0  # for which it stays at most
-ANSWER_AT_ONE = "told-one"  # what becomes of a run: only the controller that leaves learns its answer
+STOP_S = 1.0  # minimum time that a stopping controller stays
+GRACE_S = 5.0  # maximum time that a stopping controller stays
+ANSWER_AT_ONE = "told-one"  # a run's outcome: only the controller that leaves gets its answer
 
 
 class LossWorld(MeshWorld):
-    """A world whose controllers may be told to end (`leave`).
+    """A world in which the script may stop controllers gracefully (`leave`).
 
-    After a run without a fault but those of the script the group is complete: all its voters are alive and
-    grant, and a majority holds the key.
+    It checks that the group is complete after a run without faults besides those of the script: all voters
+    are alive and grant keys, and a majority holds the key's record.
+
+    :cvar all_voters_hold: whether every voter must hold the key's record, not only a majority
+    :ivar faults_allowed: how many faults may happen in the run
+    :ivar ending_since: when each stopping controller was told to stop
     """
 
-    all_voters_hold = False  # whether every voter has to hold the key, not only a majority
+    all_voters_hold = False
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
         self.faults_allowed = faults
@@ -40,18 +44,18 @@
         super().__init__(scene, faults, kinds)
 
     def key_granted(self, one: KeyRequest) -> None:
-        """Take note that a key was granted."""
+        """Record that an attempt was granted the key; for `ANSWER_AT_ONE`, send its answer to a alone."""
         super().key_granted(one)
         if one.run_outcome == ANSWER_AT_ONE:
             self.send(one.node, "a", ControllerCall.RECORD_ANSWER, KEY, one.holder, one.holder)
 
-    def _apply_fault(self, what: str, about: list[str]) -> None:
-        if what != "leave":
-            return super()._apply_fault(what, about)
-        self.log(f"{about[0]} is told to end")
-        self.ending_since[about[0]] = self.now
-        self.controllers[about[0]].peers.stopping = True
-        self.send_heartbeats(about[0])
+    def _apply_fault(self, kind: str, target: list[str]) -> None:
+        if kind != "leave":
+            return super()._apply_fault(kind, target)
+        self.log(f"{target[0]} is told to stop")
+        self.ending_since[target[0]] = self.now
+        self.controllers[target[0]].peers.stopping = True
+        self.send_heartbeats(target[0])
         return None
 
     def _advance_time(self) -> None:
@@ -62,22 +66,22 @@
             stays = ending_for_s < STOP_S or (ending_for_s < GRACE_S and controller.shard.must_stay(self.now))
             if controller.alive and not stays:
                 del self.ending_since[name]
-                self.log(f"{name} ends")
+                self.log(f"{name} has stopped")
                 self.stop_process(name, math.inf)
 
     def _voters(self) -> list[Shard]:
         return [self.controllers[voter.name].shard for voter in self.newest_state.voters]
 
     def _missing(self) -> str:
-        """Return what the group lacks to be complete; "" for nothing."""
+        """Return why the group is not complete; "" if it is."""
         if not self.granted_attempts:
             return ""
         for voter in self.newest_state.voters:
             controller = self.controllers[voter.name]
             if not controller.alive or controller.shard.voter != voter:
-                return f"{voter.name} is a voter and gone"
+                return f"{voter.name} is a voter, but is not running with its disk"
             if not controller.shard.standing.caught_up:
-                return f"{voter.name} grants nothing"
+                return f"{voter.name} has not caught up and grants no keys"
         holders = [
             voter.name
             for voter, shard in zip(self.newest_state.voters, self._voters(), strict=True)
@@ -87,90 +91,91 @@
         if len(holders) < (
             len(self.newest_state.voters) if self.all_voters_hold else len(self.newest_state.voters) // 2 + 1
         ):
-            return f"{' and '.join(holders) or 'nobody'} alone hold the key"
+            return f"only {' and '.join(holders) or 'no voters'} hold the key's record"
         if any(one.run_outcome == ANSWER_AT_ONE for one in self.key_requests):
             records = [shard.operation_keys.records.get(KEY) for shard in self._voters()]
             return (
                 ""
                 if any(record is not None and record.answer for record in records)
-                else "the answer is gone"
+                else "the answer is lost"
             )
         return ""
 
     def succeeded(self) -> bool:
-        """Whether this run shows what the scene is about."""
+        """Return whether the run ended as without faults."""
         return super().succeeded() and not self._missing()
 
     def finish(self) -> None:
-        """Let all that is under way come to its end, and judge it."""
+        """Check the properties that must hold at the end of the run."""
         missing = self._missing()
         if missing and self.faults_left == self.faults_allowed:
             self.report_violation(f"whole: {missing}")
 
     def fingerprint(self) -> bytes:
-        """A digest of the state: equal ones have the same futures."""
+        """Return a digest of the state; worlds with equal digests have the same futures."""
         return super().fingerprint() + repr(sorted(self.ending_since.items())).encode()
 
 
 class ReturnWorld(LossWorld):
-    """A world in which a controller that was away is handed all that it missed."""
+    """A world in which a controller that was unreachable must get all records that it missed."""
 
     all_voters_hold = True
 
 
 class NarrowWorld(LossWorld):
-    """A world that explores two choices of what a process takes: six controllers send too much for more."""
+    """A world that explores only two choices per step: six controllers send too many messages for more."""
 
     max_choices = 2
 
     def _begin_step(self) -> None:
         super()._begin_step()
-        self.messages = by_link(self.messages)  # so that equal fingerprints have the same choices
+        self.messages = by_link(self.messages)  # so that worlds with equal fingerprints have the same choices
 
     def next_items(self) -> tuple[str, list[str]]:
-        """What may come next."""
+        """Return the next process with items to handle, and the first `max_choices` of them."""
         receiver, items = super().next_items()
         return receiver, items[: self.max_choices]
 
 
 class StraightWorld(NarrowWorld):
-    """A world that explores one order of what comes to a process, with faults at every moment of it."""
+    """A world that explores one order of the items of each process, with faults at every step."""
 
     max_choices = 1
 
 
 def _scene(
-    about: str,
+    description: str,
     again_s: float,
     *script: tuple[float, str],
-    how: tuple[str, str] = ("broke", "broke"),
+    run_outcomes: tuple[str, str] = ("broke", "broke"),
     fault_duration_s: float = 0.3,
     spare_controllers: int = 1,
     group_size: int = 3,
     world: type[MeshWorld] = LossWorld,
-) -> Play:
-    """Return a scene in which a key is claimed at the start, and again after a while.
+) -> SceneSetup:
+    """Return a scene in which a key is claimed at the start, and again later.
 
-    :param again_s: when it is claimed again
-    :param how: what becomes of the two runs
+    :param again_s: the time of the second claim, in seconds
+    :param script: the scripted events with their times in seconds
+    :param run_outcomes: the outcomes of the two runs
     """
-    tries = (("m", 0.0, how[0]), ("n", again_s, how[1]))
+    key_requests = (("m", 0.0, run_outcomes[0]), ("n", again_s, run_outcomes[1]))
     scene = Scene(
         "worst-days",
-        about,
+        description,
         fault_duration_s,
-        key_requests=tries,
+        key_requests=key_requests,
         script=script,
         kinds=KINDS,
         spare_controllers=spare_controllers,
         group_size=group_size,
     )
-    return Play(scene, world)
+    return SceneSetup(scene, world)
 
 
-SCENES: dict[str, Play] = {
+SCENES: dict[str, SceneSetup] = {
     "replaced-wiped": _scene(
-        "one of two that hold a key dies and is replaced; the other one is wiped right after",
+        "one of two holders of a key dies and is replaced; the other one is wiped right after",
         7.0,
         (0.0, "cut m c"),
         (0.3, "down b"),
@@ -187,7 +192,7 @@
         spare_controllers=2,
     ),
     "only-copy": _scene(
-        "one of two that hold a key leaves as planned; the other is wiped catch_up_s after the newcomer came",
+        "one of two holders of a key leaves as planned; the other is wiped catch_up_s after a new voter joined",
         7.0,
         (0.0, "cut m c"),
         (0.1, "down d"),
@@ -196,14 +201,14 @@
         (4.3, "wipe b"),
     ),
     "only-answer": _scene(
-        "the one that leaves is the only one that heard the answer of a run",
+        "the controller that leaves is the only one that got the answer of a run",
         7.0,
         (0.3, "leave a"),
         (4.3, "wipe b"),
-        how=(ANSWER_AT_ONE, "broke"),
+        run_outcomes=(ANSWER_AT_ONE, "broke"),
     ),
     "returned": _scene(
-        "one is cut off while a key is claimed and comes back; another one is wiped catch_up_s later",
+        "a controller is cut off while a key is claimed, and returns; another one is wiped catch_up_s later",
         8.0,
         (0.0, "cut c"),
         (5.8, "wipe a"),
@@ -212,7 +217,7 @@
         world=ReturnWorld,
     ),
     "two-wiped": _scene(
-        "five: one of three that hold a key is replaced, the two others are wiped at once right after",
+        "of five, one of three holders of a key is replaced, and the others are wiped at once right after",
         7.0,
         (0.0, "cut m d"),
         (0.0, "cut m e"),
@@ -223,7 +228,7 @@
         world=NarrowWorld,
     ),
     "two-wiped-straight": _scene(
-        "the same in one order of all that comes, which bears a walk with faults",
+        "the same with one order of messages, few enough runs to explore with faults",
         7.0,
         (0.0, "cut m d"),
         (0.0, "cut m e"),
@@ -275,26 +280,26 @@
 
 BREAKS: dict[str, Break] = {
     "votes-before-learning": deliberate_break(
-        "a newcomer counts as caught up when it is admitted",
+        "a new voter counts as caught up when it is admitted",
         "replaced-wiped",
         (RepairingReplica, "_group_changed", _counts_at_once),
         (RepairingReplica, "ready", True),
     ),
     "one-source-replaced": deliberate_break(
-        "one other is enough to learn from", "replaced-wiped", (shard_state, "sources_needed", _one_source)
+        "one source is enough to catch up", "replaced-wiped", (shard_state, "sources_needed", _one_source)
     ),
     "one-source-of-five": deliberate_break(
-        "one other of five is enough to learn from", "two-wiped", (shard_state, "sources_needed", _one_source)
+        "one source of five is enough to catch up", "two-wiped", (shard_state, "sources_needed", _one_source)
     ),
     "leaves-at-once": deliberate_break(
-        "who is told to end does not wait, and nobody takes its place while it lives",
+        "a stopping controller does not wait, and is not replaced while it runs",
         "only-copy",
         (RepairingReplica, "must_stay", _never_stays),
         (GroupView, "leaves", _never_leaves),
     ),
-    "hints-dropped": deliberate_break("nothing is handed over", "returned", (Hints, "next_page", _no_page)),
+    "hints-dropped": deliberate_break("no hints are handed over", "returned", (Hints, "next_page", _no_page)),
     "leaver-not-asked": deliberate_break(
-        "newcomers learn from those that stay alone",
+        "new voters catch up only from controllers that stay",
         "only-answer",
         (Standing, "missing_sources", _asks_voters_but_a),
         (RepairingReplica, "_leaving_sources", _no_leaving_sources),
--- a/tests/testkit/explore/test_second_loss.py
+++ b/tests/testkit/explore/test_second_loss.py
@@ -8,7 +8,7 @@
 from orchidferry.testkit.explore.worst_days.second_loss import BREAKS, SCENES
 
 
-@pytest.mark.parametrize("scene", [name for name, play in SCENES.items() if play.scene.group_size == 3])
+@pytest.mark.parametrize("scene", [name for name, setup in SCENES.items() if setup.scene.group_size == 3])
 def test_every_interleaving_without_a_fault_leaves_the_group_whole(scene: str) -> None:
     found = worst_days.search(scene, 0, workers=1)
     assert found.exhausted and not found.violations, found.story
