--- a/orchidferry/testkit/explore/mesh_actors.py
+++ b/orchidferry/testkit/explore/mesh_actors.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.wire.messages import KeyAnswer, KeyClaim, KeyRelease, Message
 from orchidferry.mesh.wire.shard_messages import tag_of
 from orchidferry.testkit.explore.controller import WINDOW_S, ControllerCall
-from orchidferry.testkit.explore.fleet import Middle
+from orchidferry.testkit.explore.fleet import MidpointRandom
 
 if TYPE_CHECKING:
     from orchidferry.testkit.explore.mesh import MeshWorld
@@ -21,7 +21,7 @@
 KEY = "k"  # the operation key of all key requests
 
 
-class SequentialRandom(Middle):
+class SequentialRandom(MidpointRandom):
     """A deterministic generator: floats are 0.5, and each integer that it draws is a new one."""
 
     def __init__(self, count: int = 0) -> None:
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -1,12 +1,11 @@
-"""Every interleaving of a few voters and askers over slots.
-
-The shipping register and table, with faults among them.
-
-Each message takes one step. Of those that come to one half of a node in one step every order is walked;
-what comes to different halves in it commutes. A fault loses a message, holds it back until all else is quiet,
-cuts a node off for a while, or starts a voter anew, with its disk or without. Each asker wants one place out,
-goes out as soon as it may, comes back as another process, and gives its slot back. What is judged is what the
-askers do, not what the table says.
+"""Exploration of all interleavings of a few voters and requesters of disruption slots, with faults.
+
+The voters and requesters run the shipping register and slot table. Each message takes one step. Every order
+of the messages that reach one recipient in one step is explored; messages to different recipients commute. A
+fault loses a message, delays it until nothing else is in flight, cuts a node off for a while, or restarts a
+voter with or without its disk. Each requester wants to take one member out of service: it goes out as soon as
+it has a slot, comes back as another process, and returns the slot. The properties are checked on the
+requesters' actions, not on the slot table.
 """
 
 from __future__ import annotations
@@ -38,290 +37,328 @@
     SlotTable,
 )
 from orchidferry.testkit.explore import world_search
-from orchidferry.testkit.explore.fleet import Middle
+from orchidferry.testkit.explore.fleet import MidpointRandom
 from orchidferry.testkit.explore.world_search import SearchResult
 
-TRIES = 5  # of an asker, for each of its steps and each other one that it may have to wait for
-FOR_MS = 3_000.0
-OUT_MS = 1_500.0  # that a place is out: longer than another asker waits between its tries
+TRIES = 5  # requests for each step of a requester, and for each other requester that it may have to wait for
+REQUEST_TIMEOUT_MS = 3_000.0  # after which a requester tries again
+OUT_MS = 1_500.0  # for which a member is out: longer than other requesters wait between their tries
 KINDS = ("lose", "late", "cut", "restart", "forget")
 
 
 @dataclass
-class Asker:
-    """One that wants its place out, and back."""
+class Requester:
+    """A client that takes its member out of service and back.
+
+    :param step: `ask` (for a slot), `out`, `back` (returns the slot) or `over`
+    :param token: the fencing token of its slot
+    :param tries: requests in this step
+    :param next_step_ms: when it tries again or takes its next step
+    :param is_waiting: whether its proposer runs its request
+    """
 
     name: str
-    place: Member
+    member: Member
     proposer: Proposer
-    step: str = "ask"  # ask, out, back, over
+    step: str = "ask"
     token: int = 0
     tries: int = 0
-    due: float = 0.0  # of the next try, where the last one brought nothing
-    waits: bool = False  # for its proposer
+    next_step_ms: float = 0.0
+    is_waiting: bool = False
 
 
 @dataclass
-class Mail:
-    """A message under way."""
+class MessageInFlight:
+    """A message in flight.
+
+    :param late: whether it is delayed until nothing else is in flight
+    """
 
     sender: str
     to: str
-    message: register.Message
+    payload: register.Message
     late: bool = False
 
     @property
-    def half(self) -> tuple[str, bool]:
-        """What takes it: a node's voter or its asker, which share nothing."""
-        return self.to, isinstance(self.message, register.Prepare | register.Accept)
+    def recipient(self) -> tuple[str, bool]:
+        """The receiving node, and whether the message is for its voter (else for its requester).
+
+        A node's voter and requester share no state.
+        """
+        return self.to, isinstance(self.payload, register.Prepare | register.Accept)
 
 
 @dataclass
 class World:
-    """Voters, askers, and what is under way between them."""
+    """Voters, requesters, and the messages between them.
+
+    :param bound: how many members may be out at once
+    :param faults: how many faults may still happen
+    :param kinds: of these faults
+    :param now: in ms
+    :param messages: messages that are delivered in this step, and delayed ones
+    :param next_messages: messages that were sent in this step
+    :param disks: the state of each voter that is on disk
+    :param cut_off_until_ms: when each node that is cut off is reachable again
+    :param last_disk_id: the id of the newest disk
+    :param out: the members that are actually out, with the fencing tokens that they used
+    :param process_numbers: how often each member was replaced by another process
+    :param decided: the states that were decided, by version
+    :param holder_by_token: the requester that got each fencing token
+    """
 
     acceptors: dict[str, Acceptor]
-    askers: dict[str, Asker]
+    requesters: dict[str, Requester]
     bound: int
     faults: int
     kinds: tuple[str, ...] = KINDS
     now: float = 0.0
-    mail: list[Mail] = field(default_factory=list)  # of this step
-    next: list[Mail] = field(default_factory=list)  # sent in it
+    messages: list[MessageInFlight] = field(default_factory=list)
+    next_messages: list[MessageInFlight] = field(default_factory=list)
     disks: dict[str, AcceptorState] = field(default_factory=dict)
-    cut: dict[str, float] = field(default_factory=dict)
-    memories: int = 100
-    out: dict[str, str] = field(
-        default_factory=dict
-    )  # places that are out in truth, and the token they went by
-    lives: dict[str, int] = field(default_factory=dict)  # processes that each place has had
-    chosen: dict[int, Value] = field(default_factory=dict)
-    tokens: dict[int, str] = field(default_factory=dict)
+    cut_off_until_ms: dict[str, float] = field(default_factory=dict)
+    last_disk_id: int = 100
+    out: dict[str, str] = field(default_factory=dict)
+    process_numbers: dict[str, int] = field(default_factory=dict)
+    decided: dict[int, Value] = field(default_factory=dict)
+    holder_by_token: dict[int, str] = field(default_factory=dict)
     gate: FencingGate = field(default_factory=FencingGate)
     story: list[str] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
-    def seen(self, place: Member) -> str:
-        """The process that serves there now; voters see it as it is."""
-        return "" if place.name in self.out else f"{place.name}/{self.lives[place.name]}"
+    def observed_process(self, member: Member) -> str:
+        """Return the process that serves as a member now, as voters observe it; "" for none."""
+        return "" if member.name in self.out else f"{member.name}/{self.process_numbers[member.name]}"
 
     @property
     def over(self) -> bool:
-        """Whether nothing more can happen."""
-        return all(asker.step == "over" for asker in self.askers.values())
+        """Whether all requesters are done."""
+        return all(requester.step == "over" for requester in self.requesters.values())
 
     def actions(self) -> list[str]:
-        """What may come next; the first comes without a fault."""
+        """Return the actions that may happen next, the first without a fault."""
         found: list[str] = []
-        ready = [(n, mail) for n, mail in enumerate(self.mail) if not mail.late]
+        ready = [(n, message) for n, message in enumerate(self.messages) if not message.late]
         if ready:
-            to = min(mail.half for _, mail in ready)
-            found = [f"deliver {n}" for n, mail in ready if mail.half == to]
+            to = min(message.recipient for _, message in ready)
+            found = [f"deliver {n}" for n, message in ready if message.recipient == to]
             if self.faults:
-                for n, mail in ready:
-                    if mail.half == to:
+                for n, message in ready:
+                    if message.recipient == to:
                         found += [f"{kind} {n}" for kind in ("lose", "late") if kind in self.kinds]
         else:
             found = ["wait"]
         if self.faults:
             for name in self.acceptors:
-                if name not in self.cut and "cut" in self.kinds:
+                if name not in self.cut_off_until_ms and "cut" in self.kinds:
                     found.append(f"cut {name}")
                 found += [f"{kind} {name}" for kind in ("restart", "forget") if kind in self.kinds]
         return found
 
     def apply(self, label: str) -> None:
-        """Play one of the actions, by its label."""
-        what, _, about = label.partition(" ")
-        if what not in ("deliver", "wait"):
+        """Play one of `actions`."""
+        kind, _, target = label.partition(" ")
+        if kind not in ("deliver", "wait"):
             self.faults -= 1
-            told = about
-            if what in ("lose", "late"):
-                mail = self.mail[int(about)]
-                told = f"{type(mail.message).__name__} from {mail.sender} to {mail.to}"
-            self.story.append(f"{self.now:7.0f} ms  {what} {told}")
-        match what:
+            description = target
+            if kind in ("lose", "late"):
+                message = self.messages[int(target)]
+                description = f"{type(message.payload).__name__} from {message.sender} to {message.to}"
+            self.story.append(f"{self.now:7.0f} ms  {kind} {description}")
+        match kind:
             case "deliver":
-                self._deliver(self.mail.pop(int(about)))
+                self._deliver(self.messages.pop(int(target)))
             case "lose":
-                self.mail.pop(int(about))
+                self.messages.pop(int(target))
             case "late":
-                self.mail[int(about)].late = True
+                self.messages[int(target)].late = True
             case "cut":
-                self.cut[about] = self.now + 2_000.0
-                self.mail = [mail for mail in self.mail if about not in (mail.sender, mail.to)]
-                self.next = [mail for mail in self.next if about not in (mail.sender, mail.to)]
+                self.cut_off_until_ms[target] = self.now + 2_000.0
+                self.messages = [
+                    message for message in self.messages if target not in (message.sender, message.to)
+                ]
+                self.next_messages = [
+                    message for message in self.next_messages if target not in (message.sender, message.to)
+                ]
             case "restart" | "forget":
-                self._restart(about, what == "forget")
+                self._restart(target, kind == "forget")
             case "wait":
-                self._wait()
-        if all(mail.late for mail in self.mail):
-            self.mail += self.next
-            self.next = []
-        self._check()
-
-    def _restart(self, name: str, forgets: bool) -> None:
-        """A voter's process anew; its asker's half goes on, as another process would on what was agreed."""
-        self.memories += 1
-        kept = (
-            AcceptorState(self.memories)
-            if forgets
+                self._advance_time()
+        if all(message.late for message in self.messages):
+            self.messages += self.next_messages
+            self.next_messages = []
+        self._check_properties()
+
+    def _restart(self, name: str, forget: bool) -> None:
+        """Restart a node's voter; its requester goes on, as another process could from the decided state."""
+        self.last_disk_id += 1
+        acceptor_state = (
+            AcceptorState(self.last_disk_id)
+            if forget
             else self.disks.get(name, AcceptorState(self.acceptors[name].state.disk_id))
         )
-        self.acceptors[name] = Acceptor(name, kept, self.acceptors[name]._object_to)
-        if forgets:
+        self.acceptors[name] = Acceptor(name, acceptor_state, self.acceptors[name]._object_to)
+        if forget:
             self.disks.pop(name, None)
 
-    def _deliver(self, mail: Mail) -> None:
-        message = mail.message
-        if isinstance(message, register.Prepare | register.Accept):
-            if isinstance(message, register.Prepare) and message.intent is not None:
-                self.acceptors[mail.to]._object_to = self._thinks(mail.to)
-            self._act(mail.to, self.acceptors[mail.to].handle(message, mail.sender))
+    def _deliver(self, message: MessageInFlight) -> None:
+        payload = message.payload
+        if isinstance(payload, register.Prepare | register.Accept):
+            if isinstance(payload, register.Prepare) and payload.intent is not None:
+                self.acceptors[message.to]._object_to = self._objection(message.to)
+            self._execute(message.to, self.acceptors[message.to].handle(payload, message.sender))
         else:
-            self._act(mail.to, self.askers[mail.to].proposer.handle(message, self.now))
+            self._execute(message.to, self.requesters[message.to].proposer.handle(payload, self.now))
 
-    def _thinks(self, name: str) -> Callable[[Any], str]:
-        kept = self.acceptors[name].state
-        table = kept.value.body if kept.value is not None else FIRST[self.bound].body
-        seen = {place: self.seen(place) for place in table.members}
-        return _Opinion(table, seen)
+    def _objection(self, name: str) -> Callable[[Any], str]:
+        acceptor_state = self.acceptors[name].state
+        table = (
+            acceptor_state.value.body if acceptor_state.value is not None else INITIAL_STATE[self.bound].body
+        )
+        observed = {member: self.observed_process(member) for member in table.members}
+        return _Objection(table, observed)
 
-    def _act(self, name: str, actions: list[register.Action]) -> None:
+    def _execute(self, name: str, actions: list[register.Action]) -> None:
         for action in actions:
             match action:
                 case SaveState():
                     self.disks[name] = action.state
                 case SendToVoter():
-                    if name not in self.cut and action.to not in self.cut:
-                        self.next.append(Mail(name, action.to, action.message))
+                    if name not in self.cut_off_until_ms and action.to not in self.cut_off_until_ms:
+                        self.next_messages.append(MessageInFlight(name, action.to, action.message))
                 case ChangeDecided():
-                    self._done(self.askers[name], action)
+                    self._change_decided(self.requesters[name], action)
 
-    def _done(self, asker: Asker, done: ChangeDecided) -> None:
-        value = done.value
-        table = done.value.body
-        known = self.chosen.setdefault(value.version, value)
+    def _change_decided(self, requester: Requester, outcome: ChangeDecided) -> None:
+        value = outcome.value
+        table = outcome.value.body
+        known = self.decided.setdefault(value.version, value)
         if known != value:
-            self.violations.append(f"one-state: two states of version {value.version} were agreed")
-        asker.waits = False
-        slot = table.slot(asker.place)
-        if asker.step == "ask" and slot is not None and slot.id == f"{asker.name}-out":
-            asker.token = slot.token
-            if self.tokens.setdefault(slot.token, asker.name) != asker.name:
-                self.violations.append(f"tokens: {slot.token} was given to two")
-            if self.gate.check(asker.place, slot.token):
+            self.violations.append(f"one-state: two states of version {value.version} were decided")
+        requester.is_waiting = False
+        slot = table.slot(requester.member)
+        if requester.step == "ask" and slot is not None and slot.id == f"{requester.name}-out":
+            requester.token = slot.token
+            if self.holder_by_token.setdefault(slot.token, requester.name) != requester.name:
+                self.violations.append(f"tokens: {slot.token} was given to two requesters")
+            if self.gate.check(requester.member, slot.token):
                 return
-            self.story.append(f"{self.now:7.0f} ms  {asker.name} goes out with token {slot.token}")
-            self.out[asker.place.name] = str(slot.token)
-            asker.step = "out"
-            asker.due = self.now + OUT_MS
-        elif asker.step == "back" and not done.why:
-            self.story.append(f"{self.now:7.0f} ms  {asker.name} gave its slot back")
-            asker.step = "over"
+            self.story.append(f"{self.now:7.0f} ms  {requester.name} goes out with token {slot.token}")
+            self.out[requester.member.name] = str(slot.token)
+            requester.step = "out"
+            requester.next_step_ms = self.now + OUT_MS
+        elif requester.step == "back" and not outcome.why:
+            self.story.append(f"{self.now:7.0f} ms  {requester.name} returned its slot")
+            requester.step = "over"
         else:
-            asker.due = self.now + 700.0
-
-    def _go(self, asker: Asker) -> None:
-        """An asker's next step, as its time has come."""
-        if asker.step == "out":  # it comes back as another process
-            del self.out[asker.place.name]
-            self.lives[asker.place.name] += 1
-            asker.step = "back"
-            asker.tries = 0
-        if asker.tries >= TRIES * max(1, len(self.askers) - self.bound):
-            asker.step = "over"
+            requester.next_step_ms = self.now + 700.0
+
+    def _take_step(self, requester: Requester) -> None:
+        """Take a requester's next step."""
+        if requester.step == "out":  # the member comes back as another process
+            del self.out[requester.member.name]
+            self.process_numbers[requester.member.name] += 1
+            requester.step = "back"
+            requester.tries = 0
+        if requester.tries >= TRIES * max(1, len(self.requesters) - self.bound):
+            requester.step = "over"
             return
-        asker.tries += 1
-        asker.waits = True
-        asker.due = self.now + FOR_MS
-        place = asker.place
-        if asker.step == "ask":
-            change: proposer.Change = _Wants(place, asker.name)
-            intent: Any = OutageIntent(place)
+        requester.tries += 1
+        requester.is_waiting = True
+        requester.next_step_ms = self.now + REQUEST_TIMEOUT_MS
+        member = requester.member
+        if requester.step == "ask":
+            change: proposer.Change = _Grant(member, requester.name)
+            intent: Any = OutageIntent(member)
         else:
-            change = _Back(asker.token)
-            intent = ReturnIntent(asker.token, place, f"{place.name}/0")
-        actions = asker.proposer.ask(f"{asker.name}-{asker.step}", change, self.now, FOR_MS - 1.0, intent)
-        self._act(asker.name, actions)
-
-    def _wait(self) -> None:
-        """Nothing is under way: what was late comes, else time goes on."""
-        if any(mail.late for mail in self.mail):
-            for mail in self.mail:
-                mail.late = False
+            change = _Release(requester.token)
+            intent = ReturnIntent(requester.token, member, f"{member.name}/0")
+        actions = requester.proposer.ask(
+            f"{requester.name}-{requester.step}", change, self.now, REQUEST_TIMEOUT_MS - 1.0, intent
+        )
+        self._execute(requester.name, actions)
+
+    def _advance_time(self) -> None:
+        """Release delayed messages, or advance time to the next due event if there are none."""
+        if any(message.late for message in self.messages):
+            for message in self.messages:
+                message.late = False
             return
-        times = list(self.cut.values())
-        for asker in self.askers.values():
-            if asker.step != "over":
-                times += [asker.due, asker.proposer.due_ms]
+        times = list(self.cut_off_until_ms.values())
+        for requester in self.requesters.values():
+            if requester.step != "over":
+                times += [requester.next_step_ms, requester.proposer.due_ms]
         self.now = max(self.now, min(times))
-        self.cut = {name: until for name, until in self.cut.items() if until > self.now}
-        for asker in self.askers.values():
-            if asker.step == "over":
+        self.cut_off_until_ms = {
+            name: until for name, until in self.cut_off_until_ms.items() if until > self.now
+        }
+        for requester in self.requesters.values():
+            if requester.step == "over":
                 continue
-            if min(asker.proposer.due_ms, asker.due) <= self.now:
-                self._act(asker.name, asker.proposer.tick(self.now))
-            if asker.due <= self.now and not (asker.waits and asker.proposer.due_ms < float("inf")):
-                self._go(asker)
-
-    def _check(self) -> None:
+            if min(requester.proposer.due_ms, requester.next_step_ms) <= self.now:
+                self._execute(requester.name, requester.proposer.tick(self.now))
+            if requester.next_step_ms <= self.now and not (
+                requester.is_waiting and requester.proposer.due_ms < float("inf")
+            ):
+                self._take_step(requester)
+
+    def _check_properties(self) -> None:
         if len(self.out) > self.bound:
-            self.violations.append(f"bound: {sorted(self.out)} are out at once, and {self.bound} may be")
+            self.violations.append(f"bound: {sorted(self.out)} are out at once, but only {self.bound} may be")
 
     def fingerprint(self) -> bytes:
-        """All that it holds but its story; times stand in it."""
-        askers = [
+        """Return a digest of the state, with its times; worlds with equal digests have the same futures."""
+        requesters = [
             (
-                a.step,
-                a.token,
-                a.tries,
-                a.due,
-                a.waits,
-                a.proposer.known,
-                a.proposer._counter,
-                a.proposer._next_round_ms,
-                a.proposer._preempted_rounds,
-                a.proposer._round,
-                [w.id for w in a.proposer._pending],
+                requester.step,
+                requester.token,
+                requester.tries,
+                requester.next_step_ms,
+                requester.is_waiting,
+                requester.proposer.known,
+                requester.proposer._counter,
+                requester.proposer._next_round_ms,
+                requester.proposer._preempted_rounds,
+                requester.proposer._round,
+                [w.id for w in requester.proposer._pending],
             )
-            for a in self.askers.values()
+            for requester in self.requesters.values()
         ]
-        held = [
+        state = [
             self.now,
             self.faults,
             sorted(self.out.items()),
-            sorted(self.cut.items()),
-            askers,
+            sorted(self.cut_off_until_ms.items()),
+            requesters,
             [(name, acceptor.state) for name, acceptor in self.acceptors.items()],
             sorted(self.disks.items()),
-            sorted(repr(mail) for mail in self.mail),
-            sorted(repr(mail) for mail in self.next),
-            sorted(self.lives.items()),
+            sorted(repr(message) for message in self.messages),
+            sorted(repr(message) for message in self.next_messages),
+            sorted(self.process_numbers.items()),
         ]
-        return hashlib.blake2b(repr(held).encode(), digest_size=16).digest()
+        return hashlib.blake2b(repr(state).encode(), digest_size=16).digest()
 
     def finish(self) -> None:
-        """Nothing comes after the last step of the askers."""
+        """Do nothing: nothing happens after the last step of the requesters."""
 
     def succeeded(self) -> bool:
-        """Both had their turn, and nobody is out."""
-        newest = self.chosen[max(self.chosen)].body if self.chosen else None
-        return newest is not None and not newest.slots and newest.token == len(self.askers)
+        """Return whether every requester got a slot and returned it."""
+        newest = self.decided[max(self.decided)].body if self.decided else None
+        return newest is not None and not newest.slots and newest.token == len(self.requesters)
 
 
 @dataclass(frozen=True)
-class _Wants:
-    place: Member
+class _Grant:
+    member: Member
     name: str
 
     def __call__(self, value: Value) -> Value | str:
-        wants = slots.grant(value.body, self.place, self.name, f"{self.name}-out", f"{self.place.name}/0")
+        wants = slots.grant(value.body, self.member, self.name, f"{self.name}-out", f"{self.member.name}/0")
         return slots.with_table(value, wants)
 
 
 @dataclass(frozen=True)
-class _Back:
+class _Release:
     token: int
 
     def __call__(self, value: Value) -> Value | str:
@@ -329,36 +366,36 @@
 
 
 @dataclass(frozen=True)
-class _Opinion:
+class _Objection:
     table: SlotTable
-    seen: dict[Member, str]
+    observed: dict[Member, str]
 
     def __call__(self, intent: Any) -> str:
-        return slots.objection(self.table, intent, self.seen.__getitem__)
+        return slots.objection(self.table, intent, self.observed.__getitem__)
 
 
 NAMES = ("a", "b", "c")
-PLACES = tuple(Member(slots.Kind.NODE, f"p{name}") for name in NAMES)
+MEMBERS = tuple(Member(slots.Kind.NODE, f"p{name}") for name in NAMES)
 VOTERS = tuple(Voter(name, n + 1) for n, name in enumerate(NAMES))
-FIRST = {
-    bound: Value(0, VOTERS, SlotTable(PLACES, (DisruptionBudget(slots.Kind.NODE, max_out=bound),)))
+INITIAL_STATE = {
+    bound: Value(0, VOTERS, SlotTable(MEMBERS, (DisruptionBudget(slots.Kind.NODE, max_out=bound),)))
     for bound in (1, 2)
 }
 
 
-def begin(askers: int = 2, faults: int = 2, bound: int = 1, kinds: tuple[str, ...] = KINDS) -> World:
-    """Three voters, of which the first few want their places out at once."""
+def begin(requesters: int = 2, faults: int = 2, bound: int = 1, kinds: tuple[str, ...] = KINDS) -> World:
+    """Return a world of three voters, of which the first few want to take their members out at once."""
     acceptors = {voter.name: Acceptor(voter.name, AcceptorState(voter.disk_id)) for voter in VOTERS}
     wanting = {
-        name: Asker(name, PLACES[n], Proposer(name, FIRST[bound], Middle()))
-        for n, name in enumerate(NAMES[:askers])
+        name: Requester(name, MEMBERS[n], Proposer(name, INITIAL_STATE[bound], MidpointRandom()))
+        for n, name in enumerate(NAMES[:requesters])
     }
-    lives = {place.name: 0 for place in PLACES}
-    return World(acceptors, wanting, bound, faults, kinds, lives=lives)
+    process_numbers = {member.name: 0 for member in MEMBERS}
+    return World(acceptors, wanting, bound, faults, kinds, process_numbers=process_numbers)
 
 
 def search(
-    askers: int = 2,
+    requesters: int = 2,
     faults: int = 2,
     bound: int = 1,
     break_: str = "",
@@ -367,9 +404,14 @@
     watch: Callable[[SearchResult], None] = lambda _: None,
     workers: int = 0,
 ) -> SearchResult:
-    """Walk all of it."""
+    """Explore all runs of a world; the other parameters are those of `world_search.search`.
+
+    :param faults: how many faults may happen in a run
+    :param bound: how many members may be out at once
+    :param kinds: of the faults
+    """
     return world_search.search(
-        lambda: begin(askers, faults, bound, kinds), broken, break_, limit_s, watch, workers
+        lambda: begin(requesters, faults, bound, kinds), broken, break_, limit_s, watch, workers
     )
 
 
@@ -382,78 +424,91 @@
     return _handle(self, message, sender)
 
 
-def _same_memory(self: World, name: str, forgets: bool) -> None:
-    kept = self.acceptors[name].state
-    kept = AcceptorState(kept.disk_id) if forgets else self.disks.get(name, kept)
-    self.acceptors[name] = Acceptor(name, kept, self.acceptors[name]._object_to)
+def _forget_keeping_disk_id(self: World, name: str, forget: bool) -> None:
+    acceptor_state = self.acceptors[name].state
+    acceptor_state = AcceptorState(acceptor_state.disk_id) if forget else self.disks.get(name, acceptor_state)
+    self.acceptors[name] = Acceptor(name, acceptor_state, self.acceptors[name]._object_to)
 
 
-def _not_read(self: Proposer, round_: Any, now: float) -> list[register.Action]:
+def _ignore_accepted_values(self: Proposer, round_: Any, now: float) -> list[register.Action]:
     round_.promises = {
         voter: replace(p, accepted=register.NO_BALLOT, value=None) for voter, p in round_.promises.items()
     }
     return _promised(self, round_, now)
 
 
-def _no_count(table: SlotTable, out: Any, more: Member) -> str:
+def _no_budget(table: SlotTable, out: Any, candidate: Member) -> str:
     return ""
 
 
-def _on_silence(table: SlotTable, place: Member, holder: str, id: str, was: str = "", out: Any = ()) -> Any:
-    """A slot whose holder asks for nothing more counts as given back."""
-    return _grant(replace(table, slots=()), place, holder, id, was, out)
+def _release_without_return(
+    table: SlotTable, member: Member, holder: str, id: str, process: str = "", out: Any = ()
+) -> Any:
+    """Replace `slots.grant`: slots that are in use count as returned when another one is requested."""
+    return _grant(replace(table, slots=()), member, holder, id, process, out)
 
 
-def _early(self: World, asker: Asker) -> None:
-    """The slot is asked back while its place is still out, and voters believe it."""
-    if asker.step == "out":
-        asker.step = "back"
-        asker.tries = 0
-        asker.due = self.now
-    _go(self, asker)
+def _return_early(self: World, requester: Requester) -> None:
+    """Replace `World._take_step`: a requester returns its slot while its member is still out."""
+    if requester.step == "out":
+        requester.step = "back"
+        requester.tries = 0
+        requester.next_step_ms = self.now
+    _original_take_step(self, requester)
 
 
 def _no_objection(table: SlotTable, intent: Any, seen: Any) -> str:
     return ""
 
 
-def _no_tokens(table: SlotTable, place: Member, holder: str, id: str, was: str = "", out: Any = ()) -> Any:
-    after = _grant(table, place, holder, id, was, out)
+def _no_tokens(
+    table: SlotTable, member: Member, holder: str, id: str, process: str = "", out: Any = ()
+) -> Any:
+    after = _grant(table, member, holder, id, process, out)
     if isinstance(after, str) or after is table:
         return after
     slots_ = tuple(replace(slot, token=1) for slot in after.slots)
     return replace(after, slots=slots_, token=1)
 
 
-def _unsaved(self: World, name: str, actions: list[register.Action]) -> None:
-    _act(self, name, [action for action in actions if not isinstance(action, SaveState)])
+def _skip_saving(self: World, name: str, actions: list[register.Action]) -> None:
+    _original_execute(self, name, [action for action in actions if not isinstance(action, SaveState)])
 
 
 _handle = Acceptor.handle
 _promised = Proposer._promised
 _grant = slots.grant
-_go = World._go
-_act = World._act
+_original_take_step = World._take_step
+_original_execute = World._execute
 BREAKS: dict[str, tuple[str, list[tuple[Any, str, Any]]]] = {
-    "no-majority": ("any one voter is enough", [(proposer, "has_majority", _any_majority)]),
-    "promise-forgotten": ("a voter does not keep to its promise", [(Acceptor, "handle", _forgets_promise)]),
-    "vote-forgotten": ("a voter without its disk votes as if it had it", [(World, "_restart", _same_memory)]),
-    "unsaved": ("a vote is sent that is not on disk", [(World, "_act", _unsaved)]),
-    "not-read": ("a proposer does not take up what was accepted", [(Proposer, "_promised", _not_read)]),
-    "not-counted": ("bounds are not looked at", [(slots, "exceeded_budget", _no_count)]),
-    "on-silence": ("a slot comes back on silence", [(slots, "grant", _on_silence)]),
+    "no-majority": ("one voter is enough for a round", [(proposer, "has_majority", _any_majority)]),
+    "promise-forgotten": ("a voter forgets its promises", [(Acceptor, "handle", _forgets_promise)]),
+    "vote-forgotten": (
+        "a voter that lost its disk keeps its old disk id",
+        [(World, "_restart", _forget_keeping_disk_id)],
+    ),
+    "unsaved": ("votes are sent without being saved to disk", [(World, "_execute", _skip_saving)]),
+    "not-read": (
+        "a proposer ignores values that were accepted",
+        [(Proposer, "_promised", _ignore_accepted_values)],
+    ),
+    "not-counted": ("budgets are not checked", [(slots, "exceeded_budget", _no_budget)]),
+    "on-silence": (
+        "a slot counts as returned without a request",
+        [(slots, "grant", _release_without_return)],
+    ),
     "on-a-word": (
-        "a slot comes back on its holder's word",
-        [(World, "_go", _early), (slots, "objection", _no_objection)],
+        "a slot is returned on its holder's word alone",
+        [(World, "_take_step", _return_early), (slots, "objection", _no_objection)],
     ),
-    "same-token": ("tokens do not rise", [(slots, "grant", _no_tokens)]),
+    "same-token": ("fencing tokens do not increase", [(slots, "grant", _no_tokens)]),
 }
 
 
 @contextlib.contextmanager
 def broken(name: str) -> Iterator[None]:
-    """With one of `BREAKS` in force."""
+    """Apply one of `BREAKS` while the context lasts; "" for none."""
     with contextlib.ExitStack() as stack:
-        for where, attribute, value in BREAKS[name][1] if name else ():
-            stack.enter_context(mock.patch.object(where, attribute, value))
+        for owner, attribute, replacement in BREAKS[name][1] if name else ():
+            stack.enter_context(mock.patch.object(owner, attribute, replacement))
         yield
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -192,7 +192,7 @@
         spare_controllers=2,
     ),
     "only-copy": _scene(
-        "one of two holders of a key leaves as planned; the other is wiped catch_up_s after a new voter joined",
+        "one of two holders of a key leaves as planned; the other is wiped catch_up_s after it is replaced",
         7.0,
         (0.0, "cut m c"),
         (0.1, "down d"),
--- a/tests/testkit/explore/test_explore.py
+++ b/tests/testkit/explore/test_explore.py
@@ -1,4 +1,4 @@
-"""The small world: all of it walked, every break caught, traces that play again."""
+"""Exploration of one node: complete searches, detection of every break, and replays of counterexamples."""
 
 from __future__ import annotations
 
@@ -26,35 +26,37 @@
 SLOTS = 1 << 16
 
 
-def test_all_of_a_small_world_is_walked_and_no_property_is_broken() -> None:
-    found = search(SMALL, workers=2, slots=SLOTS, limit_s=60.0)
-    assert found.exhausted, (found.cut_reason, found.counterexample)
-    assert found.states > 500 and len(found.outcomes) > 20
+def test_small_world_is_exhausted_without_a_violation() -> None:
+    result = search(SMALL, workers=2, slots=SLOTS, limit_s=60.0)
+    assert result.exhausted, (result.cut_reason, result.counterexample)
+    assert result.states > 500 and len(result.outcomes) > 20
 
 
 @pytest.mark.parametrize(
     "size", [WorldSize(clients=1, events=1), WorldSize(clients=1, servers=1, events=2), WorldSize(events=0)]
 )
-def test_telling_states_apart_loses_no_end(size: WorldSize) -> None:
+def test_merging_equal_states_loses_no_outcome(size: WorldSize) -> None:
     merged = search(size, workers=1, slots=SLOTS, limit_s=60.0)
-    whole = search(size, workers=2, merge=False, limit_s=60.0)
-    assert merged.exhausted and whole.exhausted
-    assert merged.outcomes == whole.outcomes and merged.transitions <= whole.transitions
+    unmerged = search(size, workers=2, merge=False, limit_s=60.0)
+    assert merged.exhausted and unmerged.exhausted
+    assert merged.outcomes == unmerged.outcomes and merged.transitions <= unmerged.transitions
 
 
 @pytest.mark.parametrize("name", BREAKS)
-def test_each_break_is_caught_and_its_trace_plays_again(name: str) -> None:
+def test_each_break_is_detected_and_its_counterexample_replays(name: str) -> None:
     size = WorldSize(events=2, cold=1 if name == "hot-cold" else 0)
-    found = search(size, workers=1, break_=name, slots=SLOTS, limit_s=60.0).counterexample
-    assert found is not None
-    again = play(size, found["path"], name)
-    assert found["violation"]["name"] in {v.name for v in again.violations}
-    assert [one["what"] for one in found["story"]] == [what for _, what in again.story][: len(found["story"])]
-    with contextlib.suppress(ValueError):  # without the break another thing may come next
-        assert play(size, found["path"]).violations == []  # it is the break, and nothing else
-
-
-def test_a_run_is_its_choices_and_equal_states_are_one() -> None:
+    result = search(size, workers=1, break_=name, slots=SLOTS, limit_s=60.0).counterexample
+    assert result is not None
+    again = play(size, result["path"], name)
+    assert result["violation"]["name"] in {v.name for v in again.violations}
+    assert [one["what"] for one in result["story"]] == [what for _, what in again.story][
+        : len(result["story"])
+    ]
+    with contextlib.suppress(ValueError):  # without the break an action of the path may not be possible
+        assert play(size, result["path"]).violations == []  # the violation comes from the break
+
+
+def test_replays_are_deterministic_and_different_states_have_different_fingerprints() -> None:
     rng = random.Random(3)
     for _ in range(30):
         path: list[str] = []
@@ -68,38 +70,38 @@
     assert len({fingerprint(play(SMALL, [*served, *rest])) for rest in ([], ["serve 0"], ["serve 1"])}) == 3
 
 
-def test_a_search_that_is_cut_goes_on_from_where_it_was(tmp_path: Path) -> None:
-    keep = tmp_path / "kept"
+def test_interrupted_search_resumes_from_its_file(tmp_path: Path) -> None:
+    resume_file = tmp_path / "kept"
     size = WorldSize(events=1)
-    cut = search(size, workers=1, slots=SLOTS, limit_s=0.3, resume_file=keep)
-    assert not cut.exhausted and cut.cut_reason and keep.exists()
+    cut = search(size, workers=1, slots=SLOTS, limit_s=0.3, resume_file=resume_file)
+    assert not cut.exhausted and cut.cut_reason and resume_file.exists()
     with pytest.raises(ValueError, match="is of another world"):
-        search(replace(size, clients=1), workers=1, slots=SLOTS, resume_file=keep)
-    rest = search(size, workers=2, slots=SLOTS, limit_s=60.0, resume_file=keep)
-    assert rest.exhausted and rest.states >= cut.states and not keep.exists()
-    assert rest.outcomes == search(size, workers=2, slots=SLOTS, limit_s=60.0).outcomes
+        search(replace(size, clients=1), workers=1, slots=SLOTS, resume_file=resume_file)
+    resumed = search(size, workers=2, slots=SLOTS, limit_s=60.0, resume_file=resume_file)
+    assert resumed.exhausted and resumed.states >= cut.states and not resume_file.exists()
+    assert resumed.outcomes == search(size, workers=2, slots=SLOTS, limit_s=60.0).outcomes
 
 
-def test_random_runs_find_a_break_and_make_it_short() -> None:
-    found = random_walk(WorldSize(events=3), 30.0, 1, "any-group").counterexample
-    assert found is not None and len(found["path"]) <= 10
-    long = ["ask c0", "up 0", "serve 0", *found["path"]]
+def test_random_runs_find_a_break_and_shrink_it() -> None:
+    result = random_walk(WorldSize(events=3), 30.0, 1, "any-group").counterexample
+    assert result is not None and len(result["path"]) <= 10
+    long = ["ask c0", "up 0", "serve 0", *result["path"]]
     with broken("any-group"):
         assert len(
-            shrink(WorldSize(events=3), found["path"], found["violation"]["name"], "any-group")
+            shrink(WorldSize(events=3), result["path"], result["violation"]["name"], "any-group")
         ) <= len(long)
 
 
-def test_a_full_table_of_states_says_so() -> None:
+def test_full_table_of_states_is_reported() -> None:
     seen = StateTable(1 << 6)
     assert seen.add(7) and not seen.add(7) and set(seen.keys()) == {7}
-    # Few states told apart: the whole tree is walked, and that must be a small one.
+    # A full table merges no further states: nearly the whole tree is explored, so it must be small.
     cut = search(WorldSize(events=0), workers=1, slots=1 << 4, limit_s=60.0)
     assert cut.states > 1 << 4 and not cut.exhausted and "table" in cut.cut_reason
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "words"),
+    ("arguments", "code", "expected_text"),
     [
         (["--clients", "9"], 2, "clients: 9 is not within 1 to 4"),
         (["--kinds", "pay,steal"], 2, "'steal' is none of"),
@@ -111,28 +113,28 @@
         (["--clients", "1", "--events", "1", "--workers", "1", "--json", "v.json"], 0, "exhausted: every"),
         (["--events", "2", "--workers", "1", "--break", "resend-unsafe", "--out", "x.json"], 1, "as a test:"),
         (["--replay", "x.json"], 1, "broken: no-effect-twice"),
-        # With one event some runs are too long; with two there is a counterexample.
+        # With one event some runs exceed the maximum depth; with two there is a counterexample.
         (["--events", "2", "--workers", "2", "--break", "lose-answer"], 1, "broken: "),
         (["--walk", "1", "--events", "2"], 0, "random runs prove nothing more"),
     ],
 )
-def test_the_command(
+def test_command(
     arguments: list[str],
     code: int,
-    words: str,
+    expected_text: str,
     tmp_path_factory: pytest.TempPathFactory,
     capsys: Any,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    folder = tmp_path_factory.getbasetemp() / "explore-command"
-    folder.mkdir(exist_ok=True)
-    monkeypatch.chdir(folder)
-    (folder / "bad.json").write_text("{}")
-    if "x.json" in arguments and code == 1 and not (folder / "x.json").exists():
-        found = search(WorldSize(events=2), workers=1, break_="resend-unsafe", slots=SLOTS).counterexample
-        (folder / "x.json").write_text(json.dumps(found))
+    directory = tmp_path_factory.getbasetemp() / "explore-command"
+    directory.mkdir(exist_ok=True)
+    monkeypatch.chdir(directory)
+    (directory / "bad.json").write_text("{}")
+    if "x.json" in arguments and code == 1 and not (directory / "x.json").exists():
+        result = search(WorldSize(events=2), workers=1, break_="resend-unsafe", slots=SLOTS).counterexample
+        (directory / "x.json").write_text(json.dumps(result))
     monkeypatch.setattr(sys, "argv", ["orchidferry", "explore", *arguments])
     assert main() == code
-    told = capsys.readouterr()
-    assert words in (told.err if code == 2 else told.out)
-    assert code != 2 or told.err.count("\n") == 1
+    captured = capsys.readouterr()
+    assert expected_text in (captured.err if code == 2 else captured.out)
+    assert code != 2 or captured.err.count("\n") == 1
--- a/tests/testkit/explore/test_mesh.py
+++ b/tests/testkit/explore/test_mesh.py
@@ -1,7 +1,4 @@
-"""The mesh's controllers in all interleavings of small scenes.
-
-Each break caught by the one that is its own.
-"""
+"""Exploration of the mesh's controllers: all interleavings of small scenes, and detection of each break."""
 
 from __future__ import annotations
 
@@ -17,11 +14,11 @@
 
 
 @pytest.mark.parametrize("scene", mesh.SCENES)
-def test_every_interleaving_without_a_fault_ends_as_wished(scene: str) -> None:
-    found = mesh.search(scene, 0, workers=1)
-    assert found.exhausted and not found.violations
-    assert found.succeeded > 0
-    assert found.runs == found.succeeded or scene == "slow"  # where a disk may say nothing till the end
+def test_every_interleaving_without_a_fault_succeeds(scene: str) -> None:
+    result = mesh.search(scene, 0, workers=1)
+    assert result.exhausted and not result.violations
+    assert result.succeeded > 0
+    assert result.runs == result.succeeded or scene == "slow"  # its disk may stay slow until the end
 
 
 @pytest.mark.parametrize(
@@ -35,19 +32,19 @@
     ],
 )
 def test_every_interleaving_of_some_faults_is_safe(scene: str, faults: int, kinds: tuple[str, ...]) -> None:
-    found = mesh.search(scene, faults, kinds, limit_s=120.0, workers=2)
-    assert found.exhausted and not found.violations, found.story
-    assert found.runs > 5
+    result = mesh.search(scene, faults, kinds, limit_s=120.0, workers=2)
+    assert result.exhausted and not result.violations, result.story
+    assert result.runs > 5
 
 
 @pytest.mark.parametrize("name", mesh.BREAKS)
-def test_each_break_is_caught_by_its_scene(name: str) -> None:
-    one = mesh.BREAKS[name]
-    found = mesh.search(one.scene, one.faults, one.kinds, name, 120.0, workers=2)
-    assert found.violations and found.story
+def test_each_break_is_detected_by_its_scene(name: str) -> None:
+    break_ = mesh.BREAKS[name]
+    result = mesh.search(break_.scene, break_.faults, break_.kinds, name, 120.0, workers=2)
+    assert result.violations and result.story
 
 
-def test_a_copy_has_the_same_future_and_another_choice_another_one() -> None:
+def test_copy_has_the_same_future_and_each_action_changes_the_fingerprint() -> None:
     rng = random.Random(5)
     for scene in mesh.SCENES:
         world = mesh.begin(scene, 2)
@@ -65,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "words"),
+    ("arguments", "code", "expected_text"),
     [
         (["--of", "mesh-keys", "--kinds", "kill,burn"], 2, "'burn' is none of kill"),
         (["--of", "mesh-keys", "--scene", "duties"], 2, "'duties' is none of answered"),
@@ -79,9 +76,9 @@
         (["--of", "mesh-keys", "--break", "one-source", "--faults", "0"], 1, "abstains: b grants a key"),
     ],
 )
-def test_the_command(arguments: list[str], code: int, words: str, capsys: Any, monkeypatch: Any) -> None:
+def test_command(arguments: list[str], code: int, expected_text: str, capsys: Any, monkeypatch: Any) -> None:
     monkeypatch.setattr(sys, "argv", ["orchidferry", "explore", "--workers", "1", *arguments])
     assert main() == code
-    told = capsys.readouterr()
-    assert words in (told.err if code == 2 else told.out)
-    assert code != 2 or told.err.count("\n") == 1
+    captured = capsys.readouterr()
+    assert expected_text in (captured.err if code == 2 else captured.out)
+    assert code != 2 or captured.err.count("\n") == 1
--- a/tests/testkit/explore/test_one_number.py
+++ b/tests/testkit/explore/test_one_number.py
@@ -1,4 +1,4 @@
-"""Orders under one number in all interleavings of small scenes; each break caught by its own."""
+"""Exploration of conflicting and repeated orders: all interleavings, each break, and contention."""
 
 from __future__ import annotations
 
@@ -13,55 +13,55 @@
 
 
 @pytest.mark.parametrize("scene", one_number.SCENES)
-def test_every_interleaving_without_a_fault_ends_as_wished(scene: str) -> None:
-    found = worst_days.search(scene, 0, workers=1)
-    assert found.exhausted and not found.violations, found.story
-    assert found.runs == found.succeeded > 0
+def test_every_interleaving_without_a_fault_succeeds(scene: str) -> None:
+    result = worst_days.search(scene, 0, workers=1)
+    assert result.exhausted and not result.violations, result.story
+    assert result.runs == result.succeeded > 0
 
 
 @pytest.mark.parametrize("scene", ["two-contents", "minority", "same-twice"])
 def test_every_interleaving_of_one_cut_or_kill_is_safe(scene: str) -> None:
-    found = worst_days.search(scene, 1, ("cut", "kill"), limit_s=60.0, workers=2)
-    assert found.exhausted and not found.violations, found.story
-    assert found.runs > 5
+    result = worst_days.search(scene, 1, ("cut", "kill"), limit_s=60.0, workers=2)
+    assert result.exhausted and not result.violations, result.story
+    assert result.runs > 5
 
 
 @pytest.mark.parametrize("name", one_number.BREAKS)
-def test_each_break_is_caught_by_its_scene(name: str) -> None:
-    one = one_number.BREAKS[name]
-    found = worst_days.search(one.scene, one.faults, one.kinds, name, 60.0, workers=2)
-    assert found.violations and found.story
+def test_each_break_is_detected_by_its_scene(name: str) -> None:
+    break_ = one_number.BREAKS[name]
+    result = worst_days.search(break_.scene, break_.faults, break_.kinds, name, 60.0, workers=2)
+    assert result.violations and result.story
 
 
 CONDITIONS = {conditions.name: conditions for conditions in order_duels.CONDITIONS}
 
 
 @pytest.mark.parametrize("name", CONDITIONS)
-def test_orders_that_meet_end_inside_the_bound(name: str) -> None:
-    """Eight at once: one is acknowledged, all others know that they lost, well inside `ack_ms`."""
+def test_conflicting_orders_are_decided_within_the_bound(name: str) -> None:
+    """Of eight concurrent orders one is acknowledged and all others are refused, well within `ack_ms`."""
     for seed in range(5):
         run = order_duels.Duel(CONDITIONS[name], seed)
         run.play()
         assert run.whole and run.last_ms < order_duels.ACK_MS / 2
 
 
-def test_rounds_that_are_given_up_too_early_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The break: a round that takes longer than the time to send again is begun anew, and never ends."""
+def test_rounds_that_are_abandoned_too_early_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A proposer that restarts rounds at the time to resend never ends a round that takes longer."""
     resend = Proposer._resend
 
-    def give_up(self: Any, round_: Any, now: float) -> list[Any]:
+    def restart_round(self: Any, round_: Any, now: float) -> list[Any]:
         resend(self, round_, now)
         self._back_off(round_, now)
         return []
 
-    monkeypatch.setattr(Proposer, "_resend", give_up)
+    monkeypatch.setattr(Proposer, "_resend", restart_round)
     run = order_duels.Duel(CONDITIONS["links of 200 ms one way, 3 controllers"], 0)
     run.play()
     assert not run.whole
 
 
-def test_copies_of_one_order_at_one_controller_take_one_round() -> None:
-    """Eight at once share one proposal, and all are told the same."""
+def test_copies_of_one_order_at_one_controller_share_one_round() -> None:
+    """Eight concurrent copies of an order share one proposal, and all are acknowledged."""
     run = order_duels.Duel(order_duels.Conditions("copies", same=True, at_owner=True), 1)
     run.play()
     assert run.whole and all(operator.taken for operator in run.operators)
--- a/tests/testkit/explore/test_reductions.py
+++ b/tests/testkit/explore/test_reductions.py
@@ -1,4 +1,4 @@
-"""What the exploration of the mesh leaves out: nothing that can be told apart."""
+"""The reductions of the mesh's exploration, which must lose no distinguishable run."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 STEPS = 400
 
 
-def without(world: MeshWorld, at: int) -> MeshWorld:
-    """A copy whose message there was never sent."""
+def without(world: MeshWorld, position: int) -> MeshWorld:
+    """Return a copy of a world from which a message is removed."""
     copy: MeshWorld = pickle.loads(pickle.dumps(world))
-    del copy.messages[at]
+    del copy.messages[position]
     copy._begin_step()
     return copy
 
 
-def delivered(world: MeshWorld, at: int) -> MeshWorld:
-    """A copy that has taken the message there."""
+def delivered(world: MeshWorld, position: int) -> MeshWorld:
+    """Return a copy of a world in which a message is delivered."""
     copy: MeshWorld = pickle.loads(pickle.dumps(world))
-    touched = copy.last_receiver
-    copy._deliver(copy.messages.pop(at))
-    copy.last_receiver = touched
+    last_receiver = copy.last_receiver
+    copy._deliver(copy.messages.pop(position))
+    copy.last_receiver = last_receiver
     copy._begin_step()
     return copy
 
@@ -45,32 +45,34 @@
         ("hundreds-owner", ("power",)),
     ],
 )
-def test_a_dead_message_changes_nothing_and_stays_dead(
+def test_dead_message_changes_nothing_and_stays_dead(
     scene: str, kinds: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(MeshWorld, "_discard_dead_messages", lambda self: None)
     rng = random.Random(scene)
-    dead_ever = 0
+    dead_total = 0
     for _ in range(3):
         world = worst_days.begin(scene, 1, kinds)
         for _ in range(STEPS):
             if world.over or world.violations:
                 break
-            dead = [at for at, mail in enumerate(world.messages) if world._is_dead(mail)]
-            for at in dead:
-                taken = delivered(world, at)
-                assert taken.fingerprint() == without(world, at).fingerprint() and not taken.violations
-            kept: list[Any] = [world.messages[at] for at in dead]
-            dead_ever += len(dead)
+            dead = [position for position, message in enumerate(world.messages) if world._is_dead(message)]
+            for position in dead:
+                taken = delivered(world, position)
+                assert taken.fingerprint() == without(world, position).fingerprint() and not taken.violations
+            kept: list[Any] = [world.messages[position] for position in dead]
+            dead_total += len(dead)
             actions = world.actions()
             world.apply(actions[0] if rng.random() < 0.6 else rng.choice(actions))
-            assert all(world._is_dead(mail) for mail in world.messages if any(mail is one for one in kept))
-    assert dead_ever > 10
+            assert all(
+                world._is_dead(message) for message in world.messages if any(message is one for one in kept)
+            )
+    assert dead_total > 10
 
 
-def test_the_order_of_messages_counts_on_one_link_alone() -> None:
+def test_message_order_matters_only_on_one_link() -> None:
     world = worst_days.begin("two-contents", 0)
-    while len({(mail.to, mail.sender) for mail in world.messages}) < 2:
+    while len({(message.to, message.sender) for message in world.messages}) < 2:
         world.apply(world.actions()[0])
     before = world.fingerprint()
     world.messages.reverse()
@@ -84,12 +86,12 @@
     assert world.fingerprint() != ahead
 
 
-def test_the_same_ends_are_reached_with_all_that_is_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    def ends() -> tuple[set[str], int]:
+def test_same_outcomes_are_reached_without_reductions(monkeypatch: pytest.MonkeyPatch) -> None:
+    def outcomes_and_states() -> tuple[set[str], int]:
         found: set[str] = set()
         finish = worst_days.isolated.IsolatedWorld.finish
 
-        def note(self: Any) -> None:
+        def record_outcome(self: Any) -> None:
             found.add(
                 repr(
                     (self.acknowledged_by_base, [(one.name, one.outcome) for one in self.operators.values()])
@@ -98,21 +100,21 @@
             finish(self)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(worst_days.isolated.IsolatedWorld, "finish", note)
-            walked = worst_days.search("isolated-briefly", 1, ("lose", "kill"), workers=1)
-        assert walked.exhausted and not walked.violations
-        return found, walked.states
+            patch.setattr(worst_days.isolated.IsolatedWorld, "finish", record_outcome)
+            result = worst_days.search("isolated-briefly", 1, ("lose", "kill"), workers=1)
+        assert result.exhausted and not result.violations
+        return found, result.states
 
-    reduced, fewer = ends()
+    reduced, fewer = outcomes_and_states()
     monkeypatch.setattr(MeshWorld, "_discard_dead_messages", lambda self: None)
     monkeypatch.setattr(mesh_fingerprint, "by_link", lambda messages: messages)
     monkeypatch.setattr(mesh_fingerprint, "_without_finished_round", lambda part: part)
-    whole, more = ends()
-    assert reduced == whole and fewer < more
+    unreduced, more = outcomes_and_states()
+    assert reduced == unreduced and fewer < more
 
 
-def test_a_state_is_new_once_to_all_that_share_the_table() -> None:
+def test_state_is_new_only_once_in_the_table() -> None:
     seen = StateTable(1 << 10)
-    prints = [state_key(b"%d" % n) for n in range(300)]
-    assert all(seen.add(one) for one in prints) and not any(seen.add(one) for one in prints)
-    assert sorted(seen.keys()) == sorted(prints) and state_key(b"a") != state_key(b"b")
+    keys = [state_key(b"%d" % n) for n in range(300)]
+    assert all(seen.add(one) for one in keys) and not any(seen.add(one) for one in keys)
+    assert sorted(seen.keys()) == sorted(keys) and state_key(b"a") != state_key(b"b")
--- a/tests/testkit/explore/test_slots.py
+++ b/tests/testkit/explore/test_slots.py
@@ -9,12 +9,12 @@
 from orchidferry.testkit.explore import slots as explore
 
 
-@pytest.mark.parametrize(("askers", "bound"), [(2, 1), (3, 1), (3, 2)])
-def test_random_walks_never_exceed_the_budget(askers: int, bound: int) -> None:
-    ended = 0
+@pytest.mark.parametrize(("requesters", "bound"), [(2, 1), (3, 1), (3, 2)])
+def test_random_walks_never_exceed_the_budget(requesters: int, bound: int) -> None:
+    succeeded = 0
     for seed in range(60):
         rng = random.Random(seed)
-        world = explore.begin(askers, rng.randrange(9), bound)
+        world = explore.begin(requesters, rng.randrange(9), bound)
         for _ in range(3_000):
             if world.over:
                 break
@@ -22,13 +22,13 @@
             plain = [one for one in actions if one.startswith(("deliver", "wait"))]
             world.apply(rng.choice(actions if rng.random() < 0.2 else plain))
             assert not world.violations, world.story
-        ended += world.succeeded()
-    assert ended > 20  # and most get their turn
+        succeeded += world.succeeded()
+    assert succeeded > 20  # of 60 runs, although faults may make some fail
 
 
 def test_every_interleaving_of_two_requesters_without_a_fault_succeeds() -> None:
-    found = explore.search(2, 0, workers=1)
-    assert found.exhausted and found.runs == found.succeeded > 0
+    result = explore.search(2, 0, workers=1)
+    assert result.exhausted and result.runs == result.succeeded > 0
 
 
 @pytest.mark.parametrize(
@@ -43,5 +43,5 @@
     ],
 )
 def test_deliberate_breaks_are_caught(name: str, faults: int, kinds: tuple[str, ...]) -> None:
-    found = explore.search(2, faults, 1, name, 120.0, kinds, workers=2)
-    assert found.violations and found.story
+    result = explore.search(2, faults, 1, name, 120.0, kinds, workers=2)
+    assert result.violations and result.story
