--- a/orchidferry/testkit/explore/loop.py
+++ b/orchidferry/testkit/explore/loop.py
@@ -92,7 +92,7 @@
         return self.number
 
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
-        """Report every socket option as unsupported: there is no kernel buffer that could hold unread input.
+        """Report every socket option as unsupported: there is no kernel, and input is read when it arrives.
 
         :raises OSError: always.
         """
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -106,16 +106,16 @@
     @property
     def over(self) -> bool:
         """Whether all clients are done and the scene's minimum duration is over."""
-        done = all(one.step == "over" for one in self.clients)
-        done = done and all(one.outcome for one in self.key_requests)
+        done = all(client.step == "over" for client in self.clients)
+        done = done and all(request.outcome for request in self.key_requests)
         return done and self.now >= self.began_s + self.scene.min_duration_s - ROUNDING_S
 
     def succeeded(self) -> bool:
-        """Return whether all clients were served as without faults."""
+        """Return whether all clients were served as in a run without faults."""
         if self.clients:
-            return all(one.read for one in self.clients) and bool(self.acknowledged_by_base)
+            return all(client.read for client in self.clients) and bool(self.acknowledged_by_base)
         if self.key_requests:
-            decided = all(one.outcome != ClaimOutcome.UNDECIDED for one in self.key_requests)
+            decided = all(request.outcome != ClaimOutcome.UNDECIDED for request in self.key_requests)
             return len(self.granted_attempts) == 1 and decided
         return len(self._owners()) == 1
 
@@ -136,9 +136,9 @@
         if not isinstance(message, KeyGrant | KeyReleaseAck):
             super().answer(name, answer)
         elif self._reaches(name, answer.to):
-            what = "grant" if isinstance(message, KeyGrant) else "dropped"
+            method = "grant" if isinstance(message, KeyGrant) else "dropped"
             fields = msgspec.structs.astuple(message)
-            self.next_messages.append(MessageInFlight(name, answer.to, what, fields, True))
+            self.next_messages.append(MessageInFlight(name, answer.to, method, fields, True))
 
     def _deliver(self, message: MessageInFlight) -> None:
         if message.to in self.nodes:
@@ -208,8 +208,8 @@
         """Return the times at which clients and the script have something to do."""
         if self.began_s == math.inf:
             return []
-        dues = [self.began_s + one.due_s for one in self.key_requests if not one.began]
-        dues += [one.next_step_s for one in self.clients if one.step != "over"]
+        dues = [self.began_s + request.due_s for request in self.key_requests if not request.began]
+        dues += [client.next_step_s for client in self.clients if client.step != "over"]
         dues += [self.began_s + since_s for since_s, _ in self.script]
         return dues
 
@@ -226,7 +226,7 @@
         for client in self.clients:
             if client.step == "over" or self.now < client.next_step_s:
                 continue
-            if client.pending_request:  # its time-out is over
+            if client.pending_request:  # the request has timed out
                 self._advance_client(client)
             else:
                 self._send_request(client)
@@ -264,7 +264,7 @@
     def _advance_client(self, client: ConfigurationClient, settled: bool = False) -> None:
         """Move a client to its next step.
 
-        :param settled: whether it knows whether its change was committed
+        :param settled: whether the outcome of its change is known
         """
         next_steps = {"put": "read" if settled else "again", "again": "read", "read": "over"}
         client.step = next_steps[client.step]
@@ -306,8 +306,8 @@
 
 def begin(scene: str, faults: int = 2, kinds: tuple[str, ...] = KINDS) -> MeshWorld:
     """Return a scene's world at the start of the scene, when a controller owns the shard."""
-    one = SCENES[scene]
-    return MeshWorld(one, faults, tuple(k for k in kinds if k in one.kinds))
+    played = SCENES[scene]
+    return MeshWorld(played, faults, tuple(kind for kind in kinds if kind in played.kinds))
 
 
 def search(
--- a/orchidferry/testkit/explore/mesh_fingerprint.py
+++ b/orchidferry/testkit/explore/mesh_fingerprint.py
@@ -100,7 +100,7 @@
 def _controller_parts(controller: Controller) -> list[Any]:
     """Return the state of a controller's process and its disk that influences the future."""
     shard = controller.shard
-    kept = shard.register.acceptor.state
+    acceptor_state = shard.register.acceptor.state
     references = shard.register.references
     state = [references if references.ballot == ballot_of_round(shard) else None]
     for part in (shard, shard.register, shard.reader):
@@ -112,7 +112,7 @@
         controller.heartbeat_sent_s,
         controller.peers,
         controller.rng,
-        kept,
+        acceptor_state,
         state,
         _identities(controller),
     ]
@@ -122,12 +122,12 @@
     """Return the results of the identity comparisons that the shard may make between equal objects."""
     shard = controller.shard
     records = shard.operation_keys.records
-    kept = shard.register.acceptor.state
+    acceptor_state = shard.register.acceptor.state
     same = [shard.unsaved_records[key] is records.get(key) for key in shard.unsaved_records]
     for write in controller.writes:
         match write.completion:
             case VoteSaved(state=voted):
-                same.append(voted is kept)
+                same.append(voted is acceptor_state)
             case ClaimSaved(record=record) | KeyAnswerSaved(record=record):
                 same.append(any(record is one for one in records.values()))
     return same
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -498,7 +498,7 @@
         [(slots, "grant", _release_without_return)],
     ),
     "on-a-word": (
-        "a slot is returned on its holder's word alone",
+        "a slot is returned without checking that its member is back",
         [(World, "_take_step", _return_early), (slots, "objection", _no_objection)],
     ),
     "same-token": ("fencing tokens do not increase", [(slots, "grant", _no_tokens)]),
--- a/orchidferry/testkit/explore/world_search.py
+++ b/orchidferry/testkit/explore/world_search.py
@@ -50,7 +50,7 @@
         """Return a digest of the state; worlds with equal digests have the same futures."""
 
     def succeeded(self) -> bool:
-        """Return whether the run ended as without faults."""
+        """Return whether the run ended as in a run without faults."""
 
 
 BreakContext = Callable[
@@ -64,7 +64,7 @@
 
     :ivar states: different states that were explored
     :ivar runs: runs that were played to their end
-    :ivar succeeded: runs that ended as without faults
+    :ivar succeeded: runs that ended as in a run without faults
     :ivar exhausted: whether all runs were explored
     :ivar violations: how often each property was violated, by its name
     :ivar story: of the first run that violated a property, with the violations
--- a/orchidferry/testkit/explore/worst_days/hundreds.py
+++ b/orchidferry/testkit/explore/worst_days/hundreds.py
@@ -23,7 +23,7 @@
 from orchidferry.testkit.explore.worst_days.one_number import Operator, Order, OrdersWorld, Submission
 from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-LISTED = 2  # orders that a state lists in these scenes
+MAX_LISTED = 2  # orders that a state lists in these scenes
 
 
 def _chain_of_orders(at: str, *not_before_s: float) -> tuple[Submission, ...]:
@@ -37,24 +37,24 @@
 class ManyChangesWorld(OrdersWorld):
     """A world that checks that all replicas are up to date at the end.
 
-    :cvar reads: the controllers at which the operator reads at the end, in turn
+    :cvar read_at: the controllers at which the operator reads at the end, in turn
     :cvar reader: another client that only reads: at which controller, and when; "" for none
     """
 
-    reads = "cba"
+    read_at = "cba"
     reader: tuple[str, float] = ("", 0.0)
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
         super().__init__(scene, faults, kinds)
         operators: list[Any] = self.clients
-        operators[0].reads = self.reads
+        operators[0].read_at = self.read_at
         at, since_s = self.reader
         if at:
             operators.append(Operator("r", [], at, step="read", next_step_s=self.began_s + since_s))
 
     def apply(self, label: str) -> None:
-        """SceneSetup one of the actions, by its label."""
-        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
+        """Play one of `actions`."""
+        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", MAX_LISTED):
             super(OrdersWorld, self).apply(label)
 
     def _behind(self) -> str:
@@ -70,7 +70,7 @@
             and value.version >= newest
         ]
         if 2 * len(holders) <= len(voters):
-            return f"the newest state is on the disks of {holders} alone"
+            return f"the newest state is only on the disks of {holders}"
         alive = {name: one.shard for name, one in self.controllers.items() if one.alive}
         behind = [name for name, shard in alive.items() if shard.known.version < newest]
         if behind:
@@ -79,13 +79,13 @@
         return "" if len(owners) == 1 else f"the shard is owned by {owners}"
 
     def succeeded(self) -> bool:
-        """Return whether the run ended as without faults."""
+        """Return whether the run ended as in a run without faults."""
         return super().succeeded() and not self._behind()
 
     def finish(self) -> None:
         """Check the properties that must hold at the end of the run."""
         super().finish()
-        if self.unharmed and (behind := self._behind()):
+        if self.without_faults and (behind := self._behind()):
             self.report_violation(f"behind: {behind}")
 
 
@@ -102,7 +102,7 @@
 class UnaskedReplica(ManyChangesWorld):
     """Controller c misses three of four changes, and gets no request when it is reachable again."""
 
-    reads = "ab"
+    read_at = "ab"
     submissions = (_chain_of_orders("a", 0.0, 0.2, 0.2, 0.2),)
 
 
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -64,8 +64,8 @@
 
     def change(self) -> shard_state.PutConfiguration:
         """Return its order, the same in every call."""
-        mark = self.name.encode()
-        return shard_state.PutConfiguration(mark, self.revision, mark, 0)
+        digest = self.name.encode()
+        return shard_state.PutConfiguration(digest, self.revision, digest, 0)
 
 
 @dataclass
@@ -74,16 +74,16 @@
 
     :param operator: the operator's name
     :param at: the controller's name
-    :param asked_s: when the call was made
-    :param newest: the highest revision that was acknowledged to any operator before the call
+    :param made_s: when the call was made
+    :param acknowledged_before: the highest revision that was acknowledged to any operator before the call
     :ivar arrived_s: when the controller's process handled it; infinite before that
     """
 
     id: str
     operator: str
     at: str
-    asked_s: float
-    newest: int
+    made_s: float
+    acknowledged_before: int
     arrived_s: float = float("inf")
 
 
@@ -117,13 +117,16 @@
     @property
     def over(self) -> bool:
         """Whether the scene is over, all operators are done, and all calls that arrived are answered."""
-        asked = all(one.outcome for one in self.operators.values())
-        owed = any(one.arrived_s < float("inf") for one in self.calls.values())
-        return super().over and asked and not owed
+        done = all(operator.outcome for operator in self.operators.values())
+        # Calls that have not arrived were lost.
+        unanswered = any(call.arrived_s < float("inf") for call in self.calls.values())
+        return super().over and done and not unanswered
 
     def succeeded(self) -> bool:
-        """Return whether the run ended as without faults."""
-        return all(one.outcome in ("confirmed", "refused", "read") for one in self.operators.values())
+        """Return whether the run ended as in a run without faults."""
+        return all(
+            operator.outcome in ("confirmed", "refused", "read") for operator in self.operators.values()
+        )
 
     def fingerprint(self) -> bytes:
         """Return a digest of the state; worlds with equal digests have the same futures."""
@@ -203,9 +206,9 @@
         if operator.action == "read":
             found = shard_state.body(end.value).revision
             self.log(f"{operator.name} reads {found} at {name}")
-            if found < call.newest:
+            if found < call.acknowledged_before:
                 self.report_violation(
-                    f"older: {call.newest} had been acknowledged before {operator.name} read {found}"
+                    f"older: {call.acknowledged_before} was acknowledged before {operator.name} read {found}"
                 )
             operator.outcome = operator.outcome or "read"
         elif end.why:
@@ -224,11 +227,11 @@
 
     def _confirmed(self, operator: Operator) -> None:
         change = operator.change()
-        mark = (change.revision, change.digest)
+        order = (change.revision, change.digest)
         if self.acknowledged_by_base.setdefault(0, operator.name) != operator.name:
             self.report_violation("two-puts: two changes based on one version were acknowledged")
         voters = {voter.name for voter in self.newest_state.voters}
-        holders = [name for name in voters if mark in self._stored_orders(name)]
+        holders = [name for name in voters if order in self._stored_orders(name)]
         if 2 * len(holders) <= len(voters):
             self.report_violation(
                 f"undecided: {operator.name} is confirmed, but only {holders} have its order on disk"
@@ -244,8 +247,8 @@
             self._check_refused(value)
 
     def _check_refused(self, value: Any) -> None:
-        for mark in self.observed.refused.intersection(shard_state.body(value).orders):
-            self.report_violation(f"refused: order {mark[0]} is committed, but was refused")
+        for order in self.observed.refused.intersection(shard_state.body(value).orders):
+            self.report_violation(f"refused: order {order[0]} is committed, but was refused")
 
     def _record_decided(self, value: Any) -> None:
         super()._record_decided(value)
@@ -253,8 +256,14 @@
 
     def _stored_orders(self, name: str) -> tuple[tuple[int, bytes], ...]:
         packed = self.controllers[name].disk.get(("about", f"kept/{self.number}".encode()))
-        kept = shard_state_codec.unpack_acceptor_state(unpack(packed)) if packed is not None else None
-        return shard_state.body(kept.value).orders if kept is not None and kept.value is not None else ()
+        acceptor_state = (
+            shard_state_codec.unpack_acceptor_state(unpack(packed)) if packed is not None else None
+        )
+        return (
+            shard_state.body(acceptor_state.value).orders
+            if acceptor_state is not None and acceptor_state.value is not None
+            else ()
+        )
 
     # Contact, as observed from outside the controllers
 
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -21,10 +21,10 @@
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
 from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-LISTED = 3  # orders that a state lists in these scenes, so that lists are truncated early
+MAX_LISTED = 3  # orders that a state lists in these scenes, so that lists are truncated early
 SILENCE_S = 1.0  # without an answer, after which an order is sent again
 PAUSE_S = 0.1  # before an order is sent again after an unclear answer
-TRIES = 8  # calls for one order or read, after which its outcome is unclear
+MAX_TRIES = 8  # calls for one order or read, after which its outcome is unclear
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,21 +41,21 @@
     base: int
 
     def change(self) -> shard_state.PutConfiguration:
-        """Return the order as a replica takes it."""
-        mark = self.content.encode()
-        return shard_state.PutConfiguration(mark, self.number, mark, self.base)
+        """Return the order as a change of the shard's state."""
+        text = self.content.encode()
+        return shard_state.PutConfiguration(text, self.number, text, self.base)
 
 
 @dataclass(slots=True)
 class Submission:
     """An order that is sent until its answer is definite.
 
-    :param at: the controllers that it is sent to, in turn
+    :param controllers: those that it is sent to, in turn
     :param not_before_s: the earliest time at which it is sent, in seconds since the scene began
     """
 
     order: Order
-    at: str
+    controllers: str
     not_before_s: float = 0.0
 
 
@@ -63,50 +63,50 @@
 class Operator:
     """A client that sends its orders one after the other, and reads the state at the end.
 
-    :param reads: the controllers at which it reads, in turn
+    :param read_at: the controllers at which it reads, in turn
     :ivar step: `send`, `read` or `over`
     :ivar pending_request: the controller and the id of the request that it waits for; "" for none
     :ivar next_step_s: when it makes its next call
     :ivar tries: calls for the current order or read
-    :ivar told: of each order, `taken`, `refused` or `unclear`, and of the read, `read` or `unclear`
+    :ivar outcomes: of each order, `taken`, `refused` or `unclear`, and of the read, `read` or `unclear`
     :ivar acknowledged_before: the highest number that was acknowledged to any operator before it read
     """
 
     name: str
     submissions: list[Submission]
-    reads: str
+    read_at: str
     step: str = "send"
     pending_request: str = ""
     next_step_s: float = 0.0
     tries: int = 0
-    told: list[str] = field(default_factory=list)
+    outcomes: list[str] = field(default_factory=list)
     acknowledged_before: int = 0
 
     @property
     def read(self) -> bool:
         """Whether it is done and knows the outcome of all its orders."""
-        return self.step == "over" and "unclear" not in self.told
+        return self.step == "over" and "unclear" not in self.outcomes
 
 
 class OrdersWorld(MeshWorld):
     """A world of operators, which checks the answers to their orders against the chain of states.
 
     :cvar submissions: each operator's orders
-    :cvar must_hear: whether each order must get a definite answer if no fault may happen
-    :ivar chain: the committed contents, by number
+    :cvar requires_definite_answers: whether each order must get a definite answer if no fault may happen
+    :ivar committed_contents: the committed contents, by number
     :ivar acknowledged: orders that were acknowledged
     :ivar refused: orders that were refused
-    :ivar unharmed: whether no fault may happen, besides those of the scene's script
+    :ivar without_faults: whether no fault may happen, besides those of the scene's script
     """
 
     submissions: tuple[tuple[Submission, ...], ...] = ()
-    must_hear = True
+    requires_definite_answers = True
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
-        self.chain: dict[int, str] = {}
+        self.committed_contents: dict[int, str] = {}
         self.acknowledged: list[Order] = []
         self.refused: list[Order] = []
-        self.unharmed = not faults
+        self.without_faults = not faults
         super().__init__(scene, faults, kinds)
         operators = [
             Operator(f"o{n}", [replace(one) for one in submissions], "cba"[n:] + "cba"[:n])
@@ -117,8 +117,8 @@
         self._begin_step()
 
     def apply(self, label: str) -> None:
-        """SceneSetup one of the actions, by its label."""
-        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
+        """Play one of `actions`."""
+        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", MAX_LISTED):
             super().apply(label)
 
     def _send_request(self, client: Any) -> None:
@@ -127,19 +127,19 @@
         if submission is not None and self.now < self.began_s + submission.not_before_s - 1e-6:
             operator.next_step_s = self.began_s + submission.not_before_s
             return None
-        at = submission.at if submission is not None else operator.reads
-        name = at[operator.tries % len(at)]
+        controllers = submission.controllers if submission is not None else operator.read_at
+        name = controllers[operator.tries % len(controllers)]
         operator.tries += 1
         controller = self.controllers[name]
-        if operator.tries > TRIES:
+        if operator.tries > MAX_TRIES:
             return self._finish_order(operator, "unclear")
         if not controller.alive or name in self.frozen_until:
             operator.next_step_s = self.now + PAUSE_S
             return None
-        id = f"{operator.name}.{len(operator.told)}.{operator.tries}"
+        id = f"{operator.name}.{len(operator.outcomes)}.{operator.tries}"
         operator.pending_request = f"{name} {id}"
         operator.next_step_s = self.now + SILENCE_S
-        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", LISTED):
+        with mock.patch.object(shard_state, "MAX_LISTED_ORDERS", MAX_LISTED):
             if submission is not None:
                 controller.execute(
                     controller.shard.request_change(id, submission.order.change(), 1.2, self.now)
@@ -175,17 +175,17 @@
         self.log(f"{operator.name} reads {state.revision}")
         if (
             state.revision < operator.acknowledged_before
-            or self.chain.get(state.revision, "") != state.compressed_text.decode()
+            or self.committed_contents.get(state.revision, "") != state.compressed_text.decode()
         ):
             self.report_violation(
                 f"read: {state.revision} {state.compressed_text!r},"
                 f" but {operator.acknowledged_before} had been acknowledged before"
             )
         operator.step = "over"
-        operator.told.append("read")
+        operator.outcomes.append("read")
 
     def _finish_order(self, operator: Operator, outcome: str) -> None:
-        operator.told.append(outcome)
+        operator.outcomes.append(outcome)
         operator.tries = 0
         operator.next_step_s = self.now + 0.02
         if operator.step == "read":
@@ -193,11 +193,9 @@
             return
         order = operator.submissions.pop(0).order
         operator.step = "send" if operator.submissions else "read"
-        self.log(
-            f"{operator.name} is told {outcome}: order {order.number} {order.content!r} based on {order.base}"
-        )
+        self.log(f"{operator.name}'s order {order.number} {order.content!r} based on {order.base}: {outcome}")
         if outcome == "taken":
-            if self.chain.get(order.number) != order.content:
+            if self.committed_contents.get(order.number) != order.content:
                 self.report_violation(f"not-there: {order} was acknowledged, but was not committed")
             for other in self.acknowledged:
                 if other != order and (other.base == order.base or other.number == order.number):
@@ -210,9 +208,11 @@
     def _check_refused(self) -> None:
         sent = {submission.order for submissions in self.submissions for submission in submissions}
         for order in self.refused:
-            committed_base = max((number for number in self.chain if number < order.number), default=0)
+            committed_base = max(
+                (number for number in self.committed_contents if number < order.number), default=0
+            )
             with_committed_base = replace(order, base=committed_base)
-            if self.chain.get(order.number) == order.content and (
+            if self.committed_contents.get(order.number) == order.content and (
                 with_committed_base == order or with_committed_base not in sent
             ):
                 self.report_violation(f"refused: {order} was refused, but was committed")
@@ -222,22 +222,22 @@
         super().state_changed(name, changed)
         state = shard_state.body(changed.new)
         if state.revision:
-            self.chain[state.revision] = state.compressed_text.decode()
+            self.committed_contents[state.revision] = state.compressed_text.decode()
             self._check_refused()
 
     def fingerprint(self) -> bytes:
         """Return a digest of the state; worlds with equal digests have the same futures."""
-        checked = repr((sorted(self.chain.items()), self.acknowledged, self.refused))
+        checked = repr((sorted(self.committed_contents.items()), self.acknowledged, self.refused))
         return super().fingerprint() + checked.encode()
 
     def succeeded(self) -> bool:
-        """Return whether the run ended as without faults."""
+        """Return whether the run ended as in a run without faults."""
         return all(operator.read for operator in self.clients) and bool(self.acknowledged)
 
     def finish(self) -> None:
         """Check the properties that must hold at the end of the run."""
-        if self.unharmed and self.must_hear and not self.succeeded():
-            self.report_violation(f"unclear: {[operator.told for operator in self.clients]}")  # type: ignore[attr-defined]
+        if self.without_faults and self.requires_definite_answers and not self.succeeded():
+            self.report_violation(f"unclear: {[operator.outcomes for operator in self.clients]}")  # type: ignore[attr-defined]
 
 
 def _order_on_nothing(content: str, number: int = 1) -> Order:
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -33,46 +33,48 @@
 
     :cvar all_voters_hold: whether every voter must hold the key's record, not only a majority
     :ivar faults_allowed: how many faults may happen in the run
-    :ivar ending_since: when each stopping controller was told to stop
+    :ivar stopping_since: when each stopping controller was told to stop
     """
 
     all_voters_hold = False
 
     def __init__(self, scene: Scene, faults: int, kinds: tuple[str, ...]) -> None:
         self.faults_allowed = faults
-        self.ending_since: dict[str, float] = {}
+        self.stopping_since: dict[str, float] = {}
         super().__init__(scene, faults, kinds)
 
-    def key_granted(self, one: KeyRequest) -> None:
-        """Record that an attempt was granted the key; for `ANSWER_AT_ONE`, send its answer to a alone."""
-        super().key_granted(one)
-        if one.run_outcome == ANSWER_AT_ONE:
-            self.send(one.node, "a", ControllerCall.RECORD_ANSWER, KEY, one.holder, one.holder)
+    def key_granted(self, request: KeyRequest) -> None:
+        """Record that an attempt was granted the key; for `ANSWER_AT_ONE`, answer only controller a."""
+        super().key_granted(request)
+        if request.run_outcome == ANSWER_AT_ONE:
+            self.send(request.node, "a", ControllerCall.RECORD_ANSWER, KEY, request.holder, request.holder)
 
     def _apply_fault(self, kind: str, target: list[str]) -> None:
         if kind != "leave":
             return super()._apply_fault(kind, target)
         self.log(f"{target[0]} is told to stop")
-        self.ending_since[target[0]] = self.now
+        self.stopping_since[target[0]] = self.now
         self.controllers[target[0]].peers.stopping = True
         self.send_heartbeats(target[0])
         return None
 
     def _advance_time(self) -> None:
         super()._advance_time()
-        for name, since in list(self.ending_since.items()):
+        for name, since in list(self.stopping_since.items()):
             controller = self.controllers[name]
-            ending_for_s = self.now - since
-            stays = ending_for_s < STOP_S or (ending_for_s < GRACE_S and controller.shard.must_stay(self.now))
+            stopping_for_s = self.now - since
+            stays = stopping_for_s < STOP_S or (
+                stopping_for_s < GRACE_S and controller.shard.must_stay(self.now)
+            )
             if controller.alive and not stays:
-                del self.ending_since[name]
+                del self.stopping_since[name]
                 self.log(f"{name} has stopped")
                 self.stop_process(name, math.inf)
 
     def _voters(self) -> list[Shard]:
         return [self.controllers[voter.name].shard for voter in self.newest_state.voters]
 
-    def _missing(self) -> str:
+    def _incompleteness(self) -> str:
         """Return why the group is not complete; "" if it is."""
         if not self.granted_attempts:
             return ""
@@ -102,18 +104,18 @@
         return ""
 
     def succeeded(self) -> bool:
-        """Return whether the run ended as without faults."""
-        return super().succeeded() and not self._missing()
+        """Return whether the run ended as in a run without faults."""
+        return super().succeeded() and not self._incompleteness()
 
     def finish(self) -> None:
         """Check the properties that must hold at the end of the run."""
-        missing = self._missing()
-        if missing and self.faults_left == self.faults_allowed:
-            self.report_violation(f"whole: {missing}")
+        reason = self._incompleteness()
+        if reason and self.faults_left == self.faults_allowed:
+            self.report_violation(f"whole: {reason}")
 
     def fingerprint(self) -> bytes:
         """Return a digest of the state; worlds with equal digests have the same futures."""
-        return super().fingerprint() + repr(sorted(self.ending_since.items())).encode()
+        return super().fingerprint() + repr(sorted(self.stopping_since.items())).encode()
 
 
 class ReturnWorld(LossWorld):
