--- a/orchidferry/testkit/model/__init__.py
+++ b/orchidferry/testkit/model/__init__.py
@@ -1,1 +1,1 @@
-"""Models in virtual time: many nodes, with the modules that the real ones run. No I/O."""
+"""Simulations in virtual time: many nodes that run the production modules, without network I/O."""
--- a/orchidferry/testkit/model/chains.py
+++ b/orchidferry/testkit/model/chains.py
@@ -1,12 +1,13 @@
-"""Tiers of servers with a node beside each, in virtual time: what a stall of the last one does to the chain.
+"""Simulates tiers of servers, each server with a sidecar node, and a stall of the last tier in virtual time.
 
-Tiers grow by `fan_out`. Each server is a queue in front of one worker; a request of a tier makes `fan_out`
-calls to the next at once, through the node beside its server, which takes the shorter queue of two servers
-and retries failures. What it admits, retries and forwards is decided by `orchidferry.balancing.chain` or,
-without budgets, by a limit of `attempts`. Servers reject what finds their queue full, and begin nothing whose
-deadline has passed, if they know it. Clients are an open loop and send each request once.
+Each tier has `fan_out` times the servers of the tier before it. A server is a queue in front of one worker. A
+request makes `fan_out` concurrent calls to the next tier through the node beside its server; the node picks
+the shorter queue of two random servers and retries failures. `orchidferry.balancing.chain` decides which
+calls a node admits, retries and forwards; without budgets, `attempts` limits the attempts of a call. Servers
+reject requests when their queue is full, and skip requests whose deadline, as far as they know it, has
+passed. Clients form an open loop and send each request once.
 
-The model has no network, no connections and no delay loop: it shows what the budgets alone do.
+The model has no network, no connections and no delay control loop: it shows the effect of the budgets alone.
 """
 
 from __future__ import annotations
@@ -22,30 +23,30 @@
 from orchidferry.balancing.chain import Chain, Limits
 from orchidferry.balancing.interface import Carried, Result
 
-RETRY_WAIT_MS = 50.0  # before an attempt beyond the first, on average
-RETRY_SPREAD = (0.5, 1.5)  # of that wait, over its mean
-WORK_SPREAD = (0.5, 1.5)  # of the work of one request, over its mean
+RETRY_WAIT_MS = 50.0  # mean wait before each attempt after the first
+RETRY_SPREAD = (0.5, 1.5)  # range of the wait, relative to its mean
+WORK_SPREAD = (0.5, 1.5)  # range of the work of one request, relative to its mean
 
-CallEnded = Callable[[Result, bool, int], None]  # result, whether a lower tier failed, its attempts
+CallEnded = Callable[[Result, bool, int], None]  # result, whether a lower tier failed, attempts made there
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Tiers under load, with a stall of the last one. Rates are a second, times milliseconds.
+    """Tiers under load, with a stall of the last tier.
 
     :ivar tiers: number of tiers
-    :ivar servers: over all tiers, each with a node
-    :ivar fan_out: calls that a request makes to the next tier
-    :ivar work_ms: mean work of a request of any tier, without its calls
-    :ivar load: of each tier's capacity
-    :ivar queue_limit: requests that wait at a server at most
-    :ivar deadline_ms: of a client's request
-    :ivar timeout_ms: of an attempt, and less if less time is left
-    :ivar attempts: most attempts of a call without budgets
-    :ivar stall: begin and end of the stall of the last tier
-    :ivar duration_ms: for which clients send requests
-    :ivar budgets: whether nodes keep the budgets of `orchidferry.balancing.chain`
-    :ivar seed: of the random choices
+    :ivar servers: approximate number of servers of all tiers, each with a node
+    :ivar fan_out: number of calls that a request makes to the next tier
+    :ivar work_ms: mean processing time of a request in any tier, without its calls
+    :ivar load: offered load, as a fraction of each tier's capacity
+    :ivar queue_limit: maximum number of requests that wait at a server
+    :ivar deadline_ms: time after which a client's request has failed
+    :ivar timeout_ms: timeout of an attempt, shortened to the time left until the deadline
+    :ivar attempts: maximum number of attempts of a call, without budgets
+    :ivar stall: begin and end of the stall of the last tier, in milliseconds
+    :ivar duration_ms: how long clients send requests
+    :ivar budgets: whether nodes apply the budgets of `orchidferry.balancing.chain`
+    :ivar seed: seed of the random choices
     """
 
     tiers: int = 4
@@ -65,14 +66,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """Counts by tier, and clients' requests by the second of their arrival.
-
-    :ivar calls: to each tier
-    :ivar attempts: of them
-    :ivar calls_in_stall: those that began in the stall
-    :ivar attempts_in_stall: those that began in the stall
-    :ivar served: clients' requests that were served
-    :ivar requested: all clients' requests
+    """Counts by tier, and counts of client requests by the second of their arrival.
+
+    :ivar calls: number of calls to each tier
+    :ivar attempts: number of attempts of these calls
+    :ivar calls_in_stall: calls that began during the stall
+    :ivar attempts_in_stall: attempts that began during the stall
+    :ivar served: client requests that were served, by second
+    :ivar requested: all client requests, by second
     """
 
     calls: list[int]
@@ -85,9 +86,9 @@
     def recovery_s(self, stall_end_ms: float, fraction: float = 0.99, window_s: int = 3) -> float | None:
         """Return the time from the stall's end until nearly all requests are served again.
 
-        :param fraction: of the requests that must be served
-        :param window_s: for which they must be
-        :returns: seconds; None if that does not happen
+        :param fraction: fraction of the requests that must be served
+        :param window_s: length of the period in which that fraction must be served
+        :returns: time in seconds; None if the service does not recover
         """
         first = int(stall_end_ms // 1_000)
         for second in range(first, len(self.served) - window_s + 1):
@@ -102,7 +103,7 @@
     """A request at a server."""
 
     tier: int
-    deadline_ms: float  # when nobody waits any more, as far as the server knows
+    deadline_ms: float  # time after which the caller has given up, as far as the server knows
     carried: Carried | None
     on_ended: CallEnded
     calls_left: int = 0
@@ -140,14 +141,14 @@
 class ChainSimulation:
     """One run of a scenario.
 
-    :ivar clients_per_s: rate of the clients' requests
+    :ivar clients_per_s: client requests per second, all clients together
     """
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
         self._rng = random.Random(scenario.seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = itertools.count()  # of events and calls
+        self._serial = itertools.count()  # numbers events and calls
         self._now_ms = 0.0
         tree_size = sum(scenario.fan_out**n for n in range(scenario.tiers))
         first = max(1, round(scenario.servers / tree_size))
@@ -230,7 +231,7 @@
     def _attempt(self, call: _Call, number: int) -> None:
         """Make an attempt, or end the call if there may be no more.
 
-        :param number: of the attempt, from 0
+        :param number: number of the attempt, starting at 0
         """
         if not self._may_attempt(call, number):
             failed_below, attempts_below = call.node.verdict(call.id)
@@ -243,14 +244,14 @@
         timeout_at_ms = min(self._now_ms + scenario.timeout_ms, call.deadline_ms)
         on_ended = self._attempt_ended(call, number)
         self._schedule(timeout_at_ms, lambda: on_ended(Result.TIMEOUT, False, 0))
-        # without budgets the remaining time is not carried to servers
+        # Without budgets, servers are not told the remaining time.
         known_deadline_ms = timeout_at_ms if scenario.budgets else self._now_ms + scenario.deadline_ms
         server = self._choose_server(call.tier)
         self._enqueue(server, _Work(call.tier, known_deadline_ms, carried, on_ended))
         return None
 
     def _attempt_ended(self, call: _Call, number: int) -> CallEnded:
-        """Return the callback for the end of an attempt, which counts once."""
+        """Return the callback for the end of an attempt; only its first invocation counts."""
         began_ms = self._now_ms
         ended = False
 
@@ -308,7 +309,7 @@
         return None
 
     def _call_next_tier(self, server: _Server, work: _Work) -> None:
-        """Make one call of a request; the request ends with its last call, and is served if all were."""
+        """Make one call of a request, which ends with its last call and is served if all its calls are."""
 
         def on_ended(result: Result, failed_below: bool, attempts_below: int) -> None:
             work.failed_below = work.failed_below or failed_below
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -1,8 +1,9 @@
-"""How long a new configuration takes to reach all nodes while a controller is isolated and nodes restart.
+"""Measures the time for a configuration to reach all nodes while a controller is isolated and nodes restart.
 
-Controllers and nodes in virtual time: the shipping `Shard` of the configuration, `Publisher`, `ControlClient`
-and tree of relays, over links of a given rate and on shares of a core (`virtual_process.Machine`). Constants
-of cost were measured on a whole core; each use divides them by the machine's share. One seed gives one run.
+Controllers and nodes run in virtual time with the production `Shard` of the configuration, `Publisher`,
+`ControlClient` and relay tree, over links of a given rate and on shares of a core
+(`virtual_process.Machine`). CPU times were measured on a whole core; each use divides them by the machine's
+share of a core. Runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -57,47 +58,60 @@
 SEEDS = 3
 BETWEEN_ZONES_S = 0.0009
 WITHIN_ZONE_S = 0.0001
-CHANGE_EVERY_S = 0.5
-PUT_S = 4.0  # for an order to be decided
-START_S = 1.0  # of a process that was killed, until it dials: assumed
-READY_LOOK_S = 0.01
-SERVER_BEAT_S = 1.5  # a new node hears of the server beside it within this
-
-# Work on a whole core, measured (docs/design/worst-days.md).
-# one message; news makes a node look at all members
+CHANGE_INTERVAL_S = 0.5
+PUT_TIMEOUT_S = 4.0  # timeout of an operator's change
+START_S = 1.0  # from the kill of a node until its new process dials; assumed, not measured
+READY_POLL_S = 0.01
+SERVER_HEARTBEAT_S = 1.5  # a new node learns of the server beside it within this time
+
+# CPU times on a whole core, measured (docs/design/worst-days.md).
+# Handling of one message; at a node, an update makes it check all members.
 CONTROLLER_MESSAGE_S = 60e-6
 NODE_MESSAGE_S = 200e-6
-CHECK_S = 0.042  # an order's text: checked and compressed, at the controller that takes it
-APPLY_S = 0.004  # a new text: expanded, read and put in force, at a node
+VALIDATION_S = 0.042  # validation and compression of a new text, at the controller that receives it
+APPLY_S = 0.004  # decompression, parsing and application of a new text, at a node
 
-ISOLATED_S = 20.0
-SETTLED_S = 4.0  # from the start of all processes to the day's first change
+ISOLATION_S = 20.0
+SETTLING_S = 4.0  # from the start of all processes to the first change
 
 
-def mixed(revision: int) -> bytes:
-    """An example_configuration whose names and paths are drawn at random, the same for each revision."""
+def random_name_configuration(revision: int) -> bytes:
+    """Return an `example_configuration` with random names and paths, which are the same for each revision."""
     rng = random.Random(1)
-    whole = json.loads(example_configuration(revision))
-    for rule in whole["access_points"][0]["rule_set"]:
+    configuration = json.loads(example_configuration(revision))
+    for rule in configuration["access_points"][0]["rule_set"]:
         rule["identifier"] = f"{rng.randrange(16**12):012x}"
         rule["criteria"]["path_prefix"] = f"/x/{rng.randrange(16**16):016x}/"
-    return json.dumps(whole).encode()
+    return json.dumps(configuration).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """What happens, in seconds from the first change on."""
-
-    isolated_s: float = 2.0  # the controller that acknowledges next is cut off as it does so
-    direction: str = "both"  # "both", "in" (the controller hears nobody) or "out" (nobody hears it)
-    scope: str = "all"  # cut from "all" processes or from other controllers only ("core")
+    """The faults of one run; times are in seconds from the first change.
+
+    :ivar isolated_s: from this time on, the next controller to acknowledge a change is isolated as it does so
+    :ivar direction: messages that are cut: "both", "in" (to the isolated controller) or "out" (from it)
+    :ivar scope: processes from which the controller is cut: "all", or "core" for other controllers only
+    :ivar restarts: number of nodes that are restarted
+    :ivar restarts_s: when nodes begin to be killed; all are killed within a second
+    :ivar relays_first: whether the nodes with the most followers are restarted, instead of random ones
+    :ivar length_s: duration of the run
+    :ivar mixed_names: whether names in the text hardly repeat, so that it compresses to a ninth of its size
+        instead of a 13th
+    :ivar node_bits_per_s: rate of each node's link
+    :ivar core_bits_per_s: rate of each controller's link
+    :ivar node_share: share of a core that each node gets
+    :ivar core_share: share of a core that each controller gets
+    """
+
+    isolated_s: float = 2.0
+    direction: str = "both"
+    scope: str = "all"
     restarts: int = 26
-    restarts_s: float = 8.0  # when the first node is killed, all within a second
-    relays_first: bool = False  # those whose followers are the most, in place of some drawn at random
+    restarts_s: float = 8.0
+    relays_first: bool = False
     length_s: float = 26.0
-    mixed_names: bool = (
-        False  # a text whose names hardly repeat, which compresses by a ninth in place of a 13th
-    )
+    mixed_names: bool = False
     node_bits_per_s: float = 3.5e6
     core_bits_per_s: float = 86e6
     node_share: float = 0.43
@@ -106,36 +120,43 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What was measured, in seconds."""
+    """The measurements of one run.
 
-    spread_s: dict[int, float] = field(default_factory=dict)  # by revision: acknowledged to the last node
-    last_node: dict[int, str] = field(default_factory=dict)  # by revision
-    ready_s: dict[str, float] = field(default_factory=dict)  # by restarted node: from its kill
-    missed: list[tuple[int, str]] = field(default_factory=list)  # revision, node: never served by it
-    core_text_bytes: int = 0  # of configurations' texts, sent by controllers in all
+    :ivar spread_s: by revision, seconds from its acknowledgement until the last node applied it
+    :ivar last_node: by revision, the node that applied it last
+    :ivar ready_s: by restarted node, seconds from its kill until it was ready
+    :ivar missed: revisions and nodes that never applied them
+    :ivar core_text_bytes: bytes of configuration texts sent by all controllers
+    """
+
+    spread_s: dict[int, float] = field(default_factory=dict)
+    last_node: dict[int, str] = field(default_factory=dict)
+    ready_s: dict[str, float] = field(default_factory=dict)
+    missed: list[tuple[int, str]] = field(default_factory=list)
+    core_text_bytes: int = 0
 
 
 class Pending:
-    """A link that is being made; a coroutine that awaits it goes on once `finish` is called."""
+    """An awaitable for a link that is being established; `finish` resumes the coroutine that awaits it."""
 
     def __init__(self) -> None:
-        self._then: Callable[[Any], None] | None = None
+        self._callback: Callable[[Any], None] | None = None
 
     def __await__(self) -> Generator[Pending, Any, Any]:
         return (yield self)
 
-    def when_finished(self, then: Callable[[Any], None]) -> None:
-        """Have this called with the result."""
-        self._then = then
+    def on_finished(self, callback: Callable[[Any], None]) -> None:
+        """Set the callback for the result."""
+        self._callback = callback
 
     def finish(self, result: Any) -> None:
-        """The result is here."""
-        assert self._then is not None
-        self._then(result)
+        """Pass on the result."""
+        assert self._callback is not None
+        self._callback(result)
 
 
 class Task:
-    """A coroutine that awaits nothing but `Pending`s."""
+    """Runs a coroutine that awaits nothing but `Pending` objects, with the interface of `asyncio.Task`."""
 
     def __init__(self, work: Coroutine[Any, Any, Any]) -> None:
         self._work = work
@@ -145,14 +166,14 @@
 
     def _step(self, result: Any) -> None:
         try:
-            self._work.send(result).when_finished(self._step)
+            self._work.send(result).on_finished(self._step)
         except StopIteration:
             self._over = True
             for call in self._done:
                 call(self)
 
     def add_done_callback(self, call: Callable[[Any], object]) -> None:
-        """Have this called at its end."""
+        """Call back at the end of the coroutine, or now if it has ended."""
         if self._over:
             call(self)
         else:
@@ -160,19 +181,19 @@
 
 
 class ControllerProcess(Process):
-    """A replica of the configuration's shard, and the publisher that tells nodes what it learns."""
+    """A replica of the configuration shard, and the publisher that announces its decisions to nodes."""
 
     def __init__(self, world: Rollout, name: str, zone: int, founder: bool, machine: Machine) -> None:
         super().__init__(world, name, zone, machine)
         self.rollout = world
         loop: Any = self
-        life = world.rng.randrange(1, 2**53)
-        self.publisher = Publisher(name, self.zone, life, loop, self._contact_age_ms)
+        incarnation = world.rng.randrange(1, 2**53)
+        self.publisher = Publisher(name, self.zone, incarnation, loop, self._contact_age_ms)
         self.replica = Replica(
             name, world, founder, shard_state.CONFIGURATION, random.Random(world.rng.random()), world.voters
         )
         self.call_later(TICK_INTERVAL_S * world.rng.random(), self._tick)
-        self.call_later(HEARTBEAT_INTERVAL_S * world.rng.random(), self._beat)
+        self.call_later(HEARTBEAT_INTERVAL_S * world.rng.random(), self._heartbeat)
 
     def _contact_age_ms(self) -> int | None:
         shard = self.replica.shard
@@ -185,13 +206,13 @@
         self.replica.tick()
         self.sync()
 
-    def _beat(self) -> None:
-        self.call_later(HEARTBEAT_INTERVAL_S, self._beat)
+    def _heartbeat(self) -> None:
+        self.call_later(HEARTBEAT_INTERVAL_S, self._heartbeat)
         self.replica.send_heartbeats(name for name in self.rollout.controllers if name != self.name)
         self.sync()
 
     def sync(self) -> None:
-        """Have the writes that wait reach the disk."""
+        """Complete the pending writes after the time of a disk sync."""
         waiting = list(self.replica.writes)
 
         def written() -> None:
@@ -203,16 +224,16 @@
         if waiting:
             self.call_later(DISK_SYNC_S, written)
 
-    def learned(self, changed: StateChanged) -> None:
-        """The shard has a newer state."""
+    def announce_state(self, changed: StateChanged) -> None:
+        """Announce a new owner of the shard, or a new revision of the configuration, to the nodes."""
         old = shard_state.body(changed.old)
         new = shard_state.body(changed.new)
         if (new.epoch, new.fencing_token) != (old.epoch, old.fencing_token):
-            self._tell_group(None)
+            self._announce_group(None)
         if new.revision != old.revision:
             self.publisher.announce_revision(new.revision)
 
-    def _tell_group(self, link: Any) -> None:
+    def _announce_group(self, link: Any) -> None:
         shard = self.replica.shard
         names = [voter.name for voter in shard.known.voters]
         for number in shard_state.SHARDS:
@@ -220,32 +241,40 @@
             group = GroupAnnouncement(number, own.epoch, names, own.owner, own.fencing_token)
             self.publisher.send_group(group, link)
 
-    def order(self, change: shard_state.PutConfiguration, told: Callable[[RequestEnded], None]) -> None:
-        """An operator's order comes: it is checked, then voted on."""
-        done_s = self.work(CHECK_S)
-        self.world.at(done_s, lambda: self.run(lambda: self._ask(change, told)))
-
-    def _ask(self, change: shard_state.PutConfiguration, told: Callable[[RequestEnded], None]) -> None:
-        id = self.rollout.wait_for(told)
-        self.replica.execute(self.replica.shard.request_change(id, change, PUT_S, self.time()))
+    def put_configuration(
+        self, change: shard_state.PutConfiguration, on_ended: Callable[[RequestEnded], None]
+    ) -> None:
+        """Handle an operator's change: validate it, then request its decision from the shard.
+
+        :param change: configuration to put
+        :param on_ended: called with the result
+        """
+        done_s = self.work(VALIDATION_S)
+        self.world.at(done_s, lambda: self.run(lambda: self._request_change(change, on_ended)))
+
+    def _request_change(
+        self, change: shard_state.PutConfiguration, on_ended: Callable[[RequestEnded], None]
+    ) -> None:
+        id = self.rollout.register_request(on_ended)
+        self.replica.execute(self.replica.shard.request_change(id, change, PUT_TIMEOUT_S, self.time()))
         self.sync()
 
     @property
     def text_bytes(self) -> int:
-        """Of configurations' texts that were sent to nodes."""
+        """Bytes of configuration texts sent to nodes."""
         return sum(size for (kind, _), (_, size) in self.publisher.traffic.sent.items() if kind == "text")
 
     def disconnected(self, end: Any) -> None:
-        """A link has ended."""
+        """Handle the end of a node's link."""
         self.publisher.disconnected(end)
 
     def received(self, end: Any, message: Any) -> None:
-        """Take a message."""
+        """Handle a message from a node."""
         publisher = self.publisher
         match message:
             case NodeHello():
                 publisher.node_connected(end, message.name)
-                self._tell_group(end)
+                self._announce_group(end)
             case RevisionRead():
                 self._read_revision(end, message.request)
             case ConfigurationFetch():
@@ -262,22 +291,22 @@
                 publisher.send_missed(end, message)
 
     def _read_revision(self, end: Any, request: int) -> None:
-        def tell(ended: RequestEnded) -> None:
+        def send_revision(ended: RequestEnded) -> None:
             self.publisher.send_revision(end, Revision(request, newest_revision(ended)))
 
-        id = self.rollout.wait_for(tell)
+        id = self.rollout.register_request(send_revision)
         self.replica.execute(self.replica.shard.request_read(id, self.time()))
         self.sync()
 
 
 class NodeProcess(Process):
-    """A node's shipping `ControlClient`."""
+    """A node that is reduced to its production `ControlClient`."""
 
     def __init__(self, world: Rollout, name: str, zone: int, machine: Machine) -> None:
         super().__init__(world, name, zone, machine)
         self.rollout = world
-        self.revision = 0  # that it serves by
-        self.served_s: list[tuple[float, int]] = []  # when it began to serve by which
+        self.revision = 0  # newest configuration that it has applied
+        self.applied_s: list[tuple[float, int]] = []  # time and revision of each configuration applied
         settings = Settings(
             name=name,
             role="proxy",
@@ -288,7 +317,7 @@
             internal_port=1,
             seeds=world.seeds,
             bounds=Bounds(),
-            heartbeat_interval_ms=1e3 * SERVER_BEAT_S,
+            heartbeat_interval_ms=1e3 * SERVER_HEARTBEAT_S,
             max_file_descriptors=4_100,
             memory_mb=200.0,
         )
@@ -298,13 +327,13 @@
             settings, loop, lambda members: None, self._configuration_received, self._dial, rng
         )
         self.client.start()
-        self._look_at_ready()
+        self._poll_ready()
         self._publish(1, None)
         server = Server(f"{name}-{self.client.boot_id:x}", "catalogo", self.zone, IN_SERVICE, 3, 0.0, "v1")
-        self.call_later(rng.random() * SERVER_BEAT_S, self._publish, 2, server)
+        self.call_later(rng.random() * SERVER_HEARTBEAT_S, self._publish, 2, server)
 
     def create_task(self, work: Coroutine[Any, Any, Any]) -> Task:
-        """As a loop does."""
+        """Run a coroutine as an event loop does."""
         return Task(work)
 
     def _publish(self, number: int, server: Server | None) -> None:
@@ -318,77 +347,81 @@
 
     def _configuration_received(self, revision: int, text: bytes) -> None:
         done_s = self.work(APPLY_S)
-        self.world.at(done_s, lambda: self.run(lambda: self._serve_by(revision)))
+        self.world.at(done_s, lambda: self.run(lambda: self._configuration_applied(revision)))
 
-    def _serve_by(self, revision: int) -> None:
+    def _configuration_applied(self, revision: int) -> None:
         self.revision = max(self.revision, revision)
-        self.served_s.append((self.time(), revision))
+        self.applied_s.append((self.time(), revision))
 
-    def _look_at_ready(self) -> None:
+    def _poll_ready(self) -> None:
         if self.ready:
             return self.rollout.node_ready(self)
-        self.call_later(READY_LOOK_S, self._look_at_ready)
+        self.call_later(READY_POLL_S, self._poll_ready)
         return None
 
     @property
     def ready(self) -> bool:
-        """Whether it serves."""
-        return bool(self.served_s) and self.client.has_initial_configuration
+        """Whether the node is ready to serve requests."""
+        return bool(self.applied_s) and self.client.has_initial_configuration
 
     @property
     def followers(self) -> int:
-        """How many nodes follow this one."""
+        """Number of nodes that receive updates through this one."""
         return len(self.client._subscriber.relay.followers.positions)
 
     def accept(self, end: Any) -> None:
-        """Take a new link."""
+        """Handle a new incoming link from a follower."""
         self.client._subscriber.relay.connected(end)
 
     def received(self, end: Any, message: Any) -> None:
-        """Take a message."""
+        """Handle a message from a follower."""
         self.client._received_from_follower(end, message)
 
     def disconnected(self, end: Any) -> None:
-        """A link has ended."""
+        """Handle the end of a follower's link."""
         self.client._subscriber.relay.disconnected(end)
 
 
 class Rollout(World):
-    """All processes of one day, and its operator."""
+    """All processes of one run, and the operator who changes the configuration."""
 
     controllers: dict[str, ControllerProcess]
     nodes: dict[str, NodeProcess]
 
-    def __init__(self, seed: int, day: Day) -> None:
+    def __init__(self, seed: int, scenario: Day) -> None:
         super().__init__(seed, ZONES, controllers=0)
-        self.day, self.outcome = day, Outcome()
+        self.scenario, self.outcome = scenario, Outcome()
         names = tuple(f"k{n}" for n in range(CONTROLLERS))
         self.voters = names[:VOTERS]
         self.seeds = names[:SEEDS]
-        self._waiting: dict[str, Callable[[RequestEnded], None]] = {}
+        self._request_callbacks: dict[str, Callable[[RequestEnded], None]] = {}
         self._ids = 0
         self._isolate_from_s = float("inf")
         self._killed_s: dict[str, float] = {}
-        self.isolated = ""  # the controller that is, or was
-        self._acknowledged: dict[int, tuple[float, list[NodeProcess]]] = {}  # when, and the nodes in touch
-        core = Machine(day.core_bits_per_s, day.core_share, CONTROLLER_MESSAGE_S)
+        self.isolated = ""  # name of the controller that is or was isolated
+        # By revision: time of its acknowledgement, and the nodes that were ready then.
+        self._acknowledged: dict[int, tuple[float, list[NodeProcess]]] = {}
+        core = Machine(scenario.core_bits_per_s, scenario.core_share, CONTROLLER_MESSAGE_S)
         for n, name in enumerate(names):
             self.controllers[name] = ControllerProcess(self, name, n % ZONES, name in self.voters, core)
         for n in range(NODES):
             self._start_node(f"n{n}", n % ZONES)
 
     def _start_node(self, name: str, zone: int) -> None:
-        machine = Machine(self.day.node_bits_per_s, self.day.node_share, NODE_MESSAGE_S)
+        machine = Machine(self.scenario.node_bits_per_s, self.scenario.node_share, NODE_MESSAGE_S)
         self.nodes[name] = NodeProcess(self, name, zone, machine)
 
-    # What the processes ask of their world
+    # Interface used by the processes
 
     def delay(self, one: Process, other: Process) -> float:
-        """The time in seconds that a message takes from one process to another."""
+        """Return the one-way delay between two processes in seconds."""
         return WITHIN_ZONE_S if one.zone == other.zone else BETWEEN_ZONES_S
 
     def send(self, sender: str, to: str, kind: str, *message: Any) -> None:
-        """A message between replicas; lost where the way is cut."""
+        """Send a message between replicas; it is lost if the direction is cut.
+
+        :param kind: the `ControllerCall` that the message makes at its receiver
+        """
         one = self.controllers[sender]
         other = self.controllers[to]
         if (sender, to) in self.cuts:
@@ -402,55 +435,55 @@
         self.at(one.send_out(size) + self.delay(one, other), lambda: other.receive(size, handle))
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """A replica's answer, on the link of whoever asked."""
+        """Send a replica's answer to the controller that made the request."""
         assert isinstance(answer.message, ShardMessage)
         self.send(name, str(answer.to), ControllerCall.RECEIVE, name, answer.message.body)
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """A replica has learned a newer state."""
-        self.controllers[name].learned(changed)
+        """Handle a newer state that a replica has learned."""
+        self.controllers[name].announce_state(changed)
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """A change or a reading is over."""
-        self._waiting.pop(end.id)(end)
+        """Pass the result of a change or a read to its callback."""
+        self._request_callbacks.pop(end.id)(end)
 
-    def wait_for(self, told: Callable[[RequestEnded], None]) -> str:
-        """An id under which a replica is asked for something."""
+    def register_request(self, on_ended: Callable[[RequestEnded], None]) -> str:
+        """Register a callback for the result of a request, and return the id of the request."""
         self._ids += 1
-        self._waiting[str(self._ids)] = told
+        self._request_callbacks[str(self._ids)] = on_ended
         return str(self._ids)
 
-    # The day
+    # The run
 
     def play(self) -> Outcome:
-        """The whole day."""
-        day = self.day
-        self.run(SETTLED_S)
-        began_s = self.now
-        self._isolate_from_s = began_s + day.isolated_s
-        self.at(began_s + day.restarts_s, self._restart_nodes)
-        self.at(began_s, lambda: self._order(1))
-        self.run(day.length_s)
+        """Run the whole scenario."""
+        scenario = self.scenario
+        self.run(SETTLING_S)
+        begin_s = self.now
+        self._isolate_from_s = begin_s + scenario.isolated_s
+        self.at(begin_s + scenario.restarts_s, self._restart_nodes)
+        self.at(begin_s, lambda: self._put_revision(1))
+        self.run(scenario.length_s)
         self.outcome.core_text_bytes = sum(one.text_bytes for one in self.controllers.values())
-        self._judge()
+        self._evaluate()
         return self.outcome
 
     def _isolate(self, isolated: str) -> None:
         self.isolated = isolated
-        self.at(self.now + ISOLATED_S, self.cuts.clear)
-        others = set(self.controllers) | (set(self.nodes) if self.day.scope == "all" else set())
+        self.at(self.now + ISOLATION_S, self.cuts.clear)
+        others = set(self.controllers) | (set(self.nodes) if self.scenario.scope == "all" else set())
         for name in others - {isolated}:
-            if self.day.direction in ("both", "in"):
+            if self.scenario.direction in ("both", "in"):
                 self.cuts.add((name, isolated))
-            if self.day.direction in ("both", "out"):
+            if self.scenario.direction in ("both", "out"):
                 self.cuts.add((isolated, name))
 
     def _restart_nodes(self) -> None:
         names = sorted(self.nodes)
         self.rng.shuffle(names)
-        if self.day.relays_first:
+        if self.scenario.relays_first:
             names.sort(key=lambda name: -self.nodes[name].followers)
-        for name in names[: self.day.restarts]:
+        for name in names[: self.scenario.restarts]:
             self.at(self.now + self.rng.random(), lambda name=name: self._restart(name))  # type: ignore[misc]
 
     def _restart(self, name: str) -> None:
@@ -460,61 +493,69 @@
         self.at(self.now + START_S, lambda: self._start_node(name, int(old.zone[1:])))
 
     def node_ready(self, node: NodeProcess) -> None:
-        """A node serves from now on."""
+        """Record that a restarted node has become ready."""
         if node.name in self._killed_s:
             self.outcome.ready_s[node.name] = self.now - self._killed_s[node.name]
 
-    def _order(self, revision: int) -> None:
-        """The operator sends the next version to some controller, and to another if it has no answer."""
-        text = mixed(revision) if self.day.mixed_names else example_configuration(revision)
+    def _put_revision(self, revision: int) -> None:
+        """Send a revision to random controllers as the operator does, until one acknowledges it."""
+        text = (
+            random_name_configuration(revision)
+            if self.scenario.mixed_names
+            else example_configuration(revision)
+        )
         change = shard_state.PutConfiguration(compress(text), revision, digest(text), revision - 1)
-        next_s = self.now + CHANGE_EVERY_S
+        next_s = self.now + CHANGE_INTERVAL_S
 
         def send() -> None:
             name = self.rng.choice([name for name in self.voters if name != self.isolated])
-            self.controllers[name].order(change, lambda end: told(name, end))
+            self.controllers[name].put_configuration(change, lambda end: on_ended(name, end))
 
-        def told(name: str, end: RequestEnded) -> None:
+        def on_ended(name: str, end: RequestEnded) -> None:
             if end.value is None:
                 return self.at(self.now + 0.1, send)
             if not self.isolated and self.now >= self._isolate_from_s:
                 self._isolate(name)
             nodes = [node for node in self.nodes.values() if node.alive and node.ready]
             self._acknowledged[revision] = (self.now, nodes)
-            self.at(max(self.now, next_s), lambda: self._order(revision + 1))
+            self.at(max(self.now, next_s), lambda: self._put_revision(revision + 1))
             return None
 
         send()
 
-    def _judge(self) -> None:
-        """When the last node that was in touch at each acknowledgement served by it."""
+    def _evaluate(self) -> None:
+        """Evaluate, for each revision, when the nodes that were ready at its acknowledgement applied it."""
         for revision, (acknowledged_s, nodes) in self._acknowledged.items():
-            if self.now - acknowledged_s < 2.0 * CHANGE_EVERY_S:
-                continue  # too late in the day to tell
+            if self.now - acknowledged_s < 2.0 * CHANGE_INTERVAL_S:
+                continue  # the run may have ended too early for this revision
             for node in nodes:
-                served_s = min((at for at, of in node.served_s if of >= revision), default=None)
-                if served_s is None:
+                applied_s = min((at for at, of in node.applied_s if of >= revision), default=None)
+                if applied_s is None:
                     if node.alive:
                         self.outcome.missed.append((revision, node.name))
                     continue
-                spread_s = max(0.0, served_s - acknowledged_s)
+                spread_s = max(0.0, applied_s - acknowledged_s)
                 if spread_s >= self.outcome.spread_s.get(revision, 0.0):
                     self.outcome.spread_s[revision] = spread_s
                     self.outcome.last_node[revision] = node.name
 
 
 def main() -> None:
-    """Play days from the command line."""
+    """Run scenarios from the command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--seeds", type=int, default=1, help="seeds 1 to this")
+    parser.add_argument("--seeds", type=int, default=1, help="run all seeds from 1 to this one")
     parser.add_argument("--direction", choices=("both", "in", "out"), default="both")
     parser.add_argument("--scope", choices=("all", "core"), default="all")
-    parser.add_argument("--relays-first", action="store_true", help="restart those with the most followers")
-    parser.add_argument("--mixed-names", action="store_true", help="a text that compresses less")
-    parser.add_argument("--share-left", type=float, default=1.0, help="of nodes' links and cores")
+    parser.add_argument(
+        "--relays-first", action="store_true", help="restart the nodes with the most followers"
+    )
+    parser.add_argument("--mixed-names", action="store_true", help="use a configuration that compresses less")
+    parser.add_argument(
+        "--share-left", type=float, default=1.0, help="share of the nodes' link rates and cores that is left"
+    )
     given = parser.parse_args()
     logger.remove()
-    day = Day(
+    scenario = Day(
         direction=given.direction,
         scope=given.scope,
         relays_first=given.relays_first,
@@ -523,7 +564,7 @@
         node_share=Day().node_share * given.share_left,
     )
     for seed in range(1, given.seeds + 1):
-        outcome = Rollout(seed, day).play()
+        outcome = Rollout(seed, scenario).play()
         spread = sorted(outcome.spread_s.values())
         print(
             f"seed {seed}: {len(spread)} changes, to the last node {spread[len(spread) // 2]:.2f} s at the "
--- a/orchidferry/testkit/model/fanout_world.py
+++ b/orchidferry/testkit/model/fanout_world.py
@@ -1,7 +1,7 @@
 """Publishers of controllers and subscribers of nodes in virtual time, over links that can be cut.
 
-The publisher, subscriber and relay are the shipping ones (`orchidferry.mesh.control`), and each message is
-encoded. One seed gives one run.
+The publisher, subscriber and relay are the production classes (`orchidferry.mesh.control`), and each message
+is encoded. Runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from orchidferry.testkit.model.virtual_link import LinkEnd
 from orchidferry.testkit.model.virtual_process import Process
 
-# one way
+# One-way delays of messages.
 IN_ZONE_S = 0.001
 BETWEEN_S = 0.0014
-CUT_RETRY_S = 0.01  # before a message that met a cut is tried again
-HANDSHAKE_S = 0.002  # until a link that is dialled is up
-REFUSED_S = 1.0  # until a dial over a cut is given up
+CUT_RETRY_S = 0.01  # interval at which a message blocked by a cut is retried
+HANDSHAKE_S = 0.002  # time that it takes to establish a link
+REFUSED_S = 1.0  # time after which dialling over a cut fails
 
 
 class World:
-    """Controllers k0 to k2, nodes, and what is on its way."""
+    """Controllers (k0 to k2 by default), nodes, and the messages in transit between them."""
 
     controllers: dict[str, Any]
     nodes: dict[str, Any]
@@ -47,24 +47,27 @@
         self._queue: list[tuple[float, int, Callable[[], object]]] = []
         self._serial = 0
         self._read: tuple[bytes, Any] = (b"", None)
-        self.cuts: set[tuple[str, str]] = set()  # from, to
+        self.cuts: set[tuple[str, str]] = set()  # blocked directions: (sender, receiver)
         self.zones = zones
         self.controllers = {}
         for n in range(controllers):
             self.controllers[f"k{n}"] = Controller(self, f"k{n}", n % zones)
         self.nodes = {}
         self.recording = False
-        # When each change began, by controller, incarnation and number, and when it came to each node.
+        # When each change was made, by controller, incarnation and number, and when it reached each node.
         self.change_times_s: dict[tuple[str, int, int], float] = {}
         self.arrival_times_s: dict[tuple[str, int, int], dict[str, float]] = {}
 
     def at(self, when: float, call: Callable[[], object]) -> None:
-        """Have something called at a time."""
+        """Schedule a call.
+
+        :param when: virtual time of the call
+        """
         self._serial += 1
         heapq.heappush(self._queue, (when, self._serial, call))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time, running the calls that are due."""
         until = self.now + seconds
         while self._queue[0][0] <= until:
             when, _, call = heapq.heappop(self._queue)
@@ -73,26 +76,30 @@
         self.now = until
 
     def read(self, data: bytes) -> Any:
-        """A message as it comes; what goes to many is read once."""
+        """Decode a message; consecutive sends of the same bytes are decoded once."""
         if self._read[0] is not data:
             self._read = (data, decode(data[LENGTH_BYTES:]))
         return self._read[1]
 
     def retry_later(self, end: LinkEnd, lost: bool) -> None:
-        """A message did not get through a cut; `lost`: its sender has given up the link."""
+        """Retry the oldest message of a link that is blocked by a cut.
+
+        :param end: the sending end of the link
+        :param lost: whether the sender has given up the link
+        """
         self.at(self.now + CUT_RETRY_S, end.arrive)
 
     def delay(self, one: Process, other: Process) -> float:
-        """Of a link, one way."""
+        """Return the one-way delay between two processes in seconds."""
         return IN_ZONE_S if one.zone == other.zone else BETWEEN_S
 
     def start(self, name: str, zone: int) -> Node:
-        """A node's process begins, for the first time or again."""
+        """Start a node's process, for the first time or after a restart."""
         node = self.nodes[name] = Node(self, name, zone, self.heads)
         return node
 
     def restart(self, name: str) -> None:
-        """A controller loses all that it has in memory."""
+        """Restart a controller: it loses its state, except for the newest configuration."""
         old = self.controllers[name]
         old.kill()
         new = self.controllers[name] = Controller(self, name, int(old.zone[1:]))
@@ -107,9 +114,16 @@
         on_lost: Callable[[Any], None],
         on_dialled: Callable[[str, LinkEnd | None], None],
     ) -> None:
-        """A new link, after two ways; None for one that is down or does not answer."""
+        """Dial a process.
+
+        :param name: name of the process to dial
+        :param on_message: called with the link end and each message received
+        :param on_lost: called with the link end when the link has ended
+        :param on_dialled: called with the name and the new link end; None if the process is down or
+            unreachable
+        """
 
-        def made() -> None:
+        def established() -> None:
             there: Process | None = self.controllers.get(name) or self.nodes.get(name)
             if there is None or not there.alive or not owner.alive:
                 return owner.run(lambda: on_dialled(name, None))
@@ -123,10 +137,10 @@
             owner.run(lambda: on_dialled(name, here))
             return None
 
-        self.at(self.now + HANDSHAKE_S, made)
+        self.at(self.now + HANDSHAKE_S, established)
 
     def record_changes(self) -> None:
-        """Note from now on when changes begin and come."""
+        """Record from now on when changes are made and when they reach nodes."""
         self.recording = True
         self.change_times_s.clear()
         self.arrival_times_s.clear()
@@ -137,19 +151,19 @@
                 node.seen_numbers[stream.controller, stream.incarnation] = stream.number
 
     def stream_changed(self, controller: Controller) -> None:
-        """A controller's stream may have gone on."""
+        """Record the newest change of a controller's stream, if there is a new one."""
         stream = controller.stream
         if self.recording and stream.number > controller.recorded_number:
             self.change_times_s[stream.controller, stream.incarnation, stream.number] = self.now
             controller.recorded_number = stream.number
 
     def updates_arrived(self, node: Node) -> None:
-        """A node has received updates of some controller."""
+        """Record the changes that a node has received."""
         if not self.recording:
             return
         for stream in node.subscriber.streams.values():
-            had = node.seen_numbers.get((stream.controller, stream.incarnation), stream.number - 1)
+            seen = node.seen_numbers.get((stream.controller, stream.incarnation), stream.number - 1)
             node.seen_numbers[stream.controller, stream.incarnation] = stream.number
-            for number in range(had + 1, stream.number + 1):
+            for number in range(seen + 1, stream.number + 1):
                 key = (stream.controller, stream.incarnation, number)
                 self.arrival_times_s.setdefault(key, {})[node.name] = self.now
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: the real membership of each node, and a network between them with faults.
+"""A fleet in virtual time: the production membership protocol of each node over a network with faults.
 
-Discrete events on a heap; one seed gives one run. A message takes as long as its link says; nodes take no
-time. Sizes are `size_of`'s upper bounds, not encoded bytes.
+A discrete-event simulation; runs with the same seed are identical. A message takes the delay of its link;
+processing at nodes takes no time. Message sizes are the upper bounds of `size_of`, not encoded sizes.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from orchidferry.testkit.world.links import LinkFault, Links
 
 PORT = 9100
-LEAVE_DELAY_S = 0.2  # from a node's announcement that it leaves to its end
-SEAL_BYTES = 24  # of key id and authentication tag round each message
+LEAVE_DELAY_S = 0.2  # from a node's announcement that it leaves to the end of its process
+SEAL_BYTES = 24  # size of the key id and authentication tag of each message
 
 
 def address(number: int) -> Address:
     """Return the address of a node.
 
-    :param number: of the node
+    :param number: number of the node
     """
     return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", PORT
 
 
 def max_bytes(message: Message) -> int:
-    """Return the most bytes that a message takes on the wire."""
+    """Return an upper bound on the size of a message on the wire, in bytes."""
     target = size_of(message.target) if message.target is not None else 0
     return SEAL_BYTES + HEADER_BYTES + size_of(message.sender) + target + sum(map(size_of, message.updates))
 
@@ -44,16 +44,16 @@
 class SimulatedNode:
     """One node, over all its incarnations.
 
-    :ivar name: of the node
+    :ivar name: name of the node
     :ivar address: its host and port
-    :ivar membership: of its current incarnation
-    :ivar starts: how often it was started again
+    :ivar membership: membership protocol of its current process
+    :ivar starts: number of times that it was restarted
     :ivar running: whether its process runs
-    :ivar paused: whether its process is stopped for a while
-    :ivar next_tick_s: time of the tick that is scheduled
-    :ivar pending_events: events that came while it was paused
+    :ivar paused: whether its process is suspended
+    :ivar next_tick_s: virtual time of the scheduled tick
+    :ivar pending_events: events that arrived while it was paused
     :ivar sent_messages: number of messages that it sent
-    :ivar sent_bytes: bytes of them, and of its replies
+    :ivar sent_bytes: bytes of these messages and of its replies
     """
 
     name: str
@@ -72,15 +72,15 @@
 
 
 class SimulatedFleet:
-    """All nodes, and the messages under way between them.
+    """All nodes, and the messages in transit between them.
 
     Times are in seconds; inside the membership they are in milliseconds.
 
     :ivar now: virtual time
-    :ivar seed: of the random choices
-    :ivar timing: of the membership
-    :ivar links: between the nodes
-    :ivar nodes: by name
+    :ivar seed: seed of the random choices
+    :ivar timing: timing of the membership protocol
+    :ivar links: links between the nodes, with their faults
+    :ivar nodes: nodes by name
     """
 
     def __init__(
@@ -97,13 +97,13 @@
         """Create a `SimulatedFleet`.
 
         :param count: number of nodes
-        :param seed: of the random choices
-        :param faults: of the links
-        :param timing: of the membership; None for the default
+        :param seed: seed of the random choices
+        :param faults: faults of the links
+        :param timing: timing of the membership protocol; None for the default
         :param warm: whether all nodes know each other from the start
-        :param seeds: number of nodes that are seeds of the membership
+        :param seeds: number of nodes that are seed nodes of the membership
         :param on_change: called with each change that a node observes
-        :param max_members: that a node keeps
+        :param max_members: maximum number of members that a node stores
         """
         self.now = 0.0
         self.seed = seed
@@ -159,16 +159,16 @@
         self.nodes[name].running = False
 
     def leave(self, name: str) -> None:
-        """Shut a node down: it announces that first."""
+        """Shut a node down gracefully: it first announces that it leaves."""
         self._handle(self.nodes[name], api.Leave())
         self.schedule(self.now + LEAVE_DELAY_S, self.kill, name)
 
     def start(self, name: str, new_address: Address | None = None, incarnation: int = 0) -> None:
-        """Start a node again, without any state.
+        """Restart a node without any state.
 
-        :param name: of the node
-        :param new_address: address from now on; None if it stays the same
-        :param incarnation: that it begins with
+        :param name: name of the node
+        :param new_address: its new address; None to keep the old one
+        :param incarnation: incarnation number with which it starts
         """
         node = self.nodes[name]
         del self._node_at[node.address]
@@ -183,7 +183,7 @@
         self._handle(node, api.Start())
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Stop a node's process for a while; events wait until its end."""
+        """Suspend a node's process for a while; events are queued until it resumes."""
         node = self.nodes[name]
         node.paused = True
         self.schedule(self.now + duration_s, self._resume, node, node.starts)
@@ -209,7 +209,7 @@
     def _handle(self, node: SimulatedNode, event: api.Event) -> list[Message]:
         """Have a node handle an event, and carry out its actions.
 
-        :returns: its replies on the connection of the event
+        :returns: replies to send on the connection on which the event arrived
         """
         if not node.running:
             return []
@@ -276,7 +276,7 @@
         }
 
     def agree(self) -> bool:
-        """Return whether each running node sees exactly the running ones as present, and suspects none."""
+        """Return whether each running node sees exactly the running nodes as present, and suspects none."""
         truth = frozenset((node.name, node.membership.me.life) for node in self.running())
         return all(view == truth for view in self.views().values()) and not any(
             node.membership.suspects() for node in self.running()
@@ -285,8 +285,9 @@
     def run_until_agreed(self, timeout_s: float, step_s: float = 0.1) -> float | None:
         """Run until all views agree.
 
-        :param step_s: between two comparisons of the views
-        :returns: the time that it took; None if they do not agree within the time
+        :param timeout_s: maximum time to wait
+        :param step_s: interval between two comparisons of the views
+        :returns: the time that it took; None if the views do not agree within `timeout_s`
         """
         begin_s = self.now
         while self.now - begin_s < timeout_s:
@@ -299,7 +300,7 @@
 def split(fleet: SimulatedFleet, fraction: float = 0.5) -> tuple[frozenset[str], frozenset[str]]:
     """Divide a fleet into two sides at random, by its seed.
 
-    :param fraction: of the nodes that are on the first side
+    :param fraction: fraction of the nodes that are on the first side
     """
     names = list(fleet.nodes)
     side = frozenset(random.Random(fleet.seed).sample(names, max(1, int(fraction * len(names)))))
--- a/orchidferry/testkit/model/moves.py
+++ b/orchidferry/testkit/model/moves.py
@@ -1,8 +1,9 @@
-"""Moves between two pools in virtual time: how often a sound move is undone, and how soon a broken one.
+"""Simulates moves between two pools in virtual time.
 
-A stream of requests of some classes; each goes to the new pool with the probability that the move sets, and
-fails or takes its time as that pool behaves. Bursts double the rate and lengthen the times for a while; an
-incident strikes both pools.
+It shows how often the move to a healthy pool is rolled back, and how soon the move to a broken pool is.
+Requests of several classes arrive; each goes to the new pool with the probability that the move sets, and its
+failure and response time follow that pool's behaviour. Bursts double the request rate and lengthen the
+response times for a while; an incident raises the failure rate of both pools.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 from orchidferry.balancing.moves import Move, Plan, RareClasses, State
 
-# of each class of requests
+# By request class.
 CLASS_PROPORTIONS = {"ler-feed": 0.80, "salvar-episodio": 0.17, "repasse-socio": 0.03}
 CLASS_VALUES = {"ler-feed": 1.0, "salvar-episodio": 2.0, "repasse-socio": 8.0}
 CLASS_MEDIAN_MS = {"ler-feed": 60.0, "salvar-episodio": 120.0, "repasse-socio": 200.0}
-TIME_SIGMA = 0.6  # standard deviation of the logarithm of times
-MOVE_START_S = 20.0  # the old pool has a history by then
+TIME_SIGMA = 0.6  # standard deviation of the logarithm of response times
+MOVE_START_S = 20.0  # by this time the old pool has a history
 TICK_INTERVAL_S = 0.25
-BURST_DELAY_S = (0.0, 60.0)  # range of the first burst's begin
+BURST_DELAY_S = (0.0, 60.0)  # range of the start of the first burst
 BURST_LENGTH_S = (5.0, 20.0)  # range of a burst's length
 BURST_MEAN_INTERVAL_S = 120.0  # from the end of a burst to the next
 BURST_RATE_FACTOR = 2.0
@@ -36,12 +37,12 @@
 class PoolBehaviour:
     """How a pool behaves.
 
-    :ivar failure_rate: of requests whose class has no rate of its own
-    :ivar time_factor: by which its times are longer
-    :ivar failure_rates: by class
-    :ivar overload_share: share of the requests from which on half of them fail
-    :ivar fast_failures: whether failures come at once
-    :ivar warmup_s: for so long after its first request it is slower
+    :ivar failure_rate: fraction of requests that fail, for classes without a rate of their own
+    :ivar time_factor: factor on response times
+    :ivar failure_rates: failure rates by request class
+    :ivar overload_share: share of the requests at and above which half of the pool's requests fail
+    :ivar fast_failures: whether failures are answered immediately
+    :ivar warmup_s: period after its first request in which the pool is slower
     """
 
     failure_rate: float = 0.005
@@ -56,11 +57,13 @@
 class Scenario:
     """A move under load.
 
-    :ivar requests_per_s: at one node
-    :ivar duration_s: after which the simulation ends, whatever the move does
-    :ivar bursts: whether there are any
-    :ivar incident_s: begin and end of an incident, in which a third fails in both pools
-    :ivar seed: of the random choices
+    :ivar new_pool: behaviour of the pool to which requests are moved
+    :ivar old_pool: behaviour of the pool from which requests are moved
+    :ivar requests_per_s: mean request rate at one node
+    :ivar duration_s: time after which the simulation ends, even if the move has not
+    :ivar bursts: whether there are bursts
+    :ivar incident_s: begin and end of an incident, in which a third of the requests fail in both pools
+    :ivar seed: seed of the random choices
     """
 
     new_pool: PoolBehaviour = PoolBehaviour()
@@ -76,12 +79,12 @@
 class Outcome:
     """The end of a move.
 
-    :ivar state: of the move
+    :ivar state: final state of the move
     :ivar reason: why it is in this state
-    :ivar ended_s: when it was done or undone
-    :ivar moved_fraction: value of the requests that the new pool got until then, relative to the value of
-        all requests of the whole duration
-    :ivar moved_fraction_until_end: the same relative to the value of all requests until then
+    :ivar ended_s: virtual time at which it was completed or rolled back
+    :ivar moved_fraction: value of the requests that the new pool got until `ended_s`, relative to the
+        expected value of all requests of the whole scenario
+    :ivar moved_fraction_until_end: the same, relative to the value of all requests until `ended_s`
     :ivar failed_value: value of the requests that failed in the new pool
     """
 
@@ -94,7 +97,7 @@
 
 
 class _Bursts:
-    """Random periods of a higher rate and longer times."""
+    """Random periods with a higher request rate and longer response times."""
 
     def __init__(self, rng: random.Random, enabled: bool) -> None:
         self._rng = rng
@@ -102,7 +105,7 @@
         self._end_s = self._begin_s + (rng.uniform(*BURST_LENGTH_S) if enabled else 0.0)
 
     def active(self, now_s: float) -> bool:
-        """Return whether there is a burst; draw the next one once this one is over."""
+        """Return whether there is a burst now; after the end of a burst, draw the next one."""
         active = self._begin_s <= now_s < self._end_s
         if now_s >= self._end_s:
             self._begin_s = now_s + self._rng.expovariate(1 / BURST_MEAN_INTERVAL_S)
@@ -121,12 +124,12 @@
         self._now_s = 0.0
         self._next_tick_s = 0.0
         self._first_moved_s: float | None = None  # when the new pool got its first request
-        self._value = 0.0  # of all requests until now
+        self._value = 0.0  # value of all requests until now
         self._moved_value = 0.0
         self._failed_value = 0.0
 
     def run(self) -> Outcome:
-        """Run until the move has ended, or the time is over."""
+        """Run until the move or the scenario has ended."""
         classes = list(CLASS_PROPORTIONS)
         weights = list(CLASS_PROPORTIONS.values())
         while self._now_s < self._scenario.duration_s:
@@ -165,9 +168,9 @@
         self._move.record_outcome(class_name, moved, failed, time_ms, self._now_s * 1000.0)
 
     def _failure_rate(self, pool: PoolBehaviour, class_name: str, share: float | None) -> float:
-        """Return the failure rate of a pool now.
+        """Return the current failure rate of a pool.
 
-        :param share: of the requests that the new pool gets; None for the old pool
+        :param share: share of the requests that the new pool gets; None for the old pool
         """
         rate = pool.failure_rates.get(class_name, pool.failure_rate)
         incident_s = self._scenario.incident_s
@@ -201,6 +204,6 @@
 def simulate_move(scenario: Scenario, plan: Plan | None = None) -> Outcome:
     """Simulate one move from its start to its end, or to the end of the scenario.
 
-    :param plan: of the move; None for one of all classes, the rare ones last
+    :param plan: plan of the move; None for one that moves all classes, the rare ones last
     """
     return _Simulation(scenario, plan or Plan(tuple(CLASS_PROPORTIONS), rare=RareClasses.LAST)).run()
--- a/orchidferry/testkit/model/power_loss.py
+++ b/orchidferry/testkit/model/power_loss.py
@@ -1,8 +1,9 @@
-"""What a loss of power leaves of a directory: without a sync of its directory each name may be kept or lost.
+"""Enumerates the states in which a power loss can leave a directory tree.
 
-`PowerLossDisk` watches one directory while real code works on it. Before each call that changes or syncs
-names it reports all trees that a loss of power could leave there: the files' contents are as they are now,
-and each name that differs from what was last synced is either as it is now or as it was then.
+`PowerLossDisk` watches one directory while production code works on it. Before each call that changes or
+syncs directory entries it reports all trees that a power loss could leave there. File contents are taken as
+they are now; a directory entry that has changed since the last sync of its directory is either in its current
+or in its last synced state.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from typing import Any
 from unittest import mock
 
-WATCHED_CALLS = ("rename", "replace", "remove", "mkdir", "fsync")  # of `os`
+WATCHED_CALLS = ("rename", "replace", "remove", "mkdir", "fsync")  # functions of module `os`
 
-FileTree = dict[str, bytes | None]  # by path below the top: a file's content, None for a directory
+FileTree = dict[str, bytes | None]  # by path relative to the top: content of a file, None for a directory
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,16 +29,16 @@
 
 
 class PowerLossDisk:
-    """Watches the directories below `top`, which itself is never lost; a context manager.
+    """A context manager that watches the directories below `top`; `top` itself is never lost.
 
-    :ivar top: the directory that is watched
+    :ivar top: the watched directory
     """
 
     def __init__(self, top: Path, on_power_loss: Callable[[list[FileTree]], None]) -> None:
         """Create a `PowerLossDisk`.
 
         :param top: the directory to watch
-        :param on_power_loss: called before each watched call with all trees that a loss of power could leave
+        :param on_power_loss: called before each watched call with all trees that a power loss could leave
         """
         self.top = top
         self._on_power_loss = on_power_loss
@@ -69,7 +70,7 @@
         return watched
 
     def lose_power(self) -> None:
-        """Report all trees that a loss of power could leave now."""
+        """Report all trees that a power loss could leave now."""
         self._reporting = True
         try:
             self._on_power_loss(self._possible_trees())
@@ -84,7 +85,7 @@
         return entries
 
     def _record_sync(self, path: str) -> None:
-        """Take the names in a directory as durable; the sync of a file makes no name durable."""
+        """Record a directory's entries as durable; syncing a file makes no directory entry durable."""
         if not os.path.isdir(path):
             return
         directory = os.path.relpath(path, self.top)
@@ -98,7 +99,7 @@
 
     def _possible_trees(self) -> list[FileTree]:
         current = self._current_entries()
-        for name, entry in self._synced.items():  # what is written to the same file stays with it
+        for name, entry in self._synced.items():  # writes to a file are independent of its directory entry
             if name in current and current[name].inode == entry.inode:
                 self._synced[name] = current[name]
         names = sorted({*current, *self._synced})
@@ -115,7 +116,7 @@
 
 
 def _reachable_tree(entries: dict[str, _Entry]) -> FileTree:
-    """Leave out what lies in a lost directory."""
+    """Return the tree without the entries below a lost directory."""
     tree: FileTree = {"": None}
     for name, entry in sorted(entries.items()):
         if tree.get(os.path.dirname(name), b"") is None:
@@ -125,7 +126,7 @@
 
 
 def write_tree(tree: FileTree, top: Path) -> None:
-    """Write a tree to a directory, which is emptied first."""
+    """Write a tree to a directory after emptying it."""
     shutil.rmtree(top, ignore_errors=True)
     top.mkdir(parents=True)
     for name, content in sorted(tree.items()):
--- a/orchidferry/testkit/model/publishing_controller.py
+++ b/orchidferry/testkit/model/publishing_controller.py
@@ -1,4 +1,4 @@
-"""A controller in virtual time: its publisher, which is the shipping one."""
+"""A controller in virtual time: the production publisher without the consensus group."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Controller(Process):
-    """A controller's publisher."""
+    """A controller that is reduced to its publisher."""
 
     def __init__(self, world: World, name: str, zone: int) -> None:
         super().__init__(world, name, zone)
@@ -30,12 +30,12 @@
         self.publisher = Publisher(name, self.zone, world.rng.randrange(1, 2**53), loop)
         self.revision = 0
         self.text = b""
-        self.recorded_number = 0  # the last number that the world has recorded
+        self.recorded_number = 0  # number of the last change that the world has recorded
         self.call_later(TICK_S / 2.0, self._tick)
 
     @property
     def stream(self) -> Any:
-        """The stream of changes of its members."""
+        """The publisher's stream of membership changes."""
         return self.publisher._stream
 
     def _tick(self) -> None:
@@ -44,18 +44,22 @@
         self.world.stream_changed(self)
 
     def configuration_decided(self, revision: int, text: bytes) -> None:
-        """A configuration was decided."""
+        """Take over a configuration that was decided, and announce it to the subscribers.
+
+        :param revision: revision of the configuration
+        :param text: compressed text of the configuration
+        """
         self.revision = revision
         self.text = text
         self.publisher.announce_revision(revision)
         self.world.stream_changed(self)
 
     def disconnected(self, end: Any) -> None:
-        """A link has ended."""
+        """Handle the end of a link."""
         self.publisher.disconnected(end)
 
     def received(self, end: Any, message: Any) -> None:
-        """Take a message."""
+        """Handle a message from a node."""
         publisher = self.publisher
         match message:
             case ConfigurationFetch():
--- a/orchidferry/testkit/model/replica_group.py
+++ b/orchidferry/testkit/model/replica_group.py
@@ -1,7 +1,8 @@
-"""Replicas of one shard in virtual time, with every byte between them counted.
+"""Replicas of one shard in virtual time, with a count of all bytes sent between them.
 
-Real `Shard`s on disks in memory (`orchidferry.testkit.explore.controller`); each machine sends its messages
-in order, at the rate of its link and after a delay, and each disk completes a write after one sync.
+The replicas run the production `Shard` on in-memory disks (`orchidferry.testkit.explore.controller`). Each
+machine sends its messages in order, at the rate of its link and with a delay; a write is complete after one
+sync of the disk.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 TICK_INTERVAL_S = 0.05
 DISK_SYNC_S = 0.001
 LINK_DELAY_S = 0.002
-RUN_STEP_S = 0.01  # between two checks of a condition
+RUN_STEP_S = 0.01  # interval between two checks of a condition
 
 
 def example_configuration(revision: int, routes: int = 350, services: int = 40) -> bytes:
-    """Return a configuration as an operator's tool writes it, of some 200 bytes a route.
+    """Return a configuration as an operator's tool writes it, with about 200 bytes per route.
 
-    :param revision: its number; one route in 50 changes with it
+    :param revision: number of the revision; one route in 50 changes with each revision
     :param routes: number of routes
     :param services: number of services
     """
@@ -61,10 +62,10 @@
 
 
 def encode_call(call: str, arguments: tuple[Any, ...]) -> bytes:
-    """Return a message between replicas as it is sent.
+    """Return an encoded message between replicas.
 
-    :param call: the `ControllerCall` that it makes at its receiver
-    :param arguments: of that call
+    :param call: the `ControllerCall` that the message makes at its receiver
+    :param arguments: arguments of that call
     """
     message: Message
     match call:
@@ -81,16 +82,16 @@
 
 
 class ReplicaGroup:
-    """Founders of a group, and a clock that `run` moves.
+    """The founding replicas of a group, and a virtual clock that `run` advances.
 
     :ivar now: virtual time, in seconds
     :ivar seeds: names of the controllers
     :ivar bytes_by_type: bytes sent between replicas, by type of message
-    :ivar bytes_by_link: the same by sender and receiver
-    :ivar ended_requests: when each request ended, and how, by its id
+    :ivar bytes_by_link: bytes sent between replicas, by sender and receiver
+    :ivar ended_requests: time and result of each request that has ended, by id
     :ivar isolated: names of controllers that exchange no messages with others
-    :ivar ownerships: fencing tokens and owners, in their order
-    :ivar controllers: by name
+    :ivar ownerships: fencing tokens and owners, in order of acquisition
+    :ivar controllers: controllers by name
     """
 
     def __init__(
@@ -99,9 +100,10 @@
         """Create a `ReplicaGroup`.
 
         :param replicas: number of controllers
-        :param bits_per_s: rate of each machine's link
-        :param seed: of the random choices
-        :param directory: data directory of the last replica's real store; None if all disks are in memory
+        :param bits_per_s: rate of each machine's outgoing link
+        :param seed: seed of the random choices
+        :param directory: data directory of the last replica, which then uses the production store; None if
+            all disks are in memory
         """
         self.now = 1.0
         self.bits_per_s = bits_per_s
@@ -112,7 +114,7 @@
         self.ended_requests: dict[str, tuple[float, RequestEnded]] = {}
         self.isolated: set[str] = set()
         self.ownerships: list[tuple[int, str]] = []
-        self._link_free_s: dict[str, float] = {}  # when each machine will have sent all that it has to send
+        self._link_free_s: dict[str, float] = {}  # when each machine will have sent all queued messages
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._event_count = 0
         self._decided_states: dict[int, Any] = {}  # by version
@@ -141,7 +143,7 @@
         heapq.heappush(self._events, (time_s, self._event_count, call))
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
@@ -149,15 +151,15 @@
         self.now = until
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
-        """Let virtual time pass until a condition holds.
+        """Advance virtual time until a condition holds.
 
         :returns: the time that it took
-        :raises TimeoutError: if it does not hold within the time
+        :raises TimeoutError: if the condition does not hold within `timeout_s`
         """
         began_s = self.now
         while not condition():
             if self.now - began_s > timeout_s:
-                raise TimeoutError(f"not within {timeout_s} s")
+                raise TimeoutError(f"the condition did not hold within {timeout_s} s")
             self.run(RUN_STEP_S)
         return self.now - began_s
 
@@ -193,10 +195,10 @@
             self.ownerships += current
 
     def restart(self, name: str, downtime_s: float = 0.1, wipe: bool = False) -> None:
-        """End a process and start it again later.
+        """Kill a controller's process and restart it later.
 
-        :param name: of the controller
-        :param downtime_s: between end and start
+        :param name: name of the controller
+        :param downtime_s: time between the kill and the restart
         :param wipe: whether its disk is emptied
         """
         controller = self.controllers[name]
@@ -207,7 +209,7 @@
         self.schedule(self.now + downtime_s, controller.start)
 
     def _sync(self, name: str) -> None:
-        """Complete the pending writes of a disk after one sync."""
+        """Complete the pending writes of a controller's disk after the time of one sync."""
         controller = self.controllers[name]
         pending = list(controller.writes)
 
@@ -220,13 +222,13 @@
         if pending:
             self.schedule(self.now + DISK_SYNC_S, written)
 
-    # Messages, and what controllers report
+    # Messages, and callbacks of the controllers
 
     def send(self, sender: str, to: str, call: str, *arguments: Any) -> None:
         """Send a message between replicas.
 
-        :param call: the `ControllerCall` that it makes at its receiver
-        :param arguments: of that call
+        :param call: the `ControllerCall` that the message makes at its receiver
+        :param arguments: arguments of that call
         """
         size = len(encode_call(call, arguments))
         message_type = tag_of(arguments[1]) if call == ControllerCall.RECEIVE else call
@@ -246,16 +248,16 @@
             self._sync(to)
 
     def answer(self, name: str, answer: SendReply) -> None:
-        """Send an answer to the controller that asked."""
+        """Send an answer to the controller that made the request."""
         assert isinstance(answer.message, ShardMessage)
         self.send(name, str(answer.to), ControllerCall.RECEIVE, name, answer.message.body)
 
     def state_changed(self, name: str, changed: StateChanged) -> None:
-        """Check that all controllers learn the same state for a version."""
+        """Check that all controllers learn the same state for the same version."""
         assert self._decided_states.setdefault(changed.new.version, changed.new) == changed.new
 
     def request_ended(self, name: str, end: RequestEnded) -> None:
-        """Record the end of a change or a read."""
+        """Record the result of a change or a read."""
         self.ended_requests[end.id] = (self.now, end)
 
     # Requests
@@ -265,8 +267,10 @@
     ) -> None:
         """Request a change from a controller.
 
-        :param name: of the controller
-        :param id: of the request
+        :param name: name of the controller
+        :param id: id of the request
+        :param change: configuration to put
+        :param timeout_s: timeout of the request
         """
         controller = self.controllers[name]
         controller.execute(controller.shard.request_change(id, change, timeout_s, self.now))
@@ -275,8 +279,8 @@
     def request_read(self, name: str, id: str) -> None:
         """Request the newest state from a controller.
 
-        :param name: of the controller
-        :param id: of the request
+        :param name: name of the controller
+        :param id: id of the request
         """
         controller = self.controllers[name]
         controller.execute(controller.shard.request_read(id, self.now))
--- a/orchidferry/testkit/model/stored_controller.py
+++ b/orchidferry/testkit/model/stored_controller.py
@@ -1,4 +1,4 @@
-"""A controller in virtual time whose disk is the real store, in a directory."""
+"""A controller in virtual time that keeps its state in the production store, in a real directory."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from orchidferry.mesh.storage.store import Store
 from orchidferry.testkit.explore.controller import Controller
 
-STORE_TIMEOUT_S = 10.0  # of real time, for the store's thread
+STORE_TIMEOUT_S = 10.0  # real time to wait for the store's thread
 
 
 class StoreLoop:
-    """As much of an event loop as the store needs; its clock stands still."""
+    """The subset of an event loop that the store needs; its clock does not advance."""
 
     def __init__(self) -> None:
         self._calls: queue.SimpleQueue[Callable[[], object]] = queue.SimpleQueue()
 
     def time(self) -> float:
-        """Return the time, which never changes."""
+        """Return a constant time."""
         return 0.0
 
     def call_soon(self, call: Callable[..., object], *args: Any) -> None:
@@ -39,7 +39,7 @@
         return self
 
     def cancel(self) -> None:
-        """Cancel a timer: it does nothing here."""
+        """Do nothing: timers never fire."""
 
     def step(self) -> None:
         """Wait for the next queued call and run it."""
@@ -47,7 +47,7 @@
 
 
 class StoredController(Controller):
-    """A controller that writes to a real store at once, and checks it at each start as the program does.
+    """A controller that writes to a store synchronously, and checks it at each start as in production.
 
     :ivar directory: the data directory
     :ivar opening_s: real time that the last check and opening of the store took
@@ -57,7 +57,7 @@
         """Create a `StoredController`.
 
         :param directory: the data directory
-        :param args: of `Controller`
+        :param args: positional arguments of `Controller`
         """
         self.directory = directory
         self._loop: Any = StoreLoop()
@@ -73,7 +73,7 @@
         self.opening_s = time.perf_counter() - began_s
 
     def write_to_disk(self, puts: list[RecordWrite]) -> None:
-        """Write these records to the store and wait until they are synced."""
+        """Write records to the store and wait until they are synced."""
         super().write_to_disk(puts)
         results: list[bool] = []
         assert self._store is not None
@@ -83,7 +83,7 @@
         assert results == [True]
 
     def start(self) -> None:
-        """Start a new incarnation with what the store holds."""
+        """Start a new incarnation from the store's content."""
         self.close()
         self._open()
         assert self._store is not None
--- a/orchidferry/testkit/model/subscribing_node.py
+++ b/orchidferry/testkit/model/subscribing_node.py
@@ -1,6 +1,6 @@
-"""A node in virtual time: its subscriber, which is the shipping one, its leases and its links.
+"""A node in virtual time: the production subscriber, the node's leases and its links.
 
-Round the subscriber stands only what `ControlClient` does for leases, dialling and a configuration's text.
+Of the production `ControlClient`, only leases, dialling and the download of configurations are reproduced.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
     from orchidferry.testkit.model.fanout_world import World
 
 REDIAL_S = 0.15
-MEMBER_CHECK_S = 5.0  # in a large fleet a node looks at who is there so often, not at each change
-HEADS_WITHOUT_TREE = 1_000_000  # with so many heads each node follows a controller
+MEMBER_CHECK_S = 5.0  # a node of a large fleet updates its member list at this interval, not at each change
+HEADS_WITHOUT_TREE = 1_000_000  # with this many heads each node subscribes to a controller directly
 
 
 class Node(Process):
@@ -52,27 +52,30 @@
         self._fetched_s = -ANSWER_TIMEOUT_S
         self._last_request = 0
         self._dial_s = dict.fromkeys(world.controllers, 0.0)
-        # Boot and number of its record that controllers have, by their own word.
+        # Boot id and number of this node's record that each controller has acknowledged.
         self._known_records: dict[str, tuple[int, int]] = {}
         self.call_later(rng.random() * TICK_S, self._tick)
         phase_s = rng.random() * RENEWAL_INTERVAL_S
         for at, controller in enumerate(world.controllers):
             self.call_later(
-                phase_s + RENEWAL_INTERVAL_S * at / len(world.controllers), self._renew_in_turn, controller
+                phase_s + RENEWAL_INTERVAL_S * at / len(world.controllers),
+                self._renew_periodically,
+                controller,
             )
-        self.seen_numbers: dict[tuple[str, int], int] = {}  # of streams, while the world records changes
+        # Newest change seen, by controller and incarnation, while the world records changes.
+        self.seen_numbers: dict[tuple[str, int], int] = {}
         if world.checks_members_rarely and heads < HEADS_WITHOUT_TREE:
             self.call_later(rng.random() * MEMBER_CHECK_S, self._check_members)
 
     def publish(self) -> None:
-        """Its record changes."""
-        had = self.record
-        self.record = NodeRecord(had.name, had.boot, had.number + 1, had.zone, had.ip, 0, None)
+        """Change the node's record and send it to all controllers."""
+        old = self.record
+        self.record = NodeRecord(old.name, old.boot, old.number + 1, old.zone, old.ip, 0, None)
         for name in self.controllers:
             self._renew(name)
 
-    def _renew_in_turn(self, name: str) -> None:
-        self.call_later(RENEWAL_INTERVAL_S, self._renew_in_turn, name)
+    def _renew_periodically(self, name: str) -> None:
+        self.call_later(RENEWAL_INTERVAL_S, self._renew_periodically, name)
         if name in self.controllers:
             self._renew(name)
 
@@ -148,15 +151,15 @@
         self.world.dial(self, ip, from_parent, self.subscriber.parent_disconnected, dialled)
 
     def accept(self, end: Any) -> None:
-        """Take a new link."""
+        """Handle a new incoming link from a follower."""
         self.subscriber.relay.connected(end)
 
     def received(self, end: Any, message: Any) -> None:
-        """Take a message."""
+        """Handle a message from a follower."""
         self.subscriber.relay.received(end, message)
 
     def disconnected(self, end: Any) -> None:
-        """A link has ended."""
+        """Handle the end of a follower's link."""
         self.subscriber.relay.disconnected(end)
 
     def _changed(self) -> None:
@@ -172,9 +175,9 @@
             self.update_members()
 
     def update_members(self) -> None:
-        """Merge what the controllers list into one list of members."""
-        told = {name: stream.records for name, stream in self.subscriber.streams.items()}
-        members = merge_member_lists(told, set(self.controllers))
+        """Merge the member lists of the controllers into one."""
+        member_lists = {name: stream.records for name, stream in self.subscriber.streams.items()}
+        members = merge_member_lists(member_lists, set(self.controllers))
         if not self.controllers:
             members = {**self.members, **members}
         if members != self.members:
--- a/orchidferry/testkit/model/virtual_link.py
+++ b/orchidferry/testkit/model/virtual_link.py
@@ -1,4 +1,4 @@
-"""A link between two processes in virtual time, which can be cut one way."""
+"""A link between two processes in virtual time; it can be cut in one direction or in both."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from orchidferry.testkit.model.virtual_process import Process
 
-LINK_TIMEOUT_S = USER_TIMEOUT_MS / 1e3  # a link that gets nothing through for so long ends
+LINK_TIMEOUT_S = USER_TIMEOUT_MS / 1e3  # a link that is blocked for longer than this ends
 
 
 class LinkEnd:
-    """One process's end of a link: what `wire.Link` is to its owner."""
+    """One process's end of a link, with the interface of `framing.Link`."""
 
     def __init__(
         self, owner: Process, on_message: Callable[[Any, Any], None], on_lost: Callable[[Any], None]
@@ -29,8 +29,8 @@
         self.max_unsent_bytes = 0
         self.last_received_s = owner.world.now
         self.other: LinkEnd
-        self._blocked_since_s = 0.0  # since when nothing gets through
-        # On their way: when, the message (None for the end), and its bytes.
+        self._blocked_since_s = 0.0  # when the link became blocked; 0 while it is not
+        # In transit: time of arrival, message (None for the end of the link), size in bytes.
         self._queue: list[tuple[float, Any, int]] = []
         owner.links[self] = None
 
@@ -40,7 +40,7 @@
             self.send_encoded(encode(message))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a message that is encoded already."""
+        """Send a message that is already encoded."""
         owner = self.owner
         world = self.owner.world
         if not self.open:
@@ -48,19 +48,19 @@
         message = world.read(data)
         if owner.withholds_updates and isinstance(message, Update):
             return
-        left_s = owner.send_out(len(data))
-        self._go(left_s + world.delay(owner, self.other.owner), message, len(data))
+        departure_s = owner.send_out(len(data))
+        self._enqueue(departure_s + world.delay(owner, self.other.owner), message, len(data))
 
-    def _go(self, when: float, message: Any, size: int = 0) -> None:
+    def _enqueue(self, when: float, message: Any, size: int = 0) -> None:
         self._queue.append((when, message, size))
         if len(self._queue) == 1:
             self.owner.world.at(when, self.arrive)
 
     def arrive(self) -> None:
-        """The oldest message is due at the other end."""
+        """Deliver the oldest message to the other end, or retry later if the link is cut."""
         world = self.owner.world
-        there = self.other
-        if (self.owner.name, there.owner.name) in world.cuts:
+        peer_end = self.other
+        if (self.owner.name, peer_end.owner.name) in world.cuts:
             self._blocked_since_s = self._blocked_since_s or world.now
             lost = world.now - self._blocked_since_s > LINK_TIMEOUT_S
             if lost:
@@ -70,11 +70,14 @@
         _, message, size = self._queue.pop(0)
         if self._queue:
             world.at(max(world.now, self._queue[0][0]), self.arrive)
-        there.owner.receive(size, lambda: there.take(message))
+        peer_end.owner.receive(size, lambda: peer_end.take(message))
         return None
 
     def take(self, message: Any) -> None:
-        """Take a message that has updates_arrived; None: the other end has closed."""
+        """Handle a message that has arrived.
+
+        :param message: None if the other end has closed the link
+        """
         if message is None:
             self._end()
         elif self.open:
@@ -88,8 +91,11 @@
             self.owner.run(lambda: self._on_lost(self))
 
     def close(self) -> None:
-        """End it; what is on its way is lost, and the other end hears of it when something gets through."""
+        """Close the link; messages in transit behind the first are lost.
+
+        The other end is notified as soon as a message can get through to it.
+        """
         if self.open:
             self._end()
             del self._queue[1:]
-            self._go(self.owner.world.now + self.owner.world.delay(self.owner, self.other.owner), None)
+            self._enqueue(self.owner.world.now + self.owner.world.delay(self.owner, self.other.owner), None)
--- a/orchidferry/testkit/model/virtual_process.py
+++ b/orchidferry/testkit/model/virtual_process.py
@@ -1,4 +1,4 @@
-"""A process in virtual time: what bounds it, and as much of an event loop as the mesh's parts ask for."""
+"""A process in virtual time: its resource limits, and the subset of an event loop that the mesh uses."""
 
 from __future__ import annotations
 
@@ -11,12 +11,17 @@
     from orchidferry.testkit.model.fanout_world import World
     from orchidferry.testkit.model.virtual_link import LinkEnd
 
-SEND_S = 30e-6  # of a sender's time for one message: assumed
+SEND_S = 30e-6  # CPU time for sending one message on a whole core; assumed, not measured
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """What bounds a process: its link, its share of a core, and the work of a message on a whole core."""
+    """Resource limits of a process.
+
+    :ivar bits_per_s: rate of its link in each direction
+    :ivar core_share: share of a core that it gets
+    :ivar receive_s: CPU time for handling one message on a whole core
+    """
 
     bits_per_s: float = math.inf
     core_share: float = 1.0
@@ -24,7 +29,7 @@
 
     @property
     def bounded(self) -> bool:
-        """Whether messages wait for anything at their receiver."""
+        """Whether messages wait at their receiver for its link or its core."""
         return self.bits_per_s < math.inf or self.receive_s > 0.0
 
 
@@ -32,7 +37,7 @@
 
 
 class Process:
-    """One process, with as much of a loop as the parts ask for; nothing of it runs while it is frozen."""
+    """One process, with the interface of an event loop; its calls are deferred while it is frozen."""
 
     def __init__(self, world: World, name: str, zone: int, machine: Machine = UNBOUNDED) -> None:
         self.world = world
@@ -42,36 +47,47 @@
         self.frozen = False
         self.alive = True
         self.withholds_updates = False
-        self._held_calls: list[Callable[[], None]] = []
-        self._sending_until_s = 0.0  # until when it is at sending
-        self._receiving_until_s = 0.0  # until when its link is at receiving
-        self._working_until_s = 0.0  # until when it is at handling what it received
-        self.links: dict[LinkEnd, None] = {}  # in the order of their making, so that one seed gives one run
+        self._deferred_calls: list[Callable[[], None]] = []
+        self._sending_until_s = 0.0  # when the messages handed over so far will have left
+        self._receiving_until_s = 0.0  # when its link will have received the messages so far
+        self._working_until_s = 0.0  # when its pending work will be done
+        self.links: dict[LinkEnd, None] = {}  # in order of creation, so that runs with one seed are identical
 
     def time(self) -> float:
-        """The virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self.world.now
 
     def call_later(self, delay: float, call: Callable[..., object], *args: Any) -> None:
-        """Call back after a delay."""
+        """Schedule a call.
+
+        :param delay: time until the call, in seconds
+        """
         self.world.at(self.world.now + delay, lambda: self.run(lambda: call(*args)))
 
     def run(self, call: Callable[[], object]) -> None:
-        """Now, or once it is thawed."""
+        """Run a call now, or when the process is thawed; drop it if the process was killed."""
         if self.frozen:
-            self._held_calls.append(lambda: self.run(call))
+            self._deferred_calls.append(lambda: self.run(call))
         elif self.alive:
             call()
 
     def send_out(self, size: int) -> float:
-        """Put a message of so many bytes on the machine's link, after those before it; when it has left."""
+        """Queue a message on the outgoing link.
+
+        :param size: size of the message in bytes
+        :returns: the virtual time at which it has left
+        """
         machine = self.machine
         spent_s = SEND_S / machine.core_share + 8 * size / machine.bits_per_s
         self._sending_until_s = max(self.world.now, self._sending_until_s) + spent_s
         return self._sending_until_s
 
     def receive(self, size: int, call: Callable[[], object]) -> None:
-        """Have a message handled once the link has taken it in and those before it are done."""
+        """Handle a message after the incoming link has received it and the earlier messages are handled.
+
+        :param size: size of the message in bytes
+        :param call: handles the message
+        """
         machine = self.machine
         if not machine.bounded:
             return self.run(call)
@@ -83,37 +99,41 @@
         return None
 
     def work(self, seconds: float) -> float:
-        """Spend so much time of a whole core; when that is done."""
+        """Occupy the process with work.
+
+        :param seconds: CPU time that the work takes on a whole core
+        :returns: the virtual time at which it is done
+        """
         self._working_until_s = max(self.world.now, self._working_until_s) + seconds / self.machine.core_share
         return self._working_until_s
 
     def freeze(self) -> None:
-        """Stop the process where it is."""
+        """Suspend the process."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Let the process go on."""
+        """Resume the process and run the calls that were deferred."""
         self.frozen = False
-        held_calls = self._held_calls
-        self._held_calls = []
-        for call in held_calls:
+        deferred_calls = self._deferred_calls
+        self._deferred_calls = []
+        for call in deferred_calls:
             call()
 
     def kill(self) -> None:
-        """It ends; its links are reset."""
+        """End the process and close its links."""
         self.frozen = False
         self.alive = False
-        self._held_calls = []
+        self._deferred_calls = []
         for end in list(self.links):
             end.close()
 
     def accept(self, end: Any) -> None:
-        """Somebody has connected."""
+        """Handle a new incoming link."""
 
     def received(self, end: Any, message: Any) -> None:
-        """Take a message from a link that another process made."""
+        """Handle a message from a link that another process established."""
         raise NotImplementedError
 
     def disconnected(self, end: Any) -> None:
-        """Learn that such a link has ended."""
+        """Handle the end of a link that another process established."""
         raise NotImplementedError
