--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
+class Scenario:
     """The faults of one run; times are in seconds from the first change.
 
     :ivar isolated_s: from this time on, the next controller to acknowledge a change is isolated as it does so
@@ -388,7 +388,7 @@
     controllers: dict[str, ControllerProcess]
     nodes: dict[str, NodeProcess]
 
-    def __init__(self, seed: int, scenario: Day) -> None:
+    def __init__(self, seed: int, scenario: Scenario) -> None:
         super().__init__(seed, ZONES, controllers=0)
         self.scenario, self.outcome = scenario, Outcome()
         names = tuple(f"k{n}" for n in range(CONTROLLERS))
@@ -555,13 +555,13 @@
     )
     given = parser.parse_args()
     logger.remove()
-    scenario = Day(
+    scenario = Scenario(
         direction=given.direction,
         scope=given.scope,
         relays_first=given.relays_first,
         mixed_names=given.mixed_names,
-        node_bits_per_s=Day().node_bits_per_s * given.share_left,
-        node_share=Day().node_share * given.share_left,
+        node_bits_per_s=Scenario().node_bits_per_s * given.share_left,
+        node_share=Scenario().node_share * given.share_left,
     )
     for seed in range(1, given.seeds + 1):
         outcome = Rollout(seed, scenario).play()
--- a/tests/mesh/test_configuration_rollout.py
+++ b/tests/mesh/test_configuration_rollout.py
@@ -8,14 +8,14 @@
 import pytest
 
 from orchidferry.testkit.model import configuration_rollout
-from orchidferry.testkit.model.configuration_rollout import START_S, Day, Outcome, Rollout
+from orchidferry.testkit.model.configuration_rollout import START_S, Outcome, Rollout, Scenario
 
 APPLY_BOUND_S = 2.5  # the site's `config_apply_ms`
 # Shorter than the full 20 s: a backlog would build up within a few changes.
-SHORT = Day(isolated_s=1.0, restarts_s=2.5, length_s=6.5, relays_first=True, mixed_names=True)
+SHORT = Scenario(isolated_s=1.0, restarts_s=2.5, length_s=6.5, relays_first=True, mixed_names=True)
 
 
-def play(day: Day) -> Outcome:
+def play(day: Scenario) -> Outcome:
     """Run one rollout, in which all restarted nodes must get ready and all nodes the configuration."""
     outcome = Rollout(1, day).play()
     assert len(outcome.ready_s) == day.restarts and not outcome.missed
