--- a/orchidferry/testkit/bench/mesh_news.py
+++ b/orchidferry/testkit/bench/mesh_news.py
@@ -13,7 +13,7 @@
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.control.traffic_counter import TrafficCounter
 from orchidferry.testkit.judge.quantiles import quantile
-from orchidferry.testkit.model.fanout_world import BETWEEN_S, World
+from orchidferry.testkit.model.fanout_world import BETWEEN_ZONES_S, World
 from orchidferry.testkit.model.subscribing_node import HEADS_WITHOUT_TREE, Node
 
 SETTLE_S = 30.0
@@ -65,7 +65,7 @@
     raw = rng.randbytes(TEXT)
     for name, controller in world.controllers.items():  # one has it decided, and tells the others
         world.at(
-            world.now + (BETWEEN_S if name != "k0" else 0.0),
+            world.now + (BETWEEN_ZONES_S if name != "k0" else 0.0),
             partial(controller.configuration_decided, 1, raw),
         )
     text = [_sent(world, "text", near) for near in (True, False)]
--- a/orchidferry/testkit/model/fanout_world.py
+++ b/orchidferry/testkit/model/fanout_world.py
@@ -20,7 +20,7 @@
 
 # One-way delays of messages.
 IN_ZONE_S = 0.001
-BETWEEN_S = 0.0014
+BETWEEN_ZONES_S = 0.0014
 CUT_RETRY_S = 0.01  # interval at which a message blocked by a cut is retried
 HANDSHAKE_S = 0.002  # time that it takes to establish a link
 REFUSED_S = 1.0  # time after which dialling over a cut fails
@@ -91,7 +91,7 @@
 
     def delay(self, one: Process, other: Process) -> float:
         """Return the one-way delay between two processes in seconds."""
-        return IN_ZONE_S if one.zone == other.zone else BETWEEN_S
+        return IN_ZONE_S if one.zone == other.zone else BETWEEN_ZONES_S
 
     def start(self, name: str, zone: int) -> Node:
         """Start a node's process, for the first time or after a restart."""
--- a/tests/mesh/control/test_subscriber.py
+++ b/tests/mesh/control/test_subscriber.py
@@ -34,7 +34,7 @@
     UpdateSubscription,
     UpdateUnsubscription,
 )
-from orchidferry.testkit.model.fanout_world import BETWEEN_S, World
+from orchidferry.testkit.model.fanout_world import BETWEEN_ZONES_S, World
 from orchidferry.testkit.model.subscribing_node import Node
 from tests.mesh.control.fakes import RecordingLink, make_controller, make_subscriber, record
 
@@ -178,7 +178,7 @@
         for key, began in world.change_times_s.items()
         for name in world.nodes
     )
-    assert hops < 5 * BETWEEN_S
+    assert hops < 5 * BETWEEN_ZONES_S
 
 
 def test_a_rejected_node_tries_the_next_ancestor_and_returns_later() -> None:
