--- a/orchidferry/testkit/capacity/calls.py
+++ b/orchidferry/testkit/capacity/calls.py
@@ -1,7 +1,8 @@
-"""What a call costs a node by the rate of calls, beside a bare forwarder, and where the time goes.
+"""Measures the cost of a call at a node by the rate of calls, compared to a bare forwarder, and profiles it.
 
-One client, one server that answers at once, the same bytes through each way, by turns in each round. What a
-way adds to a call is its quantile less that of the server asked directly, at the same rate in the same round.
+One client sends the same requests to one server, which answers immediately, over several paths; the paths
+take turns in each round. The latency that a path adds is its quantile minus the quantile of direct calls to
+the server, at the same rate in the same round.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from orchidferry.testkit.bench.open_loop import offer_load
 from orchidferry.testkit.bench.process_usage import CpuMeter
 from orchidferry.testkit.capacity.figures import BY_CALLS, Figure
-from orchidferry.testkit.capacity.hops import ACCEPT, ANSWER, GATE, KEY, PICK, WRITE, shares
+from orchidferry.testkit.capacity.hops import ACCEPT, ANSWER, GATE, KEY, PICK, WRITE, seconds_by_hop
 from orchidferry.testkit.capacity.reference import Speed
 from orchidferry.testkit.capacity.rounds import Rounds
 from orchidferry.testkit.wire import Address
 
-SYNC_MS = 1.0
-WARM_S = 0.2
+SYNC_MS = 1.0  # delay added to each commit of a controller
+WARMUP_S = 0.2
 ROUNDS = 5
-PROFILES = 3
-HOPS_TOLD = {  # the hops that are a twentieth or more of a profile; the others are told together
+PROFILE_ROUNDS = 3
+REPORTED_HOPS = {  # hops that take 5% or more of a profile; the others are summed up
     "reads, outbound": (ACCEPT, PICK, WRITE, ANSWER),
     "reads, inbound": (ACCEPT, WRITE, GATE, ANSWER),
     "keyed, outbound": (ACCEPT, PICK, KEY, WRITE, ANSWER),
@@ -38,104 +39,124 @@
 }
 DIRECT = "server asked directly"
 BARE = "bare forwarder"
-ONE = "one machine"
-TWO = "two machines"
+ONE_MACHINE = "one machine"
+TWO_MACHINES = "two machines"
 KEYED = "two machines, keyed"
-PROFILED_RATE = 200.0
-DUMPED_S = 3.0
-Write = Callable[[int, str], bytes]
+PROFILED_CALLS_PER_S = 200.0
+DUMP_TIMEOUT_S = 3.0
+RequestWriter = Callable[[int, str], bytes]
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """One way to the server, and the processes on it."""
+class RequestPath:
+    """One path to the server.
+
+    :ivar name: name of the path in figures
+    :ivar address: where the client sends its requests
+    :ivar pids: ids of the proxy or forwarder processes on the path
+    :ivar write: returns the bytes of a request
+    """
 
     name: str
     address: Address
     pids: list[int]
-    write: Write
+    write: RequestWriter
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """What one load of calls over one way found."""
+class LoadResult:
+    """The result of one load of calls over one path.
+
+    :ivar p50_ms: median latency
+    :ivar p99_ms: 99th percentile of the latency
+    :ivar path_cpu_s: CPU time of all processes on the path, at the reference speed
+    :ivar controller_cpu_s: mean CPU time of a controller, at the reference speed
+    :ivar calls: number of calls made
+    :ivar failed: number of calls that failed
+    """
 
     p50_ms: float
     p99_ms: float
-    way_s: float  # CPU of the way's processes together, at the reference's speed
-    controller_s: float  # and of a controller
-    asked: int
+    path_cpu_s: float
+    controller_cpu_s: float
+    calls: int
     failed: int
 
 
-class Calls:
-    """The ways to one server, and what each has cost, in rounds in which all ways take turns."""
+class CallMeasurement:
+    """Measures the costs of all paths to one server, in rounds in which the paths take turns."""
 
     def __init__(self, fleet: Fleet, seconds: float, speed: Speed) -> None:
         self._fleet = fleet
         self._seconds = seconds
         self._speed = speed
-        self._near, self._far = fleet.sidecars
+        self._server_machine, self._client_machine = fleet.sidecars
         self._serial = 0
 
     async def run(self, rates: tuple[int, ...]) -> list[Figure]:
-        """All ways at all rates."""
+        """Measure all paths at all rates.
+
+        :param rates: calls per second
+        """
         bench = forward_bench.Bench(self._fleet.block, self._fleet.folder, 0)
-        bench.servers = [(self._near.ip, self._fleet.ports.application)]
-        found = {rate: Rounds() for rate in rates}
+        bench.servers = [(self._server_machine.ip, self._fleet.ports.application)]
+        results = {rate: Rounds() for rate in rates}
         try:
-            ways = await self._ways(bench)
+            paths = await self._paths(bench)
             for _ in range(ROUNDS):
-                for rate, rounds in found.items():
-                    await self._round(rate, ways, rounds)
+                for rate, rounds in results.items():
+                    await self._round(rate, paths, rounds)
         finally:
             await bench.close()
-        return [figure for rate, rounds in found.items() for figure in rounds.figures(BY_CALLS, rate)]
+        return [figure for rate, rounds in results.items() for figure in rounds.figures(BY_CALLS, rate)]
 
-    async def _ways(self, bench: forward_bench.Bench) -> list[Way]:
+    async def _paths(self, bench: forward_bench.Bench) -> list[RequestPath]:
         bare, bare_address = await bench.start("bare")
-        near, far = (self._fleet.pids([machine])[0] for machine in (self._near, self._far))
+        machines = (self._server_machine, self._client_machine)
+        server_pid, client_pid = (self._fleet.pids([machine])[0] for machine in machines)
         outbound = self._fleet.ports.outbound
         return [
-            Way(DIRECT, bench.servers[0], [], READS),
-            Way(BARE, bare_address, [bare.pid], READS),
-            Way(ONE, (self._near.ip, outbound), [near], READS),
-            Way(TWO, (self._far.ip, outbound), [far, near], READS),
-            Way(KEYED, (self._far.ip, outbound), [far, near], SAVES),
+            RequestPath(DIRECT, bench.servers[0], [], READS),
+            RequestPath(BARE, bare_address, [bare.pid], READS),
+            RequestPath(ONE_MACHINE, (self._server_machine.ip, outbound), [server_pid], READS),
+            RequestPath(TWO_MACHINES, (self._client_machine.ip, outbound), [client_pid, server_pid], READS),
+            RequestPath(KEYED, (self._client_machine.ip, outbound), [client_pid, server_pid], SAVES),
         ]
 
-    async def _round(self, rate: int, ways: list[Way], rounds: Rounds) -> None:
-        """All ways once at one rate; the server asked directly comes first, the bare forwarder next."""
-        found = {way.name: await self._ask(way, rate) for way in ways}
-        direct = found[DIRECT]
-        bare = found[BARE]
-        for way in ways[1:]:
-            one = found[way.name]
-            rounds.add("call", f"{way.name}: added, p50", "ms", one.p50_ms - direct.p50_ms)
-            rounds.add("call", f"{way.name}: added, p99", "ms", one.p99_ms - direct.p99_ms)
-            rounds.add("call", f"{way.name}: CPU", "us a call", 1e6 * one.way_s / one.asked)
-            rounds.add("call", f"{way.name}: CPU of a core", "%", 100.0 * one.way_s * rate / one.asked)
-            rounds.add("call", f"{way.name}: not answered", "calls", one.failed)
-            if way.name != BARE:
-                times = one.way_s / one.asked / (bare.way_s / bare.asked)
-                rounds.add("call", f"{way.name}: CPU, times bare", "times", times)
-        claims_s = found[KEYED].controller_s - direct.controller_s
-        us = 1e6 * claims_s / found[KEYED].asked
-        rounds.add("controller", "keyed calls: CPU of each controller", "us a call", us)
-
-    async def _ask(self, way: Way, rate: float) -> Asked:
+    async def _round(self, rate: int, paths: list[RequestPath], rounds: Rounds) -> None:
+        """Measure all paths once at one rate: direct calls first, the bare forwarder second."""
+        results = {path.name: await self._offer_load(path, rate) for path in paths}
+        direct = results[DIRECT]
+        bare = results[BARE]
+        for path in paths[1:]:
+            result = results[path.name]
+            rounds.add("call", f"{path.name}: added, p50", "ms", result.p50_ms - direct.p50_ms)
+            rounds.add("call", f"{path.name}: added, p99", "ms", result.p99_ms - direct.p99_ms)
+            rounds.add("call", f"{path.name}: CPU", "us a call", 1e6 * result.path_cpu_s / result.calls)
+            rounds.add(
+                "call", f"{path.name}: CPU of a core", "%", 100.0 * result.path_cpu_s * rate / result.calls
+            )
+            rounds.add("call", f"{path.name}: not answered", "calls", result.failed)
+            if path.name != BARE:
+                ratio = result.path_cpu_s / result.calls / (bare.path_cpu_s / bare.calls)
+                rounds.add("call", f"{path.name}: CPU, times bare", "times", ratio)
+        claims_s = results[KEYED].controller_cpu_s - direct.controller_cpu_s
+        claim_us = 1e6 * claims_s / results[KEYED].calls
+        rounds.add("controller", "keyed calls: CPU of each controller", "us a call", claim_us)
+
+    async def _offer_load(self, path: RequestPath, rate: float) -> LoadResult:
         self._serial += 1
-        await offer_load(way.address, rate, WARM_S, f"w{self._serial}-", way.write)
+        await offer_load(path.address, rate, WARMUP_S, f"w{self._serial}-", path.write)
         self._speed.slowness()
-        meter = CpuMeter(way.pids) if way.pids else None
+        meter = CpuMeter(path.pids) if path.pids else None
         controllers = CpuMeter(self._fleet.pids(self._fleet.cores))
-        report = await offer_load(way.address, rate, self._seconds, f"m{self._serial}-", way.write)
+        report = await offer_load(path.address, rate, self._seconds, f"m{self._serial}-", path.write)
         spent_s = sum(meter.read().cpu_s) if meter is not None else 0.0
         controllers_s = controllers.read().cpu_s
         slowness = self._speed.slowness()
         if report.p50_ms is None or report.p99_ms is None:
-            raise ValueError(f"no call to {way.address} was answered: {report.why}")
-        return Asked(
+            raise ValueError(f"no call to {path.address} was answered: {report.why}")
+        return LoadResult(
             report.p50_ms,
             report.p99_ms,
             spent_s / slowness,
@@ -146,64 +167,68 @@
 
 
 async def measure(rates: tuple[int, ...], seconds: float) -> list[Figure]:
-    """The figures of all rates, and the shares of a call's CPU at one."""
+    """Measure all rates, and profile calls at one rate.
+
+    :param rates: calls per second
+    :param seconds: duration of each load
+    """
     speed = Speed()
-    keeping = asyncio.get_running_loop().create_task(speed.keep())
+    speed_task = asyncio.get_running_loop().create_task(speed.run())
     try:
         async with Fleet(3, (1, 1), SYNC_MS) as fleet:
-            found = await Calls(fleet, seconds, speed).run(rates)
+            results = await CallMeasurement(fleet, seconds, speed).run(rates)
     finally:
-        keeping.cancel()
-    return found + await profile(seconds)
+        speed_task.cancel()
+    return results + await profile(seconds)
 
 
 async def profile(seconds: float) -> list[Figure]:
-    """Where a call's time goes in a proxy, by its hops; the profiler makes short functions dearer."""
-    fleet = Fleet(3, (1, 1), SYNC_MS, proxy_command=_profiled)
+    """Measure the shares of a call's hops in a proxy's CPU time; the profiler overstates short functions."""
+    fleet = Fleet(3, (1, 1), SYNC_MS, proxy_command=_profiled_command)
     rounds = Rounds()
     async with fleet:
         address = (fleet.sidecars[1].ip, fleet.ports.outbound)
         for kind, write in (("reads", READS), ("keyed", SAVES)):
-            await offer_load(address, PROFILED_RATE, WARM_S, f"w{kind}-", write)
-            for number in range(PROFILES):
+            await offer_load(address, PROFILED_CALLS_PER_S, WARMUP_S, f"w{kind}-", write)
+            for number in range(PROFILE_ROUNDS):
                 tag = f"m{kind}-{number}-"
                 outbound, inbound = await _profile_once(fleet, address, seconds, tag, write)
                 _add_shares(rounds, f"{kind}, outbound", outbound)
                 _add_shares(rounds, f"{kind}, inbound", inbound)
-    return rounds.figures(BY_CALLS, PROFILED_RATE)
+    return rounds.figures(BY_CALLS, PROFILED_CALLS_PER_S)
 
 
 async def _profile_once(
-    fleet: Fleet, address: Address, seconds: float, tag: str, write: Write
+    fleet: Fleet, address: Address, seconds: float, tag: str, write: RequestWriter
 ) -> tuple[dict[str, float], dict[str, float]]:
-    """Seconds by hop in the caller's proxy and in the server's, while calls go on."""
-    near, far = fleet.sidecars
-    files = [fleet.folder / f"{machine.name}.profile" for machine in (far, near)]
-    pids = fleet.pids([far, near])
+    """Profile one load; return the seconds by hop in the proxies beside the client and beside the server."""
+    server_machine, client_machine = fleet.sidecars
+    files = [fleet.folder / f"{machine.name}.profile" for machine in (client_machine, server_machine)]
+    pids = fleet.pids([client_machine, server_machine])
     for pid in pids:
         os.kill(pid, signal.SIGUSR1)
-    await offer_load(address, PROFILED_RATE, seconds, tag, write)
+    await offer_load(address, PROFILED_CALLS_PER_S, seconds, tag, write)
     for pid in pids:
         os.kill(pid, signal.SIGUSR1)
-    found = []
+    profiles = []
     for file in files:
-        await _there(file)
-        found.append(shares(file))
+        await _wait_for_file(file)
+        profiles.append(seconds_by_hop(file))
         file.unlink()
-    return found[0], found[1]
+    return profiles[0], profiles[1]
 
 
-def _add_shares(rounds: Rounds, name: str, found: dict[str, float]) -> None:
-    """Each hop of some length as a share of all."""
-    total = sum(found.values())
-    long = {hop: spent for hop, spent in found.items() if hop in HOPS_TOLD[name]}
-    for hop, spent in long.items():
+def _add_shares(rounds: Rounds, name: str, hop_seconds: dict[str, float]) -> None:
+    """Add each reported hop's share of the profile, and the share of all others."""
+    total = sum(hop_seconds.values())
+    reported = {hop: spent for hop, spent in hop_seconds.items() if hop in REPORTED_HOPS[name]}
+    for hop, spent in reported.items():
         rounds.add("call", f"{name}, profiled: {hop}", "% of the profile", 100.0 * spent / total)
-    rest = 100.0 * (total - sum(long.values())) / total
+    rest = 100.0 * (total - sum(reported.values())) / total
     rounds.add("call", f"{name}, profiled: all else", "% of the profile", rest)
 
 
-def _profiled(folder: Path, name: str) -> tuple[str, ...]:
+def _profiled_command(folder: Path, name: str) -> tuple[str, ...]:
     return (
         sys.executable,
         "-B",
@@ -213,8 +238,8 @@
     )
 
 
-async def _there(file: Path) -> None:
-    for _ in range(int(DUMPED_S / 0.05)):
+async def _wait_for_file(file: Path) -> None:
+    for _ in range(int(DUMP_TIMEOUT_S / 0.05)):
         if file.exists() and file.stat().st_size:
             await asyncio.sleep(0.2)
             return
--- a/orchidferry/testkit/capacity/compare.py
+++ b/orchidferry/testkit/capacity/compare.py
@@ -1,4 +1,4 @@
-"""Two runs beside each other: which of their figures agree."""
+"""Compares two runs: which of their figures agree."""
 
 from __future__ import annotations
 
@@ -9,47 +9,55 @@
 
 from orchidferry.testkit.capacity.figures import ONCE, Figure
 
-APART = 0.2  # two claimed values differ by no more than this share of the larger one
+TOLERANCE = 0.2  # two precise values agree if they differ by no more than this share of the larger one
 Key = tuple[str, str, str, str, float, str]
 
 
 @dataclass(slots=True)
 class Agreement:
-    """How two runs agree."""
-
-    claimed: int = 0  # figures that claim a value in both
-    intervals: int = 0  # that tell an interval in one of them at least
-    unknown: int = 0  # that one of them does not know
-    once: int = 0  # that were taken once in each
-    apart: list[str] = field(default_factory=list)  # those that do not agree, a line each
-    lacking: int = 0  # figures of one run alone
-
-    def told(self) -> str:
-        """As lines for a terminal."""
-        both = self.claimed + self.intervals
+    """The result of a comparison of two runs.
+
+    :ivar precise: number of figures that are precise in both runs
+    :ivar intervals: number of figures that are an interval in at least one of the runs
+    :ivar inconclusive: number of figures that are inconclusive in at least one of the runs
+    :ivar single: number of figures that were measured just once in at least one of the runs
+    :ivar disagreements: a line for each figure on which the runs disagree
+    :ivar unmatched: number of figures that only one of the runs has
+    """
+
+    precise: int = 0
+    intervals: int = 0
+    inconclusive: int = 0
+    single: int = 0
+    disagreements: list[str] = field(default_factory=list)
+    unmatched: int = 0
+
+    def report(self) -> str:
+        """Return the disagreements and a summary, as lines for a terminal."""
+        comparable = self.precise + self.intervals
         summary = (
-            f"{both - len(self.apart)} of {both} agree: {self.claimed} values within {APART:.0%} and "
-            f"{self.intervals} intervals that overlap; {self.unknown} unknown, {self.once} taken once, "
-            f"{self.lacking} in one run alone"
+            f"{comparable - len(self.disagreements)} of {comparable} agree: "
+            f"{self.precise} values within {TOLERANCE:.0%} and {self.intervals} intervals that overlap; "
+            f"{self.inconclusive} unknown, {self.single} measured once, {self.unmatched} in only one run"
         )
-        return "\n".join([*self.apart, summary])
+        return "\n".join([*self.disagreements, summary])
 
 
 def key(figure: Figure) -> Key:
-    """What a figure is of."""
+    """Return the identity of a figure: everything except its value."""
     return figure.role, figure.name, figure.unit, figure.axis, figure.at, figure.time
 
 
-def ends(figure: Figure) -> tuple[float, float]:
-    """The interval of a figure; for one that claims a value, what agrees with it."""
-    if figure.claims or figure.low is None or figure.high is None:
-        margin = APART * abs(figure.value)
+def interval(figure: Figure) -> tuple[float, float]:
+    """Return the interval of a figure; for a precise one, the interval of the values that agree with it."""
+    if figure.is_precise or figure.low is None or figure.high is None:
+        margin = TOLERANCE * abs(figure.value)
         return figure.value - margin, figure.value + margin
     return figure.low, figure.high
 
 
 def agree(one: Figure, other: Figure) -> bool:
-    """Whether two figures that are known do not speak against each other.
+    """Return whether two conclusive figures agree.
 
     >>> of = ("proxy", "x", "ms", "nodes", 12)
     >>> agree(Figure(*of, 10.0), Figure(*of, 12.6)), agree(Figure(*of, 10.0), Figure(*of, 12.4))
@@ -57,47 +65,52 @@
     >>> agree(Figure(*of, 10.0), Figure(*of, 20.0, low=11.0, high=22.0))
     True
     """
-    if one.claims and other.claims:
-        return abs(one.value - other.value) <= APART * max(abs(one.value), abs(other.value))
-    (low, high), (other_low, other_high) = ends(one), ends(other)
+    if one.is_precise and other.is_precise:
+        return abs(one.value - other.value) <= TOLERANCE * max(abs(one.value), abs(other.value))
+    (low, high), (other_low, other_high) = interval(one), interval(other)
     return low <= other_high and other_low <= high
 
 
-def compared(first: list[Figure], second: list[Figure]) -> Agreement:
-    """Each figure of one run beside the other's."""
-    found = Agreement()
+def compare_runs(first: list[Figure], second: list[Figure]) -> Agreement:
+    """Compare the figures of two runs."""
+    agreement = Agreement()
     others = {key(figure): figure for figure in second}
     for one in first:
         other = others.pop(key(one), None)
         if other is None:
-            found.lacking += 1
+            agreement.unmatched += 1
             continue
         if ONCE in (one.note, other.note):
-            found.once += 1
+            agreement.single += 1
             continue
-        if one.unknown or other.unknown:
-            found.unknown += 1
+        if one.is_inconclusive or other.is_inconclusive:
+            agreement.inconclusive += 1
             continue
-        if one.claims and other.claims:
-            found.claimed += 1
+        if one.is_precise and other.is_precise:
+            agreement.precise += 1
         else:
-            found.intervals += 1
+            agreement.intervals += 1
         if not agree(one, other):
-            what = f"{one.role} {one.name}, {one.at:g} {one.axis}"
-            found.apart.append(f"apart: {what}: {one.told()}, {other.told()} {one.unit}")
-    found.lacking += len(others)
-    return found
+            label = f"{one.role} {one.name}, {one.at:g} {one.axis}"
+            agreement.disagreements.append(
+                f"apart: {label}: {one.cell_text()}, {other.cell_text()} {one.unit}"
+            )
+    agreement.unmatched += len(others)
+    return agreement
 
 
 def main(first: str, second: str) -> int:
-    """Compare two files of `--json`; 1 if some figure does not agree, 2 if one can't be read."""
+    """Compare two files written by `--json`.
+
+    :returns: the exit status: 1 if the runs disagree, 2 if a file cannot be read
+    """
     runs = []
     for path in (first, second):
         try:
             runs.append([Figure(**one) for one in json.loads(Path(path).read_text())["figures"]])
-        except (OSError, ValueError, KeyError, TypeError) as problem:
-            print(f"orchidferry capacity: {path}: not a run's figures: {problem}", file=sys.stderr)
+        except (OSError, ValueError, KeyError, TypeError) as error:
+            print(f"orchidferry capacity: {path}: not a file of figures: {error}", file=sys.stderr)
             return 2
-    agreement = compared(*runs)
-    print(agreement.told())
-    return 1 if agreement.apart else 0
+    agreement = compare_runs(*runs)
+    print(agreement.report())
+    return 1 if agreement.disagreements else 0
--- a/orchidferry/testkit/capacity/hollow.py
+++ b/orchidferry/testkit/capacity/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow nodes: what many nodes say to real controllers, over real links, out of one process.
+"""Hollow nodes: the control traffic of many nodes with real controllers, from one process over real links.
 
-A hollow node has a link to each controller, its record and its lease, renewed as `ControlClient` does; the
-heads of its zones also follow the news and fetch each configuration's text. It serves nobody.
+A hollow node has a link to each controller and renews the lease of its record as `ControlClient` does. The
+heads of the zones also subscribe to updates and fetch each configuration. Hollow nodes serve no requests.
 """
 
 from __future__ import annotations
@@ -31,16 +31,22 @@
 from orchidferry.mesh.wire.shard_messages import tag_of
 
 ZONES = tuple(f"hollow-{number}" for number in range(8))
-SLOTS = 8
-DIALS_AT_ONCE = 64
-MAX_DIALS = 20
-DIAL_S = 5.0
-DIAL_AGAIN_S = 0.15
+SERVER_CAPACITY = 8
+MAX_CONCURRENT_DIALS = 64
+MAX_DIAL_ATTEMPTS = 20
+DIAL_TIMEOUT_S = 5.0
+DIAL_RETRY_S = 0.15
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Bytes by kind and messages between hollow nodes and controllers; with the four bytes of a length."""
+    """The traffic between hollow nodes and controllers; sizes include the four bytes of the length prefix.
+
+    :ivar up: bytes sent to controllers, by message type
+    :ivar down: bytes received from controllers, by message type
+    :ivar up_messages: number of messages sent to controllers
+    :ivar down_messages: number of messages received from controllers
+    """
 
     up: Counter[str] = field(default_factory=Counter)
     down: Counter[str] = field(default_factory=Counter)
@@ -49,28 +55,30 @@
 
 
 class HollowNode:
-    """One node's side of the control state."""
+    """A node that only exchanges control messages with controllers."""
 
-    def __init__(self, number: int, service: str, zone: str, ip: str, inbound: int, crowd: Hollow) -> None:
-        self._crowd = crowd
+    def __init__(
+        self, number: int, service: str, zone: str, ip: str, inbound: int, fleet: HollowFleet
+    ) -> None:
+        self._fleet = fleet
         self.name = f"hollow-{number}"
         self.head = number < HEADS * len(ZONES)
-        server = Server(f"i-hollow-{number}", service, zone, IN_SERVICE, SLOTS, 0.0, "v1")
+        server = Server(f"i-hollow-{number}", service, zone, IN_SERVICE, SERVER_CAPACITY, 0.0, "v1")
         self.record = NodeRecord(self.name, random.randrange(1, 2**53), 1, zone, ip, inbound, server)
         self.links: dict[str, Link] = {}
-        self._has: dict[str, int] = {}  # number of the record that each controller has
+        self._acknowledged_numbers: dict[str, int] = {}  # by controller: number of the record it has
         self.revision = 0
-        self._followed: set[str] = set()
+        self._subscribed: set[str] = set()
 
-    def linked(self, controller: str, link: Link) -> None:
-        """There is a link to a controller."""
+    def connected(self, controller: str, link: Link) -> None:
+        """Register and renew the lease over a new link to a controller."""
         link.peer = controller
         self.links[controller] = link
         self._send(link, NodeHello(self.name))
         self.renew(controller)
 
     def publish(self) -> None:
-        """Its record changes."""
+        """Change the node's record and send it to all controllers."""
         self.record = structs.replace(self.record, number=self.record.number + 1)
         for controller in self.links:
             self.renew(controller)
@@ -78,41 +86,45 @@
     def renew(self, controller: str) -> None:
         """Renew the lease at one controller."""
         record = self.record
-        same = self._has.get(controller) == record.number
-        renewal = LeaseRenewal(record.number, record.name, record.boot, None if same else record)
+        is_known = self._acknowledged_numbers.get(controller) == record.number
+        renewal = LeaseRenewal(record.number, record.name, record.boot, None if is_known else record)
         self._send(self.links[controller], renewal)
 
     def _send(self, link: Link, message: Message) -> None:
         data = encode(message)
-        self._crowd.traffic.up[tag_of(message)] += len(data)
-        self._crowd.traffic.up_messages += 1
+        self._fleet.traffic.up[tag_of(message)] += len(data)
+        self._fleet.traffic.up_messages += 1
         link.send_encoded(data)
 
-    def heard(self, link: Link, message: Message) -> None:
-        """A controller's message."""
-        traffic = self._crowd.traffic
+    def received(self, link: Link, message: Message) -> None:
+        """Handle a message from a controller."""
+        traffic = self._fleet.traffic
         traffic.down_messages += 1
         traffic.down[tag_of(message)] += len(encode(message))
         match message:
             case Lease():
-                self._take_lease(link, message)
+                self._lease_received(link, message)
             case Update() if message.change.revision > self.revision:
                 self.revision = message.change.revision
                 self._send(link, ConfigurationFetch(1, self.revision))
             case ConfigurationText():
-                self._crowd.got_text(message.revision)
+                self._fleet.configuration_received(message.revision)
 
-    def _take_lease(self, link: Link, lease: Lease) -> None:
-        self._has[link.peer] = lease.number if lease.has_record else -1
+    def _lease_received(self, link: Link, lease: Lease) -> None:
+        self._acknowledged_numbers[link.peer] = lease.number if lease.has_record else -1
         if not lease.has_record:
             self.renew(link.peer)
-        if self.head and link.peer not in self._followed:
-            self._followed.add(link.peer)
+        if self.head and link.peer not in self._subscribed:
+            self._subscribed.add(link.peer)
             self._send(link, UpdateSubscription(lease.incarnation, -1))
 
 
-class Hollow:
-    """All hollow nodes of one fleet."""
+class HollowFleet:
+    """All hollow nodes of one fleet.
+
+    :ivar traffic: their traffic with controllers
+    :ivar nodes: the nodes; the heads come first
+    """
 
     def __init__(
         self, count: int, services: list[str], controllers: list[str], port: int, own_ip: str, inbound: int
@@ -125,66 +137,81 @@
             HollowNode(n, services[n % len(services)], ZONES[n % len(ZONES)], own_ip, inbound, self)
             for n in range(count)
         ]
-        self._texts: dict[int, list[float]] = {}  # when the heads had each revision
+        self._receipt_times: dict[int, list[float]] = {}  # when each head received a revision
         self._tasks: set[asyncio.Task[None]] = set()
-        self._lost = 0
+        self._closed_links = 0
 
     @property
     def heads(self) -> int:
-        """How many of them follow the news."""
+        """Number of heads, which subscribe to updates."""
         return sum(node.head for node in self.nodes)
 
-    def got_text(self, revision: int) -> None:
-        """A head has a configuration's text."""
-        self._texts.setdefault(revision, []).append(asyncio.get_running_loop().time())
+    def configuration_received(self, revision: int) -> None:
+        """Record that a head has received a configuration."""
+        self._receipt_times.setdefault(revision, []).append(asyncio.get_running_loop().time())
 
-    async def texts(self, revision: int, within_s: float) -> list[float]:
-        """When each head had a revision; fewer than the heads if the time is over."""
+    async def wait_for_configuration(self, revision: int, timeout_s: float) -> list[float]:
+        """Wait until all heads have received a revision.
+
+        :param timeout_s: maximum time to wait
+        :returns: times of receipt; fewer than the number of heads after a timeout
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + within_s
-        while len(self._texts.get(revision, [])) < self.heads and loop.time() < until:
+        until = loop.time() + timeout_s
+        while len(self._receipt_times.get(revision, [])) < self.heads and loop.time() < until:
             await asyncio.sleep(0.005)
-        return self._texts.get(revision, [])
+        return self._receipt_times.get(revision, [])
+
+    async def connect_all(self) -> float:
+        """Connect all nodes to all controllers as fast as possible.
 
-    async def join(self) -> float:
-        """All of them connect, as fast as that goes; how long it took. `ValueError` where one can't."""
+        :returns: the time that it took, in seconds
+        :raises ValueError: if some link cannot be established
+        """
         loop = asyncio.get_running_loop()
-        began, room = loop.time(), asyncio.Semaphore(DIALS_AT_ONCE)
+        began, dial_slots = loop.time(), asyncio.Semaphore(MAX_CONCURRENT_DIALS)
 
         async def connect(node: HollowNode, controller: str) -> bool:
-            async with room:
+            async with dial_slots:
                 link = await self._dial(node, controller)
             if link is not None:
-                node.linked(controller, link)
+                node.connected(controller, link)
             return link is not None
 
-        ways = [connect(node, controller) for node in self.nodes for controller in self._controllers]
-        linked = await asyncio.gather(*ways)
-        if not all(linked):
-            raise ValueError(f"{linked.count(False)} of {len(linked)} links to controllers did not come up")
+        connects = [connect(node, controller) for node in self.nodes for controller in self._controllers]
+        connected = await asyncio.gather(*connects)
+        if not all(connected):
+            raise ValueError(
+                f"{connected.count(False)} of {len(connected)} links to controllers were not established"
+            )
         task = loop.create_task(self._renew_all())
         self._tasks.add(task)
         return loop.time() - began
 
     async def _dial(self, node: HollowNode, controller: str) -> Link | None:
-        """A link; again after a refusal, as a controller may have just started."""
-        for _ in range(MAX_DIALS):
-            link = await dial(node.heard, self._lost_link, controller, self._port, self._ip, DIAL_S)
+        """Dial a controller; retry if it refuses, as it may have just started."""
+        for _ in range(MAX_DIAL_ATTEMPTS):
+            link = await dial(
+                node.received, self._link_closed, controller, self._port, self._ip, DIAL_TIMEOUT_S
+            )
             if link is not None:
                 return link
-            await asyncio.sleep(DIAL_AGAIN_S)
+            await asyncio.sleep(DIAL_RETRY_S)
         return None
 
-    def _lost_link(self, link: Link) -> None:
-        self._lost += 1
+    def _link_closed(self, link: Link) -> None:
+        self._closed_links += 1
 
     def check(self) -> None:
-        """`ValueError` if a controller has ended a link."""
-        if self._lost:
-            raise ValueError(f"{self._lost} links of hollow nodes were ended")
+        """Check that no controller has closed a link.
+
+        :raises ValueError: if one has
+        """
+        if self._closed_links:
+            raise ValueError(f"{self._closed_links} links of hollow nodes were closed")
 
     async def _renew_all(self) -> None:
-        """Each link's lease each `RENEWAL_INTERVAL_S`, spread evenly over it."""
+        """Renew the lease of each link every `RENEWAL_INTERVAL_S`, evenly spread over the interval."""
         loop = asyncio.get_running_loop()
         links = [(node, controller) for node in self.nodes for controller in self._controllers]
         random.shuffle(links)
@@ -200,7 +227,7 @@
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
-        """End it."""
+        """Stop renewing leases and close all links."""
         for task in self._tasks:
             task.cancel()
         for node in self.nodes:
--- a/orchidferry/testkit/capacity/hops.py
+++ b/orchidferry/testkit/capacity/hops.py
@@ -1,7 +1,8 @@
-"""A proxy's profile by the hops of a call: a function's own time goes to the hop that its module does.
+"""Divides a proxy's profile among the hops of a call, which are the stages of its processing.
 
-Built-in functions count for whoever called them. What the event loop itself takes (polling, reading sockets)
-is no Python function and not in a profile.
+A function's own time counts for the hop that its module implements; the time of built-in functions counts for
+their callers. The time of the event loop itself (polling, reading sockets) is not spent in Python functions
+and is not in the profile.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 OTHER = "other"
 Function = tuple[str, int, str]  # file, line, name
 
-FUNCTIONS = {  # where one module does the work of two hops
+FUNCTIONS = {  # functions of modules that do the work of several hops
     ("orchidferry/node/client_connection.py", "_write_reply"): ANSWER,
     ("orchidferry/node/client_connection.py", "_on_reply"): ANSWER,
     ("orchidferry/node/client_connection.py", "_start_streaming"): ANSWER,
@@ -74,7 +75,7 @@
 
 
 def hop_of(function: Function) -> str:
-    """The hop that a function of the program works for.
+    """Return the hop to which a function's own time counts.
 
     >>> hop_of(("orchidferry/node/client_connection.py", 1, "_write_reply"))
     'answer'
@@ -82,19 +83,22 @@
     'route'
     """
     file, _, name = function
-    for (end, one), hop in FUNCTIONS.items():
-        if name == one and file.endswith(end):
+    for (suffix, function_name), hop in FUNCTIONS.items():
+        if name == function_name and file.endswith(suffix):
             return hop
-    return next((hop for part, hop in MODULES if part in file), OTHER)
+    return next((hop for path_part, hop in MODULES if path_part in file), OTHER)
 
 
-def shares(path: Path) -> dict[str, float]:
-    """Seconds by hop, of a profile's file."""
+def seconds_by_hop(path: Path) -> dict[str, float]:
+    """Return the seconds spent in each hop, longest first.
+
+    :param path: file written by cProfile
+    """
     stats: dict[Function, Any] = marshal.loads(path.read_bytes())
-    found: Counter[str] = Counter()
+    seconds: Counter[str] = Counter()
     for function, (_, _, own_s, _, callers) in stats.items():
         if function[0] != "~":
-            found[hop_of(function)] += own_s
+            seconds[hop_of(function)] += own_s
         for caller, (_, _, spent_s, _) in callers.items() if function[0] == "~" else ():
-            found[hop_of(caller) if caller[0] != "~" else OTHER] += spent_s
-    return dict(sorted(found.items(), key=lambda entry: -entry[1]))
+            seconds[hop_of(caller) if caller[0] != "~" else OTHER] += spent_s
+    return dict(sorted(seconds.items(), key=lambda entry: -entry[1]))
--- a/orchidferry/testkit/capacity/hours.py
+++ b/orchidferry/testkit/capacity/hours.py
@@ -1,7 +1,7 @@
-"""Special hours of a large fleet in virtual time: a zone gone, everybody restarted, regions apart.
+"""Failure scenarios ("hours") of a large fleet in virtual time: zone outage, restarts, region partition.
 
-`python -m orchidferry.testkit.capacity.hours NODES [HOUR...]` prints figures as JSON, one a line. The fleet
-settles once; each hour is then played by a process of its own, forked from there.
+`python -m orchidferry.testkit.capacity.hours NODES [HOUR...]` prints figures as JSON, one per line. The fleet
+is started and settled once; each hour is then simulated in a process of its own that is forked from there.
 """
 
 from __future__ import annotations
@@ -20,253 +20,289 @@
 from orchidferry.testkit.capacity.figures import BY_NODES, VIRTUAL, Figure
 from orchidferry.testkit.capacity.plan import services_of
 from orchidferry.testkit.capacity.reference import Speed
-from orchidferry.testkit.capacity.regions import ZONES, Fleet, Metered, MeteredNode, Use, region_of
+from orchidferry.testkit.capacity.regions import ZONES, Fleet, MeteredNode, MeteredProcess, Usage, region_of
 from orchidferry.testkit.capacity.rounds import Rounds
-from orchidferry.testkit.capacity.texts import kept
-
-RESTARTS, ZONE, APART = HOURS = ("restarts", "zone", "apart")  # the longest first
-SLICE_S = 0.05  # of virtual time between two looks at the machine's speed
-LOOK_S = 0.5  # how often it is looked whether everybody knows
-KNOWN_S = 40.0  # after that it is given up
-RESTARTS_S = 60.0
-RESTARTS_PLAYED = 0.2  # of that minute, as each second of it is like the others
-DOWN_S = 1.0  # from a process's end to its start
-AFTER_S = 0.5  # after the last start, before it is looked whether all know
-GROUPS = 5  # of processes of one role, so that a share of CPU has an interval
-AT_ONCE = 2  # hours that are played beside each other
-APART_S = 300.0
-PARTING_S = 10.0  # played in full: leases run out, places in the tree are looked at anew
-PLAYED_S = 0.1  # of each later second: its change comes to all in 40 ms, and the rest of it is leases alone
-CALM_S = 2.0  # in which leases alone are counted, for what is not played
-# 3,200 configurations a day
-RECORDS_EACH_S = 1.0
-CONFIGURATIONS_EACH_S = 27.0
-
-
-class Hour:
-    """One fleet, and what it has used since the hour began."""
+from orchidferry.testkit.capacity.texts import compressed_configuration
+
+RESTARTS, ZONE, PARTITION = HOURS = ("restarts", "zone", "apart")  # names of the scenarios, the longest first
+SPEED_INTERVAL_S = 0.05  # virtual time between two measurements of the machine's speed
+CONVERGENCE_POLL_S = 0.5  # interval between two checks for convergence
+CONVERGENCE_TIMEOUT_S = 40.0  # time after which waiting for convergence ends
+RESTART_PERIOD_S = 60.0  # period over which all nodes are restarted
+SIMULATED_RESTARTS = 0.2  # share of that period that is simulated, as all its seconds are alike
+DOWNTIME_S = 1.0  # from the end of a process to its restart
+SETTLING_S = 0.5  # wait after the last restart, before the checks for convergence
+CPU_GROUPS = 5  # groups of processes of one role, so that a CPU share has an interval
+MAX_PARALLEL = 2  # maximum number of scenarios simulated in parallel
+PARTITION_S = 300.0  # duration of a region partition
+# The start of a partition is simulated in full: leases expire, and nodes choose new places in the tree.
+PARTITION_START_S = 10.0
+# Simulated part of each later second: a change reaches all nodes in 40 ms, and only lease traffic follows.
+SIMULATED_S = 0.1
+BASELINE_S = 2.0  # period of lease traffic alone that stands for the time that is not simulated
+# Intervals of changes during a partition; 3,200 configurations a day.
+RECORD_INTERVAL_S = 1.0
+CONFIGURATION_INTERVAL_S = 27.0
+
+
+class ScenarioMeter:
+    """Measures one fleet during one scenario.
+
+    :ivar name: name of the scenario in figures
+    :ivar fleet: the simulated fleet
+    """
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         self.name = name
         self.fleet = fleet
         self._nodes = len(fleet.names)
         self._speed, self._rounds = Speed(), Rounds()
-        self._left_out_s = 0.0  # of the hour, in which nothing but leases goes on
-        self._calm: dict[str, list[Use]] = {}  # of `CALM_S` with leases alone
+        self._skipped_s = 0.0  # time of the scenario that is not simulated, with lease traffic alone
+        self._baseline: dict[str, list[Usage]] = {}  # by role: usage in `BASELINE_S` with lease traffic alone
 
     def figures(self) -> list[Figure]:
-        """All that was found."""
+        """Return all figures."""
         return self._rounds.figures(BY_NODES, self._nodes, VIRTUAL, f"{self._nodes} nodes")
 
-    def add(self, role: str, what: str, unit: str, *values: float) -> None:
-        """A figure of this hour, of one value or of one for each process."""
-        self._rounds.add(role, f"{self.name}: {what}", unit, *values)
+    def add(self, role: str, name: str, unit: str, *values: float) -> None:
+        """Add a figure with one value, or with the values of several processes or groups."""
+        self._rounds.add(role, f"{self.name}: {name}", unit, *values)
 
     def begin(self) -> None:
-        """Count from now on; nodes that start later count from their start."""
+        """Start metering; nodes that start later are metered from their start."""
         self.fleet.reset()
         self._speed.slowness()
         self._began_s = self.fleet.now
-        self._left_out_s = 0.0
+        self._skipped_s = 0.0
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time, and measure the machine's speed meanwhile."""
         until = self.fleet.now + seconds
         while self.fleet.now < until:
-            self.fleet.run(min(SLICE_S, until - self.fleet.now))
+            self.fleet.run(min(SPEED_INTERVAL_S, until - self.fleet.now))
             self._speed.burst()
 
-    def leave_out(self, seconds: float) -> None:
-        """The hour has these seconds too, with leases alone; they are not played."""
-        self._left_out_s += seconds
+    def skip(self, seconds: float) -> None:
+        """Account for a period of lease traffic alone without simulating it."""
+        self._skipped_s += seconds
 
-    def calm(self) -> None:
-        """Count leases alone, for what is left out."""
+    def measure_baseline(self) -> None:
+        """Measure lease traffic alone, to account for skipped time."""
         self.begin()
-        self.run(CALM_S)
-        self._calm = self._uses()
+        self.run(BASELINE_S)
+        self._baseline = self._usages()
 
-    def _uses(self) -> dict[str, list[Use]]:
-        controllers = [c.use for c in self.fleet.controllers.values() if isinstance(c, Metered)]
-        return {"proxy": [node.use for node in self.fleet.live()], "controller": controllers}
+    def _usages(self) -> dict[str, list[Usage]]:
+        controllers = [c.usage for c in self.fleet.controllers.values() if isinstance(c, MeteredProcess)]
+        return {"proxy": [node.usage for node in self.fleet.live()], "controller": controllers}
 
-    def used(self, what: str = "all along") -> None:
-        """What all used since it began: bytes of the mean process, CPU of the mean one of five groups."""
-        all_s = self.fleet.now - self._began_s + self._left_out_s
+    def add_usage(self, phase: str = "all along") -> None:
+        """Add the usage since `begin`: mean bytes of a process, and mean CPU of a process in each group.
+
+        :param phase: name of the phase in figures
+        """
+        all_s = self.fleet.now - self._began_s + self._skipped_s
         slowness = self._speed.slowness()
-        left_out = self._left_out_s / CALM_S
-        for role, uses in self._uses().items():
-            calm = self._calm.get(role, [])
-            into = _mean(u.into.total() for u in uses) + left_out * _mean(u.into.total() for u in calm)
-            out = _mean(u.out.total() for u in uses) + left_out * _mean(u.out.total() for u in calm)
-            self.add(role, f"{what}, bytes in", "B/s", into / all_s)
-            self.add(role, f"{what}, bytes out", "B/s", out / all_s)
-            calm_s = left_out * _mean(u.cpu_s for u in calm)
-            groups = [uses[first::GROUPS] for first in range(min(GROUPS, len(uses)))]
-            shares = [100.0 * (_mean(u.cpu_s for u in some) + calm_s) / all_s / slowness for some in groups]
-            self.add(role, f"{what}, CPU of the pure code", "% of a core", *shares)
-
-    def until_known(self, what: str) -> None:
-        """How long until every live node knows just the live ones."""
+        skipped = self._skipped_s / BASELINE_S
+        for role, usages in self._usages().items():
+            baseline = self._baseline.get(role, [])
+            bytes_in = _mean(u.bytes_in.total() for u in usages) + skipped * _mean(
+                u.bytes_in.total() for u in baseline
+            )
+            bytes_out = _mean(u.bytes_out.total() for u in usages) + skipped * _mean(
+                u.bytes_out.total() for u in baseline
+            )
+            self.add(role, f"{phase}, bytes in", "B/s", bytes_in / all_s)
+            self.add(role, f"{phase}, bytes out", "B/s", bytes_out / all_s)
+            baseline_s = skipped * _mean(u.cpu_s for u in baseline)
+            groups = [usages[first::CPU_GROUPS] for first in range(min(CPU_GROUPS, len(usages)))]
+            shares = [
+                100.0 * (_mean(u.cpu_s for u in group) + baseline_s) / all_s / slowness for group in groups
+            ]
+            self.add(role, f"{phase}, CPU of the pure code", "% of a core", *shares)
+
+    def run_until_converged(self, phase: str) -> None:
+        """Run until each running node knows exactly the running nodes, and add the time that this takes.
+
+        :param phase: name of the phase in figures
+        """
         fleet = self.fleet
         began = self.fleet.now
-        unknowing = self._unknowing()
-        while unknowing and fleet.now - began < KNOWN_S:
-            self.run(LOOK_S)
-            unknowing = self._unknowing()
-        self.add("proxy", f"{what}, until all know", "s", fleet.now - began)
-        self.add("proxy", f"{what}, nodes that do not know all", "nodes", float(unknowing))
-
-    def _unknowing(self) -> int:
+        unconverged = self._count_unconverged()
+        while unconverged and fleet.now - began < CONVERGENCE_TIMEOUT_S:
+            self.run(CONVERGENCE_POLL_S)
+            unconverged = self._count_unconverged()
+        self.add("proxy", f"{phase}, until all know", "s", fleet.now - began)
+        self.add("proxy", f"{phase}, nodes that do not know all", "nodes", float(unconverged))
+
+    def _count_unconverged(self) -> int:
         names = {node.name for node in self.fleet.live()}
-        unknowing = 0
+        unconverged = 0
         for node in self.fleet.live():
             node.update_members()
-            unknowing += set(node.members) != names
-        return unknowing
+            unconverged += set(node.members) != names
+        return unconverged
 
 
 def _mean(values: Iterator[float]) -> float:
-    some = list(values)
-    return sum(some) / len(some) if some else 0.0
+    items = list(values)
+    return sum(items) / len(items) if items else 0.0
 
 
-def zone_gone(fleet: Fleet) -> list[Figure]:
-    """All nodes of one zone end at once, stay away, and come back within a second."""
-    hour = Hour("zone gone and back", fleet)
-    gone = [node.name for node in fleet.live() if node.zone == "z0"]
-    hour.begin()
-    for name in gone:
+def zone_outage(fleet: Fleet) -> list[Figure]:
+    """Kill all nodes of one zone at once; when all others know, restart them within a second."""
+    meter = ScenarioMeter("zone gone and back", fleet)
+    zone_nodes = [node.name for node in fleet.live() if node.zone == "z0"]
+    meter.begin()
+    for name in zone_nodes:
         fleet.nodes.pop(name).kill()
-    hour.until_known("gone")
-    hour.used("gone")
-    hour.begin()
-    for name in gone:
+    meter.run_until_converged("gone")
+    meter.add_usage("gone")
+    meter.begin()
+    for name in zone_nodes:
         fleet.at(fleet.now + fleet.rng.random(), partial(fleet.start, name, 0))
-    hour.run(1.0)
-    hour.until_known("back, a second after the first")
-    hour.used("back")
-    return hour.figures()
+    meter.run(1.0)
+    meter.run_until_converged("back, a second after the first")
+    meter.add_usage("back")
+    return meter.figures()
 
 
-def all_restarted(fleet: Fleet) -> list[Figure]:
-    """Each node is ended and started again, one after the other, over a minute; the first fifth of it."""
-    hour = Hour("all restarted in a minute", fleet)
-    hour.begin()
-    busy: dict[str, Use] = {}
+def rolling_restart(fleet: Fleet) -> list[Figure]:
+    """Restart all nodes one after the other over a minute, of which the first fifth is simulated."""
+    meter = ScenarioMeter("all restarted in a minute", fleet)
+    meter.begin()
+    old_usages: dict[str, Usage] = {}
 
-    def stop(name: str) -> None:
+    def kill(name: str) -> None:
         old = fleet.nodes.pop(name)
         assert isinstance(old, MeteredNode)
-        busy[name] = old.use
+        old_usages[name] = old.usage
         old.kill()
-        fleet.at(fleet.now + DOWN_S, partial(fleet.start, name, int(old.zone[1:])))
+        fleet.at(fleet.now + DOWNTIME_S, partial(fleet.start, name, int(old.zone[1:])))
 
-    each_s = RESTARTS_S / len(fleet.names)
-    for at, name in enumerate(fleet.names[: round(RESTARTS_PLAYED * len(fleet.names))]):
-        fleet.at(fleet.now + each_s * at, partial(stop, name))
-    hour.run(RESTARTS_PLAYED * RESTARTS_S)
-    for name, use in busy.items():  # both lives
+    interval_s = RESTART_PERIOD_S / len(fleet.names)
+    for at, name in enumerate(fleet.names[: round(SIMULATED_RESTARTS * len(fleet.names))]):
+        fleet.at(fleet.now + interval_s * at, partial(kill, name))
+    meter.run(SIMULATED_RESTARTS * RESTART_PERIOD_S)
+    for name, usage in old_usages.items():  # usage before and after the restart
         node = fleet.nodes.get(name)
         if not isinstance(node, MeteredNode):
-            continue  # not there again
-        node.use.into.update(use.into)
-        node.use.out.update(use.out)
-        node.use.cpu_s += use.cpu_s
-    hour.used()
-    hour.run(DOWN_S + AFTER_S)
-    hour.until_known("after the last")
-    return hour.figures()
+            continue  # not restarted yet
+        node.usage.bytes_in.update(usage.bytes_in)
+        node.usage.bytes_out.update(usage.bytes_out)
+        node.usage.cpu_s += usage.cpu_s
+    meter.add_usage()
+    meter.run(DOWNTIME_S + SETTLING_S)
+    meter.run_until_converged("after the last")
+    return meter.figures()
 
 
-class RegionsApart:
-    """The regions lose each other; records and configurations change in the first, then they meet again."""
+class RegionPartition:
+    """A partition between the regions, during which the first region changes records and configurations."""
 
-    def __init__(self, fleet: Fleet, apart_s: float = APART_S) -> None:
+    def __init__(self, fleet: Fleet, partition_s: float = PARTITION_S) -> None:
         self._fleet = fleet
-        self._apart_s = apart_s
-        self._hour = Hour("regions apart", fleet)
-        self._first = [node for node in fleet.live() if region_of(node.zone) == 0]
-        self._raw = kept(services_of(len(fleet.names)))
+        self._partition_s = partition_s
+        self._meter = ScenarioMeter("regions apart", fleet)
+        self._first_region_nodes = [node for node in fleet.live() if region_of(node.zone) == 0]
+        self._compressed_text = compressed_configuration(services_of(len(fleet.names)))
         self._revision = 0
-        self._next_s = 5.0  # of the time apart: when the next configuration is due
+        self._next_s = 5.0  # time from the start of the partition to the next configuration
 
-    def play(self) -> list[Figure]:
-        """All of it; the figures."""
-        hour = self._hour
+    def run_scenario(self) -> list[Figure]:
+        """Run the scenario and return its figures."""
+        meter = self._meter
         fleet = self._fleet
-        fleet.apart = True
-        hour.run(PARTING_S)
-        hour.calm()
-        hour.begin()
-        self._change()
-        hour.used()
-        behind = sum(node.revision < self._revision for node in fleet.live())
-        hour.add("proxy", "nodes without the newest configuration", "nodes", float(behind))
-        self._meet()
-        return hour.figures()
-
-    def _change(self) -> None:
-        """A record each second and a configuration each 27, in the first region."""
+        fleet.partitioned = True
+        meter.run(PARTITION_START_S)
+        meter.measure_baseline()
+        meter.begin()
+        self._make_changes()
+        meter.add_usage()
+        outdated = sum(node.revision < self._revision for node in fleet.live())
+        meter.add("proxy", "nodes without the newest configuration", "nodes", float(outdated))
+        self._heal()
+        return meter.figures()
+
+    def _make_changes(self) -> None:
+        """Change a record each second and the configuration every 27 seconds, in the first region."""
         passed_s = 0.0
-        while passed_s < self._apart_s:
-            self._fleet.rng.choice(self._first).publish()
+        while passed_s < self._partition_s:
+            self._fleet.rng.choice(self._first_region_nodes).publish()
             if passed_s >= self._next_s:
-                self._next_s = self._next_s + CONFIGURATIONS_EACH_S
+                self._next_s = self._next_s + CONFIGURATION_INTERVAL_S
                 self._revision = self._revision + 1
-                self._tell_controllers(region=0)  # the majority of them is there
-            self._hour.run(PLAYED_S)
-            self._hour.leave_out(RECORDS_EACH_S - PLAYED_S)
-            passed_s += RECORDS_EACH_S
+                self._announce_configuration(region=0)  # it has the majority of the controllers
+            self._meter.run(SIMULATED_S)
+            self._meter.skip(RECORD_INTERVAL_S - SIMULATED_S)
+            passed_s += RECORD_INTERVAL_S
 
-    def _tell_controllers(self, region: int) -> None:
+    def _announce_configuration(self, region: int) -> None:
         for controller in self._fleet.controllers.values():
             if region_of(controller.zone) == region:
-                controller.configuration_decided(self._revision, self._raw)
+                controller.configuration_decided(self._revision, self._compressed_text)
 
-    def _meet(self) -> None:
-        hour = self._hour
+    def _heal(self) -> None:
+        meter = self._meter
         fleet = self._fleet
-        hour.begin()
-        fleet.apart = False
-        met_s = fleet.now
+        meter.begin()
+        fleet.partitioned = False
+        healed_s = fleet.now
         if self._revision:
-            self._tell_controllers(region=1)  # as the register's own catching up does
-        hour.until_known("met again")
-        had = [fleet.in_force.get((self._revision, node.name), fleet.now) - met_s for node in fleet.live()]
-        hour.add("proxy", "met again, newest configuration in force at the last", "s", max(0.0, *had))
-        hour.used("met again")
-
-
-def settled(nodes: int) -> Fleet:
-    """A fleet in which everybody knows everybody."""
+            self._announce_configuration(region=1)  # as the replicated state does when it catches up
+        meter.run_until_converged("met again")
+        apply_times_s = [
+            fleet.applied_s.get((self._revision, node.name), fleet.now) - healed_s for node in fleet.live()
+        ]
+        meter.add(
+            "proxy", "met again, newest configuration in force at the last", "s", max(0.0, *apply_times_s)
+        )
+        meter.add_usage("met again")
+
+
+def settled_fleet(nodes: int) -> Fleet:
+    """Return a fleet in which all nodes know each other."""
     assert nodes >= ZONES
     fleet = Fleet(nodes)
     fleet.settle()
     return fleet
 
 
-def play(name: str, fleet: Fleet, apart_s: float = APART_S) -> list[Figure]:
-    """One hour; the fleet is not settled any more after it."""
+def run_scenario(name: str, fleet: Fleet, partition_s: float = PARTITION_S) -> list[Figure]:
+    """Run one scenario; it leaves the fleet in a changed state.
+
+    :param name: one of `HOURS`
+    :param partition_s: duration of a region partition
+    """
     if name == ZONE:
-        return zone_gone(fleet)
-    return all_restarted(fleet) if name == RESTARTS else RegionsApart(fleet, apart_s).play()
+        return zone_outage(fleet)
+    return rolling_restart(fleet) if name == RESTARTS else RegionPartition(fleet, partition_s).run_scenario()
 
 
-def measure(nodes: int, apart_s: float = APART_S, names: Sequence[str] = HOURS) -> Iterator[Figure]:
-    """Hours at one size, one after the other, each of a fleet of its own."""
+def measure(nodes: int, partition_s: float = PARTITION_S, names: Sequence[str] = HOURS) -> Iterator[Figure]:
+    """Run scenarios one after the other, each with a fleet of its own.
+
+    :param nodes: number of nodes
+    :param partition_s: duration of a region partition
+    :param names: some of `HOURS`
+    """
     for name in names:
-        yield from play(name, settled(nodes), apart_s)
+        yield from run_scenario(name, settled_fleet(nodes), partition_s)
+
 
+def fork(function: Callable[[], None]) -> int:
+    """Fork a process that runs a function and exits.
 
-def forked(work: Callable[[], None]) -> int:
-    """A process that does this and ends; its id. The output of all is one pipe: each writes whole lines."""
+    All processes share one output pipe, so each must write whole lines.
+
+    :returns: the id of the process
+    """
     pid = os.fork()
     if pid:
         return pid
     status = 1
     try:
-        work()
+        function()
         status = 0
     except Exception:
         traceback.print_exc()
@@ -275,27 +311,31 @@
         os._exit(status)
 
 
-def tell(name: str, fleet: Fleet) -> None:
-    """Play an hour and print its figures, a line each, in one write."""
-    lines = [json.dumps(asdict(figure)) + "\n" for figure in play(name, fleet)]
+def print_figures(name: str, fleet: Fleet) -> None:
+    """Run a scenario and print its figures, one per line, in a single write."""
+    lines = [json.dumps(asdict(figure)) + "\n" for figure in run_scenario(name, fleet)]
     os.write(sys.stdout.fileno(), "".join(lines).encode())
 
 
 def main() -> int:
-    """Play the hours that are named, or all, beside each other; the exit status."""
+    """Run the given scenarios, or all, in parallel.
+
+    :returns: the exit status
+    """
     logger.disable("orchidferry.mesh")
-    gc.disable()  # a collection walks the whole fleet, and would count for the process that it falls on
-    fleet = settled(int(sys.argv[1]))
+    # A garbage collection traverses the whole fleet, and would count for the process that triggers it.
+    gc.disable()
+    fleet = settled_fleet(int(sys.argv[1]))
     gc.freeze()
     waiting = list(sys.argv[2:] or HOURS)
-    playing = set[int]()
+    running = set[int]()
     status = 0
-    while waiting or playing:
-        while waiting and len(playing) < AT_ONCE:
-            playing.add(forked(partial(tell, waiting.pop(0), fleet)))
-        ended, how = os.wait()
-        playing.discard(ended)
-        status = status or abs(os.waitstatus_to_exitcode(how))
+    while waiting or running:
+        while waiting and len(running) < MAX_PARALLEL:
+            running.add(fork(partial(print_figures, waiting.pop(0), fleet)))
+        ended, wait_status = os.wait()
+        running.discard(ended)
+        status = status or abs(os.waitstatus_to_exitcode(wait_status))
     return status
 
 
--- a/orchidferry/testkit/capacity/profiled.py
+++ b/orchidferry/testkit/capacity/profiled.py
@@ -1,6 +1,6 @@
-"""A proxy under the interpreter's profiler: `python -m orchidferry.testkit.capacity.profiled FILE`.
+"""Runs a proxy under cProfile: `python -m orchidferry.testkit.capacity.profiled FILE`.
 
-It profiles from one SIGUSR1 to the next, and then writes what it found to FILE and begins anew.
+SIGUSR1 starts profiling; the next SIGUSR1 stops it, writes the profile to FILE and resets the profile.
 """
 
 from __future__ import annotations
@@ -15,11 +15,15 @@
 
 
 def run(path: str) -> int:
-    """Be a proxy, profiled between two signals."""
+    """Run a proxy that is profiled between two signals.
+
+    :param path: file to which profiles are written
+    :returns: the exit status of the proxy
+    """
     profile = cProfile.Profile(time.thread_time)
     state = {"on": False}
 
-    def signalled(number: int, frame: Any) -> None:
+    def on_signal(number: int, frame: Any) -> None:
         if state["on"]:
             profile.disable()
             profile.dump_stats(path)
@@ -28,7 +32,7 @@
             profile.enable()
         state["on"] = not state["on"]
 
-    signal.signal(signal.SIGUSR1, signalled)
+    signal.signal(signal.SIGUSR1, on_signal)
     return main(["proxy"])
 
 
--- a/orchidferry/testkit/capacity/reference.py
+++ b/orchidferry/testkit/capacity/reference.py
@@ -1,7 +1,8 @@
-"""How fast the machine is while something is measured, by a fixed piece of work that is done beside it.
+"""Measures the speed of the machine during a measurement, with a fixed workload that runs beside it.
 
-Where cores share their parts or a clock rises and falls, the same code takes up to twice its processor time
-from one second to the next. Processor times are therefore told for a machine on which `work` takes `BURST_S`.
+On cores that share execution units or change their clock rate, the CPU time of the same code varies by up to
+a factor of two from one second to the next. CPU times are therefore scaled to a machine on which one run of
+`work` takes `BURST_S`.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 import cbor2
 
-BURST_S = 600e-6  # of processor time for one `work`: what it takes where nothing else runs beside it
-TURNS = 30
-PAUSE_S = 0.03
+BURST_S = 600e-6  # CPU time of one run of `work` on an otherwise idle machine
+REPETITIONS = 30
+BURST_INTERVAL_S = 0.03
 MESSAGE = [
     "news",
     "controller",
@@ -28,36 +29,39 @@
 
 
 def work() -> int:
-    """Pack, read and note records, as the processes of the mesh do; how many are noted."""
-    known: dict[object, object] = {}
-    for turn in range(TURNS):
+    """Encode, decode and store records, as the processes of the mesh do.
+
+    :returns: the number of stored records
+    """
+    records: dict[object, object] = {}
+    for repetition in range(REPETITIONS):
         for name, boot, number, *_ in cbor2.loads(cbor2.dumps(MESSAGE))[5]:
-            known[name] = (name, boot, number + turn)
+            records[name] = (name, boot, number + repetition)
         for at in range(20):
-            known[at] = turn + at
-    return len(known)
+            records[at] = repetition + at
+    return len(records)
 
 
 class Speed:
-    """Bursts of the fixed work, and what they say of the machine's speed."""
+    """Measures the machine's speed by bursts of the fixed workload."""
 
     def __init__(self) -> None:
         self._bursts: list[float] = []
 
     def burst(self) -> None:
-        """Do the work once."""
+        """Run the workload once and record its CPU time."""
         began = time.thread_time()
         work()
         self._bursts.append(time.thread_time() - began)
 
-    async def keep(self) -> None:
-        """Do it again and again, until cancelled."""
+    async def run(self) -> None:
+        """Run the workload periodically until cancelled."""
         while True:
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(BURST_INTERVAL_S)
             self.burst()
 
     def slowness(self) -> float:
-        """How much longer than `BURST_S` the work took since this was asked last.
+        """Return the mean CPU time of the bursts since the last call, relative to `BURST_S`.
 
         >>> speed = Speed()
         >>> speed.burst()
--- a/orchidferry/testkit/capacity/regions.py
+++ b/orchidferry/testkit/capacity/regions.py
@@ -1,9 +1,9 @@
-"""A fleet over two regions of four zones in virtual time, with what each process says and what it costs.
+"""A fleet in two regions of four zones each in virtual time, with metered traffic and CPU of each process.
 
-The processes are those of `orchidferry.testkit.model.fanout_world`: the shipping publisher, subscriber,
-fan-out tree and lists of members. Delays are assumed (one way), CPU is that of the pure code alone: no
-sockets, no HTTP. Reading a message counts for each process that it comes to, also where the model reads it
-once for all.
+The processes are those of `orchidferry.testkit.model.fanout_world`: the production publisher, subscriber,
+fan-out tree and member lists. One-way delays are assumed. CPU time is that of the pure code, without sockets
+and HTTP. The decoding of a message counts for each process that receives it, even where the model decodes it
+just once.
 """
 
 from __future__ import annotations
@@ -21,34 +21,33 @@
 from orchidferry.mesh.wire.messages import ConfigurationText
 from orchidferry.mesh.wire.shard_messages import tag_of
 from orchidferry.testkit.capacity.plan import CONTROLLERS, services_of
-from orchidferry.testkit.capacity.texts import names
+from orchidferry.testkit.capacity.texts import service_names
 from orchidferry.testkit.model.fanout_world import World
 from orchidferry.testkit.model.publishing_controller import Controller
 from orchidferry.testkit.model.subscribing_node import Node
 from orchidferry.testkit.model.virtual_link import LINK_TIMEOUT_S, LinkEnd
 from orchidferry.testkit.model.virtual_process import Process
 
-# zones of all regions
 REGIONS = 2
-ZONES = 8
+ZONES = 8  # in all regions
 IN_ZONE_S = 0.0002
 BETWEEN_ZONES_S = 0.0009
 BETWEEN_REGIONS_S = 0.035
 AFTER_TIMEOUT_S = 0.001
-SLOTS = 64  # of each server
-START_S = 0.3  # in which all nodes of a new fleet start
-# until all nodes are told of, and until each has its place in the tree
-KNOWN_S = 0.9
-PLACED_S = 3.1
+SERVER_CAPACITY = 64  # capacity of each server
+START_S = 0.3  # period in which all nodes of a new fleet start
+# Time until controllers have announced all nodes, and then until each node has its place in the tree.
+ANNOUNCEMENT_S = 0.9
+TREE_PLACEMENT_S = 3.1
 CONTROLLER_ZONES = (0, 1, 2, 4, 5)  # three in the first region, two in the second
-# a link within a zone, between zones, between regions
-ZONE = "zone"
-REGION = "region"
-FAR = "regions"
+# Kinds of links: within a zone, between zones of a region, between regions.
+WITHIN_ZONE = "zone"
+BETWEEN_ZONES = "region"
+BETWEEN_REGIONS = "regions"
 
 
 def region_of(zone: str) -> int:
-    """The region of a zone of the model, `z0` to `z7`.
+    """Return the region of a zone, `z0` to `z7`.
 
     >>> region_of("z3"), region_of("z4")
     (0, 1)
@@ -57,73 +56,82 @@
 
 
 @dataclass(slots=True)
-class Use:
-    """What one process has used: CPU of its pure code, messages and bytes by kind of link."""
+class Usage:
+    """The CPU time and traffic of one process.
+
+    :ivar cpu_s: CPU time of its pure code
+    :ivar bytes_out: bytes sent, by kind of link
+    :ivar bytes_in: bytes received, by kind of link
+    :ivar messages_out: number of messages sent
+    :ivar messages_in: number of messages received
+    :ivar messages_by_type: number of messages received, by type of message
+    :ivar bytes_by_type: bytes received, by type of message
+    """
 
     cpu_s: float = 0.0
-    out: Counter[str] = field(default_factory=Counter)  # bytes, by kind of link
-    into: Counter[str] = field(default_factory=Counter)
+    bytes_out: Counter[str] = field(default_factory=Counter)
+    bytes_in: Counter[str] = field(default_factory=Counter)
     messages_out: int = 0
     messages_in: int = 0
-    kinds: Counter[str] = field(default_factory=Counter)  # messages that came in, by kind
-    kind_bytes: Counter[str] = field(default_factory=Counter)
+    messages_by_type: Counter[str] = field(default_factory=Counter)
+    bytes_by_type: Counter[str] = field(default_factory=Counter)
 
 
-class Metered(Process):
-    """A process whose CPU is counted."""
+class MeteredProcess(Process):
+    """A process whose CPU time is metered."""
 
-    use: Use
-    _running = False
+    usage: Usage
+    _metering = False
 
     def run(self, call: Callable[[], object]) -> None:
-        """Time a call."""
-        if self._running:
+        """Run a call and meter its CPU time; nested calls count for the outermost one."""
+        if self._metering:
             return super().run(call)
-        self._running, began = True, time.thread_time()
+        self._metering, began = True, time.thread_time()
         try:
             super().run(call)
         finally:
-            self._running = False
-            self.use.cpu_s += time.thread_time() - began
+            self._metering = False
+            self.usage.cpu_s += time.thread_time() - began
 
 
-class MeteredController(Metered, Controller):
-    """A controller's publisher."""
+class MeteredController(MeteredProcess, Controller):
+    """A metered controller."""
 
     def __init__(self, world: World, name: str, zone: int) -> None:
-        self.use = Use()
+        self.usage = Usage()
         super().__init__(world, name, zone)
 
 
-class MeteredNode(Metered, Node):
-    """A node's subscriber, its leases and its links."""
+class MeteredNode(MeteredProcess, Node):
+    """A metered node with a server beside it."""
 
     def __init__(self, world: Fleet, name: str, zone: int, heads: int) -> None:
-        self.use = Use()
+        self.usage = Usage()
         self.fleet = world
         super().__init__(world, name, zone, heads)
         self.record = replace(self.record, server=world.server_of(name, zone))
 
     def publish(self) -> None:
-        """The state of its server changes."""
+        """Change the node's record, as on a change of its server's state, and send it to all controllers."""
         self.record = replace(self.record, number=self.record.number + 1)
         for name in self.controllers:
             self._renew(name)
 
     def _configuration_received(self, message: ConfigurationText) -> None:
-        had = self.revision
+        old_revision = self.revision
         super()._configuration_received(message)
-        if self.revision > had:
-            self.fleet.in_force[self.revision, self.name] = self.world.now
+        if self.revision > old_revision:
+            self.fleet.applied_s[self.revision, self.name] = self.world.now
 
     @property
     def is_relay(self) -> bool:
-        """Whether other nodes follow this one."""
+        """Whether other nodes receive updates through this one."""
         return bool(self.subscriber.relay.followers.positions)
 
 
-class BetweenRegions(Container[tuple[str, str]]):
-    """The pairs of processes that are cut off from each other while regions are apart."""
+class RegionCuts(Container[tuple[str, str]]):
+    """The pairs of processes in different regions, while the regions are partitioned."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -131,37 +139,37 @@
     def __contains__(self, pair: object) -> bool:
         assert isinstance(pair, tuple)
         fleet = self._fleet
-        return fleet.apart and fleet.region(pair[0]) != fleet.region(pair[1])
+        return fleet.partitioned and fleet.region(pair[0]) != fleet.region(pair[1])
 
     def __and__(self, pairs: set[tuple[str, str]]) -> set[tuple[str, str]]:
         return {pair for pair in pairs if pair in self}
 
 
 class Fleet(World):
-    """Five controllers and so many nodes, spread evenly over eight zones."""
+    """Five controllers, and nodes that are spread evenly over eight zones."""
 
     def __init__(self, nodes: int, seed: int = 1) -> None:
         super().__init__(seed, ZONES, checks_members_rarely=True)
-        self._apart = False
-        self._given_up: list[
-            LinkEnd
-        ] = []  # their senders have given them up; tried again when the regions meet
-        self._read_s = 0.0  # what it took to read the message that is being sent
-        self._unread_s = 0.0  # and how much of that was counted for its sender
-        cuts: Any = BetweenRegions(self)
+        self._partitioned = False
+        # Links closed by their senders during a partition; retried when it heals.
+        self._abandoned_ends: list[LinkEnd] = []
+        self._decode_s = 0.0  # CPU time for decoding the current message
+        self._sender_decode_s = 0.0  # the part of it that was counted for the sender
+        cuts: Any = RegionCuts(self)
         self.cuts = cuts
-        self.in_force: dict[tuple[int, str], float] = {}  # when a node had a revision
+        # Virtual time at which a configuration was applied, by revision and node.
+        self.applied_s: dict[tuple[int, str], float] = {}
         self._regions: dict[str, int] = {}
-        # of the message that is being sent
-        self._size = 0
-        self._kind = ""
+        # Size and type of the current message.
+        self._message_size = 0
+        self._message_type = ""
         self._queue.clear()
         self.controllers = {}
         for number, zone in enumerate(CONTROLLER_ZONES[:CONTROLLERS]):
             name = f"k{number}"
             self._regions[name] = region_of(f"z{zone}")
             self.controllers[name] = MeteredController(self, name, zone)
-        self._services = names(services_of(nodes))
+        self._services = service_names(services_of(nodes))
         self.names = [f"n{number}" for number in range(nodes)]
         for number, name in enumerate(self.names):
             self.at(self.now + START_S * self.rng.random(), partial(self.start, name, number % ZONES))
@@ -173,86 +181,89 @@
         return node
 
     def server_of(self, node: str, zone: int) -> Server:
-        """The server beside a node; services take turns."""
+        """Return the server beside a node; services are assigned round-robin."""
         service = self._services[int(node[1:]) % len(self._services)]
-        return Server(f"i-{node}", service, f"z{zone}", IN_SERVICE, SLOTS, 0.0, "v1")
+        return Server(f"i-{node}", service, f"z{zone}", IN_SERVICE, SERVER_CAPACITY, 0.0, "v1")
 
     def region(self, name: str) -> int:
-        """Of a process, by name."""
+        """Return the region of a process."""
         return self._regions[name]
 
     @property
-    def apart(self) -> bool:
-        """Whether the regions are cut off from each other."""
-        return self._apart
-
-    @apart.setter
-    def apart(self, apart: bool) -> None:
-        self._apart = apart
-        if not apart:
-            given_up = self._given_up
-            self._given_up = []
-            for end in given_up:
+    def partitioned(self) -> bool:
+        """Whether the regions are partitioned."""
+        return self._partitioned
+
+    @partitioned.setter
+    def partitioned(self, partitioned: bool) -> None:
+        self._partitioned = partitioned
+        if not partitioned:
+            abandoned_ends = self._abandoned_ends
+            self._abandoned_ends = []
+            for end in abandoned_ends:
                 self.at(self.now, end.arrive)
 
     def retry_later(self, end: LinkEnd, lost: bool) -> None:
-        """Once when its sender is to give it up, and then when the regions meet: not each 10 ms."""
+        """Retry a blocked link when it times out and when the partition heals, instead of every 10 ms."""
         if lost:
-            self._given_up.append(end)
+            self._abandoned_ends.append(end)
         else:
             self.at(self.now + LINK_TIMEOUT_S + AFTER_TIMEOUT_S, end.arrive)
 
     def read(self, data: bytes) -> Any:
-        """Decode a message, and count its bytes."""
-        self._size = len(data)
+        """Decode a message that is being sent, and note its size, its type and the CPU time for decoding."""
+        self._message_size = len(data)
         if self._read[0] is data:
             return self._read[1]
         began = time.thread_time()
         message = super().read(data)
-        self._kind = tag_of(message)
-        self._read_s = time.thread_time() - began
-        self._unread_s = self._read_s  # it was not the sender that spent this
+        self._message_type = tag_of(message)
+        self._decode_s = time.thread_time() - began
+        self._sender_decode_s = self._decode_s  # to be counted for the receiver instead of the sender
         return message
 
     def delay(self, one: Process, other: Process) -> float:
-        """Of a link, one way; called once for each message, so that it is counted here."""
+        """Return the one-way delay of a link; called once for each message, it also counts the message."""
         if one.zone == other.zone:
-            kind = ZONE
+            kind = WITHIN_ZONE
             delay = IN_ZONE_S
         elif region_of(one.zone) == region_of(other.zone):
-            kind = REGION
+            kind = BETWEEN_ZONES
             delay = BETWEEN_ZONES_S
         else:
-            kind = FAR
+            kind = BETWEEN_REGIONS
             delay = BETWEEN_REGIONS_S
-        size = self._size
-        self._size = 0
-        if size and isinstance(one, Metered) and isinstance(other, Metered):
-            one.use.cpu_s -= self._unread_s
-            other.use.cpu_s += self._read_s
-            self._unread_s = 0.0
-            one.use.out[kind] += size
-            one.use.messages_out += 1
-            other.use.into[kind] += size
-            other.use.messages_in += 1
-            other.use.kinds[self._kind] += 1
-            other.use.kind_bytes[self._kind] += size
+        size = self._message_size
+        self._message_size = 0
+        if size and isinstance(one, MeteredProcess) and isinstance(other, MeteredProcess):
+            one.usage.cpu_s -= self._sender_decode_s
+            other.usage.cpu_s += self._decode_s
+            self._sender_decode_s = 0.0
+            one.usage.bytes_out[kind] += size
+            one.usage.messages_out += 1
+            other.usage.bytes_in[kind] += size
+            other.usage.messages_in += 1
+            other.usage.messages_by_type[self._message_type] += 1
+            other.usage.bytes_by_type[self._message_type] += size
         return delay
 
-    # What is asked of it
+    # Operations
 
     def settle(self) -> None:
-        """All start, learn of each other and take their places in the tree.
+        """Run until all nodes have started, know each other and have their places in the tree.
 
-        In a model of this size nodes look at who is there each few seconds only; here they do so at once.
+        Nodes of large fleets update their members only every few seconds; here they do so immediately.
         """
-        self.run(KNOWN_S)
+        self.run(ANNOUNCEMENT_S)
         for node in self.live():
             node.update_members()
-        self.run(PLACED_S)
+        self.run(TREE_PLACEMENT_S)
 
     def decide(self, revision: int, text: bytes) -> float:
-        """A configuration is decided at the first controller, and told to the others; when."""
+        """Decide a configuration at the first controller and announce it to the others.
+
+        :returns: the virtual time of the decision
+        """
         first = self.controllers["k0"]
         for controller in self.controllers.values():
             delay = self.delay(first, controller) if controller is not first else 0.0
@@ -260,15 +271,15 @@
         return self.now
 
     def live(self) -> list[MeteredNode]:
-        """All nodes that run."""
+        """Return all running nodes."""
         return [node for node in self.nodes.values() if isinstance(node, MeteredNode) and node.alive]
 
     def reset(self) -> None:
-        """Count anew."""
+        """Reset the usage of all processes."""
         for process in (*self.live(), *self.controllers.values()):
-            assert isinstance(process, Metered)
-            process.use = Use()
+            assert isinstance(process, MeteredProcess)
+            process.usage = Usage()
 
     def members_known(self) -> list[int]:
-        """How many members each live node's streams list, all controllers taken together."""
+        """Return the number of members that each running node knows."""
         return [len(node.members) for node in self.live()]
--- a/orchidferry/testkit/capacity/rounds.py
+++ b/orchidferry/testkit/capacity/rounds.py
@@ -1,4 +1,4 @@
-"""Values of several rounds, and the figures that they make: a median with its interval."""
+"""Collects the values of several rounds, and summarizes them as figures: a median with its interval."""
 
 from __future__ import annotations
 
@@ -11,25 +11,29 @@
 
 
 class Rounds:
-    """What each round gave, by role, name and unit."""
+    """The values of all rounds, by role, name and unit."""
 
     def __init__(self) -> None:
         self._values: dict[Key, list[float]] = {}
-        self._once: set[Key] = set()
+        self._single: set[Key] = set()
 
     def add(self, role: str, name: str, unit: str, *values: float) -> None:
-        """One value of a round, or several of processes that do the same."""
+        """Add a value of a round, or the values of several processes of the same role."""
         self._values.setdefault((role, name, unit), []).extend(values)
 
-    def once(self, role: str, name: str, unit: str, *values: float) -> None:
-        """What was timed just once, of one process or of several."""
+    def add_single(self, role: str, name: str, unit: str, *values: float) -> None:
+        """Add a value that is measured just once, or such values of several processes."""
         self.add(role, name, unit, *values)
-        self._once.add((role, name, unit))
+        self._single.add((role, name, unit))
 
     def figures(self, axis: str, at: float, time: str = REAL, note: str = "") -> list[Figure]:
-        """Of all that was added, at one size."""
+        """Return a figure for each role, name and unit, all at one size.
+
+        :param axis: quantity that is varied
+        :param at: value of that quantity
+        """
         return [
-            summary(*key, axis, at, values, time, ONCE if key in self._once else note)
+            summary(*key, axis, at, values, time, ONCE if key in self._single else note)
             for key, values in self._values.items()
         ]
 
@@ -44,10 +48,10 @@
     time: str = REAL,
     note: str = "",
 ) -> Figure:
-    """The median of some values, between the least and the most of them.
+    """Return a figure with the median, the minimum and the maximum of some values.
 
     >>> summary("proxy", "x", "ms", "nodes", 12, [1.0, 3.0, 2.0]).low
     1.0
     """
-    some = sorted(values)
-    return Figure(role, name, unit, axis, at, statistics.median(some), time, note, some[0], some[-1])
+    ordered = sorted(values)
+    return Figure(role, name, unit, axis, at, statistics.median(ordered), time, note, ordered[0], ordered[-1])
--- a/orchidferry/testkit/capacity/run.py
+++ b/orchidferry/testkit/capacity/run.py
@@ -1,4 +1,4 @@
-"""Runs a plan: fleets in virtual time beside the real processes, then calls; prints what was found."""
+"""Runs a plan and prints its figures; simulations in virtual time run in parallel to real processes."""
 
 from __future__ import annotations
 
@@ -16,24 +16,30 @@
 import uvloop
 
 from orchidferry.testkit.capacity import calls, claims, processes
-from orchidferry.testkit.capacity.figures import BY_SERVICES, Figure, packed, plot, slopes, table
+from orchidferry.testkit.capacity.figures import BY_SERVICES, Figure, plot, slopes, table, to_json
 from orchidferry.testkit.capacity.plan import Plan, services_of
 from orchidferry.testkit.mesh.processes import ROOT
 from orchidferry.testkit.stop_signals import StoppedBySignalError, until_stopped
 from orchidferry.testkit.world.nodes import in_child
 
 MAX_LINE = 2**20
-SHARE_OF_ROUND = 0.6  # of the seconds of a round, for calls and for claims: many loads are asked by turns
-DESCRIPTORS = 256  # of a process in virtual time, which opens none
+SHARE_OF_ROUND = 0.6  # duration of a load of calls or claims, as a share of a round: many loads take turns
+DESCRIPTORS = 256  # file descriptor limit of a simulation process, which opens none of its own
 
 
-async def virtual(module: str, *words: str) -> list[Figure]:
-    """Figures that a module prints, one a line; its process is gone when this ends."""
+async def run_simulation(module: str, *arguments: str) -> list[Figure]:
+    """Run a simulation in a process of its own, which has ended when this returns.
+
+    :param module: name of the module in this package
+    :param arguments: arguments of the module
+    :returns: the figures that it prints, one per line
+    :raises ValueError: if it fails
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         f"orchidferry.testkit.capacity.{module}",
-        *words,
+        *arguments,
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -43,114 +49,119 @@
         preexec_fn=partial(in_child, DESCRIPTORS),
     )
     try:
-        out, problem = await process.communicate()
+        out, error = await process.communicate()
         if process.returncode:
-            last = problem.decode("utf-8", "replace").strip().splitlines()[-1:]
-            raise ValueError(f"{module} {' '.join(words)}: {' '.join(last)}")
+            last = error.decode("utf-8", "replace").strip().splitlines()[-1:]
+            raise ValueError(f"{module} {' '.join(arguments)}: {' '.join(last)}")
         return [Figure(**json.loads(line)) for line in out.splitlines()]
     finally:
         if process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                os.killpg(process.pid, signal.SIGKILL)  # with those that it has forked
+                os.killpg(process.pid, signal.SIGKILL)  # including the processes that it has forked
             await process.wait()
 
 
-async def fleets(plan: Plan) -> list[Figure]:
-    """Each size in virtual time, one after the other."""
-    found: list[Figure] = []
+async def simulate_fleets(plan: Plan) -> list[Figure]:
+    """Simulate fleets of all sizes, one after the other."""
+    figures: list[Figure] = []
     for nodes in plan.nodes:
-        found += await virtual("fleets", str(nodes), str(services_of(nodes)))
-        _say(f"fleet of {nodes} in virtual time")
-    return found
+        figures += await run_simulation("fleets", str(nodes), str(services_of(nodes)))
+        _print_progress(f"fleet of {nodes} in virtual time")
+    return figures
 
 
-async def real(plan: Plan) -> list[Figure]:
-    """Each size with real controllers and proxies, then the number of services at one size."""
-    found: list[Figure] = []
+async def measure_processes(plan: Plan) -> list[Figure]:
+    """Measure real processes at all sizes, then at all numbers of services at one size."""
+    figures: list[Figure] = []
     for nodes in plan.nodes:
-        of_size = await processes.by_nodes(nodes, plan.seconds)
-        found += of_size
-        if nodes == plan.wide:
-            found += [replace(one, axis=BY_SERVICES, at=services_of(nodes)) for one in of_size]
-        _say(f"{nodes} nodes round real processes")
+        size_figures = await processes.by_nodes(nodes, plan.seconds)
+        figures += size_figures
+        if nodes == plan.main_size:
+            figures += [replace(one, axis=BY_SERVICES, at=services_of(nodes)) for one in size_figures]
+        _print_progress(f"{nodes} nodes with real processes")
     for services in plan.services:
-        found += await processes.by_services(plan.wide, services, plan.seconds)
-        _say(f"{services} services at {plan.wide} nodes round real processes")
-    return found
+        figures += await processes.by_services(plan.main_size, services, plan.seconds)
+        _print_progress(f"{services} services at {plan.main_size} nodes with real processes")
+    return figures
 
 
-async def in_virtual_time(plan: Plan) -> list[Figure]:
-    """Special hours, and beside them fleets of all sizes."""
+async def run_simulations(plan: Plan) -> list[Figure]:
+    """Simulate failure scenarios and, in parallel, fleets of all sizes."""
     async with asyncio.TaskGroup() as group:
-        wide = [group.create_task(hours(plan))] if "hours" in plan.parts else []
-        sizes = [group.create_task(fleets(plan))] if "fleets" in plan.parts else []
-    return [figure for task in (*sizes, *wide) for figure in task.result()]
+        hour_tasks = [group.create_task(simulate_hours(plan))] if "hours" in plan.parts else []
+        fleet_tasks = [group.create_task(simulate_fleets(plan))] if "fleets" in plan.parts else []
+    return [figure for task in (*fleet_tasks, *hour_tasks) for figure in task.result()]
 
 
-async def hours(plan: Plan) -> list[Figure]:
-    """Special hours at the size nearest to the target's."""
-    found = await virtual("hours", str(plan.wide))
-    _say(f"hours of {plan.wide} nodes in virtual time")
-    return found
+async def simulate_hours(plan: Plan) -> list[Figure]:
+    """Simulate the failure scenarios at the main size."""
+    figures = await run_simulation("hours", str(plan.main_size))
+    _print_progress(f"hours of {plan.main_size} nodes in virtual time")
+    return figures
 
 
-async def with_processes(plan: Plan) -> list[Figure]:
-    """What is measured on real processes, one part after the other."""
-    found: list[Figure] = []
+async def run_real_parts(plan: Plan) -> list[Figure]:
+    """Run the parts that use real processes, one after the other."""
+    figures: list[Figure] = []
     if "processes" in plan.parts:
-        found += await real(plan)
+        figures += await measure_processes(plan)
     if "calls" in plan.parts:
-        found += await calls.measure(plan.calls, SHARE_OF_ROUND * plan.seconds)
-        _say("calls")
+        figures += await calls.measure(plan.calls, SHARE_OF_ROUND * plan.seconds)
+        _print_progress("calls")
     if "claims" in plan.parts:
-        found += await claims.measure(SHARE_OF_ROUND * plan.seconds)
-        _say("claims")
-    return found
+        figures += await claims.measure(SHARE_OF_ROUND * plan.seconds)
+        _print_progress("claims")
+    return figures
 
 
 async def measure(plan: Plan) -> list[Figure]:
-    """All parts of a plan."""
+    """Run all parts of a plan."""
     async with asyncio.TaskGroup() as group:
-        parts = [group.create_task(part(plan)) for part in (in_virtual_time, with_processes)]
+        parts = [group.create_task(part(plan)) for part in (run_simulations, run_real_parts)]
     return [figure for part in parts for figure in part.result()]
 
 
 def main(plan: Plan, json_file: str | None, plot_file: str | None) -> int:
-    """Measure, print, write; the exit status."""
+    """Run a plan, print its figures and write them to files.
+
+    :param json_file: JSON file to write; None for none
+    :param plot_file: image file to write; None for none
+    :returns: the exit status
+    """
     began = time.monotonic()
-    _say(f"{os.cpu_count()} cores, load {os.getloadavg()[0]:.1f}")
+    _print_progress(f"{os.cpu_count()} cores, load {os.getloadavg()[0]:.1f}")
     try:
         figures = uvloop.run(until_stopped(measure(plan)))
     except StoppedBySignalError:
         return 130
-    except (ValueError, OSError, ExceptionGroup) as problem:
-        print(f"orchidferry capacity: {_first(problem)}", file=sys.stderr)
+    except (ValueError, OSError, ExceptionGroup) as error:
+        print(f"orchidferry capacity: {_first_cause(error)}", file=sys.stderr)
         return 1
     lines = slopes(figures)
     print(table(figures))
     for one in lines:
-        print(one.told())
+        print(one.table_line())
     if json_file:
-        about = {
+        run_data = {
             "seconds": round(time.monotonic() - began, 1),
             "load": os.getloadavg(),
             "cores": os.cpu_count(),
         }
-        Path(json_file).write_text(json.dumps(about | packed(figures, lines), indent=1))
+        Path(json_file).write_text(json.dumps(run_data | to_json(figures, lines), indent=1))
     if plot_file:
         plot(figures, plot_file)
-    _say(f"done in {time.monotonic() - began:.0f} s, load {os.getloadavg()[0]:.1f}")
+    _print_progress(f"done in {time.monotonic() - began:.0f} s, load {os.getloadavg()[0]:.1f}")
     return 0
 
 
-def _first(problem: BaseException) -> BaseException:
-    """What a task of a group failed with; a fault of the program itself is raised again."""
-    while isinstance(problem, BaseExceptionGroup):
-        problem = problem.exceptions[0]
-    if not isinstance(problem, ValueError | OSError):
-        raise problem
-    return problem
+def _first_cause(error: BaseException) -> BaseException:
+    """Return the first exception of a group; raise it again if it is a programming error."""
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    if not isinstance(error, ValueError | OSError):
+        raise error
+    return error
 
 
-def _say(what: str) -> None:
-    print(f"capacity: {what}", file=sys.stderr, flush=True)
+def _print_progress(text: str) -> None:
+    print(f"capacity: {text}", file=sys.stderr, flush=True)
--- a/tests/testkit/test_capacity.py
+++ b/tests/testkit/test_capacity.py
@@ -16,10 +16,10 @@
 from hypothesis import strategies as st
 
 from orchidferry.testkit.capacity import fleets, hours, processes
-from orchidferry.testkit.capacity.compare import compared
+from orchidferry.testkit.capacity.compare import compare_runs
 from orchidferry.testkit.capacity.figures import Figure, slopes, table
-from orchidferry.testkit.capacity.fit import line
-from orchidferry.testkit.capacity.plan import PlanError, read_plan
+from orchidferry.testkit.capacity.fit import fit_line
+from orchidferry.testkit.capacity.plan import PlanError, parse_plan
 
 COMMAND = (sys.executable, "-m", "orchidferry.testkit.cli", "capacity")
 
@@ -30,14 +30,14 @@
     st.sets(st.integers(1, 2_000), min_size=3, max_size=8),
 )
 def test_a_line_through_points_of_a_line_is_that_line(slope: float, constant: float, xs: set[int]) -> None:
-    fit = line([(x, constant + slope * x) for x in xs])
+    fit = fit_line([(x, constant + slope * x) for x in xs])
     assert fit.slope == pytest.approx(slope, abs=1e-6)
     assert fit.at(740.0)[0] == pytest.approx(constant + slope * 740.0, abs=1e-3)
     assert fit.half_width == pytest.approx(0.0, abs=1e-6)
 
 
 def test_points_off_the_line_widen_the_interval_most_far_from_them() -> None:
-    fit = line([(10, 1.0), (20, 2.3), (30, 2.9), (40, 4.2)])
+    fit = fit_line([(10, 1.0), (20, 2.3), (30, 2.9), (40, 4.2)])
     near = fit.at(25.0)
     far = fit.at(740.0)
     assert abs(fit.slope - 0.1) < fit.half_width
@@ -62,7 +62,7 @@
 
 def test_a_fleet_over_the_memory_bound_is_refused() -> None:
     with pytest.raises(PlanError, match="GB"):
-        read_plan("5000", "2", "50", None, 1.0)
+        parse_plan("5000", "2", "50", None, 1.0)
 
 
 def test_a_small_fleet_in_virtual_time_gives_every_role_its_figures() -> None:
@@ -77,7 +77,7 @@
 
 
 def test_hours_of_a_small_fleet_end_with_everybody_knowing_everybody() -> None:
-    figures = list(hours.measure(24, apart_s=20.0))
+    figures = list(hours.measure(24, partition_s=20.0))
     assert {one.note for one in figures if one.name.endswith("nodes that do not know all")} == {"24 nodes"}
     assert all(one.value == 0.0 for one in figures if one.name.endswith("nodes that do not know all"))
 
@@ -103,9 +103,9 @@
 
     first = run((10.0, 9.9, 10.1), (10.0, 5.0, 12.0), (1.0, -1.0, 2.0), (10.0, 9.9, 10.1))
     second = run((11.0, 10.9, 11.1), (14.0, 11.0, 19.0), (1.0, -1.0, 2.0), (13.0, 12.9, 13.1))
-    found = compared(first, second)
-    assert (found.claimed, found.intervals, found.unknown, found.lacking) == (2, 1, 1, 0)
-    assert len(found.apart) == 1 and "x3" in found.apart[0]
+    found = compare_runs(first, second)
+    assert (found.precise, found.intervals, found.inconclusive, found.unmatched) == (2, 1, 1, 0)
+    assert len(found.disagreements) == 1 and "x3" in found.disagreements[0]
 
 
 def test_a_small_fleet_of_real_processes_gives_figures_and_ends_them() -> None:
