--- a/orchidferry/testkit/capacity/processes.py
+++ b/orchidferry/testkit/capacity/processes.py
@@ -26,10 +26,10 @@
 SYNC_MS = 1.0  # delay added to each commit of a controller
 SETTLE_S = 2.0
 ROUNDS = 5
-# Records are changed for this share of a round's time; the measurement of leases alone, which has to cover
-# the servers' heartbeats, takes all of it.
-CHANGES_SHARE = 0.5
+# Rate of record changes, and the share of a round's time for which they go on. The measurement of leases
+# alone, which has to cover the heartbeats of the servers, takes all of that time.
 CHANGES_PER_S = 40
+CHANGES_SHARE = 0.5
 CONFIGURATIONS = 2  # changes per round
 APPLY_WAIT_S = 0.2  # wait after a configuration has arrived, for the work that it causes
 CONFIGURATION_TIMEOUT_S = 5.0
--- a/orchidferry/testkit/model/fanout_world.py
+++ b/orchidferry/testkit/model/fanout_world.py
@@ -40,6 +40,15 @@
         checks_members_rarely: bool = False,
         controllers: int = 3,
     ) -> None:
+        """Create a `World`.
+
+        :param seed: seed of the random choices
+        :param zones: number of zones, over which controllers are spread evenly
+        :param heads: number of nodes of each zone that subscribe to a controller directly
+        :param checks_members_rarely: whether nodes update their members at intervals, as in a large fleet,
+            instead of at each change
+        :param controllers: number of controllers
+        """
         self.rng = random.Random(seed)
         self.now = 100.0
         self.heads = heads
--- a/orchidferry/testkit/model/publishing_controller.py
+++ b/orchidferry/testkit/model/publishing_controller.py
@@ -47,7 +47,7 @@
         """Take over a configuration that was decided, and announce it to the subscribers.
 
         :param revision: revision of the configuration
-        :param text: compressed text of the configuration
+        :param text: text of the configuration, as sent to nodes
         """
         self.revision = revision
         self.text = text
