--- a/orchidferry/testkit/bench/mesh_news.py
+++ b/orchidferry/testkit/bench/mesh_news.py
@@ -14,7 +14,7 @@
 from orchidferry.mesh.control.fanout_tree import HEADS
 from orchidferry.mesh.control.traffic_counter import TrafficCounter
 from orchidferry.testkit.judge.quantiles import quantile
-from orchidferry.testkit.model.fanout_world import BETWEEN_S, World
+from orchidferry.testkit.model.fanout_world import BETWEEN_ZONES_S, World
 from orchidferry.testkit.model.subscribing_node import HEADS_WITHOUT_TREE, Node
 
 SETTLE_S = 30.0  # after the nodes start, until the measurement begins
@@ -71,7 +71,7 @@
     raw = rng.randbytes(TEXT_BYTES)
     for name, controller in world.controllers.items():  # k0 decides, and the others learn of it after a hop
         world.at(
-            world.now + (BETWEEN_S if name != "k0" else 0.0),
+            world.now + (BETWEEN_ZONES_S if name != "k0" else 0.0),
             partial(controller.configuration_decided, 1, raw),
         )
     text = [_sent_bytes(world, "text", near) for near in (True, False)]
