--- a/tests/node/test_platform.py
+++ b/tests/node/test_platform.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import sys
@@ -71,6 +72,16 @@
     return Path(f"/proc/{pid}/{what}")
 
 
+def open_files(pid: int) -> set[str]:
+    """Return the names of all open descriptors of a process; it may close some while they are listed."""
+    names = set()
+    for descriptor in proc(pid, "fd").iterdir():
+        with contextlib.suppress(FileNotFoundError):
+            names.add(os.readlink(descriptor))
+    assert names
+    return names
+
+
 async def started(folder: Path, scene: World) -> asyncio.subprocess.Process:
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     process = await asyncio.create_subprocess_exec(
@@ -104,7 +115,7 @@
                 assert command[0].endswith(b"python"), "the shell is still running: no exec"
                 tasks = list(proc(pid, "task").iterdir())
                 assert all(not (task / "children").read_text() for task in tasks)
-                opened = {os.readlink(fd) for fd in proc(pid, "fd").iterdir()}
+                opened = open_files(pid)
                 # libuv tries to use io_uring when it starts, and works without it if that is refused.
                 assert not any("io_uring" in name for name in opened)
                 maps = proc(pid, "maps").read_text()
