--- a/orchidferry/balancing/admission.py
+++ b/orchidferry/balancing/admission.py
@@ -18,7 +18,7 @@
 
 # Longest time in the queue, as a share of the call's latency target: in the first tier, and in deeper ones
 MAX_QUEUED_SHARES = (0.08, 0.5)
-QUOTA_BURST_MS = 1_000.0  # length of time whose quota a tenant may use in a single burst
+QUOTA_BURST_MS = 1_000.0  # a tenant may use the quota of this time in a single burst
 RESERVED_SHARE = 0.15  # share of the window that is reserved for the calls of most value
 
 
@@ -48,8 +48,8 @@
         self._outstanding = outstanding
         self.statistics = ClassStatistics(settings.classes, BASELINE_SAMPLES)
         self._names = [cls.name for cls in settings.classes]
-        self._queues: dict[tuple[str, bool, float], deque[Call]] = {}  # by class, over quota, weight
-        self._max_weight = 1.0  # largest weight of recent calls
+        self._queues: dict[tuple[str, bool, float], deque[Call]] = {}  # queues by class, over quota, weight
+        self._max_weight = 1.0  # the largest weight of recent calls
         # By tenant: this node's fraction of the quota, in calls per ms, and its token bucket
         self.quotas: dict[str | None, tuple[float, TokenBucket]] = {}
         self._set_quotas()
@@ -104,9 +104,8 @@
         window = self._controller.window(self._server_set.slice_size, now)
         if self._never_sheds or outstanding.inflight < (1.0 - RESERVED_SHARE) * window:
             return False
-        # Lost calls do not count: in sulcast-porto-alegre, silent+leave+brisk, seed 12, two of a window of 8
-        # were on dead connections. This admits a few too many where one class has much longer calls than the
-        # others.
+        # Lost calls do not count: calls on dead connections would take up the window, in one run two of
+        # its 8 places. This admits a few too many where one class has much longer calls than the others.
         alive = outstanding.inflight - outstanding.lost_count
         best = self._max_weight * max(self._value(name, False) for name in self._names)
         full = alive >= (1.0 - RESERVED_SHARE) * window
@@ -128,7 +127,7 @@
         return wait_ms
 
     def queues(self) -> list[deque[Call]]:
-        """The queues, most valuable calls first; they may still hold calls that no longer wait."""
+        """The queues, most valuable calls first; they may still contain calls that no longer wait."""
         values = {key: self._value(*key) for key, queue in self._queues.items() if queue}
         return [self._queues[key] for key in sorted(values, key=values.__getitem__, reverse=True)]
 
--- a/orchidferry/balancing/calls.py
+++ b/orchidferry/balancing/calls.py
@@ -24,7 +24,7 @@
     def __init__(self, classes: Iterable[str], outliers: OutlierDetector) -> None:
         self._outliers = outliers
         self.inflight = 0  # number of outstanding attempts
-        self.lost_count = 0  # number of lost ones at managed servers, updated incrementally
+        self.lost_count = 0  # number of lost attempts at managed servers, updated incrementally
         # By class and in order of sends, as (sent_ms, id, server): attempts on time, and overdue ones.
         self._on_time: dict[str, deque[tuple[float, str, Server]]] = {}
         self._overdue: dict[str, deque[tuple[float, str, Server]]] = {}
@@ -38,7 +38,7 @@
             self._overdue.setdefault(name, deque())
 
     def begin(self, call: Call, server: Server, now: float) -> None:
-        """Record an attempt whose request has been sent completely; it uses capacity from now on."""
+        """Record an attempt with a completely sent request; it uses capacity from now on."""
         self.inflight += 1
         server.outstanding[call.id] = now, call.cls.aim_ms
         self._on_time[call.cls.name].append((now, call.id, server))
--- a/orchidferry/balancing/chain.py
+++ b/orchidferry/balancing/chain.py
@@ -30,7 +30,7 @@
 from orchidferry.balancing.interface import Carried, Result
 from orchidferry.balancing.token_bucket import TokenBucket
 
-MAX_HOPS = 16  # of a path: no chain has as many tiers, so a longer path is a loop
+MAX_HOPS = 16  # nodes on a path: no chain has as many tiers, so a longer path is a loop
 MAX_EXTRA = 8  # retries (attempts beyond the first) that a request may carry
 MAX_WORTH = 1e6
 MAX_WEIGHT = 10  # the exponent of the greatest weight: 2 ** 10, about a thousand
@@ -41,11 +41,11 @@
 INITIAL_PROBES = 1.0  # concurrent calls through a gate that has just closed
 PROBE_INTERVAL_MS = (100.0, 300.0)  # wait after a bad probe: the first and the longest; doubled in between
 INFLIGHT_SAMPLES = 64.0  # calls over which duration and outstanding calls are averaged
-STUCK_FACTOR = 2.0  # times the mean duration without any success: the tier below is taken to be stuck
+STUCK_FACTOR = 2.0  # multiple of the mean duration: with no success for as long, the tier below is stuck
 MAX_CLOSED_MS = 30_000.0  # a closed gate that has sent nothing for this time lets one call through
-QUICKEST_SHARE = 0.8  # of the quickest recent response: a request with less time left is rejected
+QUICKEST_SHARE = 0.8  # share of the quickest recent duration; with less time left a request is rejected
 QUICKEST_GROWTH = 1.02  # factor by which the quickest recent duration grows with each response
-RESERVE_MS = 1.0  # of the time left, reserved for the way back; a constant, because it is not measured yet
+RESERVE_MS = 1.0  # part of the time left for the answer's way back; constant, as that time is not measured
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     first: bool  # whether clients connect to this tier: limits that they send are ignored
     extra: int = 1  # retries of a request that carries no limit
     share: float = 0.1  # retries allowed as a share of first attempts, over `BUDGET_SPAN_MS`
-    floor_per_s: float = 2.0  # further retries a second that the whole tier may make
+    floor_per_s: float = 2.0  # further retries per second that all nodes of the tier may make
     nodes: int = 1  # nodes of the tier, which share this floor
     shed: bool = False  # deeper tiers too shed the requests of least value when overloaded
 
@@ -148,7 +148,7 @@
         self._probe_interval_ms = PROBE_INTERVAL_MS[0]
         self._last_success_ms = 0.0
         self._opened_ms = 0.0
-        self._mean_duration_ms = 0.0  # of calls that were served
+        self._mean_duration_ms = 0.0  # mean duration of calls that were served
         self._mean_inflight = 0.0  # outstanding calls at the time of a good outcome, while the gate was open
         self.inflight = 0  # outstanding calls
         self.limit = math.inf  # greatest number of outstanding calls; infinite while the gate is open
--- a/orchidferry/balancing/configuration.py
+++ b/orchidferry/balancing/configuration.py
@@ -11,7 +11,7 @@
 
 
 class Part(Enum):
-    """A part of the configuration with a version of its own, like a resource type of xDS."""
+    """A part of the configuration with a separate version, like a resource type of xDS."""
 
     MEMBERS = "members"  # the pools of servers (EDS)
     SETTINGS = "settings"  # the node's own settings, and the name of the pool that it sends to
--- a/orchidferry/balancing/delay.py
+++ b/orchidferry/balancing/delay.py
@@ -1,7 +1,7 @@
 """The PI delay controller, which limits outstanding calls, first attempts and retries.
 
 RTDC (Hong, Huang and Yan, "Applying control theoretic approach to mitigate SIP overload", section V.B): a PI
-controller C(s) = KP + KI / s holds the round-trip delay at a target by limiting the rate of retransmissions.
+controller C(s) = KP + KI / s keeps the round-trip delay at a target by limiting the rate of retransmissions.
 tau0 is the target delay, tau2 the measured one, e = tau0 - tau2 the error, nu1 the rate of answers, r2' the
 allowed rate of retransmissions, phi_m the phase margin. docs/design.md gives the changes and their reasons.
 """
@@ -51,7 +51,7 @@
         :param served: whether the call was answered; if not, its delay counts but the answer rate does not
         """
         # The time step is not taken from `answers`, whose clock `window` advances as well: the integral then
-        # got only the time since the last window (issue i45f18d).
+        # got only the time since the last window.
         time_decay = math.exp(min(0.0, self._last_ms - now) / WINDOW_MS)
         passed_s = max(0.0, min(now - self._last_ms, WINDOW_MS)) / 1000.0
         self._last_ms = now
@@ -89,11 +89,11 @@
 
         :param servers: the number of servers, possibly fractional, that one slice of the service amounts to
         """
-        # Without a limit in the first second a whole tier was overloaded at 2 s (sulcast-later, overload).
+        # Without a limit in the first second a tier was overloaded after 2 s.
         if self.answers.span_s < 1.0:
             return INITIAL_PER_SERVER * servers + self.answers.events
         self.answers.add(0.0, now)  # advances its clock
-        # Issue i35d8eb: without the added calls, a normal delay above WINDOW_SHARE of the target makes each
+        # Without the added calls, a normal delay above WINDOW_SHARE of the target makes each
         # window smaller than the last.
         rate = self.answers.per_s()
         window = ADDED_PER_SERVER * servers + rate * WINDOW_SHARE * self._target_sum_s / self._sample_sum
--- a/orchidferry/balancing/fleet/gossip_queue.py
+++ b/orchidferry/balancing/fleet/gossip_queue.py
@@ -8,7 +8,7 @@
 from orchidferry.balancing.fleet.members import Entry, size_of
 
 MAX_QUEUED = 512  # updates; any that are dropped beyond this are spread by exchanges of complete states
-RETRANSMIT_FACTOR = 4  # times the logarithm of the fleet's size, as in memberlist
+RETRANSMIT_FACTOR = 4  # factor on the logarithm of the fleet's size, as in memberlist
 MIN_ENTRY_BYTES = 64  # smallest size assumed for an update, which bounds the number that fit into a message
 
 
@@ -18,7 +18,7 @@
 
 
 class GossipQueue:
-    """Holds at most one update for each node; a newer update replaces an older one."""
+    """Keeps at most one update for each node; a newer update replaces an older one."""
 
     def __init__(self) -> None:
         self._queued: dict[str, tuple[int, int, Entry]] = {}  # transmissions so far, serial, update
--- a/orchidferry/balancing/fleet/members.py
+++ b/orchidferry/balancing/fleet/members.py
@@ -18,7 +18,7 @@
 MAX_HOST = 45
 MAX_UNKNOWN_FIELDS = 128
 # A node raises its incarnation only when it refutes a claim, changes its phase or starts. An update that
-# jumps further is therefore false. The maximum leaves room for one incarnation a second for a century.
+# jumps further is therefore false. The maximum leaves room for one incarnation per second for a century.
 MAX_INCARNATION = 2**32
 MAX_JUMP = 2**16
 MAX_LIFE = 2**64 - 1
--- a/orchidferry/balancing/fleet/membership.py
+++ b/orchidferry/balancing/fleet/membership.py
@@ -40,7 +40,7 @@
 SYNC_SCALED_FROM = 32  # nodes beyond which complete states are exchanged less often
 LEAVE_FANOUT = 8  # nodes to which each leave announcement is sent
 LEAVE_ROUNDS = 3  # leave announcements
-LEAVE_INTERVAL_MS = 60.0  # between two leave announcements
+LEAVE_INTERVAL_MS = 60.0  # time between two leave announcements
 MAX_SAVED_PEERS = 64
 
 
--- a/orchidferry/balancing/fleet/messages.py
+++ b/orchidferry/balancing/fleet/messages.py
@@ -40,7 +40,7 @@
     kind: Kind
     sender: Entry
     to_life: int  # `life` of the receiving process; 0 if the sender knows only an address
-    serial: int  # number of the message among all of the sending process, by which duplicates are detected
+    serial: int  # sequence number within the sending process, by which duplicates are detected
     number: int = 0  # number of the probe
     target: Entry | None = None  # the node to probe, in a PING_REQUEST
     updates: tuple[Entry, ...] = ()
--- a/orchidferry/balancing/fleet/prober.py
+++ b/orchidferry/balancing/fleet/prober.py
@@ -14,7 +14,7 @@
 from orchidferry.balancing.fleet.timers import TimerKind, Timers
 
 MAX_SCORE = 8  # Lifeguard's S: a node in bad health probes up to nine times as slowly
-NACK_SHARE = 0.8  # of the probe timeout, after which a node that probes for another sends a NACK
+NACK_SHARE = 0.8  # share of the probe timeout after which a node that probes for another sends a NACK
 MAX_RELAYS = 256  # pending probes for other nodes
 MAX_UNPROVEN = 512  # members known only by hearsay that are pinged to prove that they exist
 PROVE_AT_ONCE = 4  # unproven members that are pinged with each probe
@@ -36,7 +36,7 @@
     """A pending probe for another node."""
 
     asker: Entry  # the node that asked for the probe
-    number: int  # of the asker's own probe
+    number: int  # number of the asker's own probe
     name: str  # of the probed member
 
 
--- a/orchidferry/balancing/fleet/reconnector.py
+++ b/orchidferry/balancing/fleet/reconnector.py
@@ -10,7 +10,7 @@
 from orchidferry.balancing.fleet.suspicion import Timing
 from orchidferry.balancing.fleet.timers import TimerKind, Timers
 
-JOIN_INTERVAL_MS = 300.0  # between attempts to reach the seeds, until one answers
+JOIN_INTERVAL_MS = 300.0  # time between attempts to reach the seeds, until one answers
 JOIN_FANOUT = 3  # seeds that are pinged in one such attempt
 
 
--- a/orchidferry/balancing/fleet/suspicion.py
+++ b/orchidferry/balancing/fleet/suspicion.py
@@ -10,12 +10,12 @@
 class Timing:
     """Parameters of the protocol; the defaults are those of memberlist for a local network."""
 
-    interval_ms: float = 1_000.0  # between two probes by one node
+    interval_ms: float = 1_000.0  # time between two probes by one node
     timeout_ms: float = 400.0  # wait for the answer to a probe before other nodes are asked to probe
-    gossip_ms: float = 200.0  # between two rounds of gossip, while there are updates
-    sync_ms: float = 15_000.0  # between two exchanges of complete states; longer in fleets of over 32 nodes
-    reach_ms: float = 1_000.0  # between two attempts to reach a lost node
-    forget_ms: float = 86_400_000.0  # from the loss of a member until its entry is removed
+    gossip_ms: float = 200.0  # time between two rounds of gossip, while there are updates
+    sync_ms: float = 15_000.0  # time between exchanges of complete states; longer in fleets of over 32 nodes
+    reach_ms: float = 1_000.0  # time between two attempts to reach a lost node
+    forget_ms: float = 86_400_000.0  # time from the loss of a member until its entry is removed
     indirect: int = 3  # nodes that are asked to probe a member that did not answer
     fanout: int = 3  # nodes that receive a round of gossip
     min_factor: float = 4.0  # shortest time to refute, in intervals, times log10 of the fleet's size
--- a/orchidferry/balancing/fleet/suspicions.py
+++ b/orchidferry/balancing/fleet/suspicions.py
@@ -11,7 +11,7 @@
 
 
 class Suspicions:
-    """Holds one suspicion for each suspected member."""
+    """Keeps one suspicion for each suspected member."""
 
     def __init__(self, table: MemberTable, timers: Timers, timing: Timing) -> None:
         self._table = table
--- a/orchidferry/balancing/interface.py
+++ b/orchidferry/balancing/interface.py
@@ -332,7 +332,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel the latest attempt in flight whose number is at most `attempt`."""
+    """Cancel the latest attempt in flight with a number of at most `attempt`."""
 
     id: str
     attempt: int
--- a/orchidferry/balancing/logic.py
+++ b/orchidferry/balancing/logic.py
@@ -1,6 +1,6 @@
 """The decisions of the load balancer; settings, events and actions: orchidferry/balancing/interface.py.
 
-This module holds the check that every send passes, the retries, and the end of requests. The others: `delay`
+This module has the check that every send passes, the retries, and the end of requests. The others: `delay`
 limits outstanding calls, `server_set` selects this node's subset of the servers, `outlier_detection` judges
 their health, `calls` finds overdue calls, `slow_start` limits the load of warming servers, `picker` selects
 the next server, and `admission` queues or sheds calls. docs/design.md gives the reasons.
@@ -33,7 +33,7 @@
 TIMEOUT_SHARE = 0.95  # longest timeout of an attempt that may be retried, as a share of the time left
 WIDEN_AT_LOAD = 1.0  # mean outstanding calls per assigned server above which a node doubles its subset
 TIMEOUT_FACTOR = 8.0  # timeout of an attempt as a multiple of the baseline delay
-FIRST_TIMEOUT_FACTOR = 4.0  # the same for a first attempt whose retry can still be answered in time
+FIRST_TIMEOUT_FACTOR = 4.0  # the same for a first attempt that leaves time for a retry and its answer
 MIN_TIMEOUT_MS = 50.0  # shortest timeout of an attempt: where answers take 1 ms, a hiccup takes 10 ms
 FIRST_TIMEOUT_MAX_SHARE = 1.25  # "in time" for that retry's expected answer, as a share of the latency target
 LIST_TIMER_TOKEN = 1  # token of the timer that continues applying a long server list
@@ -75,7 +75,7 @@
         self._never_ran = NEVER_RAN - ({Result.REFUSED} if settings.full_may_have_run else set())
         self._calls: dict[str, Call] = {}
         self._uploads: set[str] = set()  # ids of calls whose request body is still being sent to a server
-        self._timers: dict[int, Call] = {}  # by token
+        self._timers: dict[int, Call] = {}  # waiting calls by the token of their timer
         self._token = LIST_TIMER_TOKEN  # token of the last timer set; 0 is the timer to resubscribe
         self._actions: list[api.Action] = []
 
@@ -224,7 +224,7 @@
         if busy and self.server_set.may_widen():
             self.server_set.widen()
             self._apply_list_step(now)
-        if call.idle_ms > self.outliers.max_idle_ms:  # calls are lost on dropped ones (rosario, fresh-big)
+        if call.idle_ms > self.outliers.max_idle_ms:  # calls are lost on dropped connections
             self._actions.append(api.CloseIdle(server.id))
             call.idle_ms = 0.0
         fresh = call.cls.repeat is Repeat.UNSAFE  # a call lost on a dead connection could not be repeated
@@ -253,7 +253,7 @@
         outliers = self.outliers
         if outliers.samples < SAMPLES:
             return min(left_ms, longest_ms)
-        # Issue i2750ee: calls to an unreachable zone that wait until their deadline fill the slots of the
+        # Calls to an unreachable zone that wait until their deadline fill the slots of the
         # tier above. The first attempt gets the short timeout only if a retry can be answered in time, as
         # the retry may find the window full.
         baseline = outliers.baseline_share
--- a/orchidferry/balancing/moves.py
+++ b/orchidferry/balancing/moves.py
@@ -37,7 +37,7 @@
 
     PLANNED = "planned"
     SHIFTING = "shifting"  # a step waits for evidence
-    PAUSED = "holding"  # by an operator, or because the old pool has no servers to compare with
+    PAUSED = "holding"  # paused by an operator, or because the old pool has no servers to compare with
     ROLLING_BACK = "undoing"  # the new pool gets no new requests, and completes those in flight
     DONE = "done"
     FAILED = "failed"  # the rollback is complete
--- a/orchidferry/balancing/nested.py
+++ b/orchidferry/balancing/nested.py
@@ -2,7 +2,7 @@
 
 If a request needs two nested calls and each is rejected with a probability of one half, half of the nested
 work is done for parent requests that fail anyway. So parent requests are shed before they start, by class:
-a PI controller holds the share of them that fail because of rejected nested calls at a target.
+a PI controller keeps the share of them that fail because of rejected nested calls at a target.
 """
 
 from __future__ import annotations
--- a/orchidferry/balancing/outlier_detection.py
+++ b/orchidferry/balancing/outlier_detection.py
@@ -63,8 +63,8 @@
     def health_factor(self, server: Server, now: float) -> float:
         """The factor on a server's weight: below 1 if it is slow, has an overdue call or reports a queue."""
         # The oldest outstanding call reveals a silent, hung or overloaded server long before a timeout. Calls
-        # that later ones have overtaken are skipped: their connection died, or they alone are long. In
-        # sulcast-porto-alegre, seed 3646, two dead connections kept two of four healthy servers idle for 6 s.
+        # that later ones have overtaken are skipped: their connection died, or they alone are long.
+        # Counting them made two dead connections keep two of four healthy servers idle for 6 s.
         # The drawback: a server that answers few calls and loses the rest is found only by their timeouts.
         slowness = self._slowness(server, now) if server.slowness > SLOW_FACTOR else SLOW_FACTOR
         baseline = self.baseline_share
--- a/orchidferry/balancing/picker.py
+++ b/orchidferry/balancing/picker.py
@@ -40,7 +40,7 @@
         self._outliers = outliers
         self._outstanding = outstanding
         self.schedule: Schedule[Server] = Schedule()
-        self.varying: dict[int, Server] = {}  # servers whose weight varies with time, next review first
+        self.varying: dict[int, Server] = {}  # servers with a weight that varies with time, next review first
         self._reviews = 0.0  # reviews that may be made now, a token count
         self._review_ms = 0.0  # time at which that count was updated
         self._checks: list[tuple[float, int, Server]] = []  # heap of (time, order, server to update then)
--- a/orchidferry/balancing/records.py
+++ b/orchidferry/balancing/records.py
@@ -1,4 +1,4 @@
-"""Records of calls and servers: state shared by the decision modules. Nothing is decided here.
+"""Records of calls and servers: state shared by the modules of the balancer. Nothing is decided here.
 
 Times are milliseconds of the node's monotonic clock.
 """
--- a/orchidferry/balancing/rollout.py
+++ b/orchidferry/balancing/rollout.py
@@ -41,7 +41,7 @@
 
 ACKNOWLEDGE_TIMEOUT_MS = 15_000.0  # applying takes milliseconds, reopening a stream up to 30 s
 UNAVAILABLE_TIMEOUT_MS = 15_000.0  # how long a node may be without a stream or not ready
-MAX_WATCH_FACTOR = 3.0  # times the time to watch: how long a wave waits for enough answers
+MAX_WATCH_FACTOR = 3.0  # longest wait of a wave for enough answers, as a multiple of the time to watch
 TICK_MS = 500.0
 
 
@@ -98,7 +98,7 @@
     not_ready_ms: float | None = None  # time since which it is not ready, or its metrics are not available
     latest: NodeMetrics | None = None
     baseline: NodeMetrics | None = None  # metrics at the start of the watch, or zero after a restart since
-    before_restart: list[int] = field(default_factory=lambda: [0, 0])  # failed and all, from before restarts
+    before_restart: list[int] = field(default_factory=lambda: [0, 0])  # failed and all, before restarts
 
 
 class Rollout:
--- a/orchidferry/balancing/server_set.py
+++ b/orchidferry/balancing/server_set.py
@@ -14,9 +14,9 @@
 
 SLICES = 4  # slices that a node normally uses: few servers, so that the node sees each of them often
 MAX_RETRY_CANDIDATES = 16  # size of the random sample of a large group from which a repeat's server is picked
-MAX_UNASSIGNED = 256  # unassigned servers whose records are kept, as calls were repeated there
+MAX_UNASSIGNED = 256  # records that are kept of unassigned servers, as calls were repeated there
 CHANGES_PER_STEP = 64  # changes of a long list that are applied to the slices per event
-ASSIGNMENTS_PER_STEP = 128  # servers whose assigned share is updated per event
+ASSIGNMENTS_PER_STEP = 128  # assigned shares that are updated per event
 MAX_NARROW = 1_000  # largest service for which a list change returns a node to its first SLICES slices
 REBUILD_SHARE = 0.125  # share of all members above which a change recomputes the slices, in steps
 MAX_SORTED = 20_000  # members that are sorted per event
--- a/orchidferry/balancing/subset.py
+++ b/orchidferry/balancing/subset.py
@@ -74,7 +74,7 @@
     def change(self, member: int, old_share: float | None, new_share: float | None) -> dict[int, float]:
         """Add a member (`old_share` None), remove it (`new_share` None) or change its share.
 
-        `shares` must hold the new share already.
+        `shares` must contain the new share already.
 
         :returns: the new portions in the slice, of members for which it changed
         """
@@ -246,13 +246,13 @@
     """
 
     def __init__(self, number: int, nodes: int) -> None:
-        # A node whose number is not below the number of nodes would get nothing.
+        # A node with a number not below the number of nodes would get nothing.
         self._number = number % nodes
         self._nodes = nodes
         self.shares: dict[int, float] = {}
         self.orders: list[Order] = []
         self.slices = 0
-        self.assigned_shares: dict[int, float] = {}  # by member, above 0
+        self.assigned_shares: dict[int, float] = {}  # assigned shares above 0, by member
 
     @property
     def complete(self) -> bool:
--- a/orchidferry/balancing/token_bucket.py
+++ b/orchidferry/balancing/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """A token bucket whose rate and capacity are passed to each call, as they may change."""
+    """A token bucket; its rate and capacity may change and are passed to each call."""
 
     __slots__ = ("_refilled_ms", "tokens")
 
--- a/orchidferry/node/attempt.py
+++ b/orchidferry/node/attempt.py
@@ -50,7 +50,7 @@
         :param message: the request.
         :param server: id of the server.
         :param address: address of the server.
-        :param timeout_ms: how long the attempt may take; the server is told this budget.
+        :param timeout_ms: how long the attempt may take; this budget is sent to the server.
         """
         self.message = message
         self.server = server
--- a/orchidferry/node/chain/headers.py
+++ b/orchidferry/node/chain/headers.py
@@ -21,7 +21,7 @@
 
 
 class ChainHeaders:
-    """Reads and writes the chain headers of one node, and holds its `Chain`."""
+    """Reads and writes the chain headers of one node, and owns its `Chain`."""
 
     def __init__(self, settings: ChainSettings, salt: int) -> None:
         """:param salt: distinguishes the ids of different nodes."""
--- a/orchidferry/node/chain/wire.py
+++ b/orchidferry/node/chain/wire.py
@@ -29,7 +29,7 @@
 MAX_HEADER_BYTES = 2_048  # bytes; a longer header is rejected
 TAG_SLACK_S = 30.0  # additional validity of a tag for clock skew and for calls that outlive their client
 MAX_TAG_VALIDITY_S = 3_600.0  # a tag that is valid for longer was not made by a node
-MAX_ROOTS = 20_000  # number of client requests whose calls are counted
+MAX_ROOTS = 20_000  # number of client requests for which calls are counted
 MAX_CALLS = 512  # maximum number of calls that one client request may cause at this node
 BAGGAGE = re.compile(
     rb"of-root=([A-Za-z0-9._-]{1,64}), of-extra=(\d{1,2}), of-worth=(\d{1,7}(?:\.\d{1,3})?), "
--- a/orchidferry/node/client_connection.py
+++ b/orchidferry/node/client_connection.py
@@ -63,7 +63,7 @@
     """A request that the node has accepted, as seen by its client's connection."""
 
     def client_disconnected(self) -> None:
-        """Called when the client has disconnected and nobody waits for the answer."""
+        """Called when the client has disconnected and no longer waits for the answer."""
 
 
 # Passes a request and a function that takes its answer to the node; raises `RequestError`
@@ -84,7 +84,7 @@
         self._parser = httptools.HttpRequestParser(self)
         self._queue: deque[Message | Reply] = deque()  # requests read and not passed to the node yet
         self._pending: RequestHandle | None = None  # the request that the node is serving
-        self._error_reply: Reply | None = None  # for malformed input; nothing is read after that
+        self._error_reply: Reply | None = None  # error reply for malformed input; nothing is read after that
         self._busy = False  # whether the node is serving a request, or its answer is being sent
         self._closing = False  # whether the connection closes after the last answer
         self._input_closed = False  # whether input is ignored from now on
@@ -100,7 +100,7 @@
         self._body_progress = 0  # bytes of a body since the time of its stage was restarted
         self._unsent_at_start = 0  # bytes not yet sent to the client when the time of its stage started
         self._opened_s = frontend.now_s()
-        self._end_reported = False  # whether the frontend was told of an end with something still owed
+        self._end_reported = False  # whether an end with something still owed was reported to the frontend
         self._start_message()
 
     def _start_message(self) -> None:
@@ -412,7 +412,7 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _start_request_flow(self) -> None:
-        """Pass on a request whose body is too long to buffer; the rest of the body is streamed."""
+        """Pass on a request with a body too long to buffer; the rest of the body is streamed."""
         length = self._headers.get(b"content-length")
         flow = Flow(
             self,
--- a/orchidferry/node/config.py
+++ b/orchidferry/node/config.py
@@ -29,15 +29,15 @@
 class Config:
     """The configuration that a node starts with."""
 
-    name: str  # of the node
-    listen: Address  # of the listener for clients
-    discovery: Address  # of the discovery service
-    seed: int  # of the random number generators
+    name: str  # id of the node
+    listen: Address  # address of the listener for clients
+    discovery: Address  # address of the discovery service
+    seed: int  # seed of the random number generators
     sockets: int  # maximum number of open sockets
     memory_mb: float  # memory that the node may use, in MB
     known_servers: ServerListing  # the most recent list of servers, used until discovery answers
-    settings: api.Settings  # of the balancer
-    admin: Address | None = None  # of the admin server; None: no admin server
+    settings: api.Settings  # settings of the balancer
+    admin: Address | None = None  # address of the admin server; None: no admin server
 
 
 def read_config(path: str) -> Config:
--- a/orchidferry/node/control/agent.py
+++ b/orchidferry/node/control/agent.py
@@ -66,7 +66,7 @@
         :param file: the configuration in the node's own file.
         :param node: callbacks of the node.
         :param rng: draws the jitter of the channel's backoff.
-        :param store: holds the last good configuration; None: it is not saved.
+        :param store: stores the last good configuration; None: it is not saved.
         :param applied: the configuration that the node has applied already; it takes precedence over the
             one in the store.
         :raises ConfigError: if a certificate can't be read.
--- a/orchidferry/node/control/channel.py
+++ b/orchidferry/node/control/channel.py
@@ -283,7 +283,7 @@
             ("grpc.keepalive_time_ms", KEEPALIVE_MS),
             ("grpc.keepalive_timeout_ms", KEEPALIVE_TIMEOUT_MS),
             ("grpc.keepalive_permit_without_calls", 1),
-            ("grpc.enable_retries", 0),  # this module has a backoff of its own
+            ("grpc.enable_retries", 0),  # this module does its own backoff
             ("grpc.use_local_subchannel_pool", 1),
         ]
         if self._credentials is not None:
--- a/orchidferry/node/control/helper.py
+++ b/orchidferry/node/control/helper.py
@@ -37,14 +37,14 @@
 EXIT_OK = 0
 EXIT_USAGE = 2
 
-NICE = 5  # a lower priority than the node's, so that requests come first if both share a core
-APPLY_TIMEOUT_S = 30.0  # for the node to confirm a change; after that, what the node has applied is unknown
+NICE = 5  # a lower priority than the node's, so that requests come first if both share a CPU core
+APPLY_TIMEOUT_S = 30.0  # time for the node to confirm a change; after that, its configuration is unknown
 STATUS_INTERVAL_S = 0.05  # status changes within this time are sent as one
-INITIAL_STATE_TIMEOUT_S = 10.0  # for the node to send its settings and what it has applied
+INITIAL_STATE_TIMEOUT_S = 10.0  # time for the node to send its settings and its applied configuration
 MAX_UNSENT = 64 * 1024  # bytes that may be buffered for the pipe before the sending of a change pauses
 
-LOCK_WAIT_S = 3.0  # for the helper of a node that was killed to unlock the state directory
-LOCK_RETRY_S = 0.05  # between attempts to lock the state directory
+LOCK_WAIT_S = 3.0  # time for the helper of a killed node to unlock the state directory
+LOCK_RETRY_S = 0.05  # interval between attempts to lock the state directory
 
 log = logging.getLogger("orchidferry")
 
@@ -65,7 +65,7 @@
         :param control: the settings of the control channel.
         :param file_settings: the node's settings in its own file.
         :param applied: the configuration that the node has applied; None: that of its own file.
-        :param store: holds the last good configuration; None: it is not saved.
+        :param store: stores the last good configuration; None: it is not saved.
         :param out: the pipe to the node.
         """
         self._out = out
@@ -121,7 +121,7 @@
 
 
 async def open_store(directory: Path | None, wait_s: float = LOCK_WAIT_S) -> Store | None:
-    """Open the state directory, which holds the last good configuration.
+    """Open the state directory, which contains the last good configuration.
 
     :param wait_s: how long to wait, in seconds, for a process that has locked the directory and may be
         about to end.
--- a/orchidferry/node/discovery.py
+++ b/orchidferry/node/discovery.py
@@ -17,13 +17,13 @@
 from orchidferry.node.incremental import run_cooperatively
 from orchidferry.node.server_listing import ServerListing, decode_listing, parse_listing, read_listing
 
-# How long discovery may hold a watch open. A lost network link is noticed only after that: in incident
-# r32b5e5 the first calls were lost, and with 20 s all nodes used the list that they had started with for a
-# whole release. Continuing a watch does not count as a new call, so a short watch costs discovery little.
+# How long discovery may hold a watch open. A lost network link is noticed only after that: when the
+# first calls were lost, with 20 s all nodes used the list that they had started with throughout a release.
+# Continuing a watch does not count as a new call, so a short watch costs discovery little.
 WATCH_MS = 2_500
 WATCH_GRACE_MS = 1_500  # additional time for the answer: the changes of a watch count as known 2 s after it
 CALL_TIMEOUT_MS = 5_000  # timeout of a call that discovery answers at once
-CONNECT_TIMEOUT_S = 1.0  # timeout for connecting; otherwise a lost link would use up a whole watch
+CONNECT_TIMEOUT_S = 1.0  # timeout for connecting; otherwise a lost link would use up the time of a watch
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024  # about 40,000 entries
 LONG_LIST_BYTES = 64 * 1024  # bytes; a longer list, of more than about 300 entries, is decoded in steps
 
--- a/orchidferry/node/fleet/shell.py
+++ b/orchidferry/node/fleet/shell.py
@@ -38,8 +38,8 @@
 from orchidferry.node.incremental import run_cooperatively
 from orchidferry.node.state_store import StateLockedError, StateStore
 
-# Reading a datagram takes about 40 microseconds, so that with these limits a flood uses a tenth of a core and
-# delays other work by 1 ms at most. A node in a fleet of 1,000 receives about 30 datagrams per second.
+# Reading a datagram takes about 40 microseconds, so that with these limits a flood uses a tenth of a CPU core
+# and delays other work by 1 ms at most. A node in a fleet of 1,000 receives about 30 datagrams per second.
 MAX_READS_PER_WAKEUP = 16  # datagrams read in one iteration of the event loop
 MAX_READS_PER_S = 2_500.0  # datagrams read per second
 READ_PAUSE_S = 0.02  # pause in reading once that rate is exceeded
@@ -49,13 +49,13 @@
 
 MAX_INCOMING_EXCHANGES = 8  # concurrent state exchanges started by peers
 MAX_OUTGOING_EXCHANGES = 4  # concurrent state exchanges started by this node
-EXCHANGE_TIMEOUT_S = 2.0  # for a whole state exchange
+EXCHANGE_TIMEOUT_S = 2.0  # time limit of a state exchange
 
 PHASE_CHECK_INTERVAL_S = 0.25  # how often the node's own phase is checked
 KEYS_CHECK_INTERVAL_S = 2.0  # how often the key file is checked for changes
 SAVE_DELAY_S = 1.0  # changes within this time are saved together
 LOG_INTERVAL_S = 60.0  # shortest interval between two log lines about the same kind of rejected message
-LEAVE_WAIT_S = 0.2  # for sending the announcement that this node leaves, which is sent three times
+LEAVE_WAIT_S = 0.2  # time for sending the announcement that this node leaves, which is sent three times
 LENGTH = struct.Struct(">I")  # length prefix of a frame on a TCP connection
 
 log = logging.getLogger("orchidferry")
@@ -96,7 +96,7 @@
         self._reading = False
         self._connections = 0  # state exchanges started by peers that are in progress
         self._tasks: set[asyncio.Task[None]] = set()  # state exchanges started by this node
-        self._timer: asyncio.TimerHandle | None = None  # for the next `Tick` of the membership
+        self._timer: asyncio.TimerHandle | None = None  # timer for the next `Tick` of the membership
         self._timers: dict[str, asyncio.TimerHandle] = {}  # periodic checks and the delayed save, by name
         self._read_limiter = RateLimiter(MAX_READS_PER_S, MAX_READS_PER_S / 5.0)
         self._send_limiter = RateLimiter(MAX_SENDS_PER_S, SEND_BURST)
--- a/orchidferry/node/h3/arrivals.py
+++ b/orchidferry/node/h3/arrivals.py
@@ -9,7 +9,7 @@
 
 from orchidferry.node.h3.lost_datagrams import Loss, time_in_transit_ms
 
-STREAM_STEP = 4  # between the stream ids of consecutive requests (RFC 9000, section 2.1)
+STREAM_STEP = 4  # difference of the stream ids of consecutive requests (RFC 9000, section 2.1)
 
 
 class Arrivals:
--- a/orchidferry/node/h3/client_connection.py
+++ b/orchidferry/node/h3/client_connection.py
@@ -69,7 +69,7 @@
 # Probe timeouts before the client's deadline: a response that is sent later than that is sent twice at once,
 # as a resend after its loss would come too late or hardly in time.
 DUPLICATE_PROBE_TIMEOUTS = 2.0
-TOO_EARLY = 425  # status code (RFC 8470)
+TOO_EARLY = 425  # HTTP status code (RFC 8470)
 
 log = logging.getLogger("orchidferry")
 
@@ -119,7 +119,7 @@
         self.up = False  # whether the handshake is complete
         self.closed = False
         self.cids: set[bytes] = set()  # connection ids by which it receives datagrams, about ten
-        self.streams: dict[int, RequestStream] = {}  # by stream id
+        self.streams: dict[int, RequestStream] = {}  # request streams by stream id
         self._abuse_limit = ConnectionLimits(now_ms())
         self._closing = False
         self.transport = QuicTransport(
--- a/orchidferry/node/h3/datagram_socket.py
+++ b/orchidferry/node/h3/datagram_socket.py
@@ -20,7 +20,7 @@
 from orchidferry.node.h3.quic_transport import Endpoint
 
 MAX_READS = 64  # datagrams that are read in one iteration of the event loop
-DESCRIPTORS_PER_SOCKET = 2  # of one `DatagramSocket`: the socket, and the epoll instance that watches it
+DESCRIPTORS_PER_SOCKET = 2  # one `DatagramSocket` uses a socket, and an epoll instance that watches it
 MAX_ERRORS = 64  # ICMP errors that are read in one iteration of the event loop
 MAX_DATAGRAM = 2_048  # bytes; the library sends and receives datagrams of 1,200 to about 1,500 bytes
 ANCILLARY_BYTES = 512  # buffer size for ancillary data
--- a/orchidferry/node/h3/held_datagrams.py
+++ b/orchidferry/node/h3/held_datagrams.py
@@ -6,7 +6,7 @@
 
 from orchidferry.node.h3.quic_transport import Endpoint
 
-MAX_HELD_BYTES = 14_720  # for each connection: a client's initial congestion window (RFC 9002, section 7.2)
+MAX_HELD_BYTES = 14_720  # limit per connection: a client's initial congestion window (RFC 9002, section 7.2)
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/node/h3/lost_datagrams.py
+++ b/orchidferry/node/h3/lost_datagrams.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-MAX_BUDGET_FRACTION = 0.05  # of a request's budget that is set aside, for each direction
+MAX_BUDGET_FRACTION = 0.05  # share of a request's budget that is set aside, for each direction
 MAX_DOUBLINGS = 6
 # Probe timeouts after which a loss no longer matters: data that was lost, and lost once more when it was
 # resent, has arrived by then.
--- a/orchidferry/node/h3/quic_transport.py
+++ b/orchidferry/node/h3/quic_transport.py
@@ -28,9 +28,9 @@
 CID_LENGTH = 8  # bytes of the connection ids that this side issues
 LONG_HEADER = b"\x80"  # the smallest first byte of a packet with a long header (RFC 9000, section 17.2)
 LONG_HEADER_ID_OFFSET = 6  # offset in bytes of the destination connection id in a long header
-SHORT_HEADER_ID_OFFSET = 1  # and in a short header
+SHORT_HEADER_ID_OFFSET = 1  # offset in bytes of the destination connection id in a short header
 RESET_TOKEN_BYTES = 16  # length of a stateless reset token
-COPY_DELAY_S = 0.005  # between a datagram and its copy, so that one burst of losses does not take both
+COPY_DELAY_S = 0.005  # time between a datagram and its copy, so that one burst of losses does not take both
 MAX_COPIED = 4  # datagrams of one flush that are copied at most
 
 
--- a/orchidferry/node/h3/server_connection.py
+++ b/orchidferry/node/h3/server_connection.py
@@ -63,7 +63,7 @@
     """Return the HTTP/3 header fields of a request to a server.
 
     :param authority: host and port of the server.
-    :param timeout_ms: the time limit of this attempt, which the server is told as its budget.
+    :param timeout_ms: the time limit of this attempt, which is sent to the server as its budget.
     """
     headers = [
         (b":method", message.method),
@@ -112,7 +112,7 @@
         self.up = False  # whether the handshake is confirmed: from then on the server reads requests
         self.closed = False
         self.shutting_down = False  # whether the connection takes no new attempts
-        self.attempts: dict[int, AttemptStream] = {}  # by stream id
+        self.attempts: dict[int, AttemptStream] = {}  # attempts by stream id
         self.cids: set[bytes] = set()  # connection ids by which this connection receives datagrams
         self.quic = QuicConnection(configuration=upstream.configuration(address))
         self.transport = QuicTransport(
--- a/orchidferry/node/h3/session.py
+++ b/orchidferry/node/h3/session.py
@@ -95,7 +95,7 @@
     """The HTTP/3 layer of one connection: `handle_quic_event` turns QUIC events into HTTP/3 events."""
 
     def __init__(self, quic: QuicConnection) -> None:
-        self._goaway_parsers: dict[int, _GoawayParser] = {}  # by id of a unidirectional stream
+        self._goaway_parsers: dict[int, _GoawayParser] = {}  # by the id of a unidirectional stream
         self._ignored: set[int] = set()  # ids of streams on which further data is ignored
         super().__init__(quic)
 
--- a/orchidferry/node/h3/upstream.py
+++ b/orchidferry/node/h3/upstream.py
@@ -74,11 +74,11 @@
         self.transports = Transports(random.Random(seed), servers.connections)
         # Idle time after which a connection is closed, before its server closes it
         self._idle_s = keepalive_ms * IDLE_LIMIT_FRACTION / 1000.0
-        self._connections: dict[int, ServerConnection] = {}  # by server id: those that take new attempts
-        self._shutting_down: dict[ServerConnection, None] = {}  # those that only finish their open attempts
+        self._connections: dict[int, ServerConnection] = {}  # by server id, open to new attempts
+        self._shutting_down: dict[ServerConnection, None] = {}  # only finishing open attempts
         self.connection_ids: ConnectionIdTable[ServerConnection] = ConnectionIdTable()
-        self._by_peer: dict[Endpoint, dict[ServerConnection, None]] = {}  # by UDP address of the server
-        self._sockets: dict[int, DatagramSocket] = {}  # by address family
+        self._by_peer: dict[Endpoint, dict[ServerConnection, None]] = {}  # by a server's UDP address
+        self._sockets: dict[int, DatagramSocket] = {}  # sockets by address family
         self._timer = loop.call_later(SWEEP_S, self._sweep)
 
     def configuration(self, address: Address) -> QuicConfiguration:
--- a/orchidferry/node/http1.py
+++ b/orchidferry/node/http1.py
@@ -39,7 +39,7 @@
 ) -> bytes:
     """Return a request as it is sent to a server, without the body if that is streamed.
 
-    :param timeout_ms: the time that is left for this attempt, which the server is told as its budget.
+    :param timeout_ms: the time that is left for this attempt, which is sent to the server as its budget.
     :param more: headers in addition to those of the message.
     """
     return b"%b %b HTTP/1.1\r\nHost: %b:%d\r\nX-Call-Id: %b\r\nX-Budget: %.3f\r\n%b%b%b%b\r\n%b" % (
--- a/orchidferry/node/interfaces.py
+++ b/orchidferry/node/interfaces.py
@@ -53,7 +53,7 @@
 
 
 class Subsystem(Protocol):
-    """A part of the node that serves no requests and has sockets of its own."""
+    """A part of the node that serves no requests and has its own sockets."""
 
     def attach(self, ready: Callable[[], bool]) -> None:
         """Set the function that returns whether the node is ready; called before `start`."""
--- a/orchidferry/node/node.py
+++ b/orchidferry/node/node.py
@@ -64,7 +64,7 @@
 CLOSE_LEAD_MS = 800.0  # how long before the deadline of the last answer connections start to be closed
 
 # How the limit on open sockets is divided
-RESERVED_SOCKETS = 24  # for the listener, discovery, the event loop, the log, and half-closed sockets
+RESERVED_SOCKETS = 24  # sockets for the listener, discovery, the event loop, the log, and half-closed sockets
 CLIENT_SOCKETS_SHARE = 0.55  # share of the limit for clients; the rest is for connections to servers
 
 FLOW_CHECK_S = 1.0  # how often a flow is checked for a stall
@@ -95,7 +95,7 @@
         self._balancer = self._make_balancer(extensions)
         self._events = EventQueue(self._balancer.handle, self._perform, _log_unhandled)
         self.metrics = Metrics(self._balancer.classes)
-        self._streaming = 0  # number of answers whose body is being streamed to the client
+        self._streaming = 0  # number of answers that are being streamed to the client
         # Requests are identified by a serial number, also in events and actions of the balancer: an attempt
         # may outlive its request, and the client may then reuse the id of that request.
         self._serial = 0  # serial number of the newest request
@@ -396,7 +396,7 @@
         request.backstop = self._timers.schedule(left_s, request.deadline_passed)
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """Drop a request whose client has disconnected."""
+        """Drop a request after its client has disconnected."""
         if self._remove(request):
             self._handle(api.ClientGone(request.id))
 
@@ -427,7 +427,7 @@
         request.answer(reply)
 
     def _stream_ended(self, class_name: str, complete: bool) -> None:
-        """Count an answer whose body was streamed to the client."""
+        """Count an answer that was streamed to the client."""
         self._streaming -= 1
         self.metrics.count_request(class_name, 200 if complete else 502)
 
--- a/orchidferry/node/server_listing.py
+++ b/orchidferry/node/server_listing.py
@@ -39,7 +39,7 @@
     complete: bool  # whether servers without an entry are gone
     entries: list[api.ServerEntry]
     addresses: dict[int, Address]
-    h3_addresses: dict[int, Address] = field(default_factory=dict)  # of the servers that speak HTTP/3
+    h3_addresses: dict[int, Address] = field(default_factory=dict)  # addresses of servers with HTTP/3
 
 
 def server_id(name: str) -> int:
--- a/orchidferry/node/server_table.py
+++ b/orchidferry/node/server_table.py
@@ -23,8 +23,8 @@
     def __init__(self, on_removed: Callable[[int], None]) -> None:
         """:param on_removed: called with the id of each server that is no longer listed."""
         self._on_removed = on_removed
-        self.addresses: dict[int, Address] = {}  # of all listed servers
-        self.h3_addresses: dict[int, Address] = {}  # of the servers that speak HTTP/3
+        self.addresses: dict[int, Address] = {}  # addresses of all listed servers
+        self.h3_addresses: dict[int, Address] = {}  # addresses of servers that support HTTP/3
         self.in_service: set[int] = set()  # the servers that requests may be sent to
         self._incarnations: dict[int, int] = {}
         self._last_incarnation = 0
--- a/orchidferry/node/shared_keys.py
+++ b/orchidferry/node/shared_keys.py
@@ -12,7 +12,7 @@
 MIN_SECRET_LENGTH = 32  # characters
 MAX_NAME_LENGTH = 16  # characters
 
-Keys = tuple[tuple[str, bytes], ...]  # name and secret
+Keys = tuple[tuple[str, bytes], ...]  # name and secret of each key
 
 
 def parse_keys(texts: Iterable[object], max_keys: int) -> Keys:
--- a/orchidferry/node/state_store.py
+++ b/orchidferry/node/state_store.py
@@ -55,9 +55,9 @@
     """The encoding of one kind of state in a file."""
 
     file_name: str
-    description: str  # of the content, for error texts
+    description: str  # description of the content, for error texts
     magic: bytes  # the format's name, at the start of the file
-    version: int  # of the format
+    version: int  # version of the format
     max_bytes: int  # maximum size of the file
     to_json: Callable[[T], Any]
     from_json: Callable[[Any], T]  # raises one of `MALFORMED_JSON_ERRORS` for malformed input
--- a/orchidferry/node/timer_queue.py
+++ b/orchidferry/node/timer_queue.py
@@ -13,7 +13,7 @@
 
 from orchidferry.node.lateness import Lateness
 
-MAX_CANCELLED = 1_024  # cancelled entries that the heap may hold beyond twice the active ones
+MAX_CANCELLED = 1_024  # cancelled entries that the heap may contain beyond twice the active ones
 
 
 class TimerQueue:
@@ -24,7 +24,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._heap: list[tuple[float, int]] = []  # due time by the loop's clock and id of each timer
-        self._callbacks: dict[int, Callable[[], object]] = {}  # of the active timers, by id
+        self._callbacks: dict[int, Callable[[], object]] = {}  # callbacks of the active timers, by id
         self._last_id = 0
         self._timer: asyncio.TimerHandle | None = None
         self._due_s = 0.0  # when `_timer` is due
--- a/orchidferry/node/upstream.py
+++ b/orchidferry/node/upstream.py
@@ -38,7 +38,7 @@
         free_sockets: Callable[[], int],
         timers: TimerQueue,
     ) -> None:
-        """Create a `Upstream`.
+        """Create an `Upstream`.
 
         :param connect_timeout_ms: how long a connection may take to open.
         :param keepalive_ms: how long servers keep an idle connection open.
@@ -103,7 +103,7 @@
             async with asyncio.timeout(self._connect_timeout_s):
                 local = None if self.local_ip is None else (self.local_ip, 0)
                 await self._loop.create_connection(lambda: connection, *attempt.address, local_addr=local)
-            if connection.is_reusable():  # otherwise it was lost at once
+            if connection.is_reusable():  # otherwise the connection was lost at once
                 self._open.add(connection)
                 kept = True
                 # While connecting, the request may have ended, or its server may have left.
@@ -124,7 +124,7 @@
         return None
 
     def return_connection(self, connection: Connection) -> None:
-        """Put a connection whose attempt has ended back into the pool."""
+        """Put a connection back into the pool after its attempt has ended."""
         connection.idle_since = now_ms()
         self._idle_by_age[connection] = None
         self._idle.setdefault(connection.server, []).append(connection)
--- a/orchidferry/node/upstream_connection.py
+++ b/orchidferry/node/upstream_connection.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from orchidferry.node.upstream import Upstream
 
-UPLOAD_STALL_S = 4.0  # timeout of a streamed request whose server accepts no bytes
+UPLOAD_STALL_S = 4.0  # timeout of a streamed request while its server accepts no bytes
 UPLOAD_TIMER_SHARE = 1.0 / 8.0  # share of `UPLOAD_STALL_S` that must pass before the timeout is extended
 
 
@@ -96,7 +96,7 @@
         self._malformed = False
         self._keep = False  # whether the connection may carry another attempt
         self._framing_headers = 0  # number of headers that determine where the body ends
-        self._length: int | None = None  # of the body in bytes; None: no Content-Length
+        self._length: int | None = None  # length of the body in bytes; None: no Content-Length
         self._server_closes = False  # whether the server closes the connection after this response
 
     # The socket
--- a/tests/balancing/checker.py
+++ b/tests/balancing/checker.py
@@ -1,6 +1,6 @@
 """An independent check of the six operating rules on the events and actions of one node.
 
-It is written from the specification of the rules and shares no code or state with the decision modules.
+It is written from the specification of the rules and shares no code or state with the balancer.
 Rule 4 (the load of a warming server) is not checked here but in test_property.py.
 """
 
--- a/tests/balancing/test_delay.py
+++ b/tests/balancing/test_delay.py
@@ -62,7 +62,7 @@
 
 
 def test_reading_the_window_does_not_shorten_the_time_step_of_the_integral() -> None:
-    """Issue i45f18d: the window advanced the clock that the integral took its time step from."""
+    """The window advanced the clock that the integral took its time step from."""
     plain = DelayController()
     with_window = DelayController()
     for controller in (plain, with_window):
@@ -77,7 +77,7 @@
 
 
 def test_the_shed_share_decays_without_new_samples() -> None:
-    """Issue i45f18d: nodes shed 80% on samples ten seconds old, and so got no answers to correct them."""
+    """Nodes shed 80% on samples ten seconds old, and so got no answers to correct them."""
     controller = DelayController()
     now = record_steady(controller, 2000.0, 50)
     shed = controller.shed_share(now)
@@ -109,7 +109,7 @@
 
 
 def test_the_window_is_constant_until_answers_have_come_for_a_second() -> None:
-    """In pohjola's scenario without faults, requests were refused in the first seconds."""
+    """Without any faults, requests were refused in the first seconds."""
     controller = DelayController()
     for k in range(20):
         assert controller.window(4.0, 100.0 * k) == INITIAL_PER_SERVER * 4.0
@@ -122,7 +122,7 @@
 
 
 def test_the_window_does_not_spiral_down_where_the_normal_delay_is_over_the_target() -> None:
-    """Issue i35d8eb: a smaller window lowered the answer rate, which shrank the window, with idle servers."""
+    """A smaller window lowered the answer rate, which shrank the window, with idle servers."""
     controller = DelayController()
     now = 0.0
     delay_s = 0.5  # with a latency target of 1 s
--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the decision modules: size of functions, imports, no I/O; and the code of the README runs."""
+"""Limits on the balancer's modules: size of functions, imports, no I/O; and the code of the README runs."""
 
 import ast
 import re
@@ -41,7 +41,7 @@
 
 
 def test_records_decide_nothing() -> None:
-    """`records` is not a decision module: it has no branches or loops, and only one sum."""
+    """`records` decides nothing: it has no branches or loops, and only one sum."""
     tree = ast.parse((ROOT / "orchidferry" / "balancing" / "records.py").read_text())
     deciding = (ast.If, ast.For, ast.While, ast.Match, ast.Try, ast.Raise, ast.BoolOp, ast.BinOp)
     found = [node for node in ast.walk(tree) if isinstance(node, deciding)]
@@ -58,7 +58,7 @@
 
 
 def test_decision_modules_have_no_input_or_output() -> None:
-    """Decision and shared modules must use no clock, socket, file or random generator of their own."""
+    """The balancer must use no clock, socket or file, and only random generators that are passed in."""
     files = set(DECISION_MODULES) | {f"orchidferry/balancing/{name}.py" for name in SHARED}
     for name in sorted(files):
         text = (ROOT / name).read_text()
--- a/tests/balancing/test_logic.py
+++ b/tests/balancing/test_logic.py
@@ -206,7 +206,7 @@
 
 
 def test_nodes_divide_many_servers_evenly() -> None:
-    """Issue i29d3aa: many nodes that use all servers need more connections than these accept."""
+    """Many nodes that use all servers need more connections than these accept."""
     callers = dict.fromkeys(range(60), 0)
     load = dict.fromkeys(callers, 0.0)
     for number in range(40):
@@ -293,7 +293,7 @@
 
 
 def test_a_class_of_more_worth_but_much_longer_calls_waits() -> None:
-    """In akl, overload, a class of 1.5 times the worth took twice the time: no better use of a full tier."""
+    """A class of 1.5 times the worth took twice the time: no better use of a full tier."""
     node = Node(servers=2)
     node.serve(200)
     node.serve(200, "keyed_all", delay_ms=400.0)
@@ -306,7 +306,7 @@
 
 
 def test_the_worst_served_class_is_not_starved_if_worst_class_is_set() -> None:
-    """In pohjola-later, rough-1, strict order of worth served only 9% of the class of less worth."""
+    """Strict order of worth served only 9% of the class of less worth."""
 
     def first(worst_class: float) -> str:
         node = Node(servers=2, worst_class=worst_class)
@@ -329,7 +329,7 @@
 
 
 def test_a_part_of_the_window_is_reserved_for_the_class_of_most_value() -> None:
-    """In pohjola-later, rough-1, a fifth of the class of most worth was refused while the other was sent."""
+    """A fifth of the class of most worth was refused while the other was sent."""
     node = Node(servers=2)
     node.serve(200)
     node.serve(200, "unsafe")
@@ -428,7 +428,7 @@
 
 
 def test_the_timeout_of_an_attempt_is_a_few_baseline_delays() -> None:
-    """Issue i2750ee: calls to a lost zone waited until their deadline, and filled the tier above."""
+    """Calls to a lost zone waited until their deadline, and filled the tier above."""
     node = Node(servers=4, tier=1, passes_deadline=False)
     (early,) = sends(node.ask("early"))
     assert early.timeout_ms > 2000.0  # there is no baseline yet
@@ -441,7 +441,7 @@
 
 
 def test_the_time_until_a_timeout_counts_towards_the_backoff() -> None:
-    """In silent+leave+brisk, calls lost on a dead connection were retried only after their latency target."""
+    """Calls lost on a dead connection were retried only after their latency target."""
     node = Node(servers=4)
     node.serve(100)
     [first] = sends(node.ask("a"))
@@ -475,7 +475,7 @@
 
 
 def test_a_first_attempt_gets_the_long_timeout_if_a_retry_would_be_late() -> None:
-    """In churn+long, calls to a slow tier timed out early, and their retries failed at a full window."""
+    """Calls to a slow tier timed out early, and their retries failed at a full window."""
     node = Node(servers=4)
     node.serve(100, delay_ms=350.0)
     [first] = sends(node.ask("a"))
@@ -483,7 +483,7 @@
 
 
 def test_the_timeout_has_a_minimum_where_answers_take_a_millisecond() -> None:
-    """In `bench forward`, first attempts timed out after 2 ms, and the backoff was 100 times as long."""
+    """First attempts timed out after 2 ms, and the backoff was 100 times as long."""
     node = Node(servers=4)
     node.serve(100, delay_ms=0.5)
     [send] = sends(node.ask("a"))
@@ -506,7 +506,7 @@
 
 
 def test_a_new_node_starts_with_a_few_calls_per_server_and_grows_with_answers() -> None:
-    """In sulcast-later, overload, a node without a limit in its first second overloaded a whole tier."""
+    """A node without a limit in its first second overloaded an entire tier."""
     node = Node(servers=4)
     for n in range(100):
         node.ask(f"a{n}")
@@ -524,7 +524,7 @@
 
 
 def test_rule_5_retries_stay_within_the_budget() -> None:
-    """In leiden's first score there were 4 retries where 13 accepted requests allow 3.4."""
+    """There were 4 retries where 13 accepted requests allow 3.4."""
     node = Node(8, repeat_ratio=0.1, extra_floor=2.0, resend_span_ms=5000.0)
 
     def retries_sent(count: int) -> int:
@@ -565,7 +565,7 @@
 
 
 def test_first_attempts_are_shed_while_the_delay_is_over_the_target() -> None:
-    """In kolin, big-1, servers with too many calls became overloaded one after another, and stayed so."""
+    """Servers with too many calls became overloaded one after another, and stayed so."""
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
     assert node.balancer.controller.shed_share(node.now) == 0.0
@@ -583,7 +583,7 @@
 
 
 def test_a_refusal_is_a_delay_sample_of_the_latency_target() -> None:
-    """In leiden, rough-1, refusals came fast, so that nothing was shed while 61% of attempts were refused."""
+    """Refusals came fast, so that nothing was shed while 61% of attempts were refused."""
     node = Node(servers=4)
     node.serve(100, delay_ms=50.0)
     for n in range(20):
@@ -594,7 +594,7 @@
 
 
 def test_an_overdue_call_lowers_the_weight_of_its_server_before_it_ends() -> None:
-    """In kolin, big-1, slow and silent servers got several more calls before a first one timed out."""
+    """Slow and silent servers got several more calls before a first one timed out."""
     node = Node(servers=4, tier=1)
     node.serve(200)
     node.ask("stuck")
@@ -655,7 +655,7 @@
 
 
 def test_a_reported_queue_lowers_the_weight_and_decays() -> None:
-    """In kolin, an overloaded server reports its queue in its answers before it fails."""
+    """An overloaded server reports its queue in its answers before it fails."""
     node = Node(servers=4, tier=1)
     node.serve(200)
     node.ask("a")
@@ -668,7 +668,7 @@
 
 
 def test_a_request_is_refused_if_and_only_if_a_repeat_is_harmless() -> None:
-    """In leiden, requests that could be repeated failed, which does not tell clients to repeat them."""
+    """Requests that could be repeated failed, which does not tell clients to repeat them."""
     for cls, result, end in (
         ("safe", Result.ERROR, api.Refuse),
         ("keyed_all", Result.ERROR, api.Refuse),
@@ -683,7 +683,7 @@
 
 
 def test_idle_connections_are_closed_after_two_losses() -> None:
-    """In rosario, fresh-big, calls on connections dropped while idle got no answer, at all servers alike."""
+    """Calls on connections dropped while idle got no answer, at all servers alike."""
     node = Node(servers=4, tier=1)
     node.serve(40)
 
@@ -700,7 +700,7 @@
 
 
 def test_one_loss_on_an_idle_connection_closes_nothing() -> None:
-    """In akl, big-1, each timeout caused new handshakes, which cost the servers work."""
+    """Each timeout caused new handshakes, which cost the servers work."""
     node = Node(servers=1, tier=1)
     node.serve(10)
     for n, result in enumerate([Result.TIMEOUT, Result.SERVED, Result.TIMEOUT, Result.SERVED]):
--- a/tests/balancing/test_moves.py
+++ b/tests/balancing/test_moves.py
@@ -49,7 +49,7 @@
     :param seconds: the duration
     :param start: the time at the start, in ms
     :param fails: the share of requests that fail in the new pool, by class
-    :param rate: requests a second
+    :param rate: requests per second
     """
     rng = random.Random(7)
     now = start
--- a/tests/balancing/test_server_set.py
+++ b/tests/balancing/test_server_set.py
@@ -193,7 +193,7 @@
 
 
 def test_a_fair_share_that_falls_during_an_update_causes_no_endless_loop() -> None:
-    """In rude+garble+fleet, a server was pushed to the heap with a lower fair share each time, endlessly."""
+    """A server was pushed to the heap with a lower fair share each time, endlessly."""
     node = node_with_servers(4)
     node.serve(20)
     balancer = node.balancer
--- a/tests/balancing/test_versions.py
+++ b/tests/balancing/test_versions.py
@@ -164,7 +164,7 @@
 
 
 def test_a_part_that_is_offered_first_is_applied_with_the_last_good_version_of_the_other() -> None:
-    """Run hundred-versions 2: a restarted node refused valid settings while its members were invalid."""
+    """A restarted node refused valid settings while its members were invalid."""
     service = Service(Configuration(pools(7, name="kept"), node("kept")), first=False)
     bad = of_type(service.offer(None, "m1", problem="unreadable"), Answer)
     [apply] = of_type(service.offer(node("kept", max_attempts=2), "s1"), Apply)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -208,7 +208,7 @@
 
 
 def test_a_watch_that_is_never_answered_times_out_soon(tmp_path: Path) -> None:
-    """Incident r32b5e5: the first watch was never answered, and was repeated only after a whole release."""
+    """The first watch was never answered, and was repeated only after the end of a release."""
 
     async def test() -> None:
         async with world(tmp_path, Server()) as scene:
@@ -249,7 +249,7 @@
 
 
 def test_one_silent_connection_does_not_keep_requests_from_its_server(tmp_path: Path) -> None:
-    """Seen in sulcast-porto-alegre 3646: after a call on a dead connection, a healthy server got no work."""
+    """After a call on a dead connection, a healthy server got no work."""
 
     async def test() -> None:
         servers = [Server(name="s0"), half_dead := Server(name="s1")]
