--- a/orchidferry/testkit/bench/apply.py
+++ b/orchidferry/testkit/bench/apply.py
@@ -38,7 +38,7 @@
 REAL_SERVERS = 10  # servers that listen
 RATE = 200.0  # requests per second
 LOAD_S = 4.0  # duration of the load around each push
-TIMEOUT_S = 30.0  # for the acknowledgement of one version
+TIMEOUT_S = 30.0  # time limit for the acknowledgement of one version
 POOL = "entrada"
 
 
@@ -211,7 +211,7 @@
         reader.feed_eof()
         asyncio.Handle._run = timed  # type: ignore
         try:
-            await asyncio.sleep(0)  # run callbacks that the setup scheduled, which are no work of the node
+            await asyncio.sleep(0)  # run callbacks that the setup scheduled, as they are not work of the node
             longest[:] = [0.0, 0.0]
             async with asyncio.timeout(TIMEOUT_S):
                 await link.follow(reader, replies.append)
--- a/orchidferry/testkit/bench/claim_load.py
+++ b/orchidferry/testkit/bench/claim_load.py
@@ -11,8 +11,8 @@
     """The addresses of the controllers and of the claimer."""
 
     seeds: list[str]  # IP addresses of the controllers
-    port: int  # of the controllers
-    ip: str  # of the claimer
+    port: int  # port of the controllers
+    ip: str  # IP address of the claimer
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     rate: float  # claims per second; 0 keeps `max_concurrent` claims in flight
     seconds: float  # duration
     max_concurrent: int  # claims in flight; only used if `rate` is 0
-    max_claims: int  # after which the load ends early
+    max_claims: int  # number of claims after which the load ends early
     stored_bytes: int = 0  # size of the response that is stored under each key; 0 stores none
 
 
--- a/orchidferry/testkit/bench/counting_relay.py
+++ b/orchidferry/testkit/bench/counting_relay.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-LENGTH_BYTES = 4  # of the length prefix of each message
+LENGTH_BYTES = 4  # size of the length prefix of each message
 
 
 class CountingRelay:
--- a/orchidferry/testkit/bench/decisions.py
+++ b/orchidferry/testkit/bench/decisions.py
@@ -1,8 +1,8 @@
-"""`orchidferry bench decisions`: time per request and per list change in the balancing module, by fleet size.
+"""`orchidferry bench decisions`: time per request and per list change in the balancer, by fleet size.
 
 Measured through `Balancer.handle` without sockets. The cost of a request is that of its events and of the
 timers that they set, in an open loop with some requests in flight at any time. This file imports nothing of
-the test kit, so that it can run with the balancing module of another checkout (`--against`), in a separate
+the test kit, so that it can run with the balancer of another checkout (`--against`), in a separate
 process that alternates with this one.
 """
 
@@ -26,14 +26,14 @@
 SIZES = (10, 100, 1_000, 10_000)  # servers of the fleet
 COPIES = (1, 50)  # nodes that share the servers
 FLEET_STATES = ("steady", "slow", "ejected", "rolling")
-GAP_MS = 20.0  # between two requests
+GAP_MS = 20.0  # time between two requests
 SERVED_MS = 50.0  # duration of a served attempt
 SLOW_FACTOR = 8.0  # how much longer an attempt takes on a slow server
 FAILED_MS = 5.0  # duration of a failed attempt
 SLOW_SHARE = 0.1  # fraction of slow servers in the state `slow`
 EJECTED_SHARE = 0.05  # fraction of failing servers in the state `ejected`
 WARM_UP = 300  # requests before the measured ones
-BUDGET_S = 2.0  # for one measurement, so that a build that iterates over all servers measures fewer requests
+BUDGET_S = 2.0  # time limit of a measurement: a build that iterates over all servers measures fewer requests
 CHANGES = 40  # list changes that are measured
 ROLL_EVERY = 25  # requests between two list changes of a rolling restart
 
@@ -197,7 +197,7 @@
 def measure_in_checkout(
     folder: str, servers: int, copies: int, fleet_state: str, requests: int
 ) -> dict[str, Any]:
-    """Make the same measurement with the balancing module of another checkout."""
+    """Make the same measurement with the balancer of another checkout."""
     command = [sys.executable, __file__, str(servers), str(copies), fleet_state, str(requests)]
     env = os.environ | {"PYTHONPATH": folder}
     process = subprocess.run(command, env=env, capture_output=True, text=True, timeout=600, check=True)
--- a/orchidferry/testkit/bench/drawn_days.py
+++ b/orchidferry/testkit/bench/drawn_days.py
@@ -38,7 +38,7 @@
 )
 CONTRACTS = {"idle_race": "pool", "srv_flap": "health"}  # kinds that occur only at sites with that contract
 FIRST_S = 1.5  # earliest time of a fault after the start of traffic
-TARGETS = ("leader", "reader", "turn", "seed", "")  # the machine that a fault of the core hits
+TARGETS = ("leader", "reader", "turn", "seed", "")  # the controller that a fault hits
 CALLS = ("meet", "race", "hard", "drain", "")  # calls that are sent to that machine around the fault
 CUT_SCOPES = ("one_way", "seeds", "both", "all", "near", "lure", "oldest", "reset", "refuse", "")
 CONFIGURATION_CHANGES = ("route", "weights", "timeout", "idle")
--- a/orchidferry/testkit/bench/fleet.py
+++ b/orchidferry/testkit/bench/fleet.py
@@ -1,6 +1,6 @@
 """`orchidferry bench fleet`.
 
-Rehearsals of a fleet over many seeds, compared with rehearsals whose nodes do not know of each other.
+Rehearsals of a fleet over many seeds, compared with rehearsals without fleet membership.
 """
 
 from __future__ import annotations
--- a/orchidferry/testkit/bench/forward_bench.py
+++ b/orchidferry/testkit/bench/forward_bench.py
@@ -24,7 +24,7 @@
 
 WARM_S = 2.0  # load before a measurement: connections are opened, and the node learns about its servers
 LATE_MS = 20.0  # a load generator that is later than this at p99 measures its own delays
-READY_S = 20.0  # for a process to become ready
+READY_S = 20.0  # time limit for a process to become ready
 READY_POLL_S = 0.05
 NANOSECONDS = 1e9
 SERVERS_A_GROUP = 8
--- a/orchidferry/testkit/bench/ingest.py
+++ b/orchidferry/testkit/bench/ingest.py
@@ -27,7 +27,7 @@
 
 SOURCE_S = 600.0  # duration that the repeated log covers
 SOURCE_RATE = 100.0  # first attempts per second in it
-SAMPLE_S = 0.05  # between two samples of memory
+SAMPLE_S = 0.05  # interval between two samples of memory
 HAR_S = 60.0  # duration that the HAR file covers
 
 
--- a/orchidferry/testkit/bench/libraries.py
+++ b/orchidferry/testkit/bench/libraries.py
@@ -21,7 +21,7 @@
 LIBRARIES = ("aioquic", "qh3")
 BODY = b"x" * 1_000
 OPEN_PAIRS = 200  # pairs of connections held open to measure the memory of one
-TIMEOUT_S = 2.0  # for all responses to one batch of requests
+TIMEOUT_S = 2.0  # time limit for all responses to one batch of requests
 MAX_ROUNDS = 10_000  # datagram exchanges for one batch; more means that the connections never become idle
 EXTRA_OPTIONS = {"max_datagram_frame_size": 65536}  # qh3 announces HTTP datagrams, and closes without this
 ADDRESSES = (("127.0.0.1", 1), ("127.0.0.1", 2))
--- a/orchidferry/testkit/bench/mesh_claims.py
+++ b/orchidferry/testkit/bench/mesh_claims.py
@@ -18,8 +18,8 @@
 MIN_GRANTED = 0.99  # fraction of the claims; a row with fewer granted ones is broken
 MAX_CLAIMS = 40_000  # claims of one load
 STORED_BODY_BYTES = 600  # size of a stored response
-SYNC_MS = 1.0  # added to each commit on a disk in memory, to simulate the sync of a core machine's disk
-CORE_MACHINE_CPU = 0.645  # fraction of a core that a core machine has
+SYNC_MS = 1.0  # added to each commit on a disk in memory, to simulate the sync of a controller's disk
+CORE_MACHINE_CPU = 0.645  # fraction of a CPU core that a controller has
 # The disks that controllers write to.
 MEMORY_DISK = "1 ms a sync"
 OWN_DISK = "this disk"
@@ -40,8 +40,8 @@
 
     report: ClaimReport
     controller_us: list[float]  # CPU per claim, of each controller
-    controller_busy: list[float]  # fraction of a core that each controller used
-    waited: float  # the largest fraction of time for which a controller waited for a core
+    controller_busy: list[float]  # fraction of a CPU core that each controller used
+    waited: float  # the largest fraction of time for which a controller waited for a CPU core
     written: list[float]  # bytes per claim that each controller wrote; 0 for a disk in memory
 
 
--- a/orchidferry/testkit/bench/mesh_fleet.py
+++ b/orchidferry/testkit/bench/mesh_fleet.py
@@ -37,12 +37,12 @@
 HOST = "api.internal"
 READY_S = 20.0  # time-out for the start of the processes
 END_S = 10.0  # time-out for the end of the processes
-HEARTBEAT_S = 1.0  # between two heartbeats of a server
+HEARTBEAT_S = 1.0  # interval between two heartbeats of a server
 SLOTS = 64  # capacity of each server, so large that no node has to queue requests
 DESCRIPTORS = 4_096  # limit of file descriptors of a helper process
 # A folder in memory, if there is one, so that other work on this machine's disk does not distort the figures.
 DISK = os.environ.get("ORCHIDFERRY_BENCH_DISK", "")
-RELAY_PORT_OFFSET = 20  # from the port of a machine's readiness listener to that of its relay
+RELAY_PORT_OFFSET = 20  # offset of a machine's relay port from the port of its readiness listener
 LOAD_MODULE = "orchidferry.testkit.bench.mesh_load"
 # Path prefixes of the routes, named after the request classes of the forwarding benchmark.
 FEED = "/ler-feed/"
--- a/orchidferry/testkit/bench/mesh_load.py
+++ b/orchidferry/testkit/bench/mesh_load.py
@@ -24,7 +24,7 @@
 from orchidferry.node.garbage_collector import freeze_startup_objects
 from orchidferry.testkit.bench.claim_load import ClaimerSetup, ClaimLoad, ClaimReport, encode_line
 
-CLAIM_TIMEOUT_S = 1.0  # of one claim
+CLAIM_TIMEOUT_S = 1.0  # time limit of one claim
 MAX_LOAD_S = 30.0  # duration at which a load ends in any case
 CONNECTED_S = 10.0  # time-out until all controllers are connected and a key is granted
 TICK_S = 0.001  # resolution of the scheduled times
--- a/orchidferry/testkit/bench/mesh_news.py
+++ b/orchidferry/testkit/bench/mesh_news.py
@@ -1,8 +1,8 @@
 """The model behind `bench mesh`, news: propagation of updates, with and without the fan-out tree.
 
 The model runs in virtual time. A hop is assumed to take 1 ms within a zone and 1.4 ms between zones, and a
-message 30 us of its sender's time, at controllers and relays alike; these times are not measured. Names,
-records and message sizes are those on the wire.
+message 30 us of its sender's time, at controllers and relays alike. Names, records and message
+sizes are those on the wire.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from orchidferry.testkit.model.fanout_world import BETWEEN_ZONES_S, World
 from orchidferry.testkit.model.subscribing_node import HEADS_WITHOUT_TREE, Node
 
-SETTLE_S = 30.0  # after the nodes start, until the measurement begins
-GAP_S = 0.2  # between two changes of nodes; each is a change at all three controllers
-FREEZE_INTERVAL_S = 3.0  # between the starts of two freezes
+SETTLE_S = 30.0  # time from the start of the nodes to the start of the measurement
+GAP_S = 0.2  # time between two changes of nodes; each is a change at all three controllers
+FREEZE_INTERVAL_S = 3.0  # time between the starts of two freezes
 FREEZE_S = 1.5  # duration of a freeze
-END_S = 3.0  # after the last change, for updates to arrive
+END_S = 3.0  # time after the last change for updates to arrive
 TEXT_BYTES = 64 * 1024  # size of a configuration
 LATE_MS = 20.0  # a change that takes longer counts as late
 
--- a/orchidferry/testkit/bench/mesh_propagation.py
+++ b/orchidferry/testkit/bench/mesh_propagation.py
@@ -18,7 +18,7 @@
 SERVERS = (11, 1)  # of the two services, each beside a node; the single server of the second one is drained
 CONFIGURATIONS = 8  # configuration changes that are measured
 DRAINS = 4  # drains that are measured
-POLL_S = 0.006  # between two requests to a node
+POLL_S = 0.006  # interval between two requests to a node
 PROPAGATION_TIMEOUT_S = 5.0
 REQUEST_TIMEOUT_MS = 1_000
 REQUEST_GRACE_S = 0.5
@@ -27,7 +27,7 @@
 MODEL = "orchidferry.testkit.bench.mesh_news"
 ZONES = 3
 SEED = 1
-VIRTUAL_CHANGES = 20  # of each kind
+VIRTUAL_CHANGES = 20  # changes of each kind
 
 Change = Callable[[], Awaitable[float]]  # makes a change, and returns the time of its acknowledgement
 
--- a/orchidferry/testkit/bench/mesh_requests.py
+++ b/orchidferry/testkit/bench/mesh_requests.py
@@ -62,7 +62,7 @@
     report: LoadReport
     cpu_us: list[float]  # CPU per request, of each process on the path
     controller_us: list[float]  # CPU per request, of each controller
-    waited: float  # the largest fraction of time for which a process on the path waited for a core
+    waited: float  # largest fraction of time for which a process on the path waited for a CPU core
 
 
 class RequestBench:
--- a/orchidferry/testkit/bench/mesh_resources.py
+++ b/orchidferry/testkit/bench/mesh_resources.py
@@ -14,7 +14,7 @@
 
 KEYS = 50_000  # keys claimed before the memory of a controller is measured
 CLAIM_S = 28.0  # duration of the load that claims them
-SETTLE_S = 2.5  # after the start of a mesh, until it is idle
+SETTLE_S = 2.5  # time from the start of a mesh until it is idle
 # Numbers of servers of the two services; each server has a node.
 SMALL_FLEET = (3, 3)
 LARGE_FLEET = (6, 6)
--- a/orchidferry/testkit/bench/order_duels.py
+++ b/orchidferry/testkit/bench/order_duels.py
@@ -22,12 +22,12 @@
 from orchidferry.testkit.explore.controller import Controller, ControllerCall
 
 ACK_MS = 5_000.0  # the bound for an acknowledgement in deployments
-TICK_S = 0.05  # as in the controller's process
-HEARTBEAT_S = 0.4  # between two heartbeats of a controller
-ANSWER_TIMEOUT_S = 1.0  # after which an operator goes on to another controller
+TICK_S = 0.05  # interval between ticks, as in the controller's process
+HEARTBEAT_S = 0.4  # interval between two heartbeats of a controller
+ANSWER_TIMEOUT_S = 1.0  # time after which an operator calls another controller
 RETRY_PAUSES_S = (0.1, 0.2, 0.4, 0.8)  # before each retry after an indefinite answer; the last one repeats
 SETTLED_S = 4.0  # time at which the orders are sent, when the group has settled
-GIVE_UP_S = 60.0  # after the orders are sent, when a run ends without all answers
+GIVE_UP_S = 60.0  # time from the sending of the orders to the end of a run without all answers
 
 
 @dataclass(frozen=True)
--- a/orchidferry/testkit/bench/peers.py
+++ b/orchidferry/testkit/bench/peers.py
@@ -34,7 +34,7 @@
 ADDRESS_PREFIX = "127.60"
 PORT = 9100
 KEY = "k1=" + "0123456789abcdef" * 2
-SETTLE_S = 10.0  # for the node to join the fleet before it is measured
+SETTLE_S = 10.0  # time for the node to join the fleet before it is measured
 
 
 class SimulatedPeers:
--- a/orchidferry/testkit/bench/process_usage.py
+++ b/orchidferry/testkit/bench/process_usage.py
@@ -18,15 +18,15 @@
     """CPU time of a process, summed over its threads, in seconds."""
 
     cpu: float  # running
-    waited: float  # runnable, but waiting for a free core
+    waited: float  # runnable, but waiting for a free CPU core
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
     """CPU usage of some processes over an interval."""
 
-    cpu_s: list[float]  # of each process, in seconds
-    waited: float  # the largest fraction of the interval for which one of the processes waited for a core
+    cpu_s: list[float]  # CPU time of each process, in seconds
+    waited: float  # the largest fraction of the interval for which a process waited for a CPU core
 
 
 def cpu_time(pid: int) -> CpuTime:
--- a/orchidferry/testkit/bench/second_loss.py
+++ b/orchidferry/testkit/bench/second_loss.py
@@ -39,20 +39,20 @@
 from orchidferry.mesh.wire.shard_messages import Handoff, KeyPage, KeyRecords
 
 DISK = "ORCHIDFERRY_BENCH_DISK"  # environment variable: a folder in memory, as for `orchidferry bench mesh`
-CPU_SHARE = 0.245  # fraction of a core that a controller has
+CPU_SHARE = 0.245  # fraction of a CPU core that a controller has
 SYNC_S = 0.001  # duration of a disk sync
 DISK_BYTES_S = 60e6  # write throughput of a disk
 PAGE_BYTES = 4_096  # page size of the store: the minimum cost of a write
 HOP_S = 0.0005  # one-way latency between machines
 LINK_BYTES_S = 125e6  # throughput of a link
-HEARTBEAT_S = 0.4  # between two heartbeats
-TICK_S = 0.05  # between two ticks of the shards
+HEARTBEAT_S = 0.4  # interval between two heartbeats
+TICK_S = 0.05  # interval between two ticks of the shards
 WINDOW_S = 60.0  # key window of the shards
 KEPT_S = 140.0  # the keys of this duration are stored before the run starts
 ANSWER_BYTES = 1_500  # size of a stored response
-CALL_S = 0.05  # from a claim to the answer of the call
-SETTLE_S = 2.5  # from the start of the run to the loss
-MAX_S = 40.0  # from the loss to the end of the run at the latest
+CALL_S = 0.05  # time from a claim to the answer of the call
+SETTLE_S = 2.5  # time from the start of the run to the loss
+MAX_S = 40.0  # maximum time from the loss to the end of the run
 MAX_KEYS = 1_000_000  # limit of keys in a shard
 
 
--- a/orchidferry/testkit/capacity/fleets.py
+++ b/orchidferry/testkit/capacity/fleets.py
@@ -203,7 +203,7 @@
 def main() -> None:
     """Measure one size and print the figures."""
     logger.disable("orchidferry.mesh")
-    # A garbage collection traverses the whole fleet, and would count for the process that triggers it.
+    # A garbage collection traverses the complete fleet, and would count for the process that triggers it.
     gc.disable()
     nodes, services = map(int, sys.argv[1:3])
     for figure in measure(nodes, services):
--- a/orchidferry/testkit/capacity/hours.py
+++ b/orchidferry/testkit/capacity/hours.py
@@ -30,7 +30,7 @@
 CONVERGENCE_TIMEOUT_S = 40.0  # time after which waiting for convergence ends
 RESTART_PERIOD_S = 60.0  # period over which all nodes are restarted
 SIMULATED_RESTARTS = 0.2  # share of that period that is simulated, as all its seconds are alike
-DOWNTIME_S = 1.0  # from the end of a process to its restart
+DOWNTIME_S = 1.0  # time from the end of a process to its restart
 SETTLING_S = 0.5  # wait after the last restart, before the checks for convergence
 CPU_GROUPS = 5  # groups of processes of one role, so that a CPU share has an interval
 MAX_PARALLEL = 2  # maximum number of scenarios simulated in parallel
@@ -150,7 +150,7 @@
 
 
 def zone_outage(fleet: Fleet) -> list[Figure]:
-    """Kill all nodes of one zone at once; when all others know, restart them within a second."""
+    """Kill all nodes of one zone at once; when all others have detected it, restart them within 1 s."""
     meter = ScenarioMeter("zone gone and back", fleet)
     zone_nodes = [node.name for node in fleet.live() if node.zone == "z0"]
     meter.begin()
@@ -323,7 +323,7 @@
     :returns: the exit status
     """
     logger.disable("orchidferry.mesh")
-    # A garbage collection traverses the whole fleet, and would count for the process that triggers it.
+    # A garbage collection traverses the complete fleet, and would count for the process that triggers it.
     gc.disable()
     fleet = settled_fleet(int(sys.argv[1]))
     gc.freeze()
--- a/orchidferry/testkit/capacity/plan.py
+++ b/orchidferry/testkit/capacity/plan.py
@@ -9,11 +9,11 @@
 PARTS = ("processes", "fleets", "hours", "calls", "claims")
 TARGET_NODES = 740
 TARGET_SERVICES = 150
-TARGET_CALLS = 64  # per second at one node: 47,000 over 740 nodes
-TARGET_CLAIMS = 9_400  # per second in the whole fleet: one call in five, as in the sites' own traffic
+TARGET_CALLS = 64  # calls per second at one node: 47,000 over 740 nodes
+TARGET_CLAIMS = 9_400  # claims per second in the fleet: one call in five, as in the sites' own traffic
 MAX_SERVICES = 1_000
-CONTROLLERS = 5  # of a fleet in virtual time: number of machines reserved for controllers
-RECORD_BYTES = 300  # upper bound on one node's copy of one record with its dictionary entry; not measured
+CONTROLLERS = 5  # machines of a fleet in virtual time that are reserved for controllers
+RECORD_BYTES = 300  # assumed upper bound on one node's copy of one record with its dictionary entry
 MAX_MEMORY = 16e9
 SECONDS_RANGE = (0.2, 30.0)
 MAX_CALLS = 2_000
--- a/orchidferry/testkit/capacity/regions.py
+++ b/orchidferry/testkit/capacity/regions.py
@@ -29,7 +29,7 @@
 from orchidferry.testkit.model.virtual_process import Process
 
 REGIONS = 2
-ZONES = 8  # in all regions
+ZONES = 8  # zones of all regions together
 IN_ZONE_S = 0.0002
 BETWEEN_ZONES_S = 0.0009
 BETWEEN_REGIONS_S = 0.035
--- a/orchidferry/testkit/control/operate.py
+++ b/orchidferry/testkit/control/operate.py
@@ -18,8 +18,8 @@
 from orchidferry.testkit.control.rollout_service import RolloutService, call
 from orchidferry.testkit.control.service import Service
 
-HELD_TIMEOUT_S = 5.0  # for the service to return its version
-PUSH_TIMEOUT_S = 7 * 86_400.0  # for a whole rollout; each of its waves is observed for a day at most
+HELD_TIMEOUT_S = 5.0  # time limit for the service to return its version
+PUSH_TIMEOUT_S = 7 * 86_400.0  # time limit of a rollout; each of its waves is observed for a day at most
 
 
 def _require_loopback(address: Address) -> Address:
--- a/orchidferry/testkit/control/rollout_service.py
+++ b/orchidferry/testkit/control/rollout_service.py
@@ -40,7 +40,7 @@
 from orchidferry.testkit.wire import get as http_get
 
 NAME = "orchidferry.standin.v1.Rollout"
-ADMIN_TIMEOUT_S = 1.0  # for a node to answer a request at its admin address
+ADMIN_TIMEOUT_S = 1.0  # time limit for a node to answer a request at its admin address
 MAX_ADMIN_ADDRESSES = 10_000
 MAX_CONCURRENT_REQUESTS = 64
 MAX_UNREAD_STEPS = 10_000  # steps of one rollout that the client has not read yet
@@ -152,7 +152,7 @@
             while not rollout.ended or not self._steps.empty():
                 yield await self._steps.get()
         finally:
-            if not rollout.ended:  # the client has gone, so nobody would see the rollout fail
+            if not rollout.ended:  # the client has disconnected, so no one would see the rollout fail
                 self._handle(rollout, Abort("the client that pushed it has gone"))
             else:
                 observing.cancel()
--- a/orchidferry/testkit/control/script.py
+++ b/orchidferry/testkit/control/script.py
@@ -22,7 +22,7 @@
 # Versions are pushed between these fractions of a run's length; the rest is left for nodes to settle.
 FIRST_VERSION_AT = 0.04
 LAST_VERSION_AT = 0.88
-JITTER = 0.3  # as a fraction of the time between two versions
+JITTER = 0.3  # random shift, as a fraction of the time between two versions
 # One good version in so many drains a server; the next version of the members puts it back in service.
 DRAIN_EVERY = 12
 FAULTS = (
@@ -146,7 +146,7 @@
 
 
 class ScriptedService:
-    """The stand-in service of a run, and the script of what it pushes."""
+    """The stand-in service of a run, and the script of the versions that it pushes."""
 
     def __init__(
         self, scenario: Scenario, nodes: Sequence[str], settings: Callable[[int], dict[str, Any]]
--- a/orchidferry/testkit/explore/fleet.py
+++ b/orchidferry/testkit/explore/fleet.py
@@ -34,10 +34,10 @@
 # After the last fault the nodes' views are compared from `MIN_MS` on, and must agree by `QUIET_MS`.
 MIN_MS = 7_000.0
 QUIET_MS = 20_000.0
-LATE_MS = 700.0  # by which a message is delayed
-PAUSE_MS = 3_000.0  # for which a node is paused
-BACK_MS = 100.0  # after which a node restarts
-CUT_MS = 6_000.0  # for which a node is cut off
+LATE_MS = 700.0  # delay of a delayed message
+PAUSE_MS = 3_000.0  # duration of a node's pause
+BACK_MS = 100.0  # time after which a node restarts
+CUT_MS = 6_000.0  # duration for which a node is cut off
 KINDS = ("lose", "twice", "late", "kill", "restart", "pause", "cut")
 
 
@@ -391,7 +391,7 @@
 
 
 def _no_refuting(self: Membership, entry: Entry, by: str, now: float) -> None:
-    """Replace `_merge_self`: the node ignores what others say about it."""
+    """Replace `_merge_self`: the node ignores reports of others about itself."""
 
 
 def _order_without_incarnations(entry: Entry) -> Any:
--- a/orchidferry/testkit/explore/loop.py
+++ b/orchidferry/testkit/explore/loop.py
@@ -20,7 +20,7 @@
 from orchidferry.errors import OrchidferryError
 
 Address = tuple[str, int]
-MAX_CALLBACKS = 20_000  # run without a choice in between; more means that the loop never becomes idle
+MAX_CALLBACKS = 20_000  # callbacks between two choices; more means that the loop never becomes idle
 
 
 class LoopNeverIdleError(OrchidferryError):
@@ -70,7 +70,7 @@
         return self.closing
 
     def close(self) -> None:
-        """Close the connection; the protocol is told in the next iteration."""
+        """Close the connection; the protocol is notified in the next iteration."""
         if not self.closing:
             self.closing = True
             self.loop.call_soon(self._lost, None)
--- a/orchidferry/testkit/explore/mesh.py
+++ b/orchidferry/testkit/explore/mesh.py
@@ -42,13 +42,13 @@
 
 __all__ = ["BREAKS", "KINDS", "SCENES", "Break", "MeshWorld", "Scene", "begin", "broken", "search"]
 
-# Of a `ConfigurationClient`
-MAX_TRIES = 8  # of its calls, after which it gives up
-MIN_READ_TRIES = 3  # calls that it has left at least when it starts reading
-CLIENT_TIMEOUT_S = 1.5  # for an answer, after which it takes its next step
-CHANGE_TIMEOUT_S = 1.2  # within which a controller tries to get a change decided
-UNREACHABLE_PAUSE_S = 0.3  # before it calls again after a controller was down
-STEP_PAUSE_S = 0.01  # between its steps
+# Limits and times of a `ConfigurationClient`
+MAX_TRIES = 8  # calls after which the client gives up
+MIN_READ_TRIES = 3  # minimum of the calls that are left for reading
+CLIENT_TIMEOUT_S = 1.5  # time without an answer after which the client takes its next step
+CHANGE_TIMEOUT_S = 1.2  # time within which a controller tries to get a change decided
+UNREACHABLE_PAUSE_S = 0.3  # pause before the next call after a controller was down
+STEP_PAUSE_S = 0.01  # pause between the client's steps
 
 for _module in (
     proposer,
--- a/orchidferry/testkit/explore/mesh_world.py
+++ b/orchidferry/testkit/explore/mesh_world.py
@@ -25,7 +25,7 @@
 from orchidferry.testkit.explore.mesh_scenes import Scene
 
 START_S = 1.0
-GRID_S = 0.4  # between heartbeats, and between periodic ticks
+GRID_S = 0.4  # interval between heartbeats, and between periodic ticks
 MIN_TIME_STEP_S = 0.02
 ROUNDING_S = 1e-6
 CONTROLLER_NAMES = tuple("abcdefghij")
--- a/orchidferry/testkit/explore/search.py
+++ b/orchidferry/testkit/explore/search.py
@@ -2,7 +2,7 @@
 
 A path is a list of actions from the start. Each path is replayed from the start, as a running node can't be
 copied. A state that was visited before is not explored again, since its futures are the same. Without that
-(`merge` off) the whole tree is explored; on smaller worlds this shows that merging states loses nothing.
+(`merge` off) the complete tree is explored; on smaller worlds this shows that merging states loses nothing.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
 MAX_OWN_PATHS = 24  # paths that a process keeps while others are idle; with more it gives half away
 IDLE_S = 0.05  # polling interval of idle processes
-REPORT_S = 2.0  # between reports of a process's totals
-JOIN_S = 5.0  # time-out for a process to end
+REPORT_S = 2.0  # interval between reports of a process's totals
+JOIN_S = 5.0  # time limit for a process to end
 
 
 @dataclass(frozen=True)
--- a/orchidferry/testkit/explore/slots.py
+++ b/orchidferry/testkit/explore/slots.py
@@ -41,8 +41,8 @@
 from orchidferry.testkit.explore.world_search import SearchResult
 
 TRIES = 5  # requests for each step of a requester, and for each other requester that it may have to wait for
-REQUEST_TIMEOUT_MS = 3_000.0  # after which a requester tries again
-OUT_MS = 1_500.0  # for which a member is out: longer than other requesters wait between their tries
+REQUEST_TIMEOUT_MS = 3_000.0  # time after which a requester tries again
+OUT_MS = 1_500.0  # time for which a member is out: longer than other requesters wait between their tries
 KINDS = ("lose", "late", "cut", "restart", "forget")
 
 
--- a/orchidferry/testkit/explore/world.py
+++ b/orchidferry/testkit/explore/world.py
@@ -11,7 +11,7 @@
 from orchidferry.testkit.explore.world_actions import ACTIONS
 from orchidferry.testkit.explore.world_state import WorldState
 
-END_S = 8.0  # after the last choice, in virtual time: all requests must have ended by then
+END_S = 8.0  # virtual time after the last choice: all requests must have ended by then
 
 
 class World(WorldState):
--- a/orchidferry/testkit/explore/world_actions.py
+++ b/orchidferry/testkit/explore/world_actions.py
@@ -14,7 +14,7 @@
 from orchidferry.testkit.explore.world_state import WorldState
 
 WAIT_S = 0.35  # the longest step of virtual time, so that peers can also act between two distant timers
-HALF_BYTES = 40  # of a request that is sent in two parts; the split is within its head
+HALF_BYTES = 40  # size of the first part of a request that is sent in two parts; the split is within its head
 
 
 def _play_begin(world: WorldState, argument: str) -> None:
--- a/orchidferry/testkit/explore/world_peers.py
+++ b/orchidferry/testkit/explore/world_peers.py
@@ -30,7 +30,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether its whole request has arrived and it still waits for an answer."""
+        """Whether its complete request has arrived and it still waits for an answer."""
         asked = self.transport is not None and not self.unsent
         return asked and not self.disconnected and not self.answers and self.closed_s is None
 
--- a/orchidferry/testkit/explore/world_state.py
+++ b/orchidferry/testkit/explore/world_state.py
@@ -31,7 +31,7 @@
 from orchidferry.testkit.explore.world_peers import Client, ServerRequest, parse_headers, take_message
 from orchidferry.testkit.explore.world_size import WorldSize
 
-SLACK_MS = 25.0  # by which an answer may miss its deadline: one iteration and the node's own margin
+SLACK_MS = 25.0  # time by which an answer may miss its deadline: one iteration and the node's own margin
 # Periodic timers, which the exploration does not wait for.
 BACKGROUND = ("Frontend._sweep", "Upstream._sweep", "Discovery._silent")
 
@@ -140,7 +140,7 @@
     # While the loop is idle
 
     def run_until_idle(self) -> None:
-        """Run the loop until it is idle, and check what the node has written."""
+        """Run the loop until it is idle, and check the output of the node."""
         while True:
             self.loop.run_until_idle()
             if not self._collect_output():
@@ -166,7 +166,7 @@
             )
 
     def _collect_output(self) -> bool:
-        """Take what the node has written; return whether the loop has to run again."""
+        """Take the output of the node; return whether the loop has to run again."""
         progressed = False
         for dial in list(self.loop.dials):
             if dial.address == DISCOVERY:  # connecting to it is no choice; only its updates are
--- a/orchidferry/testkit/explore/worst_days/isolated.py
+++ b/orchidferry/testkit/explore/worst_days/isolated.py
@@ -24,10 +24,10 @@
 from orchidferry.testkit.explore.mesh_breaks import deliberate_break
 from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
-SILENCE_S = 1.0  # without an answer, after which an operator calls another controller
+SILENCE_S = 1.0  # time without an answer after which an operator calls another controller
 PROMPT_S = 0.05  # time limit for answering a call once the controller has lost contact
-PAUSE_S = 0.1  # before an operator's next call after an indefinite answer
-MAX_TRIES = 12  # calls of an operator, after which it gives up
+PAUSE_S = 0.1  # pause before an operator's next call after an indefinite answer
+MAX_TRIES = 12  # calls after which an operator gives up
 REFUSALS = (shard_state.OTHER_VERSION, shard_state.OLD_VERSION)
 
 
--- a/orchidferry/testkit/explore/worst_days/one_number.py
+++ b/orchidferry/testkit/explore/worst_days/one_number.py
@@ -1,4 +1,4 @@
-"""Conflicting and repeated orders: of those with one number one is committed, and every resend is told so.
+"""Conflicting and repeated orders: one order per number is committed, and resends get consistent answers.
 
 Checked: of two orders with the same base version or the same number at most one is acknowledged; every
 acknowledged order is in the chain of states; an order in the chain is never refused, however late it is sent
@@ -22,9 +22,9 @@
 from orchidferry.testkit.explore.worst_days.scene_setup import SceneSetup
 
 MAX_LISTED = 3  # orders that a state lists in these scenes, so that lists are truncated early
-SILENCE_S = 1.0  # without an answer, after which an order is sent again
-PAUSE_S = 0.1  # before an order is sent again after an unclear answer
-MAX_TRIES = 8  # calls for one order or read, after which its outcome is unclear
+SILENCE_S = 1.0  # time without an answer after which an order is sent again
+PAUSE_S = 0.1  # pause before an order is sent again after an unclear answer
+MAX_TRIES = 8  # calls after which the outcome of an order or a read is unclear
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/testkit/explore/worst_days/second_loss.py
+++ b/orchidferry/testkit/explore/worst_days/second_loss.py
@@ -33,7 +33,7 @@
 
     :cvar all_voters_hold: whether every voter must hold the key's record, not only a majority
     :ivar faults_allowed: how many faults may happen in the run
-    :ivar stopping_since: when each stopping controller was told to stop
+    :ivar stopping_since: when the shutdown of each stopping controller began
     """
 
     all_voters_hold = False
--- a/orchidferry/testkit/judge/fleet_views.py
+++ b/orchidferry/testkit/judge/fleet_views.py
@@ -23,7 +23,7 @@
     """One line of a node's journal: the membership status of a node, as the writing node sees it."""
 
     t: float  # seconds on the record's clock
-    incarnation: str  # of the process that wrote the line
+    incarnation: str  # incarnation of the process that wrote the line
     subject: str  # name of the node whose status the line gives
     status: str
     subject_incarnation: str
--- a/orchidferry/testkit/judge/mesh/trace.py
+++ b/orchidferry/testkit/judge/mesh/trace.py
@@ -162,7 +162,7 @@
         ]
 
     def were_connected(self, start: float, end: float, *machines: str) -> bool:
-        """Whether these machines and the controllers were connected for the whole span."""
+        """Whether these machines and the controllers were connected throughout the span."""
         spans = [span for machine in (ALL_MACHINES, *machines) for span in self.disconnected.get(machine, ())]
         return not any(low < end and high > start for low, high in spans)
 
--- a/orchidferry/testkit/judge/rules.py
+++ b/orchidferry/testkit/judge/rules.py
@@ -282,7 +282,7 @@
 def drains_kept(trace: RunTrace) -> Finding:
     """A server gets no new request after the grace period of its drain.
 
-    The grace period counts from when the forwarding node was told of the drain.
+    The grace period counts from when the forwarding node was notified of the drain.
     """
     finding = Finding()
     rules = trace.scenario.rules
@@ -359,7 +359,7 @@
 
 
 def _was_informed(trace: RunTrace, start: ServerUp, arrival: RequestReceived) -> bool:
-    """Whether the node that forwarded a request had been told of this start of the server."""
+    """Whether the node that forwarded a request had been notified of this start of the server."""
     node = trace.node_of(arrival)
     return node is not None and any(
         fact.t <= arrival.first and fact.since >= start.t - START_SKEW_S
--- a/orchidferry/testkit/mesh/actions/links.py
+++ b/orchidferry/testkit/mesh/actions/links.py
@@ -27,7 +27,7 @@
     """The links that a fault affects."""
 
     directions: list[Direction]
-    description: str  # for the record
+    description: str  # description of the links for the record
 
 
 def _links_of_one_machine(env: Environment, scheduled: ScheduledAction) -> LinkSelection:
--- a/orchidferry/testkit/mesh/actions/processes.py
+++ b/orchidferry/testkit/mesh/actions/processes.py
@@ -1,4 +1,4 @@
-"""Faults of processes, disks and whole machines: kills, pauses, wipes, replacements."""
+"""Faults of processes, disks and complete machines: kills, pauses, wipes, replacements."""
 
 from __future__ import annotations
 
--- a/orchidferry/testkit/mesh/clients.py
+++ b/orchidferry/testkit/mesh/clients.py
@@ -263,7 +263,7 @@
         return rng.randbytes(rng.randint(MIN_BODY_BYTES, MAX_BODY_BYTES))
 
     async def probe_routes(self, paths: tuple[str, ...] = (RETIRED_PATH, ADDED_PATH, UNROUTED_PATH)) -> None:
-        """Send requests to every node whose outcome shows which configuration is in force there.
+        """Send requests to every node; their outcome shows which configuration is in force there.
 
         They do not count towards the measured service level.
 
--- a/orchidferry/testkit/mesh/context.py
+++ b/orchidferry/testkit/mesh/context.py
@@ -28,7 +28,7 @@
         self.ports = ports
         self.record = record
         self.zero = zero
-        self.arrival_numbers = itertools.count(1)  # of requests at servers, over the whole run
+        self.arrival_numbers = itertools.count(1)  # numbers of arrivals of requests at servers, over the run
         self._pools: dict[str, Pool] = {}  # by the name of the machine, or of the machine and a number
 
     def now(self) -> float:
--- a/orchidferry/testkit/mesh/day.py
+++ b/orchidferry/testkit/mesh/day.py
@@ -95,7 +95,7 @@
     service_base_names: tuple[str, ...] = ("catalogo", "midia")  # see `service_names`
     bounds: Bounds = field(default_factory=Bounds)
     heartbeat_ms: int = 1500  # interval of the servers' heartbeats
-    max_connections: int = 130  # to each server
+    max_connections: int = 130  # maximum number of connections to each server
     generated: str = ""  # losses, worst or soak: the seed determines the schedule; empty: `schedule` is used
     overlapping: bool = False  # actions do not wait for the end of the previous one
     sessions: int = 0  # clients that stay with each sidecar machine, whatever its readiness
--- a/orchidferry/testkit/mesh/facts.py
+++ b/orchidferry/testkit/mesh/facts.py
@@ -2,7 +2,7 @@
 
 The verdict on a run is computed from these facts alone. The names of classes and fields are part of the
 format of stored records. In all facts `t` is a time in seconds on the run's clock, `id` is the id of an
-attempt, and `n` is the number of a request's arrival at a server, counted over the whole run.
+attempt, and `n` is the number of a request's arrival at a server, counted over the run.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     ends: float  # the deadline, after which the sender no longer waits
     root: str  # identifies the request; the same for all its attempts
     first: float  # when the first attempt of the request should have been sent
-    parent: int = 0  # number of the arrival during whose execution the server sends this; 0: from a client
+    parent: int = 0  # number of the arrival whose execution sends this; 0: from a client
     owed: bool = True  # whether it counts towards the measured service level
 
 
@@ -162,7 +162,7 @@
     config: Config
     until: float  # when the operator stopped sending it
     acked: float | None  # when it was acknowledged; None: it was not
-    status: int  # of the last response; 0: no definite answer
+    status: int  # status of the last response; 0: no definite answer
     tries: str = ""  # address and outcome of each call
 
 
@@ -183,7 +183,7 @@
     until: float  # when the call ended
     operator: str
     machine: str  # the controller that answered or was called last, after redirects
-    revision: int  # of the change; 0: a read
+    revision: int  # revision of the change; 0: a read
     content: str  # digest of the configuration that was sent; empty: a read
     status: int  # 0: no response
     how: str  # answer, or why there was no response: timeout, refused, reset, closed, silent, broken
--- a/orchidferry/testkit/mesh/processes.py
+++ b/orchidferry/testkit/mesh/processes.py
@@ -108,7 +108,7 @@
         self.peak_memory_mb = 0.0  # largest resident set size of these processes
         self.starved = 0.0  # fraction of the last window for which the process waited for a CPU core
         self._last_sample: tuple[float, float] | None = None  # time of the sample; seconds waited until then
-        self._started_at = 0.0  # on the run's clock
+        self._started_at = 0.0  # start of the process, on the run's clock
         self._past_cpu_s = 0.0  # CPU time of this node's earlier processes
 
     @property
--- a/orchidferry/testkit/mesh/run.py
+++ b/orchidferry/testkit/mesh/run.py
@@ -135,7 +135,7 @@
         self._progress.current_action = ""
 
     async def _monitor(self) -> None:
-        """Measure the event loop's lag, update the progress, and once a second sample the processes."""
+        """Measure the event loop's lag, update the progress, and sample the processes once per second."""
         env = self.env
         loop = asyncio.get_running_loop()
         last_sweep = 0.0
--- a/orchidferry/testkit/mesh/seeds.py
+++ b/orchidferry/testkit/mesh/seeds.py
@@ -53,7 +53,7 @@
 
 
 def summarize(verdict: Verdict) -> RunSummary:
-    """Extract from a verdict what is kept of its run."""
+    """Extract the part of a verdict that is kept after its run."""
     return RunSummary(
         verdict.record.seed,
         result_word(verdict),
--- a/orchidferry/testkit/mesh/servers.py
+++ b/orchidferry/testkit/mesh/servers.py
@@ -65,7 +65,7 @@
 class _Job:
     """A request that a server has received and not answered yet."""
 
-    number: int  # of the arrival, counted over the whole run; 0: a health probe
+    number: int  # number of the arrival, counted over the run; 0: a health probe
     connection: ServerSide
     request: Request
     kind: Kind
--- a/orchidferry/testkit/mesh/spawn.py
+++ b/orchidferry/testkit/mesh/spawn.py
@@ -1,6 +1,6 @@
 """Starts child processes in a worker thread, without a `preexec_fn` that would force a fork.
 
-Eight forks at once in the event loop's thread stalled the kit for a second.
+Eight forks at once in the event loop's thread stalled the test kit for one second.
 """
 
 from __future__ import annotations
--- a/orchidferry/testkit/model/chains.py
+++ b/orchidferry/testkit/model/chains.py
@@ -244,7 +244,7 @@
         timeout_at_ms = min(self._now_ms + scenario.timeout_ms, call.deadline_ms)
         on_ended = self._attempt_ended(call, number)
         self._schedule(timeout_at_ms, lambda: on_ended(Result.TIMEOUT, False, 0))
-        # Without budgets, servers are not told the remaining time.
+        # Without budgets, requests do not carry the remaining time.
         known_deadline_ms = timeout_at_ms if scenario.budgets else self._now_ms + scenario.deadline_ms
         server = self._choose_server(call.tier)
         self._enqueue(server, _Work(call.tier, known_deadline_ms, carried, on_ended))
--- a/orchidferry/testkit/model/configuration_rollout.py
+++ b/orchidferry/testkit/model/configuration_rollout.py
@@ -60,11 +60,11 @@
 WITHIN_ZONE_S = 0.0001
 CHANGE_INTERVAL_S = 0.5
 PUT_TIMEOUT_S = 4.0  # timeout of an operator's change
-START_S = 1.0  # from the kill of a node until its new process dials; assumed, not measured
+START_S = 1.0  # assumed time from the kill of a node until its new process dials
 READY_POLL_S = 0.01
 SERVER_HEARTBEAT_S = 1.5  # a new node learns of the server beside it within this time
 
-# CPU times on a whole core, measured (docs/design/worst-days.md).
+# CPU times on a full CPU core (docs/design/worst-days.md).
 # Handling of one message; at a node, an update makes it check all members.
 CONTROLLER_MESSAGE_S = 60e-6
 NODE_MESSAGE_S = 200e-6
@@ -72,7 +72,7 @@
 APPLY_S = 0.004  # decompression, parsing and application of a new text, at a node
 
 ISOLATION_S = 20.0
-SETTLING_S = 4.0  # from the start of all processes to the first change
+SETTLING_S = 4.0  # time from the start of all processes to the first change
 
 
 def random_name_configuration(revision: int) -> bytes:
@@ -456,7 +456,7 @@
     # The run
 
     def play(self) -> Outcome:
-        """Run the whole scenario."""
+        """Run the complete scenario."""
         scenario = self.scenario
         self.run(SETTLING_S)
         begin_s = self.now
--- a/orchidferry/testkit/model/fleet.py
+++ b/orchidferry/testkit/model/fleet.py
@@ -22,7 +22,7 @@
 from orchidferry.testkit.world.links import LinkFault, Links
 
 PORT = 9100
-LEAVE_DELAY_S = 0.2  # from a node's announcement that it leaves to the end of its process
+LEAVE_DELAY_S = 0.2  # time from a node's announcement that it leaves to the end of its process
 SEAL_BYTES = 24  # size of the key id and authentication tag of each message
 
 
--- a/orchidferry/testkit/model/moves.py
+++ b/orchidferry/testkit/model/moves.py
@@ -14,7 +14,7 @@
 
 from orchidferry.balancing.moves import Move, Plan, RareClasses, State
 
-# By request class.
+# Parameters by request class.
 CLASS_PROPORTIONS = {"ler-feed": 0.80, "salvar-episodio": 0.17, "repasse-socio": 0.03}
 CLASS_VALUES = {"ler-feed": 1.0, "salvar-episodio": 2.0, "repasse-socio": 8.0}
 CLASS_MEDIAN_MS = {"ler-feed": 60.0, "salvar-episodio": 120.0, "repasse-socio": 200.0}
@@ -23,7 +23,7 @@
 TICK_INTERVAL_S = 0.25
 BURST_DELAY_S = (0.0, 60.0)  # range of the start of the first burst
 BURST_LENGTH_S = (5.0, 20.0)  # range of a burst's length
-BURST_MEAN_INTERVAL_S = 120.0  # from the end of a burst to the next
+BURST_MEAN_INTERVAL_S = 120.0  # mean time from the end of a burst to the next
 BURST_RATE_FACTOR = 2.0
 BURST_TIME_FACTOR = 1.5
 WARMUP_TIME_FACTOR = 4.0
--- a/orchidferry/testkit/model/virtual_process.py
+++ b/orchidferry/testkit/model/virtual_process.py
@@ -11,7 +11,7 @@
     from orchidferry.testkit.model.fanout_world import World
     from orchidferry.testkit.model.virtual_link import LinkEnd
 
-SEND_S = 30e-6  # CPU time for sending one message on a whole core; assumed, not measured
+SEND_S = 30e-6  # assumed CPU time for sending one message on a full CPU core
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
 
     :ivar bits_per_s: rate of its link in each direction
     :ivar core_share: share of a core that it gets
-    :ivar receive_s: CPU time for handling one message on a whole core
+    :ivar receive_s: CPU time for handling one message on a full CPU core
     """
 
     bits_per_s: float = math.inf
@@ -101,7 +101,7 @@
     def work(self, seconds: float) -> float:
         """Occupy the process with work.
 
-        :param seconds: CPU time that the work takes on a whole core
+        :param seconds: CPU time that the work takes on a full CPU core
         :returns: the virtual time at which it is done
         """
         self._working_until_s = max(self.world.now, self._working_until_s) + seconds / self.machine.core_share
--- a/orchidferry/testkit/quic/client.py
+++ b/orchidferry/testkit/quic/client.py
@@ -65,7 +65,7 @@
         """Set the outcome of the request.
 
         :param how: as in `wire.Outcome`.
-        :param with_connection: whether the whole connection ended. If the connection had been used before,
+        :param with_connection: whether the connection itself ended. If the connection had been used before,
             the node may not have read the request; the outcome then has `reused` set.
         """
         self.alive = False
--- a/orchidferry/testkit/quic/faults.py
+++ b/orchidferry/testkit/quic/faults.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 REORDER_DELAY_S = 0.005  # extra delay of a reordered datagram, so that later ones overtake it
-DUPLICATE_DELAY_S = 0.002  # between the two copies of a duplicated datagram
+DUPLICATE_DELAY_S = 0.002  # time between the two copies of a duplicated datagram
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +16,7 @@
     loss: float = 0.0
     reorder: float = 0.0
     duplicate: float = 0.0
-    delay_s: float = 0.0  # of every datagram
+    delay_s: float = 0.0  # delay of every datagram
     jitter_s: float = 0.0  # maximum additional random delay
 
     def __post_init__(self) -> None:
--- a/orchidferry/testkit/quic/transport.py
+++ b/orchidferry/testkit/quic/transport.py
@@ -8,7 +8,7 @@
 
 from orchidferry.testkit.quic.faults import PathFaults
 
-IDLE_TIMEOUT_S = 30.0  # of a QUIC connection without traffic
+IDLE_TIMEOUT_S = 30.0  # time without traffic after which a QUIC connection ends
 
 
 def send_through(path: PathFaults, deliver: Callable[[Any, Any], None], data: Any, addr: Any) -> None:
--- a/orchidferry/testkit/report/terminal.py
+++ b/orchidferry/testkit/report/terminal.py
@@ -18,8 +18,8 @@
 from orchidferry.testkit.world.director import Progress
 
 BLOCKS = " ▁▂▃▄▅▆▇█"
-LINE_INTERVAL_S = 5.0  # between progress lines if the output is not a terminal
-LIVE_INTERVAL_S = 0.25  # between updates of the live line
+LINE_INTERVAL_S = 5.0  # interval between progress lines if the output is not a terminal
+LIVE_INTERVAL_S = 0.25  # interval between updates of the live line
 TIMELINE_WIDTH = 60  # characters
 COLOURS = {"pass": "green", "FAIL": "bold red", "nothing to check": "yellow"}
 MAX_VIOLATIONS = 3  # violations of a rule, or problems of another check, that are printed
--- a/orchidferry/testkit/scenario/tables.py
+++ b/orchidferry/testkit/scenario/tables.py
@@ -86,7 +86,7 @@
     """How clients behave."""
 
     processes: int = setting(integer(1, 16), 1)  # processes of the kit that run the clients
-    retries: int = setting(integer(0, 20), 3)  # per request
+    retries: int = setting(integer(0, 20), 3)  # maximum number of retries per request
     # Bounds of the time-out of one attempt, as a fraction of `gives_up`.
     try_share: tuple[float, float] = setting(number_range(0.05, 1.0), (0.42, 0.55))
     wait_s: float = setting(duration, 0.2, file_key="wait")  # backoff before a retry
@@ -152,7 +152,7 @@
     """Settings of the nodes for retry budgets and priorities that are propagated along the chain of tiers."""
 
     on: bool = setting(boolean, False)
-    extra: int = setting(integer(0, 8), 1)  # retries of a request over the whole chain
+    extra: int = setting(integer(0, 8), 1)  # retries of a request over the complete chain
     share: float = setting(SHARE, 0.1)  # retry budget of a node, as a fraction of its first attempts
     floor: float = setting(number(0.0, 1e6), 2.0)  # further retries per second that a whole tier may make
     passes: bool = setting(boolean, True)  # servers forward the chain's headers to the next tier
@@ -180,7 +180,7 @@
     on: bool = setting(boolean, False)
     zones: int = setting(integer(1, 24), 3)  # number of zones, to which nodes are assigned in rotation
     probe_s: float = setting(POSITIVE_S, 0.5, file_key="probe")  # interval of a node's probes
-    loss: float = setting(SHARE, 0.0)  # fraction of datagrams lost on every link during the whole run
+    loss: float = setting(SHARE, 0.0)  # fraction of datagrams lost on every link throughout the run
     agree_s: float = setting(POSITIVE_S, 5.0, file_key="agree")  # from a link's repair until all views agree
     # How long a live, reachable node may be regarded as lost.
     false_s: float = setting(POSITIVE_S, 2.0, file_key="false")
--- a/orchidferry/testkit/traffic/block_reader.py
+++ b/orchidferry/testkit/traffic/block_reader.py
@@ -35,7 +35,7 @@
 
 MAX_CACHED = 10_000  # entries of each cache of a worker process: requests, clients, hashes
 NUMBER = re.compile(rb"\d{1,15}(?:\.\d{1,9})?")
-MAX_SIZE_DIGITS = 15  # of a number of bytes
+MAX_SIZE_DIGITS = 15  # digits of a logged number of bytes
 NEWLINE = 10  # code of the line feed
 # Kinds of hashes: the same text has different hashes as a client and as an object
 CLIENT = 0
--- a/orchidferry/testkit/traffic/classes.py
+++ b/orchidferry/testkit/traffic/classes.py
@@ -51,7 +51,7 @@
     """One class of a classes file, and the requests that it matches."""
 
     name: str
-    pattern: re.Pattern[str]  # of the path
+    pattern: re.Pattern[str]  # pattern of the path
     methods: frozenset[str]  # in upper case; empty: all methods
     repeat: str  # safe, keyed or unsafe
     path: str = ""  # the glob or regex as written in the file
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Classes:
-    """All classes of a file, and what identifies a client."""
+    """All classes of a file, and the fields that identify a client."""
 
     rules: tuple[ClassRule, ...]
     identity: tuple[str, ...] = DEFAULT_IDENTITY
--- a/orchidferry/testkit/traffic/entry.py
+++ b/orchidferry/testkit/traffic/entry.py
@@ -33,7 +33,7 @@
     status: int  # 0: no answer
     sent: int  # bytes of the response body
     received: int  # bytes of the request body
-    address: str = ""  # of the client
+    address: str = ""  # address of the client
     agent: str = ""  # User-Agent
     host: str = ""
     fields: Mapping[str, str] | None = None  # the headers and cookies to keep, by lower-case name
--- a/orchidferry/testkit/traffic/har.py
+++ b/orchidferry/testkit/traffic/har.py
@@ -26,7 +26,7 @@
 )
 from orchidferry.testkit.traffic.log_values import address_of
 
-MAX_DEPTH = 64  # of nested objects and arrays
+MAX_DEPTH = 64  # maximum depth of nested objects and arrays
 SCHEMES = ("http://", "https://")
 
 
--- a/orchidferry/testkit/traffic/import_plan.py
+++ b/orchidferry/testkit/traffic/import_plan.py
@@ -12,7 +12,7 @@
 from orchidferry.testkit.traffic.retries import WINDOW_S
 
 REJECTED_SHARE = 0.05  # default of the fraction of lines that may be rejected
-MAX_NOTES = 50  # of a report
+MAX_NOTES = 50  # notes in a report
 
 
 class TooManyRejectedError(OrchidferryError):
@@ -27,7 +27,7 @@
     form: str  # log format, see `formats`; HARs are recognized by their content
     classes: Classes
     zone: str = "UTC"  # time zone of times without a zone
-    seed: int = 0  # of the random fractions that are added to times in whole seconds
+    seed: int = 0  # seed of the random fractions that are added to times in whole seconds
     shifts: tuple[tuple[str, float], ...] = ()  # name of a file, and seconds to add to its times
     window_s: float = WINDOW_S  # maximum time from the end of a failed request to its retry
     share: float = REJECTED_SHARE  # fraction of lines that may be rejected
--- a/orchidferry/testkit/traffic/recording.py
+++ b/orchidferry/testkit/traffic/recording.py
@@ -55,9 +55,9 @@
 ABORTED = 1  # the client closed the connection before the answer
 SPREAD = 2  # the time was logged in whole seconds, and a random fraction of a second was added
 END = 0xFFFF_FFFF_FFFF_FFFF  # time of the row that marks the end of the rows
-BLOCK = 65_536  # rows of one read
+BLOCK = 65_536  # rows that are read at once
 MAX_HEADER = 1024 * 1024  # bytes
-LEVEL = 3  # of the compression
+LEVEL = 3  # compression level
 
 T = TypeVar("T")
 Rows = np.ndarray[Any, Any]
--- a/orchidferry/testkit/traffic/replay.py
+++ b/orchidferry/testkit/traffic/replay.py
@@ -67,7 +67,7 @@
     traffic: Traffic  # the recording, and how it is replayed
     names: list[str]  # names of the recording's classes, by number
     excluded: frozenset[str]  # names of the classes that the guard excludes
-    seed: int  # of the sample of clients
+    seed: int  # seed of the sample of clients
     sent: Counter[str] = field(default_factory=Counter)  # by class
     recorded: Counter[str] = field(default_factory=Counter)  # by class, before sampling and exclusions
     skipped: Counter[str] = field(default_factory=Counter)  # by reason
--- a/orchidferry/testkit/traffic/row_columns.py
+++ b/orchidferry/testkit/traffic/row_columns.py
@@ -39,7 +39,7 @@
     sent: Any
     cls: Any
     status: Any
-    resolution_s: float  # of all times
+    resolution_s: float  # resolution of all times
 
 
 class Columns:
--- a/orchidferry/testkit/world/hub.py
+++ b/orchidferry/testkit/world/hub.py
@@ -128,7 +128,7 @@
             self._start = float(order["at"])
 
     def on_second(self) -> None:
-        """Record what each node has sent since the last call."""
+        """Record the traffic that each node has sent since the last call."""
         now = self._recorder.now()
         for name, count in self._bytes.items():
             self._recorder.put(LinkBytes(now, name, count, self._messages[name]))
--- a/orchidferry/testkit/world/machine.py
+++ b/orchidferry/testkit/world/machine.py
@@ -118,7 +118,7 @@
     phase_work_s: float  # work of one phase, in core-seconds
     calls: int  # total number of calls to the next tier
     calls_made: int = 0
-    remaining_work_s: float = 0.0  # of the current phase, in core-seconds
+    remaining_work_s: float = 0.0  # work left of the current phase, in core-seconds
     begun: bool = False
     repeat: bool = False  # its operation key had been seen, so it has no effect
     fails: bool = False  # a fault makes the request fail
--- a/tests/testkit/judge/test_fleet.py
+++ b/tests/testkit/judge/test_fleet.py
@@ -71,7 +71,7 @@
     found = judge_run(journals, links=(cut,))
     assert found["false_deaths"] == 0 and found["views_agree_after_s"] == pytest.approx(4.0, abs=0.15)
     pair = LinkFault(5.0, 16.0, one, frozenset({"n1"}), cut=True)
-    assert judge_run(journals, links=(pair,))["false_deaths"] == 1  # n0 could hear of n1 through n2
+    assert judge_run(journals, links=(pair,))["false_deaths"] == 1  # n1 reaches n0 through n2
     paused = NodePaused(5.0, 16.0, "n1")
     assert judge_run(journals, paused)["false_deaths"] == 0
     short_cut = LinkFault(5.0, 10.0, one, rest, cut=True)
@@ -83,7 +83,7 @@
 
 def test_restarted_node_begins_with_an_empty_view() -> None:
     journals = {node: complete_journal(node) for node in NODES}
-    journals["n0"] += [journal_line(10.0, "n0", "n0", incarnation="M")]  # restarted; hears of no other node
+    journals["n0"] += [journal_line(10.0, "n0", "n0", incarnation="M")]  # restarted; knows no other node
     found = judge_run(journals, NodeDown(9.0, "n0", "killed"), NodeUp(10.0, "n0", 0))
     assert "views do not agree at the end" in found["problems"]
 
