--- a/orchidferry/testkit/judge/fleet_views.py
+++ b/orchidferry/testkit/judge/fleet_views.py
@@ -43,7 +43,7 @@
 
 
 NodeView = dict[str, MemberState]
-"""A node's view: the believed state of each other node that it has heard of, by name."""
+"""A node's view: the believed state of each other node that it knows, by name."""
 
 
 def read_journals(journals: dict[str, list[str]], zero: float) -> dict[str, list[JournalEntry]]:
--- a/orchidferry/testkit/mesh/actions/isolation.py
+++ b/orchidferry/testkit/mesh/actions/isolation.py
@@ -25,7 +25,7 @@
 """The chance that all proxies are restarted in turn during an isolation; else a few restart at random."""
 
 ROLLING_PAUSE_S = 0.5
-"""From the start of one proxy to the termination of the next."""
+"""The time from the start of one proxy to the termination of the next."""
 
 RESTARTS = 3
 """How many proxies are restarted during an isolation without a rolling restart."""
@@ -36,7 +36,7 @@
 CHANGES_IN_A_ROW = 300
 FIRST_BROKEN_CHUNK = 2
 LAST_BROKEN_CHUNK = 4
-"""Bounds of the chunk in whose middle connections between proxies are reset; see `LinkCondition`."""
+"""Bounds of the number of the chunk at which connections between proxies are reset; see `LinkCondition`."""
 
 
 class IsolationDirection(Enum):
--- a/orchidferry/testkit/mesh/actions/planned.py
+++ b/orchidferry/testkit/mesh/actions/planned.py
@@ -24,7 +24,7 @@
 """How long a change that must be rejected is retried until it gets a definite answer."""
 
 APPLY_MARGIN_S = 0.2
-"""Beyond `config_apply_ms`, until the nodes are asked which configuration is in force."""
+"""The time beyond `config_apply_ms` until the nodes are probed for the configuration in force."""
 
 
 def _server_to_drain(env: Environment, scheduled: ScheduledAction) -> Server:
--- a/orchidferry/testkit/mesh/control_api.py
+++ b/orchidferry/testkit/mesh/control_api.py
@@ -13,7 +13,7 @@
 
 MAX_REDIRECTS = 2
 CALL_TIMEOUT_S = 1.0
-"""For each request, redirects counted separately."""
+"""The time-out of each request; each redirect starts a new one."""
 
 TEMPORARY_REDIRECT = 307
 
--- a/orchidferry/testkit/mesh/processes.py
+++ b/orchidferry/testkit/mesh/processes.py
@@ -42,7 +42,7 @@
 """How long the Python interpreter may take to start; long enough for a slow machine."""
 
 RESTART_DELAY_S = 0.5
-"""From the unexpected end of a process to its restart."""
+"""The time from the unexpected end of a process to its restart."""
 
 MAX_STARTS = 20
 """How often one machine's process may be started in a run; if it then ends by itself, the run is aborted."""
--- a/orchidferry/testkit/mesh/registration.py
+++ b/orchidferry/testkit/mesh/registration.py
@@ -18,13 +18,13 @@
 """How much longer than `drain_ms` a draining server keeps serving."""
 
 MAX_LEAVE_S = 6.0
-"""A server whose draining has not been acknowledged by then leaves nevertheless."""
+"""The time after which a server leaves even if its draining has not been acknowledged."""
 
 MAX_ACKNOWLEDGEMENT_BYTES = 4096
-"""A longer body does not count as an acknowledgement."""
+"""The maximum size of a response body that counts as an acknowledgement."""
 
 HEARTBEAT_RETRY_S = 0.3
-"""From a heartbeat that was not acknowledged to the next one."""
+"""The time from a heartbeat that was not acknowledged to the next one."""
 
 MIN_LEAVE_BACKOFF_S = 0.1
 MAX_LEAVE_BACKOFF_S = 1.0
--- a/orchidferry/testkit/mesh/relay.py
+++ b/orchidferry/testkit/mesh/relay.py
@@ -30,13 +30,13 @@
 
 DIAL_TIMEOUT_S = 1.0
 RESET_DELAY_S = 0.005
-"""From the first half of a chunk to the reset, so that the receiver gets that half before the reset."""
+"""The time from the first half of a chunk to the reset, so that the receiver gets that half first."""
 
 LISTENER_PROBE_INTERVAL_S = 0.02
 """How often the relay checks whether a process listens on its port again."""
 
 BACKLOG = 512
-"""Of the relay's listening sockets, in connections."""
+"""The backlog of the relay's listening sockets, in connections."""
 
 Direction = tuple[str, str]
 """Names of the sending and of the receiving machine; an empty name: unknown."""
--- a/orchidferry/testkit/mesh/run.py
+++ b/orchidferry/testkit/mesh/run.py
@@ -18,7 +18,7 @@
 """The longest wait for all machines to become ready after their start; the run continues once all are."""
 
 WARM_UP_S = 3.0
-"""From the end of the start-up to the traffic, so that all servers have announced that they are warm."""
+"""The time from the end of the start-up to the traffic: all servers announce that they are warm."""
 
 FIRST_CHANGE_LIMIT_S = MAX_START_S + 5.0
 """How long the first configuration is retried until it gets a definite answer."""
--- a/orchidferry/testkit/mesh/schedule.py
+++ b/orchidferry/testkit/mesh/schedule.py
@@ -30,10 +30,10 @@
 """Planned operations with their approximate durations; each occurs once in a schedule with faults."""
 
 FIRST_ACTION_S = 1.0
-"""From the start of the traffic to the first action."""
+"""The time from the start of the traffic to the first action."""
 
 CLOSING_BEFORE_END_S = 14.0
-"""From the closing fault to the end of the traffic."""
+"""The time from the closing fault to the end of the traffic."""
 
 RESTART_S = 0.6
 """Approximate time that a process takes to restart."""
@@ -94,13 +94,13 @@
 RESET_CALLS_S = 6.0
 WORST_DURATIONS_S = {"isolate": ISOLATED_S, "many-changes": MANY_CHANGES_S, "reset-calls": RESET_CALLS_S}
 SHORT_S = 0.5
-"""The duration of actions without a duration of their own."""
+"""The duration of actions for which no other duration is given."""
 
 WORST_CLOSING_BEFORE_END_S = 20.0
-"""As `CLOSING_BEFORE_END_S`, in the worst-days scenarios."""
+"""The same as `CLOSING_BEFORE_END_S`, for the worst-days scenarios."""
 
 RESEND_BEFORE_END_S = 6.0
-"""From the final resends of changes to the end of the traffic."""
+"""The time from the final resends of changes to the end of the traffic."""
 
 WORST_BLOCKS = (
     ("isolate",),
--- a/orchidferry/testkit/mesh/servers.py
+++ b/orchidferry/testkit/mesh/servers.py
@@ -37,7 +37,7 @@
 """The coefficient of variation of the execution time of requests."""
 
 RESET_DELAY_S = 0.005
-"""From the first half of a response to the reset, so that the client gets that half before the reset."""
+"""The time from the first half of a response to the reset, so that the client gets that half first."""
 
 SILENCE_BEYOND_DEADLINE_S = 0.5
 """How long a server with the fault `CallFault.SILENT` keeps the connection open after the deadline."""
