--- a/orchidferry/testkit/judge/fleet_views.py
+++ b/orchidferry/testkit/judge/fleet_views.py
@@ -23,7 +23,7 @@
     """One line of a node's journal: the membership status of a node, as the writing node sees it."""
 
     t: float  # seconds on the record's clock
-    incarnation: str  # of the process that wrote the line
+    incarnation: str  # incarnation of the process that wrote the line
     subject: str  # name of the node whose status the line gives
     status: str
     subject_incarnation: str
@@ -43,7 +43,7 @@
 
 
 NodeView = dict[str, MemberState]
-"""A node's view: the believed state of each other node that it has heard of, by name."""
+"""A node's view: the believed state of each other node that it knows, by name."""
 
 
 def read_journals(journals: dict[str, list[str]], zero: float) -> dict[str, list[JournalEntry]]:
