--- a/orchidferry/mesh/control/configuration_schema.py
+++ b/orchidferry/mesh/control/configuration_schema.py
@@ -77,7 +77,7 @@
 
 
 class ConfigurationSchema(LenientSchema):
-    """A whole configuration."""
+    """A complete configuration."""
 
     revision_number = fields.Integer(required=True, strict=True, validate=POSITIVE)
     limit_set = fields.Dict(keys=fields.String(), values=fields.Float(validate=NON_NEGATIVE))
--- a/orchidferry/mesh/control/controller.py
+++ b/orchidferry/mesh/control/controller.py
@@ -2,7 +2,7 @@
 
 It runs one replica of each shard of the state (`orchidferry.mesh.control.shard`). It votes on the
 configuration, grants operation keys, performs the singleton duties of the shards that it owns, holds the
-leases of nodes, and publishes changes. Whatever it acknowledges is on its disk before; disk writes never
+leases of nodes, and publishes changes. Everything it acknowledges is on its disk before; disk writes never
 block its event loop.
 """
 
@@ -36,9 +36,9 @@
 BACKLOG = 512  # connections that may wait to be accepted
 MIN_HTTP_CONNECTIONS = 64  # lower bound of the limit of concurrent HTTP connections
 GROWTH_WAIT_S = 5.0  # after the start the first configuration waits at most this long for the groups to grow
-MIN_STOP_S = 1.0  # after SIGTERM, for calls in progress and for other controllers to take over duties
-HANDOVER_MARGIN_S = 1.0  # between the end of the handover and the platform's kill
-HANDOVER_CHECK_S = 0.1  # between two checks of whether the handover is complete
+MIN_STOP_S = 1.0  # time after SIGTERM for calls in progress, and for others to take over duties
+HANDOVER_MARGIN_S = 1.0  # time between the end of the handover and the platform's kill
+HANDOVER_CHECK_S = 0.1  # time between two checks of whether the handover is complete
 STOP_MARGIN_S = 0.4  # part of the grace time that is reserved for the end of the process itself
 
 
--- a/orchidferry/mesh/control/hinted_handoff.py
+++ b/orchidferry/mesh/control/hinted_handoff.py
@@ -18,7 +18,7 @@
 RECENT_S = 4.0  # a controller found silent may have missed writes of this last period, too
 MAX_RECENT = 8_000  # recently written keys that are remembered
 MAX_HINTS_PER_PEER = 40_000  # keys kept for one silent controller
-RETRY_INTERVAL_S = 1.0  # after which an unacknowledged page is sent again
+RETRY_INTERVAL_S = 1.0  # interval after which an unacknowledged page is sent again
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/mesh/control/publisher.py
+++ b/orchidferry/mesh/control/publisher.py
@@ -53,8 +53,8 @@
         :param zone: zone of the controller.
         :param incarnation: random number drawn at the start of the controller.
         :param loop: the event loop, for its clock and timers.
-        :param contact_age_ms: returns how long ago a majority of controllers was surely in contact with this
-            one, in milliseconds; None for never.
+        :param contact_age_ms: returns how long ago a majority of controllers was certainly in contact with
+            this one, in milliseconds; None for never.
         """
         self._zone = zone
         self._loop = loop
--- a/orchidferry/mesh/control/quorum_read.py
+++ b/orchidferry/mesh/control/quorum_read.py
@@ -13,7 +13,7 @@
 from orchidferry.balancing.register import NO_BALLOT, AcceptorState, Ballot, Value, Voter, has_majority
 
 READ_RETRY_S = 0.1  # time for voters to answer, before they are asked again or a ballot round is run
-READ_TIMEOUT_S = 0.8  # for a whole read; callers proceed without an answer after 1 s
+READ_TIMEOUT_S = 0.8  # timeout of a read; callers proceed without an answer after 1 s
 INTERNAL_READER = ""  # stands for the replica itself among the readers of a read
 
 
--- a/orchidferry/mesh/control/repair.py
+++ b/orchidferry/mesh/control/repair.py
@@ -45,7 +45,7 @@
     KeyRow,
 )
 
-MAX_HINTS_PER_PAGE = 4_000  # keys, regardless of their size in bytes
+MAX_HINTS_PER_PAGE = 4_000  # maximum number of keys in a page, regardless of their size in bytes
 
 
 class RepairingReplica(Replica):
--- a/orchidferry/mesh/control/replica.py
+++ b/orchidferry/mesh/control/replica.py
@@ -44,9 +44,9 @@
 )
 
 OWNERSHIP_START_S = 0.8  # after its start a controller does not propose itself as the owner for this long
-ADMIT_TIMEOUT_S = 1.9  # for admitting a voter
-CHANGE_TIMEOUT_S = 1.5  # for other changes that a replica proposes on its own
-MAINTENANCE_S = 0.4  # between two checks of membership and ownership
+ADMIT_TIMEOUT_S = 1.9  # timeout of a proposal to admit a voter
+CHANGE_TIMEOUT_S = 1.5  # timeout of other changes that a replica proposes by itself
+MAINTENANCE_S = 0.4  # time between two checks of membership and ownership
 
 
 class Replica:
--- a/orchidferry/mesh/control/shard.py
+++ b/orchidferry/mesh/control/shard.py
@@ -40,7 +40,7 @@
 
 __all__ = ["Shard", "initial_records"]
 
-ANSWER_RETRY_S = 1.0  # after the write of an answer has failed
+ANSWER_RETRY_S = 1.0  # pause after a failed write of an answer
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidferry/mesh/dataplane/abandoned_responses.py
+++ b/orchidferry/mesh/dataplane/abandoned_responses.py
@@ -23,9 +23,9 @@
     """Why a response is abandoned."""
 
     TIMEOUT = "timeout"  # the attempt timed out
-    SUPERSEDED = "superseded"  # another attempt of its request is preferred
-    ANSWERED = "answered"  # its request was answered already
-    DEADLINE = "deadline"  # the deadline of its request passed
+    SUPERSEDED = "superseded"  # another attempt of the same request is preferred
+    ANSWERED = "answered"  # the request was answered already
+    DEADLINE = "deadline"  # the deadline of the request passed
     CLIENT_CLOSED = "client_closed"  # the caller disconnected
 
 
@@ -37,7 +37,7 @@
     request_id: str  # the `Attempt-Id` of the request
     peer: Address  # the server or gate that sent it
     received_bytes: int
-    elapsed_ms: float  # since the request was written
+    elapsed_ms: float  # milliseconds since the request was written
 
 
 class AbandonedResponses:
--- a/orchidferry/mesh/dataplane/admission.py
+++ b/orchidferry/mesh/dataplane/admission.py
@@ -46,9 +46,9 @@
 DRAIN_FRACTION = 0.75  # fraction of `drain_ms` for which a draining server is still sent requests
 QUEUE_PER_SLOT = 4  # queue capacity per slot
 MIN_REMAINING_MS = 8.0  # requests with less time left are rejected
-MAX_FAILED_CONNECTS = 2  # consecutive; the server then counts as gone until its next heartbeat
+MAX_FAILED_CONNECTS = 2  # consecutive failures after which the server counts as gone until a heartbeat
 # How long a repeatable request whose client has disconnected may go on executing while no other request needs
-# its slot. If its response arrives in this time, its connection stays usable; new connections have a price.
+# its slot. If its response arrives in this time, its connection stays usable; opening a new one is costly.
 # The rules of the platform allow 0.5 s from the disconnection of the client.
 ABANDONED_S = 0.3
 LOWEST_RANK = 9  # rank of a request without a valid rank header; rank 0 is the most important
@@ -154,9 +154,9 @@
         # The server's number in the connection pool. Each incarnation has its own, so that no connection is
         # reused for another incarnation.
         self.incarnation = 1
-        self._failed_connects = 0  # consecutive
-        self.in_flight = 0  # requests sent to the server and not ended
-        # The requests in flight that nobody waits for, oldest first.
+        self._failed_connects = 0  # number of consecutive failed connects to the server
+        self.in_flight = 0  # number of requests that were sent to the server and have not ended
+        # Requests in flight that may be cancelled, as their sender has disconnected; oldest first.
         self._abandoned: dict[GateRequest, ServerAttempt] = {}
         self._queue: AdmissionQueue[GateRequest] = AdmissionQueue(timers)
         self.draining = False  # the node is shutting down: new requests are rejected
--- a/orchidferry/mesh/dataplane/admission_queue.py
+++ b/orchidferry/mesh/dataplane/admission_queue.py
@@ -18,8 +18,8 @@
 
     def __init__(self, rank: int) -> None:
         self.rank = rank
-        self.queue_timer = 0  # number of its timer in the timer queue; 0: it is not queued
-        self.queue_position = 0  # rises in the order of arrival
+        self.queue_timer = 0  # number of the request's timer in the timer queue; 0 if it is not queued
+        self.queue_position = 0  # position in the order of arrival
 
 
 RequestT = TypeVar("RequestT", bound=QueuedRequest)
--- a/orchidferry/mesh/dataplane/attempt.py
+++ b/orchidferry/mesh/dataplane/attempt.py
@@ -60,7 +60,7 @@
     def on_sent(self) -> None:
         """Start the server's timeout, as the last byte of the request is written."""
         super().on_sent()
-        if self.message.flow is not None:  # while the body was sent, the timeout covered only stalls
+        if self.message.flow is not None:  # while the body was being sent, the timer detected only stalls
             self.extend_timeout(self.timeout_ms / 1000.0)
 
     def abort(self, result: Result) -> None:
--- a/orchidferry/mesh/dataplane/endpoint_table.py
+++ b/orchidferry/mesh/dataplane/endpoint_table.py
@@ -53,7 +53,7 @@
         self._connections = connections
         self._publish = publish
         self._endpoints: dict[int, Endpoint] = {}
-        self._ready: dict[int, Endpoint] = {}  # those in service
+        self._ready: dict[int, Endpoint] = {}  # servers that are in service, by number
         self._slow_start: set[int] = set()  # numbers of the servers that are warming up
         self._zone_preference = ZonePreference()
 
--- a/orchidferry/mesh/dataplane/http_connection.py
+++ b/orchidferry/mesh/dataplane/http_connection.py
@@ -68,10 +68,10 @@
     _upstream: HttpConnectionPool
 
     def __init__(self, pool: HttpConnectionPool, server: int, address: Address) -> None:
-        self._carried_ids: tuple[str, ...] = ()  # ids of the last requests that it carried
-        self._idle_ms = 0.0  # idle time before the current attempt
-        self._tainted = False  # no longer clean: to be closed once the current attempt has ended
-        self._sent_ms = 0.0  # when the current attempt was written
+        self._carried_ids: tuple[str, ...] = ()  # ids of the last requests that the connection carried
+        self._idle_ms = 0.0  # idle time before the current attempt, in milliseconds
+        self._tainted = False  # no longer clean: the connection closes once its attempt has ended
+        self._sent_ms = 0.0  # time at which the current attempt was written
         super().__init__(pool, server, address)
         self._parser = cast(httptools.HttpResponseParser, ResponseParser(self))
 
@@ -93,19 +93,19 @@
         self._encoded = False
         self._not_executed = False
         self._dependency_shed = False
-        self._wrong_id = False  # whether it bears the attempt id of another request
+        self._wrong_id = False  # whether the response has the attempt id of another request
 
     # Requests
 
     def has_carried(self, id: str) -> bool:
-        """Whether it carried a request with this id recently.
+        """Whether the connection carried a request with this id recently.
 
         A second response to that request would be taken for the response to a new request with the same id.
         """
         return id in self._carried_ids
 
     def reused_after(self, idle_ms: float) -> None:
-        """Record how long the connection was idle before the attempt that it is about to carry."""
+        """Record how long the connection was idle before the attempt that it will carry next."""
         self._idle_ms = idle_ms
 
     def send_attempt(self, attempt: Attempt) -> None:
@@ -144,7 +144,7 @@
         self.close()
 
     def _is_unsent(self, size: int) -> bool:
-        """Whether a request of `size` bytes is still buffered as a whole; False if that is unknown."""
+        """Whether a request of `size` bytes is still buffered completely; False if that is unknown."""
         open = not self._lost and not self._transport.is_closing()
         return open and self._transport.get_write_buffer_size() >= size
 
@@ -212,7 +212,7 @@
             self._framing_headers = 1
             self._length = None
         if status >= 200 and not self._framing_headers:
-            self._server_closes = True  # its body ends with the connection (RFC 9112, section 6.3)
+            self._server_closes = True  # the body ends with the connection (RFC 9112, section 6.3)
         super().on_headers_complete()
         if status == STATUS_SWITCHING_PROTOCOLS:
             self._malformed = True  # no request asks for an upgrade
@@ -237,7 +237,7 @@
         return None
 
     def _is_for_other(self, attempt: Attempt) -> bool:
-        """Whether the response being read bears an attempt id other than that of the attempt."""
+        """Whether the response being read has an attempt id other than that of the attempt."""
         return self._attempt_id is not None and self._attempt_id != attempt.message.id.encode("latin-1")
 
     # Responses
@@ -247,7 +247,7 @@
         return authentic and super()._stream_body()
 
     def _stream_finished(self) -> None:
-        self.resume()  # its consumer may have paused the connection; the next response must be read
+        self.resume()  # the body's consumer may have paused the connection; the next response must be read
         super()._stream_finished()
 
     def _build_response(self, body: bytes, flow: Flow | None = None) -> UpstreamResponse:
--- a/orchidferry/mesh/dataplane/idle_limit.py
+++ b/orchidferry/mesh/dataplane/idle_limit.py
@@ -1,4 +1,4 @@
-"""How long a connection to one server may be idle and still be reused. Pure: no I/O, the clock handed in.
+"""How long a connection to one server may be idle and still be reused. Pure: no I/O; times are passed in.
 
 A server closes idle connections after the time that its `Keep-Alive` header states, if it sends one. Some
 drop them sooner without closing them, so that the next request is reset. An at-most-once request that is lost
@@ -25,7 +25,7 @@
 STATED_FRACTION = 0.7
 OBSERVED_FRACTION = 0.5  # usable fraction of the idle time after which a connection was found closed
 MIN_OBSERVED_MS = 250.0  # a connection that was lost after a shorter idle time was not closed for being idle
-OBSERVATION_VALID_MS = 30_000.0  # after this time an observation no longer counts
+OBSERVATION_VALID_MS = 30_000.0  # time after which an observation no longer counts
 KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[\s,;])timeout=([0-9]{1,6})(?![0-9])", re.IGNORECASE)
 
 
@@ -48,10 +48,10 @@
         """
         self._default_ms = default_ms
         self._at_most_once_ms = at_most_once_ms
-        self._keep_alive = b""  # the last value of the header
+        self._keep_alive = b""  # last value of the `Keep-Alive` header
         self._max_idle_ms = default_ms
         self._observed_ms = math.inf  # the shortest idle time after which a connection was found closed
-        self._observed_until_ms = -math.inf  # until then the observation counts
+        self._observed_until_ms = -math.inf  # time until which the observation counts
 
     def keep_alive_stated(self, header: bytes) -> None:
         """Handle the value of the server's `Keep-Alive` header."""
--- a/orchidferry/mesh/dataplane/keyed_requests.py
+++ b/orchidferry/mesh/dataplane/keyed_requests.py
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.abandoned = False  # whether its caller has disconnected
-        self.request: PendingRequest | None = None  # once the claim is granted
+        self.request: PendingRequest | None = None  # None until the claim is granted
 
     def client_disconnected(self) -> None:
         """Cancel the request, as its caller has disconnected."""
--- a/orchidferry/mesh/dataplane/messages.py
+++ b/orchidferry/mesh/dataplane/messages.py
@@ -61,7 +61,7 @@
     headers: dict[bytes, bytes] = field(default_factory=dict)  # all headers, by lower-case name
     forwarded_headers: list[tuple[bytes, bytes]] = field(default_factory=list)  # with their names as received
     route: Route | None = None
-    without_deadline: bool = False  # it had no `Time-Remaining` header, so `budget_ms` is meaningless
+    without_deadline: bool = False  # true if it had no `Time-Remaining` header; `budget_ms` is meaningless
 
 
 @dataclass(slots=True)
--- a/orchidferry/mesh/dataplane/pending_request.py
+++ b/orchidferry/mesh/dataplane/pending_request.py
@@ -39,7 +39,7 @@
 
 
 class PendingRequest:
-    """A request, from its acceptance until it is answered and none of its attempts is in progress."""
+    """A request, from its acceptance until it is answered and none of its attempts is in flight."""
 
     __slots__ = (
         "answer",
@@ -80,7 +80,7 @@
         self.closed_by = AbandonCause.SUPERSEDED
         self.may_have_run = False  # whether an attempt that has ended may have been executed
         self.attempts = 0  # number of attempts made so far
-        self.deadline_timer = 0  # its number in the timer queue
+        self.deadline_timer = 0  # number of the deadline's timer in the timer queue
         self.response: ServerResponse | None = None  # the last response of a server that executed it
 
     def client_disconnected(self) -> None:
@@ -147,7 +147,7 @@
         return AbandonCause.TIMEOUT if self.timed_out else self._request.closed_by
 
     def may_send(self) -> bool:
-        """Whether the request is awaited, its body can still be sent whole, and the server is in service."""
+        """Whether the request is awaited, all of its body can still be sent, and the server is in service."""
         flow = self.message.flow
         body_there = flow is None or flow.can_start()
         request = self._request
--- a/orchidferry/mesh/dataplane/proxy.py
+++ b/orchidferry/mesh/dataplane/proxy.py
@@ -95,11 +95,11 @@
         self._configuration: Configuration | None = None
         self._route_table = RouteTable([])
         self._node_count = 0
-        # Records of the nodes that have a server, by its service and by node name.
+        # Records of the nodes that have a server, by the server's service and by node name.
         self._records_by_service: dict[str, dict[str, NodeRecord]] = {}
-        self._record_number = 0  # of the record published last
+        self._record_number = 0  # number of the record that was published last
         self._draining = False
-        self._drain_deadline_ms = math.inf  # while the node drains: all requests are answered by then
+        self._drain_deadline_ms = math.inf  # while the node drains: time by which all requests are answered
         self._control_client = ControlClient(settings, loop, self._on_members, self._on_configuration)
         self._keyed_requests = KeyedRequests(self._control_client)
         assert settings.application is not None
@@ -171,7 +171,7 @@
     async def _stop(self) -> None:
         """Drain within the grace time, after which the platform kills the process.
 
-        Clients learn of the drain from readiness, which the platform probes once a second.
+        Clients learn of the drain from readiness, which the platform probes once per second.
         """
         started_s = self._loop.time()
         grace_s = self._settings.bounds.grace_s
--- a/orchidferry/mesh/dataplane/retry_slack.py
+++ b/orchidferry/mesh/dataplane/retry_slack.py
@@ -12,7 +12,7 @@
 from orchidferry.mesh.settings import Bounds
 
 SLACK_FRACTION = 0.4  # fraction of the slack that all nodes together use
-# Divisor of each node's share, as nodes that have died within the window may have used up their share.
+# Divisor of each node's share, as nodes that have failed within the window may have used up their shares.
 SPARE_NODES = 1.5
 
 
@@ -57,5 +57,5 @@
         return self._loop.time() - self._started_s >= self._bounds.retry_window_s
 
     def _window_passed(self) -> None:
-        self._timer_set = False  # if the timer fired early, `retries` sets another
+        self._timer_set = False  # if the timer fired early, `retries` sets a new one
         self._on_available()
--- a/orchidferry/mesh/dataplane/server_registration.py
+++ b/orchidferry/mesh/dataplane/server_registration.py
@@ -1,6 +1,6 @@
 """The registration of the server on this machine: its current incarnation, its state and its drain.
 
-Pure: no I/O, the clock handed in. Heartbeats may arrive late and out of order. `call_sequence` orders those
+Pure: no I/O; times are passed in. Heartbeats may arrive late and out of order. `call_sequence` orders those
 of one incarnation; two incarnations are ordered only by the arrival of their heartbeats.
 
 >>> from orchidferry.mesh.control.endpoints import DRAINING, IN_SERVICE, Server
@@ -23,7 +23,7 @@
 from orchidferry.mesh.control.endpoints import DRAINING, GONE, IN_SERVICE, Server
 
 MISSED_HEARTBEATS = 3.5  # a server that is silent for this many heartbeat intervals is gone
-MAX_FORMER_INCARNATIONS = 64  # that are remembered, so that their late heartbeats are recognized
+MAX_FORMER_INCARNATIONS = 64  # former incarnations that are remembered, to recognize their late heartbeats
 # An incarnation that was replaced becomes current again if it sends a newer heartbeat and its replacement has
 # been silent for this many heartbeat intervals. Heartbeats arrive late: the first one that this process
 # receives may be the last one of a server that is gone.
@@ -44,8 +44,8 @@
     """An incarnation of the server that has deregistered or was replaced by another one."""
 
     deregistered: bool
-    sequence: int  # of the last heartbeat received from it
-    drain_acknowledged_ms: float  # when it first reported that it drains; infinite if it did not
+    sequence: int  # number of the last heartbeat received from the incarnation
+    drain_acknowledged_ms: float  # time of its first report that it drains; infinite if there was none
 
 
 class ServerRegistration:
@@ -55,9 +55,9 @@
         self.server: Server | None = None  # the current incarnation; None before the first heartbeat
         self.last_heartbeat_ms = now_ms
         self._heartbeat_interval_ms = heartbeat_interval_ms
-        self._sequence = -1  # of the last heartbeat of the current incarnation
+        self._sequence = -1  # number of the current incarnation's last heartbeat
         self._drain_acknowledged_ms = math.inf
-        self._former: dict[str, FormerIncarnation] = {}  # by id, oldest first
+        self._former: dict[str, FormerIncarnation] = {}  # former incarnations by id, oldest first
 
     @property
     def serving(self) -> bool:
--- a/orchidferry/mesh/dataplane/service_client.py
+++ b/orchidferry/mesh/dataplane/service_client.py
@@ -1,4 +1,4 @@
-"""The client side of one service on a node: its servers, its balancer, and the attempts in progress.
+"""The client side of one service on a node: its servers, its balancer, and the attempts in flight.
 
 The balancer (`orchidferry.balancing`) selects servers, decides on retries and sheds load. The service client
 translates connection events into events of the balancer and performs the balancer's actions, one event at a
@@ -84,11 +84,11 @@
         self._events: EventQueue | None = None
         self._last_request = 0
         self.pending: dict[str, PendingRequest] = {}  # requests not answered yet, by id
-        # Attempts in progress, by request id and attempt number.
+        # Attempts in flight, by request id and attempt number.
         self.attempts: dict[tuple[str, int], GateAttempt] = {}
-        self._drain_deadline_ms = math.inf  # while the node drains: all requests are answered by then
+        self._drain_deadline_ms = math.inf  # while the node drains: time by which all requests are answered
         self._nested = NestedCallShedder()
-        self.last_rejected_ms = -math.inf  # when a request was last answered as not executed
+        self.last_rejected_ms = -math.inf  # time at which a request was last answered as not executed
         self.endpoints = EndpointTable(
             name,
             context.zone,
@@ -189,7 +189,7 @@
         """Accept a request.
 
         :param answer: called with the reply once, now or later, unless the caller disconnects first.
-        :param on_ended: called once the request is closed and none of its attempts is in progress.
+        :param on_ended: called once the request is closed and none of its attempts is in flight.
         """
         deadline_ms = min(deadline_ms, self._drain_deadline_ms)
         request = PendingRequest(self, message, route, deadline_ms, answer, on_ended)
@@ -237,7 +237,7 @@
             self._answer_without_retry(request, 0.0)
 
     def report_if_ended(self, request: PendingRequest) -> None:
-        """Call `on_ended` of a closed request if none of its attempts is in progress."""
+        """Call `on_ended` of a closed request if none of its attempts is in flight."""
         if request.on_ended is not None and not self._attempts_of(request):
             on_ended = request.on_ended
             request.on_ended = None
@@ -289,7 +289,7 @@
         self.pending.pop(request.id, None)
 
     def _attempts_of(self, request: PendingRequest) -> list[GateAttempt]:
-        """Return the attempts of a request that are in progress."""
+        """Return the attempts of a request that are in flight."""
         return [
             attempt
             for number in range(request.attempts)
@@ -360,7 +360,7 @@
         return None
 
     def _cancel(self, action: api.Cancel) -> None:
-        """Cancel the attempt with the given number, or else the last one before it that is in progress."""
+        """Cancel the attempt with the given number, or else the last one before it that is in flight."""
         for number in range(action.attempt, -1, -1):
             attempt = self.attempts.get((action.id, number))
             if attempt is not None:
--- a/orchidferry/mesh/storage/inspection.py
+++ b/orchidferry/mesh/storage/inspection.py
@@ -1,4 +1,4 @@
-"""Reads a controller's whole store and verifies every record: returns the contents, or reports the damage."""
+"""Reads a controller's store and verifies every record: returns the contents, or reports the damage."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 T = TypeVar("T")
 
-DECODE_INTERVAL = 64  # one operation key in so many is decoded; of the others only the checksum is verified
+DECODE_INTERVAL = 64  # one in this many keys is decoded; of the others only the checksum is verified
 FIELDS_BEFORE_OWNERS = 7  # length of a packed value of builds without shard owners
 CORRUPTION_ERRORS = (  # errors with which LMDB reports a damaged file
     lmdb.CorruptedError,
--- a/orchidferry/mesh/storage/snapshot_file.py
+++ b/orchidferry/mesh/storage/snapshot_file.py
@@ -23,7 +23,7 @@
 SNAPSHOT_FORMAT = 2  # format of snapshots that this build writes
 READABLE_FORMATS = (1, SNAPSHOT_FORMAT)  # in format 1 the configuration's text was never compressed
 NONCE_BYTES = 16
-READ_BYTES = 65_536  # bytes that are read at once to compute the digest
+READ_BYTES = 65_536  # size of one read when the digest is computed
 
 
 class SnapshotError(OrchidferryError):
@@ -96,7 +96,7 @@
 
 
 def read_snapshot(path: str) -> Snapshot:
-    """Read and check a whole snapshot.
+    """Read and check a complete snapshot.
 
     :param path: path of the snapshot's file
     :raises SnapshotError: if the file can't be read, or is not a complete snapshot
--- a/orchidferry/mesh/storage/storage_check.py
+++ b/orchidferry/mesh/storage/storage_check.py
@@ -46,7 +46,7 @@
 )
 
 ATTEMPTS_FILE = "opening"  # file in the data directory with one byte for each check that did not complete
-MAX_CRASHES = 2  # after so many process crashes in a row during the check the store counts as damaged
+MAX_CRASHES = 2  # after this many consecutive process crashes during the check the store counts as damaged
 RETRY_INTERVAL_S = 0.5  # pause after a store could not be opened
 # The layout of the two meta pages of LMDB 0.9.
 PAGE_BYTES = 4096
--- a/orchidferry/mesh/storage/store.py
+++ b/orchidferry/mesh/storage/store.py
@@ -1,4 +1,4 @@
-"""A controller's durable state: an LMDB environment whose writes run on a thread of their own.
+"""A controller's durable state: an LMDB environment whose writes run on a separate thread.
 
 Writes are committed in groups (group commit), and each is acknowledged once its transaction is synced. The
 event loop never waits for the disk. A write that fails (the disk is full or broken) is reported as failed and
@@ -46,7 +46,7 @@
 COMMIT_RETRY_S = 0.25  # pause after a failed commit
 PROBE_INTERVAL_S = 0.2  # how often the disk is probed while it is degraded and no write is queued
 MIN_CHECK_INTERVAL_S = 0.05  # shortest interval between two checks of the oldest pending write
-CLOSE_TIMEOUT_S = 2.0  # for completing pending writes when the store is closed
+CLOSE_TIMEOUT_S = 2.0  # time for completing pending writes when the store is closed
 # Fractions of the memory map's pages that are in use.
 NEW_KEYS_MAX_FILL = 0.8  # above this fraction the store accepts no new operation keys
 KEY_WRITES_MAX_FILL = 0.9  # above this fraction keys are only deleted: the rest is for votes and deletes
@@ -68,7 +68,7 @@
         self._queue: list[PendingWrite] = []
         self._in_flight: list[PendingWrite] = []  # writes of the commit in progress
         self._pending_bytes = 0  # size of the writes in `_queue` and `_in_flight`
-        self._unawaited_deletes = 0  # number of writes in `_queue` that only delete and that nobody waits for
+        self._unawaited_deletes = 0  # number of writes in `_queue` for which `is_unawaited_delete` is true
         self._env_lock = threading.Lock()  # held while the environment is reopened, and while it is read
         self._closing = False
         self._last_error = ""  # error text of the last failed commit or reopening
--- a/orchidferry/mesh/storage/write_batch.py
+++ b/orchidferry/mesh/storage/write_batch.py
@@ -29,7 +29,7 @@
 
     @property
     def is_unawaited_delete(self) -> bool:
-        """Whether this write only deletes records and nobody waits for its result."""
+        """Whether this write only deletes records and no callback waits for its result."""
         return self.on_written is None and all(value is None for _, _, value in self.records)
 
 
--- a/orchidferry/mesh/wire/framing.py
+++ b/orchidferry/mesh/wire/framing.py
@@ -19,8 +19,8 @@
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # longest message, without its length prefix
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # largest write buffer for a peer that does not read
-USER_TIMEOUT_MS = 2_000  # a connection ends if sent bytes stay unacknowledged for longer (RFC 5482)
-DIAL_TIMEOUT_S = 1.0  # for a connection to be established
+USER_TIMEOUT_MS = 2_000  # a connection ends if sent bytes are unacknowledged for longer (RFC 5482)
+DIAL_TIMEOUT_S = 1.0  # time for a connection to be established
 PROTOCOL = 4  # protocol number; increased with each change that an earlier build would misread
 
 
--- a/tests/mesh/control/test_contact.py
+++ b/tests/mesh/control/test_contact.py
@@ -54,7 +54,7 @@
 
 
 class IsolatedController:
-    """One controller whose messages reach nobody; records its reads and the ends of its requests."""
+    """One controller whose messages are all lost; records its reads and the ends of its requests."""
 
     def __init__(self) -> None:
         self.now = 1.0
--- a/tests/mesh/control/test_key_releases.py
+++ b/tests/mesh/control/test_key_releases.py
@@ -93,7 +93,7 @@
 
 
 def test_a_release_that_was_lost_with_its_links_goes_out_on_the_new_ones(group: Group) -> None:
-    """Such a release was never sent again, so requests with the key got 409 for the whole window."""
+    """Such a release was never sent again, so requests with the key got 409 until its retention ended."""
     assert group.claim("m", "t1") == ClaimOutcome.GRANTED
     group.cut = {("m", "a"), ("m", "b")}
     group.nodes["m"].release(KEY, "t1")
--- a/tests/mesh/dataplane/test_admission.py
+++ b/tests/mesh/dataplane/test_admission.py
@@ -304,7 +304,7 @@
     answer: ServerResponse,
     stored: list[tuple[str, int]],
 ) -> None:
-    """Otherwise repeats of its key would be told for the whole key window that it is in progress."""
+    """Otherwise repeats of its key would be rejected as in progress for the complete key window."""
     harness.heartbeat(1)
     request = harness.ask("t", **headers)
     harness.connections.sent[0].written = True
--- a/tests/mesh/dataplane/test_connection_close.py
+++ b/tests/mesh/dataplane/test_connection_close.py
@@ -16,7 +16,7 @@
 
 
 class SocketTransport(Transport):
-    """A transport on a socket whose other end the test holds, with a configurable number of unsent bytes."""
+    """A transport on one end of a socket pair, with a configurable number of unsent bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -67,7 +67,7 @@
 def test_only_a_caller_that_does_not_read_is_cut_off(
     harness: CallerHarness, headers: bytes, stage: Stage, read: int
 ) -> None:
-    """Guards against a limit on the time of a whole response, which cut off callers that read slowly."""
+    """Guards against a limit on the total time of a response, which cut off callers that read slowly."""
     transport = respond_unread(harness, headers)
     assert harness.caller.stage is stage
     limit_ms = LIMITS_S[stage] * 1000.0
--- a/tests/mesh/dataplane/test_endpoint_table.py
+++ b/tests/mesh/dataplane/test_endpoint_table.py
@@ -13,7 +13,7 @@
 
 
 class Connections:
-    """A connection pool that records which connections it is told to close."""
+    """A connection pool that records which connections it is asked to close."""
 
     def __init__(self) -> None:
         self.closed: list[tuple[str, int]] = []
--- a/tests/mesh/dataplane/test_listener.py
+++ b/tests/mesh/dataplane/test_listener.py
@@ -68,7 +68,7 @@
 
 
 class Sink:
-    """A consumer that accepts a whole streamed body."""
+    """A consumer that accepts a complete streamed body."""
 
     def feed(self, data: bytes) -> None: ...
 
--- a/tests/mesh/fakes.py
+++ b/tests/mesh/fakes.py
@@ -114,7 +114,7 @@
 
 
 def admission_gate(connections: Any, hooks: GateHooks | None = None) -> AdmissionGate:
-    """Return the gate of a server that sends a heartbeat each second."""
+    """Return the gate of a server that sends one heartbeat per second."""
     hooks = hooks or GateHooks(lambda: None, lambda: False, lambda message, response: None)
     return AdmissionGate(("127.0.0.1", 1), Bounds(), 1_000.0, connections.timers, connections, hooks)
 
--- a/tests/mesh/storage/fakes.py
+++ b/tests/mesh/storage/fakes.py
@@ -106,7 +106,7 @@
 
 
 class ManualCondition(threading.Condition):
-    """A condition whose timed waits expire when the test says so, not in real time."""
+    """A condition whose timed waits expire when the test requests it, not in real time."""
 
     expiries_left = 0  # how many timed waits may expire
 
--- a/tests/mesh/wire_fakes.py
+++ b/tests/mesh/wire_fakes.py
@@ -18,7 +18,7 @@
 
 
 class Transport:
-    """A transport that records what is written; its kernel can be told to accept only a part."""
+    """A transport that records what is written; its kernel can be set to accept only a part."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
