--- a/orchidferry/testkit/exchange.py
+++ b/orchidferry/testkit/exchange.py
@@ -1,4 +1,4 @@
-"""Requests to nodes, with all that happens in the record: what clients and stand-in servers share."""
+"""Sends requests to nodes and records their outcomes, for clients and for stand-in servers."""
 
 from __future__ import annotations
 
@@ -31,41 +31,41 @@
 
 HOST = "api.internal"
 PROOF_TIMEOUT_S = 2.0
-"""For the answer to a nonce."""
+"""Timeout for the response to a nonce, in seconds."""
 
-MIN_BUDGET_S = 0.001
-CLOSE_SLACK_S = 1.0
+MIN_BUDGET_S = 0.001  # least remaining time that a request carries
+CLOSE_SLACK_S = 1.0  # time beyond `linger_s` that `RequestSender.close` waits for late responses
 PROOF_UNAVAILABLE = (429, 500, 503, 504)
-"""Answers to a nonce that a node of the kit may give while it is overloaded or has no server."""
+"""Statuses with which a node of the kit may answer a nonce while it is overloaded or has no server."""
 
 
 class UnknownPeerError(OrchidferryError):
-    """What answers at an address of the kit's is not the kit's own."""
+    """The peer at one of the kit's addresses is not a process of the kit."""
 
 
 def expected_body(seed: int, request_id: str) -> bytes:
-    """What a server answers to this request and to no other, so that mixed up answers show."""
+    """Return the response body for a request id, unique to the id so that misdirected responses show."""
     return f"{request_id} {seeded_random.integer(seed, 'body', request_id):016x}\n".encode()
 
 
 def request_root(request_id: str) -> str:
-    """The name for random choices of a request: the same for all its attempts and retries."""
+    """Return the part of a request id that its attempts and retries share; random choices depend on it."""
     return request_id.partition(".")[0]
 
 
 def client_root(root: str) -> str:
-    """The client's request that a request of any tier belongs to."""
+    """Return the id of the client request that caused a request of any tier."""
     return root.partition("-")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestOptions:
-    """What a request has beside what its class says."""
+    """Properties of a request beyond those of its class."""
 
     host: str = HOST
-    target: str = ""  # empty: by the class and the object
-    method: str = ""  # empty: the class's
-    mark: str = ""  # for a target that the kit did not start
+    target: str = ""  # request target; empty: made from the class and the object
+    method: str = ""  # HTTP method; empty: that of the class
+    mark: str = ""  # value of the header X-Replayed, for a target that the kit did not start
     extra_headers: Sequence[str] = ()
 
 
@@ -82,13 +82,13 @@
     body: bytes,
     options: RequestOptions = DEFAULT_OPTIONS,
 ) -> bytes:
-    """The bytes of a request as clients and servers write it.
+    """Encode a request in HTTP/1.1, as clients and servers send it.
 
-    :param key: the idempotency key, for keyed classes
-    :param object_number: of the object that the request is about
-    :param budget_s: the time that remains
-    :param again: it is a retry
-    :param body: sent where the method has one
+    :param key: the idempotency key, for classes with one
+    :param object_number: number of the object that the request addresses
+    :param budget_s: time until the request's deadline, in seconds
+    :param again: whether the request is a client retry
+    :param body: the body; left out if the method has none
     """
     method = options.method or ("GET" if cls.repeat == "safe" else "POST")
     lines = [
@@ -113,19 +113,19 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request at a node. Times are seconds since the run's zero."""
+    """One attempt to send a request through a node. Times are seconds since the run's zero."""
 
     tier: int
     id: str
     cls: Class
-    number: int
-    intended: float  # when it should be sent
-    ends: float  # nobody waits any more
-    leaves: float | None = None  # when an impatient client gives up, before that
+    number: int  # from 0
+    intended: float  # scheduled send time
+    ends: float  # deadline
+    leaves: float | None = None  # when an impatient client gives up, before the deadline
 
 
 def path_conditions(scenario: Scenario) -> PathConditions:
-    """The conditions that datagrams meet on every path of a scenario."""
+    """Return the network conditions that a scenario simulates for the datagrams of every path."""
     from orchidferry.testkit.quic.faults import PathConditions
 
     network = scenario.network
@@ -133,7 +133,7 @@
 
 
 class RequestSender:
-    """Sends requests to nodes, and records what comes. Its owner sweeps and closes it."""
+    """Sends requests to nodes and records their outcomes; the owner calls `sweep` and `close`."""
 
     def __init__(
         self,
@@ -145,16 +145,16 @@
         """Create a sender without connections.
 
         :param files: certificates, with HTTP/3
-        :param proof_key: if set, unsafe requests go only over connections to peers that are proven the kit's
+        :param proof_key: if set, unsafe requests are sent only to peers that have proven to be the kit's own
         """
         self.scenario = scenario
         self.recorder = recorder
         self._files = files
         self._proof_key = proof_key
-        self._proofs = 0
+        self._challenge_count = 0
         self._pools: dict[str, Pool | H3Pool] = {}
-        self._lingering: set[asyncio.Task[None]] = set()
-        # An answer may come so much after the time is up (rule 1): the connection is watched till then.
+        self._background_tasks: set[asyncio.Task[None]] = set()
+        # Rule 1 allows a response this long after the deadline, so the connection stays open until then.
         self.linger_s = scenario.rules.answer_slack_s + scenario.rules.slack_s
 
     def _pool(self, node: str, tier: int) -> Pool | H3Pool:
@@ -182,12 +182,12 @@
         encode: Callable[[float], bytes],
         fresh: bool = False,
     ) -> Outcome:
-        """Make one attempt, on a new connection if need be.
+        """Make one attempt, on an idle connection if there is one.
 
-        :param encode: makes the request's bytes from the time that remains, in seconds
-        :param fresh: on a new connection in any case
-        :returns: what came of it; `timeout` if the time was up
-        :raises UnknownPeerError: if something else than the kit answers at the address
+        :param encode: encodes the request, given the time until its deadline in seconds
+        :param fresh: whether to open a new connection even if there is an idle one
+        :returns: the outcome; `timeout` if the deadline passed or the client gave up
+        :raises UnknownPeerError: if the peer at the address is not a process of the kit
         """
         pool = self._pool(node, attempt.tier)
         put = self.recorder.put
@@ -196,7 +196,7 @@
         if isinstance(connection, Outcome):
             put(ConnectionClosed(now(), attempt.tier, attempt.id, node, connection.how, False))
             return connection
-        if not await self._prove(connection, attempt):
+        if not await self._verify_peer(connection, attempt):
             connection.drop()
             put(ConnectionClosed(now(), attempt.tier, attempt.id, node, "silent", False))
             return Outcome("silent", time.monotonic())
@@ -209,14 +209,14 @@
                 connection.drop()
                 put(RequestTimedOut(now(), attempt.tier, attempt.id, node, True))
             else:
-                self._linger(self._wait_out_slack(waiting, connection.drop, attempt, node))
+                self._run_in_background(self._await_late_response(waiting, connection.drop, attempt, node))
             return Outcome("timeout", time.monotonic())
         outcome = waiting.result()
         self._record_outcome(outcome, attempt, node)
         if outcome.how == "answer":
-            pool.put_back(address, connection)  # type: ignore[arg-type]  # each pool's own kind
+            pool.put_back(address, connection)  # type: ignore[arg-type]  # each pool has its own type
         elif outcome.how in ("closed", "reset") and outcome.reused:
-            # The node may have closed it before it read this: the request goes once more, on a new one.
+            # The node may have closed the idle connection before it read the request: send it on a new one.
             return await self.send(attempt, node, address, encode, fresh=True)
         return outcome
 
@@ -235,10 +235,11 @@
             )
         )
 
-    async def _prove(self, connection: RequesterSide | RequesterStream, attempt: Attempt) -> bool:
-        """Whether an attempt may go over a connection; its peer may have to prove that it is the kit's.
+    async def _verify_peer(self, connection: RequesterSide | RequesterStream, attempt: Attempt) -> bool:
+        """Return whether an attempt may use a connection, after a challenge to the peer where one is needed.
 
-        With HTTP/3 the certificate has proven it: it is of an authority that lives as long as the run.
+        The peer answers a nonce to prove that it is a process of the kit. With HTTP/3 its certificate has
+        proven this already: the certificate authority exists for this run only.
         """
         if not self._proof_key or attempt.cls.repeat in ("safe", "keyed"):
             return True
@@ -246,8 +247,8 @@
             return True
         nonce = new_nonce()
         left = attempt.ends - self.recorder.now()
-        self._proofs += 1
-        id = f"proof{self._proofs}-{nonce[:8]}.0"
+        self._challenge_count += 1
+        id = f"proof{self._challenge_count}-{nonce[:8]}.0"
         text = (
             f"GET /{PROOF_CLASS}?nonce={nonce} HTTP/1.1\r\nHost: {HOST}\r\nX-Call-Id: {id}\r\n"
             f"X-Budget: {min(max(left, MIN_BUDGET_S), PROOF_TIMEOUT_S):.3f}\r\n\r\n"
@@ -260,7 +261,9 @@
         outcome = waiting.result()
         connection.proven = outcome.status == 200 and proven(self._proof_key, nonce, outcome.body)
         if not connection.proven and outcome.status not in PROOF_UNAVAILABLE:
-            raise UnknownPeerError(f"what answers at a node's address is not the kit's own: {outcome.status}")
+            raise UnknownPeerError(
+                f"the peer at a node's address is not the kit's own: status {outcome.status}"
+            )
         return connection.proven
 
     def _record_outcome(self, outcome: Outcome, attempt: Attempt, node: str) -> None:
@@ -277,15 +280,15 @@
                 ConnectionClosed(t, attempt.tier, attempt.id, node, outcome.how, outcome.reused)
             )
 
-    def _linger(self, rest: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(rest)
-        self._lingering.add(task)
-        task.add_done_callback(self._lingering.discard)
+    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
-    async def _wait_out_slack(
+    async def _await_late_response(
         self, waiting: asyncio.Future[Outcome], drop: Callable[[], None], attempt: Attempt, node: str
     ) -> None:
-        """Wait out the slack for an answer that may still come in time."""
+        """Wait for a late response that the rules still accept, and record it or the timeout."""
         await asyncio.wait({waiting}, timeout=max(0.0, attempt.ends + self.linger_s - self.recorder.now()))
         if waiting.done():
             self._record_outcome(waiting.result(), attempt, node)
@@ -294,15 +297,15 @@
         drop()
 
     def sweep(self) -> None:
-        """Close connections that have idled for too long."""
+        """Close connections that have been idle for too long."""
         for pool in self._pools.values():
             pool.sweep()
 
     async def close(self) -> None:
-        """Wait for answers that may still come in time, and close all connections."""
-        if self._lingering:
-            await asyncio.wait(set(self._lingering), timeout=self.linger_s + CLOSE_SLACK_S)
-        for task in set(self._lingering):
+        """Wait for late responses that the rules still accept, and close all connections."""
+        if self._background_tasks:
+            await asyncio.wait(set(self._background_tasks), timeout=self.linger_s + CLOSE_SLACK_S)
+        for task in set(self._background_tasks):
             task.cancel()
         for pool in self._pools.values():
             pool.close()
--- a/orchidferry/testkit/record.py
+++ b/orchidferry/testkit/record.py
@@ -1,9 +1,9 @@
-"""A run's record: what clients sent and received, what servers did, and what discovery announced to whom.
+"""The record of a run: observed events of clients, servers, nodes, service discovery and the test kit itself.
 
-Each fact is a line, a JSON array that begins with the fact's tag. Each process writes a file of its own, in
-complete lines, so that one which is killed loses the last moment only. Times are seconds since the run's zero
-on CLOCK_MONOTONIC, which all processes of a machine share. The judge reads nothing else; no fact is the
-statement of a node.
+Each fact is one line: a JSON array that begins with the fact's tag, followed by its fields in order. Each
+process appends complete lines to a file of its own, so a killed process loses only the facts since its last
+flush. Times are seconds since the run's zero on CLOCK_MONOTONIC, which all processes of a machine share. The
+judge reads only this record; no fact is reported by a node about itself.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 from orchidferry.errors import OrchidferryError
 
 FLUSH_S = 0.25
-"""How often the owner of a recorder flushes it."""
+"""Interval at which the owner of a recorder flushes it, in seconds."""
 
 
 @dataclass(slots=True)
 class RequestSent:
-    """A request was written completely to a connection that a node had accepted."""
+    """A request was written in full to a connection that a node had accepted."""
 
     tag: ClassVar[str] = "asked"
     t: float
-    tier: int  # the tier of servers that it is for; 0 for clients' requests
+    tier: int  # index of the server tier that the request addresses; 0 for requests of clients
     id: str
     cls: str
     node: str
-    root: str  # the client's first try that it belongs to
-    number: int  # which try of its client, from 0; tiers below: which call
-    intended: float  # when it should have been sent
-    ends: float  # when nobody waits any more
+    root: str  # id of the client request that caused this request
+    number: int  # from 0: number of the client's attempt; in lower tiers, number of the call
+    intended: float  # scheduled send time
+    ends: float  # deadline
 
 
 @dataclass(slots=True)
 class ResponseReceived:
-    """The last byte of a response came."""
+    """The last byte of a response was received."""
 
     tag: ClassVar[str] = "answered"
     t: float
@@ -47,25 +47,28 @@
     id: str
     node: str
     status: int
-    sound: bool  # of a 200: the body is what a server made for this id
+    sound: bool  # false if the status is 200 and the body differs from a server's body for this request id
 
 
 @dataclass(slots=True)
 class ConnectionClosed:
-    """A connection ended without a complete response, or was never accepted (`how`: refused, silent)."""
+    """A connection ended before a complete response, or could not be established (`how`: refused, silent)."""
 
     tag: ClassVar[str] = "cut"
     t: float
     tier: int
     id: str
     node: str
-    how: str  # refused, silent: never taken; closed, reset, broken (half an answer)
-    reused: bool  # it had carried requests before
+    how: str  # refused or silent (connecting timed out); closed, reset or broken (partial response)
+    reused: bool  # whether the connection had carried an earlier request
 
 
 @dataclass(slots=True)
 class RequestTimedOut:
-    """The deadline passed and the requester closed its connection. `left`: it gave up before the deadline."""
+    """A requester closed its connection because no response came.
+
+    `left` is true if an impatient client gave up before the deadline, false if the deadline passed.
+    """
 
     tag: ClassVar[str] = "unanswered"
     t: float
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True)
 class ExtraBytes:
-    """Bytes came that no open request waited for, after the response to this one."""
+    """Unsolicited bytes were received on a connection after the response to this request."""
 
     tag: ClassVar[str] = "extra"
     t: float
@@ -88,10 +91,10 @@
 
 @dataclass(slots=True)
 class RequestScheduled:
-    """A client's request was due; the measure of service counts these."""
+    """A client's request was due. The share of requests served is relative to these."""
 
     tag: ClassVar[str] = "wanted"
-    t: float  # when it should have been sent
+    t: float  # scheduled send time
     root: str
     cls: str
 
@@ -102,19 +105,19 @@
 
     tag: ClassVar[str] = "got"
     t: float
-    first: float  # its first byte
+    first: float  # when the first byte of the request was read
     tier: int
     server: str
     cell: int
     id: str
     cls: str
     key: str
-    work: float  # core-seconds that it is, without the tiers below
+    work: float  # CPU time that the request takes at this server, in core-seconds
 
 
 @dataclass(slots=True)
 class ExecutionStarted:
-    """A server has begun to execute a request: from now on it may have had its effect."""
+    """A server has begun to execute a request, which may have taken effect from this time on."""
 
     tag: ClassVar[str] = "began"
     t: float
@@ -125,7 +128,10 @@
 
 @dataclass(slots=True)
 class ExecutionEnded:
-    """A server has ended a request: served, repeat (dropped by its key), error, rejected, lost."""
+    """A server has finished a request.
+
+    `how` is served, repeat (a duplicate, recognised by its idempotency key), error, rejected or lost.
+    """
 
     tag: ClassVar[str] = "ended"
     t: float
@@ -137,7 +143,11 @@
 
 @dataclass(slots=True)
 class ServerUp:
-    """A server serves from now on. `cold`: at first with `cold_from` of its `capacity` (in cores)."""
+    """A server serves from this time on.
+
+    Its `capacity` is in cores. A `cold` server starts at the fraction `cold_from` of it and warms up during
+    `cold_for` seconds.
+    """
 
     tag: ClassVar[str] = "up"
     t: float
@@ -151,7 +161,7 @@
 
 @dataclass(slots=True)
 class ServerDown:
-    """A server serves no more: stopped, crashed, fell (overloaded while cold)."""
+    """A server serves no longer. `why` is stopped, crashed or fell (overloaded while cold)."""
 
     tag: ClassVar[str] = "down"
     t: float
@@ -162,20 +172,20 @@
 
 @dataclass(slots=True)
 class StatusAnnounced:
-    """Discovery has written a server's status to a node, or that counts as done (`deemed`)."""
+    """Service discovery has written a server's status to a node, or this is taken as done (`deemed`)."""
 
     tag: ClassVar[str] = "told"
     t: float
     node: str
     server: str
     status: str  # active, leaving, left
-    since: float  # when the server last started; 0: long ago
+    since: float  # when the server last started; 0 if it started long ago
     deemed: bool
 
 
 @dataclass(slots=True)
 class NodeUp:
-    """A node has answered that it is ready."""
+    """A node has answered its readiness check."""
 
     tag: ClassVar[str] = "node-up"
     t: float
@@ -185,7 +195,10 @@
 
 @dataclass(slots=True)
 class NodeDown:
-    """A node's process has ended, or was told to: killed, term, ended (after term), exit N (by itself)."""
+    """A node's process has ended or was asked to end.
+
+    `why` is killed, term (SIGTERM sent), ended (exited after SIGTERM) or exit N (exited by itself).
+    """
 
     tag: ClassVar[str] = "node-down"
     t: float
@@ -195,7 +208,7 @@
 
 @dataclass(slots=True)
 class NodePaused:
-    """A node's process was stopped, and went on at `until`."""
+    """A node's process was suspended, and resumed at `until`."""
 
     tag: ClassVar[str] = "node-paused"
     t: float
@@ -205,7 +218,7 @@
 
 @dataclass(slots=True)
 class LinkBytes:
-    """What a node sent to its peers since the last such fact, datagrams and streams."""
+    """Datagrams and streams that a node sent to its peers since the previous fact of this kind."""
 
     tag: ClassVar[str] = "link-bytes"
     t: float
@@ -216,7 +229,7 @@
 
 @dataclass(slots=True)
 class Incident:
-    """A step of the timeline took effect; `until` is its end, or `t` where it has none."""
+    """A step of the scenario's timeline took effect; `until` is when it ended, or `t` for an instant step."""
 
     tag: ClassVar[str] = "incident"
     t: float
@@ -227,7 +240,11 @@
 
 @dataclass(slots=True)
 class Lag:
-    """A lag of the kit: late (a client), stall (an event loop), in seconds; starved, as a fraction."""
+    """A delay that the test kit or the machine caused, not the code under test.
+
+    `kind` is late (a client sent a request late, in seconds), stall (an event loop was blocked, in seconds)
+    or starved (fraction of time that a process waited for a CPU).
+    """
 
     tag: ClassVar[str] = "lag"
     t: float
@@ -260,16 +277,17 @@
 
 
 def encode_fact(fact: Fact) -> str:
-    """The line of a fact in a file, without its end."""
+    """Return the line of a fact in a record file, without the newline."""
     return json.dumps([fact.tag, *astuple(fact)], separators=(",", ":"))
 
 
 class Recorder:
-    """Appends facts to a file; its owner calls `flush` every `FLUSH_S` and `close` at the end."""
+    """Appends facts to a file. The owner calls `flush` every `FLUSH_S` seconds, and `close` at the end."""
 
     def __init__(self, path: Path, zero: float) -> None:
         """Open a file for appending.
 
+        :param path: the record file
         :param zero: the run's zero on the monotonic clock, in seconds
         """
         self.zero = zero
@@ -279,35 +297,36 @@
         self._file: IO[str] = path.open("a", encoding="utf-8")
 
     def now(self) -> float:
-        """Seconds since the run's zero."""
+        """Return the time in seconds since the run's zero."""
         return time.monotonic() - self.zero
 
     def put(self, fact: Fact) -> None:
-        """Add a fact; it is written with the next flush."""
+        """Buffer a fact until the next flush."""
         self.facts += 1
         self._pending.append(encode_fact(fact))
 
     def flush(self) -> None:
-        """Write what is pending."""
+        """Write the buffered facts."""
         if self._pending:
             self._file.write("\n".join(self._pending) + "\n")
             self._file.flush()
             self._pending.clear()
 
     def close(self) -> None:
-        """Write what is pending, and close the file."""
+        """Write the buffered facts and close the file."""
         self.flush()
         self._file.close()
 
 
 class RecordError(OrchidferryError):
-    """A record that can't be read; the text names file and line."""
+    """A record can't be read; the message names file and line."""
 
 
 def read_facts(lines: Iterable[str], where: str) -> Iterator[Fact]:
-    """Read the facts of a file; an incomplete last line, which a killed process leaves, is skipped.
+    """Read the facts of a file, and skip an incomplete last line, as a killed process leaves it.
 
-    :param where: what the file is called in errors
+    :param lines: the lines of the file, with their newlines
+    :param where: the file's name in error messages
     :raises RecordError: if a line can't be read
     """
     for number, text in enumerate(lines, 1):
@@ -321,7 +340,7 @@
 
 
 def read_folder(folder: Path) -> list[Fact]:
-    """Read all facts of a run, in order of time.
+    """Read all facts of a run, sorted by time.
 
     :raises RecordError: if a line can't be read
     """
--- a/orchidferry/testkit/wire.py
+++ b/orchidferry/testkit/wire.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 for stand-ins and clients: a server's side and a requester's, on asyncio and httptools.
+"""HTTP/1.1 server and client connections for stand-in servers and clients, on asyncio and httptools.
 
-A requester sees all that a judge may want to know of an exchange: when its last byte was written, whether the
-connection had been used before, how it ended, and what came that nobody asked for.
+The client side reports every detail of an exchange that the judge uses: whether the connection was reused,
+how and when the exchange ended, and whether unsolicited bytes came.
 """
 
 from __future__ import annotations
@@ -17,26 +17,29 @@
 import httptools
 
 Address = tuple[str, int]
-CONNECT_S = 1.0  # for a connection to come up on loopback, where it takes microseconds
-MAX_REQUEST = 256 * 1024  # bytes of one request; the protocol has 64 KiB of body and 16 of head
+CONNECT_S = 1.0  # timeout for connecting, in seconds; on loopback this takes microseconds
+MAX_REQUEST = 256 * 1024  # bytes of one request; the protocol allows 64 KiB of body and 16 KiB of head
 MAX_RESPONSE = 8 * 1024 * 1024  # bytes of one response
-ABORT = struct.pack("ii", 1, 0)  # SO_LINGER: a close that is a reset
+ABORT = struct.pack("ii", 1, 0)  # SO_LINGER value that makes closing the socket send a reset
 
 
 @dataclass(slots=True)
 class Request:
-    """A request as it came in."""
+    """A request as received."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
-    first: float  # when its first byte was read, by time.monotonic
-    last: float  # and its last
+    first: float  # when its first byte was read, on the clock time.monotonic
+    last: float  # when its last byte was read, on the same clock
 
 
 class ServerSide(asyncio.Protocol):
-    """A connection of a server: whole requests go to `on_request`, its end to `on_lost`."""
+    """The server side of a connection.
+
+    It calls `on_made` when connected, `on_request` with each complete request, and `on_lost` at its end.
+    """
 
     def __init__(
         self,
@@ -50,9 +53,9 @@
         self._parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport
         self.open = False
-        self._begin(0.0)
+        self._reset_message(0.0)
 
-    def _begin(self, first: float) -> None:
+    def _reset_message(self, first: float) -> None:
         self._target = b""
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
@@ -60,14 +63,14 @@
         self._first = first
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
         self.open = True
         self._on_made(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
-        self._now = time.monotonic()
+        """Parse received bytes."""
+        self._read_at = time.monotonic()
         self._size += len(data)
         try:
             self._parser.feed_data(data)
@@ -77,43 +80,43 @@
             self.reset()
 
     def on_message_begin(self) -> None:
-        """A message begins."""
-        self._begin(self._now)
+        """Discard the state of the previous message."""
+        self._reset_message(self._read_at)
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1").strip()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The message has come completely."""
+        """Pass the complete request on."""
         method = self._parser.get_method().decode()
         target = self._target.decode("latin-1")
-        request = Request(method, target, self._headers, b"".join(self._body), self._first, self._now)
+        request = Request(method, target, self._headers, b"".join(self._body), self._first, self._read_at)
         self._size = 0
         self._on_request(self, request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Report the end of the connection."""
         if self.open:
             self.open = False
             self._on_lost(self)
 
     def answer(self, status: int, body: bytes = b"", headers: str = "") -> None:
-        """Write a whole answer; nothing if the connection has gone."""
+        """Write a complete response; do nothing if the connection is closed."""
         if self.open and not self.transport.is_closing():
             head = f"HTTP/1.1 {status} -\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
             self.transport.write(head.encode("latin-1") + body)
 
     def reset(self) -> None:
-        """End it as a process that dies does."""
+        """Reset the connection, as the kernel does when a process dies."""
         if self.open and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             if sock is not None:
@@ -123,10 +126,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """How an exchange ended: answer, refused, silent (never up), closed, reset, broken, timeout."""
+    """How an exchange ended.
+
+    `how` is answer; refused or silent (connecting failed or timed out); closed, reset or broken (connection
+    ended before, or within, the response, or the response is invalid); or timeout.
+    """
 
     how: str
-    t: float  # time.monotonic
+    t: float  # when the exchange ended, on the clock time.monotonic
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
@@ -134,34 +141,34 @@
 
 
 class RequesterSide(asyncio.Protocol):
-    """A requester's connection: one request at a time."""
+    """The client side of a connection, with one request at a time."""
 
     def __init__(self, on_extra: Callable[[str], None], read_pause_s: float = 0.0) -> None:
-        self._on_extra = on_extra  # told the id of what was asked last
-        self._read_pause_s = read_pause_s  # after the first bytes of a response
+        self._on_extra = on_extra  # called with the id of the last request when unsolicited bytes come
+        self._read_pause_s = read_pause_s  # how long reading pauses after the first bytes of a response
         self.transport: asyncio.Transport
         self.alive = False
         self.used = 0
         self.last_id = ""
-        self.proven = False  # its other end has shown that it is the kit's own
+        self.proven = False  # whether the peer has proven to be a process of the kit
         self._waiting: asyncio.Future[Outcome] | None = None
-        self._start()
+        self._reset_response()
 
-    def _start(self) -> None:
+    def _reset_response(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
         self._size = 0
-        self._complete = self._keep = self._extra = False
+        self._complete = self._keep_alive = self._extra = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
         self.alive = True
 
     def ask(self, id: str, message: bytes) -> asyncio.Future[Outcome]:
-        """Write a request; its outcome. The caller gives it up by `drop`."""
-        self._start()
+        """Write a request and return a future of its outcome. The caller cancels it with `drop`."""
+        self._reset_response()
         self.last_id = id
         self.used += 1
         self._waiting = asyncio.get_running_loop().create_future()
@@ -169,9 +176,9 @@
         return self._waiting
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received bytes."""
         if self._waiting is None:
-            self._told_extra()
+            self._reject_extra()
             return None
         if not self._size and self._read_pause_s:
             self.transport.pause_reading()
@@ -181,35 +188,35 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._complete:
-                return self._end("broken")
+                return self._finish("broken")
             self._extra = True
         if self._complete:
-            self._end("answer")
+            self._finish("answer")
             if self._extra:
-                self._told_extra()
+                self._reject_extra()
         elif self._size > MAX_RESPONSE:
-            self._end("broken")
+            self._finish("broken")
         return None
 
     def _resume_reading(self) -> None:
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def _told_extra(self) -> None:
-        """What nobody asked for can't be told apart from the next answer: the connection is done with."""
+    def _reject_extra(self) -> None:
+        """Report unsolicited bytes and drop the connection: they could pass for the next response."""
         if self.alive:
             self._on_extra(self.last_id)
             self.drop()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """End the pending exchange with the connection."""
         self.alive = False
         if self._size:
-            self._end("broken")
+            self._finish("broken")
         else:
-            self._end("closed" if exc is None else "reset")
+            self._finish("closed" if exc is None else "reset")
 
-    def _end(self, how: str) -> None:
+    def _finish(self, how: str) -> None:
         waiting = self._waiting
         self._waiting = None
         if waiting is None or waiting.done():
@@ -219,41 +226,41 @@
             outcome.status = self._parser.get_status_code()
             outcome.headers = self._headers
             outcome.body = b"".join(self._body)
-        if how != "answer" or not self._keep:
+        if how != "answer" or not self._keep_alive:
             self.drop()
         waiting.set_result(outcome)
 
     def drop(self) -> None:
-        """Close it, whatever is on it."""
+        """Abort the connection, with any request that is pending on it."""
         self.alive = False
         self.transport.abort()
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Note a second message after the response as unsolicited bytes."""
         if self._complete:
             self._extra = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         if not self._complete:
             self._headers[name.decode("latin-1").lower()] = value.decode("latin-1").strip()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         if not self._complete:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The message has come completely."""
+        """Mark the response as complete, unless it is an interim (1xx) one."""
         if not self._complete and self._parser.get_status_code() >= 200:
-            self._complete, self._keep = True, self._parser.should_keep_alive()
+            self._complete, self._keep_alive = True, self._parser.should_keep_alive()
 
 
 class Pool:
-    """A requester's kept connections, by address. Bound: `MAX_IDLE` for each address."""
+    """A client's idle connections by address, at most `MAX_IDLE` for each."""
 
     MAX_IDLE = 256
-    IDLE_S = 5.0  # a node closes an idle connection after 10 s: kept for less, a request seldom crosses that
+    IDLE_S = 5.0  # shorter than a node's idle timeout of 10 s, so that requests rarely race with its close
 
     def __init__(
         self,
@@ -263,33 +270,36 @@
         read_pause_s: float = 0.0,
     ) -> None:
         self._on_extra = on_extra
-        self._receive_buffer = receive_buffer  # bytes; 0: the kernel's choice
-        self._read_pause_s = read_pause_s  # after the first bytes of a response
-        self._local = None if local is None else (local, 0)  # the address that its connections come from
+        self._receive_buffer = receive_buffer  # SO_RCVBUF in bytes; 0: the kernel's default
+        self._read_pause_s = read_pause_s  # how long reading pauses after the first bytes of a response
+        self._local = None if local is None else (local, 0)  # source address of the connections
         self._idle: dict[Address, list[tuple[float, RequesterSide]]] = {}
 
     async def connection(self, address: Address, fresh: bool = False) -> RequesterSide | Outcome:
-        """A connection that carries nothing, or the outcome of the failure to open one."""
+        """Return an idle or new connection, or the outcome if connecting failed.
+
+        :param fresh: whether to open a new connection even if there is an idle one
+        """
         idle = self._idle.get(address, [])
         while idle and not fresh:
-            since, kept = idle.pop()
-            if kept.alive and time.monotonic() - since < self.IDLE_S:
-                return kept
-            kept.drop()
-        made = RequesterSide(self._on_extra, self._read_pause_s)
+            since, idle_connection = idle.pop()
+            if idle_connection.alive and time.monotonic() - since < self.IDLE_S:
+                return idle_connection
+            idle_connection.drop()
+        connection = RequesterSide(self._on_extra, self._read_pause_s)
         try:
             async with asyncio.timeout(CONNECT_S):
-                await self._connect(made, address)
+                await self._connect(connection, address)
         except TimeoutError:
             return Outcome("silent", time.monotonic())
         except OSError:
             return Outcome("refused", time.monotonic())
-        return made
+        return connection
 
-    async def _connect(self, made: RequesterSide, address: Address) -> None:
+    async def _connect(self, connection: RequesterSide, address: Address) -> None:
         loop = asyncio.get_running_loop()
         if not self._receive_buffer:
-            await loop.create_connection(lambda: made, *address, local_addr=self._local)
+            await loop.create_connection(lambda: connection, *address, local_addr=self._local)
             return
         sock = socket.socket()
         try:
@@ -298,13 +308,13 @@
             if self._local is not None:
                 sock.bind(self._local)
             await loop.sock_connect(sock, address)
-            await loop.create_connection(lambda: made, sock=sock)
+            await loop.create_connection(lambda: connection, sock=sock)
         except BaseException:
             sock.close()
             raise
 
     def put_back(self, address: Address, connection: RequesterSide) -> None:
-        """Keep a connection for the next request, if it can carry one."""
+        """Keep a connection for the next request, or drop it if it is closed or there are enough."""
         idle = self._idle.setdefault(address, [])
         if connection.alive and len(idle) < self.MAX_IDLE:
             idle.append((time.monotonic(), connection))
@@ -312,7 +322,7 @@
             connection.drop()
 
     def sweep(self) -> None:
-        """Close what has idled too long; the owner calls it every second."""
+        """Close connections that have been idle for too long; the owner calls this every second."""
         before = time.monotonic() - self.IDLE_S
         for address, idle in list(self._idle.items()):
             while idle and idle[0][0] < before:
@@ -321,7 +331,7 @@
                 del self._idle[address]
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all idle connections."""
         for idle in self._idle.values():
             for _, connection in idle:
                 connection.drop()
@@ -329,7 +339,10 @@
 
 
 async def get(address: Address, target: str, limit_s: float = 1.0) -> Outcome:
-    """One request on a connection of its own."""
+    """Send a GET request on a connection of its own.
+
+    :param limit_s: timeout for the response, in seconds
+    """
     pool = Pool(lambda _: None)
     connection = await pool.connection(address)
     if isinstance(connection, Outcome):
