--- a/orchidferry/testkit/__init__.py
+++ b/orchidferry/testkit/__init__.py
@@ -1,1 +1,1 @@
-"""The rehearsal kit: stand-in tiers, discovery and clients on loopback, real nodes between them, judged."""
+"""The test kit: real nodes between simulated servers, discovery and clients on loopback, and a judge."""
--- a/orchidferry/testkit/admin_client.py
+++ b/orchidferry/testkit/admin_client.py
@@ -1,4 +1,4 @@
-"""Requests at a node's admin address, for the commands that show its state."""
+"""Requests to a node's admin address, for the commands that show its state."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from orchidferry.node.address import Address
 from orchidferry.testkit.wire import get
 
-TIMEOUT_S = 2.0
+TIMEOUT_S = 2.0  # for the response
 
 
 async def fetch_state(address: Address, path: str, not_found: str) -> dict[str, Any]:
     """Fetch one part of a node's state.
 
     :param address: the node's admin address
-    :param not_found: what a 404 at this path means
-    :returns: the JSON object of the answer, or one with the key `error` and why there is none
+    :param path: the path of the request
+    :param not_found: error text for status 404
+    :returns: the JSON object of the response, or one with the key `error` and the reason
     """
     try:
         outcome = await asyncio.wait_for(get(address, path, TIMEOUT_S), 2.0 * TIMEOUT_S)
@@ -32,5 +33,5 @@
     except ValueError:
         found = None
     if outcome.status != 200 or not isinstance(found, dict):
-        return {"error": f"status {outcome.status}, and not what a node says"}
+        return {"error": f"status {outcome.status}, expected 200 with a JSON object"}
     return found
--- a/orchidferry/testkit/cli.py
+++ b/orchidferry/testkit/cli.py
@@ -1,7 +1,7 @@
-"""The console script `orchidferry`: with no arguments the node, else one of the kit's commands.
+"""The console script `orchidferry`: runs the node, a role of the mesh, or a command of the test kit.
 
-Nothing of the kit is imported before its command is asked for, as small machines have none of its libraries.
-Exit status: 0 done, 1 a rule broken or a proof missed, 2 bad input or usage, 130 interrupted.
+Code of a command is imported only when that command runs, because small machines lack the libraries of
+the kit. Exit status: 0 success, 1 a rule was broken or a proof failed, 2 bad input or usage, 130 interrupted.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from orchidferry.testkit.arguments import bench, rehearse
 
 MESH_ROLES = ("proxy", "controller")
-"""Roles of the mesh, which read their own arguments: nothing of the kit is loaded for them."""
+"""Roles of the mesh; they parse their own arguments and need no code of the kit."""
 
 PACKAGES = {
     "control": control,
@@ -24,14 +24,14 @@
     "fleet": fleet,
     "capacity": capacity,
 }
-"""Commands whose package brings its arguments, and imports no library for them."""
+"""Commands that define their arguments in their package, which imports no further library for this."""
 
 USAGE_ERROR = 2
 INTERRUPTED = 130
 
 
 class _Parser(argparse.ArgumentParser):
-    """Reports errors in one line."""
+    """An argument parser that reports errors in one line."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
         print(f"{self.prog}: {message}; see {self.prog} --help", file=sys.stderr)
@@ -39,7 +39,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The parser of the console script, with all commands."""
+    """Build the parser of the console script, with all commands."""
     parser = _Parser(
         prog="orchidferry",
         description="A load-balancing node, and its test and rehearsal kit. With no command: the node, "
@@ -56,7 +56,7 @@
 
 
 def main() -> int:
-    """Run the node, a role of the mesh or a command; returns the exit status."""
+    """Run the node, a role of the mesh or a command, and return the exit status."""
     if len(sys.argv) < 2:
         from orchidferry.node.main import main as run_node
 
@@ -69,7 +69,7 @@
         return _run_command(build_parser().parse_args())
     except KeyboardInterrupt:
         return INTERRUPTED
-    except BrokenPipeError:  # the reader is gone; the interpreter must not fail on it at its end
+    except BrokenPipeError:  # the reader closed the pipe; the interpreter's final flush must not fail
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 1
 
--- a/orchidferry/testkit/process.py
+++ b/orchidferry/testkit/process.py
@@ -1,6 +1,7 @@
-"""Worker processes of the kit: they read a script, and take orders and send reports over pipes.
+"""Worker processes of the test kit: they load a script, receive orders and send reports over pipes.
 
-A worker ends when its standard input does, so that none outlives the director, however that one ended.
+A worker exits at the end of its standard input, so that no worker outlives the director, even if the director
+is killed.
 """
 
 from __future__ import annotations
@@ -29,34 +30,34 @@
 
 SCRIPT_FILE = "script.pickle"
 LAG_INTERVAL_S = 0.05
-"""How often the lag of an event loop is measured."""
+"""Interval at which the lag of an event loop is measured, in seconds."""
 
 MIN_STALL_S = 0.02
-"""The least lag that is recorded."""
+"""Least lag that is recorded, in seconds."""
 
 ON_SECOND_INTERVAL_S = 1.0
-MAX_REASON_LENGTH = 200
+MAX_REASON_LENGTH = 200  # characters of an exception in a report
 Order = dict[str, Any]
-"""An order of the director, named by `do`, or a report of a worker, named by `did`."""
+"""A JSON object: an order of the director, with its kind in `do`, or a report of a worker, in `did`."""
 
 
 @dataclass(slots=True)
 class WorkerScript:
-    """All that a worker needs to know at its start."""
+    """Input of the worker processes at their start."""
 
     plan: Plan
     zero: float  # the record's zero on the monotonic clock, in seconds
-    block: int
+    block: int  # number of the block of loopback addresses that the run uses
     files: CertificateFiles | None = None  # certificates, with HTTP/3
-    proof_key: str = ""  # for recorded traffic: what unsafe requests are sent to must have it
+    proof_key: str = ""  # with recorded traffic: key by which peers of unsafe requests prove to be the kit's
 
     def write(self, folder: Path) -> None:
-        """Write the script where workers read it."""
+        """Write the script to the folder from which workers load it."""
         (folder / SCRIPT_FILE).write_bytes(pickle.dumps(self))
 
 
 class Worker(Protocol):
-    """What a worker process does."""
+    """The work of a worker process."""
 
     async def handle_order(self, order: Order) -> None:
         """Carry out an order of the director."""
@@ -65,7 +66,7 @@
         """Called once a second."""
 
     async def close(self) -> None:
-        """End all that the worker does."""
+        """Stop all work and release its resources."""
 
 
 SendReport = Callable[[Order], None]
@@ -80,7 +81,7 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
     def send_report(order: Order) -> None:
-        # Lines are short and the director reads them at once: this does not block.
+        # Lines are short and the director reads them at once, so this write does not block.
         sys.stdout.write(json.dumps(order) + "\n")
         sys.stdout.flush()
 
@@ -111,12 +112,12 @@
 async def _carry_out(work: Awaitable[None], order: Order, send_report: SendReport) -> None:
     try:
         await work
-    except Exception as problem:  # the director decides what that means for the run
+    except Exception as problem:  # the director decides whether the run goes on
         send_report({"did": "failed", "order": order["do"], "why": repr(problem)[:MAX_REASON_LENGTH]})
 
 
 async def _monitor(worker: Worker, recorder: Recorder, name: str) -> None:
-    """Flush the record, record the event loop's lag, and call the worker once a second."""
+    """Flush the record, record the event loop's lag, and call `on_second` of the worker."""
     loop = asyncio.get_running_loop()
     flushed = loop.time()
     called = flushed
@@ -135,16 +136,16 @@
 
 
 def run_worker(factory: WorkerFactory, plain: bool = False) -> int:
-    """Run a worker: `python -m MODULE FOLDER NAME INDEX`.
+    """Run a worker process; the command line is `python -m MODULE FOLDER NAME INDEX`.
 
-    :param factory: makes the worker
+    :param factory: creates the worker
     :param plain: run on the standard event loop, not on uvloop
     :returns: the exit status
     """
     folder = Path(sys.argv[1])
     name = sys.argv[2]
     index = int(sys.argv[3])
-    # Ctrl-C goes to the whole group: the director alone decides, and closes the pipe.
+    # Ctrl-C signals the whole process group; only the director reacts, and ends workers by closing the pipe.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
     (asyncio.run if plain else uvloop.run)(_serve(factory, folder, name, index))
@@ -152,9 +153,9 @@
 
 
 def monotonic_at(zero: float, t: float) -> float:
-    """Seconds from now to a time of the record's clock.
+    """Return the time from now until a time of the record, in seconds.
 
-    :param zero: the record's zero on the monotonic clock
-    :param t: a time of the record
+    :param zero: the record's zero on the monotonic clock, in seconds
+    :param t: a time of the record, in seconds since its zero
     """
     return zero + t - time.monotonic()
--- a/orchidferry/testkit/rehearse.py
+++ b/orchidferry/testkit/rehearse.py
@@ -47,9 +47,9 @@
     from orchidferry.testkit.traffic.replay import Preview
 
 MIN_SECONDS = 1.0
-PLAIN_WIDTH = 120  # characters, if the output is no terminal
-MAX_LOSS = 0.5
-MAX_PRINTED_NOTES = 5
+PLAIN_WIDTH = 120  # characters per line, if the output is not a terminal
+MAX_LOSS = 0.5  # fraction of datagrams
+MAX_PRINTED_NOTES = 5  # log lines of nodes
 
 
 def main(args: argparse.Namespace, command: str = "rehearse") -> int:
@@ -65,7 +65,7 @@
         if args.list:
             return _print_scenarios()
         if getattr(args, "seeds", None) is not None:
-            raise UsageError("--seeds: is for days of the mesh")
+            raise UsageError("--seeds: only scenarios of the mesh take it")
         scenario, preview = _read_scenario(args)
         keep = None if args.keep is None else kept_folder(Path(args.keep))
         for path in (args.json, args.report):
@@ -95,7 +95,7 @@
 
 
 def _judge_run(scenario: Scenario, run: Run, preview: Preview | None) -> Verdict:
-    """Judge a run, with its control service, its fleet and its replay if there were any."""
+    """Judge a run, including its control service, fleet and replayed traffic, if any."""
     verdict = judge(scenario, run.facts, run.start, run.end, run.complete, run.why)
     verdict.control = run.control
     if scenario.fleet.on and run.start:
@@ -116,7 +116,7 @@
 
 
 def _replay_result(preview: Preview, run: Run) -> dict[str, Any]:
-    """Measure what the clients sent, from the run's record."""
+    """Compare the requests that clients sent, from the run's record, with the preview of the replay."""
     from orchidferry.testkit.traffic.replay import measure
 
     sent = Counter(fact.cls for fact in run.facts if isinstance(fact, RequestScheduled))
@@ -126,25 +126,25 @@
 
 
 def _recordings(args: argparse.Namespace) -> tuple[Traffic, ...]:
-    """Return the recordings that the command line names, to be replayed together."""
+    """Return the recordings that the command line names; they are replayed together."""
     table = {
         name: value
         for name in ("speed", "from", "to", "loop", "scale", "retries")
         if (value := getattr(args, name.replace("from", "from_"))) is not None and value is not False
     }
     if table and not args.recording:
-        raise UsageError(f"--{next(iter(table))}: is for a --recording")
+        raise UsageError(f"--{next(iter(table))}: needs a --recording")
     return tuple(read_traffic(table | {"recording": name}, "--") for name in args.recording)
 
 
 def _read_scenario(args: argparse.Namespace) -> tuple[Scenario, Preview | None]:
-    """Return the scenario with the overrides of the command line, and a replay's preview.
+    """Return the scenario with the overrides of the command line, and the preview of a replay.
 
     :raises ScenarioError: if the scenario is invalid
-    :raises UsageError: if the command line is
+    :raises UsageError: if the command line is invalid
     """
     if args.scenario is None:
-        raise UsageError("which scenario? --list tells those that are shipped")
+        raise UsageError("no scenario is given: --list shows those that are shipped")
     scenario = load_scenario(args.scenario)
     if recordings := _recordings(args):
         scenario = replace(scenario, traffic=recordings)
@@ -158,7 +158,7 @@
         scenario, preview = _resolve_recordings(scenario, args)
     _check_extras(args, scenario)
     if scenario.network.protocol == "h1" and scenario.network.loss:
-        raise UsageError("--loss: only datagrams are lost on purpose, and h1 has none")
+        raise UsageError("--loss: only datagrams can be dropped, and h1 uses none")
     try:
         draw(scenario)
     except ValueError as problem:
@@ -181,15 +181,15 @@
 def _check_extras(args: argparse.Namespace, scenario: Scenario) -> None:
     """Raise `UsageError` if a library that the scenario needs is not installed."""
     if scenario.network.protocol == "h3" and importlib.util.find_spec("aioquic") is None:
-        raise UsageError("--protocol h3: aioquic is not installed; the extra h3 brings it")
+        raise UsageError("--protocol h3: aioquic is not installed; it is in the extra h3")
     if scenario.fleet.on and importlib.util.find_spec("msgpack") is None:
-        raise UsageError(f"{args.scenario}: msgpack is not installed; the extra fleet brings it")
+        raise UsageError(f"{args.scenario}: msgpack is not installed; it is in the extra fleet")
     if scenario.control.service and importlib.util.find_spec("grpc") is None:
-        raise UsageError(f"{args.scenario}: grpcio is not installed; the extra control brings it")
+        raise UsageError(f"{args.scenario}: grpcio is not installed; it is in the extra control")
 
 
 def _resolve_recordings(scenario: Scenario, args: argparse.Namespace) -> tuple[Scenario, Preview]:
-    """Resolve a scenario's recordings, and its target if it is not the stand-in servers."""
+    """Resolve a scenario's recordings, and the target of requests if it is not the kit's stand-in servers."""
     from orchidferry.testkit.traffic.classes import ClassesFileError, read_classes
     from orchidferry.testkit.traffic.guard import TargetError, read_guard
     from orchidferry.testkit.traffic.recording import RecordingError
@@ -200,12 +200,12 @@
         if guard.target is not None:
             if scenario.timeline or scenario.control.service:
                 raise UsageError(
-                    f"{args.scenario}: has a timeline or a control service, and --target has no world"
+                    f"{args.scenario}: has a timeline or a control service, which --target does not allow"
                 )
             if scenario.network.protocol != "h1":
-                raise UsageError("--target: is asked by HTTP/1.1 alone")
-            only = Tier("target", 1, 1.0)
-            scenario = replace(scenario, guard=guard, tiers=(only,), run=secrets.token_hex(4))
+                raise UsageError("--target: supports HTTP/1.1 only")
+            target_tier = Tier("target", 1, 1.0)
+            scenario = replace(scenario, guard=guard, tiers=(target_tier,), run=secrets.token_hex(4))
         if getattr(args, "classes", None) is not None:
             try:
                 paths = paths_of(read_classes(Path(args.classes).read_bytes()))
@@ -220,7 +220,7 @@
 
 
 def _check_writable(path: Path) -> None:
-    """Raise `UsageError` before the run if a report can't be written after it."""
+    """Raise `UsageError` before the run if a report could not be written after it."""
     if path.is_dir() or not os.access(path if path.exists() else path.parent, os.W_OK):
         raise UsageError(f"{path}: can't be written")
 
@@ -245,7 +245,7 @@
 
 
 def _replace_file(path: Path, text: str) -> None:
-    """Replace a file atomically."""
+    """Write a file atomically."""
     temporary = path.with_name(path.name + ".part")
     temporary.write_text(text, encoding="utf-8")
     temporary.replace(path)
--- a/orchidferry/testkit/seeded_random.py
+++ b/orchidferry/testkit/seeded_random.py
@@ -1,7 +1,7 @@
-"""Random choices that depend on a seed and a name, not on order: each is the same in any process.
+"""Random choices that depend only on a seed and a name, so that each is the same in every process.
 
-Real processes race, so a shared stream of random numbers would give two runs of one seed different choices.
-Here each is a keyed hash of what it is for (BLAKE2b, RFC 7693).
+Processes race, so with a shared stream of random numbers two runs of the same seed would make different
+choices. Here each choice is a keyed hash (BLAKE2b, RFC 7693) of its name.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 T = TypeVar("T")
 _NORMAL = NormalDist()
 MIN_PROBABILITY = 2.0**-53
-"""0 and 1 have no quantile of the normal distribution."""
+"""Least probability used for a quantile, as the normal distribution has no finite quantile of 0 and 1."""
 
 
 def integer(seed: int, *name: object) -> int:
-    """An integer of 64 bits, uniformly distributed.
+    """Return a uniformly distributed integer of 64 bits.
 
-    :param name: what the choice is for
+    :param name: the name of the choice, as any number of parts
     """
     text = "\x1f".join(map(str, name)).encode()
     key = seed.to_bytes(16, "big", signed=True)
@@ -30,14 +30,14 @@
 
 
 def uniform(seed: int, *name: object, low: float = 0.0, high: float = 1.0) -> float:
-    """A number uniformly distributed from `low` to `high` (not included)."""
+    """Return a number uniformly distributed in [`low`, `high`)."""
     return low + (high - low) * (integer(seed, *name) >> 11) * 2.0**-53
 
 
 def log_normal(mean: float, variation: float, seed: int, *name: object) -> float:
-    """A number from a log-normal distribution.
+    """Return a number from a log-normal distribution.
 
-    :param variation: the coefficient of variation: the standard deviation over the mean
+    :param variation: the coefficient of variation: standard deviation divided by mean
     """
     if not variation or not mean:
         return mean
@@ -47,12 +47,12 @@
 
 
 def generator(seed: int, *name: object) -> Random:
-    """A generator for what one process chooses in order."""
+    """Return a random generator for a sequence of choices within one process."""
     return Random(integer(seed, *name))
 
 
 def sample(items: Sequence[T], count: int, seed: int, *name: object) -> list[T]:
-    """Some of the items, in their order; all if there are not as many."""
+    """Return `count` randomly chosen items in their original order, or all items if there are fewer."""
     size = min(count, len(items))
     chosen = sorted(generator(seed, *name).sample(range(len(items)), size))
     return [items[n] for n in chosen]
--- a/orchidferry/testkit/stop_signals.py
+++ b/orchidferry/testkit/stop_signals.py
@@ -1,4 +1,4 @@
-"""Ending a run in order when the process is told to stop."""
+"""Orderly shutdown of a run on SIGINT or SIGTERM."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class StoppedBySignalError(InterruptedError):
-    """The process was told to stop; the text names the signal."""
+    """The process received a stop signal; the message names it."""
 
 
 @contextlib.contextmanager
 def on_stop_signals(stop: Callable[[signal.Signals], None]) -> Iterator[None]:
-    """Have `stop` called on the running loop for SIGINT and SIGTERM, in place of what they do else."""
+    """Call `stop` on the running event loop at SIGINT and SIGTERM, instead of their default actions."""
     loop = asyncio.get_running_loop()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stop, number)
@@ -31,7 +31,7 @@
 
 
 async def until_stopped(work: Coroutine[Any, Any, T]) -> T:
-    """Do this work; at a signal cancel it, wait for its clean-up, and raise `StoppedBySignalError`."""
+    """Run a coroutine; on a stop signal cancel it, await its clean-up and raise `StoppedBySignalError`."""
     task = asyncio.get_running_loop().create_task(work)
     stopped: list[signal.Signals] = []
 
--- a/orchidferry/testkit/usage.py
+++ b/orchidferry/testkit/usage.py
@@ -1,4 +1,4 @@
-"""What the commands that rehearse say of their words."""
+"""Checks of command lines that the commands for rehearsals share."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 
 class UsageError(OrchidferryError):
-    """A word that can't be meant; one line that names it."""
+    """An argument is invalid; the message is one line that names it."""
 
 
 def kept_folder(path: Path) -> Path:
-    """An empty folder for `--keep`, made where there is none; `UsageError` if that can't be."""
+    """Return the empty folder for `--keep`, created if it does not exist.
+
+    :raises UsageError: if the folder is not empty or can't be created
+    """
     try:
         path.mkdir(parents=True, exist_ok=True)
         if any(path.iterdir()):
--- a/tests/node/control/test_status.py
+++ b/tests/node/control/test_status.py
@@ -81,7 +81,7 @@
         assert code == 1
         for expected in (
             "has no control service",
-            "not what a node says",
+            "status 200, expected 200 with a JSON object",
             "no answer: timeout",
             "no answer: refused",
         ):
--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -40,12 +40,12 @@
 @pytest.mark.parametrize(
     ("args", "words"),
     [
-        (("rehearse",), "which scenario"),
+        (("rehearse",), "no scenario is given"),
         (("rehearse", "no-such"), "no-such: no such scenario"),
         (("rehearse", "none.toml"), "none.toml: No such file"),
         (("rehearse", "calm", "--seed", "-3"), "--seed -3"),
         (("rehearse", "calm", "--seed", "x"), "--seed: invalid int value"),
-        (("rehearse", "calm", "--seeds", "3"), "--seeds: is for days of the mesh"),
+        (("rehearse", "calm", "--seeds", "3"), "--seeds: only scenarios of the mesh take it"),
         (("rehearse", "mesh-calm", "--seeds", "0"), "--seeds 0: not within 1 to 1000"),
         (("rehearse", "calm", "--seconds", "nan"), "--seconds nan"),
         (("rehearse", "calm", "--seconds", "0"), "--seconds 0"),
