--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,9 +1,9 @@
-"""The list of tests that fail for a known fault which is not mended yet: `KNOWN-RED.txt`.
+"""The list of tests that fail because of a known, unfixed fault: `KNOWN-RED.txt`.
 
-One line a test: its whole name, the command and what was seen, the issue. `pytest --known-red FILE` passes
-over just these tests. The list is to be short, but a fault that was found is entered, however many there are.
-A line that names no test, or not one whole test, ends the run: it would pass over nothing, or over sound
-tests.
+Each line holds the full name of one test, the command and observation, and the issue. The option
+`--known-red FILE` of pytest deselects exactly these tests. The list should be short, but every fault that is
+found is entered, however many there are. A line that does not name exactly one test is an error, as it would
+deselect nothing, or tests that pass.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class KnownFailuresError(Exception):
-    """The list can't be used; the message names the line."""
+    """The list is invalid; the message names the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A test that fails for a known fault."""
+    """A test that fails because of a known fault."""
 
-    name: str  # as pytest has it, with its parameters
+    name: str  # node id in pytest, with its parameters
     file: str
     cause: str
 
@@ -49,10 +49,11 @@
     return found
 
 
-def names_to_pass_over(known: Sequence[KnownFailure], collected: Iterable[str]) -> set[str]:
+def names_to_deselect(known: Sequence[KnownFailure], collected: Iterable[str]) -> set[str]:
     """Return the collected tests that are known to fail.
 
-    :param collected: names of all tests of the run; a file is collected whole or not at all.
+    :param known: the entries of the list.
+    :param collected: node ids of all tests of the run; a file is collected completely or not at all.
     :raises KnownFailuresError: if a line names no test of a file that was collected.
     """
     names = set(collected)
--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: statuses, one line for what is wrong, and what the node does not import."""
+"""Command line of the kit: exit statuses, one-line errors, imports of the node, and printed reports."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
     monkeypatch.setattr(sys, "argv", ["orchidferry", *args])
     try:
         status = cli.main()
-    except SystemExit as leave:
-        status = int(leave.code or 0)
+    except SystemExit as program_exit:
+        status = int(program_exit.code or 0)
     captured = capsys.readouterr()
     return status, captured.out, captured.err
 
 
 @pytest.mark.parametrize(
-    ("args", "words"),
+    ("args", "message"),
     [
         (("rehearse",), "no scenario is given"),
         (("rehearse", "no-such"), "no-such: no such scenario"),
@@ -64,16 +64,16 @@
     ],
 )
 def test_bad_usage_is_one_line_and_status_2(
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], args: tuple[str, ...], words: str
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], args: tuple[str, ...], message: str
 ) -> None:
     status, out, err = call(monkeypatch, capsys, *args)
     assert status == 2
-    assert words in err
+    assert message in err
     assert len(err.splitlines()) == 1
     assert out == ""
 
 
-def test_a_bad_file_is_named_with_its_field(
+def test_a_scenario_file_error_names_file_and_field(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     path = tmp_path / "mine.toml"
@@ -90,7 +90,7 @@
     assert status == 2 and "is not empty" in err
 
 
-def test_list_tells_each_scenario_in_a_line(
+def test_list_prints_one_line_per_scenario(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     status, out, _ = call(monkeypatch, capsys, "rehearse", "--list")
@@ -106,35 +106,37 @@
     assert status == 0 and "example: orchidferry" in out
 
 
-def test_the_node_imports_nothing_of_the_kit_nor_of_its_libraries() -> None:
+def test_the_node_imports_neither_the_kit_nor_its_libraries() -> None:
     code = (
         "import sys, orchidferry.__main__\n"
         "print(*[m for m in sys.modules if m.startswith('orchidferry.testkit')])\n"
         "print(*sorted({m.partition('.')[0] for m in sys.modules} & "
         "{'rich', 'hdrh', 'matplotlib', 'numpy', 'argparse'}))"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == ""
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert completed.stdout.strip() == ""
 
 
-def test_without_arguments_both_ways_in_are_the_node() -> None:
+def test_both_entry_points_run_the_node_without_arguments() -> None:
     for module in ("orchidferry", "orchidferry.testkit.cli"):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", module], cwd=ROOT, capture_output=True, text=True, check=False, env={}
         )
-        assert done.returncode == 2
-        assert done.stderr == "orchidferry: NODE_CONFIG must name the configuration file\n"
+        assert completed.returncode == 2
+        assert completed.stderr == "orchidferry: NODE_CONFIG must name the configuration file\n"
 
 
-def test_the_program_hands_its_commands_on() -> None:
-    done = subprocess.run(
+def test_the_module_orchidferry_runs_commands_of_the_kit() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "orchidferry", "rehearse", "--list"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 0 and "slow-server" in done.stdout
+    assert completed.returncode == 0 and "slow-server" in completed.stdout
 
 
 def test_a_missing_library_is_named(
@@ -149,8 +151,8 @@
     assert err == "orchidferry: rehearse needs rich: pip install 'orchidferry[kit]'\n"
 
 
-def test_a_reader_that_goes_away_gets_no_traceback() -> None:
-    done = subprocess.run(
+def test_a_closed_output_pipe_causes_no_traceback() -> None:
+    completed = subprocess.run(
         f"{sys.executable} -m orchidferry.testkit.cli rehearse --list | true",
         shell=True,
         cwd=ROOT,
@@ -158,20 +160,20 @@
         text=True,
         check=False,
     )
-    assert done.stderr == ""
+    assert completed.stderr == ""
 
 
 # Reports
 
 
-def printed(verdict: Verdict) -> str:
+def terminal_text(verdict: Verdict) -> str:
     console = Console(file=io.StringIO(), width=120)
     terminal.show(console, verdict)
     assert isinstance(console.file, io.StringIO)
     return console.file.getvalue()
 
 
-def verdict_of(complete: bool = True) -> Verdict:
+def verdict_with_incident(complete: bool = True) -> Verdict:
     run = clean()
     run.put(Incident(3.0, 9.0, "slow", "<b>a</b>"))
     verdict = run.judge(complete)
@@ -179,41 +181,41 @@
     return verdict
 
 
-def test_the_terminal_tells_rules_incidents_and_that_nothing_broke() -> None:
-    text = printed(verdict_of())
+def test_the_terminal_report_shows_rules_incidents_and_that_no_rule_broke() -> None:
+    text = terminal_text(verdict_with_incident())
     assert "no rule broken" in text
     assert "3 s slow: <b>a</b>" in text
     assert text.count("│ pass ") == 4
 
 
-def test_the_terminal_tells_a_break_with_its_story() -> None:
+def test_the_terminal_report_shows_a_violation_with_its_history() -> None:
     run = clean()
     resent_unsafe(run)
-    text = printed(run.judge())
+    text = terminal_text(run.judge())
     assert "FAIL" in text and "no rule broken" not in text
     assert "request r2.0 to entrada, at 3.060 s" in text
     assert "server b (cell 1) had read it" in text
 
 
-def test_the_terminal_tells_a_cut_off_and_a_void_run() -> None:
-    verdict = verdict_of(complete=False)
+def test_the_terminal_report_shows_an_incomplete_and_a_void_run() -> None:
+    verdict = verdict_with_incident(complete=False)
     verdict.lateness.void.append("clients asked late")
-    text = printed(verdict)
+    text = terminal_text(verdict)
     assert "cut off: node <n0> ended by itself" in text
     assert "void: clients asked late" in text
     assert "no rule broken" not in text
 
 
-def test_the_page_stands_alone_and_escapes_what_it_shows() -> None:
-    text = page(verdict_of(complete=False))
+def test_the_html_report_is_self_contained_and_escapes_text() -> None:
+    text = page(verdict_with_incident(complete=False))
     assert "<b>a</b>" not in text and "&lt;b&gt;a&lt;/b&gt;" in text
     assert "node &lt;n0&gt; ended" in text
     assert text.count("<svg") == 1 and text.rstrip().endswith("</html>")
     assert "<script" not in text and "<link" not in text and "src=" not in text
 
 
-def test_series_add_up_to_what_was_asked_and_sent() -> None:
-    verdict = verdict_of()
+def test_series_add_up_to_the_requests_and_attempts() -> None:
+    verdict = verdict_with_incident()
     figures = series(verdict)
     assert sum(figures.asked) * figures.step_s == verdict.client_requests
     assert sum(figures.attempts[0]) * figures.step_s == verdict.arrivals_by_tier[0]
@@ -221,7 +223,7 @@
     assert figures.in_flight[-1] == 0.0 and max(figures.in_flight) >= 1.0
 
 
-def test_a_request_that_is_cut_twice_is_in_flight_once() -> None:
+def test_a_request_whose_connection_closes_twice_is_in_flight_once() -> None:
     run = clean()
     run.ask("x.0", "ler-feed", 10.0)
     run.put(
@@ -231,14 +233,14 @@
     assert min(series(run.judge()).in_flight) == 0.0
 
 
-def test_the_status_line_names_what_goes_on() -> None:
+def test_the_status_line_shows_counts_and_current_incidents() -> None:
     progress = Progress("playing", 6.0, 100, 90, 5, [(5.0, 13.0, "slow a"), (14.0, 15.0, "crash b")])
     line = terminal.status_line(load_scenario("slow-server"), progress)
     assert "asked 100, served 90, open 5" in line
     assert "slow a" in line and "crash b" not in line
 
 
-def test_the_bench_names_the_machine_and_its_scenarios_are_sound() -> None:
+def test_the_bench_names_the_machine_and_its_scenarios_are_valid() -> None:
     assert "cores" in bench.machine()
     for _, scenario_of in kit.sizes():
         small = scenario_of(0)
@@ -247,14 +249,14 @@
         assert sum(cls.share for cls in small.classes) == 1.0
 
 
-def test_a_measurement_of_decisions_counts_requests_and_changes() -> None:
+def test_the_decisions_bench_measures_requests_and_changes() -> None:
     for trouble in decisions.TROUBLES:
         row = decisions.measure(10, 1, trouble, 60)
         assert row["requests"] == 60
         assert 0.0 < row["request_us"] < 1e5 and 0.0 < row["change_ms"] < 1e3
 
 
-def test_a_folder_without_the_module_is_told(
+def test_a_folder_without_the_module_to_compare_is_an_error(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     status, _, err = call(monkeypatch, capsys, "bench", "decisions", "--against", str(tmp_path))
--- a/tests/testkit/test_exchange.py
+++ b/tests/testkit/test_exchange.py
@@ -1,4 +1,4 @@
-"""What an asker books of an exchange, with a scripted node at the other end."""
+"""Facts that `RequestSender` records about an exchange with a scripted node."""
 
 from __future__ import annotations
 
@@ -27,39 +27,39 @@
 
 
 class Scripted(Peer):
-    """Answers by a list; `SOUND` is the right answer to whatever was asked."""
+    """Answers requests from a list of responses; `SOUND` stands for the correct response to the request."""
 
     def __init__(self, *script: bytes) -> None:
         super().__init__()
-        self.left = list(script)
+        self.responses = list(script)
 
-    async def script(self, encode_request: Seen) -> bytes:
-        data = self.left.pop(0) if self.left else SOUND
-        return data.replace(SOUND, answer(200, expected_body(SCENARIO.seed, encode_request.id)))
+    async def script(self, message: Seen) -> bytes:
+        data = self.responses.pop(0) if self.responses else SOUND
+        return data.replace(SOUND, answer(200, expected_body(SCENARIO.seed, message.id)))
 
 
 SOUND = b"SOUND"
-Asker = Callable[..., Coroutine[Any, Any, Outcome]]
+Send = Callable[..., Coroutine[Any, Any, Outcome]]
 
 
-def play(tmp_path: Path, peer: Scripted, work: Callable[[Asker], Coroutine[Any, Any, None]]) -> list[Fact]:
+def play(tmp_path: Path, peer: Scripted, work: Callable[[Send], Coroutine[Any, Any, None]]) -> list[Fact]:
     async def test() -> None:
         await peer.start()
         host, _, port = peer.address.partition(":")
         address: Address = (host, int(port))
         recorder = Recorder(tmp_path / "x.facts", 0.0)
-        exchanges = RequestSender(SCENARIO, recorder)
+        sender = RequestSender(SCENARIO, recorder)
 
-        async def ask(id: str, ends_s: float = 20.0, leaves_s: float | None = None) -> Outcome:
+        async def send(id: str, ends_s: float = 20.0, leaves_s: float | None = None) -> Outcome:
             now = recorder.now()
             leaves = None if leaves_s is None else now + leaves_s
-            one = Attempt(0, id, SAFE, 0, now, now + ends_s, leaves)
-            return await exchanges.send(
-                one, "n0", address, lambda left: encode_request(SAFE, id, "", 1, left, False, b"")
+            attempt = Attempt(0, id, SAFE, 0, now, now + ends_s, leaves)
+            return await sender.send(
+                attempt, "n0", address, lambda budget_s: encode_request(SAFE, id, "", 1, budget_s, False, b"")
             )
 
-        await work(ask)
-        await exchanges.close()
+        await work(send)
+        await sender.close()
         recorder.close()
         await peer.stop()
 
@@ -71,110 +71,110 @@
     return [fact.tag for fact in facts]
 
 
-def test_an_answer_is_booked_with_whether_a_server_made_it(tmp_path: Path) -> None:
-    async def work(ask: Asker) -> None:
-        assert (await ask("a")).status == 200
-        assert (await ask("b")).status == 200
+def test_a_response_is_recorded_as_sound_only_with_the_expected_body(tmp_path: Path) -> None:
+    async def work(send: Send) -> None:
+        assert (await send("a")).status == 200
+        assert (await send("b")).status == 200
 
     facts = play(tmp_path, Scripted(SOUND, answer(200, b"made up")), work)
     assert [fact.sound for fact in facts if isinstance(fact, ResponseReceived)] == [True, False]
 
 
-def test_connections_are_kept_and_used_again(tmp_path: Path) -> None:
+def test_connections_are_reused(tmp_path: Path) -> None:
     peer = Scripted()
 
-    async def work(ask: Asker) -> None:
+    async def work(send: Send) -> None:
         for n in range(5):
-            await ask(f"r{n}")
+            await send(f"r{n}")
 
     play(tmp_path, peer, work)
     assert peer.connections == 1
 
 
-def test_a_close_that_crosses_a_request_is_followed_by_one_more_try_on_a_new_connection(
+def test_a_request_that_races_with_an_idle_close_is_resent_on_a_new_connection(
     tmp_path: Path,
 ) -> None:
     peer = Scripted(SOUND, CLOSE, SOUND)
 
-    async def work(ask: Asker) -> None:
-        await ask("a")
-        assert (await ask("b")).status == 200
+    async def work(send: Send) -> None:
+        await send("a")
+        assert (await send("b")).status == 200
 
     facts = play(tmp_path, peer, work)
     assert tags(facts) == ["asked", "answered", "asked", "cut", "asked", "answered"]
     assert peer.connections == 2
 
 
-def test_a_close_on_a_new_connection_is_not_tried_again(tmp_path: Path) -> None:
-    async def work(ask: Asker) -> None:
-        assert (await ask("a")).how == "closed"
-        assert (await ask("b")).how == "reset"
+def test_a_close_on_a_new_connection_is_not_retried(tmp_path: Path) -> None:
+    async def work(send: Send) -> None:
+        assert (await send("a")).how == "closed"
+        assert (await send("b")).how == "reset"
 
     facts = play(tmp_path, Scripted(CLOSE, RESET), work)
     assert [fact.how for fact in facts if isinstance(fact, ConnectionClosed)] == ["closed", "reset"]
 
 
-def test_half_an_answer_is_told_from_a_whole_one(tmp_path: Path) -> None:
-    async def work(ask: Asker) -> None:
-        assert (await ask("a")).how == "broken"
+def test_a_truncated_response_is_recorded_as_broken(tmp_path: Path) -> None:
+    async def work(send: Send) -> None:
+        assert (await send("a")).how == "broken"
 
     facts = play(tmp_path, Scripted(answer(200, b"long")[:-2] + CLOSE), work)
     assert [fact.how for fact in facts if isinstance(fact, ConnectionClosed)] == ["broken"]
 
 
-def test_what_comes_after_the_answer_is_booked_once_and_the_connection_dropped(tmp_path: Path) -> None:
+def test_bytes_after_the_response_are_recorded_once_and_the_connection_is_dropped(tmp_path: Path) -> None:
     peer = Scripted(SOUND + SOUND, SOUND)
 
-    async def work(ask: Asker) -> None:
-        await ask("a")
-        await asyncio.sleep(0.05)  # it may come with the answer, or after it
-        await ask("b")
+    async def work(send: Send) -> None:
+        await send("a")
+        await asyncio.sleep(0.05)  # the extra bytes may arrive with the response or after it
+        await send("b")
 
     facts = play(tmp_path, peer, work)
     assert [fact.id for fact in facts if isinstance(fact, ExtraBytes)] == ["a"]
     assert peer.connections == 2
 
 
-def test_an_answer_within_the_slack_after_the_time_is_up_is_still_seen(tmp_path: Path) -> None:
+def test_a_response_shortly_after_the_deadline_is_still_recorded(tmp_path: Path) -> None:
     class Late(Scripted):
-        async def script(self, encode_request: Seen) -> bytes:
+        async def script(self, message: Seen) -> bytes:
             await asyncio.sleep(0.12)
-            return await super().script(encode_request)
+            return await super().script(message)
 
-    async def work(ask: Asker) -> None:
-        # The slack is 70 ms: whichever way a busy machine decides, it is booked once.
-        assert (await ask("a", ends_s=0.1)).how == "timeout"
+    async def work(send: Send) -> None:
+        # The slack is 70 ms. On a busy machine the response may miss it, but exactly one fact is recorded.
+        assert (await send("a", ends_s=0.1)).how == "timeout"
 
     facts = play(tmp_path, Late(), work)
     assert len([f for f in facts if isinstance(f, ResponseReceived | RequestTimedOut)]) == 1
 
 
-def test_silence_until_the_time_is_up_is_booked_as_unanswered(tmp_path: Path) -> None:
+def test_no_response_until_the_deadline_is_recorded_as_unanswered(tmp_path: Path) -> None:
     peer = Scripted(HANG, HANG)
 
-    async def work(ask: Asker) -> None:
-        assert (await ask("a", ends_s=0.05)).how == "timeout"
-        assert (await ask("b", leaves_s=0.05)).how == "timeout"
-        await until(lambda: peer.lost == 2)  # it gave up both connections
+    async def work(send: Send) -> None:
+        assert (await send("a", ends_s=0.05)).how == "timeout"
+        assert (await send("b", leaves_s=0.05)).how == "timeout"
+        await until(lambda: peer.lost == 2)  # both connections were closed
 
     facts = play(tmp_path, peer, work)
-    booked = {fact.id: fact.left for fact in facts if isinstance(fact, RequestTimedOut)}
-    assert booked == {"a": False, "b": True}
+    gave_up_early = {fact.id: fact.left for fact in facts if isinstance(fact, RequestTimedOut)}
+    assert gave_up_early == {"a": False, "b": True}
 
 
-def test_a_node_that_is_not_there_has_taken_nothing(tmp_path: Path) -> None:
+def test_a_refused_connection_records_no_sent_request(tmp_path: Path) -> None:
     peer = Scripted()
 
-    async def work(ask: Asker) -> None:
+    async def work(send: Send) -> None:
         await peer.stop()
-        assert (await ask("a")).how == "refused"
+        assert (await send("a")).how == "refused"
 
     facts = play(tmp_path, peer, work)
     assert not any(isinstance(fact, RequestSent) for fact in facts)
     assert [fact.how for fact in facts if isinstance(fact, ConnectionClosed)] == ["refused"]
 
 
-def test_a_record_cut_in_the_middle_of_a_line_keeps_the_rest(tmp_path: Path) -> None:
+def test_reading_a_record_skips_an_incomplete_last_line(tmp_path: Path) -> None:
     recorder = Recorder(tmp_path / "x.facts", 0.0)
     recorder.put(ConnectionClosed(1.0, 0, "a", "n0", "closed", False))
     recorder.put(ConnectionClosed(2.0, 0, "b", "n0", "closed", False))
--- a/tests/testkit/test_golden_formats.py
+++ b/tests/testkit/test_golden_formats.py
@@ -1,7 +1,7 @@
-"""Formats of the node and the kit that outlast a process or leave it: each keeps its bytes.
+"""Compatibility of stored and transmitted formats of the node and the kit, byte for byte.
 
 `golden_formats.json`, `golden.recording` and `golden_wire_*.jsonl.gz` were written before modules were
-renamed. The settings and the command line are in `test_golden_settings`, the mesh's own formats in
+renamed. Settings and the command line are checked in `test_golden_settings`, formats of the mesh in
 `tests/mesh`.
 """
 
@@ -37,39 +37,39 @@
 HERE = Path(__file__).parent
 ROOT = HERE.parents[1]
 GOLDEN: dict[str, Any] = json.loads((HERE / "golden_formats.json").read_text("utf-8"))
-FORMS: dict[str, Any] = {"last_good": LAST_GOOD, "fleet_state": FLEET_STATE}
-FILES = {"last_good": "last-good", "fleet_state": "fleet"}
-# keys of the fleet
-OLD = ("old", b"o" * 32)
-NEW = ("new", b"n" * 32)
+STATE_FORMATS: dict[str, Any] = {"last_good": LAST_GOOD, "fleet_state": FLEET_STATE}
+STATE_FILE_NAMES = {"last_good": "last-good", "fleet_state": "fleet"}
+# Keys of the fleet: name and secret.
+OLD_KEY = ("old", b"o" * 32)
+NEW_KEY = ("new", b"n" * 32)
 
 
 # State on disk
 
 
-@pytest.mark.parametrize("name", FORMS)
+@pytest.mark.parametrize("name", STATE_FORMATS)
 def test_state_on_disk_is_read_and_written_the_same(name: str) -> None:
-    form = FORMS[name]
+    state_format = STATE_FORMATS[name]
     data = GOLDEN[name].encode()
-    assert form.file_name == FILES[name]
-    assert form.encode(form.decode(data)) == data
+    assert state_format.file_name == STATE_FILE_NAMES[name]
+    assert state_format.encode(state_format.decode(data)) == data
 
 
-@pytest.mark.parametrize("name", FORMS)
+@pytest.mark.parametrize("name", STATE_FORMATS)
 @pytest.mark.parametrize(
     ("old", "new", "kind"),
     [(b"orchidferry", b"orchid", "foreign"), (b" 1\n", b" 2\n", "future"), (b'":', b'";', "corrupt")],
 )
-def test_state_that_is_none_is_refused(name: str, old: bytes, new: bytes, kind: str) -> None:
+def test_state_with_invalid_content_is_refused(name: str, old: bytes, new: bytes, kind: str) -> None:
     with pytest.raises(StateFileError) as refusal:
-        FORMS[name].decode(GOLDEN[name].encode().replace(old, new, 1))
+        STATE_FORMATS[name].decode(GOLDEN[name].encode().replace(old, new, 1))
     assert refusal.value.kind == kind
 
 
-@pytest.mark.parametrize("name", FORMS)
-def test_state_that_is_cut_off_is_refused(name: str) -> None:
+@pytest.mark.parametrize("name", STATE_FORMATS)
+def test_truncated_state_is_refused(name: str) -> None:
     with pytest.raises(StateFileError) as refusal:
-        FORMS[name].decode(GOLDEN[name].encode()[:-1])
+        STATE_FORMATS[name].decode(GOLDEN[name].encode()[:-1])
     assert refusal.value.kind == "truncated"
 
 
@@ -79,25 +79,25 @@
 @pytest.mark.parametrize("datagram", GOLDEN["fleet_messages"])
 def test_a_datagram_of_the_fleet_is_read_and_written_the_same(datagram: str) -> None:
     data = bytes.fromhex(datagram)
-    sealer = fleet_wire.Sealer((NEW, OLD))
+    sealer = fleet_wire.Sealer((NEW_KEY, OLD_KEY))
     body, _ = sealer.open(data)
     assert sealer.seal(fleet_wire.encode(fleet_wire.decode(body))) == data
 
 
-def test_datagrams_under_either_key_are_believed() -> None:
+def test_datagrams_sealed_with_either_key_are_accepted() -> None:
     data = bytes.fromhex(GOLDEN["fleet_old_key"])
-    body, key = fleet_wire.Sealer((NEW, OLD)).open(data)
-    assert fleet_wire.Sealer((NEW, OLD)).seal(body, key) == data
-    assert fleet_wire.Sealer((OLD, NEW)).seal(body) == data
+    body, key = fleet_wire.Sealer((NEW_KEY, OLD_KEY)).open(data)
+    assert fleet_wire.Sealer((NEW_KEY, OLD_KEY)).seal(body, key) == data
+    assert fleet_wire.Sealer((OLD_KEY, NEW_KEY)).seal(body) == data
 
 
-def test_a_datagram_under_another_key_or_changed_is_refused() -> None:
+def test_a_changed_datagram_or_one_with_an_unknown_key_is_refused() -> None:
     data = bytes.fromhex(GOLDEN["fleet_messages"][0])
     for keys, changed, kind in (
-        ((OLD,), data, "forged"),
-        ((NEW,), data[:-1] + bytes([data[-1] ^ 1]), "forged"),
-        ((NEW,), b"\0" + data[1:], "foreign"),
-        ((NEW,), data[:22], "foreign"),
+        ((OLD_KEY,), data, "forged"),
+        ((NEW_KEY,), data[:-1] + bytes([data[-1] ^ 1]), "forged"),
+        ((NEW_KEY,), b"\0" + data[1:], "foreign"),
+        ((NEW_KEY,), data[:22], "foreign"),
     ):
         with pytest.raises(fleet_wire.DatagramError) as refusal:
             fleet_wire.Sealer(keys).open(changed)
@@ -108,7 +108,7 @@
 
 
 def decompressed(path: Path) -> bytes:
-    """What a recording holds; its compression may differ with the library."""
+    """Return the uncompressed recording, as the compressed bytes depend on the library's version."""
     return zstd.decompress(path.read_bytes())
 
 
@@ -123,8 +123,8 @@
     assert decompressed(tmp_path / "again") == decompressed(HERE / "golden.recording")
 
 
-def test_the_layout_of_a_recording_stays() -> None:
-    """Read by hand: the magic, the header, rows of 46 bytes, one that ends them, and their checksum."""
+def test_the_layout_of_a_recording_is_unchanged() -> None:
+    """Parse without the reader: magic, header, rows of 46 bytes, an end row, a checksum of the rows."""
     magic, header, rest = decompressed(HERE / "golden.recording").split(b"\n", 2)
     assert magic == b"orchidferry recording 1"
     assert list(json.loads(header)) == ["classes", "rows", "seconds", "began", "window_s", "notes"]
@@ -136,7 +136,7 @@
     assert [list(row) for row in struct.iter_unpack("<3Q4I2H2B", rows)] == GOLDEN["recording_rows"]
 
 
-# The simulator's wire
+# Wire protocol of the simulator
 
 
 def wire_host(text: str) -> subprocess.CompletedProcess[str]:
@@ -151,20 +151,20 @@
     )
 
 
-def test_the_simulators_host_answers_golden_lines_the_same() -> None:
-    given, expected = (
+def test_the_wire_host_answers_golden_input_the_same() -> None:
+    input_text, expected = (
         gzip.decompress((HERE / f"golden_wire_{name}.jsonl.gz").read_bytes()).decode()
         for name in ("input", "output")
     )
-    ended = wire_host(given)
-    assert (ended.returncode, ended.stderr) == (0, "")
-    for number, pair in enumerate(zip(ended.stdout.splitlines(), expected.splitlines(), strict=True)):
+    completed = wire_host(input_text)
+    assert (completed.returncode, completed.stderr) == (0, "")
+    for number, pair in enumerate(zip(completed.stdout.splitlines(), expected.splitlines(), strict=True)):
         assert pair[0] == pair[1], f"line {number}"
-    assert ended.stdout == expected
+    assert completed.stdout == expected
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "error"),
     [
         ("[]", "a batch must be an object, not []"),
         ("{}", "'ts_ms' is missing"),
@@ -178,11 +178,11 @@
         ),
     ],
 )
-def test_the_simulators_host_ends_at_bad_lines(line: str, told: str) -> None:
+def test_the_wire_host_exits_at_an_invalid_line(line: str, error: str) -> None:
     good = '{"ts_ms":1,"round":7,"items":[]}'
-    ended = wire_host(f"{good}\n{line}\n")
-    assert (ended.returncode, ended.stdout) == (2, '{"round":7,"actions":[]}\n')
-    assert ended.stderr == f"orchidferry: input line 2: {told}\n"
+    completed = wire_host(f"{good}\n{line}\n")
+    assert (completed.returncode, completed.stdout) == (2, '{"round":7,"actions":[]}\n')
+    assert completed.stderr == f"orchidferry: input line 2: {error}\n"
 
 
 # Records and verdicts of rehearsals
@@ -196,7 +196,7 @@
 
 
 def test_facts_of_the_mesh_keep_their_names_in_a_record() -> None:
-    """A record's lines name the kind of each fact and all its fields."""
+    """Each line of a record names the kind of its fact and all fields."""
     written = [json.loads(line) for line in mesh_runs.record(mesh_runs.clean()).lines().splitlines()]
     assert len({line["fact"] for line in written}) > 10
     for line in written:
@@ -209,7 +209,7 @@
 
 
 def keys_of(found: Any) -> Any:
-    """The keys of what JSON holds, within each other; the lists' items once where they are alike."""
+    """Return the nested keys of a JSON value; a list gives one item if all have the same keys."""
     if isinstance(found, dict):
         return {key: keys_of(value) for key, value in found.items()}
     if isinstance(found, list):
--- a/tests/testkit/test_golden_settings.py
+++ b/tests/testkit/test_golden_settings.py
@@ -1,9 +1,9 @@
-"""The command line: its words, and the one line and exit status with which bad settings are answered.
+"""Commands, options, and the error line and exit status for invalid settings.
 
-`golden_settings.json` was recorded before modules were renamed. The program runs as `python -m orchidferry`
-would run it, in this process, in a folder that holds the files; where a line goes on with words of a library,
-only what stands before these is recorded. Settings of a node count as accepted if all that is wrong is that
-it can't listen on an address of another machine.
+`golden_settings.json` was recorded before modules were renamed. The program runs in this process as with
+`python -m orchidferry`, in a folder that holds the files. If an error line ends with a library's message,
+only the part before that is recorded. Settings of a node count as accepted if the only error is that the
+node can't listen on an address of another machine.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 }
 
 
-def run(words: list[str], environment: dict[str, str]) -> tuple[int, str, str]:
-    """Run the program in this process: exit status, standard output, standard error."""
+def run(arguments: list[str], environment: dict[str, str]) -> tuple[int, str, str]:
+    """Run the program in this process; return exit status, standard output and standard error."""
     out = io.StringIO()
     errors = io.StringIO()
     with pytest.MonkeyPatch.context() as patch:
@@ -51,7 +51,7 @@
                 patch.delenv(name)
         for name, value in {**environment, "COLUMNS": "100"}.items():
             patch.setenv(name, value)
-        patch.setattr(sys, "argv", [PROGRAM, *words])
+        patch.setattr(sys, "argv", [PROGRAM, *arguments])
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(errors):
             try:
                 runpy.run_module(PROGRAM, run_name="__main__")
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The working directory, with a node's good settings and the fleet's keys."""
+    """Return the working directory, which holds valid settings of a node and the keys of the fleet."""
     monkeypatch.chdir(tmp_path)
     (tmp_path / "node.json").write_text(json.dumps(GOLDEN["good_node"]))
     (tmp_path / "fleet.keys").write_text(FLEET_KEYS)
@@ -72,29 +72,29 @@
 
 
 def is_line(found: str, recorded: str) -> bool:
-    """Whether it is the recorded line, or begins as recorded where a library's words follow."""
+    """Return whether a line is the recorded one, or begins with it if a library's message follows."""
     if recorded.endswith("\n") or not recorded:
         return found == recorded
     return found.startswith(recorded) and found.count("\n") == 1 and found.endswith("\n")
 
 
 def changed_node(case: dict[str, Any]) -> str:
-    """A node's settings as a case has them."""
+    """Return the settings of a node with the change of a test case."""
     if "text" in case:
         return str(case["text"])
     settings = copy.deepcopy(GOLDEN["good_node"])
-    inner = settings
+    table = settings
     for step in case["path"][:-1]:
-        inner = inner[step]
+        table = table[step]
     if "value" in case:
-        inner[case["path"][-1]] = case["value"]
+        table[case["path"][-1]] = case["value"]
     else:
-        del inner[case["path"][-1]]
+        del table[case["path"][-1]]
     return json.dumps(settings)
 
 
 @pytest.mark.parametrize("case", GOLDEN["node"], ids=[f"{n}" for n in range(len(GOLDEN["node"]))])
-def test_bad_settings_of_a_node(folder: Path, case: dict[str, Any]) -> None:
+def test_invalid_settings_of_a_node(folder: Path, case: dict[str, Any]) -> None:
     (folder / "node.json").write_text(changed_node(case))
     status, out, line = run([], {"NODE_CONFIG": "node.json"})
     assert is_line(line, case["line"]), line
@@ -102,20 +102,20 @@
 
 
 @pytest.mark.parametrize("case", GOLDEN["operator"], ids=[f"{n}" for n in range(len(GOLDEN["operator"]))])
-def test_bad_files_of_an_operator(folder: Path, case: dict[str, Any]) -> None:
+def test_invalid_operator_files(folder: Path, case: dict[str, Any]) -> None:
     (folder / case["file"]).write_text(case["text"])
     status, out, line = run([], {"NODE_CONFIG": "node.json", case["variable"]: case["file"]})
     assert is_line(line, case["line"]), line
     assert (status, out) == (2, "")
 
 
-def test_good_settings_of_a_node(folder: Path) -> None:
+def test_valid_settings_of_a_node(folder: Path) -> None:
     status, out, line = run([], {"NODE_CONFIG": "node.json"})
     assert (status, out) == (2, "") and line.startswith(LISTENS_ELSEWHERE)
 
 
-def test_all_good_files_of_an_operator_at_once(folder: Path) -> None:
-    """In a process of its own: the control channel's library starts threads."""
+def test_all_valid_operator_files_together(folder: Path) -> None:
+    """Runs in a separate process, because the library of the control channel starts threads."""
     environment = {**os.environ, "NODE_CONFIG": "node.json", "PYTHONPATH": str(ROOT)}
     for variable, text in GOOD_FILES.items():
         (folder / f"{variable}.toml").write_text(text)
@@ -128,7 +128,7 @@
 
 
 def boot_text(case: dict[str, Any]) -> str:
-    """The settings of a role as a case has them."""
+    """Return the settings of a role with the changes of a test case."""
     if "text" in case:
         return str(case["text"])
     text = (
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("case", GOLDEN["boot"], ids=[f"{n}" for n in range(len(GOLDEN["boot"]))])
 def test_settings_of_a_role(folder: Path, case: dict[str, Any]) -> None:
-    """The good and the bad ones, as `--check` tells them."""
+    """Valid and invalid settings, as `--check` reports them."""
     (folder / "boot.toml").write_text(boot_text(case))
     status, out, line = run([case["role"], "--check"], {"ORCHIDFERRY_BOOT": "boot.toml"})
     assert is_line(line, case["line"]), line
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "environment", "line"),
+    ("arguments", "environment", "line"),
     [
         ([], {}, "orchidferry: NODE_CONFIG must name the configuration file\n"),
         ([], {"NODE_CONFIG": "no.json"}, "orchidferry: can't read the configuration: "),
@@ -164,22 +164,22 @@
         (["odd"], {}, "orchidferry: argument COMMAND: invalid choice: 'odd' (choose from "),
     ],
 )
-def test_what_is_missing_is_told(
-    folder: Path, words: list[str], environment: dict[str, str], line: str
+def test_a_missing_argument_or_file_is_reported(
+    folder: Path, arguments: list[str], environment: dict[str, str], line: str
 ) -> None:
-    status, out, found = run(words, environment)
+    status, out, found = run(arguments, environment)
     assert is_line(found, line), found
     assert (status, out) == (2, "")
 
 
-def test_a_missing_file_of_an_operator_is_told(folder: Path) -> None:
+def test_a_missing_operator_file_is_reported(folder: Path) -> None:
     for variable in GOOD_FILES:
         status, out, line = run([], {"NODE_CONFIG": "node.json", variable: "no.toml"})
         assert (status, out) == (2, "") and line.startswith("orchidferry: ") and line.count("\n") == 1
         assert "no.toml" in line and "No such file or directory" in line
 
 
-def test_there_are_no_keys_for_others_to_read(folder: Path) -> None:
+def test_a_key_file_that_others_may_read_is_refused(folder: Path) -> None:
     (folder / "fleet.keys").chmod(0o644)
     (folder / "fleet.toml").write_text(GOOD_FILES["ORCHIDFERRY_FLEET"])
     environment = {"NODE_CONFIG": "node.json", "ORCHIDFERRY_FLEET": "fleet.toml"}
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "begins"),
+    ("arguments", "begins"),
     [
         (["proxy"], "usage: orchidferry proxy [--check]\n"),
         (["controller"], "usage: orchidferry controller [--check]\n       orchidferry controller snapshot "),
@@ -212,13 +212,13 @@
         (["controller", "snapshot", "put"], "usage: orchidferry controller snapshot put "),
     ],
 )
-def test_help_of_the_roles(words: list[str], begins: str) -> None:
-    status, out, errors = run([*words, "--help"], {})
+def test_help_of_the_roles(arguments: list[str], begins: str) -> None:
+    status, out, errors = run([*arguments, "--help"], {})
     assert (status, errors) == (0, "") and out.startswith(begins)
 
 
-def test_the_kit_is_a_module_too() -> None:
-    """`python -m orchidferry.testkit.cli` is what scripts and rehearsals run."""
+def test_the_kit_runs_as_a_module() -> None:
+    """Scripts and rehearsals run `python -m orchidferry.testkit.cli`."""
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     ended = subprocess.run(
         [sys.executable, "-m", "orchidferry.testkit.cli", "--help"],
--- a/tests/testkit/test_run.py
+++ b/tests/testkit/test_run.py
@@ -1,4 +1,4 @@
-"""Whole rehearsals on real processes: what they catch, how they end, and that they leave nothing behind."""
+"""Complete rehearsals with real processes: faults that they detect, how they end, and their clean-up."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     {"name": "front", "servers": 4, "work": 0.4, "calls": 1, "cell": 2, "cold_from": 0.15},
     {"name": "back", "servers": 4, "work": 0.6, "cell": 2},
 ]
-# Generous, as tests share the machine: these runs are about rules, not about service.
+# Generous limits, as tests share the machine: these runs check rules, not the service level.
 LIMITS = {"lag_p99": "5s", "lag_most": "5s", "stall": "5s", "starved": 1.0}
-STALL_MOST_S = (
-    0.5  # of the kit's processes: clients give up after 2 s, and a stop of the machine is no node's
-)
+# Longest stall of the kit's processes in a valid run: clients give up after 2 s, and a stall of the machine
+# is not a fault of the node.
+MAX_STALL_S = 0.5
 PLAYS_MOST = 4
 
 
@@ -55,21 +55,21 @@
 
 
 def play(one: Scenario, keep: Path | None = None) -> tuple[Run, Verdict]:
-    """A run in which the kit itself stood still is void, whatever its verdict, and is played again.
+    """Run and judge a scenario; repeat runs in which the kit itself stalled, at most `PLAYS_MOST` in all.
 
-    The last one counts in any case.
+    Such a run is void, whatever its verdict. The result of the last run counts in any case.
     """
     import uvloop
 
     for _ in range(PLAYS_MOST):
         run = uvloop.run(rehearse(one, Progress(), keep))
         verdict = judge(one, run.facts, run.start, run.end, run.complete, run.why)
-        if verdict.lateness.stall_s <= STALL_MOST_S:
+        if verdict.lateness.stall_s <= MAX_STALL_S:
             break
     return run, verdict
 
 
-def broken(fault: str) -> dict[str, Any]:
+def faulty_node(fault: str) -> dict[str, Any]:
     return {"command": [sys.executable, "-B", "-m", "tests.testkit.broken_node", fault]}
 
 
@@ -79,7 +79,7 @@
 QUICK = {"notice": "200ms", "add": "200ms"}
 
 
-def test_a_run_of_sound_nodes_breaks_no_rule_and_checks_each() -> None:
+def test_a_run_of_correct_nodes_breaks_no_rule_and_checks_each() -> None:
     one = scenario(
         DRAIN | {"after": "3s", "back": "200ms", "renamed": True},
         {"at": "500ms", "do": "crash", "tier": "back", "count": 1, "back": "500ms"},
@@ -104,8 +104,8 @@
         ("floods-cold", "cold_servers_spared", [ADD]),
     ],
 )
-def test_a_node_that_breaks_a_rule_is_caught(fault: str, rule: str, timeline: list[dict[str, Any]]) -> None:
-    one = scenario(*timeline, node=broken(fault), discovery=QUICK, load={"rate": 50})
+def test_a_node_that_breaks_a_rule_is_detected(fault: str, rule: str, timeline: list[dict[str, Any]]) -> None:
+    one = scenario(*timeline, node=faulty_node(fault), discovery=QUICK, load={"rate": 50})
     run, verdict = play(one)
     assert run.complete, run.why
     assert rule in verdict.broken_rules
@@ -113,40 +113,40 @@
     assert not verdict.passed
 
 
-def test_one_seed_gives_the_same_arrivals_faults_and_draws() -> None:
+def test_a_seed_determines_arrivals_faults_and_random_choices() -> None:
     one = scenario(
         {"at": "1s", "do": "slow", "tier": "back", "count": 1, "factor": 4, "for": "1s"}, ERRORS, length="3s"
     )
     (first, _), (second, _) = play(one), play(one)
 
-    def script(run: Run) -> dict[str, Any]:
-        kinds: dict[str, Any] = {"wanted": [], "incidents": [], "work": {}, "speeds": {}, "tries": {}}
+    def seeded_facts(run: Run) -> dict[str, Any]:
+        facts_by_kind: dict[str, Any] = {"wanted": [], "incidents": [], "work": {}, "speeds": {}, "tries": {}}
         for fact in run.facts:
             match fact:
                 case RequestScheduled():
-                    kinds["wanted"].append((round(fact.t - run.start, 6), fact.root, fact.cls))
+                    facts_by_kind["wanted"].append((round(fact.t - run.start, 6), fact.root, fact.cls))
                 case Incident():
-                    kinds["incidents"].append((round(fact.t - run.start, 6), fact.do, fact.whom))
+                    facts_by_kind["incidents"].append((round(fact.t - run.start, 6), fact.do, fact.whom))
                 case RequestReceived():
-                    kinds["work"][fact.tier, fact.id.partition(".")[0]] = fact.work
+                    facts_by_kind["work"][fact.tier, fact.id.partition(".")[0]] = fact.work
                 case ServerUp():
-                    kinds["speeds"][fact.server] = fact.capacity
+                    facts_by_kind["speeds"][fact.server] = fact.capacity
                 case RequestSent() if fact.tier == 0 and fact.number == 0:
-                    kinds["tries"][fact.id] = (fact.cls, round(fact.ends - fact.intended, 6))
-        return kinds
+                    facts_by_kind["tries"][fact.id] = (fact.cls, round(fact.ends - fact.intended, 6))
+        return facts_by_kind
 
-    a, b = script(first), script(second)
+    a, b = seeded_facts(first), seeded_facts(second)
     assert a["wanted"] == b["wanted"] and len(a["wanted"]) > 60
     assert a["incidents"] == b["incidents"]
     assert a["speeds"] == b["speeds"]
     assert a["tries"] == b["tries"]
-    both = a["work"].keys() & b["work"].keys()  # a call that an error cut short may be in one run alone
+    both = a["work"].keys() & b["work"].keys()  # a call that an error ended early may occur in only one run
     assert len(both) > 0.9 * len(a["work"])
     assert {k: a["work"][k] for k in both} == {k: b["work"][k] for k in both}
 
 
-def start(tmp_path: Path, *args: str, **changes: Any) -> subprocess.Popen[str]:
-    """The command as a process; the scenario is long, and comes from a file."""
+def start_command(tmp_path: Path, *args: str, **changes: Any) -> subprocess.Popen[str]:
+    """Start the command as a process, with a long scenario from a file."""
     lines = [
         'name = "long"',
         'length = "60s"',
@@ -187,20 +187,23 @@
     )
 
 
-def under(folder: Path) -> list[int]:
-    """The processes whose command line or settings name the folder; with the last of them go its ports."""
-    found = []
+def processes_of(folder: Path) -> list[int]:
+    """Return the processes that name the folder in their command line or environment.
+
+    When none is left, the ports of the run are free too.
+    """
+    pids = []
     for path in Path("/proc").glob("[0-9]*"):
         try:
             text = (path / "cmdline").read_bytes() + (path / "environ").read_bytes()
         except OSError:
             continue
         if str(folder).encode() in text and int(path.name) != os.getpid():
-            found.append(int(path.name))
-    return found
+            pids.append(int(path.name))
+    return pids
 
 
-def eventually(holds: Any) -> None:
+def wait_until(holds: Any) -> None:
     deadline = time.monotonic() + LIMIT_S
     while not holds():
         assert time.monotonic() < deadline
@@ -208,22 +211,22 @@
 
 
 def wait_until_playing(tmp_path: Path) -> None:
-    """Until over twenty requests have been answered, tries of one counted once: the record says so."""
+    """Wait until the record shows more than 20 answered requests; attempts of one request count once."""
     record = tmp_path / "kept" / "clients0.facts"
 
     def answered() -> int:
-        whole = record.read_text().rpartition("\n")[0].splitlines() if record.exists() else []
-        rows = [json.loads(line) for line in whole if line.startswith('["answered"')]
+        complete_lines = record.read_text().rpartition("\n")[0].splitlines() if record.exists() else []
+        rows = [json.loads(line) for line in complete_lines if line.startswith('["answered"')]
         return len({id.partition(".")[0] for _, _, _, id, *_ in rows})
 
-    eventually(lambda: answered() > 20)
+    wait_until(lambda: answered() > 20)
 
 
 @pytest.mark.parametrize(("number", "status"), [(signal.SIGINT, 130), (signal.SIGTERM, 130)])
-def test_a_run_that_is_stopped_reports_what_it_saw(
+def test_a_stopped_run_reports_its_results_so_far(
     tmp_path: Path, number: signal.Signals, status: int
 ) -> None:
-    process = start(tmp_path)
+    process = start_command(tmp_path)
     wait_until_playing(tmp_path)
     process.send_signal(number)
     out, err = process.communicate(timeout=LIMIT_S)
@@ -235,25 +238,27 @@
     assert verdict["rules"]["no_request_lost"]["checked"] > 10
     assert verdict["rules"]["no_request_lost"]["held"], verdict["rules"]["no_request_lost"]["broken"]
     assert "cut off" in out
-    assert under(tmp_path) == []
+    assert processes_of(tmp_path) == []
 
 
-def test_a_node_that_dies_ends_the_run_with_what_was_seen(tmp_path: Path) -> None:
-    process = start(tmp_path, node=broken("dies"))
+def test_a_node_that_exits_ends_the_run_with_the_results_so_far(tmp_path: Path) -> None:
+    process = start_command(tmp_path, node=faulty_node("dies"))
     _out, err = process.communicate(timeout=2 * LIMIT_S)
     assert process.returncode == 1, err
     verdict = json.loads((tmp_path / "out.json").read_text())
     assert verdict["complete"] is False
     assert "ended by itself (exit 3)" in verdict["run"]["why"]
-    assert "nobody thought of" in verdict["run"]["why"]
+    assert "simulated unexpected failure" in verdict["run"]["why"]
     assert verdict["requests"]["asked"] > 0
-    assert under(tmp_path) == []
+    assert processes_of(tmp_path) == []
 
 
-def test_a_stand_in_process_that_dies_ends_the_run_with_what_was_seen(tmp_path: Path) -> None:
-    process = start(tmp_path)
+def test_a_killed_worker_process_ends_the_run_with_the_results_so_far(tmp_path: Path) -> None:
+    process = start_command(tmp_path)
     wait_until_playing(tmp_path)
-    [world] = [pid for pid in under(tmp_path) if b"world0" in Path(f"/proc/{pid}/cmdline").read_bytes()]
+    [world] = [
+        pid for pid in processes_of(tmp_path) if b"world0" in Path(f"/proc/{pid}/cmdline").read_bytes()
+    ]
     os.kill(world, signal.SIGKILL)
     _, err = process.communicate(timeout=LIMIT_S)
     assert process.returncode == 1, err
@@ -261,26 +266,26 @@
     assert verdict["complete"] is False
     assert "world0, a process of the kit, ended with status -9" in verdict["run"]["why"]
     assert verdict["requests"]["asked"] > 10
-    assert under(tmp_path) == []
+    assert processes_of(tmp_path) == []
 
 
-def test_a_director_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
-    process = start(tmp_path)
+def test_a_killed_director_leaves_no_process_behind(tmp_path: Path) -> None:
+    process = start_command(tmp_path)
     wait_until_playing(tmp_path)
-    assert len(under(tmp_path)) >= 6
+    assert len(processes_of(tmp_path)) >= 6
     process.kill()
     process.communicate(timeout=LIMIT_S)
-    eventually(lambda: under(tmp_path) == [])
+    wait_until(lambda: processes_of(tmp_path) == [])
 
 
-def test_a_node_that_can_not_start_is_told_and_not_waited_for(tmp_path: Path) -> None:
-    process = start(tmp_path, node={"command": ["/nonexistent/node"]})
+def test_a_node_that_can_not_start_ends_the_run_with_the_reason(tmp_path: Path) -> None:
+    process = start_command(tmp_path, node={"command": ["/nonexistent/node"]})
     process.communicate(timeout=LIMIT_S)
     assert process.returncode == 1
     assert "No such file" in json.loads((tmp_path / "out.json").read_text())["run"]["why"]
 
 
-def test_effects_of_unsafe_requests_are_never_doubled_while_servers_fail() -> None:
+def test_unsafe_requests_are_executed_at_most_once_while_servers_fail() -> None:
     one = scenario(ERRORS, {"at": "1s", "do": "resets", "tier": "back", "count": 2, "rate": 0.5, "for": "3s"})
     run, verdict = play(one)
     assert run.complete, run.why
@@ -293,6 +298,6 @@
     assert verdict.service.classes["repasse-socio"].failed > 0
 
 
-def test_the_shipped_slow_server_scenario_is_what_make_demo_plays() -> None:
+def test_make_demo_runs_the_shipped_slow_server_scenario() -> None:
     assert "rehearse slow-server" in (ROOT / "Makefile").read_text()
     assert load_scenario("slow-server").length_s <= 30.0
--- a/tests/testkit/test_stop_signals.py
+++ b/tests/testkit/test_stop_signals.py
@@ -1,4 +1,4 @@
-"""Work that is told to stop cleans up first, and says by which signal."""
+"""A run that is stopped by a signal cleans up first, and reports the signal."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("number", STOP_SIGNALS)
-def test_work_that_is_told_to_stop_cleans_up_first(number: signal.Signals) -> None:
+def test_a_signal_cancels_the_work_and_waits_for_its_clean_up(number: signal.Signals) -> None:
     steps: list[str] = []
 
     async def work() -> None:
@@ -29,7 +29,7 @@
     assert steps == ["cleaned up"] and signal.getsignal(number) is before
 
 
-def test_work_that_ends_by_itself_gives_its_result() -> None:
+def test_completed_work_returns_its_result() -> None:
     async def work() -> int:
         return 7
 
