--- a/orchidferry/testkit/process.py
+++ b/orchidferry/testkit/process.py
@@ -63,7 +63,7 @@
         """Carry out an order of the director."""
 
     def on_second(self) -> None:
-        """Called once a second."""
+        """Run periodic work; called once a second."""
 
     async def close(self) -> None:
         """Stop all work and release its resources."""
--- a/orchidferry/testkit/record.py
+++ b/orchidferry/testkit/record.py
@@ -28,8 +28,8 @@
     tag: ClassVar[str] = "asked"
     t: float
     tier: int  # index of the server tier that the request addresses; 0 for requests of clients
-    id: str
-    cls: str
+    id: str  # id of the attempt
+    cls: str  # name of the request class
     node: str
     root: str  # id of the client request that caused this request
     number: int  # from 0: number of the client's attempt; in lower tiers, number of the call
@@ -108,10 +108,10 @@
     first: float  # when the first byte of the request was read
     tier: int
     server: str
-    cell: int
+    cell: int  # number of the server's cell, a group of servers of its tier
     id: str
     cls: str
-    key: str
+    key: str  # idempotency key, or empty
     work: float  # CPU time that the request takes at this server, in core-seconds
 
 
@@ -234,8 +234,8 @@
     tag: ClassVar[str] = "incident"
     t: float
     until: float
-    do: str
-    whom: str
+    do: str  # type of the step
+    whom: str  # names or description of the affected servers, nodes or links
 
 
 @dataclass(slots=True)
@@ -248,9 +248,9 @@
 
     tag: ClassVar[str] = "lag"
     t: float
-    who: str
+    who: str  # name of the process or node
     kind: str
-    amount: float
+    amount: float  # in seconds, or as a fraction
 
 
 Fact = (
--- a/orchidferry/testkit/wire.py
+++ b/orchidferry/testkit/wire.py
@@ -110,7 +110,10 @@
             self._on_lost(self)
 
     def answer(self, status: int, body: bytes = b"", headers: str = "") -> None:
-        """Write a complete response; do nothing if the connection is closed."""
+        """Write a complete response; do nothing if the connection is closed.
+
+        :param headers: further header lines, each with its line end
+        """
         if self.open and not self.transport.is_closing():
             head = f"HTTP/1.1 {status} -\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
             self.transport.write(head.encode("latin-1") + body)
@@ -137,7 +140,7 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    reused: bool = False
+    reused: bool = False  # whether the connection had carried an earlier request
 
 
 class RequesterSide(asyncio.Protocol):
@@ -147,9 +150,9 @@
         self._on_extra = on_extra  # called with the id of the last request when unsolicited bytes come
         self._read_pause_s = read_pause_s  # how long reading pauses after the first bytes of a response
         self.transport: asyncio.Transport
-        self.alive = False
-        self.used = 0
-        self.last_id = ""
+        self.alive = False  # whether the connection is open and usable
+        self.used = 0  # requests sent on the connection
+        self.last_id = ""  # id of the last request
         self.proven = False  # whether the peer has proven to be a process of the kit
         self._waiting: asyncio.Future[Outcome] | None = None
         self._reset_response()
