--- a/tests/testkit/test_cli.py
+++ b/tests/testkit/test_cli.py
@@ -79,7 +79,7 @@
     path = tmp_path / "mine.toml"
     path.write_text('name = "x"\n[load]\nrate = "fast"\n')
     status, _, err = call(monkeypatch, capsys, "rehearse", str(path))
-    assert (status, err) == (2, f"orchidferry rehearse: {path}: [load].rate: 'fast' is no number\n")
+    assert (status, err) == (2, f"orchidferry rehearse: {path}: [load].rate: 'fast' is not a number\n")
 
 
 def test_a_folder_to_keep_must_be_empty(
